--- a/cmd/woaddyke/workers_test.go
+++ b/cmd/woaddyke/workers_test.go
@@ -77,7 +77,11 @@
 			}
 			c.Await("the one that is told pushes there no more", func() bool { return quiet(c.Places[0]) })
 			if !on {
-				if quiet(c.Places[1]) && quiet(c.Places[1]) {
+				stopped := true
+				for range 2 {
+					stopped = stopped && quiet(c.Places[1])
+				}
+				if stopped {
 					t.Error("without a word of its neighbour it stopped too: this test proves nothing")
 				}
 				return
--- a/internal/handover/pass/pass_test.go
+++ b/internal/handover/pass/pass_test.go
@@ -225,7 +225,8 @@
 	if Path("127.0.0.1:9000", "a") == Path("127.0.0.1:9000", "b") || Path("127.0.0.1:9000", "a") == Path("127.0.0.1:9001", "a") {
 		t.Error("they meet")
 	}
-	if Path("127.0.0.1:9000", "a") != Path("127.0.0.1:9000", "a") {
+	first, again := Path("127.0.0.1:9000", "a"), Path("127.0.0.1:9000", "a")
+	if first != again {
 		t.Error("a scheduler does not find its own")
 	}
 }
--- a/internal/lab/audit/audit.go
+++ b/internal/lab/audit/audit.go
@@ -63,20 +63,19 @@
 
 // push is one push of an op as its worker saw it.
 type push struct {
-	number, line int
-	at, from     ledger.Time
-	until        ledger.Time // as its worker was told, 0 for not
-	worker       string
-	scheduler    int
-	zone         string
-	cell         int
-	said         string
-	saidAt       ledger.Time
-	saidLine     int
-	closedAt     ledger.Time
-	ran          int // its line, 0 for not
-	over         bool
-	overAt       ledger.Time
+	line      int
+	at, from  ledger.Time
+	until     ledger.Time // as its worker was told, 0 for not
+	worker    string
+	scheduler int
+	zone      string
+	cell      int
+	said      string
+	saidAt    ledger.Time
+	saidLine  int
+	ran       int // its line, 0 for not
+	over      bool
+	overAt    ledger.Time
 }
 
 // mayHaveRun tells what a scheduler has to assume of a push at a moment.
--- a/internal/lab/between/block.go
+++ b/internal/lab/between/block.go
@@ -14,8 +14,8 @@
 // blocks are the third bytes at which a play's addresses may begin; the tests that start processes of their own use those between.
 var blocks = []byte{0, 2, 236, 238, 240, 242, 244, 246, 248, 250, 252, 254}
 
-// claim is the socket by which this process holds its block.
-var claim net.PacketConn
+// claims are the sockets by which this process holds its blocks: one that nothing refers to is closed by the garbage collector.
+var claims []net.PacketConn
 
 var errNoBlock = errors.New("links between schedulers: as many plays run at once as there are addresses for")
 
@@ -26,7 +26,7 @@
 	for _, b := range blocks {
 		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, b, perBlock + 2}), claimPort)
 		if held, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at)); err == nil {
-			claim = held
+			claims = append(claims, held)
 			return int(b) * perBlock, nil
 		}
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -119,7 +119,6 @@
 	legs  map[int]*leg
 	conns map[*link]bool
 	wake  *time.Timer
-	wakes ledger.Time
 	calls map[int]chan box.Report
 	next  int // numbers probes
 	shut  []*shut
--- a/internal/lab/links/conn.go
+++ b/internal/lab/links/conn.go
@@ -24,7 +24,6 @@
 	taken   []byte  // of the first piece
 	mouth   time.Time
 	gone    time.Time
-	err     error
 	closed  bool
 	expires time.Time
 	timer   *time.Timer
--- a/internal/lab/several/several.go
+++ b/internal/lab/several/several.go
@@ -44,7 +44,6 @@
 	Discovery             string // where its own is; empty: the cluster's
 	at                    netip.AddrPort
 	dir                   string
-	seeds                 []string
 	told                  string
 
 	mu  sync.Mutex
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -25,7 +25,8 @@
 		}
 		return b.String()
 	}
-	if text(draw(7)) != text(draw(7)) || text(draw(7)) == text(draw(8)) {
+	first, again, other := text(draw(7)), text(draw(7)), text(draw(8))
+	if first != again || first == other {
 		t.Error("the troubles are not the seed's")
 	}
 	kinds := map[string]bool{}
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -180,8 +180,7 @@
 		chance, r := rand.New(rand.NewSource(seed)), started()
 		out, answered, left := map[uint64]bool{}, map[uint64]int{}, map[uint64]bool{}
 		sound := true
-		var carry func([]Effect)
-		carry = func(todo []Effect) {
+		carry := func(todo []Effect) {
 			for _, e := range todo {
 				switch e := e.(type) {
 				case Push:
--- a/internal/workerconn/exchange.go
+++ b/internal/workerconn/exchange.go
@@ -430,12 +430,9 @@
 
 // broken is how a connection ended that had taken the whole request.
 func broken(err error) outcome.Ending {
-	var proto *http.ProtocolError
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return outcome.Silent
-	case errors.As(err, &proto):
-		return outcome.Garbled
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return outcome.EndedEarly
 	case errors.As(err, new(*net.OpError)), errors.Is(err, net.ErrClosed):
