--- /dev/null
+++ b/internal/mesh/golden_test.go
@@ -0,0 +1,169 @@
+package mesh
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"woaddyke/internal/members"
+	"woaddyke/internal/testsupport/golden"
+)
+
+const goldenFolder = "testdata/golden"
+
+// filler sets every exported field that it reaches to a non-zero value, and no two numbers or texts to the same one.
+type filler struct{ last int }
+
+func (f *filler) fill(t *testing.T, v reflect.Value) {
+	t.Helper()
+	f.last++
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if v.Type().Field(i).IsExported() {
+				f.fill(t, v.Field(i))
+			}
+		}
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		for i := range v.Len() {
+			f.fill(t, v.Index(i))
+		}
+	case reflect.String:
+		v.SetString(fmt.Sprintf("text-%d", f.last))
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int64:
+		v.SetInt(int64(f.last))
+	case reflect.Uint8, reflect.Uint16, reflect.Uint64:
+		if v.OverflowUint(uint64(f.last)) {
+			t.Fatalf("%d is too large for %s", f.last, v.Type())
+		}
+		v.SetUint(uint64(f.last))
+	default:
+		t.Fatalf("%s can't be filled", v.Type())
+	}
+}
+
+// filled is a value of which every exported field is set.
+func filled[T any](t *testing.T) (value T) {
+	t.Helper()
+	new(filler).fill(t, reflect.ValueOf(&value).Elem())
+	requireNonZero(t, reflect.TypeFor[T]().String(), reflect.ValueOf(value))
+	return value
+}
+
+// requireNonZero fails the test where an exported field, or an element of a list, has its zero value.
+func requireNonZero(t *testing.T, path string, v reflect.Value) {
+	t.Helper()
+	if v.IsZero() {
+		t.Fatalf("%s is zero", path)
+	}
+	switch v.Kind() {
+	case reflect.Pointer:
+		requireNonZero(t, path, v.Elem())
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if field := v.Type().Field(i); field.IsExported() {
+				requireNonZero(t, path+"."+field.Name, v.Field(i))
+			}
+		}
+	case reflect.Slice:
+		if v.Len() == 0 {
+			t.Fatalf("%s is empty", path)
+		}
+		for i := range v.Len() {
+			requireNonZero(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+		}
+	}
+}
+
+func readGolden(t *testing.T, path string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// goldenAddress is an address that a member may be told at.
+func goldenAddress(number int) string { return fmt.Sprintf("127.0.0.1:%d", 7000+number) }
+
+// goldenMessage is a message of members with every field set.
+func goldenMessage(t *testing.T, kind members.Kind) members.Message {
+	t.Helper()
+	message := filled[members.Message](t)
+	message.Kind = kind
+	message.From.Addr = goldenAddress(0)
+	for i := range message.Claims {
+		message.Claims[i].Addr = goldenAddress(i + 1)
+	}
+	return message
+}
+
+// The datagram of each kind of membership message keeps its bytes and decodes to the same value.
+func TestGoldenDatagrams(t *testing.T) {
+	for name, kind := range map[string]members.Kind{"ping": members.Ping, "ack": members.Ack, "through": members.Through,
+		"gossip": members.Gossip, "ask": members.Ask, "tell": members.Tell, "duel": members.Duel, "word": members.Word} {
+		t.Run(name, func(t *testing.T) {
+			path := filepath.Join(goldenFolder, "datagram_"+name+".bin")
+			message := goldenMessage(t, kind)
+			text, err := encode(message)
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden.Compare(t, path, text)
+			got, err := decode(readGolden(t, path), table(t).inside)
+			if err != nil || !reflect.DeepEqual(got, message) {
+				t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
+			}
+		})
+	}
+}
+
+// The frame and the message of each kind that is sent on a stream keep their bytes and decode to the same value.
+func TestGoldenStreamMessages(t *testing.T) {
+	for name, kind := range map[string]members.Kind{"digests": members.Digests, "differs": members.Differs, "rest": members.Rest} {
+		t.Run(name, func(t *testing.T) {
+			path := filepath.Join(goldenFolder, "stream_"+name+".bin")
+			message := goldenMessage(t, kind)
+			text, err := encode(message)
+			if err != nil {
+				t.Fatal(err)
+			}
+			var frame bytes.Buffer
+			if err := writeFrame(&frame, text); err != nil {
+				t.Fatal(err)
+			}
+			golden.Compare(t, path, frame.Bytes())
+			rest := bytes.NewReader(readGolden(t, path))
+			text, err = readFrame(rest, streamBase)
+			if err != nil || rest.Len() != 0 {
+				t.Fatalf("%d bytes are left after the frame, %v", rest.Len(), err)
+			}
+			got, err := decode(text, table(t).inside)
+			if err != nil || !reflect.DeepEqual(got, message) {
+				t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
+			}
+		})
+	}
+}
+
+// The state that a process hands to its successor keeps its bytes and decodes to the same value.
+func TestGoldenLegacy(t *testing.T) {
+	path := filepath.Join(goldenFolder, "legacy.cbor")
+	legacy := filled[members.Legacy](t)
+	text, err := encodeLegacy(legacy)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, path, text)
+	got, err := decodeLegacy(readGolden(t, path))
+	if err != nil || !reflect.DeepEqual(got, legacy) {
+		t.Fatalf("got %+v, %v\nwant %+v", got, err, legacy)
+	}
+}
