--- a/internal/mesh/golden_test.go
+++ b/internal/mesh/golden_test.go
@@ -8,7 +8,11 @@
 	"reflect"
 	"testing"
 
+	"woaddyke/internal/copies"
+	"woaddyke/internal/drainstate"
+	"woaddyke/internal/keepers"
 	"woaddyke/internal/members"
+	"woaddyke/internal/staff"
 	"woaddyke/internal/testsupport/golden"
 )
 
@@ -167,3 +171,96 @@
 		t.Fatalf("got %+v, %v\nwant %+v", got, err, legacy)
 	}
 }
+
+// requireGoldenOther compares a message of another service, sent by a sender with every field set, with its file in both directions.
+func requireGoldenOther(t *testing.T, name string, message wireOther) {
+	t.Helper()
+	path := filepath.Join(goldenFolder, "other_"+name+".bin")
+	message.Cluster = "cluster"
+	message.From = toWire(filled[members.Claim](t))
+	text, err := encodeOther(message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, path, text)
+	got, err := decodeOther(readGolden(t, path))
+	if err != nil || !reflect.DeepEqual(got, message) {
+		t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
+	}
+}
+
+// The message of each kind that schedulers and keepers exchange about records keeps its bytes and decodes to the same value.
+func TestGoldenCopiesMessages(t *testing.T) {
+	for name, kind := range map[string]copies.Kind{"grab": copies.Grab, "granted": copies.Granted, "refused": copies.Refused,
+		"tell": copies.Tell, "known": copies.Known, "register": copies.Register, "registered": copies.Registered,
+		"pull": copies.Pull, "piece": copies.Piece, "in_force": copies.InForce, "fetch": copies.Fetch, "fetched": copies.Fetched} {
+		t.Run(name, func(t *testing.T) {
+			message := filled[copies.Message](t)
+			message.Kind = kind
+			requireGoldenOther(t, "copies_"+name, wireOther{Copies: &message})
+		})
+	}
+}
+
+// The numbers of the reasons for which a keeper refuses and of the stages of a claim keep their bytes in a message.
+func TestGoldenReasonsAndStages(t *testing.T) {
+	reasons := map[string]copies.Why{"taken": copies.Taken, "learning": copies.Learning, "epoch": copies.Epoch, "full": copies.Full,
+		"stale": copies.Stale}
+	for name, why := range reasons {
+		t.Run(name, func(t *testing.T) {
+			requireGoldenOther(t, "reason_"+name, wireOther{Copies: &copies.Message{Kind: copies.Refused, Why: why}})
+		})
+	}
+	stages := map[string]copies.Stage{"claimed": copies.Claimed, "released": copies.Released, "given_up": copies.GivenUp,
+		"ended": copies.Ended}
+	for name, stage := range stages {
+		t.Run(name, func(t *testing.T) {
+			record := copies.Record{Key: "key", Fates: []copies.Fate{{Stage: stage}}}
+			requireGoldenOther(t, "stage_"+name, wireOther{Copies: &copies.Message{Kind: copies.Tell, Record: record}})
+		})
+	}
+}
+
+// The message of each kind that members exchange about the set of keepers keeps its bytes and decodes to the same value.
+func TestGoldenKeepersMessages(t *testing.T) {
+	for name, kind := range map[string]keepers.Kind{"seat_asked": keepers.SeatAsked, "seat_said": keepers.SeatSaid,
+		"founded": keepers.Founded, "joined": keepers.Joined, "round": keepers.Round, "reseat": keepers.Reseat,
+		"asked": keepers.Asked, "answered": keepers.Answered} {
+		t.Run(name, func(t *testing.T) {
+			message := filled[keepers.Message](t)
+			message.Kind = kind
+			requireGoldenOther(t, "keepers_"+name, wireOther{Keepers: &message})
+		})
+	}
+}
+
+// The message that tells which workers drain or have left keeps its bytes, with the names of its fields, and decodes to the same value.
+func TestGoldenWorkers(t *testing.T) {
+	requireGoldenOther(t, "workers", wireOther{Workers: filled[[]drainstate.Word](t)})
+}
+
+// The message that tells what staff decided for a scheduler keeps its bytes and decodes to the same value.
+func TestGoldenStaff(t *testing.T) {
+	word := filled[staff.Word](t)
+	requireGoldenOther(t, "staff", wireOther{Staff: &word})
+}
+
+// The number of each state of a member keeps its bytes in a datagram.
+func TestGoldenMemberStates(t *testing.T) {
+	for name, state := range map[string]members.State{"joining": members.Joining, "here": members.Here, "doubted": members.Doubted,
+		"gone": members.Gone, "left": members.Left, "superseded": members.Superseded} {
+		t.Run(name, func(t *testing.T) {
+			path := filepath.Join(goldenFolder, "state_"+name+".bin")
+			message := members.Message{Kind: members.Gossip, From: members.Claim{Addr: goldenAddress(0), State: state}}
+			text, err := encode(message)
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden.Compare(t, path, text)
+			got, err := decode(readGolden(t, path), table(t).inside)
+			if err != nil || !reflect.DeepEqual(got, message) {
+				t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
+			}
+		})
+	}
+}
