--- /dev/null
+++ b/internal/store/golden_test.go
@@ -0,0 +1,242 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"go.etcd.io/bbolt"
+
+	"woaddyke/internal/boottime"
+	"woaddyke/internal/copies"
+	"woaddyke/internal/keepers"
+	"woaddyke/internal/testsupport/golden"
+)
+
+const goldenFile = "testdata/keeper.db"
+
+// filler sets every exported field that it reaches to a non-zero value, and no two numbers or texts to the same one.
+type filler struct{ last int }
+
+func (f *filler) fill(t *testing.T, v reflect.Value) {
+	t.Helper()
+	f.last++
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if v.Type().Field(i).IsExported() {
+				f.fill(t, v.Field(i))
+			}
+		}
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		for i := range v.Len() {
+			f.fill(t, v.Index(i))
+		}
+	case reflect.String:
+		v.SetString(fmt.Sprintf("text-%d", f.last))
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int64:
+		v.SetInt(int64(f.last))
+	case reflect.Uint8, reflect.Uint16, reflect.Uint64:
+		if v.OverflowUint(uint64(f.last)) {
+			t.Fatalf("%d is too large for %s", f.last, v.Type())
+		}
+		v.SetUint(uint64(f.last))
+	default:
+		t.Fatalf("%s can't be filled", v.Type())
+	}
+}
+
+// filled is a value of which every exported field is set.
+func filled[T any](t *testing.T) (value T) {
+	t.Helper()
+	new(filler).fill(t, reflect.ValueOf(&value).Elem())
+	requireNonZero(t, reflect.TypeFor[T]().String(), reflect.ValueOf(value))
+	return value
+}
+
+// requireNonZero fails the test where an exported field, or an element of a list, has its zero value.
+func requireNonZero(t *testing.T, path string, v reflect.Value) {
+	t.Helper()
+	if v.IsZero() {
+		t.Fatalf("%s is zero", path)
+	}
+	switch v.Kind() {
+	case reflect.Pointer:
+		requireNonZero(t, path, v.Elem())
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if field := v.Type().Field(i); field.IsExported() {
+				requireNonZero(t, path+"."+field.Name, v.Field(i))
+			}
+		}
+	case reflect.Slice:
+		if v.Len() == 0 {
+			t.Fatalf("%s is empty", path)
+		}
+		for i := range v.Len() {
+			requireNonZero(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+		}
+	}
+}
+
+func readGolden(t *testing.T, path string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// goldenNow is the moment at which the golden file was written.
+var goldenNow = boottime.Reading{Boot: "start-of-the-golden-file", Since: 1000 * time.Second}
+
+// goldenContent is all that a keeper's file holds.
+type goldenContent struct {
+	Records   []copies.Record // in order of their keys
+	Life      copies.Life
+	Epoch     uint64
+	Seen      []copies.Seen // in order of their keepers
+	Agreement keepers.State
+}
+
+// newGoldenContent is content with every field set, and a record with a claim of each stage.
+func newGoldenContent(t *testing.T) goldenContent {
+	t.Helper()
+	content := filled[goldenContent](t)
+	stages := []copies.Stage{copies.Claimed, copies.Released, copies.GivenUp, copies.Ended}
+	fates := make([]copies.Fate, len(stages))
+	for i, stage := range stages {
+		fates[i] = filled[copies.Fate](t)
+		fates[i].Stage = stage
+		fates[i].By = fmt.Sprintf("scheduler-%d", i)
+		fates[i].Where = fmt.Sprintf("group-%d", i)
+	}
+	content.Records[0].Fates = fates
+	content.Records[0].Key, content.Records[1].Key = "category\x00first", "category\x00second"
+	content.Seen[0].Keeper, content.Seen[1].Keeper = "keeper-1", "keeper-2"
+	requireNonZero(t, "content", reflect.ValueOf(content))
+	return content
+}
+
+// writeStore writes content to a new file through the package's own calls.
+func writeStore(t *testing.T, path string, content goldenContent) {
+	t.Helper()
+	s, err := Open(path, true)
+	if err != nil {
+		t.Fatal(err)
+	}
+	err = errors.Join(s.Keep(goldenNow, content.Records, nil), s.Live(content.Life, content.Epoch), s.See(content.Seen),
+		s.Agree(content.Agreement), s.Close())
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// copyOfGolden is the path of a copy that may be written to.
+func copyOfGolden(t *testing.T) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "keeper.db")
+	if err := os.WriteFile(path, readGolden(t, goldenFile), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// rawRows are all values of a file, by bucket and key, as bbolt has them.
+func rawRows(t *testing.T, path string) map[string]map[string]string {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTime})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	rows := map[string]map[string]string{}
+	err = db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(name []byte, bucket *bbolt.Bucket) error {
+			values := map[string]string{}
+			rows[string(name)] = values
+			return bucket.ForEach(func(key, value []byte) error {
+				values[string(key)] = string(value)
+				return nil
+			})
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return rows
+}
+
+// The buckets, keys and value bytes that this build writes to a keeper's file are those of the golden file.
+func TestGoldenFileIsWrittenTheSame(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "keeper.db")
+	writeStore(t, path, newGoldenContent(t))
+	if os.Getenv("UPDATE_GOLDEN") == "1" {
+		golden.Compare(t, goldenFile, readGolden(t, path))
+	}
+	got, want := rawRows(t, path), rawRows(t, copyOfGolden(t))
+	if !reflect.DeepEqual(got, want) {
+		t.Fatalf("the file differs\n got: %q\nwant: %q", got, want)
+	}
+	for bucket, keys := range map[string][]string{
+		"meta":    {"agreed", "clock", "epoch", "life", "version"},
+		"records": {"category\x00first", "category\x00second"},
+		"seen":    {"keeper-1", "keeper-2"},
+	} {
+		if len(want[bucket]) != len(keys) {
+			t.Errorf("bucket %s has %d rows, want %d", bucket, len(want[bucket]), len(keys))
+		}
+		for _, key := range keys {
+			if want[bucket][key] == "" {
+				t.Errorf("bucket %s has no row %q", bucket, key)
+			}
+		}
+	}
+}
+
+// A keeper's file of an earlier build gives the records, life, epoch, positions and agreement that were put into it.
+func TestGoldenFileIsRead(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		now    boottime.Reading
+		passed uint64 // seconds by which each record is older
+	}{
+		{"at the same start of the machine", boottime.Reading{Boot: goldenNow.Boot, Since: goldenNow.Since + 20*time.Second}, 20},
+		{"at another start of the machine", boottime.Reading{Boot: "another-start", Since: 5 * time.Second}, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s, err := Open(copyOfGolden(t), false)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer s.Close()
+			var got goldenContent
+			var whole, agreed bool
+			var errLoad, errSeen, errAgreement error
+			got.Records, got.Life, got.Epoch, whole, errLoad = s.Load(c.now)
+			got.Seen, errSeen = s.Seen()
+			got.Agreement, agreed, errAgreement = s.Agreement()
+			if err := errors.Join(errLoad, errSeen, errAgreement); err != nil || !whole || !agreed {
+				t.Fatalf("whole %v, agreed %v, %v", whole, agreed, err)
+			}
+			want := newGoldenContent(t)
+			for i := range want.Records {
+				want.Records[i].Age += c.passed
+				for j := range want.Records[i].Fates {
+					want.Records[i].Fates[j].Age = 0 // it is not told over a start
+				}
+			}
+			if !reflect.DeepEqual(got, want) {
+				t.Errorf("got %+v\nwant %+v", got, want)
+			}
+		})
+	}
+}
