--- a/internal/copies/messages.go
+++ b/internal/copies/messages.go
@@ -224,9 +224,9 @@
 
 // Seen says that all that another keeper knows, as a process of it and up to a position, stands where records last.
 type Seen struct {
-	Keeper string
-	Of     Life
-	Since  uint64
+	Keeper string `cbor:"Keeper"`
+	Of     Life   `cbor:"Of"`
+	Since  uint64 `cbor:"Since"`
 }
 
 // Adopted is a set that this process goes by from now on.
--- a/internal/drainstate/drainstate.go
+++ b/internal/drainstate/drainstate.go
@@ -17,10 +17,10 @@
 // Word says that a worker takes nothing new, as discovery told somebody. A worker that starts again has another boot and is another
 // one. Revisions are discovery's own.
 type Word struct {
-	Worker string
-	Boot   int64 // ms, as discovery tells it
-	Gone   bool  // it has left the list; otherwise it drains
-	Rev    int64
+	Worker string `cbor:"Worker"`
+	Boot   int64  `cbor:"Boot"` // ms, as discovery tells it
+	Gone   bool   `cbor:"Gone"` // it has left the list; otherwise it drains
+	Rev    int64  `cbor:"Rev"`
 }
 
 // Join is the rule for two words of one worker: of a later start, else of a later revision, else the worse one. It is commutative,
--- a/internal/keepers/keepers.go
+++ b/internal/keepers/keepers.go
@@ -294,8 +294,8 @@
 
 // settled is what a snapshot holds beside the voters.
 type settled struct {
-	Turn  uint64
-	Seats []Seat
+	Turn  uint64 `cbor:"Turn"`
+	Seats []Seat `cbor:"Seats"`
 }
 
 // settle takes what the agreement says as the set, from a turn on.
