--- /dev/null
+++ b/internal/handover/golden_test.go
@@ -0,0 +1,45 @@
+package handover
+
+import (
+	"reflect"
+	"testing"
+
+	"woaddyke/internal/testsupport/filled"
+	"woaddyke/internal/testsupport/golden"
+)
+
+// Guards the bytes of the state that a running process of another build sends to, or reads from, this one during a handover.
+func TestStateKeepsItsForm(t *testing.T) {
+	state := filled.Value[State](t)
+	state.Version = 3
+	text, err := state.Bytes()
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "testdata/state.json.golden", text)
+	read, err := Read(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(read, state) {
+		t.Errorf("read %+v, want %+v", read, state)
+	}
+}
+
+// Guards the bytes of the request for a handover that processes of other builds send and read.
+func TestAskerKeepsItsForm(t *testing.T) {
+	asker := filled.Value[Asker](t)
+	asker.Version = 3
+	text, err := asker.Bytes()
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "testdata/asker.json.golden", text)
+	read, err := ReadAsker(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(read, asker) {
+		t.Errorf("read %+v, want %+v", read, asker)
+	}
+}
