--- /dev/null
+++ b/internal/copies/golden_test.go
@@ -0,0 +1,12 @@
+package copies
+
+import (
+	"testing"
+
+	"woaddyke/internal/testsupport/filled"
+)
+
+// Guards the JSON keys of a copy's state that tools of the staff read at /api/copies.
+func TestShownKeepsItsForm(t *testing.T) {
+	filled.CompareJSON(t, "testdata/shown.json.golden", filled.Value[Shown](t))
+}
