--- a/cmd/woaddyke/golden_test.go
+++ b/cmd/woaddyke/golden_test.go
@@ -3,8 +3,10 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
+	"os/exec"
 	"strings"
 	"testing"
 
@@ -84,3 +86,28 @@
 	}
 	return paths
 }
+
+// runToEnd runs the program as a process and tells its exit code and what it printed.
+func runToEnd(t *testing.T, args ...string) []byte {
+	t.Helper()
+	var out, errs bytes.Buffer
+	c := thisProgram(args...)
+	c.Stdout, c.Stderr = &out, &errs
+	var exit *exec.ExitError
+	if err := c.Run(); err != nil && !errors.As(err, &exit) {
+		t.Fatal(err)
+	}
+	return fmt.Appendf(nil, "exit code %d\nstdout: %q\nstderr: %q\n", c.ProcessState.ExitCode(), out.Bytes(), errs.Bytes())
+}
+
+// Guards the verdict of the check command on the example files, and its exit code, which scripts of operators read.
+func TestCheckKeepsItsVerdict(t *testing.T) {
+	got := runToEnd(t, "check", "../../examples/config.json", "--operator", "../../deploy/operator.toml")
+	golden.Compare(t, "testdata/check.txt.golden", got)
+}
+
+// Guards the error text and the exit code of the check command for a key that nobody knows in the operator's file.
+func TestCheckKeepsItsErrorForAnUnknownKey(t *testing.T) {
+	got := runToEnd(t, "check", "../../examples/config.json", "--operator", "testdata/unknown_key.toml")
+	golden.Compare(t, "testdata/check_unknown_key.txt.golden", got)
+}
