--- a/internal/testsupport/filled/filled.go
+++ b/internal/testsupport/filled/filled.go
@@ -2,6 +2,7 @@
 package filled
 
 import (
+	"bytes"
 	"encoding/json"
 	"fmt"
 	"reflect"
@@ -26,9 +27,12 @@
 // CompareJSON fails the test unless the value is written as the file has it, and the file is read as the value.
 func CompareJSON[T any](t testing.TB, path string, value T) {
 	t.Helper()
-	text := CompareWritten(t, path, value)
+	var compact bytes.Buffer // what is raw in the value has no indents
+	if err := json.Compact(&compact, CompareWritten(t, path, value)); err != nil {
+		t.Fatal(err)
+	}
 	var read T
-	if err := json.Unmarshal(text, &read); err != nil {
+	if err := json.Unmarshal(compact.Bytes(), &read); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, value) {
@@ -169,3 +173,15 @@
 		value.SetMapIndex(key, element)
 	}
 }
+
+// RequireDiffers fails the test for each exported field that is the same in two values of one struct type.
+func RequireDiffers(t testing.TB, value, other any) {
+	t.Helper()
+	a, b := reflect.ValueOf(value), reflect.ValueOf(other)
+	for i := range a.NumField() {
+		field := a.Type().Field(i)
+		if field.IsExported() && reflect.DeepEqual(a.Field(i).Interface(), b.Field(i).Interface()) {
+			t.Errorf("%T.%s is the same: %v", value, field.Name, a.Field(i).Interface())
+		}
+	}
+}
