--- a/cmd/woaddyke/golden_test.go
+++ b/cmd/woaddyke/golden_test.go
@@ -10,10 +10,12 @@
 	"strings"
 	"testing"
 
+	"github.com/pelletier/go-toml/v2"
 	"github.com/spf13/cobra"
 
 	"woaddyke/internal/fates"
 	"woaddyke/internal/mesh"
+	"woaddyke/internal/terms"
 	"woaddyke/internal/testsupport/filled"
 	"woaddyke/internal/testsupport/golden"
 )
@@ -111,3 +113,21 @@
 	got := runToEnd(t, "check", "../../examples/config.json", "--operator", "testdata/unknown_key.toml")
 	golden.Compare(t, "testdata/check_unknown_key.txt.golden", got)
 }
+
+// Guards the names of the operator's tables, each with every key set to a value that is fit and is not its default.
+func TestOffersKeepTheirKeys(t *testing.T) {
+	sheet := &terms.Sheet{Name: "n1", Settings: map[string]any{"bounds": map[string]any{"peerMessages": true}}, Site: map[string]any{},
+		Limits: terms.Limits{Sockets: 1024}}
+	read, err := readOffers("testdata/operator.toml", sheet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	filled.RequireDiffers(t, *read, offers{})
+	filled.RequireDiffers(t, *read.Members, *mesh.Defaults())
+	filled.RequireDiffers(t, *read.Copies, *fates.Defaults())
+	text, err := toml.Marshal(read)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "testdata/operator_read.toml.golden", text)
+}
--- a/internal/fates/golden_test.go
+++ b/internal/fates/golden_test.go
@@ -1,9 +1,14 @@
 package fates
 
 import (
+	"reflect"
 	"testing"
 
+	"github.com/pelletier/go-toml/v2"
+
+	"woaddyke/internal/operator"
 	"woaddyke/internal/testsupport/filled"
+	"woaddyke/internal/testsupport/golden"
 )
 
 // Guards the JSON keys that tools of the staff read at /api/copies.
@@ -15,3 +20,26 @@
 func TestRowKeepsItsForm(t *testing.T) {
 	filled.CompareJSON(t, "testdata/row.json.golden", filled.Value[Row](t))
 }
+
+// Guards the TOML keys of the table copies in the operator's file.
+func TestTableKeepsItsKeys(t *testing.T) {
+	const path = "testdata/table.toml.golden"
+	type file struct {
+		Copies *Table `toml:"copies"`
+	}
+	table := filled.Value[Table](t)
+	table.Sync = false // by default it is true
+	filled.RequireDiffers(t, table, *Defaults())
+	text, err := toml.Marshal(file{&table})
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, path, text)
+	read := file{Defaults()}
+	if err := operator.Read(path, &read, func() error { return nil }); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(*read.Copies, table) {
+		t.Errorf("read %+v, want %+v", *read.Copies, table)
+	}
+}
--- a/internal/mesh/golden_test.go
+++ b/internal/mesh/golden_test.go
@@ -1,10 +1,15 @@
 package mesh
 
 import (
+	"reflect"
 	"testing"
 
+	"github.com/pelletier/go-toml/v2"
+
 	"woaddyke/internal/members"
+	"woaddyke/internal/operator"
 	"woaddyke/internal/testsupport/filled"
+	"woaddyke/internal/testsupport/golden"
 )
 
 // Guards the JSON keys that tools of the staff read at /api/members.
@@ -14,3 +19,25 @@
 	shown.Members[0].State, shown.Members[1].State = members.Doubted, members.Gone
 	filled.CompareWritten(t, "testdata/shown.json.golden", shown)
 }
+
+// Guards the TOML keys of the table members in the operator's file.
+func TestTableKeepsItsKeys(t *testing.T) {
+	const path = "testdata/table.toml.golden"
+	type file struct {
+		Members *Table `toml:"members"`
+	}
+	table := filled.Value[Table](t)
+	filled.RequireDiffers(t, table, *Defaults())
+	text, err := toml.Marshal(file{&table})
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, path, text)
+	read := file{Defaults()}
+	if err := operator.Read(path, &read, func() error { return nil }); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(*read.Members, table) {
+		t.Errorf("read %+v, want %+v", *read.Members, table)
+	}
+}
