--- a/cmd/woaddyke/golden_test.go
+++ b/cmd/woaddyke/golden_test.go
@@ -7,17 +7,16 @@
 	"fmt"
 	"os"
 	"os/exec"
-	"strings"
 	"testing"
 
 	"github.com/pelletier/go-toml/v2"
-	"github.com/spf13/cobra"
 
 	"woaddyke/internal/fates"
 	"woaddyke/internal/mesh"
 	"woaddyke/internal/terms"
 	"woaddyke/internal/testsupport/filled"
 	"woaddyke/internal/testsupport/golden"
+	"woaddyke/internal/testsupport/helptext"
 )
 
 // Guards the JSON keys that tools of the staff read at /api/staff.
@@ -66,27 +65,7 @@
 func TestHelpKeepsItsForm(t *testing.T) {
 	t.Setenv("RELAY_CONFIG", "")
 	t.Setenv("RELAY_CONSOLE", "")
-	var text bytes.Buffer
-	for _, path := range commandPaths(command()) {
-		c := command()
-		c.SetOut(&text)
-		c.SetArgs(append(strings.Fields(path)[1:], "--help"))
-		fmt.Fprintf(&text, "$ %s --help\n", path)
-		if err := c.Execute(); err != nil {
-			t.Fatalf("%s: %v", path, err)
-		}
-		text.WriteByte('\n')
-	}
-	golden.Compare(t, "testdata/help.txt.golden", text.Bytes())
-}
-
-// commandPaths are the full names of a command and of all below it.
-func commandPaths(c *cobra.Command) []string {
-	paths := []string{c.CommandPath()}
-	for _, below := range c.Commands() {
-		paths = append(paths, commandPaths(below)...)
-	}
-	return paths
+	golden.Compare(t, "testdata/help.txt.golden", helptext.All(t, command))
 }
 
 // runToEnd runs the program as a process and tells its exit code and what it printed.
