--- /dev/null
+++ b/cmd/woaddyke/golden_test.go
@@ -0,0 +1,112 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"woaddyke/internal/fates"
+	"woaddyke/internal/mesh"
+	"woaddyke/internal/terms"
+	"woaddyke/internal/testsupport/filled"
+	"woaddyke/internal/testsupport/golden"
+	"woaddyke/internal/testsupport/helptext"
+)
+
+// Guards the JSON keys that tools of the staff read at /api/staff.
+func TestStaffCallKeepsItsForm(t *testing.T) {
+	filled.CompareJSON(t, "testdata/staff.json.golden", filled.Value[told](t))
+}
+
+// Guards the JSON keys that tools of the staff read at /api/copies/records.
+func TestRecordsCallKeepsItsForm(t *testing.T) {
+	filled.CompareJSON(t, "testdata/records.json.golden", filled.Value[page](t))
+}
+
+// Guards the JSON keys that tools of the staff read after a change of keepers at /api/copies/keepers.
+func TestKeepersCallKeepsItsForm(t *testing.T) {
+	filled.CompareJSON(t, "testdata/keepers.json.golden", filled.Value[outcome](t))
+}
+
+// Guards that the members command reads each key it prints from what a scheduler of another build shows at /api/members, and the
+// text that it prints.
+func TestMembersCommandReadsWhatIsShown(t *testing.T) {
+	text, err := os.ReadFile("../../internal/mesh/testdata/shown.json.golden")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var read view
+	if err := json.Unmarshal(text, &read); err != nil {
+		t.Fatal(err)
+	}
+	filled.RequireSet(t, read)
+	var printed bytes.Buffer
+	read.print(&printed)
+	golden.Compare(t, "testdata/members.txt.golden", printed.Bytes())
+}
+
+// Guards the methods and paths of the calls that tools of the staff make where members and copies are switched on.
+func TestCallsKeepTheirPaths(t *testing.T) {
+	p := &process{mesh: &mesh.Mesh{}, fates: &fates.Fates{}}
+	var list bytes.Buffer
+	for _, c := range p.calls() {
+		fmt.Fprintf(&list, "%s, changes: %v\n", c.Path, c.Changes)
+	}
+	golden.Compare(t, "testdata/calls.txt.golden", list.Bytes())
+}
+
+// Guards the help of each command: the names, flags, defaults and words that operators and their scripts rely on.
+func TestHelpKeepsItsForm(t *testing.T) {
+	t.Setenv("RELAY_CONFIG", "")
+	t.Setenv("RELAY_CONSOLE", "")
+	golden.Compare(t, "testdata/help.txt.golden", helptext.All(t, command))
+}
+
+// runToEnd runs the program as a process and tells its exit code and what it printed.
+func runToEnd(t *testing.T, args ...string) []byte {
+	t.Helper()
+	var out, errs bytes.Buffer
+	c := thisProgram(args...)
+	c.Stdout, c.Stderr = &out, &errs
+	var exit *exec.ExitError
+	if err := c.Run(); err != nil && !errors.As(err, &exit) {
+		t.Fatal(err)
+	}
+	return fmt.Appendf(nil, "exit code %d\nstdout: %q\nstderr: %q\n", c.ProcessState.ExitCode(), out.Bytes(), errs.Bytes())
+}
+
+// Guards the verdict of the check command on the example files, and its exit code, which scripts of operators read.
+func TestCheckKeepsItsVerdict(t *testing.T) {
+	got := runToEnd(t, "check", "../../examples/config.json", "--operator", "../../deploy/operator.toml")
+	golden.Compare(t, "testdata/check.txt.golden", got)
+}
+
+// Guards the error text and the exit code of the check command for a key that nobody knows in the operator's file.
+func TestCheckKeepsItsErrorForAnUnknownKey(t *testing.T) {
+	got := runToEnd(t, "check", "../../examples/config.json", "--operator", "testdata/unknown_key.toml")
+	golden.Compare(t, "testdata/check_unknown_key.txt.golden", got)
+}
+
+// Guards the names of the operator's tables, each with every key set to a value that is fit and is not its default.
+func TestOffersKeepTheirKeys(t *testing.T) {
+	sheet := &terms.Sheet{Name: "n1", Settings: map[string]any{"bounds": map[string]any{"peerMessages": true}}, Site: map[string]any{},
+		Limits: terms.Limits{Sockets: 1024}}
+	read, err := readOffers("testdata/operator.toml", sheet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	filled.RequireDiffers(t, *read, offers{})
+	filled.RequireDiffers(t, *read.Members, *mesh.Defaults())
+	filled.RequireDiffers(t, *read.Copies, *fates.Defaults())
+	text, err := toml.Marshal(read)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "testdata/operator_read.toml.golden", text)
+}
--- a/internal/mesh/golden_test.go
+++ b/internal/mesh/golden_test.go
@@ -1,282 +1,43 @@
 package mesh
 
 import (
-	"bytes"
-	"fmt"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 
-	"woaddyke/internal/copies"
-	"woaddyke/internal/drainstate"
-	"woaddyke/internal/keepers"
+	"github.com/pelletier/go-toml/v2"
+
 	"woaddyke/internal/members"
-	"woaddyke/internal/staff"
+	"woaddyke/internal/operator"
+	"woaddyke/internal/testsupport/filled"
 	"woaddyke/internal/testsupport/golden"
 )
 
-const goldenFolder = "testdata/golden"
-
-// filler sets every exported field that it reaches to a non-zero value, and no two numbers or texts to the same one.
-type filler struct{ last int }
-
-func (f *filler) fill(t *testing.T, v reflect.Value) {
-	t.Helper()
-	f.last++
-	switch v.Kind() {
-	case reflect.Struct:
-		for i := range v.NumField() {
-			if v.Type().Field(i).IsExported() {
-				f.fill(t, v.Field(i))
-			}
-		}
-	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		for i := range v.Len() {
-			f.fill(t, v.Index(i))
-		}
-	case reflect.String:
-		v.SetString(fmt.Sprintf("text-%d", f.last))
-	case reflect.Bool:
-		v.SetBool(true)
-	case reflect.Int, reflect.Int64:
-		v.SetInt(int64(f.last))
-	case reflect.Uint8, reflect.Uint16, reflect.Uint64:
-		if v.OverflowUint(uint64(f.last)) {
-			t.Fatalf("%d is too large for %s", f.last, v.Type())
-		}
-		v.SetUint(uint64(f.last))
-	default:
-		t.Fatalf("%s can't be filled", v.Type())
-	}
+// Guards the JSON keys that tools of the staff read at /api/members.
+func TestShownKeepsItsForm(t *testing.T) {
+	shown := filled.Value[Shown](t)
+	shown.Self.State = members.Here
+	shown.Members[0].State, shown.Members[1].State = members.Doubted, members.Gone
+	filled.CompareWritten(t, "testdata/shown.json.golden", shown)
 }
 
-// filled is a value of which every exported field is set.
-func filled[T any](t *testing.T) (value T) {
-	t.Helper()
-	new(filler).fill(t, reflect.ValueOf(&value).Elem())
-	requireNonZero(t, reflect.TypeFor[T]().String(), reflect.ValueOf(value))
-	return value
-}
-
-// requireNonZero fails the test where an exported field, or an element of a list, has its zero value.
-func requireNonZero(t *testing.T, path string, v reflect.Value) {
-	t.Helper()
-	if v.IsZero() {
-		t.Fatalf("%s is zero", path)
-	}
-	switch v.Kind() {
-	case reflect.Struct:
-		for i := range v.NumField() {
-			if field := v.Type().Field(i); field.IsExported() {
-				requireNonZero(t, path+"."+field.Name, v.Field(i))
-			}
-		}
-	case reflect.Slice:
-		if v.Len() == 0 {
-			t.Fatalf("%s is empty", path)
-		}
-		for i := range v.Len() {
-			requireNonZero(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
-		}
+// Guards the TOML keys of the table members in the operator's file.
+func TestTableKeepsItsKeys(t *testing.T) {
+	const path = "testdata/table.toml.golden"
+	type file struct {
+		Members *Table `toml:"members"`
 	}
-}
-
-func readGolden(t *testing.T, path string) []byte {
-	t.Helper()
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return text
-}
-
-// goldenAddress is an address that a member may be told at.
-func goldenAddress(number int) string { return fmt.Sprintf("127.0.0.1:%d", 7000+number) }
-
-// goldenMessage is a message of members with every field set.
-func goldenMessage(t *testing.T, kind members.Kind) members.Message {
-	t.Helper()
-	message := filled[members.Message](t)
-	message.Kind = kind
-	message.From.Addr = goldenAddress(0)
-	for i := range message.Claims {
-		message.Claims[i].Addr = goldenAddress(i + 1)
-	}
-	return message
-}
-
-// The datagram of each kind of membership message keeps its bytes and decodes to the same value.
-func TestGoldenDatagrams(t *testing.T) {
-	for name, kind := range map[string]members.Kind{"ping": members.Ping, "ack": members.Ack, "through": members.Through,
-		"gossip": members.Gossip, "ask": members.Ask, "tell": members.Tell, "duel": members.Duel, "word": members.Word} {
-		t.Run(name, func(t *testing.T) {
-			path := filepath.Join(goldenFolder, "datagram_"+name+".bin")
-			message := goldenMessage(t, kind)
-			text, err := encode(message)
-			if err != nil {
-				t.Fatal(err)
-			}
-			golden.Compare(t, path, text)
-			got, err := decode(readGolden(t, path), table(t).inside)
-			if err != nil || !reflect.DeepEqual(got, message) {
-				t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
-			}
-		})
-	}
-}
-
-// The frame and the message of each kind that is sent on a stream keep their bytes and decode to the same value.
-func TestGoldenStreamMessages(t *testing.T) {
-	for name, kind := range map[string]members.Kind{"digests": members.Digests, "differs": members.Differs, "rest": members.Rest} {
-		t.Run(name, func(t *testing.T) {
-			path := filepath.Join(goldenFolder, "stream_"+name+".bin")
-			message := goldenMessage(t, kind)
-			text, err := encode(message)
-			if err != nil {
-				t.Fatal(err)
-			}
-			var frame bytes.Buffer
-			if err := writeFrame(&frame, text); err != nil {
-				t.Fatal(err)
-			}
-			golden.Compare(t, path, frame.Bytes())
-			rest := bytes.NewReader(readGolden(t, path))
-			text, err = readFrame(rest, streamBase)
-			if err != nil || rest.Len() != 0 {
-				t.Fatalf("%d bytes are left after the frame, %v", rest.Len(), err)
-			}
-			got, err := decode(text, table(t).inside)
-			if err != nil || !reflect.DeepEqual(got, message) {
-				t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
-			}
-		})
-	}
-}
-
-// The state that a process hands to its successor keeps its bytes and decodes to the same value.
-func TestGoldenLegacy(t *testing.T) {
-	path := filepath.Join(goldenFolder, "legacy.cbor")
-	legacy := filled[members.Legacy](t)
-	text, err := encodeLegacy(legacy)
+	table := filled.Value[Table](t)
+	filled.RequireDiffers(t, table, *Defaults())
+	text, err := toml.Marshal(file{&table})
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, path, text)
-	got, err := decodeLegacy(readGolden(t, path))
-	if err != nil || !reflect.DeepEqual(got, legacy) {
-		t.Fatalf("got %+v, %v\nwant %+v", got, err, legacy)
-	}
-}
-
-// requireGoldenOther compares a message of another service, sent by a sender with every field set, with its file in both directions.
-func requireGoldenOther(t *testing.T, name string, message wireOther) {
-	t.Helper()
-	path := filepath.Join(goldenFolder, "other_"+name+".bin")
-	message.Cluster = "cluster"
-	message.From = toWire(filled[members.Claim](t))
-	text, err := encodeOther(message)
-	if err != nil {
+	read := file{Defaults()}
+	if err := operator.Read(path, &read, func() error { return nil }); err != nil {
 		t.Fatal(err)
 	}
-	golden.Compare(t, path, text)
-	got, err := decodeOther(readGolden(t, path))
-	if err != nil || !reflect.DeepEqual(got, message) {
-		t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
-	}
-}
-
-// The message of each kind that schedulers and keepers exchange about records keeps its bytes and decodes to the same value.
-func TestGoldenCopiesMessages(t *testing.T) {
-	for name, kind := range map[string]copies.Kind{"grab": copies.Grab, "granted": copies.Granted, "refused": copies.Refused,
-		"tell": copies.Tell, "known": copies.Known, "register": copies.Register, "registered": copies.Registered,
-		"pull": copies.Pull, "piece": copies.Piece, "in_force": copies.InForce, "fetch": copies.Fetch, "fetched": copies.Fetched} {
-		t.Run(name, func(t *testing.T) {
-			message := filled[copies.Message](t)
-			message.Kind = kind
-			requireGoldenOther(t, "copies_"+name, wireOther{Copies: &message})
-		})
-	}
-}
-
-// The numbers of the reasons for which a keeper refuses and of the stages of a claim keep their bytes in a message.
-func TestGoldenReasonsAndStages(t *testing.T) {
-	reasons := map[string]copies.Why{"taken": copies.Taken, "learning": copies.Learning, "epoch": copies.Epoch, "full": copies.Full,
-		"stale": copies.Stale}
-	for name, why := range reasons {
-		t.Run(name, func(t *testing.T) {
-			requireGoldenOther(t, "reason_"+name, wireOther{Copies: &copies.Message{Kind: copies.Refused, Why: why}})
-		})
-	}
-	stages := map[string]copies.Stage{"claimed": copies.Claimed, "released": copies.Released, "given_up": copies.GivenUp,
-		"ended": copies.Ended}
-	for name, stage := range stages {
-		t.Run(name, func(t *testing.T) {
-			record := copies.Record{Key: "key", Fates: []copies.Fate{{Stage: stage}}}
-			requireGoldenOther(t, "stage_"+name, wireOther{Copies: &copies.Message{Kind: copies.Tell, Record: record}})
-		})
-	}
-}
-
-// The message of each kind that members exchange about the set of keepers keeps its bytes and decodes to the same value.
-func TestGoldenKeepersMessages(t *testing.T) {
-	for name, kind := range map[string]keepers.Kind{"seat_asked": keepers.SeatAsked, "seat_said": keepers.SeatSaid,
-		"founded": keepers.Founded, "joined": keepers.Joined, "round": keepers.Round, "reseat": keepers.Reseat,
-		"asked": keepers.Asked, "answered": keepers.Answered} {
-		t.Run(name, func(t *testing.T) {
-			message := filled[keepers.Message](t)
-			message.Kind = kind
-			requireGoldenOther(t, "keepers_"+name, wireOther{Keepers: &message})
-		})
-	}
-}
-
-// The message that tells which workers drain or have left keeps its bytes, with the names of its fields, and decodes to the same value.
-func TestGoldenWorkers(t *testing.T) {
-	requireGoldenOther(t, "workers", wireOther{Workers: filled[[]drainstate.Word](t)})
-}
-
-// The message that tells what staff decided for a scheduler keeps its bytes and decodes to the same value.
-func TestGoldenStaff(t *testing.T) {
-	word := filled[staff.Word](t)
-	requireGoldenOther(t, "staff", wireOther{Staff: &word})
-}
-
-// The number of each state of a member keeps its bytes in a datagram.
-func TestGoldenMemberStates(t *testing.T) {
-	for name, state := range map[string]members.State{"joining": members.Joining, "here": members.Here, "doubted": members.Doubted,
-		"gone": members.Gone, "left": members.Left, "superseded": members.Superseded} {
-		t.Run(name, func(t *testing.T) {
-			path := filepath.Join(goldenFolder, "state_"+name+".bin")
-			message := members.Message{Kind: members.Gossip, From: members.Claim{Addr: goldenAddress(0), State: state}}
-			text, err := encode(message)
-			if err != nil {
-				t.Fatal(err)
-			}
-			golden.Compare(t, path, text)
-			got, err := decode(readGolden(t, path), table(t).inside)
-			if err != nil || !reflect.DeepEqual(got, message) {
-				t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
-			}
-		})
-	}
-}
-
-// Each boolean field of a message keeps its key when it alone is set, which tells it from the other booleans.
-func TestGoldenFlags(t *testing.T) {
-	fate := func(fate copies.Fate) *copies.Message {
-		return &copies.Message{Kind: copies.Tell, Record: copies.Record{Key: "key", Fates: []copies.Fate{fate}}}
-	}
-	for name, message := range map[string]wireOther{
-		"voting": {Copies: &copies.Message{Kind: copies.Piece, Voting: true}},
-		"ready":  {Copies: &copies.Message{Kind: copies.Piece, Ready: true}},
-		"more":   {Copies: &copies.Message{Kind: copies.Piece, More: true}},
-		"held":   {Copies: fate(copies.Fate{Held: true})},
-		"voted":  {Copies: fate(copies.Fate{Voted: true})},
-		"done":   {Keepers: &keepers.Message{Kind: keepers.Answered, Done: true}},
-		"again":  {Keepers: &keepers.Message{Kind: keepers.Answered, Again: true}},
-	} {
-		t.Run(name, func(t *testing.T) { requireGoldenOther(t, "flag_"+name, message) })
+	if !reflect.DeepEqual(*read.Members, table) {
+		t.Errorf("read %+v, want %+v", *read.Members, table)
 	}
 }
--- a/internal/terms/golden_test.go
+++ b/internal/terms/golden_test.go
@@ -1,52 +1,77 @@
 package terms
 
-import "testing"
+import (
+	"encoding/json"
+	"fmt"
+	"net/netip"
+	"reflect"
+	"testing"
+	"time"
 
-// The text of a message about a worker's pushes keeps its bytes for each name and count, and reads back as that worker and count.
-func TestGoldenWords(t *testing.T) {
-	names := []string{"", "w1", "worker-17.zone-a", "caf\u00e9"}
-	wantTags := []string{"cy8", "Inr", "tkq", "S0F"}
-	tags := map[string]int{}
-	for i, tag := range wantTags {
-		if got := Tag(names[i]); got != tag {
-			t.Errorf("worker %q has the tag %q, want %q", names[i], got, tag)
-		}
-		tags[tag] = i
-	}
-	for _, c := range []struct {
-		worker int
-		count  int
-		text   string
-		read   int
-	}{
-		{0, 0, "cy80", 0},
-		{0, 9, "cy89", 9},
-		{1, 1, "Inr1", 1},
-		{1, 10, "Inra", 10},
-		{1, 35, "Inrz", 35},
-		{1, 36, "InrA", 36},
-		{2, 61, "tkqZ", 61},
-		{2, 62, "tkq-", 62},
-		{2, 63, "tkq_", 63},
-		{2, 64, "tkq_", 63},
-		{3, 2, "S0F2", 2},
-		{3, 900, "S0F_", 63},
-	} {
-		if got := Word(names[c.worker], c.count); got != c.text {
-			t.Errorf("%d pushes to %q are told as %q, want %q", c.count, names[c.worker], got, c.text)
-		}
-		if worker, count, ok := Unword(c.text, tags); !ok || worker != c.worker || count != c.read {
-			t.Errorf("%q is read as worker %d, count %d, %v, want worker %d, count %d", c.text, worker, count, ok, c.worker, c.read)
-		}
+	"woaddyke/internal/testsupport/filled"
+	"woaddyke/internal/testsupport/golden"
+)
+
+// Guards the JSON keys of the configuration, each of which is set in the file to a value that is not its default.
+func TestSheetKeepsItsKeys(t *testing.T) {
+	read, err := ReadSheet("testdata/sheet.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Sheet{Name: "n2", Listen: "127.0.0.1:9001", Console: "127.0.0.1:9002", Discovery: "127.0.0.1:8501", Seed: "1f",
+		Limits: Limits{Cores: 2.5, MemoryMB: 333, Sockets: 444}, Known: json.RawMessage(`{"rev":7}`), Kinds: false,
+		Keys: &Keys{Fact: "dataset"},
+		Peers: &Peers{Listen: "127.0.0.1:9003", Others: map[string]string{"1": "127.0.0.1:9004", "3": "127.0.0.1:9005"},
+			At: netip.MustParseAddrPort("127.0.0.1:9003"), ByNumber: map[int]netip.AddrPort{
+				1: netip.MustParseAddrPort("127.0.0.1:9004"), 3: netip.MustParseAddrPort("127.0.0.1:9005")}},
+		Watch:  &Watch{Keys: &Keys{Fact: "dataset"}, Settings: map[string]any{"prices": map[string]any{"connection": 0.5}}},
+		Chance: 0x1f, Fact: "dataset"}
+	want.Settings, want.Site, want.Other, want.raw = read.Settings, read.Site, read.Other, read.raw // guarded below
+	if !reflect.DeepEqual(*read, want) {
+		t.Errorf("read %+v, want %+v", *read, want)
+	}
+	read.Kinds = true // false is not its default
+	filled.RequireSet(t, *read)
+}
+
+// Guards the JSON keys that this build writes for a configuration: a key with another name is another configuration to it.
+func TestSheetKeepsItsForm(t *testing.T) {
+	filled.CompareJSON(t, "testdata/form.json.golden", filled.Value[Sheet](t))
+}
+
+// Guards the keys of the settings that are read by name, and their values as the module takes them.
+func TestSettingsKeepTheirKeys(t *testing.T) {
+	read, err := ReadSheet("testdata/sheet.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, settings := range map[string]map[string]any{"site": read.Site, "other": read.Other} {
+		t.Run(name, func(t *testing.T) {
+			text, err := json.MarshalIndent(settings, "", "\t")
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden.Compare(t, "testdata/"+name+".json.golden", append(text, '\n'))
+		})
+	}
+	rules := map[string]Rule{"preview": {Effect: "redeliverable"}, "charge": {Effect: "at-most-once"},
+		"publish": {Effect: "deduplicated", Window: 7500 * time.Millisecond, Scope: "zone"}}
+	if got := read.Rules(); !reflect.DeepEqual(got, rules) {
+		t.Errorf("rules %+v, want %+v", got, rules)
+	}
+	if names := read.Categories(); !reflect.DeepEqual(names, []string{"preview", "publish", "charge"}) {
+		t.Errorf("categories %q", names)
+	}
+	if read.Number() != 2 || read.Schedulers() != 4 || read.LongestTTL() != 6*time.Second {
+		t.Errorf("number %d of %d, longest time to live %v", read.Number(), read.Schedulers(), read.LongestTTL())
 	}
 }
 
-// The characters that stand for counts 0 to 63 keep their order.
-func TestGoldenDigits(t *testing.T) {
-	const want = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ-_"
-	for count := range len(want) {
-		if got := Word("w1", count); got != "Inr"+want[count:count+1] {
-			t.Errorf("count %d is told as %q", count, got)
-		}
+// Guards the hash of the settings, which schedulers of different builds compare with one another.
+func TestHashKeepsItsValue(t *testing.T) {
+	read, err := ReadSheet("../../examples/config.json")
+	if err != nil {
+		t.Fatal(err)
 	}
+	golden.Compare(t, "testdata/hash.txt.golden", fmt.Appendf(nil, "%016x\n", read.Hash()))
 }
