--- /dev/null
+++ b/internal/testsupport/golden/golden.go
@@ -0,0 +1,31 @@
+// Package golden compares what a build writes with files that an earlier build wrote. It is for tests only.
+package golden
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// Compare fails the test unless got is the content of the file. With UPDATE_GOLDEN=1 it writes the file and fails, so that a run
+// that updates files never passes.
+func Compare(t testing.TB, path string, got []byte) {
+	t.Helper()
+	if os.Getenv("UPDATE_GOLDEN") == "1" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		t.Fatalf("%s was written", path)
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Fatalf("%s differs\n got: %q\nwant: %q", path, got, want)
+	}
+}
