--- a/internal/roster/told_test.go
+++ b/internal/roster/told_test.go
@@ -244,12 +244,12 @@
 						if err := json.Unmarshal([]byte("{\"targets\":["+old+","+other+"]}"), &known); err != nil {
 							t.Fatal(err)
 						}
-						reducer, inputs := ops.New(seed, map[string]any{"bounds.maxPushes": 1.0, "step": 10.0, "categories.0.name": "look",
+						decisions, inputs := ops.New(seed, map[string]any{"bounds.maxPushes": 1.0, "step": 10.0, "categories.0.name": "look",
 							"categories.0.ttl": 5.0, "categories.0.effect": "redeliverable", "categories.0.targetLatency": 10_000.0}), make(chan ops.Input, 9)
 						at := func() dispatch.Time { return terms.Up(time.Since(o.from).Nanoseconds()) + 1 }
 						list := known.Listed(unknown())
 						list.Whole, list.Remembered = true, true
-						reducer.Take(at(), list)
+						decisions.Take(at(), list)
 						r := New("discovery", known, SpansOf(false, schedulers, grace), seed, unknown(), func(in ops.Input) { inputs <- in }, zerolog.Nop())
 						r.client.Transport.(*http.Transport).DialContext = o.dial
 						ctx, stop := context.WithCancel(context.Background())
@@ -259,14 +259,14 @@
 							var todo []ops.Effect
 							select {
 							case in := <-inputs:
-								todo = reducer.Take(at(), in)
+								todo = decisions.Take(at(), in)
 							case <-time.After(50 * time.Millisecond):
-								todo = reducer.Take(at(), ops.Arrived{Op: n, ID: fmt.Sprint(n), Category: "look", TTL: at() + 20_000})
+								todo = decisions.Take(at(), ops.Arrived{Op: n, ID: fmt.Sprint(n), Category: "look", TTL: at() + 20_000})
 							}
 							for _, e := range todo {
 								if p, ok := e.(ops.Push); ok {
 									last[p.Worker], pushes[p.Worker] = time.Since(o.from)-o.back, pushes[p.Worker]+1
-									reducer.Take(at(), ops.Ended{Op: p.Op, How: outcome.Done})
+									decisions.Take(at(), ops.Ended{Op: p.Op, How: outcome.Done})
 								}
 							}
 						}
