--- a/cmd/hollow/main.go
+++ b/cmd/hollow/main.go
@@ -77,11 +77,11 @@
 			return fmt.Errorf("the operator's lines: %w", err)
 		}
 		table.Cluster, table.Seeds, table.Listen, table.Advertise = t.Cluster, t.Seeds, who.Listen, who.Advertise
-		if err := table.Check(); err != nil {
+		if err := table.Validate(); err != nil {
 			return err
 		}
 		b := newBoard()
-		m, err := mesh.Start(table, mesh.Name{Name: who.Name, Number: -1, Chance: t.Chance + uint64(n)}, b.host(), zerolog.Nop())
+		m, err := mesh.Start(table, mesh.Identity{Name: who.Name, Number: -1, Seed: t.Chance + uint64(n)}, b.host(), zerolog.Nop())
 		if err != nil {
 			return err
 		}
@@ -97,7 +97,7 @@
 			return err
 		}
 		for n, m := range all {
-			s := m.Shown()
+			s := m.Status()
 			if err := say.Encode(state{t.Members[n].Name, s.Self.Live, s.Digest, s.WorstMS}); err != nil {
 				return err
 			}
--- a/cmd/hollow/staff.go
+++ b/cmd/hollow/staff.go
@@ -25,16 +25,16 @@
 func newBoard() *board { return &board{staff: staff.New(uint64(boottime.Since()))} }
 
 func (b *board) host() mesh.Host {
-	return mesh.Host{Staff: func(from string, life uint64, w staff.Word) {
+	return mesh.Host{OperatorState: func(from string, life uint64, w staff.State) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		if b.staff.Heard(from, life, w); !b.knows {
-			b.knows, b.news = true, b.staff.Mine(w.Settings, false)
+		if b.staff.Receive(from, life, w); !b.knows {
+			b.knows, b.news = true, b.staff.SetOwn(w.Settings, false)
 		}
-	}, Changed: func(c members.Changed) {
+	}, MemberChanged: func(c members.MemberChanged) {
 		if c.State.Ended() {
 			b.mu.Lock()
-			b.staff.Lost(c.Name)
+			b.staff.Forget(c.Name)
 			b.mu.Unlock()
 		}
 	}}
@@ -59,7 +59,7 @@
 				names = []string{names[rand.IntN(len(names))]}
 			}
 			for _, name := range names {
-				m.TellStaff(name, word)
+				m.BroadcastOperatorState(name, word)
 			}
 		}
 		select {
--- a/cmd/woaddyke/copies.go
+++ b/cmd/woaddyke/copies.go
@@ -36,26 +36,26 @@
 				w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 				fmt.Fprintln(w, "CLAIM OF\tSTAGE\tSTATUS\tANSWER HELD\tWHERE\tCLAIM")
 				for _, r := range p.Rows {
-					fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%s\t%s\n", r.By, r.Stage, r.Status, r.Held, r.Where, r.Claim)
+					fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%s\t%s\n", r.Scheduler, r.Stage, r.Status, r.ResultRetained, r.Group, r.Claim)
 				}
 				return w.Flush()
 			}
-			var s fates.Shown
+			var s fates.Status
 			if err := ask(at, "/api/copies", &s); err != nil {
 				return err
 			}
-			fmt.Fprintf(out, "keepers %s, turn %d, epoch %s\n", strings.Join(s.Keepers, ", "), s.Turn, s.Epoch)
-			if len(s.Before) > 0 {
+			fmt.Fprintf(out, "keepers %s, turn %d, epoch %s\n", strings.Join(s.Replicas, ", "), s.Epoch, s.SetID)
+			if len(s.PreviousReplicas) > 0 {
 				fmt.Fprintf(out, "changing: %s count as well, until the new ones know what they know (this one does: %v)\n",
-					strings.Join(s.Before, ", "), s.Ready)
+					strings.Join(s.PreviousReplicas, ", "), s.Ready)
 			}
 			if s.Agreement != "" {
 				fmt.Fprintf(out, "part in changes of keepers: %s\n", s.Agreement)
 			}
-			fmt.Fprintf(out, "keeper here: %v, with a vote: %v; %d records, %d bytes, digest %s\n", s.Keeper, s.Voting, s.Records, s.Bytes, s.Digest)
-			fmt.Fprintf(out, "asking for %d ops, holding %d, telling of %d; %s\n", s.Asking, s.Mine, s.Telling, counts(s.Counts))
-			for _, l := range s.Looks {
-				fmt.Fprintf(out, "knows %s up to %d, with a vote: %v, caught up: %v\n", l.Keeper, l.Since, l.Voting, l.CaughtUp)
+			fmt.Fprintf(out, "keeper here: %v, with a vote: %v; %d records, %d bytes, digest %s\n", s.IsReplica, s.Voting, s.Records, s.Bytes, s.Digest)
+			fmt.Fprintf(out, "asking for %d ops, holding %d, telling of %d; %s\n", s.PendingClaims, s.GrantedClaims, s.PendingReports, counts(s.Counts))
+			for _, l := range s.Peers {
+				fmt.Fprintf(out, "knows %s up to %d, with a vote: %v, caught up: %v\n", l.Replica, l.Position, l.Voting, l.CaughtUp)
 			}
 			return nil
 		}}
@@ -95,16 +95,16 @@
 				}
 			}
 			for ; ; time.Sleep(changeEvery) {
-				var s fates.Shown // a fresh one: what is left out of an answer would stay as it was
+				var s fates.Status // a fresh one: what is left out of an answer would stay as it was
 				if err := ask(*at, "/api/copies", &s); err != nil {
 					return err
 				}
-				if len(s.Before) == 0 {
-					fmt.Fprintf(out, "done: keepers %s, turn %d; put these into the files\n", strings.Join(s.Keepers, ", "), s.Turn)
+				if len(s.PreviousReplicas) == 0 {
+					fmt.Fprintf(out, "done: keepers %s, turn %d; put these into the files\n", strings.Join(s.Replicas, ", "), s.Epoch)
 					return nil
 				}
 				if time.Now().After(until) {
-					return fmt.Errorf("still changing after %v: %s count as well; see `copies` at each new keeper", within, strings.Join(s.Before, ", "))
+					return fmt.Errorf("still changing after %v: %s count as well; see `copies` at each new keeper", within, strings.Join(s.PreviousReplicas, ", "))
 				}
 			}
 		}}
@@ -114,14 +114,14 @@
 
 // askKeepers asks once for a change from the keepers that there are.
 func askKeepers(at string, names []string) (o outcome, err error) {
-	var s fates.Shown
+	var s fates.Status
 	if err := ask(at, "/api/copies", &s); err != nil {
 		return o, err
 	}
-	if s.Turn == 0 {
+	if s.Epoch == 0 {
 		return o, errors.New("changes of keepers are not founded: all keepers of the file must have been up at once, with agreed = true")
 	}
-	q := url.Values{"turn": {fmt.Sprint(s.Turn)}, "keepers": {strings.Join(names, ",")}}
+	q := url.Values{"turn": {fmt.Sprint(s.Epoch)}, "keepers": {strings.Join(names, ",")}}
 	return o, call(http.MethodPost, at, "/api/copies/keepers?"+q.Encode(), &o)
 }
 
@@ -142,7 +142,7 @@
 						return err
 					}
 					for _, r := range p.Rows {
-						k := fmt.Sprintf("%s %s of %s (%s)", r.Category, r.ID, r.By, r.Claim)
+						k := fmt.Sprintf("%s %s of %s (%s)", r.Category, r.ID, r.Scheduler, r.Claim)
 						if all[k] == nil {
 							all[k] = map[string]string{}
 						}
--- a/cmd/woaddyke/copies_test.go
+++ b/cmd/woaddyke/copies_test.go
@@ -262,7 +262,7 @@
 		for _, p := range c.Places[:3] {
 			for _, id := range []string{"seen", "late"} {
 				var x page
-				if p.Get("/api/copies/records?category=note&id="+id, &x) && len(x.Rows) == 1 && x.Rows[0].Where != "" {
+				if p.Get("/api/copies/records?category=note&id="+id, &x) && len(x.Rows) == 1 && x.Rows[0].Group != "" {
 					known++
 				}
 			}
--- a/cmd/woaddyke/golden_test.go
+++ b/cmd/woaddyke/golden_test.go
@@ -53,7 +53,7 @@
 
 // Guards the methods and paths of the calls that tools of the staff make where members and copies are switched on.
 func TestCallsKeepTheirPaths(t *testing.T) {
-	p := &process{mesh: &mesh.Mesh{}, fates: &fates.Fates{}}
+	p := &process{mesh: &mesh.Mesh{}, fates: &fates.Replica{}}
 	var list bytes.Buffer
 	for _, c := range p.calls() {
 		fmt.Fprintf(&list, "%s, changes: %v\n", c.Path, c.Changes)
@@ -95,7 +95,7 @@
 
 // Guards the names of the operator's tables, each with every key set to a value that is fit and is not its default.
 func TestOffersKeepTheirKeys(t *testing.T) {
-	sheet := &terms.Sheet{Name: "n1", Settings: map[string]any{"bounds": map[string]any{"peerMessages": true}}, Site: map[string]any{},
+	sheet := &terms.Bootstrap{Name: "n1", RawSettings: map[string]any{"bounds": map[string]any{"peerMessages": true}}, Settings: map[string]any{},
 		Limits: terms.Limits{Sockets: 1024}}
 	read, err := readOffers("testdata/operator.toml", sheet)
 	if err != nil {
--- a/cmd/woaddyke/main.go
+++ b/cmd/woaddyke/main.go
@@ -48,7 +48,7 @@
 	c := &cobra.Command{Use: "check FILE", Short: "Say what is wrong with a configuration",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			sheet, err := terms.ReadSheet(args[0])
+			sheet, err := terms.ReadBootstrap(args[0])
 			if err != nil {
 				return err
 			}
--- a/cmd/woaddyke/member.go
+++ b/cmd/woaddyke/member.go
@@ -18,37 +18,37 @@
 )
 
 // join makes this process a member, on the sockets of the one before where it gave some.
-func (p *process) join(legacy *pass.Legacy, state handover.State) (err error) {
+func (p *process) join(legacy *pass.Handover, state handover.State) (err error) {
 	t := p.offers.Members
 	if t == nil {
 		return nil
 	}
-	who := mesh.Name{Name: p.sheet.Name, Number: p.sheet.Number(), Chance: p.sheet.Chance}
-	host := mesh.Host{Ended: func(superseded bool) {
-		if superseded && t.Superseded == "end" {
+	who := mesh.Identity{Name: p.sheet.Name, Number: p.sheet.Number(), Seed: p.sheet.SeedValue}
+	host := mesh.Host{Stopped: func(superseded bool) {
+		if superseded && t.WhenReplaced == "end" {
 			p.log.Error().Msg("another process has this one's name: it ends")
 			p.stop()
 		}
 	}}
 	p.board = newBoard()
-	host.Staff = p.board.heard
-	host.Changed = p.ended
-	if t.Words {
-		host.Spoken = func(number int, text string) { p.front.Others(ops.Told{By: number, Text: text}) }
-		host.Changed = func(c members.Changed) {
+	host.OperatorState = p.board.heard
+	host.MemberChanged = p.ended
+	if t.CarryPeerMessages {
+		host.UserMessage = func(number int, text string) { p.front.PeerInput(ops.PeerMessage{Sender: number, Text: text}) }
+		host.MemberChanged = func(c members.MemberChanged) {
 			p.ended(c)
 			p.changed(c)
 		}
 	}
-	if t.Workers {
-		host.Workers = func(_ string, words []drainstate.Word) { p.front.Shared(words) }
+	if t.ShareDrains {
+		host.Drains = func(_ string, words []drainstate.DrainRecord) { p.front.PeerDrains(words) }
 	}
-	if err := p.keep(state.Heirs, &host); err != nil {
+	if err := p.keep(state.Successions, &host); err != nil {
 		return err
 	}
-	if legacy != nil && len(state.Members) > 0 && len(legacy.Files) > 2 {
+	if legacy != nil && len(state.Membership) > 0 && len(legacy.Files) > 2 {
 		files := legacy.Files[len(legacy.Files)-2:]
-		if p.mesh, err = mesh.Inherit(t, who, host, p.log, state.Members, files); err == nil {
+		if p.mesh, err = mesh.Restore(t, who, host, p.log, state.Membership, files); err == nil {
 			p.speak()
 			return nil
 		}
@@ -62,30 +62,30 @@
 
 func (p *process) speak() {
 	go p.tellStaff()
-	p.front.Count(p.others)
-	if p.offers.Members.Words {
-		p.front.Speak(p.mesh.Say)
+	p.front.SetMemberCounts(p.others)
+	if p.offers.Members.CarryPeerMessages {
+		p.front.SetPeerSender(p.mesh.SendUserMessage)
 	}
-	if p.offers.Members.Workers {
-		p.front.Share(p.mesh, p.sheet.Chance)
+	if p.offers.Members.ShareDrains {
+		p.front.ShareDrains(p.mesh, p.sheet.SeedValue)
 	}
 	if p.fates != nil {
 		p.fates.Start(p.mesh)
-		p.front.Guard(p.fates, p.guards)
+		p.front.RequireClaims(p.fates, p.guards)
 	}
 }
 
 // others counts the other schedulers for the figures.
-func (p *process) others() *tally.Members {
-	x := &tally.Members{}
-	for _, m := range p.mesh.Shown().Members {
+func (p *process) others() *tally.MemberCounts {
+	x := &tally.MemberCounts{}
+	for _, m := range p.mesh.Status().Members {
 		switch m.State {
-		case members.Here:
-			x.Here++
-		case members.Doubted:
-			x.Doubted++
-		case members.Gone:
-			x.Gone++
+		case members.Alive:
+			x.Alive++
+		case members.Suspect:
+			x.Suspect++
+		case members.Dead:
+			x.Dead++
 		case members.Left:
 			x.Left++
 		}
@@ -102,15 +102,15 @@
 	if t == nil {
 		return nil
 	}
-	if p.fates, err = fates.New(t, p.sheet.Name, p.sheet.Chance, heirs, mesh.Now(), p.log); err != nil {
+	if p.fates, err = fates.New(t, p.sheet.Name, p.sheet.SeedValue, heirs, mesh.Now(), p.log); err != nil {
 		return err
 	}
-	if host.Copied, host.Serving = p.fates.Heard, p.fates.Serving; t.Agreed {
-		host.Agreed = p.fates.Agreed
+	if host.Replication, host.Serving = p.fates.Receive, p.fates.Serving; t.DynamicReplicas {
+		host.ReplicaSet = p.fates.ReceiveReplicaSet
 	}
-	changed := host.Changed
-	host.Changed = func(c members.Changed) {
-		p.fates.Gone(c.Name, c.State.Ended())
+	changed := host.MemberChanged
+	host.MemberChanged = func(c members.MemberChanged) {
+		p.fates.SetPeerDead(c.Name, c.State.Ended())
 		if changed != nil {
 			changed(c)
 		}
@@ -120,23 +120,23 @@
 
 // guards tells whether ops of a category are asked for at the keepers.
 func (p *process) guards(category string) bool {
-	effect := p.front.Effect(category)
+	effect := p.front.CategoryEffect(category)
 	return effect == "at-most-once" || effect == "deduplicated" && p.offers.Copies.Deduplicated
 }
 
 // changed has the front take notice of who came and who is gone.
-func (p *process) changed(c members.Changed) {
+func (p *process) changed(c members.MemberChanged) {
 	if c.Number < 0 {
 		return
 	}
 	switch {
 	case c.State.Ended():
-		p.front.Others(ops.Fell{By: c.Number})
-	case c.State == members.Here && (c.New || c.Before.Ended()):
+		p.front.PeerInput(ops.PeerLost{Peer: c.Number})
+	case c.State == members.Alive && (c.New || c.Before.Ended()):
 		if c.New {
-			p.front.Others(ops.Fell{By: c.Number}) // another process: what the one before had out is its own no more
+			p.front.PeerInput(ops.PeerLost{Peer: c.Number}) // another process: what the one before had out is its own no more
 		}
-		p.front.Others(ops.Came{Number: c.Number})
+		p.front.PeerInput(ops.PeerJoined{Peer: c.Number})
 	}
 }
 
@@ -145,36 +145,36 @@
 	if p.mesh == nil {
 		return nil
 	}
-	text, sockets, err := p.mesh.Give()
+	text, sockets, err := p.mesh.HandOver()
 	if err != nil {
 		p.log.Warn().Err(err).Msg("membership is not handed over")
 		return nil
 	}
-	if state.Members = text; p.fates != nil {
-		state.Heirs = p.fates.Heirs()
-		p.fates.Give()
+	if state.Membership = text; p.fates != nil {
+		state.Successions = p.fates.Successions()
+		p.fates.HandOver()
 	}
 	return sockets
 }
 
 // leave tells the others that this process ends, unless its heir goes on in its place.
 func (p *process) leave() {
-	if p.mesh != nil && !p.front.Replaced() {
+	if p.mesh != nil && !p.front.HasSuccessor() {
 		p.mesh.Leave()
 	}
 }
 
 // page is some of the records of copies.
 type page struct {
-	Rows []fates.Row `json:"rows"`
-	Next string      `json:"next"` // the key to go on after; empty where there are no more
+	Rows []fates.RecordRow `json:"rows"`
+	Next string            `json:"next"` // the key to go on after; empty where there are no more
 }
 
 // records answers with one id's records, or with some of all.
 func (p *process) records(r *http.Request) any {
 	q := r.URL.Query()
 	if id := q.Get("id"); id != "" {
-		return page{Rows: p.fates.Of(q.Get("category"), id)}
+		return page{Rows: p.fates.Lookup(q.Get("category"), id)}
 	}
 	var x page
 	x.Rows, x.Next = p.fates.Page(q.Get("after"))
@@ -195,18 +195,18 @@
 	if err != nil {
 		return outcome{Text: "turn: the number that /api/copies shows is wanted"}
 	}
-	t := p.fates.Change(turn, strings.Split(q.Get("keepers"), ","))
-	return outcome{t.Done, t.Again, t.Text}
+	t := p.fates.ChangeReplicas(turn, strings.Split(q.Get("keepers"), ","))
+	return outcome{t.OK, t.Retryable, t.Message}
 }
 
 // calls are the console's for what is switched on.
 func (p *process) calls() (calls []console.Call) {
 	if p.mesh != nil {
-		calls = append(calls, console.Call{Path: "/api/members", Answer: func(*http.Request) any { return p.mesh.Shown() }},
+		calls = append(calls, console.Call{Path: "/api/members", Answer: func(*http.Request) any { return p.mesh.Status() }},
 			console.Call{Path: "/api/staff", Answer: func(*http.Request) any { return p.board.shown() }})
 	}
 	if p.fates != nil {
-		calls = append(calls, console.Call{Path: "/api/copies", Answer: func(*http.Request) any { return p.fates.Shown() }},
+		calls = append(calls, console.Call{Path: "/api/copies", Answer: func(*http.Request) any { return p.fates.Status() }},
 			console.Call{Path: "/api/copies/records", Answer: p.records},
 			console.Call{Path: "/api/copies/keepers", Answer: p.changeKeepers, Changes: true})
 	}
--- a/cmd/woaddyke/operator.go
+++ b/cmd/woaddyke/operator.go
@@ -14,12 +14,12 @@
 
 // offers are the tables of the operator's file. What is nil is off: no socket, no goroutine and no timer.
 type offers struct {
-	Members *mesh.Table  `toml:"members"`
-	Copies  *fates.Table `toml:"copies"`
+	Members *mesh.Config  `toml:"members"`
+	Copies  *fates.Config `toml:"copies"`
 }
 
 // readOffers reads the operator's file; without one nothing is offered.
-func readOffers(path string, sheet *terms.Sheet) (*offers, error) {
+func readOffers(path string, sheet *terms.Bootstrap) (*offers, error) {
 	if path == "" {
 		return &offers{}, nil
 	}
@@ -52,34 +52,34 @@
 	return n
 }
 
-func (o *offers) check(sheet *terms.Sheet) error {
+func (o *offers) check(sheet *terms.Bootstrap) error {
 	t := o.Members
 	if t == nil {
 		if o.Copies != nil {
-			return &operator.Fault{Table: "copies", Key: "keepers", Err: errors.New("copies need a table members")}
+			return &operator.ConfigError{Table: "copies", Key: "keepers", Err: errors.New("copies need a table members")}
 		}
 		return nil
 	}
-	if err := t.Check(); err != nil {
+	if err := t.Validate(); err != nil {
 		return err
 	}
 	if sheet.Name == "" {
-		return &operator.Fault{Table: "members", Key: "cluster", Err: errors.New("the configuration gives this scheduler no name")}
+		return &operator.ConfigError{Table: "members", Key: "cluster", Err: errors.New("the configuration gives this scheduler no name")}
 	}
-	if least := terms.LeastSockets + o.descriptors(); sheet.Limits.Sockets < least {
-		return &operator.Fault{Table: "members", Key: "listen",
+	if least := terms.MinSockets + o.descriptors(); sheet.Limits.Sockets < least {
+		return &operator.ConfigError{Table: "members", Key: "listen",
 			Err: fmt.Errorf("%d descriptors are too few for a scheduler that is a member, %d at least", sheet.Limits.Sockets, least)}
 	}
-	if t.Words {
-		if err := sheet.Speak(); err != nil {
-			return &operator.Fault{Table: "members", Key: "words", Err: fmt.Errorf("words: %w", err)}
+	if t.CarryPeerMessages {
+		if err := sheet.AllowPeerMessages(); err != nil {
+			return &operator.ConfigError{Table: "members", Key: "words", Err: fmt.Errorf("words: %w", err)}
 		}
 	}
 	if c := o.Copies; c != nil {
-		if c.Agreed && c.Path == "" && (slices.Contains(c.Keepers, sheet.Name) || slices.Contains(c.Spares, sheet.Name)) {
-			return &operator.Fault{Table: "copies", Key: "path", Err: fmt.Errorf("%s is a keeper or a spare: it needs a file for what must last", sheet.Name)}
+		if c.DynamicReplicas && c.Path == "" && (slices.Contains(c.Replicas, sheet.Name) || slices.Contains(c.Spares, sheet.Name)) {
+			return &operator.ConfigError{Table: "copies", Key: "path", Err: fmt.Errorf("%s is a keeper or a spare: it needs a file for what must last", sheet.Name)}
 		}
-		return c.Check(sheet.LongestTTL())
+		return c.Validate(sheet.LongestTTL())
 	}
 	return nil
 }
--- a/cmd/woaddyke/operator_test.go
+++ b/cmd/woaddyke/operator_test.go
@@ -15,7 +15,7 @@
 
 // The example in deploy/ must be a file that the program takes, with all its defaults as stated.
 func TestTheExampleOfTheOperatorsFileIsFit(t *testing.T) {
-	sheet := &terms.Sheet{Name: "n1", Limits: terms.Limits{Sockets: 1024}, Site: map[string]any{}}
+	sheet := &terms.Bootstrap{Name: "n1", Limits: terms.Limits{Sockets: 1024}, Settings: map[string]any{}}
 	o, err := readOffers("../../deploy/operator.toml", sheet)
 	if err != nil {
 		t.Fatal(err)
@@ -38,12 +38,12 @@
 		t.Fatal(err)
 	}
 	x, y := *o.Members, *b.Members
-	if x.Probe != y.Probe || x.Window != y.Window || x.Doubt != y.Doubt || x.Longest != y.Longest || x.Exchange != y.Exchange ||
-		x.Seek != y.Seek || x.Memory != y.Memory || x.Most != y.Most || x.Superseded != y.Superseded || x.Words != y.Words || x.Workers != y.Workers {
+	if x.ProbeInterval != y.ProbeInterval || x.ProbeTimeout != y.ProbeTimeout || x.MinSuspicion != y.MinSuspicion || x.MaxSuspicion != y.MaxSuspicion || x.PushPullInterval != y.PushPullInterval ||
+		x.JoinInterval != y.JoinInterval || x.DeadRetention != y.DeadRetention || x.MaxMembers != y.MaxMembers || x.WhenReplaced != y.WhenReplaced || x.CarryPeerMessages != y.CarryPeerMessages || x.ShareDrains != y.ShareDrains {
 		t.Errorf("the example states %+v, the defaults are %+v", x, y)
 	}
 	k, l := *o.Copies, *b.Copies
-	k.Keepers, l.Keepers = nil, nil
+	k.Replicas, l.Replicas = nil, nil
 	if !reflect.DeepEqual(k, l) {
 		t.Errorf("the example states %+v, the defaults are %+v", k, l)
 	}
@@ -86,7 +86,7 @@
 		<-ended
 		return mesh
 	}
-	o, err := readOffers("", &terms.Sheet{})
+	o, err := readOffers("", &terms.Bootstrap{})
 	if err != nil || o.Members != nil {
 		t.Fatalf("%+v, %v", o, err)
 	}
@@ -95,7 +95,7 @@
 	}
 	path := filepath.Join(t.TempDir(), "on.toml")
 	os.WriteFile(path, []byte("[members]\ncluster=\"a\"\nlisten=\"127.0.0.1:0\"\n"), 0o600)
-	if o, err = readOffers(path, &terms.Sheet{Name: "n1", Limits: terms.Limits{Sockets: 1024}, Site: map[string]any{}}); err != nil {
+	if o, err = readOffers(path, &terms.Bootstrap{Name: "n1", Limits: terms.Limits{Sockets: 1024}, Settings: map[string]any{}}); err != nil {
 		t.Fatal(err)
 	}
 	if !runs(*o) {
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	for _, sockets := range []int{64, 99, 100} {
-		_, err := readOffers(path, &terms.Sheet{Name: "n1", Limits: terms.Limits{Sockets: sockets}, Site: map[string]any{}})
+		_, err := readOffers(path, &terms.Bootstrap{Name: "n1", Limits: terms.Limits{Sockets: sockets}, Settings: map[string]any{}})
 		if enough := sockets == 100; (err == nil) != enough || !enough && !strings.Contains(err.Error(), "100 at least") {
 			t.Errorf("%d: %v", sockets, err)
 		}
--- a/cmd/woaddyke/process.go
+++ b/cmd/woaddyke/process.go
@@ -26,16 +26,16 @@
 
 // process is one scheduler's process, which may take the place of another and be replaced by one.
 type process struct {
-	sheet *terms.Sheet
-	front *front.Front
+	sheet *terms.Bootstrap
+	front *front.Server
 	log   zerolog.Logger
 	lost  func() uint64 // lines of the log that nobody could read; nil where nobody counts
 
 	offers offers
-	board  *board       // beside mesh
-	mesh   *mesh.Mesh   // nil where the operator's file has no members
-	fates  *fates.Fates // nil where it has no copies
-	stop   func()       // ends this process as SIGTERM does
+	board  *board         // beside mesh
+	mesh   *mesh.Mesh     // nil where the operator's file has no members
+	fates  *fates.Replica // nil where it has no copies
+	stop   func()         // ends this process as SIGTERM does
 
 	mu      sync.Mutex
 	offered io.Closer // ends the offer that is on
@@ -48,7 +48,7 @@
 }
 
 // fewer takes the machine's own bound on descriptors for the configuration's where it is lower: what lies beyond is not there.
-func fewer(sheet *terms.Sheet, log zerolog.Logger) {
+func fewer(sheet *terms.Bootstrap, log zerolog.Logger) {
 	var r unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &r); err != nil || r.Cur >= uint64(sheet.Limits.Sockets) {
 		return
@@ -59,11 +59,11 @@
 
 // make makes the scheduler, from what one before handed over if one did, and has it leave descriptors for what the operator's file has run beside it.
 func (p *process) make(before *handover.State) (err error) {
-	if p.front, err = front.Replace(p.sheet, before, p.log); err != nil {
+	if p.front, err = front.NewSuccessor(p.sheet, before, p.log); err != nil {
 		return err
 	}
 	if p.lost != nil {
-		p.front.CountLost(p.lost)
+		p.front.SetLostLogLines(p.lost)
 	}
 	if n := p.offers.descriptors(); n > 0 {
 		p.front.Reserve(n)
@@ -73,10 +73,10 @@
 
 // begin makes the scheduler and its listening socket, from those of a process that is to be replaced if there is one.
 func (p *process) begin() (at net.Listener, err error) {
-	var legacy *pass.Legacy
+	var legacy *pass.Handover
 	stranger := false // beside another's scheduler clients would come to either
 	if p.sheet.Console != "" {
-		asker, err := p.asker().Bytes()
+		asker, err := p.asker().Encode()
 		if err != nil {
 			return nil, err
 		}
@@ -100,7 +100,7 @@
 	if p.sheet.Console != "" && !stranger {
 		how.Control = shared
 	}
-	at, err = oserror.Outlast(func() (net.Listener, error) { return how.Listen(context.Background(), "tcp", p.sheet.Listen) })
+	at, err = oserror.RetryTransient(func() (net.Listener, error) { return how.Listen(context.Background(), "tcp", p.sheet.Listen) })
 	if err != nil {
 		return nil, fmt.Errorf("listening: %w", err)
 	}
@@ -118,17 +118,17 @@
 
 // ask takes over from the process before. One that is not a member yet, or not just now, is asked again: its member's address can only be
 // had from it, and without that this process could not start.
-func (p *process) ask(asker []byte) (*pass.Legacy, error) {
-	path, there := pass.Path(p.sheet.Listen, p.sheet.Name), false
+func (p *process) ask(asker []byte) (*pass.Handover, error) {
+	path, there := pass.SocketPath(p.sheet.Listen, p.sheet.Name), false
 	for until := time.Now().Add(joinTime); ; time.Sleep(askEvery) {
-		legacy, err := pass.Ask(path, asker)
+		legacy, err := pass.Receive(path, asker)
 		if p.offers.Members == nil || errors.Is(err, pass.ErrRefused) || err != nil && !there || time.Now().After(until) {
 			return legacy, err
 		}
 		if there = true; err != nil {
 			continue // between two offers of its own
 		}
-		if state, err := handover.Read(legacy.Text); err != nil || len(state.Members) > 0 {
+		if state, err := handover.DecodeState(legacy.Text); err != nil || len(state.Membership) > 0 {
 			return legacy, nil
 		}
 		legacy.Close()
@@ -143,15 +143,15 @@
 }
 
 // inherit makes the scheduler from what came, and its listening socket from the one that came.
-func (p *process) inherit(legacy *pass.Legacy) (listener net.Listener, err error) {
-	state, err := handover.Read(legacy.Text)
+func (p *process) inherit(legacy *pass.Handover) (listener net.Listener, err error) {
+	state, err := handover.DecodeState(legacy.Text)
 	if err != nil {
 		return nil, err
 	}
 	if len(legacy.Files) == 0 {
 		return nil, errors.New("handover: no socket came")
 	}
-	at, err := oserror.Outlast(func() (net.Listener, error) { return net.FileListener(legacy.Files[0]) })
+	at, err := oserror.RetryTransient(func() (net.Listener, error) { return net.FileListener(legacy.Files[0]) })
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
@@ -166,14 +166,14 @@
 		}
 	}
 	var peers *net.UDPConn
-	if len(legacy.Files) > 1 && p.sheet.Peers != nil && len(state.Members) == 0 {
-		conn, err := oserror.Outlast(func() (net.PacketConn, error) { return net.FilePacketConn(legacy.Files[1]) })
+	if len(legacy.Files) > 1 && p.sheet.Peers != nil && len(state.Membership) == 0 {
+		conn, err := oserror.RetryTransient(func() (net.PacketConn, error) { return net.FilePacketConn(legacy.Files[1]) })
 		if err != nil {
 			return nil, fmt.Errorf("handover: %w", err)
 		}
 		peers, _ = conn.(*net.UDPConn)
 	}
-	p.sheet.Known = state.Known
+	p.sheet.KnownWorkers = state.KnownWorkers
 	if err = p.make(&state); err != nil {
 		return nil, err
 	}
@@ -183,11 +183,11 @@
 	for _, f := range legacy.Files {
 		f.Close() // what is used of them was duplicated
 	}
-	p.front.Inherit(state, peers)
+	p.front.RestoreState(state, peers)
 	p.memory(2)
 	p.log.Info().Int("sockets", state.Sockets).Msg("took over")
 	go func() {
-		<-legacy.Ended
+		<-legacy.PredecessorEnded
 		p.front.Limit(p.sheet.Limits.Sockets)
 		p.memory(1)
 		p.log.Info().Msg("the process before has ended")
@@ -204,36 +204,36 @@
 		p.offered.Close()
 	}
 	var err error
-	if p.offered, err = pass.Offer(pass.Path(p.sheet.Listen, p.sheet.Name), p, p.log); err != nil {
+	if p.offered, err = pass.Serve(pass.SocketPath(p.sheet.Listen, p.sheet.Name), p, p.log); err != nil {
 		p.log.Warn().Err(err).Msg("no process can take over from this one")
 	}
 }
 
 // asker is who this process is to one whose place it may take, and to one that may take its own.
-func (p *process) asker() handover.Asker {
-	a := handover.Asker{Name: p.sheet.Name, Listen: p.sheet.Listen, Discovery: p.sheet.Discovery, Settings: p.sheet.Hash()}
+func (p *process) asker() handover.Request {
+	a := handover.Request{Name: p.sheet.Name, Listen: p.sheet.Listen, Discovery: p.sheet.Discovery, Settings: p.sheet.SettingsHash()}
 	if p.front != nil {
 		a.Discovery, a.Settings = p.front.Discovery(), p.front.SettingsHash()
 	}
 	return a
 }
 
-// Give is the front's, to a process that may take the place of this one.
-func (p *process) Give(asker []byte) ([]byte, []syscall.Conn, error) {
-	a, err := handover.ReadAsker(asker)
+// HandOver is the front's, to a process that may take the place of this one.
+func (p *process) HandOver(asker []byte) ([]byte, []syscall.Conn, error) {
+	a, err := handover.DecodeRequest(asker)
 	if err == nil {
-		err = a.Replaces(p.asker())
+		err = a.CheckSuccessorOf(p.asker())
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	return p.front.Give(p.giveMember)
+	return p.front.HandOver(p.giveMember)
 }
 
-// Heir shares what only one process may use. An heir that was ready has offered in this one's place; when it has ended, the
+// SetSuccessor shares what only one process may use. An heir that was ready has offered in this one's place; when it has ended, the
 // next would find nobody there.
-func (p *process) Heir(there bool) {
-	p.front.Heir(there)
+func (p *process) SetSuccessor(there bool) {
+	p.front.SetSuccessor(there)
 	if there {
 		p.memory(2)
 		return
--- a/cmd/woaddyke/process_test.go
+++ b/cmd/woaddyke/process_test.go
@@ -30,9 +30,9 @@
 
 // replaceable is a process with a stand-in discovery that knows no worker.
 func replaceable(t *testing.T, listen string) *process {
-	return &process{log: zerolog.Nop(), sheet: &terms.Sheet{Listen: listen, Console: "127.0.0.1:0",
+	return &process{log: zerolog.Nop(), sheet: &terms.Bootstrap{Listen: listen, Console: "127.0.0.1:0",
 		Discovery: discoveryOf(t, `{"rev":7,"all":true,"targets":[]}`), Limits: terms.Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
-		Site: terms.Flat(map[string]any{"categories": []any{map[string]any{"name": "look", "ttlNs": 3e9}}})}}
+		Settings: terms.Flatten(map[string]any{"categories": []any{map[string]any{"name": "look", "ttlNs": 3e9}}})}}
 }
 
 // start serves until the context that stop ends; ended tells what Serve said.
@@ -97,8 +97,8 @@
 		t.Fatal(err)
 	}
 	var known struct{ Rev int }
-	if err := json.Unmarshal(second.sheet.Known, &known); err != nil || known.Rev != 7 {
-		t.Errorf("the list that came: %s, %v", second.sheet.Known, err)
+	if err := json.Unmarshal(second.sheet.KnownWorkers, &known); err != nil || known.Rev != 7 {
+		t.Errorf("the list that came: %s, %v", second.sheet.KnownWorkers, err)
 	}
 	stop()
 	await(t, "it has noted that it is to end", log, func() bool { return strings.Contains(log.String(), `"message":"stopping"`) })
@@ -117,7 +117,7 @@
 	}
 	second.offer()
 	third := replaceable(t, addr)
-	if last, err := third.begin(); err != nil || third.sheet.Known == nil {
+	if last, err := third.begin(); err != nil || third.sheet.KnownWorkers == nil {
 		t.Errorf("the third process: %v", err)
 	} else {
 		last.Close()
@@ -158,15 +158,15 @@
 	defer stop()
 	first.offer()
 	other := replaceable(t, addr)
-	other.sheet.Site = terms.Flat(map[string]any{"categories": []any{map[string]any{"name": "pay", "ttlNs": 3e9}}})
+	other.sheet.Settings = terms.Flatten(map[string]any{"categories": []any{map[string]any{"name": "pay", "ttlNs": 3e9}}})
 	if at, err := other.begin(); err == nil {
 		at.Close()
 		t.Error("it listens where another's clients come")
 	}
-	if other.sheet.Known != nil {
-		t.Errorf("it knows another's workers: %s", other.sheet.Known)
+	if other.sheet.KnownWorkers != nil {
+		t.Errorf("it knows another's workers: %s", other.sheet.KnownWorkers)
 	}
-	if first.front.Replaced() {
+	if first.front.HasSuccessor() {
 		t.Error("the one that serves takes it for its heir")
 	}
 	for range 5 {
--- a/cmd/woaddyke/ready_test.go
+++ b/cmd/woaddyke/ready_test.go
@@ -197,10 +197,10 @@
 	defer s.Close()
 	var some []copies.Record
 	for i := range n {
-		some = append(some, copies.Record{Key: fmt.Sprintf("pay\x00op-%08d", i), Print: uint64(i),
-			Fates: []copies.Fate{{Claim: copies.Claim{By: "n1", Nonce: uint64(i + 1)}, Stage: copies.Ended, Verdict: 200, Held: true, Result: make([]byte, 200)}}})
+		some = append(some, copies.Record{Key: fmt.Sprintf("pay\x00op-%08d", i), Fingerprint: uint64(i),
+			Outcomes: []copies.Outcome{{Claim: copies.Claim{Scheduler: "n1", Nonce: uint64(i + 1)}, Stage: copies.Ended, Verdict: 200, ResultRetained: true, Result: make([]byte, 200)}}})
 	}
-	if err := s.Keep(boottime.Now(), some, nil); err != nil {
+	if err := s.Write(boottime.Now(), some, nil); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/cmd/woaddyke/serve.go
+++ b/cmd/woaddyke/serve.go
@@ -40,7 +40,7 @@
 			sink := logsink.New(os.Stderr)
 			defer sink.Close(logEnd)
 			log := zerolog.New(sink).Level(l).With().Timestamp().Logger()
-			sheet, err := oserror.Outlast(func() (*terms.Sheet, error) { return terms.ReadSheet(path) })
+			sheet, err := oserror.RetryTransient(func() (*terms.Bootstrap, error) { return terms.ReadBootstrap(path) })
 			if err != nil {
 				return err
 			}
@@ -76,11 +76,11 @@
 			}
 			go func() {
 				for range reread {
-					p.front.Reread(path)
+					p.front.ReloadConfig(path)
 				}
 			}()
 			if sheet.Console != "" {
-				calls, err := oserror.Outlast(func() (net.Listener, error) { return net.Listen("tcp", sheet.Console) })
+				calls, err := oserror.RetryTransient(func() (net.Listener, error) { return net.Listen("tcp", sheet.Console) })
 				if err != nil {
 					return fmt.Errorf("listening for staff: %w", err)
 				}
--- a/cmd/woaddyke/staff.go
+++ b/cmd/woaddyke/staff.go
@@ -28,16 +28,16 @@
 	return &board{staff: staff.New(uint64(boottime.Since())), quit: make(chan struct{})}
 }
 
-func (b *board) heard(name string, life uint64, w staff.Word) {
+func (b *board) heard(name string, life uint64, w staff.State) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.staff.Heard(name, life, w)
+	b.staff.Receive(name, life, w)
 }
 
 func (b *board) lost(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.staff.Lost(name)
+	b.staff.Forget(name)
 }
 
 func (b *board) close() { b.once.Do(func() { close(b.quit) }) }
@@ -52,7 +52,7 @@
 func (b *board) shown() told {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return told{fmt.Sprintf("%016x", b.staff.Own().Settings), append([]string{}, b.staff.Differ()...), append([]string{}, b.staff.Away()...)}
+	return told{fmt.Sprintf("%016x", b.staff.Own().Settings), append([]string{}, b.staff.DifferingMembers()...), append([]string{}, b.staff.DrainedMembers()...)}
 }
 
 // tellStaff tells the other schedulers what staff decided for this one, and says in one line which run by other settings.
@@ -62,8 +62,8 @@
 	defer tick.Stop()
 	for {
 		b.mu.Lock()
-		news := b.staff.Mine(p.front.SettingsHash(), p.front.Evacuated())
-		word, differ := b.staff.Own(), b.staff.Differ()
+		news := b.staff.SetOwn(p.front.SettingsHash(), p.front.ClientsDrained())
+		word, differ := b.staff.Own(), b.staff.DifferingMembers()
 		changed := !slices.Equal(differ, b.differ)
 		b.differ = differ
 		b.mu.Unlock()
@@ -75,7 +75,7 @@
 			names = []string{names[rand.IntN(len(names))]} // it decides nothing
 		}
 		for _, name := range names {
-			p.mesh.TellStaff(name, word)
+			p.mesh.BroadcastOperatorState(name, word)
 		}
 		select {
 		case <-tick.C:
@@ -86,7 +86,7 @@
 }
 
 // ended keeps the board to those that are here.
-func (p *process) ended(c members.Changed) {
+func (p *process) ended(c members.MemberChanged) {
 	if c.State.Ended() {
 		p.board.lost(c.Name)
 	}
--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -67,7 +67,7 @@
 }
 
 // giveUp answers at once: a nack where trying again is harmless, with when to come back; else a dead letter.
-func (d *Dispatcher) giveUp(o *op, pause Time, why Why) (Verb, int, Time) {
+func (d *Dispatcher) giveUp(o *op, pause Time, why RejectionReason) (Verb, int, Time) {
 	d.why = why
 	o.over = true
 	if !d.harmless(o) || len(o.unfit) > 1 {
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -9,18 +9,18 @@
 func loaded(held, workers int) (*Dispatcher, Time) {
 	d := New(7, terms(map[string]any{"discovery": "pushed", "bounds.probes": false, "extra.progress": 10_000.0}))
 	now := Time(1_000_000)
-	d.Clock(now)
-	d.ListWhole()
+	d.AdvanceClock(now)
+	d.BeginSnapshot()
 	for i := range workers {
-		d.Entry(i, 1, 1, true, 0)
+		d.UpsertWorker(i, 1, 1, true, 0)
 	}
-	d.ListEnd()
+	d.EndUpdate()
 	for i := range held {
 		now++
-		d.Clock(now)
-		d.Op(i, 0, now+1<<40, 1, 0, 0)
+		d.AdvanceClock(now)
+		d.AddOp(i, 0, now+1<<40, 1, 0, 0)
 		pull(d)
-		d.Note(i, 0, true, 0)
+		d.AttemptProgress(i, 0, true, 0)
 	}
 	pull(d)
 	return d, now
@@ -28,7 +28,7 @@
 
 func pull(d *Dispatcher) {
 	for {
-		if do, _, _, _ := d.Next(); do == Nothing {
+		if do, _, _, _ := d.Next(); do == NoDecision {
 			return
 		}
 	}
@@ -45,8 +45,8 @@
 				if n%50 == 0 {
 					now++
 				}
-				d.Clock(now)
-				d.Note(n%held, 0, false, 0.5)
+				d.AdvanceClock(now)
+				d.AttemptProgress(n%held, 0, false, 0.5)
 				pull(d)
 			}
 		})
@@ -64,11 +64,11 @@
 				if n%50 == 0 {
 					now++
 				}
-				d.Clock(now)
-				d.Op(held, 0, now+1<<40, 1, 0, 0)
+				d.AdvanceClock(now)
+				d.AddOp(held, 0, now+1<<40, 1, 0, 0)
 				pull(d)
-				d.Clock(now)
-				d.Outcome(held, 0, Served, 1, true)
+				d.AdvanceClock(now)
+				d.AttemptEnded(held, 0, Succeeded, 1, true)
 				pull(d)
 			}
 		})
@@ -78,24 +78,24 @@
 // atSize is a scheduler with workers in 14 zones that holds so many started ops, spread evenly.
 func atSize(workers, held int, more map[string]any) (*Dispatcher, Time) {
 	d, now := New(7, terms(more)), Time(1_000_000)
-	d.Clock(now)
+	d.AdvanceClock(now)
 	listed(d, workers)
 	for i := range held {
 		now++
-		d.Clock(now)
-		d.Op(i, 0, now+1<<40, 1, 0, 0)
+		d.AdvanceClock(now)
+		d.AddOp(i, 0, now+1<<40, 1, 0, 0)
 		served(d, i, now, false)
 	}
 	return d, now
 }
 
 func listed(d *Dispatcher, workers int) {
-	d.ListWhole()
+	d.BeginSnapshot()
 	for i := range workers {
-		d.Entry(i, i%14, i%100, true, 0)
-		d.Mark(i, ownKey(i), 0)
+		d.UpsertWorker(i, i%14, i%100, true, 0)
+		d.IdentifyWorker(i, ownKey(i), 0)
 	}
-	d.ListEnd()
+	d.EndUpdate()
 }
 
 // served carries an op's decisions out: each probe is answered by an idle worker, and the push starts, and is served where it ends.
@@ -103,16 +103,16 @@
 	for {
 		do, op, w, _ := d.Next()
 		switch do {
-		case Nothing:
+		case NoDecision:
 			if ends {
-				d.Outcome(i, 0, Served, 1, true)
+				d.AttemptEnded(i, 0, Succeeded, 1, true)
 				pull(d)
 			}
 			return
 		case Probe:
-			d.Report(w, 5, Load{Jobs: 0, Waiting: 0, Free: 4, Memory: -1})
+			d.ProbeAnswered(w, 5, LoadReport{RunningJobs: 0, QueuedJobs: 0, FreeSlots: 4, FreeMemory: -1})
 		case Push:
-			d.Note(op, 0, true, 0)
+			d.AttemptProgress(op, 0, true, 0)
 		}
 	}
 }
@@ -137,10 +137,10 @@
 				b.ResetTimer()
 				for n := range b.N {
 					now++
-					d.Clock(now)
-					d.Op(100, 0, now+1<<40, 1, 0, 0)
+					d.AdvanceClock(now)
+					d.AddOp(100, 0, now+1<<40, 1, 0, 0)
 					if shape.key > 0 {
-						d.Key(100, ownKey(n%500))
+						d.SetAffinityKey(100, ownKey(n%500))
 					}
 					served(d, 100, now, true)
 				}
@@ -163,9 +163,9 @@
 				b.ResetTimer()
 				for n := range b.N {
 					now++
-					d.Clock(now)
-					d.Entry(n%workers, n%workers%14, n%workers%100, n%2 > 0, 0)
-					d.ListEnd()
+					d.AdvanceClock(now)
+					d.UpsertWorker(n%workers, n%workers%14, n%workers%100, n%2 > 0, 0)
+					d.EndUpdate()
 				}
 			})
 		}
@@ -179,20 +179,20 @@
 		for _, held := range []int{1, 10, 100, 1_000} {
 			b.Run(fmt.Sprintf("ready=%v/held=%d", ready, held), func(b *testing.B) {
 				d, now := New(7, terms(map[string]any{"discovery": "pushed"})), Time(1_000_000)
-				d.Clock(now)
+				d.AdvanceClock(now)
 				listed(d, 6_300)
 				for i := range 6_300 {
-					d.Entry(i, i%14, i%100, ready, 0)
+					d.UpsertWorker(i, i%14, i%100, ready, 0)
 				}
-				d.ListEnd()
+				d.EndUpdate()
 				for i := range held {
-					d.Op(i, 0, now+1<<40, 1, 0, 0)
+					d.AddOp(i, 0, now+1<<40, 1, 0, 0)
 				}
 				pull(d)
 				b.ReportAllocs()
 				b.ResetTimer()
 				for range b.N {
-					d.Clock(now)
+					d.AdvanceClock(now)
 					pull(d)
 				}
 			})
--- a/dispatch/choice.go
+++ b/dispatch/choice.go
@@ -42,9 +42,9 @@
 	if r == nil || d.fits(o, i) {
 		return 0
 	}
-	lack, queue := 1.0, math.Round(max(r.load.Waiting, 0))+float64(len(d.since(i, r.asked)))
-	if queue == 0 && r.load.Free >= 0 && r.load.Free < o.slots-0.5 {
-		lack = (o.slots - r.load.Free) / o.slots // one busy slot of four is not a whole place to wait for
+	lack, queue := 1.0, math.Round(max(r.load.QueuedJobs, 0))+float64(len(d.since(i, r.asked)))
+	if queue == 0 && r.load.FreeSlots >= 0 && r.load.FreeSlots < o.slots-0.5 {
+		lack = (o.slots - r.load.FreeSlots) / o.slots // one busy slot of four is not a whole place to wait for
 	}
 	return queue + lack
 }
@@ -129,16 +129,16 @@
 	if r == nil {
 		return true
 	}
-	free, memory := r.load.Free, r.load.Memory
+	free, memory := r.load.FreeSlots, r.load.FreeMemory
 	own := d.since(i, r.asked)
-	if len(own) == 0 && r.load.Jobs >= 0 && r.load.Jobs < 0.5 {
+	if len(own) == 0 && r.load.RunningJobs >= 0 && r.load.RunningJobs < 0.5 {
 		return true // a noisy count of free slots made wide ops pass by workers that hold nothing
 	}
 	for _, p := range own {
 		free, memory = free-p.slots, memory-p.memory
 	}
-	return (r.load.Free < 0 || free > o.slots-0.5) && (r.load.Memory < 0 || memory >= o.memory) &&
-		r.load.Waiting < 0.5
+	return (r.load.FreeSlots < 0 || free > o.slots-0.5) && (r.load.FreeMemory < 0 || memory >= o.memory) &&
+		r.load.QueuedJobs < 0.5
 }
 
 // last is a worker's newest reading, nil before there is one.
@@ -169,5 +169,5 @@
 	if r == nil {
 		return 0
 	}
-	return math.Round(r.load.Jobs) + float64(len(d.since(i, r.asked)))
+	return math.Round(r.load.RunningJobs) + float64(len(d.since(i, r.asked)))
 }
--- a/dispatch/cold_test.go
+++ b/dispatch/cold_test.go
@@ -82,7 +82,7 @@
 
 type coldReading struct {
 	at   Time
-	load Load
+	load LoadReport
 }
 
 type coldWorker struct {
@@ -147,7 +147,7 @@
 			t[k] = v
 		}
 		x := &coldScheduler{d: New(p.r.Uint64(), t), ops: map[int]*coldOp{}}
-		x.d.Clock(p.now)
+		x.d.AdvanceClock(p.now)
 		p.schedulers = append(p.schedulers, x)
 	}
 	for i, w := range p.workers {
@@ -169,15 +169,15 @@
 
 func (p *coldPlay) list() {
 	for _, s := range p.schedulers {
-		s.d.Clock(p.now)
-		s.d.ListWhole()
+		s.d.AdvanceClock(p.now)
+		s.d.BeginSnapshot()
 		for i, w := range p.workers {
 			if w.since <= p.now {
-				s.d.Entry(i, p.zone(i), p.zone(i)*100+i%7, true, w.since)
-				s.d.Mark(i, uint64(i+1)*0x9e3779b97f4a7c15, 0)
+				s.d.UpsertWorker(i, p.zone(i), p.zone(i)*100+i%7, true, w.since)
+				s.d.IdentifyWorker(i, uint64(i+1)*0x9e3779b97f4a7c15, 0)
 			}
 		}
-		s.d.ListEnd()
+		s.d.EndUpdate()
 	}
 }
 
@@ -220,8 +220,8 @@
 		s.all++
 	}
 	s.ops[i] = &coldOp{tries: tries}
-	s.d.Clock(p.now)
-	s.d.Op(i, 0, p.now+50_000, 1, 0, 0)
+	s.d.AdvanceClock(p.now)
+	s.d.AddOp(i, 0, p.now+50_000, 1, 0, 0)
 	p.pull(s)
 }
 
@@ -231,9 +231,9 @@
 	for _, a := range decisionsAndWakes(s.d) {
 		o := s.ops[a.op]
 		switch a.do {
-		case Wake:
+		case SetTimer:
 			p.in(a.span, func() {
-				s.d.Clock(p.now)
+				s.d.AdvanceClock(p.now)
 				p.pull(s)
 			})
 		case Probe:
@@ -241,8 +241,8 @@
 			p.in(coldTrip, func() {
 				load := p.shown(a.worker)
 				p.in(coldTrip, func() {
-					s.d.Clock(p.now)
-					s.d.Report(a.worker, p.now-asked, load)
+					s.d.AdvanceClock(p.now)
+					s.d.ProbeAnswered(a.worker, p.now-asked, load)
 					p.pull(s)
 				})
 			})
@@ -264,14 +264,14 @@
 func decisionsAndWakes(d *Dispatcher) (all []decision) {
 	for {
 		do, op, worker, span := d.Next()
-		if do == Nothing {
+		if do == NoDecision {
 			return all
 		}
 		all = append(all, decision{do, op, worker, span})
 	}
 }
 
-func (p *coldPlay) shown(i int) Load {
+func (p *coldPlay) shown(i int) LoadReport {
 	w := p.workers[i]
 	if p.blind && w.since > 0 && p.now >= coldStart+p.turn {
 		return jobs(0)
@@ -286,8 +286,8 @@
 
 func (p *coldPlay) note(i int) {
 	w := p.workers[i]
-	w.shown = append(w.shown, coldReading{p.now, Load{Jobs: float64(w.running + len(w.waiting)),
-		Waiting: float64(len(w.waiting)), Free: float64(coldSlots - w.running), Memory: -1}})
+	w.shown = append(w.shown, coldReading{p.now, LoadReport{RunningJobs: float64(w.running + len(w.waiting)),
+		QueuedJobs: float64(len(w.waiting)), FreeSlots: float64(coldSlots - w.running), FreeMemory: -1}})
 }
 
 func (p *coldPlay) push(i int, j coldJob) {
@@ -296,7 +296,7 @@
 		w.got = append(w.got, p.now)
 	}
 	if len(w.waiting) >= 7*coldSlots {
-		p.end(j, Refused)
+		p.end(j, Rejected)
 		return
 	}
 	w.waiting = append(w.waiting, j)
@@ -318,15 +318,15 @@
 			w.used += float64(min(run, end-p.now)) * speed
 		}
 		p.in(coldTrip, func() {
-			j.by.d.Clock(p.now)
-			j.by.d.Note(j.op, j.leg, true, 0)
+			j.by.d.AdvanceClock(p.now)
+			j.by.d.AttemptProgress(j.op, j.leg, true, 0)
 			p.pull(j.by)
 		})
 		p.in(coldTrip+run, func() {
 			w.running--
 			p.begin(i)
 			p.note(i)
-			p.end(j, Served)
+			p.end(j, Succeeded)
 		})
 	}
 	p.note(i)
@@ -334,11 +334,11 @@
 
 func (p *coldPlay) end(j coldJob, how Outcome) {
 	p.in(coldTrip, func() {
-		if how == Served && p.now >= coldStart {
+		if how == Succeeded && p.now >= coldStart {
 			p.served++
 		}
-		j.by.d.Clock(p.now)
-		j.by.d.Outcome(j.op, j.leg, how, 1, how == Served)
+		j.by.d.AdvanceClock(p.now)
+		j.by.d.AttemptEnded(j.op, j.leg, how, 1, how == Succeeded)
 		p.pull(j.by)
 	})
 }
@@ -493,8 +493,8 @@
 func TestTheLotGoesDownWithEachPairOfAnOp(t *testing.T) {
 	let := func(looks, legs int) (n int) {
 		d := fleet(10, nil)
-		d.Entry(10, 0, 0, true, d.now-second)
-		d.ListEnd()
+		d.UpsertWorker(10, 0, 0, true, d.now-second)
+		d.EndUpdate()
 		for range 4_000 {
 			n += 1 - stats.Bit(d.spared(&op{looks: looks, legs: legs}, &d.workers[10], 11))
 		}
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -28,24 +28,24 @@
 
 // The span is a time-out, a nack's pause or a wake's delay.
 const (
-	Nothing Verb = iota
+	NoDecision Verb = iota
 	Push
 	Probe
-	CallOff // closes the push that is out; its outcome is Withdrawn, or what came just before
+	CancelAttempt // closes the push that is out; its outcome is Withdrawn, or what came just before
 	Nack
 	DeadLetter
-	Wake
+	SetTimer
 	Forget
-	Tell // another scheduler, its number in the op's place, that the span is the pushes out here at a worker
+	ReportToPeer // another scheduler, its number in the op's place, that the span is the pushes out here at a worker
 )
 
-// Watched is a kind of decision: the two workers asked, the one pushed to, a word to another scheduler.
-type Watched int
+// ShadowedDecision is a kind of decision: the two workers asked, the one pushed to, a word to another scheduler.
+type ShadowedDecision int
 
 const (
-	Asked Watched = iota
-	Chosen
-	Spoken
+	ShadowedPair ShadowedDecision = iota
+	ShadowedPlacement
+	ShadowedReport
 )
 
 // Outcome is how a push ended.
@@ -53,20 +53,20 @@
 
 // Refused, Unreached, Unsent and Unable prove that the push never ran; after the others it may have.
 const (
-	Served Outcome = iota
-	Errored
-	Refused
+	Succeeded Outcome = iota
+	Failed
+	Rejected
 	TimedOut
-	Unreached
-	Broke
-	Withdrawn
-	Unsent
-	Unable // unsent, as this machine lacked the means
-	Unfit  // the worker says that the op itself is at fault
+	Unreachable
+	ConnectionLost
+	Cancelled
+	NotSent
+	LocalExhaustion // unsent, as this machine lacked the means
+	InvalidRequest  // the worker says that the op itself is at fault
 )
 
-// Load is a worker's report; a value below 0 was not reported.
-type Load struct{ Jobs, Waiting, Free, Memory float64 }
+// LoadReport is a worker's report; a value below 0 was not reported.
+type LoadReport struct{ RunningJobs, QueuedJobs, FreeSlots, FreeMemory float64 }
 
 const (
 	maxCount  = 15          // T_m: longer queues count as this long
@@ -84,7 +84,7 @@
 )
 
 type reading struct {
-	load   Load
+	load   LoadReport
 	at     Time // when the probe was answered
 	asked  Time // when it was sent
 	paired bool
@@ -106,12 +106,12 @@
 	since                Time
 	readings             []reading // the last few, newest last
 	places               []place
-	strides              stats.Part        // how long jobs ran, over what was expected
-	health               sprt.Test[Time]   // what outcomes say of it
-	out                  []*op             // this scheduler's pushes that are out there
-	words                words.Words[Time] // of other schedulers: how many pushes they have out there
-	audience             []int             // schedulers whose regular it is: told what is pushed to it
-	heard                Time              // when it last said anything of a push
+	strides              stats.Part          // how long jobs ran, over what was expected
+	health               sprt.Test[Time]     // what outcomes say of it
+	out                  []*op               // this scheduler's pushes that are out there
+	words                words.Reports[Time] // of other schedulers: how many pushes they have out there
+	audience             []int               // schedulers whose regular it is: told what is pushed to it
+	heard                Time                // when it last said anything of a push
 }
 
 // machines is what is learned of a kind: who meets a worker once a minute learns little of that one.
@@ -169,7 +169,7 @@
 	chance            stats.Chance
 	site              site
 	other             *site // of another shape that is watched for
-	otherwise         [Spoken + 1]int
+	otherwise         [ShadowedReport + 1]int
 	categories        []category // by place
 	entries           []int      // the places of those in force, in the order of the terms
 	now               Time
@@ -201,7 +201,7 @@
 	asked, served     float64 // ops, of late
 	takes             bool    // workers say at once that they have taken a push
 	woken             Time
-	why               Why // of the last op that was given up
+	why               RejectionReason // of the last op that was given up
 }
 
 // New starts a scheduler's dispatcher from its seed and the site's terms.
@@ -209,7 +209,7 @@
 	d := &Dispatcher{chance: stats.NewChance(seed), asks: map[uint64]float64{},
 		kinds: make([]machines, 1), room: sprt.New(0.1, 0.5, healthMax/3)}
 	d.site = siteOf(terms)
-	d.Categories(terms)
+	d.SetCategories(terms)
 	for k := range d.out {
 		d.out[k] = deadlines.New(func(o *op) (base, ttl Time, counts bool) {
 			return d.silentFrom(o, k), o.ttl, o.out && !o.over && !o.silent && d.awaited(o) == k
@@ -218,17 +218,17 @@
 	return d
 }
 
-// Watch has this dispatcher count how often another shape's terms would have had it decide otherwise.
-func (d *Dispatcher) Watch(terms map[string]any) {
+// SetShadowSettings has this dispatcher count how often another shape's terms would have had it decide otherwise.
+func (d *Dispatcher) SetShadowSettings(terms map[string]any) {
 	s := siteOf(terms)
 	d.other = &s
 }
 
-// Otherwise is what a watch has counted.
-func (d *Dispatcher) Otherwise() [Spoken + 1]int { return d.otherwise }
+// ShadowDivergence is what a watch has counted.
+func (d *Dispatcher) ShadowDivergence() [ShadowedReport + 1]int { return d.otherwise }
 
 // both decides, under a watch first as the other terms would, with the same luck. No words come there.
-func (d *Dispatcher) both(kind Watched, decide func() []int) []int {
+func (d *Dispatcher) both(kind ShadowedDecision, decide func() []int) []int {
 	if d.other == nil {
 		return decide()
 	}
@@ -241,21 +241,21 @@
 	return is
 }
 
-// Clock tells the time; it never goes back.
-func (d *Dispatcher) Clock(now Time) {
+// AdvanceClock tells the time; it never goes back.
+func (d *Dispatcher) AdvanceClock(now Time) {
 	d.now = max(d.now, now)
 	d.at, d.late, d.fresh, d.round = 0, d.late[:0], false, false
 }
 
-// ListWhole begins a whole list: a worker that it does not name is gone.
-func (d *Dispatcher) ListWhole() {
+// BeginSnapshot begins a whole list: a worker that it does not name is gone.
+func (d *Dispatcher) BeginSnapshot() {
 	for i := range d.workers {
 		d.workers[i].listed = false
 	}
 }
 
-// Entry is one line of a list.
-func (d *Dispatcher) Entry(i, zone, cell int, ready bool, since Time) {
+// UpsertWorker is one line of a list.
+func (d *Dispatcher) UpsertWorker(i, zone, cell int, ready bool, since Time) {
 	for len(d.workers) <= i {
 		d.workers = append(d.workers, worker{})
 	}
@@ -274,8 +274,8 @@
 	w.zone, w.cell, w.ready, w.listed = zone, cell, ready, true
 }
 
-// Mark gives a listed worker's name, hashed, and its kind of machine. Schedulers must hash names alike.
-func (d *Dispatcher) Mark(i int, mark uint64, kind int) {
+// IdentifyWorker gives a listed worker's name, hashed, and its kind of machine. Schedulers must hash names alike.
+func (d *Dispatcher) IdentifyWorker(i int, mark uint64, kind int) {
 	for len(d.kinds) <= kind {
 		d.kinds = append(d.kinds, machines{})
 	}
@@ -284,8 +284,8 @@
 	}
 }
 
-// ListEnd ends a list.
-func (d *Dispatcher) ListEnd() {
+// EndUpdate ends a list.
+func (d *Dispatcher) EndUpdate() {
 	d.ready = 0
 	for i := range d.workers {
 		w := &d.workers[i]
@@ -297,8 +297,8 @@
 	}
 }
 
-// Op is a new op. It returns false for a category that the terms do not name and the host has not kept.
-func (d *Dispatcher) Op(i, cat int, ttl Time, slots, memory float64, work Time) bool {
+// AddOp is a new op. It returns false for a category that the terms do not name and the host has not kept.
+func (d *Dispatcher) AddOp(i, cat int, ttl Time, slots, memory float64, work Time) bool {
 	if cat < 0 || cat >= len(d.categories) || !d.categories[cat].named() {
 		return false
 	}
@@ -315,15 +315,15 @@
 	return true
 }
 
-// Ran says of a new op that a push of another scheduler may have run, where and since when. A zone or a cell
+// SetPriorAttempt says of a new op that a push of another scheduler may have run, where and since when. A zone or a cell
 // that is not known here is -1.
-func (d *Dispatcher) Ran(i, zone, cell int, at Time) {
+func (d *Dispatcher) SetPriorAttempt(i, zone, cell int, at Time) {
 	o := d.ops[i]
 	o.ran, o.ranAt, o.ranZone, o.ranGrp = true, at, zone, cell
 }
 
-// Key gives what a new op needs at its worker, hashed: data that workers keep for a while or must fetch.
-func (d *Dispatcher) Key(i int, key uint64) {
+// SetAffinityKey gives what a new op needs at its worker, hashed: data that workers keep for a while or must fetch.
+func (d *Dispatcher) SetAffinityKey(i int, key uint64) {
 	d.age()
 	if d.ops[i].key = key; len(d.asks) < maxKeys || d.asks[key] > 0 {
 		d.asks[key]++
@@ -338,8 +338,8 @@
 	return d.ops[i]
 }
 
-// Note is word of a push that is out: it has started, or how far it is; below 0, it is taken and no more.
-func (d *Dispatcher) Note(i, leg int, started bool, done float64) {
+// AttemptProgress is word of a push that is out: it has started, or how far it is; below 0, it is taken and no more.
+func (d *Dispatcher) AttemptProgress(i, leg int, started bool, done float64) {
 	o := d.op(i)
 	if o == nil || !o.out || leg != o.legs-1 {
 		return
@@ -370,8 +370,8 @@
 	}
 }
 
-// Outcome ends a push.
-func (d *Dispatcher) Outcome(i, leg int, how Outcome, elapsed Time, over bool) {
+// AttemptEnded ends a push.
+func (d *Dispatcher) AttemptEnded(i, leg int, how Outcome, elapsed Time, over bool) {
 	o := d.op(i)
 	if o == nil || !o.out || leg != o.legs-1 {
 		return
@@ -382,11 +382,11 @@
 	w := &d.workers[o.worker]
 	w.out = slices.DeleteFunc(w.out, func(p *op) bool { return p == o })
 	d.tell(o.worker)
-	if how != TimedOut && how != Withdrawn && how != Unsent && how != Unable {
+	if how != TimedOut && how != Cancelled && how != NotSent && how != LocalExhaustion {
 		w.heard = d.now // those are this side's own word
 	}
 	switch how {
-	case Served:
+	case Succeeded:
 		for _, i := range o.unfit { // the op is sound, so it was they that were at fault
 			d.judge(i, false)
 		}
@@ -399,18 +399,18 @@
 		}
 		d.judge(o.worker, true)
 		d.met(0, 1)
-	case Unable:
+	case LocalExhaustion:
 		d.unable(o)
-	case Refused, Unsent, Unreached:
+	case Rejected, NotSent, Unreachable:
 	default:
 		if !o.ran { // the first push that may have run fixes group and window for every further one
 			o.ran, o.ranAt, o.ranZone, o.ranGrp = true, o.sentAt, w.zone, w.cell
 		}
 	}
-	if how == Unfit {
+	if how == InvalidRequest {
 		o.unfit = append(o.unfit, o.worker)
 	}
-	if how == Errored || how == TimedOut || how == Broke || how == Unreached {
+	if how == Failed || how == TimedOut || how == ConnectionLost || how == Unreachable {
 		d.judge(o.worker, false)
 	}
 	o.looks = 0
@@ -428,15 +428,15 @@
 // unask lets the next pair be drawn.
 func (o *op) unask() { o.pair, o.got, o.asked = nil, nil, 0 }
 
-// Left says that the client has gone; nothing is owed.
-func (d *Dispatcher) Left(i int) {
+// ClientDisconnected says that the client has gone; nothing is owed.
+func (d *Dispatcher) ClientDisconnected(i int) {
 	if o := d.op(i); o != nil {
 		o.over = true
 	}
 }
 
-// Stop cuts every TTL short: an op kept beyond the end of its scheduler's process would have no answer.
-func (d *Dispatcher) Stop(at Time) {
+// LimitDeadlines cuts every TTL short: an op kept beyond the end of its scheduler's process would have no answer.
+func (d *Dispatcher) LimitDeadlines(at Time) {
 	for _, o := range d.ops {
 		if o != nil {
 			o.ttl = min(o.ttl, at)
@@ -450,7 +450,7 @@
 // Next decides one thing; the host calls it until it says Nothing.
 func (d *Dispatcher) Next() (do Verb, op, worker int, span Time) {
 	for o := d.following(); o != nil; o = d.following() {
-		if do, worker, span := d.decide(o); do != Nothing {
+		if do, worker, span := d.decide(o); do != NoDecision {
 			if do == Forget || do == Push {
 				d.held = slices.Delete(d.held, d.heldFrom(o.number), d.heldFrom(o.number+1))
 			}
@@ -466,13 +466,13 @@
 	if len(d.tells) > 0 {
 		x := d.tells[0]
 		d.tells = d.tells[1:]
-		return Tell, x[0], x[1], Time(len(d.workers[x[1]].out))
+		return ReportToPeer, x[0], x[1], Time(len(d.workers[x[1]].out))
 	}
 	if at := d.due(); at > d.now && (d.woken <= d.now || at < d.woken) && at < math.MaxInt64 {
 		d.woken = at
-		return Wake, 0, 0, at - d.now
+		return SetTimer, 0, 0, at - d.now
 	}
-	return Nothing, 0, 0, 0
+	return NoDecision, 0, 0, 0
 }
 
 // due is the next moment at which something may be decided without an input.
@@ -506,7 +506,7 @@
 	if !d.round {
 		d.round = true
 		for k, a := range d.out {
-			d.late = append(d.late, a.Late(d.now, d.allowance(k))...)
+			d.late = append(d.late, a.Overdue(d.now, d.allowance(k))...)
 		}
 		slices.SortFunc(d.late, func(a, b *op) int { return a.number - b.number })
 	}
@@ -532,20 +532,20 @@
 		d.judge(o.worker, false)
 		// Connections fall silent and answers get lost. Such ops stood out until their TTL, too late for more.
 		if (o.started > 0 || d.untaken(o)) && d.site.cancel && d.repeatable(o) {
-			return CallOff, 0, 0
+			return CancelAttempt, 0, 0
 		}
-		return Nothing, 0, 0
+		return NoDecision, 0, 0
 	case o.over || o.out:
-		return Nothing, 0, 0
+		return NoDecision, 0, 0
 	case d.now >= o.ttl-d.margin() || !d.repeatable(o):
 		return d.giveUp(o, 0, d.spent(o))
 	}
 	if o.pair == nil {
 		if d.now < o.next {
-			return Nothing, 0, 0
+			return NoDecision, 0, 0
 		}
 		if o.legs+o.looks == 0 && o.next == 0 && d.figures().scarce && d.chance.Uniform() > d.rank(o) {
-			return d.giveUp(o, d.spare(o)/2, Scarce)
+			return d.giveUp(o, d.spare(o)/2, CapacityShort)
 		}
 		from := d.candidates(o)
 		if o.looks > 0 || d.site.peers {
@@ -553,16 +553,16 @@
 			from = slices.DeleteFunc(from, func(i int) bool { return d.hopeless(o, i) })
 			if len(from) == 0 {
 				d.found(o, false)
-				return d.giveUp(o, d.spare(o)/2, Hopeless)
+				return d.giveUp(o, d.spare(o)/2, QueuesTooLong)
 			}
 		}
 		if len(from) == 0 {
 			if d.now > o.came+d.categories[o.cat].target {
-				return d.giveUp(o, 0, NobodyTakes)
+				return d.giveUp(o, 0, NoEligibleWorker)
 			}
-			return Nothing, 0, 0
+			return NoDecision, 0, 0
 		}
-		o.pair = d.both(Asked, func() []int { return d.pair(o, d.homes(o, slices.Clone(from)), len(from)) })
+		o.pair = d.both(ShadowedPair, func() []int { return d.pair(o, d.homes(o, slices.Clone(from)), len(from)) })
 		o.got = make([]bool, len(o.pair))
 		o.askedAt = d.now
 		d.met(stats.Bit(len(o.pair) > 0 && o.looks+o.legs == 0), 0)
@@ -572,9 +572,9 @@
 		return Probe, o.pair[o.asked-1], 0
 	}
 	if o.asked > 0 && slices.Contains(o.got, false) && d.now < o.askedAt+d.shortWait() {
-		return Nothing, 0, 0
+		return NoDecision, 0, 0
 	}
-	i, spare, wait := d.both(Chosen, func() []int { return []int{d.choose(o)} })[0], d.spare(o), Time(0)
+	i, spare, wait := d.both(ShadowedPlacement, func() []int { return []int{d.choose(o)} })[0], d.spare(o), Time(0)
 	excess := max(spare, 1)
 	if i >= 0 {
 		wait = d.wait(o, i)
@@ -584,11 +584,11 @@
 		// A queue that outlasts the op's time only makes it late there, and others too: look again, or say no.
 		if o.looks++; spare <= 0 || o.looks >= d.looks(o) {
 			d.found(o, false)
-			return d.giveUp(o, min(excess, spare/2), NoPlace)
+			return d.giveUp(o, min(excess, spare/2), StartTooLate)
 		}
 		o.unask()
 		o.next = d.now + spare/4 + 1
-		return Nothing, 0, 0
+		return NoDecision, 0, 0
 	}
 	d.found(o, true)
 	o.place, o.foretold, o.looked = d.place(o, i), wait, d.fits(o, i)
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -37,18 +37,18 @@
 	for gap, want := range map[Time]float64{49: 0, 50: 1, 200: 1, 201: 0} {
 		d := fleet(2, nil)
 		d.halved, d.taus = d.now, []Time{100}
-		d.Report(0, 0, jobs(3))
-		d.Clock(d.now + gap)
-		d.Report(0, 0, jobs(1))
+		d.ProbeAnswered(0, 0, jobs(3))
+		d.AdvanceClock(d.now + gap)
+		d.ProbeAnswered(0, 0, jobs(1))
 		if d.a[3] != want || d.b[3] != want {
 			t.Errorf("gap %d: a = %v, b = %v, want %v", gap, d.a[3], d.b[3], want)
 		}
 	}
 	d := fleet(2, nil)
 	d.halved, d.taus = d.now, []Time{100}
-	d.Report(0, 0, jobs(3))
-	d.Clock(d.now + 100)
-	d.Report(0, 0, jobs(5))
+	d.ProbeAnswered(0, 0, jobs(3))
+	d.AdvanceClock(d.now + 100)
+	d.ProbeAnswered(0, 0, jobs(5))
 	if d.a[3] != 1 || d.b[3] != 0 {
 		t.Errorf("a queue is no idleness: a = %v, b = %v", d.a[3], d.b[3])
 	}
@@ -57,7 +57,7 @@
 func TestCountersHalve(t *testing.T) {
 	d := fleet(2, nil)
 	d.halved, d.a[2], d.b[2] = d.now, 8, 4
-	d.Clock(d.now + 2*ageing)
+	d.AdvanceClock(d.now + 2*ageing)
 	if d.age(); d.a[2] != 2 || d.b[2] != 1 {
 		t.Errorf("after two spans a = %v, b = %v, want 2 and 1", d.a[2], d.b[2])
 	}
@@ -92,17 +92,17 @@
 func TestFallbacks(t *testing.T) {
 	d := fleet(6, nil)
 	x, _ := probed(t, d, 0, 0)
-	d.Clock(d.now + 50)
-	d.Report(x, 50, jobs(9))
+	d.AdvanceClock(d.now + 50)
+	d.ProbeAnswered(x, 50, jobs(9))
 	if all := decisions(d); len(all) != 0 {
 		t.Fatalf("decided before the short wait was over: %v", all)
 	}
-	d.Clock(d.now + d.shortWait())
+	d.AdvanceClock(d.now + d.shortWait())
 	if got := push(t, d); got != x {
 		t.Errorf("pushed to %d, not to the worker that answered, %d", got, x)
 	}
 	probed(t, d, 1, 0)
-	d.Clock(d.now + d.shortWait())
+	d.AdvanceClock(d.now + d.shortWait())
 	if got := push(t, d); got < 0 || got >= 6 {
 		t.Errorf("nobody answered: pushed to %d", got)
 	}
@@ -114,7 +114,7 @@
 	d.halved = d.now
 	copy(d.a[:], []float64{4, 4, 4, 4})
 	copy(d.b[:], []float64{4, 4, 4, 0})
-	d.Op(0, 0, d.now+50_000, 4, 0, 0)
+	d.AddOp(0, 0, d.now+50_000, 4, 0, 0)
 	decisions(d)
 	if got := pushed(t, d, 0, jobs(2), 1, jobs(0)); got != 1 {
 		t.Errorf("an op of four slots went to worker %d with two free", got)
@@ -127,14 +127,14 @@
 	for i := range d.workers {
 		d.learnPlace(&d.workers[i], place{1, 4_000})
 	}
-	d.Op(0, 0, d.now+50_000, 1, 0, 0)
+	d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
 	probes := 0
 	for range 400 {
 		for _, a := range decisions(d) {
 			switch a.do {
 			case Probe:
 				probes++
-				d.Report(a.worker, 0, jobs(30))
+				d.ProbeAnswered(a.worker, 0, jobs(30))
 			case Nack:
 				if probes > 2*maxLooks {
 					t.Errorf("%d probes for one op", probes)
@@ -144,7 +144,7 @@
 				t.Fatal("pushed behind a queue that outlasts the op")
 			}
 		}
-		d.Clock(d.now + 50)
+		d.AdvanceClock(d.now + 50)
 	}
 	t.Fatal("never answered")
 }
@@ -190,7 +190,7 @@
 	if n < 50 || n > 500 {
 		t.Errorf("admitted %d times in 1000", n)
 	}
-	d.Clock(d.now + healthMax + 1)
+	d.AdvanceClock(d.now + healthMax + 1)
 	if d.workers[0].health.Doubtful(d.now) {
 		t.Error("old verdicts still count")
 	}
@@ -198,15 +198,15 @@
 
 func TestNoReadyWorker(t *testing.T) {
 	d := fleet(0, nil)
-	d.Op(0, 4, d.now+50_000, 1, 0, 0)
+	d.AddOp(0, 4, d.now+50_000, 1, 0, 0)
 	if all := decisions(d); len(all) != 0 {
 		t.Fatalf("held at first, got %v", all)
 	}
-	d.Clock(d.now + 5_001)
+	d.AdvanceClock(d.now + 5_001)
 	if all := decisions(d); len(all) == 0 || all[0].do != Nack {
 		t.Errorf("nothing was sent, so a nack is harmless: got %v", all)
 	}
-	d.Op(1, 0, d.now+10, 1, 0, 0)
+	d.AddOp(1, 0, d.now+10, 1, 0, 0)
 	all := decisions(d)
 	if !slices.ContainsFunc(all, func(a decision) bool { return a.do == Nack && a.op == 1 }) {
 		t.Errorf("an op that comes with no time left is answered at once: %v", all)
@@ -215,12 +215,12 @@
 
 func TestListIsFollowed(t *testing.T) {
 	d := fleet(3, nil)
-	d.Entry(0, 0, 0, false, 0)
-	d.ListEnd()
-	d.ListWhole()
-	d.Entry(2, 0, 2, true, 0)
-	d.ListEnd()
-	d.Op(0, 0, d.now+50_000, 1, 0, 0)
+	d.UpsertWorker(0, 0, 0, false, 0)
+	d.EndUpdate()
+	d.BeginSnapshot()
+	d.UpsertWorker(2, 0, 2, true, 0)
+	d.EndUpdate()
+	d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
 	if all := decisions(d); len(all) != 1 || all[0].worker != 2 {
 		t.Errorf("only worker 2 is ready, got %v", all)
 	}
@@ -229,9 +229,9 @@
 // Clients that were turned away came back at once and were given a whole new target each time.
 func TestRetryCountsFromItsFirstTry(t *testing.T) {
 	d := fleet(2, nil)
-	d.Op(0, 0, d.now+50_000, 1, 0, 0)
-	d.Clock(d.now + 1_000)
-	d.Op(1, 0, d.now+46_000, 1, 0, 0)
+	d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
+	d.AdvanceClock(d.now + 1_000)
+	d.AddOp(1, 0, d.now+46_000, 1, 0, 0)
 	if got := d.spare(d.op(0)); got != 4_000 {
 		t.Errorf("the first try has %d to spare, want 4000", got)
 	}
@@ -247,10 +247,10 @@
 		d.learnPlace(&d.workers[i], place{1, 4_000})
 	}
 	x, y := probed(t, d, 0, 0)
-	d.Report(x, 0, jobs(9))
-	d.Report(y, 0, jobs(9))
+	d.ProbeAnswered(x, 0, jobs(9))
+	d.ProbeAnswered(y, 0, jobs(9))
 	decisions(d)
-	d.Clock(d.op(0).next)
+	d.AdvanceClock(d.op(0).next)
 	for _, a := range decisions(d) {
 		if a.do == Probe && (a.worker == x || a.worker == y) {
 			t.Errorf("worker %d was probed again", a.worker)
@@ -261,7 +261,7 @@
 // Ops with seconds to spare filled queues to seconds, and a category of short targets never found a place.
 func TestPatienceIsCapped(t *testing.T) {
 	d := fleet(2, map[string]any{"categories.1.targetLatency": 100_000.0})
-	d.Op(0, 1, d.now+200_000, 1, 0, 0)
+	d.AddOp(0, 1, d.now+200_000, 1, 0, 0)
 	if got := d.patience(d.op(0)); got > 2*5_000 {
 		t.Errorf("patience %d, over twice the least target", got)
 	}
@@ -270,8 +270,8 @@
 // In overload cheap ops took the places of dear ones.
 func TestCheapOpsAreLessPatient(t *testing.T) {
 	d := fleet(2, map[string]any{"benefitPer": "work", "categories.1.benefit": 8.0})
-	d.Op(0, 0, d.now+50_000, 1, 0, 0)
-	d.Op(1, 1, d.now+50_000, 1, 0, 0)
+	d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
+	d.AddOp(1, 1, d.now+50_000, 1, 0, 0)
 	if cheap, dear := d.patience(d.op(0)), d.patience(d.op(1)); 4*cheap != dear {
 		t.Errorf("patience %d and %d for benefits 2 and 8", cheap, dear)
 	}
@@ -284,7 +284,7 @@
 		if got := pushed(t, d, 0, jobs(0), 1, jobs(0)); got != 1 {
 			t.Fatal("crossed zones between two Low workers")
 		}
-		d.Outcome(i, 0, Served, 0, true)
+		d.AttemptEnded(i, 0, Succeeded, 0, true)
 	}
 }
 
@@ -292,11 +292,11 @@
 func TestOneOfThePairIsNear(t *testing.T) {
 	for _, price := range []float64{0, 0.03} {
 		d := New(7, terms(map[string]any{"prices.crossZone": price, "myZone": 1.0}))
-		d.Clock(1_000_000)
+		d.AdvanceClock(1_000_000)
 		for i := range 40 {
-			d.Entry(i, i%4, i, true, 0)
+			d.UpsertWorker(i, i%4, i, true, 0)
 		}
-		d.ListEnd()
+		d.EndUpdate()
 		none, far := 0, 0
 		for i := range 40 {
 			x, y := probed(t, d, i, 0)
@@ -312,12 +312,12 @@
 // With most schedulers in one zone, its workers had to do all their work while other zones stood idle.
 func TestBusyOwnZoneIsNotPreferred(t *testing.T) {
 	d := New(7, terms(map[string]any{"prices.crossZone": 0.03}))
-	d.Clock(1_000_000)
+	d.AdvanceClock(1_000_000)
 	for i := range 40 {
-		d.Entry(i, i%4, i, true, 0)
-		d.Report(i, 0, jobs(3*float64(stats.Bit(i%4 == 0))))
+		d.UpsertWorker(i, i%4, i, true, 0)
+		d.ProbeAnswered(i, 0, jobs(3*float64(stats.Bit(i%4 == 0))))
 	}
-	d.ListEnd()
+	d.EndUpdate()
 	near := 0
 	for i := range 40 {
 		x, y := probed(t, d, i, 0)
@@ -332,21 +332,21 @@
 func TestWaitForProbesEndsBeforeTTL(t *testing.T) {
 	d := fleet(6, nil)
 	d.trips = []Time{5_000}
-	d.Op(0, 0, d.now+1_000, 1, 0, 0)
+	d.AddOp(0, 0, d.now+1_000, 1, 0, 0)
 	var woken Time
 	for {
 		do, _, _, span := d.Next()
-		if do == Nothing {
+		if do == NoDecision {
 			break
 		}
-		if do == Wake {
+		if do == SetTimer {
 			woken = span
 		}
 	}
 	if woken == 0 || woken > 1_000-d.margin() {
 		t.Fatalf("woken after %d, too late for a TTL of 1000", woken)
 	}
-	d.Clock(d.now + woken)
+	d.AdvanceClock(d.now + woken)
 	if all := decisions(d); len(all) == 0 || all[0].do != Nack {
 		t.Errorf("not answered in time: %v", all)
 	}
@@ -360,18 +360,18 @@
 		d.starts = append(d.starts, start{d.now, 100})
 	}
 	for i := range n {
-		d.Op(i, 0, d.now+50_000, 1, 0, 0)
+		d.AddOp(i, 0, d.now+50_000, 1, 0, 0)
 		decisions(d)
-		d.Clock(d.now + d.shortWait())
-		d.Report(0, 0, jobs(float64(i)/4)) // worker 1 does not answer the probe
+		d.AdvanceClock(d.now + d.shortWait())
+		d.ProbeAnswered(0, 0, jobs(float64(i)/4)) // worker 1 does not answer the probe
 		if push(t, d) != 0 {
 			t.Fatal("set-up: not pushed to worker 0")
 		}
 	}
 	for range 40 {
-		d.Clock(d.now + 100)
+		d.AdvanceClock(d.now + 100)
 		if speaks {
-			d.Note(0, 0, true, 0)
+			d.AttemptProgress(0, 0, true, 0)
 		}
 		decisions(d)
 	}
@@ -396,17 +396,17 @@
 	d := fleet(60, nil)
 	across := 0
 	for i := range 60 {
-		d.Op(i, 0, d.now+50_000, 1, 0, 0)
+		d.AddOp(i, 0, d.now+50_000, 1, 0, 0)
 		for _, a := range decisions(d) {
 			if a.worker%2 == 0 {
-				d.Report(a.worker, 0, jobs(0))
+				d.ProbeAnswered(a.worker, 0, jobs(0))
 			} else if across++; i < 40 {
-				d.Unanswered(a.worker, 0, TimedOut)
+				d.ProbeFailed(a.worker, 0, TimedOut)
 			} else {
-				d.Unanswered(a.worker, 0, Refused) // turned away, but reached
+				d.ProbeFailed(a.worker, 0, Rejected) // turned away, but reached
 			}
 		}
-		d.Clock(d.now + 500)
+		d.AdvanceClock(d.now + 500)
 		switch i {
 		case 39:
 			if across > 20 {
@@ -419,7 +419,7 @@
 			}
 		}
 		decisions(d)
-		d.Outcome(i, 0, Served, 0, true)
+		d.AttemptEnded(i, 0, Succeeded, 0, true)
 	}
 }
 
@@ -434,12 +434,12 @@
 	probed(t, d, 0, 0)
 	first := pushed(t, d, 0, jobs(0), 1, jobs(0))
 	probed(t, d, 1, 0)
-	loads := []Load{jobs(2), jobs(2)}
+	loads := []LoadReport{jobs(2), jobs(2)}
 	loads[first] = jobs(0)
 	if second := pushed(t, d, 0, loads[0], 1, loads[1]); second == first {
 		t.Error("followed a late report to the worker that has this scheduler's own push")
 	}
-	d.Clock(d.now + healthMax)
+	d.AdvanceClock(d.now + healthMax)
 	if d.figures().misled {
 		t.Error("old lateness still sets reports aside")
 	}
@@ -456,10 +456,10 @@
 // Reports are noisy: an empty worker of four slots that told 3.4 free ones was no place for an op of four.
 func TestEmptyWorkerHasRoomForWideOp(t *testing.T) {
 	d := fleet(2, nil)
-	d.Op(0, 0, d.now+50_000, 4, 0, 0)
+	d.AddOp(0, 0, d.now+50_000, 4, 0, 0)
 	decisions(d)
-	d.Report(0, 0, Load{Jobs: 0, Free: 3.4, Memory: -1})
-	d.Report(1, 0, Load{Jobs: 0.9, Free: 3.4, Memory: -1})
+	d.ProbeAnswered(0, 0, LoadReport{RunningJobs: 0, FreeSlots: 3.4, FreeMemory: -1})
+	d.ProbeAnswered(1, 0, LoadReport{RunningJobs: 0.9, FreeSlots: 3.4, FreeMemory: -1})
 	if !d.fits(d.op(0), 0) || d.fits(d.op(0), 1) {
 		t.Error("of two workers that tell 3.4 free slots only the empty one has room for four")
 	}
@@ -468,9 +468,9 @@
 // Ops of four slots were nacked for want of a place where one job of a short rest held one slot.
 func TestPlaceOfWideOpByTheSlotsItLacks(t *testing.T) {
 	d := fleet(3, nil)
-	d.Op(0, 0, d.now+50_000, 4, 0, 0)
+	d.AddOp(0, 0, d.now+50_000, 4, 0, 0)
 	for i, n := range []float64{1, 3, 5} {
-		d.Report(i, 0, jobs(n))
+		d.ProbeAnswered(i, 0, jobs(n))
 	}
 	o := d.op(0)
 	if x, y, z := d.place(o, 0), d.place(o, 1), d.place(o, 2); x != 0.25 || y != 0.75 || z != 2 {
@@ -482,9 +482,9 @@
 func TestFailedProbeIsNotWaitedFor(t *testing.T) {
 	d := fleet(6, nil)
 	x, y := probed(t, d, 0, 0)
-	d.Clock(d.now + 50)
-	d.Report(x, 50, jobs(3))
-	d.Unanswered(y, 50, Refused)
+	d.AdvanceClock(d.now + 50)
+	d.ProbeAnswered(x, 50, jobs(3))
+	d.ProbeFailed(y, 50, Rejected)
 	if got := push(t, d); got != x {
 		t.Errorf("pushed to %d, not to %d", got, x)
 	}
@@ -493,16 +493,16 @@
 // Where probes are not allowed, every op was held for as long as an answer to one might have taken.
 func TestWithoutProbesNoOpWaitsForThem(t *testing.T) {
 	d := fleet(4, map[string]any{"bounds.probes": false})
-	d.Op(1, 0, d.now+50_000, 1, 0, 0)
+	d.AddOp(1, 0, d.now+50_000, 1, 0, 0)
 	push(t, d)
 }
 
 // An op that is held beyond the end of its scheduler's process has no answer.
 func TestAStopCutsTTLsShort(t *testing.T) {
 	d := fleet(0, nil)
-	d.Op(1, 0, d.now+50_000, 1, 0, 0)
-	d.Stop(d.now + 1_000)
-	d.Clock(d.now + 1_000)
+	d.AddOp(1, 0, d.now+50_000, 1, 0, 0)
+	d.LimitDeadlines(d.now + 1_000)
+	d.AdvanceClock(d.now + 1_000)
 	if all := decisions(d); len(all) == 0 || all[0].do != Nack {
 		t.Fatalf("held beyond the stop: %v", all)
 	}
@@ -514,8 +514,8 @@
 		d := fleet(4, map[string]any{"bounds.connectTimeout": 2_000.0})
 		x, y := probed(t, d, 1, 2)
 		pushed(t, d, x, jobs(0), y, jobs(0))
-		d.Clock(d.now + wait)
-		d.Outcome(1, 0, Broke, wait, false)
+		d.AdvanceClock(d.now + wait)
+		d.AttemptEnded(1, 0, ConnectionLost, wait, false)
 		if all := decisions(d); len(all) == 0 || all[0].do != want {
 			t.Errorf("%d after the push: %v, want %v", wait, all, want)
 		}
@@ -524,20 +524,20 @@
 
 // Ops that no worker can use went to six each, and the workers that said so were taken for sick.
 func TestAnUnfitOpSpeaksAgainstNoWorkerUntilAnotherServesIt(t *testing.T) {
-	for second, want := range map[Outcome]int{Unfit: 0, Served: 1} {
+	for second, want := range map[Outcome]int{InvalidRequest: 0, Succeeded: 1} {
 		d := fleet(6, nil)
 		x, y := probed(t, d, 0, 0)
 		first := pushed(t, d, x, jobs(0), y, jobs(0))
-		d.Clock(d.now + 10)
-		d.Outcome(0, 0, Unfit, 10, false)
+		d.AdvanceClock(d.now + 10)
+		d.AttemptEnded(0, 0, InvalidRequest, 10, false)
 		all := decisions(d)
 		other := pushed(t, d, all[0].worker, jobs(0), all[1].worker, jobs(0))
 		if other == first {
 			t.Fatal("the same worker was asked again")
 		}
-		d.Clock(d.now + 10)
-		d.Outcome(0, 1, second, 10, second == Served)
-		if all = decisions(d); second == Unfit && (len(all) == 0 || all[0].do != DeadLetter) {
+		d.AdvanceClock(d.now + 10)
+		d.AttemptEnded(0, 1, second, 10, second == Succeeded)
+		if all = decisions(d); second == InvalidRequest && (len(all) == 0 || all[0].do != DeadLetter) {
 			t.Errorf("two workers call it unfit: %v", all)
 		}
 		bad := 0
@@ -560,16 +560,16 @@
 		}
 		x, y := probed(t, d, 0, cat)
 		first := pushed(t, d, x, jobs(0), y, jobs(0))
-		d.Clock(d.now + 100)
-		d.Note(0, 0, true, 0)
+		d.AdvanceClock(d.now + 100)
+		d.AttemptProgress(0, 0, true, 0)
 		for range 29 {
-			if d.Clock(d.now + 1_000); len(decisions(d)) > 0 {
+			if d.AdvanceClock(d.now + 1_000); len(decisions(d)) > 0 {
 				t.Fatal("called off within three intervals of progress")
 			}
 		}
-		d.Clock(d.now + 1_000)
+		d.AdvanceClock(d.now + 1_000)
 		all := decisions(d)
-		if called := len(all) > 0 && all[0].do == CallOff; called != want {
+		if called := len(all) > 0 && all[0].do == CancelAttempt; called != want {
 			t.Fatalf("category %d: %v", cat, all)
 		}
 		if !want {
@@ -578,8 +578,8 @@
 		if !d.workers[first].health.Failed() {
 			t.Error("no verdict on the worker")
 		}
-		d.Outcome(0, 0, Withdrawn, 100, false)
-		d.Clock(d.now + 10)
+		d.AttemptEnded(0, 0, Cancelled, 100, false)
+		d.AdvanceClock(d.now + 10)
 		if all = decisions(d); len(all) == 0 || all[0].do != Probe || all[0].worker == first {
 			t.Errorf("category %d is not tried elsewhere: %v", cat, all)
 		}
@@ -592,20 +592,20 @@
 		d := fleet(8, map[string]any{"bounds.connectTimeout": 2_000.0})
 		x, y := probed(t, d, 0, cat)
 		pushed(t, d, x, jobs(0), y, jobs(0))
-		d.Clock(d.now + 5_000)
+		d.AdvanceClock(d.now + 5_000)
 		if all := decisions(d); len(all) > 0 {
 			t.Fatalf("called off though nobody was seen to say so: %v", all)
 		}
-		d.Note(0, 0, false, -1)
+		d.AttemptProgress(0, 0, false, -1)
 		x, y = probed(t, d, 1, cat)
 		pushed(t, d, x, jobs(0), y, jobs(0))
-		d.Clock(d.now + 3_900)
+		d.AdvanceClock(d.now + 3_900)
 		if all := decisions(d); len(all) > 0 {
 			t.Fatalf("called off before a dial and as long again: %v", all)
 		}
-		d.Clock(d.now + 100)
+		d.AdvanceClock(d.now + 100)
 		all := decisions(d)
-		if called := len(all) > 0 && all[0].do == CallOff && all[0].op == 1; called != want || len(all) > 1 {
+		if called := len(all) > 0 && all[0].do == CancelAttempt && all[0].op == 1; called != want || len(all) > 1 {
 			t.Errorf("category %d: %v", cat, all)
 		}
 	}
@@ -616,15 +616,15 @@
 func TestAWorkerThatStartsAndFailsIsDoubted(t *testing.T) {
 	d := fleet(2, nil)
 	for i := range 60 {
-		d.Op(i, 0, d.now+50_000, 1, 0, 0)
+		d.AddOp(i, 0, d.now+50_000, 1, 0, 0)
 		decisions(d)
-		d.Clock(d.now + d.shortWait())
-		d.Report(0, 0, jobs(0)) // worker 1 does not answer the probe
+		d.AdvanceClock(d.now + d.shortWait())
+		d.ProbeAnswered(0, 0, jobs(0)) // worker 1 does not answer the probe
 		bad := push(t, d) == 0 && i%5 > 0
-		d.Clock(d.now + 10)
-		d.Note(i, 0, true, 0)
-		how := Outcome(stats.Bit(bad) * int(Errored))
-		d.Outcome(i, 0, how, 10, how == Served)
+		d.AdvanceClock(d.now + 10)
+		d.AttemptProgress(i, 0, true, 0)
+		how := Outcome(stats.Bit(bad) * int(Failed))
+		d.AttemptEnded(i, 0, how, 10, how == Succeeded)
 	}
 	in := 0
 	for range 1000 {
@@ -641,12 +641,12 @@
 	met := func(turn int) map[uint64]bool {
 		d := fleet(40, map[string]any{"keys": true})
 		for i := range 40 {
-			d.Mark(i, uint64((i+turn)%40)*0x51ed2701_9b3c1d77+1, 0)
+			d.IdentifyWorker(i, uint64((i+turn)%40)*0x51ed2701_9b3c1d77+1, 0)
 		}
 		marks := map[uint64]bool{}
 		for k := range 30 {
-			d.Op(k, 0, d.now+50_000, 1, 0, 0)
-			d.Key(k, uint64(1+k%10)) // ten keys, so each may have its 2 and a tenth of the fleet, half as much again
+			d.AddOp(k, 0, d.now+50_000, 1, 0, 0)
+			d.SetAffinityKey(k, uint64(1+k%10)) // ten keys, so each may have its 2 and a tenth of the fleet, half as much again
 			for _, a := range decisions(d) {
 				if a.do == Probe && k%10 == 3 {
 					marks[d.workers[a.worker].mark] = true
@@ -672,9 +672,9 @@
 // Reports without a count all counted as no jobs: T stayed at 0 and every worker was Low.
 func TestAReportWithoutACountIsCounted(t *testing.T) {
 	d := fleet(3, nil)
-	d.Report(0, 50, Load{Jobs: -1, Waiting: 0, Free: 4, Memory: -1})
-	d.Report(1, 50, Load{Jobs: -1, Waiting: 0, Free: 1, Memory: -1})
-	d.Report(2, 50, Load{Jobs: -1, Waiting: 3, Free: 0, Memory: -1})
+	d.ProbeAnswered(0, 50, LoadReport{RunningJobs: -1, QueuedJobs: 0, FreeSlots: 4, FreeMemory: -1})
+	d.ProbeAnswered(1, 50, LoadReport{RunningJobs: -1, QueuedJobs: 0, FreeSlots: 1, FreeMemory: -1})
+	d.ProbeAnswered(2, 50, LoadReport{RunningJobs: -1, QueuedJobs: 3, FreeSlots: 0, FreeMemory: -1})
 	for i, want := range []float64{0, 3, 7} {
 		if got := d.count(i); got != want {
 			t.Errorf("worker %d counts %g, want %g", i, got, want)
@@ -686,7 +686,7 @@
 func TestAWorkersSpeedIsItsKindsUntilItIsMet(t *testing.T) {
 	d := fleet(4, nil)
 	for i := range 4 {
-		d.Mark(i, uint64(i+1), i%2)
+		d.IdentifyWorker(i, uint64(i+1), i%2)
 	}
 	for range 8 {
 		d.workers[0].strides.Add(&d.kinds[d.workers[0].kind].strides, 0.5)
@@ -702,15 +702,15 @@
 	met := func(number float64, price float64) map[int]bool {
 		d := fleet(40, map[string]any{"myNumber": number, "prices.connection": price})
 		for i := range 40 {
-			d.Mark(i, uint64(i+1)*0x51ed2701_9b3c1d77, 0)
+			d.IdentifyWorker(i, uint64(i+1)*0x51ed2701_9b3c1d77, 0)
 		}
 		workers := map[int]bool{}
 		for range 60 {
 			x, y := probed(t, d, 0, 0)
 			workers[x], workers[y] = true, true
 			pushed(t, d, x, jobs(0), y, jobs(0))
-			d.Clock(d.now + 50)
-			d.Outcome(0, 0, Served, 50, true)
+			d.AdvanceClock(d.now + 50)
+			d.AttemptEnded(0, 0, Succeeded, 50, true)
 			decisions(d)
 		}
 		return workers
@@ -731,23 +731,23 @@
 		shape["myNumber"] = number
 		d := fleet(8, shape)
 		for i := range 8 {
-			d.Mark(i, uint64(i+1)*0x51ed2701_9b3c1d77, 0)
+			d.IdentifyWorker(i, uint64(i+1)*0x51ed2701_9b3c1d77, 0)
 		}
-		d.ListEnd()
+		d.EndUpdate()
 		return d
 	}
 	d := at(1)
-	d.Report(0, 50, jobs(0)) // the kind has four slots
+	d.ProbeAnswered(0, 50, jobs(0)) // the kind has four slots
 	x, y := probed(t, d, 0, 0)
-	d.Clock(d.now + 50)
-	d.Report(x, 50, jobs(0))
-	d.Report(y, 50, jobs(0))
+	d.AdvanceClock(d.now + 50)
+	d.ProbeAnswered(x, 50, jobs(0))
+	d.ProbeAnswered(y, 50, jobs(0))
 	told, worker := map[int]Time{}, -1
 	for _, a := range decisions(d) {
 		switch a.do {
 		case Push:
 			worker = a.worker
-		case Tell:
+		case ReportToPeer:
 			if a.worker != worker {
 				t.Errorf("told of worker %d, pushed to %d", a.worker, worker)
 			}
@@ -762,18 +762,18 @@
 		if !slices.Contains(other.workers[worker].audience, s) || s == 1 {
 			continue
 		}
-		other.Report(worker, 50, jobs(0))
+		other.ProbeAnswered(worker, 50, jobs(0))
 		for by := range 12 {
-			other.Told(by, worker, 1) // its own number and this among them
+			other.PeerReport(by, worker, 1) // its own number and this among them
 		}
-		other.Told(12, worker, 40)
+		other.PeerReport(12, worker, 40)
 		if n, _, ok := other.tally(worker); !ok || n != 11 {
 			t.Errorf("scheduler %d counts %g jobs by word of eleven others", s, n)
 		}
 		if o := (&op{slots: 1}); other.fits(o, worker) || other.place(o, worker) == 0 {
 			t.Error("a report of free slots outweighs the others' word")
 		}
-		other.Clock(other.now + recent)
+		other.AdvanceClock(other.now + recent)
 		if n, _, _ := other.tally(worker); n != 0 {
 			t.Errorf("%g jobs by word that is old", n)
 		}
@@ -782,31 +782,31 @@
 
 // Operators watch before they switch: a watch must not change one decision, and must count those that would differ.
 func TestAWatchChangesNothingAndCounts(t *testing.T) {
-	play := func(other map[string]any) (all []decision, counts [Spoken + 1]int) {
+	play := func(other map[string]any) (all []decision, counts [ShadowedReport + 1]int) {
 		shape := map[string]any{"instances": 12.0, "prices.connection": 0.0, "bounds.peerMessages": false}
 		d := fleet(12, shape)
 		for i := range 12 {
-			d.Mark(i, uint64(i+1)*0x51ed2701_9b3c1d77, i%2)
+			d.IdentifyWorker(i, uint64(i+1)*0x51ed2701_9b3c1d77, i%2)
 		}
 		if other != nil {
-			d.Watch(terms(other))
+			d.SetShadowSettings(terms(other))
 		}
-		d.ListEnd()
+		d.EndUpdate()
 		for k := range 60 {
-			d.Clock(d.now + 100)
-			d.Op(0, 0, d.now+50_000, 1, 0, 0)
-			d.Key(0, uint64(1+k%5))
+			d.AdvanceClock(d.now + 100)
+			d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
+			d.SetAffinityKey(0, uint64(1+k%5))
 			asked := decisions(d)
 			for _, a := range asked {
-				d.Clock(d.now + 10)
-				d.Report(a.worker, 0, jobs(0))
+				d.AdvanceClock(d.now + 10)
+				d.ProbeAnswered(a.worker, 0, jobs(0))
 			}
 			sent := decisions(d)
-			d.Clock(d.now + 10)
-			d.Outcome(0, 0, Served, 10, true)
+			d.AdvanceClock(d.now + 10)
+			d.AttemptEnded(0, 0, Succeeded, 10, true)
 			all = append(append(append(all, asked...), sent...), decisions(d)...)
 		}
-		return all, d.Otherwise()
+		return all, d.ShadowDivergence()
 	}
 	plain, _ := play(nil)
 	for name, c := range map[string]struct {
@@ -824,7 +824,7 @@
 		if !slices.Equal(got, plain) {
 			t.Errorf("%s: the watch changed decisions", name)
 		}
-		if (n[Asked] > 0) != c.asked || (n[Spoken] > 0) != c.told || c.chosen && n[Chosen] == 0 {
+		if (n[ShadowedPair] > 0) != c.asked || (n[ShadowedReport] > 0) != c.told || c.chosen && n[ShadowedPlacement] == 0 {
 			t.Errorf("%s: counted %v", name, n)
 		}
 	}
@@ -835,25 +835,25 @@
 func TestColdWorkersAreAskedMoreWhereReportsProveTrue(t *testing.T) {
 	asked := func(took Time) (n int) {
 		d := New(7, terms(nil))
-		d.Clock(1_000_000)
-		d.ListWhole()
+		d.AdvanceClock(1_000_000)
+		d.BeginSnapshot()
 		for i := range 20 {
-			d.Entry(i, 0, 0, true, Time(999_000*stats.Bit(i > 9))) // half of them are cold
+			d.UpsertWorker(i, 0, 0, true, Time(999_000*stats.Bit(i > 9))) // half of them are cold
 		}
-		d.ListEnd()
+		d.EndUpdate()
 		for i := range 200 {
-			d.Op(i, 0, d.now+50_000, 1, 0, 0)
+			d.AddOp(i, 0, d.now+50_000, 1, 0, 0)
 			for _, a := range decisions(d) {
 				n += stats.Bit(a.worker > 9)
-				d.Report(a.worker, 0, jobs(0))
+				d.ProbeAnswered(a.worker, 0, jobs(0))
 			}
-			d.Clock(d.now)
+			d.AdvanceClock(d.now)
 			push(t, d)
-			d.Clock(d.now + took)
-			d.Note(i, 0, true, 0)
-			d.Outcome(i, 0, Served, took, true)
+			d.AdvanceClock(d.now + took)
+			d.AttemptProgress(i, 0, true, 0)
+			d.AttemptEnded(i, 0, Succeeded, took, true)
 			decisions(d)
-			d.Clock(d.now + 320 - took)
+			d.AdvanceClock(d.now + 320 - took)
 		}
 		return n
 	}
@@ -869,9 +869,9 @@
 	d := fleet(20, map[string]any{"benefitPer": "work", "categories.0.benefit": 1.0, "categories.1.benefit": 10.0})
 	d.placed, d.took = 10, 50_000 // a place in a queue takes half a second
 	next := 0
-	probes := func(ops, cat int, load Load) (n int) {
+	probes := func(ops, cat int, load LoadReport) (n int) {
 		for range ops {
-			d.Op(next, cat, d.now+50_000, 1, 0, 1000)
+			d.AddOp(next, cat, d.now+50_000, 1, 0, 1000)
 			next++
 		}
 		for range 30 { // 0.9 s
@@ -879,16 +879,16 @@
 				switch a.do {
 				case Probe:
 					n++
-					d.Report(a.worker, 0, load)
+					d.ProbeAnswered(a.worker, 0, load)
 				case Push:
-					d.Outcome(a.op, 0, Served, 0, true)
+					d.AttemptEnded(a.op, 0, Succeeded, 0, true)
 				}
 			}
-			d.Clock(d.now + 300)
+			d.AdvanceClock(d.now + 300)
 		}
 		return n
 	}
-	full := Load{Jobs: 20, Waiting: 16, Memory: -1}
+	full := LoadReport{RunningJobs: 20, QueuedJobs: 16, FreeMemory: -1}
 	if n := probes(40, 0, jobs(0)); n != 80 {
 		t.Errorf("%d probes for 40 cheap ops where there is room", n)
 	}
@@ -901,7 +901,7 @@
 	if n := probes(6, 1, full); n < 12 {
 		t.Errorf("%d probes for 6 dear ops where dear ones find no place", n)
 	}
-	d.Clock(d.now + 5*second)
+	d.AdvanceClock(d.now + 5*second)
 	if n := probes(40, 0, jobs(0)); n != 80 {
 		t.Errorf("%d probes for 40 cheap ops 5 s later", n)
 	}
@@ -911,12 +911,12 @@
 // for longer. Nothing of a worker is learned from what was never written to it.
 func TestNothingIsLearnedFromAPushThatWasKeptBack(t *testing.T) {
 	d := fleet(2, map[string]any{"bounds.probes": false})
-	d.Op(0, 0, d.now+50_000, 1, 0, 0)
+	d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
 	to := push(t, d)
 	w := d.workers[to]
-	d.Clock(d.now + 70)
-	d.Left(0)
-	d.Outcome(0, 0, Unsent, 70, false)
+	d.AdvanceClock(d.now + 70)
+	d.ClientDisconnected(0)
+	d.AttemptEnded(0, 0, NotSent, 70, false)
 	if now := d.workers[to]; now.heard != w.heard || len(now.health.Verdicts()) != len(w.health.Verdicts()) ||
 		len(now.places)+len(now.strides)+len(now.readings) > 0 || len(now.out) > 0 || len(d.taus)+len(d.starts) > 0 {
 		t.Errorf("%+v became %+v", w, now)
@@ -933,11 +933,11 @@
 func TestAPushThatWasNeverWrittenSpendsNone(t *testing.T) {
 	d := fleet(4, map[string]any{"bounds.probes": false, "bounds.maxPushes": 2.0})
 	ttl := d.now + 50*second
-	d.Op(0, 0, ttl, 1, 0, 0)
+	d.AddOp(0, 0, ttl, 1, 0, 0)
 	unsent := 0
 	for ; unsent < 3; unsent++ {
 		push(t, d)
-		d.Outcome(0, unsent, Unable, 0, false)
+		d.AttemptEnded(0, unsent, LocalExhaustion, 0, false)
 		for _, a := range decisions(d) {
 			if a.do == Push {
 				t.Fatalf("another push at once, after %d", unsent+1)
@@ -946,15 +946,15 @@
 				t.Fatalf("given up after %d that were never written", unsent+1)
 			}
 		}
-		d.Clock(d.now + second/20)
+		d.AdvanceClock(d.now + second/20)
 	}
 	pushes := 0
 	for ; pushes < 9; pushes++ {
 		if !slices.ContainsFunc(decisions(d), func(a decision) bool { return a.do == Push }) {
 			break
 		}
-		d.Outcome(0, unsent+pushes, Refused, 0, false)
-		d.Clock(d.now + second/20)
+		d.AttemptEnded(0, unsent+pushes, Rejected, 0, false)
+		d.AdvanceClock(d.now + second/20)
 	}
 	if pushes != 2 {
 		t.Errorf("%d pushes that were written, 2 may be", pushes)
--- a/dispatch/fleet.go
+++ b/dispatch/fleet.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// Doubted tells staff whether a listed worker, or the way to its zone, is in doubt: it gets ops by chance only. Nothing is
+// Suspected tells staff whether a listed worker, or the way to its zone, is in doubt: it gets ops by chance only. Nothing is
 // decided by this.
-func (d *Dispatcher) Doubted(i int, now Time) bool {
+func (d *Dispatcher) Suspected(i int, now Time) bool {
 	w := &d.workers[i]
 	return w.health.Doubtful(now) || d.zones[w.zone].Doubtful(now)
 }
 
-// Fell voids what another scheduler has said: it is no more, and so are its pushes.
-func (d *Dispatcher) Fell(by int) {
+// PeerLost voids what another scheduler has said: it is no more, and so are its pushes.
+func (d *Dispatcher) PeerLost(by int) {
 	for i := range d.workers {
 		d.workers[i].words.Drop(by)
 	}
 }
 
-// Came tells a scheduler that is new all that it would have been told, had it been here.
-func (d *Dispatcher) Came(s int) {
+// PeerJoined tells a scheduler that is new all that it would have been told, had it been here.
+func (d *Dispatcher) PeerJoined(s int) {
 	if !d.site.peers || s == d.site.me {
 		return
 	}
@@ -28,5 +28,5 @@
 	}
 }
 
-// Effect is how often ops of a category may run, by its place.
-func (d *Dispatcher) Effect(place int) string { return d.categories[place].effect }
+// CategoryEffect is how often ops of a category may run, by its place.
+func (d *Dispatcher) CategoryEffect(place int) string { return d.categories[place].effect }
--- a/dispatch/forget.go
+++ b/dispatch/forget.go
@@ -3,8 +3,8 @@
 // Which workers nothing refers to any more. Their indices are the host's to give out anew: a fleet that is replaced day by day names ever
 // new workers, and each decision walks over all that are known.
 
-// InUse returns the workers that an op or a message refers to: one of them must keep its index though it has left the list.
-func (d *Dispatcher) InUse() map[int]bool {
+// WorkersInUse returns the workers that an op or a message refers to: one of them must keep its index though it has left the list.
+func (d *Dispatcher) WorkersInUse() map[int]bool {
 	used := map[int]bool{}
 	for _, o := range d.ops {
 		if o == nil {
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -26,12 +26,12 @@
 // fleet makes a dispatcher that knows n warm workers, in two zones and four cells.
 func fleet(n int, more map[string]any) *Dispatcher {
 	d := New(7, terms(more))
-	d.Clock(1_000_000)
-	d.ListWhole()
+	d.AdvanceClock(1_000_000)
+	d.BeginSnapshot()
 	for i := range n {
-		d.Entry(i, i%2, i%4, true, 0)
+		d.UpsertWorker(i, i%2, i%4, true, 0)
 	}
-	d.ListEnd()
+	d.EndUpdate()
 	return d
 }
 
@@ -44,10 +44,10 @@
 func decisions(d *Dispatcher) (all []decision) {
 	for {
 		do, op, worker, span := d.Next()
-		if do == Nothing {
+		if do == NoDecision {
 			return all
 		}
-		if do != Wake {
+		if do != SetTimer {
 			all = append(all, decision{do, op, worker, span})
 		}
 	}
@@ -56,7 +56,7 @@
 // probed gives an op to the dispatcher and returns the two workers that it asks.
 func probed(t *testing.T, d *Dispatcher, op, cat int) (x, y int) {
 	t.Helper()
-	d.Op(op, cat, d.now+50_000, 1, 0, 0)
+	d.AddOp(op, cat, d.now+50_000, 1, 0, 0)
 	all := decisions(d)
 	if len(all) != 2 || all[0].do != Probe || all[1].do != Probe || all[0].worker == all[1].worker {
 		t.Fatalf("a new op must probe two workers, got %v", all)
@@ -65,11 +65,11 @@
 }
 
 // pushed answers probes with the given loads and returns the worker pushed to.
-func pushed(t *testing.T, d *Dispatcher, x int, lx Load, y int, ly Load) int {
+func pushed(t *testing.T, d *Dispatcher, x int, lx LoadReport, y int, ly LoadReport) int {
 	t.Helper()
-	d.Clock(d.now + 50)
-	d.Report(x, 50, lx)
-	d.Report(y, 50, ly)
+	d.AdvanceClock(d.now + 50)
+	d.ProbeAnswered(x, 50, lx)
+	d.ProbeAnswered(y, 50, ly)
 	return push(t, d)
 }
 
@@ -84,4 +84,6 @@
 	return -1
 }
 
-func jobs(n float64) Load { return Load{Jobs: n, Waiting: max(n-4, 0), Free: max(4-n, 0), Memory: -1} }
+func jobs(n float64) LoadReport {
+	return LoadReport{RunningJobs: n, QueuedJobs: max(n-4, 0), FreeSlots: max(4-n, 0), FreeMemory: -1}
+}
--- a/dispatch/learned.go
+++ b/dispatch/learned.go
@@ -12,46 +12,46 @@
 
 // Learned is what a dispatcher has learned, for that of the process that takes its place on the same machine.
 type Learned struct {
-	Counts     [2][maxCount + 1]float64  `json:"counts"` // the design's a and b
-	Halved     Time                      `json:"halved"`
-	Taus       []Time                    `json:"taus"`
-	Trips      []Time                    `json:"trips"`
-	Starts     [][2]Time                 `json:"starts"` // when, and how long after the push
-	Room       []Verdict                 `json:"room"`
-	Zones      [][]Verdict               `json:"zones"`
-	Categories map[string]LearnedRuns    `json:"categories"` // by name
-	Workers    map[uint64]*LearnedWorker `json:"workers"`    // by mark
-	Takes      bool                      `json:"takes"`
+	ThresholdCounts    [2][maxCount + 1]float64   `json:"counts"` // the design's a and b
+	HalvedAt           Time                       `json:"halved"`
+	StartDelays        []Time                     `json:"taus"`
+	ProbeRTTs          []Time                     `json:"trips"`
+	StartSamples       [][2]Time                  `json:"starts"` // when, and how long after the push
+	PlacementVerdicts  []Verdict                  `json:"room"`
+	Zones              [][]Verdict                `json:"zones"`
+	Categories         map[string]LearnedCategory `json:"categories"` // by name
+	Workers            map[uint64]*LearnedWorker  `json:"workers"`    // by mark
+	WorkersAcknowledge bool                       `json:"takes"`
 }
 
-// LearnedRuns is what was learned of a category's ops.
-type LearnedRuns struct {
-	Longest Time   `json:"longest"`
-	Runs    []Time `json:"runs"`
+// LearnedCategory is what was learned of a category's ops.
+type LearnedCategory struct {
+	LongestTTL   Time   `json:"longest"`
+	ServiceTimes []Time `json:"runs"`
 }
 
 // LearnedWorker is what was learned of a worker as of its last start.
 type LearnedWorker struct {
-	Since   Time         `json:"since"`
-	Slots   float64      `json:"slots"` // the most that were seen free at one of its kind
-	Strides []float64    `json:"strides"`
-	Places  [][2]float64 `json:"places"` // in its queue, and how long each took to start
-	Health  []Verdict    `json:"health"`
+	StartedAt Time         `json:"since"`
+	Slots     float64      `json:"slots"` // the most that were seen free at one of its kind
+	Strides   []float64    `json:"strides"`
+	Places    [][2]float64 `json:"places"` // in its queue, and how long each took to start
+	Health    []Verdict    `json:"health"`
 }
 
 // Learned tells what this dispatcher has learned. The lists in it may be read while it goes on: they only grow at their ends.
 func (d *Dispatcher) Learned() Learned {
-	l := Learned{Counts: [2][maxCount + 1]float64{d.a, d.b}, Halved: d.halved, Taus: d.taus, Trips: d.trips,
-		Room: d.room.Verdicts(), Categories: map[string]LearnedRuns{}, Workers: map[uint64]*LearnedWorker{}, Takes: d.takes}
+	l := Learned{ThresholdCounts: [2][maxCount + 1]float64{d.a, d.b}, HalvedAt: d.halved, StartDelays: d.taus, ProbeRTTs: d.trips,
+		PlacementVerdicts: d.room.Verdicts(), Categories: map[string]LearnedCategory{}, Workers: map[uint64]*LearnedWorker{}, WorkersAcknowledge: d.takes}
 	for _, s := range d.starts {
-		l.Starts = append(l.Starts, [2]Time{s.at, s.took})
+		l.StartSamples = append(l.StartSamples, [2]Time{s.at, s.took})
 	}
 	for z := range d.zones {
 		l.Zones = append(l.Zones, d.zones[z].Verdicts())
 	}
 	for _, c := range d.categories {
 		if c.served {
-			l.Categories[c.name] = LearnedRuns{c.longest, c.runs}
+			l.Categories[c.name] = LearnedCategory{c.longest, c.runs}
 		}
 	}
 	for i := range d.workers {
@@ -59,7 +59,7 @@
 		if !w.listed {
 			continue
 		}
-		x := &LearnedWorker{Since: w.since, Slots: d.kinds[w.kind].slots, Strides: w.strides, Health: w.health.Verdicts()}
+		x := &LearnedWorker{StartedAt: w.since, Slots: d.kinds[w.kind].slots, Strides: w.strides, Health: w.health.Verdicts()}
 		for _, p := range w.places {
 			x.Places = append(x.Places, [2]float64{p.place, float64(p.took)})
 		}
@@ -70,11 +70,11 @@
 
 // Shift moves all moments by a span, to the clock of another dispatcher.
 func (l *Learned) Shift(by Time) {
-	l.Halved += by
-	for i := range l.Starts {
-		l.Starts[i][0] += by
+	l.HalvedAt += by
+	for i := range l.StartSamples {
+		l.StartSamples[i][0] += by
 	}
-	shift(l.Room, by)
+	shift(l.PlacementVerdicts, by)
 	for _, verdicts := range l.Zones {
 		shift(verdicts, by)
 	}
@@ -82,8 +82,8 @@
 		if w == nil {
 			continue
 		}
-		if w.Since > 0 {
-			w.Since += by
+		if w.StartedAt > 0 {
+			w.StartedAt += by
 		}
 		shift(w.Health, by)
 	}
@@ -95,9 +95,9 @@
 	}
 }
 
-// Learn starts from what another process's dispatcher had learned, once the workers are listed. What can't be, such as a
+// RestoreLearned starts from what another process's dispatcher had learned, once the workers are listed. What can't be, such as a
 // negative span or a moment to come, is left out: the other build may have a fault that this one has not.
-func (d *Dispatcher) Learn(l Learned) {
+func (d *Dispatcher) RestoreLearned(l Learned) {
 	spans := func(few []Time) (good []Time) {
 		for _, t := range few {
 			if t >= 0 && t < never {
@@ -114,26 +114,26 @@
 		}
 	}
 	usable := func(x float64) bool { return x >= 0 && x < math.MaxInt32 }
-	for k, a := range l.Counts[0] {
-		if b := l.Counts[1][k]; usable(a) && usable(b) && b <= a {
+	for k, a := range l.ThresholdCounts[0] {
+		if b := l.ThresholdCounts[1][k]; usable(a) && usable(b) && b <= a {
 			d.a[k], d.b[k] = a, b
 		}
 	}
-	d.halved = min(max(l.Halved, 0), d.now)
-	d.taus, d.trips, d.takes = spans(l.Taus), spans(l.Trips), l.Takes
-	for _, s := range l.Starts {
+	d.halved = min(max(l.HalvedAt, 0), d.now)
+	d.taus, d.trips, d.takes = spans(l.StartDelays), spans(l.ProbeRTTs), l.WorkersAcknowledge
+	for _, s := range l.StartSamples {
 		if s[0] > 0 && s[0] <= d.now && s[1] >= 0 && s[1] < never {
 			d.starts = stats.Keep(d.starts, start{s[0], s[1]})
 		}
 	}
-	judge(&d.room, l.Room)
+	judge(&d.room, l.PlacementVerdicts)
 	for z := range min(len(l.Zones), len(d.zones)) {
 		judge(&d.zones[z], l.Zones[z])
 	}
 	for i := range d.categories {
 		c := &d.categories[i]
 		if r, ok := l.Categories[c.name]; ok {
-			c.longest, c.runs = min(max(r.Longest, 0), never), spans(r.Runs)
+			c.longest, c.runs = min(max(r.LongestTTL, 0), never), spans(r.ServiceTimes)
 			c.sum()
 		}
 	}
@@ -141,7 +141,7 @@
 	for i := range d.workers {
 		w := &d.workers[i]
 		x := l.Workers[w.mark]
-		if x == nil || x.Since != w.since || len(w.strides) > 0 {
+		if x == nil || x.StartedAt != w.since || len(w.strides) > 0 {
 			continue // unknown there, restarted since, or better known here
 		}
 		k := &d.kinds[w.kind]
--- a/dispatch/learned_test.go
+++ b/dispatch/learned_test.go
@@ -14,19 +14,19 @@
 func taught(t *testing.T) *Dispatcher {
 	d := fleet(2, map[string]any{"categories.0.name": "look"})
 	for i := range 2 {
-		d.Mark(i, uint64(i+1), 0)
+		d.IdentifyWorker(i, uint64(i+1), 0)
 	}
 	for i := range 80 {
-		d.Op(i, 0, d.now+50_000, 1, 0, 0)
+		d.AddOp(i, 0, d.now+50_000, 1, 0, 0)
 		decisions(d)
-		d.Clock(d.now + d.shortWait())
-		d.Report(0, 3, jobs(float64(i%3)))
+		d.AdvanceClock(d.now + d.shortWait())
+		d.ProbeAnswered(0, 3, jobs(float64(i%3)))
 		bad := push(t, d) == 0 && i%5 > 0
-		d.Clock(d.now + 10)
-		d.Note(i, 0, true, 0)
-		d.Clock(d.now + 200)
-		how := Outcome(stats.Bit(bad) * int(Errored))
-		d.Outcome(i, 0, how, 210, how == Served)
+		d.AdvanceClock(d.now + 10)
+		d.AttemptProgress(i, 0, true, 0)
+		d.AdvanceClock(d.now + 200)
+		how := Outcome(stats.Bit(bad) * int(Failed))
+		d.AttemptEnded(i, 0, how, 210, how == Succeeded)
 		decisions(d)
 	}
 	return d
@@ -45,14 +45,14 @@
 	}
 	is := fleet(2, map[string]any{"categories.0.name": "look"})
 	for i := range 2 {
-		is.Mark(i, uint64(i+1), 0)
+		is.IdentifyWorker(i, uint64(i+1), 0)
 	}
-	is.Clock(was.now + 5)
-	is.Learn(l)
-	if !is.Doubted(0, is.now) || is.Doubted(1, is.now) || is.threshold() != was.threshold() || is.a != was.a {
-		t.Errorf("doubts %v and %v, T %d for %d", is.Doubted(0, is.now), is.Doubted(1, is.now), is.threshold(), was.threshold())
+	is.AdvanceClock(was.now + 5)
+	is.RestoreLearned(l)
+	if !is.Suspected(0, is.now) || is.Suspected(1, is.now) || is.threshold() != was.threshold() || is.a != was.a {
+		t.Errorf("doubts %v and %v, T %d for %d", is.Suspected(0, is.now), is.Suspected(1, is.now), is.threshold(), was.threshold())
 	}
-	was.Clock(is.now)
+	was.AdvanceClock(is.now)
 	o := &op{most: 1}
 	for i := range 2 {
 		if is.finish(o, i) != was.finish(o, i) || is.shortWait() != was.shortWait() {
@@ -68,21 +68,21 @@
 func TestWhatDoesNotHoldIsNotLearned(t *testing.T) {
 	l := taught(t).Learned()
 	d := fleet(2, map[string]any{"categories.0.name": "look"})
-	d.Clock(1 << 40)
-	d.Entry(0, 0, 0, true, 1<<40-5)
+	d.AdvanceClock(1 << 40)
+	d.UpsertWorker(0, 0, 0, true, 1<<40-5)
 	for i := range 2 {
-		d.Mark(i, uint64(i+1), 0)
+		d.IdentifyWorker(i, uint64(i+1), 0)
 	}
-	l.Counts[0][0], l.Counts[1][0], l.Counts[1][1] = -5, 3, math.MaxFloat64
-	l.Halved, l.Taus, l.Trips = 1<<50, []Time{-4, math.MaxInt64, 30}, make([]Time, 9000)
-	l.Starts = [][2]Time{{1 << 60, 3}, {4, -1}}
+	l.ThresholdCounts[0][0], l.ThresholdCounts[1][0], l.ThresholdCounts[1][1] = -5, 3, math.MaxFloat64
+	l.HalvedAt, l.StartDelays, l.ProbeRTTs = 1<<50, []Time{-4, math.MaxInt64, 30}, make([]Time, 9000)
+	l.StartSamples = [][2]Time{{1 << 60, 3}, {4, -1}}
 	l.Zones = append(l.Zones, make([]sprt.Verdict[Time], 70))
-	l.Categories = map[string]LearnedRuns{"look": {Longest: math.MaxInt64, Runs: []Time{-1, 5}}, "gone": {}}
+	l.Categories = map[string]LearnedCategory{"look": {LongestTTL: math.MaxInt64, ServiceTimes: []Time{-1, 5}}, "gone": {}}
 	l.Workers[2].Strides = []float64{-1, math.Inf(1), 2}
 	l.Workers[2].Places = [][2]float64{{-1, 5}, {1, math.Inf(1)}, {1, 5}}
 	l.Workers[2].Health = append(l.Workers[2].Health, sprt.Verdict[Time]{At: 1 << 60})
-	d.Learn(l)
-	if len(d.workers[0].strides) > 0 || d.Doubted(0, d.now) {
+	d.RestoreLearned(l)
+	if len(d.workers[0].strides) > 0 || d.Suspected(0, d.now) {
 		t.Error("the worker that has restarted is judged by its past")
 	}
 	for _, v := range d.workers[1].health.Verdicts() {
@@ -94,6 +94,6 @@
 		len(d.starts) > 0 || d.a[0] != 0 || d.b[1] > d.a[1] || d.halved > d.now {
 		t.Errorf("%+v, taus %v, %d trips, %d starts, a %v, b %v", w, d.taus, len(d.trips), len(d.starts), d.a, d.b)
 	}
-	d.Op(0, 0, d.now+50_000, 1, 0, 0)
+	d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
 	decisions(d) // it must not panic on any of it
 }
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -27,18 +27,18 @@
 // tell lets the others know that meet the worker too.
 func (d *Dispatcher) tell(i int) {
 	for _, s := range d.workers[i].audience {
-		if d.otherwise[Spoken] += stats.Bit(s != d.site.me && !d.site.peers); s != d.site.me && d.site.peers {
+		if d.otherwise[ShadowedReport] += stats.Bit(s != d.site.me && !d.site.peers); s != d.site.me && d.site.peers {
 			d.tells = append(d.tells, [2]int{s, i})
 		}
 	}
 }
 
-// Told is another scheduler's word of how many pushes it has out at a worker.
-func (d *Dispatcher) Told(by, i, n int) {
+// PeerReport is another scheduler's word of how many pushes it has out at a worker.
+func (d *Dispatcher) PeerReport(by, i, n int) {
 	if by < 0 || by >= d.site.all || by == d.site.me || n < 0 {
 		return
 	}
-	d.workers[i].words.Put(by, n, d.now)
+	d.workers[i].words.Set(by, n, d.now)
 }
 
 // tally is a worker's jobs by all schedulers' word, and its slots; false where it is none of the regulars.
--- a/dispatch/probing.go
+++ b/dispatch/probing.go
@@ -9,25 +9,25 @@
 
 // Which workers an op asks, and what their answers bring.
 
-// Report is the answer to a probe.
-func (d *Dispatcher) Report(i int, elapsed Time, load Load) {
+// ProbeAnswered is the answer to a probe.
+func (d *Dispatcher) ProbeAnswered(i int, elapsed Time, load LoadReport) {
 	d.trips, d.fresh = stats.Keep(d.trips, elapsed), false
-	d.answered(i, elapsed, Served)
+	d.answered(i, elapsed, Succeeded)
 	w := &d.workers[i]
 	d.zones[w.zone].Add(d.now, true)
 	k := &d.kinds[w.kind]
-	if k.slots = max(k.slots, math.Round(load.Free)); load.Jobs < 0 && load.Free >= 0 && load.Waiting >= 0 {
+	if k.slots = max(k.slots, math.Round(load.FreeSlots)); load.RunningJobs < 0 && load.FreeSlots >= 0 && load.QueuedJobs >= 0 {
 		// Without a count each reading was one of no jobs: T stayed 0 and all were Low. A slot not free is busy.
-		load.Jobs = load.Waiting + max(k.slots-load.Free, 0)
+		load.RunningJobs = load.QueuedJobs + max(k.slots-load.FreeSlots, 0)
 	}
 	r := reading{load: load, at: d.now, asked: d.now - elapsed}
 	d.pairUp(w, r)
 	w.readings = stats.Keep(w.readings, r)
 }
 
-// Unanswered is a probe that failed. A zone that is cut off shows in probes first: over many workers each
+// ProbeFailed is a probe that failed. A zone that is cut off shows in probes first: over many workers each
 // scheduler has too few outcomes of any one to notice. A probe turned away has reached its worker.
-func (d *Dispatcher) Unanswered(i int, elapsed Time, how Outcome) {
+func (d *Dispatcher) ProbeFailed(i int, elapsed Time, how Outcome) {
 	d.probeFailed(i, how)
 	d.answered(i, elapsed, how)
 }
@@ -39,7 +39,7 @@
 		if o.over || k < 0 || d.now-elapsed < o.askedAt {
 			continue
 		}
-		if o.got[k] = how == Served; how != Served {
+		if o.got[k] = how == Succeeded; how != Succeeded {
 			d.drop(o, k, how) // waiting on for an answer that has failed only holds the op
 		}
 	}
@@ -99,7 +99,7 @@
 		for k, i := range from {
 			near := stats.Bit(d.near(i))
 			if r := d.workers[i].last(); r != nil {
-				jobs[near], seen[near] = jobs[near]+max(r.load.Jobs, 0), seen[near]+1
+				jobs[near], seen[near] = jobs[near]+max(r.load.RunningJobs, 0), seen[near]+1
 			}
 			if near > 0 {
 				from[k], from[own] = from[own], i
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -38,7 +38,7 @@
 }
 
 func (p plainPush) mayHaveRun() bool {
-	return !p.ended || p.how != Refused && p.how != Unreached && p.how != Unsent && p.how != Unable
+	return !p.ended || p.how != Rejected && p.how != Unreachable && p.how != NotSent && p.how != LocalExhaustion
 }
 
 func (m *plain) mayPush(t map[string]any, op, worker int, now Time) bool {
@@ -46,7 +46,7 @@
 	at := "categories." + string(rune('0'+o.cat)) + "."
 	sent := 0
 	for _, p := range o.pushes {
-		if !p.ended || p.how != Unable { // that one reached nobody
+		if !p.ended || p.how != LocalExhaustion { // that one reached nobody
 			sent++
 		}
 	}
@@ -107,7 +107,7 @@
 		map[int]Time{}}
 	now, next := Time(1_000_000), 0
 	names := make([]int, 400) // op index to the model's op
-	d.Clock(now)
+	d.AdvanceClock(now)
 	entry := func(i int) {
 		if m.where[i] == [2]int{} {
 			m.where[i] = [2]int{1 + i%2, i % 4}
@@ -116,23 +116,23 @@
 		if r.Intn(8) == 0 {
 			m.since[i], m.free[i] = now, 0 // what the process before it told says nothing of this one
 		}
-		d.Entry(i, m.where[i][0], m.where[i][1], m.ready[i], m.since[i])
-		d.Mark(i, uint64(i+1)*0x51ed2701_9b3c1d77, i%3)
-		d.Told(r.Intn(5)-1, i, r.Intn(4)-1)
+		d.UpsertWorker(i, m.where[i][0], m.where[i][1], m.ready[i], m.since[i])
+		d.IdentifyWorker(i, uint64(i+1)*0x51ed2701_9b3c1d77, i%3)
+		d.PeerReport(r.Intn(5)-1, i, r.Intn(4)-1)
 	}
 	for step := range 400 {
 		if step == 0 || r.Intn(60) == 0 {
-			d.ListWhole()
+			d.BeginSnapshot()
 			for i := range m.ready {
 				m.ready[i] = false
 			}
 			for i := range 6 {
 				entry(i)
 			}
-			d.ListEnd()
+			d.EndUpdate()
 		} else if r.Intn(15) == 0 {
 			entry(r.Intn(8))
-			d.ListEnd()
+			d.EndUpdate()
 		}
 		if step < 300 && r.Intn(3) == 0 {
 			i := 0
@@ -143,9 +143,9 @@
 			names[i] = next
 			o := &plainOp{cat: r.Intn(5), ttl: now + Time(r.Intn(30_000))}
 			m.ops[next] = o
-			d.Op(i, o.cat, o.ttl, float64(1+r.Intn(2)), 0, 0)
+			d.AddOp(i, o.cat, o.ttl, float64(1+r.Intn(2)), 0, 0)
 			if r.Intn(2) == 0 {
-				d.Key(i, uint64(1+r.Intn(4)))
+				d.SetAffinityKey(i, uint64(1+r.Intn(4)))
 			}
 		}
 		for i, name := range names {
@@ -158,16 +158,16 @@
 				continue
 			}
 			if now < p.until && r.Intn(2) == 0 {
-				d.Note(i, len(o.pushes)-1, r.Intn(3) > 0, 0.5)
+				d.AttemptProgress(i, len(o.pushes)-1, r.Intn(3) > 0, 0.5)
 				continue
 			}
-			if p.ended, p.how = true, Outcome(r.Intn(int(Unable)+1)); now >= p.until {
+			if p.ended, p.how = true, Outcome(r.Intn(int(LocalExhaustion)+1)); now >= p.until {
 				p.how = TimedOut
 			}
-			o.final = o.final || p.how == Served
-			d.Outcome(i, len(o.pushes)-1, p.how, now-p.at, o.final)
+			o.final = o.final || p.how == Succeeded
+			d.AttemptEnded(i, len(o.pushes)-1, p.how, now-p.at, o.final)
 		}
-		d.Clock(now)
+		d.AdvanceClock(now)
 		if !judgeAll(t, d, m, terms, names, now, r) {
 			return false
 		}
@@ -228,7 +228,7 @@
 		do, op, worker, span := d.Next()
 		name := names[op]
 		switch do {
-		case Nothing:
+		case NoDecision:
 			for _, o := range m.ops {
 				if !o.final && now > o.ttl+100 && (len(o.pushes) == 0 || o.pushes[len(o.pushes)-1].ended) {
 					t.Logf("an op of category %d outlived its TTL", o.cat)
@@ -242,21 +242,21 @@
 				t.Logf("push against the rules: category %d worker %d", o.cat, worker)
 				return false
 			}
-			o.pushes = append(o.pushes, plainPush{m.where[worker], now, now + span, false, Served, worker,
+			o.pushes = append(o.pushes, plainPush{m.where[worker], now, now + span, false, Succeeded, worker,
 				d.ops[op].slots})
 			if terms["bounds.probes"] == true && !m.intoRoom(worker, now) {
 				t.Logf("a push to cold worker %d that has no room", worker)
 				return false
 			}
-		case CallOff:
+		case CancelAttempt:
 			o := m.ops[name]
 			p := &o.pushes[len(o.pushes)-1]
 			if p.ended || terms["bounds.cancel"] != true {
 				t.Logf("called off against the rules: category %d", o.cat)
 				return false
 			}
-			p.ended, p.how = true, Withdrawn
-			d.Outcome(op, len(o.pushes)-1, Withdrawn, now-p.at, false)
+			p.ended, p.how = true, Cancelled
+			d.AttemptEnded(op, len(o.pushes)-1, Cancelled, now-p.at, false)
 		case Nack, DeadLetter:
 			o := m.ops[name]
 			if o.final || do == Nack && !m.mayNack(terms, name, now) ||
@@ -272,8 +272,8 @@
 			}
 			if r.Intn(4) > 0 {
 				load := jobs(float64(r.Intn(7)))
-				d.Report(worker, 0, load)
-				m.free[worker], m.told[worker] = load.Free, now
+				d.ProbeAnswered(worker, 0, load)
+				m.free[worker], m.told[worker] = load.FreeSlots, now
 			}
 		case Forget:
 			names[op] = 0
@@ -307,12 +307,12 @@
 		all := make([]*Dispatcher, schedulers)
 		for i := range all {
 			all[i] = New(r.Uint64(), terms(map[string]any{"instances": 200.0, "myNumber": float64(i)}))
-			all[i].Clock(1_000_000)
-			all[i].ListWhole()
+			all[i].AdvanceClock(1_000_000)
+			all[i].BeginSnapshot()
 			for w := range workers {
-				all[i].Entry(w, 0, 0, true, Time(1_000_000*stats.Bit(w == 0)))
+				all[i].UpsertWorker(w, 0, 0, true, Time(1_000_000*stats.Bit(w == 0)))
 			}
-			all[i].ListEnd()
+			all[i].EndUpdate()
 		}
 		var at []Time
 		for n := range workers * rate {
@@ -322,21 +322,21 @@
 				s = r.Intn(5)
 			}
 			d := all[s]
-			d.Clock(now)
-			d.Op(0, 0, now+50_000, 1, 0, 0)
+			d.AdvanceClock(now)
+			d.AddOp(0, 0, now+50_000, 1, 0, 0)
 			for _, a := range decisions(d) {
 				if a.do == Probe {
-					d.Report(a.worker, 0, jobs(2*float64(stats.Bit(a.worker > 0)))) // the cold one reads idle
+					d.ProbeAnswered(a.worker, 0, jobs(2*float64(stats.Bit(a.worker > 0)))) // the cold one reads idle
 				}
 			}
-			d.Clock(now)
+			d.AdvanceClock(now)
 			for _, a := range decisions(d) {
 				if a.do == Push && a.worker == 0 {
 					at, total = append(at, now), total+1
 				}
 			}
-			d.Outcome(0, 0, Served, 1, true)
-			d.Clock(now)
+			d.AttemptEnded(0, 0, Succeeded, 1, true)
+			d.AdvanceClock(now)
 			decisions(d)
 		}
 		for i := range at {
@@ -363,14 +363,14 @@
 			"categories.0.targetLatency": 1000.0, "categories.0.name": "pay", "categories.0.effect": effect}
 	}
 	d := New(3, terms("redeliverable", 3))
-	d.Clock(1)
-	d.ListWhole()
+	d.AdvanceClock(1)
+	d.BeginSnapshot()
 	for i := range 3 {
-		d.Entry(i, 0, i, true, 0)
+		d.UpsertWorker(i, 0, i, true, 0)
 	}
-	d.ListEnd()
+	d.EndUpdate()
 	broken := func(op, place int) (pushes int) { // how often an op is pushed whose pushes all break
-		if !d.Op(op, place, d.now+50_000, 1, 0, 0) {
+		if !d.AddOp(op, place, d.now+50_000, 1, 0, 0) {
 			t.Fatalf("no place %d", place)
 		}
 		for {
@@ -379,13 +379,13 @@
 			case do == Push && i == op:
 				pushes++
 				if op == 0 && pushes == 1 { // under the first op the settings change
-					if places := d.Categories(terms("at-most-once", 1)); !slices.Equal(places, []int{1}) {
+					if places := d.SetCategories(terms("at-most-once", 1)); !slices.Equal(places, []int{1}) {
 						t.Fatalf("another effect has place %v", places)
 					}
 				}
-				d.Clock(d.now + 10)
-				d.Outcome(op, pushes-1, Broke, 10, false)
-			case do == Nothing:
+				d.AdvanceClock(d.now + 10)
+				d.AttemptEnded(op, pushes-1, ConnectionLost, 10, false)
+			case do == NoDecision:
 				return pushes
 			}
 		}
@@ -396,7 +396,7 @@
 	if n := broken(1, 1); n != 1 {
 		t.Errorf("an at-most-once op that may have run is pushed %d times", n)
 	}
-	if places := d.Categories(terms("redeliverable", 2)); !slices.Equal(places, []int{0}) {
+	if places := d.SetCategories(terms("redeliverable", 2)); !slices.Equal(places, []int{0}) {
 		t.Errorf("terms that were known have place %v: what was learned is lost", places)
 	}
 	if n := broken(2, 0); n != 2 {
@@ -408,7 +408,7 @@
 func TestCategoriesAlikeHavePlacesOfTheirOwn(t *testing.T) {
 	terms := map[string]any{"categories.0.ttl": 5.0, "categories.1.ttl": 5.0}
 	d := New(3, terms)
-	if places := d.Categories(terms); !slices.Equal(places, []int{0, 1}) {
+	if places := d.SetCategories(terms); !slices.Equal(places, []int{0, 1}) {
 		t.Errorf("places %v", places)
 	}
 }
--- a/dispatch/site.go
+++ b/dispatch/site.go
@@ -107,12 +107,12 @@
 	return s
 }
 
-// Categories takes up the categories that the terms name, and their number of pushes. It returns each one's place, in the
+// SetCategories takes up the categories that the terms name, and their number of pushes. It returns each one's place, in the
 // order of the terms. One whose place is known with the same terms keeps it, and with it what was learned of it; what was
 // learned of one of the same name goes along to its new place. Ops keep the place and the number of pushes that they came
 // with. The host names the places beside those of the terms that it goes on giving ops of; any other one without an open op
 // is given to the next category that needs one, so that places are as many as are in use at a time, however often terms change.
-func (d *Dispatcher) Categories(terms map[string]any, kept ...int) (places []int) {
+func (d *Dispatcher) SetCategories(terms map[string]any, kept ...int) (places []int) {
 	num, _ := reader(terms)
 	d.site.maxPushes = int(num("bounds.maxPushes", 1))
 	for k := range d.categories {
--- a/dispatch/site_bench_test.go
+++ b/dispatch/site_bench_test.go
@@ -32,12 +32,12 @@
 				n := 0
 				for ; n < before; n++ {
 					change(terms, entries, n)
-					d.Categories(terms)
+					d.SetCategories(terms)
 				}
 				b.ReportAllocs()
 				for b.Loop() {
 					change(terms, entries, n)
-					d.Categories(terms)
+					d.SetCategories(terms)
 					n++
 				}
 				b.ReportMetric(float64(len(d.categories)), "places")
@@ -53,23 +53,23 @@
 			d := New(7, siteTerms(entries))
 			d.site.probes, d.site.tellsStart = false, true
 			now := Time(1_000_000)
-			d.Clock(now)
-			d.ListWhole()
+			d.AdvanceClock(now)
+			d.BeginSnapshot()
 			for i := range 20 {
-				d.Entry(i, 0, 0, true, 0)
+				d.UpsertWorker(i, 0, 0, true, 0)
 			}
-			d.ListEnd()
+			d.EndUpdate()
 			op := func(n int) {
 				now++
-				d.Clock(now)
-				d.Op(0, n%entries, now+50_000, 1, 0, 0)
+				d.AdvanceClock(now)
+				d.AddOp(0, n%entries, now+50_000, 1, 0, 0)
 				pull(d)
-				d.Clock(now)
-				d.Note(0, 0, true, 0)
+				d.AdvanceClock(now)
+				d.AttemptProgress(0, 0, true, 0)
 				pull(d)
 				now += Time(5 + n%7)
-				d.Clock(now)
-				d.Outcome(0, 0, Served, 5, true)
+				d.AdvanceClock(now)
+				d.AttemptEnded(0, 0, Succeeded, 5, true)
 				pull(d)
 			}
 			n := 0
--- a/dispatch/site_test.go
+++ b/dispatch/site_test.go
@@ -34,13 +34,13 @@
 		})
 		inForce := rapid.SliceOfN(anyRules, 1, 6).Draw(t, "rules")
 		d := New(3, siteOfRules(inForce, 3))
-		places := d.Categories(siteOfRules(inForce, 3))
-		d.Clock(1)
-		d.ListWhole()
+		places := d.SetCategories(siteOfRules(inForce, 3))
+		d.AdvanceClock(1)
+		d.BeginSnapshot()
 		for i := range 3 {
-			d.Entry(i, 0, i, true, 0)
+			d.UpsertWorker(i, 0, i, true, 0)
 		}
-		d.ListEnd()
+		d.EndUpdate()
 		type came struct {
 			rules
 			cat, most, legs int
@@ -69,7 +69,7 @@
 			for {
 				do, i, _, _ := d.Next()
 				switch do {
-				case Nothing:
+				case NoDecision:
 					return
 				case Push:
 					o := open[i]
@@ -111,7 +111,7 @@
 					}
 				}
 				pushes = rapid.IntRange(1, 4).Draw(t, "pushes")
-				places = d.Categories(siteOfRules(inForce, float64(pushes)), slices.Sorted(maps.Keys(kept))...)
+				places = d.SetCategories(siteOfRules(inForce, float64(pushes)), slices.Sorted(maps.Keys(kept))...)
 				used := map[int]bool{}
 				for _, k := range places {
 					if used[k] {
@@ -126,7 +126,7 @@
 					used[o.cat] = true
 				}
 				for k := range d.categories {
-					if !d.categories[k].served && !d.categories[k].kept && d.Op(99, k, d.now+1<<30, 1, 0, 0) {
+					if !d.categories[k].served && !d.categories[k].kept && d.AddOp(99, k, d.now+1<<30, 1, 0, 0) {
 						t.Fatalf("an op is taken at place %d, which nobody has named", k)
 					}
 				}
@@ -141,7 +141,7 @@
 				}
 				from := slices.Concat(places, slices.Sorted(maps.Keys(kept)))
 				k := rapid.SampledFrom(from).Draw(t, "place")
-				if !d.Op(i, k, d.now+1<<30, 1, 0, 0) {
+				if !d.AddOp(i, k, d.now+1<<30, 1, 0, 0) {
 					t.Fatalf("no op of place %d is taken", k)
 				}
 				open[i] = &came{rules: d.categories[k].rules, cat: k, most: pushes}
@@ -152,13 +152,13 @@
 					return
 				}
 				i, o := some()
-				d.Clock(d.now + 10)
+				d.AdvanceClock(d.now + 10)
 				if o.out {
 					o.out = false
-					how := rapid.SampledFrom([]Outcome{Served, Broke, Broke}).Draw(t, "how")
-					d.Outcome(i, o.legs-1, how, 10, how == Served)
+					how := rapid.SampledFrom([]Outcome{Succeeded, ConnectionLost, ConnectionLost}).Draw(t, "how")
+					d.AttemptEnded(i, o.legs-1, how, 10, how == Succeeded)
 				} else {
-					d.Left(i)
+					d.ClientDisconnected(i)
 				}
 				pull()
 			},
@@ -172,9 +172,9 @@
 	of := []rules{{name: "look", effect: "redeliverable", ttl: 50_000, target: 5_000, benefit: 1, stretch: 1},
 		{name: "pay", effect: "redeliverable", ttl: 50_000, target: 5_000, benefit: 4, stretch: 1}}
 	d := New(3, siteOfRules(of, 3))
-	d.Clock(1)
+	d.AdvanceClock(1)
 	for k := range of {
-		d.Op(k, k, d.now+40_000, 1, 0, 0)
+		d.AddOp(k, k, d.now+40_000, 1, 0, 0)
 		for range 40 {
 			d.ran(k, 700)
 		}
@@ -184,8 +184,8 @@
 	}
 	old := slices.Clone(d.categories[0].runs)
 	of[0].target = 6_000
-	place := d.Categories(siteOfRules(of, 3))[0]
-	d.Op(2, place, d.now+40_000, 1, 0, 0)
+	place := d.SetCategories(siteOfRules(of, 3))[0]
+	d.AddOp(2, place, d.now+40_000, 1, 0, 0)
 	if c := d.categories[place]; place == 0 || c.middle != 700 || c.usual != 700 || c.longest != 40_000 || d.rank(d.ops[2]) != 0.25 {
 		t.Errorf("place %d: %+v, rank %v", place, c, d.rank(d.ops[2]))
 	}
@@ -195,7 +195,7 @@
 		t.Errorf("the runs of open ops and of new ones are mixed: %v, %v", x, y)
 	}
 	of[0].ttl = 20_000 // clients give less now: an op by the longest time that was seen would count as late from the beginning
-	if place = d.Categories(siteOfRules(of, 3))[0]; d.categories[place].longest != 0 || d.categories[place].middle != 700 {
+	if place = d.SetCategories(siteOfRules(of, 3))[0]; d.categories[place].longest != 0 || d.categories[place].middle != 700 {
 		t.Errorf("with another ttl: %+v", d.categories[place])
 	}
 }
@@ -210,16 +210,16 @@
 			of = append(of, rules{name: fmt.Sprint(i), ttl: 50_000, target: 5_000, benefit: float64(rapid.IntRange(0, 9).Draw(t, "benefit"))})
 		}
 		d := New(3, siteOfRules(of, 3))
-		d.Clock(1)
+		d.AdvanceClock(1)
 		for k := range of {
-			d.Op(k, k, d.now+40_000, 1, 0, 0)
+			d.AddOp(k, k, d.now+40_000, 1, 0, 0)
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0:
 				i := rapid.IntRange(0, n-1).Draw(t, "which")
 				of[i].benefit = float64(rapid.IntRange(0, 9).Draw(t, "benefit"))
-				d.Categories(siteOfRules(of, 3))
+				d.SetCategories(siteOfRules(of, 3))
 			case 1:
 				d.site.perWork = !d.site.perWork
 			default:
--- a/dispatch/threshold.go
+++ b/dispatch/threshold.go
@@ -39,14 +39,14 @@
 }
 
 // idle extends "holds no jobs" to workers of several slots, which hardly ever hold none.
-func idle(l Load) bool {
-	if l.Free < 0 {
-		return l.Jobs < 0.5
+func idle(l LoadReport) bool {
+	if l.FreeSlots < 0 {
+		return l.RunningJobs < 0.5
 	}
-	return l.Free >= 0.5 && l.Waiting < 0.5
+	return l.FreeSlots >= 0.5 && l.QueuedJobs < 0.5
 }
 
-func cell(l Load) int { return min(max(int(math.Round(l.Jobs)), 0), maxCount) }
+func cell(l LoadReport) int { return min(max(int(math.Round(l.RunningJobs)), 0), maxCount) }
 
 // threshold is T: the count that parts the readings with the least conditional entropy.
 func (d *Dispatcher) threshold() int {
--- a/dispatch/unable.go
+++ b/dispatch/unable.go
@@ -24,15 +24,15 @@
 
 // probeFailed judges the way to a worker by a probe without an answer.
 func (d *Dispatcher) probeFailed(i int, how Outcome) {
-	if how != Unable {
-		d.zones[d.workers[i].zone].Add(d.now, how == Refused)
+	if how != LocalExhaustion {
+		d.zones[d.workers[i].zone].Add(d.now, how == Rejected)
 	}
 }
 
 // drop takes a worker out of an op's pair whose probe has no answer. Of a pair of which nobody could be asked another is drawn.
 func (d *Dispatcher) drop(o *op, k int, how Outcome) {
 	o.pair, o.got, o.asked = slices.Delete(o.pair, k, k+1), slices.Delete(o.got, k, k+1), o.asked-1
-	if how == Unable && len(o.pair) == 0 {
+	if how == LocalExhaustion && len(o.pair) == 0 {
 		o.unask()
 		o.pause(d.now)
 	}
--- a/dispatch/why.go
+++ b/dispatch/why.go
@@ -1,36 +1,36 @@
 package dispatch
 
-// Why is the reason for which an op was given up.
-type Why int
+// RejectionReason is the reason for which an op was given up.
+type RejectionReason int
 
 // The reasons, a closed set: logs and figures name them.
 const (
-	NotGivenUp  Why = iota
-	TimeIsUp        // its time is over, but for the answer
-	NoPushLeft      // no further push is allowed
-	Scarce          // ops like it find no place in the fleet now
-	Hopeless        // wherever it may go a queue was seen that is too long
-	NobodyTakes     // no worker may be asked, beyond its target
-	NoPlace         // the places that were found come too late
+	NotRejected       RejectionReason = iota
+	DeadlineExceeded                  // its time is over, but for the answer
+	AttemptsExhausted                 // no further push is allowed
+	CapacityShort                     // ops like it find no place in the fleet now
+	QueuesTooLong                     // wherever it may go a queue was seen that is too long
+	NoEligibleWorker                  // no worker may be asked, beyond its target
+	StartTooLate                      // the places that were found come too late
 	whys
 )
 
 var whyNames = [whys]string{"not given up", "time is up", "no push left", "fleet scarce", "queues hopeless", "nobody takes it", "no place in time"}
 
-func (w Why) String() string {
+func (w RejectionReason) String() string {
 	if w < 0 || w >= whys {
-		w = NotGivenUp
+		w = NotRejected
 	}
 	return whyNames[w]
 }
 
-// Why is the reason of the last decision that gave an op up.
-func (d *Dispatcher) Why() Why { return d.why }
+// LastRejection is the reason of the last decision that gave an op up.
+func (d *Dispatcher) LastRejection() RejectionReason { return d.why }
 
 // spent is why an op is given up that may not be pushed again, or whose time is over.
-func (d *Dispatcher) spent(o *op) Why {
+func (d *Dispatcher) spent(o *op) RejectionReason {
 	if d.now >= o.ttl-d.margin() {
-		return TimeIsUp
+		return DeadlineExceeded
 	}
-	return NoPushLeft
+	return AttemptsExhausted
 }
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -14,16 +14,16 @@
 
 // Reading is a moment on the clock of one start of the machine.
 type Reading struct {
-	Boot  string        // names the start of the machine; empty where that can't be told
-	Since time.Duration // since then
+	BootID    string        // names the start of the machine; empty where that can't be told
+	SinceBoot time.Duration // since then
 }
 
 // After is how long after another reading this one was taken; false where that can't be known, as the machine was started in between.
 func (r Reading) After(before Reading) (time.Duration, bool) {
-	if r.Boot == "" || r.Boot != before.Boot || r.Since < before.Since {
+	if r.BootID == "" || r.BootID != before.BootID || r.SinceBoot < before.SinceBoot {
 		return 0, false
 	}
-	return r.Since - before.Since, true
+	return r.SinceBoot - before.SinceBoot, true
 }
 
 // Since is the time since the machine was started.
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -31,7 +31,7 @@
 func TestTheMachinesClockGoesOn(t *testing.T) {
 	first := Now()
 	time.Sleep(time.Millisecond)
-	if span, known := Now().After(first); first.Boot != "" && (!known || span < time.Millisecond || span > time.Minute) {
+	if span, known := Now().After(first); first.BootID != "" && (!known || span < time.Millisecond || span > time.Minute) {
 		t.Errorf("%v, %v", span, known)
 	}
 }
--- a/internal/clientconn/clientconn.go
+++ b/internal/clientconn/clientconn.go
@@ -259,9 +259,9 @@
 func end(fd uintptr) (unread bool, ended error) {
 	n, err := workerconn.PeekAt(fd)
 	switch {
-	case oserror.Of(err) == oserror.Moment:
+	case oserror.Classify(err) == oserror.Transient:
 		return false, nil
-	case err != nil && !oserror.Here(err):
+	case err != nil && !oserror.IsLocal(err):
 		return false, err
 	case err == nil && n == 0:
 		return false, io.EOF
@@ -400,7 +400,7 @@
 			continue // it was paused, and is no more
 		}
 		if err != nil {
-			if oserror.Useless(err) {
+			if oserror.IsPermanent(err) {
 				return nil, err
 			}
 			failures++
@@ -422,8 +422,8 @@
 	if g.Failed != nil {
 		g.Failed(err)
 	}
-	if oserror.Of(err) != oserror.Descriptor {
-		time.Sleep(oserror.Pause(failures))
+	if oserror.Classify(err) != oserror.DescriptorsExhausted {
+		time.Sleep(oserror.Backoff(failures))
 		return
 	}
 	if failures > 1 {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -31,8 +31,8 @@
 // Now is this moment.
 func (c Clock) Now() int64 { return c.Nanos(time.Now()) }
 
-// Passed is the time since the start.
-func (c Clock) Passed() time.Duration { return time.Since(c.start) }
+// Elapsed is the time since the start.
+func (c Clock) Elapsed() time.Duration { return time.Since(c.start) }
 
 // Offset is by how much this clock is ahead of the time since the machine's start. A moment of one process is moved to the clock of
 // another by the difference of their offsets. It is read once: the same moment has to be moved to the same one each time.
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -23,9 +23,9 @@
 // Scheduler is what calls are answered from. None of its methods may wait: answers are owed under any load.
 type Scheduler interface {
 	Ready() <-chan struct{} // closed once it can serve
-	Figures() tally.Figures
-	Evacuate() // send clients away
-	Rejoin()   // take them again
+	Metrics() tally.Metrics
+	DrainClients()   // send clients away
+	ReadmitClients() // take them again
 }
 
 // Call is one that only some installations have.
@@ -46,7 +46,7 @@
 		}
 	})
 	mux.HandleFunc("GET /api/telemetry", func(w http.ResponseWriter, _ *http.Request) {
-		show(w, of.Figures(), log)
+		show(w, of.Metrics(), log)
 	})
 	for _, c := range more {
 		method := http.MethodGet
@@ -55,8 +55,8 @@
 		}
 		mux.HandleFunc(method+" "+c.Path, func(w http.ResponseWriter, r *http.Request) { show(w, c.Answer(r), log) })
 	}
-	mux.HandleFunc("POST /api/evacuate", func(http.ResponseWriter, *http.Request) { of.Evacuate() })
-	mux.HandleFunc("POST /api/rejoin", func(http.ResponseWriter, *http.Request) { of.Rejoin() })
+	mux.HandleFunc("POST /api/evacuate", func(http.ResponseWriter, *http.Request) { of.DrainClients() })
+	mux.HandleFunc("POST /api/rejoin", func(http.ResponseWriter, *http.Request) { of.ReadmitClients() })
 	callers := clientconn.New(mostCallers, mostCallers)
 	callers.Listener = l
 	callers.Patience = roomTime // those before are read and answered, or found to say nothing
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -21,10 +21,10 @@
 }
 
 func (s *scheduler) Ready() <-chan struct{} { return s.ready }
-func (s *scheduler) Figures() tally.Figures { return tally.Figures{InFlight: 14} }
+func (s *scheduler) Metrics() tally.Metrics { return tally.Metrics{OpsInFlight: 14} }
 
-func (s *scheduler) Evacuate() { s.calls <- "evacuate" }
-func (s *scheduler) Rejoin()   { s.calls <- "rejoin" }
+func (s *scheduler) DrainClients()   { s.calls <- "evacuate" }
+func (s *scheduler) ReadmitClients() { s.calls <- "rejoin" }
 
 func serve(t *testing.T, of Scheduler) (addr string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/copies/golden_test.go
+++ b/internal/copies/golden_test.go
@@ -8,5 +8,5 @@
 
 // Guards the JSON keys of a copy's state that tools of the staff read at /api/copies.
 func TestShownKeepsItsForm(t *testing.T) {
-	filled.CompareJSON(t, "testdata/shown.json.golden", filled.Value[Shown](t))
+	filled.CompareJSON(t, "testdata/shown.json.golden", filled.Value[Status](t))
 }
--- a/internal/copies/keeper.go
+++ b/internal/copies/keeper.go
@@ -9,48 +9,48 @@
 )
 
 // hear takes a message.
-func (c *Core) hear(in Heard) {
+func (c *Core) hear(in MessageReceived) {
 	x := in.Message
-	if x.Kind == InForce {
+	if x.Kind == SetInForce {
 		c.told(in)
 		return
 	}
-	if x.Epoch != c.epoch {
+	if x.SetID != c.epoch {
 		c.otherSet(in)
 		return
 	}
 	switch x.Kind {
-	case Grab, Tell, Register, Pull, Fetch:
+	case ClaimRequested, OutcomeReported, Register, Pull, Fetch:
 		if !c.keeper || !c.serving {
 			c.count("asked as no keeper")
 			return
 		}
-	case Granted, Refused, Known, Registered, Piece, Fetched:
+	case ClaimGranted, ClaimRefused, OutcomeKnown, Registered, DigestPage, Fetched:
 		if !slices.Contains(c.all, in.From) {
 			c.count("word of no keeper")
 			return
 		}
 	}
 	switch x.Kind {
-	case Grab:
+	case ClaimRequested:
 		c.grab(in)
-	case Granted, Refused:
+	case ClaimGranted, ClaimRefused:
 		c.answered(in)
-	case Tell:
+	case OutcomeReported:
 		if c.valid(x.Record) {
 			// A moment of this process's own clock, at which it granted what only ran after that, comes back with the word that it may
 			// have run: however long that was on its way, its age is known.
 			asked := Time(0)
-			if x.Of == c.life && x.Since > 0 && Time(x.Since) <= c.now && len(x.Record.Fates) == 1 {
-				asked, x.Record.Fates[0].Age = Time(x.Since)+1, 1
+			if x.LogIncarnation == c.life && x.After > 0 && Time(x.After) <= c.now && len(x.Record.Outcomes) == 1 {
+				asked, x.Record.Outcomes[0].Age = Time(x.After)+1, 1
 			}
 			c.learn(x.Record, asked)
-			c.send(in.From, Message{Kind: Known, Ticket: x.Ticket, Life: c.life})
+			c.send(in.From, Message{Kind: OutcomeKnown, RequestID: x.RequestID, Incarnation: c.life})
 		}
-	case Known:
-		if t := c.tells[x.Ticket]; t != nil {
+	case OutcomeKnown:
+		if t := c.tells[x.RequestID]; t != nil {
 			if t.known[in.From] = true; c.toldAll(t.known) {
-				delete(c.tells, x.Ticket)
+				delete(c.tells, x.RequestID)
 			}
 		}
 	case Register:
@@ -59,7 +59,7 @@
 		c.registered(in)
 	case Pull:
 		c.pulled(in)
-	case Piece:
+	case DigestPage:
 		c.piece(in)
 	case Fetch:
 		c.fetched(in)
@@ -71,9 +71,9 @@
 const maxAge = 1 << 40 // tenths of a millisecond
 
 func (c *Core) valid(r Record) bool {
-	ok := r.Key != "" && len(r.Key) <= longKey && len(r.Fates) > 0 && len(r.Fates) <= 4*mostClaims
-	for _, f := range r.Fates {
-		ok = ok && len(f.Where) <= longKey && f.Stage >= Claimed && f.Stage <= Ended && f.By != "" && len(f.By) <= longKey
+	ok := r.Key != "" && len(r.Key) <= longKey && len(r.Outcomes) > 0 && len(r.Outcomes) <= 4*mostClaims
+	for _, f := range r.Outcomes {
+		ok = ok && len(f.Group) <= longKey && f.Stage >= Claimed && f.Stage <= Ended && f.Scheduler != "" && len(f.Scheduler) <= longKey
 	}
 	if !ok {
 		c.count("garbled")
@@ -82,15 +82,15 @@
 }
 
 // grab grants a claim, or says why not.
-func (c *Core) grab(in Heard) {
+func (c *Core) grab(in MessageReceived) {
 	x := in.Message
-	if !c.valid(x.Record) || len(x.Record.Fates) != 1 {
+	if !c.valid(x.Record) || len(x.Record.Outcomes) != 1 {
 		return
 	}
-	claim := x.Record.Fates[0].Claim
-	refuse := func(why Why, r *Record) {
+	claim := x.Record.Outcomes[0].Claim
+	refuse := func(why RefusalReason, r *Record) {
 		c.count("refused: " + why.String())
-		answer := Message{Kind: Refused, Ticket: x.Ticket, Life: c.life, Why: why}
+		answer := Message{Kind: ClaimRefused, RequestID: x.RequestID, Incarnation: c.life, Reason: why}
 		if r != nil {
 			answer.Record = c.aged(r)
 		}
@@ -99,36 +99,36 @@
 	r := c.records[x.Record.Key]
 	switch {
 	case !c.voting:
-		refuse(Learning, nil)
+		refuse(NoVote, nil)
 		return
-	case r == nil && (len(c.records) >= c.t.Most || c.size+x.Record.size() > c.t.MostSize):
-		refuse(Full, nil)
+	case r == nil && (len(c.records) >= c.t.MaxRecords || c.size+x.Record.size() > c.t.MaxBytes):
+		refuse(CapacityReached, nil)
 		return
 	}
 	if r != nil {
 		if _, ended := r.ended(); ended {
-			refuse(Taken, r)
+			refuse(AlreadyClaimed, r)
 			return
 		}
-		if _, other := r.stands(claim); other && !r.bound(claim, x.Record.Fates[0].Where) {
-			refuse(Taken, r)
+		if _, other := r.stands(claim); other && !r.bound(claim, x.Record.Outcomes[0].Group) {
+			refuse(AlreadyClaimed, r)
 			return
 		}
-		if i, ok := r.find(claim); ok && r.Fates[i].Stage != Claimed {
-			refuse(Stale, nil)
+		if i, ok := r.find(claim); ok && r.Outcomes[i].Stage != Claimed {
+			refuse(ClaimReleased, nil)
 			return
-		} else if !ok && len(r.Fates) >= mostClaims {
-			refuse(Full, nil)
+		} else if !ok && len(r.Outcomes) >= mostClaims {
+			refuse(CapacityReached, nil)
 			return
 		}
 		if !r.protects() {
-			r.Print = x.Record.Print // nothing of what came before ran
+			r.Fingerprint = x.Record.Fingerprint // nothing of what came before ran
 			c.stamp(r)
 		}
 	}
-	x.Record.Fates = []Fate{{Claim: claim, Stage: Claimed, Voted: true, Where: x.Record.Fates[0].Where}}
+	x.Record.Outcomes = []Outcome{{Claim: claim, Stage: Claimed, Voted: true, Group: x.Record.Outcomes[0].Group}}
 	c.learn(x.Record, 0)
-	c.send(in.From, Message{Kind: Granted, Ticket: x.Ticket, Life: c.life, Voters: c.votersNow(), Since: uint64(max(c.now, 1))})
+	c.send(in.From, Message{Kind: ClaimGranted, RequestID: x.RequestID, Incarnation: c.life, Voters: c.votersNow(), After: uint64(max(c.now, 1))})
 }
 
 // votersNow are the processes that vote, as this keeper knows them.
@@ -142,13 +142,13 @@
 }
 
 // answered takes a keeper's answer to a want.
-func (c *Core) answered(in Heard) {
-	w := c.wants[in.Ticket&^boundTicket]
-	if w == nil || w.wire() != in.Ticket {
+func (c *Core) answered(in MessageReceived) {
+	w := c.wants[in.RequestID&^boundTicket]
+	if w == nil || w.wire() != in.RequestID {
 		return // or it is the answer to the claim before it was bound
 	}
 	x := in.Message
-	w.answers[in.From] = answer{granted: x.Kind == Granted, life: x.Life, voters: x.Voters, why: x.Why, record: x.Record, at: x.Since}
+	w.answers[in.From] = answer{granted: x.Kind == ClaimGranted, life: x.Incarnation, voters: x.Voters, why: x.Reason, record: x.Record, at: x.After}
 	c.judge(w, false)
 }
 
@@ -157,34 +157,34 @@
 func (c *Core) learn(x Record, asked Time) {
 	r := c.records[x.Key]
 	if r == nil {
-		if len(c.records) >= c.t.Most || c.size+x.size() > c.t.MostSize {
+		if len(c.records) >= c.t.MaxRecords || c.size+x.size() > c.t.MaxBytes {
 			c.count("no room for a record") // it stays where it is known; here nothing is granted that it would forbid
 			c.voting, c.own, c.ready = false, false, false
-			c.lives(Life{})
+			c.lives(Incarnation{})
 			for _, l := range c.looks { // what finds no room now is asked for again
 				l.anew(l.of)
 				l.through = false
 			}
 			return
 		}
-		age := Time(min(x.Age, uint64(c.t.Remember/second))) * second
-		r = &Record{Key: x.Key, Print: x.Print, since: c.now - age}
+		age := Time(min(x.Age, uint64(c.t.Retention/second))) * second
+		r = &Record{Key: x.Key, Fingerprint: x.Fingerprint, since: c.now - age}
 		c.records[x.Key] = r
 		k := secondOf(r.since)
 		c.ages[k], c.oldest = append(c.ages[k], r), min(c.oldest, k)
 	} else {
 		c.size -= r.size()
-		if x.Print != r.Print {
+		if x.Fingerprint != r.Fingerprint {
 			if r.protects() && (&x).protects() {
 				c.count("breach: two requests under one id")
-				c.do(Noted{"two requests under one id", x.Key})
+				c.do(Event{"two requests under one id", x.Key})
 			}
-			r.Print = max(r.Print, x.Print)
+			r.Fingerprint = max(r.Fingerprint, x.Fingerprint)
 		}
 	}
 	changed := false
-	for _, f := range x.Fates {
-		if _, known := r.find(f.Claim); !known && len(r.Fates) >= 4*mostClaims {
+	for _, f := range x.Outcomes {
+		if _, known := r.find(f.Claim); !known && len(r.Outcomes) >= 4*mostClaims {
 			c.count("too many claims")
 			continue
 		}
@@ -195,14 +195,14 @@
 		news, breach := r.join(f)
 		if changed = changed || news; breach {
 			c.count("breach: words that can't both be true")
-			c.do(Noted{"words that can't both be true", x.Key})
+			c.do(Event{"words that can't both be true", x.Key})
 		}
 	}
 	c.size += r.size()
 	c.stamp(r)
 	if changed {
 		if c.move(r); c.lasting {
-			c.do(Keep{c.aged(r)})
+			c.do(Persist{c.aged(r)})
 		}
 	}
 }
@@ -240,9 +240,9 @@
 func (c *Core) aged(r *Record) Record {
 	x := *r
 	x.Age = uint64(max(c.now-r.since, 0) / second)
-	x.Fates = slices.Clone(r.Fates)
-	for i := range x.Fates {
-		if f := &x.Fates[i]; f.notBefore > 0 {
+	x.Outcomes = slices.Clone(r.Outcomes)
+	for i := range x.Outcomes {
+		if f := &x.Outcomes[i]; f.notBefore > 0 {
 			f.Age = uint64(max(c.now-f.notBefore, 0)) + 1
 		}
 	}
@@ -252,13 +252,13 @@
 // forget drops records in the order in which they were first heard of, by whole seconds, when their time is over: ages are told in whole
 // seconds, and a million of one moment in their exact order cost a move of all for each.
 func (c *Core) forget() {
-	for ; (c.oldest+1)*second+c.t.Remember <= c.now; c.oldest++ {
+	for ; (c.oldest+1)*second+c.t.Retention <= c.now; c.oldest++ {
 		for _, r := range c.ages[c.oldest] {
 			c.size -= r.size()
 			c.unstamp(r)
 			delete(c.records, r.Key)
 			if c.lasting {
-				c.do(Drop{r.Key})
+				c.do(Delete{r.Key})
 			}
 			c.order[r.pos-c.first] = nil
 		}
@@ -285,8 +285,8 @@
 			continue
 		}
 		if l.registered != c.life {
-			c.send(k, Message{Kind: Register, Life: c.life})
-			l.next = c.now + c.t.Again*2
+			c.send(k, Message{Kind: Register, Incarnation: c.life})
+			l.next = c.now + c.t.RetryInterval*2
 			continue
 		}
 		c.pull(k, l)
@@ -302,9 +302,9 @@
 	if !c.keeper || (c.voting || c.unkept) && !c.set.Joint() {
 		return // nothing is left to begin: this stands in the way of every message
 	}
-	part := c.set.Parts()[0]
+	part := c.set.Quorums()[0]
 	others := keepers.Count(part, func(k string) bool { return k != c.t.Name })
-	enough := min(keepers.Meets(len(part)), others)
+	enough := min(keepers.ReadQuorum(len(part)), others)
 	registered := func(k string) bool { l := c.looks[k]; return l != nil && l.registered == c.life }
 	caught := keepers.Count(part, func(k string) bool { return registered(k) && c.looks[k].voting && c.looks[k].through })
 	known := keepers.Count(part, registered)
@@ -315,20 +315,20 @@
 	if known >= enough && c.since == 0 {
 		c.since = max(c.now, 1)
 	}
-	if c.kept != (Life{}) && known >= min(1, others) {
+	if c.kept != (Incarnation{}) && known >= min(1, others) {
 		// It knows all that it ever granted: no earlier process can be left, since one alone holds the place where records last.
-		c.voting, c.own, c.kept = true, true, Life{}
+		c.voting, c.own, c.kept = true, true, Incarnation{}
 		c.lives(c.life)
-		c.do(Noted{"votes", "its own records"})
+		c.do(Event{"votes", "its own records"})
 		return
 	}
-	full := len(c.records) >= c.t.Most || c.size >= c.t.MostSize
-	if full || caught < enough && !(known >= enough && c.now-c.since >= c.t.HoldOff) {
+	full := len(c.records) >= c.t.MaxRecords || c.size >= c.t.MaxBytes
+	if full || caught < enough && !(known >= enough && c.now-c.since >= c.t.AmnesiaHoldOff) {
 		return
 	}
 	c.voting = true
 	c.lives(c.life)
-	c.do(Noted{"votes", ""})
+	c.do(Event{"votes", ""})
 	c.becomeReady(part, caught)
 }
 
@@ -341,47 +341,47 @@
 	if c.own && slices.Contains(old, c.t.Name) {
 		caught++
 	}
-	if !c.ready && caught >= keepers.Meets(len(old)) {
+	if !c.ready && caught >= keepers.ReadQuorum(len(old)) {
 		c.ready = true
-		c.do(Noted{"knows what the keepers before knew", ""})
+		c.do(Event{"knows what the keepers before knew", ""})
 	}
 	ready := func(k string) bool {
 		l := c.looks[k]
 		return k == c.t.Name && c.ready || l != nil && l.registered == c.life && l.ready
 	}
 	if keepers.Count(c.set.New, ready) >= keepers.Majority(len(c.set.New)) {
-		c.do(Readied{c.set.Turn})
+		c.do(ReplicasReady{c.set.Epoch})
 	}
 }
 
 // otherSet has the one that goes by another set learn which is in force, from whichever of the two knows.
-func (c *Core) otherSet(in Heard) {
+func (c *Core) otherSet(in MessageReceived) {
 	c.count("other keepers")
 	switch in.Kind {
-	case Grab:
-		c.do(Send{in.From, Message{Kind: Refused, Epoch: in.Epoch, Ticket: in.Ticket, Why: Epoch}})
+	case ClaimRequested:
+		c.do(Send{in.From, Message{Kind: ClaimRefused, SetID: in.SetID, RequestID: in.RequestID, Reason: WrongSet}})
 		c.inForce(in.From)
-	case Tell, Register, Pull, Fetch:
+	case OutcomeReported, Register, Pull, Fetch:
 		c.inForce(in.From)
 	}
 }
 
 func (c *Core) inForce(to string) {
-	if c.t.Agreed && c.serving && to != c.t.Name {
-		c.send(to, Message{Kind: InForce, Set: c.set})
+	if c.t.DynamicReplicas && c.serving && to != c.t.Name {
+		c.send(to, Message{Kind: SetInForce, Set: c.set})
 	}
 }
 
 // told takes a set that another goes by, or tells it of a later one.
-func (c *Core) told(in Heard) {
+func (c *Core) told(in MessageReceived) {
 	switch {
-	case !c.t.Agreed:
+	case !c.t.DynamicReplicas:
 		c.count("keepers do not change here")
-	case in.Set.After(c.set) && in.Set.Fits():
+	case in.Set.Supersedes(c.set) && in.Set.Valid():
 		c.adopt(in.Set)
-	case c.set.After(in.Set):
+	case c.set.Supersedes(in.Set):
 		c.inForce(in.From)
-	case in.Set.Founding != 0 && c.set.Founding != 0 && in.Set.Founding != c.set.Founding:
+	case in.Set.GroupID != 0 && c.set.GroupID != 0 && in.Set.GroupID != c.set.GroupID:
 		c.count("another founding")
 	}
 }
@@ -389,17 +389,17 @@
 // adopt goes by another set from now on. A keeper that stays one keeps its vote: what it granted, it knows. Claims that are being asked
 // for begin anew: what was granted under another set does not count.
 func (c *Core) adopt(s keepers.Set) {
-	if !s.After(c.set) {
+	if !s.Supersedes(c.set) {
 		return
 	}
 	was := c.keeper
 	c.goBy(s)
 	c.ready, c.own = false, was && c.voting
 	if !c.keeper {
-		c.voting, c.own, c.kept = false, false, Life{}
-		c.lives(Life{})
+		c.voting, c.own, c.kept = false, false, Incarnation{}
+		c.lives(Incarnation{})
 	} else if !was {
-		c.since, c.kept = 0, Life{}
+		c.since, c.kept = 0, Incarnation{}
 	} else if c.voting {
 		c.lives(c.life) // of this set
 	}
@@ -418,11 +418,11 @@
 				c.looks[k] = &look{}
 			}
 			l := c.looks[k]
-			l.registered, l.through, l.voting, l.ready, l.next = Life{}, false, false, false, c.now
+			l.registered, l.through, l.voting, l.ready, l.next = Incarnation{}, false, false, false, c.now
 		}
 	}
-	c.do(Adopted{s})
-	c.do(Noted{"keepers: " + strings.Join(s.New, ", "), strings.Join(s.Old, ", ")})
+	c.do(SetAdopted{s})
+	c.do(Event{"keepers: " + strings.Join(s.New, ", "), strings.Join(s.Old, ", ")})
 	for _, ticket := range due(c.wants, func(*want) bool { return true }) {
 		if w := c.wants[ticket]; w != nil {
 			clear(w.answers)
@@ -440,69 +440,69 @@
 }
 
 // lives notes where records last as which life they are whole; as none while they are not.
-func (c *Core) lives(as Life) {
+func (c *Core) lives(as Incarnation) {
 	if c.lasting {
-		c.do(Lives{as})
+		c.do(IncarnationPersisted{as})
 	}
 }
 
 // register takes note of the process that votes under a keeper's name.
-func (c *Core) register(in Heard) {
+func (c *Core) register(in MessageReceived) {
 	if !slices.Contains(c.all, in.From) {
 		return
 	}
-	if in.Life.compare(c.voters[in.From]) < 0 {
+	if in.Incarnation.compare(c.voters[in.From]) < 0 {
 		c.count("registration of an earlier process")
 		return
 	}
-	if was, ok := c.voters[in.From]; ok && was != in.Life {
+	if was, ok := c.voters[in.From]; ok && was != in.Incarnation {
 		c.former[in.From] = was
 	}
-	c.voters[in.From] = in.Life
-	c.send(in.From, Message{Kind: Registered, Life: c.life, Of: in.Life, Voting: c.voting, Ready: c.ready, Former: c.former[in.From], Voters: c.votersNow(),
+	c.voters[in.From] = in.Incarnation
+	c.send(in.From, Message{Kind: Registered, Incarnation: c.life, LogIncarnation: in.Incarnation, Voting: c.voting, Ready: c.ready, FormerIncarnation: c.former[in.From], Voters: c.votersNow(),
 		Next: c.pos})
 }
 
-func (c *Core) registered(in Heard) {
+func (c *Core) registered(in MessageReceived) {
 	l := c.looks[in.From]
-	if l == nil || in.Of != c.life {
+	if l == nil || in.LogIncarnation != c.life {
 		return
 	}
 	for _, v := range in.Voters {
-		if v.Name != c.t.Name && v.Life.compare(c.voters[v.Name]) > 0 {
-			c.voters[v.Name] = v.Life
+		if v.Name != c.t.Name && v.Incarnation.compare(c.voters[v.Name]) > 0 {
+			c.voters[v.Name] = v.Incarnation
 		}
 	}
-	if in.Former.compare(c.kept) > 0 && c.kept != (Life{}) {
+	if in.FormerIncarnation.compare(c.kept) > 0 && c.kept != (Incarnation{}) {
 		// A process of this keeper voted after these records were kept: they are older than they say.
-		c.kept = Life{}
+		c.kept = Incarnation{}
 		for _, l := range c.looks {
 			l.anew(l.of)
 		}
-		c.do(Noted{"its records are older than they say: it catches up as one without memory", ""})
-		c.lives(Life{})
+		c.do(Event{"its records are older than they say: it catches up as one without memory", ""})
+		c.lives(Incarnation{})
 	}
 	if l.registered != c.life {
 		l.registered, l.mark, l.through = c.life, in.Next, false
 		l.voting, l.ready = in.Voting, in.Ready
-		if l.of != in.Life {
-			l.anew(in.Life)
+		if l.of != in.Incarnation {
+			l.anew(in.Incarnation)
 		}
 	}
 	l.next = c.now
 }
 
 // anew looks at all that a process has changed, from the first.
-func (l *look) anew(of Life) { l.of, l.since, l.to, l.lacks = of, 0, 0, nil }
+func (l *look) anew(of Incarnation) { l.of, l.since, l.to, l.lacks = of, 0, 0, nil }
 
 // pulled answers with the digests of what has changed since a position, some of them.
-func (c *Core) pulled(in Heard) {
-	x := Message{Kind: Piece, Life: c.life, Of: c.life, Since: in.Since, Voting: c.voting, Ready: c.ready}
-	if in.Of != c.life {
-		in.Since = 0 // another process's order
-		x.Since = 0
+func (c *Core) pulled(in MessageReceived) {
+	x := Message{Kind: DigestPage, Incarnation: c.life, LogIncarnation: c.life, After: in.After, Voting: c.voting, Ready: c.ready}
+	if in.LogIncarnation != c.life {
+		in.After = 0 // another process's order
+		x.After = 0
 	}
-	at := max(in.Since+1, c.first)
+	at := max(in.After+1, c.first)
 	for ; at-c.first < uint64(len(c.order)) && len(x.Digests) < pieceDigests; at++ {
 		if r := c.order[at-c.first]; r != nil {
 			x.Digests = append(x.Digests, r.sum)
@@ -513,18 +513,18 @@
 }
 
 // piece looks which of another keeper's changes are news, and asks for those.
-func (c *Core) piece(in Heard) {
+func (c *Core) piece(in MessageReceived) {
 	l := c.looks[in.From]
 	if l == nil || l.registered != c.life {
 		return
 	}
-	if l.of != in.Of {
-		l.anew(in.Of) // it is another process: what it may have lost is asked for again
-		l.registered = Life{}
+	if l.of != in.LogIncarnation {
+		l.anew(in.LogIncarnation) // it is another process: what it may have lost is asked for again
+		l.registered = Incarnation{}
 		l.next = c.now
 		return
 	}
-	if in.Since != l.since {
+	if in.After != l.since {
 		return // of an earlier look
 	}
 	l.to, l.more, l.voting, l.ready = in.Next, in.More, in.Voting, in.Ready
@@ -535,7 +535,7 @@
 // lookOn asks for what another keeper has and this one lacks, and goes on once it has come. It costs so many bytes a second at the most:
 // ops in service must not feel it.
 func (c *Core) lookOn(name string, l *look, size int) {
-	l.free = max(l.free, c.now) + Time(size)*second/Time(c.t.CatchUp)
+	l.free = max(l.free, c.now) + Time(size)*second/Time(c.t.CatchUpRate)
 	if len(l.lacks) == 0 {
 		if l.since < l.to {
 			l.since, l.seen = l.to, true
@@ -549,7 +549,7 @@
 		l.next = c.nextLook()
 		if l.seen && c.lasting && c.voting {
 			l.seen = false
-			c.do(Seen{name, l.of, l.since})
+			c.do(ReplicationCursor{name, l.of, l.since})
 		}
 	case l.free > c.now+burst:
 		l.next = l.free - burst
@@ -560,7 +560,9 @@
 }
 
 // nextLook is when another keeper is looked at again.
-func (c *Core) nextLook() Time { return c.now + c.t.Pull/2 + Time(c.rand.Int64N(int64(c.t.Pull))) }
+func (c *Core) nextLook() Time {
+	return c.now + c.t.PullInterval/2 + Time(c.rand.Int64N(int64(c.t.PullInterval)))
+}
 
 // unknown are those of some digests of which no record stands here, in their place.
 func (c *Core) unknown(digests []uint64) []uint64 {
@@ -580,7 +582,7 @@
 			}
 		})
 		if len(ask) == 0 { // another keeper is asked for all of them
-			l.next, l.waits = c.now+c.t.Again, true
+			l.next, l.waits = c.now+c.t.RetryInterval, true
 			return
 		}
 		ask = ask[:min(len(ask), fetchDigests)]
@@ -589,26 +591,26 @@
 		}
 		l.asked = ask
 		for _, d := range ask {
-			c.fetching[d] = c.now + c.t.Again
+			c.fetching[d] = c.now + c.t.RetryInterval
 		}
-		c.send(name, Message{Kind: Fetch, Ticket: uint64(max(c.now, 1)), Life: c.life, Of: l.of, Digests: ask})
+		c.send(name, Message{Kind: Fetch, RequestID: uint64(max(c.now, 1)), Incarnation: c.life, LogIncarnation: l.of, Digests: ask})
 		return
 	}
 	if l.to > l.since { // all of them have come from another
 		c.lookOn(name, l, 0)
 		return
 	}
-	c.send(name, Message{Kind: Pull, Life: c.life, Of: l.of, Since: l.since})
+	c.send(name, Message{Kind: Pull, Incarnation: c.life, LogIncarnation: l.of, After: l.since})
 }
 
 // fetched answers with some of the records that another keeper lacks, and names the digests it has gone through: one that has changed
 // meanwhile stands later in the order.
-func (c *Core) fetched(in Heard) {
-	if in.Of != c.life {
+func (c *Core) fetched(in MessageReceived) {
+	if in.LogIncarnation != c.life {
 		c.pulled(in) // which tells that this is another process
 		return
 	}
-	x := Message{Kind: Fetched, Ticket: in.Ticket, Life: c.life, Of: c.life, Next: c.pos}
+	x := Message{Kind: Fetched, RequestID: in.RequestID, Incarnation: c.life, LogIncarnation: c.life, Next: c.pos}
 	room := pieceRoom
 	for _, d := range in.Digests {
 		if r := c.byDigest[d]; r != nil {
@@ -623,18 +625,18 @@
 }
 
 // taken takes records that were lacking.
-func (c *Core) taken(in Heard) {
+func (c *Core) taken(in MessageReceived) {
 	l := c.looks[in.From]
-	if l == nil || l.registered != c.life || l.of != in.Of {
+	if l == nil || l.registered != c.life || l.of != in.LogIncarnation {
 		return
 	}
 	size := 0
 	for _, r := range in.Records {
 		if size += r.size(); c.valid(r) {
-			for i := range r.Fates {
-				r.Fates[i].Voted = false
+			for i := range r.Outcomes {
+				r.Outcomes[i].Voted = false
 			}
-			c.learn(r, min(Time(in.Ticket), c.now))
+			c.learn(r, min(Time(in.RequestID), c.now))
 		}
 	}
 	c.counts["pulled"] += uint64(len(in.Records))
--- a/internal/copies/play/change_test.go
+++ b/internal/copies/play/change_test.go
@@ -20,8 +20,8 @@
 	}
 	p.Run(8 * Second)
 	for i := range n {
-		if p.Core(i).Set().Turn == 0 {
-			t.Fatalf("seed %d: n%d goes by its file: %+v", seed, i, p.Core(i).Shown())
+		if p.Core(i).Set().Epoch == 0 {
+			t.Fatalf("seed %d: n%d goes by its file: %+v", seed, i, p.Core(i).Status())
 		}
 	}
 	return p
@@ -71,13 +71,13 @@
 	t.Helper()
 	set, digest := p.Core(0).Set(), ""
 	for i := range places {
-		if got := p.Core(i).Set(); got.Epoch() != set.Epoch() || got.Joint() {
+		if got := p.Core(i).Set(); got.ID() != set.ID() || got.Joint() {
 			t.Errorf("seed %d: at rest n%d goes by %+v, n0 by %+v", seed, i, got, set)
 		}
 		if !slices.Contains(set.New, p.places[i].name) {
 			continue
 		}
-		s := p.Core(i).Shown()
+		s := p.Core(i).Status()
 		if digest == "" {
 			digest = s.Digest
 		}
@@ -104,7 +104,7 @@
 		for k := range 30 {
 			p.outcome(6, fmt.Sprint("x", k))
 		}
-		if got := p.outcome(6, "new"); got != copies.Mine {
+		if got := p.outcome(6, "new"); got != copies.Granted {
 			t.Errorf("seed %d: the new keepers give nothing: %v", seed, got)
 		}
 		p.clean(t)
@@ -118,7 +118,7 @@
 	for seed := uint64(1); seed <= 8; seed++ {
 		p := changing(t, 8, 5, seed)
 		for i := 2; i < 5; i++ { // one that hears who is ready
-			led = led || p.places[i].agree.Leads()
+			led = led || p.places[i].agree.IsLeader()
 		}
 		p.Lose = func(to string, x copies.Message) bool {
 			return to == "n0" || to == "n1" || to == "n5" // all of them at first, so that three others grant
@@ -129,7 +129,9 @@
 			t.Fatalf("seed %d: not given", seed)
 		}
 		for _, mute := range []string{"n0 n1 n5", "n0 n1"} { // then one of the three knows: that is not enough
-			p.Lose = func(to string, x copies.Message) bool { return strings.Contains(mute, to) && x.Kind == copies.Piece }
+			p.Lose = func(to string, x copies.Message) bool {
+				return strings.Contains(mute, to) && x.Kind == copies.DigestPage
+			}
 			for range 4 {
 				p.Change(6, 0, 1, 5)
 				p.Run(p.Now() + Second)
@@ -165,7 +167,7 @@
 	p.Run(begin + 8*Second)
 	refused := 0
 	for _, op := range p.History {
-		if op.What == "asked" && op.At >= begin && op.Outcome == copies.Unsure {
+		if op.What == "asked" && op.At >= begin && op.Outcome == copies.NoQuorum {
 			refused++
 		}
 	}
@@ -173,7 +175,7 @@
 		t.Errorf("keepers %v; %d of %d ops refused meanwhile", p.Core(5).Set(), refused, n)
 	}
 	p.Kill(1) // two of the new three are enough
-	if got := p.outcome(5, "z"); got != copies.Mine {
+	if got := p.outcome(5, "z"); got != copies.Granted {
 		t.Errorf("with two of the new three: %v", got)
 	}
 	p.clean(t)
@@ -218,7 +220,7 @@
 		p.outcome(6, "x")
 		p.Resume(7)
 		p.Run(p.Now() + 2*Second)
-		if got := p.outcome(7, "y"); got != copies.Mine {
+		if got := p.outcome(7, "y"); got != copies.Granted {
 			t.Errorf("seed %d: it has not learned who keeps: %v, %v", seed, got, p.Core(7).Set())
 		}
 		p.clean(t)
@@ -231,13 +233,13 @@
 		p := changing(t, 5, 3, 3)
 		p.Want(4, "x")
 		p.Run(p.Now() + Second)
-		turn := p.Core(4).Set().Turn
+		turn := p.Core(4).Set().Epoch
 		p.Kill(k)
 		p.Forget(k)
 		p.Start(k)
 		p.Run(p.Now() + 6*Second)
-		if set := p.Core(4).Set(); set.Joint() || set.Turn == turn || !p.Core(k).Shown().Voting {
-			t.Fatalf("n%d: %+v, voting %v", k, set, p.Core(k).Shown().Voting)
+		if set := p.Core(4).Set(); set.Joint() || set.Epoch == turn || !p.Core(k).Status().Voting {
+			t.Fatalf("n%d: %+v, voting %v", k, set, p.Core(k).Status().Voting)
 		}
 		p.Kill((k + 1) % 3) // now its vote is needed, in both
 		if !p.change(4, 20*Second, k, (k+2)%3, 3) {
@@ -287,13 +289,13 @@
 		p.Start(i)
 	}
 	p.Run(20 * Second)
-	if p.Core(0).Set().Turn != 0 {
+	if p.Core(0).Set().Epoch != 0 {
 		t.Errorf("with two of three: %v", p.Core(0).Set())
 	}
 	p.Start(2)
 	p.Run(p.Now() + 5*Second)
 	for i := range 4 {
-		if p.Core(i).Set().Turn != 1 {
+		if p.Core(i).Set().Epoch != 1 {
 			t.Errorf("n%d: %v", i, p.Core(i).Set())
 		}
 	}
@@ -319,7 +321,7 @@
 		t.Fatal(p.Core(4).Set())
 	}
 	p.tickets++ // by one who saw the set before
-	p.agree(p.places[4], p.Core(4), keepers.Change{Ticket: p.tickets, Turn: 1, Keepers: []string{"n0", "n2", "n3"}})
+	p.agree(p.places[4], p.Core(4), keepers.ChangeRequest{RequestID: p.tickets, Epoch: 1, Replicas: []string{"n0", "n2", "n3"}})
 	p.Run(p.Now() + 3*Second)
 	if a := p.Answers[p.tickets]; a.Done || !strings.Contains(a.Text, "have changed meanwhile") {
 		t.Errorf("from a set that is no more: %+v", a)
--- a/internal/copies/play/figures_test.go
+++ b/internal/copies/play/figures_test.go
@@ -23,9 +23,9 @@
 	for _, cutOff := range []bool{false, true} {
 		for n := 10; n <= most; n *= 10 {
 			p := New(4, 3, 1)
-			p.Terms.Most, p.Terms.MostSize, p.Terms.Remember = 2*most+10, 1<<31, 7*24*3600*Second
+			p.Terms.MaxRecords, p.Terms.MaxBytes, p.Terms.Retention = 2*most+10, 1<<31, 7*24*3600*Second
 			if os.Getenv("FULL") != "" {
-				p.Terms.CatchUp = 1 << 40
+				p.Terms.CatchUpRate = 1 << 40
 			}
 			for i := range 4 {
 				p.Start(i)
@@ -34,11 +34,11 @@
 			kept := 0
 			tell := func(n int, to ...int) { // as if so many ops had ended: each known at those keepers
 				for k := range n {
-					r := copies.Record{Key: fmt.Sprintf("charge\x00%016x", kept+k), Print: 1, Fates: []copies.Fate{{Claim: copies.Claim{By: "n3", Nonce: uint64(kept + k)},
-						Stage: copies.Ended, Verdict: 200, Held: true, Result: []byte("charged, and here is what the client was told of it: 0123456789")}}}
+					r := copies.Record{Key: fmt.Sprintf("charge\x00%016x", kept+k), Fingerprint: 1, Outcomes: []copies.Outcome{{Claim: copies.Claim{Scheduler: "n3", Nonce: uint64(kept + k)},
+						Stage: copies.Ended, Verdict: 200, ResultRetained: true, Result: []byte("charged, and here is what the client was told of it: 0123456789")}}}
 					for _, i := range to {
 						pl := p.places[i]
-						pl.core.Take(p.Now(), copies.Heard{From: "n3", Message: copies.Message{Kind: copies.Tell, Epoch: pl.core.Epoch(), Record: r}})
+						pl.core.Step(p.Now(), copies.MessageReceived{From: "n3", Message: copies.Message{Kind: copies.OutcomeReported, SetID: pl.core.SetID(), Record: r}})
 					}
 				}
 				kept += n
@@ -52,11 +52,11 @@
 			}
 			tell(n, 0, 1)
 			bytes, missed := 0, 0
-			text, _ := cbor.Marshal(copies.Record{Key: fmt.Sprintf("charge\x00%016x", 1), Print: 1, Fates: []copies.Fate{{Claim: copies.Claim{By: "n3", Nonce: 1 << 60},
-				Stage: copies.Ended, Verdict: 200, Held: true, Result: []byte(strings.Repeat("x", 64))}}})
+			text, _ := cbor.Marshal(copies.Record{Key: fmt.Sprintf("charge\x00%016x", 1), Fingerprint: 1, Outcomes: []copies.Outcome{{Claim: copies.Claim{Scheduler: "n3", Nonce: 1 << 60},
+				Stage: copies.Ended, Verdict: 200, ResultRetained: true, Result: []byte(strings.Repeat("x", 64))}}})
 			missed = n * len(text)
 			p.Weigh = func(e copies.Send) {
-				if e.To == "n2" && (e.Kind == copies.Piece || e.Kind == copies.Fetched) {
+				if e.To == "n2" && (e.Kind == copies.DigestPage || e.Kind == copies.Fetched) {
 					text, _ := cbor.Marshal(e.Message)
 					bytes += len(text)
 				}
@@ -67,7 +67,7 @@
 				p.Start(2)
 			}
 			began, cpu := p.Now(), time.Now()
-			for p.Core(2).Digest() != p.Core(0).Digest() || !p.Core(2).Shown().Voting {
+			for p.Core(2).Digest() != p.Core(0).Digest() || !p.Core(2).Status().Voting {
 				p.Run(p.Now() + 10*MS)
 				if p.Now()-began > 3600*Second {
 					t.Fatal("it does not catch up")
--- a/internal/copies/play/history_test.go
+++ b/internal/copies/play/history_test.go
@@ -32,10 +32,10 @@
 			}
 			return false, s
 		}
-		switch output.(copies.Outcome) {
-		case copies.Mine:
+		switch output.(copies.ClaimResult) {
+		case copies.Granted:
 			return s.holder == 0, fate{holder: op.Claim}
-		case copies.Again, copies.Ran:
+		case copies.AlreadyAnswered, copies.AlreadyEnded:
 			return s.ended, s
 		}
 		return true, s // it was not given, whoever has it
@@ -81,7 +81,7 @@
 				t.Fatalf("seed %d: the history of %s is not that of one scheduler", seed, key)
 			}
 			for _, op := range ops {
-				if op.Output == copies.Mine {
+				if op.Output == copies.Granted {
 					given++
 				}
 			}
@@ -95,12 +95,12 @@
 // A judge that takes every history proves nothing.
 func TestTheJudgeOfHistoriesSeesADouble(t *testing.T) {
 	mine := func(claim int, call, end int64) porcupine.Operation {
-		return porcupine.Operation{ClientId: claim, Input: Op{What: "asked", Claim: claim}, Output: copies.Mine, Call: call, Return: end}
+		return porcupine.Operation{ClientId: claim, Input: Op{What: "asked", Claim: claim}, Output: copies.Granted, Call: call, Return: end}
 	}
 	if porcupine.CheckOperations(oneScheduler, []porcupine.Operation{mine(1, 0, 10), mine(2, 5, 20)}) {
 		t.Error("an op that was given twice")
 	}
-	released := porcupine.Operation{ClientId: 3, Input: Op{What: "released", Claim: 1}, Output: copies.Outcome(0), Call: 12, Return: 12}
+	released := porcupine.Operation{ClientId: 3, Input: Op{What: "released", Claim: 1}, Output: copies.ClaimResult(0), Call: 12, Return: 12}
 	if !porcupine.CheckOperations(oneScheduler, []porcupine.Operation{mine(1, 0, 10), released, mine(2, 13, 20)}) {
 		t.Error("an op that was given back")
 	}
--- a/internal/copies/play/play.go
+++ b/internal/copies/play/play.go
@@ -29,7 +29,7 @@
 	Key     string
 	Claim   int // numbers wants
 	What    string
-	Outcome copies.Outcome
+	Outcome copies.ClaimResult
 	Asked   Time
 }
 
@@ -52,8 +52,8 @@
 	state   keepers.State
 	records map[string]copies.Record
 	first   map[string]Time // when each was first heard of
-	seen    map[string]copies.Seen
-	life    copies.Life
+	seen    map[string]copies.ReplicationCursor
+	life    copies.Incarnation
 	epoch   uint64
 }
 
@@ -67,7 +67,7 @@
 type Play struct {
 	virtual.Clock[Time]
 	Rand    *rand.Rand
-	Terms   copies.Terms
+	Terms   copies.Config
 	Loss    float64
 	Dup     float64
 	Delay   Time
@@ -90,7 +90,7 @@
 	Weigh    func(copies.Send)          // hears of each message; nil for nobody
 	Answers  map[uint64]Answer
 	Agreed   bool                                   // keepers have disks, and change by agreement
-	Rule     keepers.Terms                          // of the agreement
+	Rule     keepers.Config                         // of the agreement
 	Lose     func(to string, x copies.Message) bool // which messages are lost besides; nil for none
 	Crash    float64                                // chance to end after each round of what a process does, anywhere among its messages
 	Turns    map[uint64]int                         // turns that came into force, and at how many processes
@@ -108,9 +108,9 @@
 func New(n, count int, seed uint64) *Play {
 	p := &Play{Rand: rand.New(rand.NewPCG(seed, 0x706c6179)), Terms: copies.Defaults(), Delay: 5, byName: map[string]*place{},
 		cuts: map[[2]string]bool{}, wants: map[uint64]want{}, holder: map[string]string{}, first: map[string]ran{}, repeats: map[string]map[string]bool{}, Answers: map[uint64]Answer{}, Turns: map[uint64]int{}, Rule: keepers.Defaults()}
-	p.Terms.HoldOff, p.Terms.Remember = 5*Second, 600*Second
+	p.Terms.AmnesiaHoldOff, p.Terms.Retention = 5*Second, 600*Second
 	for i := range count {
-		p.Terms.Keepers = append(p.Terms.Keepers, fmt.Sprint("n", i))
+		p.Terms.Replicas = append(p.Terms.Replicas, fmt.Sprint("n", i))
 	}
 	for i := range n {
 		pl := &place{name: fmt.Sprint("n", i)}
@@ -124,20 +124,20 @@
 func (p *Play) Start(i int) {
 	pl := p.places[i]
 	t := p.Terms
-	t.Name, t.Chance, t.Nonce, t.Agreed = pl.name, p.Rand.Uint64(), p.Rand.Uint64(), p.Agreed
+	t.Name, t.Seed, t.Nonce, t.DynamicReplicas = pl.name, p.Rand.Uint64(), p.Rand.Uint64(), p.Agreed
 	pl.life++
 	pl.core, pl.up, pl.paused, pl.waits, pl.diskFailed = copies.New(t, p.Now()), true, false, nil, false
 	if p.Agreed {
 		if pl.disk == nil {
-			pl.disk = &disk{state: keepers.State{Seat: p.Rand.Uint64()>>1 | 1}, records: map[string]copies.Record{}, first: map[string]Time{}, seen: map[string]copies.Seen{}}
+			pl.disk = &disk{state: keepers.State{VoterID: p.Rand.Uint64()>>1 | 1}, records: map[string]copies.Record{}, first: map[string]Time{}, seen: map[string]copies.ReplicationCursor{}}
 		}
 		a := p.Rule
-		a.Name, a.Keepers, a.Chance = pl.name, t.Keepers, p.Rand.Uint64()
+		a.Name, a.Replicas, a.Seed = pl.name, t.Replicas, p.Rand.Uint64()
 		pl.agree = keepers.New(a, pl.disk.state, p.Now())
-		pl.core.Go(pl.agree.Set())
+		pl.core.AdoptStored(pl.agree.Set())
 		life := pl.disk.life
-		if pl.disk.epoch != pl.core.Epoch() {
-			life = copies.Life{}
+		if pl.disk.epoch != pl.core.SetID() {
+			life = copies.Incarnation{}
 		}
 		var records []copies.Record
 		for _, k := range slices.Sorted(maps.Keys(pl.disk.records)) {
@@ -145,18 +145,18 @@
 			r.Age = uint64((p.Now() - pl.disk.first[k]) / Second)
 			records = append(records, r)
 		}
-		var seen []copies.Seen
+		var seen []copies.ReplicationCursor
 		for _, k := range slices.Sorted(maps.Keys(pl.disk.seen)) {
 			seen = append(seen, pl.disk.seen[k])
 		}
 		pl.core.Restore(records, life, seen)
-		p.agree(pl, pl.core, keepers.Serving{On: true})
+		p.agree(pl, pl.core, keepers.Membership{Serving: true})
 	}
-	p.feed(pl, pl.core, copies.Serving{On: true, Life: pl.life})
+	p.feed(pl, pl.core, copies.Membership{Serving: true, Generation: pl.life})
 	for _, other := range p.places {
 		if other != pl && other.up && p.Agreed {
-			p.feed(other, other.core, copies.Lost{Name: pl.name})
-			p.feed(pl, pl.core, copies.Lost{Name: other.name})
+			p.feed(other, other.core, copies.PeerStatus{Name: pl.name})
+			p.feed(pl, pl.core, copies.PeerStatus{Name: other.name})
 		}
 	}
 	p.tick(pl, pl.core)
@@ -185,7 +185,7 @@
 func (p *Play) See(i int, here bool) {
 	for _, pl := range p.places {
 		if pl.up && pl.agree != nil && pl != p.places[i] {
-			p.agree(pl, pl.core, keepers.Present{Name: p.places[i].name, Here: here})
+			p.agree(pl, pl.core, keepers.PeerStatus{Name: p.places[i].name, Alive: here})
 		}
 	}
 }
@@ -201,7 +201,7 @@
 	for _, k := range want {
 		names = append(names, p.places[k].name)
 	}
-	p.agree(pl, pl.core, keepers.Change{Ticket: p.tickets, Turn: pl.agree.Set().Turn, Keepers: names})
+	p.agree(pl, pl.core, keepers.ChangeRequest{RequestID: p.tickets, Epoch: pl.agree.Set().Epoch, Replicas: names})
 	return p.tickets
 }
 
@@ -209,7 +209,7 @@
 	p.At(p.Now()+MS*5, func() {
 		if pl.core == core && pl.up {
 			p.feed(pl, core, copies.Tick{})
-			if pl.agree != nil && pl.agree.Next() <= p.Now() {
+			if pl.agree != nil && pl.agree.NextTick() <= p.Now() {
 				p.agree(pl, core, keepers.Tick{})
 			}
 			p.tick(pl, core)
@@ -268,7 +268,7 @@
 	}
 	p.tickets++
 	ticket := p.tickets
-	in := copies.Want{Ticket: ticket, Key: key, Print: 1, Within: 5 * Second}
+	in := copies.ClaimRequest{RequestID: ticket, Key: key, Fingerprint: 1, Timeout: 5 * Second}
 	if key[0] == 'd' {
 		in.Window = p.Window
 	}
@@ -281,19 +281,19 @@
 }
 
 // decided judges an outcome: of one op, no two claims may be used.
-func (p *Play) decided(d copies.Decided) {
-	w := p.wants[d.Ticket]
-	claim := fmt.Sprint(d.Ticket)
-	p.History = append(p.History, Op{At: p.Now(), By: w.by.name, Key: w.key, Claim: int(d.Ticket), What: "asked", Outcome: d.Outcome, Asked: w.asked})
-	switch d.Outcome {
-	case copies.Mine:
+func (p *Play) decided(d copies.ClaimDecided) {
+	w := p.wants[d.RequestID]
+	claim := fmt.Sprint(d.RequestID)
+	p.History = append(p.History, Op{At: p.Now(), By: w.by.name, Key: w.key, Claim: int(d.RequestID), What: "asked", Outcome: d.Result, Asked: w.asked})
+	switch d.Result {
+	case copies.Granted:
 		p.Granted++
-		if d.Fate.Where != "" {
+		if d.Outcome.Group != "" {
 			p.boundTo(w, claim, d)
 			return
 		}
 		if p.Window > 0 && w.key[0] == 'd' {
-			p.runs(w, claim, d.Ticket)
+			p.runs(w, claim, d.RequestID)
 			return
 		}
 		if h := p.holder[w.key]; h != "" {
@@ -311,16 +311,16 @@
 				if unsent && p.holder[w.key] == claim {
 					p.holder[w.key] = "" // from here on it pushes nothing
 				}
-				p.History = append(p.History, Op{At: p.Now(), By: w.by.name, Key: w.key, Claim: int(d.Ticket), What: map[bool]string{true: "released", false: "ended"}[unsent]})
-				p.feed(w.by, w.core, copies.End{Ticket: d.Ticket, Unsent: unsent, Verdict: 200, Result: []byte(claim), Held: true})
+				p.History = append(p.History, Op{At: p.Now(), By: w.by.name, Key: w.key, Claim: int(d.RequestID), What: map[bool]string{true: "released", false: "ended"}[unsent]})
+				p.feed(w.by, w.core, copies.OpEnded{RequestID: d.RequestID, NeverRan: unsent, Verdict: 200, Result: []byte(claim), ResultRetained: true})
 			})
 		}
-	case copies.Again:
-		if p.repeats[w.key][string(d.Fate.Result)] {
+	case copies.AlreadyAnswered:
+		if p.repeats[w.key][string(d.Outcome.Result)] {
 			return // it ran under another claim as well, where that was dropped
 		}
-		if h := p.holder[w.key]; string(d.Fate.Result) != h {
-			p.breach("%s is answered with the result of claim %s, and claim %s had it", w.key, d.Fate.Result, h)
+		if h := p.holder[w.key]; string(d.Outcome.Result) != h {
+			p.breach("%s is answered with the result of claim %s, and claim %s had it", w.key, d.Outcome.Result, h)
 		}
 	}
 }
@@ -340,7 +340,7 @@
 			return
 		}
 		p.first[w.key] = ran{where, p.Now()}
-		p.feed(w.by, w.core, copies.MayHaveRun{Ticket: ticket, Where: where})
+		p.feed(w.by, w.core, copies.MayHaveRun{RequestID: ticket, Group: where})
 		p.finish(w, claim, ticket)
 	})
 }
@@ -352,37 +352,37 @@
 	}
 	p.At(p.Now()+Time(p.Rand.IntN(60_000)), func() {
 		if p.Rand.IntN(3) == 0 { // nacked: a repeat is harmless, there
-			p.feed(w.by, w.core, copies.End{Ticket: ticket, GivenUp: true})
+			p.feed(w.by, w.core, copies.OpEnded{RequestID: ticket, Abandoned: true})
 			return
 		}
-		p.feed(w.by, w.core, copies.End{Ticket: ticket, Verdict: 200, Result: []byte(claim), Held: true})
+		p.feed(w.by, w.core, copies.OpEnded{RequestID: ticket, Verdict: 200, Result: []byte(claim), ResultRetained: true})
 	})
 }
 
 // boundTo judges a claim that is given beside another one: only in the group where that ran, within the window, and told no younger.
-func (p *Play) boundTo(w want, claim string, d copies.Decided) {
+func (p *Play) boundTo(w want, claim string, d copies.ClaimDecided) {
 	p.Bound++
 	f, ok := p.first[w.key]
 	switch {
-	case !ok || f.where != d.Fate.Where:
-		p.breach("%s is given to claim %s of %s in %s, and ran in %q", w.key, claim, w.by.name, d.Fate.Where, f.where)
+	case !ok || f.where != d.Outcome.Group:
+		p.breach("%s is given to claim %s of %s in %s, and ran in %q", w.key, claim, w.by.name, d.Outcome.Group, f.where)
 	case p.Now()-f.at >= p.Window:
 		p.breach("%s is given to claim %s of %s after the window", w.key, claim, w.by.name)
-	case p.Now()-Time(d.Fate.Age) > f.at:
+	case p.Now()-Time(d.Outcome.Age) > f.at:
 		p.breach("%s is told to be younger than it is", w.key)
 	}
 	if p.repeats[w.key] == nil {
 		p.repeats[w.key] = map[string]bool{}
 	}
 	p.repeats[w.key][claim] = true
-	p.finish(w, claim, d.Ticket)
+	p.finish(w, claim, d.RequestID)
 }
 
 // Hold has everybody hold a member for gone, or for here.
 func (p *Play) Hold(i int, gone bool) {
 	for _, pl := range p.places {
 		if pl.up && pl != p.places[i] {
-			p.feed(pl, pl.core, copies.Lost{Name: p.places[i].name, Gone: gone})
+			p.feed(pl, pl.core, copies.PeerStatus{Name: p.places[i].name, Dead: gone})
 		}
 	}
 }
@@ -402,16 +402,16 @@
 	if !p.awake(pl, core, func() { p.feed(pl, core, in) }) {
 		return
 	}
-	effects := core.Take(p.Now(), in)
+	effects := core.Step(p.Now(), in)
 	kept := p.keep(pl, core, effects) // what must last does before anything is sent
 	var owed []copies.Input
 	if !kept {
-		owed = append(owed, copies.Unkept{Keys: copies.KeysToKeep(effects)})
+		owed = append(owed, copies.PersistFailed{Keys: copies.PersistedKeys(effects)})
 	}
 	for _, e := range effects {
-		if e, ok := e.(copies.Adopted); ok {
-			p.Turns[e.Turn]++
-			kept = p.agree(pl, core, keepers.Learned{Set: e.Set}) && kept
+		if e, ok := e.(copies.SetAdopted); ok {
+			p.Turns[e.Epoch]++
+			kept = p.agree(pl, core, keepers.SetLearned{Set: e.Set}) && kept
 		}
 	}
 	for _, e := range effects {
@@ -419,18 +419,18 @@
 			return
 		}
 		switch e := e.(type) {
-		case copies.Decided:
-			if !kept && e.Outcome == copies.Mine { // its own vote may be among those that granted it
-				e = copies.Decided{Ticket: e.Ticket, Outcome: copies.Unsure}
-				owed = append(owed, copies.End{Ticket: e.Ticket, Unsent: true})
+		case copies.ClaimDecided:
+			if !kept && e.Result == copies.Granted { // its own vote may be among those that granted it
+				e = copies.ClaimDecided{RequestID: e.RequestID, Result: copies.NoQuorum}
+				owed = append(owed, copies.OpEnded{RequestID: e.RequestID, NeverRan: true})
 			}
 			p.decided(e)
-		case copies.Readied:
+		case copies.ReplicasReady:
 			if kept {
-				p.agree(pl, core, keepers.Ready{Turn: e.Turn})
+				p.agree(pl, core, keepers.ReplicasReady{Epoch: e.Epoch})
 			}
 		case copies.Send:
-			if !kept && e.Vouches() {
+			if !kept && e.RequiresDurability() {
 				continue
 			}
 			p.Records += len(e.Records)
@@ -441,7 +441,7 @@
 			if p.Lose != nil && p.Lose(e.To, e.Message) {
 				continue
 			}
-			p.send(pl, e.To, func(to *place) { p.feed(to, to.core, copies.Heard{From: pl.name, Message: e.Message}) })
+			p.send(pl, e.To, func(to *place) { p.feed(to, to.core, copies.MessageReceived{From: pl.name, Message: e.Message}) })
 		}
 	}
 	for _, in := range owed {
@@ -453,7 +453,7 @@
 func (p *Play) keep(pl *place, core *copies.Core, effects []copies.Effect) bool {
 	lasts := slices.ContainsFunc(effects, func(e copies.Effect) bool {
 		switch e.(type) {
-		case copies.Keep, copies.Drop, copies.Seen, copies.Lives:
+		case copies.Persist, copies.Delete, copies.ReplicationCursor, copies.IncarnationPersisted:
 			return pl.disk != nil
 		}
 		return false
@@ -467,14 +467,14 @@
 	}
 	for _, e := range effects {
 		switch e := e.(type) {
-		case copies.Keep:
+		case copies.Persist:
 			pl.disk.records[e.Key], pl.disk.first[e.Key] = e.Record, p.Now()-Time(e.Age)*Second
-		case copies.Drop:
+		case copies.Delete:
 			delete(pl.disk.records, e.Key)
-		case copies.Seen:
-			pl.disk.seen[e.Keeper] = e
-		case copies.Lives:
-			pl.disk.life, pl.disk.epoch = e.Life, core.Epoch()
+		case copies.ReplicationCursor:
+			pl.disk.seen[e.Replica] = e
+		case copies.IncarnationPersisted:
+			pl.disk.life, pl.disk.epoch = e.Incarnation, core.SetID()
 		}
 	}
 	return !failed
@@ -485,9 +485,9 @@
 	if !p.awake(pl, core, func() { p.agree(pl, core, in) }) {
 		return true
 	}
-	effects := pl.agree.Take(p.Now(), in)
+	effects := pl.agree.Step(p.Now(), in)
 	for _, e := range effects {
-		e, ok := e.(keepers.Keep)
+		e, ok := e.(keepers.Persist)
 		if !ok {
 			continue
 		}
@@ -496,8 +496,8 @@
 			pl.disk.state = e.State
 		}
 		if failed {
-			pl.agree.Take(p.Now(), keepers.Unkept{})
-			p.feed(pl, core, copies.Unkept{})
+			pl.agree.Step(p.Now(), keepers.PersistFailed{})
+			p.feed(pl, core, copies.PersistFailed{})
 			return false
 		}
 	}
@@ -509,16 +509,16 @@
 		case keepers.Send:
 			p.send(pl, e.To, func(to *place) {
 				if to.agree != nil {
-					p.agree(to, to.core, keepers.Heard{From: pl.name, Message: e.Message})
+					p.agree(to, to.core, keepers.MessageReceived{From: pl.name, Message: e.Message})
 				}
 			})
-		case keepers.Agreed:
-			p.feed(pl, core, copies.Adopt{Set: e.Set})
-		case keepers.Told:
-			p.Answers[e.Ticket] = Answer{e.Done, e.Text}
-		case keepers.Noted:
-			if e.What == "takes no part in changes of keepers any more" {
-				p.breach("%s: %s", pl.name, e.Of)
+		case keepers.SetAgreed:
+			p.feed(pl, core, copies.AdoptSet{Set: e.Set})
+		case keepers.ChangeResult:
+			p.Answers[e.RequestID] = Answer{e.OK, e.Message}
+		case keepers.Event:
+			if e.Description == "takes no part in changes of keepers any more" {
+				p.breach("%s: %s", pl.name, e.Subject)
 			}
 		}
 	}
--- a/internal/copies/play/play_test.go
+++ b/internal/copies/play/play_test.go
@@ -19,7 +19,7 @@
 }
 
 // outcome has one scheduler ask and tells what it was told.
-func (p *Play) outcome(i int, key string) copies.Outcome {
+func (p *Play) outcome(i int, key string) copies.ClaimResult {
 	k := len(p.History)
 	p.Want(i, key)
 	p.Run(p.Now() + Second)
@@ -105,7 +105,7 @@
 			if c == nil {
 				continue
 			}
-			if s := c.Shown(); digest == "" {
+			if s := c.Status(); digest == "" {
 				digest = s.Digest
 			} else if s.Digest != digest {
 				t.Errorf("seed %d: at rest the copies of n%d differ", seed, i)
@@ -122,7 +122,7 @@
 	}
 }
 
-func wants(t *testing.T, got, want copies.Outcome) {
+func wants(t *testing.T, got, want copies.ClaimResult) {
 	t.Helper()
 	if got != want {
 		t.Errorf("%v, not %v", got, want)
@@ -139,7 +139,7 @@
 		p.Run(p.Now() + 2*Second)
 		mine := 0
 		for _, op := range p.History {
-			if op.Outcome == copies.Mine {
+			if op.Outcome == copies.Granted {
 				mine++
 			}
 		}
@@ -152,35 +152,35 @@
 // The claimer is killed: its claim stands, and whoever comes next is told that it may have run.
 func TestAClaimerThatIsKilled(t *testing.T) {
 	p := cluster(5, 3, 1)
-	p.Terms.Remember = 600 * Second
+	p.Terms.Retention = 600 * Second
 	c := p.Core(4)
 	p.Want(4, "x")
 	p.Run(p.Now() + 20*MS)
-	if c.Shown().Mine != 1 {
+	if c.Status().GrantedClaims != 1 {
 		t.Fatal("not granted")
 	}
 	p.Kill(4)
-	wants(t, p.outcome(3, "x"), copies.Runs)
+	wants(t, p.outcome(3, "x"), copies.InProgress)
 	for i := range 4 {
-		p.feed(p.places[i], p.places[i].core, copies.Lost{Name: "n4", Gone: true})
+		p.feed(p.places[i], p.places[i].core, copies.PeerStatus{Name: "n4", Dead: true})
 	}
-	wants(t, p.outcome(3, "x"), copies.Unknown)
+	wants(t, p.outcome(3, "x"), copies.OutcomeUnknown)
 }
 
 // Half the keepers gone: nothing is granted, and nothing is guessed.
 func TestAMajorityLostAndBack(t *testing.T) {
 	p := cluster(5, 3, 1)
 	p.Kill(0)
-	wants(t, p.outcome(4, "a"), copies.Mine)
+	wants(t, p.outcome(4, "a"), copies.Granted)
 	p.Kill(1)
-	wants(t, p.outcome(4, "b"), copies.Unsure)
+	wants(t, p.outcome(4, "b"), copies.NoQuorum)
 	p.Start(0)
 	p.Start(1)
 	p.Run(p.Now() + 500*MS)
-	wants(t, p.outcome(4, "c"), copies.Unsure) // two keepers without their memory: one that has it is too few
+	wants(t, p.outcome(4, "c"), copies.NoQuorum) // two keepers without their memory: one that has it is too few
 	p.Run(p.Now() + 5*Second)
-	wants(t, p.outcome(4, "c"), copies.Mine)
-	if got := p.outcome(3, "a"); got == copies.Mine {
+	wants(t, p.outcome(4, "c"), copies.Granted)
+	if got := p.outcome(3, "a"); got == copies.Granted {
 		t.Errorf("what was claimed before is given again")
 	}
 }
@@ -194,11 +194,11 @@
 	p.Run(p.Now() + 2*Second)
 	p.Kill(2)
 	p.Start(2)
-	if p.Core(2).Shown().Voting {
+	if p.Core(2).Status().Voting {
 		t.Error("it votes without its memory")
 	}
 	p.Run(p.Now() + 3*Second)
-	if s := p.Core(2).Shown(); !s.Voting || s.Records != 40 || s.Digest != p.Core(0).Shown().Digest {
+	if s := p.Core(2).Status(); !s.Voting || s.Records != 40 || s.Digest != p.Core(0).Status().Digest {
 		t.Errorf("after 3 s: %+v", s)
 	}
 }
@@ -224,7 +224,7 @@
 		p.Cut(2, i, false)
 	}
 	p.Run(p.Now() + 5*Second)
-	if p.Core(2).Shown().Digest != p.Core(0).Shown().Digest {
+	if p.Core(2).Status().Digest != p.Core(0).Status().Digest {
 		t.Error("the copies differ")
 	}
 	if p.Records > 4*50 { // from two others each, and each end is news too
@@ -235,15 +235,15 @@
 // Full: what is new is refused, and nothing that protects an op is dropped.
 func TestFullKeepersRefuse(t *testing.T) {
 	p := New(4, 3, 1)
-	p.Terms.Most = 10
+	p.Terms.MaxRecords = 10
 	for i := range 4 {
 		p.Start(i)
 	}
 	p.Run(6 * Second)
 	for k := range 10 {
-		wants(t, p.outcome(3, fmt.Sprint("x", k)), copies.Mine)
+		wants(t, p.outcome(3, fmt.Sprint("x", k)), copies.Granted)
 	}
-	wants(t, p.outcome(3, "one more"), copies.Unsure)
+	wants(t, p.outcome(3, "one more"), copies.NoQuorum)
 	for k := range 10 {
 		p.outcome(3, fmt.Sprint("x", k))
 	}
@@ -270,9 +270,9 @@
 			p.Run(p.Now() + 3*Second)
 			unsure, mine := 0, 0
 			for _, op := range p.History[before:] {
-				if op.What == "asked" && op.Outcome == copies.Unsure {
+				if op.What == "asked" && op.Outcome == copies.NoQuorum {
 					unsure++
-				} else if op.Outcome == copies.Mine {
+				} else if op.Outcome == copies.Granted {
 					mine++
 				}
 			}
@@ -295,7 +295,7 @@
 // Catch-up that is interrupted ten times goes on from where it was: what has come once does not come again.
 func TestCatchUpThatIsInterrupted(t *testing.T) {
 	p := New(5, 3, 1)
-	p.Terms.CatchUp = 1 << 16
+	p.Terms.CatchUpRate = 1 << 16
 	for i := range 5 {
 		p.Start(i)
 	}
