--- a/internal/copies/record_test.go
+++ b/internal/copies/record_test.go
@@ -12,13 +12,13 @@
 )
 
 func drawRecord(t *rapid.T, label string) Record {
-	r := Record{Key: "k", Print: 1, Age: rapid.Uint64Range(0, 3).Draw(t, label)}
+	r := Record{Key: "k", Fingerprint: 1, Age: rapid.Uint64Range(0, 3).Draw(t, label)}
 	for range rapid.IntRange(0, 4).Draw(t, label) {
-		f := Fate{Claim: Claim{fmt.Sprint("n", rapid.IntRange(0, 2).Draw(t, label)), rapid.Uint64Range(1, 2).Draw(t, label)},
+		f := Outcome{Claim: Claim{fmt.Sprint("n", rapid.IntRange(0, 2).Draw(t, label)), rapid.Uint64Range(1, 2).Draw(t, label)},
 			Stage: Stage(rapid.IntRange(int(Claimed), int(Ended)).Draw(t, label)), Voted: rapid.Bool().Draw(t, label)}
 		if f.Stage == Ended {
 			f.Verdict = []uint16{200, 502}[rapid.IntRange(0, 1).Draw(t, label)]
-			if f.Held = rapid.Bool().Draw(t, label); f.Held {
+			if f.ResultRetained = rapid.Bool().Draw(t, label); f.ResultRetained {
 				f.Result = []byte(fmt.Sprint(rapid.IntRange(0, 1).Draw(t, label)))
 			}
 		}
@@ -29,8 +29,8 @@
 
 func joined(a, b Record) Record {
 	c, _ := Join(a, b)
-	if len(c.Fates) == 0 {
-		c.Fates = nil
+	if len(c.Outcomes) == 0 {
+		c.Outcomes = nil
 	}
 	return c
 }
@@ -55,15 +55,15 @@
 func TestWhatStandsOverWhat(t *testing.T) {
 	x := Claim{"n1", 1}
 	for _, c := range []struct {
-		a, b, want Fate
+		a, b, want Outcome
 		breach     bool
 	}{
-		{Fate{Claim: x, Stage: Claimed}, Fate{Claim: x, Stage: Ended, Verdict: 200}, Fate{Claim: x, Stage: Ended, Verdict: 200}, false},
-		{Fate{Claim: x, Stage: Claimed}, Fate{Claim: x, Stage: Released}, Fate{Claim: x, Stage: Released}, false},
-		{Fate{Claim: x, Stage: Ended, Verdict: 200}, Fate{Claim: x, Stage: Ended, Verdict: 200, Held: true, Result: []byte("r")},
-			Fate{Claim: x, Stage: Ended, Verdict: 200, Held: true, Result: []byte("r")}, false},
-		{Fate{Claim: x, Stage: Released}, Fate{Claim: x, Stage: Ended, Verdict: 200}, Fate{Claim: x, Stage: Ended, Verdict: 200}, true},
-		{Fate{Claim: x, Stage: Ended, Verdict: 502}, Fate{Claim: x, Stage: Ended, Verdict: 200}, Fate{Claim: x, Stage: Ended, Verdict: 502}, true},
+		{Outcome{Claim: x, Stage: Claimed}, Outcome{Claim: x, Stage: Ended, Verdict: 200}, Outcome{Claim: x, Stage: Ended, Verdict: 200}, false},
+		{Outcome{Claim: x, Stage: Claimed}, Outcome{Claim: x, Stage: Released}, Outcome{Claim: x, Stage: Released}, false},
+		{Outcome{Claim: x, Stage: Ended, Verdict: 200}, Outcome{Claim: x, Stage: Ended, Verdict: 200, ResultRetained: true, Result: []byte("r")},
+			Outcome{Claim: x, Stage: Ended, Verdict: 200, ResultRetained: true, Result: []byte("r")}, false},
+		{Outcome{Claim: x, Stage: Released}, Outcome{Claim: x, Stage: Ended, Verdict: 200}, Outcome{Claim: x, Stage: Ended, Verdict: 200}, true},
+		{Outcome{Claim: x, Stage: Ended, Verdict: 502}, Outcome{Claim: x, Stage: Ended, Verdict: 200}, Outcome{Claim: x, Stage: Ended, Verdict: 502}, true},
 	} {
 		got, breach := joinFate(c.a, c.b)
 		if !reflect.DeepEqual(got, c.want) || breach != c.breach {
@@ -74,25 +74,25 @@
 
 // A keeper of another set of keepers has no vote in this one, and a set may not stand twice.
 func TestKeepersOfAnotherSetDoNotCount(t *testing.T) {
-	epoch := func(names ...string) uint64 { return keepers.ByFile(names).Epoch() }
+	epoch := func(names ...string) uint64 { return keepers.Configured(names).ID() }
 	if epoch("a", "b", "c") != epoch("c", "a", "b") || epoch("a", "b", "c") == epoch("a", "b", "d") {
 		t.Error("a set's name must be of its members, in any order")
 	}
 	terms := Defaults()
-	terms.Name, terms.Keepers = "x", []string{"a", "b", "c"}
+	terms.Name, terms.Replicas = "x", []string{"a", "b", "c"}
 	c := New(terms, 0)
-	c.Take(1, Serving{On: true, Life: 1})
-	c.Take(2, Want{Ticket: 1, Key: "k", Within: second})
+	c.Step(1, Membership{Serving: true, Generation: 1})
+	c.Step(2, ClaimRequest{RequestID: 1, Key: "k", Timeout: second})
 	w := c.wants[1]
 	for _, k := range []string{"a", "b", "c", "stranger"} {
-		c.Take(3, Heard{k, Message{Kind: Granted, Epoch: c.epoch + 1, Ticket: 1}})
+		c.Step(3, MessageReceived{k, Message{Kind: ClaimGranted, SetID: c.epoch + 1, RequestID: 1}})
 	}
-	if c.Take(3, Heard{"stranger", Message{Kind: Granted, Epoch: c.epoch, Ticket: 1}}); len(w.answers) > 0 {
+	if c.Step(3, MessageReceived{"stranger", Message{Kind: ClaimGranted, SetID: c.epoch, RequestID: 1}}); len(w.answers) > 0 {
 		t.Errorf("counted %v", w.answers)
 	}
 	for _, bad := range [][]string{nil, {"a", "b"}, {"a", "a", "b"}, {"a", "", "b"}} {
-		terms.Keepers = bad
-		if terms.Check() == nil {
+		terms.Replicas = bad
+		if terms.Validate() == nil {
 			t.Errorf("%q is taken for keepers", bad)
 		}
 	}
@@ -101,23 +101,23 @@
 // The vote of a process whose place another has taken must not count beside that of a keeper that knows it.
 func TestAnEarlierProcessesVoteDoesNotCount(t *testing.T) {
 	terms := Defaults()
-	terms.Name, terms.Keepers = "x", []string{"a", "b", "c"}
+	terms.Name, terms.Replicas = "x", []string{"a", "b", "c"}
 	for _, later := range []bool{true, false} {
 		c := New(terms, 0)
-		c.Take(1, Serving{On: true, Life: 1})
-		c.Take(2, Want{Ticket: 1, Key: "k", Within: second})
-		c.Take(3, Heard{"a", Message{Kind: Granted, Epoch: c.epoch, Ticket: 1, Life: Life{1, 1}}})
-		known := Life{1, 1}
+		c.Step(1, Membership{Serving: true, Generation: 1})
+		c.Step(2, ClaimRequest{RequestID: 1, Key: "k", Timeout: second})
+		c.Step(3, MessageReceived{"a", Message{Kind: ClaimGranted, SetID: c.epoch, RequestID: 1, Incarnation: Incarnation{1, 1}}})
+		known := Incarnation{1, 1}
 		if later {
-			known = Life{2, 7}
+			known = Incarnation{2, 7}
 		}
-		got := Outcome(0)
-		for _, e := range c.Take(4, Heard{"b", Message{Kind: Granted, Epoch: c.epoch, Ticket: 1, Life: Life{1, 2}, Voters: []Voter{{"a", known}}}}) {
-			if d, ok := e.(Decided); ok {
-				got = d.Outcome
+		got := ClaimResult(0)
+		for _, e := range c.Step(4, MessageReceived{"b", Message{Kind: ClaimGranted, SetID: c.epoch, RequestID: 1, Incarnation: Incarnation{1, 2}, Voters: []Voter{{"a", known}}}}) {
+			if d, ok := e.(ClaimDecided); ok {
+				got = d.Result
 			}
 		}
-		if (got == Mine) == later {
+		if (got == Granted) == later {
 			t.Errorf("later %v: %v", later, got)
 		}
 	}
@@ -128,27 +128,27 @@
 func TestAnOwnVoteThatDoesNotLastDoesNotCount(t *testing.T) {
 	for _, lasts := range []bool{true, false} {
 		terms := Defaults()
-		terms.Name, terms.Keepers = "a", []string{"a", "b", "c"}
+		terms.Name, terms.Replicas = "a", []string{"a", "b", "c"}
 		c := New(terms, 0)
-		c.Restore(nil, Life{1, 1}, nil)
-		c.Take(1, Serving{On: true, Life: 2, Nonce: 1})
+		c.Restore(nil, Incarnation{1, 1}, nil)
+		c.Step(1, Membership{Serving: true, Generation: 2, Nonce: 1})
 		for _, k := range []string{"b", "c"} {
-			c.Take(2, Heard{k, Message{Kind: Registered, Epoch: c.epoch, Life: Life{1, 1}, Of: c.life, Voting: true}})
+			c.Step(2, MessageReceived{k, Message{Kind: Registered, SetID: c.epoch, Incarnation: Incarnation{1, 1}, LogIncarnation: c.life, Voting: true}})
 		}
 		if !c.voting {
 			t.Fatal("it has no vote: this test proves nothing")
 		}
-		c.Take(3, Want{Ticket: 1, Key: "k", Within: second})
+		c.Step(3, ClaimRequest{RequestID: 1, Key: "k", Timeout: second})
 		if !lasts {
-			c.Take(4, Unkept{Keys: []string{"k"}})
+			c.Step(4, PersistFailed{Keys: []string{"k"}})
 		}
-		got := Outcome(0)
-		for _, e := range c.Take(5, Heard{"b", Message{Kind: Granted, Epoch: c.epoch, Ticket: 1, Life: Life{1, 1}}}) {
-			if d, ok := e.(Decided); ok {
-				got = d.Outcome
+		got := ClaimResult(0)
+		for _, e := range c.Step(5, MessageReceived{"b", Message{Kind: ClaimGranted, SetID: c.epoch, RequestID: 1, Incarnation: Incarnation{1, 1}}}) {
+			if d, ok := e.(ClaimDecided); ok {
+				got = d.Result
 			}
 		}
-		if (got == Mine) != lasts {
+		if (got == Granted) != lasts {
 			t.Errorf("its own vote lasts %v: %v", lasts, got)
 		}
 	}
@@ -157,28 +157,28 @@
 // Another request under an id that may have run must not be taken for its repeat, and gets neither its answer nor its place.
 func TestAnotherRequestUnderAnID(t *testing.T) {
 	terms := Defaults()
-	terms.Name, terms.Keepers, terms.HoldOff = "a", []string{"a"}, 0
+	terms.Name, terms.Replicas, terms.AmnesiaHoldOff = "a", []string{"a"}, 0
 	c := New(terms, 0)
-	c.Take(1, Serving{On: true, Life: 1})
-	ask := func(ticket, print uint64) (got Outcome) {
-		for _, e := range c.Take(Time(10+ticket), Want{Ticket: ticket, Key: "k", Print: print, Within: second}) {
-			if d, ok := e.(Decided); ok {
-				got = d.Outcome
+	c.Step(1, Membership{Serving: true, Generation: 1})
+	ask := func(ticket, print uint64) (got ClaimResult) {
+		for _, e := range c.Step(Time(10+ticket), ClaimRequest{RequestID: ticket, Key: "k", Fingerprint: print, Timeout: second}) {
+			if d, ok := e.(ClaimDecided); ok {
+				got = d.Result
 			}
 		}
 		return got
 	}
-	if got := ask(1, 7); got != Mine {
+	if got := ask(1, 7); got != Granted {
 		t.Fatalf("%v", got)
 	}
-	if got := ask(2, 8); got != Other {
+	if got := ask(2, 8); got != FingerprintMismatch {
 		t.Errorf("while the first one runs: %v", got)
 	}
-	c.Take(20, End{Ticket: 1, Verdict: 200, Result: []byte("r"), Held: true})
-	if got := ask(3, 8); got != Other {
+	c.Step(20, OpEnded{RequestID: 1, Verdict: 200, Result: []byte("r"), ResultRetained: true})
+	if got := ask(3, 8); got != FingerprintMismatch {
 		t.Errorf("after its end: %v", got)
 	}
-	if got := ask(4, 7); got != Again {
+	if got := ask(4, 7); got != AlreadyAnswered {
 		t.Errorf("its repeat: %v", got)
 	}
 }
@@ -186,33 +186,33 @@
 // A record that moves on while it is being fetched is not known yet, though all up to the mark has been gone through: the vote waits for it.
 func TestWhatMovesOnDuringCatchUp(t *testing.T) {
 	terms := Defaults()
-	terms.Name, terms.Keepers = "a", []string{"a", "b", "c"}
+	terms.Name, terms.Replicas = "a", []string{"a", "b", "c"}
 	c := New(terms, 0)
-	c.Take(1, Serving{On: true, Life: 1})
-	life := Life{1, terms.Nonce}
-	of := map[string]Life{"b": {1, 2}, "c": {1, 3}}
+	c.Step(1, Membership{Serving: true, Generation: 1})
+	life := Incarnation{1, terms.Nonce}
+	of := map[string]Incarnation{"b": {1, 2}, "c": {1, 3}}
 	hear := func(k string, x Message) {
-		x.Epoch, x.Life, x.Of, x.Voting = c.epoch, of[k], of[k], true
+		x.SetID, x.Incarnation, x.LogIncarnation, x.Voting = c.epoch, of[k], of[k], true
 		if x.Kind == Registered {
-			x.Of = life
+			x.LogIncarnation = life
 		}
-		c.Take(c.now+1, Heard{k, x})
+		c.Step(c.now+1, MessageReceived{k, x})
 	}
 	for _, k := range []string{"b", "c"} {
 		hear(k, Message{Kind: Registered, Next: 1})
 	}
-	r := Record{Key: "k", Print: 1, Fates: []Fate{{Claim: Claim{"x", 1}, Stage: Claimed}}}
+	r := Record{Key: "k", Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"x", 1}, Stage: Claimed}}}
 	then := r
-	then.Fates = []Fate{{Claim: Claim{"x", 1}, Stage: Ended, Verdict: 200}}
-	hear("c", Message{Kind: Piece, Next: 1})
-	hear("b", Message{Kind: Piece, Next: 1, Digests: []uint64{r.digest()}})
+	then.Outcomes = []Outcome{{Claim: Claim{"x", 1}, Stage: Ended, Verdict: 200}}
+	hear("c", Message{Kind: DigestPage, Next: 1})
+	hear("b", Message{Kind: DigestPage, Next: 1, Digests: []uint64{r.digest()}})
 	hear("b", Message{Kind: Fetched, Next: 2, Digests: []uint64{r.digest()}}) // it is another by now, and stands second
 	if c.voting {
 		t.Fatal("it votes without the record")
 	}
-	hear("b", Message{Kind: Piece, Since: 1, Next: 2, Digests: []uint64{then.digest()}})
+	hear("b", Message{Kind: DigestPage, After: 1, Next: 2, Digests: []uint64{then.digest()}})
 	hear("b", Message{Kind: Fetched, Next: 2, Digests: []uint64{then.digest()}, Records: []Record{then}})
-	if _, ok := c.Fate("k"); !c.voting || !ok {
+	if _, ok := c.Lookup("k"); !c.voting || !ok {
 		t.Errorf("with all that there is: voting %v, known %v", c.voting, ok)
 	}
 }
@@ -220,25 +220,25 @@
 // A claim that is bound to a group is granted beside others only where all of them ran in that one.
 func TestAKeeperGrantsBesideOthersInTheirGroupAlone(t *testing.T) {
 	terms := Defaults()
-	terms.Name, terms.Keepers = "a", []string{"a"}
+	terms.Name, terms.Replicas = "a", []string{"a"}
 	c := New(terms, 0)
-	c.Take(1, Serving{On: true, Life: 1})
-	c.Take(2, Tick{})
+	c.Step(1, Membership{Serving: true, Generation: 1})
+	c.Step(2, Tick{})
 	grab := func(nonce uint64, where string) Kind {
-		r := Record{Key: "k", Print: 1, Fates: []Fate{{Claim: Claim{"x", nonce}, Stage: Claimed, Where: where}}}
-		for _, e := range c.Take(c.now+1, Heard{"x", Message{Kind: Grab, Epoch: c.epoch, Ticket: nonce, Record: r}}) {
+		r := Record{Key: "k", Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"x", nonce}, Stage: Claimed, Group: where}}}
+		for _, e := range c.Step(c.now+1, MessageReceived{"x", Message{Kind: ClaimRequested, SetID: c.epoch, RequestID: nonce, Record: r}}) {
 			if s, ok := e.(Send); ok {
 				return s.Kind
 			}
 		}
 		return 0
 	}
-	if grab(1, "") != Granted || grab(2, "zone east") != Refused {
+	if grab(1, "") != ClaimGranted || grab(2, "zone east") != ClaimRefused {
 		t.Error("beside one that ran nobody knows where")
 	}
-	c.Take(c.now+1, Heard{"x", Message{Kind: Tell, Epoch: c.epoch, Record: Record{Key: "k", Print: 1, Fates: []Fate{{Claim: Claim{"x", 1},
-		Stage: Claimed, Where: "zone east"}}}}})
-	if grab(3, "") != Refused || grab(4, "zone west") != Refused || grab(5, "zone east") != Granted {
+	c.Step(c.now+1, MessageReceived{"x", Message{Kind: OutcomeReported, SetID: c.epoch, Record: Record{Key: "k", Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"x", 1},
+		Stage: Claimed, Group: "zone east"}}}}})
+	if grab(3, "") != ClaimRefused || grab(4, "zone west") != ClaimRefused || grab(5, "zone east") != ClaimGranted {
 		t.Error("beside one that ran in the east")
 	}
 }
@@ -248,27 +248,27 @@
 func TestAnAskerBindsItself(t *testing.T) {
 	for _, age := range []uint64{0, 10} {
 		terms := Defaults()
-		terms.Name, terms.Keepers = "x", []string{"a", "b", "c"}
+		terms.Name, terms.Replicas = "x", []string{"a", "b", "c"}
 		c := New(terms, 0)
-		c.Take(1, Serving{On: true, Life: 1})
-		c.Take(2, Lost{Name: "y", Gone: true})
-		c.Take(3, Want{Ticket: 1, Key: "k", Print: 1, Within: second, Window: second})
-		r := Record{Key: "k", Print: 1, Fates: []Fate{{Claim: Claim{"y", 1}, Stage: Claimed, Where: "all", Age: age}}}
+		c.Step(1, Membership{Serving: true, Generation: 1})
+		c.Step(2, PeerStatus{Name: "y", Dead: true})
+		c.Step(3, ClaimRequest{RequestID: 1, Key: "k", Fingerprint: 1, Timeout: second, Window: second})
+		r := Record{Key: "k", Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"y", 1}, Stage: Claimed, Group: "all", Age: age}}}
 		var out []Effect
 		for _, k := range []string{"a", "b"} {
-			out = c.Take(c.now+1, Heard{k, Message{Kind: Refused, Epoch: c.epoch, Ticket: 1, Why: Taken, Record: r}})
+			out = c.Step(c.now+1, MessageReceived{k, Message{Kind: ClaimRefused, SetID: c.epoch, RequestID: 1, Reason: AlreadyClaimed, Record: r}})
 		}
 		bound := false
 		for _, e := range out {
 			s, ok := e.(Send)
-			bound = bound || ok && s.Kind == Grab && s.Record.Fates[0].Where == "all"
+			bound = bound || ok && s.Kind == ClaimRequested && s.Record.Outcomes[0].Group == "all"
 		}
 		if bound != (age > 0) {
 			t.Errorf("age %d: bound %v", age, bound)
 		}
 		for _, k := range []string{"a", "b", "c"} {
-			for _, e := range c.Take(c.now+1, Heard{k, Message{Kind: Granted, Epoch: c.epoch, Ticket: 1}}) {
-				if d, ok := e.(Decided); ok && d.Outcome == Mine {
+			for _, e := range c.Step(c.now+1, MessageReceived{k, Message{Kind: ClaimGranted, SetID: c.epoch, RequestID: 1}}) {
+				if d, ok := e.(ClaimDecided); ok && d.Result == Granted {
 					t.Error("by grants to the claim before")
 				}
 			}
@@ -279,10 +279,10 @@
 // Pages show each record once and in order, however many there are.
 func TestPagesShowAll(t *testing.T) {
 	terms := Defaults()
-	terms.Name, terms.Keepers = "a", []string{"a"}
+	terms.Name, terms.Replicas = "a", []string{"a"}
 	c := New(terms, 0)
 	for n := range 100 {
-		c.learn(Record{Key: fmt.Sprintf("%03d", n*37%100), Print: 1, Fates: []Fate{{Claim: Claim{"x", 1}, Stage: Ended}}}, 0)
+		c.learn(Record{Key: fmt.Sprintf("%03d", n*37%100), Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"x", 1}, Stage: Ended}}}, 0)
 	}
 	var all []string
 	for after := ""; ; after = all[len(all)-1] {
@@ -301,10 +301,10 @@
 
 func BenchmarkPage(b *testing.B) {
 	terms := Defaults()
-	terms.Name, terms.Keepers = "a", []string{"a"}
+	terms.Name, terms.Replicas = "a", []string{"a"}
 	c := New(terms, 0)
 	for n := range 100_000 {
-		c.learn(Record{Key: fmt.Sprintf("%016x", uint64(n)*0x9e3779b97f4a7c15), Print: 1, Fates: []Fate{{Claim: Claim{"x", 1}, Stage: Ended}}}, 0)
+		c.learn(Record{Key: fmt.Sprintf("%016x", uint64(n)*0x9e3779b97f4a7c15), Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"x", 1}, Stage: Ended}}}, 0)
 	}
 	for b.Loop() {
 		c.Page("8", 500)
@@ -316,21 +316,21 @@
 	for _, x := range []struct {
 		stages []Stage
 		bound  bool
-	}{{[]Stage{GivenUp}, true}, {[]Stage{Claimed}, false}, {[]Stage{GivenUp, Claimed}, false}, {[]Stage{GivenUp, GivenUp}, true}} {
+	}{{[]Stage{Abandoned}, true}, {[]Stage{Claimed}, false}, {[]Stage{Abandoned, Claimed}, false}, {[]Stage{Abandoned, Abandoned}, true}} {
 		terms := Defaults()
-		terms.Name, terms.Keepers = "x", []string{"a", "b", "c"}
+		terms.Name, terms.Replicas = "x", []string{"a", "b", "c"}
 		c := New(terms, 0)
-		c.Take(1, Serving{On: true, Life: 1})
-		c.Take(2, Want{Ticket: 1, Key: "k", Print: 1, Within: second, Window: second})
-		r := Record{Key: "k", Print: 1}
+		c.Step(1, Membership{Serving: true, Generation: 1})
+		c.Step(2, ClaimRequest{RequestID: 1, Key: "k", Fingerprint: 1, Timeout: second, Window: second})
+		r := Record{Key: "k", Fingerprint: 1}
 		for n, stage := range x.stages {
-			r.Fates = append(r.Fates, Fate{Claim: Claim{"y", uint64(n)}, Stage: stage, Where: "all", Age: 10})
+			r.Outcomes = append(r.Outcomes, Outcome{Claim: Claim{"y", uint64(n)}, Stage: stage, Group: "all", Age: 10})
 		}
 		bound := false
 		for _, k := range []string{"a", "b"} {
-			for _, e := range c.Take(c.now+1, Heard{k, Message{Kind: Refused, Epoch: c.epoch, Ticket: 1, Why: Taken, Record: r}}) {
+			for _, e := range c.Step(c.now+1, MessageReceived{k, Message{Kind: ClaimRefused, SetID: c.epoch, RequestID: 1, Reason: AlreadyClaimed, Record: r}}) {
 				s, ok := e.(Send)
-				bound = bound || ok && s.Kind == Grab && s.Record.Fates[0].Where == "all"
+				bound = bound || ok && s.Kind == ClaimRequested && s.Record.Outcomes[0].Group == "all"
 			}
 		}
 		if bound != x.bound {
--- a/internal/deadlines/deadlines.go
+++ b/internal/deadlines/deadlines.go
@@ -29,8 +29,8 @@
 	a.next.push(int64(base), item)
 }
 
-// Late takes out the items whose moment has come, in no order.
-func (a *Queue[T, M]) Late(now, span M) (late []T) {
+// Overdue takes out the items whose moment has come, in no order.
+func (a *Queue[T, M]) Overdue(now, span M) (late []T) {
 	for len(a.late) > 0 && M(a.late[0].key)+span <= now {
 		item := a.late.pop()
 		switch base, _, counts := a.state(item); {
--- a/internal/deadlines/deadlines_test.go
+++ b/internal/deadlines/deadlines_test.go
@@ -45,7 +45,7 @@
 					want = append(want, i)
 				}
 			}
-			got := a.Late(now, span)
+			got := a.Overdue(now, span)
 			if len(got) != len(want) || slices.ContainsFunc(want, func(i *item) bool { return !slices.Contains(got, i) }) {
 				t.Fatalf("seed %d: %d late, want %d", seed, len(got), len(want))
 			}
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -18,31 +18,31 @@
 	longest = time.Second / 4
 )
 
-// Drain is whether clients are being sent away. The zero value takes all.
-type Drain struct {
+// State is whether clients are being sent away. The zero value takes all.
+type State struct {
 	on    bool
 	since time.Time
 }
 
-// Evacuate begins the drain, or lets one go on that has begun.
-func (d *Drain) Evacuate(now time.Time) {
+// Start begins the drain, or lets one go on that has begun.
+func (d *State) Start(now time.Time) {
 	if !d.on {
 		d.on, d.since = true, now
 	}
 }
 
-// Rejoin ends it.
-func (d *Drain) Rejoin() { d.on = false }
+// Cancel ends it.
+func (d *State) Cancel() { d.on = false }
 
-// On tells whether clients are sent away: health checks say no, and each answer ends its connection.
-func (d *Drain) On() bool { return d.on }
+// Draining tells whether clients are sent away: health checks say no, and each answer ends its connection.
+func (d *State) Draining() bool { return d.on }
 
-// Takes tells whether an op that comes now is taken. One that is not is refused, and its client may come again elsewhere.
-func (d *Drain) Takes(now time.Time) bool { return !d.on || now.Sub(d.since) < takes }
+// Admits tells whether an op that comes now is taken. One that is not is refused, and its client may come again elsewhere.
+func (d *State) Admits(now time.Time) bool { return !d.on || now.Sub(d.since) < takes }
 
-// Part is how many of the connections that wait are to be closed now, the longest waiting first, and how long each must have
+// ConnectionsToClose is how many of the connections that wait are to be closed now, the longest waiting first, and how long each must have
 // waited. It is asked again after a step.
-func (d *Drain) Part(now time.Time, waiting int, step time.Duration) (most int, waited time.Duration) {
+func (d *State) ConnectionsToClose(now time.Time, waiting int, step time.Duration) (most int, waited time.Duration) {
 	age := now.Sub(d.since)
 	switch {
 	case !d.on || age < noticed:
--- a/internal/drainstate/drainstate.go
+++ b/internal/drainstate/drainstate.go
@@ -14,32 +14,32 @@
 // Time is a moment as members take it.
 type Time = members.Time
 
-// Word says that a worker takes nothing new, as discovery told somebody. A worker that starts again has another boot and is another
+// DrainRecord says that a worker takes nothing new, as discovery told somebody. A worker that starts again has another boot and is another
 // one. Revisions are discovery's own.
-type Word struct {
-	Worker string `cbor:"Worker"`
-	Boot   int64  `cbor:"Boot"` // ms, as discovery tells it
-	Gone   bool   `cbor:"Gone"` // it has left the list; otherwise it drains
-	Rev    int64  `cbor:"Rev"`
+type DrainRecord struct {
+	Worker   string `cbor:"Worker"`
+	BootID   int64  `cbor:"Boot"` // ms, as discovery tells it
+	Removed  bool   `cbor:"Gone"` // it has left the list; otherwise it drains
+	Revision int64  `cbor:"Rev"`
 }
 
-// Join is the rule for two words of one worker: of a later start, else of a later revision, else the worse one. It is commutative,
+// Merge is the rule for two words of one worker: of a later start, else of a later revision, else the worse one. It is commutative,
 // associative and idempotent.
-func Join(a, b Word) Word {
+func Merge(a, b DrainRecord) DrainRecord {
 	if compare(a, b) < 0 {
 		return b
 	}
 	return a
 }
 
-func compare(a, b Word) int {
-	gone := func(w Word) int {
-		if w.Gone {
+func compare(a, b DrainRecord) int {
+	gone := func(w DrainRecord) int {
+		if w.Removed {
 			return 1
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(a.Boot, b.Boot), cmp.Compare(a.Rev, b.Rev), cmp.Compare(gone(a), gone(b)))
+	return cmp.Or(cmp.Compare(a.BootID, b.BootID), cmp.Compare(a.Revision, b.Revision), cmp.Compare(gone(a), gone(b)))
 }
 
 // Bounds.
@@ -53,26 +53,26 @@
 	remember  = Time(600000) // 60 s: by then discovery has told everybody, or nobody
 )
 
-// Entry is a worker as the own discovery tells it.
-type Entry struct {
-	Worker string
-	Boot   int64
-	Serves bool
-	Gone   bool
+// Endpoint is a worker as the own discovery tells it.
+type Endpoint struct {
+	Worker  string
+	BootID  int64
+	Ready   bool
+	Removed bool
 }
 
-// Told is a list of the own discovery, whole or of changes.
-type Told struct {
-	Rev     int64
-	Whole   bool
-	Entries []Entry
+// EndpointsChanged is a list of the own discovery, whole or of changes.
+type EndpointsChanged struct {
+	Revision  int64
+	Snapshot  bool
+	Endpoints []Endpoint
 }
 
-// Heard are words of another member.
-type Heard struct{ Words []Word }
+// RecordsReceived are words of another member.
+type RecordsReceived struct{ Records []DrainRecord }
 
-// Others are the members that are here now; a new one among them is told all.
-type Others struct{ Names []string }
+// PeersChanged are the members that are here now; a new one among them is told all.
+type PeersChanged struct{ Names []string }
 
 // Tick says that the moment of Next has come.
 type Tick struct{}
@@ -80,28 +80,28 @@
 // Input is one of Told, Heard, Others and Tick.
 type Input interface{ input() }
 
-func (Told) input()   {}
-func (Heard) input()  {}
-func (Others) input() {}
-func (Tick) input()   {}
+func (EndpointsChanged) input() {}
+func (RecordsReceived) input()  {}
+func (PeersChanged) input()     {}
+func (Tick) input()             {}
 
-// Tell has words told to a member.
-type Tell struct {
-	To    string
-	Words []Word
+// SendRecords has words told to a member.
+type SendRecords struct {
+	To      string
+	Records []DrainRecord
 }
 
-// Bound says that a worker takes nothing new from this scheduler, though its own discovery still lists it.
-type Bound struct{ Worker string }
+// WorkerExcluded says that a worker takes nothing new from this scheduler, though its own discovery still lists it.
+type WorkerExcluded struct{ Worker string }
 
 // Effect is one of Tell and Bound.
 type Effect interface{ effect() }
 
-func (Tell) effect()  {}
-func (Bound) effect() {}
+func (SendRecords) effect()    {}
+func (WorkerExcluded) effect() {}
 
 type held struct {
-	Word
+	DrainRecord
 	at    Time
 	times int
 }
@@ -110,7 +110,7 @@
 type Core struct {
 	rand   *rand.Rand
 	rev    int64
-	listed map[string]Entry
+	listed map[string]Endpoint
 	words  map[string]*held
 	others []string
 	next   Time
@@ -120,20 +120,20 @@
 
 // New starts with nothing.
 func New(chance uint64) *Core {
-	return &Core{rand: rand.New(rand.NewPCG(chance, 0x6c69737473)), listed: map[string]Entry{}, words: map[string]*held{}}
+	return &Core{rand: rand.New(rand.NewPCG(chance, 0x6c69737473)), listed: map[string]Endpoint{}, words: map[string]*held{}}
 }
 
-// Take takes an input and returns what to do.
-func (c *Core) Take(now Time, in Input) []Effect {
+// Step takes an input and returns what to do.
+func (c *Core) Step(now Time, in Input) []Effect {
 	c.now, c.out = max(now, c.now), nil
 	switch in := in.(type) {
-	case Told:
+	case EndpointsChanged:
 		c.told(in)
-	case Heard:
-		for _, w := range in.Words {
+	case RecordsReceived:
+		for _, w := range in.Records {
 			c.learn(w)
 		}
-	case Others:
+	case PeersChanged:
 		c.members(in.Names)
 	}
 	if c.now >= c.next {
@@ -143,33 +143,33 @@
 	return c.out
 }
 
-// Next is when a Tick is due.
-func (c *Core) Next() Time { return c.next }
+// NextTick is when a Tick is due.
+func (c *Core) NextTick() Time { return c.next }
 
-func (c *Core) told(in Told) {
-	c.rev = in.Rev
+func (c *Core) told(in EndpointsChanged) {
+	c.rev = in.Revision
 	before := c.listed
-	if in.Whole {
-		c.listed = map[string]Entry{}
+	if in.Snapshot {
+		c.listed = map[string]Endpoint{}
 	}
-	for _, e := range in.Entries {
+	for _, e := range in.Endpoints {
 		was, known := before[e.Worker] // of a change it is the same list
-		if e.Gone {
+		if e.Removed {
 			delete(c.listed, e.Worker)
 		} else {
 			c.listed[e.Worker] = e
 		}
-		if e.Gone || !e.Serves {
-			if e.Boot == 0 && known {
-				e.Boot = was.Boot
+		if e.Removed || !e.Ready {
+			if e.BootID == 0 && known {
+				e.BootID = was.BootID
 			}
-			c.learn(Word{Worker: e.Worker, Boot: e.Boot, Gone: e.Gone, Rev: in.Rev})
+			c.learn(DrainRecord{Worker: e.Worker, BootID: e.BootID, Removed: e.Removed, Revision: in.Revision})
 		}
 	}
-	if in.Whole {
+	if in.Snapshot {
 		for _, name := range sorted(before) {
 			if _, still := c.listed[name]; !still {
-				c.learn(Word{Worker: name, Boot: before[name].Boot, Gone: true, Rev: in.Rev})
+				c.learn(DrainRecord{Worker: name, BootID: before[name].BootID, Removed: true, Revision: in.Revision})
 			}
 		}
 	}
@@ -185,7 +185,7 @@
 }
 
 // learn takes a word, and passes on what is news.
-func (c *Core) learn(w Word) {
+func (c *Core) learn(w DrainRecord) {
 	if w.Worker == "" || len(w.Worker) > longName {
 		return
 	}
@@ -196,21 +196,21 @@
 		}
 		h = &held{}
 		c.words[w.Worker] = h
-	} else if compare(w, h.Word) <= 0 {
+	} else if compare(w, h.DrainRecord) <= 0 {
 		return
 	}
-	*h = held{Word: w, at: c.now}
-	if c.Withheld(w.Worker) {
-		c.out = append(c.out, Bound{w.Worker})
+	*h = held{DrainRecord: w, at: c.now}
+	if c.Excluded(w.Worker) {
+		c.out = append(c.out, WorkerExcluded{w.Worker})
 	}
 }
 
-// Withheld tells whether a worker takes nothing new though the own discovery lists it as one that serves: a neighbour was told
+// Excluded tells whether a worker takes nothing new though the own discovery lists it as one that serves: a neighbour was told
 // otherwise of this very start of it, at a revision that has not come here.
-func (c *Core) Withheld(worker string) bool {
+func (c *Core) Excluded(worker string) bool {
 	e, listed := c.listed[worker]
 	h := c.words[worker]
-	return listed && e.Serves && h != nil && h.Boot >= e.Boot && h.Rev > c.rev && c.now-h.at < remember
+	return listed && e.Ready && h != nil && h.BootID >= e.BootID && h.Revision > c.rev && c.now-h.at < remember
 }
 
 // members takes the others that are here; those that are new are told all.
@@ -224,15 +224,15 @@
 }
 
 func (c *Core) tell(to string, which func(*held) bool) {
-	var words []Word
+	var words []DrainRecord
 	for _, name := range sorted(c.words) {
 		if h := c.words[name]; which(h) {
-			words = append(words, h.Word)
+			words = append(words, h.DrainRecord)
 		}
 	}
 	for len(words) > 0 {
 		n := min(len(words), mostTold)
-		c.out = append(c.out, Tell{to, words[:n:n]})
+		c.out = append(c.out, SendRecords{to, words[:n:n]})
 		words = words[n:]
 	}
 }
--- a/internal/drainstate/drainstate_test.go
+++ b/internal/drainstate/drainstate_test.go
@@ -8,20 +8,20 @@
 )
 
 func TestJoinIsAJoin(t *testing.T) {
-	draw := func(t *rapid.T, label string) Word {
-		return Word{"w", rapid.Int64Range(0, 2).Draw(t, label), rapid.Bool().Draw(t, label), rapid.Int64Range(0, 3).Draw(t, label)}
+	draw := func(t *rapid.T, label string) DrainRecord {
+		return DrainRecord{"w", rapid.Int64Range(0, 2).Draw(t, label), rapid.Bool().Draw(t, label), rapid.Int64Range(0, 3).Draw(t, label)}
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := draw(t, "a"), draw(t, "b"), draw(t, "c")
-		if Join(a, b) != Join(b, a) || Join(a, a) != a || Join(Join(a, b), c) != Join(a, Join(b, c)) {
+		if Merge(a, b) != Merge(b, a) || Merge(a, a) != a || Merge(Merge(a, b), c) != Merge(a, Merge(b, c)) {
 			t.Fatalf("%v, %v, %v", a, b, c)
 		}
 	})
 }
 
-func serving(names ...string) (entries []Entry) {
+func serving(names ...string) (entries []Endpoint) {
 	for _, n := range names {
-		entries = append(entries, Entry{Worker: n, Boot: 5, Serves: true})
+		entries = append(entries, Endpoint{Worker: n, BootID: 5, Ready: true})
 	}
 	return entries
 }
@@ -29,28 +29,28 @@
 // A scheduler that is cut off from discovery went on pushing to a worker whose drain its neighbours had been told of.
 func TestANeighboursDrainBinds(t *testing.T) {
 	a, b := New(1), New(2)
-	a.Take(1, Told{Rev: 7, Whole: true, Entries: serving("w1", "w2")})
-	b.Take(1, Told{Rev: 7, Whole: true, Entries: serving("w1", "w2")})
-	a.Take(2, Others{[]string{"b"}})
+	a.Step(1, EndpointsChanged{Revision: 7, Snapshot: true, Endpoints: serving("w1", "w2")})
+	b.Step(1, EndpointsChanged{Revision: 7, Snapshot: true, Endpoints: serving("w1", "w2")})
+	a.Step(2, PeersChanged{[]string{"b"}})
 	bound := 0
 	pass := func(effects []Effect) {
 		for _, e := range effects {
-			if x, ok := e.(Tell); ok {
-				for _, e := range b.Take(3000, Heard{x.Words}) {
-					if _, ok := e.(Bound); ok {
+			if x, ok := e.(SendRecords); ok {
+				for _, e := range b.Step(3000, RecordsReceived{x.Records}) {
+					if _, ok := e.(WorkerExcluded); ok {
 						bound++
 					}
 				}
 			}
 		}
 	}
-	pass(a.Take(2000, Told{Rev: 8, Entries: []Entry{{Worker: "w1", Boot: 5}}}))
-	pass(a.Take(4000, Tick{}))
-	if !b.Withheld("w1") || b.Withheld("w2") || bound != 1 {
-		t.Errorf("w1 %v, w2 %v, bound %d times", b.Withheld("w1"), b.Withheld("w2"), bound)
+	pass(a.Step(2000, EndpointsChanged{Revision: 8, Endpoints: []Endpoint{{Worker: "w1", BootID: 5}}}))
+	pass(a.Step(4000, Tick{}))
+	if !b.Excluded("w1") || b.Excluded("w2") || bound != 1 {
+		t.Errorf("w1 %v, w2 %v, bound %d times", b.Excluded("w1"), b.Excluded("w2"), bound)
 	}
-	b.Take(5000, Told{Rev: 8, Entries: serving("w1")})
-	if b.Withheld("w1") {
+	b.Step(5000, EndpointsChanged{Revision: 8, Endpoints: serving("w1")})
+	if b.Excluded("w1") {
 		t.Error("its own discovery has come as far, and still it does not count")
 	}
 }
@@ -59,21 +59,21 @@
 // better; nor may an old word hold back a worker that has started again.
 func TestThreeAgesOfOneWorker(t *testing.T) {
 	c := New(1)
-	c.Take(1, Heard{[]Word{{"w", 5, false, 20}}})
-	c.Take(2, Told{Rev: 3, Whole: true, Entries: serving("w")})
-	if !c.Withheld("w") {
+	c.Step(1, RecordsReceived{[]DrainRecord{{"w", 5, false, 20}}})
+	c.Step(2, EndpointsChanged{Revision: 3, Snapshot: true, Endpoints: serving("w")})
+	if !c.Excluded("w") {
 		t.Error("a lower revision stands over what a neighbour was told")
 	}
-	c.Take(3, Told{Rev: 4, Entries: []Entry{{Worker: "w", Boot: 9, Serves: true}}})
-	if c.Withheld("w") {
+	c.Step(3, EndpointsChanged{Revision: 4, Endpoints: []Endpoint{{Worker: "w", BootID: 9, Ready: true}}})
+	if c.Excluded("w") {
 		t.Error("it has started again, and the word is of the start before")
 	}
-	c.Take(4, Heard{[]Word{{"w", 9, true, 21}}})
-	c.Take(5, Heard{[]Word{{"w", 5, false, 30}}})
-	if !c.Withheld("w") {
+	c.Step(4, RecordsReceived{[]DrainRecord{{"w", 9, true, 21}}})
+	c.Step(5, RecordsReceived{[]DrainRecord{{"w", 5, false, 30}}})
+	if !c.Excluded("w") {
 		t.Error("an older start's word stands over a later one's")
 	}
-	if c.Take(4+remember, Tick{}); c.Withheld("w") {
+	if c.Step(4+remember, Tick{}); c.Excluded("w") {
 		t.Error("a word is never forgotten")
 	}
 }
@@ -82,15 +82,15 @@
 func TestWordsAreBounded(t *testing.T) {
 	c := New(1)
 	for i := range 3 * mostWords {
-		c.Take(1, Heard{[]Word{{fmt.Sprint("w", i), 1, false, 1}}})
+		c.Step(1, RecordsReceived{[]DrainRecord{{fmt.Sprint("w", i), 1, false, 1}}})
 	}
 	if len(c.words) != mostWords {
 		t.Errorf("%d words", len(c.words))
 	}
 	n := 0
-	for _, e := range c.Take(2, Others{[]string{"b"}}) {
-		if x, ok := e.(Tell); ok {
-			n += len(x.Words)
+	for _, e := range c.Step(2, PeersChanged{[]string{"b"}}) {
+		if x, ok := e.(SendRecords); ok {
+			n += len(x.Records)
 		}
 	}
 	if n < mostWords {
--- a/internal/drainstate/told_test.go
+++ b/internal/drainstate/told_test.go
@@ -5,12 +5,12 @@
 // A change that says that a worker is gone, or drains, and not of which start: it is of the process that was listed. The entry before was read
 // when the change stood in its place already, so that neighbours were told of no process, and bound by nothing.
 func TestAChangeWithoutAStartIsOfTheProcessThatWasListed(t *testing.T) {
-	for name, change := range map[string]Entry{"gone": {Worker: "w", Gone: true}, "drains": {Worker: "w"}} {
+	for name, change := range map[string]Endpoint{"gone": {Worker: "w", Removed: true}, "drains": {Worker: "w"}} {
 		for how, whole := range map[string]bool{"by a change": false, "by a whole list": true} {
 			c := New(7)
-			c.Take(1, Told{Rev: 1, Whole: true, Entries: []Entry{{Worker: "w", Boot: 50, Serves: true}}})
-			c.Take(2, Told{Rev: 2, Whole: whole, Entries: []Entry{change}})
-			if w := c.words["w"]; w == nil || w.Boot != 50 || w.Gone != change.Gone {
+			c.Step(1, EndpointsChanged{Revision: 1, Snapshot: true, Endpoints: []Endpoint{{Worker: "w", BootID: 50, Ready: true}}})
+			c.Step(2, EndpointsChanged{Revision: 2, Snapshot: whole, Endpoints: []Endpoint{change}})
+			if w := c.words["w"]; w == nil || w.BootID != 50 || w.Removed != change.Removed {
 				t.Errorf("%s %s: %+v", name, how, w)
 			}
 		}
--- a/internal/fates/fates.go
+++ b/internal/fates/fates.go
@@ -42,20 +42,20 @@
 	agreed keepers.Input
 }
 
-// Way sends a message to a member.
-type Way interface {
-	Copy(to string, x copies.Message)
-	Agree(to string, x keepers.Message)
+// Transport sends a message to a member.
+type Transport interface {
+	SendReplication(to string, x copies.Message)
+	SendReplicaSet(to string, x keepers.Message)
 	Now() members.Time
 }
 
-// Fates is one process's part.
-type Fates struct {
-	table   *Table
+// Replica is one process's part.
+type Replica struct {
+	table   *Config
 	log     zerolog.Logger
 	core    *copies.Core
 	agreed  *keepers.Core // who keeps copies; nil where that does not change
-	way     Way
+	way     Transport
 	in      chan input
 	events  *overflow.Queue[input] // to in, of what may not be lost and is not waited for
 	calls   chan func()
@@ -67,10 +67,10 @@
 	joined  atomic.Int64 // that wait for ops of others
 
 	mu      sync.Mutex
-	waiting map[uint64]chan copies.Decided
-	staff   map[uint64]chan keepers.Told
+	waiting map[uint64]chan copies.ClaimDecided
+	staff   map[uint64]chan keepers.ChangeResult
 	heirs   uint64
-	life    members.Life
+	life    members.Incarnation
 	serving bool
 
 	store *store.Store // nil: memory alone; of the loop once it runs
@@ -79,23 +79,23 @@
 
 // New makes a process's part at a moment of the clock that it will run by; it does nothing before Start. A process that took over says
 // how many did before it.
-func New(t *Table, name string, chance, heirs uint64, now members.Time, log zerolog.Logger) (*Fates, error) {
+func New(t *Config, name string, chance, heirs uint64, now members.Time, log zerolog.Logger) (*Replica, error) {
 	nonce, err := drawn()
 	if err != nil {
 		return nil, err
 	}
-	f := &Fates{table: t, log: log, in: make(chan input, mostWaiting), calls: make(chan func()), quit: make(chan struct{}),
-		ended: make(chan struct{}), waiting: map[uint64]chan copies.Decided{}, staff: map[uint64]chan keepers.Told{}, heirs: heirs}
+	f := &Replica{table: t, log: log, in: make(chan input, mostWaiting), calls: make(chan func()), quit: make(chan struct{}),
+		ended: make(chan struct{}), waiting: map[uint64]chan copies.ClaimDecided{}, staff: map[uint64]chan keepers.ChangeResult{}, heirs: heirs}
 	f.events = overflow.New(f.in, f.ended)
 	f.core = copies.New(t.terms(name, chance, nonce), now)
-	keeper := slices.Contains(t.Keepers, name)
-	if t.Agreed && keeper && t.Path == "" {
+	keeper := slices.Contains(t.Replicas, name)
+	if t.DynamicReplicas && keeper && t.Path == "" {
 		return nil, errors.New("copies: agreed: a keeper has to have a path for what must last")
 	}
-	if t.Path != "" && (keeper || t.Agreed) {
+	if t.Path != "" && (keeper || t.DynamicReplicas) {
 		return f, f.open(name, chance, now)
 	}
-	if t.Agreed {
+	if t.DynamicReplicas {
 		f.agreed = keepers.New(t.rule(name, chance), keepers.State{}, now)
 	}
 	return f, nil
@@ -113,16 +113,16 @@
 // open opens the place where records last. A file that can't be read ends the start: a keeper that goes on without what it granted must
 // be one that has been told to, by taking the file away.
 // A disk that fails for a moment is waited for.
-func (f *Fates) open(name string, chance uint64, now members.Time) error {
-	_, err := oserror.Outlast(func() (struct{}, error) { return struct{}{}, f.openOnce(name, chance, now) })
+func (f *Replica) open(name string, chance uint64, now members.Time) error {
+	_, err := oserror.RetryTransient(func() (struct{}, error) { return struct{}{}, f.openOnce(name, chance, now) })
 	return err
 }
 
-func (f *Fates) openOnce(name string, chance uint64, now members.Time) (err error) {
+func (f *Replica) openOnce(name string, chance uint64, now members.Time) (err error) {
 	if f.store, err = store.Open(f.table.Path, f.table.Sync); err != nil {
 		return err
 	}
-	if f.table.Agreed {
+	if f.table.DynamicReplicas {
 		if err := f.openAgreement(name, chance, now); err != nil {
 			f.store.Close()
 			return err
@@ -133,34 +133,34 @@
 		f.store.Close()
 		return err
 	}
-	kept.of(f.core.Epoch())
-	f.core.Restore(kept.Records, kept.Kept, kept.Seen)
+	kept.of(f.core.SetID())
+	f.core.Restore(kept.Records, kept.Incarnation, kept.Cursors)
 	return nil
 }
 
 // loaded is what stands in a store, and of which set of keepers.
 type loaded struct {
-	copies.Restored
+	copies.StateReloaded
 	epoch uint64
 }
 
 // of has what is of another set of keepers be no life of this one.
 func (l *loaded) of(epoch uint64) {
 	if l.epoch != epoch {
-		l.Kept = copies.Life{}
+		l.Incarnation = copies.Incarnation{}
 	}
 }
 
 // load reads a store.
-func (f *Fates) load(s *store.Store) (l loaded, err error) {
+func (f *Replica) load(s *store.Store) (l loaded, err error) {
 	var whole bool
-	if l.Records, l.Kept, l.epoch, whole, err = s.Load(boottime.Now()); err != nil {
+	if l.Records, l.Incarnation, l.epoch, whole, err = s.Load(boottime.Now()); err != nil {
 		return loaded{}, err
 	}
 	if !whole {
-		l.Kept = copies.Life{} // new, or not all of it was known
+		l.Incarnation = copies.Incarnation{} // new, or not all of it was known
 	}
-	if l.Seen, err = s.Seen(); err != nil {
+	if l.Cursors, err = s.Cursors(); err != nil {
 		return loaded{}, err
 	}
 	f.log.Info().Int("records", len(l.Records)).Bool("whole", whole).Str("path", f.table.Path).Msg("copies kept on a disk")
@@ -168,12 +168,12 @@
 }
 
 // reopen goes on with the store that was let go of for a process that has ended.
-func (f *Fates) reopen() error {
+func (f *Replica) reopen() error {
 	given := false
 	if f.call(func() { given = f.given }); !given {
 		return nil
 	}
-	s, err := oserror.Outlast(func() (*store.Store, error) { return store.Open(f.table.Path, f.table.Sync) })
+	s, err := oserror.RetryTransient(func() (*store.Store, error) { return store.Open(f.table.Path, f.table.Sync) })
 	if err != nil {
 		return err
 	}
@@ -190,11 +190,11 @@
 	f.call(func() {
 		f.store, f.given, taken = s, false, true
 		if f.agreed != nil {
-			f.agree(keepers.Restored{State: state})
-			f.carry(f.core.Take(f.way.Now(), copies.Adopt{Set: f.agreed.Set()}))
+			f.agree(keepers.StateReloaded{State: state})
+			f.carry(f.core.Step(f.way.Now(), copies.AdoptSet{Set: f.agreed.Set()}))
 		}
-		kept.of(f.core.Epoch())
-		f.carry(f.core.Take(f.way.Now(), kept.Restored))
+		kept.of(f.core.SetID())
+		f.carry(f.core.Step(f.way.Now(), kept.StateReloaded))
 	})
 	if !taken {
 		s.Close() // it ends
@@ -203,48 +203,48 @@
 }
 
 // openAgreement goes on with what lasts of the agreement, or draws a seat in it.
-func (f *Fates) openAgreement(name string, chance uint64, now members.Time) error {
+func (f *Replica) openAgreement(name string, chance uint64, now members.Time) error {
 	state, ok, err := f.store.Agreement()
 	if err == nil && !ok {
-		if state.Seat, err = drawn(); err == nil {
-			err = f.store.Agree(state)
+		if state.VoterID, err = drawn(); err == nil {
+			err = f.store.SaveAgreement(state)
 		}
 	}
 	if err != nil {
 		return err
 	}
 	f.agreed = keepers.New(f.table.rule(name, chance), state, now)
-	f.core.Go(f.agreed.Set())
+	f.core.AdoptStored(f.agreed.Set())
 	return nil
 }
 
-// Give lets go of the place where records last, for the process that takes over.
-func (f *Fates) Give() {
+// HandOver lets go of the place where records last, for the process that takes over.
+func (f *Replica) HandOver() {
 	f.call(func() {
 		if f.store != nil {
 			f.store.Close()
 			f.store, f.given = nil, true
-			f.core.Take(f.way.Now(), copies.Unkept{})
+			f.core.Step(f.way.Now(), copies.PersistFailed{})
 			if f.agreed != nil {
-				f.agreed.Take(f.way.Now(), keepers.Unkept{})
+				f.agreed.Step(f.way.Now(), keepers.PersistFailed{})
 			}
 		}
 	})
 }
 
 // Start runs it over the mesh.
-func (f *Fates) Start(way Way) {
+func (f *Replica) Start(way Transport) {
 	f.way = way
 	go f.loop()
 }
 
 // Close ends it.
-func (f *Fates) Close() {
+func (f *Replica) Close() {
 	f.once.Do(func() { close(f.quit) })
 	<-f.ended
 }
 
-func (f *Fates) loop() {
+func (f *Replica) loop() {
 	defer close(f.ended)
 	defer func() {
 		if f.store != nil {
@@ -263,21 +263,21 @@
 		case in := <-f.in:
 			f.take(in)
 		case <-tick.C:
-			f.carry(f.core.Take(f.way.Now(), copies.Tick{}))
-			if f.agreed != nil && f.agreed.Next() <= f.way.Now() {
+			f.carry(f.core.Step(f.way.Now(), copies.Tick{}))
+			if f.agreed != nil && f.agreed.NextTick() <= f.way.Now() {
 				f.agree(keepers.Tick{})
 			}
 		}
-		next := f.core.Next()
+		next := f.core.NextTick()
 		if f.agreed != nil {
-			next = min(next, f.agreed.Next())
+			next = min(next, f.agreed.NextTick())
 		}
 		tick.Reset(max(time.Duration(next-f.way.Now())*members.Tenth, 0))
 	}
 }
 
 // take takes an input, and what waits already beside it into the same round: many records, one wait for the disk.
-func (f *Fates) take(in input) {
+func (f *Replica) take(in input) {
 	var effects []copies.Effect
 	for range mostRound {
 		if in.agreed != nil {
@@ -285,7 +285,7 @@
 			effects = nil
 			f.agree(in.agreed)
 		} else {
-			effects = append(effects, f.core.Take(f.way.Now(), in.copies)...)
+			effects = append(effects, f.core.Step(f.way.Now(), in.copies)...)
 		}
 		select {
 		case in = <-f.in:
@@ -299,23 +299,23 @@
 }
 
 // agree feeds the agreement and does what it asks for: first of all what has to last. False where that failed.
-func (f *Fates) agree(in keepers.Input) bool {
+func (f *Replica) agree(in keepers.Input) bool {
 	if f.agreed == nil {
 		return true
 	}
-	effects := f.agreed.Take(f.way.Now(), in)
+	effects := f.agreed.Step(f.way.Now(), in)
 	for i := len(effects) - 1; i >= 0; i-- { // the last state has all of those before
-		k, ok := effects[i].(keepers.Keep)
+		k, ok := effects[i].(keepers.Persist)
 		if !ok {
 			continue
 		}
 		if f.store == nil {
 			break
 		}
-		if err := f.store.Agree(k.State); err != nil {
+		if err := f.store.SaveAgreement(k.State); err != nil {
 			f.log.Error().Err(err).Msg("the agreement could not be kept on the disk")
-			f.agreed.Take(f.way.Now(), keepers.Unkept{})
-			f.core.Take(f.way.Now(), copies.Unkept{})
+			f.agreed.Step(f.way.Now(), keepers.PersistFailed{})
+			f.core.Step(f.way.Now(), copies.PersistFailed{})
 			return false
 		}
 		break
@@ -323,18 +323,18 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case keepers.Send:
-			f.way.Agree(e.To, e.Message)
-		case keepers.Agreed:
-			f.carry(f.core.Take(f.way.Now(), copies.Adopt{Set: e.Set}))
-		case keepers.Told:
+			f.way.SendReplicaSet(e.To, e.Message)
+		case keepers.SetAgreed:
+			f.carry(f.core.Step(f.way.Now(), copies.AdoptSet{Set: e.Set}))
+		case keepers.ChangeResult:
 			f.mu.Lock()
-			if c := f.staff[e.Ticket]; c != nil {
+			if c := f.staff[e.RequestID]; c != nil {
 				c <- e
-				delete(f.staff, e.Ticket)
+				delete(f.staff, e.RequestID)
 			}
 			f.mu.Unlock()
-		case keepers.Noted:
-			f.log.Info().Str("what", e.What).Str("of", e.Of).Msg("keepers")
+		case keepers.Event:
+			f.log.Info().Str("what", e.Description).Str("of", e.Subject).Msg("keepers")
 		}
 	}
 	return true
@@ -343,51 +343,51 @@
 // carry does what the core asks for: first of all what has to last. A set is in force here only once it does: who is told so goes by it
 // that this keeper refuses what came under the one before.
 // What follows from that for the core itself is fed to it at once: a queue may be full, and none of it may be lost.
-func (f *Fates) carry(effects []copies.Effect) {
+func (f *Replica) carry(effects []copies.Effect) {
 	kept := f.keep(effects)
 	var owed []copies.Input
 	if !kept {
-		owed = append(owed, copies.Unkept{Keys: copies.KeysToKeep(effects)})
+		owed = append(owed, copies.PersistFailed{Keys: copies.PersistedKeys(effects)})
 	}
 	for _, e := range effects {
-		if a, ok := e.(copies.Adopted); ok {
-			kept = f.agree(keepers.Learned{Set: a.Set}) && kept
+		if a, ok := e.(copies.SetAdopted); ok {
+			kept = f.agree(keepers.SetLearned{Set: a.Set}) && kept
 		}
 	}
 	for _, e := range effects {
 		switch e := e.(type) {
 		case copies.Send:
-			if kept || !e.Vouches() {
-				f.way.Copy(e.To, e.Message)
+			if kept || !e.RequiresDurability() {
+				f.way.SendReplication(e.To, e.Message)
 			}
-		case copies.Readied:
+		case copies.ReplicasReady:
 			if kept {
-				f.agree(keepers.Ready{Turn: e.Turn})
+				f.agree(keepers.ReplicasReady{Epoch: e.Epoch})
 			}
-		case copies.Decided:
+		case copies.ClaimDecided:
 			f.mu.Lock()
-			c := f.waiting[e.Ticket]
-			delete(f.waiting, e.Ticket)
+			c := f.waiting[e.RequestID]
+			delete(f.waiting, e.RequestID)
 			f.mu.Unlock()
-			if c != nil && !kept && e.Outcome == copies.Mine { // its own vote may be among those that granted it
-				c <- copies.Decided{Ticket: e.Ticket, Outcome: copies.Unsure}
-				owed = append(owed, copies.End{Ticket: e.Ticket, Unsent: true})
+			if c != nil && !kept && e.Result == copies.Granted { // its own vote may be among those that granted it
+				c <- copies.ClaimDecided{RequestID: e.RequestID, Result: copies.NoQuorum}
+				owed = append(owed, copies.OpEnded{RequestID: e.RequestID, NeverRan: true})
 			} else if c != nil {
 				c <- e
-			} else if e.Outcome == copies.Mine { // nobody waits for it any more, and nothing was pushed
-				owed = append(owed, copies.End{Ticket: e.Ticket, Unsent: true})
+			} else if e.Result == copies.Granted { // nobody waits for it any more, and nothing was pushed
+				owed = append(owed, copies.OpEnded{RequestID: e.RequestID, NeverRan: true})
 			}
-		case copies.Noted:
-			f.log.Info().Str("what", e.What).Str("of", e.Of).Msg("copies")
+		case copies.Event:
+			f.log.Info().Str("what", e.Description).Str("of", e.Subject).Msg("copies")
 		}
 	}
 	for _, in := range owed {
-		f.carry(f.core.Take(f.way.Now(), in))
+		f.carry(f.core.Step(f.way.Now(), in))
 	}
 }
 
 // keep puts on the disk what a round of effects asks for; false where that failed.
-func (f *Fates) keep(effects []copies.Effect) bool {
+func (f *Replica) keep(effects []copies.Effect) bool {
 	if f.store == nil {
 		return true
 	}
@@ -395,27 +395,27 @@
 	var err error
 	for _, e := range effects {
 		switch e := e.(type) {
-		case copies.Keep:
+		case copies.Persist:
 			put[e.Key] = e.Record
-		case copies.Drop:
+		case copies.Delete:
 			delete(put, e.Key)
 			drop = append(drop, e.Key)
 		}
 	}
 	if len(put)+len(drop) > 0 {
-		err = f.store.Keep(boottime.Now(), slices.Collect(maps.Values(put)), drop)
+		err = f.store.Write(boottime.Now(), slices.Collect(maps.Values(put)), drop)
 	}
-	var seen []copies.Seen
+	var seen []copies.ReplicationCursor
 	for _, e := range effects { // a life is noted after the records that make it whole, and so is what was seen
-		if s, ok := e.(copies.Seen); ok {
+		if s, ok := e.(copies.ReplicationCursor); ok {
 			seen = append(seen, s)
 		}
-		if l, ok := e.(copies.Lives); ok && err == nil {
-			err = f.store.Live(l.Life, f.core.Epoch())
+		if l, ok := e.(copies.IncarnationPersisted); ok && err == nil {
+			err = f.store.SetIncarnation(l.Incarnation, f.core.SetID())
 		}
 	}
 	if err == nil && len(seen) > 0 {
-		err = f.store.See(seen)
+		err = f.store.SaveCursors(seen)
 	}
 	if err != nil {
 		f.log.Error().Err(err).Msg("copies could not be kept on the disk")
@@ -423,9 +423,9 @@
 	return err == nil
 }
 
-func (f *Fates) tell(in copies.Input) bool { return f.hand(input{copies: in}) }
+func (f *Replica) tell(in copies.Input) bool { return f.hand(input{copies: in}) }
 
-func (f *Fates) hand(in input) bool {
+func (f *Replica) hand(in input) bool {
 	select {
 	case f.in <- in:
 		return true
@@ -435,31 +435,33 @@
 	}
 }
 
-// Heard takes a message of another member. It waits for nothing.
-func (f *Fates) Heard(from string, x copies.Message) { f.tell(copies.Heard{From: from, Message: x}) }
+// Receive takes a message of another member. It waits for nothing.
+func (f *Replica) Receive(from string, x copies.Message) {
+	f.tell(copies.MessageReceived{From: from, Message: x})
+}
 
-// Agreed takes a message of another member on who keeps copies. It waits for nothing.
-func (f *Fates) Agreed(from string, x keepers.Message) {
-	f.hand(input{agreed: keepers.Heard{From: from, Message: x}})
+// ReceiveReplicaSet takes a message of another member on who keeps copies. It waits for nothing.
+func (f *Replica) ReceiveReplicaSet(from string, x keepers.Message) {
+	f.hand(input{agreed: keepers.MessageReceived{From: from, Message: x}})
 }
 
 // Serving says whether this process is a member, and as which life of its name. An heir, and a process whose heir has ended, is another
 // voter than the one before: what that one granted meanwhile it does not know. Two processes that took one incarnation, as each was the
 // first that the other met, are told apart as members tell them: with a nonce of its own one of two had no vote for good.
-func (f *Fates) Serving(on bool, l members.Life) {
+func (f *Replica) Serving(on bool, l members.Incarnation) {
 	f.mu.Lock()
 	f.serving = on
 	if on {
 		f.life = l
 	}
-	life := copies.Serving{On: on, Life: f.life.Incarnation<<16 + f.heirs, Nonce: f.life.Nonce}
+	life := copies.Membership{Serving: on, Generation: f.life.Generation<<16 + f.heirs, Nonce: f.life.Nonce}
 	f.mu.Unlock()
 	f.events.Put(input{copies: life})
-	f.events.Put(input{agreed: keepers.Serving{On: on}})
+	f.events.Put(input{agreed: keepers.Membership{Serving: on}})
 }
 
 // Resumed says that the process that was to take over has ended.
-func (f *Fates) Resumed() {
+func (f *Replica) Resumed() {
 	if err := f.reopen(); err != nil {
 		f.log.Error().Err(err).Msg("goes on without the place where copies last")
 	}
@@ -470,30 +472,32 @@
 	f.Serving(on, life)
 }
 
-// Heirs is how many processes were heirs before the next one.
-func (f *Fates) Heirs() uint64 {
+// Successions is how many processes were heirs before the next one.
+func (f *Replica) Successions() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.heirs + 1
 }
 
-// Gone says that a member is no more, or is back.
-func (f *Fates) Gone(name string, gone bool) {
-	f.events.Put(input{copies: copies.Lost{Name: name, Gone: gone}})
-	f.events.Put(input{agreed: keepers.Present{Name: name, Here: !gone}})
+// SetPeerDead says that a member is no more, or is back.
+func (f *Replica) SetPeerDead(name string, gone bool) {
+	f.events.Put(input{copies: copies.PeerStatus{Name: name, Dead: gone}})
+	f.events.Put(input{agreed: keepers.PeerStatus{Name: name, Alive: !gone}})
 }
 
-// Change has staff's change of keepers agreed, from the set of a turn on; it tells whether it is.
-func (f *Fates) Change(turn uint64, names []string) keepers.Told {
-	no := func(text string, again bool) keepers.Told { return keepers.Told{Text: text, Again: again} }
-	if !f.table.Agreed {
+// ChangeReplicas has staff's change of keepers agreed, from the set of a turn on; it tells whether it is.
+func (f *Replica) ChangeReplicas(turn uint64, names []string) keepers.ChangeResult {
+	no := func(text string, again bool) keepers.ChangeResult {
+		return keepers.ChangeResult{Message: text, Retryable: again}
+	}
+	if !f.table.DynamicReplicas {
 		return no("keepers do not change by agreement here: copies.agreed is not set", false)
 	}
 	ticket, err := drawn()
 	if err != nil {
 		return no(err.Error(), false)
 	}
-	c := make(chan keepers.Told, 1)
+	c := make(chan keepers.ChangeResult, 1)
 	f.mu.Lock()
 	full := len(f.staff) >= mostStaff
 	if !full {
@@ -508,7 +512,7 @@
 		delete(f.staff, ticket)
 		f.mu.Unlock()
 	}()
-	f.must(input{agreed: keepers.Change{Ticket: ticket, Turn: turn, Keepers: names}})
+	f.must(input{agreed: keepers.ChangeRequest{RequestID: ticket, Epoch: turn, Replicas: names}})
 	late := time.NewTimer(staffTime)
 	defer late.Stop()
 	select {
@@ -522,21 +526,21 @@
 }
 
 // must hands on what may not be lost.
-func (f *Fates) must(in input) {
+func (f *Replica) must(in input) {
 	select {
 	case f.in <- in:
 	case <-f.ended:
 	}
 }
 
-// Ask asks whether an op may be pushed, and waits for the outcome: at most as long as the table says.
+// Claim asks whether an op may be pushed, and waits for the outcome: at most as long as the table says.
 // An op whose repeats its group drops for a window may be given though it ran for a scheduler that is gone: the outcome then says where.
 // One that another scheduler has is asked for again until it has ended, for as long as the table says: its client gets that answer.
-func (f *Fates) Ask(ctx context.Context, category, id string, request []byte, within, window time.Duration) copies.Decided {
+func (f *Replica) Claim(ctx context.Context, category, id string, request []byte, within, window time.Duration) copies.ClaimDecided {
 	began := time.Now()
 	d := f.ask(ctx, category, id, request, within, window)
-	until := min(time.Duration(f.table.Join), within-joinEvery)
-	if d.Outcome != copies.Runs || until <= 0 {
+	until := min(time.Duration(f.table.JoinTimeout), within-joinEvery)
+	if d.Result != copies.InProgress || until <= 0 {
 		return d
 	}
 	if f.joined.Add(1) > mostJoined {
@@ -546,7 +550,7 @@
 	defer f.joined.Add(-1)
 	tick := time.NewTicker(joinEvery)
 	defer tick.Stop()
-	for d.Outcome == copies.Runs && time.Since(began) < until {
+	for d.Result == copies.InProgress && time.Since(began) < until {
 		select {
 		case <-tick.C:
 			d = f.ask(ctx, category, id, request, within-time.Since(began), window)
@@ -559,21 +563,21 @@
 	return d
 }
 
-func (f *Fates) ask(ctx context.Context, category, id string, request []byte, within, window time.Duration) copies.Decided {
+func (f *Replica) ask(ctx context.Context, category, id string, request []byte, within, window time.Duration) copies.ClaimDecided {
 	ticket := f.tickets.Add(1)
-	c := make(chan copies.Decided, 1)
+	c := make(chan copies.ClaimDecided, 1)
 	f.mu.Lock()
 	f.waiting[ticket] = c
 	f.mu.Unlock()
-	unsure := copies.Decided{Ticket: ticket, Outcome: copies.Unsure}
-	if !f.tell(copies.Want{Ticket: ticket, Key: keyOf(category, id), Print: xxhash.Sum64(request), Within: members.Span(within),
-		Window: members.Span(window)}) {
+	unsure := copies.ClaimDecided{RequestID: ticket, Result: copies.NoQuorum}
+	if !f.tell(copies.ClaimRequest{RequestID: ticket, Key: keyOf(category, id), Fingerprint: xxhash.Sum64(request), Timeout: members.TimeOf(within),
+		Window: members.TimeOf(window)}) {
 		f.mu.Lock()
 		delete(f.waiting, ticket)
 		f.mu.Unlock()
 		return unsure
 	}
-	late := time.NewTimer(time.Duration(f.table.Wait) + lateTime)
+	late := time.NewTimer(time.Duration(f.table.QuorumTimeout) + lateTime)
 	defer late.Stop()
 	select {
 	case d := <-c:
@@ -589,39 +593,39 @@
 	if waits {
 		return unsure
 	}
-	if d := <-c; d.Outcome == copies.Mine { // the loop has it on its way here
-		f.End(ticket, true, 0, nil)
+	if d := <-c; d.Result == copies.Granted { // the loop has it on its way here
+		f.Finish(ticket, true, 0, nil)
 	}
 	return unsure
 }
 
-// Ran says that an op that was granted may have run in a group that drops repeats.
-func (f *Fates) Ran(ticket uint64, where string) {
-	f.events.Put(input{copies: copies.MayHaveRun{Ticket: ticket, Where: where}})
+// MayHaveRun says that an op that was granted may have run in a group that drops repeats.
+func (f *Replica) MayHaveRun(ticket uint64, where string) {
+	f.events.Put(input{copies: copies.MayHaveRun{RequestID: ticket, Group: where}})
 }
 
-// GiveUp says that one that may have run is pushed no more, and that its client was told that trying again is harmless.
-func (f *Fates) GiveUp(ticket uint64) {
-	f.must(input{copies: copies.End{Ticket: ticket, GivenUp: true}})
+// Abandon says that one that may have run is pushed no more, and that its client was told that trying again is harmless.
+func (f *Replica) Abandon(ticket uint64) {
+	f.must(input{copies: copies.OpEnded{RequestID: ticket, Abandoned: true}})
 }
 
-// End says what became of an op that was granted. A longer answer than the table says is not held.
-func (f *Fates) End(ticket uint64, unsent bool, status int, answer []byte) {
-	e := copies.End{Ticket: ticket, Unsent: unsent, Verdict: uint16(status)}
-	if !unsent && status != 0 && len(answer) <= f.table.ResultBytes {
-		e.Result, e.Held = append([]byte{}, answer...), true
+// Finish says what became of an op that was granted. A longer answer than the table says is not held.
+func (f *Replica) Finish(ticket uint64, unsent bool, status int, answer []byte) {
+	e := copies.OpEnded{RequestID: ticket, NeverRan: unsent, Verdict: uint16(status)}
+	if !unsent && status != 0 && len(answer) <= f.table.MaxResultBytes {
+		e.Result, e.ResultRetained = append([]byte{}, answer...), true
 	}
 	f.must(input{copies: e})
 }
 
-// Shown is what staff see.
-type Shown struct {
-	copies.Shown
+// Status is what staff see.
+type Status struct {
+	copies.Status
 	Agreement string `json:"agreement"`   // what part this process takes in changes of keepers; empty where they do not change
 	Lost      uint64 `json:"inputs_lost"` // for want of room
 }
 
-func (f *Fates) call(do func()) {
+func (f *Replica) call(do func()) {
 	done := make(chan struct{})
 	select {
 	case f.calls <- func() { do(); close(done) }:
@@ -630,31 +634,31 @@
 	}
 }
 
-// Shown is the state as of now.
-func (f *Fates) Shown() (s Shown) {
+// Status is the state as of now.
+func (f *Replica) Status() (s Status) {
 	f.call(func() {
-		s = Shown{Shown: f.core.Shown(), Lost: f.lost.Load()}
+		s = Status{Status: f.core.Status(), Lost: f.lost.Load()}
 		if f.agreed != nil {
-			s.Agreement = f.agreed.Part()
+			s.Agreement = f.agreed.Status()
 		}
 	})
 	return s
 }
 
-// Row is one claim of an op, for staff.
-type Row struct {
-	Category string `json:"category"`
-	ID       string `json:"id"`
-	By       string `json:"by"`
-	Claim    string `json:"claim"`
-	Stage    string `json:"stage"`
-	Status   int    `json:"status,omitempty"`
-	Held     bool   `json:"held,omitempty"`
-	Where    string `json:"where,omitempty"` // the group that drops repeats, in which it may have run
+// RecordRow is one claim of an op, for staff.
+type RecordRow struct {
+	Category       string `json:"category"`
+	ID             string `json:"id"`
+	Scheduler      string `json:"by"`
+	Claim          string `json:"claim"`
+	Stage          string `json:"stage"`
+	Status         int    `json:"status,omitempty"`
+	ResultRetained bool   `json:"held,omitempty"`
+	Group          string `json:"where,omitempty"` // the group that drops repeats, in which it may have run
 }
 
 // Page is some of the records in order, from after a key on, and the key to go on after; empty where there are no more.
-func (f *Fates) Page(after string) (rows []Row, next string) {
+func (f *Replica) Page(after string) (rows []RecordRow, next string) {
 	f.call(func() {
 		page := f.core.Page(after, pageSize)
 		for _, r := range page {
@@ -667,10 +671,10 @@
 	return rows, next
 }
 
-// Of are the rows of one id.
-func (f *Fates) Of(category, id string) (rows []Row) {
+// Lookup are the rows of one id.
+func (f *Replica) Lookup(category, id string) (rows []RecordRow) {
 	f.call(func() {
-		if r, ok := f.core.Fate(keyOf(category, id)); ok {
+		if r, ok := f.core.Lookup(keyOf(category, id)); ok {
 			rows = rowsOf(r)
 		}
 	})
@@ -678,9 +682,9 @@
 }
 
 // keyOf is the key of an op's record: its category and the key of its id.
-func keyOf(category, id string) string { return category + "\x00" + opkey.Of(id) }
+func keyOf(category, id string) string { return category + "\x00" + opkey.FromID(id) }
 
-func rowsOf(r copies.Record) (rows []Row) {
+func rowsOf(r copies.Record) (rows []RecordRow) {
 	category, id := r.Key, ""
 	for i := range r.Key {
 		if r.Key[i] == 0 {
@@ -688,8 +692,8 @@
 			break
 		}
 	}
-	for _, x := range r.Fates {
-		rows = append(rows, Row{category, id, x.By, fmt.Sprintf("%016x", x.Nonce), x.Stage.String(), int(x.Verdict), x.Held, x.Where})
+	for _, x := range r.Outcomes {
+		rows = append(rows, RecordRow{category, id, x.Scheduler, fmt.Sprintf("%016x", x.Nonce), x.Stage.String(), int(x.Verdict), x.ResultRetained, x.Group})
 	}
 	return rows
 }
--- a/internal/fates/fates_test.go
+++ b/internal/fates/fates_test.go
@@ -17,9 +17,9 @@
 // alone is a way to nobody, whose clock began long ago.
 type alone struct{ start time.Time }
 
-func (alone) Copy(string, copies.Message)   {}
-func (alone) Agree(string, keepers.Message) {}
-func (a alone) Now() members.Time           { return longAgo + members.Span(time.Since(a.start)) }
+func (alone) SendReplication(string, copies.Message) {}
+func (alone) SendReplicaSet(string, keepers.Message) {}
+func (a alone) Now() members.Time                    { return longAgo + members.TimeOf(time.Since(a.start)) }
 
 const longAgo members.Time = 40 * 24 * 3600 * 10_000 // more than any id is remembered
 
@@ -28,12 +28,12 @@
 func TestAKeepersOwnRecordsLast(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	table := Defaults()
-	table.Keepers, table.Path = []string{"a"}, filepath.Join(t.TempDir(), "copies.db")
-	table.HoldOff, table.Sync = 0, false
-	if err := table.Check(0); err != nil {
+	table.Replicas, table.Path = []string{"a"}, filepath.Join(t.TempDir(), "copies.db")
+	table.AmnesiaHoldOff, table.Sync = 0, false
+	if err := table.Validate(0); err != nil {
 		t.Fatal(err)
 	}
-	ask := func(id string, end bool) copies.Outcome {
+	ask := func(id string, end bool) copies.ClaimResult {
 		t.Helper()
 		w := alone{time.Now()}
 		f, err := New(table, "a", 1, 0, w.Now(), zerolog.Nop())
@@ -42,28 +42,28 @@
 		}
 		defer f.Close()
 		f.Start(w)
-		f.Serving(true, members.Life{Incarnation: uint64(time.Now().UnixNano() >> 16)})
-		for until := time.Now().Add(20 * time.Second); !f.Shown().Voting; time.Sleep(time.Millisecond) {
+		f.Serving(true, members.Incarnation{Generation: uint64(time.Now().UnixNano() >> 16)})
+		for until := time.Now().Add(20 * time.Second); !f.Status().Voting; time.Sleep(time.Millisecond) {
 			if time.Now().After(until) {
 				t.Fatal("no vote")
 			}
 		}
-		d := f.Ask(context.Background(), "pay", id, []byte("x"), time.Second, 0)
-		if end && d.Outcome == copies.Mine {
-			f.End(d.Ticket, false, 200, []byte("done"))
-			for until := time.Now().Add(20 * time.Second); len(f.Of("pay", id)) == 0 || f.Of("pay", id)[0].Stage != "ended"; time.Sleep(time.Millisecond) {
+		d := f.Claim(context.Background(), "pay", id, []byte("x"), time.Second, 0)
+		if end && d.Result == copies.Granted {
+			f.Finish(d.RequestID, false, 200, []byte("done"))
+			for until := time.Now().Add(20 * time.Second); len(f.Lookup("pay", id)) == 0 || f.Lookup("pay", id)[0].Stage != "ended"; time.Sleep(time.Millisecond) {
 				if time.Now().After(until) {
 					t.Fatal("its end is not known")
 				}
 			}
 		}
-		return d.Outcome
+		return d.Result
 	}
 	for _, x := range []struct {
 		id   string
 		end  bool
-		want copies.Outcome
-	}{{"a", true, copies.Mine}, {"a", false, copies.Again}, {"b", false, copies.Mine}, {"b", false, copies.Runs}, {"a", false, copies.Again}} {
+		want copies.ClaimResult
+	}{{"a", true, copies.Granted}, {"a", false, copies.AlreadyAnswered}, {"b", false, copies.Granted}, {"b", false, copies.InProgress}, {"a", false, copies.AlreadyAnswered}} {
 		if got := ask(x.id, x.end); got != x.want {
 			t.Errorf("%s: %v, not %v", x.id, got, x.want)
 		}
@@ -76,13 +76,13 @@
 	sent chan copies.Message
 }
 
-func (h heard) Copy(_ string, x copies.Message) { h.sent <- x }
+func (h heard) SendReplication(_ string, x copies.Message) { h.sent <- x }
 
 // Two keepers that lost their memory met each other first, so that one had the incarnation of the process before it. It registered with a
 // nonce of its own that happened to be the smaller one, and its registration was taken for the earlier process's: no vote, for good.
 func TestAKeeperRegistersAsTheLifeThatMembersKnow(t *testing.T) {
 	table := Defaults()
-	table.Keepers = []string{"a", "b", "c"}
+	table.Replicas = []string{"a", "b", "c"}
 	w := heard{alone{time.Now()}, make(chan copies.Message, 99)}
 	f, err := New(table, "a", 1, 2, w.Now(), zerolog.Nop())
 	if err != nil {
@@ -90,13 +90,13 @@
 	}
 	defer f.Close()
 	f.Start(w)
-	f.Serving(true, members.Life{Incarnation: 1, Nonce: 7})
+	f.Serving(true, members.Incarnation{Generation: 1, Nonce: 7})
 	for late := time.After(20 * time.Second); ; {
 		select {
 		case x := <-w.sent:
 			if x.Kind == copies.Register {
-				if (x.Life != copies.Life{N: 1<<16 + 2, Nonce: 7}) {
-					t.Errorf("registered as %v", x.Life)
+				if (x.Incarnation != copies.Incarnation{Generation: 1<<16 + 2, Nonce: 7}) {
+					t.Errorf("registered as %v", x.Incarnation)
 				}
 				return
 			}
--- a/internal/fates/golden_test.go
+++ b/internal/fates/golden_test.go
@@ -13,21 +13,21 @@
 
 // Guards the JSON keys that tools of the staff read at /api/copies.
 func TestShownKeepsItsForm(t *testing.T) {
-	filled.CompareJSON(t, "testdata/shown.json.golden", filled.Value[Shown](t))
+	filled.CompareJSON(t, "testdata/shown.json.golden", filled.Value[Status](t))
 }
 
 // Guards the JSON keys of one claim that tools of the staff read at /api/copies/records.
 func TestRowKeepsItsForm(t *testing.T) {
-	filled.CompareJSON(t, "testdata/row.json.golden", filled.Value[Row](t))
+	filled.CompareJSON(t, "testdata/row.json.golden", filled.Value[RecordRow](t))
 }
 
 // Guards the TOML keys of the table copies in the operator's file.
 func TestTableKeepsItsKeys(t *testing.T) {
 	const path = "testdata/table.toml.golden"
 	type file struct {
-		Copies *Table `toml:"copies"`
+		Copies *Config `toml:"copies"`
 	}
-	table := filled.Value[Table](t)
+	table := filled.Value[Config](t)
 	table.Sync = false // by default it is true
 	filled.RequireDiffers(t, table, *Defaults())
 	text, err := toml.Marshal(file{&table})
--- a/internal/fates/lost_test.go
+++ b/internal/fates/lost_test.go
@@ -14,12 +14,12 @@
 )
 
 // keeper is one by itself, with a disk, that has its vote.
-func keeper(t *testing.T) *Fates {
+func keeper(t *testing.T) *Replica {
 	t.Helper()
 	table := Defaults()
-	table.Keepers, table.Path = []string{"a"}, filepath.Join(t.TempDir(), "copies.db")
-	table.HoldOff, table.Sync = 0, false
-	if err := table.Check(0); err != nil {
+	table.Replicas, table.Path = []string{"a"}, filepath.Join(t.TempDir(), "copies.db")
+	table.AmnesiaHoldOff, table.Sync = 0, false
+	if err := table.Validate(0); err != nil {
 		t.Fatal(err)
 	}
 	w := alone{time.Now()}
@@ -29,12 +29,12 @@
 	}
 	t.Cleanup(f.Close)
 	f.Start(w)
-	f.Serving(true, members.Life{Incarnation: 7})
-	f.await(t, "it has its vote", func() bool { return f.Shown().Voting })
+	f.Serving(true, members.Incarnation{Generation: 7})
+	f.await(t, "it has its vote", func() bool { return f.Status().Voting })
 	return f
 }
 
-func (f *Fates) await(t *testing.T, what string, holds func() bool) {
+func (f *Replica) await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for until := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
@@ -46,24 +46,24 @@
 // A client that leaves just as its op is granted: whoever asked for it had looked in vain, and the grant came behind that look. The claim
 // stood for as long as ids are remembered, and the op could run nowhere.
 func TestAGrantThatCrossesItsClientsLeavingIsGivenBack(t *testing.T) {
-	f := &Fates{in: make(chan input, mostWaiting), ended: make(chan struct{}), waiting: map[uint64]chan copies.Decided{}, table: Defaults()}
+	f := &Replica{in: make(chan input, mostWaiting), ended: make(chan struct{}), waiting: map[uint64]chan copies.ClaimDecided{}, table: Defaults()}
 	ctx, leave := context.WithCancel(context.Background())
-	answered := make(chan copies.Decided, 1)
+	answered := make(chan copies.ClaimDecided, 1)
 	go func() { answered <- f.ask(ctx, "pay", "a", nil, time.Second, 0) }()
-	want := (<-f.in).copies.(copies.Want)
+	want := (<-f.in).copies.(copies.ClaimRequest)
 	f.mu.Lock() // the loop takes the asker for its outcome
-	to := f.waiting[want.Ticket]
-	delete(f.waiting, want.Ticket)
+	to := f.waiting[want.RequestID]
+	delete(f.waiting, want.RequestID)
 	f.mu.Unlock()
 	leave()
 	time.Sleep(50 * time.Millisecond) // the asker has seen that by then
-	to <- copies.Decided{Ticket: want.Ticket, Outcome: copies.Mine}
-	if d := <-answered; d.Outcome == copies.Mine {
+	to <- copies.ClaimDecided{RequestID: want.RequestID, Result: copies.Granted}
+	if d := <-answered; d.Result == copies.Granted {
 		return // it came first
 	}
 	select {
 	case in := <-f.in:
-		if end, ok := in.copies.(copies.End); !ok || end.Ticket != want.Ticket || !end.Unsent {
+		if end, ok := in.copies.(copies.OpEnded); !ok || end.RequestID != want.RequestID || !end.NeverRan {
 			t.Errorf("%+v", in.copies)
 		}
 	case <-time.After(time.Second):
@@ -74,7 +74,7 @@
 // What a keeper must do when its disk fails, and when a grant finds nobody, was put at the end of its own queue, and lost where that was
 // full: it went on voting with records that do not last, and the claim stood for good.
 func TestWhatAKeeperOwesItselfIsNotLostWithAFullQueue(t *testing.T) {
-	full := func(f *Fates) {
+	full := func(f *Replica) {
 		for len(f.in) < cap(f.in) {
 			f.in <- input{copies: copies.Tick{}}
 		}
@@ -84,10 +84,10 @@
 		f.call(func() {
 			f.store.Close()
 			full(f)
-			f.carry(f.core.Take(f.way.Now(), copies.Want{Ticket: 1 << 40, Key: "pay\x00a", Within: 10_000}))
+			f.carry(f.core.Step(f.way.Now(), copies.ClaimRequest{RequestID: 1 << 40, Key: "pay\x00a", Timeout: 10_000}))
 		})
 		f.await(t, "all is taken", func() bool { return len(f.in) == 0 })
-		if f.Shown().Voting {
+		if f.Status().Voting {
 			t.Error("it votes though its records do not last")
 		}
 	})
@@ -95,10 +95,10 @@
 		f := keeper(t)
 		f.call(func() {
 			full(f)
-			f.carry(f.core.Take(f.way.Now(), copies.Want{Ticket: 1 << 40, Key: "pay\x00a", Within: 10_000}))
+			f.carry(f.core.Step(f.way.Now(), copies.ClaimRequest{RequestID: 1 << 40, Key: "pay\x00a", Timeout: 10_000}))
 		})
 		f.await(t, "all is taken", func() bool { return len(f.in) == 0 })
-		if rows := f.Of("pay", "a"); len(rows) != 1 || rows[0].Stage == copies.Claimed.String() {
+		if rows := f.Lookup("pay", "a"); len(rows) != 1 || rows[0].Stage == copies.Claimed.String() {
 			t.Errorf("the claim stands: %+v", rows)
 		}
 	})
@@ -107,12 +107,12 @@
 // A keeper whose disk fails in the very round in which an op is decided gives it to nobody.
 func TestAGrantThatIsOnNoDiskIsGivenToNobody(t *testing.T) {
 	f := keeper(t)
-	if d := f.ask(t.Context(), "pay", "before", nil, time.Second, 0); d.Outcome != copies.Mine {
-		t.Fatalf("before: %v: this test proves nothing", d.Outcome)
+	if d := f.ask(t.Context(), "pay", "before", nil, time.Second, 0); d.Result != copies.Granted {
+		t.Fatalf("before: %v: this test proves nothing", d.Result)
 	}
 	f.call(func() { f.store.Close() })
-	if d := f.ask(t.Context(), "pay", "a", nil, time.Second, 0); d.Outcome != copies.Unsure {
-		t.Errorf("%v", d.Outcome)
+	if d := f.ask(t.Context(), "pay", "a", nil, time.Second, 0); d.Result != copies.NoQuorum {
+		t.Errorf("%v", d.Result)
 	}
 }
 
@@ -120,20 +120,20 @@
 // round, a process that another had taken the place of went on as a member, and one that was gone counted as here.
 func TestChangesOfMembersKeepTheirOrderInAFullQueue(t *testing.T) {
 	const changes = 40
-	f := &Fates{in: make(chan input, mostWaiting), ended: make(chan struct{}), table: Defaults()}
+	f := &Replica{in: make(chan input, mostWaiting), ended: make(chan struct{}), table: Defaults()}
 	f.events = overflow.New(f.in, f.ended)
 	for len(f.in) < cap(f.in) {
 		f.in <- input{copies: copies.Tick{}}
 	}
 	for k := range changes {
-		f.Gone("a", k%2 == 0)
+		f.SetPeerDead("a", k%2 == 0)
 	}
 	var got []bool
 	for late := time.After(10 * time.Second); len(got) < changes; {
 		select {
 		case in := <-f.in:
-			if x, ok := in.copies.(copies.Lost); ok {
-				got = append(got, x.Gone)
+			if x, ok := in.copies.(copies.PeerStatus); ok {
+				got = append(got, x.Dead)
 			}
 		case <-late:
 			t.Fatalf("%d of %d changes came", len(got), changes)
--- a/internal/front/attempts.go
+++ b/internal/front/attempts.go
@@ -35,7 +35,7 @@
 func (a *attempt) mayHaveRun() bool { return a.out || !a.how.NeverRan() }
 
 // sent tells whether a push counts among those that an op may have.
-func (a *attempt) sent() bool { return a.out || a.how.Outcome() != dispatch.Unable }
+func (a *attempt) sent() bool { return a.out || a.how.Outcome() != dispatch.LocalExhaustion }
 
 // attempts are the pushes of one op, in their order. They are the loop's.
 type attempts []attempt
@@ -59,7 +59,7 @@
 }
 
 // allows is why a rule forbids a further push to a group now; empty where it does not.
-func (all attempts) allows(r terms.Rule, to ops.Group, now time.Time) guard.Reason {
+func (all attempts) allows(r terms.CategoryRule, to ops.Group, now time.Time) guard.Reason {
 	first := all.running()
 	if first == nil || r.Effect == redeliverable {
 		return ""
@@ -68,13 +68,13 @@
 		return guard.MayHaveRun
 	}
 	if !now.Before(first.decided.Add(r.Window)) || !sameGroup(r.Scope, first.group, to) {
-		return guard.OutOfGroup
+		return guard.OutsideGroup
 	}
 	return ""
 }
 
 // harmless tells whether a nack keeps its promise under a rule.
-func (all attempts) harmless(r terms.Rule, now time.Time) bool {
+func (all attempts) harmless(r terms.CategoryRule, now time.Time) bool {
 	first := all.running()
 	if first == nil || r.Effect == redeliverable {
 		return true
@@ -92,7 +92,7 @@
 	case "zone":
 		return a.Zone == b.Zone
 	case "cell":
-		return a.Cell == b.Cell
+		return a.WorkerGroup == b.WorkerGroup
 	}
 	return true
 }
@@ -106,11 +106,11 @@
 }
 
 // list takes what discovery tells.
-func (w *watched) list(in ops.Listed, now time.Time) {
+func (w *watched) list(in ops.EndpointsChanged, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	named := map[string]bool{}
-	for _, e := range in.Entries {
+	for _, e := range in.Endpoints {
 		named[e.Worker] = true
 		switch was, known := w.since[e.Worker]; {
 		case e.Ready:
@@ -119,12 +119,12 @@
 			w.since[e.Worker] = now
 		}
 	}
-	if !in.Whole && len(w.since) < w.sweep {
+	if !in.Snapshot && len(w.since) < w.sweep {
 		return // a change costs what has changed, not what the fleet has
 	}
 	for worker, was := range w.since {
 		switch {
-		case in.Whole && !named[worker] && was.IsZero():
+		case in.Snapshot && !named[worker] && was.IsZero():
 			w.since[worker] = now
 		case !was.IsZero() && now.Sub(was) > longestTTL:
 			delete(w.since, worker) // whoever is gone for so long has no push waiting for it
@@ -151,8 +151,8 @@
 }
 
 // rules are those that an op may go by: as they were when it came, and as they are in force.
-func (l *loop) rules(h *held) [2]terms.Rule {
-	return [2]terms.Rule{h.rule, l.rule(h.Category)}
+func (l *loop) rules(h *held) [2]terms.CategoryRule {
+	return [2]terms.CategoryRule{h.rule, l.rule(h.Category)}
 }
 
 // begin holds a push against the rules, and notes it.
@@ -167,11 +167,11 @@
 		return
 	}
 	if by, taken := l.byID[h.ID]; taken && by != h.Op {
-		l.guard.Broken(guard.Starting, guard.SameID, h.states)
+		l.guard.Violated(guard.Starting, guard.DuplicateID, h.states)
 	}
 	l.byID[h.ID] = h.Op
 	if l.granted != nil && h.ticket == 0 && l.granted(h.Category) && h.rule == l.rule(h.Category) {
-		l.guard.Broken(guard.Starting, guard.NotGranted, h.states)
+		l.guard.Violated(guard.Starting, guard.NotGranted, h.states)
 	}
 }
 
@@ -179,40 +179,40 @@
 	sent := 0
 	for i := range h.pushes {
 		if h.pushes[i].out {
-			l.guard.Broken(guard.Repeating, guard.StillOut, h.states)
+			l.guard.Violated(guard.Repeating, guard.AttemptInFlight, h.states)
 		}
 		if h.pushes[i].sent() {
 			sent++
 		}
 	}
 	if sent >= max(h.mostPushes, l.mostPushes()) {
-		l.guard.Broken(guard.Repeating, guard.TooMany, h.states)
+		l.guard.Violated(guard.Repeating, guard.AttemptsExceeded, h.states)
 	}
 	rules := l.rules(h)
 	why, also := h.pushes.allows(rules[0], e.Group, now), h.pushes.allows(rules[1], e.Group, now)
 	if why != "" && also != "" {
-		l.guard.Broken(guard.Repeating, why, h.states)
+		l.guard.Violated(guard.Repeating, why, h.states)
 	}
 }
 
 // noteEnd notes how a push ended.
-func (l *loop) noteEnd(in ops.Ended) {
+func (l *loop) noteEnd(in ops.AttemptEnded) {
 	h := l.held[in.Op]
 	if h == nil || len(h.pushes) == 0 {
 		return
 	}
 	last := &h.pushes[len(h.pushes)-1]
-	last.out, last.how = false, in.How
+	last.out, last.how = false, in.Ending
 }
 
 // checkAnswer holds an op's answer against the rules, and lets go of its id.
-func (l *loop) checkAnswer(now time.Time, h *held, e ops.Answer) {
+func (l *loop) checkAnswer(now time.Time, h *held, e ops.Respond) {
 	if l.byID[h.ID] == h.Op {
 		delete(l.byID, h.ID)
 	}
 	rules := l.rules(h)
 	if e.Verdict == ops.Nacked && !h.pushes.harmless(rules[0], now) && !h.pushes.harmless(rules[1], now) {
-		l.guard.Broken(guard.Repeating, guard.NotHarmless, h.states)
+		l.guard.Violated(guard.Repeating, guard.NotHarmless, h.states)
 	}
 }
 
@@ -220,7 +220,7 @@
 func (l *loop) sending(h *held, worker string, left time.Duration) {
 	now := time.Now()
 	broken := func(why guard.Reason) {
-		l.guard.Broken(guard.Sending, why, func(e *zerolog.Event) {
+		l.guard.Violated(guard.Sending, why, func(e *zerolog.Event) {
 			e.Uint64("op", h.Op).Str("id", h.ID).Str("worker", worker).Dur("told_ms", left).Dur("left_ms", h.until.Sub(now))
 		})
 	}
@@ -231,9 +231,9 @@
 		broken(guard.PastTTL)
 	}
 	if left > h.until.Sub(now)+toldMore {
-		broken(guard.ToldTooMuch)
+		broken(guard.DeadlineTooLong)
 	}
 	if !l.workers.takes(worker, now) {
-		broken(guard.Drained)
+		broken(guard.WorkerDraining)
 	}
 }
--- a/internal/front/attempts_test.go
+++ b/internal/front/attempts_test.go
@@ -15,13 +15,13 @@
 // Each guard sees what it is for, and nothing else: one case of each rule that is broken, and its like that is not.
 func TestWhatTheGuardsSee(t *testing.T) {
 	now := time.Now()
-	once, group, any := terms.Rule{Effect: "at-most-once"}, terms.Rule{Effect: deduplicated, Scope: "zone", Window: time.Second}, terms.Rule{Effect: redeliverable}
+	once, group, any := terms.CategoryRule{Effect: "at-most-once"}, terms.CategoryRule{Effect: deduplicated, Scope: "zone", Window: time.Second}, terms.CategoryRule{Effect: redeliverable}
 	east, west := ops.Group{Zone: "east"}, ops.Group{Zone: "west"}
 	past := func(how outcome.Ending, ago time.Duration) attempts {
 		return attempts{{worker: "w", group: east, decided: now.Add(-ago), how: how}}
 	}
 	for name, c := range map[string]struct {
-		rule   terms.Rule
+		rule   terms.CategoryRule
 		pushes attempts
 		to     ops.Group
 		broken string
@@ -30,15 +30,15 @@
 		"one after one that never ran":      {once, past(outcome.ConnRefused, 0), east, ""},
 		"one after one that may have run":   {once, past(outcome.Reset, 0), east, "repeating"},
 		"a redeliverable one":               {any, past(outcome.Reset, 0), west, ""},
-		"a deduplicated one in its group":   {group, past(outcome.Silent, 0), east, ""},
-		"in another group":                  {group, past(outcome.Silent, 0), west, "repeating"},
-		"beyond its window":                 {group, past(outcome.Silent, 2*time.Second), east, "repeating"},
+		"a deduplicated one in its group":   {group, past(outcome.TimedOut, 0), east, ""},
+		"in another group":                  {group, past(outcome.TimedOut, 0), west, "repeating"},
+		"beyond its window":                 {group, past(outcome.TimedOut, 2*time.Second), east, "repeating"},
 		"while another is out":              {any, attempts{{worker: "w", group: east, decided: now, out: true}}, east, "repeating"},
 		"one too many":                      {any, append(past(outcome.Reset, 0), append(past(outcome.Reset, 0), past(outcome.Reset, 0)...)...), east, "repeating"},
 		"after some that could not be sent": {any, append(past(outcome.NoResource, 0), append(past(outcome.NoDescriptor, 0), past(outcome.NoResource, 0)...)...), east, ""},
 	} {
-		l := &loop{guard: guard.New(zerolog.Nop()), byID: map[string]uint64{}, rule: func(string) terms.Rule { return c.rule }, mostPushes: func() int { return 3 }}
-		h := &held{Arrived: ops.Arrived{Op: 1, ID: "a"}, rule: c.rule, mostPushes: 3, pushes: c.pushes}
+		l := &loop{guard: guard.New(zerolog.Nop()), byID: map[string]uint64{}, rule: func(string) terms.CategoryRule { return c.rule }, mostPushes: func() int { return 3 }}
+		h := &held{OpArrived: ops.OpArrived{Op: 1, ID: "a"}, rule: c.rule, mostPushes: 3, pushes: c.pushes}
 		l.begin(now, h, ops.Push{Op: 1, Worker: "v", Group: c.to})
 		for rule, n := range l.guard.Counts() {
 			if (rule == c.broken) != (n > 0) {
@@ -46,9 +46,9 @@
 			}
 		}
 	}
-	l := &loop{guard: guard.New(zerolog.Nop()), byID: map[string]uint64{"a": 7}, rule: func(string) terms.Rule { return once }, mostPushes: func() int { return 3 },
+	l := &loop{guard: guard.New(zerolog.Nop()), byID: map[string]uint64{"a": 7}, rule: func(string) terms.CategoryRule { return once }, mostPushes: func() int { return 3 },
 		granted: func(string) bool { return true }, workers: watched{grace: time.Second, since: map[string]time.Time{"gone": now.Add(-time.Minute), "going": now}}}
-	h := &held{Arrived: ops.Arrived{Op: 1, ID: "a"}, rule: once, mostPushes: 3, until: now.Add(time.Minute)}
+	h := &held{OpArrived: ops.OpArrived{Op: 1, ID: "a"}, rule: once, mostPushes: 3, until: now.Add(time.Minute)}
 	if l.begin(now, h, ops.Push{Op: 1}); l.guard.Counts()["starting"] != 2 {
 		t.Errorf("an id that is out, and nobody granted it: %v", l.guard.Counts())
 	}
@@ -73,14 +73,14 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		rule   terms.Rule
+		rule   terms.CategoryRule
 		pushes attempts
 		want   uint64
-	}{"never ran": {once, past(outcome.Returned, 0), 0}, "may have run": {once, past(outcome.Silent, 0), 1}, "may be rerun": {any, past(outcome.Silent, 0), 0},
-		"all workers drop it": {terms.Rule{Effect: deduplicated, Scope: "all", Window: time.Second}, past(outcome.Silent, 0), 0},
-		"no more by then":     {terms.Rule{Effect: deduplicated, Scope: "all", Window: time.Second}, past(outcome.Silent, 2*time.Second), 1}} {
-		l := &loop{guard: guard.New(zerolog.Nop()), byID: map[string]uint64{}, rule: func(string) terms.Rule { return c.rule }, mostPushes: func() int { return 3 }}
-		l.checkAnswer(now, &held{rule: c.rule, pushes: c.pushes}, ops.Answer{Verdict: ops.Nacked})
+	}{"never ran": {once, past(outcome.Returned, 0), 0}, "may have run": {once, past(outcome.TimedOut, 0), 1}, "may be rerun": {any, past(outcome.TimedOut, 0), 0},
+		"all workers drop it": {terms.CategoryRule{Effect: deduplicated, Scope: "all", Window: time.Second}, past(outcome.TimedOut, 0), 0},
+		"no more by then":     {terms.CategoryRule{Effect: deduplicated, Scope: "all", Window: time.Second}, past(outcome.TimedOut, 2*time.Second), 1}} {
+		l := &loop{guard: guard.New(zerolog.Nop()), byID: map[string]uint64{}, rule: func(string) terms.CategoryRule { return c.rule }, mostPushes: func() int { return 3 }}
+		l.checkAnswer(now, &held{rule: c.rule, pushes: c.pushes}, ops.Respond{Verdict: ops.Nacked})
 		if got := l.guard.Counts()["repeating"]; got != c.want {
 			t.Errorf("a nack of what %s: %d", name, got)
 		}
--- a/internal/front/bench_test.go
+++ b/internal/front/bench_test.go
@@ -101,8 +101,8 @@
 // thousands of workers, and over one that is kept.
 func BenchmarkProbe(b *testing.B) {
 	addr := answering(b)
-	f, err := New(&terms.Sheet{Discovery: "127.0.0.1:1", Limits: terms.Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
-		Site: terms.Flat(map[string]any{"categories": []any{map[string]any{"name": "look", "ttlNs": 3e9}}})}, zerolog.Nop())
+	f, err := New(&terms.Bootstrap{Discovery: "127.0.0.1:1", Limits: terms.Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
+		Settings: terms.Flatten(map[string]any{"categories": []any{map[string]any{"name": "look", "ttlNs": 3e9}}})}, zerolog.Nop())
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/front/door.go
+++ b/internal/front/door.go
@@ -35,15 +35,15 @@
 
 // held is an op that a client waits for.
 type held struct {
-	ops.Arrived
+	ops.OpArrived
 	target  string             // as the client wrote it
 	request workerconn.Request // to workers
-	answer  chan ops.Answer    // has room for the one answer
+	answer  chan ops.Respond   // has room for the one answer
 	client  context.Context    // of the request: it ends when the client is seen to leave
 
 	until      time.Time                 // its client gives up
 	looked     atomic.Pointer[time.Time] // when it was found to be there last
-	rule       terms.Rule                // of its category, as it came
+	rule       terms.CategoryRule        // of its category, as it came
 	mostPushes int                       // as it came
 	pushes     attempts
 
@@ -76,11 +76,11 @@
 }
 
 // read takes an op from a request: the fields that decisions need, and the rest as it came.
-func (f *Front) read(w http.ResponseWriter, r *http.Request, came time.Time) (*held, *refusal) {
+func (f *Server) read(w http.ResponseWriter, r *http.Request, came time.Time) (*held, *refusal) {
 	if r.Method != http.MethodPost {
 		return nil, &refusal{status: http.StatusMethodNotAllowed, text: "ops come by POST"}
 	}
-	h := &held{target: r.RequestURI, answer: make(chan ops.Answer, 1), client: r.Context()}
+	h := &held{target: r.RequestURI, answer: make(chan ops.Respond, 1), client: r.Context()}
 	if h.ID = r.Header.Get(idHeader); h.ID == "" {
 		return nil, bad("no %s", idHeader)
 	}
@@ -99,7 +99,7 @@
 	if !until.After(came) {
 		return nil, &refusal{status: http.StatusServiceUnavailable, text: "no time left"}
 	}
-	h.TTL, h.until = terms.Down(f.loop.clock.Nanos(until)), until.Add(wayBack)
+	h.TTL, h.until = terms.RoundDown(f.loop.clock.Nanos(until)), until.Add(wayBack)
 	inForce := f.inForce.Load()
 	h.rule, h.mostPushes = inForce.rule(h.Category), inForce.mostPushes()
 	if no := f.facts(h, r.Header); no != nil {
@@ -116,7 +116,7 @@
 }
 
 // facts reads the figures that help decisions; an op without them is an op still.
-func (f *Front) facts(h *held, from http.Header) *refusal {
+func (f *Server) facts(h *held, from http.Header) *refusal {
 	if hint := from.Get(workHeader); hint != "" {
 		us, err := figure(hint)
 		if err != nil {
@@ -127,8 +127,8 @@
 	for _, fact := range strings.Split(from.Get(factsHeader), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(fact), "=")
 		var err error
-		if name == f.sheet.Fact && value != "" {
-			h.Key = terms.Hash(value)
+		if name == f.sheet.AffinityFact && value != "" {
+			h.AffinityKey = terms.IdentityHash(value)
 		}
 		switch name {
 		case "slots":
--- a/internal/front/drain.go
+++ b/internal/front/drain.go
@@ -12,42 +12,42 @@
 type drainer struct {
 	clients *clientconn.Pool
 	mu      sync.Mutex
-	d       drain.Drain
+	d       drain.State
 	runs    bool
 }
 
 func (x *drainer) on() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.d.On()
+	return x.d.Draining()
 }
 
 func (x *drainer) takes(now time.Time) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.d.Takes(now)
+	return x.d.Admits(now)
 }
 
-// Evacuate sends clients away until Rejoin. Ops and all else go on.
-func (f *Front) Evacuate() {
+// DrainClients sends clients away until Rejoin. Ops and all else go on.
+func (f *Server) DrainClients() {
 	x := f.drain
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.d.Evacuate(time.Now()); !x.runs {
+	if x.d.Start(time.Now()); !x.runs {
 		x.runs = true
 		go x.run()
 	}
 	f.log.Info().Msg("clients are sent away")
 }
 
-// Evacuated tells whether clients are sent away.
-func (f *Front) Evacuated() bool { return f.drain.on() }
+// ClientsDrained tells whether clients are sent away.
+func (f *Server) ClientsDrained() bool { return f.drain.on() }
 
-// Rejoin takes clients again.
-func (f *Front) Rejoin() {
+// ReadmitClients takes clients again.
+func (f *Server) ReadmitClients() {
 	f.drain.mu.Lock()
 	defer f.drain.mu.Unlock()
-	f.drain.d.Rejoin()
+	f.drain.d.Cancel()
 	f.log.Info().Msg("clients are taken again")
 }
 
@@ -55,8 +55,8 @@
 func (x *drainer) run() {
 	for {
 		x.mu.Lock()
-		most, waited := x.d.Part(time.Now(), x.clients.Waiting(), lookEvery)
-		if !x.d.On() {
+		most, waited := x.d.ConnectionsToClose(time.Now(), x.clients.Waiting(), lookEvery)
+		if !x.d.Draining() {
 			x.runs = false
 			x.mu.Unlock()
 			return
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -52,7 +52,7 @@
 			t.Fatalf("before: %d, ends %v", status, ends)
 		}
 	}
-	f.Evacuate()
+	f.DrainClients()
 	if status, ends := ask(t, used, check); status != 503 || !ends {
 		t.Errorf("on a connection in use: %d, ends %v", status, ends)
 	}
@@ -70,15 +70,15 @@
 	}
 	// An op that comes late would still be held when none may be; its client may come again elsewhere.
 	f.drain.mu.Lock()
-	f.drain.d = drain.Drain{}
-	f.drain.d.Evacuate(time.Now().Add(-3 * time.Second))
+	f.drain.d = drain.State{}
+	f.drain.d.Start(time.Now().Add(-3 * time.Second))
 	f.drain.mu.Unlock()
 	op := fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\n%s: a\r\n%s: look\r\n%s: 9000\r\nContent-Length: 0\r\n\r\n", idHeader,
 		categoryHeader, timeLeftHeader)
 	if status, ends := ask(t, dial(), op); status != 503 || !ends {
 		t.Errorf("an op three seconds after the call: %d, ends %v", status, ends)
 	}
-	f.Rejoin()
+	f.ReadmitClients()
 	back := dial()
 	for range 2 {
 		if status, ends := ask(t, back, check); status != 200 || ends {
@@ -96,26 +96,26 @@
 	}
 	_, stop := serveUntil(t, was)
 	<-was.Ready()
-	was.Evacuate()
-	text, sockets, err := was.Give()
+	was.DrainClients()
+	text, sockets, err := was.HandOver()
 	if err != nil || len(sockets) != 1 {
 		t.Fatalf("%d sockets, %v", len(sockets), err)
 	}
-	state, err := handover.Read(text)
-	if err != nil || !state.Drained || len(state.Learned) == 0 {
+	state, err := handover.DecodeState(text)
+	if err != nil || !state.ClientsDrained || len(state.Learned) == 0 {
 		t.Fatalf("%s, %v", text, err)
 	}
 	is, err := New(sheetOf(t, whole), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	is.Inherit(state, nil)
+	is.RestoreState(state, nil)
 	if !is.drain.on() {
 		t.Error("the heir takes clients")
 	}
-	is.Rejoin()
+	is.ReadmitClients()
 	// With an heir the front is not told to go elsewhere at the end, unless staff have sent it away.
-	was.Heir(true)
+	was.SetSuccessor(true)
 	stop()
 	if recorder := httptest.NewRecorder(); !was.leaving.Load() {
 		for until := time.Now().Add(10 * time.Second); !was.leaving.Load() && time.Now().Before(until); {
@@ -125,7 +125,7 @@
 			t.Errorf("drained, at its end: %d", recorder.Code)
 		}
 	}
-	was.Rejoin()
+	was.ReadmitClients()
 	recorder := httptest.NewRecorder()
 	if was.health(recorder, httptest.NewRequest(http.MethodGet, "/healthz", nil)); recorder.Code != 200 || recorder.Header().Get("Connection") != "close" {
 		t.Errorf("with an heir, at its end: %d %v", recorder.Code, recorder.Header())
@@ -143,11 +143,11 @@
 	defer stop()
 	<-f.Ready()
 	f.loop.in <- message{call: func() { time.Sleep(time.Second) }}
-	text, _, err := f.Give()
+	text, _, err := f.HandOver()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if state, err := handover.Read(text); err != nil || !strings.Contains(string(state.Learned), `"ids"`) {
+	if state, err := handover.DecodeState(text); err != nil || !strings.Contains(string(state.Learned), `"ids"`) {
 		t.Errorf("nothing learned is handed over: %q, %v", state.Learned, err)
 	}
 }
--- a/internal/front/fates.go
+++ b/internal/front/fates.go
@@ -14,52 +14,52 @@
 	"woaddyke/internal/terms"
 )
 
-// Fates guards ops that must not run twice over all schedulers together.
-type Fates interface {
-	// Ask waits for whether an op may be pushed, at most so long.
-	Ask(ctx context.Context, category, id string, request []byte, within, window time.Duration) copies.Decided
-	// Ran says that it may have run, in a group that drops repeats.
-	Ran(ticket uint64, where string)
-	// End says what became of one that may.
-	End(ticket uint64, unsent bool, status int, answer []byte)
-	// GiveUp says that it is pushed no more, may have run, and may be repeated in its group.
-	GiveUp(ticket uint64)
+// ClaimRegistry guards ops that must not run twice over all schedulers together.
+type ClaimRegistry interface {
+	// Claim waits for whether an op may be pushed, at most so long.
+	Claim(ctx context.Context, category, id string, request []byte, within, window time.Duration) copies.ClaimDecided
+	// MayHaveRun says that it may have run, in a group that drops repeats.
+	MayHaveRun(ticket uint64, where string)
+	// Finish says what became of one that may.
+	Finish(ticket uint64, unsent bool, status int, answer []byte)
+	// Abandon says that it is pushed no more, may have run, and may be repeated in its group.
+	Abandon(ticket uint64)
 }
 
 const comeBack = 200 * time.Millisecond // to an op that another scheduler holds, or that no majority could be asked for
 
-// Guard has ops of some categories asked for before they are taken. It is called before Serve.
-func (f *Front) Guard(by Fates, needs func(category string) bool) {
+// RequireClaims has ops of some categories asked for before they are taken. It is called before Serve.
+func (f *Server) RequireClaims(by ClaimRegistry, needs func(category string) bool) {
 	f.fates, f.guarded, f.loop.fates, f.loop.granted = by, needs, by, needs
 }
 
 // guard asks for an op. It sets the ticket to end it with, or returns the answer in place of taking it.
-func (f *Front) guard(r *http.Request, h *held) (no *http.Response) {
+func (f *Server) guard(r *http.Request, h *held) (no *http.Response) {
 	left := time.Duration(int64(h.TTL)*int64(time.Second/10_000) - f.loop.clock.Now())
 	rule := f.inForce.Load().rule(h.Category)
 	request := append(append([]byte(h.target), 0), h.request.Body...)
-	d := f.fates.Ask(r.Context(), h.Category, h.ID, request, left, rule.Window)
-	f.log.Debug().Str("id", h.ID).Stringer("outcome", d.Outcome).Stringer("why", d.Why).Msg("asked for")
-	switch d.Outcome {
-	case copies.Mine:
-		h.ticket, h.scope = d.Ticket, rule.Scope
-		if d.Fate.Where != "" {
-			at := terms.Down(f.loop.clock.Now()) - dispatch.Time(d.Fate.Age)
-			h.Ran, h.placed = &ops.Ran{Group: groupOf(d.Fate.Where), At: at}, true
+	d := f.fates.Claim(r.Context(), h.Category, h.ID, request, left, rule.Window)
+	f.log.Debug().Str("id", h.ID).Stringer("outcome", d.Result).Stringer("why", d.Reason).Msg("asked for")
+	switch d.Result {
+	case copies.Granted:
+		h.ticket, h.scope = d.RequestID, rule.Scope
+		if d.Outcome.Group != "" {
+			at := terms.RoundDown(f.loop.clock.Now()) - dispatch.Time(d.Outcome.Age)
+			h.PriorAttempt, h.placed = &ops.PriorAttempt{Group: groupOf(d.Outcome.Group), StartedAt: at}, true
 		}
 		return nil
-	case copies.Again:
-		return plain(r, int(d.Fate.Verdict), d.Fate.Result, 0)
-	case copies.Ran:
-		if d.Fate.Verdict == http.StatusOK {
+	case copies.AlreadyAnswered:
+		return plain(r, int(d.Outcome.Verdict), d.Outcome.Result, 0)
+	case copies.AlreadyEnded:
+		if d.Outcome.Verdict == http.StatusOK {
 			return plain(r, http.StatusConflict, []byte("an op with this id was acked; its answer is not held\n"), 0)
 		}
 		return plain(r, http.StatusBadGateway, []byte("dead-lettered: an op with this id may have run\n"), 0)
-	case copies.Runs:
+	case copies.InProgress:
 		return plain(r, http.StatusServiceUnavailable, []byte("nacked: another scheduler holds an op with this id\n"), comeBack)
-	case copies.Unknown:
+	case copies.OutcomeUnknown:
 		return plain(r, http.StatusBadGateway, []byte("dead-lettered: an op with this id may have run, and its scheduler is gone\n"), 0)
-	case copies.Other:
+	case copies.FingerprintMismatch:
 		return plain(r, http.StatusUnprocessableEntity, []byte("another request came under this id\n"), 0)
 	}
 	return plain(r, http.StatusServiceUnavailable, []byte("nacked: no majority of keepers answered\n"), comeBack)
@@ -71,21 +71,21 @@
 	case "zone":
 		return "zone " + strconv.Quote(g.Zone)
 	case "cell":
-		return fmt.Sprintf("cell %d", g.Cell)
+		return fmt.Sprintf("cell %d", g.WorkerGroup)
 	}
 	return "all"
 }
 
 // groupOf is the group that whereOf named; what it says nothing of is nowhere here.
 func groupOf(where string) ops.Group {
-	g := ops.Group{Cell: -1}
+	g := ops.Group{WorkerGroup: -1}
 	kind, name, _ := strings.Cut(where, " ")
 	switch kind {
 	case "zone":
 		g.Zone, _ = strconv.Unquote(name)
 	case "cell":
 		if n, err := strconv.Atoi(name); err == nil {
-			g.Cell = n
+			g.WorkerGroup = n
 		}
 	}
 	return g
@@ -98,23 +98,23 @@
 		return
 	}
 	h.placed = true
-	l.fates.Ran(h.ticket, whereOf(h.scope, h.group))
+	l.fates.MayHaveRun(h.ticket, whereOf(h.scope, h.group))
 }
 
 // settle has the keepers know what became of an op that was asked for.
-func (f *Front) settle(h *held, a ops.Answer) {
+func (f *Server) settle(h *held, a ops.Respond) {
 	switch a.Verdict {
 	case ops.Acked:
-		f.fates.End(h.ticket, false, http.StatusOK, a.Result)
+		f.fates.Finish(h.ticket, false, http.StatusOK, a.Result)
 	case ops.Nacked:
 		if h.placed { // it may have run: its group drops a repeat, for a while, and nobody else does
-			f.fates.GiveUp(h.ticket)
+			f.fates.Abandon(h.ticket)
 			return
 		}
-		f.fates.End(h.ticket, true, 0, nil)
-	case ops.UnknownCategory, ops.TakenID:
-		f.fates.End(h.ticket, true, 0, nil)
+		f.fates.Finish(h.ticket, true, 0, nil)
+	case ops.UnknownCategory, ops.DuplicateID:
+		f.fates.Finish(h.ticket, true, 0, nil)
 	default:
-		f.fates.End(h.ticket, false, http.StatusBadGateway, []byte("dead-lettered\n"))
+		f.fates.Finish(h.ticket, false, http.StatusBadGateway, []byte("dead-lettered\n"))
 	}
 }
--- a/internal/front/figures_test.go
+++ b/internal/front/figures_test.go
@@ -49,7 +49,7 @@
 	t.Cleanup(worker.Close)
 	sheet := sheetOf(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
 		worker.Listener.Addr()))
-	sheet.Site = terms.Flat(map[string]any{"bounds": map[string]any{"maxPushes": 1.0, "cancel": true},
+	sheet.Settings = terms.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 1.0, "cancel": true},
 		"categories": []any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 60e9, "targetLatencyNs": 60e9}}})
 	f, err := New(sheet, zerolog.Nop())
 	if err != nil {
@@ -58,18 +58,18 @@
 	addr, _ := serveUntil(t, f)
 	var look, other book
 	pushed := 0
-	sum := func(o tally.Ops) int { return o.Served + o.Refused + o.Failed + o.Gone }
+	sum := func(o tally.OpCounts) int { return o.Succeeded + o.Rejected + o.Failed + o.Disconnected }
 	// agree waits until the figures say what the book says: the last of an answer is counted just behind it.
 	agree := func(step string) {
 		t.Helper()
 		for until := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-			x := f.Figures()
+			x := f.Metrics()
 			k := x.Requests["look"]
-			if x.Taken != sum(k)+sum(x.Other)+x.InFlight {
+			if x.RequestsRead != sum(k)+sum(x.Other)+x.OpsInFlight {
 				t.Fatalf("%s: %+v do not add up", step, x)
 			}
-			if k == (tally.Ops{Served: look.served, Refused: look.refused, Failed: look.failed, Gone: look.gone,
-				Attempts: pushed}) && x.Other == (tally.Ops{Failed: other.failed}) && x.InFlight == look.held {
+			if k == (tally.OpCounts{Succeeded: look.served, Rejected: look.refused, Failed: look.failed, Disconnected: look.gone,
+				Attempts: pushed}) && x.Other == (tally.OpCounts{Failed: other.failed}) && x.OpsInFlight == look.held {
 				return
 			}
 			if time.Now().After(until) {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -51,12 +51,12 @@
 	stays         = 0.6         // of its last time it keeps connections: their clients may have no other
 )
 
-// Front is one scheduler on sockets.
-type Front struct {
-	sheet    *terms.Sheet
+// Server is one scheduler on sockets.
+type Server struct {
+	sheet    *terms.Bootstrap
 	loop     *loop
-	roster   *roster.Roster
-	starts   *roster.Starts
+	roster   *roster.Client
+	starts   *roster.StartTimes
 	proxy    *httputil.ReverseProxy
 	log      zerolog.Logger
 	numbers  atomic.Uint64
@@ -65,7 +65,7 @@
 	leaving  atomic.Bool // answers end their connections
 	ready    chan struct{}
 	clients  *clientconn.Pool
-	tally    *tally.Tally
+	tally    *tally.Recorder
 
 	changes *overflow.Queue[message] // of other schedulers, to the loop
 
@@ -74,12 +74,12 @@
 	inForce  atomic.Pointer[settings]
 	reserved int // descriptors for what runs beside it in this process
 	drain    *drainer
-	peersAt  *net.UDPConn          // that of the process before, nil without one
-	others   func() *tally.Members // nil where this is no member
-	lost     func() uint64         // lines of the log, nil where nobody counts
-	shared   *sharing              // nil: only the own discovery counts
-	known    ops.Listed            // as remembered at the start
-	fates    Fates                 // nil: this scheduler alone knows its ops
+	peersAt  *net.UDPConn               // that of the process before, nil without one
+	others   func() *tally.MemberCounts // nil where this is no member
+	lost     func() uint64              // lines of the log, nil where nobody counts
+	shared   *sharing                   // nil: only the own discovery counts
+	known    ops.EndpointsChanged       // as remembered at the start
+	fates    ClaimRegistry              // nil: this scheduler alone knows its ops
 	guarded  func(category string) bool
 }
 
@@ -88,29 +88,29 @@
 var errEnded = errors.New("the scheduler has ended")
 
 // New makes a scheduler from what it is told at its start.
-func New(sheet *terms.Sheet, log zerolog.Logger) (*Front, error) {
-	return Replace(sheet, nil, log)
+func New(sheet *terms.Bootstrap, log zerolog.Logger) (*Server, error) {
+	return NewSuccessor(sheet, nil, log)
 }
 
-// Replace makes a scheduler that takes the place of another, from what that one handed over and its workers in the sheet; nil for one that
+// NewSuccessor makes a scheduler that takes the place of another, from what that one handed over and its workers in the sheet; nil for one that
 // takes nobody's.
-func Replace(sheet *terms.Sheet, before *handover.State, log zerolog.Logger) (*Front, error) {
+func NewSuccessor(sheet *terms.Bootstrap, before *handover.State, log zerolog.Logger) (*Server, error) {
 	now := clock.New()
 	starts, err := startsOf(before, now)
 	if err != nil {
 		return nil, err
 	}
-	f := &Front{sheet: sheet, log: log, ready: make(chan struct{}), starts: starts}
+	f := &Server{sheet: sheet, log: log, ready: make(chan struct{}), starts: starts}
 	f.clients = clientconn.New(0, 0) // limit sets both bounds
 	f.clients.Failed, f.clients.HeadTime = f.acceptFailed, headTime
 	f.inForce.Store(settingsOf(sheet, nil, time.Time{}, time.Time{}))
 	f.drain = &drainer{clients: f.clients}
 	f.tally = tally.New(sheet.Categories())
-	dial := sheet.Span("bounds.connectTimeout", time.Second)
+	dial := sheet.Duration("bounds.connectTimeout", time.Second)
 	f.loop = &loop{
 		in:        make(chan message, backlog),
-		reducer:   ops.New(sheet.Chance, sheet.Site),
-		pool:      workerconn.New(workerconn.Bounds{Dial: dial, Idle: sheet.Span("bounds.keepalive", 10*time.Second)}),
+		reducer:   ops.New(sheet.SeedValue, sheet.Settings),
+		pool:      workerconn.New(workerconn.Bounds{Dial: dial, Idle: sheet.Duration("bounds.keepalive", 10*time.Second)}),
 		probeHead: []byte("GET /load HTTP/1.1\r\nHost: worker\r\n\r\n"),
 		probeWait: 2 * dial, // nothing says how long a probe may take: a dial, and as long again
 		log:       log,
@@ -124,35 +124,35 @@
 		freshFor:  dial + decisionSlack,
 		guard:     guard.New(log),
 		byID:      map[string]uint64{},
-		workers:   watched{grace: sheet.Span("safety.drainGrace", time.Second), since: map[string]time.Time{}},
+		workers:   watched{grace: sheet.Duration("safety.drainGrace", time.Second), since: map[string]time.Time{}},
 		wake:      time.NewTimer(0),
 	}
 	f.changes = overflow.New(f.loop.in, f.loop.ended)
-	f.loop.rule = func(category string) terms.Rule { return f.inForce.Load().rule(category) }
+	f.loop.rule = func(category string) terms.CategoryRule { return f.inForce.Load().rule(category) }
 	f.loop.mostPushes = func() int { return f.inForce.Load().mostPushes() }
 	f.clients.Ended = func(why clientconn.Reason, addr string) {
 		log.Debug().Str("why", string(why)).Str("client", addr).Msg("client's connection ends")
 	}
 	f.clients.Unanswered = func(addr string) {
-		f.loop.guard.Broken(guard.Closing, guard.Unanswered, func(e *zerolog.Event) { e.Str("client", addr) })
+		f.loop.guard.Violated(guard.Closing, guard.Unanswered, func(e *zerolog.Event) { e.Str("client", addr) })
 	}
 	f.Limit(sheet.Limits.Sockets)
-	if sheet.Other != nil {
-		f.loop.reducer.Watch(sheet.Other)
+	if sheet.ShadowSettings != nil {
+		f.loop.reducer.SetShadowSettings(sheet.ShadowSettings)
 		f.loop.watches = true
 	}
 	var known roster.Message
-	if len(sheet.Known) > 0 {
-		if err := json.Unmarshal(sheet.Known, &known); err != nil {
+	if len(sheet.KnownWorkers) > 0 {
+		if err := json.Unmarshal(sheet.KnownWorkers, &known); err != nil {
 			return nil, fmt.Errorf("known workers: %w", err)
 		}
 	}
-	list := known.Listed(starts)
-	list.Whole, list.Remembered = true, true
+	list := known.EndpointsChanged(starts)
+	list.Snapshot, list.Cached = true, true
 	f.loop.tell(list)
 	f.known = list
-	spans := roster.SpansOf(sheet.Site["discovery"] != "on_request", sheet.Schedulers(), sheet.Span("safety.drainGrace", time.Second))
-	f.roster = roster.New(sheet.Discovery, known, spans, sheet.Chance, starts, f.listed, log)
+	spans := roster.TimeoutsFor(sheet.Settings["discovery"] != "on_request", sheet.Schedulers(), sheet.Duration("safety.drainGrace", time.Second))
+	f.roster = roster.New(sheet.Discovery, known, spans, sheet.SeedValue, starts, f.listed, log)
 	f.loop.pool.Stale, f.loop.runs = f.listsUnread, f.clients.Runs
 	f.proxy = &httputil.ReverseProxy{
 		Transport:  f,
@@ -173,7 +173,7 @@
 }
 
 // Serve takes ops until the context ends, and then answers what it has taken within the time given.
-func (f *Front) Serve(ctx context.Context, l net.Listener, within time.Duration) error {
+func (f *Server) Serve(ctx context.Context, l net.Listener, within time.Duration) error {
 	watching, unwatch := context.WithCancel(context.Background())
 	defer unwatch()
 	if p := f.sheet.Peers; p != nil {
@@ -184,7 +184,7 @@
 		defer f.loop.peers.conn.Close()
 		go f.loop.peers.hear(f.loop.tell)
 	}
-	go f.roster.Keep(watching)
+	go f.roster.Run(watching)
 	quit := make(chan struct{})
 	defer func() {
 		close(quit)
@@ -223,10 +223,10 @@
 
 // listsUnread tells whether discovery has told something that the loop has not taken up yet. What a push was decided by may hold no more. It
 // follows the way of a list: one that has left the one place when that is asked is in the next by then.
-func (f *Front) listsUnread() bool { return f.roster.Unread() || f.loop.unapplied.Load() > 0 }
+func (f *Server) listsUnread() bool { return f.roster.HasUnreadData() || f.loop.unapplied.Load() > 0 }
 
 // acceptFailed counts a failure of accept that is waited out, and says so at a bounded rate.
-func (f *Front) acceptFailed(err error) {
+func (f *Server) acceptFailed(err error) {
 	n := f.tally.AcceptFailed()
 	now := time.Now()
 	if last := f.acceptLogged.Load(); last != nil && now.Sub(*last) < logEvery {
@@ -236,9 +236,9 @@
 	f.log.Warn().Err(err).Int("failures", n).Msg("accept fails")
 }
 
-// Figures are what staff read. They wait for nothing.
-func (f *Front) Figures() tally.Figures {
-	x := f.tally.Figures()
+// Metrics are what staff read. They wait for nothing.
+func (f *Server) Metrics() tally.Metrics {
+	x := f.tally.Snapshot()
 	if f.others != nil {
 		x.Members = f.others()
 	}
@@ -249,27 +249,27 @@
 	return x
 }
 
-// Count has the figures tell of the other schedulers. It is called before Serve.
-func (f *Front) Count(others func() *tally.Members) { f.others = others }
+// SetMemberCounts has the figures tell of the other schedulers. It is called before Serve.
+func (f *Server) SetMemberCounts(others func() *tally.MemberCounts) { f.others = others }
 
-// CountLost has the figures tell of lines of the log that were lost. It is called before Serve.
-func (f *Front) CountLost(lost func() uint64) { f.lost = lost }
+// SetLostLogLines has the figures tell of lines of the log that were lost. It is called before Serve.
+func (f *Server) SetLostLogLines(lost func() uint64) { f.lost = lost }
 
 // Ready is closed when this process can serve: it takes clients, and discovery has told it of the workers. One whose
 // discovery says nothing serves by the list that it remembers.
-func (f *Front) Ready() <-chan struct{} { return f.ready }
+func (f *Server) Ready() <-chan struct{} { return f.ready }
 
 // stop answers all that was taken. Connections go on being accepted and used for a while: what a client wrote to
 // one that the machine had accepted counts as taken, and the scheduler that it would turn to may be down still. With an
 // heir, that one accepts from the same socket, so this process does no more, and no client need be sent away.
-func (f *Front) stop(s *http.Server, within time.Duration) {
+func (f *Server) stop(s *http.Server, within time.Duration) {
 	within = min(within, f.inForce.Load().LongestTTL()) + stopSlack/3
 	by := time.Now().Add(within)
 	heir := f.heir.Load()
 	f.stopping.Store(!heir)
 	f.leaving.Store(heir)
 	f.log.Info().Time("by", by).Bool("heir", heir).Msg("stopping")
-	last := ops.Stopping{By: terms.Down(f.loop.clock.Nanos(by))}
+	last := ops.ShutdownStarted{Deadline: terms.RoundDown(f.loop.clock.Nanos(by))}
 	f.loop.tell(last)
 	defer time.AfterFunc(time.Until(by), func() { f.loop.tell(last) }).Stop()
 	leaves := time.Now().Add(time.Duration(stays * float64(within)))
@@ -291,7 +291,7 @@
 // leave has all clients gone: from a moment on each answer ends its connection, and those that wait for a request are told that
 // their wait is over. Without an heir it goes on accepting to the end: what a client wrote to a connection that the machine
 // accepted is taken. An heir may die meanwhile: then this process has none. It returns when nothing is open, or at the last moment.
-func (f *Front) leave(from, last time.Time) {
+func (f *Server) leave(from, last time.Time) {
 	for empty := 0; empty < 2 && time.Now().Before(last); time.Sleep(lookEvery) {
 		if time.Now().After(from) {
 			f.leaving.Store(true)
@@ -306,7 +306,7 @@
 }
 
 // ServeHTTP answers health checks, takes ops and turns away what is none.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	came := time.Now()
 	control := http.NewResponseController(w)
 	control.SetWriteDeadline(came.Add(patience))
@@ -332,10 +332,10 @@
 }
 
 // answer answers a request, which is an op or is refused, and counts it.
-func (f *Front) answer(w http.ResponseWriter, r *http.Request, h *held, no *refusal) {
-	f.tally.Took()
-	said, end := &answered{ResponseWriter: w}, tally.Gone // as it stays where the proxy has the server drop the connection, by a panic
-	defer func() { f.tally.Ended(r.Header.Get(categoryHeader), end) }()
+func (f *Server) answer(w http.ResponseWriter, r *http.Request, h *held, no *refusal) {
+	f.tally.RequestStarted()
+	said, end := &answered{ResponseWriter: w}, tally.Disconnected // as it stays where the proxy has the server drop the connection, by a panic
+	defer func() { f.tally.RequestEnded(r.Header.Get(categoryHeader), end) }()
 	if no == nil {
 		r.Body = http.NoBody
 		f.proxy.ServeHTTP(said, r.WithContext(context.WithValue(r.Context(), heldKey{}, h)))
@@ -360,22 +360,22 @@
 func (a *answered) Unwrap() http.ResponseWriter { return a.ResponseWriter }
 
 // end writes what is left of an answer and tells what it was for its client.
-func (a *answered) end(ctx context.Context) tally.End {
+func (a *answered) end(ctx context.Context) tally.RequestEnd {
 	left := ctx.Err() // what leaves later has had its answer
 	if err := http.NewResponseController(a).Flush(); err != nil || left != nil {
-		return tally.Gone
+		return tally.Disconnected
 	}
 	switch a.status {
 	case http.StatusOK:
-		return tally.Served
+		return tally.Succeeded
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return tally.Refused
+		return tally.Rejected
 	}
 	return tally.Failed
 }
 
 // health tells whoever deals out clients whether to send them here.
-func (f *Front) health(w http.ResponseWriter, r *http.Request) {
+func (f *Server) health(w http.ResponseWriter, r *http.Request) {
 	status := http.StatusOK
 	if f.stopping.Load() || f.leaving.Load() && !f.heir.Load() || f.drain.on() {
 		status = http.StatusServiceUnavailable
@@ -386,14 +386,14 @@
 
 // closeBehind ends the connection of a request that is at fault: so may be what follows it. While clients are to leave, it ends any with
 // its answer: one that is closed between requests may cross the next one. What was read behind the request is answered first.
-func (f *Front) closeBehind(client context.Context, h http.Header, status int) {
+func (f *Server) closeBehind(client context.Context, h http.Header, status int) {
 	if (status/100 == 4 || f.leaving.Load() || f.drain.on()) && !clientconn.More(client) {
 		h.Set("Connection", "close")
 	}
 }
 
 // refuse tells a client that its request is no op.
-func (f *Front) refuse(w http.ResponseWriter, r *http.Request, no *refusal) {
+func (f *Server) refuse(w http.ResponseWriter, r *http.Request, no *refusal) {
 	f.log.Debug().Str("error", no.text).Int("status", no.status).Msg("no op")
 	if no.endless {
 		clientconn.Forfeit(r.Context())
@@ -405,13 +405,13 @@
 
 // RoundTrip hands an op to the loop and waits for its one answer. http.Transport would send an op with an
 // Idempotency-Key again by itself, and dial connections that nobody asked for.
-func (f *Front) RoundTrip(r *http.Request) (*http.Response, error) {
+func (f *Server) RoundTrip(r *http.Request) (*http.Response, error) {
 	h, ok := r.Context().Value(heldKey{}).(*held)
 	if !ok {
 		return nil, errors.New("a request that holds no op")
 	}
 	if f.fates != nil {
-		h.Effect = f.Effect(h.Category) // that it is asked for by, or not
+		h.Effect = f.CategoryEffect(h.Category) // that it is asked for by, or not
 		if f.guarded(h.Category) {
 			if no := f.guard(r, h); no != nil {
 				return no, nil
@@ -421,7 +421,7 @@
 	h.Op, h.request.Head = f.numbers.Add(1), requestHead(r, h)
 	if err := f.hand(h); err != nil {
 		if h.ticket != 0 {
-			f.fates.End(h.ticket, true, 0, nil)
+			f.fates.Finish(h.ticket, true, 0, nil)
 		}
 		return nil, err
 	}
@@ -429,7 +429,7 @@
 	case a := <-h.answer:
 		return f.final(r, h, a), nil
 	case <-r.Context().Done():
-		f.loop.tell(ops.Left{Op: h.Op})
+		f.loop.tell(ops.ClientDisconnected{Op: h.Op})
 	case <-f.loop.ended:
 	}
 	select {
@@ -438,7 +438,7 @@
 	default:
 	}
 	if h.ticket != 0 {
-		f.fates.End(h.ticket, false, 0, nil) // it may have run; nobody knows
+		f.fates.Finish(h.ticket, false, 0, nil) // it may have run; nobody knows
 	}
 	if err := r.Context().Err(); err != nil {
 		return nil, err
@@ -447,7 +447,7 @@
 }
 
 // final is an op's one answer as it goes to its client.
-func (f *Front) final(r *http.Request, h *held, a ops.Answer) *http.Response {
+func (f *Server) final(r *http.Request, h *held, a ops.Respond) *http.Response {
 	if a.Verdict == ops.Acked {
 		f.clients.Served(r.Context())
 	}
@@ -458,12 +458,12 @@
 }
 
 // hand gives an op to the loop. One whose client has left by then, at the fates' door or while the loop was busy, is not given.
-func (f *Front) hand(h *held) error {
+func (f *Server) hand(h *held) error {
 	if err := h.client.Err(); err != nil {
 		return err
 	}
 	select {
-	case f.loop.in <- message{in: h.Arrived, held: h}:
+	case f.loop.in <- message{in: h.OpArrived, held: h}:
 		return nil
 	case <-h.client.Done():
 		return h.client.Err()
@@ -472,15 +472,15 @@
 	}
 }
 
-func response(r *http.Request, a ops.Answer) *http.Response {
+func response(r *http.Request, a ops.Respond) *http.Response {
 	switch a.Verdict {
 	case ops.Acked:
 		return plain(r, http.StatusOK, a.Result, 0)
 	case ops.Nacked:
-		return plain(r, http.StatusServiceUnavailable, []byte("nacked: trying again is harmless\n"), span(a.Pause))
+		return plain(r, http.StatusServiceUnavailable, []byte("nacked: trying again is harmless\n"), span(a.RetryAfter))
 	case ops.UnknownCategory:
 		return plain(r, http.StatusBadRequest, []byte("unknown category\n"), 0)
-	case ops.TakenID:
+	case ops.DuplicateID:
 		return plain(r, http.StatusConflict, []byte("an op with this id is held already\n"), 0)
 	}
 	return plain(r, http.StatusBadGateway, []byte("dead-lettered\n"), 0)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -27,7 +27,7 @@
 }
 
 // sheetOf is a sheet without settings, beside a stand-in discovery that tells of the workers known and then no more.
-func sheetOf(t *testing.T, known string) *terms.Sheet {
+func sheetOf(t *testing.T, known string) *terms.Bootstrap {
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintln(w, known)
 		w.(http.Flusher).Flush()
@@ -37,7 +37,7 @@
 		discovery.CloseClientConnections() // Close would wait for the scheduler's end
 		discovery.Close()
 	})
-	return &terms.Sheet{Discovery: discovery.Listener.Addr().String(), Known: json.RawMessage(known),
+	return &terms.Bootstrap{Discovery: discovery.Listener.Addr().String(), KnownWorkers: json.RawMessage(known),
 		Limits: terms.Limits{Cores: 1, MemoryMB: 64, Sockets: 256}}
 }
 
@@ -49,7 +49,7 @@
 	known := fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
 		worker.Listener.Addr())
 	sheet := sheetOf(t, known)
-	sheet.Site = terms.Flat(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "cancel": true},
+	sheet.Settings = terms.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "cancel": true},
 		"categories": []any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 3e8,
 			"targetLatencyNs": 2e8}}})
 	f, err := New(sheet, zerolog.Nop())
@@ -68,7 +68,7 @@
 }
 
 // serveUntil serves at an address until it is told to stop.
-func serveUntil(t *testing.T, f *Front) (addr string, stop func()) {
+func serveUntil(t *testing.T, f *Server) (addr string, stop func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/front/gone_test.go
+++ b/internal/front/gone_test.go
@@ -97,14 +97,14 @@
 // granting are fates that let an op wait until they are let grant it.
 type granting struct{ asks, grant chan bool }
 
-func (g *granting) Ask(context.Context, string, string, []byte, time.Duration, time.Duration) copies.Decided {
+func (g *granting) Claim(context.Context, string, string, []byte, time.Duration, time.Duration) copies.ClaimDecided {
 	g.asks <- true
 	<-g.grant
-	return copies.Decided{Outcome: copies.Mine, Ticket: 7}
+	return copies.ClaimDecided{Result: copies.Granted, RequestID: 7}
 }
-func (*granting) Ran(uint64, string)            {}
-func (*granting) End(uint64, bool, int, []byte) {}
-func (*granting) GiveUp(uint64)                 {}
+func (*granting) MayHaveRun(uint64, string)        {}
+func (*granting) Finish(uint64, bool, int, []byte) {}
+func (*granting) Abandon(uint64)                   {}
 
 // In a process whose goroutines get their turns late, the watches among them, a client's close is known to the machine and to nobody in
 // the process. Each way in which an attempt can begin is held in its last moment, the client leaves, and the way is opened: the attempt
@@ -193,7 +193,7 @@
 		name: "it is granted", category: "asked",
 		hold: func(_ *testing.T, g *gate) func() {
 			by := &granting{make(chan bool, 1), make(chan bool)}
-			g.front.Guard(by, func(category string) bool { return category == "asked" })
+			g.front.RequireClaims(by, func(category string) bool { return category == "asked" })
 			return func() { <-by.asks; close(by.grant) }
 		},
 	}, {
@@ -276,7 +276,7 @@
 				if n := len(g.pushed); n != 0 {
 					t.Errorf("it was sent on: %q", <-g.pushed)
 				}
-				if f := g.front.Figures(); f.Attempts != x.stay+x.pushes {
+				if f := g.front.Metrics(); f.Attempts != x.stay+x.pushes {
 					t.Errorf("%d attempts, not %d", f.Attempts, x.stay+x.pushes)
 				}
 			})
@@ -350,7 +350,7 @@
 		io.WriteString(c, opText(fmt.Sprint("left", k), "Content-Length: 0\r\n\r\n"))
 		open = append(open, c)
 	}
-	g.await(t, "all are there", func() bool { return g.front.Figures().InFlight == clients })
+	g.await(t, "all are there", func() bool { return g.front.Metrics().OpsInFlight == clients })
 	for _, c := range open {
 		c.Close()
 	}
@@ -360,7 +360,7 @@
 		taken, waits := ofLoop(g)
 		return taken == clients && waits == 0
 	})
-	if f := g.front.Figures(); f.Attempts != 0 || len(g.pushed) != 0 {
+	if f := g.front.Metrics(); f.Attempts != 0 || len(g.pushed) != 0 {
 		t.Errorf("%d attempts, %d came", f.Attempts, len(g.pushed))
 	}
 	if resp, _ := post(t, g.addr, "", idHeader+": stays"); resp.StatusCode != http.StatusOK || <-g.pushed != "stays" {
--- a/internal/front/handover.go
+++ b/internal/front/handover.go
@@ -15,10 +15,10 @@
 	"woaddyke/internal/terms"
 )
 
-// Give is what the process that takes the place of this one needs. From here on this one uses only its part of the
+// HandOver is what the process that takes the place of this one needs. From here on this one uses only its part of the
 // descriptors.
 // More are called for what others hand over beside it.
-func (f *Front) Give(more ...func(*handover.State) []syscall.Conn) (text []byte, sockets []syscall.Conn, err error) {
+func (f *Server) HandOver(more ...func(*handover.State) []syscall.Conn) (text []byte, sockets []syscall.Conn, err error) {
 	at, ok := f.clients.Listener.(syscall.Conn)
 	if !ok {
 		return nil, nil, errors.New("handover: the listening socket can't be shared")
@@ -26,14 +26,14 @@
 	if sockets = append(sockets, at); f.loop.peers != nil {
 		sockets = append(sockets, f.loop.peers.conn)
 	}
-	known, err := f.roster.Known()
+	known, err := f.roster.Snapshot()
 	if err != nil {
 		return nil, nil, err
 	}
 	workers, _ := f.loop.pool.Counts()
-	giver, heir := handover.Split(f.sheet.Limits.Sockets, f.clients.Sockets()+workers, spare+f.reserved)
-	state := handover.State{Sockets: heir, Offset: f.loop.clock.Offset(), Known: known, Drained: f.drain.on()}
-	if state.Starts, err = json.Marshal(f.starts.Known()); err != nil {
+	giver, heir := handover.SplitDescriptors(f.sheet.Limits.Sockets, f.clients.Sockets()+workers, spare+f.reserved)
+	state := handover.State{Sockets: heir, ClockOffset: f.loop.clock.Offset(), KnownWorkers: known, ClientsDrained: f.drain.on()}
+	if state.WorkerStarts, err = json.Marshal(f.starts.Snapshot()); err != nil {
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
 	if learned, ok := f.loop.learned(); ok {
@@ -46,7 +46,7 @@
 	for _, add := range more {
 		sockets = append(sockets, add(&state)...)
 	}
-	if text, err = state.Bytes(); err != nil {
+	if text, err = state.Encode(); err != nil {
 		return nil, nil, err
 	}
 	f.limit(giver, workers)
@@ -55,39 +55,39 @@
 
 // shiftTo is the span from a moment of the giver's clock to the same moment by this one's.
 func shiftTo(c clock.Clock, s handover.State) dispatch.Time {
-	return terms.Up(int64(c.Offset() - s.Offset))
+	return terms.RoundUp(int64(c.Offset() - s.ClockOffset))
 }
 
 // startsOf are when workers started as far as a process before this one knew.
-func startsOf(before *handover.State, now clock.Clock) (*roster.Starts, error) {
+func startsOf(before *handover.State, now clock.Clock) (*roster.StartTimes, error) {
 	if before == nil {
-		return roster.NewStarts(now, nil), nil
+		return roster.NewStartTimes(now, nil), nil
 	}
-	known := map[string]roster.Start{}
-	if len(before.Starts) > 0 {
-		if err := json.Unmarshal(before.Starts, &known); err != nil {
+	known := map[string]roster.ProcessStart{}
+	if len(before.WorkerStarts) > 0 {
+		if err := json.Unmarshal(before.WorkerStarts, &known); err != nil {
 			return nil, fmt.Errorf("handover: starts of workers: %w", err)
 		}
 	}
 	shift := shiftTo(now, *before)
 	for uid, s := range known {
-		known[uid] = roster.Start{BootMS: s.BootMS, At: max(s.At+shift, 1)}
+		known[uid] = roster.ProcessStart{BootMS: s.BootMS, At: max(s.At+shift, 1)}
 	}
-	return roster.NewStarts(now, known), nil
+	return roster.NewStartTimes(now, known), nil
 }
 
-// Inherit has this process go on from what the one before it gave: before Serve, with its socket for peers, if it had one.
-func (f *Front) Inherit(s handover.State, peers *net.UDPConn) {
+// RestoreState has this process go on from what the one before it gave: before Serve, with its socket for peers, if it had one.
+func (f *Server) RestoreState(s handover.State, peers *net.UDPConn) {
 	f.peersAt = peers
 	f.Limit(s.Sockets)
 	if learned, err := learnedOf(s); err == nil {
 		learned.Shift(shiftTo(f.loop.clock, s))
-		f.loop.tell(ops.Inherited{Learned: learned})
+		f.loop.tell(ops.StateRestored{Learned: learned})
 	} else {
 		f.log.Warn().Err(err).Msg("nothing learned is taken over")
 	}
-	if s.Drained {
-		f.Evacuate()
+	if s.ClientsDrained {
+		f.DrainClients()
 	}
 }
 
@@ -100,11 +100,11 @@
 	return learned, err
 }
 
-// Replaced tells whether a process is there that takes the place of this one.
-func (f *Front) Replaced() bool { return f.heir.Load() }
+// HasSuccessor tells whether a process is there that takes the place of this one.
+func (f *Server) HasSuccessor() bool { return f.heir.Load() }
 
-// Heir says that a process is there to take the place of this one, or that it has ended and this one goes on alone.
-func (f *Front) Heir(there bool) {
+// SetSuccessor says that a process is there to take the place of this one, or that it has ended and this one goes on alone.
+func (f *Server) SetSuccessor(there bool) {
 	if f.heir.Store(there); !there {
 		f.Limit(f.sheet.Limits.Sockets)
 		f.clients.Resume()
@@ -112,16 +112,16 @@
 }
 
 // Reserve keeps so many descriptors for what runs beside the scheduler in its process. It is called before Serve.
-func (f *Front) Reserve(descriptors int) {
+func (f *Server) Reserve(descriptors int) {
 	f.reserved += descriptors
 	f.Limit(f.sheet.Limits.Sockets)
 }
 
 // Limit sets how many descriptors this process may use.
-func (f *Front) Limit(sockets int) { f.limit(sockets, 0) }
+func (f *Server) Limit(sockets int) { f.limit(sockets, 0) }
 
 // limit leaves room for so many connections to workers at the least, of clients' room: ops that can't be pushed only wait.
-func (f *Front) limit(sockets, workers int) {
+func (f *Server) limit(sockets, workers int) {
 	some, most, workers := parts(sockets-spare-f.reserved, workers)
 	f.clients.Limit(some, most)
 	f.loop.pool.Limit(workers)
--- a/internal/front/leave_test.go
+++ b/internal/front/leave_test.go
@@ -20,7 +20,7 @@
 
 // gate is a scheduler whose one worker answers probes only when let, and counts the ops that come.
 type gate struct {
-	front  *Front
+	front  *Server
 	addr   string
 	probed chan bool    // a probe has come
 	let    chan bool    // answers one
@@ -71,7 +71,7 @@
 	})
 	sheet := sheetOf(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
 		worker.Listener.Addr()))
-	sheet.Site = terms.Flat(map[string]any{
+	sheet.Settings = terms.Flatten(map[string]any{
 		"bounds": map[string]any{"maxPushes": 3.0, "cancel": cancel, "probes": probes, "connectTimeoutNs": 60e9},
 		"report": map[string]any{"fields": []any{"pending", "busy_reqs"}, "how": "on_probe"},
 		"categories": append([]any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 300e9, "targetLatencyNs": 240e9},
@@ -119,7 +119,7 @@
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("%s: never; figures %+v", what, g.front.Figures())
+			t.Fatalf("%s: never; figures %+v", what, g.front.Metrics())
 		}
 	}
 }
@@ -163,8 +163,8 @@
 			io.WriteString(c, x.then)
 			x.leave(c)
 			g.await(t, "seen to leave", func() bool {
-				f := g.front.Figures()
-				return f.InFlight == 0 && f.Requests["look"].Gone >= 1 && f.Requests["look"].Failed+f.Requests["look"].Refused == 0
+				f := g.front.Metrics()
+				return f.OpsInFlight == 0 && f.Requests["look"].Disconnected >= 1 && f.Requests["look"].Failed+f.Requests["look"].Rejected == 0
 			})
 			g.none(t, "behind ")
 		})
@@ -227,9 +227,9 @@
 		t.Fatal(err)
 	}
 	fmt.Fprint(c, opText("left", "Content-Length: 0\r\n\r\n"))
-	g.await(t, "the op waits", func() bool { return g.front.Figures().InFlight == 1 })
+	g.await(t, "the op waits", func() bool { return g.front.Metrics().OpsInFlight == 1 })
 	c.Close()
-	g.await(t, "seen to leave", func() bool { f := g.front.Figures(); return f.InFlight == 0 && f.Requests["look"].Gone == 1 })
+	g.await(t, "seen to leave", func() bool { f := g.front.Metrics(); return f.OpsInFlight == 0 && f.Requests["look"].Disconnected == 1 })
 	close(free)
 	g.none(t, "behind ")
 }
@@ -257,10 +257,10 @@
 			fmt.Fprint(c, opText("left", "Content-Length: 0\r\n\r\n"))
 			<-dials
 			c.Close()
-			g.await(t, "seen to leave", func() bool { return g.front.Figures().Requests["look"].Gone == 1 })
+			g.await(t, "seen to leave", func() bool { return g.front.Metrics().Requests["look"].Disconnected == 1 })
 			close(up)
 			g.none(t, "behind ")
-			if f := g.front.Figures(); f.Attempts != 3 {
+			if f := g.front.Metrics(); f.Attempts != 3 {
 				t.Errorf("%d pushes are counted as written, of three", f.Attempts)
 			}
 		})
@@ -273,20 +273,20 @@
 	ends  chan bool // whether it is said to be unsent
 }
 
-func (a *asked) Ask(ctx context.Context, _, _ string, _ []byte, _, _ time.Duration) copies.Decided {
+func (a *asked) Claim(ctx context.Context, _, _ string, _ []byte, _, _ time.Duration) copies.ClaimDecided {
 	a.waits <- true
 	<-ctx.Done()
-	return copies.Decided{Outcome: copies.Mine, Ticket: 7} // the grant that crosses it
+	return copies.ClaimDecided{Result: copies.Granted, RequestID: 7} // the grant that crosses it
 }
-func (a *asked) Ran(uint64, string)                         {}
-func (a *asked) End(_ uint64, unsent bool, _ int, _ []byte) { a.ends <- unsent }
-func (a *asked) GiveUp(uint64)                              {}
+func (a *asked) MayHaveRun(uint64, string)                     {}
+func (a *asked) Finish(_ uint64, unsent bool, _ int, _ []byte) { a.ends <- unsent }
+func (a *asked) Abandon(uint64)                                {}
 
 // A grant that came as the client left was spent on nobody, and its op called one that may have run.
 func TestAnOpWhoseClientLeftAtTheFatesDoorIsUnsent(t *testing.T) {
 	g := gated(t, false, false)
 	by := &asked{make(chan bool, 1), make(chan bool, 1)}
-	g.front.Guard(by, func(category string) bool { return category == "asked" })
+	g.front.RequireClaims(by, func(category string) bool { return category == "asked" })
 	for k := range 12 { // the loop has room too: without the question before it, half of them are given
 		c, err := net.Dial("tcp", g.addr)
 		if err != nil {
@@ -340,7 +340,7 @@
 	go func() {
 		for m := range f.loop.in {
 			if m.held != nil {
-				m.held.answer <- ops.Answer{Verdict: ops.Acked, Result: make([]byte, 64<<10)}
+				m.held.answer <- ops.Respond{Verdict: ops.Acked, Result: make([]byte, 64<<10)}
 				return
 			}
 		}
@@ -353,9 +353,9 @@
 				t.Errorf("the server is to drop the connection: %v", p)
 			}
 		}()
-		f.answer(torn{}, r.WithContext(ctx), &held{client: ctx, answer: make(chan ops.Answer, 1)}, nil)
+		f.answer(torn{}, r.WithContext(ctx), &held{client: ctx, answer: make(chan ops.Respond, 1)}, nil)
 	}()
-	if x := f.Figures(); x.InFlight != 0 || x.Other.Gone != 1 || x.Taken != 1 {
+	if x := f.Metrics(); x.OpsInFlight != 0 || x.Other.Disconnected != 1 || x.RequestsRead != 1 {
 		t.Errorf("%+v", x)
 	}
 }
@@ -370,7 +370,7 @@
 				t.Fatal(err)
 			}
 			by := &granted{ends: make(chan int, 1)}
-			f.Guard(by, func(string) bool { return true })
+			f.RequireClaims(by, func(string) bool { return true })
 			plain, leave := context.WithCancel(context.Background())
 			quit, both := make(chan struct{}), make(chan struct{})
 			ctx := crossing{plain, both}
@@ -380,7 +380,7 @@
 					if m.held == nil {
 						continue
 					}
-					m.held.answer <- ops.Answer{Verdict: ops.Acked, Result: []byte("x")}
+					m.held.answer <- ops.Respond{Verdict: ops.Acked, Result: []byte("x")}
 					if loopEnds {
 						close(quit)
 						f.loop.run(quit)
@@ -390,7 +390,7 @@
 					return
 				}
 			}()
-			h := &held{client: plain, answer: make(chan ops.Answer, 1)}
+			h := &held{client: plain, answer: make(chan ops.Respond, 1)}
 			r := httptest.NewRequest(http.MethodPost, "/", nil)
 			if resp, err := f.RoundTrip(r.WithContext(context.WithValue(ctx, heldKey{}, h))); err != nil || resp.StatusCode != http.StatusOK {
 				t.Fatalf("loop ends %v: %v, %v", loopEnds, resp, err)
@@ -417,9 +417,9 @@
 // granted are fates that grant all and are told what came of it.
 type granted struct{ ends chan int }
 
-func (*granted) Ask(context.Context, string, string, []byte, time.Duration, time.Duration) copies.Decided {
-	return copies.Decided{Outcome: copies.Mine, Ticket: 7}
+func (*granted) Claim(context.Context, string, string, []byte, time.Duration, time.Duration) copies.ClaimDecided {
+	return copies.ClaimDecided{Result: copies.Granted, RequestID: 7}
 }
-func (*granted) Ran(uint64, string)                           {}
-func (g *granted) End(_ uint64, _ bool, status int, _ []byte) { g.ends <- status }
-func (*granted) GiveUp(uint64)                                {}
+func (*granted) MayHaveRun(uint64, string)                       {}
+func (g *granted) Finish(_ uint64, _ bool, status int, _ []byte) { g.ends <- status }
+func (*granted) Abandon(uint64)                                  {}
--- a/internal/front/loop.go
+++ b/internal/front/loop.go
@@ -42,7 +42,7 @@
 	log       zerolog.Logger
 	clock     clock.Clock
 
-	tally   *tally.Tally
+	tally   *tally.Recorder
 	shows   bool          // staff read the figures
 	listed  chan struct{} // closed with the first list that is not remembered
 	heard   bool          // it is closed
@@ -54,22 +54,22 @@
 	held    map[uint64]*held
 	out     map[uint64]*workerconn.Exchange
 	wake    *time.Timer
-	fates   Fates // nil: this scheduler alone knows its ops; set before it runs
+	fates   ClaimRegistry // nil: this scheduler alone knows its ops; set before it runs
 
 	runs       func(now time.Time) // told of each step, and once a second
 	unapplied  atomic.Int64        // lists that were told and not taken up yet
-	guard      *guard.Guard
+	guard      *guard.Checker
 	freshFor   time.Duration // for which a decision is carried out: the time for a dial, and a little
 	workers    watched
-	byID       map[string]uint64          // ops that have been pushed and have no answer
-	rule       func(string) terms.Rule    // in force, by category
-	mostPushes func() int                 // in force
-	granted    func(category string) bool // whether ops are asked for before they are taken; nil: none are
+	byID       map[string]uint64               // ops that have been pushed and have no answer
+	rule       func(string) terms.CategoryRule // in force, by category
+	mostPushes func() int                      // in force
+	granted    func(category string) bool      // whether ops are asked for before they are taken; nil: none are
 }
 
 // tell waits for room, but not for a loop that has ended.
 func (l *loop) tell(in ops.Input) {
-	if _, list := in.(ops.Listed); list {
+	if _, list := in.(ops.EndpointsChanged); list {
 		l.unapplied.Add(1)
 	}
 	select {
@@ -125,12 +125,12 @@
 			}
 			l.step(m.in)
 		case <-l.wake.C:
-			l.step(ops.Woken{})
+			l.step(ops.TimerFired{})
 		case now := <-sweep.C:
 			l.runs(time.Now())
 			go l.pool.Sweep(now)
 		case <-fleet:
-			l.tally.Fleet(l.reducer.Fleet(terms.Up(l.clock.Now())))
+			l.tally.SetWorkers(l.reducer.WorkerCounts(terms.RoundUp(l.clock.Now())))
 		case <-count.C:
 			l.otherwise()
 		case <-quit:
@@ -142,7 +142,7 @@
 // otherwise logs what a watch has counted since the start.
 func (l *loop) otherwise() {
 	if l.watches {
-		asked, chosen, spoken := l.reducer.Otherwise()
+		asked, chosen, spoken := l.reducer.ShadowDivergence()
 		l.log.Info().Int("asked", asked).Int("chosen", chosen).Int("spoken", spoken).Uint64("ops", l.taken).
 			Msg("decided otherwise by the settings watched for")
 	}
@@ -152,32 +152,32 @@
 	now := time.Now()
 	l.runs(now)
 	switch in := in.(type) {
-	case ops.Noted:
+	case ops.AttemptProgressed:
 		if in.Started { // one that is only taken may come back unstarted, and go to another group
 			l.ran(in.Op)
 		}
-	case ops.Ended:
+	case ops.AttemptEnded:
 		l.noteEnd(in)
-		if delete(l.out, in.Op); !in.How.NeverRan() {
+		if delete(l.out, in.Op); !in.Ending.NeverRan() {
 			l.ran(in.Op)
 		}
-	case ops.Left:
+	case ops.ClientDisconnected:
 		l.log.Debug().Uint64("op", in.Op).Msg("client left")
 		if h := l.held[in.Op]; h != nil && l.byID[h.ID] == h.Op {
 			delete(l.byID, h.ID)
 		}
 		delete(l.held, in.Op)
-	case ops.Listed:
+	case ops.EndpointsChanged:
 		l.workers.list(in, now)
-		if !in.Remembered && !l.heard {
+		if !in.Cached && !l.heard {
 			l.heard = true
 			close(l.listed)
 		}
 	}
-	for _, e := range l.reducer.Take(terms.Up(l.clock.Nanos(now)), in) {
+	for _, e := range l.reducer.Step(terms.RoundUp(l.clock.Nanos(now)), in) {
 		l.do(now, e)
 	}
-	if _, list := in.(ops.Listed); list {
+	if _, list := in.(ops.EndpointsChanged); list {
 		l.unapplied.Add(-1)
 	}
 }
@@ -186,40 +186,40 @@
 	switch e := e.(type) {
 	case ops.Push:
 		l.push(now, e)
-	case ops.Close:
+	case ops.CancelAttempt:
 		if x := l.out[e.Op]; x != nil {
-			x.Close(e.OnlyUnwritten, e.How)
+			x.Close(e.OnlyIfUnsent, e.Ending)
 		}
 	case ops.Probe:
 		l.pool.Probe(e.Addr, l.probeHead, now.Add(l.probeWait), func(end workerconn.End) {
 			l.log.Debug().Str("worker", e.Worker).Stringer("how", end.How).Bool("dialed", end.Dialed).
 				Dur("took_ms", time.Since(now)).Bytes("report", end.Load).Msg("probe ended")
-			l.tell(ops.Probed{Probe: e.Probe, How: end.How, Report: end.Load})
+			l.tell(ops.ProbeEnded{Probe: e.Probe, Ending: end.How, LoadReport: end.Load})
 		})
-	case ops.Answer:
+	case ops.Respond:
 		if h := l.held[e.Op]; h != nil {
 			delete(l.held, e.Op)
 			l.checkAnswer(now, h, e)
-			l.log.Debug().Uint64("op", e.Op).Str("id", h.ID).Stringer("verdict", e.Verdict).Stringer("why", e.Why).Int("pushes", len(h.pushes)).Msg("answer")
+			l.log.Debug().Uint64("op", e.Op).Str("id", h.ID).Stringer("verdict", e.Verdict).Stringer("why", e.Reason).Int("pushes", len(h.pushes)).Msg("answer")
 			h.answer <- e
 		}
-	case ops.Tell:
+	case ops.SendToPeer:
 		if l.say != nil {
-			l.say(e.To, e.Text)
+			l.say(e.Peer, e.Text)
 		} else {
-			l.peers.tell(e.To, e.Text)
+			l.peers.tell(e.Peer, e.Text)
 		}
-	case ops.Wake:
-		l.wake.Reset(span(e.In))
+	case ops.SetTimer:
+		l.wake.Reset(span(e.Delay))
 	}
 }
 
 func (l *loop) push(now time.Time, e ops.Push) {
 	h := l.held[e.Op] // a push is never asked for after the answer, or after its client left
-	wait := span(e.Within)
+	wait := span(e.Timeout)
 	h.group = e.Group
 	l.begin(now, h, e)
-	l.log.Debug().Uint64("op", e.Op).Str("id", h.ID).Str("worker", e.Worker).Int("leg", e.Leg).Stringer("after", h.pushes.before()).Msg("push")
+	l.log.Debug().Uint64("op", e.Op).Str("id", h.ID).Str("worker", e.Worker).Int("leg", e.Attempt).Stringer("after", h.pushes.before()).Msg("push")
 	l.out[e.Op] = l.pool.Push(e.Addr, h.ID, func(left time.Duration) []byte {
 		if time.Since(now) > l.freshFor {
 			return nil // what was told of its worker since may lie unread
@@ -227,17 +227,17 @@
 		l.sending(h, e.Worker, left)
 		return h.request.Bytes(left)
 	}, now.Add(wait), h.waits, func() {
-		l.tally.Pushed(h.Category)
+		l.tally.AttemptSent(h.Category)
 	}, func(line workerconn.Line) {
 		l.log.Debug().Uint64("op", e.Op).Str("state", line.State).Float64("share", line.Share).Msg("job line")
-		l.tell(ops.Noted{Op: e.Op, Started: line.State == "started", Done: line.Share})
+		l.tell(ops.AttemptProgressed{Op: e.Op, Started: line.State == "started", Done: line.Share})
 	}, func(end workerconn.End) {
 		l.log.Debug().Uint64("op", e.Op).Str("worker", e.Worker).Stringer("how", end.How).
 			Bool("dialed", end.Dialed).Dur("took_ms", time.Since(now)).Msg("push ended")
-		if end.How == outcome.Unwritten && !h.waits() {
-			l.tell(ops.Left{Op: e.Op}) // before the end: what was not wanted here is not to go elsewhere
+		if end.How == outcome.CancelledUnsent && !h.waits() {
+			l.tell(ops.ClientDisconnected{Op: e.Op}) // before the end: what was not wanted here is not to go elsewhere
 		}
-		l.tell(ops.Ended{Op: e.Op, How: end.How, Result: end.Result, Report: end.Load})
+		l.tell(ops.AttemptEnded{Op: e.Op, Ending: end.How, Result: end.Result, LoadReport: end.Load})
 	})
 }
 
--- a/internal/front/peers.go
+++ b/internal/front/peers.go
@@ -30,7 +30,7 @@
 func listen(p *terms.Peers, conn *net.UDPConn, log zerolog.Logger) (*peers, error) {
 	if conn == nil {
 		var err error
-		conn, err = oserror.Outlast(func() (*net.UDPConn, error) { return net.ListenUDP("udp", net.UDPAddrFromAddrPort(p.At)) })
+		conn, err = oserror.RetryTransient(func() (*net.UDPConn, error) { return net.ListenUDP("udp", net.UDPAddrFromAddrPort(p.ListenAddr)) })
 		if err != nil {
 			return nil, fmt.Errorf("peers: %w", err)
 		}
@@ -53,12 +53,12 @@
 		}
 		if err != nil { // one datagram's trouble, or this machine's for a moment
 			failures++
-			time.Sleep(oserror.Pause(failures))
+			time.Sleep(oserror.Backoff(failures))
 			continue
 		}
 		failures = 0
 		if by, known := s.by[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]; known {
-			tell(ops.Told{By: by, Text: string(room[:n])})
+			tell(ops.PeerMessage{Sender: by, Text: string(room[:n])})
 		}
 	}
 }
@@ -80,13 +80,13 @@
 	}
 }
 
-// Speak has words to other schedulers go another way than by the configuration's addresses. It is called before Serve.
-func (f *Front) Speak(say func(to int, text string)) { f.loop.say = say }
+// SetPeerSender has words to other schedulers go another way than by the configuration's addresses. It is called before Serve.
+func (f *Server) SetPeerSender(say func(to int, text string)) { f.loop.say = say }
 
-// Others takes what is learned of other schedulers from elsewhere: a word, that one is no more, that one is new. The loop is
+// PeerInput takes what is learned of other schedulers from elsewhere: a word, that one is no more, that one is new. The loop is
 // never waited for: a word that finds no room is lost, as a datagram is.
-func (f *Front) Others(in ops.Input) {
-	if _, word := in.(ops.Told); !word {
+func (f *Server) PeerInput(in ops.Input) {
+	if _, word := in.(ops.PeerMessage); !word {
 		f.changes.Put(message{in: in}) // they are few, and none must be missed or overtake another
 		return
 	}
--- a/internal/front/settings.go
+++ b/internal/front/settings.go
@@ -14,22 +14,22 @@
 
 // settings are those in force.
 type settings struct {
-	*terms.Sheet
+	*terms.Bootstrap
 	rules map[string]rule // by category; of hundreds, a walk over the sheet for each op cost more than the op
 	hash  func() uint64
 }
 
 // rule is a category's, until then if it was dropped.
 type rule struct {
-	terms.Rule
+	terms.CategoryRule
 	until time.Time
 }
 
 // settingsOf takes over what a category that is dropped goes on by for a while.
-func settingsOf(sheet *terms.Sheet, before *settings, now, until time.Time) *settings {
-	s := &settings{Sheet: sheet, rules: map[string]rule{}, hash: sync.OnceValue(sheet.Hash)}
-	for name, r := range sheet.Rules() {
-		s.rules[name] = rule{Rule: r}
+func settingsOf(sheet *terms.Bootstrap, before *settings, now, until time.Time) *settings {
+	s := &settings{Bootstrap: sheet, rules: map[string]rule{}, hash: sync.OnceValue(sheet.SettingsHash)}
+	for name, r := range sheet.CategoryRules() {
+		s.rules[name] = rule{CategoryRule: r}
 	}
 	if before == nil {
 		return s
@@ -55,46 +55,48 @@
 }
 
 // rule is a category's, empty for one that is not served any more.
-func (s *settings) rule(category string) terms.Rule {
+func (s *settings) rule(category string) terms.CategoryRule {
 	r := s.rules[category]
 	if !r.until.IsZero() && time.Now().After(r.until) {
-		return terms.Rule{}
+		return terms.CategoryRule{}
 	}
-	return r.Rule
+	return r.CategoryRule
 }
 
 // mostPushes is how often an op may be pushed.
 func (s *settings) mostPushes() int {
-	n, ok := s.Site["bounds.maxPushes"].(float64)
+	n, ok := s.Settings["bounds.maxPushes"].(float64)
 	if !ok {
 		return 1
 	}
 	return int(n)
 }
 
-// Effect is how often an op of a category may run, by the settings in force.
-func (f *Front) Effect(category string) string { return f.inForce.Load().rule(category).Effect }
+// CategoryEffect is how often an op of a category may run, by the settings in force.
+func (f *Server) CategoryEffect(category string) string {
+	return f.inForce.Load().rule(category).Effect
+}
 
 // Discovery is where the list is read, by the configuration in force.
-func (f *Front) Discovery() string { return f.inForce.Load().Discovery }
+func (f *Server) Discovery() string { return f.inForce.Load().Discovery }
 
 // SettingsHash names the settings in force, but for what is each scheduler's own.
-func (f *Front) SettingsHash() uint64 { return f.inForce.Load().hash() }
+func (f *Server) SettingsHash() uint64 { return f.inForce.Load().hash() }
 
-// Reread takes up a configuration that was replaced: where discovery is now, the categories and how often an op is pushed.
+// ReloadConfig takes up a configuration that was replaced: where discovery is now, the categories and how often an op is pushed.
 // Workers, ops and connections stay as they are, and so does all else until a restart. A file that is at fault changes nothing.
-func (f *Front) Reread(path string) {
+func (f *Server) ReloadConfig(path string) {
 	before := f.inForce.Load()
-	sheet, err := oserror.Outlast(func() (*terms.Sheet, error) { return terms.ReadSheet(path) })
+	sheet, err := oserror.RetryTransient(func() (*terms.Bootstrap, error) { return terms.ReadBootstrap(path) })
 	if err == nil {
-		err = sheet.Follows(before.Sheet)
+		err = sheet.CheckReload(before.Bootstrap)
 	}
 	if err != nil {
-		f.tally.Reread(false)
+		f.tally.ConfigReloaded(false)
 		f.log.Error().Err(err).Msg("configuration kept")
 		return
 	}
-	retunes, rest := sheet.Retunes(before.Sheet)
+	retunes, rest := sheet.CategoriesChanged(before.Bootstrap)
 	if rest {
 		f.log.Warn().Msg("all but discovery, categories and pushes changes with a restart only")
 	}
@@ -102,13 +104,13 @@
 	// What comes for a category that is served no more was sent before its client knew, or is its next try.
 	until := now.Add(before.LongestTTL())
 	if retunes {
-		f.tally.Serves(sheet.Categories())
-		f.loop.tell(ops.Retuned{Site: sheet.Site, Until: terms.Down(f.loop.clock.Nanos(until))})
+		f.tally.SetCategories(sheet.Categories())
+		f.loop.tell(ops.SettingsChanged{Settings: sheet.Settings, RetainUntil: terms.RoundDown(f.loop.clock.Nanos(until))})
 	}
 	f.inForce.Store(settingsOf(sheet, before, now, until))
 	if sheet.Discovery != before.Discovery || !retunes { // a watch that is opened anew at each of a site's changes is a call each for nothing
-		f.roster.Move(sheet.Discovery)
+		f.roster.SetAddress(sheet.Discovery)
 	}
-	f.tally.Reread(true) // last: who reads of it goes by what is in force
+	f.tally.ConfigReloaded(true) // last: who reads of it goes by what is in force
 	f.log.Info().Str("discovery", sheet.Discovery).Bool("settings", retunes).Msg("configuration reread")
 }
--- a/internal/front/settings_test.go
+++ b/internal/front/settings_test.go
@@ -21,13 +21,13 @@
 // asking are fates that grant all and remember of which categories they were asked, and with which window.
 type asking struct{ of chan string }
 
-func (a *asking) Ask(_ context.Context, category, _ string, _ []byte, _, window time.Duration) copies.Decided {
+func (a *asking) Claim(_ context.Context, category, _ string, _ []byte, _, window time.Duration) copies.ClaimDecided {
 	a.of <- fmt.Sprint(category, " ", window)
-	return copies.Decided{Outcome: copies.Mine, Ticket: 7}
+	return copies.ClaimDecided{Result: copies.Granted, RequestID: 7}
 }
-func (*asking) Ran(uint64, string)            {}
-func (*asking) End(uint64, bool, int, []byte) {}
-func (*asking) GiveUp(uint64)                 {}
+func (*asking) MayHaveRun(uint64, string)        {}
+func (*asking) Finish(uint64, bool, int, []byte) {}
+func (*asking) Abandon(uint64)                   {}
 
 // An op of a category that was dropped is served by its old rules for a while, but the fates were not asked for it any more: an
 // at-most-once op could run at two schedulers.
@@ -42,7 +42,7 @@
 	write := func(categories string) {
 		t.Helper()
 		text := fmt.Sprintf(`{"listen":"a:1","discovery":%q,"seed":"1","known":%s,"settings":{"categories":[%s]}}`, stand.Discovery,
-			stand.Known, categories)
+			stand.KnownWorkers, categories)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -51,7 +51,7 @@
 		`{"name":"pay","effect":"fragile","ttlNs":6e10,"targetLatencyNs":6e10}`,
 		`{"name":"note","effect":"dedup","windowNs":5e9,"dedupScope":"all","ttlNs":6e10,"targetLatencyNs":6e10}`
 	write(look + "," + pay + "," + note)
-	sheet, err := terms.ReadSheet(path)
+	sheet, err := terms.ReadBootstrap(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,8 +60,8 @@
 		t.Fatal(err)
 	}
 	by := &asking{make(chan string, 9)}
-	f.Guard(by, func(category string) bool {
-		return f.Effect(category) == "at-most-once" || f.Effect(category) == "deduplicated"
+	f.RequireClaims(by, func(category string) bool {
+		return f.CategoryEffect(category) == "at-most-once" || f.CategoryEffect(category) == "deduplicated"
 	})
 	addr, _ := serveUntil(t, f)
 	sent := 0
@@ -81,7 +81,7 @@
 	for step, settings := range []string{"", look, look + "," + strings.Replace(pay, "pay", "pay-2", 1)} {
 		if settings != "" {
 			write(settings)
-			if f.Reread(path); f.Figures().ReloadsOK != step {
+			if f.ReloadConfig(path); f.Metrics().ReloadsOK != step {
 				t.Fatalf("step %d is not taken", step)
 			}
 		}
@@ -97,12 +97,12 @@
 func TestTheRulesOfDroppedCategoriesAreGivenBack(t *testing.T) {
 	const each, steps = 1000, 8
 	now := time.Now()
-	of := func(step int) *terms.Sheet {
+	of := func(step int) *terms.Bootstrap {
 		var categories []any
 		for i := range each {
 			categories = append(categories, map[string]any{"name": fmt.Sprint(step, "-", i), "effect": "fragile", "ttlNs": 1e9})
 		}
-		return &terms.Sheet{Site: terms.Flat(map[string]any{"categories": categories})}
+		return &terms.Bootstrap{Settings: terms.Flatten(map[string]any{"categories": categories})}
 	}
 	s := settingsOf(of(0), nil, now, now)
 	for i := 1; i < steps; i++ {
--- a/internal/front/shared.go
+++ b/internal/front/shared.go
@@ -9,10 +9,10 @@
 	"woaddyke/internal/ops"
 )
 
-// Neighbours are the other schedulers, as far as lists of workers are shared with them.
-type Neighbours interface {
+// DrainPeers are the other schedulers, as far as lists of workers are shared with them.
+type DrainPeers interface {
 	Names() []string
-	Tell(to string, words []drainstate.Word)
+	SendDrains(to string, words []drainstate.DrainRecord)
 	Now() members.Time
 }
 
@@ -26,31 +26,31 @@
 	order  sync.Mutex // held from a look at what follows until the loop has been told of it; taken before mu
 	mu     sync.Mutex
 	core   *drainstate.Core
-	of     Neighbours
+	of     DrainPeers
 	tell   func(ops.Input)
-	listed map[string]ops.Entry
+	listed map[string]ops.Endpoint
 	bound  map[string]bool // that serve by the own list, and take nothing new
 }
 
-// Share has a worker that drains by what a neighbour was told take nothing new from here. It is called before Serve.
-func (f *Front) Share(of Neighbours, chance uint64) {
-	s := &sharing{core: drainstate.New(chance), of: of, tell: f.loop.tell, listed: map[string]ops.Entry{}, bound: map[string]bool{}}
+// ShareDrains has a worker that drains by what a neighbour was told take nothing new from here. It is called before Serve.
+func (f *Server) ShareDrains(of DrainPeers, chance uint64) {
+	s := &sharing{core: drainstate.New(chance), of: of, tell: f.loop.tell, listed: map[string]ops.Endpoint{}, bound: map[string]bool{}}
 	s.take(f.known)
 	f.shared = s
 }
 
-// Shared takes what a neighbour was told.
-func (f *Front) Shared(words []drainstate.Word) {
+// PeerDrains takes what a neighbour was told.
+func (f *Server) PeerDrains(words []drainstate.DrainRecord) {
 	if s := f.shared; s != nil {
 		s.mu.Lock()
-		s.step(drainstate.Heard{Words: words})
+		s.step(drainstate.RecordsReceived{Records: words})
 		s.mu.Unlock()
 	}
 }
 
 // listed takes what the own discovery tells.
-func (f *Front) listed(in ops.Input) {
-	l, ok := in.(ops.Listed)
+func (f *Server) listed(in ops.Input) {
+	l, ok := in.(ops.EndpointsChanged)
 	if s := f.shared; ok && s != nil {
 		s.hand(l)
 		return
@@ -59,7 +59,7 @@
 }
 
 // hand takes what the own discovery tells, and tells the loop of it as it binds here.
-func (s *sharing) hand(l ops.Listed) {
+func (s *sharing) hand(l ops.EndpointsChanged) {
 	s.order.Lock()
 	defer s.order.Unlock()
 	s.tell(s.take(l))
@@ -71,11 +71,11 @@
 	defer s.order.Unlock()
 	s.mu.Lock()
 	entry, listed := s.listed[worker]
-	withheld := s.core.Withheld(worker)
+	withheld := s.core.Excluded(worker)
 	s.mu.Unlock()
 	if listed && withheld {
 		entry.Ready = false
-		s.tell(ops.Listed{Entries: []ops.Entry{entry}})
+		s.tell(ops.EndpointsChanged{Endpoints: []ops.Endpoint{entry}})
 	}
 }
 
@@ -84,17 +84,17 @@
 	s.order.Lock()
 	defer s.order.Unlock()
 	if free := s.free(); len(free) > 0 {
-		s.tell(ops.Listed{Entries: free})
+		s.tell(ops.EndpointsChanged{Endpoints: free})
 	}
 }
 
 // free are the workers that were bound, and are no more.
-func (s *sharing) free() (free []ops.Entry) {
+func (s *sharing) free() (free []ops.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.step(drainstate.Others{Names: s.of.Names()})
+	s.step(drainstate.PeersChanged{Names: s.of.Names()})
 	for name := range s.bound {
-		if s.core.Withheld(name) {
+		if s.core.Excluded(name) {
 			continue
 		}
 		delete(s.bound, name)
@@ -106,24 +106,24 @@
 }
 
 // take notes a list and returns it as it binds here.
-func (s *sharing) take(l ops.Listed) ops.Listed {
+func (s *sharing) take(l ops.EndpointsChanged) ops.EndpointsChanged {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	in := drainstate.Told{Rev: l.Rev, Whole: l.Whole}
-	if l.Whole {
-		s.listed = map[string]ops.Entry{}
+	in := drainstate.EndpointsChanged{Revision: l.Revision, Snapshot: l.Snapshot}
+	if l.Snapshot {
+		s.listed = map[string]ops.Endpoint{}
 	}
-	for _, e := range l.Entries {
-		in.Entries = append(in.Entries, drainstate.Entry{Worker: e.Worker, Boot: tenths * e.Boot, Serves: e.Ready, Gone: e.Gone})
-		if s.listed[e.Worker] = e; e.Gone {
+	for _, e := range l.Endpoints {
+		in.Endpoints = append(in.Endpoints, drainstate.Endpoint{Worker: e.Worker, BootID: tenths * e.BootID, Ready: e.Ready, Removed: e.Removed})
+		if s.listed[e.Worker] = e; e.Removed {
 			delete(s.listed, e.Worker)
 		}
 	}
 	s.step(in)
 	out := l
-	out.Entries = append([]ops.Entry(nil), l.Entries...)
-	for i := range out.Entries {
-		if e := &out.Entries[i]; s.core.Withheld(e.Worker) {
+	out.Endpoints = append([]ops.Endpoint(nil), l.Endpoints...)
+	for i := range out.Endpoints {
+		if e := &out.Endpoints[i]; s.core.Excluded(e.Worker) {
 			e.Ready = false
 			s.bound[e.Worker] = true
 		}
@@ -133,11 +133,11 @@
 
 // step feeds the core, with the lock held.
 func (s *sharing) step(in drainstate.Input) {
-	for _, e := range s.core.Take(s.of.Now(), in) {
+	for _, e := range s.core.Step(s.of.Now(), in) {
 		switch e := e.(type) {
-		case drainstate.Tell:
-			s.of.Tell(e.To, e.Words)
-		case drainstate.Bound:
+		case drainstate.SendRecords:
+			s.of.SendDrains(e.To, e.Records)
+		case drainstate.WorkerExcluded:
 			s.bound[e.Worker] = true
 			go s.withhold(e.Worker) // the lock is held, and the loop may be busy
 		}
--- a/internal/front/shared_test.go
+++ b/internal/front/shared_test.go
@@ -14,9 +14,9 @@
 // nobody is a cluster of one.
 type nobody struct{}
 
-func (nobody) Names() []string                { return nil }
-func (nobody) Tell(string, []drainstate.Word) {}
-func (nobody) Now() members.Time              { return 1 }
+func (nobody) Names() []string                             { return nil }
+func (nobody) SendDrains(string, []drainstate.DrainRecord) {}
+func (nobody) Now() members.Time                           { return 1 }
 
 // A worker that a neighbour's word had bound is let go of in the instant in which the own discovery tells that it drains: the word of its
 // going back into service came to the loop behind that of its drain, and it was given new work until the next list.
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	<-f.loop.in // the remembered list
-	f.Share(nobody{}, 7)
+	f.ShareDrains(nobody{}, 7)
 	f.shared.bound["w"] = true
 	freed := make(chan bool, 1)
 	tell := f.shared.tell
@@ -40,12 +40,12 @@
 	defer close(quit)
 	go f.shared.run(quit)
 	<-freed
-	f.listed(ops.Listed{Rev: 2, Entries: []ops.Entry{{Worker: "w", Addr: "127.0.0.1:9"}}})
-	var last ops.Entry
+	f.listed(ops.EndpointsChanged{Revision: 2, Endpoints: []ops.Endpoint{{Worker: "w", Addr: "127.0.0.1:9"}}})
+	var last ops.Endpoint
 	for k := range 2 {
 		select {
 		case m := <-f.loop.in:
-			last = m.in.(ops.Listed).Entries[0]
+			last = m.in.(ops.EndpointsChanged).Endpoints[0]
 		case <-time.After(10 * time.Second):
 			t.Fatalf("%d lists came", k)
 		}
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -30,35 +30,35 @@
 
 // The reasons.
 const (
-	ClientGone  Reason = "the client was not looked at in time"
-	PastTTL     Reason = "after the client's time"
-	ToldTooMuch Reason = "more time is told than the client has"
-	Drained     Reason = "the worker takes nothing new"
-	StillOut    Reason = "another push is out"
-	MayHaveRun  Reason = "a push before may have run"
-	OutOfGroup  Reason = "a push before may have run in another group, or too long ago"
-	Answered    Reason = "the op has its answer"
-	TooMany     Reason = "the op has had all its pushes"
-	NotHarmless Reason = "a nack for what may have run"
-	Unanswered  Reason = "a request that was read has no answer"
-	NotGranted  Reason = "nobody granted the op"
-	SameID      Reason = "an op with this id is out"
+	ClientGone       Reason = "the client was not looked at in time"
+	PastTTL          Reason = "after the client's time"
+	DeadlineTooLong  Reason = "more time is told than the client has"
+	WorkerDraining   Reason = "the worker takes nothing new"
+	AttemptInFlight  Reason = "another push is out"
+	MayHaveRun       Reason = "a push before may have run"
+	OutsideGroup     Reason = "a push before may have run in another group, or too long ago"
+	AlreadyAnswered  Reason = "the op has its answer"
+	AttemptsExceeded Reason = "the op has had all its pushes"
+	NotHarmless      Reason = "a nack for what may have run"
+	Unanswered       Reason = "a request that was read has no answer"
+	NotGranted       Reason = "nobody granted the op"
+	DuplicateID      Reason = "an op with this id is out"
 )
 
 // logged is how many breaches of each rule are logged.
 const logged = 5
 
-// Guard counts the breaches of one process. Its methods may be called from any goroutine.
-type Guard struct {
+// Checker counts the breaches of one process. Its methods may be called from any goroutine.
+type Checker struct {
 	log    zerolog.Logger
 	counts [rules]atomic.Uint64
 }
 
 // New is a guard that has seen none.
-func New(log zerolog.Logger) *Guard { return &Guard{log: log} }
+func New(log zerolog.Logger) *Checker { return &Checker{log: log} }
 
-// Broken counts a breach; of the first few a line is logged with what the caller adds to it.
-func (g *Guard) Broken(r Rule, why Reason, with func(*zerolog.Event)) {
+// Violated counts a breach; of the first few a line is logged with what the caller adds to it.
+func (g *Checker) Violated(r Rule, why Reason, with func(*zerolog.Event)) {
 	if n := g.counts[r].Add(1); n > logged {
 		return
 	}
@@ -70,7 +70,7 @@
 }
 
 // Counts are the breaches so far, by rule.
-func (g *Guard) Counts() map[string]uint64 {
+func (g *Checker) Counts() map[string]uint64 {
 	counts := make(map[string]uint64, rules)
 	for r := range rules {
 		counts[r.String()] = g.counts[r].Load()
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -12,9 +12,9 @@
 	var log strings.Builder
 	g := New(zerolog.New(&log))
 	for range 1000 {
-		g.Broken(Closing, Unanswered, func(e *zerolog.Event) { e.Uint64("op", 7) })
+		g.Violated(Closing, Unanswered, func(e *zerolog.Event) { e.Uint64("op", 7) })
 	}
-	g.Broken(Sending, PastTTL, nil)
+	g.Violated(Sending, PastTTL, nil)
 	counts := g.Counts()
 	if len(counts) != 4 || counts["closing"] != 1000 || counts["sending"] != 1 || counts["repeating"]+counts["starting"] != 0 {
 		t.Errorf("%v", counts)
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -12,12 +12,12 @@
 func TestStateKeepsItsForm(t *testing.T) {
 	state := filled.Value[State](t)
 	state.Version = 3
-	text, err := state.Bytes()
+	text, err := state.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, "testdata/state.json.golden", text)
-	read, err := Read(text)
+	read, err := DecodeState(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,14 +28,14 @@
 
 // Guards the bytes of the request for a handover that processes of other builds send and read.
 func TestAskerKeepsItsForm(t *testing.T) {
-	asker := filled.Value[Asker](t)
+	asker := filled.Value[Request](t)
 	asker.Version = 3
-	text, err := asker.Bytes()
+	text, err := asker.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, "testdata/asker.json.golden", text)
-	read, err := ReadAsker(text)
+	read, err := DecodeRequest(text)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -13,15 +13,15 @@
 
 // State is what the giver knows and its heir can't read in the configuration.
 type State struct {
-	Version int             `json:"version"`
-	Sockets int             `json:"sockets"` // descriptors that the heir may use until the giver has ended
-	Offset  time.Duration   `json:"offset"`  // of the giver's clock, by which the moments in here are: see clock.Clock
-	Known   json.RawMessage `json:"known"`   // the workers as of now, in discovery's form
-	Starts  json.RawMessage `json:"starts"`  // when they started, as roster.Starts knows
-	Learned json.RawMessage `json:"learned"` // what ops.Learned says, empty where nothing could be asked
-	Drained bool            `json:"drained"` // its staff have sent its clients away
-	Heirs   uint64          `json:"heirs"`   // processes that were heirs before this one, of copies
-	Members []byte          `json:"members"` // what it is to other schedulers; its two sockets come last. Empty: nothing
+	Version        int             `json:"version"`
+	Sockets        int             `json:"sockets"` // descriptors that the heir may use until the giver has ended
+	ClockOffset    time.Duration   `json:"offset"`  // of the giver's clock, by which the moments in here are: see clock.Clock
+	KnownWorkers   json.RawMessage `json:"known"`   // the workers as of now, in discovery's form
+	WorkerStarts   json.RawMessage `json:"starts"`  // when they started, as roster.Starts knows
+	Learned        json.RawMessage `json:"learned"` // what ops.Learned says, empty where nothing could be asked
+	ClientsDrained bool            `json:"drained"` // its staff have sent its clients away
+	Successions    uint64          `json:"heirs"`   // processes that were heirs before this one, of copies
+	Membership     []byte          `json:"members"` // what it is to other schedulers; its two sockets come last. Empty: nothing
 }
 
 func text(of any) ([]byte, error) {
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// Asker is who asks for a handover, and who gives one.
-type Asker struct {
+// Request is who asks for a handover, and who gives one.
+type Request struct {
 	Version   int    `json:"version"`
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -52,25 +52,25 @@
 	Settings  uint64 `json:"settings"` // hashed, but for what is each scheduler's own
 }
 
-// Bytes are an asker as it is sent.
-func (a Asker) Bytes() ([]byte, error) {
+// Encode are an asker as it is sent.
+func (a Request) Encode() ([]byte, error) {
 	a.Version = version
 	return text(a)
 }
 
-// ReadAsker is an asker as it came.
-func ReadAsker(text []byte) (Asker, error) {
-	var a Asker
+// DecodeRequest is an asker as it came.
+func DecodeRequest(text []byte) (Request, error) {
+	var a Request
 	if err := read(text, &a, &a.Version); err != nil {
-		return Asker{}, err
+		return Request{}, err
 	}
 	return a, nil
 }
 
-// Replaces tells whether one may take the place of another: it is the same scheduler, at the same address, with the same discovery or
+// CheckSuccessorOf tells whether one may take the place of another: it is the same scheduler, at the same address, with the same discovery or
 // the same settings. A replacement may bring other settings, or come after discovery has moved; with both it is another
 // customer's, whose clients, workers and ids are none of ours.
-func (a Asker) Replaces(b Asker) error {
+func (a Request) CheckSuccessorOf(b Request) error {
 	switch {
 	case a.Name != b.Name:
 		return fmt.Errorf("handover: %q is not %q", a.Name, b.Name)
@@ -82,14 +82,14 @@
 	return nil
 }
 
-// Bytes are the state as it is sent.
-func (s State) Bytes() ([]byte, error) {
+// Encode are the state as it is sent.
+func (s State) Encode() ([]byte, error) {
 	s.Version = version
 	return text(s)
 }
 
-// Read is the state as it came.
-func Read(text []byte) (State, error) {
+// DecodeState is the state as it came.
+func DecodeState(text []byte) (State, error) {
 	var s State
 	if err := read(text, &s, &s.Version); err != nil {
 		return State{}, err
@@ -100,10 +100,10 @@
 	return s, nil
 }
 
-// Split parts a scheduler's descriptors between a giver whose connections are so many and its heir. Each first gets what a process
+// SplitDescriptors parts a scheduler's descriptors between a giver whose connections are so many and its heir. Each first gets what a process
 // needs beside its connections; of the rest half each, as both serve for a while, but the giver keeps what it holds, as closing that
 // would lose ops, up to three quarters.
-func Split(all, held, needs int) (giver, heir int) {
+func SplitDescriptors(all, held, needs int) (giver, heir int) {
 	needs = min(needs, all/2)
 	rest := all - 2*needs
 	giver = needs + min(max(held, rest/2), rest*3/4)
--- a/internal/handover/pass/pass.go
+++ b/internal/handover/pass/pass.go
@@ -28,25 +28,25 @@
 	mostSockets  = 4 // that come with one
 )
 
-// Path is where a scheduler of this name with this address for clients hands over. The same address may be another one's in another
+// SocketPath is where a scheduler of this name with this address for clients hands over. The same address may be another one's in another
 // network namespace that shares the folder.
-func Path(listen, name string) string {
+func SocketPath(listen, name string) string {
 	space, _ := os.Readlink("/proc/self/ns/net") // empty where it is not told
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s\n%s\n%s", listen, name, space) // never fails
 	return filepath.Join(os.TempDir(), fmt.Sprintf("woaddyke-%016x", h.Sum64()))
 }
 
-// Legacy is what a process got from the one before it.
-type Legacy struct {
-	Text  []byte
-	Files []*os.File    // the sockets, in the order in which they were given
-	Ended chan struct{} // closed when the giver has ended
-	line  *retryConn
+// Handover is what a process got from the one before it.
+type Handover struct {
+	Text             []byte
+	Files            []*os.File    // the sockets, in the order in which they were given
+	PredecessorEnded chan struct{} // closed when the giver has ended
+	line             *retryConn
 }
 
 // Close lets the giver go on alone: what it gave is of no use.
-func (l *Legacy) Close() {
+func (l *Handover) Close() {
 	for _, f := range l.Files {
 		f.Close()
 	}
@@ -56,16 +56,16 @@
 // ErrRefused is the giver's word that it hands nothing to this asker.
 var ErrRefused = errors.New("the process there hands nothing to this one")
 
-// Ask takes over from the process that offers at the path, which is told who asks. The error is os.ErrNotExist or ECONNREFUSED where
+// Receive takes over from the process that offers at the path, which is told who asks. The error is os.ErrNotExist or ECONNREFUSED where
 // there is none.
-func Ask(path string, asker []byte) (*Legacy, error) {
+func Receive(path string, asker []byte) (*Handover, error) {
 	// A process that does not hear of the one before, for want of a descriptor, would serve ids beside it that it does not know.
-	nc, err := oserror.Outlast(func() (net.Conn, error) { return net.DialTimeout("unix", path, sendTime) })
+	nc, err := oserror.RetryTransient(func() (net.Conn, error) { return net.DialTimeout("unix", path, sendTime) })
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	line := &retryConn{nc.(*net.UnixConn)}
-	var l *Legacy
+	var l *Handover
 	if err = introduce(line, asker); err == nil {
 		l, err = receive(line)
 	}
@@ -74,7 +74,7 @@
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	go func() {
-		defer close(l.Ended)
+		defer close(l.PredecessorEnded)
 		awaitEnd(line)
 	}()
 	return l, nil
@@ -103,7 +103,7 @@
 	return asker, err
 }
 
-func receive(line *retryConn) (*Legacy, error) {
+func receive(line *retryConn) (*Handover, error) {
 	if err := sameUser(line); err != nil {
 		return nil, err
 	}
@@ -114,8 +114,8 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Legacy{Ended: make(chan struct{}), line: line}
-	fail := func(err error) (*Legacy, error) {
+	l := &Handover{PredecessorEnded: make(chan struct{}), line: line}
+	fail := func(err error) (*Handover, error) {
 		for _, f := range l.Files {
 			f.Close()
 		}
@@ -152,21 +152,21 @@
 	return l, line.SetDeadline(time.Time{})
 }
 
-// Giver is asked for a handover, and told when an heir is there and when it has gone. By then the path may be the heir's: who
+// Predecessor is asked for a handover, and told when an heir is there and when it has gone. By then the path may be the heir's: who
 // wants to be asked again must offer again.
-type Giver interface {
-	Give(asker []byte) (text []byte, sockets []syscall.Conn, err error)
-	Heir(there bool)
+type Predecessor interface {
+	HandOver(asker []byte) (text []byte, sockets []syscall.Conn, err error)
+	SetSuccessor(there bool)
 }
 
-// Offer hands over to whoever of the same user asks at the path, one at a time, until the closer is closed. It takes the
+// Serve hands over to whoever of the same user asks at the path, one at a time, until the closer is closed. It takes the
 // place of whoever offered there before.
-func Offer(path string, g Giver, log zerolog.Logger) (io.Closer, error) {
+func Serve(path string, g Predecessor, log zerolog.Logger) (io.Closer, error) {
 	fresh := path + ".new"
 	if err := os.Remove(fresh); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	l, err := oserror.Outlast(func() (*net.UnixListener, error) {
+	l, err := oserror.RetryTransient(func() (*net.UnixListener, error) {
 		return net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
 	})
 	if err != nil {
@@ -182,7 +182,7 @@
 }
 
 // offer hands over to one after another until nobody can come any more.
-func offer(accept func() (*net.UnixConn, error), g Giver, log zerolog.Logger) {
+func offer(accept func() (*net.UnixConn, error), g Predecessor, log zerolog.Logger) {
 	failures := 0 // in a row
 	for {
 		accepted, err := accept()
@@ -191,7 +191,7 @@
 		}
 		if err != nil { // no descriptor, for one: who asks waits in the queue
 			failures++
-			time.Sleep(oserror.Pause(failures))
+			time.Sleep(oserror.Backoff(failures))
 			continue
 		}
 		failures = 0
@@ -206,13 +206,13 @@
 		}
 		line.Close()
 		if given {
-			g.Heir(false)
+			g.SetSuccessor(false)
 		}
 	}
 }
 
 // send hands over. The giver is told of its heir before that one can know of it: it may be told to end at once.
-func send(line *retryConn, g Giver) (given bool, err error) {
+func send(line *retryConn, g Predecessor) (given bool, err error) {
 	if err := sameUser(line); err != nil {
 		return false, err
 	}
@@ -220,12 +220,12 @@
 	if err != nil {
 		return false, err
 	}
-	text, sockets, err := g.Give(asker)
+	text, sockets, err := g.HandOver(asker)
 	if err != nil {
 		line.Write(make([]byte, 4)) // an empty message: no
 		return false, err
 	}
-	g.Heir(true)
+	g.SetSuccessor(true)
 	return true, write(line, text, sockets)
 }
 
--- a/internal/handover/pass/pass_test.go
+++ b/internal/handover/pass/pass_test.go
@@ -20,9 +20,9 @@
 	text  string // that it hands over; empty: half a megabyte
 }
 
-func (g *giver) Heir(there bool) { g.heirs <- there }
+func (g *giver) SetSuccessor(there bool) { g.heirs <- there }
 
-func (g *giver) Give(asker []byte) ([]byte, []syscall.Conn, error) {
+func (g *giver) HandOver(asker []byte) ([]byte, []syscall.Conn, error) {
 	if g.fails || string(asker) != `me` {
 		return nil, nil, errors.New("not now")
 	}
@@ -40,15 +40,15 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "h")
-	if _, err := Ask(path, []byte(`me`)); !errors.Is(err, os.ErrNotExist) {
+	if _, err := Receive(path, []byte(`me`)); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("nobody there: %v", err)
 	}
 	g := &giver{l: l.(*net.TCPListener), heirs: make(chan bool, 9)}
-	offer, err := Offer(path, g, zerolog.Nop())
+	offer, err := Serve(path, g, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := Ask(path, []byte(`me`))
+	got, err := Receive(path, []byte(`me`))
 	if err != nil || len(got.Text) != 500_000 || len(got.Files) != 1 || !<-g.heirs {
 		t.Fatalf("%v", err)
 	}
@@ -67,7 +67,7 @@
 		t.Errorf("%v, %v", c, err)
 	}
 	offer.Close()
-	if _, err := Ask(path, []byte(`me`)); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := Receive(path, []byte(`me`)); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("the giver offers no more: %v", err)
 	}
 }
@@ -81,12 +81,12 @@
 	}
 	defer l.Close()
 	g := &giver{l: l.(*net.TCPListener), heirs: make(chan bool, 9), text: strings.Repeat("x", 36<<20)}
-	offer, err := Offer(path, g, zerolog.Nop())
+	offer, err := Serve(path, g, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer offer.Close()
-	if got, err := Ask(path, []byte(`me`)); err != nil || len(got.Text) != len(g.text) {
+	if got, err := Receive(path, []byte(`me`)); err != nil || len(got.Text) != len(g.text) {
 		t.Errorf("%v", err)
 	}
 }
@@ -100,7 +100,7 @@
 	}
 	defer l.Close()
 	g := &giver{l: l.(*net.TCPListener), heirs: make(chan bool, 9)}
-	offer, err := Offer(path, g, zerolog.Nop())
+	offer, err := Serve(path, g, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +125,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("the giver has not seen that its heir has ended")
 	}
-	if got, err := Ask(path, []byte(`me`)); err != nil || !<-g.heirs {
+	if got, err := Receive(path, []byte(`me`)); err != nil || !<-g.heirs {
 		t.Errorf("the next heir: %v, %v", got, err)
 	}
 }
@@ -133,18 +133,18 @@
 // A process that can't give must not leave its heir waiting, nor stay without heirs.
 func TestAGiverThatFailsSaysSo(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
-	offer, err := Offer(path, &giver{fails: true}, zerolog.Nop())
+	offer, err := Serve(path, &giver{fails: true}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer offer.Close()
 	for range 2 {
-		if _, err := Ask(path, []byte(`me`)); !errors.Is(err, ErrRefused) {
+		if _, err := Receive(path, []byte(`me`)); !errors.Is(err, ErrRefused) {
 			t.Errorf("nothing was given: %v", err)
 		}
 	}
 	// A path is taken over from one that is gone without a word.
-	if again, err := Offer(path, &giver{fails: true}, zerolog.Nop()); err != nil {
+	if again, err := Serve(path, &giver{fails: true}, zerolog.Nop()); err != nil {
 		t.Error(err)
 	} else {
 		again.Close()
@@ -173,7 +173,7 @@
 			}()
 		}
 		began := time.Now()
-		if _, err := Ask(path, []byte(`me`)); err == nil || time.Since(began) > 5*sendTime {
+		if _, err := Receive(path, []byte(`me`)); err == nil || time.Since(began) > 5*sendTime {
 			t.Errorf("%s: %v after %v", name, err, time.Since(began))
 		}
 		l.Close()
@@ -190,12 +190,12 @@
 	defer l.Close()
 	path := filepath.Join(t.TempDir(), "h")
 	g := &giver{l: l.(*net.TCPListener), heirs: make(chan bool, 9)}
-	offer, err := Offer(path, g, zerolog.Nop())
+	offer, err := Serve(path, g, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer offer.Close()
-	if _, err := Ask(path, []byte("another")); !errors.Is(err, ErrRefused) {
+	if _, err := Receive(path, []byte("another")); !errors.Is(err, ErrRefused) {
 		t.Errorf("a stranger: %v", err)
 	}
 	for name, text := range map[string][]byte{"nothing": nil, "half": {0, 0, 0, 9, 'm'}, "too much": {255, 255, 255, 255}} {
@@ -213,7 +213,7 @@
 	if len(g.heirs) > 0 {
 		t.Error("it was told of an heir")
 	}
-	if got, err := Ask(path, []byte("me")); err != nil || !<-g.heirs {
+	if got, err := Receive(path, []byte("me")); err != nil || !<-g.heirs {
 		t.Errorf("the next one: %v", err)
 	} else {
 		got.Close()
@@ -222,10 +222,10 @@
 
 // Two schedulers at one address, of other names, or of other network namespaces that share the folder, must not meet.
 func TestPathsAreEachSchedulersOwn(t *testing.T) {
-	if Path("127.0.0.1:9000", "a") == Path("127.0.0.1:9000", "b") || Path("127.0.0.1:9000", "a") == Path("127.0.0.1:9001", "a") {
+	if SocketPath("127.0.0.1:9000", "a") == SocketPath("127.0.0.1:9000", "b") || SocketPath("127.0.0.1:9000", "a") == SocketPath("127.0.0.1:9001", "a") {
 		t.Error("they meet")
 	}
-	first, again := Path("127.0.0.1:9000", "a"), Path("127.0.0.1:9000", "a")
+	first, again := SocketPath("127.0.0.1:9000", "a"), SocketPath("127.0.0.1:9000", "a")
 	if first != again {
 		t.Error("a scheduler does not find its own")
 	}
@@ -253,7 +253,7 @@
 		}, g, zerolog.Nop())
 		close(ended)
 	}()
-	got, err := Ask(path, []byte(`me`))
+	got, err := Receive(path, []byte(`me`))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/keepers/golden_test.go
+++ b/internal/keepers/golden_test.go
@@ -107,7 +107,7 @@
 
 // The seats in the context of a raft configuration change keep their bytes and decode to the same value.
 func TestGoldenConfigurationChangeContext(t *testing.T) {
-	requireGolden(t, "seats", filled[[]Seat](t))
+	requireGolden(t, "seats", filled[[]Voter](t))
 }
 
 // A set of keepers keeps its bytes and decodes to the same value.
@@ -133,11 +133,11 @@
 		t.Fatal(errSnapshot, errHard)
 	}
 	terms := Defaults()
-	terms.Name, terms.Keepers = data.Seats[0].Name, []string{data.Seats[0].Name, data.Seats[1].Name}
-	core := New(terms, State{Seat: voters[0], Founding: 1, Snapshot: snapshotText, Hard: hardText}, 0)
-	core.Take(1, Serving{On: true})
-	want := Set{Founding: 1, Turn: data.Turn, New: terms.Keepers}
+	terms.Name, terms.Replicas = data.Seats[0].Name, []string{data.Seats[0].Name, data.Seats[1].Name}
+	core := New(terms, State{VoterID: voters[0], GroupID: 1, Snapshot: snapshotText, HardState: hardText}, 0)
+	core.Step(1, Membership{Serving: true})
+	want := Set{GroupID: 1, Epoch: data.Turn, New: terms.Replicas}
 	if got := core.Set(); !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v, want %+v; the core takes part: %s", got, want, core.Part())
+		t.Errorf("got %+v, want %+v; the core takes part: %s", got, want, core.Status())
 	}
 }
--- a/internal/keepers/keepers.go
+++ b/internal/keepers/keepers.go
@@ -26,26 +26,26 @@
 	second Time = 1000 * ms
 )
 
-// Terms are what a scheduler is told at its start.
-type Terms struct {
-	Name     string
-	Keepers  []string // by the file
-	Chance   uint64
-	Beat     Time // of who leads
-	Patience Time // without a word of who leads, before another wants to; up to twice that, by chance
-	Answer   Time // to staff
+// Config are what a scheduler is told at its start.
+type Config struct {
+	Name              string
+	Replicas          []string // by the file
+	Seed              uint64
+	HeartbeatInterval Time // of who leads
+	ElectionTimeout   Time // without a word of who leads, before another wants to; up to twice that, by chance
+	ChangeTimeout     Time // to staff
 
 	ReplaceAfter Time     // a keeper that is gone for so long is replaced by a spare; 0: by staff alone
 	Spares       []string // in order
 }
 
 // Defaults are stated here alone.
-func Defaults() Terms {
-	return Terms{Beat: 100 * ms, Patience: second, Answer: 1500 * ms}
+func Defaults() Config {
+	return Config{HeartbeatInterval: 100 * ms, ElectionTimeout: second, ChangeTimeout: 1500 * ms}
 }
 
-// Check tells what is wrong with the terms.
-func (t *Terms) Check() error {
+// Validate tells what is wrong with the terms.
+func (t *Config) Validate() error {
 	switch {
 	case t.ReplaceAfter != 0 && t.ReplaceAfter < 10*second:
 		return errors.New("replace_after: 10s at least, or 0")
@@ -54,7 +54,7 @@
 	case len(t.Spares) > mostSpares:
 		return fmt.Errorf("spares: %d at most", mostSpares)
 	}
-	return Fit(t.Keepers)
+	return ValidateNames(t.Replicas)
 }
 
 const (
@@ -68,10 +68,10 @@
 	beats      = 10 // without a majority, after which who leads stands back
 )
 
-// Fit tells what is wrong with a list of keepers.
-func Fit(names []string) error {
-	if len(names) == 0 || len(names) > Most || len(names)%2 == 0 {
-		return fmt.Errorf("keepers: %d; an odd number up to %d is wanted, such as 3 or 5", len(names), Most)
+// ValidateNames tells what is wrong with a list of keepers.
+func ValidateNames(names []string) error {
+	if len(names) == 0 || len(names) > MaxReplicas || len(names)%2 == 0 {
+		return fmt.Errorf("keepers: %d; an odd number up to %d is wanted, such as 3 or 5", len(names), MaxReplicas)
 	}
 	for i, k := range names {
 		if k == "" || len(k) > longName || slices.Contains(names[:i], k) {
@@ -83,7 +83,7 @@
 
 // Core is one process's part.
 type Core struct {
-	t    Terms
+	t    Config
 	rand *rand.Rand
 	now  Time
 	out  []Effect
@@ -132,18 +132,18 @@
 
 // asking is a change that staff asked for here.
 type asking struct {
-	Change
+	ChangeRequest
 	until, next Time
 }
 
 // New makes a process's part. A state is what lasted, or one with a seat that was drawn just now; a seat of 0 takes no part.
-func New(t Terms, s State, now Time) *Core {
-	c := &Core{t: t, rand: rand.New(rand.NewPCG(t.Chance, s.Seat^0x6b656570)), now: now, state: s, set: s.Set, present: map[string]Time{},
+func New(t Config, s State, now Time) *Core {
+	c := &Core{t: t, rand: rand.New(rand.NewPCG(t.Seed, s.VoterID^0x6b656570)), now: now, state: s, set: s.Set, present: map[string]Time{},
 		asks: map[uint64]*asking{}, founds: map[string]uint64{}, joined: map[uint64]bool{}, snaps: map[uint64]Time{}, from: map[uint64]string{}}
-	if c.set.Founding == 0 {
-		c.set = ByFile(t.Keepers)
+	if c.set.GroupID == 0 {
+		c.set = Configured(t.Replicas)
 	}
-	c.t.Keepers = slices.Sorted(slices.Values(t.Keepers))
+	c.t.Replicas = slices.Sorted(slices.Values(t.Replicas))
 	c.changed = now
 	return c
 }
@@ -151,23 +151,23 @@
 // Set is the one that is in force here.
 func (c *Core) Set() Set { return c.set }
 
-// Leads tells whether this process carries out changes now.
-func (c *Core) Leads() bool {
+// IsLeader tells whether this process carries out changes now.
+func (c *Core) IsLeader() bool {
 	return c.node != nil && c.node.BasicStatus().RaftState == raft.StateLeader
 }
 
-// Part is what part this process takes, for staff.
-func (c *Core) Part() string {
+// Status is what part this process takes, for staff.
+func (c *Core) Status() string {
 	switch {
 	case c.broken:
 		return "none any more"
-	case c.state.Seat == 0:
+	case c.state.VoterID == 0:
 		return "none, for want of a path"
-	case c.Leads():
+	case c.IsLeader():
 		return "leads"
 	case c.node != nil:
 		return "follows"
-	case c.set.Founding == 0:
+	case c.set.GroupID == 0:
 		return "not founded yet"
 	}
 	return "none"
@@ -179,12 +179,12 @@
 	if to == "" || to == c.t.Name {
 		return
 	}
-	x.Founding, x.Seat = c.state.Founding, c.state.Seat
+	x.GroupID, x.VoterID = c.state.GroupID, c.state.VoterID
 	c.do(Send{to, x})
 }
 
-// Take takes an input and returns what to do. Times never go back.
-func (c *Core) Take(now Time, in Input) (out []Effect) {
+// Step takes an input and returns what to do. Times never go back.
+func (c *Core) Step(now Time, in Input) (out []Effect) {
 	c.now, c.out = max(now, c.now), c.out[:0:0]
 	defer func() {
 		if x := recover(); x != nil { // a message, or a file, that the library can't make sense of must not end the process
@@ -194,26 +194,26 @@
 		}
 	}()
 	switch in := in.(type) {
-	case Heard:
+	case MessageReceived:
 		if c.serving && !c.broken {
 			c.hear(in)
 		}
-	case Serving:
-		c.serving = in.On
+	case Membership:
+		c.serving = in.Serving
 		c.resume()
-	case Present:
+	case PeerStatus:
 		c.presence(in)
-	case Change:
-		c.asks[in.Ticket] = &asking{Change: in, until: c.now + c.t.Answer, next: c.now}
-	case Learned:
+	case ChangeRequest:
+		c.asks[in.RequestID] = &asking{ChangeRequest: in, until: c.now + c.t.ChangeTimeout, next: c.now}
+	case SetLearned:
 		c.learned(in.Set)
-	case Ready:
-		c.ready = in.Turn
-	case Unkept:
+	case ReplicasReady:
+		c.ready = in.Epoch
+	case PersistFailed:
 		c.breaks("its state does not last")
-	case Restored:
+	case StateReloaded:
 		c.broken, c.state = false, in.State
-		if in.Set.After(c.set) {
+		if in.Set.Supersedes(c.set) {
 			c.set, c.changed = in.Set, c.now
 		}
 		c.resume()
@@ -224,7 +224,7 @@
 
 // resume starts the agreement's node where this process is to have one.
 func (c *Core) resume() {
-	if c.serving && !c.broken && c.node == nil && c.state.Founding != 0 && c.set.seated(c.t.Name) {
+	if c.serving && !c.broken && c.node == nil && c.state.GroupID != 0 && c.set.seated(c.t.Name) {
 		c.start()
 	}
 	c.wait()
@@ -232,13 +232,15 @@
 
 func (c *Core) breaks(why string) {
 	c.broken, c.node = true, nil
-	c.do(Noted{"takes no part in changes of keepers any more", why})
+	c.do(Event{"takes no part in changes of keepers any more", why})
 }
 
-func (s Set) seated(name string) bool { return slices.Contains(s.All(), name) }
+func (s Set) seated(name string) bool { return slices.Contains(s.Members(), name) }
 
 // wait has it be patient for a while with who leads.
-func (c *Core) wait() { c.due = c.now + c.t.Patience + Time(c.rand.Int64N(int64(c.t.Patience))) }
+func (c *Core) wait() {
+	c.due = c.now + c.t.ElectionTimeout + Time(c.rand.Int64N(int64(c.t.ElectionTimeout)))
+}
 
 // quiet is where the library writes to.
 var quiet = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
@@ -249,7 +251,7 @@
 	c.names, c.conf, c.applied = map[uint64]string{}, raftpb.ConfState{}, 0
 	var snapshot raftpb.Snapshot
 	var hard raftpb.HardState
-	if err := errors.Join(snapshot.Unmarshal(c.state.Snapshot), hard.Unmarshal(c.state.Hard)); err != nil {
+	if err := errors.Join(snapshot.Unmarshal(c.state.Snapshot), hard.Unmarshal(c.state.HardState)); err != nil {
 		panic(err)
 	}
 	if !raft.IsEmptySnap(snapshot) {
@@ -265,7 +267,7 @@
 		c.store.Append([]raftpb.Entry{e})
 	}
 	var err error
-	c.node, err = raft.NewRawNode(&raft.Config{ID: c.state.Seat, ElectionTick: beats, HeartbeatTick: 1, Storage: c.store, Applied: c.applied,
+	c.node, err = raft.NewRawNode(&raft.Config{ID: c.state.VoterID, ElectionTick: beats, HeartbeatTick: 1, Storage: c.store, Applied: c.applied,
 		MaxSizePerMsg: roundSize, MaxInflightMsgs: 16, CheckQuorum: true, PreVote: true, StepDownOnRemoval: true, Logger: quiet})
 	if err != nil {
 		panic(err)
@@ -286,7 +288,7 @@
 }
 
 // name notes whose seats these are.
-func (c *Core) name(seats []Seat) {
+func (c *Core) name(seats []Voter) {
 	for _, x := range seats {
 		c.names[x.ID] = x.Name
 	}
@@ -294,8 +296,8 @@
 
 // settled is what a snapshot holds beside the voters.
 type settled struct {
-	Turn  uint64 `cbor:"Turn"`
-	Seats []Seat `cbor:"Seats"`
+	Turn  uint64  `cbor:"Turn"`
+	Seats []Voter `cbor:"Seats"`
 }
 
 // settle takes what the agreement says as the set, from a turn on.
@@ -307,11 +309,11 @@
 		slices.Sort(names)
 		return names
 	}
-	s := Set{Founding: c.state.Founding, Turn: turn, Old: named(c.conf.VotersOutgoing), New: named(c.conf.Voters)}
+	s := Set{GroupID: c.state.GroupID, Epoch: turn, Old: named(c.conf.VotersOutgoing), New: named(c.conf.Voters)}
 	c.turn = turn
-	if s.After(c.set) {
+	if s.Supersedes(c.set) {
 		c.set, c.changed = s, c.now
-		c.do(Agreed{s})
+		c.do(SetAgreed{s})
 	}
 }
 
@@ -338,7 +340,7 @@
 			if m.Type == raftpb.MsgSnap {
 				c.snaps[m.To] = c.now
 			}
-			c.send(c.nameOf(m.To), Message{Kind: Round, Round: text})
+			c.send(c.nameOf(m.To), Message{Kind: RaftMessage, RaftMessage: text})
 		}
 		for _, e := range r.CommittedEntries {
 			c.apply(e)
@@ -364,7 +366,7 @@
 func (c *Core) apply(e raftpb.Entry) {
 	if e.Type == raftpb.EntryConfChangeV2 {
 		var change raftpb.ConfChangeV2
-		var seats []Seat
+		var seats []Voter
 		if err := change.Unmarshal(e.Data); err != nil {
 			panic(err)
 		}
@@ -386,7 +388,7 @@
 
 // votes tells whether this process's seat is a voter, as far as it knows.
 func (c *Core) votes() bool {
-	return slices.Contains(c.conf.Voters, c.state.Seat) || slices.Contains(c.conf.VotersOutgoing, c.state.Seat)
+	return slices.Contains(c.conf.Voters, c.state.VoterID) || slices.Contains(c.conf.VotersOutgoing, c.state.VoterID)
 }
 
 // compact puts what is settled into a snapshot, with the names of the seats that count.
@@ -405,9 +407,9 @@
 }
 
 // seats are the voters as they are now.
-func (c *Core) seats() (seats []Seat) {
+func (c *Core) seats() (seats []Voter) {
 	for _, id := range slices.Sorted(slices.Values(append(slices.Clone(c.conf.Voters), c.conf.VotersOutgoing...))) {
-		seats = append(seats, Seat{id, c.names[id]})
+		seats = append(seats, Voter{id, c.names[id]})
 	}
 	return slices.Compact(seats)
 }
@@ -429,7 +431,7 @@
 		hard, _, _ := c.store.InitialState()
 		snapshot, _ := c.store.Snapshot()
 		var err1, err2 error
-		s.Hard, err1 = hard.Marshal()
+		s.HardState, err1 = hard.Marshal()
 		s.Snapshot, err2 = snapshot.Marshal()
 		first, _ := c.store.FirstIndex()
 		last, _ := c.store.LastIndex()
@@ -448,15 +450,15 @@
 		}
 	}
 	c.state = s
-	c.do(Keep{s})
+	c.do(Persist{s})
 }
 
-// Next is when a Tick is due.
-func (c *Core) Next() Time {
+// NextTick is when a Tick is due.
+func (c *Core) NextTick() Time {
 	at := c.look
 	switch {
 	case c.node == nil || !c.serving:
-	case c.Leads():
+	case c.IsLeader():
 		at = min(at, c.beat)
 	default:
 		at = min(at, c.due)
@@ -473,9 +475,9 @@
 // timers does what is due. The library counts its own time for who leads alone: whoever wants to lead does so by this core's chance.
 func (c *Core) timers() {
 	if c.serving && c.node != nil {
-		if c.Leads() {
+		if c.IsLeader() {
 			if c.now >= c.beat {
-				c.beat = c.now + c.t.Beat
+				c.beat = c.now + c.t.HeartbeatInterval
 				c.lostSnapshots()
 				c.node.Tick()
 				c.carry()
@@ -497,7 +499,7 @@
 // lostSnapshots has snapshots that may have been lost sent again: the library waits for a word of them for ever.
 func (c *Core) lostSnapshots() {
 	for _, seat := range sorted(c.snaps) {
-		if c.now-c.snaps[seat] >= snapBeats*c.t.Beat {
+		if c.now-c.snaps[seat] >= snapBeats*c.t.HeartbeatInterval {
 			delete(c.snaps, seat)
 			c.node.ReportSnapshot(seat, raft.SnapshotFailure)
 		}
@@ -505,19 +507,19 @@
 }
 
 // round takes a message of the agreement.
-func (c *Core) round(in Heard) {
+func (c *Core) round(in MessageReceived) {
 	var m raftpb.Message
-	if in.Founding == 0 || m.Unmarshal(in.Round) != nil || m.To != c.state.Seat || m.From != in.Seat {
+	if in.GroupID == 0 || m.Unmarshal(in.RaftMessage) != nil || m.To != c.state.VoterID || m.From != in.VoterID {
 		return
 	}
-	if c.state.Founding == 0 {
-		c.state.Founding = in.Founding // it was founded without a word of that having come here
+	if c.state.GroupID == 0 {
+		c.state.GroupID = in.GroupID // it was founded without a word of that having come here
 	}
-	if in.Founding != c.state.Founding {
+	if in.GroupID != c.state.GroupID {
 		return
 	}
 	c.from[m.From] = in.From
-	if len(c.from) > 4*Most {
+	if len(c.from) > 4*MaxReplicas {
 		clear(c.from)
 		c.from[m.From] = in.From
 	}
@@ -528,8 +530,8 @@
 	}
 	switch m.Type {
 	case raftpb.MsgPreVote, raftpb.MsgVote:
-		if !c.Leads() {
-			if c.heard != 0 && c.now-c.heard < c.t.Patience {
+		if !c.IsLeader() {
+			if c.heard != 0 && c.now-c.heard < c.t.ElectionTimeout {
 				return // who leads was heard just now
 			}
 			m.Context = []byte("CampaignTransfer") // the library's own lease would count by ticks that only who leads gets
@@ -543,9 +545,9 @@
 		raftpb.MsgTransferLeader, raftpb.MsgTimeoutNow, raftpb.MsgReadIndex, raftpb.MsgReadIndexResp, raftpb.MsgForgetLeader:
 		return // nobody sends these
 	}
-	led := c.Leads()
+	led := c.IsLeader()
 	c.node.Step(m) // what it does not take is void
-	if c.carry(); c.Leads() && !led {
+	if c.carry(); c.IsLeader() && !led {
 		c.beat = c.now
 	}
 }
--- a/internal/members/golden_test.go
+++ b/internal/members/golden_test.go
@@ -8,7 +8,7 @@
 
 // Guards the words for the states of members that tools of the staff read at /api/members.
 func TestStatesKeepTheirWords(t *testing.T) {
-	words := map[State]string{Joining: "joining", Here: "here", Doubted: "doubted", Gone: "gone", Left: "left", Superseded: "superseded"}
+	words := map[State]string{Joining: "joining", Alive: "here", Suspect: "doubted", Dead: "gone", Left: "left", Replaced: "superseded"}
 	if len(words) != len(stateNames) {
 		t.Fatalf("%d states are guarded, there are %d", len(words), len(stateNames))
 	}
@@ -21,14 +21,14 @@
 
 // Guards the JSON keys of a process's own entry that tools of the staff read at /api/members.
 func TestOwnKeepsItsForm(t *testing.T) {
-	own := filled.Value[Own](t)
-	own.State = Here
+	own := filled.Value[LocalStatus](t)
+	own.State = Alive
 	filled.CompareWritten(t, "testdata/own.json.golden", own)
 }
 
 // Guards the JSON keys of another member's entry that tools of the staff read at /api/members.
 func TestSeenKeepsItsForm(t *testing.T) {
-	seen := filled.Value[Seen](t)
-	seen.State = Doubted
+	seen := filled.Value[MemberView](t)
+	seen.State = Suspect
 	filled.CompareWritten(t, "testdata/seen.json.golden", seen)
 }
