--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -23,8 +23,8 @@
 
 // entry is what is held of one other member.
 type entry struct {
-	claim Claim // what has been said, by anybody
-	state State // what is held here: of what was said, a member has time to refute it first
+	claim MemberRecord // what has been said, by anybody
+	state State        // what is held here: of what was said, a member has time to refute it first
 	since Time
 	ended Time // when it was first held to be no more, here or elsewhere
 	place int  // in live or lost
@@ -63,17 +63,17 @@
 
 // duel asks whether the other process of this name lives.
 type duel struct {
-	with        Claim
+	with        MemberRecord
 	nonce       uint64
 	next, until Time
 }
 
-// Members is one process's view of a cluster.
-type Members struct {
-	t      Terms
+// Node is one process's view of a cluster.
+type Node struct {
+	t      Config
 	rand   *rand.Rand
-	me     Claim
-	marked Claim // me as it stands in the digests
+	me     MemberRecord
+	marked MemberRecord // me as it stands in the digests
 	phase  phase
 	seq    uint64
 	now    Time
@@ -91,7 +91,7 @@
 	probes []probe
 	relays map[uint64]relay
 	duel   *duel
-	known  Claim // what was told of this name
+	known  MemberRecord // what was told of this name
 	nonce  uint64
 	seed   int // that was tried last
 
@@ -107,63 +107,63 @@
 }
 
 // New makes a process that joins. The terms have been checked.
-func New(t Terms, now Time) *Members {
+func New(t Config, now Time) *Node {
 	m := blank(t, now)
-	m.me = Claim{Name: t.Name, Addr: t.Addr, Number: t.Number, Life: Life{Nonce: t.Nonce}, By: t.Name}
+	m.me = MemberRecord{Name: t.Name, Addr: t.Addr, Number: t.Number, Incarnation: Incarnation{Nonce: t.Nonce}, ReportedBy: t.Name}
 	m.ask(joining)
 	return m
 }
 
-// Legacy is what a process tells the one that takes its place: both are one member.
-type Legacy struct {
-	Me     Claim
-	Seq    uint64
-	Claims []Claim
+// HandoverState is what a process tells the one that takes its place: both are one member.
+type HandoverState struct {
+	Self    MemberRecord
+	Seq     uint64
+	Records []MemberRecord
 }
 
-// Inherit makes a process that goes on as another did.
-func Inherit(t Terms, l Legacy, now Time) *Members {
+// Restore makes a process that goes on as another did.
+func Restore(t Config, l HandoverState, now Time) *Node {
 	m := blank(t, now)
-	m.me, m.seq, m.phase = l.Me, l.Seq+seqJump, serving
+	m.me, m.seq, m.phase = l.Self, l.Seq+seqJump, serving
 	m.me.Addr, m.me.Number = t.Addr, t.Number
-	m.me.Turn++
+	m.me.Refutations++
 	m.remark()
-	for _, c := range l.Claims {
+	for _, c := range l.Records {
 		m.merge(c)
 	}
 	m.announce()
 	return m
 }
 
-func blank(t Terms, now Time) *Members {
-	return &Members{t: t, now: now, rand: rand.New(rand.NewPCG(t.Chance, t.Nonce)), by: map[string]*entry{}, relays: map[uint64]relay{},
-		counts: map[string]uint64{}, heard: now, nextProbe: now, nextSeek: now, nextExchange: now + t.Exchange/2, nextForget: now + t.Memory/50}
+func blank(t Config, now Time) *Node {
+	return &Node{t: t, now: now, rand: rand.New(rand.NewPCG(t.Seed, t.Nonce)), by: map[string]*entry{}, relays: map[uint64]relay{},
+		counts: map[string]uint64{}, heard: now, nextProbe: now, nextSeek: now, nextExchange: now + t.PushPullInterval/2, nextForget: now + t.DeadRetention/50}
 }
 
-// Legacy is what an heir needs. The caller feeds no more inputs but Resuming.
-func (m *Members) Legacy() (Legacy, bool) {
+// HandoverState is what an heir needs. The caller feeds no more inputs but Resuming.
+func (m *Node) HandoverState() (HandoverState, bool) {
 	if m.phase != serving {
-		return Legacy{}, false
+		return HandoverState{}, false
 	}
-	l := Legacy{Me: m.me, Seq: m.seq}
+	l := HandoverState{Self: m.me, Seq: m.seq}
 	for _, name := range m.names() {
-		l.Claims = append(l.Claims, m.aged(m.by[name]))
+		l.Records = append(l.Records, m.aged(m.by[name]))
 	}
 	return l, true
 }
 
-// Take takes an input and returns what to do. Times never go back.
-func (m *Members) Take(now Time, in Input) []Effect {
+// Step takes an input and returns what to do. Times never go back.
+func (m *Node) Step(now Time, in Input) []Effect {
 	m.now, m.out = max(now, m.now), m.out[:0:0]
 	m.woken()
 	switch in := in.(type) {
-	case Heard:
+	case MessageReceived:
 		m.hear(in)
-	case Saying:
+	case SendUserMessage:
 		m.say(in)
-	case Leaving:
+	case LeaveRequested:
 		m.leave()
-	case Resuming:
+	case Resumed:
 		m.resume()
 	}
 	m.timers()
@@ -171,18 +171,18 @@
 	return m.out
 }
 
-// Next is when a Tick is due.
-func (m *Members) Next() Time { return m.due }
+// NextTick is when a Tick is due.
+func (m *Node) NextTick() Time { return m.due }
 
-func (m *Members) do(e Effect) { m.out = append(m.out, e) }
+func (m *Node) do(e Effect) { m.out = append(m.out, e) }
 
-func (m *Members) count(what string) { m.counts[what]++ }
+func (m *Node) count(what string) { m.counts[what]++ }
 
 // jitter is a span of half to one and a half times the given one.
-func (m *Members) jitter(t Time) Time { return t/2 + Time(m.rand.Int64N(int64(t)+1)) }
+func (m *Node) jitter(t Time) Time { return t/2 + Time(m.rand.Int64N(int64(t)+1)) }
 
 // woken finds out by how much this process is late. What it missed meanwhile speaks against nobody but itself.
-func (m *Members) woken() {
+func (m *Node) woken() {
 	late := m.now - m.due
 	if m.due == 0 || late <= tolerance || m.phase == over {
 		return
@@ -202,11 +202,11 @@
 	}
 	switch m.phase {
 	case serving:
-		if late >= m.t.Doubt {
-			m.do(Noted{"was away", span(late)})
+		if late >= m.t.MinSuspicion {
+			m.do(Event{"was away", span(late)})
 			m.ask(asking)
-		} else if late >= m.t.Window {
-			m.me.Turn++ // a doubt may be on its way already
+		} else if late >= m.t.ProbeTimeout {
+			m.me.Refutations++ // a doubt may be on its way already
 			m.renew()
 		}
 	case joining, asking:
@@ -215,29 +215,29 @@
 }
 
 // eased is what is left of the own lateness.
-func (m *Members) eased() Time {
+func (m *Node) eased() Time {
 	rest := 1 - float64(m.now-m.slackAt)/float64(slackEases)
 	return Time(float64(m.slack) * max(rest, 0))
 }
 
 // renew has all know the own claim as it is now.
-func (m *Members) renew() {
+func (m *Node) renew() {
 	m.remark()
 	m.announce()
 }
 
-func (m *Members) announce() {
+func (m *Node) announce() {
 	m.enqueue(m.me)
 	m.nextGossip = m.now
 }
 
 // ask begins to ask what is known of this name.
-func (m *Members) ask(p phase) {
-	m.phase, m.nonce, m.known = p, m.rand.Uint64(), Claim{}
+func (m *Node) ask(p phase) {
+	m.phase, m.nonce, m.known = p, m.rand.Uint64(), MemberRecord{}
 	m.askNext, m.askUntil = m.now, m.now+askSpan
 }
 
-func (m *Members) asks() {
+func (m *Node) asks() {
 	if m.now < m.askNext {
 		return
 	}
@@ -259,7 +259,7 @@
 	}
 	slices.Sort(addrs)
 	for _, a := range addrs {
-		m.send(a, Message{Kind: Ask, Nonce: m.nonce})
+		m.send(a, Message{Kind: RecordQuery, Nonce: m.nonce})
 	}
 	if m.now < m.askUntil && len(addrs) > 0 {
 		return
@@ -273,49 +273,49 @@
 }
 
 // settle makes this process a member, later than any that was told of.
-func (m *Members) settle() {
-	m.me.Life = Life{m.known.Incarnation + 1, m.t.Nonce}
-	m.me.Turn, m.me.State, m.phase, m.heard = 0, Here, serving, m.now
+func (m *Node) settle() {
+	m.me.Incarnation = Incarnation{m.known.Generation + 1, m.t.Nonce}
+	m.me.Refutations, m.me.State, m.phase, m.heard = 0, Alive, serving, m.now
 	m.renew()
-	m.do(Settled{})
+	m.do(Joined{})
 	m.exchange()
 }
 
 // back makes this process a member again after it was away.
-func (m *Members) back() {
-	if c := m.known; c.Life == m.me.Life && c.State >= Doubted {
-		m.do(Noted{"was called " + c.State.String(), c.By})
-		m.me.Turn = max(m.me.Turn, c.Turn)
+func (m *Node) back() {
+	if c := m.known; c.Incarnation == m.me.Incarnation && c.State >= Suspect {
+		m.do(Event{"was called " + c.State.String(), c.ReportedBy})
+		m.me.Refutations = max(m.me.Refutations, c.Refutations)
 	}
 	m.phase, m.heard = serving, m.now
-	m.me.Turn++
+	m.me.Refutations++
 	m.renew()
-	m.do(Settled{})
+	m.do(Joined{})
 	m.exchange()
 }
 
 // relive makes this process a later one than any of its name that is known to have ended.
-func (m *Members) relive(after uint64) {
-	m.me.Life, m.me.Turn, m.me.State = Life{after + 1, m.t.Nonce}, 0, Here
+func (m *Node) relive(after uint64) {
+	m.me.Incarnation, m.me.Refutations, m.me.State = Incarnation{after + 1, m.t.Nonce}, 0, Alive
 	m.renew()
 }
 
 // superseded ends this process as a member: another has its name.
-func (m *Members) superseded(by Claim) {
-	m.do(Noted{"superseded", by.Addr})
-	m.me.State, m.duel, m.probes, m.queue = Superseded, nil, nil, nil
+func (m *Node) superseded(by MemberRecord) {
+	m.do(Event{"superseded", by.Addr})
+	m.me.State, m.duel, m.probes, m.queue = Replaced, nil, nil, nil
 	clear(m.relays)
 	m.remark()
-	if m.phase = over; m.t.StandBy {
+	if m.phase = over; m.t.StandByWhenReplaced {
 		m.phase, m.nonce, m.known = standing, m.rand.Uint64(), by
 	}
-	m.do(Ended{Superseded: true})
+	m.do(Stopped{Replaced: true})
 }
 
-func (m *Members) leave() {
+func (m *Node) leave() {
 	if m.phase != serving {
 		m.phase = over
-		m.do(Ended{})
+		m.do(Stopped{})
 		return
 	}
 	m.phase, m.leaves, m.nextLeave = leaving, leaveTimes, m.now
@@ -324,22 +324,22 @@
 }
 
 // resume goes on as a member whose heir has ended. What that one said last stands, so this one goes beyond it.
-func (m *Members) resume() {
+func (m *Node) resume() {
 	if m.phase != serving && m.phase != asking {
 		return
 	}
 	m.seq += 2 * seqJump
-	m.me.Turn += 2
+	m.me.Refutations += 2
 	m.renew()
 }
 
-func (m *Members) say(in Saying) {
+func (m *Node) say(in SendUserMessage) {
 	if m.phase != serving {
 		return
 	}
 	for _, e := range m.live {
 		if e.claim.Number == in.Number {
-			m.send(e.claim.Addr, Message{Kind: Word, Text: in.Text})
+			m.send(e.claim.Addr, Message{Kind: UserMessage, Text: in.Text})
 			return
 		}
 	}
@@ -347,23 +347,23 @@
 }
 
 // send sends a datagram from this member.
-func (m *Members) send(to string, x Message) {
+func (m *Node) send(to string, x Message) {
 	if to != m.me.Addr && to != "" {
 		m.do(Send{to, m.sealed(x)})
 	}
 }
 
-func (m *Members) sealed(x Message) Message {
+func (m *Node) sealed(x Message) Message {
 	m.seq++
 	x.Cluster, x.Seq, x.From = m.t.Cluster, m.seq, m.me
 	if m.phase == joining || m.phase == standing {
-		x.From.Life, x.From.State = Life{0, m.t.Nonce}, Joining
+		x.From.Incarnation, x.From.State = Incarnation{0, m.t.Nonce}, Joining
 	}
 	return x
 }
 
 // pick draws some that are here or doubted.
-func (m *Members) pick(n int, not *entry) (some []*entry) {
+func (m *Node) pick(n int, not *entry) (some []*entry) {
 	if len(m.live) <= n+1 {
 		for _, e := range m.live {
 			if e != not {
@@ -383,7 +383,7 @@
 }
 
 // names are those in the view, in order.
-func (m *Members) names() []string {
+func (m *Node) names() []string {
 	names := make([]string, 0, len(m.by))
 	for n := range m.by {
 		names = append(names, n)
@@ -393,29 +393,29 @@
 }
 
 // patience is how long a direct answer of a member may take before others are asked.
-func (m *Members) patience(e *entry) Time {
+func (m *Node) patience(e *entry) Time {
 	if e.rtt == 0 {
-		return m.t.Window / 2
+		return m.t.ProbeTimeout / 2
 	}
-	return min(max(e.rtt+4*e.vary, m.t.Window/8), m.t.Window/2)
+	return min(max(e.rtt+4*e.vary, m.t.ProbeTimeout/8), m.t.ProbeTimeout/2)
 }
 
 // lossy is by which factor lost messages lengthen a doubt and multiply what is told.
-func (m *Members) lossy() float64 { return 1 + min(2*m.loss, 1) }
+func (m *Node) lossy() float64 { return 1 + min(2*m.loss, 1) }
 
 // window is for how long a probe waits, direct and through others.
-func (m *Members) window() Time { return Time(float64(m.t.Window) * m.lossy()) }
+func (m *Node) window() Time { return Time(float64(m.t.ProbeTimeout) * m.lossy()) }
 
 // ends is when a doubt is over.
-func (m *Members) ends(e *entry) Time {
+func (m *Node) ends(e *entry) Time {
 	k := min(confirms, len(m.live)-2) // without the doubted one and its first accuser
-	span := float64(m.t.Doubt)
+	span := float64(m.t.MinSuspicion)
 	if k > 0 {
 		part := math.Log(float64(min(len(e.accusers)-1, k)+1)) / math.Log(float64(k+1))
-		span = float64(m.t.Longest) - part*float64(m.t.Longest-m.t.Doubt)
+		span = float64(m.t.MaxSuspicion) - part*float64(m.t.MaxSuspicion-m.t.MinSuspicion)
 	}
 	if e.gone { // heard as well: no earlier than by own doubt, since that word may be about another side of a cut
-		span = float64(m.t.Doubt)
+		span = float64(m.t.MinSuspicion)
 	}
 	at := e.held + Time(span*m.lossy()) + m.eased()
 	if !e.own && !e.gone {
@@ -425,7 +425,7 @@
 }
 
 // next is when something is due.
-func (m *Members) next() Time {
+func (m *Node) next() Time {
 	at := Time(math.MaxInt64)
 	until := func(t Time) { at = min(at, t) }
 	switch m.phase {
@@ -467,65 +467,65 @@
 	return max(at, m.now+1)
 }
 
-// Seen is one member as it is held here.
-type Seen struct {
+// MemberView is one member as it is held here.
+type MemberView struct {
 	Name   string `json:"name"`
 	Addr   string `json:"address"`
 	Number int    `json:"number"`
 	State  State  `json:"state"`
-	Life
-	Turn      uint64 `json:"turn"`
-	By        string `json:"by"`        // who says so
-	Since     Time   `json:"-"`         // when it was found here
-	RTT       Time   `json:"-"`         // 0: not known
-	Reachable bool   `json:"reachable"` // from here, directly
-	Private   bool   `json:"private"`   // found while nobody was heard: told to nobody
+	Incarnation
+	Refutations uint64 `json:"turn"`
+	ReportedBy  string `json:"by"`        // who says so
+	Since       Time   `json:"-"`         // when it was found here
+	RTT         Time   `json:"-"`         // 0: not known
+	Reachable   bool   `json:"reachable"` // from here, directly
+	Private     bool   `json:"private"`   // found while nobody was heard: told to nobody
 }
 
-func (m *Members) seen(e *entry) Seen {
-	s := Seen{Name: e.claim.Name, Addr: e.claim.Addr, Number: e.claim.Number, State: e.state, Life: e.claim.Life, Turn: e.claim.Turn,
-		By: e.claim.By, Since: e.since, RTT: e.rtt, Reachable: !e.state.Ended() && e.far < farAfter, Private: e.private}
-	if e.private || e.state == Doubted && e.own && e.claim.State < Doubted {
-		s.By = m.me.Name
+func (m *Node) seen(e *entry) MemberView {
+	s := MemberView{Name: e.claim.Name, Addr: e.claim.Addr, Number: e.claim.Number, State: e.state, Incarnation: e.claim.Incarnation, Refutations: e.claim.Refutations,
+		ReportedBy: e.claim.ReportedBy, Since: e.since, RTT: e.rtt, Reachable: !e.state.Ended() && e.far < farAfter, Private: e.private}
+	if e.private || e.state == Suspect && e.own && e.claim.State < Suspect {
+		s.ReportedBy = m.me.Name
 	}
 	return s
 }
 
 // View is all that is held of the others, in order of their names.
-func (m *Members) View() []Seen {
-	view := make([]Seen, 0, len(m.by))
+func (m *Node) View() []MemberView {
+	view := make([]MemberView, 0, len(m.by))
 	for _, name := range m.names() {
 		view = append(view, m.seen(m.by[name]))
 	}
 	return view
 }
 
-// Own is what a process says of itself.
-type Own struct {
+// LocalStatus is what a process says of itself.
+type LocalStatus struct {
 	Name  string `json:"name"`
 	Addr  string `json:"address"`
 	State State  `json:"state"`
-	Life
-	Turn   uint64            `json:"turn"`
-	Live   int               `json:"live"` // others that are here or doubted
-	Deaf   bool              `json:"deaf"` // it hears nobody
-	Asks   bool              `json:"asks"` // it was away and does not know yet what it missed
-	Loss   float64           `json:"loss"` // share of direct pings lost to members that live
-	Late   Time              `json:"-"`    // by how much it was late last
-	Worst  Time              `json:"-"`    // and at worst
-	Counts map[string]uint64 `json:"counts"`
-}
-
-// Me is what this process says of itself.
-func (m *Members) Me() Claim { return m.me }
-
-// Asks tells whether it was away and does not know yet what it missed.
-func (m *Members) Asks() bool { return m.phase == asking }
-
-// Own is how this process itself is.
-func (m *Members) Own() Own {
-	o := Own{Name: m.me.Name, Addr: m.me.Addr, State: m.me.State, Life: m.me.Life, Turn: m.me.Turn, Live: len(m.live), Deaf: m.deaf,
-		Asks: m.phase == asking, Loss: m.loss, Late: m.late, Worst: m.worst, Counts: map[string]uint64{}}
+	Incarnation
+	Turn        uint64            `json:"turn"`
+	Live        int               `json:"live"` // others that are here or doubted
+	Deaf        bool              `json:"deaf"` // it hears nobody
+	Asks        bool              `json:"asks"` // it was away and does not know yet what it missed
+	Loss        float64           `json:"loss"` // share of direct pings lost to members that live
+	Lateness    Time              `json:"-"`    // by how much it was late last
+	MaxLateness Time              `json:"-"`    // and at worst
+	Counts      map[string]uint64 `json:"counts"`
+}
+
+// Self is what this process says of itself.
+func (m *Node) Self() MemberRecord { return m.me }
+
+// CatchingUp tells whether it was away and does not know yet what it missed.
+func (m *Node) CatchingUp() bool { return m.phase == asking }
+
+// Status is how this process itself is.
+func (m *Node) Status() LocalStatus {
+	o := LocalStatus{Name: m.me.Name, Addr: m.me.Addr, State: m.me.State, Incarnation: m.me.Incarnation, Turn: m.me.Refutations, Live: len(m.live), Deaf: m.deaf,
+		Asks: m.phase == asking, Loss: m.loss, Lateness: m.late, MaxLateness: m.worst, Counts: map[string]uint64{}}
 	for k, v := range m.counts {
 		o.Counts[k] = v
 	}
@@ -533,7 +533,7 @@
 }
 
 // Digest is the same for two views that hold the same of everybody, this process included.
-func (m *Members) Digest() (sum uint64) {
+func (m *Node) Digest() (sum uint64) {
 	for i, d := range m.digests {
 		sum ^= bits.RotateLeft64(d, i)
 	}
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-func drawClaim(t *rapid.T, label string) Claim {
-	return Claim{Name: "x", Addr: fmt.Sprint("a", rapid.IntRange(0, 1).Draw(t, label)), Life: Life{rapid.Uint64Range(1, 3).Draw(t, label),
-		rapid.Uint64Range(1, 2).Draw(t, label)}, Turn: rapid.Uint64Range(0, 2).Draw(t, label),
-		State: State(rapid.IntRange(int(Here), int(Left)).Draw(t, label)), By: fmt.Sprint("b", rapid.IntRange(0, 2).Draw(t, label)),
+func drawClaim(t *rapid.T, label string) MemberRecord {
+	return MemberRecord{Name: "x", Addr: fmt.Sprint("a", rapid.IntRange(0, 1).Draw(t, label)), Incarnation: Incarnation{rapid.Uint64Range(1, 3).Draw(t, label),
+		rapid.Uint64Range(1, 2).Draw(t, label)}, Refutations: rapid.Uint64Range(0, 2).Draw(t, label),
+		State: State(rapid.IntRange(int(Alive), int(Left)).Draw(t, label)), ReportedBy: fmt.Sprint("b", rapid.IntRange(0, 2).Draw(t, label)),
 		Age: rapid.Uint64Range(0, 3).Draw(t, label)}
 }
 
@@ -32,26 +32,26 @@
 	})
 }
 
-func termsOf(name string) Terms {
+func termsOf(name string) Config {
 	t := Defaults()
-	t.Cluster, t.Name, t.Addr, t.Nonce, t.Chance = "c", name, "addr-"+name, 7, 1
+	t.Cluster, t.Name, t.Addr, t.Nonce, t.Seed = "c", name, "addr-"+name, 7, 1
 	return t
 }
 
 // member is one that has joined alone, and one other that it knows.
-func member(t *testing.T) (*Members, Claim) {
+func member(t *testing.T) (*Node, MemberRecord) {
 	t.Helper()
 	m := New(termsOf("a"), 0)
-	m.Take(1, Tick{})
+	m.Step(1, Tick{})
 	if m.phase != serving {
 		t.Fatal("it did not join")
 	}
-	other := Claim{Name: "b", Addr: "addr-b", Life: Life{1, 5}, State: Here, By: "b"}
-	m.Take(2, Heard{Message: Message{Kind: Gossip, Cluster: "c", From: other, Seq: 1}})
+	other := MemberRecord{Name: "b", Addr: "addr-b", Incarnation: Incarnation{1, 5}, State: Alive, ReportedBy: "b"}
+	m.Step(2, MessageReceived{Message: Message{Kind: Gossip, Cluster: "c", From: other, Seq: 1}})
 	return m, other
 }
 
-func (m *Members) stateOf(name string) State {
+func (m *Node) stateOf(name string) State {
 	if e := m.by[name]; e != nil {
 		return e.state
 	}
@@ -60,26 +60,26 @@
 
 // All that others may send: none of it makes a member, moves a view or ends the process, and each kind is counted.
 func TestBadInputIsDroppedAndCounted(t *testing.T) {
-	for what, x := range map[string]func(Claim) Message{
-		"wrong cluster": func(b Claim) Message {
+	for what, x := range map[string]func(MemberRecord) Message{
+		"wrong cluster": func(b MemberRecord) Message {
 			b.State = Left
 			return Message{Kind: Gossip, Cluster: "other", From: b, Seq: 9}
 		},
-		"replayed": func(b Claim) Message {
-			return Message{Kind: Gossip, Cluster: "c", From: b, Seq: 1, Claims: []Claim{{Name: "z", Addr: "z", Life: Life{1, 1}, State: Here}}}
+		"replayed": func(b MemberRecord) Message {
+			return Message{Kind: Gossip, Cluster: "c", From: b, Seq: 1, Records: []MemberRecord{{Name: "z", Addr: "z", Incarnation: Incarnation{1, 1}, State: Alive}}}
 		},
-		"superseded": func(b Claim) Message {
-			b.Life = Life{1, 4}
-			return Message{Kind: Gossip, Cluster: "c", From: b, Seq: 9, Claims: []Claim{{Name: "z", Addr: "z", Life: Life{1, 1}, State: Here}}}
+		"superseded": func(b MemberRecord) Message {
+			b.Incarnation = Incarnation{1, 4}
+			return Message{Kind: Gossip, Cluster: "c", From: b, Seq: 9, Records: []MemberRecord{{Name: "z", Addr: "z", Incarnation: Incarnation{1, 1}, State: Alive}}}
 		},
-		"garbled": func(b Claim) Message {
-			return Message{Kind: Gossip, Cluster: "c", From: b, Seq: 9, Claims: []Claim{{Name: "z", Addr: "z", Life: Life{1, 1}, State: 99},
-				{Name: "", Addr: "z", Life: Life{1, 1}, State: Here}, {Name: "z", Addr: "z", State: Here}}}
+		"garbled": func(b MemberRecord) Message {
+			return Message{Kind: Gossip, Cluster: "c", From: b, Seq: 9, Records: []MemberRecord{{Name: "z", Addr: "z", Incarnation: Incarnation{1, 1}, State: 99},
+				{Name: "", Addr: "z", Incarnation: Incarnation{1, 1}, State: Alive}, {Name: "z", Addr: "z", State: Alive}}}
 		},
 	} {
 		m, other := member(t)
-		m.Take(10, Heard{Message: x(other)})
-		if m.counts[what] == 0 || m.stateOf("b") != Here || len(m.by) != 1 {
+		m.Step(10, MessageReceived{Message: x(other)})
+		if m.counts[what] == 0 || m.stateOf("b") != Alive || len(m.by) != 1 {
 			t.Errorf("%s: counts %v, view %v", what, m.counts, m.View())
 		}
 	}
@@ -88,10 +88,10 @@
 // A view that strangers' names could fill would take the memory of the process.
 func TestTheViewIsBounded(t *testing.T) {
 	m, other := member(t)
-	m.t.Most = 10
+	m.t.MaxMembers = 10
 	for i := range 50 {
-		m.Take(Time(10+i), Heard{Message: Message{Kind: Gossip, Cluster: "c", From: other, Seq: uint64(10 + i),
-			Claims: []Claim{{Name: fmt.Sprint("x", i), Addr: "x", Life: Life{1, 1}, State: Here}}}})
+		m.Step(Time(10+i), MessageReceived{Message: Message{Kind: Gossip, Cluster: "c", From: other, Seq: uint64(10 + i),
+			Records: []MemberRecord{{Name: fmt.Sprint("x", i), Addr: "x", Incarnation: Incarnation{1, 1}, State: Alive}}}})
 	}
 	if len(m.by) != 9 || m.counts["no room in the view"] != 42 {
 		t.Errorf("%d names, %v", len(m.by), m.counts)
@@ -102,13 +102,13 @@
 func TestWhoWasAwayAsksFirst(t *testing.T) {
 	m, _ := member(t)
 	asked := false
-	for _, e := range m.Take(m.due+5*second, Tick{}) {
+	for _, e := range m.Step(m.due+5*second, Tick{}) {
 		switch e := e.(type) {
 		case Send:
-			if asked = true; e.Kind != Ask {
+			if asked = true; e.Kind != RecordQuery {
 				t.Errorf("it sends %+v", e.Message)
 			}
-		case Open:
+		case OpenStream:
 			t.Errorf("it opens a stream: %+v", e.Message)
 		}
 	}
@@ -122,13 +122,13 @@
 	m, other := member(t)
 	seq := uint64(100)
 	for m.now < 60*second {
-		for _, e := range m.Take(m.due, Tick{}) {
-			if o, ok := e.(Open); ok && o.Kind == Ping {
+		for _, e := range m.Step(m.due, Tick{}) {
+			if o, ok := e.(OpenStream); ok && o.Kind == Ping {
 				seq++
-				m.Take(m.now, Heard{Message{Kind: Ack, Cluster: "c", From: other, Seq: seq, Nonce: o.Nonce}, 7})
+				m.Step(m.now, MessageReceived{Message{Kind: Ack, Cluster: "c", From: other, Seq: seq, Nonce: o.Nonce}, 7})
 			}
 		}
-		if got := m.stateOf("b"); got != Here {
+		if got := m.stateOf("b"); got != Alive {
 			t.Fatalf("at %d it is %v", m.now, got)
 		}
 	}
@@ -137,9 +137,9 @@
 // The wall clock is no part of this; an input with an earlier time than the last must not turn anything back.
 func TestAClockThatIsSetBack(t *testing.T) {
 	m, _ := member(t)
-	m.Take(50_000, Tick{})
+	m.Step(50_000, Tick{})
 	now, due := m.now, m.due
-	m.Take(10, Tick{})
+	m.Step(10, Tick{})
 	if m.now != now || m.due < due-second {
 		t.Errorf("at %d, due %d after an earlier time; %d, %d before", m.now, m.due, now, due)
 	}
@@ -162,24 +162,24 @@
 func TestAnHeirIsTheSameMember(t *testing.T) {
 	m, other := member(t)
 	b := New(termsOf("b"), 0)
-	b.Take(1, Tick{})
-	b.Take(2, Heard{Message: Message{Kind: Gossip, Cluster: "c", From: m.me, Seq: m.seq}})
-	l, ok := m.Legacy()
-	if !ok || len(l.Claims) != 1 || l.Claims[0].Name != other.Name {
+	b.Step(1, Tick{})
+	b.Step(2, MessageReceived{Message: Message{Kind: Gossip, Cluster: "c", From: m.me, Seq: m.seq}})
+	l, ok := m.HandoverState()
+	if !ok || len(l.Records) != 1 || l.Records[0].Name != other.Name {
 		t.Fatalf("handed over: %+v", l)
 	}
-	heir := Inherit(termsOf("a"), l, 1000)
-	for _, e := range heir.Take(1001, Tick{}) {
+	heir := Restore(termsOf("a"), l, 1000)
+	for _, e := range heir.Step(1001, Tick{}) {
 		if s, ok := e.(Send); ok && s.To == "addr-b" {
-			for _, e := range b.Take(1002, Heard{Message: s.Message}) {
-				if c, ok := e.(Changed); ok {
+			for _, e := range b.Step(1002, MessageReceived{Message: s.Message}) {
+				if c, ok := e.(MemberChanged); ok {
 					t.Errorf("the view of a changed: %+v", c)
 				}
 			}
 		}
 	}
-	if b.stateOf("a") != Here || b.counts["replayed"] > 0 || heir.me.Life != m.me.Life {
-		t.Errorf("held %v, %v, %v and %v", b.stateOf("a"), b.counts, heir.me.Life, m.me.Life)
+	if b.stateOf("a") != Alive || b.counts["replayed"] > 0 || heir.me.Incarnation != m.me.Incarnation {
+		t.Errorf("held %v, %v, %v and %v", b.stateOf("a"), b.counts, heir.me.Incarnation, m.me.Incarnation)
 	}
 }
 
@@ -190,10 +190,10 @@
 	names := []string{"a", "b", "c"}
 	type mail struct {
 		to int
-		x  Heard
+		x  MessageReceived
 	}
 	type world struct {
-		m       [3]*Members
+		m       [3]*Node
 		boxes   []mail
 		streams [][2]int
 		now     Time
@@ -205,28 +205,28 @@
 			for _, e := range effects {
 				switch e := e.(type) {
 				case Send:
-					w.boxes = append(w.boxes, mail{place(e.To), Heard{Message: e.Message}})
-				case Open:
+					w.boxes = append(w.boxes, mail{place(e.To), MessageReceived{Message: e.Message}})
+				case OpenStream:
 					w.streams = append(w.streams, [2]int{by, place(e.To)})
-					w.boxes = append(w.boxes, mail{place(e.To), Heard{e.Message, uint64(len(w.streams))}})
-				case Answer:
+					w.boxes = append(w.boxes, mail{place(e.To), MessageReceived{e.Message, uint64(len(w.streams))}})
+				case StreamReply:
 					ends := w.streams[e.Stream-1]
-					w.boxes = append(w.boxes, mail{ends[0] + ends[1] - by, Heard{e.Message, e.Stream}})
+					w.boxes = append(w.boxes, mail{ends[0] + ends[1] - by, MessageReceived{e.Message, e.Stream}})
 				}
 			}
 		}
-		hear := func(x mail) { carry(x.to, w.m[x.to].Take(w.now, x.x)) }
+		hear := func(x mail) { carry(x.to, w.m[x.to].Step(w.now, x.x)) }
 		for i, n := range names {
 			terms := termsOf(n)
 			terms.Nonce, terms.Seeds = uint64(i+1), []string{"addr-a"}
 			w.m[i] = New(terms, 0)
-			carry(i, w.m[i].Take(1, Tick{}))
+			carry(i, w.m[i].Step(1, Tick{}))
 		}
 		step := func(kind int) {
 			w.now += 30 * ms
 			switch {
 			case kind < 3: // one has its timers seen to
-				carry(kind, w.m[kind].Take(max(w.now, w.m[kind].due), Tick{}))
+				carry(kind, w.m[kind].Step(max(w.now, w.m[kind].due), Tick{}))
 			case len(w.boxes) == 0:
 			case kind == 3: // the oldest message arrives
 				x := w.boxes[0]
@@ -255,7 +255,7 @@
 		}
 		for i, m := range w.m {
 			for j, n := range names {
-				if i != j && m.stateOf(n) != Here {
+				if i != j && m.stateOf(n) != Alive {
 					t.Fatalf("order %v: %s holds %s %v", order, names[i], n, m.stateOf(n))
 				}
 			}
--- a/internal/members/messages.go
+++ b/internal/members/messages.go
@@ -5,40 +5,40 @@
 
 // The kinds. Each message brings its sender's claim of itself, and claims of others where there is room.
 const (
-	Ping    Kind = iota + 1 // answered by an Ack with the same nonce
-	Ack                     // of a Ping, or of what was asked through the sender
-	Through                 // asks the receiver to ping Target at Addr, and to pass on its Ack
-	Gossip                  // brings claims
-	Ask                     // what is known of the sender's name? From one that joins, or that was away
-	Tell                    // the answer to an Ask
-	Duel                    // to another process of the sender's own name: does it live?
-	Word                    // a word between schedulers, not of membership
-	Digests                 // full exchange, on streams: digests of the sender's view
-	Differs                 // claims of the buckets in which both views differ
-	Rest                    // claims of the other side in these buckets
+	Ping            Kind = iota + 1 // answered by an Ack with the same nonce
+	Ack                             // of a Ping, or of what was asked through the sender
+	IndirectPing                    // asks the receiver to ping Target at Addr, and to pass on its Ack
+	Gossip                          // brings claims
+	RecordQuery                     // what is known of the sender's name? From one that joins, or that was away
+	RecordReply                     // the answer to an Ask
+	NameConflict                    // to another process of the sender's own name: does it live?
+	UserMessage                     // a word between schedulers, not of membership
+	Digests                         // full exchange, on streams: digests of the sender's view
+	DigestDiff                      // claims of the buckets in which both views differ
+	DigestDiffReply                 // claims of the other side in these buckets
 )
 
 // Message is what one member sends another.
 type Message struct {
-	Kind    Kind
-	Cluster string
-	From    Claim  // of the sender itself
-	Seq     uint64 // grows with each message of a life: what comes twice, or from long ago, is dropped
-	Nonce   uint64 // of what is asked or answered
-	Target  string // Through, and an Ack that was passed on: who was asked
-	Addr    string
-	Claims  []Claim
-	Digests []uint64
-	Buckets []int
-	Unsure  bool // Tell: the sender joins itself, or was away
-	Text    string
+	Kind             Kind
+	Cluster          string
+	From             MemberRecord // of the sender itself
+	Seq              uint64       // grows with each message of a life: what comes twice, or from long ago, is dropped
+	Nonce            uint64       // of what is asked or answered
+	Target           string       // Through, and an Ack that was passed on: who was asked
+	Addr             string
+	Records          []MemberRecord
+	Digests          []uint64
+	Buckets          []int
+	SenderCatchingUp bool // Tell: the sender joins itself, or was away
+	Text             string
 }
 
 // Input is one of Heard, Tick, Leaving, Saying and Resuming.
 type Input interface{ input() }
 
-// Heard is a message that came as a datagram, or on a stream.
-type Heard struct {
+// MessageReceived is a message that came as a datagram, or on a stream.
+type MessageReceived struct {
 	Message
 	Stream uint64 // to answer on; 0 for a datagram
 }
@@ -46,23 +46,23 @@
 // Tick says that the moment of Next has come.
 type Tick struct{}
 
-// Leaving says that this process ends of its own will.
-type Leaving struct{}
+// LeaveRequested says that this process ends of its own will.
+type LeaveRequested struct{}
 
-// Saying has a word sent to the member with a number.
-type Saying struct {
+// SendUserMessage has a word sent to the member with a number.
+type SendUserMessage struct {
 	Number int
 	Text   string
 }
 
-// Resuming says that the process that was to take over has ended, and this one goes on.
-type Resuming struct{}
+// Resumed says that the process that was to take over has ended, and this one goes on.
+type Resumed struct{}
 
-func (Heard) input()    {}
-func (Tick) input()     {}
-func (Leaving) input()  {}
-func (Saying) input()   {}
-func (Resuming) input() {}
+func (MessageReceived) input() {}
+func (Tick) input()            {}
+func (LeaveRequested) input()  {}
+func (SendUserMessage) input() {}
+func (Resumed) input()         {}
 
 // Effect is one of Send, Open, Answer, Changed, Spoken, Noted, Settled and Ended.
 type Effect interface{ effect() }
@@ -73,46 +73,46 @@
 	Message
 }
 
-// Open has a stream opened and a message sent on it; what comes back is Heard with a stream to answer on.
-type Open struct {
+// OpenStream has a stream opened and a message sent on it; what comes back is Heard with a stream to answer on.
+type OpenStream struct {
 	To string
 	Message
 }
 
-// Answer has a message sent on a stream; after Last the stream is closed.
-type Answer struct {
+// StreamReply has a message sent on a stream; after Last the stream is closed.
+type StreamReply struct {
 	Stream uint64
 	Message
 	Last bool
 }
 
-// Changed tells that what is held of another member has changed.
-type Changed struct {
-	Seen
+// MemberChanged tells that what is held of another member has changed.
+type MemberChanged struct {
+	MemberView
 	Before State
 	New    bool // it is a process that was not known before
 }
 
-// Spoken is another scheduler's word.
-type Spoken struct {
+// UserMessageReceived is another scheduler's word.
+type UserMessageReceived struct {
 	Number int
 	Text   string
 }
 
-// Noted is something of this process itself that staff want to know: what, and of whom.
-type Noted struct{ What, Who string }
+// Event is something of this process itself that staff want to know: what, and of whom.
+type Event struct{ Description, Member string }
 
-// Settled tells that this process is a member from now on: it has joined, or is back.
-type Settled struct{}
+// Joined tells that this process is a member from now on: it has joined, or is back.
+type Joined struct{}
 
-// Ended tells that another process has this one's name, or that all have been told that it leaves.
-type Ended struct{ Superseded bool }
+// Stopped tells that another process has this one's name, or that all have been told that it leaves.
+type Stopped struct{ Replaced bool }
 
-func (Send) effect()    {}
-func (Open) effect()    {}
-func (Answer) effect()  {}
-func (Changed) effect() {}
-func (Spoken) effect()  {}
-func (Noted) effect()   {}
-func (Settled) effect() {}
-func (Ended) effect()   {}
+func (Send) effect()                {}
+func (OpenStream) effect()          {}
+func (StreamReply) effect()         {}
+func (MemberChanged) effect()       {}
+func (UserMessageReceived) effect() {}
+func (Event) effect()               {}
+func (Joined) effect()              {}
+func (Stopped) effect()             {}
--- a/internal/members/swarm/figures_test.go
+++ b/internal/members/swarm/figures_test.go
@@ -34,7 +34,7 @@
 		calm, spans := 0.0, 0.0
 		for seed := range plays {
 			s := New(n, uint64(seed+1))
-			s.Terms.Most = 2 * n
+			s.Terms.MaxMembers = 2 * n
 			s.Links = Links{Delay: 5, Jitter: 10}
 			for i := range n {
 				s.At(Time(s.rand.IntN(20_000)), func() { s.Start(i) })
--- a/internal/members/swarm/swarm.go
+++ b/internal/members/swarm/swarm.go
@@ -31,7 +31,7 @@
 type node struct {
 	name, addr string
 	index      int
-	m          *members.Members
+	m          *members.Node
 	up         bool
 	started    Time
 	died       Time
@@ -47,7 +47,7 @@
 
 type holding struct {
 	state members.State
-	life  members.Life
+	life  members.Incarnation
 	turn  uint64
 	since Time
 
@@ -59,7 +59,7 @@
 	virtual.Clock[Time]
 	rand   *rand.Rand
 	Links  Links
-	Terms  members.Terms
+	Terms  members.Config
 	nodes  []*node
 	byAddr map[string]*node
 	byName map[string][]*node
@@ -115,7 +115,7 @@
 	n := s.nodes[i]
 	t := s.Terms
 	t.Cluster, t.Name, t.Addr, t.Number, t.Seeds = "swarm", n.name, n.addr, i, s.Seeds
-	t.Nonce, t.Chance = s.rand.Uint64(), s.rand.Uint64()
+	t.Nonce, t.Seed = s.rand.Uint64(), s.rand.Uint64()
 	n.m, n.up, n.paused, n.ended, n.settled, n.started, n.waits = members.New(t, s.Now()), true, false, false, false, s.Now(), nil
 	n.nonce, n.held, n.tick = t.Nonce, map[string]holding{}, 0
 	s.world()
@@ -131,7 +131,7 @@
 }
 
 // Leave has a process tell the others that it ends, and end.
-func (s *Swarm) Leave(i int) { s.feed(s.nodes[i], members.Leaving{}) }
+func (s *Swarm) Leave(i int) { s.feed(s.nodes[i], members.LeaveRequested{}) }
 
 // Pause stops a process.
 func (s *Swarm) Pause(i int) {
@@ -243,11 +243,11 @@
 	}
 	m := n.m
 	var todo []members.Effect
-	s.Around(func() { todo = m.Take(s.Now(), in) })
+	s.Around(func() { todo = m.Step(s.Now(), in) })
 	for _, e := range todo {
 		s.carry(n, e)
 	}
-	at := m.Next()
+	at := m.NextTick()
 	if n.tick > s.Now() && n.tick <= at {
 		return // a tick that comes earlier plans the next
 	}
@@ -264,8 +264,8 @@
 
 func size(x members.Message) int64 {
 	n := 60 + len(x.From.Name) + len(x.From.Addr) + len(x.Target) + len(x.Text) + 9*len(x.Digests) + 2*len(x.Buckets)
-	for _, c := range x.Claims {
-		n += 28 + len(c.Name) + len(c.Addr) + len(c.By)
+	for _, c := range x.Records {
+		n += 28 + len(c.Name) + len(c.Addr) + len(c.ReportedBy)
 	}
 	return int64(n)
 }
@@ -274,7 +274,7 @@
 	switch e := e.(type) {
 	case members.Send:
 		s.datagram(n, e.To, e.Message)
-	case members.Open:
+	case members.OpenStream:
 		to := s.byAddr[e.To]
 		if to == nil {
 			return
@@ -284,7 +284,7 @@
 		s.streams[id] = [2]*node{n, to}
 		s.At(s.Now()+10*Second, func() { delete(s.streams, id) })
 		s.stream(n, to, id, e.Message)
-	case members.Answer:
+	case members.StreamReply:
 		pair, ok := s.streams[e.Stream]
 		if !ok {
 			return
@@ -294,17 +294,17 @@
 			to = pair[1]
 		}
 		s.stream(n, to, e.Stream, e.Message)
-	case members.Settled:
+	case members.Joined:
 		n.settled, n.ended = true, false
 		s.world()
-	case members.Ended:
+	case members.Stopped:
 		n.ended = true
 		s.world()
-		if !e.Superseded {
+		if !e.Replaced {
 			n.up, n.died = false, s.Now()
 			s.gone[n.name] = true
 		}
-	case members.Changed:
+	case members.MemberChanged:
 		s.changed(n, e)
 	}
 }
@@ -326,7 +326,7 @@
 	}
 	deliver := func() {
 		if !s.cut[[2]int{n.index, to.index}] {
-			s.feed(to, members.Heard{Message: x})
+			s.feed(to, members.MessageReceived{Message: x})
 		}
 	}
 	if s.At(s.Now()+wait, deliver); twice {
@@ -348,7 +348,7 @@
 	}
 	s.At(s.Now()+wait, func() {
 		if s.both(n.index, to.index) {
-			s.feed(to, members.Heard{Message: x, Stream: id})
+			s.feed(to, members.MessageReceived{Message: x, Stream: id})
 		}
 	})
 }
@@ -364,12 +364,12 @@
 const Grace = 15 * Second
 
 // changed holds what a member holds against what is true.
-func (s *Swarm) changed(n *node, e members.Changed) {
+func (s *Swarm) changed(n *node, e members.MemberChanged) {
 	if s.Watch != nil {
 		s.Watch(s.Now(), n.name, e.Name, e.State)
 	}
 	h, known := n.held[e.Name]
-	now := holding{e.State, e.Life, e.Turn, s.Now(), e.Private}
+	now := holding{e.State, e.Incarnation, e.Refutations, s.Now(), e.Private}
 	n.held[e.Name] = now
 	if known && !h.private && h.life == now.life && h.turn == now.turn && h.state > now.state {
 		s.breach("%s holds %s %v after %v in the same turn", n.name, e.Name, now.state, h.state)
@@ -381,10 +381,10 @@
 		}
 		j := of.index
 		s.world()
-		if e.State == members.Gone && len(s.nodes) <= 64 && s.answers(j) && s.Now()-max(s.bad[i][j], of.started, n.started) > Grace {
-			s.breach("%s calls %s gone, by %s, and could reach it since %.3f s", n.name, e.Name, e.By, float64(s.bad[i][j])/float64(Second))
+		if e.State == members.Dead && len(s.nodes) <= 64 && s.answers(j) && s.Now()-max(s.bad[i][j], of.started, n.started) > Grace {
+			s.breach("%s calls %s gone, by %s, and could reach it since %.3f s", n.name, e.Name, e.ReportedBy, float64(s.bad[i][j])/float64(Second))
 		}
-		if e.State == members.Gone && !of.up {
+		if e.State == members.Dead && !of.up {
 			s.Detected = append(s.Detected, s.Now()-of.died)
 		}
 	}
@@ -402,7 +402,7 @@
 			}
 			h := a.held[b.name]
 			switch alive := b.up && !b.ended && !b.paused; {
-			case alive && s.reaches(i, j) && (h.state != members.Here || h.life.Nonce != b.nonce):
+			case alive && s.reaches(i, j) && (h.state != members.Alive || h.life.Nonce != b.nonce):
 				wrong = append(wrong, fmt.Sprintf("%s holds %s %v, which is here", a.name, b.name, h.state))
 			case !b.up && b.m != nil && !h.state.Ended() && h.state != 0:
 				wrong = append(wrong, fmt.Sprintf("%s holds %s %v, which is no more", a.name, b.name, h.state))
@@ -426,7 +426,7 @@
 }
 
 // Member is what runs at a place.
-func (s *Swarm) Member(i int) *members.Members { return s.nodes[i].m }
+func (s *Swarm) Member(i int) *members.Node { return s.nodes[i].m }
 
 // Runs tells whether a process runs at a place, and whether it is a member by its own word.
 func (s *Swarm) Runs(i int) (up, member bool) {
--- a/internal/members/swarm/swarm_test.go
+++ b/internal/members/swarm/swarm_test.go
@@ -54,7 +54,7 @@
 				s.Kill(n - 1)
 				s.Run(s.Now() + 5*Second)
 				for i := range n - 1 {
-					if got := s.Holds(i, fmt.Sprintf("n%03d", n-1)); got != members.Gone {
+					if got := s.Holds(i, fmt.Sprintf("n%03d", n-1)); got != members.Dead {
 						t.Errorf("%d holds it %v after 5 s", i, got)
 					}
 				}
@@ -77,7 +77,7 @@
 func gones(s *Swarm) *int {
 	n := 0
 	s.Watch = func(_ Time, _, _ string, state members.State) {
-		if state == members.Gone {
+		if state == members.Dead {
 			n++
 		}
 	}
@@ -101,7 +101,7 @@
 				*n = 0
 				accused := 0
 				s.Watch = func(_ Time, _, of string, state members.State) {
-					if state == members.Gone || state == members.Doubted && of != name(2) {
+					if state == members.Dead || state == members.Suspect && of != name(2) {
 						accused++
 					}
 				}
@@ -141,10 +141,10 @@
 		s.Pause(1)
 		s.Pause(2)
 		s.Run(s.Now() + 10*Second)
-		holds(t, s, 0, name(1), members.Gone)
+		holds(t, s, 0, name(1), members.Dead)
 		s.Resume(1)
 		s.Run(s.Now() + 3*Second)
-		holds(t, s, 0, name(1), members.Here)
+		holds(t, s, 0, name(1), members.Alive)
 		s.Resume(2)
 		s.Run(s.Now() + 4*Second)
 	})
@@ -158,7 +158,7 @@
 		s.Resume(3)
 		s.Pause(3)
 		s.Run(s.Now() + 20*Second)
-		holds(t, s, 0, name(3), members.Gone)
+		holds(t, s, 0, name(3), members.Dead)
 		s.Resume(3)
 		s.Run(s.Now() + 4*Second)
 	})
@@ -243,7 +243,7 @@
 				s.Run(s.Now() + 20*Second)
 				for i := range 4 {
 					for j := range 4 {
-						if k := said[fmt.Sprint(name(i), name(j), members.Doubted)]; k > 0 {
+						if k := said[fmt.Sprint(name(i), name(j), members.Suspect)]; k > 0 {
 							t.Errorf("place %d doubted %d %d times, which has no part in this", i, j, k)
 						}
 					}
@@ -251,7 +251,7 @@
 				clear(said) // by then it has found out that it hears nobody
 				s.Run(s.Now() + 40*Second)
 				for i := range 4 {
-					holds(t, s, i, name(4), members.Gone)
+					holds(t, s, i, name(4), members.Dead)
 					if len(said) > 0 {
 						t.Errorf("there is talk after 20 s: %v", said)
 					}
@@ -285,9 +285,9 @@
 		s.Run(s.Now() + 12*Second)
 		s.Part(c, b, true)
 		s.Run(s.Now() + 12*Second)
-		holds(t, s, 0, name(3), members.Gone)
-		holds(t, s, 3, name(6), members.Gone)
-		holds(t, s, 3, name(4), members.Here)
+		holds(t, s, 0, name(3), members.Dead)
+		holds(t, s, 3, name(6), members.Dead)
+		holds(t, s, 3, name(4), members.Alive)
 		s.Part(a, b, false)
 		s.Run(s.Now() + 12*Second)
 		s.Part(c, append(a, b...), false)
@@ -334,8 +334,8 @@
 		s.Run(s.Now() + 200*MS)
 		s.Start(2)
 		s.Run(s.Now() + 3*Second)
-		if own := s.Member(2).Own(); own.Incarnation != 2 || *n > 0 {
-			t.Errorf("incarnation %d, %d called gone", own.Incarnation, *n)
+		if own := s.Member(2).Status(); own.Generation != 2 || *n > 0 {
+			t.Errorf("incarnation %d, %d called gone", own.Generation, *n)
 		}
 	})
 }
@@ -352,11 +352,11 @@
 				s.Run(s.Now() + 5*Second)
 				s.Resume(3)
 				s.Run(s.Now() + 5*Second)
-				if own := s.Member(3).Own(); own.State != members.Superseded {
+				if own := s.Member(3).Status(); own.State != members.Replaced {
 					t.Errorf("the first is %v", own.State)
 				}
-				if own := s.Member(heir).Own(); own.State != members.Here || own.Incarnation != 2 {
-					t.Errorf("the successor is %v, incarnation %d", own.State, own.Incarnation)
+				if own := s.Member(heir).Status(); own.State != members.Alive || own.Generation != 2 {
+					t.Errorf("the successor is %v, incarnation %d", own.State, own.Generation)
 				}
 			})
 		})
@@ -369,13 +369,13 @@
 		heir := s.Place(name(3))
 		s.Start(heir)
 		s.Run(s.Now() + 3*Second)
-		if own := s.Member(3).Own(); own.State != members.Superseded {
+		if own := s.Member(3).Status(); own.State != members.Replaced {
 			t.Errorf("the first is %v", own.State)
 		}
 		s.Leave(heir)
 		s.Run(s.Now() + 8*Second)
-		if own := s.Member(3).Own(); own.State != members.Here || own.Incarnation != 3 {
-			t.Errorf("the first is %v, incarnation %d", own.State, own.Incarnation)
+		if own := s.Member(3).Status(); own.State != members.Alive || own.Generation != 3 {
+			t.Errorf("the first is %v, incarnation %d", own.State, own.Generation)
 		}
 	})
 }
@@ -404,10 +404,10 @@
 		s.Run(s.Now() + 3*Second)
 		s.Resume(3)
 		s.Run(s.Now() + 8*Second)
-		if own := s.Member(3).Own(); own.State != members.Superseded {
+		if own := s.Member(3).Status(); own.State != members.Replaced {
 			t.Errorf("the one from before is %v", own.State)
 		}
-		if own := s.Member(heir).Own(); own.State != members.Here {
+		if own := s.Member(heir).Status(); own.State != members.Alive {
 			t.Errorf("the new one is %v", own.State)
 		}
 	})
@@ -435,7 +435,7 @@
 				s.Links.Loss = 0
 				want := members.Left
 				if s.Run(s.Now() + 700*MS); lost {
-					want = members.Gone
+					want = members.Dead
 					s.Run(s.Now() + 6*Second)
 				}
 				holds(t, s, 0, name(5), want)
@@ -455,7 +455,7 @@
 		s.Run(s.Now() + 5*Second) // it finds nobody
 		s.Start(1)
 		s.Run(s.Now() + 6*Second)
-		holds(t, s, late, name(4), members.Here)
+		holds(t, s, late, name(4), members.Alive)
 		s.Start(0)
 		s.Run(s.Now() + 6*Second)
 	})
@@ -469,7 +469,7 @@
 		s.Run(s.Now() + 6*Second)
 		s.Part([]int{2, 3}, []int{4, 5}, true)
 		s.Run(s.Now() + 20*Second)
-		holds(t, s, 2, name(4), members.Gone)
+		holds(t, s, 2, name(4), members.Dead)
 		s.Part([]int{2, 3}, []int{4, 5}, false)
 		s.Run(s.Now() + 8*Second)
 	})
--- a/internal/members/terms.go
+++ b/internal/members/terms.go
@@ -17,34 +17,34 @@
 	second Time = 1000 * ms
 )
 
-// Span is a duration in the unit of Time.
-func Span(d time.Duration) Time { return Time(d / Tenth) }
+// TimeOf is a duration in the unit of Time.
+func TimeOf(d time.Duration) Time { return Time(d / Tenth) }
 
-// Terms are what a member is told at its start.
-type Terms struct {
+// Config are what a member is told at its start.
+type Config struct {
 	Cluster string
 	Name    string
 	Addr    string // what it tells the others
 	Number  int
 	Seeds   []string
 	Nonce   uint64 // of this process alone: not drawn from the seed, which the next process may have too
-	Chance  uint64
+	Seed    uint64
 
-	Probe    Time // between two pings
-	Window   Time // for an answer, direct or through others
-	Doubt    Time // shortest span between a doubt and "gone"
-	Longest  Time // longest such span, with one accuser
-	Exchange Time // between full exchanges, in the mean
-	Seek     Time // between tries to reach seeds and those that are gone, in the mean
-	Memory   Time // of those that are gone or left
-	Most     int  // names in a view
-	StandBy  bool // one that is superseded waits until its name is free
+	ProbeInterval       Time // between two pings
+	ProbeTimeout        Time // for an answer, direct or through others
+	MinSuspicion        Time // shortest span between a doubt and "gone"
+	MaxSuspicion        Time // longest such span, with one accuser
+	PushPullInterval    Time // between full exchanges, in the mean
+	JoinInterval        Time // between tries to reach seeds and those that are gone, in the mean
+	DeadRetention       Time // of those that are gone or left
+	MaxMembers          int  // names in a view
+	StandByWhenReplaced bool // one that is superseded waits until its name is free
 }
 
 // Defaults are stated here alone.
-func Defaults() Terms {
-	return Terms{Number: -1, Probe: 100 * ms, Window: 250 * ms, Doubt: 2 * second, Longest: 6 * second, Exchange: 10 * second,
-		Seek: second, Memory: 24 * 3600 * second, Most: 4096, StandBy: true}
+func Defaults() Config {
+	return Config{Number: -1, ProbeInterval: 100 * ms, ProbeTimeout: 250 * ms, MinSuspicion: 2 * second, MaxSuspicion: 6 * second, PushPullInterval: 10 * second,
+		JoinInterval: second, DeadRetention: 24 * 3600 * second, MaxMembers: 4096, StandByWhenReplaced: true}
 }
 
 // Fixed bounds and spans; each says what it is for.
@@ -78,8 +78,8 @@
 	mostSeeds   = 256
 )
 
-// Check tells what is wrong with the terms.
-func (t *Terms) Check() error {
+// Validate tells what is wrong with the terms.
+func (t *Config) Validate() error {
 	span := func(name string, v, least, most Time) error {
 		if v < least || v > most {
 			return fmt.Errorf("%s: %v lies outside %v to %v", name, time.Duration(v)*Tenth, time.Duration(least)*Tenth,
@@ -87,10 +87,10 @@
 		}
 		return nil
 	}
-	for _, err := range []error{span("probe", t.Probe, 10*ms, 60*second), span("window", t.Window, 20*ms, 60*second),
-		span("doubt", t.Doubt, 100*ms, 3600*second), span("longest-doubt", t.Longest, t.Doubt, 24*3600*second),
-		span("exchange", t.Exchange, 100*ms, 24*3600*second), span("seek", t.Seek, 50*ms, 3600*second),
-		span("memory", t.Memory, 10*second, 365*24*3600*second)} {
+	for _, err := range []error{span("probe", t.ProbeInterval, 10*ms, 60*second), span("window", t.ProbeTimeout, 20*ms, 60*second),
+		span("doubt", t.MinSuspicion, 100*ms, 3600*second), span("longest-doubt", t.MaxSuspicion, t.MinSuspicion, 24*3600*second),
+		span("exchange", t.PushPullInterval, 100*ms, 24*3600*second), span("seek", t.JoinInterval, 50*ms, 3600*second),
+		span("memory", t.DeadRetention, 10*second, 365*24*3600*second)} {
 		if err != nil {
 			return err
 		}
@@ -100,11 +100,11 @@
 		return fmt.Errorf("name: %q is no name of 1 to %d bytes in one line", t.Name, longName)
 	case t.Cluster == "" || len(t.Cluster) > longName:
 		return fmt.Errorf("cluster: %q is no name of 1 to %d bytes", t.Cluster, longName)
-	case t.Most < 2 || t.Most > 1<<16:
-		return fmt.Errorf("most: %d lies outside 2 to %d", t.Most, 1<<16)
+	case t.MaxMembers < 2 || t.MaxMembers > 1<<16:
+		return fmt.Errorf("most: %d lies outside 2 to %d", t.MaxMembers, 1<<16)
 	case len(t.Seeds) > mostSeeds:
 		return fmt.Errorf("seeds: %d, more than %d", len(t.Seeds), mostSeeds)
-	case t.Window < t.Probe/4:
+	case t.ProbeTimeout < t.ProbeInterval/4:
 		return fmt.Errorf("window: shorter than a quarter of probe")
 	}
 	return nil
--- a/internal/members/timers.go
+++ b/internal/members/timers.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // timers does all that is due.
-func (m *Members) timers() {
+func (m *Node) timers() {
 	switch m.phase {
 	case over:
 		return
@@ -20,19 +20,19 @@
 	m.overdue()
 	m.doubtful()
 	if m.now >= m.nextProbe {
-		m.nextProbe = m.now + m.t.Probe*9/10 + Time(m.rand.Int64N(int64(m.t.Probe/5)+1))
+		m.nextProbe = m.now + m.t.ProbeInterval*9/10 + Time(m.rand.Int64N(int64(m.t.ProbeInterval/5)+1))
 		m.ping()
 	}
 	if m.now >= m.nextSeek {
-		m.nextSeek = m.now + m.jitter(m.t.Seek)
+		m.nextSeek = m.now + m.jitter(m.t.JoinInterval)
 		m.seek()
 	}
 	if m.now >= m.nextExchange {
-		m.nextExchange = m.now + m.jitter(m.t.Exchange)
+		m.nextExchange = m.now + m.jitter(m.t.PushPullInterval)
 		m.exchange()
 	}
 	if m.now >= m.nextForget {
-		m.nextForget = m.now + m.t.Memory/50
+		m.nextForget = m.now + m.t.DeadRetention/50
 		m.forget()
 	}
 	if d := m.duel; d != nil && m.now >= d.next {
@@ -42,14 +42,14 @@
 		m.nextGossip = m.now + gossipEvery
 		for _, e := range m.pick(spread, nil) {
 			if claims := m.take(claimRoom, m.accusations(e)...); len(claims) > 0 {
-				m.send(e.claim.Addr, Message{Kind: Gossip, Claims: claims})
+				m.send(e.claim.Addr, Message{Kind: Gossip, Records: claims})
 			}
 		}
 	}
 }
 
 // ping asks the next in the round.
-func (m *Members) ping() {
+func (m *Node) ping() {
 	if len(m.round) == 0 {
 		m.round = append(m.round, m.live...)
 		m.rand.Shuffle(len(m.round), func(i, j int) { m.round[i], m.round[j] = m.round[j], m.round[i] })
@@ -61,11 +61,11 @@
 	m.round = m.round[:len(m.round)-1]
 	p := probe{nonce: m.rand.Uint64(), of: e, at: m.now}
 	m.probes = append(m.probes, p)
-	m.send(e.claim.Addr, Message{Kind: Ping, Nonce: p.nonce, Claims: m.take(claimRoom, m.accusations(e)...)})
+	m.send(e.claim.Addr, Message{Kind: Ping, Nonce: p.nonce, Records: m.take(claimRoom, m.accusations(e)...)})
 }
 
 // overdue asks through others for those who have not answered, and doubts those who did not answer to anybody.
-func (m *Members) overdue() {
+func (m *Node) overdue() {
 	rest := m.probes[:0:0]
 	var failed []*entry
 	for _, p := range m.probes {
@@ -73,16 +73,16 @@
 		case m.now >= p.at+m.window():
 			if failed = append(failed, p.of); !m.deaf && m.heard <= p.at {
 				m.deaf = true // nobody at all was heard since: that is this process's own trouble
-				m.do(Noted{"hears nobody", ""})
+				m.do(Event{"hears nobody", ""})
 			}
 			continue
 		case !p.through && m.now >= p.at+m.patience(p.of):
 			p.through = true
 			m.through(p.of, p.nonce)
-			m.do(Open{p.of.claim.Addr, m.sealed(Message{Kind: Ping, Nonce: p.nonce, Claims: m.accusations(p.of)})})
+			m.do(OpenStream{p.of.claim.Addr, m.sealed(Message{Kind: Ping, Nonce: p.nonce, Records: m.accusations(p.of)})})
 		case p.through && !p.again && m.now >= p.at+2*m.patience(p.of):
 			p.again = true
-			m.send(p.of.claim.Addr, Message{Kind: Ping, Nonce: p.nonce, Claims: m.accusations(p.of)})
+			m.send(p.of.claim.Addr, Message{Kind: Ping, Nonce: p.nonce, Records: m.accusations(p.of)})
 		}
 		rest = append(rest, p)
 	}
@@ -98,14 +98,14 @@
 }
 
 // through has some others ask a member.
-func (m *Members) through(e *entry, nonce uint64) {
+func (m *Node) through(e *entry, nonce uint64) {
 	for _, by := range m.pick(helpers, e) {
-		m.send(by.claim.Addr, Message{Kind: Through, Nonce: nonce, Target: e.claim.Name, Claims: m.accusations(e)})
+		m.send(by.claim.Addr, Message{Kind: IndirectPing, Nonce: nonce, Target: e.claim.Name, Records: m.accusations(e)})
 	}
 }
 
 // doubtful asks once more those whose doubt ends soon, and holds those whose doubt is over to be gone.
-func (m *Members) doubtful() {
+func (m *Node) doubtful() {
 	for _, e := range append([]*entry(nil), m.doubts...) {
 		end := m.ends(e)
 		if m.now >= end {
@@ -113,17 +113,17 @@
 		} else if e.own && !e.lastSaid && m.now >= end-lastWord {
 			e.lastSaid = true
 			nonce := m.rand.Uint64()
-			m.send(e.claim.Addr, Message{Kind: Ping, Nonce: nonce, Claims: m.accusations(e)})
+			m.send(e.claim.Addr, Message{Kind: Ping, Nonce: nonce, Records: m.accusations(e)})
 			m.through(e, nonce)
 		}
 	}
 }
 
 // seek tries to reach one that is gone, and a seed that is nobody here: so cuts end by themselves.
-func (m *Members) seek() {
+func (m *Node) seek() {
 	if len(m.lost) > 0 {
 		e := m.lost[m.rand.IntN(len(m.lost))]
-		m.send(e.claim.Addr, Message{Kind: Ping, Nonce: m.rand.Uint64(), Claims: m.accusations(e)})
+		m.send(e.claim.Addr, Message{Kind: Ping, Nonce: m.rand.Uint64(), Records: m.accusations(e)})
 	}
 	for range m.t.Seeds { // the next one that is nobody here
 		m.seed = (m.seed + 1) % len(m.t.Seeds)
@@ -136,43 +136,43 @@
 }
 
 // stand asks whether the name of this process is free again.
-func (m *Members) stand() {
+func (m *Node) stand() {
 	if m.now < m.nextSeek {
 		return
 	}
-	m.nextSeek = m.now + m.jitter(m.t.Seek)
-	m.known, m.nonce = Claim{}, m.rand.Uint64()
+	m.nextSeek = m.now + m.jitter(m.t.JoinInterval)
+	m.known, m.nonce = MemberRecord{}, m.rand.Uint64()
 	for _, e := range m.pick(1, nil) {
-		m.send(e.claim.Addr, Message{Kind: Ask, Nonce: m.nonce})
+		m.send(e.claim.Addr, Message{Kind: RecordQuery, Nonce: m.nonce})
 	}
 }
 
 // leaveOn tells some that this process ends.
-func (m *Members) leaveOn() {
+func (m *Node) leaveOn() {
 	if m.now < m.nextLeave {
 		return
 	}
 	if m.leaves == 0 {
 		m.phase = over
-		m.do(Ended{})
+		m.do(Stopped{})
 		return
 	}
 	m.leaves--
 	m.nextLeave = m.now + leaveEvery
 	for _, e := range m.pick(leaveTo, nil) {
-		m.send(e.claim.Addr, Message{Kind: Gossip, Claims: []Claim{m.me}})
+		m.send(e.claim.Addr, Message{Kind: Gossip, Records: []MemberRecord{m.me}})
 	}
 }
 
 // fightOn asks the other process of this name again, or holds it to be no more.
-func (m *Members) fightOn(d *duel) {
+func (m *Node) fightOn(d *duel) {
 	if m.now >= d.until {
 		m.duel = nil
-		if d.with.Life.compare(m.me.Life) > 0 {
-			m.relive(d.with.Incarnation)
+		if d.with.Incarnation.compare(m.me.Incarnation) > 0 {
+			m.relive(d.with.Generation)
 		}
 		return
 	}
 	d.next = m.now + askEvery
-	m.send(d.with.Addr, Message{Kind: Duel, Nonce: d.nonce})
+	m.send(d.with.Addr, Message{Kind: NameConflict, Nonce: d.nonce})
 }
--- a/internal/members/view.go
+++ b/internal/members/view.go
@@ -13,41 +13,41 @@
 
 // queued is a claim that is being told, and how often it has been.
 type queued struct {
-	claim Claim
+	claim MemberRecord
 	times int
 }
 
 // bucketOf and identity are of what two views must agree on: who says so and since when may differ.
 func bucketOf(name string) int { return int(xxhash.Sum64String(name) % buckets) }
 
-func identity(c Claim) uint64 {
+func identity(c MemberRecord) uint64 {
 	room := make([]byte, 0, 96)
 	room = append(room, c.Name...)
-	for _, n := range []uint64{c.Incarnation, c.Nonce, c.Turn, uint64(c.State)} {
+	for _, n := range []uint64{c.Generation, c.Nonce, c.Refutations, uint64(c.State)} {
 		room = binary.LittleEndian.AppendUint64(room, n)
 	}
 	return xxhash.Sum64(room)
 }
 
 // mark and unmark keep the digests: what is put in twice is taken out, so both are the same.
-func (m *Members) mark(c Claim)   { m.digests[bucketOf(c.Name)] ^= identity(c) }
-func (m *Members) unmark(c Claim) { m.mark(c) }
+func (m *Node) mark(c MemberRecord)   { m.digests[bucketOf(c.Name)] ^= identity(c) }
+func (m *Node) unmark(c MemberRecord) { m.mark(c) }
 
 // remark puts the own claim into the digests as it is now, in place of the one before.
-func (m *Members) remark() {
-	if m.marked.Incarnation > 0 {
+func (m *Node) remark() {
+	if m.marked.Generation > 0 {
 		m.unmark(m.marked)
 	}
-	if m.marked = m.me; m.me.State == Superseded {
-		m.marked = Claim{} // the name is another's
+	if m.marked = m.me; m.me.State == Replaced {
+		m.marked = MemberRecord{} // the name is another's
 	} else {
 		m.mark(m.me)
 	}
 }
 
 // set replaces what has been said of a member.
-func (m *Members) set(e *entry, c Claim) {
-	if c.Life != e.claim.Life {
+func (m *Node) set(e *entry, c MemberRecord) {
+	if c.Incarnation != e.claim.Incarnation {
 		e.window = window{}
 	}
 	m.unmark(e.claim)
@@ -56,7 +56,7 @@
 }
 
 // aged is what is told of a member: how long ago it ended goes with it, so that nobody remembers it longer than the others.
-func (m *Members) aged(e *entry) Claim {
+func (m *Node) aged(e *entry) MemberRecord {
 	c := e.claim
 	if c.State.Ended() {
 		c.Age = uint64(max(m.now-e.ended, 0) / second)
@@ -65,7 +65,7 @@
 }
 
 // enqueue has a claim told to the others.
-func (m *Members) enqueue(c Claim) {
+func (m *Node) enqueue(c MemberRecord) {
 	if len(m.queue) >= mostQueue {
 		m.count("queue full")
 		return
@@ -74,10 +74,10 @@
 }
 
 // sizeOf is about how many bytes a claim takes in a message.
-func sizeOf(c Claim) int { return len(c.Name) + len(c.Addr) + len(c.By) + 32 }
+func sizeOf(c MemberRecord) int { return len(c.Name) + len(c.Addr) + len(c.ReportedBy) + 32 }
 
 // take draws from the queue what fits, least told first, and counts it as told once more.
-func (m *Members) take(room int, first ...Claim) (claims []Claim) {
+func (m *Node) take(room int, first ...MemberRecord) (claims []MemberRecord) {
 	for _, c := range first {
 		claims = append(claims, c)
 		room -= sizeOf(c)
@@ -102,40 +102,40 @@
 }
 
 // current is what is said of a name now.
-func (m *Members) current(name string) (Claim, bool) {
+func (m *Node) current(name string) (MemberRecord, bool) {
 	if name == m.me.Name {
 		return m.me, true
 	}
 	e := m.by[name]
 	if e == nil {
-		return Claim{}, false
+		return MemberRecord{}, false
 	}
 	return e.claim, true
 }
 
 // become changes what is held of a member.
-func (m *Members) become(e *entry, s State, fresh bool) {
+func (m *Node) become(e *entry, s State, fresh bool) {
 	before := e.state
 	if !fresh && before == s {
 		return
 	}
 	m.unlist(e)
 	e.state, e.since = s, m.now
-	if s != Doubted {
+	if s != Suspect {
 		e.accusers, e.own, e.gone, e.lastSaid = nil, false, false, false
 	}
-	if s == Here {
+	if s == Alive {
 		e.far, e.private = 0, false
 	}
 	if s.Ended() && !before.Ended() || fresh && s.Ended() {
-		e.ended = m.now - Time(min(e.claim.Age, uint64(m.t.Memory/second)))*second
+		e.ended = m.now - Time(min(e.claim.Age, uint64(m.t.DeadRetention/second)))*second
 	}
 	m.list(e)
-	m.do(Changed{m.seen(e), before, fresh})
+	m.do(MemberChanged{m.seen(e), before, fresh})
 }
 
 // list puts an entry where its state belongs.
-func (m *Members) list(e *entry) {
+func (m *Node) list(e *entry) {
 	switch {
 	case !e.state.Ended():
 		e.place = len(m.live)
@@ -143,16 +143,16 @@
 		m.round = append(m.round, e) // somewhere in the round that is on, so that it is not the last whom all ask
 		i := m.rand.IntN(len(m.round))
 		m.round[i], m.round[len(m.round)-1] = m.round[len(m.round)-1], m.round[i]
-		if e.state == Doubted {
+		if e.state == Suspect {
 			m.doubts = append(m.doubts, e)
 		}
-	case e.state == Gone:
+	case e.state == Dead:
 		e.place = len(m.lost)
 		m.lost = append(m.lost, e)
 	}
 }
 
-func (m *Members) unlist(e *entry) {
+func (m *Node) unlist(e *entry) {
 	if e.place < 0 {
 		return // it is new
 	}
@@ -168,23 +168,23 @@
 		if i := slices.Index(m.round, e); i >= 0 {
 			m.round = slices.Delete(m.round, i, i+1)
 		}
-		if e.state == Doubted {
+		if e.state == Suspect {
 			m.doubts = slices.DeleteFunc(m.doubts, func(x *entry) bool { return x == e })
 		}
-	case e.state == Gone:
+	case e.state == Dead:
 		m.lost = out(m.lost)
 	}
 }
 
 // valid tells whether a claim can be one.
-func valid(c Claim) bool {
-	return c.Name != "" && len(c.Name) <= longName && c.Addr != "" && len(c.Addr) <= longName && len(c.By) <= longName &&
-		c.Incarnation > 0 && c.Incarnation < math.MaxUint64/2 && c.Turn < math.MaxUint64/2 && c.State >= Here && c.State <= Left &&
+func valid(c MemberRecord) bool {
+	return c.Name != "" && len(c.Name) <= longName && c.Addr != "" && len(c.Addr) <= longName && len(c.ReportedBy) <= longName &&
+		c.Generation > 0 && c.Generation < math.MaxUint64/2 && c.Refutations < math.MaxUint64/2 && c.State >= Alive && c.State <= Left &&
 		c.Number >= -1
 }
 
 // merge takes what is said of a member.
-func (m *Members) merge(c Claim) {
+func (m *Node) merge(c MemberRecord) {
 	switch e := m.by[c.Name]; {
 	case !valid(c):
 		m.count("garbled")
@@ -193,11 +193,11 @@
 	case e == nil:
 		m.add(c)
 	case compareState(c, e.claim) == 0:
-		if c.State == Doubted {
-			m.accused(e, c.By)
+		if c.State == Suspect {
+			m.accused(e, c.ReportedBy)
 		}
 		if c.Age > 0 && e.state.Ended() {
-			e.ended = min(e.ended, m.now-Time(min(c.Age, uint64(m.t.Memory/second)))*second)
+			e.ended = min(e.ended, m.now-Time(min(c.Age, uint64(m.t.DeadRetention/second)))*second)
 		}
 		e.claim = Join(e.claim, c)
 	case compareState(c, e.claim) > 0:
@@ -205,13 +205,13 @@
 	}
 }
 
-func (m *Members) add(c Claim) {
-	if c.State.Ended() && c.Age >= uint64(m.t.Memory/second) {
+func (m *Node) add(c MemberRecord) {
+	if c.State.Ended() && c.Age >= uint64(m.t.DeadRetention/second) {
 		return
 	}
-	if len(m.by) >= m.t.Most-1 {
+	if len(m.by) >= m.t.MaxMembers-1 {
 		m.count("no room in the view")
-		m.do(Noted{"no room in the view", c.Name})
+		m.do(Event{"no room in the view", c.Name})
 		return
 	}
 	e := &entry{claim: c, place: -1}
@@ -219,113 +219,113 @@
 	m.mark(c)
 	m.enqueue(c)
 	m.become(e, c.State, true)
-	if c.State == Doubted {
-		m.doubt(e, c.By, false)
+	if c.State == Suspect {
+		m.doubt(e, c.ReportedBy, false)
 	}
 }
 
 // newer takes what stands over what was said before.
-func (m *Members) newer(e *entry, c Claim) {
-	other, turn := c.Life != e.claim.Life, c.Turn != e.claim.Turn
+func (m *Node) newer(e *entry, c MemberRecord) {
+	other, turn := c.Incarnation != e.claim.Incarnation, c.Refutations != e.claim.Refutations
 	m.set(e, c)
 	m.enqueue(c)
 	switch {
-	case c.State == Here, c.State == Left, c.State == Gone && (other || e.is(Gone)):
+	case c.State == Alive, c.State == Left, c.State == Dead && (other || e.is(Dead)):
 		m.become(e, c.State, other)
-	case c.State == Doubted && !other && !turn && e.is(Doubted):
-		m.accused(e, c.By) // it was found here first
-	case c.State == Doubted:
-		m.become(e, Doubted, other)
-		m.doubt(e, c.By, false)
+	case c.State == Suspect && !other && !turn && e.is(Suspect):
+		m.accused(e, c.ReportedBy) // it was found here first
+	case c.State == Suspect:
+		m.become(e, Suspect, other)
+		m.doubt(e, c.ReportedBy, false)
 	default: // called gone, and held to be here or doubted: it has time to refute that to this process too
-		if !e.is(Doubted) || turn {
-			m.become(e, Doubted, false)
-			m.doubt(e, c.By, false)
+		if !e.is(Suspect) || turn {
+			m.become(e, Suspect, false)
+			m.doubt(e, c.ReportedBy, false)
 		}
 		e.gone = true
 	}
 }
 
 // doubt begins the span in which a member can refute.
-func (m *Members) doubt(e *entry, by string, own bool) {
+func (m *Node) doubt(e *entry, by string, own bool) {
 	e.held, e.accusers, e.own, e.gone, e.lastSaid = m.now, []string{by}, own, false, false
 }
 
 // accused counts those who got no answer themselves: each makes it likelier that it is not their own fault.
-func (m *Members) accused(e *entry, by string) {
-	if !e.is(Doubted) || len(e.accusers) > confirms || slices.Contains(e.accusers, by) {
+func (m *Node) accused(e *entry, by string) {
+	if !e.is(Suspect) || len(e.accusers) > confirms || slices.Contains(e.accusers, by) {
 		return
 	}
 	e.accusers = append(e.accusers, by)
 	c := e.claim
-	c.State, c.By = Doubted, by
+	c.State, c.ReportedBy = Suspect, by
 	m.enqueue(c)
 }
 
 // unanswered is a probe that neither the member itself nor anybody who asked it has answered.
-func (m *Members) unanswered(e *entry) {
+func (m *Node) unanswered(e *entry) {
 	if e.far++; e.state.Ended() {
 		return
 	}
 	if m.deaf {
-		if e.is(Here) {
+		if e.is(Alive) {
 			e.private = true
-			m.become(e, Doubted, false)
+			m.become(e, Suspect, false)
 			m.doubt(e, m.me.Name, true)
 		}
 		return
 	}
-	if e.is(Doubted) {
+	if e.is(Suspect) {
 		e.own = true
 		m.accused(e, m.me.Name)
 		return
 	}
 	c := e.claim
-	c.State, c.By = Doubted, m.me.Name
+	c.State, c.ReportedBy = Suspect, m.me.Name
 	m.set(e, c)
 	m.enqueue(c)
-	m.become(e, Doubted, false)
+	m.become(e, Suspect, false)
 	m.doubt(e, m.me.Name, true)
 }
 
 // expire holds a doubted member to be gone.
-func (m *Members) expire(e *entry) {
+func (m *Node) expire(e *entry) {
 	if m.deaf || e.private {
 		e.private = true
-		m.become(e, Gone, false)
+		m.become(e, Dead, false)
 		return
 	}
 	c := e.claim
-	if c.State < Gone {
-		c.State, c.By, c.Age = Gone, m.me.Name, 0
+	if c.State < Dead {
+		c.State, c.ReportedBy, c.Age = Dead, m.me.Name, 0
 		m.set(e, c)
 		m.enqueue(c)
 	}
-	m.become(e, Gone, false)
+	m.become(e, Dead, false)
 }
 
 // hears ends a time in which nobody was heard: what was found in it counts no more.
-func (m *Members) hears() {
+func (m *Node) hears() {
 	m.heard = m.now
 	if !m.deaf {
 		return
 	}
 	m.deaf = false
-	m.do(Noted{"hears others again", ""})
+	m.do(Event{"hears others again", ""})
 	for _, name := range m.names() {
 		if e := m.by[name]; e.private {
 			e.private = false
-			if m.become(e, e.claim.State, false); e.is(Doubted) {
-				m.doubt(e, e.claim.By, false)
+			if m.become(e, e.claim.State, false); e.is(Suspect) {
+				m.doubt(e, e.claim.ReportedBy, false)
 			}
 		}
 	}
 }
 
 // forget drops those that have been gone or have left for longer than they are remembered.
-func (m *Members) forget() {
+func (m *Node) forget() {
 	for _, name := range m.names() {
-		if e := m.by[name]; e.state.Ended() && !e.private && m.now-e.ended >= m.t.Memory {
+		if e := m.by[name]; e.state.Ended() && !e.private && m.now-e.ended >= m.t.DeadRetention {
 			m.unlist(e)
 			m.unmark(e.claim)
 			delete(m.by, name)
--- a/internal/mesh/bench_test.go
+++ b/internal/mesh/bench_test.go
@@ -40,10 +40,10 @@
 
 // lengthened is a message as of a real deployment, with names and addresses as long as they are there.
 func lengthened(x members.Message) members.Message {
-	one := func(c members.Claim) members.Claim {
+	one := func(c members.MemberRecord) members.MemberRecord {
 		c.Name, c.Addr = "scheduler-"+c.Name, realAddr
-		if c.By != "" {
-			c.By = "scheduler-" + c.By
+		if c.ReportedBy != "" {
+			c.ReportedBy = "scheduler-" + c.ReportedBy
 		}
 		return c
 	}
@@ -51,10 +51,10 @@
 	if x.Target != "" {
 		x.Target = "scheduler-" + x.Target
 	}
-	claims := x.Claims
-	x.Claims = nil
+	claims := x.Records
+	x.Records = nil
 	for _, c := range claims {
-		x.Claims = append(x.Claims, one(c))
+		x.Records = append(x.Records, one(c))
 	}
 	return x
 }
@@ -183,24 +183,24 @@
 				runtime.ReadMemStats(&m)
 				return m.HeapAlloc
 			}
-			claim := func(i int) members.Claim {
-				return members.Claim{Name: fmt.Sprintf("scheduler-%04d", i), Addr: fmt.Sprintf("10.%d.%d.%d:7946", i%14, i/250, i%250), Number: i,
-					Life: members.Life{Incarnation: 3, Nonce: uint64(i)}, State: members.Here, By: fmt.Sprintf("scheduler-%04d", i)}
+			claim := func(i int) members.MemberRecord {
+				return members.MemberRecord{Name: fmt.Sprintf("scheduler-%04d", i), Addr: fmt.Sprintf("10.%d.%d.%d:7946", i%14, i/250, i%250), Number: i,
+					Incarnation: members.Incarnation{Generation: 3, Nonce: uint64(i)}, State: members.Alive, ReportedBy: fmt.Sprintf("scheduler-%04d", i)}
 			}
 			t := members.Defaults()
-			t.Cluster, t.Name, t.Addr, t.Number, t.Seeds, t.Nonce, t.Most = "c", "me", "10.0.0.1:7946", n, nil, 7, 2*n
+			t.Cluster, t.Name, t.Addr, t.Number, t.Seeds, t.Nonce, t.MaxMembers = "c", "me", "10.0.0.1:7946", n, nil, 7, 2*n
 			for range b.N {
 				b.StopTimer()
 				before := live()
 				b.StartTimer()
 				m := members.New(t, 1)
-				m.Take(1, members.Tick{})
-				m.Take(60_000, members.Tick{})
-				x := members.Message{Kind: members.Rest, Cluster: "c", From: claim(0), Seq: 1}
+				m.Step(1, members.Tick{})
+				m.Step(60_000, members.Tick{})
+				x := members.Message{Kind: members.DigestDiffReply, Cluster: "c", From: claim(0), Seq: 1}
 				for i := range n {
-					x.Claims = append(x.Claims, claim(i))
+					x.Records = append(x.Records, claim(i))
 				}
-				m.Take(60_001, members.Heard{Message: x})
+				m.Step(60_001, members.MessageReceived{Message: x})
 				b.StopTimer()
 				if got := len(m.View()); got < n {
 					b.Fatalf("%d of %d are in the view", got, n)
@@ -227,8 +227,8 @@
 
 // BenchmarkCodec is a ping as it is written and read.
 func BenchmarkCodec(b *testing.B) {
-	c := members.Claim{Name: "scheduler-0001", Addr: realAddr, Number: 1, Life: members.Life{Incarnation: 3, Nonce: 1 << 60}, State: members.Here,
-		By: "scheduler-0001"}
+	c := members.MemberRecord{Name: "scheduler-0001", Addr: realAddr, Number: 1, Incarnation: members.Incarnation{Generation: 3, Nonce: 1 << 60}, State: members.Alive,
+		ReportedBy: "scheduler-0001"}
 	x := members.Message{Kind: members.Ping, Cluster: "cluster", From: c, Seq: 1 << 20, Nonce: 1 << 60}
 	b.ReportAllocs()
 	for range b.N {
@@ -245,14 +245,14 @@
 // BenchmarkOther is what the messages between schedulers that are not of membership take on the wire: what staff decided, which goes to one
 // member a second and at each change to all of them, and words of workers that drain.
 func BenchmarkOther(b *testing.B) {
-	from := toWire(members.Claim{Name: "scheduler-0001", Addr: realAddr, Number: 1, Life: members.Life{Incarnation: 3, Nonce: 1 << 60}, State: members.Here,
-		By: "scheduler-0001"})
-	var words []drainstate.Word
+	from := toWire(members.MemberRecord{Name: "scheduler-0001", Addr: realAddr, Number: 1, Incarnation: members.Incarnation{Generation: 3, Nonce: 1 << 60}, State: members.Alive,
+		ReportedBy: "scheduler-0001"})
+	var words []drainstate.DrainRecord
 	for i := range 30 {
-		words = append(words, drainstate.Word{Worker: fmt.Sprintf("worker-%05d", i), Boot: 1_700_000_000_000, Rev: 1 << 30})
+		words = append(words, drainstate.DrainRecord{Worker: fmt.Sprintf("worker-%05d", i), BootID: 1_700_000_000_000, Revision: 1 << 30})
 	}
 	for name, w := range map[string]wireOther{
-		"staff":          {Cluster: "cluster", From: from, Staff: &staff.Word{Settings: 1 << 60, N: uint64(1_700_000_000_000_000_000)}},
+		"staff":          {Cluster: "cluster", From: from, Staff: &staff.State{Settings: 1 << 60, Sequence: uint64(1_700_000_000_000_000_000)}},
 		"one worker":     {Cluster: "cluster", From: from, Workers: words[:1]},
 		"thirty workers": {Cluster: "cluster", From: from, Workers: words},
 	} {
--- a/internal/mesh/golden_messages_test.go
+++ b/internal/mesh/golden_messages_test.go
@@ -101,16 +101,16 @@
 	message := filledMessage[members.Message](t)
 	message.Kind = kind
 	message.From.Addr = goldenAddress(0)
-	for i := range message.Claims {
-		message.Claims[i].Addr = goldenAddress(i + 1)
+	for i := range message.Records {
+		message.Records[i].Addr = goldenAddress(i + 1)
 	}
 	return message
 }
 
 // The datagram of each kind of membership message keeps its bytes and decodes to the same value.
 func TestGoldenDatagrams(t *testing.T) {
-	for name, kind := range map[string]members.Kind{"ping": members.Ping, "ack": members.Ack, "through": members.Through,
-		"gossip": members.Gossip, "ask": members.Ask, "tell": members.Tell, "duel": members.Duel, "word": members.Word} {
+	for name, kind := range map[string]members.Kind{"ping": members.Ping, "ack": members.Ack, "through": members.IndirectPing,
+		"gossip": members.Gossip, "ask": members.RecordQuery, "tell": members.RecordReply, "duel": members.NameConflict, "word": members.UserMessage} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(goldenFolder, "datagram_"+name+".bin")
 			message := goldenMessage(t, kind)
@@ -129,7 +129,7 @@
 
 // The frame and the message of each kind that is sent on a stream keep their bytes and decode to the same value.
 func TestGoldenStreamMessages(t *testing.T) {
-	for name, kind := range map[string]members.Kind{"digests": members.Digests, "differs": members.Differs, "rest": members.Rest} {
+	for name, kind := range map[string]members.Kind{"digests": members.Digests, "differs": members.DigestDiff, "rest": members.DigestDiffReply} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(goldenFolder, "stream_"+name+".bin")
 			message := goldenMessage(t, kind)
@@ -158,7 +158,7 @@
 // The state that a process hands to its successor keeps its bytes and decodes to the same value.
 func TestGoldenLegacy(t *testing.T) {
 	path := filepath.Join(goldenFolder, "legacy.cbor")
-	legacy := filledMessage[members.Legacy](t)
+	legacy := filledMessage[members.HandoverState](t)
 	text, err := encodeLegacy(legacy)
 	if err != nil {
 		t.Fatal(err)
@@ -175,7 +175,7 @@
 	t.Helper()
 	path := filepath.Join(goldenFolder, "other_"+name+".bin")
 	message.Cluster = "cluster"
-	message.From = toWire(filledMessage[members.Claim](t))
+	message.From = toWire(filledMessage[members.MemberRecord](t))
 	text, err := encodeOther(message)
 	if err != nil {
 		t.Fatal(err)
@@ -189,9 +189,9 @@
 
 // The message of each kind that schedulers and keepers exchange about records keeps its bytes and decodes to the same value.
 func TestGoldenCopiesMessages(t *testing.T) {
-	for name, kind := range map[string]copies.Kind{"grab": copies.Grab, "granted": copies.Granted, "refused": copies.Refused,
-		"tell": copies.Tell, "known": copies.Known, "register": copies.Register, "registered": copies.Registered,
-		"pull": copies.Pull, "piece": copies.Piece, "in_force": copies.InForce, "fetch": copies.Fetch, "fetched": copies.Fetched} {
+	for name, kind := range map[string]copies.Kind{"grab": copies.ClaimRequested, "granted": copies.ClaimGranted, "refused": copies.ClaimRefused,
+		"tell": copies.OutcomeReported, "known": copies.OutcomeKnown, "register": copies.Register, "registered": copies.Registered,
+		"pull": copies.Pull, "piece": copies.DigestPage, "in_force": copies.SetInForce, "fetch": copies.Fetch, "fetched": copies.Fetched} {
 		t.Run(name, func(t *testing.T) {
 			message := filledMessage[copies.Message](t)
 			message.Kind = kind
@@ -202,28 +202,28 @@
 
 // The numbers of the reasons for which a keeper refuses and of the stages of a claim keep their bytes in a message.
 func TestGoldenReasonsAndStages(t *testing.T) {
-	reasons := map[string]copies.Why{"taken": copies.Taken, "learning": copies.Learning, "epoch": copies.Epoch, "full": copies.Full,
-		"stale": copies.Stale}
+	reasons := map[string]copies.RefusalReason{"taken": copies.AlreadyClaimed, "learning": copies.NoVote, "epoch": copies.WrongSet, "full": copies.CapacityReached,
+		"stale": copies.ClaimReleased}
 	for name, why := range reasons {
 		t.Run(name, func(t *testing.T) {
-			requireGoldenOther(t, "reason_"+name, wireOther{Copies: &copies.Message{Kind: copies.Refused, Why: why}})
+			requireGoldenOther(t, "reason_"+name, wireOther{Copies: &copies.Message{Kind: copies.ClaimRefused, Reason: why}})
 		})
 	}
-	stages := map[string]copies.Stage{"claimed": copies.Claimed, "released": copies.Released, "given_up": copies.GivenUp,
+	stages := map[string]copies.Stage{"claimed": copies.Claimed, "released": copies.Released, "given_up": copies.Abandoned,
 		"ended": copies.Ended}
 	for name, stage := range stages {
 		t.Run(name, func(t *testing.T) {
-			record := copies.Record{Key: "key", Fates: []copies.Fate{{Stage: stage}}}
-			requireGoldenOther(t, "stage_"+name, wireOther{Copies: &copies.Message{Kind: copies.Tell, Record: record}})
+			record := copies.Record{Key: "key", Outcomes: []copies.Outcome{{Stage: stage}}}
+			requireGoldenOther(t, "stage_"+name, wireOther{Copies: &copies.Message{Kind: copies.OutcomeReported, Record: record}})
 		})
 	}
 }
 
 // The message of each kind that members exchange about the set of keepers keeps its bytes and decodes to the same value.
 func TestGoldenKeepersMessages(t *testing.T) {
-	for name, kind := range map[string]keepers.Kind{"seat_asked": keepers.SeatAsked, "seat_said": keepers.SeatSaid,
-		"founded": keepers.Founded, "joined": keepers.Joined, "round": keepers.Round, "reseat": keepers.Reseat,
-		"asked": keepers.Asked, "answered": keepers.Answered} {
+	for name, kind := range map[string]keepers.Kind{"seat_asked": keepers.VoterQuery, "seat_said": keepers.VoterReply,
+		"founded": keepers.GroupFounded, "joined": keepers.VoterAccepted, "round": keepers.RaftMessage, "reseat": keepers.ReplaceVoter,
+		"asked": keepers.ChangeRequested, "answered": keepers.ChangeAnswered} {
 		t.Run(name, func(t *testing.T) {
 			message := filledMessage[keepers.Message](t)
 			message.Kind = kind
@@ -234,22 +234,22 @@
 
 // The message that tells which workers drain or have left keeps its bytes, with the names of its fields, and decodes to the same value.
 func TestGoldenWorkers(t *testing.T) {
-	requireGoldenOther(t, "workers", wireOther{Workers: filledMessage[[]drainstate.Word](t)})
+	requireGoldenOther(t, "workers", wireOther{Workers: filledMessage[[]drainstate.DrainRecord](t)})
 }
 
 // The message that tells what staff decided for a scheduler keeps its bytes and decodes to the same value.
 func TestGoldenStaff(t *testing.T) {
-	word := filledMessage[staff.Word](t)
+	word := filledMessage[staff.State](t)
 	requireGoldenOther(t, "staff", wireOther{Staff: &word})
 }
 
 // The number of each state of a member keeps its bytes in a datagram.
 func TestGoldenMemberStates(t *testing.T) {
-	for name, state := range map[string]members.State{"joining": members.Joining, "here": members.Here, "doubted": members.Doubted,
-		"gone": members.Gone, "left": members.Left, "superseded": members.Superseded} {
+	for name, state := range map[string]members.State{"joining": members.Joining, "here": members.Alive, "doubted": members.Suspect,
+		"gone": members.Dead, "left": members.Left, "superseded": members.Replaced} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(goldenFolder, "state_"+name+".bin")
-			message := members.Message{Kind: members.Gossip, From: members.Claim{Addr: goldenAddress(0), State: state}}
+			message := members.Message{Kind: members.Gossip, From: members.MemberRecord{Addr: goldenAddress(0), State: state}}
 			text, err := encode(message)
 			if err != nil {
 				t.Fatal(err)
@@ -265,17 +265,17 @@
 
 // Each boolean field of a message keeps its key when it alone is set, which tells it from the other booleans.
 func TestGoldenFlags(t *testing.T) {
-	fate := func(fate copies.Fate) *copies.Message {
-		return &copies.Message{Kind: copies.Tell, Record: copies.Record{Key: "key", Fates: []copies.Fate{fate}}}
+	fate := func(fate copies.Outcome) *copies.Message {
+		return &copies.Message{Kind: copies.OutcomeReported, Record: copies.Record{Key: "key", Outcomes: []copies.Outcome{fate}}}
 	}
 	for name, message := range map[string]wireOther{
-		"voting": {Copies: &copies.Message{Kind: copies.Piece, Voting: true}},
-		"ready":  {Copies: &copies.Message{Kind: copies.Piece, Ready: true}},
-		"more":   {Copies: &copies.Message{Kind: copies.Piece, More: true}},
-		"held":   {Copies: fate(copies.Fate{Held: true})},
-		"voted":  {Copies: fate(copies.Fate{Voted: true})},
-		"done":   {Keepers: &keepers.Message{Kind: keepers.Answered, Done: true}},
-		"again":  {Keepers: &keepers.Message{Kind: keepers.Answered, Again: true}},
+		"voting": {Copies: &copies.Message{Kind: copies.DigestPage, Voting: true}},
+		"ready":  {Copies: &copies.Message{Kind: copies.DigestPage, Ready: true}},
+		"more":   {Copies: &copies.Message{Kind: copies.DigestPage, More: true}},
+		"held":   {Copies: fate(copies.Outcome{ResultRetained: true})},
+		"voted":  {Copies: fate(copies.Outcome{Voted: true})},
+		"done":   {Keepers: &keepers.Message{Kind: keepers.ChangeAnswered, OK: true}},
+		"again":  {Keepers: &keepers.Message{Kind: keepers.ChangeAnswered, Retryable: true}},
 	} {
 		t.Run(name, func(t *testing.T) { requireGoldenOther(t, "flag_"+name, message) })
 	}
--- a/internal/mesh/golden_test.go
+++ b/internal/mesh/golden_test.go
@@ -14,9 +14,9 @@
 
 // Guards the JSON keys that tools of the staff read at /api/members.
 func TestShownKeepsItsForm(t *testing.T) {
-	shown := filled.Value[Shown](t)
-	shown.Self.State = members.Here
-	shown.Members[0].State, shown.Members[1].State = members.Doubted, members.Gone
+	shown := filled.Value[Status](t)
+	shown.Self.State = members.Alive
+	shown.Members[0].State, shown.Members[1].State = members.Suspect, members.Dead
 	filled.CompareWritten(t, "testdata/shown.json.golden", shown)
 }
 
@@ -24,9 +24,9 @@
 func TestTableKeepsItsKeys(t *testing.T) {
 	const path = "testdata/table.toml.golden"
 	type file struct {
-		Members *Table `toml:"members"`
+		Members *Config `toml:"members"`
 	}
-	table := filled.Value[Table](t)
+	table := filled.Value[Config](t)
 	filled.RequireDiffers(t, table, *Defaults())
 	text, err := toml.Marshal(file{&table})
 	if err != nil {
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -44,24 +44,24 @@
 
 // Host is told what the mesh finds out. Its methods are called from the mesh's one loop and must not wait for it.
 type Host struct {
-	Changed func(members.Changed)
-	Spoken  func(number int, text string)
-	Ended   func(superseded bool)                      // this process is a member no more; once for each time
-	Serving func(on bool, life members.Life)           // it is a member as of now, or is not
-	Workers func(from string, words []drainstate.Word) // what another was told of workers; called as Copied is
-	Copied  func(from string, x copies.Message)        // from a member as it is known here; called from the reader of datagrams
-	Agreed  func(from string, x keepers.Message)       // likewise
-	Staff   func(from string, incarnation uint64, w staff.Word)
+	MemberChanged func(members.MemberChanged)
+	UserMessage   func(number int, text string)
+	Stopped       func(superseded bool)                             // this process is a member no more; once for each time
+	Serving       func(on bool, life members.Incarnation)           // it is a member as of now, or is not
+	Drains        func(from string, words []drainstate.DrainRecord) // what another was told of workers; called as Copied is
+	Replication   func(from string, x copies.Message)               // from a member as it is known here; called from the reader of datagrams
+	ReplicaSet    func(from string, x keepers.Message)              // likewise
+	OperatorState func(from string, incarnation uint64, w staff.State)
 }
 
 // Mesh is one process's part in a cluster.
 type Mesh struct {
-	table *Table
+	table *Config
 	host  Host
 	log   zerolog.Logger
 	udp   *net.UDPConn
 	tcp   *net.TCPListener
-	core  *members.Members
+	core  *members.Node
 	clock clock
 
 	in       chan members.Input
@@ -71,24 +71,24 @@
 	once     sync.Once
 	answered chan struct{}
 	opened   chan struct{}
-	silent   atomic.Bool  // its heir speaks
-	life     members.Life // as which the host was told that it serves
-	asks     bool         // it was away, and does not know yet what it missed
+	silent   atomic.Bool         // its heir speaks
+	life     members.Incarnation // as which the host was told that it serves
+	asks     bool                // it was away, and does not know yet what it missed
 
 	mu      sync.Mutex
 	streams map[uint64]*stream
 	last    uint64
 	dropped map[string]uint64
 	toldAt  time.Time
-	show    atomic.Pointer[Shown]
+	show    atomic.Pointer[Status]
 	book    atomic.Pointer[book]
 	readers sync.WaitGroup
 }
 
 // book is who is known, for those who don't wait for the loop.
 type book struct {
-	me members.Claim
-	by map[string]members.Seen
+	me members.MemberRecord
+	by map[string]members.MemberView
 }
 
 // clock is the machine's time since its start: it goes on while a process stands still, and while the machine sleeps, and nobody
@@ -97,44 +97,44 @@
 
 func (clock) now() members.Time { return members.Time(boottime.Since() / members.Tenth) }
 
-// Shown is what staff see.
-type Shown struct {
-	Self    members.Own       `json:"self"`
-	LateMS  float64           `json:"late_ms"`       // by how much this process was late last
-	WorstMS float64           `json:"worst_late_ms"` // and at worst
-	Dropped map[string]uint64 `json:"dropped"`       // messages that were not read, by cause
-	Members []Row             `json:"members"`
-	Digest  string            `json:"digest"` // the same wherever the views are the same
+// Status is what staff see.
+type Status struct {
+	Self    members.LocalStatus `json:"self"`
+	LateMS  float64             `json:"late_ms"`       // by how much this process was late last
+	WorstMS float64             `json:"worst_late_ms"` // and at worst
+	Dropped map[string]uint64   `json:"dropped"`       // messages that were not read, by cause
+	Members []Row               `json:"members"`
+	Digest  string              `json:"digest"` // the same wherever the views are the same
 }
 
 // Row is one member in it.
 type Row struct {
-	members.Seen
+	members.MemberView
 	ForS  float64 `json:"for_s"` // in this state, as seen here
 	RTTms float64 `json:"rtt_ms"`
 }
 
-// Name is who a process is to the others.
-type Name struct {
+// Identity is who a process is to the others.
+type Identity struct {
 	Name   string
 	Number int // among the schedulers of the settings, -1 without
-	Chance uint64
+	Seed   uint64
 }
 
 // Start joins a cluster, on sockets of its own.
-func Start(t *Table, who Name, host Host, log zerolog.Logger) (*Mesh, error) {
+func Start(t *Config, who Identity, host Host, log zerolog.Logger) (*Mesh, error) {
 	at, err := netip.ParseAddrPort(t.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
 	var last error
 	for range 20 { // with port 0, one that is free for both is looked for
-		udp, err := oserror.Outlast(func() (*net.UDPConn, error) { return net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)) })
+		udp, err := oserror.RetryTransient(func() (*net.UDPConn, error) { return net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)) })
 		if err != nil {
 			return nil, fmt.Errorf("members: %w", err)
 		}
 		beside := net.TCPAddrFromAddrPort(udp.LocalAddr().(*net.UDPAddr).AddrPort())
-		tcp, err := oserror.Outlast(func() (*net.TCPListener, error) { return net.ListenTCP("tcp", beside) })
+		tcp, err := oserror.RetryTransient(func() (*net.TCPListener, error) { return net.ListenTCP("tcp", beside) })
 		if err == nil {
 			return run(t, who, host, log, udp, tcp, nil)
 		}
@@ -146,20 +146,20 @@
 	return nil, fmt.Errorf("members: %w", last)
 }
 
-// Inherit goes on as the process before did, on its sockets: first that of datagrams, then that of streams.
-func Inherit(t *Table, who Name, host Host, log zerolog.Logger, text []byte, files []*os.File) (*Mesh, error) {
+// Restore goes on as the process before did, on its sockets: first that of datagrams, then that of streams.
+func Restore(t *Config, who Identity, host Host, log zerolog.Logger, text []byte, files []*os.File) (*Mesh, error) {
 	l, err := decodeLegacy(text)
 	if err != nil {
 		return nil, err
 	}
-	if l.Me.Name != who.Name || len(files) != 2 {
+	if l.Self.Name != who.Name || len(files) != 2 {
 		return nil, errors.New("members: what was handed over is another's")
 	}
-	conn, err := oserror.Outlast(func() (net.PacketConn, error) { return net.FilePacketConn(files[0]) })
+	conn, err := oserror.RetryTransient(func() (net.PacketConn, error) { return net.FilePacketConn(files[0]) })
 	if err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
-	at, err := oserror.Outlast(func() (net.Listener, error) { return net.FileListener(files[1]) })
+	at, err := oserror.RetryTransient(func() (net.Listener, error) { return net.FileListener(files[1]) })
 	if err != nil {
 		conn.Close()
 		return nil, fmt.Errorf("members: %w", err)
@@ -172,7 +172,7 @@
 	return run(t, who, host, log, udp, tcp, &l)
 }
 
-func run(t *Table, who Name, host Host, log zerolog.Logger, udp *net.UDPConn, tcp *net.TCPListener, l *members.Legacy) (*Mesh, error) {
+func run(t *Config, who Identity, host Host, log zerolog.Logger, udp *net.UDPConn, tcp *net.TCPListener, l *members.HandoverState) (*Mesh, error) {
 	udp.SetReadBuffer(receiveRoom)
 	addr := t.Advertise
 	if addr == "" {
@@ -184,16 +184,16 @@
 		return nil, fmt.Errorf("members: %w", err)
 	}
 	// Not from the seed: the next process of this name may have the same one.
-	terms.Nonce, terms.Chance = binary.BigEndian.Uint64(room[:])|1, who.Chance
-	if err := terms.Check(); err != nil {
+	terms.Nonce, terms.Seed = binary.BigEndian.Uint64(room[:])|1, who.Seed
+	if err := terms.Validate(); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
 	m := &Mesh{table: t, host: host, log: log, udp: udp, tcp: tcp, in: make(chan members.Input, mostWaiting), calls: make(chan func()),
 		quit: make(chan struct{}), ended: make(chan struct{}), answered: make(chan struct{}, mostAnswered),
 		opened: make(chan struct{}, mostOpened), streams: map[uint64]*stream{}, dropped: map[string]uint64{}}
 	if now := m.clock.now(); l != nil {
-		terms.Nonce = l.Me.Nonce
-		m.core = members.Inherit(terms, *l, now)
+		terms.Nonce = l.Self.Nonce
+		m.core = members.Restore(terms, *l, now)
 	} else {
 		m.core = members.New(terms, now)
 	}
@@ -201,7 +201,7 @@
 	m.snapshot()
 	m.listen()
 	if l != nil && host.Serving != nil {
-		host.Serving(true, l.Me.Life)
+		host.Serving(true, l.Self.Incarnation)
 	}
 	go m.loop()
 	return m, nil
@@ -237,7 +237,7 @@
 		case <-tick.C:
 			m.step(members.Tick{})
 		}
-		if wait := time.Duration(m.core.Next()-m.clock.now()) * members.Tenth; !m.silent.Load() {
+		if wait := time.Duration(m.core.NextTick()-m.clock.now()) * members.Tenth; !m.silent.Load() {
 			tick.Reset(max(wait, 0))
 		}
 	}
@@ -248,48 +248,48 @@
 		return
 	}
 	changed, serving := false, false
-	for _, e := range m.core.Take(m.clock.now(), in) {
+	for _, e := range m.core.Step(m.clock.now(), in) {
 		switch e := e.(type) {
 		case members.Send:
 			m.send(e.To, e.Message)
-		case members.Open:
+		case members.OpenStream:
 			m.open(e.To, e.Message)
-		case members.Answer:
+		case members.StreamReply:
 			m.answer(e)
-		case members.Changed:
+		case members.MemberChanged:
 			changed = true
-			m.log.Info().Str("member", e.Name).Stringer("state", e.State).Stringer("before", e.Before).Uint64("incarnation", e.Incarnation).
-				Uint64("turn", e.Turn).Str("by", e.By).Bool("private", e.Private).Msg("member changed")
-			if m.host.Changed != nil {
-				m.host.Changed(e)
+			m.log.Info().Str("member", e.Name).Stringer("state", e.State).Stringer("before", e.Before).Uint64("incarnation", e.Generation).
+				Uint64("turn", e.Refutations).Str("by", e.ReportedBy).Bool("private", e.Private).Msg("member changed")
+			if m.host.MemberChanged != nil {
+				m.host.MemberChanged(e)
 			}
-		case members.Spoken:
-			if m.host.Spoken != nil {
-				m.host.Spoken(e.Number, e.Text)
+		case members.UserMessageReceived:
+			if m.host.UserMessage != nil {
+				m.host.UserMessage(e.Number, e.Text)
 			}
-		case members.Noted:
-			m.log.Info().Str("what", e.What).Str("who", e.Who).Msg("membership")
-		case members.Settled:
-			own := m.core.Own()
-			m.log.Info().Uint64("incarnation", own.Incarnation).Int("live", own.Live).Msg("is a member")
+		case members.Event:
+			m.log.Info().Str("what", e.Description).Str("who", e.Member).Msg("membership")
+		case members.Joined:
+			own := m.core.Status()
+			m.log.Info().Uint64("incarnation", own.Generation).Int("live", own.Live).Msg("is a member")
 			changed, serving = true, true
-		case members.Ended:
+		case members.Stopped:
 			changed = true
 			if m.host.Serving != nil {
-				m.host.Serving(false, members.Life{})
+				m.host.Serving(false, members.Incarnation{})
 			}
-			m.log.Info().Bool("superseded", e.Superseded).Msg("is a member no more")
-			if m.host.Ended != nil {
-				m.host.Ended(e.Superseded)
+			m.log.Info().Bool("superseded", e.Replaced).Msg("is a member no more")
+			if m.host.Stopped != nil {
+				m.host.Stopped(e.Replaced)
 			}
 		}
 	}
-	if me := m.core.Me(); changed || me != m.book.Load().me {
+	if me := m.core.Self(); changed || me != m.book.Load().me {
 		m.snapshot()
 	}
 	// Its incarnation may grow while it is a member: it was taken without knowing of another process of this name.
-	asks, life := m.core.Asks(), m.core.Me().Life
-	if m.host.Serving != nil && (serving || asks != m.asks || life != m.life && m.core.Me().State == members.Here) {
+	asks, life := m.core.CatchingUp(), m.core.Self().Incarnation
+	if m.host.Serving != nil && (serving || asks != m.asks || life != m.life && m.core.Self().State == members.Alive) {
 		m.asks, m.life = asks, life
 		m.host.Serving(!asks, life)
 	}
@@ -297,9 +297,9 @@
 
 // snapshot keeps what staff see.
 func (m *Mesh) snapshot() {
-	now, own := m.clock.now(), m.core.Own()
+	now, own := m.clock.now(), m.core.Status()
 	ms := func(t members.Time) float64 { return float64(t) / 10 }
-	s := &Shown{Self: own, LateMS: ms(own.Late), WorstMS: ms(own.Worst), Members: []Row{}, Digest: fmt.Sprintf("%016x", m.core.Digest())}
+	s := &Status{Self: own, LateMS: ms(own.Lateness), WorstMS: ms(own.MaxLateness), Members: []Row{}, Digest: fmt.Sprintf("%016x", m.core.Digest())}
 	for _, x := range m.core.View() {
 		s.Members = append(s.Members, Row{x, ms(now-x.Since) / 1000, ms(x.RTT)})
 	}
@@ -310,15 +310,15 @@
 	}
 	m.mu.Unlock()
 	m.show.Store(s)
-	b := &book{me: m.core.Me(), by: make(map[string]members.Seen, len(s.Members))}
+	b := &book{me: m.core.Self(), by: make(map[string]members.MemberView, len(s.Members))}
 	for _, x := range s.Members {
-		b.by[x.Name] = x.Seen
+		b.by[x.Name] = x.MemberView
 	}
 	m.book.Store(b)
 }
 
-// Shown is the view as it was a moment ago. It waits for nothing.
-func (m *Mesh) Shown() *Shown { return m.show.Load() }
+// Status is the view as it was a moment ago. It waits for nothing.
+func (m *Mesh) Status() *Status { return m.show.Load() }
 
 // call has the loop call something and waits for it.
 func (m *Mesh) call(f func()) {
@@ -338,17 +338,19 @@
 	}
 }
 
-// Say sends a word to the member with a number.
-func (m *Mesh) Say(number int, text string) { m.tell(members.Saying{Number: number, Text: text}) }
+// SendUserMessage sends a word to the member with a number.
+func (m *Mesh) SendUserMessage(number int, text string) {
+	m.tell(members.SendUserMessage{Number: number, Text: text})
+}
 
 // Leave tells the others that this process ends. It returns at once.
-func (m *Mesh) Leave() { m.tell(members.Leaving{}) }
+func (m *Mesh) Leave() { m.tell(members.LeaveRequested{}) }
 
-// Give is what the process that takes the place of this one needs; from here on this one says nothing, until Resume.
-func (m *Mesh) Give() (text []byte, sockets []syscall.Conn, err error) {
+// HandOver is what the process that takes the place of this one needs; from here on this one says nothing, until Resume.
+func (m *Mesh) HandOver() (text []byte, sockets []syscall.Conn, err error) {
 	err = errors.New("members: not a member just now")
 	m.call(func() {
-		l, ok := m.core.Legacy()
+		l, ok := m.core.HandoverState()
 		if !ok {
 			return
 		}
@@ -377,7 +379,7 @@
 		return
 	}
 	select { // it must not be lost, as a message may be
-	case m.in <- members.Resuming{}:
+	case m.in <- members.Resumed{}:
 	case <-m.ended:
 	}
 }
@@ -419,7 +421,7 @@
 				return
 			}
 			failures++ // one datagram's trouble, such as a port that refused, or this machine's
-			time.Sleep(oserror.Pause(failures))
+			time.Sleep(oserror.Backoff(failures))
 			continue
 		}
 		failures = 0
@@ -432,7 +434,7 @@
 			m.drop(err)
 			continue
 		}
-		m.tell(members.Heard{Message: x})
+		m.tell(members.MessageReceived{Message: x})
 	}
 }
 
@@ -451,46 +453,46 @@
 		m.drop(err)
 	case w.Cluster != m.table.Cluster:
 		m.drop(errors.New("wrong cluster"))
-	case w.Copies != nil && m.host.Copied == nil || w.Keepers != nil && m.host.Agreed == nil || w.Workers != nil && m.host.Workers == nil ||
-		w.Staff != nil && m.host.Staff == nil:
+	case w.Copies != nil && m.host.Replication == nil || w.Keepers != nil && m.host.ReplicaSet == nil || w.Workers != nil && m.host.Drains == nil ||
+		w.Staff != nil && m.host.OperatorState == nil:
 		m.drop(errors.New("switched off here"))
-	case !known || seen.Life != (members.Life{Incarnation: w.From.Incarnation, Nonce: w.From.Nonce}):
+	case !known || seen.Incarnation != (members.Incarnation{Generation: w.From.Incarnation, Nonce: w.From.Nonce}):
 		m.drop(errors.New("not the process that is known"))
-	case b.me.State == members.Here && w.Copies != nil:
-		m.host.Copied(w.From.Name, *w.Copies)
-	case b.me.State == members.Here && w.Keepers != nil:
-		m.host.Agreed(w.From.Name, *w.Keepers)
-	case b.me.State == members.Here && w.Staff != nil:
-		m.host.Staff(w.From.Name, w.From.Incarnation, *w.Staff)
-	case b.me.State == members.Here && w.Workers != nil:
-		m.host.Workers(w.From.Name, w.Workers)
+	case b.me.State == members.Alive && w.Copies != nil:
+		m.host.Replication(w.From.Name, *w.Copies)
+	case b.me.State == members.Alive && w.Keepers != nil:
+		m.host.ReplicaSet(w.From.Name, *w.Keepers)
+	case b.me.State == members.Alive && w.Staff != nil:
+		m.host.OperatorState(w.From.Name, w.From.Incarnation, *w.Staff)
+	case b.me.State == members.Alive && w.Workers != nil:
+		m.host.Drains(w.From.Name, w.Workers)
 	}
 }
 
-// Copy sends a message of copies to a member; it is lost where that one is not known. After Give only what became of ops is sent: the
+// SendReplication sends a message of copies to a member; it is lost where that one is not known. After Give only what became of ops is sent: the
 // heir votes.
-func (m *Mesh) Copy(to string, x copies.Message) {
-	if !m.silent.Load() || x.Kind == copies.Tell {
+func (m *Mesh) SendReplication(to string, x copies.Message) {
+	if !m.silent.Load() || x.Kind == copies.OutcomeReported {
 		m.sendOther(to, wireOther{Copies: &x})
 	}
 }
 
-// Agree sends a message of who keeps copies to a member.
-func (m *Mesh) Agree(to string, x keepers.Message) {
+// SendReplicaSet sends a message of who keeps copies to a member.
+func (m *Mesh) SendReplicaSet(to string, x keepers.Message) {
 	if !m.silent.Load() {
 		m.sendOther(to, wireOther{Keepers: &x})
 	}
 }
 
-// TellStaff sends a member what staff decided for this one.
-func (m *Mesh) TellStaff(to string, w staff.Word) {
+// BroadcastOperatorState sends a member what staff decided for this one.
+func (m *Mesh) BroadcastOperatorState(to string, w staff.State) {
 	if !m.silent.Load() {
 		m.sendOther(to, wireOther{Staff: &w})
 	}
 }
 
-// Tell sends words of workers to a member.
-func (m *Mesh) Tell(to string, words []drainstate.Word) {
+// SendDrains sends words of workers to a member.
+func (m *Mesh) SendDrains(to string, words []drainstate.DrainRecord) {
 	if !m.silent.Load() {
 		m.sendOther(to, wireOther{Workers: words})
 	}
@@ -499,7 +501,7 @@
 func (m *Mesh) sendOther(to string, w wireOther) {
 	b := m.book.Load()
 	seen, known := b.by[to]
-	if !known || b.me.State != members.Here {
+	if !known || b.me.State != members.Alive {
 		return
 	}
 	addr, err := netip.ParseAddrPort(seen.Addr)
@@ -549,7 +551,7 @@
 	}
 	text, err := encode(x)
 	if err == nil && len(text) > longestDatagram {
-		x.Claims = nil // full exchange brings them
+		x.Records = nil // full exchange brings them
 		text, err = encode(x)
 	}
 	if err == nil && len(text) <= longestDatagram {
@@ -563,10 +565,10 @@
 // stream is one connection to another member.
 type stream struct {
 	conn net.Conn
-	out  chan members.Answer
+	out  chan members.StreamReply
 }
 
-func (m *Mesh) longest() int { return streamBase + claimSize*m.table.Most }
+func (m *Mesh) longest() int { return streamBase + claimSize*m.table.MaxMembers }
 
 func (m *Mesh) accept() {
 	failures := 0 // in a row
@@ -577,7 +579,7 @@
 				return
 			}
 			failures++
-			time.Sleep(oserror.Pause(failures)) // no descriptors, for one: the next one may find some
+			time.Sleep(oserror.Backoff(failures)) // no descriptors, for one: the next one may find some
 			continue
 		}
 		failures = 0
@@ -630,7 +632,7 @@
 
 // serve carries one stream's few messages.
 func (m *Mesh) serve(c net.Conn, first []byte) {
-	s := &stream{conn: c, out: make(chan members.Answer, 1)}
+	s := &stream{conn: c, out: make(chan members.StreamReply, 1)}
 	c.SetDeadline(time.Now().Add(streamTime))
 	m.mu.Lock()
 	m.last++
@@ -661,8 +663,8 @@
 			m.drop(err)
 			return
 		}
-		m.tell(members.Heard{Message: x, Stream: id})
-		if x.Kind == members.Ack || x.Kind == members.Rest || x.Kind == members.Differs && len(x.Buckets) == 0 {
+		m.tell(members.MessageReceived{Message: x, Stream: id})
+		if x.Kind == members.Ack || x.Kind == members.DigestDiffReply || x.Kind == members.DigestDiff && len(x.Buckets) == 0 {
 			return // there is no answer to it
 		}
 		wait := time.NewTimer(turnTime)
@@ -682,7 +684,7 @@
 	}
 }
 
-func (m *Mesh) answer(a members.Answer) {
+func (m *Mesh) answer(a members.StreamReply) {
 	m.mu.Lock()
 	s := m.streams[a.Stream]
 	m.mu.Unlock()
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -19,11 +19,11 @@
 	"woaddyke/internal/members"
 )
 
-func table(t *testing.T) *Table {
+func table(t *testing.T) *Config {
 	t.Helper()
 	x := Defaults()
 	x.Cluster, x.Listen = "c", "127.0.0.1:0"
-	if err := x.Check(); err != nil {
+	if err := x.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	return x
@@ -33,10 +33,10 @@
 func TestMessagesComeAsTheyWereSent(t *testing.T) {
 	inside := table(t).inside
 	rapid.Check(t, func(t *rapid.T) {
-		claim := members.Claim{Name: rapid.String().Draw(t, "name"), Addr: "127.0.0.1:7", Number: rapid.IntRange(-1, 9).Draw(t, "n"),
-			Life: members.Life{Incarnation: rapid.Uint64().Draw(t, "i"), Nonce: rapid.Uint64().Draw(t, "x")}, State: members.Here, By: "b"}
-		x := members.Message{Kind: members.Ping, Cluster: "c", From: claim, Seq: rapid.Uint64().Draw(t, "seq"), Claims: []members.Claim{claim, claim},
-			Digests: rapid.SliceOfN(rapid.Uint64(), 1, 5).Draw(t, "d"), Buckets: []int{1}, Text: "t", Unsure: true}
+		claim := members.MemberRecord{Name: rapid.String().Draw(t, "name"), Addr: "127.0.0.1:7", Number: rapid.IntRange(-1, 9).Draw(t, "n"),
+			Incarnation: members.Incarnation{Generation: rapid.Uint64().Draw(t, "i"), Nonce: rapid.Uint64().Draw(t, "x")}, State: members.Alive, ReportedBy: "b"}
+		x := members.Message{Kind: members.Ping, Cluster: "c", From: claim, Seq: rapid.Uint64().Draw(t, "seq"), Records: []members.MemberRecord{claim, claim},
+			Digests: rapid.SliceOfN(rapid.Uint64(), 1, 5).Draw(t, "d"), Buckets: []int{1}, Text: "t", SenderCatchingUp: true}
 		text, err := encode(x)
 		if err != nil {
 			t.Fatal(err)
@@ -53,8 +53,8 @@
 			t.Fatal("a garbled message was read")
 		}
 		decode(rapid.SliceOf(rapid.Byte()).Draw(t, "noise"), inside)
-		y := copies.Message{Kind: copies.Piece, Epoch: 7, Records: []copies.Record{{Key: "k\x00i", Print: 3, Fates: []copies.Fate{
-			{Claim: copies.Claim{By: "n", Nonce: 9}, Stage: copies.Ended, Verdict: 502, Result: []byte("r"), Held: true}}}}, Voters: []copies.Voter{{Name: "n"}}}
+		y := copies.Message{Kind: copies.DigestPage, SetID: 7, Records: []copies.Record{{Key: "k\x00i", Fingerprint: 3, Outcomes: []copies.Outcome{
+			{Claim: copies.Claim{Scheduler: "n", Nonce: 9}, Stage: copies.Ended, Verdict: 502, Result: []byte("r"), ResultRetained: true}}}}, Voters: []copies.Voter{{Name: "n"}}}
 		if text, err = encodeOther(wireOther{Cluster: "c", From: toWire(claim), Copies: &y}); err != nil {
 			t.Fatal(err)
 		}
@@ -66,8 +66,8 @@
 
 // An address that a message tells may be anybody's: one outside the networks must not be taken up.
 func TestAddressesOutsideAreRefused(t *testing.T) {
-	x := members.Message{Kind: members.Ping, Cluster: "c", From: members.Claim{Name: "a", Addr: "127.0.0.1:7"},
-		Claims: []members.Claim{{Name: "b", Addr: "10.1.2.3:7"}}}
+	x := members.Message{Kind: members.Ping, Cluster: "c", From: members.MemberRecord{Name: "a", Addr: "127.0.0.1:7"},
+		Records: []members.MemberRecord{{Name: "b", Addr: "10.1.2.3:7"}}}
 	text, err := encode(x)
 	if err != nil {
 		t.Fatal(err)
@@ -84,22 +84,22 @@
 func TestAMeshBeginsAndEnds(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	before := clock{}.now()
-	a, err := Start(table(t), Name{"a", 0, 1}, Host{}, zerolog.Nop())
+	a, err := Start(table(t), Identity{"a", 0, 1}, Host{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	other := table(t)
 	other.Seeds = []string{a.udp.LocalAddr().String()}
-	b, err := Start(other, Name{"b", 1, 1}, Host{}, zerolog.Nop())
+	b, err := Start(other, Identity{"b", 1, 1}, Host{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for until := time.Now().Add(20 * time.Second); len(a.Shown().Members) == 0 || a.Shown().Members[0].State != members.Here; time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(20 * time.Second); len(a.Status().Members) == 0 || a.Status().Members[0].State != members.Alive; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("they never met")
 		}
 	}
-	text, sockets, err := b.Give()
+	text, sockets, err := b.HandOver()
 	if err != nil || len(sockets) != 2 {
 		t.Fatalf("%d sockets, %v", len(sockets), err)
 	}
@@ -111,17 +111,17 @@
 		}
 		files = append(files, f)
 	}
-	heir, err := Inherit(other, Name{"b", 1, 1}, Host{}, zerolog.Nop(), text, files)
+	heir, err := Restore(other, Identity{"b", 1, 1}, Host{}, zerolog.Nop(), text, files)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, f := range files {
 		f.Close()
 	}
-	if got := heir.Shown().Self; got.Life != b.Shown().Self.Life {
-		t.Errorf("the heir is %+v, the first one %+v", got.Life, b.Shown().Self.Life)
+	if got := heir.Status().Self; got.Incarnation != b.Status().Self.Incarnation {
+		t.Errorf("the heir is %+v, the first one %+v", got.Incarnation, b.Status().Self.Incarnation)
 	}
-	if _, err := Inherit(other, Name{"z", 1, 1}, Host{}, zerolog.Nop(), text, files); err == nil {
+	if _, err := Restore(other, Identity{"z", 1, 1}, Host{}, zerolog.Nop(), text, files); err == nil {
 		t.Error("another's place was taken")
 	}
 	heir.Close()
@@ -137,7 +137,7 @@
 // registered under the lower one for good, and nobody took that.
 func TestAHostIsToldOfALaterIncarnation(t *testing.T) {
 	lives := make(chan uint64, 9)
-	a, err := Start(table(t), Name{"a", 0, 1}, Host{Serving: func(_ bool, l members.Life) { lives <- l.Incarnation }}, zerolog.Nop())
+	a, err := Start(table(t), Identity{"a", 0, 1}, Host{Serving: func(_ bool, l members.Incarnation) { lives <- l.Generation }}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,9 +162,9 @@
 	}
 	defer b.Close()
 	at := b.LocalAddr().String()
-	text, err := encode(members.Message{Kind: members.Gossip, Cluster: "c", Seq: 1, From: members.Claim{Name: "b", Addr: at,
-		Life: members.Life{Incarnation: 1, Nonce: 1}, State: members.Here, By: "b"}, Claims: []members.Claim{{Name: "a", Addr: at,
-		Life: members.Life{Incarnation: 5, Nonce: 1}, State: members.Gone, By: "b"}}})
+	text, err := encode(members.Message{Kind: members.Gossip, Cluster: "c", Seq: 1, From: members.MemberRecord{Name: "b", Addr: at,
+		Incarnation: members.Incarnation{Generation: 1, Nonce: 1}, State: members.Alive, ReportedBy: "b"}, Records: []members.MemberRecord{{Name: "a", Addr: at,
+		Incarnation: members.Incarnation{Generation: 5, Nonce: 1}, State: members.Dead, ReportedBy: "b"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,26 +176,26 @@
 // others nothing.
 func TestTheLongestWordsOfWorkersFitAMessage(t *testing.T) {
 	long := func(letter string, n int) string { return strings.Repeat(letter, n) }
-	from := members.Claim{Name: long("n", 255), Addr: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535", Number: 1 << 20, Life: members.Life{Incarnation: 1 << 60, Nonce: 1 << 63},
-		Turn: 1 << 60, State: members.Here, By: long("b", 255), Age: 1 << 60}
+	from := members.MemberRecord{Name: long("n", 255), Addr: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535", Number: 1 << 20, Incarnation: members.Incarnation{Generation: 1 << 60, Nonce: 1 << 63},
+		Refutations: 1 << 60, State: members.Alive, ReportedBy: long("b", 255), Age: 1 << 60}
 	c := drainstate.New(1)
-	told := drainstate.Told{Rev: 1 << 60, Whole: true, Entries: []drainstate.Entry{{Worker: long("w", 9000), Boot: 1 << 60}}}
+	told := drainstate.EndpointsChanged{Revision: 1 << 60, Snapshot: true, Endpoints: []drainstate.Endpoint{{Worker: long("w", 9000), BootID: 1 << 60}}}
 	for i := range 100 {
-		told.Entries = append(told.Entries, drainstate.Entry{Worker: fmt.Sprintf("%0255d", i), Boot: 1 << 60})
+		told.Endpoints = append(told.Endpoints, drainstate.Endpoint{Worker: fmt.Sprintf("%0255d", i), BootID: 1 << 60})
 	}
-	c.Take(1, told)
+	c.Step(1, told)
 	words := 0
-	for _, e := range c.Take(2, drainstate.Others{Names: []string{"b"}}) {
-		x, ok := e.(drainstate.Tell)
+	for _, e := range c.Step(2, drainstate.PeersChanged{Names: []string{"b"}}) {
+		x, ok := e.(drainstate.SendRecords)
 		if !ok {
 			continue
 		}
-		text, err := encodeOther(wireOther{Cluster: long("c", 255), From: toWire(from), Workers: x.Words})
+		text, err := encodeOther(wireOther{Cluster: long("c", 255), From: toWire(from), Workers: x.Records})
 		if err != nil || len(text) > longestOther {
-			t.Errorf("%d words take %d bytes of %d, %v", len(x.Words), len(text), longestOther, err)
+			t.Errorf("%d words take %d bytes of %d, %v", len(x.Records), len(text), longestOther, err)
 			continue
 		}
-		words += len(x.Words)
+		words += len(x.Records)
 	}
 	if words < 100 {
 		t.Errorf("%d words of 100 are told", words)
--- a/internal/mesh/table.go
+++ b/internal/mesh/table.go
@@ -12,40 +12,40 @@
 	"woaddyke/internal/operator"
 )
 
-// Table is the part of the operator's file that is called members.
-type Table struct {
-	Cluster    string        `toml:"cluster"`       // members of another are not heard
-	Listen     string        `toml:"listen"`        // for datagrams and streams
-	Advertise  string        `toml:"advertise"`     // what the others are told; empty: listen
-	Seeds      []string      `toml:"seeds"`         // whom to ask first
-	Networks   []string      `toml:"networks"`      // addresses outside of them are neither heard nor told anything
-	Probe      operator.Span `toml:"probe"`         // between two pings
-	Window     operator.Span `toml:"window"`        // for an answer, direct or through others
-	Doubt      operator.Span `toml:"doubt"`         // least span between a doubt and "gone"
-	Longest    operator.Span `toml:"longest_doubt"` // longest, with a single accuser
-	Exchange   operator.Span `toml:"exchange"`      // between full exchanges
-	Seek       operator.Span `toml:"seek"`          // between tries to reach seeds and those that are gone
-	Memory     operator.Span `toml:"memory"`        // of those that are gone or have left
-	Most       int           `toml:"most"`          // names in the view
-	Superseded string        `toml:"superseded"`    // what a process does whose name another has: "stand-by" or "end"
-	Workers    bool          `toml:"workers"`       // a worker that drains by what another was told takes nothing new from here
-	Words      bool          `toml:"words"`         // peers are reached by the view and not by the configuration
+// Config is the part of the operator's file that is called members.
+type Config struct {
+	Cluster           string            `toml:"cluster"`       // members of another are not heard
+	Listen            string            `toml:"listen"`        // for datagrams and streams
+	Advertise         string            `toml:"advertise"`     // what the others are told; empty: listen
+	Seeds             []string          `toml:"seeds"`         // whom to ask first
+	Networks          []string          `toml:"networks"`      // addresses outside of them are neither heard nor told anything
+	ProbeInterval     operator.Duration `toml:"probe"`         // between two pings
+	ProbeTimeout      operator.Duration `toml:"window"`        // for an answer, direct or through others
+	MinSuspicion      operator.Duration `toml:"doubt"`         // least span between a doubt and "gone"
+	MaxSuspicion      operator.Duration `toml:"longest_doubt"` // longest, with a single accuser
+	PushPullInterval  operator.Duration `toml:"exchange"`      // between full exchanges
+	JoinInterval      operator.Duration `toml:"seek"`          // between tries to reach seeds and those that are gone
+	DeadRetention     operator.Duration `toml:"memory"`        // of those that are gone or have left
+	MaxMembers        int               `toml:"most"`          // names in the view
+	WhenReplaced      string            `toml:"superseded"`    // what a process does whose name another has: "stand-by" or "end"
+	ShareDrains       bool              `toml:"workers"`       // a worker that drains by what another was told takes nothing new from here
+	CarryPeerMessages bool              `toml:"words"`         // peers are reached by the view and not by the configuration
 
 	networks []netip.Prefix
 }
 
 // Defaults is a table as it is where the file leaves keys out.
-func Defaults() *Table {
+func Defaults() *Config {
 	d := members.Defaults()
-	span := func(t members.Time) operator.Span { return operator.Span(time.Duration(t) * members.Tenth) }
-	return &Table{Networks: []string{"127.0.0.0/8"}, Probe: span(d.Probe), Window: span(d.Window), Doubt: span(d.Doubt),
-		Longest: span(d.Longest), Exchange: span(d.Exchange), Seek: span(d.Seek), Memory: span(d.Memory), Most: d.Most,
-		Superseded: "stand-by"}
+	span := func(t members.Time) operator.Duration { return operator.Duration(time.Duration(t) * members.Tenth) }
+	return &Config{Networks: []string{"127.0.0.0/8"}, ProbeInterval: span(d.ProbeInterval), ProbeTimeout: span(d.ProbeTimeout), MinSuspicion: span(d.MinSuspicion),
+		MaxSuspicion: span(d.MaxSuspicion), PushPullInterval: span(d.PushPullInterval), JoinInterval: span(d.JoinInterval), DeadRetention: span(d.DeadRetention), MaxMembers: d.MaxMembers,
+		WhenReplaced: "stand-by"}
 }
 
-// Check tells what is wrong, and works out what the rest needs.
-func (t *Table) Check() error {
-	fault := func(key string, err error) error { return &operator.Fault{Table: "members", Key: key, Err: err} }
+// Validate tells what is wrong, and works out what the rest needs.
+func (t *Config) Validate() error {
+	fault := func(key string, err error) error { return &operator.ConfigError{Table: "members", Key: key, Err: err} }
 	t.networks = nil
 	for _, n := range t.Networks {
 		p, err := netip.ParsePrefix(n)
@@ -82,18 +82,18 @@
 			return err
 		}
 	}
-	if t.Superseded != "stand-by" && t.Superseded != "end" {
-		return fault("superseded", fmt.Errorf("%q is neither \"stand-by\" nor \"end\"", t.Superseded))
+	if t.WhenReplaced != "stand-by" && t.WhenReplaced != "end" {
+		return fault("superseded", fmt.Errorf("%q is neither \"stand-by\" nor \"end\"", t.WhenReplaced))
 	}
 	terms := t.terms("a name", "an address", -1)
-	if err := terms.Check(); err != nil {
-		return operator.Named("members", err)
+	if err := terms.Validate(); err != nil {
+		return operator.ErrorFromCheck("members", err)
 	}
 	return nil
 }
 
 // inside tells whether an address may be heard and told things.
-func (t *Table) inside(a netip.Addr) bool {
+func (t *Config) inside(a netip.Addr) bool {
 	for _, n := range t.networks {
 		if n.Contains(a.Unmap()) {
 			return true
@@ -102,9 +102,9 @@
 	return false
 }
 
-func (t *Table) terms(name, addr string, number int) members.Terms {
-	span := func(s operator.Span) members.Time { return members.Span(time.Duration(s)) }
-	return members.Terms{Cluster: t.Cluster, Name: name, Addr: addr, Number: number, Seeds: t.Seeds, Probe: span(t.Probe),
-		Window: span(t.Window), Doubt: span(t.Doubt), Longest: span(t.Longest), Exchange: span(t.Exchange), Seek: span(t.Seek),
-		Memory: span(t.Memory), Most: t.Most, StandBy: t.Superseded == "stand-by"}
+func (t *Config) terms(name, addr string, number int) members.Config {
+	span := func(s operator.Duration) members.Time { return members.TimeOf(time.Duration(s)) }
+	return members.Config{Cluster: t.Cluster, Name: name, Addr: addr, Number: number, Seeds: t.Seeds, ProbeInterval: span(t.ProbeInterval),
+		ProbeTimeout: span(t.ProbeTimeout), MinSuspicion: span(t.MinSuspicion), MaxSuspicion: span(t.MaxSuspicion), PushPullInterval: span(t.PushPullInterval), JoinInterval: span(t.JoinInterval),
+		DeadRetention: span(t.DeadRetention), MaxMembers: t.MaxMembers, StandByWhenReplaced: t.WhenReplaced == "stand-by"}
 }
--- a/internal/mesh/wire.go
+++ b/internal/mesh/wire.go
@@ -73,21 +73,21 @@
 	return mode
 }()
 
-func toWire(c members.Claim) wireClaim {
-	return wireClaim{Name: c.Name, Addr: c.Addr, Number: c.Number, Incarnation: c.Incarnation, Nonce: c.Nonce, Turn: c.Turn,
-		State: uint8(c.State), By: c.By, Age: c.Age}
+func toWire(c members.MemberRecord) wireClaim {
+	return wireClaim{Name: c.Name, Addr: c.Addr, Number: c.Number, Incarnation: c.Generation, Nonce: c.Nonce, Turn: c.Refutations,
+		State: uint8(c.State), By: c.ReportedBy, Age: c.Age}
 }
 
-func fromWire(c wireClaim) members.Claim {
-	return members.Claim{Name: c.Name, Addr: c.Addr, Number: c.Number, Life: members.Life{Incarnation: c.Incarnation, Nonce: c.Nonce},
-		Turn: c.Turn, State: members.State(c.State), By: c.By, Age: c.Age}
+func fromWire(c wireClaim) members.MemberRecord {
+	return members.MemberRecord{Name: c.Name, Addr: c.Addr, Number: c.Number, Incarnation: members.Incarnation{Generation: c.Incarnation, Nonce: c.Nonce},
+		Refutations: c.Turn, State: members.State(c.State), ReportedBy: c.By, Age: c.Age}
 }
 
 // encode is a message as it is sent.
 func encode(x members.Message) ([]byte, error) {
 	w := wireMessage{Kind: uint8(x.Kind), Cluster: x.Cluster, From: toWire(x.From), Seq: x.Seq, Nonce: x.Nonce, Target: x.Target,
-		Addr: x.Addr, Digests: x.Digests, Buckets: x.Buckets, Unsure: x.Unsure, Text: x.Text}
-	for _, c := range x.Claims {
+		Addr: x.Addr, Digests: x.Digests, Buckets: x.Buckets, Unsure: x.SenderCatchingUp, Text: x.Text}
+	for _, c := range x.Records {
 		w.Claims = append(w.Claims, toWire(c))
 	}
 	body, err := cbor.Marshal(w)
@@ -117,12 +117,12 @@
 		return x, errOutside
 	}
 	x = members.Message{Kind: members.Kind(w.Kind), Cluster: w.Cluster, From: fromWire(w.From), Seq: w.Seq, Nonce: w.Nonce,
-		Target: w.Target, Addr: w.Addr, Digests: w.Digests, Buckets: w.Buckets, Unsure: w.Unsure, Text: w.Text}
+		Target: w.Target, Addr: w.Addr, Digests: w.Digests, Buckets: w.Buckets, SenderCatchingUp: w.Unsure, Text: w.Text}
 	for _, c := range w.Claims {
 		if !addr(c.Addr) {
 			return x, errOutside
 		}
-		x.Claims = append(x.Claims, fromWire(c))
+		x.Records = append(x.Records, fromWire(c))
 	}
 	return x, nil
 }
@@ -134,22 +134,22 @@
 	Claims []wireClaim `cbor:"3,keyasint"`
 }
 
-func encodeLegacy(l members.Legacy) ([]byte, error) {
-	w := wireLegacy{Me: toWire(l.Me), Seq: l.Seq}
-	for _, c := range l.Claims {
+func encodeLegacy(l members.HandoverState) ([]byte, error) {
+	w := wireLegacy{Me: toWire(l.Self), Seq: l.Seq}
+	for _, c := range l.Records {
 		w.Claims = append(w.Claims, toWire(c))
 	}
 	return cbor.Marshal(w)
 }
 
-func decodeLegacy(text []byte) (l members.Legacy, err error) {
+func decodeLegacy(text []byte) (l members.HandoverState, err error) {
 	var w wireLegacy
 	if err = strict.Unmarshal(text, &w); err != nil {
 		return l, fmt.Errorf("members: %w", err)
 	}
-	l = members.Legacy{Me: fromWire(w.Me), Seq: w.Seq}
+	l = members.HandoverState{Self: fromWire(w.Me), Seq: w.Seq}
 	for _, c := range w.Claims {
-		l.Claims = append(l.Claims, fromWire(c))
+		l.Records = append(l.Records, fromWire(c))
 	}
 	return l, nil
 }
@@ -157,13 +157,13 @@
 // wireOther is a message that is not of membership, with who sends it: of copies or their keepers, or words of workers. The pure types stand in it as
 // they are, with keys of their own.
 type wireOther struct {
-	Cluster string            `cbor:"1,keyasint"`
-	From    wireClaim         `cbor:"2,keyasint"`
-	Copies  *copies.Message   `cbor:"3,keyasint,omitempty"`
-	Workers []drainstate.Word `cbor:"4,keyasint,omitempty"`
+	Cluster string                   `cbor:"1,keyasint"`
+	From    wireClaim                `cbor:"2,keyasint"`
+	Copies  *copies.Message          `cbor:"3,keyasint,omitempty"`
+	Workers []drainstate.DrainRecord `cbor:"4,keyasint,omitempty"`
 
 	Keepers *keepers.Message `cbor:"5,keyasint,omitempty"`
-	Staff   *staff.Word      `cbor:"6,keyasint,omitempty"`
+	Staff   *staff.State     `cbor:"6,keyasint,omitempty"`
 }
 
 const otherMark = 'o' // in place of the second letter
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -14,37 +14,37 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Span is a duration as the file writes it: "250ms", "2s", "24h".
-type Span time.Duration
+// Duration is a duration as the file writes it: "250ms", "2s", "24h".
+type Duration time.Duration
 
 // UnmarshalText reads one.
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
 		return fmt.Errorf("%q is no span of time such as \"250ms\"", text)
 	}
-	*s = Span(d)
+	*s = Duration(d)
 	return nil
 }
 
 // MarshalText is for those who show it.
-func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
-// Fault is a mistake in one key of one table.
-type Fault struct {
+// ConfigError is a mistake in one key of one table.
+type ConfigError struct {
 	Table, Key string
 	Err        error
 }
 
-func (f *Fault) Error() string { return fmt.Sprintf("%s.%s: %v", f.Table, f.Key, f.Err) }
+func (f *ConfigError) Error() string { return fmt.Sprintf("%s.%s: %v", f.Table, f.Key, f.Err) }
 
 // Unwrap is for errors.Is.
-func (f *Fault) Unwrap() error { return f.Err }
+func (f *ConfigError) Unwrap() error { return f.Err }
 
-// Named makes a fault of a check's error, which begins with the key's name, its words parted by dashes.
-func Named(table string, err error) *Fault {
+// ErrorFromCheck makes a fault of a check's error, which begins with the key's name, its words parted by dashes.
+func ErrorFromCheck(table string, err error) *ConfigError {
 	key, text, _ := strings.Cut(err.Error(), ": ")
-	return &Fault{Table: table, Key: strings.ReplaceAll(key, "-", "_"), Err: errors.New(text)}
+	return &ConfigError{Table: table, Key: strings.ReplaceAll(key, "-", "_"), Err: errors.New(text)}
 }
 
 // Read reads the file over the tables, whose defaults stand in them already, and has them checked. What is wrong is one line with
@@ -60,7 +60,7 @@
 		return fmt.Errorf("operator's file %s:%w", path, place(err))
 	}
 	if err := check(); err != nil {
-		var f *Fault
+		var f *ConfigError
 		if errors.As(err, &f) {
 			return fmt.Errorf("operator's file %s:%d: %w", path, line(string(text), f.Table, f.Key), err)
 		}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -11,8 +11,8 @@
 
 type tables struct {
 	Members *struct {
-		Probe Span   `toml:"probe"`
-		Name  string `toml:"name"`
+		Probe Duration `toml:"probe"`
+		Name  string   `toml:"name"`
 	} `toml:"members"`
 }
 
@@ -35,9 +35,9 @@
 		err := Read(path, &x, func() error {
 			switch {
 			case x.Members.Name == "bad":
-				return &Fault{"members", "name", errors.New("a bad name")}
+				return &ConfigError{"members", "name", errors.New("a bad name")}
 			case time.Duration(x.Members.Probe) > time.Hour:
-				return &Fault{"members", "probe", errors.New("too long")}
+				return &ConfigError{"members", "probe", errors.New("too long")}
 			}
 			return nil
 		})
--- a/internal/opkey/golden_test.go
+++ b/internal/opkey/golden_test.go
@@ -31,10 +31,10 @@
 		{zeroDigest, "sha256:Qf6zepu0Rb-MWk_FL9EghzJCGfFwH5nmKfWZSIFk3iA", zeroDigest},
 		{zeroDigest + "A", "sha256:fI9yWLCEgayauIXC8OaibhdUxQEw0D19XGTm39890mY", "sha256:fI9yWLCEgayauIXC8OaibhdUxQEw0D19XGTm39890mY"},
 	} {
-		if got := Of(c.id); got != c.key {
+		if got := FromID(c.id); got != c.key {
 			t.Errorf("the key of %q is %q, want %q", c.id, got, c.key)
 		}
-		if got := Told(c.id); got != c.told {
+		if got := PeerKey(c.id); got != c.told {
 			t.Errorf("%q from another process is taken for %q, want %q", c.id, got, c.told)
 		}
 	}
--- a/internal/opkey/opkey.go
+++ b/internal/opkey/opkey.go
@@ -16,8 +16,8 @@
 
 var digestLength = len(digestPrefix) + base64.RawURLEncoding.EncodedLen(sha256.Size)
 
-// Of is an id's key: the id itself where it is short and plain, and its digest where it is not.
-func Of(id string) string {
+// FromID is an id's key: the id itself where it is short and plain, and its digest where it is not.
+func FromID(id string) string {
 	if plain(id) && !strings.HasPrefix(id, digestPrefix) {
 		return id
 	}
@@ -25,12 +25,12 @@
 	return digestPrefix + base64.RawURLEncoding.EncodeToString(sum[:])
 }
 
-// Told is the key for what another process has told as one: an earlier build told ids as they were.
-func Told(key string) string {
+// PeerKey is the key for what another process has told as one: an earlier build told ids as they were.
+func PeerKey(key string) string {
 	if strings.HasPrefix(key, digestPrefix) && len(key) == digestLength {
 		return key
 	}
-	return Of(key)
+	return FromID(key)
 }
 
 // plain tells whether an id is short, and of characters that JSON takes as they are.
--- a/internal/opkey/opkey_test.go
+++ b/internal/opkey/opkey_test.go
@@ -9,10 +9,10 @@
 // Two ids never have one key, a key is no longer in JSON than it is, and one that comes from another process stays as it is.
 func TestKeysAreShortAndApart(t *testing.T) {
 	ids := []string{"", "9b1f03aa5c7e2d41", "a b", strings.Repeat("x", Longest), strings.Repeat("x", Longest+1), strings.Repeat("x", 9000),
-		"caf\u00e9", "caf\xe9", "caf\xe8", "<", ">", "&", `"`, `\`, "\x7f", "\t", digestPrefix, Of("caf\u00e9")}
+		"caf\u00e9", "caf\xe9", "caf\xe8", "<", ">", "&", `"`, `\`, "\x7f", "\t", digestPrefix, FromID("caf\u00e9")}
 	seen := map[string]string{}
 	for _, id := range ids {
-		key := Of(id)
+		key := FromID(id)
 		if other, known := seen[key]; known {
 			t.Errorf("%q and %q have one key", id, other)
 		}
@@ -21,20 +21,20 @@
 		if err != nil || len(key) > Longest || len(text) != len(key)+2 {
 			t.Errorf("%.20q: %q is %d bytes long, %s in JSON, %v", id, key, len(key), text, err)
 		}
-		if Told(key) != key {
-			t.Errorf("%.20q: told as %q, taken for %q", id, key, Told(key))
+		if PeerKey(key) != key {
+			t.Errorf("%.20q: told as %q, taken for %q", id, key, PeerKey(key))
 		}
 	}
-	if Of("9b1f03aa5c7e2d41") != "9b1f03aa5c7e2d41" {
+	if FromID("9b1f03aa5c7e2d41") != "9b1f03aa5c7e2d41" {
 		t.Error("a plain id is no key of its own")
 	}
-	if long := strings.Repeat("x", 9000); Told(long) != Of(long) {
+	if long := strings.Repeat("x", 9000); PeerKey(long) != FromID(long) {
 		t.Error("an id that an earlier build told as it was is not known by its key")
 	}
 }
 
 func BenchmarkOf(b *testing.B) {
 	for b.Loop() {
-		Of("9b1f03aa5c7e2d41")
+		FromID("9b1f03aa5c7e2d41")
 	}
 }
--- a/internal/ops/bench_test.go
+++ b/internal/ops/bench_test.go
@@ -12,11 +12,11 @@
 )
 
 // workersOf is a whole list of so many workers in 14 zones, 60 workers to a cell.
-func workersOf(n int) Listed {
-	in := Listed{Whole: true, Rev: 1}
+func workersOf(n int) EndpointsChanged {
+	in := EndpointsChanged{Snapshot: true, Revision: 1}
 	for i := range n {
-		in.Entries = append(in.Entries, Entry{Worker: fmt.Sprintf("worker-%05d", i), Addr: fmt.Sprintf("10.%d.%d.%d:8080", i%14, i/250, i%250),
-			Zone: fmt.Sprintf("zone-%02d", i%14), Kind: fmt.Sprintf("kind-%d", i%5), Cell: i / 60, Ready: true, Since: 1})
+		in.Endpoints = append(in.Endpoints, Endpoint{Worker: fmt.Sprintf("worker-%05d", i), Addr: fmt.Sprintf("10.%d.%d.%d:8080", i%14, i/250, i%250),
+			Zone: fmt.Sprintf("zone-%02d", i%14), MachineKind: fmt.Sprintf("kind-%d", i%5), WorkerGroup: i / 60, Ready: true, StartedAt: 1})
 	}
 	return in
 }
@@ -53,7 +53,7 @@
 			b.ResetTimer()
 			for range b.N {
 				r := New(7, site)
-				r.Take(1, list)
+				r.Step(1, list)
 				if kept = append(kept, r); len(kept) == 8 {
 					b.StopTimer()
 					b.ReportMetric((heap()-before)/8/float64(workers), "live-B/worker")
@@ -66,21 +66,21 @@
 		b.Run(fmt.Sprintf("again/workers=%d", workers), func(b *testing.B) {
 			b.ReportAllocs()
 			r := New(7, site)
-			r.Take(1, list)
+			r.Step(1, list)
 			b.ResetTimer()
 			for n := range b.N {
-				r.Take(dispatch.Time(n+2), list)
+				r.Step(dispatch.Time(n+2), list)
 			}
 		})
 		b.Run(fmt.Sprintf("change/workers=%d", workers), func(b *testing.B) {
 			b.ReportAllocs()
 			r := New(7, site)
-			r.Take(1, list)
+			r.Step(1, list)
 			b.ResetTimer()
 			for n := range b.N {
-				e := list.Entries[n%workers]
+				e := list.Endpoints[n%workers]
 				e.Ready = n/workers%2 > 0
-				r.Take(dispatch.Time(n+2), Listed{Rev: int64(n), Entries: []Entry{e}})
+				r.Step(dispatch.Time(n+2), EndpointsChanged{Revision: int64(n), Endpoints: []Endpoint{e}})
 			}
 		})
 	}
@@ -94,18 +94,18 @@
 			site := settings(3, 0)
 			site["extra.tellsStart"] = true
 			r := New(7, site)
-			r.Take(1, workersOf(workers))
+			r.Step(1, workersOf(workers))
 			now := dispatch.Time(17_000_000_000_000) // a year of ours, as a process has it
 			for n := range uint64(60 * workers) {
 				now += 100
 				op := n + 1
-				if p, ok := first[Push](r.Take(now, Arrived{Op: op, ID: fmt.Sprintf("%016x", op), Category: "c0", TTL: now + 50_000})); !ok || p.Op != op {
+				if p, ok := first[Push](r.Step(now, OpArrived{Op: op, ID: fmt.Sprintf("%016x", op), Category: "c0", TTL: now + 50_000})); !ok || p.Op != op {
 					b.Fatal("no push")
 				}
 				now += 13
-				r.Take(now, Noted{Op: op, Started: true})
+				r.Step(now, AttemptProgressed{Op: op, Started: true})
 				now += dispatch.Time(200 + n%97)
-				r.Take(now, Ended{Op: op, How: outcome.Done})
+				r.Step(now, AttemptEnded{Op: op, Ending: outcome.Done})
 			}
 			b.ResetTimer()
 			var l Learned
--- a/internal/ops/changes_test.go
+++ b/internal/ops/changes_test.go
@@ -19,9 +19,9 @@
 }
 
 func (e entry) into(site map[string]any, i int) {
-	site[terms.Item("categories", i, "name")], site[terms.Item("categories", i, "effect")] = e.name, e.effect
-	site[terms.Item("categories", i, "ttl")], site[terms.Item("categories", i, "benefit")] = 50_000.0, 1.0
-	site[terms.Item("categories", i, "targetLatency")] = float64(e.target)
+	site[terms.ItemKey("categories", i, "name")], site[terms.ItemKey("categories", i, "effect")] = e.name, e.effect
+	site[terms.ItemKey("categories", i, "ttl")], site[terms.ItemKey("categories", i, "benefit")] = 50_000.0, 1.0
+	site[terms.ItemKey("categories", i, "targetLatency")] = float64(e.target)
 }
 
 func siteOf(entries []entry, pushes int) map[string]any {
@@ -33,12 +33,12 @@
 }
 
 func fleetOf(r *Reducer, now dispatch.Time) {
-	var l Listed
+	var l EndpointsChanged
 	for i := range 6 {
-		l.Entries = append(l.Entries, Entry{Worker: fmt.Sprint("w", i), Addr: "a:1", Zone: "z", Ready: true})
+		l.Endpoints = append(l.Endpoints, Endpoint{Worker: fmt.Sprint("w", i), Addr: "a:1", Zone: "z", Ready: true})
 	}
-	l.Whole = true
-	r.Take(now, l)
+	l.Snapshot = true
+	r.Step(now, l)
 }
 
 // An op of a category whose place went to another one while it was open was pushed again, or dead-lettered, by that one's rules. Ops
@@ -97,7 +97,7 @@
 	name()
 	var broken uint64
 	take := func(in Input) {
-		for _, e := range r.Take(now, in) {
+		for _, e := range r.Step(now, in) {
 			switch e := e.(type) {
 			case Push:
 				o := ops[e.Op]
@@ -105,7 +105,7 @@
 					say("op %d is pushed: %+v", e.Op, *o)
 				}
 				o.out = true
-			case Answer:
+			case Respond:
 				o := ops[e.Op]
 				switch {
 				case e.Verdict == DeadLettered && o.effect != "at-most-once", e.Verdict == Nacked && o.ran && o.effect == "at-most-once",
@@ -119,7 +119,7 @@
 	arrive := func(e entry) {
 		last++
 		ops[last] = &open{entry: e, pushes: pushes}
-		take(Arrived{Op: last, ID: fmt.Sprint(last), Category: e.name, TTL: now + 1<<40, Effect: e.effect})
+		take(OpArrived{Op: last, ID: fmt.Sprint(last), Category: e.name, TTL: now + 1<<40, Effect: e.effect})
 		if o := ops[last]; o == nil || !o.out {
 			say("an op of %+v is not pushed", e)
 		}
@@ -151,7 +151,7 @@
 				dropped[e.name] = was{served[e.name], now + second}
 			}
 		}
-		take(Retuned{Site: siteOf(inForce, pushes), Until: now + second})
+		take(SettingsChanged{Settings: siteOf(inForce, pushes), RetainUntil: now + second})
 		name()
 		for range chance.IntN(3) {
 			arrive(served[inForce[chance.IntN(len(inForce))].name])
@@ -162,7 +162,7 @@
 				arrive(x.entry)
 			case ok:
 				last++
-				if a, _ := first[Answer](r.Take(now, Arrived{Op: last, ID: fmt.Sprint(last), Category: c, TTL: now + 1<<40})); a.Verdict != Nacked {
+				if a, _ := first[Respond](r.Step(now, OpArrived{Op: last, ID: fmt.Sprint(last), Category: c, TTL: now + 1<<40})); a.Verdict != Nacked {
 					say("an op of %s, which was dropped, is answered %v", c, a.Verdict)
 				}
 			}
@@ -174,10 +174,10 @@
 			}
 			if o.out = false; chance.IntN(3) == 0 {
 				o.ran, broken = true, i
-				take(Ended{Op: i, How: outcome.Reset})
+				take(AttemptEnded{Op: i, Ending: outcome.Reset})
 				broken = 0
 			} else {
-				take(Ended{Op: i, How: outcome.Done})
+				take(AttemptEnded{Op: i, Ending: outcome.Done})
 			}
 		}
 		if fault != "" {
@@ -213,12 +213,12 @@
 			e.name = fmt.Sprint("team-", k, "-", i)
 		}
 		e.into(site, k)
-		r.Take(now, Retuned{Site: site, Until: now + 20*second})
+		r.Step(now, SettingsChanged{Settings: site, RetainUntil: now + 20*second})
 	}
 	send := func(e entry) {
 		t.Helper()
 		op++
-		todo := r.Take(now, Arrived{Op: op, ID: fmt.Sprint(op), Category: e.name, TTL: now + 1<<40, Effect: e.effect})
+		todo := r.Step(now, OpArrived{Op: op, ID: fmt.Sprint(op), Category: e.name, TTL: now + 1<<40, Effect: e.effect})
 		if _, pushed := first[Push](todo); !pushed {
 			t.Fatalf("an op of %+v: %+v", e, todo)
 		}
@@ -230,7 +230,7 @@
 	for i := range n {
 		change(i)
 		send(inForce[i%entries])
-		r.Take(now, Ended{Op: op, How: outcome.Done})
+		r.Step(now, AttemptEnded{Op: op, Ending: outcome.Done})
 		highest = max(highest, r.categories[inForce[i%entries].name])
 	}
 	if most := entries + held + 3; highest >= most { // at 5.4 s a change and 20 s for a dropped one, two such and a new one
@@ -240,7 +240,7 @@
 		t.Errorf("%d dropped categories and %d ops are held", len(r.dropped), len(r.live))
 	}
 	for i := range held { // they came as redeliverable, which their categories were not any more and then were again
-		todo := r.Take(now, Ended{Op: uint64(i + 1), How: outcome.Reset})
+		todo := r.Step(now, AttemptEnded{Op: uint64(i + 1), Ending: outcome.Reset})
 		if _, again := first[Push](todo); !again {
 			t.Errorf("op %d of the beginning, which broke, is not pushed again: %+v", i+1, todo)
 		}
@@ -258,17 +258,17 @@
 	}
 	r := New(1, of("look", "pay", "note"))
 	fleetOf(r, 1)
-	r.Take(2, Retuned{Site: of("look", "note"), Until: 2 + second})
-	r.Take(3, Retuned{Site: of("look"), Until: 3 + second})
+	r.Step(2, SettingsChanged{Settings: of("look", "note"), RetainUntil: 2 + second})
+	r.Step(3, SettingsChanged{Settings: of("look"), RetainUntil: 3 + second})
 	heir := New(1, of("look", "note"))
 	fleetOf(heir, 4)
-	heir.Take(4, Inherited{r.Learned()})
+	heir.Step(4, StateRestored{r.Learned()})
 	for n, c := range []struct {
 		category string
 		want     Verdict // -1: it is pushed
 	}{{"look", -1}, {"pay", Nacked}, {"note", -1}, {"never", UnknownCategory}} {
-		todo := heir.Take(5, Arrived{Op: uint64(n), ID: fmt.Sprint(n), Category: c.category, TTL: 5 + second})
-		a, answered := first[Answer](todo)
+		todo := heir.Step(5, OpArrived{Op: uint64(n), ID: fmt.Sprint(n), Category: c.category, TTL: 5 + second})
+		a, answered := first[Respond](todo)
 		if _, pushed := first[Push](todo); pushed != (c.want < 0) || answered && a.Verdict != c.want {
 			t.Errorf("%s: %+v", c.category, todo)
 		}
@@ -277,7 +277,7 @@
 	for i := range 2 * mostDropped {
 		many.Dropped[fmt.Sprint(i)] = 5
 	}
-	if heir.Take(6, Inherited{many}); len(heir.dropped) > mostDropped {
+	if heir.Step(6, StateRestored{many}); len(heir.dropped) > mostDropped {
 		t.Errorf("%d dropped names are taken over", len(heir.dropped))
 	}
 }
@@ -298,7 +298,7 @@
 					e := &inForce[n%entries]
 					e.target = 10*second + dispatch.Time(n)
 					e.into(site, n%entries)
-					r.Take(now, Retuned{Site: site, Until: now + 20*second})
+					r.Step(now, SettingsChanged{Settings: site, RetainUntil: now + 20*second})
 					n++
 				}
 				for n < before {
--- a/internal/ops/churn_test.go
+++ b/internal/ops/churn_test.go
@@ -36,7 +36,7 @@
 						t.Fatalf("seed %d: a probe of %s at %s, which is not there", seed, e.Worker, e.Addr)
 					}
 					probes = append(probes, e.Probe)
-				case Answer:
+				case Respond:
 					if answered[e.Op] || e.Verdict == Acked && pushedTo[e.Op] == "" {
 						t.Fatalf("seed %d: op %d: %v, answered before %v, pushed to %q", seed, e.Op, e.Verdict, answered[e.Op], pushedTo[e.Op])
 					}
@@ -44,32 +44,32 @@
 				}
 			}
 		}
-		entry := func(k int, gone bool) Entry {
+		entry := func(k int, gone bool) Endpoint {
 			name := fmt.Sprintf("w%d", k)
 			serving["addr-"+name] = !gone
-			return Entry{Worker: name, Addr: "addr-" + name, Zone: fmt.Sprint(k % 3), Cell: k % 7, Ready: !gone, Gone: gone}
+			return Endpoint{Worker: name, Addr: "addr-" + name, Zone: fmt.Sprint(k % 3), WorkerGroup: k % 7, Ready: !gone, Removed: gone}
 		}
-		first := Listed{Whole: true}
+		first := EndpointsChanged{Snapshot: true}
 		for k := range listed {
-			first.Entries = append(first.Entries, entry(k, false))
+			first.Endpoints = append(first.Endpoints, entry(k, false))
 		}
-		do(r.Take(now, first))
+		do(r.Step(now, first))
 		for k := listed; k < replaced; k++ {
 			now += 5
-			do(r.Take(now, Listed{Entries: []Entry{entry(k-listed, true), entry(k, false)}}))
+			do(r.Step(now, EndpointsChanged{Endpoints: []Endpoint{entry(k-listed, true), entry(k, false)}}))
 			if number++; number%2 == 0 {
-				do(r.Take(now, Arrived{Op: number, ID: fmt.Sprint(number), Category: "look", TTL: now + 5*second}))
+				do(r.Step(now, OpArrived{Op: number, ID: fmt.Sprint(number), Category: "look", TTL: now + 5*second}))
 				ops = append(ops, number)
 			}
 			for len(probes) > 8 {
 				n := chance.Intn(len(probes))
-				do(r.Take(now, Probed{Probe: probes[n], How: outcome.Done, Report: []byte(`{}`)}))
+				do(r.Step(now, ProbeEnded{Probe: probes[n], Ending: outcome.Done, LoadReport: []byte(`{}`)}))
 				probes = append(probes[:n], probes[n+1:]...)
 			}
 			for range 2 * max(len(ops)-12, 0) { // some stay out while thousands of workers come and go
 				n := 2 + chance.Intn(len(ops)-2)
-				how := []outcome.Ending{outcome.Done, outcome.Reset, outcome.Unwritten}[chance.Intn(3)]
-				do(r.Take(now, Ended{Op: ops[n], How: how}))
+				how := []outcome.Ending{outcome.Done, outcome.Reset, outcome.CancelledUnsent}[chance.Intn(3)]
+				do(r.Step(now, AttemptEnded{Op: ops[n], Ending: how}))
 				if answered[ops[n]] {
 					ops = append(ops[:n], ops[n+1:]...)
 				}
@@ -78,7 +78,7 @@
 				t.Fatalf("seed %d: %d workers are known after %d were replaced, of %d in the list", seed, n, k, listed)
 			}
 		}
-		if known, _ := r.Fleet(now); known != listed {
+		if known, _ := r.WorkerCounts(now); known != listed {
 			t.Errorf("seed %d: %d workers are listed, want %d", seed, known, listed)
 		}
 		if len(r.tags) > len(r.indices) || len(r.indices) > most { // two names may share a tag
@@ -94,21 +94,21 @@
 			r := New(7, map[string]any{"bounds.cancel": true, "bounds.probes": probes, "bounds.maxPushes": 3.0, "step": 10.0,
 				"report.how": "on_probe", "categories.0.name": "look", "categories.0.ttl": 5.0, "categories.0.effect": "redeliverable",
 				"categories.0.targetLatency": float64(second)})
-			r.Take(1, Listed{Whole: true, Entries: []Entry{{Worker: "v", Addr: "a:1", Ready: true}}})
-			todo := r.Take(2, Arrived{Op: 1, ID: "1", Category: "look", TTL: 1000 * second})
+			r.Step(1, EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{Worker: "v", Addr: "a:1", Ready: true}}})
+			todo := r.Step(2, OpArrived{Op: 1, ID: "1", Category: "look", TTL: 1000 * second})
 			p, probed := first[Probe](todo)
 			if _, pushed := first[Push](todo); pushed == probes || probed != probes {
 				t.Fatalf("%+v", todo)
 			}
 			i := r.indices["v"]
-			r.Take(3, Listed{Entries: []Entry{{Worker: "v", Gone: true}}})
+			r.Step(3, EndpointsChanged{Endpoints: []Endpoint{{Worker: "v", Removed: true}}})
 			if probes {
-				r.Take(3, Left{Op: 1}) // the probe alone is out
+				r.Step(3, ClientDisconnected{Op: 1}) // the probe alone is out
 			}
 			next := 0
 			churn := func(until func() bool) {
 				for end := next + 6*mostGone; next < end && !until(); next++ {
-					r.Take(4, Listed{Entries: []Entry{{Worker: fmt.Sprint("w", next-1), Gone: true},
+					r.Step(4, EndpointsChanged{Endpoints: []Endpoint{{Worker: fmt.Sprint("w", next-1), Removed: true},
 						{Worker: fmt.Sprint("w", next), Addr: fmt.Sprint("b:", next)}}})
 				}
 			}
@@ -117,10 +117,10 @@
 				t.Fatalf("its index is %q's, %d are free", r.workers[i].name, len(r.vacant))
 			}
 			if probes {
-				r.Take(5, Probed{Probe: p.Probe, How: outcome.NeverUp})
+				r.Step(5, ProbeEnded{Probe: p.Probe, Ending: outcome.DialTimedOut})
 			}
-			r.Take(5, Left{Op: 1})
-			r.Take(5, Ended{Op: 1, How: outcome.Withdrawn})
+			r.Step(5, ClientDisconnected{Op: 1})
+			r.Step(5, AttemptEnded{Op: 1, Ending: outcome.Cancelled})
 			churn(func() bool { return r.workers[i].name != "v" })
 			if r.workers[i].name == "v" {
 				t.Error("it is remembered though nothing of it is out")
--- a/internal/ops/ends_test.go
+++ b/internal/ops/ends_test.go
@@ -64,7 +64,7 @@
 					say("op %d is pushed to %s: %+v, ready %v", e.Op, e.Worker, *o, ready[e.Worker])
 				}
 				o.out, o.written, o.worker = true, false, e.Worker
-			case Answer:
+			case Respond:
 				o := ops[e.Op]
 				if o.answered || o.left || e.Verdict == Nacked && o.once && o.ran {
 					say("op %d is answered %v: %+v", e.Op, e.Verdict, *o)
@@ -78,33 +78,33 @@
 			}
 		}
 		for _, e := range todo { // what is closed ends as the connection would have it
-			if e, ok := e.(Close); ok {
+			if e, ok := e.(CancelAttempt); ok {
 				o := ops[e.Op]
 				switch {
-				case !o.out || o.written && e.OnlyUnwritten:
+				case !o.out || o.written && e.OnlyIfUnsent:
 				case !o.written:
 					o.out = false
-					take(Ended{Op: e.Op, How: outcome.Unwritten})
+					take(AttemptEnded{Op: e.Op, Ending: outcome.CancelledUnsent})
 				default:
-					if !cancel && e.How == outcome.Withdrawn {
+					if !cancel && e.Ending == outcome.Cancelled {
 						say("op %d is cancelled, which the settings forbid", e.Op)
 					}
 					o.out, o.ran = false, true
-					take(Ended{Op: e.Op, How: e.How})
+					take(AttemptEnded{Op: e.Op, Ending: e.Ending})
 				}
 			}
 		}
 	}
-	take = func(in Input) { carry(r.Take(now, in)) }
+	take = func(in Input) { carry(r.Step(now, in)) }
 	list := func(whole bool) {
-		var l Listed
-		if l.Whole = whole; whole {
+		var l EndpointsChanged
+		if l.Snapshot = whole; whole {
 			clear(ready)
 		}
 		for i := range 4 {
 			if w := fmt.Sprint("w", i); whole || chance.IntN(2) == 0 {
 				ready[w] = chance.IntN(4) > 0
-				l.Entries = append(l.Entries, Entry{Worker: w, Addr: "a:1", Zone: "z", Ready: ready[w]})
+				l.Endpoints = append(l.Endpoints, Endpoint{Worker: w, Addr: "a:1", Zone: "z", Ready: ready[w]})
 			}
 		}
 		take(l)
@@ -119,38 +119,38 @@
 			n++
 			category := []string{"look", "pay"}[chance.IntN(2)]
 			ops[n] = &known{once: once && category == "pay"}
-			take(Arrived{Op: n, ID: fmt.Sprint(n), Category: category, TTL: now + dispatch.Time(chance.IntN(int(second)))})
+			take(OpArrived{Op: n, ID: fmt.Sprint(n), Category: category, TTL: now + dispatch.Time(chance.IntN(int(second)))})
 		case 3:
 			if o != nil && !o.answered {
 				o.left = true
 			}
-			take(Left{Op: k})
+			take(ClientDisconnected{Op: k})
 		case 4:
 			list(chance.IntN(4) == 0)
 		case 5:
 			if once = chance.IntN(2) == 0; once {
-				take(Retuned{Site: site("at-most-once", float64(1+chance.IntN(4))), Until: now + second})
+				take(SettingsChanged{Settings: site("at-most-once", float64(1+chance.IntN(4))), RetainUntil: now + second})
 			} else {
-				take(Retuned{Site: site("redeliverable", float64(1+chance.IntN(4))), Until: now + second})
+				take(SettingsChanged{Settings: site("redeliverable", float64(1+chance.IntN(4))), RetainUntil: now + second})
 			}
 		case 6:
 			if o != nil && o.out && o.written {
-				take(Noted{Op: k, Started: chance.IntN(2) == 0, Done: chance.Float64()})
+				take(AttemptProgressed{Op: k, Started: chance.IntN(2) == 0, Done: chance.Float64()})
 			}
 		case 7:
 			if p, ok := least(open); ok {
 				delete(open, p)
-				take(Probed{Probe: p, How: outcome.Ending(chance.IntN(20) - 1), Report: []byte(`{"pending":0,"busy_reqs":1}`)})
+				take(ProbeEnded{Probe: p, Ending: outcome.Ending(chance.IntN(20) - 1), LoadReport: []byte(`{"pending":0,"busy_reqs":1}`)})
 			}
 		case 8:
 			if stop == 0 && chance.IntN(12) == 0 {
 				stop = now + second/2
 			}
 			if stop > 0 {
-				take(Stopping{By: stop})
+				take(ShutdownStarted{Deadline: stop})
 			}
 		case 9:
-			take(Woken{})
+			take(TimerFired{})
 		default:
 			if o == nil || !o.out {
 				break
@@ -163,10 +163,10 @@
 			}
 			how := outcome.Ending(chance.IntN(20) - 1)
 			if !o.written {
-				how = []outcome.Ending{outcome.NeverUp, outcome.ConnRefused, outcome.Unwritten, outcome.PartWritten, outcome.NoDescriptor}[chance.IntN(5)]
+				how = []outcome.Ending{outcome.DialTimedOut, outcome.ConnRefused, outcome.CancelledUnsent, outcome.PartiallySent, outcome.NoDescriptor}[chance.IntN(5)]
 			}
 			o.out, o.ran = false, o.ran || !how.NeverRan() && how != outcome.Done
-			take(Ended{Op: k, How: how})
+			take(AttemptEnded{Op: k, Ending: how})
 		}
 		if fault != "" {
 			return fault
@@ -176,10 +176,10 @@
 	for k := uint64(1); k <= n; k++ {
 		if o := ops[k]; o.out {
 			o.out, o.ran = false, true
-			take(Ended{Op: k, How: outcome.Silent})
+			take(AttemptEnded{Op: k, Ending: outcome.TimedOut})
 		}
 	}
-	take(Woken{})
+	take(TimerFired{})
 	for k := uint64(1); k <= n; k++ {
 		if o := ops[k]; !o.answered && !o.left {
 			say("op %d has no answer: %+v", k, *o)
@@ -205,8 +205,8 @@
 func TestAnOpThatSettingsOvertookIsNacked(t *testing.T) {
 	for effect, want := range map[string]Verdict{"": -1, "redeliverable": -1, "at-most-once": Nacked} {
 		r := started()
-		todo := r.Take(2, Arrived{Op: 1, ID: "a", Category: "look", TTL: 2 * second, Effect: effect})
-		a, answered := first[Answer](todo)
+		todo := r.Step(2, OpArrived{Op: 1, ID: "a", Category: "look", TTL: 2 * second, Effect: effect})
+		a, answered := first[Respond](todo)
 		if _, pushed := first[Push](todo); answered != (want == Nacked) || pushed == answered || answered && a.Verdict != want {
 			t.Errorf("%q: %+v", effect, todo)
 		}
--- a/internal/ops/forget.go
+++ b/internal/ops/forget.go
@@ -12,7 +12,7 @@
 		r.workers = append(r.workers, worker{name: name})
 	}
 	r.indices[name] = i
-	r.tags[terms.Tag(name)] = i
+	r.tags[terms.WorkerTag(name)] = i
 	return i
 }
 
@@ -22,7 +22,7 @@
 	if len(r.indices) <= max(r.forgetAt, mostGone) {
 		return
 	}
-	inUse := r.d.InUse()
+	inUse := r.d.WorkersInUse()
 	for _, p := range r.probes {
 		inUse[p.worker] = true
 	}
@@ -37,7 +37,7 @@
 func (r *Reducer) forgetWorker(i int) {
 	name := r.workers[i].name
 	delete(r.indices, name)
-	if tag := terms.Tag(name); r.tags[tag] == i {
+	if tag := terms.WorkerTag(name); r.tags[tag] == i {
 		delete(r.tags, tag)
 	}
 	r.d.ForgetWorker(i)
--- a/internal/ops/ids.go
+++ b/internal/ops/ids.go
@@ -64,7 +64,7 @@
 // inherit takes the ids that another process's ops have or had; its ops have their answers by their TTL.
 func (x *takenIDs) inherit(until map[string]dispatch.Time) {
 	for told, t := range until {
-		id := opkey.Told(told)
+		id := opkey.PeerKey(told)
 		if _, known := x.by[id]; !known && t > 0 {
 			x.by[id] = takenID{t, x.answered}
 		}
--- a/internal/ops/ids_test.go
+++ b/internal/ops/ids_test.go
@@ -16,7 +16,7 @@
 	r := started()
 	now := second
 	ask := func(number uint64, id string) Verdict {
-		if a, ok := first[Answer](r.Take(now, Arrived{Op: number, ID: id, Category: "look", TTL: now + 24*3600*second})); ok {
+		if a, ok := first[Respond](r.Step(now, OpArrived{Op: number, ID: id, Category: "look", TTL: now + 24*3600*second})); ok {
 			return a.Verdict
 		}
 		return -1
@@ -29,13 +29,13 @@
 		if got := ask(2+n, fmt.Sprint("id", n)); got != -1 {
 			t.Fatalf("op %d: %v", n, got)
 		}
-		r.Take(now, Ended{Op: 2 + n, How: outcome.Done})
+		r.Step(now, AttemptEnded{Op: 2 + n, Ending: outcome.Done})
 		if len(r.ids.by) > most {
 			t.Fatalf("%d ids are kept after %d ops", len(r.ids.by), n+1)
 		}
 	}
 	for _, id := range []string{"held", fmt.Sprint("id", ops-1), fmt.Sprint("id", ops-20_000)} {
-		if got := ask(ops+9, id); got != TakenID {
+		if got := ask(ops+9, id); got != DuplicateID {
 			t.Errorf("%s: %v, not taken", id, got)
 		}
 	}
@@ -48,8 +48,8 @@
 	now := second
 	for n := range uint64(mostIDs) {
 		id := fmt.Sprint(n, strings.Repeat("<long>", 20))
-		r.Take(now, Arrived{Op: n, ID: id, Category: "look", TTL: now + 24*3600*second})
-		r.Take(now, Ended{Op: n, How: outcome.Done})
+		r.Step(now, OpArrived{Op: n, ID: id, Category: "look", TTL: now + 24*3600*second})
+		r.Step(now, AttemptEnded{Op: n, Ending: outcome.Done})
 	}
 	learned := r.Learned()
 	text, err := json.Marshal(learned)
--- a/internal/ops/learned.go
+++ b/internal/ops/learned.go
@@ -42,13 +42,13 @@
 	}
 }
 
-// Inherited brings what another process's reducer had learned, after its list.
-type Inherited struct{ Learned }
+// StateRestored brings what another process's reducer had learned, after its list.
+type StateRestored struct{ Learned }
 
-func (Inherited) input() {}
+func (StateRestored) input() {}
 
 // inherit goes on from it. A zone that is not known here, or by no place there, is left out.
-func (r *Reducer) inherit(in Inherited) {
+func (r *Reducer) inherit(in StateRestored) {
 	theirs := in.Module.Zones
 	in.Module.Zones = nil
 	ours := make([][]dispatch.Verdict, len(r.zones))
@@ -58,7 +58,7 @@
 		}
 	}
 	in.Module.Zones = ours
-	r.d.Learn(in.Module)
+	r.d.RestoreLearned(in.Module)
 	r.ids.inherit(in.IDs)
 	for name, until := range in.Dropped { // their rules are not in this process's configuration, so their ops are only nacked
 		_, served := r.categories[name]
--- a/internal/ops/learned_test.go
+++ b/internal/ops/learned_test.go
@@ -15,10 +15,10 @@
 	was := started()
 	arrive(was, 1, "look")
 	arrive(was, 2, "pay")
-	was.Take(3, Ended{Op: 2, How: outcome.Done, Result: []byte("x")})
+	was.Step(3, AttemptEnded{Op: 2, Ending: outcome.Done, Result: []byte("x")})
 	for n := range uint64(40) {
 		arrive(was, 10+n, "look")
-		was.Take(4, Ended{Op: 10 + n, How: outcome.NeverUp})
+		was.Step(4, AttemptEnded{Op: 10 + n, Ending: outcome.DialTimedOut})
 	}
 	text, err := json.Marshal(was.Learned())
 	if err != nil {
@@ -30,16 +30,16 @@
 	}
 	l.Zones[0], l.Zones[1] = "elsewhere", l.Zones[0]
 	is := started()
-	is.Take(5, Inherited{l})
+	is.Step(5, StateRestored{l})
 	for _, id := range []uint64{1, 2} {
-		if a, ok := first[Answer](arrive(is, id, "look")); !ok || a.Verdict != TakenID {
+		if a, ok := first[Respond](arrive(is, id, "look")); !ok || a.Verdict != DuplicateID {
 			t.Errorf("id %d is free: %v", id, a)
 		}
 	}
-	if a, ok := first[Answer](arrive(is, 99, "look")); ok && a.Verdict == TakenID {
+	if a, ok := first[Respond](arrive(is, 99, "look")); ok && a.Verdict == DuplicateID {
 		t.Error("an id that nobody has is taken")
 	}
-	if a, ok := first[Answer](is.Take(3*second, Arrived{Op: 3, ID: "2", Category: "look", TTL: 9 * second})); ok && a.Verdict == TakenID {
+	if a, ok := first[Respond](is.Step(3*second, OpArrived{Op: 3, ID: "2", Category: "look", TTL: 9 * second})); ok && a.Verdict == DuplicateID {
 		t.Error("an id is taken beyond its TTL")
 	}
 	// Nothing at all, or of another site, is no reason to fail.
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		r := started()
-		r.Take(5, Inherited{none})
+		r.Step(5, StateRestored{none})
 		if _, pushed := first[Push](arrive(r, 1, "look")); !pushed {
 			t.Errorf("after %s nothing is pushed", text)
 		}
@@ -61,11 +61,11 @@
 	at := func(moment dispatch.Time) Learned {
 		verdicts := func() []dispatch.Verdict { return []dispatch.Verdict{{At: moment, OK: true}, {At: moment + 1}} }
 		return Learned{IDs: map[string]dispatch.Time{"a": moment, "held": 0}, Dropped: map[string]dispatch.Time{"old": moment},
-			Zones: []string{"z"}, Module: dispatch.Learned{Halved: moment, Taus: []dispatch.Time{3}, Trips: []dispatch.Time{4},
-				Starts: [][2]dispatch.Time{{moment, 5}}, Room: verdicts(), Zones: [][]dispatch.Verdict{verdicts()},
-				Categories: map[string]dispatch.LearnedRuns{"look": {Longest: 6, Runs: []dispatch.Time{7}}},
-				Workers: map[uint64]*dispatch.LearnedWorker{1: {Since: moment, Places: [][2]float64{{8, 9}}, Health: verdicts()},
-					2: {Since: 0}, 3: nil}}}
+			Zones: []string{"z"}, Module: dispatch.Learned{HalvedAt: moment, StartDelays: []dispatch.Time{3}, ProbeRTTs: []dispatch.Time{4},
+				StartSamples: [][2]dispatch.Time{{moment, 5}}, PlacementVerdicts: verdicts(), Zones: [][]dispatch.Verdict{verdicts()},
+				Categories: map[string]dispatch.LearnedCategory{"look": {LongestTTL: 6, ServiceTimes: []dispatch.Time{7}}},
+				Workers: map[uint64]*dispatch.LearnedWorker{1: {StartedAt: moment, Places: [][2]float64{{8, 9}}, Health: verdicts()},
+					2: {StartedAt: 0}, 3: nil}}}
 	}
 	got := at(1000)
 	if got.Shift(-700); !reflect.DeepEqual(got, at(300)) {
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -26,131 +26,131 @@
 // Inherited and Stopping.
 type Input interface{ input() }
 
-// Entry is one worker in a list.
-type Entry struct {
+// Endpoint is one worker in a list.
+type Endpoint struct {
 	Worker, Addr string
 	Zone         string
-	Kind         string // of machine
-	Cell         int
+	MachineKind  string // of machine
+	WorkerGroup  int
 	Ready        bool
-	Gone         bool          // it is in the list no more
-	Boot         int64         // names its present process, as discovery does
-	Since        dispatch.Time // when that started; 0: long ago
+	Removed      bool          // it is in the list no more
+	BootID       int64         // names its present process, as discovery does
+	StartedAt    dispatch.Time // when that started; 0: long ago
 }
 
-// Listed is a list of workers, whole or of changes. A remembered one is from before the start.
-type Listed struct {
-	Whole, Remembered bool
-	Rev               int64 // discovery's own; nothing is decided by it here
-	Entries           []Entry
+// EndpointsChanged is a list of workers, whole or of changes. A remembered one is from before the start.
+type EndpointsChanged struct {
+	Snapshot, Cached bool
+	Revision         int64 // discovery's own; nothing is decided by it here
+	Endpoints        []Endpoint
 }
 
-// Arrived is a new op; the host numbers ops and never uses a number twice.
-type Arrived struct {
+// OpArrived is a new op; the host numbers ops and never uses a number twice.
+type OpArrived struct {
 	Op            uint64
 	ID            string // the client's own
 	Category      string
 	TTL           dispatch.Time // the moment at which the client gives up
 	Slots, Memory float64
 	Work          dispatch.Time
-	Key           uint64 // what it needs at its worker, hashed; 0: nothing that workers keep
-	Ran           *Ran   // nil for an op that ran nowhere before
-	Effect        string // by which it was let in at the door; empty where nothing was asked by it
+	AffinityKey   uint64        // what it needs at its worker, hashed; 0: nothing that workers keep
+	PriorAttempt  *PriorAttempt // nil for an op that ran nowhere before
+	Effect        string        // by which it was let in at the door; empty where nothing was asked by it
 }
 
-// Ran is where an op may have run for another scheduler, and since when.
-type Ran struct {
+// PriorAttempt is where an op may have run for another scheduler, and since when.
+type PriorAttempt struct {
 	Group
-	At dispatch.Time
+	StartedAt dispatch.Time
 }
 
 // Group is where repeats of an op may be dropped.
 type Group struct {
-	Zone string
-	Cell int
+	Zone        string
+	WorkerGroup int
 }
 
-// Left says that an op's client has gone.
-type Left struct{ Op uint64 }
+// ClientDisconnected says that an op's client has gone.
+type ClientDisconnected struct{ Op uint64 }
 
-// Noted is a job line before the last one, or with Done below 0 the worker's word that it has taken the push.
-type Noted struct {
+// AttemptProgressed is a job line before the last one, or with Done below 0 the worker's word that it has taken the push.
+type AttemptProgressed struct {
 	Op      uint64
 	Started bool
 	Done    float64
 }
 
-// Ended is the end of an op's one push that was out.
-type Ended struct {
-	Op     uint64
-	How    outcome.Ending
-	Result []byte
-	Report []byte // the load report that came with it, if any
+// AttemptEnded is the end of an op's one push that was out.
+type AttemptEnded struct {
+	Op         uint64
+	Ending     outcome.Ending
+	Result     []byte
+	LoadReport []byte // the load report that came with it, if any
 }
 
-// Probed is the end of a probe.
-type Probed struct {
-	Probe  uint64
-	How    outcome.Ending
-	Report []byte
+// ProbeEnded is the end of a probe.
+type ProbeEnded struct {
+	Probe      uint64
+	Ending     outcome.Ending
+	LoadReport []byte
 }
 
-// Told is another scheduler's message.
-type Told struct {
-	By   int
-	Text string
+// PeerMessage is another scheduler's message.
+type PeerMessage struct {
+	Sender int
+	Text   string
 }
 
-// Fell says that another scheduler is no more: what it said is void at once.
-type Fell struct{ By int }
+// PeerLost says that another scheduler is no more: what it said is void at once.
+type PeerLost struct{ Peer int }
 
-// Came says that another scheduler is new, or back as another process: it is told all.
-type Came struct{ Number int }
+// PeerJoined says that another scheduler is new, or back as another process: it is told all.
+type PeerJoined struct{ Peer int }
 
-// Woken says that the moment asked for with Wake has come.
-type Woken struct{}
+// TimerFired says that the moment asked for with Wake has come.
+type TimerFired struct{}
 
-// Stopping says that all ops must have their answer by then; the host says it again at that moment.
-type Stopping struct{ By dispatch.Time }
+// ShutdownStarted says that all ops must have their answer by then; the host says it again at that moment.
+type ShutdownStarted struct{ Deadline dispatch.Time }
 
-// Retuned brings other settings, of which the categories and the number of pushes are taken up. Ops that were taken keep the
+// SettingsChanged brings other settings, of which the categories and the number of pushes are taken up. Ops that were taken keep the
 // rules that they were taken with, and so do those that still come for a category that is served no more, until then.
-type Retuned struct {
-	Site  map[string]any
-	Until dispatch.Time
-}
-
-func (Listed) input()   {}
-func (Arrived) input()  {}
-func (Left) input()     {}
-func (Noted) input()    {}
-func (Ended) input()    {}
-func (Probed) input()   {}
-func (Told) input()     {}
-func (Fell) input()     {}
-func (Came) input()     {}
-func (Woken) input()    {}
-func (Retuned) input()  {}
-func (Stopping) input() {}
+type SettingsChanged struct {
+	Settings    map[string]any
+	RetainUntil dispatch.Time
+}
+
+func (EndpointsChanged) input()   {}
+func (OpArrived) input()          {}
+func (ClientDisconnected) input() {}
+func (AttemptProgressed) input()  {}
+func (AttemptEnded) input()       {}
+func (ProbeEnded) input()         {}
+func (PeerMessage) input()        {}
+func (PeerLost) input()           {}
+func (PeerJoined) input()         {}
+func (TimerFired) input()         {}
+func (SettingsChanged) input()    {}
+func (ShutdownStarted) input()    {}
 
 // Effect is one of Push, Close, Probe, Answer, Tell and Wake.
 type Effect interface{ effect() }
 
 // Push sends an op to a worker and waits for its end at most Within.
 type Push struct {
-	Op     uint64
-	Leg    int
-	Worker string
-	Addr   string
-	Within dispatch.Time
-	Group  Group // of the worker
+	Op      uint64
+	Attempt int
+	Worker  string
+	Addr    string
+	Timeout dispatch.Time
+	Group   Group // of the worker
 }
 
-// Close ends the push of an op that is out, or only keeps it from being written.
-type Close struct {
-	Op            uint64
-	OnlyUnwritten bool
-	How           outcome.Ending // how it is said to have ended
+// CancelAttempt ends the push of an op that is out, or only keeps it from being written.
+type CancelAttempt struct {
+	Op           uint64
+	OnlyIfUnsent bool
+	Ending       outcome.Ending // how it is said to have ended
 }
 
 // Probe asks a worker for its load.
@@ -169,37 +169,37 @@
 	Nacked
 	DeadLettered
 	UnknownCategory
-	TakenID
+	DuplicateID
 )
 
 func (v Verdict) String() string {
 	return [...]string{"acked", "nacked", "dead-lettered", "unknown-category", "taken-id"}[v]
 }
 
-// Answer is the one final answer to an op's client.
-type Answer struct {
-	Op      uint64
-	Verdict Verdict
-	Pause   dispatch.Time
-	Result  []byte
-	Why     dispatch.Why // of a nack or a dead letter
+// Respond is the one final answer to an op's client.
+type Respond struct {
+	Op         uint64
+	Verdict    Verdict
+	RetryAfter dispatch.Time
+	Result     []byte
+	Reason     dispatch.RejectionReason // of a nack or a dead letter
 }
 
-// Tell sends another scheduler a message, which may be lost.
-type Tell struct {
-	To   int
+// SendToPeer sends another scheduler a message, which may be lost.
+type SendToPeer struct {
+	Peer int
 	Text string
 }
 
-// Wake asks for Woken after a span, in place of what was asked for before.
-type Wake struct{ In dispatch.Time }
+// SetTimer asks for Woken after a span, in place of what was asked for before.
+type SetTimer struct{ Delay dispatch.Time }
 
-func (Push) effect()   {}
-func (Close) effect()  {}
-func (Probe) effect()  {}
-func (Answer) effect() {}
-func (Tell) effect()   {}
-func (Wake) effect()   {}
+func (Push) effect()          {}
+func (CancelAttempt) effect() {}
+func (Probe) effect()         {}
+func (Respond) effect()       {}
+func (SendToPeer) effect()    {}
+func (SetTimer) effect()      {}
 
 type worker struct {
 	name, addr    string
@@ -233,7 +233,7 @@
 // Reducer holds a scheduler's ops. All its state changes in Take.
 type Reducer struct {
 	d          *dispatch.Dispatcher
-	report     terms.Report
+	report     terms.ReportFormat
 	inline     bool
 	cancel     bool
 	categories map[string]int     // by name: the place of each at the module
@@ -257,14 +257,14 @@
 
 // New starts a reducer from a scheduler's seed and its site's terms.
 func New(seed uint64, site map[string]any) *Reducer {
-	r := &Reducer{d: dispatch.New(seed, site), report: terms.ReportOf(site), dropped: map[string]dropped{},
+	r := &Reducer{d: dispatch.New(seed, site), report: terms.ReportFormatOf(site), dropped: map[string]dropped{},
 		zones: map[string]int{}, kinds: map[string]int{}, tags: map[string]int{}, indices: map[string]int{},
 		live: map[uint64]int{}, probes: map[uint64]probe{}, ids: newTakenIDs()}
 	r.byKind = site["kinds"] == true
 	r.inline = site["report.how"] == "inline"
 	r.cancel = site["bounds.cancel"] == true
-	r.categories = named(namesOf(site), r.d.Categories(site))
-	for i, z := range terms.Row(site, "failureDomains") {
+	r.categories = named(namesOf(site), r.d.SetCategories(site))
+	for i, z := range terms.StringList(site, "failureDomains") {
 		r.zones[z] = i
 	}
 	return r
@@ -273,10 +273,10 @@
 // namesOf are the names of a site's categories, in their order; empty for one without.
 func namesOf(site map[string]any) (names []string) {
 	for i := 0; ; i++ {
-		if _, ok := site[terms.Item("categories", i, "ttl")]; !ok {
+		if _, ok := site[terms.ItemKey("categories", i, "ttl")]; !ok {
 			return names
 		}
-		name, _ := site[terms.Item("categories", i, "name")].(string)
+		name, _ := site[terms.ItemKey("categories", i, "name")].(string)
 		names = append(names, name)
 	}
 }
@@ -293,12 +293,12 @@
 }
 
 // retune takes up other categories. A place at the module is kept for those that are dropped for as long as each is served.
-func (r *Reducer) retune(now dispatch.Time, in Retuned) {
-	names := namesOf(in.Site)
+func (r *Reducer) retune(now dispatch.Time, in SettingsChanged) {
+	names := namesOf(in.Settings)
 	served := named(names, make([]int, len(names))) // the places come after those that are kept are told
 	for name, place := range r.categories {
 		if _, ok := served[name]; !ok {
-			r.dropped[name] = dropped{place, in.Until}
+			r.dropped[name] = dropped{place, in.RetainUntil}
 		}
 	}
 	for name := range served {
@@ -313,7 +313,7 @@
 			r.dropped[name] = dropped{-1, x.until}
 		}
 	}
-	r.categories = named(names, r.d.Categories(in.Site, kept...))
+	r.categories = named(names, r.d.SetCategories(in.Settings, kept...))
 }
 
 // forgetDropped keeps the last of those that were dropped: names without end would fill the memory.
@@ -338,71 +338,71 @@
 	return place, ok
 }
 
-// Watch has the module count what other terms would have had it decide otherwise.
-func (r *Reducer) Watch(terms map[string]any) { r.d.Watch(terms) }
+// SetShadowSettings has the module count what other terms would have had it decide otherwise.
+func (r *Reducer) SetShadowSettings(terms map[string]any) { r.d.SetShadowSettings(terms) }
 
-// Otherwise is what a watch has counted, by kind of decision.
-func (r *Reducer) Otherwise() (asked, chosen, spoken int) {
-	n := r.d.Otherwise()
-	return n[dispatch.Asked], n[dispatch.Chosen], n[dispatch.Spoken]
+// ShadowDivergence is what a watch has counted, by kind of decision.
+func (r *Reducer) ShadowDivergence() (asked, chosen, spoken int) {
+	n := r.d.ShadowDivergence()
+	return n[dispatch.ShadowedPair], n[dispatch.ShadowedPlacement], n[dispatch.ShadowedReport]
 }
 
-// Fleet is how many workers are in the list, and how many of them get nothing new, or in doubt only little.
-func (r *Reducer) Fleet(now dispatch.Time) (known, avoided int) {
+// WorkerCounts is how many workers are in the list, and how many of them get nothing new, or in doubt only little.
+func (r *Reducer) WorkerCounts(now dispatch.Time) (known, avoided int) {
 	for i, w := range r.workers {
 		if w.listed {
 			known++
-			avoided += stats.Bit(!w.ready || r.d.Doubted(i, now))
+			avoided += stats.Bit(!w.ready || r.d.Suspected(i, now))
 		}
 	}
 	return known, avoided
 }
 
-// Take tells the module of an input and returns what is to be done.
-func (r *Reducer) Take(now dispatch.Time, in Input) []Effect {
-	r.d.Clock(now)
+// Step tells the module of an input and returns what is to be done.
+func (r *Reducer) Step(now dispatch.Time, in Input) []Effect {
+	r.d.AdvanceClock(now)
 	var todo []Effect
 	switch in := in.(type) {
-	case Listed:
+	case EndpointsChanged:
 		todo = r.list(in)
-	case Arrived:
+	case OpArrived:
 		todo = r.arrive(now, in)
-	case Left:
+	case ClientDisconnected:
 		todo = r.leave(in.Op)
-	case Noted:
+	case AttemptProgressed:
 		if i, ok := r.live[in.Op]; ok {
-			r.d.Note(i, r.ops[i].legs-1, in.Started, in.Done)
+			r.d.AttemptProgress(i, r.ops[i].legs-1, in.Started, in.Done)
 		}
-	case Ended:
+	case AttemptEnded:
 		todo = r.end(now, in)
-	case Probed:
+	case ProbeEnded:
 		r.probed(now, in)
-	case Told:
-		if i, n, ok := terms.Unword(in.Text, r.tags); ok {
-			r.d.Told(in.By, i, n)
+	case PeerMessage:
+		if i, n, ok := terms.DecodePeerReport(in.Text, r.tags); ok {
+			r.d.PeerReport(in.Sender, i, n)
 		}
-	case Fell:
-		r.d.Fell(in.By)
-	case Came:
-		r.d.Came(in.Number)
-	case Retuned:
+	case PeerLost:
+		r.d.PeerLost(in.Peer)
+	case PeerJoined:
+		r.d.PeerJoined(in.Peer)
+	case SettingsChanged:
 		r.retune(now, in)
-	case Inherited:
+	case StateRestored:
 		r.inherit(in)
-	case Stopping:
-		todo = r.stop(now, in.By)
+	case ShutdownStarted:
+		todo = r.stop(now, in.Deadline)
 	}
 	return r.pull(now, todo)
 }
 
-func (r *Reducer) list(in Listed) (todo []Effect) {
-	if in.Whole {
-		r.d.ListWhole()
+func (r *Reducer) list(in EndpointsChanged) (todo []Effect) {
+	if in.Snapshot {
+		r.d.BeginSnapshot()
 		for i := range r.workers {
 			r.workers[i].listed, r.workers[i].ready = false, false
 		}
 	}
-	for _, e := range in.Entries {
+	for _, e := range in.Endpoints {
 		i, ok := r.indices[e.Worker]
 		if !ok {
 			i = r.index(e.Worker)
@@ -413,9 +413,9 @@
 			r.zones[e.Zone] = z
 		}
 		w := &r.workers[i]
-		w.group = Group{e.Zone, e.Cell}
-		w.addr, w.listed, w.ready = e.Addr, !e.Gone, e.Ready && e.Addr != ""
-		kind := e.Kind
+		w.group = Group{e.Zone, e.WorkerGroup}
+		w.addr, w.listed, w.ready = e.Addr, !e.Removed, e.Ready && e.Addr != ""
+		kind := e.MachineKind
 		if _, known := r.kinds[kind]; !r.byKind || !known && len(r.kinds) >= mostKinds {
 			kind = "" // what is not told apart is learned together
 		}
@@ -424,37 +424,37 @@
 			k = len(r.kinds)
 			r.kinds[kind] = k
 		}
-		r.d.Entry(i, z, e.Cell, w.ready, e.Since)
-		r.d.Mark(i, terms.Hash(e.Worker), k)
+		r.d.UpsertWorker(i, z, e.WorkerGroup, w.ready, e.StartedAt)
+		r.d.IdentifyWorker(i, terms.IdentityHash(e.Worker), k)
 	}
-	r.d.ListEnd()
+	r.d.EndUpdate()
 	r.forgetWorkers()
 	for i := range r.ops {
 		// A dial that outlasts the drain's grace must not end in a push.
 		if o := &r.ops[i]; o.out && !r.workers[o.worker].ready {
-			todo = append(todo, Close{Op: o.number, OnlyUnwritten: true, How: outcome.Unwritten})
+			todo = append(todo, CancelAttempt{Op: o.number, OnlyIfUnsent: true, Ending: outcome.CancelledUnsent})
 		}
 	}
 	return todo
 }
 
-func (r *Reducer) arrive(now dispatch.Time, in Arrived) []Effect {
+func (r *Reducer) arrive(now dispatch.Time, in OpArrived) []Effect {
 	cat, ok := r.place(now, in.Category)
 	if !ok {
 		verdict := UnknownCategory
 		if _, was := r.dropped[in.Category]; was {
 			verdict = Nacked // it was never pushed, and its client has done nothing wrong
 		}
-		return []Effect{Answer{Op: in.Op, Verdict: verdict}}
+		return []Effect{Respond{Op: in.Op, Verdict: verdict}}
 	}
-	if in.Effect != "" && in.Effect != r.d.Effect(cat) {
+	if in.Effect != "" && in.Effect != r.d.CategoryEffect(cat) {
 		// The settings changed between the door and here: it was asked for by one rule, and would be kept to another.
-		return []Effect{Answer{Op: in.Op, Verdict: Nacked}}
+		return []Effect{Respond{Op: in.Op, Verdict: Nacked}}
 	}
 	// A second push under one id is a second copy for its worker, also after the answer: the first may still run.
-	key := opkey.Of(in.ID)
+	key := opkey.FromID(in.ID)
 	if r.ids.taken(now, key) {
-		return []Effect{Answer{Op: in.Op, Verdict: TakenID}}
+		return []Effect{Respond{Op: in.Op, Verdict: DuplicateID}}
 	}
 	i := len(r.ops)
 	if n := len(r.free); n > 0 {
@@ -462,25 +462,25 @@
 	} else {
 		r.ops = append(r.ops, op{})
 	}
-	if !r.d.Op(i, cat, in.TTL, max(in.Slots, 1), in.Memory, in.Work) {
+	if !r.d.AddOp(i, cat, in.TTL, max(in.Slots, 1), in.Memory, in.Work) {
 		r.free = append(r.free, i)
-		return []Effect{Answer{Op: in.Op, Verdict: UnknownCategory}}
+		return []Effect{Respond{Op: in.Op, Verdict: UnknownCategory}}
 	}
-	if in.Key != 0 {
-		r.d.Key(i, in.Key)
+	if in.AffinityKey != 0 {
+		r.d.SetAffinityKey(i, in.AffinityKey)
 	}
-	if in.Ran != nil {
-		z, ok := r.zones[in.Ran.Zone]
+	if in.PriorAttempt != nil {
+		z, ok := r.zones[in.PriorAttempt.Zone]
 		if !ok {
 			z = -1
 		}
-		r.d.Ran(i, z, in.Ran.Cell, in.Ran.At)
+		r.d.SetPriorAttempt(i, z, in.PriorAttempt.WorkerGroup, in.PriorAttempt.StartedAt)
 	}
 	r.ops[i] = op{number: in.Op, id: key, ttl: in.TTL}
 	r.ids.hold(key)
 	r.live[in.Op] = i
 	if r.stopBy > 0 {
-		r.d.Stop(r.stopBy)
+		r.d.LimitDeadlines(r.stopBy)
 	}
 	return nil
 }
@@ -492,54 +492,54 @@
 	}
 	o := &r.ops[i]
 	o.answered = true
-	r.d.Left(i)
+	r.d.ClientDisconnected(i)
 	switch {
 	case o.out && r.cancel:
-		return []Effect{Close{Op: number, How: outcome.Withdrawn}}
+		return []Effect{CancelAttempt{Op: number, Ending: outcome.Cancelled}}
 	case o.out: // to keep back what is not written yet withdraws nothing: it is no cancel
-		return []Effect{Close{Op: number, OnlyUnwritten: true, How: outcome.Unwritten}}
+		return []Effect{CancelAttempt{Op: number, OnlyIfUnsent: true, Ending: outcome.CancelledUnsent}}
 	}
 	return nil
 }
 
-func (r *Reducer) end(now dispatch.Time, in Ended) (todo []Effect) {
+func (r *Reducer) end(now dispatch.Time, in AttemptEnded) (todo []Effect) {
 	i, ok := r.live[in.Op]
 	if !ok || !r.ops[i].out {
 		return nil
 	}
 	o := &r.ops[i]
 	o.out = false
-	how := in.How.Outcome()
-	if how == dispatch.Served && !o.answered {
+	how := in.Ending.Outcome()
+	if how == dispatch.Succeeded && !o.answered {
 		o.answered = true
-		todo = append(todo, Answer{Op: in.Op, Verdict: Acked, Result: in.Result})
+		todo = append(todo, Respond{Op: in.Op, Verdict: Acked, Result: in.Result})
 	}
 	elapsed := now - o.sentAt
-	r.d.Outcome(i, o.legs-1, how, elapsed, how == dispatch.Served)
-	if r.inline && len(in.Report) > 0 {
-		if load, err := r.report.Named(in.Report); err == nil {
-			r.d.Report(o.worker, elapsed, load)
+	r.d.AttemptEnded(i, o.legs-1, how, elapsed, how == dispatch.Succeeded)
+	if r.inline && len(in.LoadReport) > 0 {
+		if load, err := r.report.FromJSON(in.LoadReport); err == nil {
+			r.d.ProbeAnswered(o.worker, elapsed, load)
 		}
 	}
 	return todo
 }
 
-func (r *Reducer) probed(now dispatch.Time, in Probed) {
+func (r *Reducer) probed(now dispatch.Time, in ProbeEnded) {
 	p, ok := r.probes[in.Probe]
 	if !ok {
 		return
 	}
 	delete(r.probes, in.Probe)
-	how, elapsed := in.How.Outcome(), now-p.sentAt
-	if how == dispatch.Served {
-		load, err := r.report.Named(in.Report)
+	how, elapsed := in.Ending.Outcome(), now-p.sentAt
+	if how == dispatch.Succeeded {
+		load, err := r.report.FromJSON(in.LoadReport)
 		if err == nil {
-			r.d.Report(p.worker, elapsed, load)
+			r.d.ProbeAnswered(p.worker, elapsed, load)
 			return
 		}
-		how = dispatch.Errored
+		how = dispatch.Failed
 	}
-	r.d.Unanswered(p.worker, elapsed, how)
+	r.d.ProbeFailed(p.worker, elapsed, how)
 }
 
 // pull asks the module for its decisions until there is none.
@@ -547,16 +547,16 @@
 	for {
 		do, i, w, span := r.d.Next()
 		switch do {
-		case dispatch.Nothing:
+		case dispatch.NoDecision:
 			return todo
 		case dispatch.Push:
 			o := &r.ops[i]
 			o.worker, o.sentAt, o.out = w, now, true
-			todo = append(todo, Push{Op: o.number, Leg: o.legs, Worker: r.workers[w].name, Addr: r.workers[w].addr,
-				Within: span, Group: r.workers[w].group})
+			todo = append(todo, Push{Op: o.number, Attempt: o.legs, Worker: r.workers[w].name, Addr: r.workers[w].addr,
+				Timeout: span, Group: r.workers[w].group})
 			o.legs++
-		case dispatch.CallOff:
-			todo = append(todo, Close{Op: r.ops[i].number, How: outcome.Withdrawn})
+		case dispatch.CancelAttempt:
+			todo = append(todo, CancelAttempt{Op: r.ops[i].number, Ending: outcome.Cancelled})
 		case dispatch.Probe:
 			r.lastProbe++
 			r.probes[r.lastProbe] = probe{w, now}
@@ -569,12 +569,12 @@
 			}
 			if !o.answered {
 				o.answered = true
-				todo = append(todo, Answer{Op: o.number, Verdict: verdict, Pause: span, Why: r.d.Why()})
+				todo = append(todo, Respond{Op: o.number, Verdict: verdict, RetryAfter: span, Reason: r.d.LastRejection()})
 			}
-		case dispatch.Tell:
-			todo = append(todo, Tell{To: i, Text: terms.Word(r.workers[w].name, int(span))})
-		case dispatch.Wake:
-			todo = append(todo, Wake{span})
+		case dispatch.ReportToPeer:
+			todo = append(todo, SendToPeer{Peer: i, Text: terms.EncodePeerReport(r.workers[w].name, int(span))})
+		case dispatch.SetTimer:
+			todo = append(todo, SetTimer{span})
 		case dispatch.Forget:
 			delete(r.live, r.ops[i].number)
 			r.ids.release(now, r.ops[i].id, r.ops[i].ttl)
@@ -587,10 +587,10 @@
 // stop cuts short what is held. At the moment itself this side stops waiting for workers, as at a TTL.
 func (r *Reducer) stop(now, by dispatch.Time) (todo []Effect) {
 	r.stopBy = by
-	r.d.Stop(by)
+	r.d.LimitDeadlines(by)
 	for i := range r.ops {
 		if o := &r.ops[i]; o.out && now >= by {
-			todo = append(todo, Close{Op: o.number, How: outcome.Silent})
+			todo = append(todo, CancelAttempt{Op: o.number, Ending: outcome.TimedOut})
 		}
 	}
 	return todo
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -18,7 +18,7 @@
 		"categories.0.name": "look", "categories.0.ttl": 5.0, "categories.0.effect": "redeliverable",
 		"categories.0.targetLatency": float64(second), "categories.1.name": "pay", "categories.1.ttl": 5.0,
 		"categories.1.effect": "at-most-once", "categories.1.targetLatency": float64(second)})
-	r.Take(1, Listed{Whole: true, Entries: []Entry{
+	r.Step(1, EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{
 		{Worker: "w", Addr: "a:1", Zone: "new", Ready: true}, {Worker: "v", Addr: "a:2", Ready: true}}})
 	return r
 }
@@ -34,12 +34,12 @@
 }
 
 func arrive(r *Reducer, number uint64, category string) []Effect {
-	return r.Take(2, Arrived{Op: number, ID: fmt.Sprint(number), Category: category, TTL: 2 * second})
+	return r.Step(2, OpArrived{Op: number, ID: fmt.Sprint(number), Category: category, TTL: 2 * second})
 }
 
 func TestAnUnknownCategoryIsAnsweredAtOnce(t *testing.T) {
 	r := started()
-	if a, ok := first[Answer](arrive(r, 1, "none such")); !ok || a.Verdict != UnknownCategory || len(r.live) != 0 {
+	if a, ok := first[Respond](arrive(r, 1, "none such")); !ok || a.Verdict != UnknownCategory || len(r.live) != 0 {
 		t.Fatalf("%+v, %d live", a, len(r.live))
 	}
 }
@@ -48,7 +48,7 @@
 func TestAnIDThatIsTakenIsRefused(t *testing.T) {
 	r := started()
 	ask := func(now dispatch.Time, number uint64, id string) Verdict {
-		a, ok := first[Answer](r.Take(now, Arrived{Op: number, ID: id, Category: "look", TTL: now + second}))
+		a, ok := first[Respond](r.Step(now, OpArrived{Op: number, ID: id, Category: "look", TTL: now + second}))
 		if !ok {
 			return -1
 		}
@@ -57,33 +57,33 @@
 	if got := ask(2, 1, "a"); got != -1 {
 		t.Fatalf("a new id: %v", got)
 	}
-	if got := ask(3, 2, "a"); got != TakenID {
+	if got := ask(3, 2, "a"); got != DuplicateID {
 		t.Errorf("the id of an op that is out: %v", got)
 	}
-	r.Take(4, Ended{Op: 1, How: outcome.Done})
-	if got := ask(5, 3, "a"); got != TakenID {
+	r.Step(4, AttemptEnded{Op: 1, Ending: outcome.Done})
+	if got := ask(5, 3, "a"); got != DuplicateID {
 		t.Errorf("the id of an op that was answered a moment ago: %v", got)
 	}
 	for n := range uint64(3000) {
 		ask(10, 100+n, string(rune(n+1000)))
-		r.Take(10, Left{Op: 100 + n})
-		r.Take(10, Ended{Op: 100 + n, How: outcome.Withdrawn})
+		r.Step(10, ClientDisconnected{Op: 100 + n})
+		r.Step(10, AttemptEnded{Op: 100 + n, Ending: outcome.Cancelled})
 	}
 	if got := ask(3*second, 4, "a"); got != -1 {
 		t.Errorf("after its TTL: %v", got)
 	}
-	r.Take(3*second, Left{Op: 4})
-	if r.Take(3*second, Ended{Op: 4, How: outcome.Withdrawn}); len(r.live) > 0 || len(r.ids.by) > 4096 {
+	r.Step(3*second, ClientDisconnected{Op: 4})
+	if r.Step(3*second, AttemptEnded{Op: 4, Ending: outcome.Cancelled}); len(r.live) > 0 || len(r.ids.by) > 4096 {
 		t.Errorf("%d ids, %d ops", len(r.ids.by), len(r.live))
 	}
 }
 
 func TestAPushThatMayHaveRunIsNoNack(t *testing.T) {
 	for how, want := range map[outcome.Ending]Verdict{outcome.Reset: DeadLettered, outcome.Unknown: DeadLettered,
-		outcome.Silent: DeadLettered, outcome.Done: Acked} {
+		outcome.TimedOut: DeadLettered, outcome.Done: Acked} {
 		r := started()
 		arrive(r, 1, "pay")
-		a, ok := first[Answer](r.Take(3, Ended{Op: 1, How: how}))
+		a, ok := first[Respond](r.Step(3, AttemptEnded{Op: 1, Ending: how}))
 		if !ok || a.Verdict != want || len(r.live) != 0 {
 			t.Errorf("%v: %+v, %d live", how, a, len(r.live))
 		}
@@ -93,12 +93,12 @@
 func TestNoDialOutlastsADrain(t *testing.T) {
 	r := started()
 	p, _ := first[Push](arrive(r, 1, "look"))
-	todo := r.Take(3, Listed{Entries: []Entry{{Worker: p.Worker, Addr: p.Addr}}})
-	if c, ok := first[Close](todo); !ok || !c.OnlyUnwritten {
+	todo := r.Step(3, EndpointsChanged{Endpoints: []Endpoint{{Worker: p.Worker, Addr: p.Addr}}})
+	if c, ok := first[CancelAttempt](todo); !ok || !c.OnlyIfUnsent {
 		t.Fatalf("drained, and the push may still be written: %+v", todo)
 	}
-	again, ok := first[Push](r.Take(4, Ended{Op: 1, How: outcome.Unwritten}))
-	if !ok || again.Worker == p.Worker || again.Leg != 1 {
+	again, ok := first[Push](r.Step(4, AttemptEnded{Op: 1, Ending: outcome.CancelledUnsent}))
+	if !ok || again.Worker == p.Worker || again.Attempt != 1 {
 		t.Fatalf("the op that was never written is not pushed elsewhere: %+v", again)
 	}
 }
@@ -111,23 +111,23 @@
 		"categories.0.name": "look", "categories.0.ttl": 5.0, "categories.0.effect": "redeliverable",
 		"categories.0.targetLatency": float64(second)}
 	r.d = dispatch.New(7, site)
-	r.Take(1, Listed{Whole: true, Entries: []Entry{{Worker: "w", Addr: "a:1", Ready: true},
+	r.Step(1, EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{Worker: "w", Addr: "a:1", Ready: true},
 		{Worker: "v", Addr: "a:2", Ready: true}}})
 	p, _ := first[Push](arrive(r, 1, "look"))
 	for n := uint64(2); n < 12; n++ { // starts that say how long a start takes here
 		arrive(r, n, "look")
-		r.Take(3, Noted{Op: n, Started: true})
-		r.Take(3, Ended{Op: n, How: outcome.Done})
+		r.Step(3, AttemptProgressed{Op: n, Started: true})
+		r.Step(3, AttemptEnded{Op: n, Ending: outcome.Done})
 	}
-	r.Take(3, Noted{Op: 1, Started: true})
-	todo := r.Take(304, Woken{})
-	if c, ok := first[Close](todo); !ok || c.OnlyUnwritten || c.How != outcome.Withdrawn {
+	r.Step(3, AttemptProgressed{Op: 1, Started: true})
+	todo := r.Step(304, TimerFired{})
+	if c, ok := first[CancelAttempt](todo); !ok || c.OnlyIfUnsent || c.Ending != outcome.Cancelled {
 		t.Fatalf("not closed: %+v", todo)
 	}
 	if _, ok := first[Push](todo); ok {
 		t.Fatal("pushed again before the end is told")
 	}
-	if again, ok := first[Push](r.Take(305, Ended{Op: 1, How: outcome.Withdrawn})); !ok || again.Worker == p.Worker {
+	if again, ok := first[Push](r.Step(305, AttemptEnded{Op: 1, Ending: outcome.Cancelled})); !ok || again.Worker == p.Worker {
 		t.Fatalf("not pushed elsewhere: %+v", again)
 	}
 }
@@ -135,10 +135,10 @@
 func TestAClientThatLeftGetsNothingMore(t *testing.T) {
 	r := started()
 	arrive(r, 1, "look")
-	if c, ok := first[Close](r.Take(3, Left{Op: 1})); !ok || c.OnlyUnwritten {
+	if c, ok := first[CancelAttempt](r.Step(3, ClientDisconnected{Op: 1})); !ok || c.OnlyIfUnsent {
 		t.Fatal("the push for nobody is not closed")
 	}
-	if todo := r.Take(4, Ended{Op: 1, How: outcome.Withdrawn}); len(todo) > 0 || len(r.live) > 0 {
+	if todo := r.Step(4, AttemptEnded{Op: 1, Ending: outcome.Cancelled}); len(todo) > 0 || len(r.live) > 0 {
 		t.Fatalf("%+v, %d live", todo, len(r.live))
 	}
 }
@@ -146,12 +146,12 @@
 func TestAnUnreadableReportIsNoAnswerToAProbe(t *testing.T) {
 	r := New(7, map[string]any{"bounds.probes": true, "bounds.maxPushes": 3.0, "categories.0.name": "look",
 		"categories.0.ttl": 5.0, "categories.0.effect": "redeliverable", "categories.0.targetLatency": 9e3})
-	r.Take(1, Listed{Whole: true, Entries: []Entry{{Worker: "w", Addr: "a:1", Ready: true}}})
+	r.Step(1, EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{Worker: "w", Addr: "a:1", Ready: true}}})
 	p, ok := first[Probe](arrive(r, 1, "look"))
 	if !ok {
 		t.Fatal("no probe")
 	}
-	if _, ok := first[Push](r.Take(3, Probed{Probe: p.Probe, How: outcome.Done, Report: []byte(`{"busy`)})); !ok {
+	if _, ok := first[Push](r.Step(3, ProbeEnded{Probe: p.Probe, Ending: outcome.Done, LoadReport: []byte(`{"busy`)})); !ok {
 		t.Fatal("the op waits on for a probe that has failed")
 	}
 }
@@ -160,16 +160,16 @@
 	r := started()
 	arrive(r, 1, "pay")
 	by := second / 2
-	if todo := r.Take(3, Stopping{By: by}); len(todo) > 0 {
+	if todo := r.Step(3, ShutdownStarted{Deadline: by}); len(todo) > 0 {
 		t.Fatalf("closed at once: %+v", todo)
 	}
 	if _, ok := first[Push](arrive(r, 2, "look")); !ok {
 		t.Fatal("an op that came after the word to stop is not pushed")
 	}
-	if c, ok := first[Close](r.Take(by, Stopping{By: by})); !ok || c.How != outcome.Silent {
+	if c, ok := first[CancelAttempt](r.Step(by, ShutdownStarted{Deadline: by})); !ok || c.Ending != outcome.TimedOut {
 		t.Fatal("the silent push is not closed")
 	}
-	if a, ok := first[Answer](r.Take(by, Ended{Op: 1, How: outcome.Silent})); !ok || a.Verdict != DeadLettered {
+	if a, ok := first[Respond](r.Step(by, AttemptEnded{Op: 1, Ending: outcome.TimedOut})); !ok || a.Verdict != DeadLettered {
 		t.Fatal("no answer")
 	}
 }
@@ -186,7 +186,7 @@
 				case Push:
 					sound = sound && !out[e.Op] && answered[e.Op] == 0 && !left[e.Op]
 					out[e.Op] = true
-				case Answer:
+				case Respond:
 					answered[e.Op]++
 					sound = sound && answered[e.Op] == 1 && !left[e.Op]
 				}
@@ -198,30 +198,30 @@
 			switch n := uint64(chance.Intn(int(last) + 1)); chance.Intn(6) {
 			case 0, 1:
 				last++
-				carry(r.Take(now, Arrived{Op: last, ID: fmt.Sprint(last), Category: []string{"look", "pay"}[chance.Intn(2)],
+				carry(r.Step(now, OpArrived{Op: last, ID: fmt.Sprint(last), Category: []string{"look", "pay"}[chance.Intn(2)],
 					TTL: now + dispatch.Time(chance.Intn(int(second)))}))
 			case 2:
 				if n > 0 && answered[n] == 0 {
 					left[n] = true
 				}
-				carry(r.Take(now, Left{Op: n}))
+				carry(r.Step(now, ClientDisconnected{Op: n}))
 			case 3, 4:
 				if out[n] {
 					out[n] = false
-					carry(r.Take(now, Ended{Op: n, How: outcome.Ending(chance.Intn(20) - 1)}))
+					carry(r.Step(now, AttemptEnded{Op: n, Ending: outcome.Ending(chance.Intn(20) - 1)}))
 				}
 			case 5:
-				carry(r.Take(now, Listed{Entries: []Entry{{Worker: "w", Addr: "a:1", Ready: chance.Intn(2) == 0}}}))
+				carry(r.Step(now, EndpointsChanged{Endpoints: []Endpoint{{Worker: "w", Addr: "a:1", Ready: chance.Intn(2) == 0}}}))
 			}
 		}
 		now += 2 * second
 		for n := uint64(1); n <= last; n++ {
 			if out[n] {
 				out[n] = false
-				carry(r.Take(now, Ended{Op: n, How: outcome.Silent}))
+				carry(r.Step(now, AttemptEnded{Op: n, Ending: outcome.TimedOut}))
 			}
 		}
-		carry(r.Take(now, Woken{}))
+		carry(r.Step(now, TimerFired{}))
 		for n := uint64(1); n <= last; n++ {
 			sound = sound && (left[n] || answered[n] == 1)
 		}
@@ -236,12 +236,12 @@
 func TestKindsAreToldApartOnlyWhereSwitchedOn(t *testing.T) {
 	for _, on := range []bool{false, true} {
 		r := New(1, map[string]any{"kinds": on})
-		r.Take(1, Listed{Whole: true, Entries: []Entry{{Worker: "a", Kind: "x", Ready: true}, {Worker: "b", Kind: "y"}}})
+		r.Step(1, EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{Worker: "a", MachineKind: "x", Ready: true}, {Worker: "b", MachineKind: "y"}}})
 		if n := len(r.kinds); n != 1 && !on || n != 2 && on {
 			t.Errorf("switched on: %v, kinds: %d", on, n)
 		}
 		for i := range 2 * mostKinds {
-			r.Take(1, Listed{Entries: []Entry{{Worker: fmt.Sprint(i), Kind: fmt.Sprint(i)}}})
+			r.Step(1, EndpointsChanged{Endpoints: []Endpoint{{Worker: fmt.Sprint(i), MachineKind: fmt.Sprint(i)}}})
 		}
 		if n := len(r.kinds); n > mostKinds+1 {
 			t.Errorf("%d kinds are kept", n)
@@ -252,7 +252,7 @@
 // Clients go on with a category that was dropped until they know, and their ops failed; and a new one was unknown.
 func TestADroppedCategoryIsServedForAWhile(t *testing.T) {
 	r := started()
-	r.Take(2, Retuned{Until: 2 + second, Site: map[string]any{"bounds.maxPushes": 1.0, "categories.0.name": "look",
+	r.Step(2, SettingsChanged{RetainUntil: 2 + second, Settings: map[string]any{"bounds.maxPushes": 1.0, "categories.0.name": "look",
 		"categories.0.ttl": 5.0, "categories.0.effect": "redeliverable", "categories.0.targetLatency": float64(second),
 		"categories.1.name": "pay-2", "categories.1.ttl": 5.0, "categories.1.effect": "redeliverable",
 		"categories.1.targetLatency": float64(second)}})
@@ -262,22 +262,22 @@
 		served   bool
 	}{{"pay", 2, true}, {"pay-2", 2, true}, {"look", 2, true}, {"pay", 2 + second, true}, {"pay", 3 + second, false},
 		{"pay-2", 3 + second, true}} {
-		todo := r.Take(c.at, Arrived{Op: uint64(number), ID: fmt.Sprint(number), Category: c.category, TTL: c.at + 5*second})
+		todo := r.Step(c.at, OpArrived{Op: uint64(number), ID: fmt.Sprint(number), Category: c.category, TTL: c.at + 5*second})
 		if _, pushed := first[Push](todo); pushed != c.served {
 			t.Errorf("%s at %d: %v", c.category, c.at, todo)
 		}
 		// What broke may have run: by the old rules pay is never pushed again, by the new ones no op is.
-		todo = r.Take(c.at, Ended{Op: uint64(number), How: outcome.Reset})
+		todo = r.Step(c.at, AttemptEnded{Op: uint64(number), Ending: outcome.Reset})
 		if push, again := first[Push](todo); again {
 			t.Errorf("%s is pushed again: %+v", c.category, push)
 		}
-		if a, _ := first[Answer](todo); c.served && (a.Verdict == DeadLettered) != (c.category == "pay") {
+		if a, _ := first[Respond](todo); c.served && (a.Verdict == DeadLettered) != (c.category == "pay") {
 			t.Errorf("%s: %v", c.category, a.Verdict)
 		}
 	}
 	for category, want := range map[string]Verdict{"pay": Nacked, "never": UnknownCategory} {
-		todo := r.Take(3+second, Arrived{Op: 99, ID: "99", Category: category, TTL: 9 * second})
-		if a, _ := first[Answer](todo); a.Verdict != want {
+		todo := r.Step(3+second, OpArrived{Op: 99, ID: "99", Category: category, TTL: 9 * second})
+		if a, _ := first[Respond](todo); a.Verdict != want {
 			t.Errorf("%s after the while: %v, want %v", category, a.Verdict, want)
 		}
 	}
