--- a/internal/oserror/oserror.go
+++ b/internal/oserror/oserror.go
@@ -15,47 +15,47 @@
 
 // The kinds of errors.
 const (
-	Unknown    Kind = iota // nothing that is known
-	Moment                 // the call was interrupted, or found nothing to do: it may be made again at once
-	Descriptor             // this machine or process has no descriptor left
-	Machine                // this machine lacks something else: memory, buffers, addresses, permission
-	Peer                   // the other side, or the way to it
-	Closed                 // this side has closed
+	Unknown              Kind = iota // nothing that is known
+	Transient                        // the call was interrupted, or found nothing to do: it may be made again at once
+	DescriptorsExhausted             // this machine or process has no descriptor left
+	ResourceExhausted                // this machine lacks something else: memory, buffers, addresses, permission
+	PeerError                        // the other side, or the way to it
+	Closed                           // this side has closed
 )
 
 var kinds = map[syscall.Errno]Kind{
-	syscall.EINTR:  Moment,
-	syscall.EAGAIN: Moment,
-
-	syscall.EMFILE: Descriptor,
-	syscall.ENFILE: Descriptor,
-
-	syscall.ENOBUFS:       Machine,
-	syscall.ENOMEM:        Machine,
-	syscall.ENOSPC:        Machine, // of epoll: no further descriptor can be watched
-	syscall.ENOSR:         Machine,
-	syscall.EADDRNOTAVAIL: Machine, // no local port is left
-	syscall.EADDRINUSE:    Machine,
-	syscall.EPERM:         Machine, // the machine's own packet filter
-	syscall.EACCES:        Machine,
-	syscall.ENETDOWN:      Machine,
-
-	syscall.ECONNREFUSED: Peer,
-	syscall.ECONNRESET:   Peer,
-	syscall.ECONNABORTED: Peer,
-	syscall.EPIPE:        Peer,
-	syscall.ETIMEDOUT:    Peer,
-	syscall.EHOSTUNREACH: Peer,
-	syscall.EHOSTDOWN:    Peer,
-	syscall.ENETUNREACH:  Peer,
-	syscall.ENETRESET:    Peer,
-	syscall.ESHUTDOWN:    Peer,
-	syscall.ENOTCONN:     Peer,
-	syscall.EPROTO:       Peer,
+	syscall.EINTR:  Transient,
+	syscall.EAGAIN: Transient,
+
+	syscall.EMFILE: DescriptorsExhausted,
+	syscall.ENFILE: DescriptorsExhausted,
+
+	syscall.ENOBUFS:       ResourceExhausted,
+	syscall.ENOMEM:        ResourceExhausted,
+	syscall.ENOSPC:        ResourceExhausted, // of epoll: no further descriptor can be watched
+	syscall.ENOSR:         ResourceExhausted,
+	syscall.EADDRNOTAVAIL: ResourceExhausted, // no local port is left
+	syscall.EADDRINUSE:    ResourceExhausted,
+	syscall.EPERM:         ResourceExhausted, // the machine's own packet filter
+	syscall.EACCES:        ResourceExhausted,
+	syscall.ENETDOWN:      ResourceExhausted,
+
+	syscall.ECONNREFUSED: PeerError,
+	syscall.ECONNRESET:   PeerError,
+	syscall.ECONNABORTED: PeerError,
+	syscall.EPIPE:        PeerError,
+	syscall.ETIMEDOUT:    PeerError,
+	syscall.EHOSTUNREACH: PeerError,
+	syscall.EHOSTDOWN:    PeerError,
+	syscall.ENETUNREACH:  PeerError,
+	syscall.ENETRESET:    PeerError,
+	syscall.ESHUTDOWN:    PeerError,
+	syscall.ENOTCONN:     PeerError,
+	syscall.EPROTO:       PeerError,
 }
 
-// Of is what an error tells of.
-func Of(err error) Kind {
+// Classify is what an error tells of.
+func Classify(err error) Kind {
 	if errors.Is(err, net.ErrClosed) {
 		return Closed
 	}
@@ -66,10 +66,10 @@
 	return Unknown
 }
 
-// Here tells whether an error is a shortage of this machine that may be over in a moment.
-func Here(err error) bool {
-	kind := Of(err)
-	return kind == Descriptor || kind == Machine
+// IsLocal tells whether an error is a shortage of this machine that may be over in a moment.
+func IsLocal(err error) bool {
+	kind := Classify(err)
+	return kind == DescriptorsExhausted || kind == ResourceExhausted
 }
 
 // shortages are the errors beside those of descriptors that a start and a reread wait out: of memory and buffers, and a disk's that may be
@@ -78,28 +78,28 @@
 
 // Short tells whether an error is a shortage that may be over soon. A port that another process has, or that this one may not take, is none.
 func Short(err error) bool {
-	return Of(err) == Descriptor || slices.ContainsFunc(shortages, func(short error) bool { return errors.Is(err, short) })
+	return Classify(err) == DescriptorsExhausted || slices.ContainsFunc(shortages, func(short error) bool { return errors.Is(err, short) })
 }
 
 // startTime is how long a start waits for what the machine is short of.
 const startTime = 10 * time.Second
 
-// Outlast tries what a start needs, and again while the machine is short of something, for ten seconds at most.
-func Outlast[T any](try func() (T, error)) (T, error) {
+// RetryTransient tries what a start needs, and again while the machine is short of something, for ten seconds at most.
+func RetryTransient[T any](try func() (T, error)) (T, error) {
 	until := time.Now().Add(startTime)
 	for failures := 1; ; failures++ {
 		x, err := try()
 		if err == nil || !Short(err) || time.Now().After(until) {
 			return x, err
 		}
-		time.Sleep(Pause(failures))
+		time.Sleep(Backoff(failures))
 	}
 }
 
-// Useless tells whether a listening socket will never accept again. Linux hands on by accept whatever lies on the new connection, so any
+// IsPermanent tells whether a listening socket will never accept again. Linux hands on by accept whatever lies on the new connection, so any
 // other error is one connection's, or the machine's for a moment.
-func Useless(err error) bool {
-	if Of(err) == Closed {
+func IsPermanent(err error) bool {
+	if Classify(err) == Closed {
 		return true
 	}
 	var errno syscall.Errno
@@ -115,8 +115,8 @@
 	mostTries  = 60 // of one read or write: about five seconds
 )
 
-// Pause is how long to wait after so many failures in a row, 1 for the first one: a failure that lasts must not be a spin.
-func Pause(failures int) time.Duration {
+// Backoff is how long to wait after so many failures in a row, 1 for the first one: a failure that lasts must not be a spin.
+func Backoff(failures int) time.Duration {
 	return min(firstPause<<min(max(failures-1, 0), 10), mostPause)
 }
 
@@ -124,10 +124,10 @@
 func Read(read func([]byte) (int, error), b []byte) (int, error) {
 	for tries := 1; ; tries++ {
 		n, err := read(b)
-		if n > 0 || err == nil || !Here(err) || tries == mostTries {
+		if n > 0 || err == nil || !IsLocal(err) || tries == mostTries {
 			return n, err
 		}
-		time.Sleep(Pause(tries))
+		time.Sleep(Backoff(tries))
 	}
 }
 
@@ -138,9 +138,9 @@
 		if n > 0 {
 			written, tries = written+n, 1
 		}
-		if err == nil || !Here(err) || tries == mostTries {
+		if err == nil || !IsLocal(err) || tries == mostTries {
 			return written, err
 		}
-		time.Sleep(Pause(tries))
+		time.Sleep(Backoff(tries))
 	}
 }
--- a/internal/oserror/oserror_test.go
+++ b/internal/oserror/oserror_test.go
@@ -19,12 +19,12 @@
 func TestWhichErrorsEndAccepting(t *testing.T) {
 	for errno := syscall.Errno(1); errno < 134; errno++ {
 		want := errno == syscall.EBADF || errno == syscall.EINVAL || errno == syscall.ENOTSOCK || errno == syscall.EFAULT
-		if got := Useless(wrapped(errno)); got != want {
+		if got := IsPermanent(wrapped(errno)); got != want {
 			t.Errorf("%v: %v", errno, got)
 		}
 	}
 	for _, err := range []error{net.ErrClosed, fmt.Errorf("serving: %w", net.ErrClosed), errors.New("of some other kind")} {
-		if !Useless(err) {
+		if !IsPermanent(err) {
 			t.Errorf("%v", err)
 		}
 	}
@@ -32,17 +32,17 @@
 
 // What this machine lacks is no worker's fault and no client's leaving; what the other side did is.
 func TestWhoAnErrorTellsOf(t *testing.T) {
-	for errno, want := range map[syscall.Errno]Kind{syscall.EINTR: Moment, syscall.EMFILE: Descriptor, syscall.ENFILE: Descriptor,
-		syscall.ENOBUFS: Machine, syscall.ENOMEM: Machine, syscall.EADDRNOTAVAIL: Machine, syscall.ENOSPC: Machine, syscall.ECONNRESET: Peer,
-		syscall.ETIMEDOUT: Peer, syscall.EHOSTUNREACH: Peer, syscall.EPIPE: Peer, syscall.ENETUNREACH: Peer, syscall.EBADF: Unknown} {
-		if got := Of(wrapped(errno)); got != want {
+	for errno, want := range map[syscall.Errno]Kind{syscall.EINTR: Transient, syscall.EMFILE: DescriptorsExhausted, syscall.ENFILE: DescriptorsExhausted,
+		syscall.ENOBUFS: ResourceExhausted, syscall.ENOMEM: ResourceExhausted, syscall.EADDRNOTAVAIL: ResourceExhausted, syscall.ENOSPC: ResourceExhausted, syscall.ECONNRESET: PeerError,
+		syscall.ETIMEDOUT: PeerError, syscall.EHOSTUNREACH: PeerError, syscall.EPIPE: PeerError, syscall.ENETUNREACH: PeerError, syscall.EBADF: Unknown} {
+		if got := Classify(wrapped(errno)); got != want {
 			t.Errorf("%v: %v, want %v", errno, got, want)
 		}
-		if got := Here(wrapped(errno)); got != (want == Machine || want == Descriptor) {
+		if got := IsLocal(wrapped(errno)); got != (want == ResourceExhausted || want == DescriptorsExhausted) {
 			t.Errorf("%v: %v", errno, got)
 		}
 	}
-	if Of(io.EOF) != Unknown || Of(&net.OpError{Err: net.ErrClosed}) != Closed {
+	if Classify(io.EOF) != Unknown || Classify(&net.OpError{Err: net.ErrClosed}) != Closed {
 		t.Error("an end, or a close")
 	}
 }
@@ -81,7 +81,7 @@
 // What a start needs is waited for while the machine is short of it; what is wrong stays wrong at once.
 func TestAStartWaitsForWhatIsShort(t *testing.T) {
 	calls := 0
-	x, err := Outlast(func() (string, error) {
+	x, err := RetryTransient(func() (string, error) {
 		if calls++; calls < 4 {
 			return "", wrapped([]syscall.Errno{0, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}[calls])
 		}
@@ -92,7 +92,7 @@
 	}
 	for _, errno := range []syscall.Errno{syscall.EADDRINUSE, syscall.EACCES, syscall.EADDRNOTAVAIL, syscall.EINVAL} {
 		calls = 0
-		if _, err := Outlast(func() (int, error) { calls++; return 0, wrapped(errno) }); calls != 1 || !errors.Is(err, errno) {
+		if _, err := RetryTransient(func() (int, error) { calls++; return 0, wrapped(errno) }); calls != 1 || !errors.Is(err, errno) {
 			t.Errorf("%v: %v after %d calls", errno, err, calls)
 		}
 	}
@@ -101,7 +101,7 @@
 func TestPausesGrowAndAreBounded(t *testing.T) {
 	last := time.Duration(0)
 	for k := range 100 {
-		p := Pause(k)
+		p := Backoff(k)
 		if p < last || p < firstPause || p > mostPause {
 			t.Errorf("%d: %v after %v", k, p, last)
 		}
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -9,27 +9,27 @@
 
 // The zero value is no ending at all, and proves nothing.
 const (
-	Unknown      Ending = iota
-	Done                // the last line was "done", or a probe was answered
-	Failed              // the last line was "failed"
-	Lost                // the last line was "lost": the job was killed
-	Returned            // the last line was "returned", unstarted
-	TurnedAway          // 503 or 504 that says the op was not processed, or a probe's 503
-	Rejected            // a status that says that the request is at fault
-	ServerError         // any other status
-	NoDescriptor        // no descriptor was left for a connection
-	NoResource          // this machine lacked something else for one, such as a local port or memory
-	ConnRefused         // the worker's machine refused the connection
-	NeverUp             // the connection did not come up in time
-	DialFailed          // it failed to come up in any other way
-	PartWritten         // it broke before the last byte was written
-	Reset               // it broke after that
-	EndedEarly          // it ended before the last line
-	Garbled             // what came back is no answer, or another op's
-	Silent              // nothing more came until the time-out
-	Withdrawn           // this side closed it
-	Unwritten           // this side closed it before a byte was written
-	known               // one more than the last
+	Unknown         Ending = iota
+	Done                   // the last line was "done", or a probe was answered
+	Failed                 // the last line was "failed"
+	JobKilled              // the last line was "lost": the job was killed
+	Returned               // the last line was "returned", unstarted
+	Shed                   // 503 or 504 that says the op was not processed, or a probe's 503
+	Rejected               // a status that says that the request is at fault
+	ServerError            // any other status
+	NoDescriptor           // no descriptor was left for a connection
+	NoResource             // this machine lacked something else for one, such as a local port or memory
+	ConnRefused            // the worker's machine refused the connection
+	DialTimedOut           // the connection did not come up in time
+	DialFailed             // it failed to come up in any other way
+	PartiallySent          // it broke before the last byte was written
+	Reset                  // it broke after that
+	EndedEarly             // it ended before the last line
+	Malformed              // what came back is no answer, or another op's
+	TimedOut               // nothing more came until the time-out
+	Cancelled              // this side closed it
+	CancelledUnsent        // this side closed it before a byte was written
+	known                  // one more than the last
 )
 
 var names = [known]string{"unknown", "done", "failed", "lost", "returned", "turned-away", "rejected",
@@ -46,7 +46,7 @@
 // NeverRan tells whether an ending proves that its push ran nowhere.
 func (e Ending) NeverRan() bool {
 	switch e.Outcome() {
-	case dispatch.Refused, dispatch.Unreached, dispatch.Unsent, dispatch.Unable:
+	case dispatch.Rejected, dispatch.Unreachable, dispatch.NotSent, dispatch.LocalExhaustion:
 		return true
 	}
 	return false
@@ -56,23 +56,23 @@
 func (e Ending) Outcome() dispatch.Outcome {
 	switch e {
 	case Done:
-		return dispatch.Served
-	case Returned, TurnedAway:
-		return dispatch.Refused
-	case ConnRefused, NeverUp, DialFailed, PartWritten:
-		return dispatch.Unreached
+		return dispatch.Succeeded
+	case Returned, Shed:
+		return dispatch.Rejected
+	case ConnRefused, DialTimedOut, DialFailed, PartiallySent:
+		return dispatch.Unreachable
 	case NoDescriptor, NoResource:
-		return dispatch.Unable
-	case Unwritten:
-		return dispatch.Unsent
-	case Lost, Reset, EndedEarly, Garbled:
-		return dispatch.Broke
-	case Silent:
+		return dispatch.LocalExhaustion
+	case CancelledUnsent:
+		return dispatch.NotSent
+	case JobKilled, Reset, EndedEarly, Malformed:
+		return dispatch.ConnectionLost
+	case TimedOut:
 		return dispatch.TimedOut
-	case Withdrawn:
-		return dispatch.Withdrawn
+	case Cancelled:
+		return dispatch.Cancelled
 	case Rejected:
-		return dispatch.Unfit
+		return dispatch.InvalidRequest
 	}
-	return dispatch.Errored
+	return dispatch.Failed
 }
--- a/internal/roster/bench_test.go
+++ b/internal/roster/bench_test.go
@@ -26,8 +26,8 @@
 				if err := json.Unmarshal(text, &m); err != nil {
 					b.Fatal(err)
 				}
-				if in := m.Listed(unknown()); len(in.Entries) != workers {
-					b.Fatal(len(in.Entries))
+				if in := m.EndpointsChanged(unknown()); len(in.Endpoints) != workers {
+					b.Fatal(len(in.Endpoints))
 				}
 			}
 			b.ReportMetric(float64(len(text))/float64(workers), "list-B/worker")
--- a/internal/roster/crowd_test.go
+++ b/internal/roster/crowd_test.go
@@ -57,7 +57,7 @@
 }
 
 func (r returns) play() (out returned) {
-	s := SpansOf(false, r.schedulers, r.grace)
+	s := TimeoutsFor(false, r.schedulers, r.grace)
 	var all callers
 	for i := range r.schedulers {
 		c := &caller{chance: rand.New(rand.NewPCG(r.seed<<32+uint64(i), 0))}
@@ -125,7 +125,7 @@
 				"503 for 2 min":  {back: 2 * time.Minute, down: turned},
 			} {
 				for r.seed = range uint64(3) {
-					period := SpansOf(false, schedulers, grace).Turned
+					period := TimeoutsFor(false, schedulers, grace).Turned
 					r.schedulers, r.grace, r.rate = schedulers, grace, float64(schedulers)/3+10
 					out := r.play()
 					down, most := out.rates()
@@ -190,7 +190,7 @@
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n0\r\n\r\n", len(text)+1, text)
 		}()
 		began, took, told := time.Now(), time.Duration(0), 0
-		r := New(l.Addr().String(), Message{Rev: 999_999_999}, lone, 7, unknown(), func(in ops.Input) { took, told = time.Since(began), len(in.(ops.Listed).Entries) }, zerolog.Nop())
+		r := New(l.Addr().String(), Message{Rev: 999_999_999}, lone, 7, unknown(), func(in ops.Input) { took, told = time.Since(began), len(in.(ops.EndpointsChanged).Endpoints) }, zerolog.Nop())
 		r.watch(context.Background())
 		l.Close()
 		if head := <-asked; len(head) > 200 {
--- a/internal/roster/ends_test.go
+++ b/internal/roster/ends_test.go
@@ -120,7 +120,7 @@
 				t.Run(fmt.Sprint(name, " ", grace, " ", schedulers), func(t *testing.T) {
 					worst, seed := time.Duration(0), uint64(0)
 					for k := range uint64(12) {
-						if late := applied(t, k, SpansOf(true, schedulers, grace), x.how) - x.told; late > worst {
+						if late := applied(t, k, TimeoutsFor(true, schedulers, grace), x.how) - x.told; late > worst {
 							worst, seed = late, k
 						}
 					}
@@ -134,7 +134,7 @@
 }
 
 // applied is when the list was applied, from the first call on, or from the start where that is the question.
-func applied(t *testing.T, seed uint64, spans Spans, how func(int, time.Duration) way) (after time.Duration) {
+func applied(t *testing.T, seed uint64, spans Timeouts, how func(int, time.Duration) way) (after time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
@@ -143,7 +143,7 @@
 		at := make(chan time.Time, 99)
 		r := New("discovery", Message{}, spans, seed, unknown(), func(ops.Input) { at <- time.Now() }, zerolog.Nop())
 		r.client.Transport.(*http.Transport).DialContext = a.dial
-		go r.Keep(ctx)
+		go r.Run(ctx)
 		got := <-at
 		a.mu.Lock()
 		if after = got.Sub(a.from); len(a.calls) > 1 && how(1, 0) != hangs && how(1, 0) != reset && how(1, 0) != turned {
@@ -161,12 +161,12 @@
 func TestAnIndentedListIsReadWhole(t *testing.T) {
 	addr, _ := discovery(t, "\n{\n  \"rev\": 44,\n\n  \"all\": true,\n  \"targets\": [\n    {\"uid\": \"w\",\n     \"endpoint\": \"a:1\",\n"+
 		"     \"state\": \"SERVING\"}\n  ]\n}\n\n{\"rev\":45,\n\"all\":false,\n\"targets\":[\n]}{\"rev\":46,\"all\":false,\"targets\":[]}\n")
-	var told []ops.Listed
-	r := New(addr, Message{Rev: 1}, lone, 7, unknown(), func(in ops.Input) { told = append(told, in.(ops.Listed)) }, zerolog.Nop())
+	var told []ops.EndpointsChanged
+	r := New(addr, Message{Rev: 1}, lone, 7, unknown(), func(in ops.Input) { told = append(told, in.(ops.EndpointsChanged)) }, zerolog.Nop())
 	if _, err := r.watch(context.Background()); err == nil {
 		t.Error("a watch that ends is broken")
 	}
-	if len(told) != 3 || !told[0].Whole || len(told[0].Entries) != 1 || !told[0].Entries[0].Ready || r.rev != 46 {
+	if len(told) != 3 || !told[0].Snapshot || len(told[0].Endpoints) != 1 || !told[0].Endpoints[0].Ready || r.rev != 46 {
 		t.Errorf("told %+v, version %d", told, r.rev)
 	}
 }
@@ -206,9 +206,9 @@
 		})
 	}
 	in := (&Message{Targets: []target{{UID: "a", State: "SERVING", Endpoint: "a:1"}, {UID: "a", State: "SERVING"}, {UID: "b", State: "HATCHING", Endpoint: "b:1"},
-		{UID: "c", State: "SERVING", Endpoint: "c:1", BootMS: 1 << 62}, {UID: "d", BootMS: -1 << 62}}}).Listed(unknown())
-	for k, e := range in.Entries {
-		if e.Since < 0 || k == 2 && e.Ready {
+		{UID: "c", State: "SERVING", Endpoint: "c:1", BootMS: 1 << 62}, {UID: "d", BootMS: -1 << 62}}}).EndpointsChanged(unknown())
+	for k, e := range in.Endpoints {
+		if e.StartedAt < 0 || k == 2 && e.Ready {
 			t.Errorf("%+v", e)
 		}
 	}
@@ -274,19 +274,19 @@
 	}))
 	defer old.Close()
 	fresh, calls := discovery(t, `{"rev":3,"all":true,"targets":[{"uid":"new","endpoint":"a:1","state":"SERVING"}]}`+"\n")
-	told := make(chan ops.Listed, 9)
-	r := New(old.Listener.Addr().String(), Message{Rev: 80}, lone, 7, unknown(), func(in ops.Input) { told <- in.(ops.Listed) }, zerolog.Nop())
+	told := make(chan ops.EndpointsChanged, 9)
+	r := New(old.Listener.Addr().String(), Message{Rev: 80}, lone, 7, unknown(), func(in ops.Input) { told <- in.(ops.EndpointsChanged) }, zerolog.Nop())
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go r.Keep(ctx)
+	go r.Run(ctx)
 	<-half
-	r.Move(fresh)
-	r.Move(fresh) // told twice at once
+	r.SetAddress(fresh)
+	r.SetAddress(fresh) // told twice at once
 	close(rest)
 	if got := <-calls; got != "stream=1&index=0" {
 		t.Errorf("called with %s", got)
 	}
-	if l := <-told; l.Rev != 3 || l.Entries[0].Worker != "new" {
+	if l := <-told; l.Revision != 3 || l.Endpoints[0].Worker != "new" {
 		t.Errorf("told %+v", l)
 	}
 	// A line that was read whole before the move and is taken in after it.
--- a/internal/roster/golden_test.go
+++ b/internal/roster/golden_test.go
@@ -17,11 +17,11 @@
 // Guards the bytes of the known workers, in order of their names, that a handover carries between builds.
 func TestKnownKeepsItsForm(t *testing.T) {
 	message := filled.Value[Message](t)
-	r := Roster{rev: message.Rev, list: map[string]target{}}
+	r := Client{rev: message.Rev, list: map[string]target{}}
 	for _, worker := range message.Targets {
 		r.list[worker.UID] = worker
 	}
-	text, err := r.Known()
+	text, err := r.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,6 +35,6 @@
 
 // Guards the JSON of the workers' starts, by their names, that a handover carries between builds.
 func TestStartsKeepTheirForm(t *testing.T) {
-	starts := NewStarts(clock.Clock{}, filled.Value[map[string]Start](t))
-	filled.CompareJSON(t, "testdata/starts.json.golden", starts.Known())
+	starts := NewStartTimes(clock.Clock{}, filled.Value[map[string]ProcessStart](t))
+	filled.CompareJSON(t, "testdata/starts.json.golden", starts.Snapshot())
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -41,22 +41,22 @@
 	BootMS   int64  `json:"boot_ms"`
 }
 
-// Listed is the message as the reducer takes it.
-func (m *Message) Listed(starts *Starts) ops.Listed {
-	in := ops.Listed{Whole: m.All, Rev: m.Rev}
+// EndpointsChanged is the message as the reducer takes it.
+func (m *Message) EndpointsChanged(starts *StartTimes) ops.EndpointsChanged {
+	in := ops.EndpointsChanged{Snapshot: m.All, Revision: m.Rev}
 	for i := range m.Targets {
 		t := &m.Targets[i]
 		if t.UID == "" {
 			continue // nobody could ever be told that it has gone
 		}
-		in.Entries = append(in.Entries, ops.Entry{Worker: t.UID, Addr: t.Endpoint, Zone: t.AZ, Kind: t.Model, Cell: t.PodGroup,
-			Ready: t.State == "SERVING", Gone: t.State == deleted, Boot: t.BootMS, Since: starts.of(t)})
+		in.Endpoints = append(in.Endpoints, ops.Endpoint{Worker: t.UID, Addr: t.Endpoint, Zone: t.AZ, MachineKind: t.Model, WorkerGroup: t.PodGroup,
+			Ready: t.State == "SERVING", Removed: t.State == deleted, BootID: t.BootMS, StartedAt: starts.of(t)})
 	}
 	return in
 }
 
-// Roster is discovery at the address last given, as of one version of its list.
-type Roster struct {
+// Client is discovery at the address last given, as of one version of its list.
+type Client struct {
 	tell   func(ops.Input)
 	client http.Client
 
@@ -64,8 +64,8 @@
 	log     zerolog.Logger
 	one     sync.Mutex // held by the watch that is on
 	chance  *rand.Rand // Keep's
-	spans   Spans
-	starts  *Starts
+	spans   Timeouts
+	starts  *StartTimes
 	moved   chan struct{} // wakes Keep
 
 	mu   sync.Mutex
@@ -77,9 +77,9 @@
 
 // New makes a roster that goes on from a remembered list, and draws the moments of its calls from its seed
 // over a spread that it shares with the other schedulers.
-func New(addr string, known Message, spans Spans, seed uint64, starts *Starts, tell func(ops.Input), log zerolog.Logger) *Roster {
+func New(addr string, known Message, spans Timeouts, seed uint64, starts *StartTimes, tell func(ops.Input), log zerolog.Logger) *Client {
 	known.All = true
-	r := &Roster{addr: addr, tell: tell, log: log, starts: starts, end: func() {}, moved: make(chan struct{}, 1),
+	r := &Client{addr: addr, tell: tell, log: log, starts: starts, end: func() {}, moved: make(chan struct{}, 1),
 		chance: rand.New(rand.NewPCG(seed, 0)), spans: spans,
 		client: http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 			DialContext: dialWatch(min(spans.Settle, dialed))}}}
@@ -89,7 +89,7 @@
 
 // keep takes a message into the list, unless the watch that it came by has been ended: what the discovery of before said late
 // must not stand over what the next one says.
-func (r *Roster) keep(on context.Context, m *Message) bool {
+func (r *Client) keep(on context.Context, m *Message) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if on.Err() != nil {
@@ -107,8 +107,8 @@
 	return true
 }
 
-// Known is the whole list as of now, in discovery's form.
-func (r *Roster) Known() ([]byte, error) {
+// Snapshot is the whole list as of now, in discovery's form.
+func (r *Client) Snapshot() ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := Message{Rev: r.rev, All: true, Targets: []target{}}
@@ -118,8 +118,8 @@
 	return json.Marshal(m)
 }
 
-// Move goes over to another address at once, also where no watch is on: the old one may tell nothing more.
-func (r *Roster) Move(addr string) {
+// SetAddress goes over to another address at once, also where no watch is on: the old one may tell nothing more.
+func (r *Client) SetAddress(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.addr != addr {
@@ -133,8 +133,8 @@
 	}
 }
 
-// Keep watches until the context ends, and connects again whenever the watch breaks.
-func (r *Roster) Keep(ctx context.Context) {
+// Run watches until the context ends, and connects again whenever the watch breaks.
+func (r *Client) Run(ctx context.Context) {
 	var b broken
 	wait := r.spans.again(b, r.chance.Float64()) // the remembered list serves meanwhile
 	for {
@@ -167,7 +167,7 @@
 }
 
 // replace ends the watch that is on, with the lock held, and returns the context of the next one.
-func (r *Roster) replace(ctx context.Context) context.Context {
+func (r *Client) replace(ctx context.Context) context.Context {
 	r.end()
 	ctx, r.end = context.WithCancel(ctx)
 	return ctx
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -17,7 +17,7 @@
 )
 
 // lone are the spans of a scheduler that asks alone.
-var lone = SpansOf(false, 1, time.Second)
+var lone = TimeoutsFor(false, 1, time.Second)
 
 // discovery answers each call with the next lines, and then closes it, or keeps it open where none are left.
 func discovery(t *testing.T, answers ...string) (addr string, calls chan string) {
@@ -42,7 +42,7 @@
 	told := make(chan ops.Input, 9)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go New(addr, Message{Rev: 41}, lone, 7, unknown(), func(in ops.Input) { told <- in }, zerolog.Nop()).Keep(ctx)
+	go New(addr, Message{Rev: 41}, lone, 7, unknown(), func(in ops.Input) { told <- in }, zerolog.Nop()).Run(ctx)
 	for _, want := range []string{"stream=1&index=41", "stream=1&index=43"} {
 		select {
 		case got := <-calls:
@@ -53,13 +53,13 @@
 			t.Fatal("not called again")
 		}
 	}
-	in, ok := (<-told).(ops.Listed)
-	if !ok || in.Whole || len(in.Entries) != 1 {
+	in, ok := (<-told).(ops.EndpointsChanged)
+	if !ok || in.Snapshot || len(in.Endpoints) != 1 {
 		t.Fatalf("%+v", in)
 	}
-	want := ops.Entry{Worker: "w", Addr: "a:1", Zone: "z", Cell: 3, Boot: 5, Since: in.Entries[0].Since}
-	if in.Entries[0] != want || want.Since <= 0 {
-		t.Errorf("%+v", in.Entries[0])
+	want := ops.Endpoint{Worker: "w", Addr: "a:1", Zone: "z", WorkerGroup: 3, BootID: 5, StartedAt: in.Endpoints[0].StartedAt}
+	if in.Endpoints[0] != want || want.StartedAt <= 0 {
+		t.Errorf("%+v", in.Endpoints[0])
 	}
 }
 
@@ -75,8 +75,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	r := New("127.0.0.1:1", Message{Rev: 1}, lone, 7, unknown(), func(ops.Input) {}, zerolog.Nop())
-	go r.Keep(ctx)
-	r.Move(s.Listener.Addr().String())
+	go r.Run(ctx)
+	r.SetAddress(s.Listener.Addr().String())
 	for range 2 {
 		select {
 		case <-calls:
@@ -177,9 +177,9 @@
 		})}
 		go s.Serve(p)
 		for i := range schedulers {
-			r := New("discovery", Message{}, SpansOf(false, schedulers, 2500*time.Millisecond), uint64(i), unknown(), func(ops.Input) {}, zerolog.Nop())
+			r := New("discovery", Message{}, TimeoutsFor(false, schedulers, 2500*time.Millisecond), uint64(i), unknown(), func(ops.Input) {}, zerolog.Nop())
 			r.client.Transport.(*http.Transport).DialContext = p.dial
-			go r.Keep(ctx)
+			go r.Run(ctx)
 		}
 		time.Sleep(within)
 		mu.Lock()
--- a/internal/roster/spans.go
+++ b/internal/roster/spans.go
@@ -40,8 +40,8 @@
 	leastSettle = 100 * time.Millisecond
 )
 
-// Spans are the times by which a watch is kept.
-type Spans struct {
+// Timeouts are the times by which a watch is kept.
+type Timeouts struct {
 	Quiet  time.Duration // so long without a byte, or without the rest of an object, and the watch is lost
 	Settle time.Duration // a call that has no head by then is lost
 	Spread time.Duration // over which all schedulers come back
@@ -50,21 +50,21 @@
 	Turned time.Duration // the same while calls are turned away
 }
 
-// SpansOf works them out from whether discovery pushes, how many schedulers ask it, and the grace of a drain. docs/design.md has
+// TimeoutsFor works them out from whether discovery pushes, how many schedulers ask it, and the grace of a drain. docs/design.md has
 // the sums that they have to keep, and tests add them up.
-func SpansOf(pushes bool, schedulers int, grace time.Duration) Spans {
+func TimeoutsFor(pushes bool, schedulers int, grace time.Duration) Timeouts {
 	const quiet = 3 * beat / 2
 	if pushes {
 		most := min(16*firstWait, time.Duration(waiting*float64(grace)))
 		spread := min(firstWait, most)
-		return Spans{Quiet: quiet, Settle: min(max(time.Duration(hanging*float64(grace)), leastSettle), answered),
+		return Timeouts{Quiet: quiet, Settle: min(max(time.Duration(hanging*float64(grace)), leastSettle), answered),
 			Spread: spread, Silent: spread, Most: most, Turned: most}
 	}
 	all := time.Duration(schedulers) * time.Second / callRate
 	in := time.Duration(inGrace * float64(grace))
 	spread := max(min(all, in, longestSpread), firstWait)
 	period := told - applying - max(usual, answered-in)
-	return Spans{Quiet: quiet, Settle: answered, Spread: spread, Silent: min(spread, told-applying-usual-quiet),
+	return Timeouts{Quiet: quiet, Settle: answered, Spread: spread, Silent: min(spread, told-applying-usual-quiet),
 		Most: min(max(all, 16*firstWait), period), Turned: period}
 }
 
@@ -90,7 +90,7 @@
 // A wait counts from where the failed call began: one that hung has used it up. It doubles up to a quarter of the longest; the next
 // are drawn from the rest, and those that follow have it exactly. So schedulers that failed together are spread over it, and
 // hardly one asks more often than it must. A discovery that works on for those that it has failed can't bear many draws.
-func (s Spans) again(b broken, luck float64) time.Duration {
+func (s Timeouts) again(b broken, luck float64) time.Duration {
 	switch {
 	case b.fails > 0:
 	case b.silent:
--- a/internal/roster/starts.go
+++ b/internal/roster/starts.go
@@ -28,52 +28,52 @@
 	mostLeft = 1024
 )
 
-// Start is when a worker's present process started.
-type Start struct {
+// ProcessStart is when a worker's present process started.
+type ProcessStart struct {
 	BootMS int64         `json:"boot_ms"` // as discovery tells it: it names the process
 	At     dispatch.Time `json:"at"`      // by the clock of whoever says so
 }
 
-// Starts tells when workers started, by this process's own clock.
-type Starts struct {
+// StartTimes tells when workers started, by this process's own clock.
+type StartTimes struct {
 	clock clock.Clock
 	wall  int64 // the wall clock's Unix milliseconds at the clock's start
 
 	mu    sync.Mutex
 	ahead time.Duration // of the wall clock before discovery's, as far as known
 	heard time.Duration // after the clock's start: discovery's last sign of life; negative before one
-	known map[string]Start
+	known map[string]ProcessStart
 
 	seen     int           // workers that turned up on a live watch since ahead was found
 	youngest time.Duration // of them
 }
 
-// NewStarts goes on from what another process knew, with moments moved to this one's clock; nil for nothing.
-func NewStarts(c clock.Clock, before map[string]Start) *Starts {
-	s := &Starts{clock: c, wall: time.Now().UnixMilli() - c.Passed().Milliseconds(), heard: -1, known: map[string]Start{}}
+// NewStartTimes goes on from what another process knew, with moments moved to this one's clock; nil for nothing.
+func NewStartTimes(c clock.Clock, before map[string]ProcessStart) *StartTimes {
+	s := &StartTimes{clock: c, wall: time.Now().UnixMilli() - c.Elapsed().Milliseconds(), heard: -1, known: map[string]ProcessStart{}}
 	if before != nil {
-		s.heard = c.Passed()
+		s.heard = c.Elapsed()
 		maps.Copy(s.known, before)
 	}
 	return s
 }
 
-// Known is what another process can go on from.
-func (s *Starts) Known() map[string]Start {
+// Snapshot is what another process can go on from.
+func (s *StartTimes) Snapshot() map[string]ProcessStart {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.known)
 }
 
 // alive notes a sign of life of discovery.
-func (s *Starts) alive() {
+func (s *StartTimes) alive() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard = s.clock.Passed()
+	s.heard = s.clock.Elapsed()
 }
 
 // of is when a worker that is listed now started; 0 for long ago.
-func (s *Starts) of(t *target) dispatch.Time {
+func (s *StartTimes) of(t *target) dispatch.Time {
 	if t.BootMS <= 0 {
 		return 0
 	}
@@ -82,17 +82,17 @@
 	if x, known := s.known[t.UID]; known && x.BootMS == t.BootMS {
 		return x.At
 	}
-	at := terms.Up(s.clock.Now() - int64(s.age(t.BootMS)))
+	at := terms.RoundUp(s.clock.Now() - int64(s.age(t.BootMS)))
 	if x, known := s.known[t.UID]; known && t.BootMS > x.BootMS {
 		at = max(at, x.At+1) // a later process of the same worker
 	}
-	s.known[t.UID] = Start{t.BootMS, max(at, 1)}
+	s.known[t.UID] = ProcessStart{t.BootMS, max(at, 1)}
 	return s.known[t.UID].At
 }
 
 // age is how long ago a process started that is new here, with the lock held.
-func (s *Starts) age(bootMS int64) time.Duration {
-	passed := s.clock.Passed()
+func (s *StartTimes) age(bootMS int64) time.Duration {
+	passed := s.clock.Elapsed()
 	claimed := time.Duration(min(max(s.wall+passed.Milliseconds()-bootMS, -longestAgeMS), longestAgeMS)) * time.Millisecond
 	age := claimed - s.ahead
 	unseen := passed - s.heard // it may have turned up at any time since then
@@ -111,7 +111,7 @@
 }
 
 // sample takes the age of a worker that turned up on a live watch, and returns it as it is by what the last few say, with the lock held.
-func (s *Starts) sample(age time.Duration) time.Duration {
+func (s *StartTimes) sample(age time.Duration) time.Duration {
 	if s.seen++; s.seen == 1 {
 		s.youngest = age
 	}
@@ -130,13 +130,13 @@
 const longestAgeMS = int64(10 * 365 * 24 * time.Hour / time.Millisecond) // what is older is as good as that
 
 // forget lets go of workers that are in the list no more, once there are many of them.
-func (s *Starts) forget(list map[string]target) {
+func (s *StartTimes) forget(list map[string]target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.known) <= len(list)+mostLeft {
 		return
 	}
-	maps.DeleteFunc(s.known, func(uid string, _ Start) bool {
+	maps.DeleteFunc(s.known, func(uid string, _ ProcessStart) bool {
 		_, listed := list[uid]
 		return !listed
 	})
--- a/internal/roster/starts_test.go
+++ b/internal/roster/starts_test.go
@@ -12,7 +12,7 @@
 )
 
 // unknown are the starts of a process that knows of none.
-func unknown() *Starts { return NewStarts(clock.New(), nil) }
+func unknown() *StartTimes { return NewStartTimes(clock.New(), nil) }
 
 // seenAt is a worker's entry as discovery tells it, by a clock that is behind this process's by so much.
 func seenAt(uid string, ago, behind time.Duration) *target {
@@ -20,7 +20,7 @@
 }
 
 // ageOf is how old a worker is to the module.
-func (s *Starts) ageOf(t *target) time.Duration {
+func (s *StartTimes) ageOf(t *target) time.Duration {
 	return time.Duration(s.clock.Now()) - time.Duration(s.of(t))*terms.Tenth
 }
 
@@ -127,11 +127,11 @@
 		time.Sleep(2 * time.Second)
 		is := clock.New()
 		shift := dispatch.Time(is.Now()-was.clock.Now()) / dispatch.Time(100_000)
-		before := was.Known()
+		before := was.Snapshot()
 		for uid, s := range before {
-			before[uid] = Start{s.BootMS, s.At + shift}
+			before[uid] = ProcessStart{s.BootMS, s.At + shift}
 		}
-		heir := NewStarts(is, before)
+		heir := NewStartTimes(is, before)
 		if got := heir.of(x); got != at+shift {
 			t.Errorf("%v, want %v", got, at+shift)
 		}
--- a/internal/roster/starved_test.go
+++ b/internal/roster/starved_test.go
@@ -63,11 +63,11 @@
 
 func TestMain(m *testing.M) {
 	if addr := os.Getenv(child); addr != "" {
-		r := New(addr, Message{Rev: 7}, Spans{Quiet: time.Second, Settle: time.Second, Spread: 1, Silent: 1, Most: 1, Turned: 1}, 7, unknown(), func(in ops.Input) {
-			fmt.Println("told", in.(ops.Listed).Rev)
+		r := New(addr, Message{Rev: 7}, Timeouts{Quiet: time.Second, Settle: time.Second, Spread: 1, Silent: 1, Most: 1, Turned: 1}, 7, unknown(), func(in ops.Input) {
+			fmt.Println("told", in.(ops.EndpointsChanged).Revision)
 			os.Exit(0)
 		}, zerolog.Nop())
-		r.Keep(context.Background())
+		r.Run(context.Background())
 	}
 	os.Exit(m.Run())
 }
--- a/internal/roster/told_test.go
+++ b/internal/roster/told_test.go
@@ -134,7 +134,7 @@
 }
 
 // late is how long after discovery's return its list was applied; a move to another address comes in between where one is given.
-func (o *outage) late(t *testing.T, seed uint64, spans Spans, move time.Duration) (after time.Duration) {
+func (o *outage) late(t *testing.T, seed uint64, spans Timeouts, move time.Duration) (after time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
@@ -142,15 +142,15 @@
 		go o.serve()
 		at := make(chan time.Time, 99)
 		r := New("discovery", Message{}, spans, seed, unknown(), func(in ops.Input) {
-			if in.(ops.Listed).Rev == 9 {
+			if in.(ops.EndpointsChanged).Revision == 9 {
 				at <- time.Now()
 			}
 		}, zerolog.Nop())
 		r.client.Transport.(*http.Transport).DialContext = o.dial
-		go r.Keep(ctx)
+		go r.Run(ctx)
 		if move > 0 {
 			time.Sleep(move)
-			r.Move("another")
+			r.SetAddress("another")
 		}
 		after = (<-at).Sub(o.from) - o.back
 		stop()
@@ -199,7 +199,7 @@
 							if slow > 0 && pushes {
 								continue // an agent answers at once
 							}
-							spans, worst, seed := SpansOf(pushes, schedulers, grace), time.Duration(0), uint64(0)
+							spans, worst, seed := TimeoutsFor(pushes, schedulers, grace), time.Duration(0), uint64(0)
 							plays := uint64(3)
 							if x.back > time.Minute {
 								plays = 1
@@ -246,27 +246,27 @@
 						}
 						decisions, inputs := ops.New(seed, map[string]any{"bounds.maxPushes": 1.0, "step": 10.0, "categories.0.name": "look",
 							"categories.0.ttl": 5.0, "categories.0.effect": "redeliverable", "categories.0.targetLatency": 10_000.0}), make(chan ops.Input, 9)
-						at := func() dispatch.Time { return terms.Up(time.Since(o.from).Nanoseconds()) + 1 }
-						list := known.Listed(unknown())
-						list.Whole, list.Remembered = true, true
-						decisions.Take(at(), list)
-						r := New("discovery", known, SpansOf(false, schedulers, grace), seed, unknown(), func(in ops.Input) { inputs <- in }, zerolog.Nop())
+						at := func() dispatch.Time { return terms.RoundUp(time.Since(o.from).Nanoseconds()) + 1 }
+						list := known.EndpointsChanged(unknown())
+						list.Snapshot, list.Cached = true, true
+						decisions.Step(at(), list)
+						r := New("discovery", known, TimeoutsFor(false, schedulers, grace), seed, unknown(), func(in ops.Input) { inputs <- in }, zerolog.Nop())
 						r.client.Transport.(*http.Transport).DialContext = o.dial
 						ctx, stop := context.WithCancel(context.Background())
-						go r.Keep(ctx)
+						go r.Run(ctx)
 						last, pushes := map[string]time.Duration{}, map[string]int{}
 						for n := uint64(1); time.Since(o.from) < o.back+25*time.Second; n++ {
 							var todo []ops.Effect
 							select {
 							case in := <-inputs:
-								todo = decisions.Take(at(), in)
+								todo = decisions.Step(at(), in)
 							case <-time.After(50 * time.Millisecond):
-								todo = decisions.Take(at(), ops.Arrived{Op: n, ID: fmt.Sprint(n), Category: "look", TTL: at() + 20_000})
+								todo = decisions.Step(at(), ops.OpArrived{Op: n, ID: fmt.Sprint(n), Category: "look", TTL: at() + 20_000})
 							}
 							for _, e := range todo {
 								if p, ok := e.(ops.Push); ok {
 									last[p.Worker], pushes[p.Worker] = time.Since(o.from)-o.back, pushes[p.Worker]+1
-									decisions.Take(at(), ops.Ended{Op: p.Op, How: outcome.Done})
+									decisions.Step(at(), ops.AttemptEnded{Op: p.Op, Ending: outcome.Done})
 								}
 							}
 						}
@@ -292,14 +292,14 @@
 		synctest.Test(t, func(t *testing.T) {
 			o := outage{tally: &tally{}, pipes: pipes{make(chan net.Conn), make(chan struct{})}, from: time.Now(), how: []way{turned}, back: time.Hour}
 			go o.serve()
-			r := New("discovery", Message{}, SpansOf(false, 300, 2500*time.Millisecond), seed, unknown(), func(ops.Input) {}, zerolog.Nop())
+			r := New("discovery", Message{}, TimeoutsFor(false, 300, 2500*time.Millisecond), seed, unknown(), func(ops.Input) {}, zerolog.Nop())
 			r.client.Transport.(*http.Transport).DialContext = o.dial
 			ctx, stop := context.WithCancel(context.Background())
-			go r.Keep(ctx)
+			go r.Run(ctx)
 			time.Sleep(time.Minute)
 			before, _ := o.sum()
 			now := time.Since(o.from)
-			r.Move("another")
+			r.SetAddress("another")
 			time.Sleep(time.Second)
 			if calls, last := o.sum(); calls != before+1 || last != now {
 				t.Errorf("seed %d: %d calls in the second after the move, the last %v after it", seed, calls-before, last-now)
@@ -337,7 +337,7 @@
 	heard := make(chan int64, 9)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go New(s.Listener.Addr().String(), Message{Rev: 7}, lone, 7, unknown(), func(in ops.Input) { heard <- in.(ops.Listed).Rev }, zerolog.Nop()).Keep(ctx)
+	go New(s.Listener.Addr().String(), Message{Rev: 7}, lone, 7, unknown(), func(in ops.Input) { heard <- in.(ops.EndpointsChanged).Revision }, zerolog.Nop()).Run(ctx)
 	select {
 	case rev := <-heard:
 		if rev != 9 || asked.Load() != int64(len(ways)) {
@@ -355,7 +355,7 @@
 			for _, grace := range []time.Duration{time.Millisecond, 100 * time.Millisecond, 250 * time.Millisecond, time.Second,
 				1250 * time.Millisecond, 2500 * time.Millisecond, 10 * time.Second, time.Minute} {
 				t.Run(fmt.Sprint(pushes, " ", schedulers, " ", grace), func(t *testing.T) {
-					s := SpansOf(pushes, schedulers, grace)
+					s := TimeoutsFor(pushes, schedulers, grace)
 					over := time.Duration(0) // of the grace, where an answer takes as long as is waited for
 					if !pushes {
 						over = time.Duration(inGrace * float64(grace))
--- a/internal/roster/unread.go
+++ b/internal/roster/unread.go
@@ -97,7 +97,7 @@
 }
 
 // noting has a watch's connection be the one that is looked at, from the moment at which the watch has it.
-func (r *Roster) noting(ctx context.Context) context.Context {
+func (r *Client) noting(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) {
 		if c, ok := got.Conn.(*watchConn); ok {
 			r.watched.Store(c)
@@ -105,9 +105,9 @@
 	}})
 }
 
-// Unread tells whether something of discovery's lies before this process, or is being decoded: what it tells counts as told, though nobody
+// HasUnreadData tells whether something of discovery's lies before this process, or is being decoded: what it tells counts as told, though nobody
 // here has taken it up. A process that stood has all of that at once, the ops that came meanwhile beside it.
-func (r *Roster) Unread() bool {
+func (r *Client) HasUnreadData() bool {
 	c := r.watched.Load()
 	return c != nil && c.unread()
 }
--- a/internal/roster/watch.go
+++ b/internal/roster/watch.go
@@ -21,7 +21,7 @@
 )
 
 // watch reads one watch until it breaks, and tells whether anything came that says that discovery lives.
-func (r *Roster) watch(on context.Context) (heard bool, err error) {
+func (r *Client) watch(on context.Context) (heard bool, err error) {
 	r.one.Lock()
 	defer r.one.Unlock()
 	r.mu.Lock()
@@ -34,7 +34,7 @@
 			err = fmt.Errorf("watch: %w", cause)
 		}
 	}()
-	silence := listenFor(r.spans.Settle, r.Unread, func() { cancel(errSilent) }) // a lost agent says nothing
+	silence := listenFor(r.spans.Settle, r.HasUnreadData, func() { cancel(errSilent) }) // a lost agent says nothing
 	defer silence.stop()
 	url := fmt.Sprintf("http://%s/v1/servers?stream=1&index=%d", addr, rev)
 	defer r.watched.Store(nil) // before the next watch begins
@@ -84,7 +84,7 @@
 		for _, t := range list.Targets {
 			r.log.Debug().Str("worker", t.UID).Str("state", t.State).Str("zone", t.AZ).Int64("boot_ms", t.BootMS).Msg("listed")
 		}
-		r.tell(list.Listed(r.starts))
+		r.tell(list.EndpointsChanged(r.starts))
 		r.starts.alive()
 	}
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -63,7 +63,7 @@
 
 type scheduler struct {
 	d       *dispatch.Dispatcher
-	report  terms.Report
+	report  terms.ReportFormat
 	workers map[string]int
 	tags    map[string]int // workers by the tags that messages carry
 	names   []string
@@ -123,7 +123,7 @@
 		if s == nil {
 			continue
 		}
-		s.d.Clock(terms.Up(*b.WallNs))
+		s.d.AdvanceClock(terms.RoundUp(*b.WallNs))
 		box := s.outbox(nil)
 		if len(box) == 0 {
 			continue
@@ -158,7 +158,7 @@
 	if s == nil {
 		return errors.New("scheduler was not powered on")
 	}
-	s.d.Clock(terms.Up(wall))
+	s.d.AdvanceClock(terms.RoundUp(wall))
 	switch it.M {
 	case "Topology":
 		return s.topology(it)
@@ -169,12 +169,12 @@
 		if _, twice := s.ops[it.Req]; twice {
 			return fmt.Errorf("req %s came twice", it.Req)
 		}
-		if !s.d.Op(s.opIndex(it.Req), it.Lane, terms.Down(it.ValidUntil), max(it.Slots, 1), it.Memory,
-			terms.Up(it.WorkNs)) {
+		if !s.d.AddOp(s.opIndex(it.Req), it.Lane, terms.RoundDown(it.ValidUntil), max(it.Slots, 1), it.Memory,
+			terms.RoundUp(it.WorkNs)) {
 			return fmt.Errorf("lane %d is in no settings", it.Lane)
 		}
 		if it.RouteKey != "" {
-			s.d.Key(s.ops[it.Req], terms.Hash(it.RouteKey))
+			s.d.SetAffinityKey(s.ops[it.Req], terms.IdentityHash(it.RouteKey))
 		}
 	case "Settled", "UpdateOf", "Dropped":
 		op, ok := s.ops[it.Req]
@@ -183,18 +183,18 @@
 		}
 		switch it.M {
 		case "Settled":
-			s.d.Outcome(op, it.Leg, outcomeOf(it.How), terms.Down(it.ElapsedNs), it.Over)
+			s.d.AttemptEnded(op, it.Leg, outcomeOf(it.How), terms.RoundDown(it.ElapsedNs), it.Over)
 			if wi, known := s.workers[it.Worker]; known && len(it.HealthInfo) > 0 {
-				s.d.Report(wi, terms.Down(it.ElapsedNs), s.report.Load(it.HealthInfo))
+				s.d.ProbeAnswered(wi, terms.RoundDown(it.ElapsedNs), s.report.FromRow(it.HealthInfo))
 			}
 		case "UpdateOf":
-			s.d.Note(op, it.Leg, it.Topic == 1, it.Level)
+			s.d.AttemptProgress(op, it.Leg, it.Topic == 1, it.Level)
 		case "Dropped":
-			s.d.Left(op)
+			s.d.ClientDisconnected(op)
 		}
 	case "Message":
-		if i, n, ok := terms.Unword(it.Contents, s.tags); ok {
-			s.d.Told(it.By, i, n)
+		if i, n, ok := terms.DecodePeerReport(it.Contents, s.tags); ok {
+			s.d.PeerReport(it.By, i, n)
 		}
 	case "StatusBack":
 		wi, ok := s.workers[it.Worker]
@@ -202,9 +202,9 @@
 			return fmt.Errorf("worker %q was in no list", it.Worker)
 		}
 		if it.How == 10 {
-			s.d.Report(wi, terms.Down(it.ElapsedNs), s.report.Load(it.HealthInfo))
+			s.d.ProbeAnswered(wi, terms.RoundDown(it.ElapsedNs), s.report.FromRow(it.HealthInfo))
 		} else {
-			s.d.Unanswered(wi, terms.Down(it.ElapsedNs), outcomeOf(it.How))
+			s.d.ProbeFailed(wi, terms.RoundDown(it.ElapsedNs), outcomeOf(it.How))
 		}
 	}
 	return nil // TickDue, and items of later wires only move the clock
@@ -222,11 +222,11 @@
 			return fmt.Errorf("prng: %w", err)
 		}
 	}
-	site := terms.Flat(it.Setup)
+	site := terms.Flatten(it.Setup)
 	site["keys"] = true // ops carry them only where workers keep something
-	s := &scheduler{workers: map[string]int{}, tags: map[string]int{}, ops: map[string]int{}, report: terms.ReportOf(site)}
+	s := &scheduler{workers: map[string]int{}, tags: map[string]int{}, ops: map[string]int{}, report: terms.ReportFormatOf(site)}
 	s.d = dispatch.New(seed, site)
-	s.d.Clock(terms.Up(wall))
+	s.d.AdvanceClock(terms.RoundUp(wall))
 	hosts[id] = s
 	return nil
 }
@@ -234,7 +234,7 @@
 func (s *scheduler) topology(it *item) error {
 	whole := it.Scope != "changes" && it.Scope != "refused"
 	if whole {
-		s.d.ListWhole()
+		s.d.BeginSnapshot()
 	}
 	for _, r := range it.Records {
 		if r.Worker == "" {
@@ -250,14 +250,14 @@
 		if !ok {
 			wi = len(s.names)
 			s.workers[r.Worker] = wi
-			s.tags[terms.Tag(r.Worker)] = wi
+			s.tags[terms.WorkerTag(r.Worker)] = wi
 			s.names = append(s.names, r.Worker)
 		}
 		ready := r.Availability == "ready"
-		s.d.Entry(wi, r.Locality, r.UnitGroup, ready, terms.Up(r.SinceNs))
-		s.d.Mark(wi, terms.Hash(r.Worker), r.ClassOfHost)
+		s.d.UpsertWorker(wi, r.Locality, r.UnitGroup, ready, terms.RoundUp(r.SinceNs))
+		s.d.IdentifyWorker(wi, terms.IdentityHash(r.Worker), r.ClassOfHost)
 	}
-	s.d.ListEnd()
+	s.d.EndUpdate()
 	return nil
 }
 
@@ -276,27 +276,27 @@
 func outcomeOf(how int) dispatch.Outcome {
 	switch how {
 	case 10:
-		return dispatch.Served
+		return dispatch.Succeeded
 	case 30:
-		return dispatch.Refused
+		return dispatch.Rejected
 	case 40:
 		return dispatch.TimedOut
 	case 50:
-		return dispatch.Unreached
+		return dispatch.Unreachable
 	case 60:
-		return dispatch.Broke
+		return dispatch.ConnectionLost
 	case 70:
-		return dispatch.Withdrawn
+		return dispatch.Cancelled
 	case 80:
-		return dispatch.Unsent
+		return dispatch.NotSent
 	}
-	return dispatch.Errored // an outcome not known here may have run
+	return dispatch.Failed // an outcome not known here may have run
 }
 
 func (s *scheduler) outbox(box []byte) []byte {
 	for {
 		do, i, worker, span := s.d.Next()
-		if do == dispatch.Nothing {
+		if do == dispatch.NoDecision {
 			return box
 		}
 		if do == dispatch.Forget {
@@ -314,17 +314,17 @@
 			s.legs[i]++
 			box = fmt.Appendf(box, `{"m":"Send","req":%s,"worker":%s,"withinNs":%d}`,
 				quote(s.reqs[i]), quote(s.names[worker]), ns)
-		case dispatch.CallOff:
+		case dispatch.CancelAttempt:
 			box = fmt.Appendf(box, `{"m":"Retract","req":%s,"leg":%d}`, quote(s.reqs[i]), s.legs[i]-1)
 		case dispatch.Probe:
 			box = fmt.Appendf(box, `{"m":"Test","worker":%s}`, quote(s.names[worker]))
-		case dispatch.Tell:
-			box = fmt.Appendf(box, `{"m":"WritePeer","to":%d,"contents":"%s"}`, i, terms.Word(s.names[worker], int(span)))
+		case dispatch.ReportToPeer:
+			box = fmt.Appendf(box, `{"m":"WritePeer","to":%d,"contents":"%s"}`, i, terms.EncodePeerReport(s.names[worker], int(span)))
 		case dispatch.Nack:
 			box = fmt.Appendf(box, `{"m":"Decline","req":%s,"pauseNs":%d}`, quote(s.reqs[i]), ns)
 		case dispatch.DeadLetter:
 			box = fmt.Appendf(box, `{"m":"Surrender","req":%s}`, quote(s.reqs[i]))
-		case dispatch.Wake:
+		case dispatch.SetTimer:
 			box = fmt.Appendf(box, `{"m":"WakeAt","fromNowNs":%d,"ctx":"due"}`, ns)
 		}
 	}
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -29,12 +29,12 @@
 				defer s.Close()
 				now := boottime.Now()
 				number := 10_000
-				if err := s.Keep(now, batch(0, number), nil); err != nil {
+				if err := s.Write(now, batch(0, number), nil); err != nil {
 					b.Fatal(err)
 				}
 				b.ResetTimer()
 				for range b.N {
-					if err := s.Keep(now, batch(number, together), nil); err != nil {
+					if err := s.Write(now, batch(number, together), nil); err != nil {
 						b.Fatal(err)
 					}
 					number += together
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -94,14 +94,14 @@
 }
 
 // goldenNow is the moment at which the golden file was written.
-var goldenNow = boottime.Reading{Boot: "start-of-the-golden-file", Since: 1000 * time.Second}
+var goldenNow = boottime.Reading{BootID: "start-of-the-golden-file", SinceBoot: 1000 * time.Second}
 
 // goldenContent is all that a keeper's file holds.
 type goldenContent struct {
 	Records   []copies.Record // in order of their keys
-	Life      copies.Life
+	Life      copies.Incarnation
 	Epoch     uint64
-	Seen      []copies.Seen // in order of their keepers
+	Seen      []copies.ReplicationCursor // in order of their keepers
 	Agreement keepers.State
 }
 
@@ -109,17 +109,17 @@
 func newGoldenContent(t *testing.T) goldenContent {
 	t.Helper()
 	content := filled[goldenContent](t)
-	stages := []copies.Stage{copies.Claimed, copies.Released, copies.GivenUp, copies.Ended}
-	fates := make([]copies.Fate, len(stages))
+	stages := []copies.Stage{copies.Claimed, copies.Released, copies.Abandoned, copies.Ended}
+	fates := make([]copies.Outcome, len(stages))
 	for i, stage := range stages {
-		fates[i] = filled[copies.Fate](t)
+		fates[i] = filled[copies.Outcome](t)
 		fates[i].Stage = stage
-		fates[i].By = fmt.Sprintf("scheduler-%d", i)
-		fates[i].Where = fmt.Sprintf("group-%d", i)
+		fates[i].Scheduler = fmt.Sprintf("scheduler-%d", i)
+		fates[i].Group = fmt.Sprintf("group-%d", i)
 	}
-	content.Records[0].Fates = fates
+	content.Records[0].Outcomes = fates
 	content.Records[0].Key, content.Records[1].Key = "category\x00first", "category\x00second"
-	content.Seen[0].Keeper, content.Seen[1].Keeper = "keeper-1", "keeper-2"
+	content.Seen[0].Replica, content.Seen[1].Replica = "keeper-1", "keeper-2"
 	requireNonZero(t, "content", reflect.ValueOf(content))
 	return content
 }
@@ -131,8 +131,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = errors.Join(s.Keep(goldenNow, content.Records, nil), s.Live(content.Life, content.Epoch), s.See(content.Seen),
-		s.Agree(content.Agreement), s.Close())
+	err = errors.Join(s.Write(goldenNow, content.Records, nil), s.SetIncarnation(content.Life, content.Epoch), s.SaveCursors(content.Seen),
+		s.SaveAgreement(content.Agreement), s.Close())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -207,8 +207,8 @@
 		now    boottime.Reading
 		passed uint64 // seconds by which each record is older
 	}{
-		{"at the same start of the machine", boottime.Reading{Boot: goldenNow.Boot, Since: goldenNow.Since + 20*time.Second}, 20},
-		{"at another start of the machine", boottime.Reading{Boot: "another-start", Since: 5 * time.Second}, 0},
+		{"at the same start of the machine", boottime.Reading{BootID: goldenNow.BootID, SinceBoot: goldenNow.SinceBoot + 20*time.Second}, 20},
+		{"at another start of the machine", boottime.Reading{BootID: "another-start", SinceBoot: 5 * time.Second}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, err := Open(copyOfGolden(t), false)
@@ -220,7 +220,7 @@
 			var whole, agreed bool
 			var errLoad, errSeen, errAgreement error
 			got.Records, got.Life, got.Epoch, whole, errLoad = s.Load(c.now)
-			got.Seen, errSeen = s.Seen()
+			got.Seen, errSeen = s.Cursors()
 			got.Agreement, agreed, errAgreement = s.Agreement()
 			if err := errors.Join(errLoad, errSeen, errAgreement); err != nil || !whole || !agreed {
 				t.Fatalf("whole %v, agreed %v, %v", whole, agreed, err)
@@ -228,8 +228,8 @@
 			want := newGoldenContent(t)
 			for i := range want.Records {
 				want.Records[i].Age += c.passed
-				for j := range want.Records[i].Fates {
-					want.Records[i].Fates[j].Age = 0 // it is not told over a start
+				for j := range want.Records[i].Outcomes {
+					want.Records[i].Outcomes[j].Age = 0 // it is not told over a start
 				}
 			}
 			if !reflect.DeepEqual(got, want) {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -54,7 +54,7 @@
 	Latest int64  `cbor:"2,keyasint"` // ms: rows were last written then
 }
 
-func clockAt(now boottime.Reading) clock { return clock{now.Boot, now.Since.Milliseconds()} }
+func clockAt(now boottime.Reading) clock { return clock{now.BootID, now.SinceBoot.Milliseconds()} }
 
 // readClock is the file's clock; none for a file of a form that told moments by the wall clock.
 func readClock(meta *bbolt.Bucket) (c clock, ok bool, err error) {
@@ -81,7 +81,7 @@
 		return err
 	}
 	next := clockAt(now)
-	if _, same := now.After(boottime.Reading{Boot: before.Boot, Since: time.Duration(before.Latest) * time.Millisecond}); known && same {
+	if _, same := now.After(boottime.Reading{BootID: before.Boot, SinceBoot: time.Duration(before.Latest) * time.Millisecond}); known && same {
 		return next.write(meta)
 	}
 	moved := map[string][]byte{}
@@ -141,7 +141,7 @@
 
 // Load reads all records, and as which life, of which set of keepers, they were kept; false for a file that is new, or whose keeper had
 // not caught up. From here on the file goes by the clock of now.
-func (s *Store) Load(now boottime.Reading) (records []copies.Record, life copies.Life, epoch uint64, ok bool, err error) {
+func (s *Store) Load(now boottime.Reading) (records []copies.Record, life copies.Incarnation, epoch uint64, ok bool, err error) {
 	err = s.db.Update(func(tx *bbolt.Tx) error {
 		if err := goBy(tx, now); err != nil {
 			return err
@@ -151,8 +151,8 @@
 		if len(l) != 16 {
 			return nil
 		}
-		life = copies.Life{N: binary.BigEndian.Uint64(l), Nonce: binary.BigEndian.Uint64(l[8:])}
-		ok = life != copies.Life{}
+		life = copies.Incarnation{Generation: binary.BigEndian.Uint64(l), Nonce: binary.BigEndian.Uint64(l[8:])}
+		ok = life != copies.Incarnation{}
 		if e := meta.Get(epochKey); len(e) == 8 {
 			epoch = binary.BigEndian.Uint64(e)
 		}
@@ -161,10 +161,10 @@
 			if err := cbor.Unmarshal(v, &x); err != nil {
 				return err
 			}
-			for i := range x.Record.Fates {
-				x.Record.Fates[i].Age = 0 // how long ago an op ran is not known over a start: a window that is counted too long runs it twice
+			for i := range x.Record.Outcomes {
+				x.Record.Outcomes[i].Age = 0 // how long ago an op ran is not known over a start: a window that is counted too long runs it twice
 			}
-			x.Record.Age = uint64(max(now.Since.Milliseconds()-x.First, 0) / 1000)
+			x.Record.Age = uint64(max(now.SinceBoot.Milliseconds()-x.First, 0) / 1000)
 			records = append(records, x.Record)
 			return nil
 		})
@@ -175,11 +175,11 @@
 	return records, life, epoch, ok, err
 }
 
-// Seen reads up to where each other keeper's changes are in the file.
-func (s *Store) Seen() (all []copies.Seen, err error) {
+// Cursors reads up to where each other keeper's changes are in the file.
+func (s *Store) Cursors() (all []copies.ReplicationCursor, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(seenName).ForEach(func(_, v []byte) error {
-			var x copies.Seen
+			var x copies.ReplicationCursor
 			err := cbor.Unmarshal(v, &x)
 			all = append(all, x)
 			return err
@@ -191,15 +191,15 @@
 	return all, err
 }
 
-// See notes that they are there up to a position.
-func (s *Store) See(all []copies.Seen) error {
+// SaveCursors notes that they are there up to a position.
+func (s *Store) SaveCursors(all []copies.ReplicationCursor) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		for _, x := range all {
 			v, err := cbor.Marshal(x)
 			if err != nil {
 				return err
 			}
-			if err := tx.Bucket(seenName).Put([]byte(x.Keeper), v); err != nil {
+			if err := tx.Bucket(seenName).Put([]byte(x.Replica), v); err != nil {
 				return err
 			}
 		}
@@ -207,11 +207,11 @@
 	})
 }
 
-// Live notes as which life the file is whole from now on; a zero one: it is not.
-func (s *Store) Live(life copies.Life, epoch uint64) error {
+// SetIncarnation notes as which life the file is whole from now on; a zero one: it is not.
+func (s *Store) SetIncarnation(life copies.Incarnation, epoch uint64) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaName)
-		l := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, life.N), life.Nonce)
+		l := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, life.Generation), life.Nonce)
 		return errors.Join(meta.Put(lifeKey, l), meta.Put(epochKey, binary.BigEndian.AppendUint64(nil, epoch)))
 	})
 }
@@ -231,9 +231,9 @@
 	return state, ok, err
 }
 
-// Agree puts the agreement's state down. It is on the disk when this returns without an error, with sync off as well: a vote that is
+// SaveAgreement puts the agreement's state down. It is on the disk when this returns without an error, with sync off as well: a vote that is
 // forgotten may be given twice.
-func (s *Store) Agree(state keepers.State) error {
+func (s *Store) SaveAgreement(state keepers.State) error {
 	text, err := cbor.Marshal(state)
 	if err == nil {
 		err = s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(metaName).Put(agreedKey, text) })
@@ -244,16 +244,16 @@
 	return s.db.Sync()
 }
 
-// Keep puts records in and takes others out, all in one step; when it returns without an error they last. It is called after Load, on
+// Write puts records in and takes others out, all in one step; when it returns without an error they last. It is called after Load, on
 // the same start of the machine.
-func (s *Store) Keep(now boottime.Reading, put []copies.Record, drop []string) error {
+func (s *Store) Write(now boottime.Reading, put []copies.Record, drop []string) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		if err := clockAt(now).write(tx.Bucket(metaName)); err != nil {
 			return err
 		}
 		b := tx.Bucket(recordsName)
 		for _, r := range put {
-			v, err := cbor.Marshal(row{r, now.Since.Milliseconds() - 1000*int64(r.Age)})
+			v, err := cbor.Marshal(row{r, now.SinceBoot.Milliseconds() - 1000*int64(r.Age)})
 			if err != nil {
 				return err
 			}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -16,7 +16,7 @@
 )
 
 func record(key string) copies.Record {
-	return copies.Record{Key: key, Print: 3, Age: 5, Fates: []copies.Fate{{Claim: copies.Claim{By: "n", Nonce: 9}, Stage: copies.Claimed, Voted: true}}}
+	return copies.Record{Key: key, Fingerprint: 3, Age: 5, Outcomes: []copies.Outcome{{Claim: copies.Claim{Scheduler: "n", Nonce: 9}, Stage: copies.Claimed, Voted: true}}}
 }
 
 // A keeper that comes back must know what it granted, as which life; and nobody else may use its file meanwhile.
@@ -26,37 +26,37 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := boottime.Reading{Boot: "first", Since: 1000 * time.Second}
+	now := boottime.Reading{BootID: "first", SinceBoot: 1000 * time.Second}
 	if _, _, _, ok, err := s.Load(now); ok || err != nil {
 		t.Errorf("a new file: %v, %v", ok, err)
 	}
-	life := copies.Life{N: 4, Nonce: 7}
-	if err := s.Live(life, 11); err != nil {
+	life := copies.Incarnation{Generation: 4, Nonce: 7}
+	if err := s.SetIncarnation(life, 11); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Keep(now, []copies.Record{record("a\x00x"), record("b\x00y")}, nil); err != nil {
+	if err := s.Write(now, []copies.Record{record("a\x00x"), record("b\x00y")}, nil); err != nil {
 		t.Fatal(err)
 	}
 	aged := record("c\x00z")
-	aged.Fates[0].Age = 5
-	state := keepers.State{Seat: 3, Founding: 5, Set: keepers.Set{Founding: 5, Turn: 2, New: []string{"n"}}, Entries: [][]byte{{1}}}
-	seen := []copies.Seen{{Keeper: "m", Of: life, Since: 6}}
-	if err := errors.Join(s.Keep(now, []copies.Record{aged}, nil), s.Agree(state), s.See(seen)); err != nil {
+	aged.Outcomes[0].Age = 5
+	state := keepers.State{VoterID: 3, GroupID: 5, Set: keepers.Set{GroupID: 5, Epoch: 2, New: []string{"n"}}, Entries: [][]byte{{1}}}
+	seen := []copies.ReplicationCursor{{Replica: "m", Incarnation: life, Position: 6}}
+	if err := errors.Join(s.Write(now, []copies.Record{aged}, nil), s.SaveAgreement(state), s.SaveCursors(seen)); err != nil {
 		t.Fatal(err)
 	}
-	if got, _, _, _, _ := s.Load(now); got[2].Fates[0].Age != 0 {
+	if got, _, _, _, _ := s.Load(now); got[2].Outcomes[0].Age != 0 {
 		t.Error("how long ago an op ran is told over a start")
 	}
-	if err := s.Keep(now, nil, []string{"c\x00z"}); err != nil {
+	if err := s.Write(now, nil, []string{"c\x00z"}); err != nil {
 		t.Fatal(err)
 	}
 	if got, ok, err := s.Agreement(); err != nil || !ok || !reflect.DeepEqual(got, state) {
 		t.Errorf("the agreement: %+v, %v, %v", got, ok, err)
 	}
-	if got, err := s.Seen(); err != nil || !reflect.DeepEqual(got, seen) {
+	if got, err := s.Cursors(); err != nil || !reflect.DeepEqual(got, seen) {
 		t.Errorf("what was seen: %+v, %v", got, err)
 	}
-	if err := s.Keep(now, nil, []string{"b\x00y", "never there"}); err != nil {
+	if err := s.Write(now, nil, []string{"b\x00y", "never there"}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(path, true); err == nil {
@@ -68,7 +68,7 @@
 	}
 	want := record("a\x00x")
 	want.Age = 25
-	now.Since += 20 * time.Second
+	now.SinceBoot += 20 * time.Second
 	got, l, epoch, ok, err := s.Load(now)
 	if err != nil || !ok || l != life || epoch != 11 || len(got) != 1 || !reflect.DeepEqual(got[0], want) {
 		t.Errorf("%+v, life %v, epoch %d, %v, %v", got, l, epoch, ok, err)
@@ -81,14 +81,14 @@
 func TestARecordIsNoOlderThanIsProven(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "copies.db")
 	at := func(boot string, seconds int) boottime.Reading {
-		return boottime.Reading{Boot: boot, Since: time.Duration(seconds) * time.Second}
+		return boottime.Reading{BootID: boot, SinceBoot: time.Duration(seconds) * time.Second}
 	}
 	s, err := Open(path, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = errors.Join(s.Live(copies.Life{N: 1}, 1), s.Keep(at("first", 990), []copies.Record{record("a")}, nil), // 5 s old
-		s.Keep(at("first", 997), nil, []string{"none"}), s.Close())
+	err = errors.Join(s.SetIncarnation(copies.Incarnation{Generation: 1}, 1), s.Write(at("first", 990), []copies.Record{record("a")}, nil), // 5 s old
+		s.Write(at("first", 997), nil, []string{"none"}), s.Close())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,8 +122,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := boottime.Reading{Boot: "first", Since: time.Hour}
-	if err := errors.Join(s.Keep(now, []copies.Record{record("a")}, nil), s.Live(copies.Life{N: 1}, 1)); err != nil {
+	now := boottime.Reading{BootID: "first", SinceBoot: time.Hour}
+	if err := errors.Join(s.Write(now, []copies.Record{record("a")}, nil), s.SetIncarnation(copies.Incarnation{Generation: 1}, 1)); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.db.Update(func(tx *bbolt.Tx) error {
@@ -149,7 +149,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Live(copies.Life{N: 1}, 1)
+	s.SetIncarnation(copies.Incarnation{Generation: 1}, 1)
 	s.Close()
 	text, _ := os.ReadFile(path)
 	for i := range min(len(text), 8192) {
--- a/internal/tally/tally.go
+++ b/internal/tally/tally.go
@@ -11,72 +11,72 @@
 // mostCategories have figures of their own, those that are served before those that were; ops of the others count as other.
 const mostCategories = 2048
 
-// Ops are the counts of one category's ops.
-type Ops struct {
-	Served   int `json:"served"`   // acked
-	Refused  int `json:"refused"`  // turned away or nacked: trying again is harmless
-	Failed   int `json:"failed"`   // any other answer
-	Gone     int `json:"gone"`     // the client had left before its answer was written
-	Attempts int `json:"attempts"` // pushes written whole to workers
+// OpCounts are the counts of one category's ops.
+type OpCounts struct {
+	Succeeded    int `json:"served"`   // acked
+	Rejected     int `json:"refused"`  // turned away or nacked: trying again is harmless
+	Failed       int `json:"failed"`   // any other answer
+	Disconnected int `json:"gone"`     // the client had left before its answer was written
+	Attempts     int `json:"attempts"` // pushes written whole to workers
 }
 
-// Figures are all that staff read, at one moment.
-type Figures struct {
-	Requests        map[string]Ops    `json:"requests"`       // by category
-	Taken           int               `json:"requests_taken"` // requests whose fate is in the other figures, of all categories and none
-	Other           Ops               `json:"other"`          // of what has no category that is known
-	Attempts        int               `json:"attempts"`       // of all categories
-	Goroutines      int               `json:"goroutines"`
-	InFlight        int               `json:"in_flight"`
-	WorkersKnown    int               `json:"workers_known"`
-	WorkersExcluded int               `json:"workers_excluded"`
-	ReloadsOK       int               `json:"reloads_ok"`
-	ReloadsFailed   int               `json:"reloads_failed"`
-	AcceptFailures  int               `json:"accept_failures"` // of the system, waited out
-	Violations      map[string]uint64 `json:"violations"`      // of rules that are guarded while it runs, by rule
-	LogLinesLost    uint64            `json:"log_lines_lost"`
-	Members         *Members          `json:"members,omitempty"` // the other schedulers, where this one is a member
+// Metrics are all that staff read, at one moment.
+type Metrics struct {
+	Requests        map[string]OpCounts `json:"requests"`       // by category
+	RequestsRead    int                 `json:"requests_taken"` // requests whose fate is in the other figures, of all categories and none
+	Other           OpCounts            `json:"other"`          // of what has no category that is known
+	Attempts        int                 `json:"attempts"`       // of all categories
+	Goroutines      int                 `json:"goroutines"`
+	OpsInFlight     int                 `json:"in_flight"`
+	WorkersKnown    int                 `json:"workers_known"`
+	WorkersExcluded int                 `json:"workers_excluded"`
+	ReloadsOK       int                 `json:"reloads_ok"`
+	ReloadsFailed   int                 `json:"reloads_failed"`
+	AcceptFailures  int                 `json:"accept_failures"` // of the system, waited out
+	Violations      map[string]uint64   `json:"violations"`      // of rules that are guarded while it runs, by rule
+	LogLinesLost    uint64              `json:"log_lines_lost"`
+	Members         *MemberCounts       `json:"members,omitempty"` // the other schedulers, where this one is a member
 }
 
-// Members counts the other schedulers by how they are held here.
-type Members struct {
-	Here      int `json:"here"`
-	Doubted   int `json:"doubted"`
-	Gone      int `json:"gone"`
+// MemberCounts counts the other schedulers by how they are held here.
+type MemberCounts struct {
+	Alive     int `json:"here"`
+	Suspect   int `json:"doubted"`
+	Dead      int `json:"gone"`
 	Left      int `json:"left"`
 	Reachable int `json:"reachable"` // from here, directly
 }
 
-// End is how an op ended for its client.
-type End int
+// RequestEnd is how an op ended for its client.
+type RequestEnd int
 
 // A refusal promises that trying again is harmless.
 const (
-	Served End = iota
-	Refused
+	Succeeded RequestEnd = iota
+	Rejected
 	Failed
-	Gone
+	Disconnected
 )
 
-// Tally keeps the figures. Its methods may be called from any goroutine, and none of them waits for more than the
+// Recorder keeps the figures. Its methods may be called from any goroutine, and none of them waits for more than the
 // others' few instructions.
-type Tally struct {
+type Recorder struct {
 	mu      sync.Mutex
-	f       Figures
+	f       Metrics
 	served  map[string]bool
 	dropped []string // that have figures and are served no more, the last one last
 }
 
 // New starts with the categories that are served now: one without an op yet has figures too.
-func New(categories []string) *Tally {
-	t := &Tally{f: Figures{Requests: map[string]Ops{}}}
-	t.Serves(categories)
+func New(categories []string) *Recorder {
+	t := &Recorder{f: Metrics{Requests: map[string]OpCounts{}}}
+	t.SetCategories(categories)
 	return t
 }
 
-// Serves has figures for these categories. One that is served no more keeps its counts, since they run from the start, until
+// SetCategories has figures for these categories. One that is served no more keeps its counts, since they run from the start, until
 // others need the room: then those of the one that was dropped first become other.
-func (t *Tally) Serves(categories []string) {
+func (t *Recorder) SetCategories(categories []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	before := t.served
@@ -84,7 +84,7 @@
 	for _, c := range categories[:min(len(categories), mostCategories)] {
 		t.served[c] = true
 		if _, known := t.f.Requests[c]; !known {
-			t.f.Requests[c] = Ops{}
+			t.f.Requests[c] = OpCounts{}
 		} else if !before[c] {
 			t.dropped = slices.DeleteFunc(t.dropped, func(x string) bool { return x == c })
 		}
@@ -101,35 +101,35 @@
 	}
 }
 
-func (o *Ops) add(x Ops) {
-	o.Served, o.Refused, o.Failed, o.Gone = o.Served+x.Served, o.Refused+x.Refused, o.Failed+x.Failed, o.Gone+x.Gone
+func (o *OpCounts) add(x OpCounts) {
+	o.Succeeded, o.Rejected, o.Failed, o.Disconnected = o.Succeeded+x.Succeeded, o.Rejected+x.Rejected, o.Failed+x.Failed, o.Disconnected+x.Disconnected
 	o.Attempts += x.Attempts
 }
 
-// Took counts an op as held until Ended.
-func (t *Tally) Took() {
+// RequestStarted counts an op as held until Ended.
+func (t *Recorder) RequestStarted() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.f.InFlight++
-	t.f.Taken++
+	t.f.OpsInFlight++
+	t.f.RequestsRead++
 }
 
-// Ended counts an op's one answer.
-func (t *Tally) Ended(category string, how End) {
+// RequestEnded counts an op's one answer.
+func (t *Recorder) RequestEnded(category string, how RequestEnd) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.f.InFlight--
+	t.f.OpsInFlight--
 	o, known := t.f.Requests[category]
 	if !known { // one by one strangers' names would fill the memory
 		o = t.f.Other
 	}
 	switch how {
-	case Served:
-		o.Served++
-	case Refused:
-		o.Refused++
-	case Gone:
-		o.Gone++
+	case Succeeded:
+		o.Succeeded++
+	case Rejected:
+		o.Rejected++
+	case Disconnected:
+		o.Disconnected++
 	default:
 		o.Failed++
 	}
@@ -140,8 +140,8 @@
 	}
 }
 
-// Pushed counts a push that was written whole.
-func (t *Tally) Pushed(category string) {
+// AttemptSent counts a push that was written whole.
+func (t *Recorder) AttemptSent(category string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.f.Attempts++
@@ -153,15 +153,15 @@
 	}
 }
 
-// Fleet sets the workers in the list, and those of them that are avoided.
-func (t *Tally) Fleet(known, excluded int) {
+// SetWorkers sets the workers in the list, and those of them that are avoided.
+func (t *Recorder) SetWorkers(known, excluded int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.f.WorkersKnown, t.f.WorkersExcluded = known, excluded
 }
 
-// Reread counts a configuration that was taken up or turned down.
-func (t *Tally) Reread(taken bool) {
+// ConfigReloaded counts a configuration that was taken up or turned down.
+func (t *Recorder) ConfigReloaded(taken bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if taken {
@@ -172,15 +172,15 @@
 }
 
 // AcceptFailed counts a failure of accept; it tells how many there were.
-func (t *Tally) AcceptFailed() int {
+func (t *Recorder) AcceptFailed() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.f.AcceptFailures++
 	return t.f.AcceptFailures
 }
 
-// Figures are those of now.
-func (t *Tally) Figures() Figures {
+// Snapshot are those of now.
+func (t *Recorder) Snapshot() Metrics {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f := t.f
--- a/internal/tally/tally_test.go
+++ b/internal/tally/tally_test.go
@@ -10,23 +10,23 @@
 func TestEachOpIsCountedOnceAndHeldUntilItsEnd(t *testing.T) {
 	y := New([]string{"look", "pay"})
 	for range 5 {
-		y.Took()
+		y.RequestStarted()
 	}
-	y.Pushed("look")
-	y.Pushed("look")
-	y.Ended("look", Served)
-	y.Ended("look", Refused)
-	y.Ended("pay", Failed)
-	y.Took()
-	y.Ended("pay", Refused)
-	y.Took()
-	y.Ended("look", Gone)
-	y.Took()
-	y.Ended("stranger", Failed)
-	y.Fleet(9, 2)
-	y.Reread(true)
-	y.Reread(false)
-	got, err := json.Marshal(y.Figures())
+	y.AttemptSent("look")
+	y.AttemptSent("look")
+	y.RequestEnded("look", Succeeded)
+	y.RequestEnded("look", Rejected)
+	y.RequestEnded("pay", Failed)
+	y.RequestStarted()
+	y.RequestEnded("pay", Rejected)
+	y.RequestStarted()
+	y.RequestEnded("look", Disconnected)
+	y.RequestStarted()
+	y.RequestEnded("stranger", Failed)
+	y.SetWorkers(9, 2)
+	y.ConfigReloaded(true)
+	y.ConfigReloaded(false)
+	got, err := json.Marshal(y.Snapshot())
 	want := `{"requests":{"look":{"served":1,"refused":1,"failed":0,"gone":1,"attempts":2},` +
 		`"pay":{"served":0,"refused":1,"failed":1,"gone":0,"attempts":0}},"requests_taken":8,` +
 		`"other":{"served":0,"refused":0,"failed":1,"gone":0,"attempts":0},"attempts":2,"goroutines":0,"in_flight":2,` +
@@ -39,19 +39,19 @@
 // Names come from clients: counted one by one, strangers' names would fill the memory.
 func TestStrangersNamesAreNotKept(t *testing.T) {
 	y := New([]string{"look"})
-	y.Took()
-	y.Ended("stranger", Failed)
+	y.RequestStarted()
+	y.RequestEnded("stranger", Failed)
 	var many []string
 	for i := range 2 * mostCategories {
 		many = append(many, fmt.Sprint(i))
 	}
-	y.Serves(many)
-	f := y.Figures()
-	if _, kept := f.Requests["stranger"]; kept || len(f.Requests) != mostCategories || f.InFlight != 0 {
-		t.Errorf("%d categories, stranger %v, %d held", len(f.Requests), kept, f.InFlight)
+	y.SetCategories(many)
+	f := y.Snapshot()
+	if _, kept := f.Requests["stranger"]; kept || len(f.Requests) != mostCategories || f.OpsInFlight != 0 {
+		t.Errorf("%d categories, stranger %v, %d held", len(f.Requests), kept, f.OpsInFlight)
 	}
-	f.Requests["look"] = Ops{Served: 7}
-	if y.Figures().Requests["look"].Served != 0 {
+	f.Requests["look"] = OpCounts{Succeeded: 7}
+	if y.Snapshot().Requests["look"].Succeeded != 0 {
 		t.Error("a reader has changed the figures")
 	}
 }
@@ -69,19 +69,19 @@
 	n := 0
 	count := func(c string) {
 		n++
-		y.Took()
-		y.Pushed(c)
-		y.Ended(c, End(n%4))
+		y.RequestStarted()
+		y.AttemptSent(c)
+		y.RequestEnded(c, RequestEnd(n%4))
 	}
 	for i := entries; i < changes; i++ {
 		served[i%entries] = name(i)
-		y.Serves(served)
+		y.SetCategories(served)
 		count(name(i))
 		if i%5 == 0 {
 			count(name(i - entries)) // a client that does not know yet
 		}
 	}
-	f := y.Figures()
+	f := y.Snapshot()
 	for _, c := range served {
 		if o, has := f.Requests[c]; !has || o.Attempts == 0 {
 			t.Errorf("%s is served and has %+v, %v", c, o, has)
@@ -95,18 +95,18 @@
 	if _, has := f.Requests[name(changes-mostCategories-1)]; has || len(f.Requests) != mostCategories || len(y.dropped) != mostCategories-entries {
 		t.Errorf("%d categories have figures, of them %d dropped", len(f.Requests), len(y.dropped))
 	}
-	sum, attempts := f.Other.Served+f.Other.Refused+f.Other.Failed+f.Other.Gone, f.Other.Attempts
+	sum, attempts := f.Other.Succeeded+f.Other.Rejected+f.Other.Failed+f.Other.Disconnected, f.Other.Attempts
 	for _, o := range f.Requests {
-		sum, attempts = sum+o.Served+o.Refused+o.Failed+o.Gone, attempts+o.Attempts
+		sum, attempts = sum+o.Succeeded+o.Rejected+o.Failed+o.Disconnected, attempts+o.Attempts
 	}
-	if sum != f.Taken || attempts != f.Attempts || f.Attempts != f.Taken || f.InFlight != 0 {
-		t.Errorf("%d in all places, %d taken; %d and %d attempts", sum, f.Taken, attempts, f.Attempts)
+	if sum != f.RequestsRead || attempts != f.Attempts || f.Attempts != f.RequestsRead || f.OpsInFlight != 0 {
+		t.Errorf("%d in all places, %d taken; %d and %d attempts", sum, f.RequestsRead, attempts, f.Attempts)
 	}
 	back := name(changes - entries - 1)
 	was := f.Requests[back]
 	served[0] = back
-	y.Serves(served)
-	if y.Figures().Requests[back] != was || len(y.dropped) != mostCategories-entries {
-		t.Errorf("back again, it has %+v, not %+v; %d dropped", y.Figures().Requests[back], was, len(y.dropped))
+	y.SetCategories(served)
+	if y.Snapshot().Requests[back] != was || len(y.dropped) != mostCategories-entries {
+		t.Errorf("back again, it has %+v, not %+v; %d dropped", y.Snapshot().Requests[back], was, len(y.dropped))
 	}
 }
--- a/internal/terms/bench_test.go
+++ b/internal/terms/bench_test.go
@@ -21,10 +21,10 @@
 func BenchmarkHash(b *testing.B) {
 	for _, entries := range []int{3, 256} {
 		b.Run(fmt.Sprintf("categories=%d", entries), func(b *testing.B) {
-			s := &Sheet{Site: Flat(map[string]any{"categories": teams(entries)})}
+			s := &Bootstrap{Settings: Flatten(map[string]any{"categories": teams(entries)})}
 			b.ReportAllocs()
 			for range b.N {
-				s.Hash()
+				s.SettingsHash()
 			}
 		})
 	}
@@ -36,15 +36,15 @@
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			categories := teams(entries)
 			path := filepath.Join(b.TempDir(), "sheet")
-			write := func() *Sheet {
+			write := func() *Bootstrap {
 				text, err := json.Marshal(map[string]any{"listen": "a:1", "discovery": "a:2", "seed": "ff", "settings": map[string]any{
 					"bounds": map[string]any{"maxPushes": 3}, "categories": categories}})
 				if err == nil {
 					err = os.WriteFile(path, text, 0o600)
 				}
-				var s *Sheet
+				var s *Bootstrap
 				if err == nil {
-					s, err = ReadSheet(path)
+					s, err = ReadBootstrap(path)
 				}
 				if err != nil {
 					b.Fatal(err)
@@ -57,14 +57,14 @@
 			write()
 			b.ReportAllocs()
 			for b.Loop() {
-				s, err := ReadSheet(path)
+				s, err := ReadBootstrap(path)
 				if err == nil {
-					err = s.Follows(before)
+					err = s.CheckReload(before)
 				}
 				if err != nil {
 					b.Fatal(err)
 				}
-				if retunes, _ := s.Retunes(before); !retunes {
+				if retunes, _ := s.CategoriesChanged(before); !retunes {
 					b.Fatal("no change")
 				}
 			}
--- a/internal/terms/golden_messages_test.go
+++ b/internal/terms/golden_messages_test.go
@@ -8,7 +8,7 @@
 	wantTags := []string{"cy8", "Inr", "tkq", "S0F"}
 	tags := map[string]int{}
 	for i, tag := range wantTags {
-		if got := Tag(names[i]); got != tag {
+		if got := WorkerTag(names[i]); got != tag {
 			t.Errorf("worker %q has the tag %q, want %q", names[i], got, tag)
 		}
 		tags[tag] = i
@@ -32,10 +32,10 @@
 		{3, 2, "S0F2", 2},
 		{3, 900, "S0F_", 63},
 	} {
-		if got := Word(names[c.worker], c.count); got != c.text {
+		if got := EncodePeerReport(names[c.worker], c.count); got != c.text {
 			t.Errorf("%d pushes to %q are told as %q, want %q", c.count, names[c.worker], got, c.text)
 		}
-		if worker, count, ok := Unword(c.text, tags); !ok || worker != c.worker || count != c.read {
+		if worker, count, ok := DecodePeerReport(c.text, tags); !ok || worker != c.worker || count != c.read {
 			t.Errorf("%q is read as worker %d, count %d, %v, want worker %d, count %d", c.text, worker, count, ok, c.worker, c.read)
 		}
 	}
@@ -45,7 +45,7 @@
 func TestGoldenDigits(t *testing.T) {
 	const want = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ-_"
 	for count := range len(want) {
-		if got := Word("w1", count); got != "Inr"+want[count:count+1] {
+		if got := EncodePeerReport("w1", count); got != "Inr"+want[count:count+1] {
 			t.Errorf("count %d is told as %q", count, got)
 		}
 	}
--- a/internal/terms/golden_test.go
+++ b/internal/terms/golden_test.go
@@ -14,19 +14,19 @@
 
 // Guards the JSON keys of the configuration, each of which is set in the file to a value that is not its default.
 func TestSheetKeepsItsKeys(t *testing.T) {
-	read, err := ReadSheet("testdata/sheet.json")
+	read, err := ReadBootstrap("testdata/sheet.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Sheet{Name: "n2", Listen: "127.0.0.1:9001", Console: "127.0.0.1:9002", Discovery: "127.0.0.1:8501", Seed: "1f",
-		Limits: Limits{Cores: 2.5, MemoryMB: 333, Sockets: 444}, Known: json.RawMessage(`{"rev":7}`), Kinds: false,
+	want := Bootstrap{Name: "n2", Listen: "127.0.0.1:9001", Console: "127.0.0.1:9002", Discovery: "127.0.0.1:8501", Seed: "1f",
+		Limits: Limits{Cores: 2.5, MemoryMB: 333, Sockets: 444}, KnownWorkers: json.RawMessage(`{"rev":7}`), Kinds: false,
 		Keys: &Keys{Fact: "dataset"},
 		Peers: &Peers{Listen: "127.0.0.1:9003", Others: map[string]string{"1": "127.0.0.1:9004", "3": "127.0.0.1:9005"},
-			At: netip.MustParseAddrPort("127.0.0.1:9003"), ByNumber: map[int]netip.AddrPort{
+			ListenAddr: netip.MustParseAddrPort("127.0.0.1:9003"), ByNumber: map[int]netip.AddrPort{
 				1: netip.MustParseAddrPort("127.0.0.1:9004"), 3: netip.MustParseAddrPort("127.0.0.1:9005")}},
-		Watch:  &Watch{Keys: &Keys{Fact: "dataset"}, Settings: map[string]any{"prices": map[string]any{"connection": 0.5}}},
-		Chance: 0x1f, Fact: "dataset"}
-	want.Settings, want.Site, want.Other, want.raw = read.Settings, read.Site, read.Other, read.raw // guarded below
+		Shadow:    &Shadow{Keys: &Keys{Fact: "dataset"}, Settings: map[string]any{"prices": map[string]any{"connection": 0.5}}},
+		SeedValue: 0x1f, AffinityFact: "dataset"}
+	want.RawSettings, want.Settings, want.ShadowSettings, want.raw = read.RawSettings, read.Settings, read.ShadowSettings, read.raw // guarded below
 	if !reflect.DeepEqual(*read, want) {
 		t.Errorf("read %+v, want %+v", *read, want)
 	}
@@ -36,16 +36,16 @@
 
 // Guards the JSON keys that this build writes for a configuration: a key with another name is another configuration to it.
 func TestSheetKeepsItsForm(t *testing.T) {
-	filled.CompareJSON(t, "testdata/form.json.golden", filled.Value[Sheet](t))
+	filled.CompareJSON(t, "testdata/form.json.golden", filled.Value[Bootstrap](t))
 }
 
 // Guards the keys of the settings that are read by name, and their values as the module takes them.
 func TestSettingsKeepTheirKeys(t *testing.T) {
-	read, err := ReadSheet("testdata/sheet.json")
+	read, err := ReadBootstrap("testdata/sheet.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, settings := range map[string]map[string]any{"site": read.Site, "other": read.Other} {
+	for name, settings := range map[string]map[string]any{"site": read.Settings, "other": read.ShadowSettings} {
 		t.Run(name, func(t *testing.T) {
 			text, err := json.MarshalIndent(settings, "", "\t")
 			if err != nil {
@@ -54,9 +54,9 @@
 			golden.Compare(t, "testdata/"+name+".json.golden", append(text, '\n'))
 		})
 	}
-	rules := map[string]Rule{"preview": {Effect: "redeliverable"}, "charge": {Effect: "at-most-once"},
+	rules := map[string]CategoryRule{"preview": {Effect: "redeliverable"}, "charge": {Effect: "at-most-once"},
 		"publish": {Effect: "deduplicated", Window: 7500 * time.Millisecond, Scope: "zone"}}
-	if got := read.Rules(); !reflect.DeepEqual(got, rules) {
+	if got := read.CategoryRules(); !reflect.DeepEqual(got, rules) {
 		t.Errorf("rules %+v, want %+v", got, rules)
 	}
 	if names := read.Categories(); !reflect.DeepEqual(names, []string{"preview", "publish", "charge"}) {
@@ -69,9 +69,9 @@
 
 // Guards the hash of the settings, which schedulers of different builds compare with one another.
 func TestHashKeepsItsValue(t *testing.T) {
-	read, err := ReadSheet("../../examples/config.json")
+	read, err := ReadBootstrap("../../examples/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Compare(t, "testdata/hash.txt.golden", fmt.Appendf(nil, "%016x\n", read.Hash()))
+	golden.Compare(t, "testdata/hash.txt.golden", fmt.Appendf(nil, "%016x\n", read.SettingsHash()))
 }
--- a/internal/terms/reread.go
+++ b/internal/terms/reread.go
@@ -16,7 +16,7 @@
 )
 
 // counts checks the figures without which no op can be kept to its rules.
-func (s *Sheet) counts() error {
+func (s *Bootstrap) counts() error {
 	positive := func(in map[string]any, name, at string, most float64) error {
 		v, there := in[name]
 		n, ok := v.(float64)
@@ -29,7 +29,7 @@
 		return nil
 	}
 	var err error
-	list, _ := s.Settings["categories"].([]any)
+	list, _ := s.RawSettings["categories"].([]any)
 	if len(list) > mostCategories {
 		err = fmt.Errorf("%d categories, at most %d are served", len(list), mostCategories)
 	}
@@ -39,16 +39,16 @@
 		err = errors.Join(err, positive(one, "ttlNs", at, float64(longestTTL)),
 			positive(one, "targetLatencyNs", at, float64(longestTTL)))
 	}
-	bounds, _ := s.Settings["bounds"].(map[string]any)
+	bounds, _ := s.RawSettings["bounds"].(map[string]any)
 	if n, ok := bounds["maxPushes"].(float64); ok && n > 0 && n < 1 {
 		return fmt.Errorf("bounds.maxPushes: %g is no push", n)
 	}
 	return errors.Join(err, positive(bounds, "maxPushes", "bounds.", mostPushes))
 }
 
-// Follows tells what keeps this sheet from taking the place of one in force: a key that it lacks, or a value of another kind.
+// CheckReload tells what keeps this sheet from taking the place of one in force: a key that it lacks, or a value of another kind.
 // A file that was cut or slipped in editing must not be half in force.
-func (s *Sheet) Follows(before *Sheet) error {
+func (s *Bootstrap) CheckReload(before *Bootstrap) error {
 	was, is := maps.Clone(before.raw), maps.Clone(s.raw)
 	if _, there := is["known"]; there {
 		delete(was, "known") // the workers come and go
@@ -121,9 +121,9 @@
 	return common
 }
 
-// Retunes tells whether this sheet's categories or pushes differ from another's, and whether any of the rest of what only a
+// CategoriesChanged tells whether this sheet's categories or pushes differ from another's, and whether any of the rest of what only a
 // restart takes up does.
-func (s *Sheet) Retunes(before *Sheet) (retunes, rest bool) {
+func (s *Bootstrap) CategoriesChanged(before *Bootstrap) (retunes, rest bool) {
 	now := func(k string) bool {
 		return strings.HasPrefix(k, "categories.") || strings.HasPrefix(k, "extra.class") || k == "bounds.maxPushes"
 	}
@@ -135,7 +135,7 @@
 			}
 		}
 	}
-	lacks(s.Site, before.Site)
-	lacks(before.Site, s.Site)
+	lacks(s.Settings, before.Settings)
+	lacks(before.Settings, s.Settings)
 	return retunes, rest
 }
--- a/internal/terms/reread_test.go
+++ b/internal/terms/reread_test.go
@@ -12,12 +12,12 @@
 	const whole = `{"listen":"a:1","discovery":"a:2","seed":"ff","known":{"rev":1,"targets":[]},"settings":{"bounds":` +
 		`{"maxPushes":6,"cancel":true},"zones":["a"],"categories":[{"name":"look","ttlNs":5,"effect":"dedup","windowNs":7},` +
 		`{"name":"see","ttlNs":5,"effect":"retryable"}]}}`
-	read := func(text string) (*Sheet, error) {
+	read := func(text string) (*Bootstrap, error) {
 		path := filepath.Join(t.TempDir(), "sheet")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return ReadSheet(path)
+		return ReadBootstrap(path)
 	}
 	before, err := read(whole)
 	if err != nil {
@@ -56,7 +56,7 @@
 	} {
 		s, err := read(strings.Replace(whole, c.old, c.new, 1))
 		if err == nil {
-			err = s.Follows(before)
+			err = s.CheckReload(before)
 		}
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("%s for %s: error %v, want %q", c.new, c.old, err, c.want)
@@ -71,14 +71,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if retunes, rest := other.Retunes(before); !retunes || rest {
+	if retunes, rest := other.CategoriesChanged(before); !retunes || rest {
 		t.Errorf("another effect and another discovery: retunes %v, a restart is needed %v", retunes, rest)
 	}
 	zones, err := read(strings.Replace(whole, `["a"]`, `["b"]`, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if retunes, rest := zones.Retunes(before); retunes || !rest {
+	if retunes, rest := zones.CategoriesChanged(before); retunes || !rest {
 		t.Errorf("another zone: retunes %v, a restart is needed %v", retunes, rest)
 	}
 }
@@ -95,14 +95,14 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, err := ReadSheet(path)
+		s, err := ReadBootstrap(path)
 		if err != nil {
 			return
 		}
-		if err := s.Follows(s); err != nil {
+		if err := s.CheckReload(s); err != nil {
 			t.Errorf("%q can't follow itself: %v", text, err)
 		}
-		if retunes, rest := s.Retunes(s); retunes || rest {
+		if retunes, rest := s.CategoriesChanged(s); retunes || rest {
 			t.Errorf("%q differs from itself", text)
 		}
 	})
@@ -117,7 +117,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, err := ReadSheet(path)
+		s, err := ReadBootstrap(path)
 		if fits && (err != nil || len(s.Categories()) != n) || !fits && (err == nil || !strings.HasSuffix(err.Error(), "2049 categories, at most 2048 are served")) {
 			t.Errorf("%d categories: %v", n, err)
 		}
@@ -126,7 +126,7 @@
 
 // Which of the terms change at once and which wait for a restart is told apart for each, whatever else stays.
 func TestWhatChangesAtOnceIsToldFromWhatWaits(t *testing.T) {
-	sheet := func(site map[string]any) *Sheet { return &Sheet{Site: site} }
+	sheet := func(site map[string]any) *Bootstrap { return &Bootstrap{Settings: site} }
 	of := func(more ...any) map[string]any {
 		site := map[string]any{"categories.0.name": "a", "extra.classStretch.0": 2.0, "bounds.maxPushes": 3.0, "step": 5.0}
 		for i := 0; i < len(more); i += 2 {
@@ -142,7 +142,7 @@
 	}{{of(), false, false}, {of("categories.0.name", "b"), true, false}, {of("categories.1.name", "b"), true, false},
 		{of("categories.0.name", nil), true, false}, {of("extra.classStretch.0", 3.0), true, false}, {of("bounds.maxPushes", 4.0), true, false},
 		{of("step", 6.0), false, true}, {of("step", nil), false, true}, {of("more", 1.0), false, true}, {of("step", 6.0, "bounds.maxPushes", nil), true, true}} {
-		if retunes, rest := sheet(c.site).Retunes(sheet(of())); retunes != c.retunes || rest != c.rest {
+		if retunes, rest := sheet(c.site).CategoriesChanged(sheet(of())); retunes != c.retunes || rest != c.rest {
 			t.Errorf("%v: %v, %v", c.site, retunes, rest)
 		}
 	}
--- a/internal/terms/sheet.go
+++ b/internal/terms/sheet.go
@@ -15,25 +15,25 @@
 	"time"
 )
 
-// Sheet is what a scheduler is told at its start.
-type Sheet struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Console   string          `json:"console"` // where staff call; empty: nowhere
-	Discovery string          `json:"discovery"`
-	Seed      string          `json:"seed"`
-	Limits    Limits          `json:"limits"`
-	Known     json.RawMessage `json:"known"` // the workers as last heard of, in discovery's form
-	Settings  map[string]any  `json:"settings"`
-	Kinds     bool            `json:"kinds"` // speeds are learned by the kind of machine that the list tells, unless this says false
-	Keys      *Keys           `json:"keys"`  // nil: keys are not read
-	Peers     *Peers          `json:"peers"` // nil: no messages, whatever the settings allow
-	Watch     *Watch          `json:"watch"` // nil: nothing is watched for
-	Chance    uint64          `json:"-"`     // the seed as a number
-	Site      map[string]any  `json:"-"`     // the settings as the module takes them
-	Other     map[string]any  `json:"-"`     // those that a watch compares with, nil without one
-	raw       map[string]any  // the file as it is
-	Fact      string          `json:"-"` // where an op's key is read, for use or for a watch; empty: nowhere
+// Bootstrap is what a scheduler is told at its start.
+type Bootstrap struct {
+	Name           string          `json:"name"`
+	Listen         string          `json:"listen"`
+	Console        string          `json:"console"` // where staff call; empty: nowhere
+	Discovery      string          `json:"discovery"`
+	Seed           string          `json:"seed"`
+	Limits         Limits          `json:"limits"`
+	KnownWorkers   json.RawMessage `json:"known"` // the workers as last heard of, in discovery's form
+	RawSettings    map[string]any  `json:"settings"`
+	Kinds          bool            `json:"kinds"` // speeds are learned by the kind of machine that the list tells, unless this says false
+	Keys           *Keys           `json:"keys"`  // nil: keys are not read
+	Peers          *Peers          `json:"peers"` // nil: no messages, whatever the settings allow
+	Shadow         *Shadow         `json:"watch"` // nil: nothing is watched for
+	SeedValue      uint64          `json:"-"`     // the seed as a number
+	Settings       map[string]any  `json:"-"`     // the settings as the module takes them
+	ShadowSettings map[string]any  `json:"-"`     // those that a watch compares with, nil without one
+	raw            map[string]any  // the file as it is
+	AffinityFact   string          `json:"-"` // where an op's key is read, for use or for a watch; empty: nowhere
 }
 
 // Keys tells where an op names the data that workers keep for it.
@@ -46,12 +46,12 @@
 	Listen string            `json:"listen"`
 	Others map[string]string `json:"others"`
 
-	At       netip.AddrPort         `json:"-"` // Listen and Others, read
-	ByNumber map[int]netip.AddrPort `json:"-"`
+	ListenAddr netip.AddrPort         `json:"-"` // Listen and Others, read
+	ByNumber   map[int]netip.AddrPort `json:"-"`
 }
 
-// Watch is another shape's settings: decisions stay as they are, and those that it would change are counted.
-type Watch struct {
+// Shadow is another shape's settings: decisions stay as they are, and those that it would change are counted.
+type Shadow struct {
 	Keys     *Keys          `json:"keys"`
 	Settings map[string]any `json:"settings"` // in place of those of the same name
 }
@@ -59,12 +59,12 @@
 const mostSchedulers = 4096
 
 // own decodes the parts that are this project's and not the platform's: there a slip of the pen is an error.
-func own(text []byte, s *Sheet) error {
+func own(text []byte, s *Bootstrap) error {
 	var raw map[string]json.RawMessage
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return err
 	}
-	for name, into := range map[string]any{"keys": &s.Keys, "peers": &s.Peers, "watch": &s.Watch} {
+	for name, into := range map[string]any{"keys": &s.Keys, "peers": &s.Peers, "watch": &s.Shadow} {
 		if len(raw[name]) == 0 {
 			continue
 		}
@@ -109,24 +109,24 @@
 }
 
 // move checks the parts that belong to another shape of deployment and works out what they make of the settings.
-func (s *Sheet) move() error {
-	if err := errors.Join(shape(s.Site), s.Keys.check()); err != nil {
+func (s *Bootstrap) move() error {
+	if err := errors.Join(shape(s.Settings), s.Keys.check()); err != nil {
 		return err
 	}
 	if s.Keys != nil {
-		s.Fact = s.Keys.Fact
+		s.AffinityFact = s.Keys.Fact
 	}
-	s.Site["keys"], s.Site["kinds"] = s.Keys != nil, s.Kinds
+	s.Settings["keys"], s.Settings["kinds"] = s.Keys != nil, s.Kinds
 	if p := s.Peers; p != nil {
-		if s.Site["bounds.peerMessages"] != true {
+		if s.Settings["bounds.peerMessages"] != true {
 			return errors.New("peers: the settings do not allow messages (bounds.peerMessages)")
 		}
 		var err error
-		if p.At, err = netip.ParseAddrPort(p.Listen); err != nil {
+		if p.ListenAddr, err = netip.ParseAddrPort(p.Listen); err != nil {
 			return fmt.Errorf("peers: listen: %w", err)
 		}
 		p.ByNumber = map[int]netip.AddrPort{}
-		all, _ := s.Site["instances"].(float64)
+		all, _ := s.Settings["instances"].(float64)
 		for name, addr := range p.Others {
 			n, err := strconv.Atoi(name)
 			if err != nil || n < 0 || float64(n) >= all {
@@ -138,47 +138,47 @@
 		}
 	} else {
 		// The module would take the silence of the others for idle workers.
-		s.Site["bounds.peerMessages"] = false
+		s.Settings["bounds.peerMessages"] = false
 	}
-	if s.Watch == nil {
+	if s.Shadow == nil {
 		return nil
 	}
-	s.Other = maps.Clone(s.Site)
-	maps.Copy(s.Other, Flat(s.Watch.Settings))
-	if k := s.Watch.Keys; k != nil {
-		if s.Fact != "" && s.Fact != k.Fact {
-			return fmt.Errorf("watch: keys are read from %q already", s.Fact)
+	s.ShadowSettings = maps.Clone(s.Settings)
+	maps.Copy(s.ShadowSettings, Flatten(s.Shadow.Settings))
+	if k := s.Shadow.Keys; k != nil {
+		if s.AffinityFact != "" && s.AffinityFact != k.Fact {
+			return fmt.Errorf("watch: keys are read from %q already", s.AffinityFact)
 		}
-		s.Fact, s.Other["keys"] = k.Fact, true
+		s.AffinityFact, s.ShadowSettings["keys"] = k.Fact, true
 	}
-	if err := errors.Join(shape(s.Other), s.Watch.Keys.check()); err != nil {
+	if err := errors.Join(shape(s.ShadowSettings), s.Shadow.Keys.check()); err != nil {
 		return fmt.Errorf("watch: %w", err)
 	}
 	return nil
 }
 
-// Speak has schedulers tell one another by another way than the addresses in the configuration, where the settings allow messages.
-func (s *Sheet) Speak() error {
+// AllowPeerMessages has schedulers tell one another by another way than the addresses in the configuration, where the settings allow messages.
+func (s *Bootstrap) AllowPeerMessages() error {
 	if s.Peers != nil {
 		return errors.New("the configuration names peers already")
 	}
-	if Flat(s.Settings)["bounds.peerMessages"] != true {
+	if Flatten(s.RawSettings)["bounds.peerMessages"] != true {
 		return errors.New("the settings do not allow messages (bounds.peerMessages)")
 	}
-	s.Site["bounds.peerMessages"] = true
+	s.Settings["bounds.peerMessages"] = true
 	return nil
 }
 
 // Number is this scheduler's among all, -1 where the settings do not tell.
-func (s *Sheet) Number() int {
-	if n, ok := s.Site["myNumber"].(float64); ok {
+func (s *Bootstrap) Number() int {
+	if n, ok := s.Settings["myNumber"].(float64); ok {
 		return int(n)
 	}
 	return -1
 }
 
-// LeastSockets is how many descriptors a scheduler by itself needs.
-const LeastSockets = 64
+// MinSockets is how many descriptors a scheduler by itself needs.
+const MinSockets = 64
 
 // Limits are what the machine gives a scheduler.
 type Limits struct {
@@ -187,8 +187,8 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// ReadSheet reads a sheet and says plainly what is wrong with it.
-func ReadSheet(path string) (*Sheet, error) {
+// ReadBootstrap reads a sheet and says plainly what is wrong with it.
+func ReadBootstrap(path string) (*Bootstrap, error) {
 	if path == "" {
 		return nil, errors.New("no configuration: name its file with --config or RELAY_CONFIG")
 	}
@@ -196,7 +196,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	s := &Sheet{Kinds: true, Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}}
+	s := &Bootstrap{Kinds: true, Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}}
 	if err := json.Unmarshal(text, s); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
@@ -204,20 +204,20 @@
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
 	if one, ok := s.raw["settings"].(map[string]any); ok {
-		s.Settings = one // and not two of hundreds of categories
+		s.RawSettings = one // and not two of hundreds of categories
 	}
-	if s.Chance, err = strconv.ParseUint(s.Seed, 16, 64); err != nil {
+	if s.SeedValue, err = strconv.ParseUint(s.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("configuration %s: seed: %w", path, err)
 	}
-	s.Site = Flat(s.Settings)
+	s.Settings = Flatten(s.RawSettings)
 	switch {
 	case s.Listen == "":
 		err = errors.New("no listen address")
 	case s.Discovery == "":
 		err = errors.New("no discovery address")
-	case s.Site[Item("categories", 0, "ttl")] == nil:
+	case s.Settings[ItemKey("categories", 0, "ttl")] == nil:
 		err = errors.New("the settings name no category")
-	case s.Limits.Cores <= 0 || s.Limits.MemoryMB < 32 || s.Limits.Sockets < LeastSockets:
+	case s.Limits.Cores <= 0 || s.Limits.MemoryMB < 32 || s.Limits.Sockets < MinSockets:
 		err = fmt.Errorf("limits of %g cores, %d MB and %d sockets are too small", s.Limits.Cores,
 			s.Limits.MemoryMB, s.Limits.Sockets)
 	default:
@@ -230,9 +230,9 @@
 }
 
 // Categories are the names of those that are served.
-func (s *Sheet) Categories() (names []string) {
+func (s *Bootstrap) Categories() (names []string) {
 	for i := 0; ; i++ {
-		name, ok := s.Site[Item("categories", i, "name")].(string)
+		name, ok := s.Settings[ItemKey("categories", i, "name")].(string)
 		if !ok {
 			return names
 		}
@@ -240,56 +240,56 @@
 	}
 }
 
-// Rule is how often an op of a category may run. A group drops repeats for a window after the first push: "all" workers, a "zone" or a
+// CategoryRule is how often an op of a category may run. A group drops repeats for a window after the first push: "all" workers, a "zone" or a
 // "cell"; 0 where nobody drops them.
-type Rule struct {
+type CategoryRule struct {
 	Effect string // in the platform's word
 	Window time.Duration
 	Scope  string
 }
 
-// Rules are those of the categories that are served, by their names. Of two with one name the last one is served.
-func (s *Sheet) Rules() map[string]Rule {
-	rules := map[string]Rule{}
+// CategoryRules are those of the categories that are served, by their names. Of two with one name the last one is served.
+func (s *Bootstrap) CategoryRules() map[string]CategoryRule {
+	rules := map[string]CategoryRule{}
 	for i, name := range s.Categories() {
-		var r Rule
-		if r.Effect, _ = s.Site[Item("categories", i, "effect")].(string); r.Effect == "deduplicated" {
-			r.Window = s.Span(Item("categories", i, "window"), 0)
-			r.Scope, _ = s.Site[Item("categories", i, "dedupScope")].(string)
+		var r CategoryRule
+		if r.Effect, _ = s.Settings[ItemKey("categories", i, "effect")].(string); r.Effect == "deduplicated" {
+			r.Window = s.Duration(ItemKey("categories", i, "window"), 0)
+			r.Scope, _ = s.Settings[ItemKey("categories", i, "dedupScope")].(string)
 		}
 		rules[name] = r
 	}
 	return rules
 }
 
-// Hash is the same for two sheets whose settings are, but for which of the schedulers each is for.
-func (s *Sheet) Hash() uint64 {
+// SettingsHash is the same for two sheets whose settings are, but for which of the schedulers each is for.
+func (s *Bootstrap) SettingsHash() uint64 {
 	h := fnv.New64a()
-	for _, name := range slices.Sorted(maps.Keys(s.Site)) {
+	for _, name := range slices.Sorted(maps.Keys(s.Settings)) {
 		if name != "myNumber" && name != "myZone" {
-			fmt.Fprintf(h, "%s=%v\n", name, s.Site[name]) // never fails
+			fmt.Fprintf(h, "%s=%v\n", name, s.Settings[name]) // never fails
 		}
 	}
 	return h.Sum64()
 }
 
 // LongestTTL is that of all categories: no op is out for longer.
-func (s *Sheet) LongestTTL() (longest time.Duration) {
-	for i := 0; s.Site[Item("categories", i, "ttl")] != nil; i++ {
-		longest = max(longest, s.Span(Item("categories", i, "ttl"), 0))
+func (s *Bootstrap) LongestTTL() (longest time.Duration) {
+	for i := 0; s.Settings[ItemKey("categories", i, "ttl")] != nil; i++ {
+		longest = max(longest, s.Duration(ItemKey("categories", i, "ttl"), 0))
 	}
 	return longest
 }
 
 // Schedulers is how many there are, 1 where the settings do not tell.
-func (s *Sheet) Schedulers() int {
-	n, _ := s.Site["instances"].(float64)
+func (s *Bootstrap) Schedulers() int {
+	n, _ := s.Settings["instances"].(float64)
 	return max(int(n), 1)
 }
 
-// Span is a duration among the terms, or another where they lack it.
-func (s *Sheet) Span(name string, otherwise time.Duration) time.Duration {
-	if v, ok := s.Site[name].(float64); ok && v > 0 {
+// Duration is a duration among the terms, or another where they lack it.
+func (s *Bootstrap) Duration(name string, otherwise time.Duration) time.Duration {
+	if v, ok := s.Settings[name].(float64); ok && v > 0 {
 		return time.Duration(v) * Tenth
 	}
 	return otherwise
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -15,8 +15,8 @@
 // Tenth is a tenth of a millisecond in nanoseconds.
 const Tenth = 100_000
 
-// Down and Up round towards the safe side: what must not be overstepped down, the clock up.
-func Down(ns int64) dispatch.Time {
+// RoundDown and Up round towards the safe side: what must not be overstepped down, the clock up.
+func RoundDown(ns int64) dispatch.Time {
 	q := ns / Tenth
 	if ns%Tenth < 0 {
 		q--
@@ -24,11 +24,11 @@
 	return dispatch.Time(q)
 }
 
-// Up rounds to the next tenth of a millisecond.
-func Up(ns int64) dispatch.Time { return -Down(-ns) }
+// RoundUp rounds to the next tenth of a millisecond.
+func RoundUp(ns int64) dispatch.Time { return -RoundDown(-ns) }
 
-// Hash makes a number of a name, the same at every scheduler; never 0.
-func Hash(name string) uint64 {
+// IdentityHash makes a number of a name, the same at every scheduler; never 0.
+func IdentityHash(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name)) // never fails
 	return max(h.Sum64(), 1)
@@ -37,17 +37,19 @@
 // digits of messages between schedulers.
 const digits = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ-_"
 
-// Tag stands for a worker in messages: short, since each byte is paid for.
-func Tag(worker string) string {
-	h := Hash(worker)
+// WorkerTag stands for a worker in messages: short, since each byte is paid for.
+func WorkerTag(worker string) string {
+	h := IdentityHash(worker)
 	return string([]byte{digits[h>>6&63], digits[h>>12&63], digits[h>>18&63]})
 }
 
-// Word is a message: how many pushes to a worker are out here.
-func Word(worker string, n int) string { return Tag(worker) + digits[min(n, 63):][:1] }
+// EncodePeerReport is a message: how many pushes to a worker are out here.
+func EncodePeerReport(worker string, n int) string {
+	return WorkerTag(worker) + digits[min(n, 63):][:1]
+}
 
-// Unword reads a message; false where it is none, or of a worker that is not known here.
-func Unword(text string, tags map[string]int) (worker, n int, ok bool) {
+// DecodePeerReport reads a message; false where it is none, or of a worker that is not known here.
+func DecodePeerReport(text string, tags map[string]int) (worker, n int, ok bool) {
 	if len(text) != 4 {
 		return 0, 0, false
 	}
@@ -56,8 +58,8 @@
 	return worker, n, ok && n >= 0
 }
 
-// Flat names each value of the settings by its path.
-func Flat(settings map[string]any) map[string]any {
+// Flatten names each value of the settings by its path.
+func Flatten(settings map[string]any) map[string]any {
 	terms := map[string]any{}
 	flatten(terms, "", settings)
 	return terms
@@ -76,7 +78,7 @@
 		}
 	case float64:
 		if name, isTime := strings.CutSuffix(path, "Ns"); isTime {
-			terms[name] = float64(Down(int64(v)))
+			terms[name] = float64(RoundDown(int64(v)))
 		} else {
 			terms[path] = v
 		}
@@ -95,8 +97,8 @@
 	}
 }
 
-// Row is a list of names in the settings, such as the zones.
-func Row(terms map[string]any, name string) (row []string) {
+// StringList is a list of names in the settings, such as the zones.
+func StringList(terms map[string]any, name string) (row []string) {
 	for i := 0; ; i++ {
 		v, ok := terms[fmt.Sprintf("%s.%d", name, i)].(string)
 		if !ok {
@@ -106,12 +108,12 @@
 	}
 }
 
-// Report tells what the values of a load report mean.
-type Report struct{ names, meanings []string }
+// ReportFormat tells what the values of a load report mean.
+type ReportFormat struct{ names, meanings []string }
 
-// ReportOf finds the fields that a site's reports have.
-func ReportOf(terms map[string]any) Report {
-	r := Report{names: Row(terms, "report.fields")}
+// ReportFormatOf finds the fields that a site's reports have.
+func ReportFormatOf(terms map[string]any) ReportFormat {
+	r := ReportFormat{names: StringList(terms, "report.fields")}
 	for _, f := range r.names {
 		if f == "x0" || f == "x1" {
 			f, _ = terms["extra.report"+strings.ToUpper(f)].(string)
@@ -121,30 +123,30 @@
 	return r
 }
 
-// Load is a report that came as a row of values, in the order of the fields.
-func (r Report) Load(row []float64) dispatch.Load {
-	load := dispatch.Load{Jobs: -1, Waiting: -1, Free: -1, Memory: -1}
+// FromRow is a report that came as a row of values, in the order of the fields.
+func (r ReportFormat) FromRow(row []float64) dispatch.LoadReport {
+	load := dispatch.LoadReport{RunningJobs: -1, QueuedJobs: -1, FreeSlots: -1, FreeMemory: -1}
 	for i, f := range r.meanings[:min(len(r.meanings), len(row))] {
 		switch f {
 		case "busy_reqs":
-			load.Jobs = row[i]
+			load.RunningJobs = row[i]
 		case "pending":
-			load.Waiting = row[i]
+			load.QueuedJobs = row[i]
 		case "free slots":
-			load.Free = row[i]
+			load.FreeSlots = row[i]
 		case "free memory":
-			load.Memory = row[i]
+			load.FreeMemory = row[i]
 		}
 	}
 	return load
 }
 
-// Named is a report that came as an object with the fields' names. What it lacks was not reported.
-func (r Report) Named(object []byte) (dispatch.Load, error) {
+// FromJSON is a report that came as an object with the fields' names. What it lacks was not reported.
+func (r ReportFormat) FromJSON(object []byte) (dispatch.LoadReport, error) {
 	values := map[string]json.Number{}
 	if len(object) > 0 {
 		if err := json.Unmarshal(object, &values); err != nil {
-			return r.Load(nil), fmt.Errorf("load report: %w", err)
+			return r.FromRow(nil), fmt.Errorf("load report: %w", err)
 		}
 	}
 	row := make([]float64, len(r.names))
@@ -154,8 +156,10 @@
 			row[i] = -1
 		}
 	}
-	return r.Load(row), nil
+	return r.FromRow(row), nil
 }
 
-// Item is the name of a value in the i-th object of a list.
-func Item(list string, i int, name string) string { return list + "." + strconv.Itoa(i) + "." + name }
+// ItemKey is the name of a value in the i-th object of a list.
+func ItemKey(list string, i int, name string) string {
+	return list + "." + strconv.Itoa(i) + "." + name
+}
--- a/internal/terms/terms_test.go
+++ b/internal/terms/terms_test.go
@@ -24,13 +24,13 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, err := ReadSheet(path)
-		if want == "" && (err != nil || s.Chance != 255) ||
+		s, err := ReadBootstrap(path)
+		if want == "" && (err != nil || s.SeedValue != 255) ||
 			want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 			t.Errorf("%s: error %v, want %q", text, err, want)
 		}
 	}
-	if _, err := ReadSheet(""); err == nil {
+	if _, err := ReadBootstrap(""); err == nil {
 		t.Error("no file, and no error")
 	}
 }
@@ -44,7 +44,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if s, err := ReadSheet(path); err != nil || s.Site["kinds"] != want {
+		if s, err := ReadBootstrap(path); err != nil || s.Settings["kinds"] != want {
 			t.Errorf("%s: %v, %v", more, s, err)
 		}
 	}
@@ -52,27 +52,27 @@
 
 // A value that a report lacks must not be taken for none waiting and nothing free.
 func TestWhatAReportLacksIsNotZero(t *testing.T) {
-	r := ReportOf(Flat(map[string]any{"report": map[string]any{"fields": []any{"pending", "busy_reqs", "x1"}},
+	r := ReportFormatOf(Flatten(map[string]any{"report": map[string]any{"fields": []any{"pending", "busy_reqs", "x1"}},
 		"extra": map[string]any{"reportX1": "free slots"}}))
-	want := dispatch.Load{Jobs: 3, Waiting: -1, Free: 2, Memory: -1}
-	if got, err := r.Named([]byte(`{"busy_reqs":3,"x1":2,"more":1}`)); err != nil || got != want {
+	want := dispatch.LoadReport{RunningJobs: 3, QueuedJobs: -1, FreeSlots: 2, FreeMemory: -1}
+	if got, err := r.FromJSON([]byte(`{"busy_reqs":3,"x1":2,"more":1}`)); err != nil || got != want {
 		t.Errorf("%+v, %v", got, err)
 	}
-	if _, err := r.Named([]byte(`[1]`)); err == nil {
+	if _, err := r.FromJSON([]byte(`[1]`)); err == nil {
 		t.Error("a row is no object")
 	}
 }
 
 // Half a move is worse than none: each slip in what a new shape needs must be named before the first op.
 func TestASlipInTheShapeIsNamed(t *testing.T) {
-	sheet := func(settings, more string) (*Sheet, error) {
+	sheet := func(settings, more string) (*Bootstrap, error) {
 		path := filepath.Join(t.TempDir(), "sheet")
 		text := `{"listen":"a:1","discovery":"a:2","seed":"ff",` + more + `"settings":{` + settings +
 			`"categories":[{"ttlNs":5}]}}`
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return ReadSheet(path)
+		return ReadBootstrap(path)
 	}
 	const all = `"instances":3,"myNumber":1,"bounds":{"peerMessages":true},`
 	for _, c := range [][3]string{
@@ -103,30 +103,30 @@
 		}
 	}
 	// Where no others are named the module would take their silence for idle workers.
-	if s, err := sheet(all, ""); err != nil || s.Site["bounds.peerMessages"] != false || s.Site["keys"] != false {
+	if s, err := sheet(all, ""); err != nil || s.Settings["bounds.peerMessages"] != false || s.Settings["keys"] != false {
 		t.Errorf("%v, %v: messages and keys are off by default", s, err)
 	}
 	named, err := sheet(all, `"peers":{"listen":"127.0.0.1:9","others":{"0":"127.0.0.1:7"}},`)
-	if err != nil || named.Peers.At.String() != "127.0.0.1:9" || named.Peers.ByNumber[0].String() != "127.0.0.1:7" {
+	if err != nil || named.Peers.ListenAddr.String() != "127.0.0.1:9" || named.Peers.ByNumber[0].String() != "127.0.0.1:7" {
 		t.Errorf("%+v, %v: the addresses must be those of the file", named, err)
 	}
 	s, err := sheet(all, `"watch":{"keys":{"fact":"k"},"settings":{"prices":{"connection":0.05}}},`)
-	if err != nil || s.Other["prices.connection"] != 0.05 || s.Site["prices.connection"] != nil ||
-		s.Other["keys"] != true || s.Site["keys"] != false || s.Fact != "k" {
+	if err != nil || s.ShadowSettings["prices.connection"] != 0.05 || s.Settings["prices.connection"] != nil ||
+		s.ShadowSettings["keys"] != true || s.Settings["keys"] != false || s.AffinityFact != "k" {
 		t.Errorf("%+v, %v: the watch's settings must stay apart", s, err)
 	}
 }
 
 // A message that is cut, or of a worker not known here, must not count for another one.
 func TestAWordComesThroughOrNotAtAll(t *testing.T) {
-	tags := map[string]int{Tag("w1"): 1, Tag("w2"): 2}
+	tags := map[string]int{WorkerTag("w1"): 1, WorkerTag("w2"): 2}
 	for _, n := range []int{0, 1, 35, 63, 900} {
-		if i, got, ok := Unword(Word("w2", n), tags); i != 2 || got != min(n, 63) || !ok {
+		if i, got, ok := DecodePeerReport(EncodePeerReport("w2", n), tags); i != 2 || got != min(n, 63) || !ok {
 			t.Errorf("%d came as worker %d, %d, %v", n, i, got, ok)
 		}
 	}
-	for _, text := range []string{"", "w", Tag("w1"), Tag("w1") + "!", Tag("w1") + "11", Word("w3", 1)} {
-		if _, _, ok := Unword(text, tags); ok {
+	for _, text := range []string{"", "w", WorkerTag("w1"), WorkerTag("w1") + "!", WorkerTag("w1") + "11", EncodePeerReport("w3", 1)} {
+		if _, _, ok := DecodePeerReport(text, tags); ok {
 			t.Errorf("%q is taken for a message", text)
 		}
 	}
--- a/internal/words/words.go
+++ b/internal/words/words.go
@@ -8,11 +8,11 @@
 	at    M
 }
 
-// Words are the last words of others, in order of their numbers.
-type Words[M ~int64] []word[M]
+// Reports are the last words of others, in order of their numbers.
+type Reports[M ~int64] []word[M]
 
-// Put is another's word, in place of its last.
-func (w *Words[M]) Put(by, n int, now M) {
+// Set is another's word, in place of its last.
+func (w *Reports[M]) Set(by, n int, now M) {
 	k, found := slices.BinarySearchFunc(*w, by, func(x word[M], by int) int { return x.by - by })
 	if !found {
 		*w = slices.Insert(*w, k, word[M]{})
@@ -21,12 +21,12 @@
 }
 
 // Drop forgets another's word.
-func (w *Words[M]) Drop(by int) {
+func (w *Reports[M]) Drop(by int) {
 	*w = slices.DeleteFunc(*w, func(x word[M]) bool { return x.by == by })
 }
 
 // Sum is of the words younger than old: one who has fallen silent says nothing about now.
-func (w Words[M]) Sum(now, old M) (n int) {
+func (w Reports[M]) Sum(now, old M) (n int) {
 	for _, x := range w {
 		if now-x.at < old {
 			n += x.n
--- a/internal/words/words_test.go
+++ b/internal/words/words_test.go
@@ -4,10 +4,10 @@
 
 // A scheduler that has died left its pushes in the others' counts for good.
 func TestOnlyLastAndYoungWordsCount(t *testing.T) {
-	var w Words[int64]
-	w.Put(3, 5, 10)
-	w.Put(1, 2, 20)
-	w.Put(3, 1, 30)
+	var w Reports[int64]
+	w.Set(3, 5, 10)
+	w.Set(1, 2, 20)
+	w.Set(3, 1, 30)
 	for _, x := range []struct {
 		now  int64
 		want int
--- a/internal/workerconn/begin_test.go
+++ b/internal/workerconn/begin_test.go
@@ -75,10 +75,10 @@
 			}
 			left.Store(!x.closes)
 			if x.closes {
-				e.Close(true, outcome.Unwritten)
+				e.Close(true, outcome.CancelledUnsent)
 			}
 			close(goOn)
-			if e := <-ends; e.How != outcome.Unwritten {
+			if e := <-ends; e.How != outcome.CancelledUnsent {
 				t.Errorf("%v", e.How)
 			}
 			p.Sweep(time.Now().Add(time.Hour)) // what it was not written on is idle now
@@ -137,7 +137,7 @@
 		time.Sleep(2 * lookLasts) // the client leaves meanwhile
 		return true
 	}, func() { t.Error("it is told as written") }, func(Line) {}, func(e End) { ends <- e })
-	if e := <-ends; e.How != outcome.Unwritten {
+	if e := <-ends; e.How != outcome.CancelledUnsent {
 		t.Errorf("%v", e.How)
 	}
 	p.Sweep(time.Now().Add(time.Hour))
--- a/internal/workerconn/ends_test.go
+++ b/internal/workerconn/ends_test.go
@@ -185,7 +185,7 @@
 				func(e End) { ends <- e })
 			e := <-ends
 			runtime.ReadMemStats(&after)
-			if e.How.NeverRan() || e.How == outcome.Done || e.How == outcome.Silent {
+			if e.How.NeverRan() || e.How == outcome.Done || e.How == outcome.TimedOut {
 				t.Errorf("%v", e.How)
 			}
 			if mb := (after.TotalAlloc - before.TotalAlloc) >> 20; mb > 32 {
@@ -203,7 +203,7 @@
 		})
 		ends := make(chan End, 1)
 		pool(1).Probe(addr, request, time.Now().Add(20*time.Second), func(e End) { ends <- e })
-		if e := <-ends; e.How != outcome.Garbled || len(e.Load) > 0 && e.How == outcome.Done {
+		if e := <-ends; e.How != outcome.Malformed || len(e.Load) > 0 && e.How == outcome.Done {
 			t.Errorf("%s: %v", name, e.How)
 		}
 	}
@@ -239,7 +239,7 @@
 		time.Sleep(lateDial + 10*time.Millisecond)
 		return net.Dial(network, addr)
 	}
-	if e := push(p, addr, 20*time.Second); e.How != outcome.Unwritten {
+	if e := push(p, addr, 20*time.Second); e.How != outcome.CancelledUnsent {
 		t.Errorf("%v", e.How)
 	}
 	if open, _ := p.Counts(); open != 0 || <-wrote > 0 {
@@ -259,7 +259,7 @@
 		"in the middle of the request": {large, func(c *net.TCPConn) {
 			io.ReadFull(c, make([]byte, 1<<10))
 			c.SetLinger(0)
-		}, map[outcome.Ending]bool{outcome.PartWritten: true}},
+		}, map[outcome.Ending]bool{outcome.PartiallySent: true}},
 		"at the last byte, with a reset": {request, func(c *net.TCPConn) {
 			head(c)
 			c.SetLinger(0)
@@ -274,7 +274,7 @@
 			io.ReadFull(c, make([]byte, 1<<10))
 			io.WriteString(c, full)
 			c.SetLinger(0)
-		}, map[outcome.Ending]bool{outcome.PartWritten: true}},
+		}, map[outcome.Ending]bool{outcome.PartiallySent: true}},
 	} {
 		addr := fragmentpeer.Serve(t, x.serve)
 		ends := make(chan End, 1)
@@ -316,14 +316,14 @@
 					always, func() {}, func(Line) {}, func(e End) { ends <- e })
 				switch chance.IntN(6) {
 				case 0:
-					x.Close(false, outcome.Withdrawn)
+					x.Close(false, outcome.Cancelled)
 				case 1:
 					p.Sweep(time.Now().Add(time.Duration(chance.IntN(10)) * time.Second))
 				case 2:
 					p.Limit(4 + chance.IntN(8))
 				}
 				e := <-ends
-				x.Close(false, outcome.Withdrawn) // it has ended: the connection may be another's by now
+				x.Close(false, outcome.Cancelled) // it has ended: the connection may be another's by now
 				mu.Lock()
 				ran := runs[id]
 				mu.Unlock()
@@ -332,7 +332,7 @@
 					t.Errorf("%s got %q and ran %d times", id, e.Result, ran)
 				case e.How.NeverRan() && ran > 0:
 					t.Errorf("%s: %v, and it ran", id, e.How)
-				case e.How != outcome.Done && e.How != outcome.Withdrawn && !e.How.NeverRan():
+				case e.How != outcome.Done && e.How != outcome.Cancelled && !e.How.NeverRan():
 					t.Errorf("%s: %v", id, e.How)
 				}
 			}
--- a/internal/workerconn/exchange.go
+++ b/internal/workerconn/exchange.go
@@ -80,7 +80,7 @@
 		return nil
 	}
 	if x.closed = how; !x.written {
-		x.closed = outcome.Unwritten
+		x.closed = outcome.CancelledUnsent
 	}
 	x.stop()
 	return x.c
@@ -166,7 +166,7 @@
 func (x *Exchange) blame(how outcome.Ending) outcome.Ending {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.closed != outcome.Unknown && how != outcome.Returned && how != outcome.TurnedAway {
+	if x.closed != outcome.Unknown && how != outcome.Returned && how != outcome.Shed {
 		return x.closed
 	}
 	return how
@@ -182,10 +182,10 @@
 	if x.written {
 		return c, e
 	}
-	e.How = outcome.PartWritten
+	e.How = outcome.PartiallySent
 	x.mu.Lock()
 	if x.c = nil; x.closed != outcome.Unknown {
-		e.How = outcome.Unwritten // this side kept it back or closed it: nothing of that is the worker's doing
+		e.How = outcome.CancelledUnsent // this side kept it back or closed it: nothing of that is the worker's doing
 	}
 	x.mu.Unlock()
 	if kept && n == 0 && err == nil && c.SetDeadline(time.Time{}) == nil {
@@ -219,7 +219,7 @@
 		stale = false
 		for !x.written && x.closed == outcome.Unknown {
 			if kept = !x.asked(limit) || n > 0 && time.Since(told) > toldLasts; kept {
-				x.closed = outcome.Unwritten
+				x.closed = outcome.CancelledUnsent
 				return true
 			}
 			if stale = n == 0 && x.stale(); stale {
@@ -229,7 +229,7 @@
 				told = time.Now()
 				request = made(limit.Sub(told))
 				if kept = request == nil; kept {
-					x.closed = outcome.Unwritten
+					x.closed = outcome.CancelledUnsent
 					return true
 				}
 			}
@@ -237,7 +237,7 @@
 			switch {
 			case err == syscall.EAGAIN:
 				return false
-			case oserror.Here(err) && failures < mostFailures:
+			case oserror.IsLocal(err) && failures < mostFailures:
 				failures++
 				time.Sleep(writePause) // the lock is held for so short a time: a close waits for no other worker
 				continue
@@ -273,7 +273,7 @@
 	}
 	for x.stale() {
 		if time.Now().After(until) {
-			x.Close(true, outcome.Unwritten)
+			x.Close(true, outcome.CancelledUnsent)
 			return false
 		}
 		time.Sleep(stalePause)
@@ -318,7 +318,7 @@
 	case resp.StatusCode == http.StatusOK:
 		e.How = outcome.Done
 	case resp.StatusCode == http.StatusServiceUnavailable:
-		e.How = outcome.TurnedAway
+		e.How = outcome.Shed
 	default:
 		e.How = outcome.ServerError
 	}
@@ -349,7 +349,7 @@
 		}
 		var l Line
 		if err := json.Unmarshal(text, &l); err != nil || l.ID != id {
-			e.How = outcome.Garbled // a line of another op says nothing of this one
+			e.How = outcome.Malformed // a line of another op says nothing of this one
 			return resp, e
 		}
 		switch l.State {
@@ -360,7 +360,7 @@
 		case "returned":
 			e.How = outcome.Returned
 		case "lost":
-			e.How = outcome.Lost
+			e.How = outcome.JobKilled
 		default:
 			first := l.State == "started" && !started
 			if now := time.Now(); first || now.Sub(noted) >= noteRest {
@@ -381,7 +381,7 @@
 	}
 	if e.How = outcome.EndedEarly; lines.Err() != nil {
 		if e.How = broken(lines.Err()); errors.Is(lines.Err(), bufio.ErrTooLong) {
-			e.How = outcome.Garbled
+			e.How = outcome.Malformed
 		}
 	}
 	return resp, e
@@ -392,7 +392,7 @@
 	switch resp.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if resp.Header.Get("X-Unprocessed") == "1" {
-			return outcome.TurnedAway
+			return outcome.Shed
 		}
 	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests: // they speak of the moment
 	default:
@@ -406,7 +406,7 @@
 // finish keeps a connection whose answer came whole, and closes any other.
 func (x *Exchange) finish(c *conn, resp *http.Response, e End) {
 	switch e.How {
-	case outcome.Done, outcome.Failed, outcome.Returned, outcome.Lost, outcome.TurnedAway, outcome.Rejected,
+	case outcome.Done, outcome.Failed, outcome.Returned, outcome.JobKilled, outcome.Shed, outcome.Rejected,
 		outcome.ServerError:
 		c.SetDeadline(time.Now().Add(tail))
 		c.gauge.allow(c.gauge.used + longestLine + 1)
@@ -432,13 +432,13 @@
 func broken(err error) outcome.Ending {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return outcome.Silent
+		return outcome.TimedOut
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return outcome.EndedEarly
 	case errors.As(err, new(*net.OpError)), errors.Is(err, net.ErrClosed):
 		return outcome.Reset
 	}
-	return outcome.Garbled
+	return outcome.Malformed
 }
 
 // Request is a request's bytes up to its time left, and its body.
--- a/internal/workerconn/pieces_test.go
+++ b/internal/workerconn/pieces_test.go
@@ -45,14 +45,14 @@
 			if e.How != outcome.Done || string(e.Result) != "x y" {
 				t.Errorf("%s, after the last word: %v, %q", way.Name, e.How, e.Result)
 			}
-		case e.How.Outcome() == dispatch.Served || e.How.Outcome() == dispatch.Refused ||
-			e.How.Outcome() == dispatch.Unreached || e.How.Outcome() == dispatch.Unsent || e.Result != nil:
+		case e.How.Outcome() == dispatch.Succeeded || e.How.Outcome() == dispatch.Rejected ||
+			e.How.Outcome() == dispatch.Unreachable || e.How.Outcome() == dispatch.NotSent || e.Result != nil:
 			t.Errorf("%s: %v, %q; the op may have run, and there is no result", way.Name, e.How, e.Result)
 		}
 	}
 	for text, want := range map[string]outcome.Ending{
 		stream(`{"id":"a1","state":"returned"}`):                                    outcome.Returned,
-		"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 4\r\n\r\nbusy":    outcome.TurnedAway,
+		"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 4\r\n\r\nbusy":    outcome.Shed,
 		"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n":                              outcome.ServerError,
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n": outcome.Rejected,
 	} {
--- a/internal/workerconn/stale_test.go
+++ b/internal/workerconn/stale_test.go
@@ -17,7 +17,7 @@
 	for name, x := range map[string]struct {
 		fresh, closed bool // what comes about while it waits
 		want          outcome.Ending
-	}{"taken up": {fresh: true, want: outcome.Done}, "it is closed": {closed: true, want: outcome.Unwritten}, "it lasts": {want: outcome.Unwritten}} {
+	}{"taken up": {fresh: true, want: outcome.Done}, "it is closed": {closed: true, want: outcome.CancelledUnsent}, "it lasts": {want: outcome.CancelledUnsent}} {
 		t.Run(name, func(t *testing.T) {
 			var came atomic.Int64
 			addr := fragmentpeer.Serve(t, func(c *net.TCPConn) {
@@ -45,7 +45,7 @@
 				t.Error("it did not wait")
 			}
 			if x.closed {
-				e.Close(true, outcome.Unwritten)
+				e.Close(true, outcome.CancelledUnsent)
 			}
 			stale.Store(!x.fresh)
 			if e := <-ends; e.How != x.want {
--- a/internal/workerconn/workerconn.go
+++ b/internal/workerconn/workerconn.go
@@ -202,15 +202,15 @@
 	var late net.Error
 	switch {
 	case err == nil:
-		return nil, outcome.Unwritten // it was this side that came late, and nothing of that is the worker's doing
-	case oserror.Of(err) == oserror.Descriptor:
+		return nil, outcome.CancelledUnsent // it was this side that came late, and nothing of that is the worker's doing
+	case oserror.Classify(err) == oserror.DescriptorsExhausted:
 		return nil, outcome.NoDescriptor
-	case oserror.Of(err) == oserror.Machine, errors.Is(err, syscall.EAGAIN): // a connect that finds nothing to do lacks a port
+	case oserror.Classify(err) == oserror.ResourceExhausted, errors.Is(err, syscall.EAGAIN): // a connect that finds nothing to do lacks a port
 		return nil, outcome.NoResource
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return nil, outcome.ConnRefused
 	case errors.As(err, &late) && late.Timeout():
-		return nil, outcome.NeverUp
+		return nil, outcome.DialTimedOut
 	}
 	return nil, outcome.DialFailed
 }
--- a/internal/workerconn/workerconn_test.go
+++ b/internal/workerconn/workerconn_test.go
@@ -50,19 +50,19 @@
 		"HTTP/1.1 429 x\r\nContent-Length: 0\r\n\r\n":   outcome.ServerError,
 		line(`{"id":"a1","state":"failed"}`):            outcome.Failed,
 		line(`{"id":"a1","state":"returned"}`):          outcome.Returned,
-		line(`{"id":"a1","state":"lost"}`):              outcome.Lost,
-		line(`{"id":"b2","state":"done","result":"x"}`): outcome.Garbled,
+		line(`{"id":"a1","state":"lost"}`):              outcome.JobKilled,
+		line(`{"id":"b2","state":"done","result":"x"}`): outcome.Malformed,
 		line(`{"id":"a1","state":"started"}`):           outcome.EndedEarly,
-		line(`{"id":`):                                  outcome.Garbled,
+		line(`{"id":`):                                  outcome.Malformed,
 		job:                                             outcome.EndedEarly,
 		"":                                              outcome.EndedEarly,
-		"none\r\n\r\n":                                  outcome.Garbled,
+		"none\r\n\r\n":                                  outcome.Malformed,
 		"HTTP/1.1 100 Continue\r\n\r\n" + line(`{"id":"a1","state":"done","result":"x"}`): outcome.Done,
 		"HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n":                                     outcome.ServerError,
 		"HTTP/1.1 404 E\r\nContent-Length: 0\r\n\r\n":                                     outcome.Rejected,
 		"HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n":                                     outcome.ServerError,
-		"HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n":                 outcome.TurnedAway,
-		"HTTP/1.1 504 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n":                 outcome.TurnedAway,
+		"HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n":                 outcome.Shed,
+		"HTTP/1.1 504 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n":                 outcome.Shed,
 	} {
 		p := pool(4)
 		e := push(p, worker(t, func(c net.Conn) { io.WriteString(c, answer) }), 10*time.Second)
@@ -95,7 +95,7 @@
 		_, err := c.Read(make([]byte, 1))
 		closed <- err
 	}), 300*time.Millisecond)
-	if open, _ := p.Counts(); e.How != outcome.Silent || open != 0 {
+	if open, _ := p.Counts(); e.How != outcome.TimedOut || open != 0 {
 		t.Fatalf("%v, %d open", e.How, open)
 	}
 	if err := <-closed; err != io.EOF {
@@ -141,8 +141,8 @@
 	p := pool(4)
 	limit := time.Now().Add(10 * time.Second)
 	x, ctx := p.exchange(limit)
-	x.Close(true, outcome.Unwritten)
-	if c, e := x.connect(ctx, addr, limit); c != nil || e.How != outcome.Unwritten {
+	x.Close(true, outcome.CancelledUnsent)
+	if c, e := x.connect(ctx, addr, limit); c != nil || e.How != outcome.CancelledUnsent {
 		t.Fatalf("%v, %v", c, e.How)
 	}
 	if open, _ := p.Counts(); open != 0 {
@@ -163,8 +163,8 @@
 	if e := push(p, addr, time.Second); e.How != outcome.NoDescriptor {
 		t.Errorf("a second connection: %v", e.How)
 	}
-	x.Close(false, outcome.Withdrawn)
-	if e := <-ends; e.How != outcome.Withdrawn && e.How != outcome.Unwritten {
+	x.Close(false, outcome.Cancelled)
+	if e := <-ends; e.How != outcome.Cancelled && e.How != outcome.CancelledUnsent {
 		t.Errorf("closed: %v", e.How)
 	}
 	close(hold)
@@ -189,7 +189,7 @@
 	})
 	told := make(chan Line, 9)
 	x := pool(1).Push(addr, "a1", as(request), time.Now().Add(time.Minute), always, func() {}, func(l Line) { told <- l }, func(End) {})
-	defer x.Close(false, outcome.Withdrawn)
+	defer x.Close(false, outcome.Cancelled)
 	select {
 	case l := <-told:
 		if l.State != "taken" || l.Share >= 0 {
