--- a/cmd/hollow/main.go
+++ b/cmd/hollow/main.go
@@ -15,7 +15,7 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/mesh"
+	"woaddyke/internal/cluster/mesh"
 )
 
 // told is what the members of one process are told.
--- a/cmd/hollow/staff.go
+++ b/cmd/hollow/staff.go
@@ -5,10 +5,10 @@
 	"sync"
 	"time"
 
-	"woaddyke/internal/boottime"
-	"woaddyke/internal/members"
-	"woaddyke/internal/mesh"
-	"woaddyke/internal/staff"
+	"woaddyke/internal/cluster/membership"
+	"woaddyke/internal/cluster/mesh"
+	"woaddyke/internal/cluster/operatorstate"
+	"woaddyke/internal/lifecycle/boottime"
 )
 
 // staffEvery is the program's own span between two words of staff to somebody by chance.
@@ -17,21 +17,21 @@
 // board is what one member knows of what staff decided. Its own settings are those that it heard of first: it has none.
 type board struct {
 	mu    sync.Mutex
-	staff *staff.Board
+	staff *operatorstate.Board
 	knows bool
 	news  bool
 }
 
-func newBoard() *board { return &board{staff: staff.New(uint64(boottime.Since()))} }
+func newBoard() *board { return &board{staff: operatorstate.New(uint64(boottime.Since()))} }
 
 func (b *board) host() mesh.Host {
-	return mesh.Host{OperatorState: func(from string, life uint64, w staff.State) {
+	return mesh.Host{OperatorState: func(from string, life uint64, w operatorstate.State) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		if b.staff.Receive(from, life, w); !b.knows {
 			b.knows, b.news = true, b.staff.SetOwn(w.Settings, false)
 		}
-	}, MemberChanged: func(c members.MemberChanged) {
+	}, MemberChanged: func(c membership.MemberChanged) {
 		if c.State.Ended() {
 			b.mu.Lock()
 			b.staff.Forget(c.Name)
--- a/cmd/woaddyke/copies.go
+++ b/cmd/woaddyke/copies.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"woaddyke/internal/fates"
+	"woaddyke/internal/cluster/replica"
 )
 
 // errDiffer ends verify where copies are not the same.
@@ -40,7 +40,7 @@
 				}
 				return w.Flush()
 			}
-			var s fates.Status
+			var s replica.Status
 			if err := ask(at, "/api/copies", &s); err != nil {
 				return err
 			}
@@ -95,7 +95,7 @@
 				}
 			}
 			for ; ; time.Sleep(changeEvery) {
-				var s fates.Status // a fresh one: what is left out of an answer would stay as it was
+				var s replica.Status // a fresh one: what is left out of an answer would stay as it was
 				if err := ask(*at, "/api/copies", &s); err != nil {
 					return err
 				}
@@ -114,7 +114,7 @@
 
 // askKeepers asks once for a change from the keepers that there are.
 func askKeepers(at string, names []string) (o outcome, err error) {
-	var s fates.Status
+	var s replica.Status
 	if err := ask(at, "/api/copies", &s); err != nil {
 		return o, err
 	}
--- a/cmd/woaddyke/descriptors_test.go
+++ b/cmd/woaddyke/descriptors_test.go
@@ -21,7 +21,7 @@
 	"time"
 
 	"woaddyke/internal/lab/several"
-	"woaddyke/internal/tally"
+	"woaddyke/internal/observe/metrics"
 )
 
 // downFor is how long discovery is down in a crowd; outside CI, DOWN=8s.
@@ -210,7 +210,7 @@
 }
 
 // figures are what the second address says; it must say it to each call. A second is owed, ten are waited on a busy machine.
-func figures(t *testing.T, console string) (f tally.Metrics) {
+func figures(t *testing.T, console string) (f metrics.Metrics) {
 	t.Helper()
 	client := http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + console + "/api/telemetry")
--- a/cmd/woaddyke/golden_test.go
+++ b/cmd/woaddyke/golden_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"woaddyke/internal/fates"
-	"woaddyke/internal/mesh"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/cluster/mesh"
+	"woaddyke/internal/cluster/replica"
+	"woaddyke/internal/config"
 	"woaddyke/internal/testsupport/filled"
 	"woaddyke/internal/testsupport/golden"
 	"woaddyke/internal/testsupport/helptext"
@@ -37,7 +37,7 @@
 // Guards that the members command reads each key it prints from what a scheduler of another build shows at /api/members, and the
 // text that it prints.
 func TestMembersCommandReadsWhatIsShown(t *testing.T) {
-	text, err := os.ReadFile("../../internal/mesh/testdata/shown.json.golden")
+	text, err := os.ReadFile("../../internal/cluster/mesh/testdata/shown.json.golden")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 
 // Guards the methods and paths of the calls that tools of the staff make where members and copies are switched on.
 func TestCallsKeepTheirPaths(t *testing.T) {
-	p := &process{mesh: &mesh.Mesh{}, fates: &fates.Replica{}}
+	p := &process{mesh: &mesh.Mesh{}, fates: &replica.Replica{}}
 	var list bytes.Buffer
 	for _, c := range p.calls() {
 		fmt.Fprintf(&list, "%s, changes: %v\n", c.Path, c.Changes)
@@ -95,15 +95,15 @@
 
 // Guards the names of the operator's tables, each with every key set to a value that is fit and is not its default.
 func TestOffersKeepTheirKeys(t *testing.T) {
-	sheet := &terms.Bootstrap{Name: "n1", RawSettings: map[string]any{"bounds": map[string]any{"peerMessages": true}}, Settings: map[string]any{},
-		Limits: terms.Limits{Sockets: 1024}}
+	sheet := &config.Bootstrap{Name: "n1", RawSettings: map[string]any{"bounds": map[string]any{"peerMessages": true}}, Settings: map[string]any{},
+		Limits: config.Limits{Sockets: 1024}}
 	read, err := readOffers("testdata/operator.toml", sheet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	filled.RequireDiffers(t, *read, offers{})
 	filled.RequireDiffers(t, *read.Members, *mesh.Defaults())
-	filled.RequireDiffers(t, *read.Copies, *fates.Defaults())
+	filled.RequireDiffers(t, *read.Copies, *replica.Defaults())
 	text, err := toml.Marshal(read)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/woaddyke/main.go
+++ b/cmd/woaddyke/main.go
@@ -10,8 +10,8 @@
 	"github.com/rs/zerolog"
 	"github.com/spf13/cobra"
 
-	"woaddyke/internal/front"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/config"
+	"woaddyke/internal/frontend"
 )
 
 func main() {
@@ -48,14 +48,14 @@
 	c := &cobra.Command{Use: "check FILE", Short: "Say what is wrong with a configuration",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			sheet, err := terms.ReadBootstrap(args[0])
+			sheet, err := config.ReadBootstrap(args[0])
 			if err != nil {
 				return err
 			}
 			if _, err := readOffers(operators, sheet); err != nil {
 				return err
 			}
-			if _, err := front.New(sheet, zerolog.Nop()); err != nil {
+			if _, err := frontend.New(sheet, zerolog.Nop()); err != nil {
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: fit to serve at %s\n", sheet.Name, sheet.Listen)
--- a/cmd/woaddyke/member.go
+++ b/cmd/woaddyke/member.go
@@ -6,19 +6,19 @@
 	"strings"
 	"syscall"
 
-	"woaddyke/internal/console"
-	"woaddyke/internal/drainstate"
-	"woaddyke/internal/fates"
-	"woaddyke/internal/handover"
-	"woaddyke/internal/handover/pass"
-	"woaddyke/internal/members"
-	"woaddyke/internal/mesh"
-	"woaddyke/internal/ops"
-	"woaddyke/internal/tally"
+	"woaddyke/internal/cluster/drainstate"
+	"woaddyke/internal/cluster/membership"
+	"woaddyke/internal/cluster/mesh"
+	"woaddyke/internal/cluster/replica"
+	"woaddyke/internal/lifecycle/hotrestart"
+	"woaddyke/internal/lifecycle/hotrestart/transfer"
+	"woaddyke/internal/observe/console"
+	"woaddyke/internal/observe/metrics"
+	"woaddyke/internal/scheduler/reducer"
 )
 
 // join makes this process a member, on the sockets of the one before where it gave some.
-func (p *process) join(legacy *pass.Handover, state handover.State) (err error) {
+func (p *process) join(legacy *transfer.Handover, state hotrestart.State) (err error) {
 	t := p.offers.Members
 	if t == nil {
 		return nil
@@ -34,8 +34,8 @@
 	host.OperatorState = p.board.heard
 	host.MemberChanged = p.ended
 	if t.CarryPeerMessages {
-		host.UserMessage = func(number int, text string) { p.front.PeerInput(ops.PeerMessage{Sender: number, Text: text}) }
-		host.MemberChanged = func(c members.MemberChanged) {
+		host.UserMessage = func(number int, text string) { p.front.PeerInput(reducer.PeerMessage{Sender: number, Text: text}) }
+		host.MemberChanged = func(c membership.MemberChanged) {
 			p.ended(c)
 			p.changed(c)
 		}
@@ -76,17 +76,17 @@
 }
 
 // others counts the other schedulers for the figures.
-func (p *process) others() *tally.MemberCounts {
-	x := &tally.MemberCounts{}
+func (p *process) others() *metrics.MemberCounts {
+	x := &metrics.MemberCounts{}
 	for _, m := range p.mesh.Status().Members {
 		switch m.State {
-		case members.Alive:
+		case membership.Alive:
 			x.Alive++
-		case members.Suspect:
+		case membership.Suspect:
 			x.Suspect++
-		case members.Dead:
+		case membership.Dead:
 			x.Dead++
-		case members.Left:
+		case membership.Left:
 			x.Left++
 		}
 		if m.Reachable {
@@ -102,14 +102,14 @@
 	if t == nil {
 		return nil
 	}
-	if p.fates, err = fates.New(t, p.sheet.Name, p.sheet.SeedValue, heirs, mesh.Now(), p.log); err != nil {
+	if p.fates, err = replica.New(t, p.sheet.Name, p.sheet.SeedValue, heirs, mesh.Now(), p.log); err != nil {
 		return err
 	}
 	if host.Replication, host.Serving = p.fates.Receive, p.fates.Serving; t.DynamicReplicas {
 		host.ReplicaSet = p.fates.ReceiveReplicaSet
 	}
 	changed := host.MemberChanged
-	host.MemberChanged = func(c members.MemberChanged) {
+	host.MemberChanged = func(c membership.MemberChanged) {
 		p.fates.SetPeerDead(c.Name, c.State.Ended())
 		if changed != nil {
 			changed(c)
@@ -125,23 +125,23 @@
 }
 
 // changed has the front take notice of who came and who is gone.
-func (p *process) changed(c members.MemberChanged) {
+func (p *process) changed(c membership.MemberChanged) {
 	if c.Number < 0 {
 		return
 	}
 	switch {
 	case c.State.Ended():
-		p.front.PeerInput(ops.PeerLost{Peer: c.Number})
-	case c.State == members.Alive && (c.New || c.Before.Ended()):
+		p.front.PeerInput(reducer.PeerLost{Peer: c.Number})
+	case c.State == membership.Alive && (c.New || c.Before.Ended()):
 		if c.New {
-			p.front.PeerInput(ops.PeerLost{Peer: c.Number}) // another process: what the one before had out is its own no more
+			p.front.PeerInput(reducer.PeerLost{Peer: c.Number}) // another process: what the one before had out is its own no more
 		}
-		p.front.PeerInput(ops.PeerJoined{Peer: c.Number})
+		p.front.PeerInput(reducer.PeerJoined{Peer: c.Number})
 	}
 }
 
 // giveMember adds what makes the heir the same member.
-func (p *process) giveMember(state *handover.State) []syscall.Conn {
+func (p *process) giveMember(state *hotrestart.State) []syscall.Conn {
 	if p.mesh == nil {
 		return nil
 	}
@@ -166,8 +166,8 @@
 
 // page is some of the records of copies.
 type page struct {
-	Rows []fates.RecordRow `json:"rows"`
-	Next string            `json:"next"` // the key to go on after; empty where there are no more
+	Rows []replica.RecordRow `json:"rows"`
+	Next string              `json:"next"` // the key to go on after; empty where there are no more
 }
 
 // records answers with one id's records, or with some of all.
--- a/cmd/woaddyke/operator.go
+++ b/cmd/woaddyke/operator.go
@@ -5,21 +5,21 @@
 	"fmt"
 	"slices"
 
-	"woaddyke/internal/fates"
-	"woaddyke/internal/mesh"
-	"woaddyke/internal/operator"
-	"woaddyke/internal/store"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/cluster/mesh"
+	"woaddyke/internal/cluster/replica"
+	"woaddyke/internal/cluster/store"
+	"woaddyke/internal/config"
+	"woaddyke/internal/config/features"
 )
 
 // offers are the tables of the operator's file. What is nil is off: no socket, no goroutine and no timer.
 type offers struct {
-	Members *mesh.Config  `toml:"members"`
-	Copies  *fates.Config `toml:"copies"`
+	Members *mesh.Config    `toml:"members"`
+	Copies  *replica.Config `toml:"copies"`
 }
 
 // readOffers reads the operator's file; without one nothing is offered.
-func readOffers(path string, sheet *terms.Bootstrap) (*offers, error) {
+func readOffers(path string, sheet *config.Bootstrap) (*offers, error) {
 	if path == "" {
 		return &offers{}, nil
 	}
@@ -28,7 +28,7 @@
 		Copies  *map[string]any `toml:"copies"`
 	}
 	all := func() error { return nil }
-	if err := operator.Read(path, &named, all); err != nil {
+	if err := features.Read(path, &named, all); err != nil {
 		return nil, err
 	}
 	o := &offers{}
@@ -36,9 +36,9 @@
 		o.Members = mesh.Defaults()
 	}
 	if named.Copies != nil {
-		o.Copies = fates.Defaults()
+		o.Copies = replica.Defaults()
 	}
-	return o, operator.Read(path, o, func() error { return o.check(sheet) })
+	return o, features.Read(path, o, func() error { return o.check(sheet) })
 }
 
 // descriptors is how many the tables that are on may take.
@@ -52,11 +52,11 @@
 	return n
 }
 
-func (o *offers) check(sheet *terms.Bootstrap) error {
+func (o *offers) check(sheet *config.Bootstrap) error {
 	t := o.Members
 	if t == nil {
 		if o.Copies != nil {
-			return &operator.ConfigError{Table: "copies", Key: "keepers", Err: errors.New("copies need a table members")}
+			return &features.ConfigError{Table: "copies", Key: "keepers", Err: errors.New("copies need a table members")}
 		}
 		return nil
 	}
@@ -64,20 +64,20 @@
 		return err
 	}
 	if sheet.Name == "" {
-		return &operator.ConfigError{Table: "members", Key: "cluster", Err: errors.New("the configuration gives this scheduler no name")}
+		return &features.ConfigError{Table: "members", Key: "cluster", Err: errors.New("the configuration gives this scheduler no name")}
 	}
-	if least := terms.MinSockets + o.descriptors(); sheet.Limits.Sockets < least {
-		return &operator.ConfigError{Table: "members", Key: "listen",
+	if least := config.MinSockets + o.descriptors(); sheet.Limits.Sockets < least {
+		return &features.ConfigError{Table: "members", Key: "listen",
 			Err: fmt.Errorf("%d descriptors are too few for a scheduler that is a member, %d at least", sheet.Limits.Sockets, least)}
 	}
 	if t.CarryPeerMessages {
 		if err := sheet.AllowPeerMessages(); err != nil {
-			return &operator.ConfigError{Table: "members", Key: "words", Err: fmt.Errorf("words: %w", err)}
+			return &features.ConfigError{Table: "members", Key: "words", Err: fmt.Errorf("words: %w", err)}
 		}
 	}
 	if c := o.Copies; c != nil {
 		if c.DynamicReplicas && c.Path == "" && (slices.Contains(c.Replicas, sheet.Name) || slices.Contains(c.Spares, sheet.Name)) {
-			return &operator.ConfigError{Table: "copies", Key: "path", Err: fmt.Errorf("%s is a keeper or a spare: it needs a file for what must last", sheet.Name)}
+			return &features.ConfigError{Table: "copies", Key: "path", Err: fmt.Errorf("%s is a keeper or a spare: it needs a file for what must last", sheet.Name)}
 		}
 		return c.Validate(sheet.LongestTTL())
 	}
--- a/cmd/woaddyke/operator_test.go
+++ b/cmd/woaddyke/operator_test.go
@@ -10,12 +10,12 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/terms"
+	"woaddyke/internal/config"
 )
 
 // The example in deploy/ must be a file that the program takes, with all its defaults as stated.
 func TestTheExampleOfTheOperatorsFileIsFit(t *testing.T) {
-	sheet := &terms.Bootstrap{Name: "n1", Limits: terms.Limits{Sockets: 1024}, Settings: map[string]any{}}
+	sheet := &config.Bootstrap{Name: "n1", Limits: config.Limits{Sockets: 1024}, Settings: map[string]any{}}
 	o, err := readOffers("../../deploy/operator.toml", sheet)
 	if err != nil {
 		t.Fatal(err)
@@ -77,7 +77,7 @@
 		stop, ended := p.start(at)
 		<-p.front.Ready()
 		room := make([]byte, 1<<20)
-		mesh = strings.Contains(string(room[:runtime.Stack(room, true)]), "woaddyke/internal/mesh")
+		mesh = strings.Contains(string(room[:runtime.Stack(room, true)]), "woaddyke/internal/cluster/mesh")
 		if stop(); p.mesh != nil { // its sockets and timers are its own
 			p.board.close()
 			p.mesh.Close()
@@ -86,7 +86,7 @@
 		<-ended
 		return mesh
 	}
-	o, err := readOffers("", &terms.Bootstrap{})
+	o, err := readOffers("", &config.Bootstrap{})
 	if err != nil || o.Members != nil {
 		t.Fatalf("%+v, %v", o, err)
 	}
@@ -95,7 +95,7 @@
 	}
 	path := filepath.Join(t.TempDir(), "on.toml")
 	os.WriteFile(path, []byte("[members]\ncluster=\"a\"\nlisten=\"127.0.0.1:0\"\n"), 0o600)
-	if o, err = readOffers(path, &terms.Bootstrap{Name: "n1", Limits: terms.Limits{Sockets: 1024}, Settings: map[string]any{}}); err != nil {
+	if o, err = readOffers(path, &config.Bootstrap{Name: "n1", Limits: config.Limits{Sockets: 1024}, Settings: map[string]any{}}); err != nil {
 		t.Fatal(err)
 	}
 	if !runs(*o) {
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	for _, sockets := range []int{64, 99, 100} {
-		_, err := readOffers(path, &terms.Bootstrap{Name: "n1", Limits: terms.Limits{Sockets: sockets}, Settings: map[string]any{}})
+		_, err := readOffers(path, &config.Bootstrap{Name: "n1", Limits: config.Limits{Sockets: sockets}, Settings: map[string]any{}})
 		if enough := sockets == 100; (err == nil) != enough || !enough && !strings.Contains(err.Error(), "100 at least") {
 			t.Errorf("%d: %v", sockets, err)
 		}
--- a/cmd/woaddyke/process.go
+++ b/cmd/woaddyke/process.go
@@ -15,27 +15,27 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
 
-	"woaddyke/internal/fates"
-	"woaddyke/internal/front"
-	"woaddyke/internal/handover"
-	"woaddyke/internal/handover/pass"
-	"woaddyke/internal/mesh"
-	"woaddyke/internal/oserror"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/base/oserror"
+	"woaddyke/internal/cluster/mesh"
+	"woaddyke/internal/cluster/replica"
+	"woaddyke/internal/config"
+	"woaddyke/internal/frontend"
+	"woaddyke/internal/lifecycle/hotrestart"
+	"woaddyke/internal/lifecycle/hotrestart/transfer"
 )
 
 // process is one scheduler's process, which may take the place of another and be replaced by one.
 type process struct {
-	sheet *terms.Bootstrap
-	front *front.Server
+	sheet *config.Bootstrap
+	front *frontend.Server
 	log   zerolog.Logger
 	lost  func() uint64 // lines of the log that nobody could read; nil where nobody counts
 
 	offers offers
-	board  *board         // beside mesh
-	mesh   *mesh.Mesh     // nil where the operator's file has no members
-	fates  *fates.Replica // nil where it has no copies
-	stop   func()         // ends this process as SIGTERM does
+	board  *board           // beside mesh
+	mesh   *mesh.Mesh       // nil where the operator's file has no members
+	fates  *replica.Replica // nil where it has no copies
+	stop   func()           // ends this process as SIGTERM does
 
 	mu      sync.Mutex
 	offered io.Closer // ends the offer that is on
@@ -48,7 +48,7 @@
 }
 
 // fewer takes the machine's own bound on descriptors for the configuration's where it is lower: what lies beyond is not there.
-func fewer(sheet *terms.Bootstrap, log zerolog.Logger) {
+func fewer(sheet *config.Bootstrap, log zerolog.Logger) {
 	var r unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &r); err != nil || r.Cur >= uint64(sheet.Limits.Sockets) {
 		return
@@ -58,8 +58,8 @@
 }
 
 // make makes the scheduler, from what one before handed over if one did, and has it leave descriptors for what the operator's file has run beside it.
-func (p *process) make(before *handover.State) (err error) {
-	if p.front, err = front.NewSuccessor(p.sheet, before, p.log); err != nil {
+func (p *process) make(before *hotrestart.State) (err error) {
+	if p.front, err = frontend.NewSuccessor(p.sheet, before, p.log); err != nil {
 		return err
 	}
 	if p.lost != nil {
@@ -73,7 +73,7 @@
 
 // begin makes the scheduler and its listening socket, from those of a process that is to be replaced if there is one.
 func (p *process) begin() (at net.Listener, err error) {
-	var legacy *pass.Handover
+	var legacy *transfer.Handover
 	stranger := false // beside another's scheduler clients would come to either
 	if p.sheet.Console != "" {
 		asker, err := p.asker().Encode()
@@ -84,7 +84,7 @@
 		if err != nil && !errors.Is(err, os.ErrNotExist) && !errors.Is(err, syscall.ECONNREFUSED) {
 			p.log.Warn().Err(err).Msg("nothing taken over")
 		}
-		stranger = errors.Is(err, pass.ErrRefused)
+		stranger = errors.Is(err, transfer.ErrRefused)
 	}
 	if legacy != nil {
 		if at, err = p.inherit(legacy); err == nil {
@@ -104,7 +104,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listening: %w", err)
 	}
-	if err = p.join(nil, handover.State{}); err != nil {
+	if err = p.join(nil, hotrestart.State{}); err != nil {
 		at.Close()
 		return nil, err
 	}
@@ -118,17 +118,17 @@
 
 // ask takes over from the process before. One that is not a member yet, or not just now, is asked again: its member's address can only be
 // had from it, and without that this process could not start.
-func (p *process) ask(asker []byte) (*pass.Handover, error) {
-	path, there := pass.SocketPath(p.sheet.Listen, p.sheet.Name), false
+func (p *process) ask(asker []byte) (*transfer.Handover, error) {
+	path, there := transfer.SocketPath(p.sheet.Listen, p.sheet.Name), false
 	for until := time.Now().Add(joinTime); ; time.Sleep(askEvery) {
-		legacy, err := pass.Receive(path, asker)
-		if p.offers.Members == nil || errors.Is(err, pass.ErrRefused) || err != nil && !there || time.Now().After(until) {
+		legacy, err := transfer.Receive(path, asker)
+		if p.offers.Members == nil || errors.Is(err, transfer.ErrRefused) || err != nil && !there || time.Now().After(until) {
 			return legacy, err
 		}
 		if there = true; err != nil {
 			continue // between two offers of its own
 		}
-		if state, err := handover.DecodeState(legacy.Text); err != nil || len(state.Membership) > 0 {
+		if state, err := hotrestart.DecodeState(legacy.Text); err != nil || len(state.Membership) > 0 {
 			return legacy, nil
 		}
 		legacy.Close()
@@ -143,8 +143,8 @@
 }
 
 // inherit makes the scheduler from what came, and its listening socket from the one that came.
-func (p *process) inherit(legacy *pass.Handover) (listener net.Listener, err error) {
-	state, err := handover.DecodeState(legacy.Text)
+func (p *process) inherit(legacy *transfer.Handover) (listener net.Listener, err error) {
+	state, err := hotrestart.DecodeState(legacy.Text)
 	if err != nil {
 		return nil, err
 	}
@@ -204,14 +204,14 @@
 		p.offered.Close()
 	}
 	var err error
-	if p.offered, err = pass.Serve(pass.SocketPath(p.sheet.Listen, p.sheet.Name), p, p.log); err != nil {
+	if p.offered, err = transfer.Serve(transfer.SocketPath(p.sheet.Listen, p.sheet.Name), p, p.log); err != nil {
 		p.log.Warn().Err(err).Msg("no process can take over from this one")
 	}
 }
 
 // asker is who this process is to one whose place it may take, and to one that may take its own.
-func (p *process) asker() handover.Request {
-	a := handover.Request{Name: p.sheet.Name, Listen: p.sheet.Listen, Discovery: p.sheet.Discovery, Settings: p.sheet.SettingsHash()}
+func (p *process) asker() hotrestart.Request {
+	a := hotrestart.Request{Name: p.sheet.Name, Listen: p.sheet.Listen, Discovery: p.sheet.Discovery, Settings: p.sheet.SettingsHash()}
 	if p.front != nil {
 		a.Discovery, a.Settings = p.front.Discovery(), p.front.SettingsHash()
 	}
@@ -220,7 +220,7 @@
 
 // HandOver is the front's, to a process that may take the place of this one.
 func (p *process) HandOver(asker []byte) ([]byte, []syscall.Conn, error) {
-	a, err := handover.DecodeRequest(asker)
+	a, err := hotrestart.DecodeRequest(asker)
 	if err == nil {
 		err = a.CheckSuccessorOf(p.asker())
 	}
--- a/cmd/woaddyke/process_test.go
+++ b/cmd/woaddyke/process_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/terms"
+	"woaddyke/internal/config"
 )
 
 // discoveryOf is a stand-in that tells of the workers known and then no more.
@@ -30,9 +30,9 @@
 
 // replaceable is a process with a stand-in discovery that knows no worker.
 func replaceable(t *testing.T, listen string) *process {
-	return &process{log: zerolog.Nop(), sheet: &terms.Bootstrap{Listen: listen, Console: "127.0.0.1:0",
-		Discovery: discoveryOf(t, `{"rev":7,"all":true,"targets":[]}`), Limits: terms.Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
-		Settings: terms.Flatten(map[string]any{"categories": []any{map[string]any{"name": "look", "ttlNs": 3e9}}})}}
+	return &process{log: zerolog.Nop(), sheet: &config.Bootstrap{Listen: listen, Console: "127.0.0.1:0",
+		Discovery: discoveryOf(t, `{"rev":7,"all":true,"targets":[]}`), Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
+		Settings: config.Flatten(map[string]any{"categories": []any{map[string]any{"name": "look", "ttlNs": 3e9}}})}}
 }
 
 // start serves until the context that stop ends; ended tells what Serve said.
@@ -158,7 +158,7 @@
 	defer stop()
 	first.offer()
 	other := replaceable(t, addr)
-	other.sheet.Settings = terms.Flatten(map[string]any{"categories": []any{map[string]any{"name": "pay", "ttlNs": 3e9}}})
+	other.sheet.Settings = config.Flatten(map[string]any{"categories": []any{map[string]any{"name": "pay", "ttlNs": 3e9}}})
 	if at, err := other.begin(); err == nil {
 		at.Close()
 		t.Error("it listens where another's clients come")
--- a/cmd/woaddyke/ready_test.go
+++ b/cmd/woaddyke/ready_test.go
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/boottime"
-	"woaddyke/internal/copies"
+	"woaddyke/internal/cluster/replication"
+	"woaddyke/internal/cluster/store"
 	"woaddyke/internal/lab/between"
 	"woaddyke/internal/lab/several"
-	"woaddyke/internal/store"
+	"woaddyke/internal/lifecycle/boottime"
 )
 
 const readyTime = 10 * time.Second // nine in ten of those that were restarted together are ready by then
@@ -195,10 +195,10 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	var some []copies.Record
+	var some []replication.Record
 	for i := range n {
-		some = append(some, copies.Record{Key: fmt.Sprintf("pay\x00op-%08d", i), Fingerprint: uint64(i),
-			Outcomes: []copies.Outcome{{Claim: copies.Claim{Scheduler: "n1", Nonce: uint64(i + 1)}, Stage: copies.Ended, Verdict: 200, ResultRetained: true, Result: make([]byte, 200)}}})
+		some = append(some, replication.Record{Key: fmt.Sprintf("pay\x00op-%08d", i), Fingerprint: uint64(i),
+			Outcomes: []replication.Outcome{{Claim: replication.Claim{Scheduler: "n1", Nonce: uint64(i + 1)}, Stage: replication.Ended, Verdict: 200, ResultRetained: true, Result: make([]byte, 200)}}})
 	}
 	if err := s.Write(boottime.Now(), some, nil); err != nil {
 		t.Fatal(err)
--- a/cmd/woaddyke/serve.go
+++ b/cmd/woaddyke/serve.go
@@ -14,10 +14,10 @@
 	"github.com/rs/zerolog"
 	"github.com/spf13/cobra"
 
-	"woaddyke/internal/console"
-	"woaddyke/internal/logsink"
-	"woaddyke/internal/oserror"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/base/oserror"
+	"woaddyke/internal/config"
+	"woaddyke/internal/observe/console"
+	"woaddyke/internal/observe/logsink"
 )
 
 const logEnd = time.Second // for the last lines of the log to be read
@@ -40,7 +40,7 @@
 			sink := logsink.New(os.Stderr)
 			defer sink.Close(logEnd)
 			log := zerolog.New(sink).Level(l).With().Timestamp().Logger()
-			sheet, err := oserror.RetryTransient(func() (*terms.Bootstrap, error) { return terms.ReadBootstrap(path) })
+			sheet, err := oserror.RetryTransient(func() (*config.Bootstrap, error) { return config.ReadBootstrap(path) })
 			if err != nil {
 				return err
 			}
--- a/cmd/woaddyke/staff.go
+++ b/cmd/woaddyke/staff.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"woaddyke/internal/boottime"
-	"woaddyke/internal/members"
-	"woaddyke/internal/staff"
+	"woaddyke/internal/cluster/membership"
+	"woaddyke/internal/cluster/operatorstate"
+	"woaddyke/internal/lifecycle/boottime"
 )
 
 const staffEvery = time.Second // between two words to somebody by chance, which mend what was lost
@@ -18,17 +18,17 @@
 // board keeps what staff decided for each scheduler, as far as members tell.
 type board struct {
 	mu     sync.Mutex
-	staff  *staff.Board
+	staff  *operatorstate.Board
 	differ []string // as it was logged last
 	quit   chan struct{}
 	once   sync.Once
 }
 
 func newBoard() *board {
-	return &board{staff: staff.New(uint64(boottime.Since())), quit: make(chan struct{})}
+	return &board{staff: operatorstate.New(uint64(boottime.Since())), quit: make(chan struct{})}
 }
 
-func (b *board) heard(name string, life uint64, w staff.State) {
+func (b *board) heard(name string, life uint64, w operatorstate.State) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.staff.Receive(name, life, w)
@@ -86,7 +86,7 @@
 }
 
 // ended keeps the board to those that are here.
-func (p *process) ended(c members.MemberChanged) {
+func (p *process) ended(c membership.MemberChanged) {
 	if c.State.Ended() {
 		p.board.lost(c.Name)
 	}
--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -1,7 +1,7 @@
 package dispatch
 
 import (
-	"woaddyke/internal/stats"
+	"woaddyke/internal/base/stats"
 )
 
 // Which ops are tried on and which are given up, by the time they have to spare and by what the fleet has room for.
--- a/dispatch/choice.go
+++ b/dispatch/choice.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"woaddyke/internal/stats"
+	"woaddyke/internal/base/stats"
 )
 
 // Which of the workers that were asked an op goes to, and how long it is to wait there.
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -12,10 +12,10 @@
 	"math"
 	"slices"
 
-	"woaddyke/internal/deadlines"
-	"woaddyke/internal/sprt"
-	"woaddyke/internal/stats"
-	"woaddyke/internal/words"
+	"woaddyke/internal/base/deadlines"
+	"woaddyke/internal/base/sprt"
+	"woaddyke/internal/base/stats"
+	"woaddyke/internal/cluster/peerload"
 )
 
 // Time is a moment or a span in tenths of a millisecond.
@@ -106,12 +106,12 @@
 	since                Time
 	readings             []reading // the last few, newest last
 	places               []place
-	strides              stats.Part          // how long jobs ran, over what was expected
-	health               sprt.Test[Time]     // what outcomes say of it
-	out                  []*op               // this scheduler's pushes that are out there
-	words                words.Reports[Time] // of other schedulers: how many pushes they have out there
-	audience             []int               // schedulers whose regular it is: told what is pushed to it
-	heard                Time                // when it last said anything of a push
+	strides              stats.Part             // how long jobs ran, over what was expected
+	health               sprt.Test[Time]        // what outcomes say of it
+	out                  []*op                  // this scheduler's pushes that are out there
+	words                peerload.Reports[Time] // of other schedulers: how many pushes they have out there
+	audience             []int                  // schedulers whose regular it is: told what is pushed to it
+	heard                Time                   // when it last said anything of a push
 }
 
 // machines is what is learned of a kind: who meets a worker once a minute learns little of that one.
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"woaddyke/internal/stats"
+	"woaddyke/internal/base/stats"
 )
 
 func TestThresholdByHand(t *testing.T) {
--- a/dispatch/learned.go
+++ b/dispatch/learned.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 
-	"woaddyke/internal/sprt"
-	"woaddyke/internal/stats"
+	"woaddyke/internal/base/sprt"
+	"woaddyke/internal/base/stats"
 )
 
 // Verdict is one on a worker, a zone or the fleet's room.
--- a/dispatch/learned_test.go
+++ b/dispatch/learned_test.go
@@ -6,8 +6,8 @@
 	"reflect"
 	"testing"
 
-	"woaddyke/internal/sprt"
-	"woaddyke/internal/stats"
+	"woaddyke/internal/base/sprt"
+	"woaddyke/internal/base/stats"
 )
 
 // taught is a dispatcher that has seen worker 0 fail, and both serve.
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"woaddyke/internal/stats"
+	"woaddyke/internal/base/stats"
 )
 
 // What schedulers tell one another of their pushes.
--- a/dispatch/probing.go
+++ b/dispatch/probing.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"woaddyke/internal/stats"
+	"woaddyke/internal/base/stats"
 )
 
 // Which workers an op asks, and what their answers bring.
--- a/dispatch/retries.go
+++ b/dispatch/retries.go
@@ -1,7 +1,7 @@
 package dispatch
 
 import (
-	"woaddyke/internal/stats"
+	"woaddyke/internal/base/stats"
 )
 
 // What may be pushed again, where, and when a nack keeps its promise.
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"testing/quick"
 
-	"woaddyke/internal/stats"
+	"woaddyke/internal/base/stats"
 )
 
 // plain is the rules, told slowly: it keeps all that happened and works out afresh what is allowed.
--- a/dispatch/site.go
+++ b/dispatch/settings.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strconv"
 
-	"woaddyke/internal/stats"
+	"woaddyke/internal/base/stats"
 )
 
 // rules are a category's terms.
--- a/dispatch/cold.go
+++ b/dispatch/slow_start.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"woaddyke/internal/stats"
+	"woaddyke/internal/base/stats"
 )
 
 // What a scheduler can tell by itself of how much a cold worker bears and of how much all of them ask. The lot is drawn in
--- a/dispatch/cold_test.go
+++ b/dispatch/slow_start_test.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"testing"
 
-	"woaddyke/internal/stats"
+	"woaddyke/internal/base/stats"
 )
 
 // coldDay is a fleet part of which has just started, and the schedulers that meet it. Each worker has four slots; jobs
--- a/dispatch/threshold.go
+++ b/dispatch/threshold.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"woaddyke/internal/stats"
+	"woaddyke/internal/base/stats"
 )
 
 // How the threshold on a worker's job count is learned, by Entropy Minimax from how often a count led to idleness one delay later.
--- a/dispatch/silence.go
+++ b/dispatch/timeouts.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"woaddyke/internal/stats"
+	"woaddyke/internal/base/stats"
 )
 
 // What is awaited of a push that is out, and when silence about it counts against its worker.
--- a/internal/overflow/overflow.go
+++ b/internal/base/spillqueue/spillqueue.go
@@ -1,6 +1,6 @@
-// Package overflow hands values to a bounded channel without ever waiting, losing one or changing their order: what finds no room waits
+// Package spillqueue hands values to a bounded channel without ever waiting, losing one or changing their order: what finds no room waits
 // beside it. It is for few values that must not be missed, such as changes of state; many that may be lost are dropped by whoever has them.
-package overflow
+package spillqueue
 
 import "sync"
 
--- a/internal/overflow/overflow_test.go
+++ b/internal/base/spillqueue/spillqueue_test.go
@@ -1,4 +1,4 @@
-package overflow
+package spillqueue
 
 import (
 	"sync"
--- a/internal/sprt/sprt.go
+++ b/internal/base/sprt/sprt.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"woaddyke/internal/stats"
+	"woaddyke/internal/base/stats"
 )
 
 // Verdict is one, good or bad, and when it came.
--- a/internal/sprt/sprt_test.go
+++ b/internal/base/sprt/sprt_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"woaddyke/internal/stats"
+	"woaddyke/internal/base/stats"
 )
 
 // Two failures in a row are chance at one in twenty; three are not. Old verdicts must not speak, nor the doubtful be shut out.
--- a/internal/drainstate/drainstate.go
+++ b/internal/cluster/drainstate/drainstate.go
@@ -8,11 +8,11 @@
 	"math/rand/v2"
 	"slices"
 
-	"woaddyke/internal/members"
+	"woaddyke/internal/cluster/membership"
 )
 
 // Time is a moment as members take it.
-type Time = members.Time
+type Time = membership.Time
 
 // DrainRecord says that a worker takes nothing new, as discovery told somebody. A worker that starts again has another boot and is another
 // one. Revisions are discovery's own.
--- a/internal/members/messages.go
+++ b/internal/cluster/membership/messages.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 // Kind says what a message is for.
 type Kind uint8
--- a/internal/members/talk.go
+++ b/internal/cluster/membership/messaging.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 // hear takes a message. What is dropped is counted by cause.
 func (m *Node) hear(in MessageReceived) {
--- a/internal/members/members.go
+++ b/internal/cluster/membership/node.go
@@ -1,7 +1,7 @@
-// Package members decides who the other schedulers of a cluster are, and which of them are here, doubted or gone. It takes an
+// Package membership decides who the other schedulers of a cluster are, and which of them are here, doubted or gone. It takes an
 // input with its time and returns what to send and what has changed; it does no input or output, reads no clock, and draws from
 // its seed alone. docs/members.md says what it promises.
-package members
+package membership
 
 import (
 	"math"
--- a/internal/members/swarm/figures_test.go
+++ b/internal/cluster/membership/simulation/figures_test.go
@@ -1,4 +1,4 @@
-package swarm
+package simulation
 
 import (
 	"os"
--- a/internal/members/swarm/swarm.go
+++ b/internal/cluster/membership/simulation/simulation.go
@@ -1,18 +1,18 @@
-// Package swarm plays a whole cluster of members under one seed in virtual time: links with loss, delay and cuts in either
+// Package simulation plays a whole cluster of members under one seed in virtual time: links with loss, delay and cuts in either
 // direction, pauses, crashes and returns. It knows what was true at each moment and holds every view against it.
-package swarm
+package simulation
 
 import (
 	"fmt"
 	"math"
 	"math/rand/v2"
 
-	"woaddyke/internal/members"
-	"woaddyke/internal/virtual"
+	"woaddyke/internal/cluster/membership"
+	"woaddyke/internal/testsupport/simclock"
 )
 
 // Time is a member's.
-type Time = members.Time
+type Time = membership.Time
 
 // Spans in the unit of Time.
 const (
@@ -31,14 +31,14 @@
 type node struct {
 	name, addr string
 	index      int
-	m          *members.Node
+	m          *membership.Node
 	up         bool
 	started    Time
 	died       Time
 	paused     bool
 	pausedAt   Time
-	waits      []members.Input // what came while it was paused
-	tick       Time            // of the newest tick that is planned
+	waits      []membership.Input // what came while it was paused
+	tick       Time               // of the newest tick that is planned
 	nonce      uint64
 	ended      bool // its own word: superseded, or gone after leaving
 	settled    bool
@@ -46,8 +46,8 @@
 }
 
 type holding struct {
-	state members.State
-	life  members.Incarnation
+	state membership.State
+	life  membership.Incarnation
 	turn  uint64
 	since Time
 
@@ -56,10 +56,10 @@
 
 // Swarm is one cluster.
 type Swarm struct {
-	virtual.Clock[Time]
+	simclock.Clock[Time]
 	rand   *rand.Rand
 	Links  Links
-	Terms  members.Config
+	Terms  membership.Config
 	nodes  []*node
 	byAddr map[string]*node
 	byName map[string][]*node
@@ -72,20 +72,20 @@
 	Seeds    []string
 	Breaches []string
 	Bound    Time // a pause up to this long must not be taken for an end
-	Watch    func(at Time, by, of string, state members.State)
+	Watch    func(at Time, by, of string, state membership.State)
 
-	Weigh       func(members.Message) // each message that is sent
-	Around      func(take func())     // each input that a member takes
-	Sent, Bytes int64                 // datagrams and messages on streams, by an estimate of their size
+	Weigh       func(membership.Message) // each message that is sent
+	Around      func(take func())        // each input that a member takes
+	Sent, Bytes int64                    // datagrams and messages on streams, by an estimate of their size
 	Detected    []Time
-	Kinds       map[members.Kind]int64
+	Kinds       map[membership.Kind]int64
 }
 
 // New makes a cluster of so many names, none of which runs.
 func New(n int, seed uint64) *Swarm {
 	s := &Swarm{rand: rand.New(rand.NewPCG(seed, 0x737761726d)), byAddr: map[string]*node{}, byName: map[string][]*node{}, cut: map[[2]int]bool{},
-		streams: map[uint64][2]*node{}, Kinds: map[members.Kind]int64{}, Terms: members.Defaults(), Links: Links{Delay: 2 * 1, Jitter: 3}, Bound: 2 * Second, gone: map[string]bool{},
-		Weigh: func(members.Message) {}, Around: func(take func()) { take() }}
+		streams: map[uint64][2]*node{}, Kinds: map[membership.Kind]int64{}, Terms: membership.Defaults(), Links: Links{Delay: 2 * 1, Jitter: 3}, Bound: 2 * Second, gone: map[string]bool{},
+		Weigh: func(membership.Message) {}, Around: func(take func()) { take() }}
 	for i := range n {
 		s.Place(fmt.Sprintf("n%03d", i))
 	}
@@ -116,10 +116,10 @@
 	t := s.Terms
 	t.Cluster, t.Name, t.Addr, t.Number, t.Seeds = "swarm", n.name, n.addr, i, s.Seeds
 	t.Nonce, t.Seed = s.rand.Uint64(), s.rand.Uint64()
-	n.m, n.up, n.paused, n.ended, n.settled, n.started, n.waits = members.New(t, s.Now()), true, false, false, false, s.Now(), nil
+	n.m, n.up, n.paused, n.ended, n.settled, n.started, n.waits = membership.New(t, s.Now()), true, false, false, false, s.Now(), nil
 	n.nonce, n.held, n.tick = t.Nonce, map[string]holding{}, 0
 	s.world()
-	s.feed(n, members.Tick{})
+	s.feed(n, membership.Tick{})
 }
 
 // Kill ends a process at once.
@@ -131,7 +131,7 @@
 }
 
 // Leave has a process tell the others that it ends, and end.
-func (s *Swarm) Leave(i int) { s.feed(s.nodes[i], members.LeaveRequested{}) }
+func (s *Swarm) Leave(i int) { s.feed(s.nodes[i], membership.LeaveRequested{}) }
 
 // Pause stops a process.
 func (s *Swarm) Pause(i int) {
@@ -153,7 +153,7 @@
 	waits := n.waits
 	n.waits = nil
 	if n.up {
-		s.feed(n, members.Tick{})
+		s.feed(n, membership.Tick{})
 		for _, in := range waits {
 			s.feed(n, in)
 		}
@@ -231,7 +231,7 @@
 
 const mostWaits = 400 // what a socket holds for a process that stands still
 
-func (s *Swarm) feed(n *node, in members.Input) {
+func (s *Swarm) feed(n *node, in membership.Input) {
 	if !n.up {
 		return
 	}
@@ -242,7 +242,7 @@
 		return
 	}
 	m := n.m
-	var todo []members.Effect
+	var todo []membership.Effect
 	s.Around(func() { todo = m.Step(s.Now(), in) })
 	for _, e := range todo {
 		s.carry(n, e)
@@ -257,12 +257,12 @@
 			if n.tick = 0; n.paused {
 				return // Resume feeds one
 			}
-			s.feed(n, members.Tick{})
+			s.feed(n, membership.Tick{})
 		}
 	})
 }
 
-func size(x members.Message) int64 {
+func size(x membership.Message) int64 {
 	n := 60 + len(x.From.Name) + len(x.From.Addr) + len(x.Target) + len(x.Text) + 9*len(x.Digests) + 2*len(x.Buckets)
 	for _, c := range x.Records {
 		n += 28 + len(c.Name) + len(c.Addr) + len(c.ReportedBy)
@@ -270,11 +270,11 @@
 	return int64(n)
 }
 
-func (s *Swarm) carry(n *node, e members.Effect) {
+func (s *Swarm) carry(n *node, e membership.Effect) {
 	switch e := e.(type) {
-	case members.Send:
+	case membership.Send:
 		s.datagram(n, e.To, e.Message)
-	case members.OpenStream:
+	case membership.OpenStream:
 		to := s.byAddr[e.To]
 		if to == nil {
 			return
@@ -284,7 +284,7 @@
 		s.streams[id] = [2]*node{n, to}
 		s.At(s.Now()+10*Second, func() { delete(s.streams, id) })
 		s.stream(n, to, id, e.Message)
-	case members.StreamReply:
+	case membership.StreamReply:
 		pair, ok := s.streams[e.Stream]
 		if !ok {
 			return
@@ -294,29 +294,29 @@
 			to = pair[1]
 		}
 		s.stream(n, to, e.Stream, e.Message)
-	case members.Joined:
+	case membership.Joined:
 		n.settled, n.ended = true, false
 		s.world()
-	case members.Stopped:
+	case membership.Stopped:
 		n.ended = true
 		s.world()
 		if !e.Replaced {
 			n.up, n.died = false, s.Now()
 			s.gone[n.name] = true
 		}
-	case members.MemberChanged:
+	case membership.MemberChanged:
 		s.changed(n, e)
 	}
 }
 
-func (s *Swarm) count(x members.Message) {
+func (s *Swarm) count(x membership.Message) {
 	s.Sent++
 	s.Bytes += size(x)
 	s.Kinds[x.Kind]++
 	s.Weigh(x)
 }
 
-func (s *Swarm) datagram(n *node, addr string, x members.Message) {
+func (s *Swarm) datagram(n *node, addr string, x membership.Message) {
 	s.count(x)
 	to := s.byAddr[addr]
 	lost, twice := s.rand.Float64() < s.Links.Loss, s.rand.Float64() < s.Links.Dup
@@ -326,7 +326,7 @@
 	}
 	deliver := func() {
 		if !s.cut[[2]int{n.index, to.index}] {
-			s.feed(to, members.MessageReceived{Message: x})
+			s.feed(to, membership.MessageReceived{Message: x})
 		}
 	}
 	if s.At(s.Now()+wait, deliver); twice {
@@ -335,7 +335,7 @@
 }
 
 // stream passes a message of a stream on: whole, later than a datagram and later still for what was lost of it, or not at all.
-func (s *Swarm) stream(n, to *node, id uint64, x members.Message) {
+func (s *Swarm) stream(n, to *node, id uint64, x membership.Message) {
 	s.count(x)
 	wait := 3*s.Links.Delay + Time(float64(3*s.Links.Jitter)*s.rand.Float64())
 	for s.rand.Float64() < s.Links.Loss {
@@ -348,7 +348,7 @@
 	}
 	s.At(s.Now()+wait, func() {
 		if s.both(n.index, to.index) {
-			s.feed(to, members.MessageReceived{Message: x, Stream: id})
+			s.feed(to, membership.MessageReceived{Message: x, Stream: id})
 		}
 	})
 }
@@ -364,7 +364,7 @@
 const Grace = 15 * Second
 
 // changed holds what a member holds against what is true.
-func (s *Swarm) changed(n *node, e members.MemberChanged) {
+func (s *Swarm) changed(n *node, e membership.MemberChanged) {
 	if s.Watch != nil {
 		s.Watch(s.Now(), n.name, e.Name, e.State)
 	}
@@ -381,10 +381,10 @@
 		}
 		j := of.index
 		s.world()
-		if e.State == members.Dead && len(s.nodes) <= 64 && s.answers(j) && s.Now()-max(s.bad[i][j], of.started, n.started) > Grace {
+		if e.State == membership.Dead && len(s.nodes) <= 64 && s.answers(j) && s.Now()-max(s.bad[i][j], of.started, n.started) > Grace {
 			s.breach("%s calls %s gone, by %s, and could reach it since %.3f s", n.name, e.Name, e.ReportedBy, float64(s.bad[i][j])/float64(Second))
 		}
-		if e.State == members.Dead && !of.up {
+		if e.State == membership.Dead && !of.up {
 			s.Detected = append(s.Detected, s.Now()-of.died)
 		}
 	}
@@ -402,7 +402,7 @@
 			}
 			h := a.held[b.name]
 			switch alive := b.up && !b.ended && !b.paused; {
-			case alive && s.reaches(i, j) && (h.state != members.Alive || h.life.Nonce != b.nonce):
+			case alive && s.reaches(i, j) && (h.state != membership.Alive || h.life.Nonce != b.nonce):
 				wrong = append(wrong, fmt.Sprintf("%s holds %s %v, which is here", a.name, b.name, h.state))
 			case !b.up && b.m != nil && !h.state.Ended() && h.state != 0:
 				wrong = append(wrong, fmt.Sprintf("%s holds %s %v, which is no more", a.name, b.name, h.state))
@@ -426,7 +426,7 @@
 }
 
 // Member is what runs at a place.
-func (s *Swarm) Member(i int) *members.Node { return s.nodes[i].m }
+func (s *Swarm) Member(i int) *membership.Node { return s.nodes[i].m }
 
 // Runs tells whether a process runs at a place, and whether it is a member by its own word.
 func (s *Swarm) Runs(i int) (up, member bool) {
@@ -434,7 +434,7 @@
 }
 
 // Holds is what a place holds of a name.
-func (s *Swarm) Holds(i int, name string) members.State { return s.nodes[i].held[name].state }
+func (s *Swarm) Holds(i int, name string) membership.State { return s.nodes[i].held[name].state }
 
 // Rand draws for a play's own troubles.
 func (s *Swarm) Rand() *rand.Rand { return s.rand }
--- a/internal/members/swarm/swarm_test.go
+++ b/internal/cluster/membership/simulation/simulation_test.go
@@ -1,4 +1,4 @@
-package swarm
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strconv"
 	"testing"
 
-	"woaddyke/internal/members"
+	"woaddyke/internal/cluster/membership"
 )
 
 // seed is what plays are drawn from; SEED repeats one that failed.
@@ -54,7 +54,7 @@
 				s.Kill(n - 1)
 				s.Run(s.Now() + 5*Second)
 				for i := range n - 1 {
-					if got := s.Holds(i, fmt.Sprintf("n%03d", n-1)); got != members.Dead {
+					if got := s.Holds(i, fmt.Sprintf("n%03d", n-1)); got != membership.Dead {
 						t.Errorf("%d holds it %v after 5 s", i, got)
 					}
 				}
@@ -66,7 +66,7 @@
 func name(i int) string { return fmt.Sprintf("n%03d", i) }
 
 // holds checks what a place holds of a name.
-func holds(t *testing.T, s *Swarm, i int, of string, want members.State) {
+func holds(t *testing.T, s *Swarm, i int, of string, want membership.State) {
 	t.Helper()
 	if got := s.Holds(i, of); got != want {
 		t.Errorf("at %.1f s place %d holds %s %v, not %v", float64(s.Now())/float64(Second), i, of, got, want)
@@ -76,8 +76,8 @@
 // gones counts how often anybody was called gone.
 func gones(s *Swarm) *int {
 	n := 0
-	s.Watch = func(_ Time, _, _ string, state members.State) {
-		if state == members.Dead {
+	s.Watch = func(_ Time, _, _ string, state membership.State) {
+		if state == membership.Dead {
 			n++
 		}
 	}
@@ -100,8 +100,8 @@
 				}
 				*n = 0
 				accused := 0
-				s.Watch = func(_ Time, _, of string, state members.State) {
-					if state == members.Dead || state == members.Suspect && of != name(2) {
+				s.Watch = func(_ Time, _, of string, state membership.State) {
+					if state == membership.Dead || state == membership.Suspect && of != name(2) {
 						accused++
 					}
 				}
@@ -141,10 +141,10 @@
 		s.Pause(1)
 		s.Pause(2)
 		s.Run(s.Now() + 10*Second)
-		holds(t, s, 0, name(1), members.Dead)
+		holds(t, s, 0, name(1), membership.Dead)
 		s.Resume(1)
 		s.Run(s.Now() + 3*Second)
-		holds(t, s, 0, name(1), members.Alive)
+		holds(t, s, 0, name(1), membership.Alive)
 		s.Resume(2)
 		s.Run(s.Now() + 4*Second)
 	})
@@ -158,7 +158,7 @@
 		s.Resume(3)
 		s.Pause(3)
 		s.Run(s.Now() + 20*Second)
-		holds(t, s, 0, name(3), members.Dead)
+		holds(t, s, 0, name(3), membership.Dead)
 		s.Resume(3)
 		s.Run(s.Now() + 4*Second)
 	})
@@ -234,7 +234,7 @@
 		t.Run(fmt.Sprint("mute ", mute), func(t *testing.T) {
 			play(t, 5, 20, func(s *Swarm) {
 				said := map[string]int{}
-				s.Watch = func(_ Time, by, of string, state members.State) { said[fmt.Sprint(by, of, state)]++ }
+				s.Watch = func(_ Time, by, of string, state membership.State) { said[fmt.Sprint(by, of, state)]++ }
 				for i := range 4 {
 					if s.Cut(4, i, mute); !mute {
 						s.Cut(i, 4, true)
@@ -243,7 +243,7 @@
 				s.Run(s.Now() + 20*Second)
 				for i := range 4 {
 					for j := range 4 {
-						if k := said[fmt.Sprint(name(i), name(j), members.Suspect)]; k > 0 {
+						if k := said[fmt.Sprint(name(i), name(j), membership.Suspect)]; k > 0 {
 							t.Errorf("place %d doubted %d %d times, which has no part in this", i, j, k)
 						}
 					}
@@ -251,7 +251,7 @@
 				clear(said) // by then it has found out that it hears nobody
 				s.Run(s.Now() + 40*Second)
 				for i := range 4 {
-					holds(t, s, i, name(4), members.Dead)
+					holds(t, s, i, name(4), membership.Dead)
 					if len(said) > 0 {
 						t.Errorf("there is talk after 20 s: %v", said)
 					}
@@ -285,9 +285,9 @@
 		s.Run(s.Now() + 12*Second)
 		s.Part(c, b, true)
 		s.Run(s.Now() + 12*Second)
-		holds(t, s, 0, name(3), members.Dead)
-		holds(t, s, 3, name(6), members.Dead)
-		holds(t, s, 3, name(4), members.Alive)
+		holds(t, s, 0, name(3), membership.Dead)
+		holds(t, s, 3, name(6), membership.Dead)
+		holds(t, s, 3, name(4), membership.Alive)
 		s.Part(a, b, false)
 		s.Run(s.Now() + 12*Second)
 		s.Part(c, append(a, b...), false)
@@ -305,7 +305,7 @@
 		s.Run(s.Now() + 300*Second)
 		s.Part(a, b, false)
 		s.Run(s.Now() + 5*Second)
-		holds(t, s, 0, name(7), members.Left)
+		holds(t, s, 0, name(7), membership.Left)
 	})
 }
 
@@ -352,10 +352,10 @@
 				s.Run(s.Now() + 5*Second)
 				s.Resume(3)
 				s.Run(s.Now() + 5*Second)
-				if own := s.Member(3).Status(); own.State != members.Replaced {
+				if own := s.Member(3).Status(); own.State != membership.Replaced {
 					t.Errorf("the first is %v", own.State)
 				}
-				if own := s.Member(heir).Status(); own.State != members.Alive || own.Generation != 2 {
+				if own := s.Member(heir).Status(); own.State != membership.Alive || own.Generation != 2 {
 					t.Errorf("the successor is %v, incarnation %d", own.State, own.Generation)
 				}
 			})
@@ -369,12 +369,12 @@
 		heir := s.Place(name(3))
 		s.Start(heir)
 		s.Run(s.Now() + 3*Second)
-		if own := s.Member(3).Status(); own.State != members.Replaced {
+		if own := s.Member(3).Status(); own.State != membership.Replaced {
 			t.Errorf("the first is %v", own.State)
 		}
 		s.Leave(heir)
 		s.Run(s.Now() + 8*Second)
-		if own := s.Member(3).Status(); own.State != members.Alive || own.Generation != 3 {
+		if own := s.Member(3).Status(); own.State != membership.Alive || own.Generation != 3 {
 			t.Errorf("the first is %v, incarnation %d", own.State, own.Generation)
 		}
 	})
@@ -404,10 +404,10 @@
 		s.Run(s.Now() + 3*Second)
 		s.Resume(3)
 		s.Run(s.Now() + 8*Second)
-		if own := s.Member(3).Status(); own.State != members.Replaced {
+		if own := s.Member(3).Status(); own.State != membership.Replaced {
 			t.Errorf("the one from before is %v", own.State)
 		}
-		if own := s.Member(heir).Status(); own.State != members.Alive {
+		if own := s.Member(heir).Status(); own.State != membership.Alive {
 			t.Errorf("the new one is %v", own.State)
 		}
 	})
@@ -433,9 +433,9 @@
 				s.Leave(5)
 				s.Run(s.Now() + 300*MS)
 				s.Links.Loss = 0
-				want := members.Left
+				want := membership.Left
 				if s.Run(s.Now() + 700*MS); lost {
-					want = members.Dead
+					want = membership.Dead
 					s.Run(s.Now() + 6*Second)
 				}
 				holds(t, s, 0, name(5), want)
@@ -455,7 +455,7 @@
 		s.Run(s.Now() + 5*Second) // it finds nobody
 		s.Start(1)
 		s.Run(s.Now() + 6*Second)
-		holds(t, s, late, name(4), members.Alive)
+		holds(t, s, late, name(4), membership.Alive)
 		s.Start(0)
 		s.Run(s.Now() + 6*Second)
 	})
@@ -469,7 +469,7 @@
 		s.Run(s.Now() + 6*Second)
 		s.Part([]int{2, 3}, []int{4, 5}, true)
 		s.Run(s.Now() + 20*Second)
-		holds(t, s, 2, name(4), members.Dead)
+		holds(t, s, 2, name(4), membership.Dead)
 		s.Part([]int{2, 3}, []int{4, 5}, false)
 		s.Run(s.Now() + 8*Second)
 	})
--- a/internal/members/timers.go
+++ b/internal/cluster/membership/timers.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import "slices"
 
--- a/internal/mesh/bench_test.go
+++ b/internal/cluster/mesh/bench_test.go
@@ -10,17 +10,17 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/drainstate"
-	"woaddyke/internal/members"
-	"woaddyke/internal/members/swarm"
-	"woaddyke/internal/staff"
+	"woaddyke/internal/cluster/drainstate"
+	"woaddyke/internal/cluster/membership"
+	"woaddyke/internal/cluster/membership/simulation"
+	"woaddyke/internal/cluster/operatorstate"
 )
 
 // heads are what IP and UDP put before a datagram.
 const heads = 20 + 8
 
 // wire is what a message takes on the wire, as this package words it. A play's addresses are shorter than real ones.
-func wire(b *testing.B, x members.Message) int64 {
+func wire(b *testing.B, x membership.Message) int64 {
 	text, err := encode(lengthened(x))
 	if err != nil {
 		b.Fatal(err)
@@ -39,8 +39,8 @@
 const realAddr = "10.101.102.103:7946"
 
 // lengthened is a message as of a real deployment, with names and addresses as long as they are there.
-func lengthened(x members.Message) members.Message {
-	one := func(c members.MemberRecord) members.MemberRecord {
+func lengthened(x membership.Message) membership.Message {
+	one := func(c membership.MemberRecord) membership.MemberRecord {
 		c.Name, c.Addr = "scheduler-"+c.Name, realAddr
 		if c.ReportedBy != "" {
 			c.ReportedBy = "scheduler-" + c.ReportedBy
@@ -68,14 +68,14 @@
 				s := settled(n)
 				var bytes, messages int64
 				var core time.Duration
-				s.Weigh = func(x members.Message) { bytes, messages = bytes+wire(b, x), messages+1 }
+				s.Weigh = func(x membership.Message) { bytes, messages = bytes+wire(b, x), messages+1 }
 				s.Around = func(take func()) {
 					from := time.Now()
 					take()
 					core += time.Since(from)
 				}
 				const span = 3
-				s.Run(s.Now() + span*swarm.Second)
+				s.Run(s.Now() + span*simulation.Second)
 				runtime.KeepAlive(s)
 				each := float64(n * span)
 				b.ReportMetric(float64(bytes)/each, "B/member-s")
@@ -87,12 +87,12 @@
 }
 
 // settled is a swarm of so many members that have been here for a while.
-func settled(n int) *swarm.Swarm {
-	s := swarm.New(n, seed())
+func settled(n int) *simulation.Swarm {
+	s := simulation.New(n, seed())
 	for i := range n {
 		s.Start(i)
 	}
-	s.Run(20 * swarm.Second)
+	s.Run(20 * simulation.Second)
 	return s
 }
 
@@ -103,21 +103,21 @@
 			for range b.N {
 				s := settled(n)
 				var bytes int64
-				s.Weigh = func(x members.Message) { bytes += wire(b, x) }
+				s.Weigh = func(x membership.Message) { bytes += wire(b, x) }
 				const span = 20
-				s.Run(s.Now() + span*swarm.Second)
+				s.Run(s.Now() + span*simulation.Second)
 				calm := bytes
 				bytes = 0
 				gone := n / 14 // a zone's
 				for i := range gone {
 					s.Kill(n - 1 - i)
 				}
-				s.At(s.Now()+swarm.Second/2, func() {
+				s.At(s.Now()+simulation.Second/2, func() {
 					for i := range gone {
 						s.Start(n - 1 - i)
 					}
 				})
-				s.Run(s.Now() + span*swarm.Second)
+				s.Run(s.Now() + span*simulation.Second)
 				b.ReportMetric(float64(bytes-calm)/float64(n)/float64(gone), "B/member-restart")
 				b.ReportMetric(float64(bytes)/float64(n)/span, "B/member-s")
 				if wrong := s.Settle(); len(wrong) > 0 {
@@ -136,8 +136,8 @@
 			for range b.N {
 				s := settled(n)
 				var bytes int64
-				s.Weigh = func(x members.Message) { bytes += wire(b, x) }
-				s.Run(s.Now() + 20*swarm.Second)
+				s.Weigh = func(x membership.Message) { bytes += wire(b, x) }
+				s.Run(s.Now() + 20*simulation.Second)
 				calm := float64(bytes) / float64(n) / 20
 				var few, others []int
 				for i := range n {
@@ -149,16 +149,16 @@
 				}
 				s.Part(few, others, true)
 				bytes = 0
-				s.Run(s.Now() + 20*swarm.Second)
+				s.Run(s.Now() + 20*simulation.Second)
 				found := float64(bytes) / float64(n) / 20
 				bytes = 0
-				s.Run(s.Now() + 280*swarm.Second)
+				s.Run(s.Now() + 280*simulation.Second)
 				parted := float64(bytes) / float64(n) / 280
 				s.Part(few, others, false)
 				bytes = 0
-				at, settled := s.Now(), swarm.Time(0)
-				for s.Now()-at < 60*swarm.Second {
-					if s.Run(s.Now() + swarm.Second); settled == 0 && len(s.Settle()) == 0 {
+				at, settled := s.Now(), simulation.Time(0)
+				for s.Now()-at < 60*simulation.Second {
+					if s.Run(s.Now() + simulation.Second); settled == 0 && len(s.Settle()) == 0 {
 						settled = s.Now() - at
 					}
 				}
@@ -166,7 +166,7 @@
 				b.ReportMetric(found, "first-20s-B/member-s")
 				b.ReportMetric(parted, "parted-B/member-s")
 				b.ReportMetric(float64(bytes)/float64(n)/60, "60s-after-B/member-s")
-				b.ReportMetric(float64(settled)/float64(swarm.Second), "s-to-one-view")
+				b.ReportMetric(float64(settled)/float64(simulation.Second), "s-to-one-view")
 			}
 		})
 	}
@@ -183,24 +183,24 @@
 				runtime.ReadMemStats(&m)
 				return m.HeapAlloc
 			}
-			claim := func(i int) members.MemberRecord {
-				return members.MemberRecord{Name: fmt.Sprintf("scheduler-%04d", i), Addr: fmt.Sprintf("10.%d.%d.%d:7946", i%14, i/250, i%250), Number: i,
-					Incarnation: members.Incarnation{Generation: 3, Nonce: uint64(i)}, State: members.Alive, ReportedBy: fmt.Sprintf("scheduler-%04d", i)}
+			claim := func(i int) membership.MemberRecord {
+				return membership.MemberRecord{Name: fmt.Sprintf("scheduler-%04d", i), Addr: fmt.Sprintf("10.%d.%d.%d:7946", i%14, i/250, i%250), Number: i,
+					Incarnation: membership.Incarnation{Generation: 3, Nonce: uint64(i)}, State: membership.Alive, ReportedBy: fmt.Sprintf("scheduler-%04d", i)}
 			}
-			t := members.Defaults()
+			t := membership.Defaults()
 			t.Cluster, t.Name, t.Addr, t.Number, t.Seeds, t.Nonce, t.MaxMembers = "c", "me", "10.0.0.1:7946", n, nil, 7, 2*n
 			for range b.N {
 				b.StopTimer()
 				before := live()
 				b.StartTimer()
-				m := members.New(t, 1)
-				m.Step(1, members.Tick{})
-				m.Step(60_000, members.Tick{})
-				x := members.Message{Kind: members.DigestDiffReply, Cluster: "c", From: claim(0), Seq: 1}
+				m := membership.New(t, 1)
+				m.Step(1, membership.Tick{})
+				m.Step(60_000, membership.Tick{})
+				x := membership.Message{Kind: membership.DigestDiffReply, Cluster: "c", From: claim(0), Seq: 1}
 				for i := range n {
 					x.Records = append(x.Records, claim(i))
 				}
-				m.Step(60_001, members.MessageReceived{Message: x})
+				m.Step(60_001, membership.MessageReceived{Message: x})
 				b.StopTimer()
 				if got := len(m.View()); got < n {
 					b.Fatalf("%d of %d are in the view", got, n)
@@ -215,7 +215,7 @@
 					b.Fatal(err)
 				}
 				b.ReportMetric(float64(len(shown))/float64(n), "shown-B/member")
-				x, text, shown = members.Message{}, nil, nil
+				x, text, shown = membership.Message{}, nil, nil
 				b.ReportMetric(float64(live()-before)/float64(n), "live-B/member")
 				b.ReportMetric(wire, "wire-B/member")
 				runtime.KeepAlive(m)
@@ -227,9 +227,9 @@
 
 // BenchmarkCodec is a ping as it is written and read.
 func BenchmarkCodec(b *testing.B) {
-	c := members.MemberRecord{Name: "scheduler-0001", Addr: realAddr, Number: 1, Incarnation: members.Incarnation{Generation: 3, Nonce: 1 << 60}, State: members.Alive,
+	c := membership.MemberRecord{Name: "scheduler-0001", Addr: realAddr, Number: 1, Incarnation: membership.Incarnation{Generation: 3, Nonce: 1 << 60}, State: membership.Alive,
 		ReportedBy: "scheduler-0001"}
-	x := members.Message{Kind: members.Ping, Cluster: "cluster", From: c, Seq: 1 << 20, Nonce: 1 << 60}
+	x := membership.Message{Kind: membership.Ping, Cluster: "cluster", From: c, Seq: 1 << 20, Nonce: 1 << 60}
 	b.ReportAllocs()
 	for range b.N {
 		text, err := encode(x)
@@ -245,14 +245,14 @@
 // BenchmarkOther is what the messages between schedulers that are not of membership take on the wire: what staff decided, which goes to one
 // member a second and at each change to all of them, and words of workers that drain.
 func BenchmarkOther(b *testing.B) {
-	from := toWire(members.MemberRecord{Name: "scheduler-0001", Addr: realAddr, Number: 1, Incarnation: members.Incarnation{Generation: 3, Nonce: 1 << 60}, State: members.Alive,
+	from := toWire(membership.MemberRecord{Name: "scheduler-0001", Addr: realAddr, Number: 1, Incarnation: membership.Incarnation{Generation: 3, Nonce: 1 << 60}, State: membership.Alive,
 		ReportedBy: "scheduler-0001"})
 	var words []drainstate.DrainRecord
 	for i := range 30 {
 		words = append(words, drainstate.DrainRecord{Worker: fmt.Sprintf("worker-%05d", i), BootID: 1_700_000_000_000, Revision: 1 << 30})
 	}
 	for name, w := range map[string]wireOther{
-		"staff":          {Cluster: "cluster", From: from, Staff: &staff.State{Settings: 1 << 60, Sequence: uint64(1_700_000_000_000_000_000)}},
+		"staff":          {Cluster: "cluster", From: from, Staff: &operatorstate.State{Settings: 1 << 60, Sequence: uint64(1_700_000_000_000_000_000)}},
 		"one worker":     {Cluster: "cluster", From: from, Workers: words[:1]},
 		"thirty workers": {Cluster: "cluster", From: from, Workers: words},
 	} {
--- a/internal/mesh/table.go
+++ b/internal/cluster/mesh/config.go
@@ -1,5 +1,5 @@
 // Package mesh carries what schedulers say to one another: datagrams and streams between members. It owns the sockets, the
-// encoding and the clock, and is the one place that reads what another scheduler sent; internal/members decides.
+// encoding and the clock, and is the one place that reads what another scheduler sent; internal/cluster/membership decides.
 package mesh
 
 import (
@@ -8,8 +8,8 @@
 	"net/netip"
 	"time"
 
-	"woaddyke/internal/members"
-	"woaddyke/internal/operator"
+	"woaddyke/internal/cluster/membership"
+	"woaddyke/internal/config/features"
 )
 
 // Config is the part of the operator's file that is called members.
@@ -19,13 +19,13 @@
 	Advertise         string            `toml:"advertise"`     // what the others are told; empty: listen
 	Seeds             []string          `toml:"seeds"`         // whom to ask first
 	Networks          []string          `toml:"networks"`      // addresses outside of them are neither heard nor told anything
-	ProbeInterval     operator.Duration `toml:"probe"`         // between two pings
-	ProbeTimeout      operator.Duration `toml:"window"`        // for an answer, direct or through others
-	MinSuspicion      operator.Duration `toml:"doubt"`         // least span between a doubt and "gone"
-	MaxSuspicion      operator.Duration `toml:"longest_doubt"` // longest, with a single accuser
-	PushPullInterval  operator.Duration `toml:"exchange"`      // between full exchanges
-	JoinInterval      operator.Duration `toml:"seek"`          // between tries to reach seeds and those that are gone
-	DeadRetention     operator.Duration `toml:"memory"`        // of those that are gone or have left
+	ProbeInterval     features.Duration `toml:"probe"`         // between two pings
+	ProbeTimeout      features.Duration `toml:"window"`        // for an answer, direct or through others
+	MinSuspicion      features.Duration `toml:"doubt"`         // least span between a doubt and "gone"
+	MaxSuspicion      features.Duration `toml:"longest_doubt"` // longest, with a single accuser
+	PushPullInterval  features.Duration `toml:"exchange"`      // between full exchanges
+	JoinInterval      features.Duration `toml:"seek"`          // between tries to reach seeds and those that are gone
+	DeadRetention     features.Duration `toml:"memory"`        // of those that are gone or have left
 	MaxMembers        int               `toml:"most"`          // names in the view
 	WhenReplaced      string            `toml:"superseded"`    // what a process does whose name another has: "stand-by" or "end"
 	ShareDrains       bool              `toml:"workers"`       // a worker that drains by what another was told takes nothing new from here
@@ -36,8 +36,10 @@
 
 // Defaults is a table as it is where the file leaves keys out.
 func Defaults() *Config {
-	d := members.Defaults()
-	span := func(t members.Time) operator.Duration { return operator.Duration(time.Duration(t) * members.Tenth) }
+	d := membership.Defaults()
+	span := func(t membership.Time) features.Duration {
+		return features.Duration(time.Duration(t) * membership.Tenth)
+	}
 	return &Config{Networks: []string{"127.0.0.0/8"}, ProbeInterval: span(d.ProbeInterval), ProbeTimeout: span(d.ProbeTimeout), MinSuspicion: span(d.MinSuspicion),
 		MaxSuspicion: span(d.MaxSuspicion), PushPullInterval: span(d.PushPullInterval), JoinInterval: span(d.JoinInterval), DeadRetention: span(d.DeadRetention), MaxMembers: d.MaxMembers,
 		WhenReplaced: "stand-by"}
@@ -45,7 +47,7 @@
 
 // Validate tells what is wrong, and works out what the rest needs.
 func (t *Config) Validate() error {
-	fault := func(key string, err error) error { return &operator.ConfigError{Table: "members", Key: key, Err: err} }
+	fault := func(key string, err error) error { return &features.ConfigError{Table: "members", Key: key, Err: err} }
 	t.networks = nil
 	for _, n := range t.Networks {
 		p, err := netip.ParsePrefix(n)
@@ -87,7 +89,7 @@
 	}
 	terms := t.terms("a name", "an address", -1)
 	if err := terms.Validate(); err != nil {
-		return operator.ErrorFromCheck("members", err)
+		return features.ErrorFromCheck("members", err)
 	}
 	return nil
 }
@@ -102,9 +104,9 @@
 	return false
 }
 
-func (t *Config) terms(name, addr string, number int) members.Config {
-	span := func(s operator.Duration) members.Time { return members.TimeOf(time.Duration(s)) }
-	return members.Config{Cluster: t.Cluster, Name: name, Addr: addr, Number: number, Seeds: t.Seeds, ProbeInterval: span(t.ProbeInterval),
+func (t *Config) terms(name, addr string, number int) membership.Config {
+	span := func(s features.Duration) membership.Time { return membership.TimeOf(time.Duration(s)) }
+	return membership.Config{Cluster: t.Cluster, Name: name, Addr: addr, Number: number, Seeds: t.Seeds, ProbeInterval: span(t.ProbeInterval),
 		ProbeTimeout: span(t.ProbeTimeout), MinSuspicion: span(t.MinSuspicion), MaxSuspicion: span(t.MaxSuspicion), PushPullInterval: span(t.PushPullInterval), JoinInterval: span(t.JoinInterval),
 		DeadRetention: span(t.DeadRetention), MaxMembers: t.MaxMembers, StandByWhenReplaced: t.WhenReplaced == "stand-by"}
 }
--- a/internal/mesh/golden_messages_test.go
+++ b/internal/cluster/mesh/golden_messages_test.go
@@ -8,11 +8,11 @@
 	"reflect"
 	"testing"
 
-	"woaddyke/internal/copies"
-	"woaddyke/internal/drainstate"
-	"woaddyke/internal/keepers"
-	"woaddyke/internal/members"
-	"woaddyke/internal/staff"
+	"woaddyke/internal/cluster/drainstate"
+	"woaddyke/internal/cluster/membership"
+	"woaddyke/internal/cluster/operatorstate"
+	"woaddyke/internal/cluster/replicaset"
+	"woaddyke/internal/cluster/replication"
 	"woaddyke/internal/testsupport/golden"
 )
 
@@ -96,9 +96,9 @@
 func goldenAddress(number int) string { return fmt.Sprintf("127.0.0.1:%d", 7000+number) }
 
 // goldenMessage is a message of members with every field set.
-func goldenMessage(t *testing.T, kind members.Kind) members.Message {
+func goldenMessage(t *testing.T, kind membership.Kind) membership.Message {
 	t.Helper()
-	message := filledMessage[members.Message](t)
+	message := filledMessage[membership.Message](t)
 	message.Kind = kind
 	message.From.Addr = goldenAddress(0)
 	for i := range message.Records {
@@ -109,8 +109,8 @@
 
 // The datagram of each kind of membership message keeps its bytes and decodes to the same value.
 func TestGoldenDatagrams(t *testing.T) {
-	for name, kind := range map[string]members.Kind{"ping": members.Ping, "ack": members.Ack, "through": members.IndirectPing,
-		"gossip": members.Gossip, "ask": members.RecordQuery, "tell": members.RecordReply, "duel": members.NameConflict, "word": members.UserMessage} {
+	for name, kind := range map[string]membership.Kind{"ping": membership.Ping, "ack": membership.Ack, "through": membership.IndirectPing,
+		"gossip": membership.Gossip, "ask": membership.RecordQuery, "tell": membership.RecordReply, "duel": membership.NameConflict, "word": membership.UserMessage} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(goldenFolder, "datagram_"+name+".bin")
 			message := goldenMessage(t, kind)
@@ -129,7 +129,7 @@
 
 // The frame and the message of each kind that is sent on a stream keep their bytes and decode to the same value.
 func TestGoldenStreamMessages(t *testing.T) {
-	for name, kind := range map[string]members.Kind{"digests": members.Digests, "differs": members.DigestDiff, "rest": members.DigestDiffReply} {
+	for name, kind := range map[string]membership.Kind{"digests": membership.Digests, "differs": membership.DigestDiff, "rest": membership.DigestDiffReply} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(goldenFolder, "stream_"+name+".bin")
 			message := goldenMessage(t, kind)
@@ -158,7 +158,7 @@
 // The state that a process hands to its successor keeps its bytes and decodes to the same value.
 func TestGoldenLegacy(t *testing.T) {
 	path := filepath.Join(goldenFolder, "legacy.cbor")
-	legacy := filledMessage[members.HandoverState](t)
+	legacy := filledMessage[membership.HandoverState](t)
 	text, err := encodeLegacy(legacy)
 	if err != nil {
 		t.Fatal(err)
@@ -175,7 +175,7 @@
 	t.Helper()
 	path := filepath.Join(goldenFolder, "other_"+name+".bin")
 	message.Cluster = "cluster"
-	message.From = toWire(filledMessage[members.MemberRecord](t))
+	message.From = toWire(filledMessage[membership.MemberRecord](t))
 	text, err := encodeOther(message)
 	if err != nil {
 		t.Fatal(err)
@@ -189,11 +189,11 @@
 
 // The message of each kind that schedulers and keepers exchange about records keeps its bytes and decodes to the same value.
 func TestGoldenCopiesMessages(t *testing.T) {
-	for name, kind := range map[string]copies.Kind{"grab": copies.ClaimRequested, "granted": copies.ClaimGranted, "refused": copies.ClaimRefused,
-		"tell": copies.OutcomeReported, "known": copies.OutcomeKnown, "register": copies.Register, "registered": copies.Registered,
-		"pull": copies.Pull, "piece": copies.DigestPage, "in_force": copies.SetInForce, "fetch": copies.Fetch, "fetched": copies.Fetched} {
+	for name, kind := range map[string]replication.Kind{"grab": replication.ClaimRequested, "granted": replication.ClaimGranted, "refused": replication.ClaimRefused,
+		"tell": replication.OutcomeReported, "known": replication.OutcomeKnown, "register": replication.Register, "registered": replication.Registered,
+		"pull": replication.Pull, "piece": replication.DigestPage, "in_force": replication.SetInForce, "fetch": replication.Fetch, "fetched": replication.Fetched} {
 		t.Run(name, func(t *testing.T) {
-			message := filledMessage[copies.Message](t)
+			message := filledMessage[replication.Message](t)
 			message.Kind = kind
 			requireGoldenOther(t, "copies_"+name, wireOther{Copies: &message})
 		})
@@ -202,30 +202,30 @@
 
 // The numbers of the reasons for which a keeper refuses and of the stages of a claim keep their bytes in a message.
 func TestGoldenReasonsAndStages(t *testing.T) {
-	reasons := map[string]copies.RefusalReason{"taken": copies.AlreadyClaimed, "learning": copies.NoVote, "epoch": copies.WrongSet, "full": copies.CapacityReached,
-		"stale": copies.ClaimReleased}
+	reasons := map[string]replication.RefusalReason{"taken": replication.AlreadyClaimed, "learning": replication.NoVote, "epoch": replication.WrongSet, "full": replication.CapacityReached,
+		"stale": replication.ClaimReleased}
 	for name, why := range reasons {
 		t.Run(name, func(t *testing.T) {
-			requireGoldenOther(t, "reason_"+name, wireOther{Copies: &copies.Message{Kind: copies.ClaimRefused, Reason: why}})
+			requireGoldenOther(t, "reason_"+name, wireOther{Copies: &replication.Message{Kind: replication.ClaimRefused, Reason: why}})
 		})
 	}
-	stages := map[string]copies.Stage{"claimed": copies.Claimed, "released": copies.Released, "given_up": copies.Abandoned,
-		"ended": copies.Ended}
+	stages := map[string]replication.Stage{"claimed": replication.Claimed, "released": replication.Released, "given_up": replication.Abandoned,
+		"ended": replication.Ended}
 	for name, stage := range stages {
 		t.Run(name, func(t *testing.T) {
-			record := copies.Record{Key: "key", Outcomes: []copies.Outcome{{Stage: stage}}}
-			requireGoldenOther(t, "stage_"+name, wireOther{Copies: &copies.Message{Kind: copies.OutcomeReported, Record: record}})
+			record := replication.Record{Key: "key", Outcomes: []replication.Outcome{{Stage: stage}}}
+			requireGoldenOther(t, "stage_"+name, wireOther{Copies: &replication.Message{Kind: replication.OutcomeReported, Record: record}})
 		})
 	}
 }
 
 // The message of each kind that members exchange about the set of keepers keeps its bytes and decodes to the same value.
 func TestGoldenKeepersMessages(t *testing.T) {
-	for name, kind := range map[string]keepers.Kind{"seat_asked": keepers.VoterQuery, "seat_said": keepers.VoterReply,
-		"founded": keepers.GroupFounded, "joined": keepers.VoterAccepted, "round": keepers.RaftMessage, "reseat": keepers.ReplaceVoter,
-		"asked": keepers.ChangeRequested, "answered": keepers.ChangeAnswered} {
+	for name, kind := range map[string]replicaset.Kind{"seat_asked": replicaset.VoterQuery, "seat_said": replicaset.VoterReply,
+		"founded": replicaset.GroupFounded, "joined": replicaset.VoterAccepted, "round": replicaset.RaftMessage, "reseat": replicaset.ReplaceVoter,
+		"asked": replicaset.ChangeRequested, "answered": replicaset.ChangeAnswered} {
 		t.Run(name, func(t *testing.T) {
-			message := filledMessage[keepers.Message](t)
+			message := filledMessage[replicaset.Message](t)
 			message.Kind = kind
 			requireGoldenOther(t, "keepers_"+name, wireOther{Keepers: &message})
 		})
@@ -239,17 +239,17 @@
 
 // The message that tells what staff decided for a scheduler keeps its bytes and decodes to the same value.
 func TestGoldenStaff(t *testing.T) {
-	word := filledMessage[staff.State](t)
+	word := filledMessage[operatorstate.State](t)
 	requireGoldenOther(t, "staff", wireOther{Staff: &word})
 }
 
 // The number of each state of a member keeps its bytes in a datagram.
 func TestGoldenMemberStates(t *testing.T) {
-	for name, state := range map[string]members.State{"joining": members.Joining, "here": members.Alive, "doubted": members.Suspect,
-		"gone": members.Dead, "left": members.Left, "superseded": members.Replaced} {
+	for name, state := range map[string]membership.State{"joining": membership.Joining, "here": membership.Alive, "doubted": membership.Suspect,
+		"gone": membership.Dead, "left": membership.Left, "superseded": membership.Replaced} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(goldenFolder, "state_"+name+".bin")
-			message := members.Message{Kind: members.Gossip, From: members.MemberRecord{Addr: goldenAddress(0), State: state}}
+			message := membership.Message{Kind: membership.Gossip, From: membership.MemberRecord{Addr: goldenAddress(0), State: state}}
 			text, err := encode(message)
 			if err != nil {
 				t.Fatal(err)
@@ -265,17 +265,17 @@
 
 // Each boolean field of a message keeps its key when it alone is set, which tells it from the other booleans.
 func TestGoldenFlags(t *testing.T) {
-	fate := func(fate copies.Outcome) *copies.Message {
-		return &copies.Message{Kind: copies.OutcomeReported, Record: copies.Record{Key: "key", Outcomes: []copies.Outcome{fate}}}
+	fate := func(fate replication.Outcome) *replication.Message {
+		return &replication.Message{Kind: replication.OutcomeReported, Record: replication.Record{Key: "key", Outcomes: []replication.Outcome{fate}}}
 	}
 	for name, message := range map[string]wireOther{
-		"voting": {Copies: &copies.Message{Kind: copies.DigestPage, Voting: true}},
-		"ready":  {Copies: &copies.Message{Kind: copies.DigestPage, Ready: true}},
-		"more":   {Copies: &copies.Message{Kind: copies.DigestPage, More: true}},
-		"held":   {Copies: fate(copies.Outcome{ResultRetained: true})},
-		"voted":  {Copies: fate(copies.Outcome{Voted: true})},
-		"done":   {Keepers: &keepers.Message{Kind: keepers.ChangeAnswered, OK: true}},
-		"again":  {Keepers: &keepers.Message{Kind: keepers.ChangeAnswered, Retryable: true}},
+		"voting": {Copies: &replication.Message{Kind: replication.DigestPage, Voting: true}},
+		"ready":  {Copies: &replication.Message{Kind: replication.DigestPage, Ready: true}},
+		"more":   {Copies: &replication.Message{Kind: replication.DigestPage, More: true}},
+		"held":   {Copies: fate(replication.Outcome{ResultRetained: true})},
+		"voted":  {Copies: fate(replication.Outcome{Voted: true})},
+		"done":   {Keepers: &replicaset.Message{Kind: replicaset.ChangeAnswered, OK: true}},
+		"again":  {Keepers: &replicaset.Message{Kind: replicaset.ChangeAnswered, Retryable: true}},
 	} {
 		t.Run(name, func(t *testing.T) { requireGoldenOther(t, "flag_"+name, message) })
 	}
--- a/internal/mesh/golden_test.go
+++ b/internal/cluster/mesh/golden_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"woaddyke/internal/members"
-	"woaddyke/internal/operator"
+	"woaddyke/internal/cluster/membership"
+	"woaddyke/internal/config/features"
 	"woaddyke/internal/testsupport/filled"
 	"woaddyke/internal/testsupport/golden"
 )
@@ -15,8 +15,8 @@
 // Guards the JSON keys that tools of the staff read at /api/members.
 func TestShownKeepsItsForm(t *testing.T) {
 	shown := filled.Value[Status](t)
-	shown.Self.State = members.Alive
-	shown.Members[0].State, shown.Members[1].State = members.Suspect, members.Dead
+	shown.Self.State = membership.Alive
+	shown.Members[0].State, shown.Members[1].State = membership.Suspect, membership.Dead
 	filled.CompareWritten(t, "testdata/shown.json.golden", shown)
 }
 
@@ -34,7 +34,7 @@
 	}
 	golden.Compare(t, path, text)
 	read := file{Defaults()}
-	if err := operator.Read(path, &read, func() error { return nil }); err != nil {
+	if err := features.Read(path, &read, func() error { return nil }); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(*read.Members, table) {
--- a/internal/mesh/mesh.go
+++ b/internal/cluster/mesh/mesh.go
@@ -17,13 +17,13 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/boottime"
-	"woaddyke/internal/copies"
-	"woaddyke/internal/drainstate"
-	"woaddyke/internal/keepers"
-	"woaddyke/internal/members"
-	"woaddyke/internal/oserror"
-	"woaddyke/internal/staff"
+	"woaddyke/internal/base/oserror"
+	"woaddyke/internal/cluster/drainstate"
+	"woaddyke/internal/cluster/membership"
+	"woaddyke/internal/cluster/operatorstate"
+	"woaddyke/internal/cluster/replicaset"
+	"woaddyke/internal/cluster/replication"
+	"woaddyke/internal/lifecycle/boottime"
 )
 
 // Bounds, each of one thing that others could make grow.
@@ -44,14 +44,14 @@
 
 // Host is told what the mesh finds out. Its methods are called from the mesh's one loop and must not wait for it.
 type Host struct {
-	MemberChanged func(members.MemberChanged)
+	MemberChanged func(membership.MemberChanged)
 	UserMessage   func(number int, text string)
 	Stopped       func(superseded bool)                             // this process is a member no more; once for each time
-	Serving       func(on bool, life members.Incarnation)           // it is a member as of now, or is not
+	Serving       func(on bool, life membership.Incarnation)        // it is a member as of now, or is not
 	Drains        func(from string, words []drainstate.DrainRecord) // what another was told of workers; called as Copied is
-	Replication   func(from string, x copies.Message)               // from a member as it is known here; called from the reader of datagrams
-	ReplicaSet    func(from string, x keepers.Message)              // likewise
-	OperatorState func(from string, incarnation uint64, w staff.State)
+	Replication   func(from string, x replication.Message)          // from a member as it is known here; called from the reader of datagrams
+	ReplicaSet    func(from string, x replicaset.Message)           // likewise
+	OperatorState func(from string, incarnation uint64, w operatorstate.State)
 }
 
 // Mesh is one process's part in a cluster.
@@ -61,19 +61,19 @@
 	log   zerolog.Logger
 	udp   *net.UDPConn
 	tcp   *net.TCPListener
-	core  *members.Node
+	core  *membership.Node
 	clock clock
 
-	in       chan members.Input
+	in       chan membership.Input
 	calls    chan func()
 	quit     chan struct{}
 	ended    chan struct{}
 	once     sync.Once
 	answered chan struct{}
 	opened   chan struct{}
-	silent   atomic.Bool         // its heir speaks
-	life     members.Incarnation // as which the host was told that it serves
-	asks     bool                // it was away, and does not know yet what it missed
+	silent   atomic.Bool            // its heir speaks
+	life     membership.Incarnation // as which the host was told that it serves
+	asks     bool                   // it was away, and does not know yet what it missed
 
 	mu      sync.Mutex
 	streams map[uint64]*stream
@@ -87,29 +87,29 @@
 
 // book is who is known, for those who don't wait for the loop.
 type book struct {
-	me members.MemberRecord
-	by map[string]members.MemberView
+	me membership.MemberRecord
+	by map[string]membership.MemberView
 }
 
 // clock is the machine's time since its start: it goes on while a process stands still, and while the machine sleeps, and nobody
 // can set it back.
 type clock struct{}
 
-func (clock) now() members.Time { return members.Time(boottime.Since() / members.Tenth) }
+func (clock) now() membership.Time { return membership.Time(boottime.Since() / membership.Tenth) }
 
 // Status is what staff see.
 type Status struct {
-	Self    members.LocalStatus `json:"self"`
-	LateMS  float64             `json:"late_ms"`       // by how much this process was late last
-	WorstMS float64             `json:"worst_late_ms"` // and at worst
-	Dropped map[string]uint64   `json:"dropped"`       // messages that were not read, by cause
-	Members []Row               `json:"members"`
-	Digest  string              `json:"digest"` // the same wherever the views are the same
+	Self    membership.LocalStatus `json:"self"`
+	LateMS  float64                `json:"late_ms"`       // by how much this process was late last
+	WorstMS float64                `json:"worst_late_ms"` // and at worst
+	Dropped map[string]uint64      `json:"dropped"`       // messages that were not read, by cause
+	Members []Row                  `json:"members"`
+	Digest  string                 `json:"digest"` // the same wherever the views are the same
 }
 
 // Row is one member in it.
 type Row struct {
-	members.MemberView
+	membership.MemberView
 	ForS  float64 `json:"for_s"` // in this state, as seen here
 	RTTms float64 `json:"rtt_ms"`
 }
@@ -172,7 +172,7 @@
 	return run(t, who, host, log, udp, tcp, &l)
 }
 
-func run(t *Config, who Identity, host Host, log zerolog.Logger, udp *net.UDPConn, tcp *net.TCPListener, l *members.HandoverState) (*Mesh, error) {
+func run(t *Config, who Identity, host Host, log zerolog.Logger, udp *net.UDPConn, tcp *net.TCPListener, l *membership.HandoverState) (*Mesh, error) {
 	udp.SetReadBuffer(receiveRoom)
 	addr := t.Advertise
 	if addr == "" {
@@ -188,14 +188,14 @@
 	if err := terms.Validate(); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
-	m := &Mesh{table: t, host: host, log: log, udp: udp, tcp: tcp, in: make(chan members.Input, mostWaiting), calls: make(chan func()),
+	m := &Mesh{table: t, host: host, log: log, udp: udp, tcp: tcp, in: make(chan membership.Input, mostWaiting), calls: make(chan func()),
 		quit: make(chan struct{}), ended: make(chan struct{}), answered: make(chan struct{}, mostAnswered),
 		opened: make(chan struct{}, mostOpened), streams: map[uint64]*stream{}, dropped: map[string]uint64{}}
 	if now := m.clock.now(); l != nil {
 		terms.Nonce = l.Self.Nonce
-		m.core = members.Restore(terms, *l, now)
+		m.core = membership.Restore(terms, *l, now)
 	} else {
-		m.core = members.New(terms, now)
+		m.core = membership.New(terms, now)
 	}
 	m.log.Info().Str("member", terms.Name).Str("listen", udp.LocalAddr().String()).Str("address", addr).Msg("joining")
 	m.snapshot()
@@ -235,48 +235,48 @@
 		case in := <-m.in:
 			m.step(in)
 		case <-tick.C:
-			m.step(members.Tick{})
+			m.step(membership.Tick{})
 		}
-		if wait := time.Duration(m.core.NextTick()-m.clock.now()) * members.Tenth; !m.silent.Load() {
+		if wait := time.Duration(m.core.NextTick()-m.clock.now()) * membership.Tenth; !m.silent.Load() {
 			tick.Reset(max(wait, 0))
 		}
 	}
 }
 
-func (m *Mesh) step(in members.Input) {
+func (m *Mesh) step(in membership.Input) {
 	if m.silent.Load() {
 		return
 	}
 	changed, serving := false, false
 	for _, e := range m.core.Step(m.clock.now(), in) {
 		switch e := e.(type) {
-		case members.Send:
+		case membership.Send:
 			m.send(e.To, e.Message)
-		case members.OpenStream:
+		case membership.OpenStream:
 			m.open(e.To, e.Message)
-		case members.StreamReply:
+		case membership.StreamReply:
 			m.answer(e)
-		case members.MemberChanged:
+		case membership.MemberChanged:
 			changed = true
 			m.log.Info().Str("member", e.Name).Stringer("state", e.State).Stringer("before", e.Before).Uint64("incarnation", e.Generation).
 				Uint64("turn", e.Refutations).Str("by", e.ReportedBy).Bool("private", e.Private).Msg("member changed")
 			if m.host.MemberChanged != nil {
 				m.host.MemberChanged(e)
 			}
-		case members.UserMessageReceived:
+		case membership.UserMessageReceived:
 			if m.host.UserMessage != nil {
 				m.host.UserMessage(e.Number, e.Text)
 			}
-		case members.Event:
+		case membership.Event:
 			m.log.Info().Str("what", e.Description).Str("who", e.Member).Msg("membership")
-		case members.Joined:
+		case membership.Joined:
 			own := m.core.Status()
 			m.log.Info().Uint64("incarnation", own.Generation).Int("live", own.Live).Msg("is a member")
 			changed, serving = true, true
-		case members.Stopped:
+		case membership.Stopped:
 			changed = true
 			if m.host.Serving != nil {
-				m.host.Serving(false, members.Incarnation{})
+				m.host.Serving(false, membership.Incarnation{})
 			}
 			m.log.Info().Bool("superseded", e.Replaced).Msg("is a member no more")
 			if m.host.Stopped != nil {
@@ -289,7 +289,7 @@
 	}
 	// Its incarnation may grow while it is a member: it was taken without knowing of another process of this name.
 	asks, life := m.core.CatchingUp(), m.core.Self().Incarnation
-	if m.host.Serving != nil && (serving || asks != m.asks || life != m.life && m.core.Self().State == members.Alive) {
+	if m.host.Serving != nil && (serving || asks != m.asks || life != m.life && m.core.Self().State == membership.Alive) {
 		m.asks, m.life = asks, life
 		m.host.Serving(!asks, life)
 	}
@@ -298,7 +298,7 @@
 // snapshot keeps what staff see.
 func (m *Mesh) snapshot() {
 	now, own := m.clock.now(), m.core.Status()
-	ms := func(t members.Time) float64 { return float64(t) / 10 }
+	ms := func(t membership.Time) float64 { return float64(t) / 10 }
 	s := &Status{Self: own, LateMS: ms(own.Lateness), WorstMS: ms(own.MaxLateness), Members: []Row{}, Digest: fmt.Sprintf("%016x", m.core.Digest())}
 	for _, x := range m.core.View() {
 		s.Members = append(s.Members, Row{x, ms(now-x.Since) / 1000, ms(x.RTT)})
@@ -310,7 +310,7 @@
 	}
 	m.mu.Unlock()
 	m.show.Store(s)
-	b := &book{me: m.core.Self(), by: make(map[string]members.MemberView, len(s.Members))}
+	b := &book{me: m.core.Self(), by: make(map[string]membership.MemberView, len(s.Members))}
 	for _, x := range s.Members {
 		b.by[x.Name] = x.MemberView
 	}
@@ -330,7 +330,7 @@
 	}
 }
 
-func (m *Mesh) tell(in members.Input) {
+func (m *Mesh) tell(in membership.Input) {
 	select {
 	case m.in <- in:
 	default:
@@ -340,11 +340,11 @@
 
 // SendUserMessage sends a word to the member with a number.
 func (m *Mesh) SendUserMessage(number int, text string) {
-	m.tell(members.SendUserMessage{Number: number, Text: text})
+	m.tell(membership.SendUserMessage{Number: number, Text: text})
 }
 
 // Leave tells the others that this process ends. It returns at once.
-func (m *Mesh) Leave() { m.tell(members.LeaveRequested{}) }
+func (m *Mesh) Leave() { m.tell(membership.LeaveRequested{}) }
 
 // HandOver is what the process that takes the place of this one needs; from here on this one says nothing, until Resume.
 func (m *Mesh) HandOver() (text []byte, sockets []syscall.Conn, err error) {
@@ -379,7 +379,7 @@
 		return
 	}
 	select { // it must not be lost, as a message may be
-	case m.in <- members.Resumed{}:
+	case m.in <- membership.Resumed{}:
 	case <-m.ended:
 	}
 }
@@ -434,7 +434,7 @@
 			m.drop(err)
 			continue
 		}
-		m.tell(members.MessageReceived{Message: x})
+		m.tell(membership.MessageReceived{Message: x})
 	}
 }
 
@@ -456,36 +456,36 @@
 	case w.Copies != nil && m.host.Replication == nil || w.Keepers != nil && m.host.ReplicaSet == nil || w.Workers != nil && m.host.Drains == nil ||
 		w.Staff != nil && m.host.OperatorState == nil:
 		m.drop(errors.New("switched off here"))
-	case !known || seen.Incarnation != (members.Incarnation{Generation: w.From.Incarnation, Nonce: w.From.Nonce}):
+	case !known || seen.Incarnation != (membership.Incarnation{Generation: w.From.Incarnation, Nonce: w.From.Nonce}):
 		m.drop(errors.New("not the process that is known"))
-	case b.me.State == members.Alive && w.Copies != nil:
+	case b.me.State == membership.Alive && w.Copies != nil:
 		m.host.Replication(w.From.Name, *w.Copies)
-	case b.me.State == members.Alive && w.Keepers != nil:
+	case b.me.State == membership.Alive && w.Keepers != nil:
 		m.host.ReplicaSet(w.From.Name, *w.Keepers)
-	case b.me.State == members.Alive && w.Staff != nil:
+	case b.me.State == membership.Alive && w.Staff != nil:
 		m.host.OperatorState(w.From.Name, w.From.Incarnation, *w.Staff)
-	case b.me.State == members.Alive && w.Workers != nil:
+	case b.me.State == membership.Alive && w.Workers != nil:
 		m.host.Drains(w.From.Name, w.Workers)
 	}
 }
 
 // SendReplication sends a message of copies to a member; it is lost where that one is not known. After Give only what became of ops is sent: the
 // heir votes.
-func (m *Mesh) SendReplication(to string, x copies.Message) {
-	if !m.silent.Load() || x.Kind == copies.OutcomeReported {
+func (m *Mesh) SendReplication(to string, x replication.Message) {
+	if !m.silent.Load() || x.Kind == replication.OutcomeReported {
 		m.sendOther(to, wireOther{Copies: &x})
 	}
 }
 
 // SendReplicaSet sends a message of who keeps copies to a member.
-func (m *Mesh) SendReplicaSet(to string, x keepers.Message) {
+func (m *Mesh) SendReplicaSet(to string, x replicaset.Message) {
 	if !m.silent.Load() {
 		m.sendOther(to, wireOther{Keepers: &x})
 	}
 }
 
 // BroadcastOperatorState sends a member what staff decided for this one.
-func (m *Mesh) BroadcastOperatorState(to string, w staff.State) {
+func (m *Mesh) BroadcastOperatorState(to string, w operatorstate.State) {
 	if !m.silent.Load() {
 		m.sendOther(to, wireOther{Staff: &w})
 	}
@@ -501,7 +501,7 @@
 func (m *Mesh) sendOther(to string, w wireOther) {
 	b := m.book.Load()
 	seen, known := b.by[to]
-	if !known || b.me.State != members.Alive {
+	if !known || b.me.State != membership.Alive {
 		return
 	}
 	addr, err := netip.ParseAddrPort(seen.Addr)
@@ -533,17 +533,17 @@
 	return names
 }
 
-func (m *Mesh) read(text []byte, long bool, from netip.Addr) (members.Message, error) {
+func (m *Mesh) read(text []byte, long bool, from netip.Addr) (membership.Message, error) {
 	if !m.table.inside(from) {
-		return members.Message{}, errOutside
+		return membership.Message{}, errOutside
 	}
 	if long {
-		return members.Message{}, errTooLong
+		return membership.Message{}, errTooLong
 	}
 	return decode(text, m.table.inside)
 }
 
-func (m *Mesh) send(to string, x members.Message) {
+func (m *Mesh) send(to string, x membership.Message) {
 	addr, err := netip.ParseAddrPort(to)
 	if err != nil || !m.table.inside(addr.Addr()) {
 		m.drop(errOutside)
@@ -565,7 +565,7 @@
 // stream is one connection to another member.
 type stream struct {
 	conn net.Conn
-	out  chan members.StreamReply
+	out  chan membership.StreamReply
 }
 
 func (m *Mesh) longest() int { return streamBase + claimSize*m.table.MaxMembers }
@@ -603,7 +603,7 @@
 }
 
 // open opens a stream and begins with a message. It waits for nothing.
-func (m *Mesh) open(to string, x members.Message) {
+func (m *Mesh) open(to string, x membership.Message) {
 	addr, err := netip.ParseAddrPort(to)
 	text, bad := encode(x)
 	if err != nil || bad != nil || !m.table.inside(addr.Addr()) {
@@ -632,7 +632,7 @@
 
 // serve carries one stream's few messages.
 func (m *Mesh) serve(c net.Conn, first []byte) {
-	s := &stream{conn: c, out: make(chan members.StreamReply, 1)}
+	s := &stream{conn: c, out: make(chan membership.StreamReply, 1)}
 	c.SetDeadline(time.Now().Add(streamTime))
 	m.mu.Lock()
 	m.last++
@@ -663,8 +663,8 @@
 			m.drop(err)
 			return
 		}
-		m.tell(members.MessageReceived{Message: x, Stream: id})
-		if x.Kind == members.Ack || x.Kind == members.DigestDiffReply || x.Kind == members.DigestDiff && len(x.Buckets) == 0 {
+		m.tell(membership.MessageReceived{Message: x, Stream: id})
+		if x.Kind == membership.Ack || x.Kind == membership.DigestDiffReply || x.Kind == membership.DigestDiff && len(x.Buckets) == 0 {
 			return // there is no answer to it
 		}
 		wait := time.NewTimer(turnTime)
@@ -684,7 +684,7 @@
 	}
 }
 
-func (m *Mesh) answer(a members.StreamReply) {
+func (m *Mesh) answer(a membership.StreamReply) {
 	m.mu.Lock()
 	s := m.streams[a.Stream]
 	m.mu.Unlock()
@@ -698,7 +698,7 @@
 }
 
 // Now is the clock that all members' times are of.
-func (m *Mesh) Now() members.Time { return Now() }
+func (m *Mesh) Now() membership.Time { return Now() }
 
 // Now is the machine's time since its start.
-func Now() members.Time { return clock{}.now() }
+func Now() membership.Time { return clock{}.now() }
--- a/internal/mesh/mesh_test.go
+++ b/internal/cluster/mesh/mesh_test.go
@@ -14,9 +14,9 @@
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
 
-	"woaddyke/internal/copies"
-	"woaddyke/internal/drainstate"
-	"woaddyke/internal/members"
+	"woaddyke/internal/cluster/drainstate"
+	"woaddyke/internal/cluster/membership"
+	"woaddyke/internal/cluster/replication"
 )
 
 func table(t *testing.T) *Config {
@@ -33,9 +33,9 @@
 func TestMessagesComeAsTheyWereSent(t *testing.T) {
 	inside := table(t).inside
 	rapid.Check(t, func(t *rapid.T) {
-		claim := members.MemberRecord{Name: rapid.String().Draw(t, "name"), Addr: "127.0.0.1:7", Number: rapid.IntRange(-1, 9).Draw(t, "n"),
-			Incarnation: members.Incarnation{Generation: rapid.Uint64().Draw(t, "i"), Nonce: rapid.Uint64().Draw(t, "x")}, State: members.Alive, ReportedBy: "b"}
-		x := members.Message{Kind: members.Ping, Cluster: "c", From: claim, Seq: rapid.Uint64().Draw(t, "seq"), Records: []members.MemberRecord{claim, claim},
+		claim := membership.MemberRecord{Name: rapid.String().Draw(t, "name"), Addr: "127.0.0.1:7", Number: rapid.IntRange(-1, 9).Draw(t, "n"),
+			Incarnation: membership.Incarnation{Generation: rapid.Uint64().Draw(t, "i"), Nonce: rapid.Uint64().Draw(t, "x")}, State: membership.Alive, ReportedBy: "b"}
+		x := membership.Message{Kind: membership.Ping, Cluster: "c", From: claim, Seq: rapid.Uint64().Draw(t, "seq"), Records: []membership.MemberRecord{claim, claim},
 			Digests: rapid.SliceOfN(rapid.Uint64(), 1, 5).Draw(t, "d"), Buckets: []int{1}, Text: "t", SenderCatchingUp: true}
 		text, err := encode(x)
 		if err != nil {
@@ -53,8 +53,8 @@
 			t.Fatal("a garbled message was read")
 		}
 		decode(rapid.SliceOf(rapid.Byte()).Draw(t, "noise"), inside)
-		y := copies.Message{Kind: copies.DigestPage, SetID: 7, Records: []copies.Record{{Key: "k\x00i", Fingerprint: 3, Outcomes: []copies.Outcome{
-			{Claim: copies.Claim{Scheduler: "n", Nonce: 9}, Stage: copies.Ended, Verdict: 502, Result: []byte("r"), ResultRetained: true}}}}, Voters: []copies.Voter{{Name: "n"}}}
+		y := replication.Message{Kind: replication.DigestPage, SetID: 7, Records: []replication.Record{{Key: "k\x00i", Fingerprint: 3, Outcomes: []replication.Outcome{
+			{Claim: replication.Claim{Scheduler: "n", Nonce: 9}, Stage: replication.Ended, Verdict: 502, Result: []byte("r"), ResultRetained: true}}}}, Voters: []replication.Voter{{Name: "n"}}}
 		if text, err = encodeOther(wireOther{Cluster: "c", From: toWire(claim), Copies: &y}); err != nil {
 			t.Fatal(err)
 		}
@@ -66,8 +66,8 @@
 
 // An address that a message tells may be anybody's: one outside the networks must not be taken up.
 func TestAddressesOutsideAreRefused(t *testing.T) {
-	x := members.Message{Kind: members.Ping, Cluster: "c", From: members.MemberRecord{Name: "a", Addr: "127.0.0.1:7"},
-		Records: []members.MemberRecord{{Name: "b", Addr: "10.1.2.3:7"}}}
+	x := membership.Message{Kind: membership.Ping, Cluster: "c", From: membership.MemberRecord{Name: "a", Addr: "127.0.0.1:7"},
+		Records: []membership.MemberRecord{{Name: "b", Addr: "10.1.2.3:7"}}}
 	text, err := encode(x)
 	if err != nil {
 		t.Fatal(err)
@@ -94,7 +94,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for until := time.Now().Add(20 * time.Second); len(a.Status().Members) == 0 || a.Status().Members[0].State != members.Alive; time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(20 * time.Second); len(a.Status().Members) == 0 || a.Status().Members[0].State != membership.Alive; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("they never met")
 		}
@@ -137,7 +137,7 @@
 // registered under the lower one for good, and nobody took that.
 func TestAHostIsToldOfALaterIncarnation(t *testing.T) {
 	lives := make(chan uint64, 9)
-	a, err := Start(table(t), Identity{"a", 0, 1}, Host{Serving: func(_ bool, l members.Incarnation) { lives <- l.Generation }}, zerolog.Nop())
+	a, err := Start(table(t), Identity{"a", 0, 1}, Host{Serving: func(_ bool, l membership.Incarnation) { lives <- l.Generation }}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,9 +162,9 @@
 	}
 	defer b.Close()
 	at := b.LocalAddr().String()
-	text, err := encode(members.Message{Kind: members.Gossip, Cluster: "c", Seq: 1, From: members.MemberRecord{Name: "b", Addr: at,
-		Incarnation: members.Incarnation{Generation: 1, Nonce: 1}, State: members.Alive, ReportedBy: "b"}, Records: []members.MemberRecord{{Name: "a", Addr: at,
-		Incarnation: members.Incarnation{Generation: 5, Nonce: 1}, State: members.Dead, ReportedBy: "b"}}})
+	text, err := encode(membership.Message{Kind: membership.Gossip, Cluster: "c", Seq: 1, From: membership.MemberRecord{Name: "b", Addr: at,
+		Incarnation: membership.Incarnation{Generation: 1, Nonce: 1}, State: membership.Alive, ReportedBy: "b"}, Records: []membership.MemberRecord{{Name: "a", Addr: at,
+		Incarnation: membership.Incarnation{Generation: 5, Nonce: 1}, State: membership.Dead, ReportedBy: "b"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,8 +176,8 @@
 // others nothing.
 func TestTheLongestWordsOfWorkersFitAMessage(t *testing.T) {
 	long := func(letter string, n int) string { return strings.Repeat(letter, n) }
-	from := members.MemberRecord{Name: long("n", 255), Addr: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535", Number: 1 << 20, Incarnation: members.Incarnation{Generation: 1 << 60, Nonce: 1 << 63},
-		Refutations: 1 << 60, State: members.Alive, ReportedBy: long("b", 255), Age: 1 << 60}
+	from := membership.MemberRecord{Name: long("n", 255), Addr: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535", Number: 1 << 20, Incarnation: membership.Incarnation{Generation: 1 << 60, Nonce: 1 << 63},
+		Refutations: 1 << 60, State: membership.Alive, ReportedBy: long("b", 255), Age: 1 << 60}
 	c := drainstate.New(1)
 	told := drainstate.EndpointsChanged{Revision: 1 << 60, Snapshot: true, Endpoints: []drainstate.Endpoint{{Worker: long("w", 9000), BootID: 1 << 60}}}
 	for i := range 100 {
--- a/internal/mesh/wire.go
+++ b/internal/cluster/mesh/wire.go
@@ -10,11 +10,11 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"woaddyke/internal/copies"
-	"woaddyke/internal/drainstate"
-	"woaddyke/internal/keepers"
-	"woaddyke/internal/members"
-	"woaddyke/internal/staff"
+	"woaddyke/internal/cluster/drainstate"
+	"woaddyke/internal/cluster/membership"
+	"woaddyke/internal/cluster/operatorstate"
+	"woaddyke/internal/cluster/replicaset"
+	"woaddyke/internal/cluster/replication"
 )
 
 // A message is two letters, the version, a hash of the rest and the rest, in CBOR (RFC 8949). On a stream its length goes before it.
@@ -73,18 +73,18 @@
 	return mode
 }()
 
-func toWire(c members.MemberRecord) wireClaim {
+func toWire(c membership.MemberRecord) wireClaim {
 	return wireClaim{Name: c.Name, Addr: c.Addr, Number: c.Number, Incarnation: c.Generation, Nonce: c.Nonce, Turn: c.Refutations,
 		State: uint8(c.State), By: c.ReportedBy, Age: c.Age}
 }
 
-func fromWire(c wireClaim) members.MemberRecord {
-	return members.MemberRecord{Name: c.Name, Addr: c.Addr, Number: c.Number, Incarnation: members.Incarnation{Generation: c.Incarnation, Nonce: c.Nonce},
-		Refutations: c.Turn, State: members.State(c.State), ReportedBy: c.By, Age: c.Age}
+func fromWire(c wireClaim) membership.MemberRecord {
+	return membership.MemberRecord{Name: c.Name, Addr: c.Addr, Number: c.Number, Incarnation: membership.Incarnation{Generation: c.Incarnation, Nonce: c.Nonce},
+		Refutations: c.Turn, State: membership.State(c.State), ReportedBy: c.By, Age: c.Age}
 }
 
 // encode is a message as it is sent.
-func encode(x members.Message) ([]byte, error) {
+func encode(x membership.Message) ([]byte, error) {
 	w := wireMessage{Kind: uint8(x.Kind), Cluster: x.Cluster, From: toWire(x.From), Seq: x.Seq, Nonce: x.Nonce, Target: x.Target,
 		Addr: x.Addr, Digests: x.Digests, Buckets: x.Buckets, Unsure: x.SenderCatchingUp, Text: x.Text}
 	for _, c := range x.Records {
@@ -99,8 +99,8 @@
 
 // decode reads a message. Addresses in it that nobody may be told anything at make it unfit as a whole: a member led to one would
 // send there.
-func decode(text []byte, inside func(netip.Addr) bool) (members.Message, error) {
-	var x members.Message
+func decode(text []byte, inside func(netip.Addr) bool) (membership.Message, error) {
+	var x membership.Message
 	body, err := bodyOf('m', text)
 	if err != nil {
 		return x, err
@@ -116,7 +116,7 @@
 	if !addr(w.From.Addr) {
 		return x, errOutside
 	}
-	x = members.Message{Kind: members.Kind(w.Kind), Cluster: w.Cluster, From: fromWire(w.From), Seq: w.Seq, Nonce: w.Nonce,
+	x = membership.Message{Kind: membership.Kind(w.Kind), Cluster: w.Cluster, From: fromWire(w.From), Seq: w.Seq, Nonce: w.Nonce,
 		Target: w.Target, Addr: w.Addr, Digests: w.Digests, Buckets: w.Buckets, SenderCatchingUp: w.Unsure, Text: w.Text}
 	for _, c := range w.Claims {
 		if !addr(c.Addr) {
@@ -134,7 +134,7 @@
 	Claims []wireClaim `cbor:"3,keyasint"`
 }
 
-func encodeLegacy(l members.HandoverState) ([]byte, error) {
+func encodeLegacy(l membership.HandoverState) ([]byte, error) {
 	w := wireLegacy{Me: toWire(l.Self), Seq: l.Seq}
 	for _, c := range l.Records {
 		w.Claims = append(w.Claims, toWire(c))
@@ -142,12 +142,12 @@
 	return cbor.Marshal(w)
 }
 
-func decodeLegacy(text []byte) (l members.HandoverState, err error) {
+func decodeLegacy(text []byte) (l membership.HandoverState, err error) {
 	var w wireLegacy
 	if err = strict.Unmarshal(text, &w); err != nil {
 		return l, fmt.Errorf("members: %w", err)
 	}
-	l = members.HandoverState{Self: fromWire(w.Me), Seq: w.Seq}
+	l = membership.HandoverState{Self: fromWire(w.Me), Seq: w.Seq}
 	for _, c := range w.Claims {
 		l.Records = append(l.Records, fromWire(c))
 	}
@@ -159,11 +159,11 @@
 type wireOther struct {
 	Cluster string                   `cbor:"1,keyasint"`
 	From    wireClaim                `cbor:"2,keyasint"`
-	Copies  *copies.Message          `cbor:"3,keyasint,omitempty"`
+	Copies  *replication.Message     `cbor:"3,keyasint,omitempty"`
 	Workers []drainstate.DrainRecord `cbor:"4,keyasint,omitempty"`
 
-	Keepers *keepers.Message `cbor:"5,keyasint,omitempty"`
-	Staff   *staff.State     `cbor:"6,keyasint,omitempty"`
+	Keepers *replicaset.Message  `cbor:"5,keyasint,omitempty"`
+	Staff   *operatorstate.State `cbor:"6,keyasint,omitempty"`
 }
 
 const otherMark = 'o' // in place of the second letter
--- a/internal/staff/staff.go
+++ b/internal/cluster/operatorstate/operatorstate.go
@@ -1,6 +1,6 @@
-// Package staff keeps what schedulers tell one another of what staff decided for each: which settings it runs by, and whether its clients
+// Package operatorstate keeps what schedulers tell one another of what staff decided for each: which settings it runs by, and whether its clients
 // are sent away. It does no input or output and reads no clock.
-package staff
+package operatorstate
 
 import (
 	"maps"
--- a/internal/staff/staff_test.go
+++ b/internal/cluster/operatorstate/operatorstate_test.go
@@ -1,4 +1,4 @@
-package staff
+package operatorstate
 
 import (
 	"slices"
--- a/internal/words/words.go
+++ b/internal/cluster/peerload/peerload.go
@@ -1,5 +1,5 @@
-// Package words keeps what others last said of something: one number each, with the time of its saying.
-package words
+// Package peerload keeps what others last said of something: one number each, with the time of its saying.
+package peerload
 
 import "slices"
 
--- a/internal/words/words_test.go
+++ b/internal/cluster/peerload/peerload_test.go
@@ -1,4 +1,4 @@
-package words
+package peerload
 
 import "testing"
 
--- a/internal/fates/golden_test.go
+++ b/internal/cluster/replica/golden_test.go
@@ -1,4 +1,4 @@
-package fates
+package replica
 
 import (
 	"reflect"
@@ -6,7 +6,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"woaddyke/internal/operator"
+	"woaddyke/internal/config/features"
 	"woaddyke/internal/testsupport/filled"
 	"woaddyke/internal/testsupport/golden"
 )
@@ -36,7 +36,7 @@
 	}
 	golden.Compare(t, path, text)
 	read := file{Defaults()}
-	if err := operator.Read(path, &read, func() error { return nil }); err != nil {
+	if err := features.Read(path, &read, func() error { return nil }); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(*read.Copies, table) {
--- a/internal/fates/lost_test.go
+++ b/internal/cluster/replica/lost_test.go
@@ -1,4 +1,4 @@
-package fates
+package replica
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/copies"
-	"woaddyke/internal/members"
-	"woaddyke/internal/overflow"
+	"woaddyke/internal/base/spillqueue"
+	"woaddyke/internal/cluster/membership"
+	"woaddyke/internal/cluster/replication"
 )
 
 // keeper is one by itself, with a disk, that has its vote.
@@ -29,7 +29,7 @@
 	}
 	t.Cleanup(f.Close)
 	f.Start(w)
-	f.Serving(true, members.Incarnation{Generation: 7})
+	f.Serving(true, membership.Incarnation{Generation: 7})
 	f.await(t, "it has its vote", func() bool { return f.Status().Voting })
 	return f
 }
@@ -46,24 +46,24 @@
 // A client that leaves just as its op is granted: whoever asked for it had looked in vain, and the grant came behind that look. The claim
 // stood for as long as ids are remembered, and the op could run nowhere.
 func TestAGrantThatCrossesItsClientsLeavingIsGivenBack(t *testing.T) {
-	f := &Replica{in: make(chan input, mostWaiting), ended: make(chan struct{}), waiting: map[uint64]chan copies.ClaimDecided{}, table: Defaults()}
+	f := &Replica{in: make(chan input, mostWaiting), ended: make(chan struct{}), waiting: map[uint64]chan replication.ClaimDecided{}, table: Defaults()}
 	ctx, leave := context.WithCancel(context.Background())
-	answered := make(chan copies.ClaimDecided, 1)
+	answered := make(chan replication.ClaimDecided, 1)
 	go func() { answered <- f.ask(ctx, "pay", "a", nil, time.Second, 0) }()
-	want := (<-f.in).copies.(copies.ClaimRequest)
+	want := (<-f.in).copies.(replication.ClaimRequest)
 	f.mu.Lock() // the loop takes the asker for its outcome
 	to := f.waiting[want.RequestID]
 	delete(f.waiting, want.RequestID)
 	f.mu.Unlock()
 	leave()
 	time.Sleep(50 * time.Millisecond) // the asker has seen that by then
-	to <- copies.ClaimDecided{RequestID: want.RequestID, Result: copies.Granted}
-	if d := <-answered; d.Result == copies.Granted {
+	to <- replication.ClaimDecided{RequestID: want.RequestID, Result: replication.Granted}
+	if d := <-answered; d.Result == replication.Granted {
 		return // it came first
 	}
 	select {
 	case in := <-f.in:
-		if end, ok := in.copies.(copies.OpEnded); !ok || end.RequestID != want.RequestID || !end.NeverRan {
+		if end, ok := in.copies.(replication.OpEnded); !ok || end.RequestID != want.RequestID || !end.NeverRan {
 			t.Errorf("%+v", in.copies)
 		}
 	case <-time.After(time.Second):
@@ -76,7 +76,7 @@
 func TestWhatAKeeperOwesItselfIsNotLostWithAFullQueue(t *testing.T) {
 	full := func(f *Replica) {
 		for len(f.in) < cap(f.in) {
-			f.in <- input{copies: copies.Tick{}}
+			f.in <- input{copies: replication.Tick{}}
 		}
 	}
 	t.Run("a disk that fails", func(t *testing.T) {
@@ -84,7 +84,7 @@
 		f.call(func() {
 			f.store.Close()
 			full(f)
-			f.carry(f.core.Step(f.way.Now(), copies.ClaimRequest{RequestID: 1 << 40, Key: "pay\x00a", Timeout: 10_000}))
+			f.carry(f.core.Step(f.way.Now(), replication.ClaimRequest{RequestID: 1 << 40, Key: "pay\x00a", Timeout: 10_000}))
 		})
 		f.await(t, "all is taken", func() bool { return len(f.in) == 0 })
 		if f.Status().Voting {
@@ -95,10 +95,10 @@
 		f := keeper(t)
 		f.call(func() {
 			full(f)
-			f.carry(f.core.Step(f.way.Now(), copies.ClaimRequest{RequestID: 1 << 40, Key: "pay\x00a", Timeout: 10_000}))
+			f.carry(f.core.Step(f.way.Now(), replication.ClaimRequest{RequestID: 1 << 40, Key: "pay\x00a", Timeout: 10_000}))
 		})
 		f.await(t, "all is taken", func() bool { return len(f.in) == 0 })
-		if rows := f.Lookup("pay", "a"); len(rows) != 1 || rows[0].Stage == copies.Claimed.String() {
+		if rows := f.Lookup("pay", "a"); len(rows) != 1 || rows[0].Stage == replication.Claimed.String() {
 			t.Errorf("the claim stands: %+v", rows)
 		}
 	})
@@ -107,11 +107,11 @@
 // A keeper whose disk fails in the very round in which an op is decided gives it to nobody.
 func TestAGrantThatIsOnNoDiskIsGivenToNobody(t *testing.T) {
 	f := keeper(t)
-	if d := f.ask(t.Context(), "pay", "before", nil, time.Second, 0); d.Result != copies.Granted {
+	if d := f.ask(t.Context(), "pay", "before", nil, time.Second, 0); d.Result != replication.Granted {
 		t.Fatalf("before: %v: this test proves nothing", d.Result)
 	}
 	f.call(func() { f.store.Close() })
-	if d := f.ask(t.Context(), "pay", "a", nil, time.Second, 0); d.Result != copies.NoQuorum {
+	if d := f.ask(t.Context(), "pay", "a", nil, time.Second, 0); d.Result != replication.NoQuorum {
 		t.Errorf("%v", d.Result)
 	}
 }
@@ -121,9 +121,9 @@
 func TestChangesOfMembersKeepTheirOrderInAFullQueue(t *testing.T) {
 	const changes = 40
 	f := &Replica{in: make(chan input, mostWaiting), ended: make(chan struct{}), table: Defaults()}
-	f.events = overflow.New(f.in, f.ended)
+	f.events = spillqueue.New(f.in, f.ended)
 	for len(f.in) < cap(f.in) {
-		f.in <- input{copies: copies.Tick{}}
+		f.in <- input{copies: replication.Tick{}}
 	}
 	for k := range changes {
 		f.SetPeerDead("a", k%2 == 0)
@@ -132,7 +132,7 @@
 	for late := time.After(10 * time.Second); len(got) < changes; {
 		select {
 		case in := <-f.in:
-			if x, ok := in.copies.(copies.PeerStatus); ok {
+			if x, ok := in.copies.(replication.PeerStatus); ok {
 				got = append(got, x.Dead)
 			}
 		case <-late:
--- a/internal/fates/fates.go
+++ b/internal/cluster/replica/replica.go
@@ -1,4 +1,4 @@
-package fates
+package replica
 
 import (
 	"context"
@@ -15,14 +15,14 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/boottime"
-	"woaddyke/internal/copies"
-	"woaddyke/internal/keepers"
-	"woaddyke/internal/members"
-	"woaddyke/internal/opkey"
-	"woaddyke/internal/oserror"
-	"woaddyke/internal/overflow"
-	"woaddyke/internal/store"
+	"woaddyke/internal/base/opkey"
+	"woaddyke/internal/base/oserror"
+	"woaddyke/internal/base/spillqueue"
+	"woaddyke/internal/cluster/membership"
+	"woaddyke/internal/cluster/replicaset"
+	"woaddyke/internal/cluster/replication"
+	"woaddyke/internal/cluster/store"
+	"woaddyke/internal/lifecycle/boottime"
 )
 
 const (
@@ -38,26 +38,26 @@
 
 // input is one for either of the two cores.
 type input struct {
-	copies copies.Input
-	agreed keepers.Input
+	copies replication.Input
+	agreed replicaset.Input
 }
 
 // Transport sends a message to a member.
 type Transport interface {
-	SendReplication(to string, x copies.Message)
-	SendReplicaSet(to string, x keepers.Message)
-	Now() members.Time
+	SendReplication(to string, x replication.Message)
+	SendReplicaSet(to string, x replicaset.Message)
+	Now() membership.Time
 }
 
 // Replica is one process's part.
 type Replica struct {
 	table   *Config
 	log     zerolog.Logger
-	core    *copies.Core
-	agreed  *keepers.Core // who keeps copies; nil where that does not change
+	core    *replication.Core
+	agreed  *replicaset.Core // who keeps copies; nil where that does not change
 	way     Transport
 	in      chan input
-	events  *overflow.Queue[input] // to in, of what may not be lost and is not waited for
+	events  *spillqueue.Queue[input] // to in, of what may not be lost and is not waited for
 	calls   chan func()
 	quit    chan struct{}
 	ended   chan struct{}
@@ -67,10 +67,10 @@
 	joined  atomic.Int64 // that wait for ops of others
 
 	mu      sync.Mutex
-	waiting map[uint64]chan copies.ClaimDecided
-	staff   map[uint64]chan keepers.ChangeResult
+	waiting map[uint64]chan replication.ClaimDecided
+	staff   map[uint64]chan replicaset.ChangeResult
 	heirs   uint64
-	life    members.Incarnation
+	life    membership.Incarnation
 	serving bool
 
 	store *store.Store // nil: memory alone; of the loop once it runs
@@ -79,15 +79,15 @@
 
 // New makes a process's part at a moment of the clock that it will run by; it does nothing before Start. A process that took over says
 // how many did before it.
-func New(t *Config, name string, chance, heirs uint64, now members.Time, log zerolog.Logger) (*Replica, error) {
+func New(t *Config, name string, chance, heirs uint64, now membership.Time, log zerolog.Logger) (*Replica, error) {
 	nonce, err := drawn()
 	if err != nil {
 		return nil, err
 	}
 	f := &Replica{table: t, log: log, in: make(chan input, mostWaiting), calls: make(chan func()), quit: make(chan struct{}),
-		ended: make(chan struct{}), waiting: map[uint64]chan copies.ClaimDecided{}, staff: map[uint64]chan keepers.ChangeResult{}, heirs: heirs}
-	f.events = overflow.New(f.in, f.ended)
-	f.core = copies.New(t.terms(name, chance, nonce), now)
+		ended: make(chan struct{}), waiting: map[uint64]chan replication.ClaimDecided{}, staff: map[uint64]chan replicaset.ChangeResult{}, heirs: heirs}
+	f.events = spillqueue.New(f.in, f.ended)
+	f.core = replication.New(t.terms(name, chance, nonce), now)
 	keeper := slices.Contains(t.Replicas, name)
 	if t.DynamicReplicas && keeper && t.Path == "" {
 		return nil, errors.New("copies: agreed: a keeper has to have a path for what must last")
@@ -96,7 +96,7 @@
 		return f, f.open(name, chance, now)
 	}
 	if t.DynamicReplicas {
-		f.agreed = keepers.New(t.rule(name, chance), keepers.State{}, now)
+		f.agreed = replicaset.New(t.rule(name, chance), replicaset.State{}, now)
 	}
 	return f, nil
 }
@@ -113,12 +113,12 @@
 // open opens the place where records last. A file that can't be read ends the start: a keeper that goes on without what it granted must
 // be one that has been told to, by taking the file away.
 // A disk that fails for a moment is waited for.
-func (f *Replica) open(name string, chance uint64, now members.Time) error {
+func (f *Replica) open(name string, chance uint64, now membership.Time) error {
 	_, err := oserror.RetryTransient(func() (struct{}, error) { return struct{}{}, f.openOnce(name, chance, now) })
 	return err
 }
 
-func (f *Replica) openOnce(name string, chance uint64, now members.Time) (err error) {
+func (f *Replica) openOnce(name string, chance uint64, now membership.Time) (err error) {
 	if f.store, err = store.Open(f.table.Path, f.table.Sync); err != nil {
 		return err
 	}
@@ -140,14 +140,14 @@
 
 // loaded is what stands in a store, and of which set of keepers.
 type loaded struct {
-	copies.StateReloaded
+	replication.StateReloaded
 	epoch uint64
 }
 
 // of has what is of another set of keepers be no life of this one.
 func (l *loaded) of(epoch uint64) {
 	if l.epoch != epoch {
-		l.Incarnation = copies.Incarnation{}
+		l.Incarnation = replication.Incarnation{}
 	}
 }
 
@@ -158,7 +158,7 @@
 		return loaded{}, err
 	}
 	if !whole {
-		l.Incarnation = copies.Incarnation{} // new, or not all of it was known
+		l.Incarnation = replication.Incarnation{} // new, or not all of it was known
 	}
 	if l.Cursors, err = s.Cursors(); err != nil {
 		return loaded{}, err
@@ -178,7 +178,7 @@
 		return err
 	}
 	kept, err := f.load(s)
-	var state keepers.State
+	var state replicaset.State
 	if err == nil && f.agreed != nil {
 		state, _, err = s.Agreement()
 	}
@@ -190,8 +190,8 @@
 	f.call(func() {
 		f.store, f.given, taken = s, false, true
 		if f.agreed != nil {
-			f.agree(keepers.StateReloaded{State: state})
-			f.carry(f.core.Step(f.way.Now(), copies.AdoptSet{Set: f.agreed.Set()}))
+			f.agree(replicaset.StateReloaded{State: state})
+			f.carry(f.core.Step(f.way.Now(), replication.AdoptSet{Set: f.agreed.Set()}))
 		}
 		kept.of(f.core.SetID())
 		f.carry(f.core.Step(f.way.Now(), kept.StateReloaded))
@@ -203,7 +203,7 @@
 }
 
 // openAgreement goes on with what lasts of the agreement, or draws a seat in it.
-func (f *Replica) openAgreement(name string, chance uint64, now members.Time) error {
+func (f *Replica) openAgreement(name string, chance uint64, now membership.Time) error {
 	state, ok, err := f.store.Agreement()
 	if err == nil && !ok {
 		if state.VoterID, err = drawn(); err == nil {
@@ -213,7 +213,7 @@
 	if err != nil {
 		return err
 	}
-	f.agreed = keepers.New(f.table.rule(name, chance), state, now)
+	f.agreed = replicaset.New(f.table.rule(name, chance), state, now)
 	f.core.AdoptStored(f.agreed.Set())
 	return nil
 }
@@ -224,9 +224,9 @@
 		if f.store != nil {
 			f.store.Close()
 			f.store, f.given = nil, true
-			f.core.Step(f.way.Now(), copies.PersistFailed{})
+			f.core.Step(f.way.Now(), replication.PersistFailed{})
 			if f.agreed != nil {
-				f.agreed.Step(f.way.Now(), keepers.PersistFailed{})
+				f.agreed.Step(f.way.Now(), replicaset.PersistFailed{})
 			}
 		}
 	})
@@ -263,22 +263,22 @@
 		case in := <-f.in:
 			f.take(in)
 		case <-tick.C:
-			f.carry(f.core.Step(f.way.Now(), copies.Tick{}))
+			f.carry(f.core.Step(f.way.Now(), replication.Tick{}))
 			if f.agreed != nil && f.agreed.NextTick() <= f.way.Now() {
-				f.agree(keepers.Tick{})
+				f.agree(replicaset.Tick{})
 			}
 		}
 		next := f.core.NextTick()
 		if f.agreed != nil {
 			next = min(next, f.agreed.NextTick())
 		}
-		tick.Reset(max(time.Duration(next-f.way.Now())*members.Tenth, 0))
+		tick.Reset(max(time.Duration(next-f.way.Now())*membership.Tenth, 0))
 	}
 }
 
 // take takes an input, and what waits already beside it into the same round: many records, one wait for the disk.
 func (f *Replica) take(in input) {
-	var effects []copies.Effect
+	var effects []replication.Effect
 	for range mostRound {
 		if in.agreed != nil {
 			f.carry(effects)
@@ -299,13 +299,13 @@
 }
 
 // agree feeds the agreement and does what it asks for: first of all what has to last. False where that failed.
-func (f *Replica) agree(in keepers.Input) bool {
+func (f *Replica) agree(in replicaset.Input) bool {
 	if f.agreed == nil {
 		return true
 	}
 	effects := f.agreed.Step(f.way.Now(), in)
 	for i := len(effects) - 1; i >= 0; i-- { // the last state has all of those before
-		k, ok := effects[i].(keepers.Persist)
+		k, ok := effects[i].(replicaset.Persist)
 		if !ok {
 			continue
 		}
@@ -314,26 +314,26 @@
 		}
 		if err := f.store.SaveAgreement(k.State); err != nil {
 			f.log.Error().Err(err).Msg("the agreement could not be kept on the disk")
-			f.agreed.Step(f.way.Now(), keepers.PersistFailed{})
-			f.core.Step(f.way.Now(), copies.PersistFailed{})
+			f.agreed.Step(f.way.Now(), replicaset.PersistFailed{})
+			f.core.Step(f.way.Now(), replication.PersistFailed{})
 			return false
 		}
 		break
 	}
 	for _, e := range effects {
 		switch e := e.(type) {
-		case keepers.Send:
+		case replicaset.Send:
 			f.way.SendReplicaSet(e.To, e.Message)
-		case keepers.SetAgreed:
-			f.carry(f.core.Step(f.way.Now(), copies.AdoptSet{Set: e.Set}))
-		case keepers.ChangeResult:
+		case replicaset.SetAgreed:
+			f.carry(f.core.Step(f.way.Now(), replication.AdoptSet{Set: e.Set}))
+		case replicaset.ChangeResult:
 			f.mu.Lock()
 			if c := f.staff[e.RequestID]; c != nil {
 				c <- e
 				delete(f.staff, e.RequestID)
 			}
 			f.mu.Unlock()
-		case keepers.Event:
+		case replicaset.Event:
 			f.log.Info().Str("what", e.Description).Str("of", e.Subject).Msg("keepers")
 		}
 	}
@@ -343,41 +343,41 @@
 // carry does what the core asks for: first of all what has to last. A set is in force here only once it does: who is told so goes by it
 // that this keeper refuses what came under the one before.
 // What follows from that for the core itself is fed to it at once: a queue may be full, and none of it may be lost.
-func (f *Replica) carry(effects []copies.Effect) {
+func (f *Replica) carry(effects []replication.Effect) {
 	kept := f.keep(effects)
-	var owed []copies.Input
+	var owed []replication.Input
 	if !kept {
-		owed = append(owed, copies.PersistFailed{Keys: copies.PersistedKeys(effects)})
+		owed = append(owed, replication.PersistFailed{Keys: replication.PersistedKeys(effects)})
 	}
 	for _, e := range effects {
-		if a, ok := e.(copies.SetAdopted); ok {
-			kept = f.agree(keepers.SetLearned{Set: a.Set}) && kept
+		if a, ok := e.(replication.SetAdopted); ok {
+			kept = f.agree(replicaset.SetLearned{Set: a.Set}) && kept
 		}
 	}
 	for _, e := range effects {
 		switch e := e.(type) {
-		case copies.Send:
+		case replication.Send:
 			if kept || !e.RequiresDurability() {
 				f.way.SendReplication(e.To, e.Message)
 			}
-		case copies.ReplicasReady:
+		case replication.ReplicasReady:
 			if kept {
-				f.agree(keepers.ReplicasReady{Epoch: e.Epoch})
+				f.agree(replicaset.ReplicasReady{Epoch: e.Epoch})
 			}
-		case copies.ClaimDecided:
+		case replication.ClaimDecided:
 			f.mu.Lock()
 			c := f.waiting[e.RequestID]
 			delete(f.waiting, e.RequestID)
 			f.mu.Unlock()
-			if c != nil && !kept && e.Result == copies.Granted { // its own vote may be among those that granted it
-				c <- copies.ClaimDecided{RequestID: e.RequestID, Result: copies.NoQuorum}
-				owed = append(owed, copies.OpEnded{RequestID: e.RequestID, NeverRan: true})
+			if c != nil && !kept && e.Result == replication.Granted { // its own vote may be among those that granted it
+				c <- replication.ClaimDecided{RequestID: e.RequestID, Result: replication.NoQuorum}
+				owed = append(owed, replication.OpEnded{RequestID: e.RequestID, NeverRan: true})
 			} else if c != nil {
 				c <- e
-			} else if e.Result == copies.Granted { // nobody waits for it any more, and nothing was pushed
-				owed = append(owed, copies.OpEnded{RequestID: e.RequestID, NeverRan: true})
+			} else if e.Result == replication.Granted { // nobody waits for it any more, and nothing was pushed
+				owed = append(owed, replication.OpEnded{RequestID: e.RequestID, NeverRan: true})
 			}
-		case copies.Event:
+		case replication.Event:
 			f.log.Info().Str("what", e.Description).Str("of", e.Subject).Msg("copies")
 		}
 	}
@@ -387,17 +387,17 @@
 }
 
 // keep puts on the disk what a round of effects asks for; false where that failed.
-func (f *Replica) keep(effects []copies.Effect) bool {
+func (f *Replica) keep(effects []replication.Effect) bool {
 	if f.store == nil {
 		return true
 	}
-	put, drop := map[string]copies.Record{}, []string{}
+	put, drop := map[string]replication.Record{}, []string{}
 	var err error
 	for _, e := range effects {
 		switch e := e.(type) {
-		case copies.Persist:
+		case replication.Persist:
 			put[e.Key] = e.Record
-		case copies.Delete:
+		case replication.Delete:
 			delete(put, e.Key)
 			drop = append(drop, e.Key)
 		}
@@ -405,12 +405,12 @@
 	if len(put)+len(drop) > 0 {
 		err = f.store.Write(boottime.Now(), slices.Collect(maps.Values(put)), drop)
 	}
-	var seen []copies.ReplicationCursor
+	var seen []replication.ReplicationCursor
 	for _, e := range effects { // a life is noted after the records that make it whole, and so is what was seen
-		if s, ok := e.(copies.ReplicationCursor); ok {
+		if s, ok := e.(replication.ReplicationCursor); ok {
 			seen = append(seen, s)
 		}
-		if l, ok := e.(copies.IncarnationPersisted); ok && err == nil {
+		if l, ok := e.(replication.IncarnationPersisted); ok && err == nil {
 			err = f.store.SetIncarnation(l.Incarnation, f.core.SetID())
 		}
 	}
@@ -423,7 +423,7 @@
 	return err == nil
 }
 
-func (f *Replica) tell(in copies.Input) bool { return f.hand(input{copies: in}) }
+func (f *Replica) tell(in replication.Input) bool { return f.hand(input{copies: in}) }
 
 func (f *Replica) hand(in input) bool {
 	select {
@@ -436,28 +436,28 @@
 }
 
 // Receive takes a message of another member. It waits for nothing.
-func (f *Replica) Receive(from string, x copies.Message) {
-	f.tell(copies.MessageReceived{From: from, Message: x})
+func (f *Replica) Receive(from string, x replication.Message) {
+	f.tell(replication.MessageReceived{From: from, Message: x})
 }
 
 // ReceiveReplicaSet takes a message of another member on who keeps copies. It waits for nothing.
-func (f *Replica) ReceiveReplicaSet(from string, x keepers.Message) {
-	f.hand(input{agreed: keepers.MessageReceived{From: from, Message: x}})
+func (f *Replica) ReceiveReplicaSet(from string, x replicaset.Message) {
+	f.hand(input{agreed: replicaset.MessageReceived{From: from, Message: x}})
 }
 
 // Serving says whether this process is a member, and as which life of its name. An heir, and a process whose heir has ended, is another
 // voter than the one before: what that one granted meanwhile it does not know. Two processes that took one incarnation, as each was the
 // first that the other met, are told apart as members tell them: with a nonce of its own one of two had no vote for good.
-func (f *Replica) Serving(on bool, l members.Incarnation) {
+func (f *Replica) Serving(on bool, l membership.Incarnation) {
 	f.mu.Lock()
 	f.serving = on
 	if on {
 		f.life = l
 	}
-	life := copies.Membership{Serving: on, Generation: f.life.Generation<<16 + f.heirs, Nonce: f.life.Nonce}
+	life := replication.Membership{Serving: on, Generation: f.life.Generation<<16 + f.heirs, Nonce: f.life.Nonce}
 	f.mu.Unlock()
 	f.events.Put(input{copies: life})
-	f.events.Put(input{agreed: keepers.Membership{Serving: on}})
+	f.events.Put(input{agreed: replicaset.Membership{Serving: on}})
 }
 
 // Resumed says that the process that was to take over has ended.
@@ -481,14 +481,14 @@
 
 // SetPeerDead says that a member is no more, or is back.
 func (f *Replica) SetPeerDead(name string, gone bool) {
-	f.events.Put(input{copies: copies.PeerStatus{Name: name, Dead: gone}})
-	f.events.Put(input{agreed: keepers.PeerStatus{Name: name, Alive: !gone}})
+	f.events.Put(input{copies: replication.PeerStatus{Name: name, Dead: gone}})
+	f.events.Put(input{agreed: replicaset.PeerStatus{Name: name, Alive: !gone}})
 }
 
 // ChangeReplicas has staff's change of keepers agreed, from the set of a turn on; it tells whether it is.
-func (f *Replica) ChangeReplicas(turn uint64, names []string) keepers.ChangeResult {
-	no := func(text string, again bool) keepers.ChangeResult {
-		return keepers.ChangeResult{Message: text, Retryable: again}
+func (f *Replica) ChangeReplicas(turn uint64, names []string) replicaset.ChangeResult {
+	no := func(text string, again bool) replicaset.ChangeResult {
+		return replicaset.ChangeResult{Message: text, Retryable: again}
 	}
 	if !f.table.DynamicReplicas {
 		return no("keepers do not change by agreement here: copies.agreed is not set", false)
@@ -497,7 +497,7 @@
 	if err != nil {
 		return no(err.Error(), false)
 	}
-	c := make(chan keepers.ChangeResult, 1)
+	c := make(chan replicaset.ChangeResult, 1)
 	f.mu.Lock()
 	full := len(f.staff) >= mostStaff
 	if !full {
@@ -512,7 +512,7 @@
 		delete(f.staff, ticket)
 		f.mu.Unlock()
 	}()
-	f.must(input{agreed: keepers.ChangeRequest{RequestID: ticket, Epoch: turn, Replicas: names}})
+	f.must(input{agreed: replicaset.ChangeRequest{RequestID: ticket, Epoch: turn, Replicas: names}})
 	late := time.NewTimer(staffTime)
 	defer late.Stop()
 	select {
@@ -536,11 +536,11 @@
 // Claim asks whether an op may be pushed, and waits for the outcome: at most as long as the table says.
 // An op whose repeats its group drops for a window may be given though it ran for a scheduler that is gone: the outcome then says where.
 // One that another scheduler has is asked for again until it has ended, for as long as the table says: its client gets that answer.
-func (f *Replica) Claim(ctx context.Context, category, id string, request []byte, within, window time.Duration) copies.ClaimDecided {
+func (f *Replica) Claim(ctx context.Context, category, id string, request []byte, within, window time.Duration) replication.ClaimDecided {
 	began := time.Now()
 	d := f.ask(ctx, category, id, request, within, window)
 	until := min(time.Duration(f.table.JoinTimeout), within-joinEvery)
-	if d.Result != copies.InProgress || until <= 0 {
+	if d.Result != replication.InProgress || until <= 0 {
 		return d
 	}
 	if f.joined.Add(1) > mostJoined {
@@ -550,7 +550,7 @@
 	defer f.joined.Add(-1)
 	tick := time.NewTicker(joinEvery)
 	defer tick.Stop()
-	for d.Result == copies.InProgress && time.Since(began) < until {
+	for d.Result == replication.InProgress && time.Since(began) < until {
 		select {
 		case <-tick.C:
 			d = f.ask(ctx, category, id, request, within-time.Since(began), window)
@@ -563,15 +563,15 @@
 	return d
 }
 
-func (f *Replica) ask(ctx context.Context, category, id string, request []byte, within, window time.Duration) copies.ClaimDecided {
+func (f *Replica) ask(ctx context.Context, category, id string, request []byte, within, window time.Duration) replication.ClaimDecided {
 	ticket := f.tickets.Add(1)
-	c := make(chan copies.ClaimDecided, 1)
+	c := make(chan replication.ClaimDecided, 1)
 	f.mu.Lock()
 	f.waiting[ticket] = c
 	f.mu.Unlock()
-	unsure := copies.ClaimDecided{RequestID: ticket, Result: copies.NoQuorum}
-	if !f.tell(copies.ClaimRequest{RequestID: ticket, Key: keyOf(category, id), Fingerprint: xxhash.Sum64(request), Timeout: members.TimeOf(within),
-		Window: members.TimeOf(window)}) {
+	unsure := replication.ClaimDecided{RequestID: ticket, Result: replication.NoQuorum}
+	if !f.tell(replication.ClaimRequest{RequestID: ticket, Key: keyOf(category, id), Fingerprint: xxhash.Sum64(request), Timeout: membership.TimeOf(within),
+		Window: membership.TimeOf(window)}) {
 		f.mu.Lock()
 		delete(f.waiting, ticket)
 		f.mu.Unlock()
@@ -593,7 +593,7 @@
 	if waits {
 		return unsure
 	}
-	if d := <-c; d.Result == copies.Granted { // the loop has it on its way here
+	if d := <-c; d.Result == replication.Granted { // the loop has it on its way here
 		f.Finish(ticket, true, 0, nil)
 	}
 	return unsure
@@ -601,17 +601,17 @@
 
 // MayHaveRun says that an op that was granted may have run in a group that drops repeats.
 func (f *Replica) MayHaveRun(ticket uint64, where string) {
-	f.events.Put(input{copies: copies.MayHaveRun{RequestID: ticket, Group: where}})
+	f.events.Put(input{copies: replication.MayHaveRun{RequestID: ticket, Group: where}})
 }
 
 // Abandon says that one that may have run is pushed no more, and that its client was told that trying again is harmless.
 func (f *Replica) Abandon(ticket uint64) {
-	f.must(input{copies: copies.OpEnded{RequestID: ticket, Abandoned: true}})
+	f.must(input{copies: replication.OpEnded{RequestID: ticket, Abandoned: true}})
 }
 
 // Finish says what became of an op that was granted. A longer answer than the table says is not held.
 func (f *Replica) Finish(ticket uint64, unsent bool, status int, answer []byte) {
-	e := copies.OpEnded{RequestID: ticket, NeverRan: unsent, Verdict: uint16(status)}
+	e := replication.OpEnded{RequestID: ticket, NeverRan: unsent, Verdict: uint16(status)}
 	if !unsent && status != 0 && len(answer) <= f.table.MaxResultBytes {
 		e.Result, e.ResultRetained = append([]byte{}, answer...), true
 	}
@@ -620,7 +620,7 @@
 
 // Status is what staff see.
 type Status struct {
-	copies.Status
+	replication.Status
 	Agreement string `json:"agreement"`   // what part this process takes in changes of keepers; empty where they do not change
 	Lost      uint64 `json:"inputs_lost"` // for want of room
 }
@@ -684,7 +684,7 @@
 // keyOf is the key of an op's record: its category and the key of its id.
 func keyOf(category, id string) string { return category + "\x00" + opkey.FromID(id) }
 
-func rowsOf(r copies.Record) (rows []RecordRow) {
+func rowsOf(r replication.Record) (rows []RecordRow) {
 	category, id := r.Key, ""
 	for i := range r.Key {
 		if r.Key[i] == 0 {
--- a/internal/fates/fates_test.go
+++ b/internal/cluster/replica/replica_test.go
@@ -1,4 +1,4 @@
-package fates
+package replica
 
 import (
 	"context"
@@ -9,19 +9,19 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"woaddyke/internal/copies"
-	"woaddyke/internal/keepers"
-	"woaddyke/internal/members"
+	"woaddyke/internal/cluster/membership"
+	"woaddyke/internal/cluster/replicaset"
+	"woaddyke/internal/cluster/replication"
 )
 
 // alone is a way to nobody, whose clock began long ago.
 type alone struct{ start time.Time }
 
-func (alone) SendReplication(string, copies.Message) {}
-func (alone) SendReplicaSet(string, keepers.Message) {}
-func (a alone) Now() members.Time                    { return longAgo + members.TimeOf(time.Since(a.start)) }
+func (alone) SendReplication(string, replication.Message) {}
+func (alone) SendReplicaSet(string, replicaset.Message)   {}
+func (a alone) Now() membership.Time                      { return longAgo + membership.TimeOf(time.Since(a.start)) }
 
-const longAgo members.Time = 40 * 24 * 3600 * 10_000 // more than any id is remembered
+const longAgo membership.Time = 40 * 24 * 3600 * 10_000 // more than any id is remembered
 
 // One keeper by itself: what it granted must be there after a restart, however long the machine has been up. Ids of before were
 // forgotten at the first tick, as their ages counted from the clock's start.
@@ -33,7 +33,7 @@
 	if err := table.Validate(0); err != nil {
 		t.Fatal(err)
 	}
-	ask := func(id string, end bool) copies.ClaimResult {
+	ask := func(id string, end bool) replication.ClaimResult {
 		t.Helper()
 		w := alone{time.Now()}
 		f, err := New(table, "a", 1, 0, w.Now(), zerolog.Nop())
@@ -42,14 +42,14 @@
 		}
 		defer f.Close()
 		f.Start(w)
-		f.Serving(true, members.Incarnation{Generation: uint64(time.Now().UnixNano() >> 16)})
+		f.Serving(true, membership.Incarnation{Generation: uint64(time.Now().UnixNano() >> 16)})
 		for until := time.Now().Add(20 * time.Second); !f.Status().Voting; time.Sleep(time.Millisecond) {
 			if time.Now().After(until) {
 				t.Fatal("no vote")
 			}
 		}
 		d := f.Claim(context.Background(), "pay", id, []byte("x"), time.Second, 0)
-		if end && d.Result == copies.Granted {
+		if end && d.Result == replication.Granted {
 			f.Finish(d.RequestID, false, 200, []byte("done"))
 			for until := time.Now().Add(20 * time.Second); len(f.Lookup("pay", id)) == 0 || f.Lookup("pay", id)[0].Stage != "ended"; time.Sleep(time.Millisecond) {
 				if time.Now().After(until) {
@@ -62,8 +62,8 @@
 	for _, x := range []struct {
 		id   string
 		end  bool
-		want copies.ClaimResult
-	}{{"a", true, copies.Granted}, {"a", false, copies.AlreadyAnswered}, {"b", false, copies.Granted}, {"b", false, copies.InProgress}, {"a", false, copies.AlreadyAnswered}} {
+		want replication.ClaimResult
+	}{{"a", true, replication.Granted}, {"a", false, replication.AlreadyAnswered}, {"b", false, replication.Granted}, {"b", false, replication.InProgress}, {"a", false, replication.AlreadyAnswered}} {
 		if got := ask(x.id, x.end); got != x.want {
 			t.Errorf("%s: %v, not %v", x.id, got, x.want)
 		}
@@ -73,29 +73,29 @@
 // heard keeps what is sent.
 type heard struct {
 	alone
-	sent chan copies.Message
+	sent chan replication.Message
 }
 
-func (h heard) SendReplication(_ string, x copies.Message) { h.sent <- x }
+func (h heard) SendReplication(_ string, x replication.Message) { h.sent <- x }
 
 // Two keepers that lost their memory met each other first, so that one had the incarnation of the process before it. It registered with a
 // nonce of its own that happened to be the smaller one, and its registration was taken for the earlier process's: no vote, for good.
 func TestAKeeperRegistersAsTheLifeThatMembersKnow(t *testing.T) {
 	table := Defaults()
 	table.Replicas = []string{"a", "b", "c"}
-	w := heard{alone{time.Now()}, make(chan copies.Message, 99)}
+	w := heard{alone{time.Now()}, make(chan replication.Message, 99)}
 	f, err := New(table, "a", 1, 2, w.Now(), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
 	f.Start(w)
-	f.Serving(true, members.Incarnation{Generation: 1, Nonce: 7})
+	f.Serving(true, membership.Incarnation{Generation: 1, Nonce: 7})
 	for late := time.After(20 * time.Second); ; {
 		select {
 		case x := <-w.sent:
-			if x.Kind == copies.Register {
-				if (x.Incarnation != copies.Incarnation{Generation: 1<<16 + 2, Nonce: 7}) {
+			if x.Kind == replication.Register {
+				if (x.Incarnation != replication.Incarnation{Generation: 1<<16 + 2, Nonce: 7}) {
 					t.Errorf("registered as %v", x.Incarnation)
 				}
 				return
--- a/internal/keepers/keepers.go
+++ b/internal/cluster/replicaset/core.go
@@ -1,7 +1,7 @@
-// Package keepers agrees on which members keep copies, by a raft group of the keepers themselves whose log holds nothing but changes of its
+// Package replicaset agrees on which members keep copies, by a raft group of the keepers themselves whose log holds nothing but changes of its
 // own voters. It takes an input with its time and returns messages and sets; it does no input or output, reads no clock, and draws from
 // its seed alone. docs/copies.md says why it is so.
-package keepers
+package replicaset
 
 import (
 	"errors"
@@ -15,11 +15,11 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"woaddyke/internal/members"
+	"woaddyke/internal/cluster/membership"
 )
 
 // Time is a moment in tenths of a millisecond on a clock that only goes forward.
-type Time = members.Time
+type Time = membership.Time
 
 const (
 	ms     Time = 10
--- a/internal/keepers/golden_test.go
+++ b/internal/cluster/replicaset/golden_test.go
@@ -1,4 +1,4 @@
-package keepers
+package replicaset
 
 import (
 	"fmt"
--- a/internal/keepers/messages.go
+++ b/internal/cluster/replicaset/messages.go
@@ -1,4 +1,4 @@
-package keepers
+package replicaset
 
 // Voter is one voter of the agreement: a number that was drawn when its file was made, under the name of its member.
 type Voter struct {
--- a/internal/copies/copies.go
+++ b/internal/cluster/replication/core.go
@@ -1,7 +1,7 @@
-// Package copies keeps the fates of ops that must not run twice at a majority of a few keepers. It takes an input with its time and
+// Package replication keeps the fates of ops that must not run twice at a majority of a few keepers. It takes an input with its time and
 // returns messages and outcomes; it does no input or output, reads no clock, and draws from its seed alone. docs/copies.md says what it
 // promises, and under which trouble.
-package copies
+package replication
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"woaddyke/internal/keepers"
+	"woaddyke/internal/cluster/replicaset"
 )
 
 const (
@@ -52,7 +52,7 @@
 	pieceDigests = 128
 	burst        = 5 * ms // by so much what is asked for may run ahead of its rate
 	fetchDigests = 24     // as many as may fit an answer: the rest may be had from another keeper meanwhile
-	mostKeepers  = keepers.MaxReplicas
+	mostKeepers  = replicaset.MaxReplicas
 	longKey      = 512
 )
 
@@ -72,7 +72,7 @@
 	case t.MaxBytes < 1<<16:
 		return errors.New("most-bytes: 65,536 at least")
 	}
-	return keepers.ValidateNames(t.Replicas)
+	return replicaset.ValidateNames(t.Replicas)
 }
 
 // answer is what a keeper said to one want.
@@ -132,7 +132,7 @@
 	rand  *rand.Rand
 	now   Time
 	out   []Effect
-	set   keepers.Set
+	set   replicaset.Set
 	all   []string // of the set, once each
 	epoch uint64
 	own   bool // it had its vote when the set came into force, and has had it since
@@ -178,18 +178,18 @@
 		records: map[string]*Record{}, byDigest: map[uint64]*Record{}, fetching: map[uint64]Time{}, first: 1,
 		ages: map[Time][]*Record{}, oldest: secondOf(now),
 		wants: map[uint64]*want{}, mine: map[uint64]*want{}, tells: map[uint64]*told{}, gone: map[string]bool{}, counts: map[string]uint64{}}
-	c.goBy(keepers.Configured(t.Replicas))
+	c.goBy(replicaset.Configured(t.Replicas))
 	return c
 }
 
 // goBy goes by a set.
-func (c *Core) goBy(s keepers.Set) {
+func (c *Core) goBy(s replicaset.Set) {
 	c.set, c.all, c.epoch = s, s.Members(), s.ID()
 	c.keeper = slices.Contains(c.all, c.t.Name)
 }
 
 // AdoptStored goes by a set that lasted. It is called before Restore and the first input.
-func (c *Core) AdoptStored(s keepers.Set) {
+func (c *Core) AdoptStored(s replicaset.Set) {
 	if s.Supersedes(c.set) {
 		c.goBy(s)
 	}
@@ -234,7 +234,7 @@
 func (c *Core) SetID() uint64 { return c.epoch }
 
 // Set is the set that is gone by.
-func (c *Core) Set() keepers.Set { return c.set }
+func (c *Core) Set() replicaset.Set { return c.set }
 
 func (c *Core) do(e Effect) { c.out = append(c.out, e) }
 
@@ -565,7 +565,7 @@
 
 // toldAll tells whether all keepers that are in force know.
 func (c *Core) toldAll(known map[string]bool) bool {
-	return keepers.Count(c.all, func(k string) bool { return known[k] }) == len(c.all)
+	return replicaset.Count(c.all, func(k string) bool { return known[k] }) == len(c.all)
 }
 
 // NextTick is when a Tick is due.
--- a/internal/copies/golden_test.go
+++ b/internal/cluster/replication/golden_test.go
@@ -1,4 +1,4 @@
-package copies
+package replication
 
 import (
 	"testing"
--- a/internal/copies/messages.go
+++ b/internal/cluster/replication/messages.go
@@ -1,9 +1,9 @@
-package copies
+package replication
 
 import (
 	"cmp"
 
-	"woaddyke/internal/keepers"
+	"woaddyke/internal/cluster/replicaset"
 )
 
 // Incarnation is one process that votes under a keeper's name: a later one has a greater number.
@@ -59,23 +59,23 @@
 
 // Message is what a scheduler and a keeper, or two keepers, tell each other.
 type Message struct {
-	Kind              Kind          `cbor:"1,keyasint,omitzero"`
-	SetID             uint64        `cbor:"2,keyasint,omitzero"`
-	RequestID         uint64        `cbor:"3,keyasint,omitzero"` // of a Grab or a Tell, for its answer
-	Incarnation       Incarnation   `cbor:"4,keyasint,omitzero"` // of the keeper that sends it
-	Voters            []Voter       `cbor:"5,keyasint,omitzero"`
-	Record            Record        `cbor:"6,keyasint,omitzero"` // what it is about: of a Grab or Tell with one fate
-	Reason            RefusalReason `cbor:"7,keyasint,omitzero"`
-	Voting            bool          `cbor:"8,keyasint,omitzero"`
-	Ready             bool          `cbor:"9,keyasint,omitzero"`  // beside Voting
-	Set               keepers.Set   `cbor:"10,keyasint,omitzero"` // InForce
-	FormerIncarnation Incarnation   `cbor:"11,keyasint,omitzero"` // Registered: which process voted under that name before, as this keeper knows it
-	LogIncarnation    Incarnation   `cbor:"12,keyasint,omitzero"` // Pull and Piece: whose order of changes
-	After             uint64        `cbor:"13,keyasint,omitzero"`
-	Next              uint64        `cbor:"14,keyasint,omitzero"`
-	More              bool          `cbor:"15,keyasint,omitzero"`
-	Records           []Record      `cbor:"16,keyasint,omitzero"` // Fetched
-	Digests           []uint64      `cbor:"17,keyasint,omitzero"` // Piece, Fetch and Fetched: of records as they stand there
+	Kind              Kind           `cbor:"1,keyasint,omitzero"`
+	SetID             uint64         `cbor:"2,keyasint,omitzero"`
+	RequestID         uint64         `cbor:"3,keyasint,omitzero"` // of a Grab or a Tell, for its answer
+	Incarnation       Incarnation    `cbor:"4,keyasint,omitzero"` // of the keeper that sends it
+	Voters            []Voter        `cbor:"5,keyasint,omitzero"`
+	Record            Record         `cbor:"6,keyasint,omitzero"` // what it is about: of a Grab or Tell with one fate
+	Reason            RefusalReason  `cbor:"7,keyasint,omitzero"`
+	Voting            bool           `cbor:"8,keyasint,omitzero"`
+	Ready             bool           `cbor:"9,keyasint,omitzero"`  // beside Voting
+	Set               replicaset.Set `cbor:"10,keyasint,omitzero"` // InForce
+	FormerIncarnation Incarnation    `cbor:"11,keyasint,omitzero"` // Registered: which process voted under that name before, as this keeper knows it
+	LogIncarnation    Incarnation    `cbor:"12,keyasint,omitzero"` // Pull and Piece: whose order of changes
+	After             uint64         `cbor:"13,keyasint,omitzero"`
+	Next              uint64         `cbor:"14,keyasint,omitzero"`
+	More              bool           `cbor:"15,keyasint,omitzero"`
+	Records           []Record       `cbor:"16,keyasint,omitzero"` // Fetched
+	Digests           []uint64       `cbor:"17,keyasint,omitzero"` // Piece, Fetch and Fetched: of records as they stand there
 }
 
 // RequiresDurability tells whether a message is a keeper's word for records: it is not true of one whose disk has not taken them, as it would forget.
@@ -139,7 +139,7 @@
 }
 
 // AdoptSet is a set that has been agreed.
-type AdoptSet struct{ keepers.Set }
+type AdoptSet struct{ replicaset.Set }
 
 // PersistFailed says that records do not last any more: this keeper has no vote from now on.
 type PersistFailed struct {
@@ -230,7 +230,7 @@
 }
 
 // SetAdopted is a set that this process goes by from now on.
-type SetAdopted struct{ keepers.Set }
+type SetAdopted struct{ replicaset.Set }
 
 // ReplicasReady says that a majority of the new keepers of a turn know what the old ones knew.
 type ReplicasReady struct{ Epoch uint64 }
--- a/internal/copies/record.go
+++ b/internal/cluster/replication/record.go
@@ -1,4 +1,4 @@
-package copies
+package replication
 
 import (
 	"cmp"
@@ -7,11 +7,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"woaddyke/internal/members"
+	"woaddyke/internal/cluster/membership"
 )
 
 // Time is a moment in tenths of a millisecond on a clock that only goes forward, as members take it.
-type Time = members.Time
+type Time = membership.Time
 
 // Stage is how far a claim has come. A later one stands over an earlier one.
 type Stage uint8
--- a/internal/copies/record_test.go
+++ b/internal/cluster/replication/record_test.go
@@ -1,4 +1,4 @@
-package copies
+package replication
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"woaddyke/internal/keepers"
+	"woaddyke/internal/cluster/replicaset"
 )
 
 func drawRecord(t *rapid.T, label string) Record {
@@ -74,7 +74,7 @@
 
 // A keeper of another set of keepers has no vote in this one, and a set may not stand twice.
 func TestKeepersOfAnotherSetDoNotCount(t *testing.T) {
-	epoch := func(names ...string) uint64 { return keepers.Configured(names).ID() }
+	epoch := func(names ...string) uint64 { return replicaset.Configured(names).ID() }
 	if epoch("a", "b", "c") != epoch("c", "a", "b") || epoch("a", "b", "c") == epoch("a", "b", "d") {
 		t.Error("a set's name must be of its members, in any order")
 	}
--- a/internal/copies/keeper.go
+++ b/internal/cluster/replication/replica.go
@@ -1,11 +1,11 @@
-package copies
+package replication
 
 import (
 	"maps"
 	"slices"
 	"strings"
 
-	"woaddyke/internal/keepers"
+	"woaddyke/internal/cluster/replicaset"
 )
 
 // hear takes a message.
@@ -303,11 +303,11 @@
 		return // nothing is left to begin: this stands in the way of every message
 	}
 	part := c.set.Quorums()[0]
-	others := keepers.Count(part, func(k string) bool { return k != c.t.Name })
-	enough := min(keepers.ReadQuorum(len(part)), others)
+	others := replicaset.Count(part, func(k string) bool { return k != c.t.Name })
+	enough := min(replicaset.ReadQuorum(len(part)), others)
 	registered := func(k string) bool { l := c.looks[k]; return l != nil && l.registered == c.life }
-	caught := keepers.Count(part, func(k string) bool { return registered(k) && c.looks[k].voting && c.looks[k].through })
-	known := keepers.Count(part, registered)
+	caught := replicaset.Count(part, func(k string) bool { return registered(k) && c.looks[k].voting && c.looks[k].through })
+	known := replicaset.Count(part, registered)
 	if c.voting || c.unkept {
 		c.becomeReady(part, caught)
 		return
@@ -341,7 +341,7 @@
 	if c.own && slices.Contains(old, c.t.Name) {
 		caught++
 	}
-	if !c.ready && caught >= keepers.ReadQuorum(len(old)) {
+	if !c.ready && caught >= replicaset.ReadQuorum(len(old)) {
 		c.ready = true
 		c.do(Event{"knows what the keepers before knew", ""})
 	}
@@ -349,7 +349,7 @@
 		l := c.looks[k]
 		return k == c.t.Name && c.ready || l != nil && l.registered == c.life && l.ready
 	}
-	if keepers.Count(c.set.New, ready) >= keepers.Majority(len(c.set.New)) {
+	if replicaset.Count(c.set.New, ready) >= replicaset.Majority(len(c.set.New)) {
 		c.do(ReplicasReady{c.set.Epoch})
 	}
 }
@@ -388,7 +388,7 @@
 
 // adopt goes by another set from now on. A keeper that stays one keeps its vote: what it granted, it knows. Claims that are being asked
 // for begin anew: what was granted under another set does not count.
-func (c *Core) adopt(s keepers.Set) {
+func (c *Core) adopt(s replicaset.Set) {
 	if !s.Supersedes(c.set) {
 		return
 	}
--- a/internal/copies/play/change_test.go
+++ b/internal/cluster/replication/simulation/change_test.go
@@ -1,4 +1,4 @@
-package play
+package simulation
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"woaddyke/internal/copies"
-	"woaddyke/internal/keepers"
+	"woaddyke/internal/cluster/replicaset"
+	"woaddyke/internal/cluster/replication"
 )
 
 // changing is a cluster whose keepers change by agreement, once that is founded.
@@ -104,7 +104,7 @@
 		for k := range 30 {
 			p.outcome(6, fmt.Sprint("x", k))
 		}
-		if got := p.outcome(6, "new"); got != copies.Granted {
+		if got := p.outcome(6, "new"); got != replication.Granted {
 			t.Errorf("seed %d: the new keepers give nothing: %v", seed, got)
 		}
 		p.clean(t)
@@ -120,7 +120,7 @@
 		for i := 2; i < 5; i++ { // one that hears who is ready
 			led = led || p.places[i].agree.IsLeader()
 		}
-		p.Lose = func(to string, x copies.Message) bool {
+		p.Lose = func(to string, x replication.Message) bool {
 			return to == "n0" || to == "n1" || to == "n5" // all of them at first, so that three others grant
 		}
 		p.Want(7, "x")
@@ -129,8 +129,8 @@
 			t.Fatalf("seed %d: not given", seed)
 		}
 		for _, mute := range []string{"n0 n1 n5", "n0 n1"} { // then one of the three knows: that is not enough
-			p.Lose = func(to string, x copies.Message) bool {
-				return strings.Contains(mute, to) && x.Kind == copies.DigestPage
+			p.Lose = func(to string, x replication.Message) bool {
+				return strings.Contains(mute, to) && x.Kind == replication.DigestPage
 			}
 			for range 4 {
 				p.Change(6, 0, 1, 5)
@@ -167,7 +167,7 @@
 	p.Run(begin + 8*Second)
 	refused := 0
 	for _, op := range p.History {
-		if op.What == "asked" && op.At >= begin && op.Outcome == copies.NoQuorum {
+		if op.What == "asked" && op.At >= begin && op.Outcome == replication.NoQuorum {
 			refused++
 		}
 	}
@@ -175,7 +175,7 @@
 		t.Errorf("keepers %v; %d of %d ops refused meanwhile", p.Core(5).Set(), refused, n)
 	}
 	p.Kill(1) // two of the new three are enough
-	if got := p.outcome(5, "z"); got != copies.Granted {
+	if got := p.outcome(5, "z"); got != replication.Granted {
 		t.Errorf("with two of the new three: %v", got)
 	}
 	p.clean(t)
@@ -220,7 +220,7 @@
 		p.outcome(6, "x")
 		p.Resume(7)
 		p.Run(p.Now() + 2*Second)
-		if got := p.outcome(7, "y"); got != copies.Granted {
+		if got := p.outcome(7, "y"); got != replication.Granted {
 			t.Errorf("seed %d: it has not learned who keeps: %v, %v", seed, got, p.Core(7).Set())
 		}
 		p.clean(t)
@@ -321,7 +321,7 @@
 		t.Fatal(p.Core(4).Set())
 	}
 	p.tickets++ // by one who saw the set before
-	p.agree(p.places[4], p.Core(4), keepers.ChangeRequest{RequestID: p.tickets, Epoch: 1, Replicas: []string{"n0", "n2", "n3"}})
+	p.agree(p.places[4], p.Core(4), replicaset.ChangeRequest{RequestID: p.tickets, Epoch: 1, Replicas: []string{"n0", "n2", "n3"}})
 	p.Run(p.Now() + 3*Second)
 	if a := p.Answers[p.tickets]; a.Done || !strings.Contains(a.Text, "have changed meanwhile") {
 		t.Errorf("from a set that is no more: %+v", a)
--- a/internal/copies/play/figures_test.go
+++ b/internal/cluster/replication/simulation/figures_test.go
@@ -1,4 +1,4 @@
-package play
+package simulation
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"woaddyke/internal/copies"
+	"woaddyke/internal/cluster/replication"
 )
 
 // What catch-up costs, for the record: `CATCHUP=100000 go test -run CatchUpFigures -v` plays a keeper that comes back without its memory,
@@ -34,11 +34,11 @@
 			kept := 0
 			tell := func(n int, to ...int) { // as if so many ops had ended: each known at those keepers
 				for k := range n {
-					r := copies.Record{Key: fmt.Sprintf("charge\x00%016x", kept+k), Fingerprint: 1, Outcomes: []copies.Outcome{{Claim: copies.Claim{Scheduler: "n3", Nonce: uint64(kept + k)},
-						Stage: copies.Ended, Verdict: 200, ResultRetained: true, Result: []byte("charged, and here is what the client was told of it: 0123456789")}}}
+					r := replication.Record{Key: fmt.Sprintf("charge\x00%016x", kept+k), Fingerprint: 1, Outcomes: []replication.Outcome{{Claim: replication.Claim{Scheduler: "n3", Nonce: uint64(kept + k)},
+						Stage: replication.Ended, Verdict: 200, ResultRetained: true, Result: []byte("charged, and here is what the client was told of it: 0123456789")}}}
 					for _, i := range to {
 						pl := p.places[i]
-						pl.core.Step(p.Now(), copies.MessageReceived{From: "n3", Message: copies.Message{Kind: copies.OutcomeReported, SetID: pl.core.SetID(), Record: r}})
+						pl.core.Step(p.Now(), replication.MessageReceived{From: "n3", Message: replication.Message{Kind: replication.OutcomeReported, SetID: pl.core.SetID(), Record: r}})
 					}
 				}
 				kept += n
@@ -52,11 +52,11 @@
 			}
 			tell(n, 0, 1)
 			bytes, missed := 0, 0
-			text, _ := cbor.Marshal(copies.Record{Key: fmt.Sprintf("charge\x00%016x", 1), Fingerprint: 1, Outcomes: []copies.Outcome{{Claim: copies.Claim{Scheduler: "n3", Nonce: 1 << 60},
-				Stage: copies.Ended, Verdict: 200, ResultRetained: true, Result: []byte(strings.Repeat("x", 64))}}})
+			text, _ := cbor.Marshal(replication.Record{Key: fmt.Sprintf("charge\x00%016x", 1), Fingerprint: 1, Outcomes: []replication.Outcome{{Claim: replication.Claim{Scheduler: "n3", Nonce: 1 << 60},
+				Stage: replication.Ended, Verdict: 200, ResultRetained: true, Result: []byte(strings.Repeat("x", 64))}}})
 			missed = n * len(text)
-			p.Weigh = func(e copies.Send) {
-				if e.To == "n2" && (e.Kind == copies.DigestPage || e.Kind == copies.Fetched) {
+			p.Weigh = func(e replication.Send) {
+				if e.To == "n2" && (e.Kind == replication.DigestPage || e.Kind == replication.Fetched) {
 					text, _ := cbor.Marshal(e.Message)
 					bytes += len(text)
 				}
@@ -98,7 +98,7 @@
 		}
 		p.Run(6 * Second)
 		messages, bytes := 0, 0
-		p.Weigh = func(e copies.Send) {
+		p.Weigh = func(e replication.Send) {
 			text, _ := cbor.Marshal(e.Message)
 			messages, bytes = messages+1, bytes+len(text)
 		}
--- a/internal/copies/play/history_test.go
+++ b/internal/cluster/replication/simulation/history_test.go
@@ -1,4 +1,4 @@
-package play
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"woaddyke/internal/copies"
+	"woaddyke/internal/cluster/replication"
 )
 
 // fate is an op as if there were one scheduler: who has it, and whether it has ended.
@@ -32,10 +32,10 @@
 			}
 			return false, s
 		}
-		switch output.(copies.ClaimResult) {
-		case copies.Granted:
+		switch output.(replication.ClaimResult) {
+		case replication.Granted:
 			return s.holder == 0, fate{holder: op.Claim}
-		case copies.AlreadyAnswered, copies.AlreadyEnded:
+		case replication.AlreadyAnswered, replication.AlreadyEnded:
 			return s.ended, s
 		}
 		return true, s // it was not given, whoever has it
@@ -81,7 +81,7 @@
 				t.Fatalf("seed %d: the history of %s is not that of one scheduler", seed, key)
 			}
 			for _, op := range ops {
-				if op.Output == copies.Granted {
+				if op.Output == replication.Granted {
 					given++
 				}
 			}
@@ -95,12 +95,12 @@
 // A judge that takes every history proves nothing.
 func TestTheJudgeOfHistoriesSeesADouble(t *testing.T) {
 	mine := func(claim int, call, end int64) porcupine.Operation {
-		return porcupine.Operation{ClientId: claim, Input: Op{What: "asked", Claim: claim}, Output: copies.Granted, Call: call, Return: end}
+		return porcupine.Operation{ClientId: claim, Input: Op{What: "asked", Claim: claim}, Output: replication.Granted, Call: call, Return: end}
 	}
 	if porcupine.CheckOperations(oneScheduler, []porcupine.Operation{mine(1, 0, 10), mine(2, 5, 20)}) {
 		t.Error("an op that was given twice")
 	}
-	released := porcupine.Operation{ClientId: 3, Input: Op{What: "released", Claim: 1}, Output: copies.ClaimResult(0), Call: 12, Return: 12}
+	released := porcupine.Operation{ClientId: 3, Input: Op{What: "released", Claim: 1}, Output: replication.ClaimResult(0), Call: 12, Return: 12}
 	if !porcupine.CheckOperations(oneScheduler, []porcupine.Operation{mine(1, 0, 10), released, mine(2, 13, 20)}) {
 		t.Error("an op that was given back")
 	}
--- a/internal/copies/play/play.go
+++ b/internal/cluster/replication/simulation/simulation.go
@@ -1,6 +1,6 @@
-// Package play plays a whole cluster of schedulers and keepers under one seed in virtual time, with crashes, pauses, cuts, lost memory
+// Package simulation plays a whole cluster of schedulers and keepers under one seed in virtual time, with crashes, pauses, cuts, lost memory
 // and messages that are lost, doubled and late, and judges what it did by what the schedulers were told.
-package play
+package simulation
 
 import (
 	"fmt"
@@ -8,13 +8,13 @@
 	"math/rand/v2"
 	"slices"
 
-	"woaddyke/internal/copies"
-	"woaddyke/internal/keepers"
-	"woaddyke/internal/virtual"
+	"woaddyke/internal/cluster/replicaset"
+	"woaddyke/internal/cluster/replication"
+	"woaddyke/internal/testsupport/simclock"
 )
 
 // Time is the core's.
-type Time = copies.Time
+type Time = replication.Time
 
 // Spans in the unit of Time.
 const (
@@ -29,19 +29,19 @@
 	Key     string
 	Claim   int // numbers wants
 	What    string
-	Outcome copies.ClaimResult
+	Outcome replication.ClaimResult
 	Asked   Time
 }
 
 // Place is where processes of one name run: two at once where a second one is started while the first stands still.
 type place struct {
 	name       string
-	core       *copies.Core
+	core       *replication.Core
 	up         bool
 	paused     bool
 	waits      []func()
 	life       uint64
-	agree      *keepers.Core // nil where keepers do not change
+	agree      *replicaset.Core // nil where keepers do not change
 	disk       *disk
 	diskFails  bool // its disk takes nothing now
 	diskFailed bool // nor did it, some time since its process started
@@ -49,11 +49,11 @@
 
 // disk is what lasts of a place.
 type disk struct {
-	state   keepers.State
-	records map[string]copies.Record
+	state   replicaset.State
+	records map[string]replication.Record
 	first   map[string]Time // when each was first heard of
-	seen    map[string]copies.ReplicationCursor
-	life    copies.Incarnation
+	seen    map[string]replication.ReplicationCursor
+	life    replication.Incarnation
 	epoch   uint64
 }
 
@@ -65,9 +65,9 @@
 
 // Play is one cluster.
 type Play struct {
-	virtual.Clock[Time]
+	simclock.Clock[Time]
 	Rand    *rand.Rand
-	Terms   copies.Config
+	Terms   replication.Config
 	Loss    float64
 	Dup     float64
 	Delay   Time
@@ -87,27 +87,27 @@
 	repeats  map[string]map[string]bool // key: claims under which it was repeated
 	Records  int                        // that were sent to who lacked them
 	Digests  int                        // that were sent
-	Weigh    func(copies.Send)          // hears of each message; nil for nobody
+	Weigh    func(replication.Send)     // hears of each message; nil for nobody
 	Answers  map[uint64]Answer
-	Agreed   bool                                   // keepers have disks, and change by agreement
-	Rule     keepers.Config                         // of the agreement
-	Lose     func(to string, x copies.Message) bool // which messages are lost besides; nil for none
-	Crash    float64                                // chance to end after each round of what a process does, anywhere among its messages
-	Turns    map[uint64]int                         // turns that came into force, and at how many processes
-	Failed   int                                    // rounds that a disk did not take
+	Agreed   bool                                        // keepers have disks, and change by agreement
+	Rule     replicaset.Config                           // of the agreement
+	Lose     func(to string, x replication.Message) bool // which messages are lost besides; nil for none
+	Crash    float64                                     // chance to end after each round of what a process does, anywhere among its messages
+	Turns    map[uint64]int                              // turns that came into force, and at how many processes
+	Failed   int                                         // rounds that a disk did not take
 }
 
 type want struct {
 	key   string
 	by    *place
-	core  *copies.Core
+	core  *replication.Core
 	asked Time
 }
 
 // New makes a cluster of so many schedulers, the first of which are keepers.
 func New(n, count int, seed uint64) *Play {
-	p := &Play{Rand: rand.New(rand.NewPCG(seed, 0x706c6179)), Terms: copies.Defaults(), Delay: 5, byName: map[string]*place{},
-		cuts: map[[2]string]bool{}, wants: map[uint64]want{}, holder: map[string]string{}, first: map[string]ran{}, repeats: map[string]map[string]bool{}, Answers: map[uint64]Answer{}, Turns: map[uint64]int{}, Rule: keepers.Defaults()}
+	p := &Play{Rand: rand.New(rand.NewPCG(seed, 0x706c6179)), Terms: replication.Defaults(), Delay: 5, byName: map[string]*place{},
+		cuts: map[[2]string]bool{}, wants: map[uint64]want{}, holder: map[string]string{}, first: map[string]ran{}, repeats: map[string]map[string]bool{}, Answers: map[uint64]Answer{}, Turns: map[uint64]int{}, Rule: replicaset.Defaults()}
 	p.Terms.AmnesiaHoldOff, p.Terms.Retention = 5*Second, 600*Second
 	for i := range count {
 		p.Terms.Replicas = append(p.Terms.Replicas, fmt.Sprint("n", i))
@@ -126,37 +126,37 @@
 	t := p.Terms
 	t.Name, t.Seed, t.Nonce, t.DynamicReplicas = pl.name, p.Rand.Uint64(), p.Rand.Uint64(), p.Agreed
 	pl.life++
-	pl.core, pl.up, pl.paused, pl.waits, pl.diskFailed = copies.New(t, p.Now()), true, false, nil, false
+	pl.core, pl.up, pl.paused, pl.waits, pl.diskFailed = replication.New(t, p.Now()), true, false, nil, false
 	if p.Agreed {
 		if pl.disk == nil {
-			pl.disk = &disk{state: keepers.State{VoterID: p.Rand.Uint64()>>1 | 1}, records: map[string]copies.Record{}, first: map[string]Time{}, seen: map[string]copies.ReplicationCursor{}}
+			pl.disk = &disk{state: replicaset.State{VoterID: p.Rand.Uint64()>>1 | 1}, records: map[string]replication.Record{}, first: map[string]Time{}, seen: map[string]replication.ReplicationCursor{}}
 		}
 		a := p.Rule
 		a.Name, a.Replicas, a.Seed = pl.name, t.Replicas, p.Rand.Uint64()
-		pl.agree = keepers.New(a, pl.disk.state, p.Now())
+		pl.agree = replicaset.New(a, pl.disk.state, p.Now())
 		pl.core.AdoptStored(pl.agree.Set())
 		life := pl.disk.life
 		if pl.disk.epoch != pl.core.SetID() {
-			life = copies.Incarnation{}
+			life = replication.Incarnation{}
 		}
-		var records []copies.Record
+		var records []replication.Record
 		for _, k := range slices.Sorted(maps.Keys(pl.disk.records)) {
 			r := pl.disk.records[k]
 			r.Age = uint64((p.Now() - pl.disk.first[k]) / Second)
 			records = append(records, r)
 		}
-		var seen []copies.ReplicationCursor
+		var seen []replication.ReplicationCursor
 		for _, k := range slices.Sorted(maps.Keys(pl.disk.seen)) {
 			seen = append(seen, pl.disk.seen[k])
 		}
 		pl.core.Restore(records, life, seen)
-		p.agree(pl, pl.core, keepers.Membership{Serving: true})
+		p.agree(pl, pl.core, replicaset.Membership{Serving: true})
 	}
-	p.feed(pl, pl.core, copies.Membership{Serving: true, Generation: pl.life})
+	p.feed(pl, pl.core, replication.Membership{Serving: true, Generation: pl.life})
 	for _, other := range p.places {
 		if other != pl && other.up && p.Agreed {
-			p.feed(other, other.core, copies.PeerStatus{Name: pl.name})
-			p.feed(pl, pl.core, copies.PeerStatus{Name: other.name})
+			p.feed(other, other.core, replication.PeerStatus{Name: pl.name})
+			p.feed(pl, pl.core, replication.PeerStatus{Name: other.name})
 		}
 	}
 	p.tick(pl, pl.core)
@@ -185,7 +185,7 @@
 func (p *Play) See(i int, here bool) {
 	for _, pl := range p.places {
 		if pl.up && pl.agree != nil && pl != p.places[i] {
-			p.agree(pl, pl.core, keepers.PeerStatus{Name: p.places[i].name, Alive: here})
+			p.agree(pl, pl.core, replicaset.PeerStatus{Name: p.places[i].name, Alive: here})
 		}
 	}
 }
@@ -201,16 +201,16 @@
 	for _, k := range want {
 		names = append(names, p.places[k].name)
 	}
-	p.agree(pl, pl.core, keepers.ChangeRequest{RequestID: p.tickets, Epoch: pl.agree.Set().Epoch, Replicas: names})
+	p.agree(pl, pl.core, replicaset.ChangeRequest{RequestID: p.tickets, Epoch: pl.agree.Set().Epoch, Replicas: names})
 	return p.tickets
 }
 
-func (p *Play) tick(pl *place, core *copies.Core) {
+func (p *Play) tick(pl *place, core *replication.Core) {
 	p.At(p.Now()+MS*5, func() {
 		if pl.core == core && pl.up {
-			p.feed(pl, core, copies.Tick{})
+			p.feed(pl, core, replication.Tick{})
 			if pl.agree != nil && pl.agree.NextTick() <= p.Now() {
-				p.agree(pl, core, keepers.Tick{})
+				p.agree(pl, core, replicaset.Tick{})
 			}
 			p.tick(pl, core)
 		}
@@ -268,7 +268,7 @@
 	}
 	p.tickets++
 	ticket := p.tickets
-	in := copies.ClaimRequest{RequestID: ticket, Key: key, Fingerprint: 1, Timeout: 5 * Second}
+	in := replication.ClaimRequest{RequestID: ticket, Key: key, Fingerprint: 1, Timeout: 5 * Second}
 	if key[0] == 'd' {
 		in.Window = p.Window
 	}
@@ -281,12 +281,12 @@
 }
 
 // decided judges an outcome: of one op, no two claims may be used.
-func (p *Play) decided(d copies.ClaimDecided) {
+func (p *Play) decided(d replication.ClaimDecided) {
 	w := p.wants[d.RequestID]
 	claim := fmt.Sprint(d.RequestID)
 	p.History = append(p.History, Op{At: p.Now(), By: w.by.name, Key: w.key, Claim: int(d.RequestID), What: "asked", Outcome: d.Result, Asked: w.asked})
 	switch d.Result {
-	case copies.Granted:
+	case replication.Granted:
 		p.Granted++
 		if d.Outcome.Group != "" {
 			p.boundTo(w, claim, d)
@@ -312,10 +312,10 @@
 					p.holder[w.key] = "" // from here on it pushes nothing
 				}
 				p.History = append(p.History, Op{At: p.Now(), By: w.by.name, Key: w.key, Claim: int(d.RequestID), What: map[bool]string{true: "released", false: "ended"}[unsent]})
-				p.feed(w.by, w.core, copies.OpEnded{RequestID: d.RequestID, NeverRan: unsent, Verdict: 200, Result: []byte(claim), ResultRetained: true})
+				p.feed(w.by, w.core, replication.OpEnded{RequestID: d.RequestID, NeverRan: unsent, Verdict: 200, Result: []byte(claim), ResultRetained: true})
 			})
 		}
-	case copies.AlreadyAnswered:
+	case replication.AlreadyAnswered:
 		if p.repeats[w.key][string(d.Outcome.Result)] {
 			return // it ran under another claim as well, where that was dropped
 		}
@@ -340,7 +340,7 @@
 			return
 		}
 		p.first[w.key] = ran{where, p.Now()}
-		p.feed(w.by, w.core, copies.MayHaveRun{RequestID: ticket, Group: where})
+		p.feed(w.by, w.core, replication.MayHaveRun{RequestID: ticket, Group: where})
 		p.finish(w, claim, ticket)
 	})
 }
@@ -352,15 +352,15 @@
 	}
 	p.At(p.Now()+Time(p.Rand.IntN(60_000)), func() {
 		if p.Rand.IntN(3) == 0 { // nacked: a repeat is harmless, there
-			p.feed(w.by, w.core, copies.OpEnded{RequestID: ticket, Abandoned: true})
+			p.feed(w.by, w.core, replication.OpEnded{RequestID: ticket, Abandoned: true})
 			return
 		}
-		p.feed(w.by, w.core, copies.OpEnded{RequestID: ticket, Verdict: 200, Result: []byte(claim), ResultRetained: true})
+		p.feed(w.by, w.core, replication.OpEnded{RequestID: ticket, Verdict: 200, Result: []byte(claim), ResultRetained: true})
 	})
 }
 
 // boundTo judges a claim that is given beside another one: only in the group where that ran, within the window, and told no younger.
-func (p *Play) boundTo(w want, claim string, d copies.ClaimDecided) {
+func (p *Play) boundTo(w want, claim string, d replication.ClaimDecided) {
 	p.Bound++
 	f, ok := p.first[w.key]
 	switch {
@@ -382,13 +382,13 @@
 func (p *Play) Hold(i int, gone bool) {
 	for _, pl := range p.places {
 		if pl.up && pl != p.places[i] {
-			p.feed(pl, pl.core, copies.PeerStatus{Name: p.places[i].name, Dead: gone})
+			p.feed(pl, pl.core, replication.PeerStatus{Name: p.places[i].name, Dead: gone})
 		}
 	}
 }
 
 // awake tells whether a process takes an input now; one that stands still takes it when it goes on.
-func (p *Play) awake(pl *place, core *copies.Core, later func()) bool {
+func (p *Play) awake(pl *place, core *replication.Core, later func()) bool {
 	if !pl.up || pl.core != core {
 		return false
 	}
@@ -398,20 +398,20 @@
 	return !pl.paused
 }
 
-func (p *Play) feed(pl *place, core *copies.Core, in copies.Input) {
+func (p *Play) feed(pl *place, core *replication.Core, in replication.Input) {
 	if !p.awake(pl, core, func() { p.feed(pl, core, in) }) {
 		return
 	}
 	effects := core.Step(p.Now(), in)
 	kept := p.keep(pl, core, effects) // what must last does before anything is sent
-	var owed []copies.Input
+	var owed []replication.Input
 	if !kept {
-		owed = append(owed, copies.PersistFailed{Keys: copies.PersistedKeys(effects)})
+		owed = append(owed, replication.PersistFailed{Keys: replication.PersistedKeys(effects)})
 	}
 	for _, e := range effects {
-		if e, ok := e.(copies.SetAdopted); ok {
+		if e, ok := e.(replication.SetAdopted); ok {
 			p.Turns[e.Epoch]++
-			kept = p.agree(pl, core, keepers.SetLearned{Set: e.Set}) && kept
+			kept = p.agree(pl, core, replicaset.SetLearned{Set: e.Set}) && kept
 		}
 	}
 	for _, e := range effects {
@@ -419,17 +419,17 @@
 			return
 		}
 		switch e := e.(type) {
-		case copies.ClaimDecided:
-			if !kept && e.Result == copies.Granted { // its own vote may be among those that granted it
-				e = copies.ClaimDecided{RequestID: e.RequestID, Result: copies.NoQuorum}
-				owed = append(owed, copies.OpEnded{RequestID: e.RequestID, NeverRan: true})
+		case replication.ClaimDecided:
+			if !kept && e.Result == replication.Granted { // its own vote may be among those that granted it
+				e = replication.ClaimDecided{RequestID: e.RequestID, Result: replication.NoQuorum}
+				owed = append(owed, replication.OpEnded{RequestID: e.RequestID, NeverRan: true})
 			}
 			p.decided(e)
-		case copies.ReplicasReady:
+		case replication.ReplicasReady:
 			if kept {
-				p.agree(pl, core, keepers.ReplicasReady{Epoch: e.Epoch})
+				p.agree(pl, core, replicaset.ReplicasReady{Epoch: e.Epoch})
 			}
-		case copies.Send:
+		case replication.Send:
 			if !kept && e.RequiresDurability() {
 				continue
 			}
@@ -441,7 +441,7 @@
 			if p.Lose != nil && p.Lose(e.To, e.Message) {
 				continue
 			}
-			p.send(pl, e.To, func(to *place) { p.feed(to, to.core, copies.MessageReceived{From: pl.name, Message: e.Message}) })
+			p.send(pl, e.To, func(to *place) { p.feed(to, to.core, replication.MessageReceived{From: pl.name, Message: e.Message}) })
 		}
 	}
 	for _, in := range owed {
@@ -450,10 +450,10 @@
 }
 
 // keep puts on a place's disk what a round of effects asks for; false where that failed.
-func (p *Play) keep(pl *place, core *copies.Core, effects []copies.Effect) bool {
-	lasts := slices.ContainsFunc(effects, func(e copies.Effect) bool {
+func (p *Play) keep(pl *place, core *replication.Core, effects []replication.Effect) bool {
+	lasts := slices.ContainsFunc(effects, func(e replication.Effect) bool {
 		switch e.(type) {
-		case copies.Persist, copies.Delete, copies.ReplicationCursor, copies.IncarnationPersisted:
+		case replication.Persist, replication.Delete, replication.ReplicationCursor, replication.IncarnationPersisted:
 			return pl.disk != nil
 		}
 		return false
@@ -467,13 +467,13 @@
 	}
 	for _, e := range effects {
 		switch e := e.(type) {
-		case copies.Persist:
+		case replication.Persist:
 			pl.disk.records[e.Key], pl.disk.first[e.Key] = e.Record, p.Now()-Time(e.Age)*Second
-		case copies.Delete:
+		case replication.Delete:
 			delete(pl.disk.records, e.Key)
-		case copies.ReplicationCursor:
+		case replication.ReplicationCursor:
 			pl.disk.seen[e.Replica] = e
-		case copies.IncarnationPersisted:
+		case replication.IncarnationPersisted:
 			pl.disk.life, pl.disk.epoch = e.Incarnation, core.SetID()
 		}
 	}
@@ -481,13 +481,13 @@
 }
 
 // agree feeds the agreement; false where its state could not be put where it lasts.
-func (p *Play) agree(pl *place, core *copies.Core, in keepers.Input) bool {
+func (p *Play) agree(pl *place, core *replication.Core, in replicaset.Input) bool {
 	if !p.awake(pl, core, func() { p.agree(pl, core, in) }) {
 		return true
 	}
 	effects := pl.agree.Step(p.Now(), in)
 	for _, e := range effects {
-		e, ok := e.(keepers.Persist)
+		e, ok := e.(replicaset.Persist)
 		if !ok {
 			continue
 		}
@@ -496,8 +496,8 @@
 			pl.disk.state = e.State
 		}
 		if failed {
-			pl.agree.Step(p.Now(), keepers.PersistFailed{})
-			p.feed(pl, core, copies.PersistFailed{})
+			pl.agree.Step(p.Now(), replicaset.PersistFailed{})
+			p.feed(pl, core, replication.PersistFailed{})
 			return false
 		}
 	}
@@ -506,17 +506,17 @@
 			return true
 		}
 		switch e := e.(type) {
-		case keepers.Send:
+		case replicaset.Send:
 			p.send(pl, e.To, func(to *place) {
 				if to.agree != nil {
-					p.agree(to, to.core, keepers.MessageReceived{From: pl.name, Message: e.Message})
+					p.agree(to, to.core, replicaset.MessageReceived{From: pl.name, Message: e.Message})
 				}
 			})
-		case keepers.SetAgreed:
-			p.feed(pl, core, copies.AdoptSet{Set: e.Set})
-		case keepers.ChangeResult:
+		case replicaset.SetAgreed:
+			p.feed(pl, core, replication.AdoptSet{Set: e.Set})
+		case replicaset.ChangeResult:
 			p.Answers[e.RequestID] = Answer{e.OK, e.Message}
-		case keepers.Event:
+		case replicaset.Event:
 			if e.Description == "takes no part in changes of keepers any more" {
 				p.breach("%s: %s", pl.name, e.Subject)
 			}
@@ -526,7 +526,7 @@
 }
 
 // crashes has a process end among what it does, by chance, and come back.
-func (p *Play) crashes(pl *place, core *copies.Core) bool {
+func (p *Play) crashes(pl *place, core *replication.Core) bool {
 	if pl.core != core || !pl.up {
 		return true
 	}
@@ -565,7 +565,7 @@
 }
 
 // Core is what runs at a place, nil for nothing.
-func (p *Play) Core(i int) *copies.Core {
+func (p *Play) Core(i int) *replication.Core {
 	if pl := p.places[i]; pl.up {
 		return pl.core
 	}
--- a/internal/copies/play/play_test.go
+++ b/internal/cluster/replication/simulation/simulation_test.go
@@ -1,4 +1,4 @@
-package play
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strconv"
 	"testing"
 
-	"woaddyke/internal/copies"
+	"woaddyke/internal/cluster/replication"
 )
 
 func cluster(n, keepers int, seed uint64) *Play {
@@ -19,7 +19,7 @@
 }
 
 // outcome has one scheduler ask and tells what it was told.
-func (p *Play) outcome(i int, key string) copies.ClaimResult {
+func (p *Play) outcome(i int, key string) replication.ClaimResult {
 	k := len(p.History)
 	p.Want(i, key)
 	p.Run(p.Now() + Second)
@@ -122,7 +122,7 @@
 	}
 }
 
-func wants(t *testing.T, got, want copies.ClaimResult) {
+func wants(t *testing.T, got, want replication.ClaimResult) {
 	t.Helper()
 	if got != want {
 		t.Errorf("%v, not %v", got, want)
@@ -139,7 +139,7 @@
 		p.Run(p.Now() + 2*Second)
 		mine := 0
 		for _, op := range p.History {
-			if op.Outcome == copies.Granted {
+			if op.Outcome == replication.Granted {
 				mine++
 			}
 		}
@@ -160,27 +160,27 @@
 		t.Fatal("not granted")
 	}
 	p.Kill(4)
-	wants(t, p.outcome(3, "x"), copies.InProgress)
+	wants(t, p.outcome(3, "x"), replication.InProgress)
 	for i := range 4 {
-		p.feed(p.places[i], p.places[i].core, copies.PeerStatus{Name: "n4", Dead: true})
+		p.feed(p.places[i], p.places[i].core, replication.PeerStatus{Name: "n4", Dead: true})
 	}
-	wants(t, p.outcome(3, "x"), copies.OutcomeUnknown)
+	wants(t, p.outcome(3, "x"), replication.OutcomeUnknown)
 }
 
 // Half the keepers gone: nothing is granted, and nothing is guessed.
 func TestAMajorityLostAndBack(t *testing.T) {
 	p := cluster(5, 3, 1)
 	p.Kill(0)
-	wants(t, p.outcome(4, "a"), copies.Granted)
+	wants(t, p.outcome(4, "a"), replication.Granted)
 	p.Kill(1)
-	wants(t, p.outcome(4, "b"), copies.NoQuorum)
+	wants(t, p.outcome(4, "b"), replication.NoQuorum)
 	p.Start(0)
 	p.Start(1)
 	p.Run(p.Now() + 500*MS)
-	wants(t, p.outcome(4, "c"), copies.NoQuorum) // two keepers without their memory: one that has it is too few
+	wants(t, p.outcome(4, "c"), replication.NoQuorum) // two keepers without their memory: one that has it is too few
 	p.Run(p.Now() + 5*Second)
-	wants(t, p.outcome(4, "c"), copies.Granted)
-	if got := p.outcome(3, "a"); got == copies.Granted {
+	wants(t, p.outcome(4, "c"), replication.Granted)
+	if got := p.outcome(3, "a"); got == replication.Granted {
 		t.Errorf("what was claimed before is given again")
 	}
 }
@@ -241,9 +241,9 @@
 	}
 	p.Run(6 * Second)
 	for k := range 10 {
-		wants(t, p.outcome(3, fmt.Sprint("x", k)), copies.Granted)
+		wants(t, p.outcome(3, fmt.Sprint("x", k)), replication.Granted)
 	}
-	wants(t, p.outcome(3, "one more"), copies.NoQuorum)
+	wants(t, p.outcome(3, "one more"), replication.NoQuorum)
 	for k := range 10 {
 		p.outcome(3, fmt.Sprint("x", k))
 	}
@@ -270,9 +270,9 @@
 			p.Run(p.Now() + 3*Second)
 			unsure, mine := 0, 0
 			for _, op := range p.History[before:] {
-				if op.What == "asked" && op.Outcome == copies.NoQuorum {
+				if op.What == "asked" && op.Outcome == replication.NoQuorum {
 					unsure++
-				} else if op.Outcome == copies.Granted {
+				} else if op.Outcome == replication.Granted {
 					mine++
 				}
 			}
--- a/internal/store/bench_test.go
+++ b/internal/cluster/store/bench_test.go
@@ -5,11 +5,11 @@
 	"path/filepath"
 	"testing"
 
-	"woaddyke/internal/boottime"
-	"woaddyke/internal/copies"
+	"woaddyke/internal/cluster/replication"
+	"woaddyke/internal/lifecycle/boottime"
 )
 
-func batch(from, n int) (all []copies.Record) {
+func batch(from, n int) (all []replication.Record) {
 	for i := range n {
 		all = append(all, record(fmt.Sprintf("charge\x00%016x", (from+i)*0x9e3779b9)))
 	}
--- a/internal/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -11,9 +11,9 @@
 
 	"go.etcd.io/bbolt"
 
-	"woaddyke/internal/boottime"
-	"woaddyke/internal/copies"
-	"woaddyke/internal/keepers"
+	"woaddyke/internal/cluster/replicaset"
+	"woaddyke/internal/cluster/replication"
+	"woaddyke/internal/lifecycle/boottime"
 	"woaddyke/internal/testsupport/golden"
 )
 
@@ -98,21 +98,21 @@
 
 // goldenContent is all that a keeper's file holds.
 type goldenContent struct {
-	Records   []copies.Record // in order of their keys
-	Life      copies.Incarnation
+	Records   []replication.Record // in order of their keys
+	Life      replication.Incarnation
 	Epoch     uint64
-	Seen      []copies.ReplicationCursor // in order of their keepers
-	Agreement keepers.State
+	Seen      []replication.ReplicationCursor // in order of their keepers
+	Agreement replicaset.State
 }
 
 // newGoldenContent is content with every field set, and a record with a claim of each stage.
 func newGoldenContent(t *testing.T) goldenContent {
 	t.Helper()
 	content := filled[goldenContent](t)
-	stages := []copies.Stage{copies.Claimed, copies.Released, copies.Abandoned, copies.Ended}
-	fates := make([]copies.Outcome, len(stages))
+	stages := []replication.Stage{replication.Claimed, replication.Released, replication.Abandoned, replication.Ended}
+	fates := make([]replication.Outcome, len(stages))
 	for i, stage := range stages {
-		fates[i] = filled[copies.Outcome](t)
+		fates[i] = filled[replication.Outcome](t)
 		fates[i].Stage = stage
 		fates[i].Scheduler = fmt.Sprintf("scheduler-%d", i)
 		fates[i].Group = fmt.Sprintf("group-%d", i)
--- a/internal/store/store.go
+++ b/internal/cluster/store/store.go
@@ -11,9 +11,9 @@
 	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/bbolt"
 
-	"woaddyke/internal/boottime"
-	"woaddyke/internal/copies"
-	"woaddyke/internal/keepers"
+	"woaddyke/internal/cluster/replicaset"
+	"woaddyke/internal/cluster/replication"
+	"woaddyke/internal/lifecycle/boottime"
 )
 
 const (
@@ -43,8 +43,8 @@
 
 // row is a record as it stands on the disk.
 type row struct {
-	Record copies.Record `cbor:"1,keyasint"`
-	First  int64         `cbor:"3,keyasint"` // ms on the file's clock at which it was first heard of; of a moment before that it is negative
+	Record replication.Record `cbor:"1,keyasint"`
+	First  int64              `cbor:"3,keyasint"` // ms on the file's clock at which it was first heard of; of a moment before that it is negative
 }
 
 // clock is what the moments of rows are told by: the clock of one start of the machine. When the file is opened after another start,
@@ -141,7 +141,7 @@
 
 // Load reads all records, and as which life, of which set of keepers, they were kept; false for a file that is new, or whose keeper had
 // not caught up. From here on the file goes by the clock of now.
-func (s *Store) Load(now boottime.Reading) (records []copies.Record, life copies.Incarnation, epoch uint64, ok bool, err error) {
+func (s *Store) Load(now boottime.Reading) (records []replication.Record, life replication.Incarnation, epoch uint64, ok bool, err error) {
 	err = s.db.Update(func(tx *bbolt.Tx) error {
 		if err := goBy(tx, now); err != nil {
 			return err
@@ -151,8 +151,8 @@
 		if len(l) != 16 {
 			return nil
 		}
-		life = copies.Incarnation{Generation: binary.BigEndian.Uint64(l), Nonce: binary.BigEndian.Uint64(l[8:])}
-		ok = life != copies.Incarnation{}
+		life = replication.Incarnation{Generation: binary.BigEndian.Uint64(l), Nonce: binary.BigEndian.Uint64(l[8:])}
+		ok = life != replication.Incarnation{}
 		if e := meta.Get(epochKey); len(e) == 8 {
 			epoch = binary.BigEndian.Uint64(e)
 		}
@@ -176,10 +176,10 @@
 }
 
 // Cursors reads up to where each other keeper's changes are in the file.
-func (s *Store) Cursors() (all []copies.ReplicationCursor, err error) {
+func (s *Store) Cursors() (all []replication.ReplicationCursor, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(seenName).ForEach(func(_, v []byte) error {
-			var x copies.ReplicationCursor
+			var x replication.ReplicationCursor
 			err := cbor.Unmarshal(v, &x)
 			all = append(all, x)
 			return err
@@ -192,7 +192,7 @@
 }
 
 // SaveCursors notes that they are there up to a position.
-func (s *Store) SaveCursors(all []copies.ReplicationCursor) error {
+func (s *Store) SaveCursors(all []replication.ReplicationCursor) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		for _, x := range all {
 			v, err := cbor.Marshal(x)
@@ -208,7 +208,7 @@
 }
 
 // SetIncarnation notes as which life the file is whole from now on; a zero one: it is not.
-func (s *Store) SetIncarnation(life copies.Incarnation, epoch uint64) error {
+func (s *Store) SetIncarnation(life replication.Incarnation, epoch uint64) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaName)
 		l := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, life.Generation), life.Nonce)
@@ -217,7 +217,7 @@
 }
 
 // Agreement reads what lasts of the agreement on who keeps copies; false for a file that has none.
-func (s *Store) Agreement() (state keepers.State, ok bool, err error) {
+func (s *Store) Agreement() (state replicaset.State, ok bool, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		text := tx.Bucket(metaName).Get(agreedKey)
 		if ok = text != nil; !ok {
@@ -233,7 +233,7 @@
 
 // SaveAgreement puts the agreement's state down. It is on the disk when this returns without an error, with sync off as well: a vote that is
 // forgotten may be given twice.
-func (s *Store) SaveAgreement(state keepers.State) error {
+func (s *Store) SaveAgreement(state replicaset.State) error {
 	text, err := cbor.Marshal(state)
 	if err == nil {
 		err = s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(metaName).Put(agreedKey, text) })
@@ -246,7 +246,7 @@
 
 // Write puts records in and takes others out, all in one step; when it returns without an error they last. It is called after Load, on
 // the same start of the machine.
-func (s *Store) Write(now boottime.Reading, put []copies.Record, drop []string) error {
+func (s *Store) Write(now boottime.Reading, put []replication.Record, drop []string) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		if err := clockAt(now).write(tx.Bucket(metaName)); err != nil {
 			return err
--- a/internal/store/store_test.go
+++ b/internal/cluster/store/store_test.go
@@ -10,13 +10,13 @@
 
 	"go.etcd.io/bbolt"
 
-	"woaddyke/internal/boottime"
-	"woaddyke/internal/copies"
-	"woaddyke/internal/keepers"
+	"woaddyke/internal/cluster/replicaset"
+	"woaddyke/internal/cluster/replication"
+	"woaddyke/internal/lifecycle/boottime"
 )
 
-func record(key string) copies.Record {
-	return copies.Record{Key: key, Fingerprint: 3, Age: 5, Outcomes: []copies.Outcome{{Claim: copies.Claim{Scheduler: "n", Nonce: 9}, Stage: copies.Claimed, Voted: true}}}
+func record(key string) replication.Record {
+	return replication.Record{Key: key, Fingerprint: 3, Age: 5, Outcomes: []replication.Outcome{{Claim: replication.Claim{Scheduler: "n", Nonce: 9}, Stage: replication.Claimed, Voted: true}}}
 }
 
 // A keeper that comes back must know what it granted, as which life; and nobody else may use its file meanwhile.
@@ -30,18 +30,18 @@
 	if _, _, _, ok, err := s.Load(now); ok || err != nil {
 		t.Errorf("a new file: %v, %v", ok, err)
 	}
-	life := copies.Incarnation{Generation: 4, Nonce: 7}
+	life := replication.Incarnation{Generation: 4, Nonce: 7}
 	if err := s.SetIncarnation(life, 11); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Write(now, []copies.Record{record("a\x00x"), record("b\x00y")}, nil); err != nil {
+	if err := s.Write(now, []replication.Record{record("a\x00x"), record("b\x00y")}, nil); err != nil {
 		t.Fatal(err)
 	}
 	aged := record("c\x00z")
 	aged.Outcomes[0].Age = 5
-	state := keepers.State{VoterID: 3, GroupID: 5, Set: keepers.Set{GroupID: 5, Epoch: 2, New: []string{"n"}}, Entries: [][]byte{{1}}}
-	seen := []copies.ReplicationCursor{{Replica: "m", Incarnation: life, Position: 6}}
-	if err := errors.Join(s.Write(now, []copies.Record{aged}, nil), s.SaveAgreement(state), s.SaveCursors(seen)); err != nil {
+	state := replicaset.State{VoterID: 3, GroupID: 5, Set: replicaset.Set{GroupID: 5, Epoch: 2, New: []string{"n"}}, Entries: [][]byte{{1}}}
+	seen := []replication.ReplicationCursor{{Replica: "m", Incarnation: life, Position: 6}}
+	if err := errors.Join(s.Write(now, []replication.Record{aged}, nil), s.SaveAgreement(state), s.SaveCursors(seen)); err != nil {
 		t.Fatal(err)
 	}
 	if got, _, _, _, _ := s.Load(now); got[2].Outcomes[0].Age != 0 {
@@ -87,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = errors.Join(s.SetIncarnation(copies.Incarnation{Generation: 1}, 1), s.Write(at("first", 990), []copies.Record{record("a")}, nil), // 5 s old
+	err = errors.Join(s.SetIncarnation(replication.Incarnation{Generation: 1}, 1), s.Write(at("first", 990), []replication.Record{record("a")}, nil), // 5 s old
 		s.Write(at("first", 997), nil, []string{"none"}), s.Close())
 	if err != nil {
 		t.Fatal(err)
@@ -123,7 +123,7 @@
 		t.Fatal(err)
 	}
 	now := boottime.Reading{BootID: "first", SinceBoot: time.Hour}
-	if err := errors.Join(s.Write(now, []copies.Record{record("a")}, nil), s.SetIncarnation(copies.Incarnation{Generation: 1}, 1)); err != nil {
+	if err := errors.Join(s.Write(now, []replication.Record{record("a")}, nil), s.SetIncarnation(replication.Incarnation{Generation: 1}, 1)); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.db.Update(func(tx *bbolt.Tx) error {
@@ -149,7 +149,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.SetIncarnation(copies.Incarnation{Generation: 1}, 1)
+	s.SetIncarnation(replication.Incarnation{Generation: 1}, 1)
 	s.Close()
 	text, _ := os.ReadFile(path)
 	for i := range min(len(text), 8192) {
--- a/internal/codecheck/codecheck_test.go
+++ b/internal/codepolicy/codepolicy_test.go
@@ -1,6 +1,6 @@
-// Package codecheck holds rules on this project's own code that no compiler checks: where the wall clock may be read, and who may write
+// Package codepolicy holds rules on this project's own code that no compiler checks: where the wall clock may be read, and who may write
 // to a worker.
-package codecheck
+package codepolicy
 
 import (
 	"go/ast"
@@ -90,11 +90,10 @@
 	held(t, uses(t, func(on ast.Expr, name string) bool {
 		return slices.Contains(wall, name) && !isPackage(on, "math")
 	}), map[string]string{
-		"internal/roster/starts.go UnixMilli":    "boot_ms is discovery's Unix time; it is held against this machine's clock of the start, here alone",
-		"internal/clientconn/clientconn.go Unix": "a deadline long past, to end a wait; no clock is read",
-		"internal/mesh/mesh.go Unix":             "the same",
-		"internal/front/peers.go Unix":           "the same",
-		"internal/keepers/keepers.go Round":      "a field of a message, no time",
+		"internal/workers/discovery/start_times.go UnixMilli": "boot_ms is discovery's Unix time; it is held against this machine's clock of the start, here alone",
+		"internal/frontend/clientconn/clientconn.go Unix":     "a deadline long past, to end a wait; no clock is read",
+		"internal/cluster/mesh/mesh.go Unix":                  "the same",
+		"internal/frontend/peers.go Unix":                     "the same",
 	})
 }
 
@@ -103,11 +102,11 @@
 	held(t, uses(t, func(on ast.Expr, name string) bool {
 		return isPackage(on, "syscall") && name == "Write" || name == "Dialer" || isPackage(on, "net") && strings.HasPrefix(name, "Dial")
 	}), map[string]string{
-		"internal/workerconn/exchange.go Write":      "the one write of a push or a probe",
-		"internal/workerconn/workerconn.go Dialer":   "the one dial of a worker",
-		"internal/roster/unread.go Dialer":           "discovery",
-		"internal/mesh/mesh.go Dialer":               "other members",
-		"internal/fragmentpeer/fragmentpeer.go Dial": "peers of tests; the program does not have it",
-		"internal/handover/pass/pass.go DialTimeout": "the process before, on a Unix socket",
+		"internal/workers/workerconn/exchange.go Write":                  "the one write of a push or a probe",
+		"internal/workers/workerconn/workerconn.go Dialer":               "the one dial of a worker",
+		"internal/workers/discovery/unread_data.go Dialer":               "discovery",
+		"internal/cluster/mesh/mesh.go Dialer":                           "other members",
+		"internal/testsupport/fragmentpeer/fragmentpeer.go Dial":         "peers of tests; the program does not have it",
+		"internal/lifecycle/hotrestart/transfer/transfer.go DialTimeout": "the process before, on a Unix socket",
 	})
 }
--- a/internal/terms/terms.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package terms holds the terms under which a scheduler works: the site's settings as a flat map of names to
+// Package config holds the terms under which a scheduler works: the site's settings as a flat map of names to
 // values, and what the fields of a load report mean. Every front hands them to the module in this form.
-package terms
+package config
 
 import (
 	"encoding/json"
--- a/internal/operator/operator.go
+++ b/internal/config/features/features.go
@@ -1,6 +1,6 @@
-// Package operator reads the operator's own file: what this project offers beyond the platform's configuration, all of it off
+// Package features reads the operator's own file: what this project offers beyond the platform's configuration, all of it off
 // where the file does not name it. Each subsystem owns a table of it, with its defaults and its checks.
-package operator
+package features
 
 import (
 	"bytes"
--- a/internal/operator/operator_test.go
+++ b/internal/config/features/features_test.go
@@ -1,4 +1,4 @@
-package operator
+package features
 
 import (
 	"errors"
--- a/internal/terms/reread.go
+++ b/internal/config/reload.go
@@ -1,4 +1,4 @@
-package terms
+package config
 
 import (
 	"errors"
--- a/internal/front/apart_test.go
+++ b/internal/frontend/apart_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/terms"
+	"woaddyke/internal/config"
 )
 
 // Buffers, header maps and connections are used again: nothing of one client's op may be seen in another's, at the worker or in an
@@ -84,7 +84,7 @@
 	known := fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`, worker.Listener.Addr())
 	sheet := sheetOf(t, known)
 	sheet.Discovery = silent.Listener.Addr().String()
-	sheet.Settings = terms.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 1.0},
+	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 1.0},
 		"categories": []any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 1e9, "targetLatencyNs": 1e9}}})
 	f, err := New(sheet, zerolog.Nop())
 	if err != nil {
