--- a/internal/front/attempts.go
+++ b/internal/frontend/attempts.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"sync"
@@ -7,10 +7,10 @@
 	"github.com/rs/zerolog"
 
 	"woaddyke/dispatch"
-	"woaddyke/internal/guard"
-	"woaddyke/internal/ops"
-	"woaddyke/internal/outcome"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/config"
+	"woaddyke/internal/observe/invariant"
+	"woaddyke/internal/scheduler/reducer"
+	"woaddyke/internal/workers/outcome"
 )
 
 // What an op may be pushed for is decided in the module. Here each push is held once more against the plain rules, by what was done with
@@ -25,7 +25,7 @@
 // attempt is one push of an op.
 type attempt struct {
 	worker  string
-	group   ops.Group
+	group   reducer.Group
 	decided time.Time
 	out     bool
 	how     outcome.Ending
@@ -59,22 +59,22 @@
 }
 
 // allows is why a rule forbids a further push to a group now; empty where it does not.
-func (all attempts) allows(r terms.CategoryRule, to ops.Group, now time.Time) guard.Reason {
+func (all attempts) allows(r config.CategoryRule, to reducer.Group, now time.Time) invariant.Reason {
 	first := all.running()
 	if first == nil || r.Effect == redeliverable {
 		return ""
 	}
 	if r.Effect != deduplicated {
-		return guard.MayHaveRun
+		return invariant.MayHaveRun
 	}
 	if !now.Before(first.decided.Add(r.Window)) || !sameGroup(r.Scope, first.group, to) {
-		return guard.OutsideGroup
+		return invariant.OutsideGroup
 	}
 	return ""
 }
 
 // harmless tells whether a nack keeps its promise under a rule.
-func (all attempts) harmless(r terms.CategoryRule, now time.Time) bool {
+func (all attempts) harmless(r config.CategoryRule, now time.Time) bool {
 	first := all.running()
 	if first == nil || r.Effect == redeliverable {
 		return true
@@ -87,7 +87,7 @@
 	deduplicated  = "deduplicated"
 )
 
-func sameGroup(scope string, a, b ops.Group) bool {
+func sameGroup(scope string, a, b reducer.Group) bool {
 	switch scope {
 	case "zone":
 		return a.Zone == b.Zone
@@ -106,7 +106,7 @@
 }
 
 // list takes what discovery tells.
-func (w *watched) list(in ops.EndpointsChanged, now time.Time) {
+func (w *watched) list(in reducer.EndpointsChanged, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	named := map[string]bool{}
@@ -151,12 +151,12 @@
 }
 
 // rules are those that an op may go by: as they were when it came, and as they are in force.
-func (l *loop) rules(h *held) [2]terms.CategoryRule {
-	return [2]terms.CategoryRule{h.rule, l.rule(h.Category)}
+func (l *loop) rules(h *held) [2]config.CategoryRule {
+	return [2]config.CategoryRule{h.rule, l.rule(h.Category)}
 }
 
 // begin holds a push against the rules, and notes it.
-func (l *loop) begin(now time.Time, h *held, e ops.Push) {
+func (l *loop) begin(now time.Time, h *held, e reducer.Push) {
 	l.checkStart(h)
 	l.checkRepeat(now, h, e)
 	h.pushes = append(h.pushes, attempt{worker: e.Worker, group: e.Group, decided: now, out: true})
@@ -167,36 +167,36 @@
 		return
 	}
 	if by, taken := l.byID[h.ID]; taken && by != h.Op {
-		l.guard.Violated(guard.Starting, guard.DuplicateID, h.states)
+		l.guard.Violated(invariant.Starting, invariant.DuplicateID, h.states)
 	}
 	l.byID[h.ID] = h.Op
 	if l.granted != nil && h.ticket == 0 && l.granted(h.Category) && h.rule == l.rule(h.Category) {
-		l.guard.Violated(guard.Starting, guard.NotGranted, h.states)
+		l.guard.Violated(invariant.Starting, invariant.NotGranted, h.states)
 	}
 }
 
-func (l *loop) checkRepeat(now time.Time, h *held, e ops.Push) {
+func (l *loop) checkRepeat(now time.Time, h *held, e reducer.Push) {
 	sent := 0
 	for i := range h.pushes {
 		if h.pushes[i].out {
-			l.guard.Violated(guard.Repeating, guard.AttemptInFlight, h.states)
+			l.guard.Violated(invariant.Repeating, invariant.AttemptInFlight, h.states)
 		}
 		if h.pushes[i].sent() {
 			sent++
 		}
 	}
 	if sent >= max(h.mostPushes, l.mostPushes()) {
-		l.guard.Violated(guard.Repeating, guard.AttemptsExceeded, h.states)
+		l.guard.Violated(invariant.Repeating, invariant.AttemptsExceeded, h.states)
 	}
 	rules := l.rules(h)
 	why, also := h.pushes.allows(rules[0], e.Group, now), h.pushes.allows(rules[1], e.Group, now)
 	if why != "" && also != "" {
-		l.guard.Violated(guard.Repeating, why, h.states)
+		l.guard.Violated(invariant.Repeating, why, h.states)
 	}
 }
 
 // noteEnd notes how a push ended.
-func (l *loop) noteEnd(in ops.AttemptEnded) {
+func (l *loop) noteEnd(in reducer.AttemptEnded) {
 	h := l.held[in.Op]
 	if h == nil || len(h.pushes) == 0 {
 		return
@@ -206,34 +206,34 @@
 }
 
 // checkAnswer holds an op's answer against the rules, and lets go of its id.
-func (l *loop) checkAnswer(now time.Time, h *held, e ops.Respond) {
+func (l *loop) checkAnswer(now time.Time, h *held, e reducer.Respond) {
 	if l.byID[h.ID] == h.Op {
 		delete(l.byID, h.ID)
 	}
 	rules := l.rules(h)
-	if e.Verdict == ops.Nacked && !h.pushes.harmless(rules[0], now) && !h.pushes.harmless(rules[1], now) {
-		l.guard.Violated(guard.Repeating, guard.NotHarmless, h.states)
+	if e.Verdict == reducer.Nacked && !h.pushes.harmless(rules[0], now) && !h.pushes.harmless(rules[1], now) {
+		l.guard.Violated(invariant.Repeating, invariant.NotHarmless, h.states)
 	}
 }
 
 // sending holds the first byte of a push against the rules. It is called just before that is written, by whoever writes it.
 func (l *loop) sending(h *held, worker string, left time.Duration) {
 	now := time.Now()
-	broken := func(why guard.Reason) {
-		l.guard.Violated(guard.Sending, why, func(e *zerolog.Event) {
+	broken := func(why invariant.Reason) {
+		l.guard.Violated(invariant.Sending, why, func(e *zerolog.Event) {
 			e.Uint64("op", h.Op).Str("id", h.ID).Str("worker", worker).Dur("told_ms", left).Dur("left_ms", h.until.Sub(now))
 		})
 	}
 	if looked := h.looked.Load(); looked == nil || now.Sub(*looked) > lookedWithin {
-		broken(guard.ClientGone)
+		broken(invariant.ClientGone)
 	}
 	if now.After(h.until) {
-		broken(guard.PastTTL)
+		broken(invariant.PastTTL)
 	}
 	if left > h.until.Sub(now)+toldMore {
-		broken(guard.DeadlineTooLong)
+		broken(invariant.DeadlineTooLong)
 	}
 	if !l.workers.takes(worker, now) {
-		broken(guard.WorkerDraining)
+		broken(invariant.WorkerDraining)
 	}
 }
--- a/internal/front/bench_test.go
+++ b/internal/frontend/bench_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"bufio"
@@ -16,10 +16,10 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
 
-	"woaddyke/internal/fragmentpeer"
-	"woaddyke/internal/outcome"
-	"woaddyke/internal/terms"
-	"woaddyke/internal/workerconn"
+	"woaddyke/internal/config"
+	"woaddyke/internal/testsupport/fragmentpeer"
+	"woaddyke/internal/workers/outcome"
+	"woaddyke/internal/workers/workerconn"
 )
 
 // segment is what IPv4, and TCP with time stamps, put before the bytes of a segment.
@@ -101,8 +101,8 @@
 // thousands of workers, and over one that is kept.
 func BenchmarkProbe(b *testing.B) {
 	addr := answering(b)
-	f, err := New(&terms.Bootstrap{Discovery: "127.0.0.1:1", Limits: terms.Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
-		Settings: terms.Flatten(map[string]any{"categories": []any{map[string]any{"name": "look", "ttlNs": 3e9}}})}, zerolog.Nop())
+	f, err := New(&config.Bootstrap{Discovery: "127.0.0.1:1", Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
+		Settings: config.Flatten(map[string]any{"categories": []any{map[string]any{"name": "look", "ttlNs": 3e9}}})}, zerolog.Nop())
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/front/fates.go
+++ b/internal/frontend/claims.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"context"
@@ -9,15 +9,15 @@
 	"time"
 
 	"woaddyke/dispatch"
-	"woaddyke/internal/copies"
-	"woaddyke/internal/ops"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/cluster/replication"
+	"woaddyke/internal/config"
+	"woaddyke/internal/scheduler/reducer"
 )
 
 // ClaimRegistry guards ops that must not run twice over all schedulers together.
 type ClaimRegistry interface {
 	// Claim waits for whether an op may be pushed, at most so long.
-	Claim(ctx context.Context, category, id string, request []byte, within, window time.Duration) copies.ClaimDecided
+	Claim(ctx context.Context, category, id string, request []byte, within, window time.Duration) replication.ClaimDecided
 	// MayHaveRun says that it may have run, in a group that drops repeats.
 	MayHaveRun(ticket uint64, where string)
 	// Finish says what became of one that may.
@@ -41,32 +41,32 @@
 	d := f.fates.Claim(r.Context(), h.Category, h.ID, request, left, rule.Window)
 	f.log.Debug().Str("id", h.ID).Stringer("outcome", d.Result).Stringer("why", d.Reason).Msg("asked for")
 	switch d.Result {
-	case copies.Granted:
+	case replication.Granted:
 		h.ticket, h.scope = d.RequestID, rule.Scope
 		if d.Outcome.Group != "" {
-			at := terms.RoundDown(f.loop.clock.Now()) - dispatch.Time(d.Outcome.Age)
-			h.PriorAttempt, h.placed = &ops.PriorAttempt{Group: groupOf(d.Outcome.Group), StartedAt: at}, true
+			at := config.RoundDown(f.loop.clock.Now()) - dispatch.Time(d.Outcome.Age)
+			h.PriorAttempt, h.placed = &reducer.PriorAttempt{Group: groupOf(d.Outcome.Group), StartedAt: at}, true
 		}
 		return nil
-	case copies.AlreadyAnswered:
+	case replication.AlreadyAnswered:
 		return plain(r, int(d.Outcome.Verdict), d.Outcome.Result, 0)
-	case copies.AlreadyEnded:
+	case replication.AlreadyEnded:
 		if d.Outcome.Verdict == http.StatusOK {
 			return plain(r, http.StatusConflict, []byte("an op with this id was acked; its answer is not held\n"), 0)
 		}
 		return plain(r, http.StatusBadGateway, []byte("dead-lettered: an op with this id may have run\n"), 0)
-	case copies.InProgress:
+	case replication.InProgress:
 		return plain(r, http.StatusServiceUnavailable, []byte("nacked: another scheduler holds an op with this id\n"), comeBack)
-	case copies.OutcomeUnknown:
+	case replication.OutcomeUnknown:
 		return plain(r, http.StatusBadGateway, []byte("dead-lettered: an op with this id may have run, and its scheduler is gone\n"), 0)
-	case copies.FingerprintMismatch:
+	case replication.FingerprintMismatch:
 		return plain(r, http.StatusUnprocessableEntity, []byte("another request came under this id\n"), 0)
 	}
 	return plain(r, http.StatusServiceUnavailable, []byte("nacked: no majority of keepers answered\n"), comeBack)
 }
 
 // whereOf names the group of a push, by what its category's repeats are dropped by.
-func whereOf(scope string, g ops.Group) string {
+func whereOf(scope string, g reducer.Group) string {
 	switch scope {
 	case "zone":
 		return "zone " + strconv.Quote(g.Zone)
@@ -77,8 +77,8 @@
 }
 
 // groupOf is the group that whereOf named; what it says nothing of is nowhere here.
-func groupOf(where string) ops.Group {
-	g := ops.Group{WorkerGroup: -1}
+func groupOf(where string) reducer.Group {
+	g := reducer.Group{WorkerGroup: -1}
 	kind, name, _ := strings.Cut(where, " ")
 	switch kind {
 	case "zone":
@@ -102,17 +102,17 @@
 }
 
 // settle has the keepers know what became of an op that was asked for.
-func (f *Server) settle(h *held, a ops.Respond) {
+func (f *Server) settle(h *held, a reducer.Respond) {
 	switch a.Verdict {
-	case ops.Acked:
+	case reducer.Acked:
 		f.fates.Finish(h.ticket, false, http.StatusOK, a.Result)
-	case ops.Nacked:
+	case reducer.Nacked:
 		if h.placed { // it may have run: its group drops a repeat, for a while, and nobody else does
 			f.fates.Abandon(h.ticket)
 			return
 		}
 		f.fates.Finish(h.ticket, true, 0, nil)
-	case ops.UnknownCategory, ops.DuplicateID:
+	case reducer.UnknownCategory, reducer.DuplicateID:
 		f.fates.Finish(h.ticket, true, 0, nil)
 	default:
 		f.fates.Finish(h.ticket, false, http.StatusBadGateway, []byte("dead-lettered\n"))
--- a/internal/clientconn/clientconn.go
+++ b/internal/frontend/clientconn/clientconn.go
@@ -15,8 +15,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"woaddyke/internal/oserror"
-	"woaddyke/internal/workerconn"
+	"woaddyke/internal/base/oserror"
+	"woaddyke/internal/workers/workerconn"
 )
 
 const (
--- a/internal/clientconn/clientconn_test.go
+++ b/internal/frontend/clientconn/clientconn_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/workerconn"
+	"woaddyke/internal/workers/workerconn"
 )
 
 // listening makes room for so many on a listener of its own.
--- a/internal/clientconn/last_test.go
+++ b/internal/frontend/clientconn/last_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/workerconn"
+	"woaddyke/internal/workers/workerconn"
 )
 
 // instant is a listener whose connections call a hook before each read of theirs: what a test does there crosses the read.
--- a/internal/front/drain.go
+++ b/internal/frontend/drain.go
@@ -1,18 +1,18 @@
-package front
+package frontend
 
 import (
 	"sync"
 	"time"
 
-	"woaddyke/internal/clientconn"
-	"woaddyke/internal/drain"
+	"woaddyke/internal/frontend/clientconn"
+	"woaddyke/internal/lifecycle/clientdrain"
 )
 
 // drainer carries out a drain: it closes the connections whose wait is over.
 type drainer struct {
 	clients *clientconn.Pool
 	mu      sync.Mutex
-	d       drain.State
+	d       clientdrain.State
 	runs    bool
 }
 
--- a/internal/front/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/drain"
-	"woaddyke/internal/handover"
+	"woaddyke/internal/lifecycle/clientdrain"
+	"woaddyke/internal/lifecycle/hotrestart"
 )
 
 // ask sends a request on a connection, and tells the answer's status and whether it ends the connection.
@@ -70,7 +70,7 @@
 	}
 	// An op that comes late would still be held when none may be; its client may come again elsewhere.
 	f.drain.mu.Lock()
-	f.drain.d = drain.State{}
+	f.drain.d = clientdrain.State{}
 	f.drain.d.Start(time.Now().Add(-3 * time.Second))
 	f.drain.mu.Unlock()
 	op := fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\n%s: a\r\n%s: look\r\n%s: 9000\r\nContent-Length: 0\r\n\r\n", idHeader,
@@ -101,7 +101,7 @@
 	if err != nil || len(sockets) != 1 {
 		t.Fatalf("%d sockets, %v", len(sockets), err)
 	}
-	state, err := handover.DecodeState(text)
+	state, err := hotrestart.DecodeState(text)
 	if err != nil || !state.ClientsDrained || len(state.Learned) == 0 {
 		t.Fatalf("%s, %v", text, err)
 	}
@@ -147,7 +147,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if state, err := handover.DecodeState(text); err != nil || !strings.Contains(string(state.Learned), `"ids"`) {
+	if state, err := hotrestart.DecodeState(text); err != nil || !strings.Contains(string(state.Learned), `"ids"`) {
 		t.Errorf("nothing learned is handed over: %q, %v", state.Learned, err)
 	}
 }
--- a/internal/front/figures_test.go
+++ b/internal/frontend/figures_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/tally"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/config"
+	"woaddyke/internal/observe/metrics"
 )
 
 // book is what the driver itself knows of the requests of one category.
@@ -49,7 +49,7 @@
 	t.Cleanup(worker.Close)
 	sheet := sheetOf(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
 		worker.Listener.Addr()))
-	sheet.Settings = terms.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 1.0, "cancel": true},
+	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 1.0, "cancel": true},
 		"categories": []any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 60e9, "targetLatencyNs": 60e9}}})
 	f, err := New(sheet, zerolog.Nop())
 	if err != nil {
@@ -58,7 +58,7 @@
 	addr, _ := serveUntil(t, f)
 	var look, other book
 	pushed := 0
-	sum := func(o tally.OpCounts) int { return o.Succeeded + o.Rejected + o.Failed + o.Disconnected }
+	sum := func(o metrics.OpCounts) int { return o.Succeeded + o.Rejected + o.Failed + o.Disconnected }
 	// agree waits until the figures say what the book says: the last of an answer is counted just behind it.
 	agree := func(step string) {
 		t.Helper()
@@ -68,8 +68,8 @@
 			if x.RequestsRead != sum(k)+sum(x.Other)+x.OpsInFlight {
 				t.Fatalf("%s: %+v do not add up", step, x)
 			}
-			if k == (tally.OpCounts{Succeeded: look.served, Rejected: look.refused, Failed: look.failed, Disconnected: look.gone,
-				Attempts: pushed}) && x.Other == (tally.OpCounts{Failed: other.failed}) && x.OpsInFlight == look.held {
+			if k == (metrics.OpCounts{Succeeded: look.served, Rejected: look.refused, Failed: look.failed, Disconnected: look.gone,
+				Attempts: pushed}) && x.Other == (metrics.OpCounts{Failed: other.failed}) && x.OpsInFlight == look.held {
 				return
 			}
 			if time.Now().After(until) {
--- a/internal/front/front.go
+++ b/internal/frontend/frontend.go
@@ -1,6 +1,6 @@
-// Package front serves clients: it takes ops over HTTP, hands each to the loop that runs the reducer, and
+// Package frontend serves clients: it takes ops over HTTP, hands each to the loop that runs the reducer, and
 // answers when the op has its one final answer.
-package front
+package frontend
 
 import (
 	"bytes"
@@ -21,16 +21,16 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/clientconn"
-	"woaddyke/internal/clock"
-	"woaddyke/internal/guard"
-	"woaddyke/internal/handover"
-	"woaddyke/internal/ops"
-	"woaddyke/internal/overflow"
-	"woaddyke/internal/roster"
-	"woaddyke/internal/tally"
-	"woaddyke/internal/terms"
-	"woaddyke/internal/workerconn"
+	"woaddyke/internal/base/spillqueue"
+	"woaddyke/internal/config"
+	"woaddyke/internal/frontend/clientconn"
+	"woaddyke/internal/lifecycle/clock"
+	"woaddyke/internal/lifecycle/hotrestart"
+	"woaddyke/internal/observe/invariant"
+	"woaddyke/internal/observe/metrics"
+	"woaddyke/internal/scheduler/reducer"
+	"woaddyke/internal/workers/discovery"
+	"woaddyke/internal/workers/workerconn"
 )
 
 const (
@@ -53,10 +53,10 @@
 
 // Server is one scheduler on sockets.
 type Server struct {
-	sheet    *terms.Bootstrap
+	sheet    *config.Bootstrap
 	loop     *loop
-	roster   *roster.Client
-	starts   *roster.StartTimes
+	roster   *discovery.Client
+	starts   *discovery.StartTimes
 	proxy    *httputil.ReverseProxy
 	log      zerolog.Logger
 	numbers  atomic.Uint64
@@ -65,21 +65,21 @@
 	leaving  atomic.Bool // answers end their connections
 	ready    chan struct{}
 	clients  *clientconn.Pool
-	tally    *tally.Recorder
+	tally    *metrics.Recorder
 
-	changes *overflow.Queue[message] // of other schedulers, to the loop
+	changes *spillqueue.Queue[message] // of other schedulers, to the loop
 
 	acceptLogged atomic.Pointer[time.Time] // when a failure of accept was logged last
 
 	inForce  atomic.Pointer[settings]
 	reserved int // descriptors for what runs beside it in this process
 	drain    *drainer
-	peersAt  *net.UDPConn               // that of the process before, nil without one
-	others   func() *tally.MemberCounts // nil where this is no member
-	lost     func() uint64              // lines of the log, nil where nobody counts
-	shared   *sharing                   // nil: only the own discovery counts
-	known    ops.EndpointsChanged       // as remembered at the start
-	fates    ClaimRegistry              // nil: this scheduler alone knows its ops
+	peersAt  *net.UDPConn                 // that of the process before, nil without one
+	others   func() *metrics.MemberCounts // nil where this is no member
+	lost     func() uint64                // lines of the log, nil where nobody counts
+	shared   *sharing                     // nil: only the own discovery counts
+	known    reducer.EndpointsChanged     // as remembered at the start
+	fates    ClaimRegistry                // nil: this scheduler alone knows its ops
 	guarded  func(category string) bool
 }
 
@@ -88,13 +88,13 @@
 var errEnded = errors.New("the scheduler has ended")
 
 // New makes a scheduler from what it is told at its start.
-func New(sheet *terms.Bootstrap, log zerolog.Logger) (*Server, error) {
+func New(sheet *config.Bootstrap, log zerolog.Logger) (*Server, error) {
 	return NewSuccessor(sheet, nil, log)
 }
 
 // NewSuccessor makes a scheduler that takes the place of another, from what that one handed over and its workers in the sheet; nil for one that
 // takes nobody's.
-func NewSuccessor(sheet *terms.Bootstrap, before *handover.State, log zerolog.Logger) (*Server, error) {
+func NewSuccessor(sheet *config.Bootstrap, before *hotrestart.State, log zerolog.Logger) (*Server, error) {
 	now := clock.New()
 	starts, err := startsOf(before, now)
 	if err != nil {
@@ -105,11 +105,11 @@
 	f.clients.Failed, f.clients.HeadTime = f.acceptFailed, headTime
 	f.inForce.Store(settingsOf(sheet, nil, time.Time{}, time.Time{}))
 	f.drain = &drainer{clients: f.clients}
-	f.tally = tally.New(sheet.Categories())
+	f.tally = metrics.New(sheet.Categories())
 	dial := sheet.Duration("bounds.connectTimeout", time.Second)
 	f.loop = &loop{
 		in:        make(chan message, backlog),
-		reducer:   ops.New(sheet.SeedValue, sheet.Settings),
+		reducer:   reducer.New(sheet.SeedValue, sheet.Settings),
 		pool:      workerconn.New(workerconn.Bounds{Dial: dial, Idle: sheet.Duration("bounds.keepalive", 10*time.Second)}),
 		probeHead: []byte("GET /load HTTP/1.1\r\nHost: worker\r\n\r\n"),
 		probeWait: 2 * dial, // nothing says how long a probe may take: a dial, and as long again
@@ -122,26 +122,26 @@
 		held:      map[uint64]*held{},
 		out:       map[uint64]*workerconn.Exchange{},
 		freshFor:  dial + decisionSlack,
-		guard:     guard.New(log),
+		guard:     invariant.New(log),
 		byID:      map[string]uint64{},
 		workers:   watched{grace: sheet.Duration("safety.drainGrace", time.Second), since: map[string]time.Time{}},
 		wake:      time.NewTimer(0),
 	}
-	f.changes = overflow.New(f.loop.in, f.loop.ended)
-	f.loop.rule = func(category string) terms.CategoryRule { return f.inForce.Load().rule(category) }
+	f.changes = spillqueue.New(f.loop.in, f.loop.ended)
+	f.loop.rule = func(category string) config.CategoryRule { return f.inForce.Load().rule(category) }
 	f.loop.mostPushes = func() int { return f.inForce.Load().mostPushes() }
 	f.clients.Ended = func(why clientconn.Reason, addr string) {
 		log.Debug().Str("why", string(why)).Str("client", addr).Msg("client's connection ends")
 	}
 	f.clients.Unanswered = func(addr string) {
-		f.loop.guard.Violated(guard.Closing, guard.Unanswered, func(e *zerolog.Event) { e.Str("client", addr) })
+		f.loop.guard.Violated(invariant.Closing, invariant.Unanswered, func(e *zerolog.Event) { e.Str("client", addr) })
 	}
 	f.Limit(sheet.Limits.Sockets)
 	if sheet.ShadowSettings != nil {
 		f.loop.reducer.SetShadowSettings(sheet.ShadowSettings)
 		f.loop.watches = true
 	}
-	var known roster.Message
+	var known discovery.Message
 	if len(sheet.KnownWorkers) > 0 {
 		if err := json.Unmarshal(sheet.KnownWorkers, &known); err != nil {
 			return nil, fmt.Errorf("known workers: %w", err)
@@ -151,8 +151,8 @@
 	list.Snapshot, list.Cached = true, true
 	f.loop.tell(list)
 	f.known = list
-	spans := roster.TimeoutsFor(sheet.Settings["discovery"] != "on_request", sheet.Schedulers(), sheet.Duration("safety.drainGrace", time.Second))
-	f.roster = roster.New(sheet.Discovery, known, spans, sheet.SeedValue, starts, f.listed, log)
+	spans := discovery.TimeoutsFor(sheet.Settings["discovery"] != "on_request", sheet.Schedulers(), sheet.Duration("safety.drainGrace", time.Second))
+	f.roster = discovery.New(sheet.Discovery, known, spans, sheet.SeedValue, starts, f.listed, log)
 	f.loop.pool.Stale, f.loop.runs = f.listsUnread, f.clients.Runs
 	f.proxy = &httputil.ReverseProxy{
 		Transport:  f,
@@ -237,7 +237,7 @@
 }
 
 // Metrics are what staff read. They wait for nothing.
-func (f *Server) Metrics() tally.Metrics {
+func (f *Server) Metrics() metrics.Metrics {
 	x := f.tally.Snapshot()
 	if f.others != nil {
 		x.Members = f.others()
@@ -250,7 +250,7 @@
 }
 
 // SetMemberCounts has the figures tell of the other schedulers. It is called before Serve.
-func (f *Server) SetMemberCounts(others func() *tally.MemberCounts) { f.others = others }
+func (f *Server) SetMemberCounts(others func() *metrics.MemberCounts) { f.others = others }
 
 // SetLostLogLines has the figures tell of lines of the log that were lost. It is called before Serve.
 func (f *Server) SetLostLogLines(lost func() uint64) { f.lost = lost }
@@ -269,7 +269,7 @@
 	f.stopping.Store(!heir)
 	f.leaving.Store(heir)
 	f.log.Info().Time("by", by).Bool("heir", heir).Msg("stopping")
-	last := ops.ShutdownStarted{Deadline: terms.RoundDown(f.loop.clock.Nanos(by))}
+	last := reducer.ShutdownStarted{Deadline: config.RoundDown(f.loop.clock.Nanos(by))}
 	f.loop.tell(last)
 	defer time.AfterFunc(time.Until(by), func() { f.loop.tell(last) }).Stop()
 	leaves := time.Now().Add(time.Duration(stays * float64(within)))
@@ -334,7 +334,7 @@
 // answer answers a request, which is an op or is refused, and counts it.
 func (f *Server) answer(w http.ResponseWriter, r *http.Request, h *held, no *refusal) {
 	f.tally.RequestStarted()
-	said, end := &answered{ResponseWriter: w}, tally.Disconnected // as it stays where the proxy has the server drop the connection, by a panic
+	said, end := &answered{ResponseWriter: w}, metrics.Disconnected // as it stays where the proxy has the server drop the connection, by a panic
 	defer func() { f.tally.RequestEnded(r.Header.Get(categoryHeader), end) }()
 	if no == nil {
 		r.Body = http.NoBody
@@ -360,18 +360,18 @@
 func (a *answered) Unwrap() http.ResponseWriter { return a.ResponseWriter }
 
 // end writes what is left of an answer and tells what it was for its client.
-func (a *answered) end(ctx context.Context) tally.RequestEnd {
+func (a *answered) end(ctx context.Context) metrics.RequestEnd {
 	left := ctx.Err() // what leaves later has had its answer
 	if err := http.NewResponseController(a).Flush(); err != nil || left != nil {
-		return tally.Disconnected
+		return metrics.Disconnected
 	}
 	switch a.status {
 	case http.StatusOK:
-		return tally.Succeeded
+		return metrics.Succeeded
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return tally.Rejected
+		return metrics.Rejected
 	}
-	return tally.Failed
+	return metrics.Failed
 }
 
 // health tells whoever deals out clients whether to send them here.
@@ -429,7 +429,7 @@
 	case a := <-h.answer:
 		return f.final(r, h, a), nil
 	case <-r.Context().Done():
-		f.loop.tell(ops.ClientDisconnected{Op: h.Op})
+		f.loop.tell(reducer.ClientDisconnected{Op: h.Op})
 	case <-f.loop.ended:
 	}
 	select {
@@ -447,8 +447,8 @@
 }
 
 // final is an op's one answer as it goes to its client.
-func (f *Server) final(r *http.Request, h *held, a ops.Respond) *http.Response {
-	if a.Verdict == ops.Acked {
+func (f *Server) final(r *http.Request, h *held, a reducer.Respond) *http.Response {
+	if a.Verdict == reducer.Acked {
 		f.clients.Served(r.Context())
 	}
 	if h.ticket != 0 {
@@ -472,15 +472,15 @@
 	}
 }
 
-func response(r *http.Request, a ops.Respond) *http.Response {
+func response(r *http.Request, a reducer.Respond) *http.Response {
 	switch a.Verdict {
-	case ops.Acked:
+	case reducer.Acked:
 		return plain(r, http.StatusOK, a.Result, 0)
-	case ops.Nacked:
+	case reducer.Nacked:
 		return plain(r, http.StatusServiceUnavailable, []byte("nacked: trying again is harmless\n"), span(a.RetryAfter))
-	case ops.UnknownCategory:
+	case reducer.UnknownCategory:
 		return plain(r, http.StatusBadRequest, []byte("unknown category\n"), 0)
-	case ops.DuplicateID:
+	case reducer.DuplicateID:
 		return plain(r, http.StatusConflict, []byte("an op with this id is held already\n"), 0)
 	}
 	return plain(r, http.StatusBadGateway, []byte("dead-lettered\n"), 0)
--- a/internal/front/front_test.go
+++ b/internal/frontend/frontend_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/terms"
+	"woaddyke/internal/config"
 )
 
 // scheduler starts a scheduler with one worker, and returns its address and what stops it as SIGTERM does.
@@ -27,7 +27,7 @@
 }
 
 // sheetOf is a sheet without settings, beside a stand-in discovery that tells of the workers known and then no more.
-func sheetOf(t *testing.T, known string) *terms.Bootstrap {
+func sheetOf(t *testing.T, known string) *config.Bootstrap {
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintln(w, known)
 		w.(http.Flusher).Flush()
@@ -37,8 +37,8 @@
 		discovery.CloseClientConnections() // Close would wait for the scheduler's end
 		discovery.Close()
 	})
-	return &terms.Bootstrap{Discovery: discovery.Listener.Addr().String(), KnownWorkers: json.RawMessage(known),
-		Limits: terms.Limits{Cores: 1, MemoryMB: 64, Sockets: 256}}
+	return &config.Bootstrap{Discovery: discovery.Listener.Addr().String(), KnownWorkers: json.RawMessage(known),
+		Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 256}}
 }
 
 // schedulerBehind puts something before the scheduler's listener.
@@ -49,7 +49,7 @@
 	known := fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
 		worker.Listener.Addr())
 	sheet := sheetOf(t, known)
-	sheet.Settings = terms.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "cancel": true},
+	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "cancel": true},
 		"categories": []any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 3e8,
 			"targetLatencyNs": 2e8}}})
 	f, err := New(sheet, zerolog.Nop())
--- a/internal/front/gone_test.go
+++ b/internal/frontend/gone_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"woaddyke/internal/copies"
+	"woaddyke/internal/cluster/replication"
 )
 
 // deaf are the accepted connections of a scheduler whose watches for its clients' ends never hear of one, as where the goroutines that
@@ -97,10 +97,10 @@
 // granting are fates that let an op wait until they are let grant it.
 type granting struct{ asks, grant chan bool }
 
-func (g *granting) Claim(context.Context, string, string, []byte, time.Duration, time.Duration) copies.ClaimDecided {
+func (g *granting) Claim(context.Context, string, string, []byte, time.Duration, time.Duration) replication.ClaimDecided {
 	g.asks <- true
 	<-g.grant
-	return copies.ClaimDecided{Result: copies.Granted, RequestID: 7}
+	return replication.ClaimDecided{Result: replication.Granted, RequestID: 7}
 }
 func (*granting) MayHaveRun(uint64, string)        {}
 func (*granting) Finish(uint64, bool, int, []byte) {}
--- a/internal/front/door.go
+++ b/internal/frontend/handler.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"bytes"
@@ -15,10 +15,10 @@
 	"unicode/utf8"
 
 	"woaddyke/dispatch"
-	"woaddyke/internal/clientconn"
-	"woaddyke/internal/ops"
-	"woaddyke/internal/terms"
-	"woaddyke/internal/workerconn"
+	"woaddyke/internal/config"
+	"woaddyke/internal/frontend/clientconn"
+	"woaddyke/internal/scheduler/reducer"
+	"woaddyke/internal/workers/workerconn"
 )
 
 const (
@@ -35,22 +35,22 @@
 
 // held is an op that a client waits for.
 type held struct {
-	ops.OpArrived
-	target  string             // as the client wrote it
-	request workerconn.Request // to workers
-	answer  chan ops.Respond   // has room for the one answer
-	client  context.Context    // of the request: it ends when the client is seen to leave
+	reducer.OpArrived
+	target  string               // as the client wrote it
+	request workerconn.Request   // to workers
+	answer  chan reducer.Respond // has room for the one answer
+	client  context.Context      // of the request: it ends when the client is seen to leave
 
 	until      time.Time                 // its client gives up
 	looked     atomic.Pointer[time.Time] // when it was found to be there last
-	rule       terms.CategoryRule        // of its category, as it came
+	rule       config.CategoryRule       // of its category, as it came
 	mostPushes int                       // as it came
 	pushes     attempts
 
-	ticket uint64    // of the fates; 0 for an op that was not asked for
-	scope  string    // of the group that drops its repeats; empty for none
-	group  ops.Group // of the last push
-	placed bool      // the fates know where it may have run
+	ticket uint64        // of the fates; 0 for an op that was not asked for
+	scope  string        // of the group that drops its repeats; empty for none
+	group  reducer.Group // of the last push
+	placed bool          // the fates know where it may have run
 }
 
 // waits tells whether the client is there still: nothing is sent on for one that has left. The server's own word of that may
@@ -80,7 +80,7 @@
 	if r.Method != http.MethodPost {
 		return nil, &refusal{status: http.StatusMethodNotAllowed, text: "ops come by POST"}
 	}
-	h := &held{target: r.RequestURI, answer: make(chan ops.Respond, 1), client: r.Context()}
+	h := &held{target: r.RequestURI, answer: make(chan reducer.Respond, 1), client: r.Context()}
 	if h.ID = r.Header.Get(idHeader); h.ID == "" {
 		return nil, bad("no %s", idHeader)
 	}
@@ -99,7 +99,7 @@
 	if !until.After(came) {
 		return nil, &refusal{status: http.StatusServiceUnavailable, text: "no time left"}
 	}
-	h.TTL, h.until = terms.RoundDown(f.loop.clock.Nanos(until)), until.Add(wayBack)
+	h.TTL, h.until = config.RoundDown(f.loop.clock.Nanos(until)), until.Add(wayBack)
 	inForce := f.inForce.Load()
 	h.rule, h.mostPushes = inForce.rule(h.Category), inForce.mostPushes()
 	if no := f.facts(h, r.Header); no != nil {
@@ -128,7 +128,7 @@
 		name, value, _ := strings.Cut(strings.TrimSpace(fact), "=")
 		var err error
 		if name == f.sheet.AffinityFact && value != "" {
-			h.AffinityKey = terms.IdentityHash(value)
+			h.AffinityKey = config.IdentityHash(value)
 		}
 		switch name {
 		case "slots":
--- a/internal/front/handover.go
+++ b/internal/frontend/handover.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"encoding/json"
@@ -8,17 +8,17 @@
 	"syscall"
 
 	"woaddyke/dispatch"
-	"woaddyke/internal/clock"
-	"woaddyke/internal/handover"
-	"woaddyke/internal/ops"
-	"woaddyke/internal/roster"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/config"
+	"woaddyke/internal/lifecycle/clock"
+	"woaddyke/internal/lifecycle/hotrestart"
+	"woaddyke/internal/scheduler/reducer"
+	"woaddyke/internal/workers/discovery"
 )
 
 // HandOver is what the process that takes the place of this one needs. From here on this one uses only its part of the
 // descriptors.
 // More are called for what others hand over beside it.
-func (f *Server) HandOver(more ...func(*handover.State) []syscall.Conn) (text []byte, sockets []syscall.Conn, err error) {
+func (f *Server) HandOver(more ...func(*hotrestart.State) []syscall.Conn) (text []byte, sockets []syscall.Conn, err error) {
 	at, ok := f.clients.Listener.(syscall.Conn)
 	if !ok {
 		return nil, nil, errors.New("handover: the listening socket can't be shared")
@@ -31,8 +31,8 @@
 		return nil, nil, err
 	}
 	workers, _ := f.loop.pool.Counts()
-	giver, heir := handover.SplitDescriptors(f.sheet.Limits.Sockets, f.clients.Sockets()+workers, spare+f.reserved)
-	state := handover.State{Sockets: heir, ClockOffset: f.loop.clock.Offset(), KnownWorkers: known, ClientsDrained: f.drain.on()}
+	giver, heir := hotrestart.SplitDescriptors(f.sheet.Limits.Sockets, f.clients.Sockets()+workers, spare+f.reserved)
+	state := hotrestart.State{Sockets: heir, ClockOffset: f.loop.clock.Offset(), KnownWorkers: known, ClientsDrained: f.drain.on()}
 	if state.WorkerStarts, err = json.Marshal(f.starts.Snapshot()); err != nil {
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
@@ -54,16 +54,16 @@
 }
 
 // shiftTo is the span from a moment of the giver's clock to the same moment by this one's.
-func shiftTo(c clock.Clock, s handover.State) dispatch.Time {
-	return terms.RoundUp(int64(c.Offset() - s.ClockOffset))
+func shiftTo(c clock.Clock, s hotrestart.State) dispatch.Time {
+	return config.RoundUp(int64(c.Offset() - s.ClockOffset))
 }
 
 // startsOf are when workers started as far as a process before this one knew.
-func startsOf(before *handover.State, now clock.Clock) (*roster.StartTimes, error) {
+func startsOf(before *hotrestart.State, now clock.Clock) (*discovery.StartTimes, error) {
 	if before == nil {
-		return roster.NewStartTimes(now, nil), nil
+		return discovery.NewStartTimes(now, nil), nil
 	}
-	known := map[string]roster.ProcessStart{}
+	known := map[string]discovery.ProcessStart{}
 	if len(before.WorkerStarts) > 0 {
 		if err := json.Unmarshal(before.WorkerStarts, &known); err != nil {
 			return nil, fmt.Errorf("handover: starts of workers: %w", err)
@@ -71,18 +71,18 @@
 	}
 	shift := shiftTo(now, *before)
 	for uid, s := range known {
-		known[uid] = roster.ProcessStart{BootMS: s.BootMS, At: max(s.At+shift, 1)}
+		known[uid] = discovery.ProcessStart{BootMS: s.BootMS, At: max(s.At+shift, 1)}
 	}
-	return roster.NewStartTimes(now, known), nil
+	return discovery.NewStartTimes(now, known), nil
 }
 
 // RestoreState has this process go on from what the one before it gave: before Serve, with its socket for peers, if it had one.
-func (f *Server) RestoreState(s handover.State, peers *net.UDPConn) {
+func (f *Server) RestoreState(s hotrestart.State, peers *net.UDPConn) {
 	f.peersAt = peers
 	f.Limit(s.Sockets)
 	if learned, err := learnedOf(s); err == nil {
 		learned.Shift(shiftTo(f.loop.clock, s))
-		f.loop.tell(ops.StateRestored{Learned: learned})
+		f.loop.tell(reducer.StateRestored{Learned: learned})
 	} else {
 		f.log.Warn().Err(err).Msg("nothing learned is taken over")
 	}
@@ -92,9 +92,9 @@
 }
 
 // learnedOf is what the process before has learned.
-func learnedOf(s handover.State) (learned ops.Learned, err error) {
+func learnedOf(s hotrestart.State) (learned reducer.Learned, err error) {
 	if len(s.Learned) == 0 || string(s.Learned) == "null" {
-		return ops.Learned{}, errors.New("its loop was busy")
+		return reducer.Learned{}, errors.New("its loop was busy")
 	}
 	err = json.Unmarshal(s.Learned, &learned)
 	return learned, err
--- a/internal/front/leave_test.go
+++ b/internal/frontend/leave_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/copies"
-	"woaddyke/internal/ops"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/cluster/replication"
+	"woaddyke/internal/config"
+	"woaddyke/internal/scheduler/reducer"
 )
 
 // gate is a scheduler whose one worker answers probes only when let, and counts the ops that come.
@@ -71,7 +71,7 @@
 	})
 	sheet := sheetOf(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
 		worker.Listener.Addr()))
-	sheet.Settings = terms.Flatten(map[string]any{
+	sheet.Settings = config.Flatten(map[string]any{
 		"bounds": map[string]any{"maxPushes": 3.0, "cancel": cancel, "probes": probes, "connectTimeoutNs": 60e9},
 		"report": map[string]any{"fields": []any{"pending", "busy_reqs"}, "how": "on_probe"},
 		"categories": append([]any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 300e9, "targetLatencyNs": 240e9},
@@ -273,10 +273,10 @@
 	ends  chan bool // whether it is said to be unsent
 }
 
-func (a *asked) Claim(ctx context.Context, _, _ string, _ []byte, _, _ time.Duration) copies.ClaimDecided {
+func (a *asked) Claim(ctx context.Context, _, _ string, _ []byte, _, _ time.Duration) replication.ClaimDecided {
 	a.waits <- true
 	<-ctx.Done()
-	return copies.ClaimDecided{Result: copies.Granted, RequestID: 7} // the grant that crosses it
+	return replication.ClaimDecided{Result: replication.Granted, RequestID: 7} // the grant that crosses it
 }
 func (a *asked) MayHaveRun(uint64, string)                     {}
 func (a *asked) Finish(_ uint64, unsent bool, _ int, _ []byte) { a.ends <- unsent }
@@ -340,7 +340,7 @@
 	go func() {
 		for m := range f.loop.in {
 			if m.held != nil {
-				m.held.answer <- ops.Respond{Verdict: ops.Acked, Result: make([]byte, 64<<10)}
+				m.held.answer <- reducer.Respond{Verdict: reducer.Acked, Result: make([]byte, 64<<10)}
 				return
 			}
 		}
@@ -353,7 +353,7 @@
 				t.Errorf("the server is to drop the connection: %v", p)
 			}
 		}()
-		f.answer(torn{}, r.WithContext(ctx), &held{client: ctx, answer: make(chan ops.Respond, 1)}, nil)
+		f.answer(torn{}, r.WithContext(ctx), &held{client: ctx, answer: make(chan reducer.Respond, 1)}, nil)
 	}()
 	if x := f.Metrics(); x.OpsInFlight != 0 || x.Other.Disconnected != 1 || x.RequestsRead != 1 {
 		t.Errorf("%+v", x)
@@ -380,7 +380,7 @@
 					if m.held == nil {
 						continue
 					}
-					m.held.answer <- ops.Respond{Verdict: ops.Acked, Result: []byte("x")}
+					m.held.answer <- reducer.Respond{Verdict: reducer.Acked, Result: []byte("x")}
 					if loopEnds {
 						close(quit)
 						f.loop.run(quit)
@@ -390,7 +390,7 @@
 					return
 				}
 			}()
-			h := &held{client: plain, answer: make(chan ops.Respond, 1)}
+			h := &held{client: plain, answer: make(chan reducer.Respond, 1)}
 			r := httptest.NewRequest(http.MethodPost, "/", nil)
 			if resp, err := f.RoundTrip(r.WithContext(context.WithValue(ctx, heldKey{}, h))); err != nil || resp.StatusCode != http.StatusOK {
 				t.Fatalf("loop ends %v: %v, %v", loopEnds, resp, err)
@@ -417,8 +417,8 @@
 // granted are fates that grant all and are told what came of it.
 type granted struct{ ends chan int }
 
-func (*granted) Claim(context.Context, string, string, []byte, time.Duration, time.Duration) copies.ClaimDecided {
-	return copies.ClaimDecided{Result: copies.Granted, RequestID: 7}
+func (*granted) Claim(context.Context, string, string, []byte, time.Duration, time.Duration) replication.ClaimDecided {
+	return replication.ClaimDecided{Result: replication.Granted, RequestID: 7}
 }
 func (*granted) MayHaveRun(uint64, string)                       {}
 func (g *granted) Finish(_ uint64, _ bool, status int, _ []byte) { g.ends <- status }
--- a/internal/front/loop.go
+++ b/internal/frontend/loop.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"sync/atomic"
@@ -7,13 +7,13 @@
 	"github.com/rs/zerolog"
 
 	"woaddyke/dispatch"
-	"woaddyke/internal/clock"
-	"woaddyke/internal/guard"
-	"woaddyke/internal/ops"
-	"woaddyke/internal/outcome"
-	"woaddyke/internal/tally"
-	"woaddyke/internal/terms"
-	"woaddyke/internal/workerconn"
+	"woaddyke/internal/config"
+	"woaddyke/internal/lifecycle/clock"
+	"woaddyke/internal/observe/invariant"
+	"woaddyke/internal/observe/metrics"
+	"woaddyke/internal/scheduler/reducer"
+	"woaddyke/internal/workers/outcome"
+	"woaddyke/internal/workers/workerconn"
 )
 
 const (
@@ -27,7 +27,7 @@
 // message is an input on its way to the loop; an op comes with the client's request. One with a call is none: the loop
 // makes that call.
 type message struct {
-	in   ops.Input
+	in   reducer.Input
 	held *held
 	call func()
 }
@@ -35,14 +35,14 @@
 // loop feeds the reducer and carries out what it asks for. It alone touches the fields below it.
 type loop struct {
 	in        chan message
-	reducer   *ops.Reducer
+	reducer   *reducer.Reducer
 	pool      *workerconn.Pool
 	probeHead []byte
 	probeWait time.Duration
 	log       zerolog.Logger
 	clock     clock.Clock
 
-	tally   *tally.Recorder
+	tally   *metrics.Recorder
 	shows   bool          // staff read the figures
 	listed  chan struct{} // closed with the first list that is not remembered
 	heard   bool          // it is closed
@@ -58,18 +58,18 @@
 
 	runs       func(now time.Time) // told of each step, and once a second
 	unapplied  atomic.Int64        // lists that were told and not taken up yet
-	guard      *guard.Checker
+	guard      *invariant.Checker
 	freshFor   time.Duration // for which a decision is carried out: the time for a dial, and a little
 	workers    watched
-	byID       map[string]uint64               // ops that have been pushed and have no answer
-	rule       func(string) terms.CategoryRule // in force, by category
-	mostPushes func() int                      // in force
-	granted    func(category string) bool      // whether ops are asked for before they are taken; nil: none are
+	byID       map[string]uint64                // ops that have been pushed and have no answer
+	rule       func(string) config.CategoryRule // in force, by category
+	mostPushes func() int                       // in force
+	granted    func(category string) bool       // whether ops are asked for before they are taken; nil: none are
 }
 
 // tell waits for room, but not for a loop that has ended.
-func (l *loop) tell(in ops.Input) {
-	if _, list := in.(ops.EndpointsChanged); list {
+func (l *loop) tell(in reducer.Input) {
+	if _, list := in.(reducer.EndpointsChanged); list {
 		l.unapplied.Add(1)
 	}
 	select {
@@ -79,18 +79,18 @@
 }
 
 // learned asks the loop what its reducer has learned; false where it has no time for that.
-func (l *loop) learned() (ops.Learned, bool) {
-	got, late := make(chan ops.Learned, 1), time.After(learnedTime)
+func (l *loop) learned() (reducer.Learned, bool) {
+	got, late := make(chan reducer.Learned, 1), time.After(learnedTime)
 	select {
 	case l.in <- message{call: func() { got <- l.reducer.Learned() }}:
 	case <-late:
-		return ops.Learned{}, false
+		return reducer.Learned{}, false
 	}
 	select {
 	case x := <-got:
 		return x, true
 	case <-late:
-		return ops.Learned{}, false
+		return reducer.Learned{}, false
 	}
 }
 
@@ -125,12 +125,12 @@
 			}
 			l.step(m.in)
 		case <-l.wake.C:
-			l.step(ops.TimerFired{})
+			l.step(reducer.TimerFired{})
 		case now := <-sweep.C:
 			l.runs(time.Now())
 			go l.pool.Sweep(now)
 		case <-fleet:
-			l.tally.SetWorkers(l.reducer.WorkerCounts(terms.RoundUp(l.clock.Now())))
+			l.tally.SetWorkers(l.reducer.WorkerCounts(config.RoundUp(l.clock.Now())))
 		case <-count.C:
 			l.otherwise()
 		case <-quit:
@@ -148,73 +148,73 @@
 	}
 }
 
-func (l *loop) step(in ops.Input) {
+func (l *loop) step(in reducer.Input) {
 	now := time.Now()
 	l.runs(now)
 	switch in := in.(type) {
-	case ops.AttemptProgressed:
+	case reducer.AttemptProgressed:
 		if in.Started { // one that is only taken may come back unstarted, and go to another group
 			l.ran(in.Op)
 		}
-	case ops.AttemptEnded:
+	case reducer.AttemptEnded:
 		l.noteEnd(in)
 		if delete(l.out, in.Op); !in.Ending.NeverRan() {
 			l.ran(in.Op)
 		}
-	case ops.ClientDisconnected:
+	case reducer.ClientDisconnected:
 		l.log.Debug().Uint64("op", in.Op).Msg("client left")
 		if h := l.held[in.Op]; h != nil && l.byID[h.ID] == h.Op {
 			delete(l.byID, h.ID)
 		}
 		delete(l.held, in.Op)
-	case ops.EndpointsChanged:
+	case reducer.EndpointsChanged:
 		l.workers.list(in, now)
 		if !in.Cached && !l.heard {
 			l.heard = true
 			close(l.listed)
 		}
 	}
-	for _, e := range l.reducer.Step(terms.RoundUp(l.clock.Nanos(now)), in) {
+	for _, e := range l.reducer.Step(config.RoundUp(l.clock.Nanos(now)), in) {
 		l.do(now, e)
 	}
-	if _, list := in.(ops.EndpointsChanged); list {
+	if _, list := in.(reducer.EndpointsChanged); list {
 		l.unapplied.Add(-1)
 	}
 }
 
-func (l *loop) do(now time.Time, e ops.Effect) {
+func (l *loop) do(now time.Time, e reducer.Effect) {
 	switch e := e.(type) {
-	case ops.Push:
+	case reducer.Push:
 		l.push(now, e)
-	case ops.CancelAttempt:
+	case reducer.CancelAttempt:
 		if x := l.out[e.Op]; x != nil {
 			x.Close(e.OnlyIfUnsent, e.Ending)
 		}
-	case ops.Probe:
+	case reducer.Probe:
 		l.pool.Probe(e.Addr, l.probeHead, now.Add(l.probeWait), func(end workerconn.End) {
 			l.log.Debug().Str("worker", e.Worker).Stringer("how", end.How).Bool("dialed", end.Dialed).
 				Dur("took_ms", time.Since(now)).Bytes("report", end.Load).Msg("probe ended")
-			l.tell(ops.ProbeEnded{Probe: e.Probe, Ending: end.How, LoadReport: end.Load})
+			l.tell(reducer.ProbeEnded{Probe: e.Probe, Ending: end.How, LoadReport: end.Load})
 		})
-	case ops.Respond:
+	case reducer.Respond:
 		if h := l.held[e.Op]; h != nil {
 			delete(l.held, e.Op)
 			l.checkAnswer(now, h, e)
 			l.log.Debug().Uint64("op", e.Op).Str("id", h.ID).Stringer("verdict", e.Verdict).Stringer("why", e.Reason).Int("pushes", len(h.pushes)).Msg("answer")
 			h.answer <- e
 		}
-	case ops.SendToPeer:
+	case reducer.SendToPeer:
 		if l.say != nil {
 			l.say(e.Peer, e.Text)
 		} else {
 			l.peers.tell(e.Peer, e.Text)
 		}
-	case ops.SetTimer:
+	case reducer.SetTimer:
 		l.wake.Reset(span(e.Delay))
 	}
 }
 
-func (l *loop) push(now time.Time, e ops.Push) {
+func (l *loop) push(now time.Time, e reducer.Push) {
 	h := l.held[e.Op] // a push is never asked for after the answer, or after its client left
 	wait := span(e.Timeout)
 	h.group = e.Group
@@ -230,15 +230,15 @@
 		l.tally.AttemptSent(h.Category)
 	}, func(line workerconn.Line) {
 		l.log.Debug().Uint64("op", e.Op).Str("state", line.State).Float64("share", line.Share).Msg("job line")
-		l.tell(ops.AttemptProgressed{Op: e.Op, Started: line.State == "started", Done: line.Share})
+		l.tell(reducer.AttemptProgressed{Op: e.Op, Started: line.State == "started", Done: line.Share})
 	}, func(end workerconn.End) {
 		l.log.Debug().Uint64("op", e.Op).Str("worker", e.Worker).Stringer("how", end.How).
 			Bool("dialed", end.Dialed).Dur("took_ms", time.Since(now)).Msg("push ended")
 		if end.How == outcome.CancelledUnsent && !h.waits() {
-			l.tell(ops.ClientDisconnected{Op: e.Op}) // before the end: what was not wanted here is not to go elsewhere
+			l.tell(reducer.ClientDisconnected{Op: e.Op}) // before the end: what was not wanted here is not to go elsewhere
 		}
-		l.tell(ops.AttemptEnded{Op: e.Op, Ending: end.How, Result: end.Result, LoadReport: end.Load})
+		l.tell(reducer.AttemptEnded{Op: e.Op, Ending: end.How, Result: end.Result, LoadReport: end.Load})
 	})
 }
 
-func span(t dispatch.Time) time.Duration { return time.Duration(t) * terms.Tenth }
+func span(t dispatch.Time) time.Duration { return time.Duration(t) * config.Tenth }
--- a/internal/front/parts_test.go
+++ b/internal/frontend/parts_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import "testing"
 
--- a/internal/front/shared.go
+++ b/internal/frontend/peer_drains.go
@@ -1,19 +1,19 @@
-package front
+package frontend
 
 import (
 	"sync"
 	"time"
 
-	"woaddyke/internal/drainstate"
-	"woaddyke/internal/members"
-	"woaddyke/internal/ops"
+	"woaddyke/internal/cluster/drainstate"
+	"woaddyke/internal/cluster/membership"
+	"woaddyke/internal/scheduler/reducer"
 )
 
 // DrainPeers are the other schedulers, as far as lists of workers are shared with them.
 type DrainPeers interface {
 	Names() []string
 	SendDrains(to string, words []drainstate.DrainRecord)
-	Now() members.Time
+	Now() membership.Time
 }
 
 const (
@@ -27,14 +27,14 @@
 	mu     sync.Mutex
 	core   *drainstate.Core
 	of     DrainPeers
-	tell   func(ops.Input)
-	listed map[string]ops.Endpoint
+	tell   func(reducer.Input)
+	listed map[string]reducer.Endpoint
 	bound  map[string]bool // that serve by the own list, and take nothing new
 }
 
 // ShareDrains has a worker that drains by what a neighbour was told take nothing new from here. It is called before Serve.
 func (f *Server) ShareDrains(of DrainPeers, chance uint64) {
-	s := &sharing{core: drainstate.New(chance), of: of, tell: f.loop.tell, listed: map[string]ops.Endpoint{}, bound: map[string]bool{}}
+	s := &sharing{core: drainstate.New(chance), of: of, tell: f.loop.tell, listed: map[string]reducer.Endpoint{}, bound: map[string]bool{}}
 	s.take(f.known)
 	f.shared = s
 }
@@ -49,8 +49,8 @@
 }
 
 // listed takes what the own discovery tells.
-func (f *Server) listed(in ops.Input) {
-	l, ok := in.(ops.EndpointsChanged)
+func (f *Server) listed(in reducer.Input) {
+	l, ok := in.(reducer.EndpointsChanged)
 	if s := f.shared; ok && s != nil {
 		s.hand(l)
 		return
@@ -59,7 +59,7 @@
 }
 
 // hand takes what the own discovery tells, and tells the loop of it as it binds here.
-func (s *sharing) hand(l ops.EndpointsChanged) {
+func (s *sharing) hand(l reducer.EndpointsChanged) {
 	s.order.Lock()
 	defer s.order.Unlock()
 	s.tell(s.take(l))
@@ -75,7 +75,7 @@
 	s.mu.Unlock()
 	if listed && withheld {
 		entry.Ready = false
-		s.tell(ops.EndpointsChanged{Endpoints: []ops.Endpoint{entry}})
+		s.tell(reducer.EndpointsChanged{Endpoints: []reducer.Endpoint{entry}})
 	}
 }
 
@@ -84,12 +84,12 @@
 	s.order.Lock()
 	defer s.order.Unlock()
 	if free := s.free(); len(free) > 0 {
-		s.tell(ops.EndpointsChanged{Endpoints: free})
+		s.tell(reducer.EndpointsChanged{Endpoints: free})
 	}
 }
 
 // free are the workers that were bound, and are no more.
-func (s *sharing) free() (free []ops.Endpoint) {
+func (s *sharing) free() (free []reducer.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.step(drainstate.PeersChanged{Names: s.of.Names()})
@@ -106,12 +106,12 @@
 }
 
 // take notes a list and returns it as it binds here.
-func (s *sharing) take(l ops.EndpointsChanged) ops.EndpointsChanged {
+func (s *sharing) take(l reducer.EndpointsChanged) reducer.EndpointsChanged {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	in := drainstate.EndpointsChanged{Revision: l.Revision, Snapshot: l.Snapshot}
 	if l.Snapshot {
-		s.listed = map[string]ops.Endpoint{}
+		s.listed = map[string]reducer.Endpoint{}
 	}
 	for _, e := range l.Endpoints {
 		in.Endpoints = append(in.Endpoints, drainstate.Endpoint{Worker: e.Worker, BootID: tenths * e.BootID, Ready: e.Ready, Removed: e.Removed})
@@ -121,7 +121,7 @@
 	}
 	s.step(in)
 	out := l
-	out.Endpoints = append([]ops.Endpoint(nil), l.Endpoints...)
+	out.Endpoints = append([]reducer.Endpoint(nil), l.Endpoints...)
 	for i := range out.Endpoints {
 		if e := &out.Endpoints[i]; s.core.Excluded(e.Worker) {
 			e.Ready = false
--- a/internal/front/shared_test.go
+++ b/internal/frontend/peer_drains_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"testing"
@@ -6,9 +6,9 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/drainstate"
-	"woaddyke/internal/members"
-	"woaddyke/internal/ops"
+	"woaddyke/internal/cluster/drainstate"
+	"woaddyke/internal/cluster/membership"
+	"woaddyke/internal/scheduler/reducer"
 )
 
 // nobody is a cluster of one.
@@ -16,7 +16,7 @@
 
 func (nobody) Names() []string                             { return nil }
 func (nobody) SendDrains(string, []drainstate.DrainRecord) {}
-func (nobody) Now() members.Time                           { return 1 }
+func (nobody) Now() membership.Time                        { return 1 }
 
 // A worker that a neighbour's word had bound is let go of in the instant in which the own discovery tells that it drains: the word of its
 // going back into service came to the loop behind that of its drain, and it was given new work until the next list.
@@ -31,7 +31,7 @@
 	f.shared.bound["w"] = true
 	freed := make(chan bool, 1)
 	tell := f.shared.tell
-	f.shared.tell = func(in ops.Input) { // the process is held up between what it found and its telling
+	f.shared.tell = func(in reducer.Input) { // the process is held up between what it found and its telling
 		freed <- true
 		time.Sleep(heldUp)
 		tell(in)
@@ -40,12 +40,12 @@
 	defer close(quit)
 	go f.shared.run(quit)
 	<-freed
-	f.listed(ops.EndpointsChanged{Revision: 2, Endpoints: []ops.Endpoint{{Worker: "w", Addr: "127.0.0.1:9"}}})
-	var last ops.Endpoint
+	f.listed(reducer.EndpointsChanged{Revision: 2, Endpoints: []reducer.Endpoint{{Worker: "w", Addr: "127.0.0.1:9"}}})
+	var last reducer.Endpoint
 	for k := range 2 {
 		select {
 		case m := <-f.loop.in:
-			last = m.in.(ops.EndpointsChanged).Endpoints[0]
+			last = m.in.(reducer.EndpointsChanged).Endpoints[0]
 		case <-time.After(10 * time.Second):
 			t.Fatalf("%d lists came", k)
 		}
--- a/internal/front/peers.go
+++ b/internal/frontend/peers.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"errors"
@@ -10,9 +10,9 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/ops"
-	"woaddyke/internal/oserror"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/base/oserror"
+	"woaddyke/internal/config"
+	"woaddyke/internal/scheduler/reducer"
 )
 
 const longestWord = 64 // bytes of a datagram; what is cut off is no message
@@ -27,7 +27,7 @@
 }
 
 // listen hears on the socket given, or on one of its own.
-func listen(p *terms.Peers, conn *net.UDPConn, log zerolog.Logger) (*peers, error) {
+func listen(p *config.Peers, conn *net.UDPConn, log zerolog.Logger) (*peers, error) {
 	if conn == nil {
 		var err error
 		conn, err = oserror.RetryTransient(func() (*net.UDPConn, error) { return net.ListenUDP("udp", net.UDPAddrFromAddrPort(p.ListenAddr)) })
@@ -43,7 +43,7 @@
 }
 
 // hear reads until the socket is closed. Only the schedulers that the configuration names are heard.
-func (s *peers) hear(tell func(ops.Input)) {
+func (s *peers) hear(tell func(reducer.Input)) {
 	var room [longestWord]byte
 	failures := 0 // in a row
 	for {
@@ -58,7 +58,7 @@
 		}
 		failures = 0
 		if by, known := s.by[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]; known {
-			tell(ops.PeerMessage{Sender: by, Text: string(room[:n])})
+			tell(reducer.PeerMessage{Sender: by, Text: string(room[:n])})
 		}
 	}
 }
@@ -85,8 +85,8 @@
 
 // PeerInput takes what is learned of other schedulers from elsewhere: a word, that one is no more, that one is new. The loop is
 // never waited for: a word that finds no room is lost, as a datagram is.
-func (f *Server) PeerInput(in ops.Input) {
-	if _, word := in.(ops.PeerMessage); !word {
+func (f *Server) PeerInput(in reducer.Input) {
+	if _, word := in.(reducer.PeerMessage); !word {
 		f.changes.Put(message{in: in}) // they are few, and none must be missed or overtake another
 		return
 	}
--- a/internal/front/peers_test.go
+++ b/internal/frontend/peers_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/ops"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/config"
+	"woaddyke/internal/scheduler/reducer"
 )
 
 type safeBuffer struct {
@@ -43,7 +43,7 @@
 }
 
 // moved starts a scheduler beside four stand-in workers with the given parts of a new shape, sends ops and stops it.
-func moved(t *testing.T, change func(*terms.Bootstrap, map[string]any), n int) (log string) {
+func moved(t *testing.T, change func(*config.Bootstrap, map[string]any), n int) (log string) {
 	t.Helper()
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -58,7 +58,7 @@
 	}
 	known := `{"rev":1,"all":true,"targets":[` + strings.Join(targets, ",") + `]}`
 	sheet := sheetOf(t, known)
-	sheet.Settings = terms.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0}, "instances": 2.0, "myNumber": 0.0,
+	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0}, "instances": 2.0, "myNumber": 0.0,
 		"categories": []any{map[string]any{"name": "look", "effect": "retryable", "ttlNs": 3e9, "targetLatencyNs": 2e9}}})
 	change(sheet, sheet.Settings)
 	var out safeBuffer
@@ -98,7 +98,7 @@
 // Operators want to see what the new settings would change before they switch: the counts must come from real ops.
 func TestAWatchOnSocketsCountsByKind(t *testing.T) {
 	watch := func(other map[string]any) string {
-		return moved(t, func(s *terms.Bootstrap, site map[string]any) {
+		return moved(t, func(s *config.Bootstrap, site map[string]any) {
 			s.AffinityFact, s.ShadowSettings = "routeKey", map[string]any{}
 			for k, v := range site {
 				s.ShadowSettings[k] = v
@@ -120,14 +120,14 @@
 // Each push is told to the scheduler that meets the worker too; one that is not configured is not heard.
 func TestPushesAreToldToTheOthers(t *testing.T) {
 	other, at := datagrams(t)
-	moved(t, func(s *terms.Bootstrap, site map[string]any) {
+	moved(t, func(s *config.Bootstrap, site map[string]any) {
 		site["prices.connection"], site["bounds.peerMessages"] = 0.05, true
-		s.Peers = &terms.Peers{ListenAddr: netip.MustParseAddrPort("127.0.0.1:0"),
+		s.Peers = &config.Peers{ListenAddr: netip.MustParseAddrPort("127.0.0.1:0"),
 			ByNumber: map[int]netip.AddrPort{1: at}}
 	}, 1)
 	tags := map[string]int{}
 	for i := range 4 {
-		tags[terms.WorkerTag(fmt.Sprint("w", i))] = i
+		tags[config.WorkerTag(fmt.Sprint("w", i))] = i
 	}
 	other.SetReadDeadline(time.Now().Add(2 * time.Second))
 	var room [longestWord]byte
@@ -136,7 +136,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, out, ok := terms.DecodePeerReport(string(room[:n]), tags); !ok || out != want {
+		if _, out, ok := config.DecodePeerReport(string(room[:n]), tags); !ok || out != want {
 			t.Errorf("told %q, want one of %d pushes out", room[:n], want)
 		}
 	}
@@ -145,18 +145,18 @@
 func TestOnlyConfiguredSchedulersAreHeard(t *testing.T) {
 	friend, at := datagrams(t)
 	stranger, _ := datagrams(t)
-	s, err := listen(&terms.Peers{ListenAddr: netip.MustParseAddrPort("127.0.0.1:0"),
+	s, err := listen(&config.Peers{ListenAddr: netip.MustParseAddrPort("127.0.0.1:0"),
 		ByNumber: map[int]netip.AddrPort{7: at}}, nil, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.conn.Close()
-	heard := make(chan ops.Input, 9)
-	go s.hear(func(in ops.Input) { heard <- in })
+	heard := make(chan reducer.Input, 9)
+	go s.hear(func(in reducer.Input) { heard <- in })
 	to := s.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	stranger.WriteToUDPAddrPort([]byte("abc9"), to)
 	friend.WriteToUDPAddrPort([]byte("abc1"), to)
-	if got := <-heard; got != (ops.PeerMessage{Sender: 7, Text: "abc1"}) {
+	if got := <-heard; got != (reducer.PeerMessage{Sender: 7, Text: "abc1"}) {
 		t.Errorf("heard %+v", got)
 	}
 }
@@ -164,8 +164,8 @@
 // An address that another process has must end the start with a plain error, not leave it waiting for its own loop.
 func TestAnAddressThatIsTakenEndsTheStart(t *testing.T) {
 	_, at := datagrams(t)
-	sheet := &terms.Bootstrap{Discovery: "127.0.0.1:1", Limits: terms.Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
-		Settings: map[string]any{}, Peers: &terms.Peers{ListenAddr: at}}
+	sheet := &config.Bootstrap{Discovery: "127.0.0.1:1", Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
+		Settings: map[string]any{}, Peers: &config.Peers{ListenAddr: at}}
 	f, err := New(sheet, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/front/pieces_test.go
+++ b/internal/frontend/pieces_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/fragmentpeer"
+	"woaddyke/internal/testsupport/fragmentpeer"
 )
 
 // Clients write as their own buffers have it, end their sending and leave. An op cut off in the middle must never go on, and
--- a/internal/front/settings.go
+++ b/internal/frontend/settings.go
@@ -1,32 +1,32 @@
-package front
+package frontend
 
 import (
 	"slices"
 	"sync"
 	"time"
 
-	"woaddyke/internal/ops"
-	"woaddyke/internal/oserror"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/base/oserror"
+	"woaddyke/internal/config"
+	"woaddyke/internal/scheduler/reducer"
 )
 
 const mostDropped = 4096 // categories that are served no more but for a while
 
 // settings are those in force.
 type settings struct {
-	*terms.Bootstrap
+	*config.Bootstrap
 	rules map[string]rule // by category; of hundreds, a walk over the sheet for each op cost more than the op
 	hash  func() uint64
 }
 
 // rule is a category's, until then if it was dropped.
 type rule struct {
-	terms.CategoryRule
+	config.CategoryRule
 	until time.Time
 }
 
 // settingsOf takes over what a category that is dropped goes on by for a while.
-func settingsOf(sheet *terms.Bootstrap, before *settings, now, until time.Time) *settings {
+func settingsOf(sheet *config.Bootstrap, before *settings, now, until time.Time) *settings {
 	s := &settings{Bootstrap: sheet, rules: map[string]rule{}, hash: sync.OnceValue(sheet.SettingsHash)}
 	for name, r := range sheet.CategoryRules() {
 		s.rules[name] = rule{CategoryRule: r}
@@ -55,10 +55,10 @@
 }
 
 // rule is a category's, empty for one that is not served any more.
-func (s *settings) rule(category string) terms.CategoryRule {
+func (s *settings) rule(category string) config.CategoryRule {
 	r := s.rules[category]
 	if !r.until.IsZero() && time.Now().After(r.until) {
-		return terms.CategoryRule{}
+		return config.CategoryRule{}
 	}
 	return r.CategoryRule
 }
@@ -87,7 +87,7 @@
 // Workers, ops and connections stay as they are, and so does all else until a restart. A file that is at fault changes nothing.
 func (f *Server) ReloadConfig(path string) {
 	before := f.inForce.Load()
-	sheet, err := oserror.RetryTransient(func() (*terms.Bootstrap, error) { return terms.ReadBootstrap(path) })
+	sheet, err := oserror.RetryTransient(func() (*config.Bootstrap, error) { return config.ReadBootstrap(path) })
 	if err == nil {
 		err = sheet.CheckReload(before.Bootstrap)
 	}
@@ -105,7 +105,7 @@
 	until := now.Add(before.LongestTTL())
 	if retunes {
 		f.tally.SetCategories(sheet.Categories())
-		f.loop.tell(ops.SettingsChanged{Settings: sheet.Settings, RetainUntil: terms.RoundDown(f.loop.clock.Nanos(until))})
+		f.loop.tell(reducer.SettingsChanged{Settings: sheet.Settings, RetainUntil: config.RoundDown(f.loop.clock.Nanos(until))})
 	}
 	f.inForce.Store(settingsOf(sheet, before, now, until))
 	if sheet.Discovery != before.Discovery || !retunes { // a watch that is opened anew at each of a site's changes is a call each for nothing
--- a/internal/front/settings_test.go
+++ b/internal/frontend/settings_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"context"
@@ -14,16 +14,16 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/copies"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/cluster/replication"
+	"woaddyke/internal/config"
 )
 
 // asking are fates that grant all and remember of which categories they were asked, and with which window.
 type asking struct{ of chan string }
 
-func (a *asking) Claim(_ context.Context, category, _ string, _ []byte, _, window time.Duration) copies.ClaimDecided {
+func (a *asking) Claim(_ context.Context, category, _ string, _ []byte, _, window time.Duration) replication.ClaimDecided {
 	a.of <- fmt.Sprint(category, " ", window)
-	return copies.ClaimDecided{Result: copies.Granted, RequestID: 7}
+	return replication.ClaimDecided{Result: replication.Granted, RequestID: 7}
 }
 func (*asking) MayHaveRun(uint64, string)        {}
 func (*asking) Finish(uint64, bool, int, []byte) {}
@@ -51,7 +51,7 @@
 		`{"name":"pay","effect":"fragile","ttlNs":6e10,"targetLatencyNs":6e10}`,
 		`{"name":"note","effect":"dedup","windowNs":5e9,"dedupScope":"all","ttlNs":6e10,"targetLatencyNs":6e10}`
 	write(look + "," + pay + "," + note)
-	sheet, err := terms.ReadBootstrap(path)
+	sheet, err := config.ReadBootstrap(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,12 +97,12 @@
 func TestTheRulesOfDroppedCategoriesAreGivenBack(t *testing.T) {
 	const each, steps = 1000, 8
 	now := time.Now()
-	of := func(step int) *terms.Bootstrap {
+	of := func(step int) *config.Bootstrap {
 		var categories []any
 		for i := range each {
 			categories = append(categories, map[string]any{"name": fmt.Sprint(step, "-", i), "effect": "fragile", "ttlNs": 1e9})
 		}
-		return &terms.Bootstrap{Settings: terms.Flatten(map[string]any{"categories": categories})}
+		return &config.Bootstrap{Settings: config.Flatten(map[string]any{"categories": categories})}
 	}
 	s := settingsOf(of(0), nil, now, now)
 	for i := 1; i < steps; i++ {
--- a/internal/front/stop_test.go
+++ b/internal/frontend/stop_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/stats"
+	"woaddyke/internal/base/stats"
 )
 
 // stopped is a scheduler whose worker holds the op named "held" until told, and what its clients need.
--- a/internal/front/told_test.go
+++ b/internal/frontend/told_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/terms"
+	"woaddyke/internal/config"
 )
 
 // toldSlack is by how much the time that a worker is told may be more than what its client has left.
@@ -46,7 +46,7 @@
 					came <- [2]time.Duration{time.Since(sent), time.Duration(ms) * time.Millisecond}
 					done(w, r.Header.Get(idHeader))
 				})))
-			sheet.Settings = terms.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "connectTimeoutNs": 2e9},
+			sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "connectTimeoutNs": 2e9},
 				"categories": []any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 5e9, "targetLatencyNs": 4e9}}})
 			f, err := New(sheet, zerolog.Nop())
 			if err != nil {
@@ -136,7 +136,7 @@
 			pushes.Add(1)
 			done(w, r.Header.Get(idHeader))
 		})))
-	sheet.Settings = terms.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "connectTimeoutNs": 2e8},
+	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "connectTimeoutNs": 2e8},
 		"categories": []any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 9e9, "targetLatencyNs": 8e9}}})
 	f, err := New(sheet, zerolog.New(decided))
 	if err != nil {
--- a/internal/front/unread.go
+++ b/internal/frontend/watched_workers.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"woaddyke/internal/clientconn"
+	"woaddyke/internal/frontend/clientconn"
 )
 
 // unread is how long ago a request came to this machine. What came first of it may lie behind the request before, and its newest bytes in
--- a/internal/drain/drain.go
+++ b/internal/lifecycle/clientdrain/clientdrain.go
@@ -1,6 +1,6 @@
-// Package drain decides how a scheduler that serves sends its clients away when its staff ask for it, and takes them back. It
+// Package clientdrain decides how a scheduler that serves sends its clients away when its staff ask for it, and takes them back. It
 // does no input or output and reads no clock.
-package drain
+package clientdrain
 
 import "time"
 
--- a/internal/drain/drain_test.go
+++ b/internal/lifecycle/clientdrain/clientdrain_test.go
@@ -1,4 +1,4 @@
-package drain
+package clientdrain
 
 import (
 	"testing"
--- a/internal/clock/clock.go
+++ b/internal/lifecycle/clock/clock.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"woaddyke/internal/boottime"
+	"woaddyke/internal/lifecycle/boottime"
 )
 
 // origin is the moment at which each process starts. What was before that, such as the start of a worker, has a moment of its own.
--- a/internal/handover/golden_test.go
+++ b/internal/lifecycle/hotrestart/golden_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"reflect"
--- a/internal/handover/handover.go
+++ b/internal/lifecycle/hotrestart/hotrestart.go
@@ -1,6 +1,6 @@
-// Package handover is what a process tells the one that takes its place while both run, and how they share what only one
+// Package hotrestart is what a process tells the one that takes its place while both run, and how they share what only one
 // may use. It does no input or output.
-package handover
+package hotrestart
 
 import (
 	"encoding/json"
--- a/internal/handover/pass/retryconn.go
+++ b/internal/lifecycle/hotrestart/transfer/retryconn.go
@@ -1,9 +1,9 @@
-package pass
+package transfer
 
 import (
 	"net"
 
-	"woaddyke/internal/oserror"
+	"woaddyke/internal/base/oserror"
 )
 
 // retryConn is the connection between a giver and its heir. Each takes the end of the line for the other's end, so a call that fails as this
--- a/internal/handover/pass/pass.go
+++ b/internal/lifecycle/hotrestart/transfer/transfer.go
@@ -1,6 +1,6 @@
-// Package pass carries a handover from one process to another on the same machine: a message and open sockets, over a Unix
+// Package transfer carries a handover from one process to another on the same machine: a message and open sockets, over a Unix
 // socket that only the same user reaches. The connection stays open while both run, so each sees the other's end.
-package pass
+package transfer
 
 import (
 	"encoding/binary"
@@ -17,7 +17,7 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
 
-	"woaddyke/internal/oserror"
+	"woaddyke/internal/base/oserror"
 )
 
 const (
--- a/internal/handover/pass/pass_test.go
+++ b/internal/lifecycle/hotrestart/transfer/transfer_test.go
@@ -1,4 +1,4 @@
-package pass
+package transfer
 
 import (
 	"errors"
--- a/internal/console/console.go
+++ b/internal/observe/console/console.go
@@ -10,8 +10,8 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/clientconn"
-	"woaddyke/internal/tally"
+	"woaddyke/internal/frontend/clientconn"
+	"woaddyke/internal/observe/metrics"
 )
 
 const (
@@ -23,7 +23,7 @@
 // Scheduler is what calls are answered from. None of its methods may wait: answers are owed under any load.
 type Scheduler interface {
 	Ready() <-chan struct{} // closed once it can serve
-	Metrics() tally.Metrics
+	Metrics() metrics.Metrics
 	DrainClients()   // send clients away
 	ReadmitClients() // take them again
 }
--- a/internal/console/console_test.go
+++ b/internal/observe/console/console_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/fragmentpeer"
-	"woaddyke/internal/tally"
+	"woaddyke/internal/observe/metrics"
+	"woaddyke/internal/testsupport/fragmentpeer"
 )
 
 type scheduler struct {
@@ -20,8 +20,8 @@
 	calls chan string
 }
 
-func (s *scheduler) Ready() <-chan struct{} { return s.ready }
-func (s *scheduler) Metrics() tally.Metrics { return tally.Metrics{OpsInFlight: 14} }
+func (s *scheduler) Ready() <-chan struct{}   { return s.ready }
+func (s *scheduler) Metrics() metrics.Metrics { return metrics.Metrics{OpsInFlight: 14} }
 
 func (s *scheduler) DrainClients()   { s.calls <- "evacuate" }
 func (s *scheduler) ReadmitClients() { s.calls <- "rejoin" }
--- a/internal/guard/guard.go
+++ b/internal/observe/invariant/invariant.go
@@ -1,7 +1,7 @@
-// Package guard checks while a scheduler runs what must never happen: a few promises that all paths have to keep, each looked at where a
+// Package invariant checks while a scheduler runs what must never happen: a few promises that all paths have to keep, each looked at where a
 // path can no longer turn back. A breach is counted, the first few are logged with the states that led to them, and nothing is stopped: a
 // guard that ended the process would lose what it guards.
-package guard
+package invariant
 
 import (
 	"sync/atomic"
--- a/internal/guard/guard_test.go
+++ b/internal/observe/invariant/invariant_test.go
@@ -1,4 +1,4 @@
-package guard
+package invariant
 
 import (
 	"strings"
--- a/internal/tally/golden_test.go
+++ b/internal/observe/metrics/golden_test.go
@@ -1,4 +1,4 @@
-package tally
+package metrics
 
 import (
 	"testing"
--- a/internal/tally/tally.go
+++ b/internal/observe/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package tally holds the figures of a scheduler that its staff read: what became of ops, by category, and what the
+// Package metrics holds the figures of a scheduler that its staff read: what became of ops, by category, and what the
 // scheduler holds and knows now. Counts run from the start of the process. It does no input or output and reads no clock.
-package tally
+package metrics
 
 import (
 	"maps"
--- a/internal/ops/bench_test.go
+++ b/internal/scheduler/reducer/bench_test.go
@@ -1,4 +1,4 @@
-package ops
+package reducer
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"time"
 
 	"woaddyke/dispatch"
-	"woaddyke/internal/outcome"
+	"woaddyke/internal/workers/outcome"
 )
 
 // workersOf is a whole list of so many workers in 14 zones, 60 workers to a cell.
--- a/internal/ops/changes_test.go
+++ b/internal/scheduler/reducer/changes_test.go
@@ -1,4 +1,4 @@
-package ops
+package reducer
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"testing"
 
 	"woaddyke/dispatch"
-	"woaddyke/internal/outcome"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/config"
+	"woaddyke/internal/workers/outcome"
 )
 
 // entry is a category as these tests change it.
@@ -19,9 +19,9 @@
 }
 
 func (e entry) into(site map[string]any, i int) {
-	site[terms.ItemKey("categories", i, "name")], site[terms.ItemKey("categories", i, "effect")] = e.name, e.effect
-	site[terms.ItemKey("categories", i, "ttl")], site[terms.ItemKey("categories", i, "benefit")] = 50_000.0, 1.0
-	site[terms.ItemKey("categories", i, "targetLatency")] = float64(e.target)
+	site[config.ItemKey("categories", i, "name")], site[config.ItemKey("categories", i, "effect")] = e.name, e.effect
+	site[config.ItemKey("categories", i, "ttl")], site[config.ItemKey("categories", i, "benefit")] = 50_000.0, 1.0
+	site[config.ItemKey("categories", i, "targetLatency")] = float64(e.target)
 }
 
 func siteOf(entries []entry, pushes int) map[string]any {
--- a/internal/ops/churn_test.go
+++ b/internal/scheduler/reducer/churn_test.go
@@ -1,4 +1,4 @@
-package ops
+package reducer
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 
 	"woaddyke/dispatch"
-	"woaddyke/internal/outcome"
+	"woaddyke/internal/workers/outcome"
 )
 
 // A fleet that is replaced day by day names ever new workers. Each that had left was kept for good, and every op walked over all of them:
--- a/internal/ops/ends_test.go
+++ b/internal/scheduler/reducer/ends_test.go
@@ -1,4 +1,4 @@
-package ops
+package reducer
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing"
 
 	"woaddyke/dispatch"
-	"woaddyke/internal/outcome"
+	"woaddyke/internal/workers/outcome"
 )
 
 // known is what the test itself knows of an op: what its client was promised by the settings of the moment in which it came.
--- a/internal/ops/forget.go
+++ b/internal/scheduler/reducer/forget.go
@@ -1,6 +1,6 @@
-package ops
+package reducer
 
-import "woaddyke/internal/terms"
+import "woaddyke/internal/config"
 
 // index gives a worker that is new its index.
 func (r *Reducer) index(name string) (i int) {
@@ -12,7 +12,7 @@
 		r.workers = append(r.workers, worker{name: name})
 	}
 	r.indices[name] = i
-	r.tags[terms.WorkerTag(name)] = i
+	r.tags[config.WorkerTag(name)] = i
 	return i
 }
 
@@ -37,7 +37,7 @@
 func (r *Reducer) forgetWorker(i int) {
 	name := r.workers[i].name
 	delete(r.indices, name)
-	if tag := terms.WorkerTag(name); r.tags[tag] == i {
+	if tag := config.WorkerTag(name); r.tags[tag] == i {
 		delete(r.tags, tag)
 	}
 	r.d.ForgetWorker(i)
--- a/internal/ops/golden_test.go
+++ b/internal/scheduler/reducer/golden_test.go
@@ -1,4 +1,4 @@
-package ops
+package reducer
 
 import (
 	"testing"
--- a/internal/ops/ids.go
+++ b/internal/scheduler/reducer/ids.go
@@ -1,10 +1,10 @@
-package ops
+package reducer
 
 import (
 	"maps"
 
 	"woaddyke/dispatch"
-	"woaddyke/internal/opkey"
+	"woaddyke/internal/base/opkey"
 )
 
 const (
--- a/internal/ops/ids_test.go
+++ b/internal/scheduler/reducer/ids_test.go
@@ -1,4 +1,4 @@
-package ops
+package reducer
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"woaddyke/internal/outcome"
+	"woaddyke/internal/workers/outcome"
 )
 
 // An id stays taken until the TTL of its op, and a client may give up to a day: the ids of answered ops filled the memory. Beyond a bound
--- a/internal/ops/learned_test.go
+++ b/internal/scheduler/reducer/learned_test.go
@@ -1,4 +1,4 @@
-package ops
+package reducer
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"testing"
 
 	"woaddyke/dispatch"
-	"woaddyke/internal/outcome"
+	"woaddyke/internal/workers/outcome"
 )
 
 // An id that the process before holds still, or has answered with time left, is held by its heir too: a second push under it
--- a/internal/ops/ops.go
+++ b/internal/scheduler/reducer/reducer.go
@@ -1,7 +1,7 @@
-// Package ops holds the ops that a scheduler has taken and has not forgotten. Its one reducer takes an input
+// Package reducer holds the ops that a scheduler has taken and has not forgotten. Its one reducer takes an input
 // with its time, tells the module, pulls what the module decides and returns it as effects for the host to
 // carry out. It does no input or output, reads no clock and starts nothing.
-package ops
+package reducer
 
 import (
 	"cmp"
@@ -10,10 +10,10 @@
 	"strings"
 
 	"woaddyke/dispatch"
-	"woaddyke/internal/opkey"
-	"woaddyke/internal/outcome"
-	"woaddyke/internal/stats"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/base/opkey"
+	"woaddyke/internal/base/stats"
+	"woaddyke/internal/config"
+	"woaddyke/internal/workers/outcome"
 )
 
 const (
@@ -233,7 +233,7 @@
 // Reducer holds a scheduler's ops. All its state changes in Take.
 type Reducer struct {
 	d          *dispatch.Dispatcher
-	report     terms.ReportFormat
+	report     config.ReportFormat
 	inline     bool
 	cancel     bool
 	categories map[string]int     // by name: the place of each at the module
@@ -257,14 +257,14 @@
 
 // New starts a reducer from a scheduler's seed and its site's terms.
 func New(seed uint64, site map[string]any) *Reducer {
-	r := &Reducer{d: dispatch.New(seed, site), report: terms.ReportFormatOf(site), dropped: map[string]dropped{},
+	r := &Reducer{d: dispatch.New(seed, site), report: config.ReportFormatOf(site), dropped: map[string]dropped{},
 		zones: map[string]int{}, kinds: map[string]int{}, tags: map[string]int{}, indices: map[string]int{},
 		live: map[uint64]int{}, probes: map[uint64]probe{}, ids: newTakenIDs()}
 	r.byKind = site["kinds"] == true
 	r.inline = site["report.how"] == "inline"
 	r.cancel = site["bounds.cancel"] == true
 	r.categories = named(namesOf(site), r.d.SetCategories(site))
-	for i, z := range terms.StringList(site, "failureDomains") {
+	for i, z := range config.StringList(site, "failureDomains") {
 		r.zones[z] = i
 	}
 	return r
@@ -273,10 +273,10 @@
 // namesOf are the names of a site's categories, in their order; empty for one without.
 func namesOf(site map[string]any) (names []string) {
 	for i := 0; ; i++ {
-		if _, ok := site[terms.ItemKey("categories", i, "ttl")]; !ok {
+		if _, ok := site[config.ItemKey("categories", i, "ttl")]; !ok {
 			return names
 		}
-		name, _ := site[terms.ItemKey("categories", i, "name")].(string)
+		name, _ := site[config.ItemKey("categories", i, "name")].(string)
 		names = append(names, name)
 	}
 }
@@ -378,7 +378,7 @@
 	case ProbeEnded:
 		r.probed(now, in)
 	case PeerMessage:
-		if i, n, ok := terms.DecodePeerReport(in.Text, r.tags); ok {
+		if i, n, ok := config.DecodePeerReport(in.Text, r.tags); ok {
 			r.d.PeerReport(in.Sender, i, n)
 		}
 	case PeerLost:
@@ -425,7 +425,7 @@
 			r.kinds[kind] = k
 		}
 		r.d.UpsertWorker(i, z, e.WorkerGroup, w.ready, e.StartedAt)
-		r.d.IdentifyWorker(i, terms.IdentityHash(e.Worker), k)
+		r.d.IdentifyWorker(i, config.IdentityHash(e.Worker), k)
 	}
 	r.d.EndUpdate()
 	r.forgetWorkers()
@@ -572,7 +572,7 @@
 				todo = append(todo, Respond{Op: o.number, Verdict: verdict, RetryAfter: span, Reason: r.d.LastRejection()})
 			}
 		case dispatch.ReportToPeer:
-			todo = append(todo, SendToPeer{Peer: i, Text: terms.EncodePeerReport(r.workers[w].name, int(span))})
+			todo = append(todo, SendToPeer{Peer: i, Text: config.EncodePeerReport(r.workers[w].name, int(span))})
 		case dispatch.SetTimer:
 			todo = append(todo, SetTimer{span})
 		case dispatch.Forget:
--- a/internal/ops/ops_test.go
+++ b/internal/scheduler/reducer/reducer_test.go
@@ -1,4 +1,4 @@
-package ops
+package reducer
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing/quick"
 
 	"woaddyke/dispatch"
-	"woaddyke/internal/outcome"
+	"woaddyke/internal/workers/outcome"
 )
 
 const second dispatch.Time = 10_000
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -12,7 +12,7 @@
 	"strconv"
 
 	"woaddyke/dispatch"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/config"
 )
 
 const maxZone = 1 << 12 // the module keeps something for each zone and kind up to the highest number
@@ -63,7 +63,7 @@
 
 type scheduler struct {
 	d       *dispatch.Dispatcher
-	report  terms.ReportFormat
+	report  config.ReportFormat
 	workers map[string]int
 	tags    map[string]int // workers by the tags that messages carry
 	names   []string
@@ -123,7 +123,7 @@
 		if s == nil {
 			continue
 		}
-		s.d.AdvanceClock(terms.RoundUp(*b.WallNs))
+		s.d.AdvanceClock(config.RoundUp(*b.WallNs))
 		box := s.outbox(nil)
 		if len(box) == 0 {
 			continue
@@ -158,7 +158,7 @@
 	if s == nil {
 		return errors.New("scheduler was not powered on")
 	}
-	s.d.AdvanceClock(terms.RoundUp(wall))
+	s.d.AdvanceClock(config.RoundUp(wall))
 	switch it.M {
 	case "Topology":
 		return s.topology(it)
@@ -169,12 +169,12 @@
 		if _, twice := s.ops[it.Req]; twice {
 			return fmt.Errorf("req %s came twice", it.Req)
 		}
-		if !s.d.AddOp(s.opIndex(it.Req), it.Lane, terms.RoundDown(it.ValidUntil), max(it.Slots, 1), it.Memory,
-			terms.RoundUp(it.WorkNs)) {
+		if !s.d.AddOp(s.opIndex(it.Req), it.Lane, config.RoundDown(it.ValidUntil), max(it.Slots, 1), it.Memory,
+			config.RoundUp(it.WorkNs)) {
 			return fmt.Errorf("lane %d is in no settings", it.Lane)
 		}
 		if it.RouteKey != "" {
-			s.d.SetAffinityKey(s.ops[it.Req], terms.IdentityHash(it.RouteKey))
+			s.d.SetAffinityKey(s.ops[it.Req], config.IdentityHash(it.RouteKey))
 		}
 	case "Settled", "UpdateOf", "Dropped":
 		op, ok := s.ops[it.Req]
@@ -183,9 +183,9 @@
 		}
 		switch it.M {
 		case "Settled":
-			s.d.AttemptEnded(op, it.Leg, outcomeOf(it.How), terms.RoundDown(it.ElapsedNs), it.Over)
+			s.d.AttemptEnded(op, it.Leg, outcomeOf(it.How), config.RoundDown(it.ElapsedNs), it.Over)
 			if wi, known := s.workers[it.Worker]; known && len(it.HealthInfo) > 0 {
-				s.d.ProbeAnswered(wi, terms.RoundDown(it.ElapsedNs), s.report.FromRow(it.HealthInfo))
+				s.d.ProbeAnswered(wi, config.RoundDown(it.ElapsedNs), s.report.FromRow(it.HealthInfo))
 			}
 		case "UpdateOf":
 			s.d.AttemptProgress(op, it.Leg, it.Topic == 1, it.Level)
@@ -193,7 +193,7 @@
 			s.d.ClientDisconnected(op)
 		}
 	case "Message":
-		if i, n, ok := terms.DecodePeerReport(it.Contents, s.tags); ok {
+		if i, n, ok := config.DecodePeerReport(it.Contents, s.tags); ok {
 			s.d.PeerReport(it.By, i, n)
 		}
 	case "StatusBack":
@@ -202,9 +202,9 @@
 			return fmt.Errorf("worker %q was in no list", it.Worker)
 		}
 		if it.How == 10 {
-			s.d.ProbeAnswered(wi, terms.RoundDown(it.ElapsedNs), s.report.FromRow(it.HealthInfo))
+			s.d.ProbeAnswered(wi, config.RoundDown(it.ElapsedNs), s.report.FromRow(it.HealthInfo))
 		} else {
-			s.d.ProbeFailed(wi, terms.RoundDown(it.ElapsedNs), outcomeOf(it.How))
+			s.d.ProbeFailed(wi, config.RoundDown(it.ElapsedNs), outcomeOf(it.How))
 		}
 	}
 	return nil // TickDue, and items of later wires only move the clock
@@ -222,11 +222,11 @@
 			return fmt.Errorf("prng: %w", err)
 		}
 	}
-	site := terms.Flatten(it.Setup)
+	site := config.Flatten(it.Setup)
 	site["keys"] = true // ops carry them only where workers keep something
-	s := &scheduler{workers: map[string]int{}, tags: map[string]int{}, ops: map[string]int{}, report: terms.ReportFormatOf(site)}
+	s := &scheduler{workers: map[string]int{}, tags: map[string]int{}, ops: map[string]int{}, report: config.ReportFormatOf(site)}
 	s.d = dispatch.New(seed, site)
-	s.d.AdvanceClock(terms.RoundUp(wall))
+	s.d.AdvanceClock(config.RoundUp(wall))
 	hosts[id] = s
 	return nil
 }
@@ -250,12 +250,12 @@
 		if !ok {
 			wi = len(s.names)
 			s.workers[r.Worker] = wi
-			s.tags[terms.WorkerTag(r.Worker)] = wi
+			s.tags[config.WorkerTag(r.Worker)] = wi
 			s.names = append(s.names, r.Worker)
 		}
 		ready := r.Availability == "ready"
-		s.d.UpsertWorker(wi, r.Locality, r.UnitGroup, ready, terms.RoundUp(r.SinceNs))
-		s.d.IdentifyWorker(wi, terms.IdentityHash(r.Worker), r.ClassOfHost)
+		s.d.UpsertWorker(wi, r.Locality, r.UnitGroup, ready, config.RoundUp(r.SinceNs))
+		s.d.IdentifyWorker(wi, config.IdentityHash(r.Worker), r.ClassOfHost)
 	}
 	s.d.EndUpdate()
 	return nil
@@ -308,7 +308,7 @@
 		if len(box) > 0 {
 			box = append(box, ',')
 		}
-		ns := int64(span) * terms.Tenth
+		ns := int64(span) * config.Tenth
 		switch do {
 		case dispatch.Push:
 			s.legs[i]++
@@ -319,7 +319,7 @@
 		case dispatch.Probe:
 			box = fmt.Appendf(box, `{"m":"Test","worker":%s}`, quote(s.names[worker]))
 		case dispatch.ReportToPeer:
-			box = fmt.Appendf(box, `{"m":"WritePeer","to":%d,"contents":"%s"}`, i, terms.EncodePeerReport(s.names[worker], int(span)))
+			box = fmt.Appendf(box, `{"m":"WritePeer","to":%d,"contents":"%s"}`, i, config.EncodePeerReport(s.names[worker], int(span)))
 		case dispatch.Nack:
 			box = fmt.Appendf(box, `{"m":"Decline","req":%s,"pauseNs":%d}`, quote(s.reqs[i]), ns)
 		case dispatch.DeadLetter:
--- a/internal/virtual/virtual.go
+++ b/internal/testsupport/simclock/simclock.go
@@ -1,5 +1,5 @@
-// Package virtual is time that a play makes up: what is planned for a moment happens when the play has come to it, in one order.
-package virtual
+// Package simclock is time that a play makes up: what is planned for a moment happens when the play has come to it, in one order.
+package simclock
 
 import "container/heap"
 
--- a/internal/roster/bench_test.go
+++ b/internal/workers/discovery/bench_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"encoding/json"
--- a/internal/roster/crowd_test.go
+++ b/internal/workers/discovery/crowd_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/ops"
+	"woaddyke/internal/scheduler/reducer"
 )
 
 // caller is a scheduler of a crowd, by its spans alone.
@@ -190,7 +190,7 @@
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n0\r\n\r\n", len(text)+1, text)
 		}()
 		began, took, told := time.Now(), time.Duration(0), 0
-		r := New(l.Addr().String(), Message{Rev: 999_999_999}, lone, 7, unknown(), func(in ops.Input) { took, told = time.Since(began), len(in.(ops.EndpointsChanged).Endpoints) }, zerolog.Nop())
+		r := New(l.Addr().String(), Message{Rev: 999_999_999}, lone, 7, unknown(), func(in reducer.Input) { took, told = time.Since(began), len(in.(reducer.EndpointsChanged).Endpoints) }, zerolog.Nop())
 		r.watch(context.Background())
 		l.Close()
 		if head := <-asked; len(head) > 200 {
--- a/internal/roster/roster.go
+++ b/internal/workers/discovery/discovery.go
@@ -1,6 +1,6 @@
-// Package roster holds discovery's list of workers: it reads the list, watches its changes and connects again
+// Package discovery holds discovery's list of workers: it reads the list, watches its changes and connects again
 // when the watch breaks.
-package roster
+package discovery
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/ops"
+	"woaddyke/internal/scheduler/reducer"
 )
 
 // errTurnedAway is a call that discovery had no time for.
@@ -42,14 +42,14 @@
 }
 
 // EndpointsChanged is the message as the reducer takes it.
-func (m *Message) EndpointsChanged(starts *StartTimes) ops.EndpointsChanged {
-	in := ops.EndpointsChanged{Snapshot: m.All, Revision: m.Rev}
+func (m *Message) EndpointsChanged(starts *StartTimes) reducer.EndpointsChanged {
+	in := reducer.EndpointsChanged{Snapshot: m.All, Revision: m.Rev}
 	for i := range m.Targets {
 		t := &m.Targets[i]
 		if t.UID == "" {
 			continue // nobody could ever be told that it has gone
 		}
-		in.Endpoints = append(in.Endpoints, ops.Endpoint{Worker: t.UID, Addr: t.Endpoint, Zone: t.AZ, MachineKind: t.Model, WorkerGroup: t.PodGroup,
+		in.Endpoints = append(in.Endpoints, reducer.Endpoint{Worker: t.UID, Addr: t.Endpoint, Zone: t.AZ, MachineKind: t.Model, WorkerGroup: t.PodGroup,
 			Ready: t.State == "SERVING", Removed: t.State == deleted, BootID: t.BootMS, StartedAt: starts.of(t)})
 	}
 	return in
@@ -57,7 +57,7 @@
 
 // Client is discovery at the address last given, as of one version of its list.
 type Client struct {
-	tell   func(ops.Input)
+	tell   func(reducer.Input)
 	client http.Client
 
 	watched atomic.Pointer[watchConn] // of the watch that is on, nil without one
@@ -77,7 +77,7 @@
 
 // New makes a roster that goes on from a remembered list, and draws the moments of its calls from its seed
 // over a spread that it shares with the other schedulers.
-func New(addr string, known Message, spans Timeouts, seed uint64, starts *StartTimes, tell func(ops.Input), log zerolog.Logger) *Client {
+func New(addr string, known Message, spans Timeouts, seed uint64, starts *StartTimes, tell func(reducer.Input), log zerolog.Logger) *Client {
 	known.All = true
 	r := &Client{addr: addr, tell: tell, log: log, starts: starts, end: func() {}, moved: make(chan struct{}, 1),
 		chance: rand.New(rand.NewPCG(seed, 0)), spans: spans,
--- a/internal/roster/roster_test.go
+++ b/internal/workers/discovery/discovery_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/ops"
+	"woaddyke/internal/scheduler/reducer"
 )
 
 // lone are the spans of a scheduler that asks alone.
@@ -39,10 +39,10 @@
 	addr, calls := discovery(t,
 		`{"rev":43,"all":false,"targets":[{"uid":"w","endpoint":"a:1","az":"z","pod_group":3,"state":"DRAINING",`+
 			`"boot_ms":5},{"endpoint":"no name"}]}`+"\n\n")
-	told := make(chan ops.Input, 9)
+	told := make(chan reducer.Input, 9)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go New(addr, Message{Rev: 41}, lone, 7, unknown(), func(in ops.Input) { told <- in }, zerolog.Nop()).Run(ctx)
+	go New(addr, Message{Rev: 41}, lone, 7, unknown(), func(in reducer.Input) { told <- in }, zerolog.Nop()).Run(ctx)
 	for _, want := range []string{"stream=1&index=41", "stream=1&index=43"} {
 		select {
 		case got := <-calls:
@@ -53,11 +53,11 @@
 			t.Fatal("not called again")
 		}
 	}
-	in, ok := (<-told).(ops.EndpointsChanged)
+	in, ok := (<-told).(reducer.EndpointsChanged)
 	if !ok || in.Snapshot || len(in.Endpoints) != 1 {
 		t.Fatalf("%+v", in)
 	}
-	want := ops.Endpoint{Worker: "w", Addr: "a:1", Zone: "z", WorkerGroup: 3, BootID: 5, StartedAt: in.Endpoints[0].StartedAt}
+	want := reducer.Endpoint{Worker: "w", Addr: "a:1", Zone: "z", WorkerGroup: 3, BootID: 5, StartedAt: in.Endpoints[0].StartedAt}
 	if in.Endpoints[0] != want || want.StartedAt <= 0 {
 		t.Errorf("%+v", in.Endpoints[0])
 	}
@@ -74,7 +74,7 @@
 	defer s.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	r := New("127.0.0.1:1", Message{Rev: 1}, lone, 7, unknown(), func(ops.Input) {}, zerolog.Nop())
+	r := New("127.0.0.1:1", Message{Rev: 1}, lone, 7, unknown(), func(reducer.Input) {}, zerolog.Nop())
 	go r.Run(ctx)
 	r.SetAddress(s.Listener.Addr().String())
 	for range 2 {
@@ -177,7 +177,7 @@
 		})}
 		go s.Serve(p)
 		for i := range schedulers {
-			r := New("discovery", Message{}, TimeoutsFor(false, schedulers, 2500*time.Millisecond), uint64(i), unknown(), func(ops.Input) {}, zerolog.Nop())
+			r := New("discovery", Message{}, TimeoutsFor(false, schedulers, 2500*time.Millisecond), uint64(i), unknown(), func(reducer.Input) {}, zerolog.Nop())
 			r.client.Transport.(*http.Transport).DialContext = p.dial
 			go r.Run(ctx)
 		}
--- a/internal/roster/ends_test.go
+++ b/internal/workers/discovery/ends_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/ops"
-	"woaddyke/internal/stats"
+	"woaddyke/internal/base/stats"
+	"woaddyke/internal/scheduler/reducer"
 )
 
 const (
@@ -141,7 +141,7 @@
 		a := &agent{pipes: pipes{make(chan net.Conn), make(chan struct{})}, from: time.Now(), how: how}
 		go a.serve()
 		at := make(chan time.Time, 99)
-		r := New("discovery", Message{}, spans, seed, unknown(), func(ops.Input) { at <- time.Now() }, zerolog.Nop())
+		r := New("discovery", Message{}, spans, seed, unknown(), func(reducer.Input) { at <- time.Now() }, zerolog.Nop())
 		r.client.Transport.(*http.Transport).DialContext = a.dial
 		go r.Run(ctx)
 		got := <-at
@@ -161,8 +161,8 @@
 func TestAnIndentedListIsReadWhole(t *testing.T) {
 	addr, _ := discovery(t, "\n{\n  \"rev\": 44,\n\n  \"all\": true,\n  \"targets\": [\n    {\"uid\": \"w\",\n     \"endpoint\": \"a:1\",\n"+
 		"     \"state\": \"SERVING\"}\n  ]\n}\n\n{\"rev\":45,\n\"all\":false,\n\"targets\":[\n]}{\"rev\":46,\"all\":false,\"targets\":[]}\n")
-	var told []ops.EndpointsChanged
-	r := New(addr, Message{Rev: 1}, lone, 7, unknown(), func(in ops.Input) { told = append(told, in.(ops.EndpointsChanged)) }, zerolog.Nop())
+	var told []reducer.EndpointsChanged
+	r := New(addr, Message{Rev: 1}, lone, 7, unknown(), func(in reducer.Input) { told = append(told, in.(reducer.EndpointsChanged)) }, zerolog.Nop())
 	if _, err := r.watch(context.Background()); err == nil {
 		t.Error("a watch that ends is broken")
 	}
@@ -192,7 +192,7 @@
 		t.Run(name, func(t *testing.T) {
 			addr, calls := discovery(t, good+spoilt)
 			told := 0
-			r := New(addr, Message{Rev: 1}, lone, 7, unknown(), func(ops.Input) { told++ }, zerolog.Nop())
+			r := New(addr, Message{Rev: 1}, lone, 7, unknown(), func(reducer.Input) { told++ }, zerolog.Nop())
 			if _, err := r.watch(context.Background()); err == nil || told != 1 || r.rev != 42 || len(r.list) != 1 {
 				t.Fatalf("%v, told %d times, version %d, %d workers", err, told, r.rev, len(r.list))
 			}
@@ -226,7 +226,7 @@
 		}
 	}))
 	defer s.Close()
-	r := New(s.Listener.Addr().String(), Message{Rev: 1}, lone, 7, unknown(), func(ops.Input) { t.Error("told") }, zerolog.Nop())
+	r := New(s.Listener.Addr().String(), Message{Rev: 1}, lone, 7, unknown(), func(reducer.Input) { t.Error("told") }, zerolog.Nop())
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	if _, err := r.watch(context.Background()); !errors.Is(err, errTooLong) {
@@ -274,8 +274,8 @@
 	}))
 	defer old.Close()
 	fresh, calls := discovery(t, `{"rev":3,"all":true,"targets":[{"uid":"new","endpoint":"a:1","state":"SERVING"}]}`+"\n")
-	told := make(chan ops.EndpointsChanged, 9)
-	r := New(old.Listener.Addr().String(), Message{Rev: 80}, lone, 7, unknown(), func(in ops.Input) { told <- in.(ops.EndpointsChanged) }, zerolog.Nop())
+	told := make(chan reducer.EndpointsChanged, 9)
+	r := New(old.Listener.Addr().String(), Message{Rev: 80}, lone, 7, unknown(), func(in reducer.Input) { told <- in.(reducer.EndpointsChanged) }, zerolog.Nop())
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go r.Run(ctx)
--- a/internal/roster/golden_test.go
+++ b/internal/workers/discovery/golden_test.go
@@ -1,10 +1,10 @@
-package roster
+package discovery
 
 import (
 	"encoding/json"
 	"testing"
 
-	"woaddyke/internal/clock"
+	"woaddyke/internal/lifecycle/clock"
 	"woaddyke/internal/testsupport/filled"
 	"woaddyke/internal/testsupport/golden"
 )
--- a/internal/roster/pieces_test.go
+++ b/internal/workers/discovery/pieces_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/fragmentpeer"
-	"woaddyke/internal/ops"
+	"woaddyke/internal/scheduler/reducer"
+	"woaddyke/internal/testsupport/fragmentpeer"
 )
 
 // Half a line of a list told of workers that were not there, and a list in pieces of none.
@@ -28,8 +28,8 @@
 	whole += "0\r\n\r\n"
 	var way fragmentpeer.Way
 	addr := fragmentpeer.Answer(t, func() fragmentpeer.Way { return way })
-	watch := func() (told []ops.Input, rev int64) {
-		r := New(addr, Message{Rev: 40}, lone, 7, unknown(), func(in ops.Input) { told = append(told, in) }, zerolog.Nop())
+	watch := func() (told []reducer.Input, rev int64) {
+		r := New(addr, Message{Rev: 40}, lone, 7, unknown(), func(in reducer.Input) { told = append(told, in) }, zerolog.Nop())
 		if _, err := r.watch(context.Background()); err == nil {
 			t.Errorf("%s: a watch that ends is broken", way.Name)
 		}
--- a/internal/roster/starts.go
+++ b/internal/workers/discovery/start_times.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"maps"
@@ -6,8 +6,8 @@
 	"time"
 
 	"woaddyke/dispatch"
-	"woaddyke/internal/clock"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/config"
+	"woaddyke/internal/lifecycle/clock"
 )
 
 // Discovery tells a worker's start in Unix time. This is the one place where that is held against this machine's wall clock, which is
@@ -82,7 +82,7 @@
 	if x, known := s.known[t.UID]; known && x.BootMS == t.BootMS {
 		return x.At
 	}
-	at := terms.RoundUp(s.clock.Now() - int64(s.age(t.BootMS)))
+	at := config.RoundUp(s.clock.Now() - int64(s.age(t.BootMS)))
 	if x, known := s.known[t.UID]; known && t.BootMS > x.BootMS {
 		at = max(at, x.At+1) // a later process of the same worker
 	}
--- a/internal/roster/starts_test.go
+++ b/internal/workers/discovery/start_times_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"time"
 
 	"woaddyke/dispatch"
-	"woaddyke/internal/clock"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/config"
+	"woaddyke/internal/lifecycle/clock"
 )
 
 // unknown are the starts of a process that knows of none.
@@ -21,7 +21,7 @@
 
 // ageOf is how old a worker is to the module.
 func (s *StartTimes) ageOf(t *target) time.Duration {
-	return time.Duration(s.clock.Now()) - time.Duration(s.of(t))*terms.Tenth
+	return time.Duration(s.clock.Now()) - time.Duration(s.of(t))*config.Tenth
 }
 
 func near(got, want time.Duration) bool { return (got - want).Abs() <= 2*time.Millisecond }
--- a/internal/roster/starved_test.go
+++ b/internal/workers/discovery/starved_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/ops"
+	"woaddyke/internal/scheduler/reducer"
 )
 
 // A timer that is late tells of this process: what came meanwhile lies unread. A few times it waits for that; a timer that is in time,
@@ -63,8 +63,8 @@
 
 func TestMain(m *testing.M) {
 	if addr := os.Getenv(child); addr != "" {
-		r := New(addr, Message{Rev: 7}, Timeouts{Quiet: time.Second, Settle: time.Second, Spread: 1, Silent: 1, Most: 1, Turned: 1}, 7, unknown(), func(in ops.Input) {
-			fmt.Println("told", in.(ops.EndpointsChanged).Revision)
+		r := New(addr, Message{Rev: 7}, Timeouts{Quiet: time.Second, Settle: time.Second, Spread: 1, Silent: 1, Most: 1, Turned: 1}, 7, unknown(), func(in reducer.Input) {
+			fmt.Println("told", in.(reducer.EndpointsChanged).Revision)
 			os.Exit(0)
 		}, zerolog.Nop())
 		r.Run(context.Background())
--- a/internal/roster/told_test.go
+++ b/internal/workers/discovery/told_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"context"
@@ -20,9 +20,9 @@
 	"github.com/rs/zerolog"
 
 	"woaddyke/dispatch"
-	"woaddyke/internal/ops"
-	"woaddyke/internal/outcome"
-	"woaddyke/internal/terms"
+	"woaddyke/internal/config"
+	"woaddyke/internal/scheduler/reducer"
+	"woaddyke/internal/workers/outcome"
 )
 
 // outage is a discovery that can't be reached for a while, under a clock of the test's. It has a list before, and another after.
@@ -141,8 +141,8 @@
 		o.pipes, o.from, o.tally = pipes{make(chan net.Conn), make(chan struct{})}, time.Now(), &tally{}
 		go o.serve()
 		at := make(chan time.Time, 99)
-		r := New("discovery", Message{}, spans, seed, unknown(), func(in ops.Input) {
-			if in.(ops.EndpointsChanged).Revision == 9 {
+		r := New("discovery", Message{}, spans, seed, unknown(), func(in reducer.Input) {
+			if in.(reducer.EndpointsChanged).Revision == 9 {
 				at <- time.Now()
 			}
 		}, zerolog.Nop())
@@ -244,29 +244,29 @@
 						if err := json.Unmarshal([]byte("{\"targets\":["+old+","+other+"]}"), &known); err != nil {
 							t.Fatal(err)
 						}
-						decisions, inputs := ops.New(seed, map[string]any{"bounds.maxPushes": 1.0, "step": 10.0, "categories.0.name": "look",
-							"categories.0.ttl": 5.0, "categories.0.effect": "redeliverable", "categories.0.targetLatency": 10_000.0}), make(chan ops.Input, 9)
-						at := func() dispatch.Time { return terms.RoundUp(time.Since(o.from).Nanoseconds()) + 1 }
+						decisions, inputs := reducer.New(seed, map[string]any{"bounds.maxPushes": 1.0, "step": 10.0, "categories.0.name": "look",
+							"categories.0.ttl": 5.0, "categories.0.effect": "redeliverable", "categories.0.targetLatency": 10_000.0}), make(chan reducer.Input, 9)
+						at := func() dispatch.Time { return config.RoundUp(time.Since(o.from).Nanoseconds()) + 1 }
 						list := known.EndpointsChanged(unknown())
 						list.Snapshot, list.Cached = true, true
 						decisions.Step(at(), list)
-						r := New("discovery", known, TimeoutsFor(false, schedulers, grace), seed, unknown(), func(in ops.Input) { inputs <- in }, zerolog.Nop())
+						r := New("discovery", known, TimeoutsFor(false, schedulers, grace), seed, unknown(), func(in reducer.Input) { inputs <- in }, zerolog.Nop())
 						r.client.Transport.(*http.Transport).DialContext = o.dial
 						ctx, stop := context.WithCancel(context.Background())
 						go r.Run(ctx)
 						last, pushes := map[string]time.Duration{}, map[string]int{}
 						for n := uint64(1); time.Since(o.from) < o.back+25*time.Second; n++ {
-							var todo []ops.Effect
+							var todo []reducer.Effect
 							select {
 							case in := <-inputs:
 								todo = decisions.Step(at(), in)
 							case <-time.After(50 * time.Millisecond):
-								todo = decisions.Step(at(), ops.OpArrived{Op: n, ID: fmt.Sprint(n), Category: "look", TTL: at() + 20_000})
+								todo = decisions.Step(at(), reducer.OpArrived{Op: n, ID: fmt.Sprint(n), Category: "look", TTL: at() + 20_000})
 							}
 							for _, e := range todo {
-								if p, ok := e.(ops.Push); ok {
+								if p, ok := e.(reducer.Push); ok {
 									last[p.Worker], pushes[p.Worker] = time.Since(o.from)-o.back, pushes[p.Worker]+1
-									decisions.Step(at(), ops.AttemptEnded{Op: p.Op, Ending: outcome.Done})
+									decisions.Step(at(), reducer.AttemptEnded{Op: p.Op, Ending: outcome.Done})
 								}
 							}
 						}
@@ -292,7 +292,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			o := outage{tally: &tally{}, pipes: pipes{make(chan net.Conn), make(chan struct{})}, from: time.Now(), how: []way{turned}, back: time.Hour}
 			go o.serve()
-			r := New("discovery", Message{}, TimeoutsFor(false, 300, 2500*time.Millisecond), seed, unknown(), func(ops.Input) {}, zerolog.Nop())
+			r := New("discovery", Message{}, TimeoutsFor(false, 300, 2500*time.Millisecond), seed, unknown(), func(reducer.Input) {}, zerolog.Nop())
 			r.client.Transport.(*http.Transport).DialContext = o.dial
 			ctx, stop := context.WithCancel(context.Background())
 			go r.Run(ctx)
@@ -337,7 +337,7 @@
 	heard := make(chan int64, 9)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go New(s.Listener.Addr().String(), Message{Rev: 7}, lone, 7, unknown(), func(in ops.Input) { heard <- in.(ops.EndpointsChanged).Revision }, zerolog.Nop()).Run(ctx)
+	go New(s.Listener.Addr().String(), Message{Rev: 7}, lone, 7, unknown(), func(in reducer.Input) { heard <- in.(reducer.EndpointsChanged).Revision }, zerolog.Nop()).Run(ctx)
 	select {
 	case rev := <-heard:
 		if rev != 9 || asked.Load() != int64(len(ways)) {
--- a/internal/roster/unread.go
+++ b/internal/workers/discovery/unread_data.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"woaddyke/internal/workerconn"
+	"woaddyke/internal/workers/workerconn"
 )
 
 // watchConn is the connection of a watch. It knows whether something that came on it has not been handed on yet.
--- a/internal/workerconn/begin_test.go
+++ b/internal/workers/workerconn/begin_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/fragmentpeer"
-	"woaddyke/internal/outcome"
+	"woaddyke/internal/testsupport/fragmentpeer"
+	"woaddyke/internal/workers/outcome"
 )
 
 // narrow dials with buffers so small that a worker that reads nothing soon stops a write; full fills them before the first use.
--- a/internal/workerconn/ends_test.go
+++ b/internal/workers/workerconn/ends_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/fragmentpeer"
-	"woaddyke/internal/outcome"
+	"woaddyke/internal/testsupport/fragmentpeer"
+	"woaddyke/internal/workers/outcome"
 )
 
 // head reads one request's head.
--- a/internal/workerconn/exchange.go
+++ b/internal/workers/workerconn/exchange.go
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
-	"woaddyke/internal/oserror"
-	"woaddyke/internal/outcome"
+	"woaddyke/internal/base/oserror"
+	"woaddyke/internal/workers/outcome"
 )
 
 const (
--- a/internal/workerconn/gauge.go
+++ b/internal/workers/workerconn/gauge.go
@@ -5,7 +5,7 @@
 	"io"
 	"time"
 
-	"woaddyke/internal/oserror"
+	"woaddyke/internal/base/oserror"
 )
 
 // What a worker may say in one exchange. The standard reader of answers bounds neither a head nor interim answers: one that never
--- a/internal/workerconn/pieces_test.go
+++ b/internal/workers/workerconn/pieces_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"woaddyke/dispatch"
-	"woaddyke/internal/fragmentpeer"
-	"woaddyke/internal/outcome"
+	"woaddyke/internal/testsupport/fragmentpeer"
+	"woaddyke/internal/workers/outcome"
 )
 
 // stream is a worker's answer with these lines, each a chunk.
--- a/internal/workerconn/stale_test.go
+++ b/internal/workers/workerconn/stale_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/fragmentpeer"
-	"woaddyke/internal/outcome"
+	"woaddyke/internal/testsupport/fragmentpeer"
+	"woaddyke/internal/workers/outcome"
 )
 
 // A push whose decision may rest on an old list waits until the list is taken up; it may be closed meanwhile, and is kept back where that
--- a/internal/workerconn/workerconn.go
+++ b/internal/workers/workerconn/workerconn.go
@@ -12,8 +12,8 @@
 	"syscall"
 	"time"
 
-	"woaddyke/internal/oserror"
-	"woaddyke/internal/outcome"
+	"woaddyke/internal/base/oserror"
+	"woaddyke/internal/workers/outcome"
 )
 
 // Bounds are what a site and a machine allow.
--- a/internal/workerconn/workerconn_test.go
+++ b/internal/workers/workerconn/workerconn_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/fragmentpeer"
-	"woaddyke/internal/outcome"
+	"woaddyke/internal/testsupport/fragmentpeer"
+	"woaddyke/internal/workers/outcome"
 )
 
 var request = []byte("POST /api HTTP/1.1\r\nHost: w\r\nContent-Length: 0\r\n\r\n")
