--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -49,33 +49,33 @@
 
 // Fixed bounds and spans; each says what it is for.
 const (
-	helpers     = 3           // others that are asked to ping one who did not answer
-	confirms    = 3           // further accusers that shorten a doubt to its least
-	tolerance   = 60 * ms     // a timer that is later means that this process stood still
-	openEvery   = second / 2  // full exchanges with those that are new or back, at the most
-	lastWord    = 250 * ms    // before its end a doubter asks once more, directly and through others
-	fallback    = 500 * ms    // those who only heard of a doubt wait so much longer than those who found it
-	askEvery    = 100 * ms    // one that joins or was away asks again
-	askSpan     = second      // it goes on alone where nobody that is sure has answered
-	asked       = 5           // members that are asked at once
-	spread      = 3           // members that gossip goes to at once
-	told        = 1.5         // each tells a claim so often, times the logarithm of the members: the rest is for full exchange
-	gossipEvery = 100 * ms    //
-	duelSpan    = second      // without an answer the other process of this name is held to be no more
-	leaveTimes  = 5           // a leave is told so often
-	leaveEvery  = 40 * ms     //
-	leaveTo     = 8           // to so many members each time
-	mostRelays  = 256         // pings for others that are out
-	mostProbes  = 64          // own pings that are out
-	mostQueue   = 1 << 14     // claims waiting to be told: what is left out, full exchange mends
-	claimRoom   = 1100        // bytes for claims in a datagram, by estimate
-	buckets     = 64          // of a view's digests
-	farAfter    = 4           // direct pings in a row without an answer: not reachable from here
-	mostSlack   = 2 * second  // by which own lateness lengthens a doubt
-	slackEases  = 10 * second // in which it is forgotten
-	seqJump     = 1 << 32     // a process that takes over goes on this far beyond
-	longName    = 255         // bytes of a name or an address
-	mostSeeds   = 256
+	indirectProbes      = 3           // others that are asked to ping one who did not answer
+	maxConfirmations    = 3           // further accusers that shorten a doubt to its least
+	maxTimerLateness    = 60 * ms     // a timer that is later means that this process stood still
+	minPushPullInterval = second / 2  // full exchanges with those that are new or back, at the most
+	finalProbeLead      = 250 * ms    // before its end a doubter asks once more, directly and through others
+	secondHandDelay     = 500 * ms    // those who only heard of a doubt wait so much longer than those who found it
+	queryInterval       = 100 * ms    // one that joins or was away asks again
+	queryTimeout        = second      // it goes on alone where nobody that is sure has answered
+	queryFanout         = 5           // members that are asked at once
+	gossipFanout        = 3           // members that gossip goes to at once
+	transmitFactor      = 1.5         // each tells a claim so often, times the logarithm of the members: the rest is for full exchange
+	gossipInterval      = 100 * ms    //
+	conflictTimeout     = second      // without an answer the other process of this name is held to be no more
+	maxLeaveNotices     = 5           // a leave is told so often
+	leaveNoticeInterval = 40 * ms     //
+	leaveFanout         = 8           // to so many members each time
+	maxIndirectPings    = 256         // pings for others that are out
+	maxProbes           = 64          // own pings that are out
+	maxQueuedRecords    = 1 << 14     // claims waiting to be told: what is left out, full exchange mends
+	maxRecordBytes      = 1100        // bytes for claims in a datagram, by estimate
+	digestBuckets       = 64          // of a view's digests
+	maxUnansweredPings  = 4           // direct pings in a row without an answer: not reachable from here
+	maxExtension        = 2 * second  // by which own lateness lengthens a doubt
+	extensionDecay      = 10 * second // in which it is forgotten
+	handoverSeqGap      = 1 << 32     // a process that takes over goes on this far beyond
+	maxNameBytes        = 255         // bytes of a name or an address
+	maxSeeds            = 256
 )
 
 // Validate tells what is wrong with the terms.
@@ -96,14 +96,14 @@
 		}
 	}
 	switch {
-	case t.Name == "" || len(t.Name) > longName || strings.ContainsAny(t.Name, "\r\n"):
-		return fmt.Errorf("name: %q is no name of 1 to %d bytes in one line", t.Name, longName)
-	case t.Cluster == "" || len(t.Cluster) > longName:
-		return fmt.Errorf("cluster: %q is no name of 1 to %d bytes", t.Cluster, longName)
+	case t.Name == "" || len(t.Name) > maxNameBytes || strings.ContainsAny(t.Name, "\r\n"):
+		return fmt.Errorf("name: %q is no name of 1 to %d bytes in one line", t.Name, maxNameBytes)
+	case t.Cluster == "" || len(t.Cluster) > maxNameBytes:
+		return fmt.Errorf("cluster: %q is no name of 1 to %d bytes", t.Cluster, maxNameBytes)
 	case t.MaxMembers < 2 || t.MaxMembers > 1<<16:
 		return fmt.Errorf("most: %d lies outside 2 to %d", t.MaxMembers, 1<<16)
-	case len(t.Seeds) > mostSeeds:
-		return fmt.Errorf("seeds: %d, more than %d", len(t.Seeds), mostSeeds)
+	case len(t.Seeds) > maxSeeds:
+		return fmt.Errorf("seeds: %d, more than %d", len(t.Seeds), maxSeeds)
 	case t.ProbeTimeout < t.ProbeInterval/4:
 		return fmt.Errorf("window: shorter than a quarter of probe")
 	}
--- a/internal/cluster/membership/node.go
+++ b/internal/cluster/membership/node.go
@@ -13,104 +13,104 @@
 type phase int
 
 const (
-	joining  phase = iota // asks what is known of its name
-	serving               // is a member
-	asking                // was away for so long that others may have given it up
-	leaving               // tells that it ends
-	standing              // another process has its name; it waits until that one has ended
-	over
+	joining    phase = iota // asks what is known of its name
+	serving                 // is a member
+	catchingUp              // was away for so long that others may have given it up
+	leaving                 // tells that it ends
+	standingBy              // another process has its name; it waits until that one has ended
+	stopped
 )
 
-// entry is what is held of one other member.
-type entry struct {
-	claim MemberRecord // what has been said, by anybody
-	state State        // what is held here: of what was said, a member has time to refute it first
-	since Time
-	ended Time // when it was first held to be no more, here or elsewhere
-	place int  // in live or lost
+// member is what is held of one other member.
+type member struct {
+	record    MemberRecord // what has been said, by anybody
+	state     State        // what is held here: of what was said, a member has time to refute it first
+	changedAt Time
+	endedAt   Time // when it was first held to be no more, here or elsewhere
+	index     int  // in live or lost
 
-	held     Time // since when a doubt of this turn is known here
-	accusers []string
-	own      bool // found here, not only heard of
-	gone     bool // somebody says that it is gone
-	lastSaid bool // it has been asked once more
-	private  bool // found while this process heard nobody: it tells nobody
+	suspectedAt    Time // since when a doubt of this turn is known here
+	confirmations  []string
+	foundHere      bool // found here, not only heard of
+	reportedDead   bool // somebody says that it is gone
+	finalProbeSent bool // it has been asked once more
+	private        bool // found while this process heard nobody: it tells nobody
 
-	rtt, vary Time
-	far       int // direct pings in a row without an answer
-	nudged    Time
-	window    window
+	rtt, rttDeviation Time
+	unansweredPings   int // direct pings in a row without an answer
+	correctedAt       Time
+	replay            replayWindow
 }
 
-func (e *entry) is(s State) bool { return e.state == s }
+func (e *member) is(s State) bool { return e.state == s }
 
 // probe is an own ping that is out.
 type probe struct {
-	nonce   uint64
-	of      *entry
-	at      Time
-	through bool // others were asked
-	again   bool // it was asked twice
+	nonce        uint64
+	target       *member
+	sentAt       Time
+	indirectSent bool // others were asked
+	resent       bool // it was asked twice
 }
 
-// relay is a ping for another that is out.
-type relay struct {
-	of     string // who asked
-	at     Time
-	nonce  uint64 // its own
-	target string
+// indirectPing is a ping for another that is out.
+type indirectPing struct {
+	requester    string // who asked
+	sentAt       Time
+	requestNonce uint64 // its own
+	target       string
 }
 
-// duel asks whether the other process of this name lives.
-type duel struct {
-	with        MemberRecord
-	nonce       uint64
-	next, until Time
+// nameConflict asks whether the other process of this name lives.
+type nameConflict struct {
+	rival               MemberRecord
+	nonce               uint64
+	nextQuery, deadline Time
 }
 
 // Node is one process's view of a cluster.
 type Node struct {
-	t      Config
-	rand   *rand.Rand
-	me     MemberRecord
-	marked MemberRecord // me as it stands in the digests
-	phase  phase
-	seq    uint64
-	now    Time
-	due    Time // when Next wants a tick
-	out    []Effect
-
-	by      map[string]*entry
-	live    []*entry // here or doubted
-	lost    []*entry // gone, not left
-	doubts  []*entry
-	round   []*entry // whom to ping next, from its end
-	digests [buckets]uint64
-	queue   []queued
-
-	probes []probe
-	relays map[uint64]relay
-	duel   *duel
-	known  MemberRecord // what was told of this name
-	nonce  uint64
-	seed   int // that was tried last
-
-	askUntil, askNext                             Time
-	nextProbe, nextGossip, nextSeek, nextExchange Time
-	nextForget, nextLeave, lastOpen, lastTold     Time
-	leaves                                        int
-	heard                                         Time // anybody
-	deaf                                          bool
-	slack, slackAt, worst, late                   Time
-	loss                                          float64
-	counts                                        map[string]uint64
+	config       Config
+	rand         *rand.Rand
+	self         MemberRecord
+	digestedSelf MemberRecord // me as it stands in the digests
+	phase        phase
+	seq          uint64
+	now          Time
+	due          Time // when Next wants a tick
+	effects      []Effect
+
+	byName     map[string]*member
+	live       []*member // here or doubted
+	dead       []*member // gone, not left
+	suspects   []*member
+	probeOrder []*member // whom to ping next, from its end
+	digests    [digestBuckets]uint64
+	queue      []queuedRecord
+
+	probes        []probe
+	indirectPings map[uint64]indirectPing
+	conflict      *nameConflict
+	reportedSelf  MemberRecord // what was told of this name
+	queryNonce    uint64
+	lastSeed      int // that was tried last
+
+	queryDeadline, nextQuery                                     Time
+	nextProbe, nextGossip, nextJoin, nextPushPull                Time
+	nextPrune, nextLeaveNotice, lastPushPull, lastReplacedNotice Time
+	leaveNoticesLeft                                             int
+	lastHeard                                                    Time // anybody
+	isolated                                                     bool
+	extension, extendedAt, maxLateness, lateness                 Time
+	loss                                                         float64
+	counts                                                       map[string]uint64
 }
 
 // New makes a process that joins. The terms have been checked.
 func New(t Config, now Time) *Node {
 	m := blank(t, now)
-	m.me = MemberRecord{Name: t.Name, Addr: t.Addr, Number: t.Number, Incarnation: Incarnation{Nonce: t.Nonce}, ReportedBy: t.Name}
-	m.ask(joining)
+	m.self = MemberRecord{Name: t.Name, Addr: t.Addr, Number: t.Number, Incarnation: Incarnation{Nonce: t.Nonce}, ReportedBy: t.Name}
+	m.startQuery(joining)
 	return m
 }
 
@@ -124,20 +124,20 @@
 // Restore makes a process that goes on as another did.
 func Restore(t Config, l HandoverState, now Time) *Node {
 	m := blank(t, now)
-	m.me, m.seq, m.phase = l.Self, l.Seq+seqJump, serving
-	m.me.Addr, m.me.Number = t.Addr, t.Number
-	m.me.Refutations++
-	m.remark()
+	m.self, m.seq, m.phase = l.Self, l.Seq+handoverSeqGap, serving
+	m.self.Addr, m.self.Number = t.Addr, t.Number
+	m.self.Refutations++
+	m.updateSelfDigest()
 	for _, c := range l.Records {
 		m.merge(c)
 	}
-	m.announce()
+	m.gossipSelf()
 	return m
 }
 
 func blank(t Config, now Time) *Node {
-	return &Node{t: t, now: now, rand: rand.New(rand.NewPCG(t.Seed, t.Nonce)), by: map[string]*entry{}, relays: map[uint64]relay{},
-		counts: map[string]uint64{}, heard: now, nextProbe: now, nextSeek: now, nextExchange: now + t.PushPullInterval/2, nextForget: now + t.DeadRetention/50}
+	return &Node{config: t, now: now, rand: rand.New(rand.NewPCG(t.Seed, t.Nonce)), byName: map[string]*member{}, indirectPings: map[uint64]indirectPing{},
+		counts: map[string]uint64{}, lastHeard: now, nextProbe: now, nextJoin: now, nextPushPull: now + t.PushPullInterval/2, nextPrune: now + t.DeadRetention/50}
 }
 
 // HandoverState is what an heir needs. The caller feeds no more inputs but Resuming.
@@ -145,201 +145,201 @@
 	if m.phase != serving {
 		return HandoverState{}, false
 	}
-	l := HandoverState{Self: m.me, Seq: m.seq}
-	for _, name := range m.names() {
-		l.Records = append(l.Records, m.aged(m.by[name]))
+	l := HandoverState{Self: m.self, Seq: m.seq}
+	for _, name := range m.sortedNames() {
+		l.Records = append(l.Records, m.recordWithAge(m.byName[name]))
 	}
 	return l, true
 }
 
 // Step takes an input and returns what to do. Times never go back.
 func (m *Node) Step(now Time, in Input) []Effect {
-	m.now, m.out = max(now, m.now), m.out[:0:0]
-	m.woken()
+	m.now, m.effects = max(now, m.now), m.effects[:0:0]
+	m.noteLateness()
 	switch in := in.(type) {
 	case MessageReceived:
-		m.hear(in)
+		m.receive(in)
 	case SendUserMessage:
-		m.say(in)
+		m.sendUserMessage(in)
 	case LeaveRequested:
-		m.leave()
+		m.startLeaving()
 	case Resumed:
 		m.resume()
 	}
-	m.timers()
-	m.due = m.next()
-	return m.out
+	m.runTimers()
+	m.due = m.nextDue()
+	return m.effects
 }
 
 // NextTick is when a Tick is due.
 func (m *Node) NextTick() Time { return m.due }
 
-func (m *Node) do(e Effect) { m.out = append(m.out, e) }
+func (m *Node) do(e Effect) { m.effects = append(m.effects, e) }
 
 func (m *Node) count(what string) { m.counts[what]++ }
 
 // jitter is a span of half to one and a half times the given one.
 func (m *Node) jitter(t Time) Time { return t/2 + Time(m.rand.Int64N(int64(t)+1)) }
 
-// woken finds out by how much this process is late. What it missed meanwhile speaks against nobody but itself.
-func (m *Node) woken() {
+// noteLateness finds out by how much this process is late. What it missed meanwhile speaks against nobody but itself.
+func (m *Node) noteLateness() {
 	late := m.now - m.due
-	if m.due == 0 || late <= tolerance || m.phase == over {
+	if m.due == 0 || late <= maxTimerLateness || m.phase == stopped {
 		return
 	}
-	m.slack, m.slackAt = min(m.eased()+late, mostSlack), m.now
-	m.late, m.worst = late, max(m.worst, late)
+	m.extension, m.extendedAt = min(m.suspicionExtension()+late, maxExtension), m.now
+	m.lateness, m.maxLateness = late, max(m.maxLateness, late)
 	m.count("late")
 	m.probes = nil
-	clear(m.relays)
-	for _, e := range m.doubts {
-		e.held += late
+	clear(m.indirectPings)
+	for _, e := range m.suspects {
+		e.suspectedAt += late
 	}
-	m.heard += late
-	m.nextProbe, m.nextGossip, m.nextSeek = m.now, m.now, max(m.nextSeek, m.now)
-	if m.duel != nil {
-		m.duel.until += late
+	m.lastHeard += late
+	m.nextProbe, m.nextGossip, m.nextJoin = m.now, m.now, max(m.nextJoin, m.now)
+	if m.conflict != nil {
+		m.conflict.deadline += late
 	}
 	switch m.phase {
 	case serving:
-		if late >= m.t.MinSuspicion {
-			m.do(Event{"was away", span(late)})
-			m.ask(asking)
-		} else if late >= m.t.ProbeTimeout {
-			m.me.Refutations++ // a doubt may be on its way already
-			m.renew()
+		if late >= m.config.MinSuspicion {
+			m.do(Event{"was away", durationText(late)})
+			m.startQuery(catchingUp)
+		} else if late >= m.config.ProbeTimeout {
+			m.self.Refutations++ // a doubt may be on its way already
+			m.announceSelf()
 		}
-	case joining, asking:
-		m.askUntil += late
+	case joining, catchingUp:
+		m.queryDeadline += late
 	}
 }
 
-// eased is what is left of the own lateness.
-func (m *Node) eased() Time {
-	rest := 1 - float64(m.now-m.slackAt)/float64(slackEases)
-	return Time(float64(m.slack) * max(rest, 0))
+// suspicionExtension is what is left of the own lateness.
+func (m *Node) suspicionExtension() Time {
+	rest := 1 - float64(m.now-m.extendedAt)/float64(extensionDecay)
+	return Time(float64(m.extension) * max(rest, 0))
 }
 
-// renew has all know the own claim as it is now.
-func (m *Node) renew() {
-	m.remark()
-	m.announce()
+// announceSelf has all know the own claim as it is now.
+func (m *Node) announceSelf() {
+	m.updateSelfDigest()
+	m.gossipSelf()
 }
 
-func (m *Node) announce() {
-	m.enqueue(m.me)
+func (m *Node) gossipSelf() {
+	m.enqueue(m.self)
 	m.nextGossip = m.now
 }
 
-// ask begins to ask what is known of this name.
-func (m *Node) ask(p phase) {
-	m.phase, m.nonce, m.known = p, m.rand.Uint64(), MemberRecord{}
-	m.askNext, m.askUntil = m.now, m.now+askSpan
+// startQuery begins to ask what is known of this name.
+func (m *Node) startQuery(p phase) {
+	m.phase, m.queryNonce, m.reportedSelf = p, m.rand.Uint64(), MemberRecord{}
+	m.nextQuery, m.queryDeadline = m.now, m.now+queryTimeout
 }
 
-func (m *Node) asks() {
-	if m.now < m.askNext {
+func (m *Node) sendQueries() {
+	if m.now < m.nextQuery {
 		return
 	}
-	m.askNext = m.now + askEvery/2 + Time(m.rand.Int64N(int64(askEvery)))
+	m.nextQuery = m.now + queryInterval/2 + Time(m.rand.Int64N(int64(queryInterval)))
 	to := map[string]bool{}
-	for _, e := range m.pick(asked, nil) {
-		to[e.claim.Addr] = true
+	for _, e := range m.randomMembers(queryFanout, nil) {
+		to[e.record.Addr] = true
 	}
-	for _, e := range m.lost[:min(len(m.lost), asked)] {
-		to[e.claim.Addr] = true
+	for _, e := range m.dead[:min(len(m.dead), queryFanout)] {
+		to[e.record.Addr] = true
 	}
-	for _, i := range m.rand.Perm(len(m.t.Seeds))[:min(len(m.t.Seeds), asked)] {
-		to[m.t.Seeds[i]] = true
+	for _, i := range m.rand.Perm(len(m.config.Seeds))[:min(len(m.config.Seeds), queryFanout)] {
+		to[m.config.Seeds[i]] = true
 	}
-	delete(to, m.me.Addr)
+	delete(to, m.self.Addr)
 	addrs := make([]string, 0, len(to))
 	for a := range to {
 		addrs = append(addrs, a)
 	}
 	slices.Sort(addrs)
 	for _, a := range addrs {
-		m.send(a, Message{Kind: RecordQuery, Nonce: m.nonce})
+		m.send(a, Message{Kind: RecordQuery, Nonce: m.queryNonce})
 	}
-	if m.now < m.askUntil && len(addrs) > 0 {
+	if m.now < m.queryDeadline && len(addrs) > 0 {
 		return
 	}
 	// Nobody that is sure has answered: it goes on with what it knows. If it was wrong, whom it meets will tell it so.
 	if m.phase == joining {
-		m.settle()
+		m.startServing()
 	} else {
-		m.back()
+		m.resumeServing()
 	}
 }
 
-// settle makes this process a member, later than any that was told of.
-func (m *Node) settle() {
-	m.me.Incarnation = Incarnation{m.known.Generation + 1, m.t.Nonce}
-	m.me.Refutations, m.me.State, m.phase, m.heard = 0, Alive, serving, m.now
-	m.renew()
+// startServing makes this process a member, later than any that was told of.
+func (m *Node) startServing() {
+	m.self.Incarnation = Incarnation{m.reportedSelf.Generation + 1, m.config.Nonce}
+	m.self.Refutations, m.self.State, m.phase, m.lastHeard = 0, Alive, serving, m.now
+	m.announceSelf()
 	m.do(Joined{})
-	m.exchange()
+	m.pushPullWithRandomMember()
 }
 
-// back makes this process a member again after it was away.
-func (m *Node) back() {
-	if c := m.known; c.Incarnation == m.me.Incarnation && c.State >= Suspect {
+// resumeServing makes this process a member again after it was away.
+func (m *Node) resumeServing() {
+	if c := m.reportedSelf; c.Incarnation == m.self.Incarnation && c.State >= Suspect {
 		m.do(Event{"was called " + c.State.String(), c.ReportedBy})
-		m.me.Refutations = max(m.me.Refutations, c.Refutations)
+		m.self.Refutations = max(m.self.Refutations, c.Refutations)
 	}
-	m.phase, m.heard = serving, m.now
-	m.me.Refutations++
-	m.renew()
+	m.phase, m.lastHeard = serving, m.now
+	m.self.Refutations++
+	m.announceSelf()
 	m.do(Joined{})
-	m.exchange()
+	m.pushPullWithRandomMember()
 }
 
-// relive makes this process a later one than any of its name that is known to have ended.
-func (m *Node) relive(after uint64) {
-	m.me.Incarnation, m.me.Refutations, m.me.State = Incarnation{after + 1, m.t.Nonce}, 0, Alive
-	m.renew()
+// startIncarnationAfter makes this process a later one than any of its name that is known to have ended.
+func (m *Node) startIncarnationAfter(after uint64) {
+	m.self.Incarnation, m.self.Refutations, m.self.State = Incarnation{after + 1, m.config.Nonce}, 0, Alive
+	m.announceSelf()
 }
 
-// superseded ends this process as a member: another has its name.
-func (m *Node) superseded(by MemberRecord) {
+// markReplaced ends this process as a member: another has its name.
+func (m *Node) markReplaced(by MemberRecord) {
 	m.do(Event{"superseded", by.Addr})
-	m.me.State, m.duel, m.probes, m.queue = Replaced, nil, nil, nil
-	clear(m.relays)
-	m.remark()
-	if m.phase = over; m.t.StandByWhenReplaced {
-		m.phase, m.nonce, m.known = standing, m.rand.Uint64(), by
+	m.self.State, m.conflict, m.probes, m.queue = Replaced, nil, nil, nil
+	clear(m.indirectPings)
+	m.updateSelfDigest()
+	if m.phase = stopped; m.config.StandByWhenReplaced {
+		m.phase, m.queryNonce, m.reportedSelf = standingBy, m.rand.Uint64(), by
 	}
 	m.do(Stopped{Replaced: true})
 }
 
-func (m *Node) leave() {
+func (m *Node) startLeaving() {
 	if m.phase != serving {
-		m.phase = over
+		m.phase = stopped
 		m.do(Stopped{})
 		return
 	}
-	m.phase, m.leaves, m.nextLeave = leaving, leaveTimes, m.now
-	m.me.State = Left
-	m.remark()
+	m.phase, m.leaveNoticesLeft, m.nextLeaveNotice = leaving, maxLeaveNotices, m.now
+	m.self.State = Left
+	m.updateSelfDigest()
 }
 
 // resume goes on as a member whose heir has ended. What that one said last stands, so this one goes beyond it.
 func (m *Node) resume() {
-	if m.phase != serving && m.phase != asking {
+	if m.phase != serving && m.phase != catchingUp {
 		return
 	}
-	m.seq += 2 * seqJump
-	m.me.Refutations += 2
-	m.renew()
+	m.seq += 2 * handoverSeqGap
+	m.self.Refutations += 2
+	m.announceSelf()
 }
 
-func (m *Node) say(in SendUserMessage) {
+func (m *Node) sendUserMessage(in SendUserMessage) {
 	if m.phase != serving {
 		return
 	}
 	for _, e := range m.live {
-		if e.claim.Number == in.Number {
-			m.send(e.claim.Addr, Message{Kind: UserMessage, Text: in.Text})
+		if e.record.Number == in.Number {
+			m.send(e.record.Addr, Message{Kind: UserMessage, Text: in.Text})
 			return
 		}
 	}
@@ -348,22 +348,22 @@
 
 // send sends a datagram from this member.
 func (m *Node) send(to string, x Message) {
-	if to != m.me.Addr && to != "" {
-		m.do(Send{to, m.sealed(x)})
+	if to != m.self.Addr && to != "" {
+		m.do(Send{to, m.stamped(x)})
 	}
 }
 
-func (m *Node) sealed(x Message) Message {
+func (m *Node) stamped(x Message) Message {
 	m.seq++
-	x.Cluster, x.Seq, x.From = m.t.Cluster, m.seq, m.me
-	if m.phase == joining || m.phase == standing {
-		x.From.Incarnation, x.From.State = Incarnation{0, m.t.Nonce}, Joining
+	x.Cluster, x.Seq, x.From = m.config.Cluster, m.seq, m.self
+	if m.phase == joining || m.phase == standingBy {
+		x.From.Incarnation, x.From.State = Incarnation{0, m.config.Nonce}, Joining
 	}
 	return x
 }
 
-// pick draws some that are here or doubted.
-func (m *Node) pick(n int, not *entry) (some []*entry) {
+// randomMembers draws some that are here or doubted.
+func (m *Node) randomMembers(n int, not *member) (some []*member) {
 	if len(m.live) <= n+1 {
 		for _, e := range m.live {
 			if e != not {
@@ -382,86 +382,86 @@
 	return some
 }
 
-// names are those in the view, in order.
-func (m *Node) names() []string {
-	names := make([]string, 0, len(m.by))
-	for n := range m.by {
+// sortedNames are those in the view, in order.
+func (m *Node) sortedNames() []string {
+	names := make([]string, 0, len(m.byName))
+	for n := range m.byName {
 		names = append(names, n)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// patience is how long a direct answer of a member may take before others are asked.
-func (m *Node) patience(e *entry) Time {
+// directTimeout is how long a direct answer of a member may take before others are asked.
+func (m *Node) directTimeout(e *member) Time {
 	if e.rtt == 0 {
-		return m.t.ProbeTimeout / 2
+		return m.config.ProbeTimeout / 2
 	}
-	return min(max(e.rtt+4*e.vary, m.t.ProbeTimeout/8), m.t.ProbeTimeout/2)
+	return min(max(e.rtt+4*e.rttDeviation, m.config.ProbeTimeout/8), m.config.ProbeTimeout/2)
 }
 
-// lossy is by which factor lost messages lengthen a doubt and multiply what is told.
-func (m *Node) lossy() float64 { return 1 + min(2*m.loss, 1) }
+// lossFactor is by which factor lost messages lengthen a doubt and multiply what is told.
+func (m *Node) lossFactor() float64 { return 1 + min(2*m.loss, 1) }
 
-// window is for how long a probe waits, direct and through others.
-func (m *Node) window() Time { return Time(float64(m.t.ProbeTimeout) * m.lossy()) }
+// probeTimeout is for how long a probe waits, direct and through others.
+func (m *Node) probeTimeout() Time { return Time(float64(m.config.ProbeTimeout) * m.lossFactor()) }
 
-// ends is when a doubt is over.
-func (m *Node) ends(e *entry) Time {
-	k := min(confirms, len(m.live)-2) // without the doubted one and its first accuser
-	span := float64(m.t.MinSuspicion)
+// suspicionDeadline is when a doubt is over.
+func (m *Node) suspicionDeadline(e *member) Time {
+	k := min(maxConfirmations, len(m.live)-2) // without the doubted one and its first accuser
+	span := float64(m.config.MinSuspicion)
 	if k > 0 {
-		part := math.Log(float64(min(len(e.accusers)-1, k)+1)) / math.Log(float64(k+1))
-		span = float64(m.t.MaxSuspicion) - part*float64(m.t.MaxSuspicion-m.t.MinSuspicion)
+		part := math.Log(float64(min(len(e.confirmations)-1, k)+1)) / math.Log(float64(k+1))
+		span = float64(m.config.MaxSuspicion) - part*float64(m.config.MaxSuspicion-m.config.MinSuspicion)
 	}
-	if e.gone { // heard as well: no earlier than by own doubt, since that word may be about another side of a cut
-		span = float64(m.t.MinSuspicion)
+	if e.reportedDead { // heard as well: no earlier than by own doubt, since that word may be about another side of a cut
+		span = float64(m.config.MinSuspicion)
 	}
-	at := e.held + Time(span*m.lossy()) + m.eased()
-	if !e.own && !e.gone {
-		at += fallback
+	at := e.suspectedAt + Time(span*m.lossFactor()) + m.suspicionExtension()
+	if !e.foundHere && !e.reportedDead {
+		at += secondHandDelay
 	}
 	return at
 }
 
-// next is when something is due.
-func (m *Node) next() Time {
+// nextDue is when something is due.
+func (m *Node) nextDue() Time {
 	at := Time(math.MaxInt64)
 	until := func(t Time) { at = min(at, t) }
 	switch m.phase {
-	case over:
+	case stopped:
 		return m.now + second
-	case joining, asking:
-		return max(m.askNext, m.now+1)
-	case standing:
-		return max(m.nextSeek, m.now+1)
+	case joining, catchingUp:
+		return max(m.nextQuery, m.now+1)
+	case standingBy:
+		return max(m.nextJoin, m.now+1)
 	case leaving:
-		return max(m.nextLeave, m.now+1)
+		return max(m.nextLeaveNotice, m.now+1)
 	}
 	until(m.nextProbe)
-	until(m.nextSeek)
-	until(m.nextExchange)
-	until(m.nextForget)
+	until(m.nextJoin)
+	until(m.nextPushPull)
+	until(m.nextPrune)
 	if len(m.queue) > 0 && len(m.live) > 0 {
 		until(m.nextGossip)
 	}
-	if m.duel != nil {
-		until(m.duel.next)
+	if m.conflict != nil {
+		until(m.conflict.nextQuery)
 	}
 	for _, p := range m.probes {
-		if !p.again {
-			wait := m.patience(p.of)
-			if p.through {
+		if !p.resent {
+			wait := m.directTimeout(p.target)
+			if p.indirectSent {
 				wait *= 2
 			}
-			until(p.at + wait)
+			until(p.sentAt + wait)
 		}
-		until(p.at + m.window())
+		until(p.sentAt + m.probeTimeout())
 	}
-	for _, e := range m.doubts {
-		end := m.ends(e)
-		if until(end); e.own && !e.lastSaid {
-			until(end - lastWord)
+	for _, e := range m.suspects {
+		end := m.suspicionDeadline(e)
+		if until(end); e.foundHere && !e.finalProbeSent {
+			until(end - finalProbeLead)
 		}
 	}
 	return max(at, m.now+1)
@@ -482,20 +482,20 @@
 	Private     bool   `json:"private"`   // found while nobody was heard: told to nobody
 }
 
-func (m *Node) seen(e *entry) MemberView {
-	s := MemberView{Name: e.claim.Name, Addr: e.claim.Addr, Number: e.claim.Number, State: e.state, Incarnation: e.claim.Incarnation, Refutations: e.claim.Refutations,
-		ReportedBy: e.claim.ReportedBy, Since: e.since, RTT: e.rtt, Reachable: !e.state.Ended() && e.far < farAfter, Private: e.private}
-	if e.private || e.state == Suspect && e.own && e.claim.State < Suspect {
-		s.ReportedBy = m.me.Name
+func (m *Node) viewOf(e *member) MemberView {
+	s := MemberView{Name: e.record.Name, Addr: e.record.Addr, Number: e.record.Number, State: e.state, Incarnation: e.record.Incarnation, Refutations: e.record.Refutations,
+		ReportedBy: e.record.ReportedBy, Since: e.changedAt, RTT: e.rtt, Reachable: !e.state.Ended() && e.unansweredPings < maxUnansweredPings, Private: e.private}
+	if e.private || e.state == Suspect && e.foundHere && e.record.State < Suspect {
+		s.ReportedBy = m.self.Name
 	}
 	return s
 }
 
 // View is all that is held of the others, in order of their names.
 func (m *Node) View() []MemberView {
-	view := make([]MemberView, 0, len(m.by))
-	for _, name := range m.names() {
-		view = append(view, m.seen(m.by[name]))
+	view := make([]MemberView, 0, len(m.byName))
+	for _, name := range m.sortedNames() {
+		view = append(view, m.viewOf(m.byName[name]))
 	}
 	return view
 }
@@ -506,10 +506,10 @@
 	Addr  string `json:"address"`
 	State State  `json:"state"`
 	Incarnation
-	Turn        uint64            `json:"turn"`
+	Refutations uint64            `json:"turn"`
 	Live        int               `json:"live"` // others that are here or doubted
-	Deaf        bool              `json:"deaf"` // it hears nobody
-	Asks        bool              `json:"asks"` // it was away and does not know yet what it missed
+	Isolated    bool              `json:"deaf"` // it hears nobody
+	CatchingUp  bool              `json:"asks"` // it was away and does not know yet what it missed
 	Loss        float64           `json:"loss"` // share of direct pings lost to members that live
 	Lateness    Time              `json:"-"`    // by how much it was late last
 	MaxLateness Time              `json:"-"`    // and at worst
@@ -517,15 +517,15 @@
 }
 
 // Self is what this process says of itself.
-func (m *Node) Self() MemberRecord { return m.me }
+func (m *Node) Self() MemberRecord { return m.self }
 
 // CatchingUp tells whether it was away and does not know yet what it missed.
-func (m *Node) CatchingUp() bool { return m.phase == asking }
+func (m *Node) CatchingUp() bool { return m.phase == catchingUp }
 
 // Status is how this process itself is.
 func (m *Node) Status() LocalStatus {
-	o := LocalStatus{Name: m.me.Name, Addr: m.me.Addr, State: m.me.State, Incarnation: m.me.Incarnation, Turn: m.me.Refutations, Live: len(m.live), Deaf: m.deaf,
-		Asks: m.phase == asking, Loss: m.loss, Lateness: m.late, MaxLateness: m.worst, Counts: map[string]uint64{}}
+	o := LocalStatus{Name: m.self.Name, Addr: m.self.Addr, State: m.self.State, Incarnation: m.self.Incarnation, Refutations: m.self.Refutations, Live: len(m.live), Isolated: m.isolated,
+		CatchingUp: m.phase == catchingUp, Loss: m.loss, Lateness: m.lateness, MaxLateness: m.maxLateness, Counts: map[string]uint64{}}
 	for k, v := range m.counts {
 		o.Counts[k] = v
 	}
@@ -540,5 +540,5 @@
 	return sum
 }
 
-// span is a duration as text.
-func span(t Time) string { return durationOf(t).String() }
+// durationText is a duration as text.
+func durationText(t Time) string { return durationOf(t).String() }
--- a/internal/cluster/membership/node_test.go
+++ b/internal/cluster/membership/node_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func drawClaim(t *rapid.T, label string) MemberRecord {
+func drawRecord(t *rapid.T, label string) MemberRecord {
 	return MemberRecord{Name: "x", Addr: fmt.Sprint("a", rapid.IntRange(0, 1).Draw(t, label)), Incarnation: Incarnation{rapid.Uint64Range(1, 3).Draw(t, label),
 		rapid.Uint64Range(1, 2).Draw(t, label)}, Refutations: rapid.Uint64Range(0, 2).Draw(t, label),
 		State: State(rapid.IntRange(int(Alive), int(Left)).Draw(t, label)), ReportedBy: fmt.Sprint("b", rapid.IntRange(0, 2).Draw(t, label)),
@@ -19,7 +19,7 @@
 // Views are one again after a cut only if the order in which claims come makes no difference.
 func TestJoinIsAJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := drawClaim(t, "a"), drawClaim(t, "b"), drawClaim(t, "c")
+		a, b, c := drawRecord(t, "a"), drawRecord(t, "b"), drawRecord(t, "c")
 		if Join(a, b) != Join(b, a) {
 			t.Fatal("not commutative")
 		}
@@ -32,16 +32,16 @@
 	})
 }
 
-func termsOf(name string) Config {
+func testConfig(name string) Config {
 	t := Defaults()
 	t.Cluster, t.Name, t.Addr, t.Nonce, t.Seed = "c", name, "addr-"+name, 7, 1
 	return t
 }
 
-// member is one that has joined alone, and one other that it knows.
-func member(t *testing.T) (*Node, MemberRecord) {
+// newMemberWithPeer is one that has joined alone, and one other that it knows.
+func newMemberWithPeer(t *testing.T) (*Node, MemberRecord) {
 	t.Helper()
-	m := New(termsOf("a"), 0)
+	m := New(testConfig("a"), 0)
 	m.Step(1, Tick{})
 	if m.phase != serving {
 		t.Fatal("it did not join")
@@ -52,7 +52,7 @@
 }
 
 func (m *Node) stateOf(name string) State {
-	if e := m.by[name]; e != nil {
+	if e := m.byName[name]; e != nil {
 		return e.state
 	}
 	return Joining
@@ -77,30 +77,30 @@
 				{Name: "", Addr: "z", Incarnation: Incarnation{1, 1}, State: Alive}, {Name: "z", Addr: "z", State: Alive}}}
 		},
 	} {
-		m, other := member(t)
+		m, other := newMemberWithPeer(t)
 		m.Step(10, MessageReceived{Message: x(other)})
-		if m.counts[what] == 0 || m.stateOf("b") != Alive || len(m.by) != 1 {
+		if m.counts[what] == 0 || m.stateOf("b") != Alive || len(m.byName) != 1 {
 			t.Errorf("%s: counts %v, view %v", what, m.counts, m.View())
 		}
 	}
 }
 
 // A view that strangers' names could fill would take the memory of the process.
-func TestTheViewIsBounded(t *testing.T) {
-	m, other := member(t)
-	m.t.MaxMembers = 10
+func TestViewIsBounded(t *testing.T) {
+	m, other := newMemberWithPeer(t)
+	m.config.MaxMembers = 10
 	for i := range 50 {
 		m.Step(Time(10+i), MessageReceived{Message: Message{Kind: Gossip, Cluster: "c", From: other, Seq: uint64(10 + i),
 			Records: []MemberRecord{{Name: fmt.Sprint("x", i), Addr: "x", Incarnation: Incarnation{1, 1}, State: Alive}}}})
 	}
-	if len(m.by) != 9 || m.counts["no room in the view"] != 42 {
-		t.Errorf("%d names, %v", len(m.by), m.counts)
+	if len(m.byName) != 9 || m.counts["no room in the view"] != 42 {
+		t.Errorf("%d names, %v", len(m.byName), m.counts)
 	}
 }
 
 // A process that was away for longer than a doubt lasts says nothing as a member before it has asked: it may not be one any more.
-func TestWhoWasAwayAsksFirst(t *testing.T) {
-	m, _ := member(t)
+func TestLateProcessQueriesBeforeItSpeaks(t *testing.T) {
+	m, _ := newMemberWithPeer(t)
 	asked := false
 	for _, e := range m.Step(m.due+5*second, Tick{}) {
 		switch e := e.(type) {
@@ -118,8 +118,8 @@
 }
 
 // Where datagrams are lost and streams come through, a member is here.
-func TestAStreamAnswersForAMember(t *testing.T) {
-	m, other := member(t)
+func TestAckOnStreamKeepsMemberAlive(t *testing.T) {
+	m, other := newMemberWithPeer(t)
 	seq := uint64(100)
 	for m.now < 60*second {
 		for _, e := range m.Step(m.due, Tick{}) {
@@ -135,8 +135,8 @@
 }
 
 // The wall clock is no part of this; an input with an earlier time than the last must not turn anything back.
-func TestAClockThatIsSetBack(t *testing.T) {
-	m, _ := member(t)
+func TestEarlierTimeChangesNothing(t *testing.T) {
+	m, _ := newMemberWithPeer(t)
 	m.Step(50_000, Tick{})
 	now, due := m.now, m.due
 	m.Step(10, Tick{})
@@ -146,29 +146,29 @@
 }
 
 // The words of one that ended are void for its next process, and a number that comes again is no new message.
-func TestAWindowTellsWhatComesTwice(t *testing.T) {
-	var w window
+func TestReplayWindowRejectsRepeats(t *testing.T) {
+	var w replayWindow
 	for _, x := range []struct {
 		n    uint64
 		want bool
 	}{{5, true}, {5, false}, {4, true}, {300, true}, {4, false}, {299, true}, {44, false}, {45, true}, {1 << 40, true}, {300, false}} {
-		if got := w.fresh(x.n); got != x.want {
+		if got := w.accept(x.n); got != x.want {
 			t.Errorf("%d: %v", x.n, got)
 		}
 	}
 }
 
 // An heir is the same member: what it says is taken for new, and the others' view of it does not change.
-func TestAnHeirIsTheSameMember(t *testing.T) {
-	m, other := member(t)
-	b := New(termsOf("b"), 0)
+func TestSuccessorIsTheSameMember(t *testing.T) {
+	m, other := newMemberWithPeer(t)
+	b := New(testConfig("b"), 0)
 	b.Step(1, Tick{})
-	b.Step(2, MessageReceived{Message: Message{Kind: Gossip, Cluster: "c", From: m.me, Seq: m.seq}})
+	b.Step(2, MessageReceived{Message: Message{Kind: Gossip, Cluster: "c", From: m.self, Seq: m.seq}})
 	l, ok := m.HandoverState()
 	if !ok || len(l.Records) != 1 || l.Records[0].Name != other.Name {
 		t.Fatalf("handed over: %+v", l)
 	}
-	heir := Restore(termsOf("a"), l, 1000)
+	heir := Restore(testConfig("a"), l, 1000)
 	for _, e := range heir.Step(1001, Tick{}) {
 		if s, ok := e.(Send); ok && s.To == "addr-b" {
 			for _, e := range b.Step(1002, MessageReceived{Message: s.Message}) {
@@ -178,8 +178,8 @@
 			}
 		}
 	}
-	if b.stateOf("a") != Alive || b.counts["replayed"] > 0 || heir.me.Incarnation != m.me.Incarnation {
-		t.Errorf("held %v, %v, %v and %v", b.stateOf("a"), b.counts, heir.me.Incarnation, m.me.Incarnation)
+	if b.stateOf("a") != Alive || b.counts["replayed"] > 0 || heir.self.Incarnation != m.self.Incarnation {
+		t.Errorf("held %v, %v, %v and %v", b.stateOf("a"), b.counts, heir.self.Incarnation, m.self.Incarnation)
 	}
 }
 
@@ -217,7 +217,7 @@
 		}
 		hear := func(x mail) { carry(x.to, w.m[x.to].Step(w.now, x.x)) }
 		for i, n := range names {
-			terms := termsOf(n)
+			terms := testConfig(n)
 			terms.Nonce, terms.Seeds = uint64(i+1), []string{"addr-a"}
 			w.m[i] = New(terms, 0)
 			carry(i, w.m[i].Step(1, Tick{}))
--- a/internal/cluster/membership/simulation/figures_test.go
+++ b/internal/cluster/membership/simulation/figures_test.go
@@ -34,8 +34,8 @@
 		calm, spans := 0.0, 0.0
 		for seed := range plays {
 			s := New(n, uint64(seed+1))
-			s.Terms.MaxMembers = 2 * n
-			s.Links = Links{Delay: 5, Jitter: 10}
+			s.Config.MaxMembers = 2 * n
+			s.Conditions = LinkConditions{Delay: 5, Jitter: 10}
 			for i := range n {
 				s.At(Time(s.rand.IntN(20_000)), func() { s.Start(i) })
 			}
@@ -62,12 +62,12 @@
 				if long > 10*Second && n > 20 {
 					continue
 				}
-				s.Part(a, b, true)
+				s.Partition(a, b, true)
 				s.Run(s.Now() + long)
-				s.Part(a, b, false)
+				s.Partition(a, b, false)
 				from := s.Now()
-				for len(s.Settle()) > 0 && s.Now()-from < 60*Second {
-					s.Run(s.Now() + 100*MS)
+				for len(s.Disagreements()) > 0 && s.Now()-from < 60*Second {
+					s.Run(s.Now() + 100*Millisecond)
 				}
 				healed = append(healed, s.Now()-from)
 			}
--- a/internal/cluster/membership/simulation/simulation.go
+++ b/internal/cluster/membership/simulation/simulation.go
@@ -16,143 +16,143 @@
 
 // Spans in the unit of Time.
 const (
-	MS     Time = 10
-	Second Time = 10_000
+	Millisecond Time = 10
+	Second      Time = 10_000
 )
 
-// Links are what all links are like but for cuts.
-type Links struct {
+// LinkConditions are what all links are like but for cuts.
+type LinkConditions struct {
 	Loss          float64 // of a datagram, each way
 	Dup           float64
 	Delay, Jitter Time
 }
 
-// node is one name's place: at most one process speaks for it, and others of that name may stand still or live elsewhere.
-type node struct {
-	name, addr string
-	index      int
-	m          *membership.Node
-	up         bool
-	started    Time
-	died       Time
-	paused     bool
-	pausedAt   Time
-	waits      []membership.Input // what came while it was paused
-	tick       Time               // of the newest tick that is planned
-	nonce      uint64
-	ended      bool // its own word: superseded, or gone after leaving
-	settled    bool
-	held       map[string]holding // what it holds of each name
+// process is one name's place: at most one process speaks for it, and others of that name may stand still or live elsewhere.
+type process struct {
+	name, addr   string
+	index        int
+	node         *membership.Node
+	running      bool
+	startedAt    Time
+	endedAt      Time
+	paused       bool
+	pausedAt     Time
+	queuedInputs []membership.Input // what came while it was paused
+	nextTick     Time               // of the newest tick that is planned
+	nonce        uint64
+	stopped      bool // its own word: superseded, or gone after leaving
+	joined       bool
+	beliefs      map[string]belief // what it holds of each name
 }
 
-type holding struct {
-	state membership.State
-	life  membership.Incarnation
-	turn  uint64
-	since Time
+type belief struct {
+	state       membership.State
+	incarnation membership.Incarnation
+	refutations uint64
+	since       Time
 
 	private bool
 }
 
-// Swarm is one cluster.
-type Swarm struct {
+// Cluster is one cluster.
+type Cluster struct {
 	simclock.Clock[Time]
-	rand   *rand.Rand
-	Links  Links
-	Terms  membership.Config
-	nodes  []*node
-	byAddr map[string]*node
-	byName map[string][]*node
-	cut    map[[2]int]bool // from, to
-	bad    [][]Time        // when two could last not reach each other both ways, directly or through one other
-	gone   map[string]bool // names that left or were superseded for good
-
-	streams  map[uint64][2]*node // who opened, who answers
-	lastID   uint64
-	Seeds    []string
-	Breaches []string
-	Bound    Time // a pause up to this long must not be taken for an end
-	Watch    func(at Time, by, of string, state membership.State)
-
-	Weigh       func(membership.Message) // each message that is sent
-	Around      func(take func())        // each input that a member takes
+	rand          *rand.Rand
+	Conditions    LinkConditions
+	Config        membership.Config
+	nodes         []*process
+	byAddr        map[string]*process
+	byName        map[string][]*process
+	cutLinks      map[[2]int]bool // from, to
+	unreachableAt [][]Time        // when two could last not reach each other both ways, directly or through one other
+	leftNames     map[string]bool // names that left or were superseded for good
+
+	streams    map[uint64][2]*process // who opened, who answers
+	lastID     uint64
+	Seeds      []string
+	Violations []string
+	MaxPause   Time // a pause up to this long must not be taken for an end
+	OnChange   func(at Time, by, of string, state membership.State)
+
+	OnSend      func(membership.Message) // each message that is sent
+	AroundStep  func(take func())        // each input that a member takes
 	Sent, Bytes int64                    // datagrams and messages on streams, by an estimate of their size
 	Detected    []Time
 	Kinds       map[membership.Kind]int64
 }
 
 // New makes a cluster of so many names, none of which runs.
-func New(n int, seed uint64) *Swarm {
-	s := &Swarm{rand: rand.New(rand.NewPCG(seed, 0x737761726d)), byAddr: map[string]*node{}, byName: map[string][]*node{}, cut: map[[2]int]bool{},
-		streams: map[uint64][2]*node{}, Kinds: map[membership.Kind]int64{}, Terms: membership.Defaults(), Links: Links{Delay: 2 * 1, Jitter: 3}, Bound: 2 * Second, gone: map[string]bool{},
-		Weigh: func(membership.Message) {}, Around: func(take func()) { take() }}
+func New(n int, seed uint64) *Cluster {
+	s := &Cluster{rand: rand.New(rand.NewPCG(seed, 0x737761726d)), byAddr: map[string]*process{}, byName: map[string][]*process{}, cutLinks: map[[2]int]bool{},
+		streams: map[uint64][2]*process{}, Kinds: map[membership.Kind]int64{}, Config: membership.Defaults(), Conditions: LinkConditions{Delay: 2 * 1, Jitter: 3}, MaxPause: 2 * Second, leftNames: map[string]bool{},
+		OnSend: func(membership.Message) {}, AroundStep: func(take func()) { take() }}
 	for i := range n {
-		s.Place(fmt.Sprintf("n%03d", i))
+		s.AddProcess(fmt.Sprintf("n%03d", i))
 	}
 	s.Seeds = []string{s.nodes[0].addr, s.nodes[min(1, n-1)].addr}
 	return s
 }
 
-// Place adds a place where a process of that name can run.
-func (s *Swarm) Place(name string) int {
+// AddProcess adds a place where a process of that name can run.
+func (s *Cluster) AddProcess(name string) int {
 	i := len(s.nodes)
-	n := &node{name: name, index: i, addr: fmt.Sprintf("a%d", i), held: map[string]holding{}}
+	n := &process{name: name, index: i, addr: fmt.Sprintf("a%d", i), beliefs: map[string]belief{}}
 	s.nodes, s.byAddr[n.addr] = append(s.nodes, n), n
 	s.byName[name] = append(s.byName[name], n)
-	for k := range s.bad {
-		s.bad[k] = append(s.bad[k], math.MinInt32)
+	for k := range s.unreachableAt {
+		s.unreachableAt[k] = append(s.unreachableAt[k], math.MinInt32)
 	}
 	row := make([]Time, len(s.nodes))
 	for k := range row {
 		row[k] = math.MinInt32
 	}
-	s.bad = append(s.bad, row)
+	s.unreachableAt = append(s.unreachableAt, row)
 	return i
 }
 
 // Start starts a new process at a place.
-func (s *Swarm) Start(i int) {
+func (s *Cluster) Start(i int) {
 	n := s.nodes[i]
-	t := s.Terms
+	t := s.Config
 	t.Cluster, t.Name, t.Addr, t.Number, t.Seeds = "swarm", n.name, n.addr, i, s.Seeds
 	t.Nonce, t.Seed = s.rand.Uint64(), s.rand.Uint64()
-	n.m, n.up, n.paused, n.ended, n.settled, n.started, n.waits = membership.New(t, s.Now()), true, false, false, false, s.Now(), nil
-	n.nonce, n.held, n.tick = t.Nonce, map[string]holding{}, 0
-	s.world()
+	n.node, n.running, n.paused, n.stopped, n.joined, n.startedAt, n.queuedInputs = membership.New(t, s.Now()), true, false, false, false, s.Now(), nil
+	n.nonce, n.beliefs, n.nextTick = t.Nonce, map[string]belief{}, 0
+	s.recordReachability()
 	s.feed(n, membership.Tick{})
 }
 
 // Kill ends a process at once.
-func (s *Swarm) Kill(i int) {
-	s.world()
+func (s *Cluster) Kill(i int) {
+	s.recordReachability()
 	n := s.nodes[i]
-	n.up, n.died, n.waits = false, s.Now(), nil
-	s.world()
+	n.running, n.endedAt, n.queuedInputs = false, s.Now(), nil
+	s.recordReachability()
 }
 
 // Leave has a process tell the others that it ends, and end.
-func (s *Swarm) Leave(i int) { s.feed(s.nodes[i], membership.LeaveRequested{}) }
+func (s *Cluster) Leave(i int) { s.feed(s.nodes[i], membership.LeaveRequested{}) }
 
 // Pause stops a process.
-func (s *Swarm) Pause(i int) {
+func (s *Cluster) Pause(i int) {
 	n := s.nodes[i]
 	n.paused, n.pausedAt = true, s.Now()
 }
 
 // Resume has it go on.
-func (s *Swarm) Resume(i int) {
+func (s *Cluster) Resume(i int) {
 	n := s.nodes[i]
 	if !n.paused {
 		return
 	}
-	s.world()
+	s.recordReachability()
 	n.paused = false
-	if s.Now()-n.pausedAt > s.Bound {
-		s.mark(i)
+	if s.Now()-n.pausedAt > s.MaxPause {
+		s.markUnreachable(i)
 	}
-	waits := n.waits
-	n.waits = nil
-	if n.up {
+	waits := n.queuedInputs
+	n.queuedInputs = nil
+	if n.running {
 		s.feed(n, membership.Tick{})
 		for _, in := range waits {
 			s.feed(n, in)
@@ -161,18 +161,18 @@
 }
 
 // Cut cuts the link from one place to another, or opens it.
-func (s *Swarm) Cut(from, to int, on bool) {
-	s.world()
+func (s *Cluster) Cut(from, to int, on bool) {
+	s.recordReachability()
 	if on {
-		s.cut[[2]int{from, to}] = true
+		s.cutLinks[[2]int{from, to}] = true
 	} else {
-		delete(s.cut, [2]int{from, to})
+		delete(s.cutLinks, [2]int{from, to})
 	}
-	s.world()
+	s.recordReachability()
 }
 
-// Part cuts all links between two groups, or opens them.
-func (s *Swarm) Part(a, b []int, on bool) {
+// Partition cuts all links between two groups, or opens them.
+func (s *Cluster) Partition(a, b []int, on bool) {
 	for _, i := range a {
 		for _, j := range b {
 			if i != j {
@@ -183,78 +183,78 @@
 	}
 }
 
-// mark notes that nobody could count on a place until now.
-func (s *Swarm) mark(i int) {
+// markUnreachable notes that nobody could count on a place until now.
+func (s *Cluster) markUnreachable(i int) {
 	for j := range s.nodes {
-		s.bad[i][j], s.bad[j][i] = s.Now(), s.Now()
+		s.unreachableAt[i][j], s.unreachableAt[j][i] = s.Now(), s.Now()
 	}
 }
 
-func (s *Swarm) answers(i int) bool {
+func (s *Cluster) responsive(i int) bool {
 	n := s.nodes[i]
-	return n.up && !n.ended && !(n.paused && s.Now()-n.pausedAt > s.Bound)
+	return n.running && !n.stopped && !(n.paused && s.Now()-n.pausedAt > s.MaxPause)
 }
 
-func (s *Swarm) both(i, j int) bool {
-	return !s.cut[[2]int{i, j}] && !s.cut[[2]int{j, i}]
+func (s *Cluster) linked(i, j int) bool {
+	return !s.cutLinks[[2]int{i, j}] && !s.cutLinks[[2]int{j, i}]
 }
 
-// reaches tells whether two can reach each other both ways, directly or through one other.
-func (s *Swarm) reaches(i, j int) bool {
-	if !s.answers(i) || !s.answers(j) {
+// mutuallyReachable tells whether two can reach each other both ways, directly or through one other.
+func (s *Cluster) mutuallyReachable(i, j int) bool {
+	if !s.responsive(i) || !s.responsive(j) {
 		return false
 	}
-	if s.both(i, j) {
+	if s.linked(i, j) {
 		return true
 	}
 	for k := range s.nodes {
-		if k != i && k != j && s.answers(k) && s.both(i, k) && s.both(k, j) {
+		if k != i && k != j && s.responsive(k) && s.linked(i, k) && s.linked(k, j) {
 			return true
 		}
 	}
 	return false
 }
 
-// world notes which pairs can't reach each other now. It is called before and after each change of what is true.
-func (s *Swarm) world() {
+// recordReachability notes which pairs can't reach each other now. It is called before and after each change of what is true.
+func (s *Cluster) recordReachability() {
 	if len(s.nodes) > 64 { // large plays judge deaths only
 		return
 	}
 	for i := range s.nodes {
 		for j := range s.nodes[:i] {
-			if !s.reaches(i, j) {
-				s.bad[i][j], s.bad[j][i] = s.Now(), s.Now()
+			if !s.mutuallyReachable(i, j) {
+				s.unreachableAt[i][j], s.unreachableAt[j][i] = s.Now(), s.Now()
 			}
 		}
 	}
 }
 
-const mostWaits = 400 // what a socket holds for a process that stands still
+const maxQueuedInputs = 400 // what a socket holds for a process that stands still
 
-func (s *Swarm) feed(n *node, in membership.Input) {
-	if !n.up {
+func (s *Cluster) feed(n *process, in membership.Input) {
+	if !n.running {
 		return
 	}
 	if n.paused {
-		if len(n.waits) < mostWaits {
-			n.waits = append(n.waits, in)
+		if len(n.queuedInputs) < maxQueuedInputs {
+			n.queuedInputs = append(n.queuedInputs, in)
 		}
 		return
 	}
-	m := n.m
+	m := n.node
 	var todo []membership.Effect
-	s.Around(func() { todo = m.Step(s.Now(), in) })
+	s.AroundStep(func() { todo = m.Step(s.Now(), in) })
 	for _, e := range todo {
-		s.carry(n, e)
+		s.apply(n, e)
 	}
 	at := m.NextTick()
-	if n.tick > s.Now() && n.tick <= at {
+	if n.nextTick > s.Now() && n.nextTick <= at {
 		return // a tick that comes earlier plans the next
 	}
-	n.tick = at
+	n.nextTick = at
 	s.At(at, func() {
-		if n.m == m && n.up && n.tick == at {
-			if n.tick = 0; n.paused {
+		if n.node == m && n.running && n.nextTick == at {
+			if n.nextTick = 0; n.paused {
 				return // Resume feeds one
 			}
 			s.feed(n, membership.Tick{})
@@ -270,7 +270,7 @@
 	return int64(n)
 }
 
-func (s *Swarm) carry(n *node, e membership.Effect) {
+func (s *Cluster) apply(n *process, e membership.Effect) {
 	switch e := e.(type) {
 	case membership.Send:
 		s.datagram(n, e.To, e.Message)
@@ -281,7 +281,7 @@
 		}
 		s.lastID++
 		id := s.lastID
-		s.streams[id] = [2]*node{n, to}
+		s.streams[id] = [2]*process{n, to}
 		s.At(s.Now()+10*Second, func() { delete(s.streams, id) })
 		s.stream(n, to, id, e.Message)
 	case membership.StreamReply:
@@ -295,67 +295,67 @@
 		}
 		s.stream(n, to, e.Stream, e.Message)
 	case membership.Joined:
-		n.settled, n.ended = true, false
-		s.world()
+		n.joined, n.stopped = true, false
+		s.recordReachability()
 	case membership.Stopped:
-		n.ended = true
-		s.world()
+		n.stopped = true
+		s.recordReachability()
 		if !e.Replaced {
-			n.up, n.died = false, s.Now()
-			s.gone[n.name] = true
+			n.running, n.endedAt = false, s.Now()
+			s.leftNames[n.name] = true
 		}
 	case membership.MemberChanged:
-		s.changed(n, e)
+		s.checkChange(n, e)
 	}
 }
 
-func (s *Swarm) count(x membership.Message) {
+func (s *Cluster) count(x membership.Message) {
 	s.Sent++
 	s.Bytes += size(x)
 	s.Kinds[x.Kind]++
-	s.Weigh(x)
+	s.OnSend(x)
 }
 
-func (s *Swarm) datagram(n *node, addr string, x membership.Message) {
+func (s *Cluster) datagram(n *process, addr string, x membership.Message) {
 	s.count(x)
 	to := s.byAddr[addr]
-	lost, twice := s.rand.Float64() < s.Links.Loss, s.rand.Float64() < s.Links.Dup
-	wait := s.Links.Delay + Time(float64(s.Links.Jitter)*s.rand.Float64())
-	if to == nil || lost || s.cut[[2]int{n.index, to.index}] {
+	lost, twice := s.rand.Float64() < s.Conditions.Loss, s.rand.Float64() < s.Conditions.Dup
+	wait := s.Conditions.Delay + Time(float64(s.Conditions.Jitter)*s.rand.Float64())
+	if to == nil || lost || s.cutLinks[[2]int{n.index, to.index}] {
 		return
 	}
 	deliver := func() {
-		if !s.cut[[2]int{n.index, to.index}] {
+		if !s.cutLinks[[2]int{n.index, to.index}] {
 			s.feed(to, membership.MessageReceived{Message: x})
 		}
 	}
 	if s.At(s.Now()+wait, deliver); twice {
-		s.At(s.Now()+2*wait+MS, deliver)
+		s.At(s.Now()+2*wait+Millisecond, deliver)
 	}
 }
 
 // stream passes a message of a stream on: whole, later than a datagram and later still for what was lost of it, or not at all.
-func (s *Swarm) stream(n, to *node, id uint64, x membership.Message) {
+func (s *Cluster) stream(n, to *process, id uint64, x membership.Message) {
 	s.count(x)
-	wait := 3*s.Links.Delay + Time(float64(3*s.Links.Jitter)*s.rand.Float64())
-	for s.rand.Float64() < s.Links.Loss {
-		if wait += 200 * MS; wait > 5*Second {
+	wait := 3*s.Conditions.Delay + Time(float64(3*s.Conditions.Jitter)*s.rand.Float64())
+	for s.rand.Float64() < s.Conditions.Loss {
+		if wait += 200 * Millisecond; wait > 5*Second {
 			return
 		}
 	}
-	if !s.both(n.index, to.index) {
+	if !s.linked(n.index, to.index) {
 		return
 	}
 	s.At(s.Now()+wait, func() {
-		if s.both(n.index, to.index) {
+		if s.linked(n.index, to.index) {
 			s.feed(to, membership.MessageReceived{Message: x, Stream: id})
 		}
 	})
 }
 
-func (s *Swarm) breach(format string, v ...any) {
-	if len(s.Breaches) < 20 {
-		s.Breaches = append(s.Breaches, fmt.Sprintf("at %.3f s: ", float64(s.Now())/float64(Second))+fmt.Sprintf(format, v...))
+func (s *Cluster) violation(format string, v ...any) {
+	if len(s.Violations) < 20 {
+		s.Violations = append(s.Violations, fmt.Sprintf("at %.3f s: ", float64(s.Now())/float64(Second))+fmt.Sprintf(format, v...))
 	}
 }
 
@@ -363,16 +363,16 @@
 // been right, and the longest way from a word to a verdict is a doubt of the greatest length.
 const Grace = 15 * Second
 
-// changed holds what a member holds against what is true.
-func (s *Swarm) changed(n *node, e membership.MemberChanged) {
-	if s.Watch != nil {
-		s.Watch(s.Now(), n.name, e.Name, e.State)
+// checkChange holds what a member holds against what is true.
+func (s *Cluster) checkChange(n *process, e membership.MemberChanged) {
+	if s.OnChange != nil {
+		s.OnChange(s.Now(), n.name, e.Name, e.State)
 	}
-	h, known := n.held[e.Name]
-	now := holding{e.State, e.Incarnation, e.Refutations, s.Now(), e.Private}
-	n.held[e.Name] = now
-	if known && !h.private && h.life == now.life && h.turn == now.turn && h.state > now.state {
-		s.breach("%s holds %s %v after %v in the same turn", n.name, e.Name, now.state, h.state)
+	h, known := n.beliefs[e.Name]
+	now := belief{e.State, e.Incarnation, e.Refutations, s.Now(), e.Private}
+	n.beliefs[e.Name] = now
+	if known && !h.private && h.incarnation == now.incarnation && h.refutations == now.refutations && h.state > now.state {
+		s.violation("%s holds %s %v after %v in the same turn", n.name, e.Name, now.state, h.state)
 	}
 	i := n.index
 	for _, of := range s.byName[e.Name] {
@@ -380,34 +380,34 @@
 			continue
 		}
 		j := of.index
-		s.world()
-		if e.State == membership.Dead && len(s.nodes) <= 64 && s.answers(j) && s.Now()-max(s.bad[i][j], of.started, n.started) > Grace {
-			s.breach("%s calls %s gone, by %s, and could reach it since %.3f s", n.name, e.Name, e.ReportedBy, float64(s.bad[i][j])/float64(Second))
+		s.recordReachability()
+		if e.State == membership.Dead && len(s.nodes) <= 64 && s.responsive(j) && s.Now()-max(s.unreachableAt[i][j], of.startedAt, n.startedAt) > Grace {
+			s.violation("%s calls %s gone, by %s, and could reach it since %.3f s", n.name, e.Name, e.ReportedBy, float64(s.unreachableAt[i][j])/float64(Second))
 		}
-		if e.State == membership.Dead && !of.up {
-			s.Detected = append(s.Detected, s.Now()-of.died)
+		if e.State == membership.Dead && !of.running {
+			s.Detected = append(s.Detected, s.Now()-of.endedAt)
 		}
 	}
 }
 
-// Settle says in which way the views of those that live and reach each other differ from one another or from what is true.
-func (s *Swarm) Settle() (wrong []string) {
+// Disagreements says in which way the views of those that live and reach each other differ from one another or from what is true.
+func (s *Cluster) Disagreements() (wrong []string) {
 	for i, a := range s.nodes {
-		if !a.up || a.ended || a.paused {
+		if !a.running || a.stopped || a.paused {
 			continue
 		}
 		for j, b := range s.nodes {
-			if i == j || s.taken(b) {
+			if i == j || s.nameTaken(b) {
 				continue
 			}
-			h := a.held[b.name]
-			switch alive := b.up && !b.ended && !b.paused; {
-			case alive && s.reaches(i, j) && (h.state != membership.Alive || h.life.Nonce != b.nonce):
+			h := a.beliefs[b.name]
+			switch alive := b.running && !b.stopped && !b.paused; {
+			case alive && s.mutuallyReachable(i, j) && (h.state != membership.Alive || h.incarnation.Nonce != b.nonce):
 				wrong = append(wrong, fmt.Sprintf("%s holds %s %v, which is here", a.name, b.name, h.state))
-			case !b.up && b.m != nil && !h.state.Ended() && h.state != 0:
+			case !b.running && b.node != nil && !h.state.Ended() && h.state != 0:
 				wrong = append(wrong, fmt.Sprintf("%s holds %s %v, which is no more", a.name, b.name, h.state))
 			}
-			if b.up && !b.ended && i < j && s.reaches(i, j) && a.m.Digest() != b.m.Digest() {
+			if b.running && !b.stopped && i < j && s.mutuallyReachable(i, j) && a.node.Digest() != b.node.Digest() {
 				wrong = append(wrong, fmt.Sprintf("the digests of %s and %s differ", a.name, b.name))
 			}
 		}
@@ -415,10 +415,10 @@
 	return wrong
 }
 
-// taken tells whether another place has a process of this name that came later.
-func (s *Swarm) taken(n *node) bool {
+// nameTaken tells whether another place has a process of this name that came later.
+func (s *Cluster) nameTaken(n *process) bool {
 	for _, o := range s.nodes {
-		if o != n && o.name == n.name && o.up && !o.ended && (o.started > n.started || n.ended || !n.up) {
+		if o != n && o.name == n.name && o.running && !o.stopped && (o.startedAt > n.startedAt || n.stopped || !n.running) {
 			return true
 		}
 	}
@@ -426,18 +426,18 @@
 }
 
 // Member is what runs at a place.
-func (s *Swarm) Member(i int) *membership.Node { return s.nodes[i].m }
+func (s *Cluster) Member(i int) *membership.Node { return s.nodes[i].node }
 
-// Runs tells whether a process runs at a place, and whether it is a member by its own word.
-func (s *Swarm) Runs(i int) (up, member bool) {
-	return s.nodes[i].up, s.nodes[i].up && s.nodes[i].settled && !s.nodes[i].ended
+// Running tells whether a process runs at a place, and whether it is a member by its own word.
+func (s *Cluster) Running(i int) (up, member bool) {
+	return s.nodes[i].running, s.nodes[i].running && s.nodes[i].joined && !s.nodes[i].stopped
 }
 
-// Holds is what a place holds of a name.
-func (s *Swarm) Holds(i int, name string) membership.State { return s.nodes[i].held[name].state }
+// StateOf is what a place holds of a name.
+func (s *Cluster) StateOf(i int, name string) membership.State { return s.nodes[i].beliefs[name].state }
 
 // Rand draws for a play's own troubles.
-func (s *Swarm) Rand() *rand.Rand { return s.rand }
+func (s *Cluster) Rand() *rand.Rand { return s.rand }
 
 // Size is how many places there are.
-func (s *Swarm) Size() int { return len(s.nodes) }
+func (s *Cluster) Size() int { return len(s.nodes) }
--- a/internal/cluster/membership/simulation/simulation_test.go
+++ b/internal/cluster/membership/simulation/simulation_test.go
@@ -10,7 +10,7 @@
 )
 
 // seed is what plays are drawn from; SEED repeats one that failed.
-func seeds(n int) (all []uint64) {
+func seedList(n int) (all []uint64) {
 	if v, err := strconv.ParseUint(os.Getenv("SEED"), 10, 64); err == nil {
 		return []uint64{v}
 	}
@@ -20,10 +20,10 @@
 	return all
 }
 
-// play runs one case over some seeds; the first breach ends it, with its seed.
-func play(t *testing.T, n, times int, story func(s *Swarm)) {
+// runScenario runs one case over some seeds; the first breach ends it, with its seed.
+func runScenario(t *testing.T, n, times int, story func(s *Cluster)) {
 	t.Helper()
-	for _, seed := range seeds(times) {
+	for _, seed := range seedList(times) {
 		s := New(n, seed)
 		for i := range n {
 			s.Start(i)
@@ -31,14 +31,14 @@
 		if s.Run(3 * Second); n > 64 {
 			s.Run(8 * Second)
 		}
-		if wrong := s.Settle(); len(wrong) > 0 {
+		if wrong := s.Disagreements(); len(wrong) > 0 {
 			t.Fatalf("seed %d: after the start: %v", seed, wrong[:min(len(wrong), 5)])
 		}
 		story(s)
-		for _, b := range s.Breaches {
+		for _, b := range s.Violations {
 			t.Errorf("seed %d: %s", seed, b)
 		}
-		if wrong := s.Settle(); len(wrong) > 0 {
+		if wrong := s.Disagreements(); len(wrong) > 0 {
 			t.Errorf("seed %d, at the end: %v", seed, wrong[:min(len(wrong), 5)])
 		}
 		if t.Failed() {
@@ -50,11 +50,11 @@
 func TestAKilledMemberIsGoneInAllViews(t *testing.T) {
 	for _, n := range []int{2, 3, 5, 20} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			play(t, n, 20, func(s *Swarm) {
+			runScenario(t, n, 20, func(s *Cluster) {
 				s.Kill(n - 1)
 				s.Run(s.Now() + 5*Second)
 				for i := range n - 1 {
-					if got := s.Holds(i, fmt.Sprintf("n%03d", n-1)); got != membership.Dead {
+					if got := s.StateOf(i, fmt.Sprintf("n%03d", n-1)); got != membership.Dead {
 						t.Errorf("%d holds it %v after 5 s", i, got)
 					}
 				}
@@ -65,18 +65,18 @@
 
 func name(i int) string { return fmt.Sprintf("n%03d", i) }
 
-// holds checks what a place holds of a name.
-func holds(t *testing.T, s *Swarm, i int, of string, want membership.State) {
+// requireState checks what a place holds of a name.
+func requireState(t *testing.T, s *Cluster, i int, of string, want membership.State) {
 	t.Helper()
-	if got := s.Holds(i, of); got != want {
+	if got := s.StateOf(i, of); got != want {
 		t.Errorf("at %.1f s place %d holds %s %v, not %v", float64(s.Now())/float64(Second), i, of, got, want)
 	}
 }
 
-// gones counts how often anybody was called gone.
-func gones(s *Swarm) *int {
+// countDead counts how often anybody was called gone.
+func countDead(s *Cluster) *int {
 	n := 0
-	s.Watch = func(_ Time, _, _ string, state membership.State) {
+	s.OnChange = func(_ Time, _, _ string, state membership.State) {
 		if state == membership.Dead {
 			n++
 		}
@@ -91,16 +91,16 @@
 		gone bool
 	}{{500, false}, {2000, false}, {5000, true}, {30_000, true}} {
 		t.Run(fmt.Sprint(x.ms), func(t *testing.T) {
-			play(t, 3, 40, func(s *Swarm) {
-				n := gones(s)
+			runScenario(t, 3, 40, func(s *Cluster) {
+				n := countDead(s)
 				s.Pause(2)
-				s.Run(s.Now() + x.ms*MS)
+				s.Run(s.Now() + x.ms*Millisecond)
 				if (*n > 0) != x.gone {
 					t.Errorf("called gone %d times", *n)
 				}
 				*n = 0
 				accused := 0
-				s.Watch = func(_ Time, _, of string, state membership.State) {
+				s.OnChange = func(_ Time, _, of string, state membership.State) {
 					if state == membership.Dead || state == membership.Suspect && of != name(2) {
 						accused++
 					}
@@ -120,8 +120,8 @@
 
 // A machine that sleeps takes all of them; nobody may accuse anybody of it, and nobody may wait for another's word for good.
 func TestAllPausedAtOnce(t *testing.T) {
-	play(t, 5, 40, func(s *Swarm) {
-		n := gones(s)
+	runScenario(t, 5, 40, func(s *Cluster) {
+		n := countDead(s)
 		for i := range 5 {
 			s.Pause(i)
 		}
@@ -137,14 +137,14 @@
 }
 
 func TestTwoOfThreePaused(t *testing.T) {
-	play(t, 3, 40, func(s *Swarm) {
+	runScenario(t, 3, 40, func(s *Cluster) {
 		s.Pause(1)
 		s.Pause(2)
 		s.Run(s.Now() + 10*Second)
-		holds(t, s, 0, name(1), membership.Dead)
+		requireState(t, s, 0, name(1), membership.Dead)
 		s.Resume(1)
 		s.Run(s.Now() + 3*Second)
-		holds(t, s, 0, name(1), membership.Alive)
+		requireState(t, s, 0, name(1), membership.Alive)
 		s.Resume(2)
 		s.Run(s.Now() + 4*Second)
 	})
@@ -152,13 +152,13 @@
 
 // One that wakes, refutes and is stopped again before its word is out must not be taken for one that answers.
 func TestPausedInTheMiddleOfRefuting(t *testing.T) {
-	play(t, 4, 40, func(s *Swarm) {
+	runScenario(t, 4, 40, func(s *Cluster) {
 		s.Pause(3)
-		s.Run(s.Now() + 1500*MS)
+		s.Run(s.Now() + 1500*Millisecond)
 		s.Resume(3)
 		s.Pause(3)
 		s.Run(s.Now() + 20*Second)
-		holds(t, s, 0, name(3), membership.Dead)
+		requireState(t, s, 0, name(3), membership.Dead)
 		s.Resume(3)
 		s.Run(s.Now() + 4*Second)
 	})
@@ -166,12 +166,12 @@
 
 // At 30% loss each way nobody is called gone, and messages do not multiply.
 func TestLossForMinutes(t *testing.T) {
-	play(t, 8, 3, func(s *Swarm) {
+	runScenario(t, 8, 3, func(s *Cluster) {
 		before := s.Sent
 		s.Run(s.Now() + 60*Second)
 		calm := s.Sent - before
-		n := gones(s)
-		s.Links = Links{Loss: 0.3, Dup: 0.02, Delay: 10 * MS, Jitter: 50 * MS}
+		n := countDead(s)
+		s.Conditions = LinkConditions{Loss: 0.3, Dup: 0.02, Delay: 10 * Millisecond, Jitter: 50 * Millisecond}
 		before = s.Sent
 		s.Run(s.Now() + 180*Second)
 		if lossy := (s.Sent - before) / 3; lossy > 5*calm {
@@ -181,15 +181,15 @@
 		if *n > 0 {
 			t.Errorf("%d are called gone", *n)
 		}
-		s.Links = Links{Delay: 2}
+		s.Conditions = LinkConditions{Delay: 2}
 		s.Run(s.Now() + 30*Second)
 	})
 }
 
 // Two that can't talk in one direction reach each other through a third: both stay, in all views.
 func TestOneSidedCutOfAPair(t *testing.T) {
-	play(t, 3, 40, func(s *Swarm) {
-		n := gones(s)
+	runScenario(t, 3, 40, func(s *Cluster) {
+		n := countDead(s)
 		s.Cut(0, 1, true)
 		s.Run(s.Now() + 60*Second)
 		if *n > 0 {
@@ -208,8 +208,8 @@
 func TestOneSidedCutFromAllButOne(t *testing.T) {
 	for _, mute := range []bool{true, false} {
 		t.Run(fmt.Sprint("mute ", mute), func(t *testing.T) {
-			play(t, 5, 20, func(s *Swarm) {
-				n := gones(s)
+			runScenario(t, 5, 20, func(s *Cluster) {
+				n := countDead(s)
 				for i := range 3 {
 					s.Cut(4, i, mute)
 					s.Cut(i, 4, !mute)
@@ -232,9 +232,9 @@
 func TestMuteAndDeaf(t *testing.T) {
 	for _, mute := range []bool{true, false} {
 		t.Run(fmt.Sprint("mute ", mute), func(t *testing.T) {
-			play(t, 5, 20, func(s *Swarm) {
+			runScenario(t, 5, 20, func(s *Cluster) {
 				said := map[string]int{}
-				s.Watch = func(_ Time, by, of string, state membership.State) { said[fmt.Sprint(by, of, state)]++ }
+				s.OnChange = func(_ Time, by, of string, state membership.State) { said[fmt.Sprint(by, of, state)]++ }
 				for i := range 4 {
 					if s.Cut(4, i, mute); !mute {
 						s.Cut(i, 4, true)
@@ -251,7 +251,7 @@
 				clear(said) // by then it has found out that it hears nobody
 				s.Run(s.Now() + 40*Second)
 				for i := range 4 {
-					holds(t, s, i, name(4), membership.Dead)
+					requireState(t, s, i, name(4), membership.Dead)
 					if len(said) > 0 {
 						t.Errorf("there is talk after 20 s: %v", said)
 					}
@@ -266,58 +266,58 @@
 
 // C reaches A and B, which do not reach each other: nobody is gone.
 func TestABridge(t *testing.T) {
-	play(t, 3, 40, func(s *Swarm) {
-		n := gones(s)
-		s.Part([]int{0}, []int{1}, true)
+	runScenario(t, 3, 40, func(s *Cluster) {
+		n := countDead(s)
+		s.Partition([]int{0}, []int{1}, true)
 		s.Run(s.Now() + 60*Second)
 		if *n > 0 {
 			t.Errorf("%d are called gone", *n)
 		}
-		s.Part([]int{0}, []int{1}, false)
+		s.Partition([]int{0}, []int{1}, false)
 		s.Run(s.Now() + 15*Second)
 	})
 }
 
 func TestPartitionsThatOverlap(t *testing.T) {
-	play(t, 9, 20, func(s *Swarm) {
+	runScenario(t, 9, 20, func(s *Cluster) {
 		a, b, c := []int{0, 1, 2}, []int{3, 4, 5}, []int{6, 7, 8}
-		s.Part(a, append(b, c...), true)
+		s.Partition(a, append(b, c...), true)
 		s.Run(s.Now() + 12*Second)
-		s.Part(c, b, true)
+		s.Partition(c, b, true)
 		s.Run(s.Now() + 12*Second)
-		holds(t, s, 0, name(3), membership.Dead)
-		holds(t, s, 3, name(6), membership.Dead)
-		holds(t, s, 3, name(4), membership.Alive)
-		s.Part(a, b, false)
+		requireState(t, s, 0, name(3), membership.Dead)
+		requireState(t, s, 3, name(6), membership.Dead)
+		requireState(t, s, 3, name(4), membership.Alive)
+		s.Partition(a, b, false)
 		s.Run(s.Now() + 12*Second)
-		s.Part(c, append(a, b...), false)
+		s.Partition(c, append(a, b...), false)
 		s.Run(s.Now() + 8*Second)
 	})
 }
 
 // After a cut of ten minutes all are one again by themselves, and who left meanwhile stays away.
 func TestALongCutEndsByItself(t *testing.T) {
-	play(t, 8, 6, func(s *Swarm) {
+	runScenario(t, 8, 6, func(s *Cluster) {
 		a, b := []int{0, 1, 2, 3}, []int{4, 5, 6, 7}
-		s.Part(a, b, true)
+		s.Partition(a, b, true)
 		s.Run(s.Now() + 300*Second)
 		s.Leave(7)
 		s.Run(s.Now() + 300*Second)
-		s.Part(a, b, false)
+		s.Partition(a, b, false)
 		s.Run(s.Now() + 5*Second)
-		holds(t, s, 0, name(7), membership.Left)
+		requireState(t, s, 0, name(7), membership.Left)
 	})
 }
 
 // A cut that comes and goes faster than a doubt lasts calls nobody gone.
 func TestACutThatFlaps(t *testing.T) {
-	play(t, 4, 20, func(s *Swarm) {
-		n := gones(s)
+	runScenario(t, 4, 20, func(s *Cluster) {
+		n := countDead(s)
 		for range 40 {
-			s.Part([]int{3}, []int{0, 1, 2}, true)
-			s.Run(s.Now() + 700*MS)
-			s.Part([]int{3}, []int{0, 1, 2}, false)
-			s.Run(s.Now() + 700*MS)
+			s.Partition([]int{3}, []int{0, 1, 2}, true)
+			s.Run(s.Now() + 700*Millisecond)
+			s.Partition([]int{3}, []int{0, 1, 2}, false)
+			s.Run(s.Now() + 700*Millisecond)
 		}
 		if *n > 0 {
 			t.Errorf("%d are called gone", *n)
@@ -328,10 +328,10 @@
 
 // Killed and back before anyone noticed: it is another process, and all know it.
 func TestKilledAndBackAtOnce(t *testing.T) {
-	play(t, 5, 20, func(s *Swarm) {
-		n := gones(s)
+	runScenario(t, 5, 20, func(s *Cluster) {
+		n := countDead(s)
 		s.Kill(2)
-		s.Run(s.Now() + 200*MS)
+		s.Run(s.Now() + 200*Millisecond)
 		s.Start(2)
 		s.Run(s.Now() + 3*Second)
 		if own := s.Member(2).Status(); own.Generation != 2 || *n > 0 {
@@ -342,12 +342,12 @@
 
 // A successor at another address, while the first stands still: that one wakes up and is superseded before it says anything.
 func TestASuccessorWhileTheFirstIsStopped(t *testing.T) {
-	for _, after := range []Time{300 * MS, 10 * Second} {
+	for _, after := range []Time{300 * Millisecond, 10 * Second} {
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
-			play(t, 4, 20, func(s *Swarm) {
+			runScenario(t, 4, 20, func(s *Cluster) {
 				s.Pause(3)
 				s.Run(s.Now() + after)
-				heir := s.Place(name(3))
+				heir := s.AddProcess(name(3))
 				s.Start(heir)
 				s.Run(s.Now() + 5*Second)
 				s.Resume(3)
@@ -365,8 +365,8 @@
 
 // A name that two processes use at once is the later one's, and the first comes back when that one has left.
 func TestANameUsedTwice(t *testing.T) {
-	play(t, 4, 20, func(s *Swarm) {
-		heir := s.Place(name(3))
+	runScenario(t, 4, 20, func(s *Cluster) {
+		heir := s.AddProcess(name(3))
 		s.Start(heir)
 		s.Run(s.Now() + 3*Second)
 		if own := s.Member(3).Status(); own.State != membership.Replaced {
@@ -382,7 +382,7 @@
 
 // After a restart of all nobody remembers; a process from before that wakes up gives way.
 func TestARestartOfAll(t *testing.T) {
-	play(t, 4, 20, func(s *Swarm) {
+	runScenario(t, 4, 20, func(s *Cluster) {
 		for range 3 { // so that the one that sleeps has the greater incarnation
 			s.Kill(3)
 			s.Run(s.Now() + Second)
@@ -395,7 +395,7 @@
 			s.Kill(i)
 		}
 		s.Run(s.Now() + 5*Second)
-		heir := s.Place(name(3))
+		heir := s.AddProcess(name(3))
 		for _, i := range []int{0, 1, heir} {
 			s.Start(i)
 		}
@@ -414,7 +414,7 @@
 }
 
 func TestHalfKilledAtOneMoment(t *testing.T) {
-	play(t, 20, 10, func(s *Swarm) {
+	runScenario(t, 20, 10, func(s *Cluster) {
 		for i := 10; i < 20; i++ {
 			s.Kill(i)
 		}
@@ -426,19 +426,19 @@
 func TestALeave(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		t.Run(fmt.Sprint("lost ", lost), func(t *testing.T) {
-			play(t, 12, 10, func(s *Swarm) {
+			runScenario(t, 12, 10, func(s *Cluster) {
 				if lost {
-					s.Links.Loss = 1
+					s.Conditions.Loss = 1
 				}
 				s.Leave(5)
-				s.Run(s.Now() + 300*MS)
-				s.Links.Loss = 0
+				s.Run(s.Now() + 300*Millisecond)
+				s.Conditions.Loss = 0
 				want := membership.Left
-				if s.Run(s.Now() + 700*MS); lost {
+				if s.Run(s.Now() + 700*Millisecond); lost {
 					want = membership.Dead
 					s.Run(s.Now() + 6*Second)
 				}
-				holds(t, s, 0, name(5), want)
+				requireState(t, s, 0, name(5), want)
 			})
 		})
 	}
@@ -446,16 +446,16 @@
 
 // Seeds that are gone harm nobody who has joined; those that come last are found.
 func TestSeedsGoneAndSeedsLast(t *testing.T) {
-	play(t, 6, 10, func(s *Swarm) {
+	runScenario(t, 6, 10, func(s *Cluster) {
 		s.Kill(0)
 		s.Kill(1)
 		s.Run(s.Now() + 6*Second)
-		late := s.Place("late")
+		late := s.AddProcess("late")
 		s.Start(late)
 		s.Run(s.Now() + 5*Second) // it finds nobody
 		s.Start(1)
 		s.Run(s.Now() + 6*Second)
-		holds(t, s, late, name(4), membership.Alive)
+		requireState(t, s, late, name(4), membership.Alive)
 		s.Start(0)
 		s.Run(s.Now() + 6*Second)
 	})
@@ -463,25 +463,25 @@
 
 // Without a seed that lives, parted groups find each other by trying those that are gone.
 func TestACutWithoutSeeds(t *testing.T) {
-	play(t, 6, 10, func(s *Swarm) {
+	runScenario(t, 6, 10, func(s *Cluster) {
 		s.Kill(0)
 		s.Kill(1)
 		s.Run(s.Now() + 6*Second)
-		s.Part([]int{2, 3}, []int{4, 5}, true)
+		s.Partition([]int{2, 3}, []int{4, 5}, true)
 		s.Run(s.Now() + 20*Second)
-		holds(t, s, 2, name(4), membership.Dead)
-		s.Part([]int{2, 3}, []int{4, 5}, false)
+		requireState(t, s, 2, name(4), membership.Dead)
+		s.Partition([]int{2, 3}, []int{4, 5}, false)
 		s.Run(s.Now() + 8*Second)
 	})
 }
 
 // 300 members of which 60 restart at once are one cluster again, with messages per member as before.
 func TestManyRestartAtOnce(t *testing.T) {
-	play(t, 300, 1, func(s *Swarm) {
+	runScenario(t, 300, 1, func(s *Cluster) {
 		for i := range 60 {
 			s.Kill(5 * i)
 		}
-		s.Run(s.Now() + 500*MS)
+		s.Run(s.Now() + 500*Millisecond)
 		for i := range 60 {
 			s.Start(5 * i)
 		}
@@ -495,21 +495,21 @@
 	if v, err := strconv.Atoi(os.Getenv("PLAYS")); err == nil {
 		times = v
 	}
-	for _, seed := range seeds(times) {
-		if Drawn(t.Errorf, seed); t.Failed() {
+	for _, seed := range seedList(times) {
+		if RandomFaults(t.Errorf, seed); t.Failed() {
 			t.Fatalf("seed %d: SEED=%d repeats it", seed, seed)
 		}
 	}
 }
 
-var Debug = func(*Swarm) {}
+var Debug = func(*Cluster) {}
 
-// Drawn plays one seed's troubles and tells what was wrong.
-func Drawn(wrong func(string, ...any), seed uint64) {
+// RandomFaults plays one seed's troubles and tells what was wrong.
+func RandomFaults(wrong func(string, ...any), seed uint64) {
 	r := New(1, seed).Rand()
 	n := 3 + r.IntN(9)
 	s := New(n, seed)
-	s.Links = Links{Loss: []float64{0, 0.05, 0.2}[r.IntN(3)], Dup: 0.01, Delay: Time(r.IntN(100)), Jitter: Time(r.IntN(300))}
+	s.Conditions = LinkConditions{Loss: []float64{0, 0.05, 0.2}[r.IntN(3)], Dup: 0.01, Delay: Time(r.IntN(100)), Jitter: Time(r.IntN(300))}
 	for i := range n {
 		s.At(Time(r.IntN(20_000)), func() { s.Start(i) })
 	}
@@ -565,13 +565,13 @@
 				}
 			}
 			s.At(at, func() {
-				s.Part(a, b, true)
+				s.Partition(a, b, true)
 				if os.Getenv("D") != "" {
 					fmt.Println(float64(s.Now())/1e4, "part", a, b)
 				}
 			})
 			s.At(at+last, func() {
-				s.Part(a, b, false)
+				s.Partition(a, b, false)
 				if os.Getenv("D") != "" {
 					fmt.Println(float64(s.Now())/1e4, "unpart", a, b)
 				}
@@ -587,12 +587,12 @@
 		}
 	}
 	s.Run(end + 30*Second)
-	s.Links = Links{Delay: 2} // at any moment of a lossy link somebody is doubted
+	s.Conditions = LinkConditions{Delay: 2} // at any moment of a lossy link somebody is doubted
 	s.Run(end + 45*Second)
-	for _, b := range s.Breaches {
+	for _, b := range s.Violations {
 		wrong("%s", b)
 	}
-	for k, w := range s.Settle() {
+	for k, w := range s.Disagreements() {
 		if k < 5 {
 			wrong("at the end: %s", w)
 		}
--- a/internal/cluster/membership/timers.go
+++ b/internal/cluster/membership/timers.go
@@ -2,177 +2,177 @@
 
 import "slices"
 
-// timers does all that is due.
-func (m *Node) timers() {
+// runTimers does all that is due.
+func (m *Node) runTimers() {
 	switch m.phase {
-	case over:
+	case stopped:
 		return
-	case joining, asking:
-		m.asks()
+	case joining, catchingUp:
+		m.sendQueries()
 		return
-	case standing:
-		m.stand()
+	case standingBy:
+		m.queryWhetherNameIsFree()
 		return
 	case leaving:
-		m.leaveOn()
+		m.sendLeaveNotices()
 		return
 	}
-	m.overdue()
-	m.doubtful()
+	m.checkProbes()
+	m.checkSuspects()
 	if m.now >= m.nextProbe {
-		m.nextProbe = m.now + m.t.ProbeInterval*9/10 + Time(m.rand.Int64N(int64(m.t.ProbeInterval/5)+1))
-		m.ping()
+		m.nextProbe = m.now + m.config.ProbeInterval*9/10 + Time(m.rand.Int64N(int64(m.config.ProbeInterval/5)+1))
+		m.probeNext()
 	}
-	if m.now >= m.nextSeek {
-		m.nextSeek = m.now + m.jitter(m.t.JoinInterval)
-		m.seek()
+	if m.now >= m.nextJoin {
+		m.nextJoin = m.now + m.jitter(m.config.JoinInterval)
+		m.probeDeadMemberAndSeed()
 	}
-	if m.now >= m.nextExchange {
-		m.nextExchange = m.now + m.jitter(m.t.PushPullInterval)
-		m.exchange()
+	if m.now >= m.nextPushPull {
+		m.nextPushPull = m.now + m.jitter(m.config.PushPullInterval)
+		m.pushPullWithRandomMember()
 	}
-	if m.now >= m.nextForget {
-		m.nextForget = m.now + m.t.DeadRetention/50
-		m.forget()
+	if m.now >= m.nextPrune {
+		m.nextPrune = m.now + m.config.DeadRetention/50
+		m.pruneEnded()
 	}
-	if d := m.duel; d != nil && m.now >= d.next {
-		m.fightOn(d)
+	if d := m.conflict; d != nil && m.now >= d.nextQuery {
+		m.continueNameConflict(d)
 	}
 	if len(m.queue) > 0 && m.now >= m.nextGossip {
-		m.nextGossip = m.now + gossipEvery
-		for _, e := range m.pick(spread, nil) {
-			if claims := m.take(claimRoom, m.accusations(e)...); len(claims) > 0 {
-				m.send(e.claim.Addr, Message{Kind: Gossip, Records: claims})
+		m.nextGossip = m.now + gossipInterval
+		for _, e := range m.randomMembers(gossipFanout, nil) {
+			if claims := m.takeRecords(maxRecordBytes, m.recordToRefute(e)...); len(claims) > 0 {
+				m.send(e.record.Addr, Message{Kind: Gossip, Records: claims})
 			}
 		}
 	}
 }
 
-// ping asks the next in the round.
-func (m *Node) ping() {
-	if len(m.round) == 0 {
-		m.round = append(m.round, m.live...)
-		m.rand.Shuffle(len(m.round), func(i, j int) { m.round[i], m.round[j] = m.round[j], m.round[i] })
+// probeNext asks the next in the round.
+func (m *Node) probeNext() {
+	if len(m.probeOrder) == 0 {
+		m.probeOrder = append(m.probeOrder, m.live...)
+		m.rand.Shuffle(len(m.probeOrder), func(i, j int) { m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i] })
 	}
-	if len(m.round) == 0 || len(m.probes) >= mostProbes {
+	if len(m.probeOrder) == 0 || len(m.probes) >= maxProbes {
 		return
 	}
-	e := m.round[len(m.round)-1]
-	m.round = m.round[:len(m.round)-1]
-	p := probe{nonce: m.rand.Uint64(), of: e, at: m.now}
+	e := m.probeOrder[len(m.probeOrder)-1]
+	m.probeOrder = m.probeOrder[:len(m.probeOrder)-1]
+	p := probe{nonce: m.rand.Uint64(), target: e, sentAt: m.now}
 	m.probes = append(m.probes, p)
-	m.send(e.claim.Addr, Message{Kind: Ping, Nonce: p.nonce, Records: m.take(claimRoom, m.accusations(e)...)})
+	m.send(e.record.Addr, Message{Kind: Ping, Nonce: p.nonce, Records: m.takeRecords(maxRecordBytes, m.recordToRefute(e)...)})
 }
 
-// overdue asks through others for those who have not answered, and doubts those who did not answer to anybody.
-func (m *Node) overdue() {
+// checkProbes asks through others for those who have not answered, and doubts those who did not answer to anybody.
+func (m *Node) checkProbes() {
 	rest := m.probes[:0:0]
-	var failed []*entry
+	var failed []*member
 	for _, p := range m.probes {
 		switch {
-		case m.now >= p.at+m.window():
-			if failed = append(failed, p.of); !m.deaf && m.heard <= p.at {
-				m.deaf = true // nobody at all was heard since: that is this process's own trouble
+		case m.now >= p.sentAt+m.probeTimeout():
+			if failed = append(failed, p.target); !m.isolated && m.lastHeard <= p.sentAt {
+				m.isolated = true // nobody at all was heard since: that is this process's own trouble
 				m.do(Event{"hears nobody", ""})
 			}
 			continue
-		case !p.through && m.now >= p.at+m.patience(p.of):
-			p.through = true
-			m.through(p.of, p.nonce)
-			m.do(OpenStream{p.of.claim.Addr, m.sealed(Message{Kind: Ping, Nonce: p.nonce, Records: m.accusations(p.of)})})
-		case p.through && !p.again && m.now >= p.at+2*m.patience(p.of):
-			p.again = true
-			m.send(p.of.claim.Addr, Message{Kind: Ping, Nonce: p.nonce, Records: m.accusations(p.of)})
+		case !p.indirectSent && m.now >= p.sentAt+m.directTimeout(p.target):
+			p.indirectSent = true
+			m.sendIndirectPings(p.target, p.nonce)
+			m.do(OpenStream{p.target.record.Addr, m.stamped(Message{Kind: Ping, Nonce: p.nonce, Records: m.recordToRefute(p.target)})})
+		case p.indirectSent && !p.resent && m.now >= p.sentAt+2*m.directTimeout(p.target):
+			p.resent = true
+			m.send(p.target.record.Addr, Message{Kind: Ping, Nonce: p.nonce, Records: m.recordToRefute(p.target)})
 		}
 		rest = append(rest, p)
 	}
 	m.probes = rest
-	for nonce, r := range m.relays {
-		if m.now >= r.at+2*m.window() {
-			delete(m.relays, nonce)
+	for nonce, r := range m.indirectPings {
+		if m.now >= r.sentAt+2*m.probeTimeout() {
+			delete(m.indirectPings, nonce)
 		}
 	}
 	for _, e := range failed {
-		m.unanswered(e)
+		m.probeFailed(e)
 	}
 }
 
-// through has some others ask a member.
-func (m *Node) through(e *entry, nonce uint64) {
-	for _, by := range m.pick(helpers, e) {
-		m.send(by.claim.Addr, Message{Kind: IndirectPing, Nonce: nonce, Target: e.claim.Name, Records: m.accusations(e)})
+// sendIndirectPings has some others ask a member.
+func (m *Node) sendIndirectPings(e *member, nonce uint64) {
+	for _, by := range m.randomMembers(indirectProbes, e) {
+		m.send(by.record.Addr, Message{Kind: IndirectPing, Nonce: nonce, Target: e.record.Name, Records: m.recordToRefute(e)})
 	}
 }
 
-// doubtful asks once more those whose doubt ends soon, and holds those whose doubt is over to be gone.
-func (m *Node) doubtful() {
-	for _, e := range append([]*entry(nil), m.doubts...) {
-		end := m.ends(e)
+// checkSuspects asks once more those whose doubt ends soon, and holds those whose doubt is over to be gone.
+func (m *Node) checkSuspects() {
+	for _, e := range append([]*member(nil), m.suspects...) {
+		end := m.suspicionDeadline(e)
 		if m.now >= end {
-			m.expire(e)
-		} else if e.own && !e.lastSaid && m.now >= end-lastWord {
-			e.lastSaid = true
+			m.suspicionExpired(e)
+		} else if e.foundHere && !e.finalProbeSent && m.now >= end-finalProbeLead {
+			e.finalProbeSent = true
 			nonce := m.rand.Uint64()
-			m.send(e.claim.Addr, Message{Kind: Ping, Nonce: nonce, Records: m.accusations(e)})
-			m.through(e, nonce)
+			m.send(e.record.Addr, Message{Kind: Ping, Nonce: nonce, Records: m.recordToRefute(e)})
+			m.sendIndirectPings(e, nonce)
 		}
 	}
 }
 
-// seek tries to reach one that is gone, and a seed that is nobody here: so cuts end by themselves.
-func (m *Node) seek() {
-	if len(m.lost) > 0 {
-		e := m.lost[m.rand.IntN(len(m.lost))]
-		m.send(e.claim.Addr, Message{Kind: Ping, Nonce: m.rand.Uint64(), Records: m.accusations(e)})
-	}
-	for range m.t.Seeds { // the next one that is nobody here
-		m.seed = (m.seed + 1) % len(m.t.Seeds)
-		seed := m.t.Seeds[m.seed]
-		if seed != m.me.Addr && !slices.ContainsFunc(m.live, func(e *entry) bool { return e.claim.Addr == seed }) {
+// probeDeadMemberAndSeed tries to reach one that is gone, and a seed that is nobody here: so cuts end by themselves.
+func (m *Node) probeDeadMemberAndSeed() {
+	if len(m.dead) > 0 {
+		e := m.dead[m.rand.IntN(len(m.dead))]
+		m.send(e.record.Addr, Message{Kind: Ping, Nonce: m.rand.Uint64(), Records: m.recordToRefute(e)})
+	}
+	for range m.config.Seeds { // the next one that is nobody here
+		m.lastSeed = (m.lastSeed + 1) % len(m.config.Seeds)
+		seed := m.config.Seeds[m.lastSeed]
+		if seed != m.self.Addr && !slices.ContainsFunc(m.live, func(e *member) bool { return e.record.Addr == seed }) {
 			m.send(seed, Message{Kind: Ping, Nonce: m.rand.Uint64()})
 			return
 		}
 	}
 }
 
-// stand asks whether the name of this process is free again.
-func (m *Node) stand() {
-	if m.now < m.nextSeek {
+// queryWhetherNameIsFree asks whether the name of this process is free again.
+func (m *Node) queryWhetherNameIsFree() {
+	if m.now < m.nextJoin {
 		return
 	}
-	m.nextSeek = m.now + m.jitter(m.t.JoinInterval)
-	m.known, m.nonce = MemberRecord{}, m.rand.Uint64()
-	for _, e := range m.pick(1, nil) {
-		m.send(e.claim.Addr, Message{Kind: RecordQuery, Nonce: m.nonce})
+	m.nextJoin = m.now + m.jitter(m.config.JoinInterval)
+	m.reportedSelf, m.queryNonce = MemberRecord{}, m.rand.Uint64()
+	for _, e := range m.randomMembers(1, nil) {
+		m.send(e.record.Addr, Message{Kind: RecordQuery, Nonce: m.queryNonce})
 	}
 }
 
-// leaveOn tells some that this process ends.
-func (m *Node) leaveOn() {
-	if m.now < m.nextLeave {
+// sendLeaveNotices tells some that this process ends.
+func (m *Node) sendLeaveNotices() {
+	if m.now < m.nextLeaveNotice {
 		return
 	}
-	if m.leaves == 0 {
-		m.phase = over
+	if m.leaveNoticesLeft == 0 {
+		m.phase = stopped
 		m.do(Stopped{})
 		return
 	}
-	m.leaves--
-	m.nextLeave = m.now + leaveEvery
-	for _, e := range m.pick(leaveTo, nil) {
-		m.send(e.claim.Addr, Message{Kind: Gossip, Records: []MemberRecord{m.me}})
+	m.leaveNoticesLeft--
+	m.nextLeaveNotice = m.now + leaveNoticeInterval
+	for _, e := range m.randomMembers(leaveFanout, nil) {
+		m.send(e.record.Addr, Message{Kind: Gossip, Records: []MemberRecord{m.self}})
 	}
 }
 
-// fightOn asks the other process of this name again, or holds it to be no more.
-func (m *Node) fightOn(d *duel) {
-	if m.now >= d.until {
-		m.duel = nil
-		if d.with.Incarnation.compare(m.me.Incarnation) > 0 {
-			m.relive(d.with.Generation)
+// continueNameConflict asks the other process of this name again, or holds it to be no more.
+func (m *Node) continueNameConflict(d *nameConflict) {
+	if m.now >= d.deadline {
+		m.conflict = nil
+		if d.rival.Incarnation.compare(m.self.Incarnation) > 0 {
+			m.startIncarnationAfter(d.rival.Generation)
 		}
 		return
 	}
-	d.next = m.now + askEvery
-	m.send(d.with.Addr, Message{Kind: NameConflict, Nonce: d.nonce})
+	d.nextQuery = m.now + queryInterval
+	m.send(d.rival.Addr, Message{Kind: NameConflict, Nonce: d.nonce})
 }
--- a/internal/cluster/mesh/bench_test.go
+++ b/internal/cluster/mesh/bench_test.go
@@ -16,20 +16,20 @@
 	"woaddyke/internal/cluster/operatorstate"
 )
 
-// heads are what IP and UDP put before a datagram.
-const heads = 20 + 8
+// ipUDPHeaderBytes are what IP and UDP put before a datagram.
+const ipUDPHeaderBytes = 20 + 8
 
-// wire is what a message takes on the wire, as this package words it. A play's addresses are shorter than real ones.
-func wire(b *testing.B, x membership.Message) int64 {
-	text, err := encode(lengthened(x))
+// wireBytes is what a message takes on the wire, as this package words it. A play's addresses are shorter than real ones.
+func wireBytes(b *testing.B, x membership.Message) int64 {
+	text, err := encode(withRealisticNames(x))
 	if err != nil {
 		b.Fatal(err)
 	}
-	return int64(len(text) + heads)
+	return int64(len(text) + ipUDPHeaderBytes)
 }
 
-// seed is what a cluster is drawn from: SEED, or 1.
-func seed() uint64 {
+// seedFromEnv is what a cluster is drawn from: SEED, or 1.
+func seedFromEnv() uint64 {
 	if v, err := strconv.ParseUint(os.Getenv("SEED"), 10, 64); err == nil {
 		return v
 	}
@@ -38,8 +38,8 @@
 
 const realAddr = "10.101.102.103:7946"
 
-// lengthened is a message as of a real deployment, with names and addresses as long as they are there.
-func lengthened(x membership.Message) membership.Message {
+// withRealisticNames is a message as of a real deployment, with names and addresses as long as they are there.
+func withRealisticNames(x membership.Message) membership.Message {
 	one := func(c membership.MemberRecord) membership.MemberRecord {
 		c.Name, c.Addr = "scheduler-"+c.Name, realAddr
 		if c.ReportedBy != "" {
@@ -65,11 +65,11 @@
 	for _, n := range []int{5, 20, 100, 300, 1_000, 2_000} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			for range b.N {
-				s := settled(n)
+				s := settledCluster(n)
 				var bytes, messages int64
 				var core time.Duration
-				s.Weigh = func(x membership.Message) { bytes, messages = bytes+wire(b, x), messages+1 }
-				s.Around = func(take func()) {
+				s.OnSend = func(x membership.Message) { bytes, messages = bytes+wireBytes(b, x), messages+1 }
+				s.AroundStep = func(take func()) {
 					from := time.Now()
 					take()
 					core += time.Since(from)
@@ -86,9 +86,9 @@
 	}
 }
 
-// settled is a swarm of so many members that have been here for a while.
-func settled(n int) *simulation.Swarm {
-	s := simulation.New(n, seed())
+// settledCluster is a swarm of so many members that have been here for a while.
+func settledCluster(n int) *simulation.Cluster {
+	s := simulation.New(n, seedFromEnv())
 	for i := range n {
 		s.Start(i)
 	}
@@ -101,9 +101,9 @@
 	for _, n := range []int{100, 300, 1_000} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			for range b.N {
-				s := settled(n)
+				s := settledCluster(n)
 				var bytes int64
-				s.Weigh = func(x membership.Message) { bytes += wire(b, x) }
+				s.OnSend = func(x membership.Message) { bytes += wireBytes(b, x) }
 				const span = 20
 				s.Run(s.Now() + span*simulation.Second)
 				calm := bytes
@@ -120,7 +120,7 @@
 				s.Run(s.Now() + span*simulation.Second)
 				b.ReportMetric(float64(bytes-calm)/float64(n)/float64(gone), "B/member-restart")
 				b.ReportMetric(float64(bytes)/float64(n)/span, "B/member-s")
-				if wrong := s.Settle(); len(wrong) > 0 {
+				if wrong := s.Disagreements(); len(wrong) > 0 {
 					b.Log("not settled: ", len(wrong))
 				}
 			}
@@ -134,9 +134,9 @@
 	for _, n := range []int{40, 100, 200} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			for range b.N {
-				s := settled(n)
+				s := settledCluster(n)
 				var bytes int64
-				s.Weigh = func(x membership.Message) { bytes += wire(b, x) }
+				s.OnSend = func(x membership.Message) { bytes += wireBytes(b, x) }
 				s.Run(s.Now() + 20*simulation.Second)
 				calm := float64(bytes) / float64(n) / 20
 				var few, others []int
@@ -147,18 +147,18 @@
 						others = append(others, i)
 					}
 				}
-				s.Part(few, others, true)
+				s.Partition(few, others, true)
 				bytes = 0
 				s.Run(s.Now() + 20*simulation.Second)
 				found := float64(bytes) / float64(n) / 20
 				bytes = 0
 				s.Run(s.Now() + 280*simulation.Second)
 				parted := float64(bytes) / float64(n) / 280
-				s.Part(few, others, false)
+				s.Partition(few, others, false)
 				bytes = 0
 				at, settled := s.Now(), simulation.Time(0)
 				for s.Now()-at < 60*simulation.Second {
-					if s.Run(s.Now() + simulation.Second); settled == 0 && len(s.Settle()) == 0 {
+					if s.Run(s.Now() + simulation.Second); settled == 0 && len(s.Disagreements()) == 0 {
 						settled = s.Now() - at
 					}
 				}
@@ -245,28 +245,28 @@
 // BenchmarkOther is what the messages between schedulers that are not of membership take on the wire: what staff decided, which goes to one
 // member a second and at each change to all of them, and words of workers that drain.
 func BenchmarkOther(b *testing.B) {
-	from := toWire(membership.MemberRecord{Name: "scheduler-0001", Addr: realAddr, Number: 1, Incarnation: membership.Incarnation{Generation: 3, Nonce: 1 << 60}, State: membership.Alive,
+	from := recordToWire(membership.MemberRecord{Name: "scheduler-0001", Addr: realAddr, Number: 1, Incarnation: membership.Incarnation{Generation: 3, Nonce: 1 << 60}, State: membership.Alive,
 		ReportedBy: "scheduler-0001"})
 	var words []drainstate.DrainRecord
 	for i := range 30 {
 		words = append(words, drainstate.DrainRecord{Worker: fmt.Sprintf("worker-%05d", i), BootID: 1_700_000_000_000, Revision: 1 << 30})
 	}
-	for name, w := range map[string]wireOther{
-		"staff":          {Cluster: "cluster", From: from, Staff: &operatorstate.State{Settings: 1 << 60, Sequence: uint64(1_700_000_000_000_000_000)}},
-		"one worker":     {Cluster: "cluster", From: from, Workers: words[:1]},
-		"thirty workers": {Cluster: "cluster", From: from, Workers: words},
+	for name, w := range map[string]serviceMessage{
+		"staff":          {Cluster: "cluster", From: from, OperatorState: &operatorstate.State{Settings: 1 << 60, Sequence: uint64(1_700_000_000_000_000_000)}},
+		"one worker":     {Cluster: "cluster", From: from, Drains: words[:1]},
+		"thirty workers": {Cluster: "cluster", From: from, Drains: words},
 	} {
 		b.Run(name, func(b *testing.B) {
 			size := 0
 			for range b.N {
-				text, err := encodeOther(w)
+				text, err := encodeService(w)
 				if err != nil {
 					b.Fatal(err)
 				}
-				if _, err := decodeOther(text); err != nil {
+				if _, err := decodeService(text); err != nil {
 					b.Fatal(err)
 				}
-				size = len(text) + heads
+				size = len(text) + ipUDPHeaderBytes
 			}
 			b.ReportMetric(float64(size), "B/message")
 		})
--- a/internal/cluster/mesh/config.go
+++ b/internal/cluster/mesh/config.go
@@ -61,7 +61,7 @@
 		switch {
 		case err != nil:
 			return fault(key, err)
-		case !t.inside(a.Addr()):
+		case !t.allowed(a.Addr()):
 			return fault(key, fmt.Errorf("%s lies outside the networks", addr))
 		case a.Port() == 0 && key != "listen":
 			return fault(key, fmt.Errorf("%s has no port", addr))
@@ -87,15 +87,15 @@
 	if t.WhenReplaced != "stand-by" && t.WhenReplaced != "end" {
 		return fault("superseded", fmt.Errorf("%q is neither \"stand-by\" nor \"end\"", t.WhenReplaced))
 	}
-	terms := t.terms("a name", "an address", -1)
+	terms := t.membershipConfig("a name", "an address", -1)
 	if err := terms.Validate(); err != nil {
 		return features.ErrorFromCheck("members", err)
 	}
 	return nil
 }
 
-// inside tells whether an address may be heard and told things.
-func (t *Config) inside(a netip.Addr) bool {
+// allowed tells whether an address may be heard and told things.
+func (t *Config) allowed(a netip.Addr) bool {
 	for _, n := range t.networks {
 		if n.Contains(a.Unmap()) {
 			return true
@@ -104,7 +104,7 @@
 	return false
 }
 
-func (t *Config) terms(name, addr string, number int) membership.Config {
+func (t *Config) membershipConfig(name, addr string, number int) membership.Config {
 	span := func(s features.Duration) membership.Time { return membership.TimeOf(time.Duration(s)) }
 	return membership.Config{Cluster: t.Cluster, Name: name, Addr: addr, Number: number, Seeds: t.Seeds, ProbeInterval: span(t.ProbeInterval),
 		ProbeTimeout: span(t.ProbeTimeout), MinSuspicion: span(t.MinSuspicion), MaxSuspicion: span(t.MaxSuspicion), PushPullInterval: span(t.PushPullInterval), JoinInterval: span(t.JoinInterval),
--- a/internal/cluster/mesh/golden_messages_test.go
+++ b/internal/cluster/mesh/golden_messages_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// filledMessage is a value of which every exported field is set.
-func filledMessage[T any](t *testing.T) (value T) {
+// filledValue is a value of which every exported field is set.
+func filledValue[T any](t *testing.T) (value T) {
 	t.Helper()
 	new(filler).fill(t, reflect.ValueOf(&value).Elem())
 	requireNonZero(t, reflect.TypeFor[T]().String(), reflect.ValueOf(value))
@@ -98,7 +98,7 @@
 // goldenMessage is a message of members with every field set.
 func goldenMessage(t *testing.T, kind membership.Kind) membership.Message {
 	t.Helper()
-	message := filledMessage[membership.Message](t)
+	message := filledValue[membership.Message](t)
 	message.Kind = kind
 	message.From.Addr = goldenAddress(0)
 	for i := range message.Records {
@@ -119,7 +119,7 @@
 				t.Fatal(err)
 			}
 			golden.Compare(t, path, text)
-			got, err := decode(readGolden(t, path), table(t).inside)
+			got, err := decode(readGolden(t, path), table(t).allowed)
 			if err != nil || !reflect.DeepEqual(got, message) {
 				t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
 			}
@@ -143,11 +143,11 @@
 			}
 			golden.Compare(t, path, frame.Bytes())
 			rest := bytes.NewReader(readGolden(t, path))
-			text, err = readFrame(rest, streamBase)
+			text, err = readFrame(rest, baseFrameBytes)
 			if err != nil || rest.Len() != 0 {
 				t.Fatalf("%d bytes are left after the frame, %v", rest.Len(), err)
 			}
-			got, err := decode(text, table(t).inside)
+			got, err := decode(text, table(t).allowed)
 			if err != nil || !reflect.DeepEqual(got, message) {
 				t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
 			}
@@ -158,30 +158,30 @@
 // The state that a process hands to its successor keeps its bytes and decodes to the same value.
 func TestGoldenLegacy(t *testing.T) {
 	path := filepath.Join(goldenFolder, "legacy.cbor")
-	legacy := filledMessage[membership.HandoverState](t)
-	text, err := encodeLegacy(legacy)
+	legacy := filledValue[membership.HandoverState](t)
+	text, err := encodeHandover(legacy)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, path, text)
-	got, err := decodeLegacy(readGolden(t, path))
+	got, err := decodeHandover(readGolden(t, path))
 	if err != nil || !reflect.DeepEqual(got, legacy) {
 		t.Fatalf("got %+v, %v\nwant %+v", got, err, legacy)
 	}
 }
 
 // requireGoldenOther compares a message of another service, sent by a sender with every field set, with its file in both directions.
-func requireGoldenOther(t *testing.T, name string, message wireOther) {
+func requireGoldenOther(t *testing.T, name string, message serviceMessage) {
 	t.Helper()
 	path := filepath.Join(goldenFolder, "other_"+name+".bin")
 	message.Cluster = "cluster"
-	message.From = toWire(filledMessage[membership.MemberRecord](t))
-	text, err := encodeOther(message)
+	message.From = recordToWire(filledValue[membership.MemberRecord](t))
+	text, err := encodeService(message)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, path, text)
-	got, err := decodeOther(readGolden(t, path))
+	got, err := decodeService(readGolden(t, path))
 	if err != nil || !reflect.DeepEqual(got, message) {
 		t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
 	}
@@ -193,9 +193,9 @@
 		"tell": replication.OutcomeReported, "known": replication.OutcomeKnown, "register": replication.Register, "registered": replication.Registered,
 		"pull": replication.Pull, "piece": replication.DigestPage, "in_force": replication.SetInForce, "fetch": replication.Fetch, "fetched": replication.Fetched} {
 		t.Run(name, func(t *testing.T) {
-			message := filledMessage[replication.Message](t)
+			message := filledValue[replication.Message](t)
 			message.Kind = kind
-			requireGoldenOther(t, "copies_"+name, wireOther{Copies: &message})
+			requireGoldenOther(t, "copies_"+name, serviceMessage{Replication: &message})
 		})
 	}
 }
@@ -206,7 +206,7 @@
 		"stale": replication.ClaimReleased}
 	for name, why := range reasons {
 		t.Run(name, func(t *testing.T) {
-			requireGoldenOther(t, "reason_"+name, wireOther{Copies: &replication.Message{Kind: replication.ClaimRefused, Reason: why}})
+			requireGoldenOther(t, "reason_"+name, serviceMessage{Replication: &replication.Message{Kind: replication.ClaimRefused, Reason: why}})
 		})
 	}
 	stages := map[string]replication.Stage{"claimed": replication.Claimed, "released": replication.Released, "given_up": replication.Abandoned,
@@ -214,7 +214,7 @@
 	for name, stage := range stages {
 		t.Run(name, func(t *testing.T) {
 			record := replication.Record{Key: "key", Outcomes: []replication.Outcome{{Stage: stage}}}
-			requireGoldenOther(t, "stage_"+name, wireOther{Copies: &replication.Message{Kind: replication.OutcomeReported, Record: record}})
+			requireGoldenOther(t, "stage_"+name, serviceMessage{Replication: &replication.Message{Kind: replication.OutcomeReported, Record: record}})
 		})
 	}
 }
@@ -225,22 +225,22 @@
 		"founded": replicaset.GroupFounded, "joined": replicaset.VoterAccepted, "round": replicaset.RaftMessage, "reseat": replicaset.ReplaceVoter,
 		"asked": replicaset.ChangeRequested, "answered": replicaset.ChangeAnswered} {
 		t.Run(name, func(t *testing.T) {
-			message := filledMessage[replicaset.Message](t)
+			message := filledValue[replicaset.Message](t)
 			message.Kind = kind
-			requireGoldenOther(t, "keepers_"+name, wireOther{Keepers: &message})
+			requireGoldenOther(t, "keepers_"+name, serviceMessage{ReplicaSet: &message})
 		})
 	}
 }
 
 // The message that tells which workers drain or have left keeps its bytes, with the names of its fields, and decodes to the same value.
 func TestGoldenWorkers(t *testing.T) {
-	requireGoldenOther(t, "workers", wireOther{Workers: filledMessage[[]drainstate.DrainRecord](t)})
+	requireGoldenOther(t, "workers", serviceMessage{Drains: filledValue[[]drainstate.DrainRecord](t)})
 }
 
 // The message that tells what staff decided for a scheduler keeps its bytes and decodes to the same value.
 func TestGoldenStaff(t *testing.T) {
-	word := filledMessage[operatorstate.State](t)
-	requireGoldenOther(t, "staff", wireOther{Staff: &word})
+	word := filledValue[operatorstate.State](t)
+	requireGoldenOther(t, "staff", serviceMessage{OperatorState: &word})
 }
 
 // The number of each state of a member keeps its bytes in a datagram.
@@ -255,7 +255,7 @@
 				t.Fatal(err)
 			}
 			golden.Compare(t, path, text)
-			got, err := decode(readGolden(t, path), table(t).inside)
+			got, err := decode(readGolden(t, path), table(t).allowed)
 			if err != nil || !reflect.DeepEqual(got, message) {
 				t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
 			}
@@ -268,14 +268,14 @@
 	fate := func(fate replication.Outcome) *replication.Message {
 		return &replication.Message{Kind: replication.OutcomeReported, Record: replication.Record{Key: "key", Outcomes: []replication.Outcome{fate}}}
 	}
-	for name, message := range map[string]wireOther{
-		"voting": {Copies: &replication.Message{Kind: replication.DigestPage, Voting: true}},
-		"ready":  {Copies: &replication.Message{Kind: replication.DigestPage, Ready: true}},
-		"more":   {Copies: &replication.Message{Kind: replication.DigestPage, More: true}},
-		"held":   {Copies: fate(replication.Outcome{ResultRetained: true})},
-		"voted":  {Copies: fate(replication.Outcome{Voted: true})},
-		"done":   {Keepers: &replicaset.Message{Kind: replicaset.ChangeAnswered, OK: true}},
-		"again":  {Keepers: &replicaset.Message{Kind: replicaset.ChangeAnswered, Retryable: true}},
+	for name, message := range map[string]serviceMessage{
+		"voting": {Replication: &replication.Message{Kind: replication.DigestPage, Voting: true}},
+		"ready":  {Replication: &replication.Message{Kind: replication.DigestPage, Ready: true}},
+		"more":   {Replication: &replication.Message{Kind: replication.DigestPage, More: true}},
+		"held":   {Replication: fate(replication.Outcome{ResultRetained: true})},
+		"voted":  {Replication: fate(replication.Outcome{Voted: true})},
+		"done":   {ReplicaSet: &replicaset.Message{Kind: replicaset.ChangeAnswered, OK: true}},
+		"again":  {ReplicaSet: &replicaset.Message{Kind: replicaset.ChangeAnswered, Retryable: true}},
 	} {
 		t.Run(name, func(t *testing.T) { requireGoldenOther(t, "flag_"+name, message) })
 	}
--- a/internal/cluster/mesh/mesh.go
+++ b/internal/cluster/mesh/mesh.go
@@ -28,19 +28,19 @@
 
 // Bounds, each of one thing that others could make grow.
 const (
-	mostWaiting  = 1024 // messages that were read and wait for the loop
-	mostAnswered = 16   // streams that others opened
-	mostOpened   = 16   // streams of our own
-	streamTime   = 5 * time.Second
-	dialTime     = time.Second
-	turnTime     = 2 * time.Second // for the loop to answer on a stream
-	showEvery    = 250 * time.Millisecond
-	tellEvery    = time.Minute // between two lines about what is dropped
-	receiveRoom  = 1 << 20     // bytes that the kernel keeps for a process that stands still
+	maxQueuedInputs    = 1024 // messages that were read and wait for the loop
+	maxAcceptedStreams = 16   // streams that others opened
+	maxOpenedStreams   = 16   // streams of our own
+	streamTimeout      = 5 * time.Second
+	dialTimeout        = time.Second
+	replyTimeout       = 2 * time.Second // for the loop to answer on a stream
+	snapshotInterval   = 250 * time.Millisecond
+	dropLogInterval    = time.Minute // between two lines about what is dropped
+	receiveBufferBytes = 1 << 20     // bytes that the kernel keeps for a process that stands still
 )
 
 // Descriptors is how many a member holds at the most: its two sockets, its streams, and one that is turned away.
-const Descriptors = 2 + mostAnswered + mostOpened + 1
+const Descriptors = 2 + maxAcceptedStreams + maxOpenedStreams + 1
 
 // Host is told what the mesh finds out. Its methods are called from the mesh's one loop and must not wait for it.
 type Host struct {
@@ -56,39 +56,39 @@
 
 // Mesh is one process's part in a cluster.
 type Mesh struct {
-	table *Config
-	host  Host
-	log   zerolog.Logger
-	udp   *net.UDPConn
-	tcp   *net.TCPListener
-	core  *membership.Node
-	clock clock
-
-	in       chan membership.Input
-	calls    chan func()
-	quit     chan struct{}
-	ended    chan struct{}
-	once     sync.Once
-	answered chan struct{}
-	opened   chan struct{}
-	silent   atomic.Bool            // its heir speaks
-	life     membership.Incarnation // as which the host was told that it serves
-	asks     bool                   // it was away, and does not know yet what it missed
-
-	mu      sync.Mutex
-	streams map[uint64]*stream
-	last    uint64
-	dropped map[string]uint64
-	toldAt  time.Time
-	show    atomic.Pointer[Status]
-	book    atomic.Pointer[book]
-	readers sync.WaitGroup
-}
-
-// book is who is known, for those who don't wait for the loop.
-type book struct {
-	me membership.MemberRecord
-	by map[string]membership.MemberView
+	config *Config
+	host   Host
+	log    zerolog.Logger
+	udp    *net.UDPConn
+	tcp    *net.TCPListener
+	core   *membership.Node
+	clock  clock
+
+	inputs            chan membership.Input
+	calls             chan func()
+	quit              chan struct{}
+	loopDone          chan struct{}
+	once              sync.Once
+	acceptedSlots     chan struct{}
+	openedSlots       chan struct{}
+	handedOver        atomic.Bool            // its heir speaks
+	servedIncarnation membership.Incarnation // as which the host was told that it serves
+	servedCatchingUp  bool                   // it was away, and does not know yet what it missed
+
+	mu           sync.Mutex
+	streams      map[uint64]*stream
+	lastStreamID uint64
+	dropped      map[string]uint64
+	dropLoggedAt time.Time
+	status       atomic.Pointer[Status]
+	known        atomic.Pointer[knownMembers]
+	readers      sync.WaitGroup
+}
+
+// knownMembers is who is known, for those who don't wait for the loop.
+type knownMembers struct {
+	self   membership.MemberRecord
+	byName map[string]membership.MemberView
 }
 
 // clock is the machine's time since its start: it goes on while a process stands still, and while the machine sleeps, and nobody
@@ -103,12 +103,12 @@
 	LateMS  float64                `json:"late_ms"`       // by how much this process was late last
 	WorstMS float64                `json:"worst_late_ms"` // and at worst
 	Dropped map[string]uint64      `json:"dropped"`       // messages that were not read, by cause
-	Members []Row                  `json:"members"`
+	Members []MemberStatus         `json:"members"`
 	Digest  string                 `json:"digest"` // the same wherever the views are the same
 }
 
-// Row is one member in it.
-type Row struct {
+// MemberStatus is one member in it.
+type MemberStatus struct {
 	membership.MemberView
 	ForS  float64 `json:"for_s"` // in this state, as seen here
 	RTTms float64 `json:"rtt_ms"`
@@ -148,7 +148,7 @@
 
 // Restore goes on as the process before did, on its sockets: first that of datagrams, then that of streams.
 func Restore(t *Config, who Identity, host Host, log zerolog.Logger, text []byte, files []*os.File) (*Mesh, error) {
-	l, err := decodeLegacy(text)
+	l, err := decodeHandover(text)
 	if err != nil {
 		return nil, err
 	}
@@ -173,12 +173,12 @@
 }
 
 func run(t *Config, who Identity, host Host, log zerolog.Logger, udp *net.UDPConn, tcp *net.TCPListener, l *membership.HandoverState) (*Mesh, error) {
-	udp.SetReadBuffer(receiveRoom)
+	udp.SetReadBuffer(receiveBufferBytes)
 	addr := t.Advertise
 	if addr == "" {
 		addr = udp.LocalAddr().String()
 	}
-	terms := t.terms(who.Name, addr, who.Number)
+	terms := t.membershipConfig(who.Name, addr, who.Number)
 	var room [8]byte
 	if _, err := crand.Read(room[:]); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
@@ -188,9 +188,9 @@
 	if err := terms.Validate(); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
-	m := &Mesh{table: t, host: host, log: log, udp: udp, tcp: tcp, in: make(chan membership.Input, mostWaiting), calls: make(chan func()),
-		quit: make(chan struct{}), ended: make(chan struct{}), answered: make(chan struct{}, mostAnswered),
-		opened: make(chan struct{}, mostOpened), streams: map[uint64]*stream{}, dropped: map[string]uint64{}}
+	m := &Mesh{config: t, host: host, log: log, udp: udp, tcp: tcp, inputs: make(chan membership.Input, maxQueuedInputs), calls: make(chan func()),
+		quit: make(chan struct{}), loopDone: make(chan struct{}), acceptedSlots: make(chan struct{}, maxAcceptedStreams),
+		openedSlots: make(chan struct{}, maxOpenedStreams), streams: map[uint64]*stream{}, dropped: map[string]uint64{}}
 	if now := m.clock.now(); l != nil {
 		terms.Nonce = l.Self.Nonce
 		m.core = membership.Restore(terms, *l, now)
@@ -199,7 +199,7 @@
 	}
 	m.log.Info().Str("member", terms.Name).Str("listen", udp.LocalAddr().String()).Str("address", addr).Msg("joining")
 	m.snapshot()
-	m.listen()
+	m.startReaders()
 	if l != nil && host.Serving != nil {
 		host.Serving(true, l.Self.Incarnation)
 	}
@@ -207,20 +207,20 @@
 	return m, nil
 }
 
-// listen starts what reads the sockets.
-func (m *Mesh) listen() {
+// startReaders starts what reads the sockets.
+func (m *Mesh) startReaders() {
 	m.udp.SetReadDeadline(time.Time{})
 	m.tcp.SetDeadline(time.Time{})
-	m.readers.Go(m.datagrams)
-	m.readers.Go(m.accept)
+	m.readers.Go(m.readDatagrams)
+	m.readers.Go(m.acceptStreams)
 }
 
 // loop feeds the core and carries out what it asks for.
 func (m *Mesh) loop() {
-	defer close(m.ended)
+	defer close(m.loopDone)
 	tick := time.NewTimer(0)
 	defer tick.Stop()
-	show := time.NewTicker(showEvery)
+	show := time.NewTicker(snapshotInterval)
 	defer show.Stop()
 	for {
 		select {
@@ -232,30 +232,30 @@
 		case <-show.C:
 			m.snapshot()
 			continue
-		case in := <-m.in:
-			m.step(in)
+		case in := <-m.inputs:
+			m.handleInput(in)
 		case <-tick.C:
-			m.step(membership.Tick{})
+			m.handleInput(membership.Tick{})
 		}
-		if wait := time.Duration(m.core.NextTick()-m.clock.now()) * membership.Tenth; !m.silent.Load() {
+		if wait := time.Duration(m.core.NextTick()-m.clock.now()) * membership.Tenth; !m.handedOver.Load() {
 			tick.Reset(max(wait, 0))
 		}
 	}
 }
 
-func (m *Mesh) step(in membership.Input) {
-	if m.silent.Load() {
+func (m *Mesh) handleInput(in membership.Input) {
+	if m.handedOver.Load() {
 		return
 	}
 	changed, serving := false, false
 	for _, e := range m.core.Step(m.clock.now(), in) {
 		switch e := e.(type) {
 		case membership.Send:
-			m.send(e.To, e.Message)
+			m.sendDatagram(e.To, e.Message)
 		case membership.OpenStream:
-			m.open(e.To, e.Message)
+			m.openStream(e.To, e.Message)
 		case membership.StreamReply:
-			m.answer(e)
+			m.replyOnStream(e)
 		case membership.MemberChanged:
 			changed = true
 			m.log.Info().Str("member", e.Name).Stringer("state", e.State).Stringer("before", e.Before).Uint64("incarnation", e.Generation).
@@ -284,13 +284,13 @@
 			}
 		}
 	}
-	if me := m.core.Self(); changed || me != m.book.Load().me {
+	if me := m.core.Self(); changed || me != m.known.Load().self {
 		m.snapshot()
 	}
 	// Its incarnation may grow while it is a member: it was taken without knowing of another process of this name.
 	asks, life := m.core.CatchingUp(), m.core.Self().Incarnation
-	if m.host.Serving != nil && (serving || asks != m.asks || life != m.life && m.core.Self().State == membership.Alive) {
-		m.asks, m.life = asks, life
+	if m.host.Serving != nil && (serving || asks != m.servedCatchingUp || life != m.servedIncarnation && m.core.Self().State == membership.Alive) {
+		m.servedCatchingUp, m.servedIncarnation = asks, life
 		m.host.Serving(!asks, life)
 	}
 }
@@ -299,9 +299,9 @@
 func (m *Mesh) snapshot() {
 	now, own := m.clock.now(), m.core.Status()
 	ms := func(t membership.Time) float64 { return float64(t) / 10 }
-	s := &Status{Self: own, LateMS: ms(own.Lateness), WorstMS: ms(own.MaxLateness), Members: []Row{}, Digest: fmt.Sprintf("%016x", m.core.Digest())}
+	s := &Status{Self: own, LateMS: ms(own.Lateness), WorstMS: ms(own.MaxLateness), Members: []MemberStatus{}, Digest: fmt.Sprintf("%016x", m.core.Digest())}
 	for _, x := range m.core.View() {
-		s.Members = append(s.Members, Row{x, ms(now-x.Since) / 1000, ms(x.RTT)})
+		s.Members = append(s.Members, MemberStatus{x, ms(now-x.Since) / 1000, ms(x.RTT)})
 	}
 	m.mu.Lock()
 	s.Dropped = make(map[string]uint64, len(m.dropped))
@@ -309,16 +309,16 @@
 		s.Dropped[k] = v
 	}
 	m.mu.Unlock()
-	m.show.Store(s)
-	b := &book{me: m.core.Self(), by: make(map[string]membership.MemberView, len(s.Members))}
+	m.status.Store(s)
+	b := &knownMembers{self: m.core.Self(), byName: make(map[string]membership.MemberView, len(s.Members))}
 	for _, x := range s.Members {
-		b.by[x.Name] = x.MemberView
+		b.byName[x.Name] = x.MemberView
 	}
-	m.book.Store(b)
+	m.known.Store(b)
 }
 
 // Status is the view as it was a moment ago. It waits for nothing.
-func (m *Mesh) Status() *Status { return m.show.Load() }
+func (m *Mesh) Status() *Status { return m.status.Load() }
 
 // call has the loop call something and waits for it.
 func (m *Mesh) call(f func()) {
@@ -326,25 +326,25 @@
 	select {
 	case m.calls <- func() { f(); close(done) }:
 		<-done
-	case <-m.ended:
+	case <-m.loopDone:
 	}
 }
 
-func (m *Mesh) tell(in membership.Input) {
+func (m *Mesh) enqueue(in membership.Input) {
 	select {
-	case m.in <- in:
+	case m.inputs <- in:
 	default:
-		m.drop(errors.New("no room"))
+		m.countDropped(errors.New("no room"))
 	}
 }
 
 // SendUserMessage sends a word to the member with a number.
 func (m *Mesh) SendUserMessage(number int, text string) {
-	m.tell(membership.SendUserMessage{Number: number, Text: text})
+	m.enqueue(membership.SendUserMessage{Number: number, Text: text})
 }
 
 // Leave tells the others that this process ends. It returns at once.
-func (m *Mesh) Leave() { m.tell(membership.LeaveRequested{}) }
+func (m *Mesh) Leave() { m.enqueue(membership.LeaveRequested{}) }
 
 // HandOver is what the process that takes the place of this one needs; from here on this one says nothing, until Resume.
 func (m *Mesh) HandOver() (text []byte, sockets []syscall.Conn, err error) {
@@ -354,8 +354,8 @@
 		if !ok {
 			return
 		}
-		if text, err = encodeLegacy(l); err == nil {
-			m.silent.Store(true)
+		if text, err = encodeHandover(l); err == nil {
+			m.handedOver.Store(true)
 		}
 	})
 	if err != nil {
@@ -371,16 +371,16 @@
 func (m *Mesh) Resume() {
 	resumes := false
 	m.call(func() {
-		if resumes = m.silent.CompareAndSwap(true, false); resumes {
-			m.listen()
+		if resumes = m.handedOver.CompareAndSwap(true, false); resumes {
+			m.startReaders()
 		}
 	})
 	if !resumes {
 		return
 	}
 	select { // it must not be lost, as a message may be
-	case m.in <- membership.Resumed{}:
-	case <-m.ended:
+	case m.inputs <- membership.Resumed{}:
+	case <-m.loopDone:
 	}
 }
 
@@ -388,7 +388,7 @@
 func (m *Mesh) Close() {
 	m.once.Do(func() {
 		close(m.quit)
-		<-m.ended
+		<-m.loopDone
 		m.udp.Close()
 		m.tcp.Close()
 		m.readers.Wait()
@@ -400,19 +400,19 @@
 	})
 }
 
-// drop counts what is not read, and says so now and then.
-func (m *Mesh) drop(why error) {
+// countDropped counts what is not read, and says so now and then.
+func (m *Mesh) countDropped(why error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.dropped[why.Error()]++
-	if now := time.Now(); now.Sub(m.toldAt) >= tellEvery {
-		m.toldAt = now
+	if now := time.Now(); now.Sub(m.dropLoggedAt) >= dropLogInterval {
+		m.dropLoggedAt = now
 		m.log.Warn().Str("why", why.Error()).Interface("all", m.dropped).Msg("messages of others are dropped")
 	}
 }
 
-func (m *Mesh) datagrams() {
-	room := make([]byte, longestOther+1)
+func (m *Mesh) readDatagrams() {
+	room := make([]byte, maxServiceBytes+1)
 	failures := 0 // in a row
 	for {
 		n, from, err := m.udp.ReadFromUDPAddrPort(room)
@@ -425,94 +425,94 @@
 			continue
 		}
 		failures = 0
-		if n > 1 && room[1] == otherMark {
-			m.other(room[:n], n > longestOther, from.Addr())
+		if n > 1 && room[1] == serviceMark {
+			m.receiveService(room[:n], n > maxServiceBytes, from.Addr())
 			continue
 		}
-		x, err := m.read(room[:n], n > longestDatagram, from.Addr())
+		x, err := m.decodeDatagram(room[:n], n > maxDatagramBytes, from.Addr())
 		if err != nil {
-			m.drop(err)
+			m.countDropped(err)
 			continue
 		}
-		m.tell(membership.MessageReceived{Message: x})
+		m.enqueue(membership.MessageReceived{Message: x})
 	}
 }
 
-// other hands on a message that is not of membership, if it comes from the process that is known under its sender's name.
-func (m *Mesh) other(text []byte, long bool, from netip.Addr) {
+// receiveService hands on a message that is not of membership, if it comes from the process that is known under its sender's name.
+func (m *Mesh) receiveService(text []byte, long bool, from netip.Addr) {
 	err := errTooLong
-	var w wireOther
-	if !m.table.inside(from) {
+	var w serviceMessage
+	if !m.config.allowed(from) {
 		err = errOutside
 	} else if !long {
-		w, err = decodeOther(text)
+		w, err = decodeService(text)
 	}
-	b := m.book.Load()
-	switch seen, known := b.by[w.From.Name]; {
+	b := m.known.Load()
+	switch seen, known := b.byName[w.From.Name]; {
 	case err != nil:
-		m.drop(err)
-	case w.Cluster != m.table.Cluster:
-		m.drop(errors.New("wrong cluster"))
-	case w.Copies != nil && m.host.Replication == nil || w.Keepers != nil && m.host.ReplicaSet == nil || w.Workers != nil && m.host.Drains == nil ||
-		w.Staff != nil && m.host.OperatorState == nil:
-		m.drop(errors.New("switched off here"))
+		m.countDropped(err)
+	case w.Cluster != m.config.Cluster:
+		m.countDropped(errors.New("wrong cluster"))
+	case w.Replication != nil && m.host.Replication == nil || w.ReplicaSet != nil && m.host.ReplicaSet == nil || w.Drains != nil && m.host.Drains == nil ||
+		w.OperatorState != nil && m.host.OperatorState == nil:
+		m.countDropped(errors.New("switched off here"))
 	case !known || seen.Incarnation != (membership.Incarnation{Generation: w.From.Incarnation, Nonce: w.From.Nonce}):
-		m.drop(errors.New("not the process that is known"))
-	case b.me.State == membership.Alive && w.Copies != nil:
-		m.host.Replication(w.From.Name, *w.Copies)
-	case b.me.State == membership.Alive && w.Keepers != nil:
-		m.host.ReplicaSet(w.From.Name, *w.Keepers)
-	case b.me.State == membership.Alive && w.Staff != nil:
-		m.host.OperatorState(w.From.Name, w.From.Incarnation, *w.Staff)
-	case b.me.State == membership.Alive && w.Workers != nil:
-		m.host.Drains(w.From.Name, w.Workers)
+		m.countDropped(errors.New("not the process that is known"))
+	case b.self.State == membership.Alive && w.Replication != nil:
+		m.host.Replication(w.From.Name, *w.Replication)
+	case b.self.State == membership.Alive && w.ReplicaSet != nil:
+		m.host.ReplicaSet(w.From.Name, *w.ReplicaSet)
+	case b.self.State == membership.Alive && w.OperatorState != nil:
+		m.host.OperatorState(w.From.Name, w.From.Incarnation, *w.OperatorState)
+	case b.self.State == membership.Alive && w.Drains != nil:
+		m.host.Drains(w.From.Name, w.Drains)
 	}
 }
 
 // SendReplication sends a message of copies to a member; it is lost where that one is not known. After Give only what became of ops is sent: the
 // heir votes.
 func (m *Mesh) SendReplication(to string, x replication.Message) {
-	if !m.silent.Load() || x.Kind == replication.OutcomeReported {
-		m.sendOther(to, wireOther{Copies: &x})
+	if !m.handedOver.Load() || x.Kind == replication.OutcomeReported {
+		m.sendService(to, serviceMessage{Replication: &x})
 	}
 }
 
 // SendReplicaSet sends a message of who keeps copies to a member.
 func (m *Mesh) SendReplicaSet(to string, x replicaset.Message) {
-	if !m.silent.Load() {
-		m.sendOther(to, wireOther{Keepers: &x})
+	if !m.handedOver.Load() {
+		m.sendService(to, serviceMessage{ReplicaSet: &x})
 	}
 }
 
 // BroadcastOperatorState sends a member what staff decided for this one.
 func (m *Mesh) BroadcastOperatorState(to string, w operatorstate.State) {
-	if !m.silent.Load() {
-		m.sendOther(to, wireOther{Staff: &w})
+	if !m.handedOver.Load() {
+		m.sendService(to, serviceMessage{OperatorState: &w})
 	}
 }
 
 // SendDrains sends words of workers to a member.
 func (m *Mesh) SendDrains(to string, words []drainstate.DrainRecord) {
-	if !m.silent.Load() {
-		m.sendOther(to, wireOther{Workers: words})
+	if !m.handedOver.Load() {
+		m.sendService(to, serviceMessage{Drains: words})
 	}
 }
 
-func (m *Mesh) sendOther(to string, w wireOther) {
-	b := m.book.Load()
-	seen, known := b.by[to]
-	if !known || b.me.State != membership.Alive {
+func (m *Mesh) sendService(to string, w serviceMessage) {
+	b := m.known.Load()
+	seen, known := b.byName[to]
+	if !known || b.self.State != membership.Alive {
 		return
 	}
 	addr, err := netip.ParseAddrPort(seen.Addr)
-	if err != nil || !m.table.inside(addr.Addr()) {
+	if err != nil || !m.config.allowed(addr.Addr()) {
 		return
 	}
-	w.Cluster, w.From = m.table.Cluster, toWire(b.me)
-	text, err := encodeOther(w)
-	if err == nil && len(text) > longestOther {
+	w.Cluster, w.From = m.config.Cluster, recordToWire(b.self)
+	text, err := encodeService(w)
+	if err == nil && len(text) > maxServiceBytes {
 		err = errTooLong
-		m.drop(err)
+		m.countDropped(err)
 	}
 	if err == nil {
 		_, err = m.udp.WriteToUDPAddrPort(text, addr)
@@ -524,7 +524,7 @@
 
 // Names are the other members that are here or doubted.
 func (m *Mesh) Names() (names []string) {
-	for name, x := range m.book.Load().by {
+	for name, x := range m.known.Load().byName {
 		if !x.State.Ended() {
 			names = append(names, name)
 		}
@@ -533,28 +533,28 @@
 	return names
 }
 
-func (m *Mesh) read(text []byte, long bool, from netip.Addr) (membership.Message, error) {
-	if !m.table.inside(from) {
+func (m *Mesh) decodeDatagram(text []byte, long bool, from netip.Addr) (membership.Message, error) {
+	if !m.config.allowed(from) {
 		return membership.Message{}, errOutside
 	}
 	if long {
 		return membership.Message{}, errTooLong
 	}
-	return decode(text, m.table.inside)
+	return decode(text, m.config.allowed)
 }
 
-func (m *Mesh) send(to string, x membership.Message) {
+func (m *Mesh) sendDatagram(to string, x membership.Message) {
 	addr, err := netip.ParseAddrPort(to)
-	if err != nil || !m.table.inside(addr.Addr()) {
-		m.drop(errOutside)
+	if err != nil || !m.config.allowed(addr.Addr()) {
+		m.countDropped(errOutside)
 		return
 	}
 	text, err := encode(x)
-	if err == nil && len(text) > longestDatagram {
+	if err == nil && len(text) > maxDatagramBytes {
 		x.Records = nil // full exchange brings them
 		text, err = encode(x)
 	}
-	if err == nil && len(text) <= longestDatagram {
+	if err == nil && len(text) <= maxDatagramBytes {
 		_, err = m.udp.WriteToUDPAddrPort(text, addr)
 	}
 	if err != nil {
@@ -564,13 +564,13 @@
 
 // stream is one connection to another member.
 type stream struct {
-	conn net.Conn
-	out  chan membership.StreamReply
+	conn    net.Conn
+	replies chan membership.StreamReply
 }
 
-func (m *Mesh) longest() int { return streamBase + claimSize*m.table.MaxMembers }
+func (m *Mesh) maxFrameBytes() int { return baseFrameBytes + maxRecordBytes*m.config.MaxMembers }
 
-func (m *Mesh) accept() {
+func (m *Mesh) acceptStreams() {
 	failures := 0 // in a row
 	for {
 		c, err := m.tcp.Accept()
@@ -584,59 +584,59 @@
 		}
 		failures = 0
 		from, err := netip.ParseAddrPort(c.RemoteAddr().String())
-		if err != nil || !m.table.inside(from.Addr()) {
-			m.drop(errOutside)
+		if err != nil || !m.config.allowed(from.Addr()) {
+			m.countDropped(errOutside)
 			c.Close()
 			continue
 		}
 		select {
-		case m.answered <- struct{}{}:
+		case m.acceptedSlots <- struct{}{}:
 			go func() {
-				defer func() { <-m.answered }()
-				m.serve(c, nil)
+				defer func() { <-m.acceptedSlots }()
+				m.serveStream(c, nil)
 			}()
 		default:
-			m.drop(errors.New("too many streams"))
+			m.countDropped(errors.New("too many streams"))
 			c.Close()
 		}
 	}
 }
 
-// open opens a stream and begins with a message. It waits for nothing.
-func (m *Mesh) open(to string, x membership.Message) {
+// openStream opens a stream and begins with a message. It waits for nothing.
+func (m *Mesh) openStream(to string, x membership.Message) {
 	addr, err := netip.ParseAddrPort(to)
 	text, bad := encode(x)
-	if err != nil || bad != nil || !m.table.inside(addr.Addr()) {
-		m.drop(errOutside)
+	if err != nil || bad != nil || !m.config.allowed(addr.Addr()) {
+		m.countDropped(errOutside)
 		return
 	}
 	select {
-	case m.opened <- struct{}{}:
+	case m.openedSlots <- struct{}{}:
 	default:
-		m.drop(errors.New("no room to open a stream"))
+		m.countDropped(errors.New("no room to open a stream"))
 		return
 	}
 	go func() {
-		defer func() { <-m.opened }()
-		d := net.Dialer{Timeout: dialTime, LocalAddr: &net.TCPAddr{IP: m.udp.LocalAddr().(*net.UDPAddr).IP}}
-		ctx, cancel := context.WithTimeout(context.Background(), dialTime)
+		defer func() { <-m.openedSlots }()
+		d := net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: m.udp.LocalAddr().(*net.UDPAddr).IP}}
+		ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 		defer cancel()
 		c, err := d.DialContext(ctx, "tcp", to)
 		if err != nil {
 			m.log.Debug().Err(err).Str("to", to).Msg("no stream")
 			return
 		}
-		m.serve(c, text)
+		m.serveStream(c, text)
 	}()
 }
 
-// serve carries one stream's few messages.
-func (m *Mesh) serve(c net.Conn, first []byte) {
-	s := &stream{conn: c, out: make(chan membership.StreamReply, 1)}
-	c.SetDeadline(time.Now().Add(streamTime))
+// serveStream carries one stream's few messages.
+func (m *Mesh) serveStream(c net.Conn, first []byte) {
+	s := &stream{conn: c, replies: make(chan membership.StreamReply, 1)}
+	c.SetDeadline(time.Now().Add(streamTimeout))
 	m.mu.Lock()
-	m.last++
-	id := m.last
+	m.lastStreamID++
+	id := m.lastStreamID
 	m.streams[id] = s
 	m.mu.Unlock()
 	defer func() {
@@ -651,25 +651,25 @@
 		}
 	}
 	for {
-		text, err := readFrame(c, m.longest())
+		text, err := readFrame(c, m.maxFrameBytes())
 		if err != nil {
 			if errors.Is(err, errTooLong) {
-				m.drop(err)
+				m.countDropped(err)
 			}
 			return
 		}
-		x, err := decode(text, m.table.inside)
+		x, err := decode(text, m.config.allowed)
 		if err != nil {
-			m.drop(err)
+			m.countDropped(err)
 			return
 		}
-		m.tell(membership.MessageReceived{Message: x, Stream: id})
+		m.enqueue(membership.MessageReceived{Message: x, Stream: id})
 		if x.Kind == membership.Ack || x.Kind == membership.DigestDiffReply || x.Kind == membership.DigestDiff && len(x.Buckets) == 0 {
 			return // there is no answer to it
 		}
-		wait := time.NewTimer(turnTime)
+		wait := time.NewTimer(replyTimeout)
 		select {
-		case a := <-s.out:
+		case a := <-s.replies:
 			wait.Stop()
 			text, err := encode(a.Message)
 			if err != nil || writeFrame(c, text) != nil || a.Last {
@@ -684,7 +684,7 @@
 	}
 }
 
-func (m *Mesh) answer(a membership.StreamReply) {
+func (m *Mesh) replyOnStream(a membership.StreamReply) {
 	m.mu.Lock()
 	s := m.streams[a.Stream]
 	m.mu.Unlock()
@@ -692,7 +692,7 @@
 		return
 	}
 	select {
-	case s.out <- a:
+	case s.replies <- a:
 	default:
 	}
 }
--- a/internal/cluster/mesh/mesh_test.go
+++ b/internal/cluster/mesh/mesh_test.go
@@ -30,8 +30,8 @@
 }
 
 // What another build or a bad cable sends must never be read as something else, nor end the process.
-func TestMessagesComeAsTheyWereSent(t *testing.T) {
-	inside := table(t).inside
+func TestMessagesDecodeAsEncoded(t *testing.T) {
+	inside := table(t).allowed
 	rapid.Check(t, func(t *rapid.T) {
 		claim := membership.MemberRecord{Name: rapid.String().Draw(t, "name"), Addr: "127.0.0.1:7", Number: rapid.IntRange(-1, 9).Draw(t, "n"),
 			Incarnation: membership.Incarnation{Generation: rapid.Uint64().Draw(t, "i"), Nonce: rapid.Uint64().Draw(t, "x")}, State: membership.Alive, ReportedBy: "b"}
@@ -55,33 +55,33 @@
 		decode(rapid.SliceOf(rapid.Byte()).Draw(t, "noise"), inside)
 		y := replication.Message{Kind: replication.DigestPage, SetID: 7, Records: []replication.Record{{Key: "k\x00i", Fingerprint: 3, Outcomes: []replication.Outcome{
 			{Claim: replication.Claim{Scheduler: "n", Nonce: 9}, Stage: replication.Ended, Verdict: 502, Result: []byte("r"), ResultRetained: true}}}}, Voters: []replication.Voter{{Name: "n"}}}
-		if text, err = encodeOther(wireOther{Cluster: "c", From: toWire(claim), Copies: &y}); err != nil {
+		if text, err = encodeService(serviceMessage{Cluster: "c", From: recordToWire(claim), Replication: &y}); err != nil {
 			t.Fatal(err)
 		}
-		if w, err := decodeOther(text); err != nil || !reflect.DeepEqual(*w.Copies, y) {
-			t.Fatalf("%+v, %v", w.Copies, err)
+		if w, err := decodeService(text); err != nil || !reflect.DeepEqual(*w.Replication, y) {
+			t.Fatalf("%+v, %v", w.Replication, err)
 		}
 	})
 }
 
 // An address that a message tells may be anybody's: one outside the networks must not be taken up.
-func TestAddressesOutsideAreRefused(t *testing.T) {
+func TestAddressesOutsideNetworksAreRejected(t *testing.T) {
 	x := membership.Message{Kind: membership.Ping, Cluster: "c", From: membership.MemberRecord{Name: "a", Addr: "127.0.0.1:7"},
 		Records: []membership.MemberRecord{{Name: "b", Addr: "10.1.2.3:7"}}}
 	text, err := encode(x)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := decode(text, table(t).inside); err != errOutside {
+	if _, err := decode(text, table(t).allowed); err != errOutside {
 		t.Errorf("%v", err)
 	}
-	if table(t).inside(netip.MustParseAddr("10.1.2.3")) {
+	if table(t).allowed(netip.MustParseAddr("10.1.2.3")) {
 		t.Error("10.1.2.3 lies inside 127.0.0.0/8")
 	}
 }
 
 // The clock counts while the process stands still and can't be set back; a process that has ended leaves nothing running.
-func TestAMeshBeginsAndEnds(t *testing.T) {
+func TestStartHandoverAndClose(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	before := clock{}.now()
 	a, err := Start(table(t), Identity{"a", 0, 1}, Host{}, zerolog.Nop())
@@ -135,7 +135,7 @@
 
 // A process that took its incarnation without knowing of an earlier one goes beyond it later. Its host must be told: as a keeper it
 // registered under the lower one for good, and nobody took that.
-func TestAHostIsToldOfALaterIncarnation(t *testing.T) {
+func TestHostIsNotifiedOfLaterIncarnation(t *testing.T) {
 	lives := make(chan uint64, 9)
 	a, err := Start(table(t), Identity{"a", 0, 1}, Host{Serving: func(_ bool, l membership.Incarnation) { lives <- l.Generation }}, zerolog.Nop())
 	if err != nil {
@@ -174,7 +174,7 @@
 
 // Words of workers whose names are as long as one may be fit a message, in as many as are told at a time; a name that is longer costs the
 // others nothing.
-func TestTheLongestWordsOfWorkersFitAMessage(t *testing.T) {
+func TestLongestDrainRecordsFitADatagram(t *testing.T) {
 	long := func(letter string, n int) string { return strings.Repeat(letter, n) }
 	from := membership.MemberRecord{Name: long("n", 255), Addr: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535", Number: 1 << 20, Incarnation: membership.Incarnation{Generation: 1 << 60, Nonce: 1 << 63},
 		Refutations: 1 << 60, State: membership.Alive, ReportedBy: long("b", 255), Age: 1 << 60}
@@ -190,9 +190,9 @@
 		if !ok {
 			continue
 		}
-		text, err := encodeOther(wireOther{Cluster: long("c", 255), From: toWire(from), Workers: x.Records})
-		if err != nil || len(text) > longestOther {
-			t.Errorf("%d words take %d bytes of %d, %v", len(x.Records), len(text), longestOther, err)
+		text, err := encodeService(serviceMessage{Cluster: long("c", 255), From: recordToWire(from), Drains: x.Records})
+		if err != nil || len(text) > maxServiceBytes {
+			t.Errorf("%d words take %d bytes of %d, %v", len(x.Records), len(text), maxServiceBytes, err)
 			continue
 		}
 		words += len(x.Records)
--- a/internal/cluster/operatorstate/operatorstate.go
+++ b/internal/cluster/operatorstate/operatorstate.go
@@ -14,30 +14,32 @@
 	Sequence       uint64 `cbor:"3,keyasint,omitzero"`
 }
 
-// said is the newest word of a member, and which of its processes said so.
-type said struct {
-	word State
-	life uint64
+// memberState is the newest word of a member, and which of its processes said so.
+type memberState struct {
+	state       State
+	incarnation uint64
 }
 
-const most = 4096 // members, as many as a view has by default
+const maxMembers = 4096 // members, as many as a view has by default
 
 // Board is what one scheduler knows.
 type Board struct {
-	own   State
-	began bool
-	heard map[string]said
+	own    State
+	ownSet bool
+	byName map[string]memberState
 }
 
 // New is a board with nothing on it. A process that takes over counts on from a later start than the one before.
-func New(start uint64) *Board { return &Board{own: State{Sequence: start}, heard: map[string]said{}} }
+func New(start uint64) *Board {
+	return &Board{own: State{Sequence: start}, byName: map[string]memberState{}}
+}
 
 // SetOwn sets the own word; it tells whether that is news, which everybody should hear.
 func (b *Board) SetOwn(settings uint64, away bool) bool {
-	if b.began && b.own.Settings == settings && b.own.ClientsDrained == away {
+	if b.ownSet && b.own.Settings == settings && b.own.ClientsDrained == away {
 		return false
 	}
-	b.began = true
+	b.ownSet = true
 	b.own = State{settings, away, b.own.Sequence + 1}
 	return true
 }
@@ -48,20 +50,20 @@
 // Receive takes another's word. One that is not newer than what is known changes nothing: of two processes of one name the later one's
 // stands, and of one process the later word.
 func (b *Board) Receive(name string, life uint64, w State) {
-	was, known := b.heard[name]
-	if !known && len(b.heard) >= most || known && (life < was.life || life == was.life && w.Sequence <= was.word.Sequence) {
+	was, known := b.byName[name]
+	if !known && len(b.byName) >= maxMembers || known && (life < was.incarnation || life == was.incarnation && w.Sequence <= was.state.Sequence) {
 		return
 	}
-	b.heard[name] = said{w, life}
+	b.byName[name] = memberState{w, life}
 }
 
 // Forget forgets a member that is no more.
-func (b *Board) Forget(name string) { delete(b.heard, name) }
+func (b *Board) Forget(name string) { delete(b.byName, name) }
 
 // Others are the names of which something holds, in order.
 func (b *Board) Others(holds func(State) bool) (names []string) {
-	for _, name := range slices.Sorted(maps.Keys(b.heard)) {
-		if holds(b.heard[name].word) {
+	for _, name := range slices.Sorted(maps.Keys(b.byName)) {
+		if holds(b.byName[name].state) {
 			names = append(names, name)
 		}
 	}
--- a/internal/cluster/operatorstate/operatorstate_test.go
+++ b/internal/cluster/operatorstate/operatorstate_test.go
@@ -6,7 +6,7 @@
 )
 
 // Words come late, twice and of processes that are no more: what is newest by the member's own count stands.
-func TestTheNewestWordStands(t *testing.T) {
+func TestNewestStateIsKept(t *testing.T) {
 	b := New(0)
 	if !b.SetOwn(7, false) || b.SetOwn(7, false) || !b.SetOwn(7, true) || b.Own().Sequence != 2 {
 		t.Error("the own word is news when it differs, and only then")
