--- a/cmd/woaddyke/changes_test.go
+++ b/cmd/woaddyke/changes_test.go
@@ -227,7 +227,7 @@
 	if err := x.cmd.Wait(); err != nil {
 		t.Errorf("%v: %s", err, x.log)
 	}
-	if text := x.log.String(); strings.Count(text, "configuration kept") != 1 || !strings.Contains(text, "categories.0.ttlNs: -1 is no number above 0") {
+	if text := x.log.String(); strings.Count(text, "configuration kept") != 1 || !strings.Contains(text, "settings.categories.0.ttlNs: must be a number above 0 and at most 86400000000000, got -1") {
 		t.Errorf("the wrong file is not told of in one line with its place: %s", text)
 	}
 }
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -30,9 +30,10 @@
 	}
 }
 
-// BenchmarkReread reads a file in which one of so many categories has changed, and checks it against the one in force.
+// BenchmarkReread reads a file in which one of so many categories has changed, and checks it against the
+// one in force.
 func BenchmarkReread(b *testing.B) {
-	for _, entries := range []int{3, 560, mostCategories} {
+	for _, entries := range []int{3, 560, maxCategories} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			categories := teams(entries)
 			path := filepath.Join(b.TempDir(), "sheet")
--- a/internal/config/bootstrap.go
+++ b/internal/config/bootstrap.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"hash/fnv"
 	"maps"
-	"math"
 	"net/netip"
 	"os"
 	"slices"
@@ -15,282 +14,181 @@
 	"time"
 )
 
-// Bootstrap is what a scheduler is told at its start.
+// Bootstrap is the configuration that a scheduler reads at its start.
 type Bootstrap struct {
-	Name           string          `json:"name"`
-	Listen         string          `json:"listen"`
-	Console        string          `json:"console"` // where staff call; empty: nowhere
-	Discovery      string          `json:"discovery"`
-	Seed           string          `json:"seed"`
-	Limits         Limits          `json:"limits"`
-	KnownWorkers   json.RawMessage `json:"known"` // the workers as last heard of, in discovery's form
-	RawSettings    map[string]any  `json:"settings"`
-	Kinds          bool            `json:"kinds"` // speeds are learned by the kind of machine that the list tells, unless this says false
-	Keys           *Keys           `json:"keys"`  // nil: keys are not read
-	Peers          *Peers          `json:"peers"` // nil: no messages, whatever the settings allow
-	Shadow         *Shadow         `json:"watch"` // nil: nothing is watched for
-	SeedValue      uint64          `json:"-"`     // the seed as a number
-	Settings       map[string]any  `json:"-"`     // the settings as the module takes them
-	ShadowSettings map[string]any  `json:"-"`     // those that a watch compares with, nil without one
-	raw            map[string]any  // the file as it is
-	AffinityFact   string          `json:"-"` // where an op's key is read, for use or for a watch; empty: nowhere
+	// Who this scheduler is, and the addresses where it serves and calls.
+	Name      string `json:"name"`      // of this scheduler; a member of a cluster needs one
+	Listen    string `json:"listen"`    // where clients call; required
+	Console   string `json:"console"`   // where operators call; empty: nowhere, and no hot restart
+	Discovery string `json:"discovery"` // where the endpoint list is read; required
+
+	Seed         string          `json:"seed"` // of the random numbers, hexadecimal; required
+	Limits       Limits          `json:"limits"`
+	KnownWorkers json.RawMessage `json:"known"`    // the first endpoint list, as discovery has it
+	RawSettings  map[string]any  `json:"settings"` // nested, as the file has them
+
+	// Optional parts of this project. A null or missing object is off.
+	Kinds  bool    `json:"kinds"` // learn speeds by machine kind; default true
+	Keys   *Keys   `json:"keys"`  // read affinity keys
+	Peers  *Peers  `json:"peers"` // report to other schedulers, where the settings allow it
+	Shadow *Shadow `json:"watch"` // count the decisions that other settings would change
+
+	// Derived from the fields above by ReadBootstrap.
+	SeedValue      uint64         `json:"-"` // Seed as a number
+	Settings       Settings       `json:"-"` // RawSettings and the optional parts, flat
+	ShadowSettings Settings       `json:"-"` // Settings with those of Shadow over them; nil without Shadow
+	AffinityFact   string         `json:"-"` // the fact with an op's affinity key, for use or for Shadow; empty: none
+	raw            map[string]any // the whole file, for CheckReload
+}
+
+// Limits are the resources of the machine that a scheduler may use.
+type Limits struct {
+	Cores    float64 `json:"cores"`     // default 1
+	MemoryMB int     `json:"memory_mb"` // MiB; default 192
+	Sockets  int     `json:"sockets"`   // file descriptors; default 1024
 }
 
-// Keys tells where an op names the data that workers keep for it.
+// Lower bounds of Limits.
+const (
+	MinSockets  = 64 // file descriptors that a scheduler without optional parts needs
+	minMemoryMB = 32
+)
+
+func defaultLimits() Limits { return Limits{Cores: 1, MemoryMB: 192, Sockets: 1024} }
+
+// Keys names where an op carries its affinity key.
 type Keys struct {
-	Fact string `json:"fact"` // its name in X-Facts
+	Fact string `json:"fact"` // the key's name in the header X-Facts
 }
 
-// Peers are the other schedulers, by their numbers, and where they are told and heard by datagrams.
+// Peers are the other schedulers and where this one receives their reports, as datagrams.
 type Peers struct {
-	Listen string            `json:"listen"`
-	Others map[string]string `json:"others"`
+	Listen string            `json:"listen"` // an IP address with a port
+	Others map[string]string `json:"others"` // the address of each other scheduler by its number
 
-	ListenAddr netip.AddrPort         `json:"-"` // Listen and Others, read
-	ByNumber   map[int]netip.AddrPort `json:"-"`
+	ListenAddr netip.AddrPort         `json:"-"` // Listen, parsed
+	ByNumber   map[int]netip.AddrPort `json:"-"` // Others, parsed
 }
 
-// Shadow is another shape's settings: decisions stay as they are, and those that it would change are counted.
+// Shadow has other settings. Decisions are made by the settings in force, and those that these would
+// change are counted.
 type Shadow struct {
 	Keys     *Keys          `json:"keys"`
-	Settings map[string]any `json:"settings"` // in place of those of the same name
+	Settings map[string]any `json:"settings"` // in place of those with the same key
 }
 
-const mostSchedulers = 4096
-
-// own decodes the parts that are this project's and not the platform's: there a slip of the pen is an error.
-func own(text []byte, s *Bootstrap) error {
-	var raw map[string]json.RawMessage
-	if err := json.Unmarshal(text, &raw); err != nil {
-		return err
+// ReadBootstrap reads and checks a file. Its error wraps a *ConfigError for each key that is wrong.
+func ReadBootstrap(path string) (*Bootstrap, error) {
+	if path == "" {
+		return nil, ErrNoPath
 	}
-	for name, into := range map[string]any{"keys": &s.Keys, "peers": &s.Peers, "watch": &s.Shadow} {
-		if len(raw[name]) == 0 {
-			continue
-		}
-		d := json.NewDecoder(bytes.NewReader(raw[name]))
-		d.DisallowUnknownFields()
-		if err := d.Decode(into); err != nil {
-			return fmt.Errorf("%s: %w", name, err)
-		}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	return nil
+	s, err := parseBootstrap(text)
+	if err != nil {
+		return nil, fmt.Errorf("configuration %s: %w", path, err)
+	}
+	return s, nil
 }
 
-// shape checks what the module reads of a deployment's shape.
-func shape(site map[string]any) error {
-	number := func(name string, least, most float64, whole bool) error {
-		v, there := site[name]
-		n, ok := v.(float64)
-		if there && (!ok || n < least || n > most || whole && n != math.Trunc(n)) {
-			return fmt.Errorf("%s: %v is no number from %g to %g", name, v, least, most)
-		}
-		return nil
+func parseBootstrap(text []byte) (*Bootstrap, error) {
+	s := &Bootstrap{Kinds: true, Limits: defaultLimits()}
+	if err := s.decode(text); err != nil {
+		return nil, err
 	}
-	all, _ := site["instances"].(float64)
-	err := errors.Join(number("prices.connection", 0, 1e3, false), number("instances", 1, mostSchedulers, true),
-		number("myNumber", 0, mostSchedulers-1, true))
-	if me, _ := site["myNumber"].(float64); err == nil && site["instances"] != nil && me >= all {
-		err = fmt.Errorf("myNumber: %g is none of %g schedulers", me, all)
+	var err error
+	if s.SeedValue, err = strconv.ParseUint(s.Seed, 16, 64); err != nil {
+		return nil, invalid("seed", s.Seed, "must be a hexadecimal number of at most 64 bits")
 	}
-	if v, there := site["bounds.peerMessages"]; err == nil && there {
-		if _, ok := v.(bool); !ok {
-			err = fmt.Errorf("bounds.peerMessages: %v is neither true nor false", v)
-		}
+	s.Settings = Flatten(s.RawSettings)
+	if err := errors.Join(s.checkRequired(), s.Limits.check()); err != nil {
+		return nil, err
 	}
-	return err
+	if err := errors.Join(s.checkCategories(), s.applyOptions()); err != nil {
+		return nil, err
+	}
+	return s, nil
 }
 
-func (k *Keys) check() error {
-	if k != nil && (k.Fact == "" || k.Fact == "slots" || k.Fact == "memory") {
-		return fmt.Errorf("keys: %q is no fact that names a key", k.Fact)
+func (s *Bootstrap) decode(text []byte) error {
+	if err := json.Unmarshal(text, s); err != nil {
+		return err
+	}
+	if err := errors.Join(json.Unmarshal(text, &s.raw), s.decodeOptions(text)); err != nil {
+		return err
+	}
+	if settings, ok := s.raw["settings"].(map[string]any); ok {
+		s.RawSettings = settings // one copy in memory: settings may have hundreds of categories
 	}
 	return nil
 }
 
-// move checks the parts that belong to another shape of deployment and works out what they make of the settings.
-func (s *Bootstrap) move() error {
-	if err := errors.Join(shape(s.Settings), s.Keys.check()); err != nil {
+// decodeOptions decodes the optional parts, in which an unknown key is an error. In the rest of the file
+// the platform may add keys.
+func (s *Bootstrap) decodeOptions(text []byte) error {
+	var parts map[string]json.RawMessage
+	if err := json.Unmarshal(text, &parts); err != nil {
 		return err
 	}
-	if s.Keys != nil {
-		s.AffinityFact = s.Keys.Fact
-	}
-	s.Settings["keys"], s.Settings["kinds"] = s.Keys != nil, s.Kinds
-	if p := s.Peers; p != nil {
-		if s.Settings["bounds.peerMessages"] != true {
-			return errors.New("peers: the settings do not allow messages (bounds.peerMessages)")
-		}
-		var err error
-		if p.ListenAddr, err = netip.ParseAddrPort(p.Listen); err != nil {
-			return fmt.Errorf("peers: listen: %w", err)
-		}
-		p.ByNumber = map[int]netip.AddrPort{}
-		all, _ := s.Settings["instances"].(float64)
-		for name, addr := range p.Others {
-			n, err := strconv.Atoi(name)
-			if err != nil || n < 0 || float64(n) >= all {
-				return fmt.Errorf("peers: %q is no number of a scheduler, of %g", name, all)
-			}
-			if p.ByNumber[n], err = netip.ParseAddrPort(addr); err != nil {
-				return fmt.Errorf("peers: %s: %w", name, err)
-			}
+	for _, option := range []struct {
+		key  string
+		into any
+	}{{"keys", &s.Keys}, {"peers", &s.Peers}, {"watch", &s.Shadow}} {
+		if len(parts[option.key]) == 0 {
+			continue
 		}
-	} else {
-		// The module would take the silence of the others for idle workers.
-		s.Settings["bounds.peerMessages"] = false
-	}
-	if s.Shadow == nil {
-		return nil
-	}
-	s.ShadowSettings = maps.Clone(s.Settings)
-	maps.Copy(s.ShadowSettings, Flatten(s.Shadow.Settings))
-	if k := s.Shadow.Keys; k != nil {
-		if s.AffinityFact != "" && s.AffinityFact != k.Fact {
-			return fmt.Errorf("watch: keys are read from %q already", s.AffinityFact)
+		decoder := json.NewDecoder(bytes.NewReader(parts[option.key]))
+		decoder.DisallowUnknownFields()
+		if err := decoder.Decode(option.into); err != nil {
+			return &ConfigError{Key: option.key, Err: err}
 		}
-		s.AffinityFact, s.ShadowSettings["keys"] = k.Fact, true
-	}
-	if err := errors.Join(shape(s.ShadowSettings), s.Shadow.Keys.check()); err != nil {
-		return fmt.Errorf("watch: %w", err)
 	}
 	return nil
 }
 
-// AllowPeerMessages has schedulers tell one another by another way than the addresses in the configuration, where the settings allow messages.
+// AllowPeerMessages turns peer reports on for a transport other than Peers, where the settings allow
+// them.
 func (s *Bootstrap) AllowPeerMessages() error {
 	if s.Peers != nil {
-		return errors.New("the configuration names peers already")
+		return ErrPeersConfigured
 	}
-	if Flatten(s.RawSettings)["bounds.peerMessages"] != true {
-		return errors.New("the settings do not allow messages (bounds.peerMessages)")
+	if !Settings(Flatten(s.RawSettings)).Enabled(KeyPeerMessages) {
+		return ErrPeerMessagesDisabled
 	}
-	s.Settings["bounds.peerMessages"] = true
+	s.Settings[KeyPeerMessages] = true
 	return nil
 }
 
-// Number is this scheduler's among all, -1 where the settings do not tell.
+// Number returns the number of this scheduler, -1 where the settings have none.
 func (s *Bootstrap) Number() int {
-	if n, ok := s.Settings["myNumber"].(float64); ok {
-		return int(n)
+	if number, ok := s.Settings.Number(KeyMyNumber); ok {
+		return int(number)
 	}
 	return -1
 }
 
-// MinSockets is how many descriptors a scheduler by itself needs.
-const MinSockets = 64
-
-// Limits are what the machine gives a scheduler.
-type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
-}
-
-// ReadBootstrap reads a sheet and says plainly what is wrong with it.
-func ReadBootstrap(path string) (*Bootstrap, error) {
-	if path == "" {
-		return nil, errors.New("no configuration: name its file with --config or RELAY_CONFIG")
-	}
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
-	}
-	s := &Bootstrap{Kinds: true, Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}}
-	if err := json.Unmarshal(text, s); err != nil {
-		return nil, fmt.Errorf("configuration %s: %w", path, err)
-	}
-	if err := errors.Join(json.Unmarshal(text, &s.raw), own(text, s)); err != nil {
-		return nil, fmt.Errorf("configuration %s: %w", path, err)
-	}
-	if one, ok := s.raw["settings"].(map[string]any); ok {
-		s.RawSettings = one // and not two of hundreds of categories
-	}
-	if s.SeedValue, err = strconv.ParseUint(s.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("configuration %s: seed: %w", path, err)
-	}
-	s.Settings = Flatten(s.RawSettings)
-	switch {
-	case s.Listen == "":
-		err = errors.New("no listen address")
-	case s.Discovery == "":
-		err = errors.New("no discovery address")
-	case s.Settings[ItemKey("categories", 0, "ttl")] == nil:
-		err = errors.New("the settings name no category")
-	case s.Limits.Cores <= 0 || s.Limits.MemoryMB < 32 || s.Limits.Sockets < MinSockets:
-		err = fmt.Errorf("limits of %g cores, %d MB and %d sockets are too small", s.Limits.Cores,
-			s.Limits.MemoryMB, s.Limits.Sockets)
-	default:
-		err = errors.Join(s.counts(), s.move())
-	}
-	if err != nil {
-		return nil, fmt.Errorf("configuration %s: %w", path, err)
-	}
-	return s, nil
-}
-
-// Categories are the names of those that are served.
-func (s *Bootstrap) Categories() (names []string) {
-	for i := 0; ; i++ {
-		name, ok := s.Settings[ItemKey("categories", i, "name")].(string)
-		if !ok {
-			return names
-		}
-		names = append(names, name)
-	}
-}
-
-// CategoryRule is how often an op of a category may run. A group drops repeats for a window after the first push: "all" workers, a "zone" or a
-// "cell"; 0 where nobody drops them.
-type CategoryRule struct {
-	Effect string // in the platform's word
-	Window time.Duration
-	Scope  string
+// Schedulers returns how many schedulers there are, 1 where the settings do not say.
+func (s *Bootstrap) Schedulers() int {
+	schedulers, _ := s.Settings.Number(KeyInstances)
+	return max(int(schedulers), 1)
 }
 
-// CategoryRules are those of the categories that are served, by their names. Of two with one name the last one is served.
-func (s *Bootstrap) CategoryRules() map[string]CategoryRule {
-	rules := map[string]CategoryRule{}
-	for i, name := range s.Categories() {
-		var r CategoryRule
-		if r.Effect, _ = s.Settings[ItemKey("categories", i, "effect")].(string); r.Effect == "deduplicated" {
-			r.Window = s.Duration(ItemKey("categories", i, "window"), 0)
-			r.Scope, _ = s.Settings[ItemKey("categories", i, "dedupScope")].(string)
-		}
-		rules[name] = r
-	}
-	return rules
+// Duration returns a duration of the settings, or the fallback where they have none above 0 under the
+// key.
+func (s *Bootstrap) Duration(key string, fallback time.Duration) time.Duration {
+	return s.Settings.Duration(key, fallback)
 }
 
-// SettingsHash is the same for two sheets whose settings are, but for which of the schedulers each is for.
+// SettingsHash returns a hash of the settings. It leaves out the keys that differ between the schedulers
+// of one deployment.
 func (s *Bootstrap) SettingsHash() uint64 {
 	h := fnv.New64a()
-	for _, name := range slices.Sorted(maps.Keys(s.Settings)) {
-		if name != "myNumber" && name != "myZone" {
-			fmt.Fprintf(h, "%s=%v\n", name, s.Settings[name]) // never fails
+	for _, key := range slices.Sorted(maps.Keys(s.Settings)) {
+		if key != KeyMyNumber && key != KeyMyZone {
+			fmt.Fprintf(h, "%s=%v\n", key, s.Settings[key]) // never fails
 		}
 	}
 	return h.Sum64()
 }
-
-// LongestTTL is that of all categories: no op is out for longer.
-func (s *Bootstrap) LongestTTL() (longest time.Duration) {
-	for i := 0; s.Settings[ItemKey("categories", i, "ttl")] != nil; i++ {
-		longest = max(longest, s.Duration(ItemKey("categories", i, "ttl"), 0))
-	}
-	return longest
-}
-
-// Schedulers is how many there are, 1 where the settings do not tell.
-func (s *Bootstrap) Schedulers() int {
-	n, _ := s.Settings["instances"].(float64)
-	return max(int(n), 1)
-}
-
-// Duration is a duration among the terms, or another where they lack it.
-func (s *Bootstrap) Duration(name string, otherwise time.Duration) time.Duration {
-	if v, ok := s.Settings[name].(float64); ok && v > 0 {
-		return time.Duration(v) * Tenth
-	}
-	return otherwise
-}
--- a/internal/config/config_test.go
+++ b/internal/config/bootstrap_test.go
@@ -5,8 +5,6 @@
 	"path/filepath"
 	"strings"
 	"testing"
-
-	"woaddyke/dispatch"
 )
 
 // A scheduler that starts on half a configuration breaks rules later instead of saying so now.
@@ -14,10 +12,10 @@
 	const whole = `{"listen":"a:1","discovery":"a:2","seed":"ff","settings":{"categories":[{"ttlNs":5}]}}`
 	for text, want := range map[string]string{
 		"": "unexpected end", "[]": "cannot unmarshal", `{"seed":"x"}`: "seed",
-		strings.Replace(whole, "a:1", "", 1):                           "no listen",
-		strings.Replace(whole, "a:2", "", 1):                           "no discovery",
-		strings.Replace(whole, "ttlNs", "ttl_us", 1):                   "no category",
-		strings.Replace(whole, `{"l`, `{"limits":{"sockets":3},"l`, 1): "too small",
+		strings.Replace(whole, "a:1", "", 1):                           "listen: is missing",
+		strings.Replace(whole, "a:2", "", 1):                           "discovery: is missing",
+		strings.Replace(whole, "ttlNs", "ttl_us", 1):                   "settings.categories.0.ttlNs: is missing",
+		strings.Replace(whole, `{"l`, `{"limits":{"sockets":3},"l`, 1): "limits.sockets: must be at least 64, got 3",
 		whole: "",
 	} {
 		path := filepath.Join(t.TempDir(), "sheet")
@@ -35,8 +33,9 @@
 	}
 }
 
-// Where many schedulers share a fleet each meets a worker too seldom to learn its speed: without the kinds of machines slow ones were
-// given as much as fast ones. The simulator's wire has always told them apart.
+// Where many schedulers share a fleet each meets a worker too seldom to learn its speed: without the
+// kinds of machines slow ones were given as much as fast ones. The simulator's wire has always told them
+// apart.
 func TestKindsAreToldApartUnlessSaidOtherwise(t *testing.T) {
 	for more, want := range map[string]bool{"": true, `"kinds":true,`: true, `"kinds":false,`: false} {
 		path := filepath.Join(t.TempDir(), "sheet")
@@ -50,19 +49,6 @@
 	}
 }
 
-// A value that a report lacks must not be taken for none waiting and nothing free.
-func TestWhatAReportLacksIsNotZero(t *testing.T) {
-	r := ReportFormatOf(Flatten(map[string]any{"report": map[string]any{"fields": []any{"pending", "busy_reqs", "x1"}},
-		"extra": map[string]any{"reportX1": "free slots"}}))
-	want := dispatch.LoadReport{RunningJobs: 3, QueuedJobs: -1, FreeSlots: 2, FreeMemory: -1}
-	if got, err := r.FromJSON([]byte(`{"busy_reqs":3,"x1":2,"more":1}`)); err != nil || got != want {
-		t.Errorf("%+v, %v", got, err)
-	}
-	if _, err := r.FromJSON([]byte(`[1]`)); err == nil {
-		t.Error("a row is no object")
-	}
-}
-
 // Half a move is worse than none: each slip in what a new shape needs must be named before the first op.
 func TestASlipInTheShapeIsNamed(t *testing.T) {
 	sheet := func(settings, more string) (*Bootstrap, error) {
@@ -90,11 +76,11 @@
 		{all, `"peers":{"listen":"127.0.0.1:0","others":{"0":"127.0.0.1:7"}},`, ""},
 		{"", `"peers":{"listen":"127.0.0.1:0"},`, "do not allow messages"},
 		{all, `"peers":{"listen":"here"},`, "listen"},
-		{all, `"peers":{"listen":"127.0.0.1:0","others":{"3":"127.0.0.1:7"}},`, `"3"`},
-		{all, `"peers":{"listen":"127.0.0.1:0","others":{"2":"there"}},`, "peers: 2"},
+		{all, `"peers":{"listen":"127.0.0.1:0","others":{"3":"127.0.0.1:7"}},`, "peers.others.3: must be the number of a scheduler below 3"},
+		{all, `"peers":{"listen":"127.0.0.1:0","others":{"2":"there"}},`, "peers.others.2: must be an IP address with a port"},
 		{"", `"watch":{"settings":{"prices":{"connection":0.05}},"keys":{"fact":"routeKey"}},`, ""},
-		{"", `"watch":{"settings":{"prices":{"connection":-5}}},`, "watch: prices.connection"},
-		{"", `"watch":{"keys":{"fact":"memory"}},`, "watch: keys"},
+		{"", `"watch":{"settings":{"prices":{"connection":-5}}},`, "watch.settings.prices.connection: must be"},
+		{"", `"watch":{"keys":{"fact":"memory"}},`, "watch.keys.fact: must be"},
 		{"", `"keys":{"fact":"a"},"watch":{"keys":{"fact":"b"}},`, "already"},
 	} {
 		if _, err := sheet(c[0], c[1]); c[2] == "" && err != nil ||
@@ -116,18 +102,3 @@
 		t.Errorf("%+v, %v: the watch's settings must stay apart", s, err)
 	}
 }
-
-// A message that is cut, or of a worker not known here, must not count for another one.
-func TestAWordComesThroughOrNotAtAll(t *testing.T) {
-	tags := map[string]int{WorkerTag("w1"): 1, WorkerTag("w2"): 2}
-	for _, n := range []int{0, 1, 35, 63, 900} {
-		if i, got, ok := DecodePeerReport(EncodePeerReport("w2", n), tags); i != 2 || got != min(n, 63) || !ok {
-			t.Errorf("%d came as worker %d, %d, %v", n, i, got, ok)
-		}
-	}
-	for _, text := range []string{"", "w", WorkerTag("w1"), WorkerTag("w1") + "!", WorkerTag("w1") + "11", EncodePeerReport("w3", 1)} {
-		if _, _, ok := DecodePeerReport(text, tags); ok {
-			t.Errorf("%q is taken for a message", text)
-		}
-	}
-}
--- a/internal/config/features/features.go
+++ b/internal/config/features/features.go
@@ -1,5 +1,6 @@
-// Package features reads the operator's own file: what this project offers beyond the platform's configuration, all of it off
-// where the file does not name it. Each subsystem owns a table of it, with its defaults and its checks.
+// Package features reads the features file, the operator's own: what this project offers beyond the
+// platform's configuration. Each table is a feature, which is off where the file does not have the table;
+// the subsystem that offers it owns its defaults and its checks.
 package features
 
 import (
@@ -14,90 +15,77 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Duration is a duration as the file writes it: "250ms", "2s", "24h".
+// Duration is a duration as the file has it: "250ms", "2s", "24h".
 type Duration time.Duration
 
-// UnmarshalText reads one.
-func (s *Duration) UnmarshalText(text []byte) error {
-	d, err := time.ParseDuration(string(text))
+// UnmarshalText reads a duration in the form of time.ParseDuration.
+func (d *Duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no span of time such as \"250ms\"", text)
+		return fmt.Errorf("%q is not a duration such as \"250ms\"", text)
 	}
-	*s = Duration(d)
+	*d = Duration(parsed)
 	return nil
 }
 
-// MarshalText is for those who show it.
-func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+// MarshalText returns the form that UnmarshalText reads.
+func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// ConfigError is a mistake in one key of one table.
-type ConfigError struct {
-	Table, Key string
-	Err        error
-}
-
-func (f *ConfigError) Error() string { return fmt.Sprintf("%s.%s: %v", f.Table, f.Key, f.Err) }
-
-// Unwrap is for errors.Is.
-func (f *ConfigError) Unwrap() error { return f.Err }
-
-// ErrorFromCheck makes a fault of a check's error, which begins with the key's name, its words parted by dashes.
-func ErrorFromCheck(table string, err error) *ConfigError {
-	key, text, _ := strings.Cut(err.Error(), ": ")
-	return &ConfigError{Table: table, Key: strings.ReplaceAll(key, "-", "_"), Err: errors.New(text)}
-}
-
-// Read reads the file over the tables, whose defaults stand in them already, and has them checked. What is wrong is one line with
-// its place: a key that nobody knows is an error, as it is a slip of the pen.
+// Read decodes the file into the tables, which have their defaults already, and calls check. A key that
+// no table has is an error, since it is a misspelled one. Its error is one line with the file, the place
+// and the reason, and wraps a *ParseError or what check returned.
 func Read(path string, tables any, check func() error) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("operator's file: %w", err)
 	}
-	d := toml.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(tables); err != nil {
-		return fmt.Errorf("operator's file %s:%w", path, place(err))
+	err = decode(text, tables)
+	if err == nil {
+		err = check()
 	}
-	if err := check(); err != nil {
-		var f *ConfigError
-		if errors.As(err, &f) {
-			return fmt.Errorf("operator's file %s:%d: %w", path, line(string(text), f.Table, f.Key), err)
-		}
-		return fmt.Errorf("operator's file %s: %w", path, err)
+	var place *ParseError
+	var mistake *ConfigError
+	switch {
+	case err == nil:
+		return nil
+	case errors.As(err, &place):
+		return fmt.Errorf("operator's file %s:%w", path, err)
+	case errors.As(err, &mistake):
+		mistake.Line = lineOf(string(text), mistake.Table, mistake.Key)
+		return fmt.Errorf("operator's file %s:%d: %w", path, mistake.Line, err)
 	}
-	return nil
+	return fmt.Errorf("operator's file %s: %w", path, err)
 }
 
-// place puts a decoder's error into one line with its place.
-func place(err error) error {
-	var strict *toml.StrictMissingError
-	if errors.As(err, &strict) && len(strict.Errors) > 0 {
-		row, col := strict.Errors[0].Position()
-		return fmt.Errorf("%d:%d: no such key: %s", row, col, strings.Join(strict.Errors[0].Key(), "."))
-	}
-	var bad *toml.DecodeError
-	if errors.As(err, &bad) {
-		row, col := bad.Position()
-		return fmt.Errorf("%d:%d: %s", row, col, strings.TrimPrefix(bad.Error(), "toml: "))
+// decode returns a *ParseError where the decoder knows the place.
+func decode(text []byte, tables any) error {
+	decoder := toml.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(tables); err != nil {
+		return parseError(err)
 	}
-	return fmt.Errorf(" %w", err)
+	return nil
 }
 
-var header = regexp.MustCompile(`^\s*\[\s*([^\]]+?)\s*\]`)
+// tableHeader matches a line that begins a table.
+var tableHeader = regexp.MustCompile(`^\s*\[\s*([^\]]+?)\s*\]`)
 
-// line is where a key of a table stands, or the table where the key is left out; 1 where neither is there.
-func line(text, table, key string) int {
-	in, at := "", 1
-	assigned := regexp.MustCompile(`^\s*"?` + regexp.QuoteMeta(key) + `"?\s*=`)
-	for i, row := range strings.Split(text, "\n") {
-		if m := header.FindStringSubmatch(row); m != nil {
-			if in = m[1]; in == table {
-				at = i + 1
+// lineOf returns the line of a key of a table, the line of the table where the file leaves the key out,
+// and 1 where it has neither.
+func lineOf(text, table, key string) int {
+	assignment := regexp.MustCompile(`^\s*"?` + regexp.QuoteMeta(key) + `"?\s*=`)
+	current, found := "", 1
+	for i, line := range strings.Split(text, "\n") {
+		if header := tableHeader.FindStringSubmatch(line); header != nil {
+			current = header[1]
+			if current == table {
+				found = i + 1
 			}
-		} else if in == table && assigned.MatchString(row) {
+			continue
+		}
+		if current == table && assignment.MatchString(line) {
 			return i + 1
 		}
 	}
-	return at
+	return found
 }
--- a/internal/config/features/features_test.go
+++ b/internal/config/features/features_test.go
@@ -7,6 +7,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"woaddyke/internal/config/configerror"
 )
 
 type tables struct {
@@ -22,7 +24,7 @@
 		"[members]\nprobe = \"1s\"\n":                      "",
 		"[members]\nprob = \"1s\"\n":                       ":2:1: no such key: members.prob",
 		"[member]\n":                                       ":1:2: no such key: member",
-		"[members]\nprobe = \"soon\"\n":                    `"soon" is no span of time`,
+		"[members]\nprobe = \"soon\"\n":                    `:2:9: "soon" is not a duration such as "250ms"`,
 		"[members]\nprobe = \n":                            ":2:",
 		"# a\n[members]\n\n  name = \"bad\"\nprobe=\"1s\"": ":4: members.name: a bad name",
 		"[members]\nprobe = \"3h\"":                        ":2: members.probe: too long",
@@ -35,9 +37,9 @@
 		err := Read(path, &x, func() error {
 			switch {
 			case x.Members.Name == "bad":
-				return &ConfigError{"members", "name", errors.New("a bad name")}
+				return &ConfigError{Table: "members", Key: "name", Err: errors.New("a bad name")}
 			case time.Duration(x.Members.Probe) > time.Hour:
-				return &ConfigError{"members", "probe", errors.New("too long")}
+				return &ConfigError{Table: "members", Key: "probe", Err: errors.New("too long")}
 			}
 			return nil
 		})
@@ -49,3 +51,45 @@
 		t.Error("a file that is not there was read")
 	}
 }
+
+// A check of a package's own parameters knows neither the table nor the line: both must stand in the
+// message.
+func TestMistakeOfACheckGetsItsPlace(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "operator.toml")
+	if err := os.WriteFile(path, []byte("[members]\nname = \"a\"\nprobe = \"3h\"\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for name, c := range map[string]struct {
+		check error
+		text  string
+		line  int
+	}{
+		"typed":     {&configerror.Error{Key: "probe", Problem: "must be at most 1h", Value: "3h"}, `:3: members.probe: must be at most 1h, got "3h"`, 3},
+		"plain":     {errors.New("probe: longer than 1h"), ":3: members.probe: longer than 1h", 3},
+		"two words": {errors.New("probe-time: longer than 1h"), ":1: members.probe_time: longer than 1h", 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			err := Read(path, &tables{}, func() error { return ErrorFromCheck("members", c.check) })
+			var mistake *ConfigError
+			if !errors.As(err, &mistake) || mistake.Line != c.line || !strings.HasSuffix(err.Error(), path+c.text) {
+				t.Errorf("%v, want the line %d and %q", err, c.line, c.text)
+			}
+		})
+	}
+}
+
+// Callers tell an unknown key from other mistakes, and find the place of a mistake without reading its
+// text.
+func TestParseErrorsAreTyped(t *testing.T) {
+	for text, unknown := range map[string]bool{"[members]\nprob = \"1s\"\n": true, "[members]\nprobe = \"soon\"\n": false} {
+		path := filepath.Join(t.TempDir(), "operator.toml")
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		err := Read(path, &tables{}, nil)
+		var place *ParseError
+		if !errors.As(err, &place) || place.Line != 2 || errors.Is(err, ErrUnknownKey) != unknown {
+			t.Errorf("%q: %v, place %+v; an unknown key: %v", text, err, place, unknown)
+		}
+	}
+}
--- a/internal/config/golden_messages_test.go
+++ b/internal/config/golden_messages_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// The text of a message about a worker's pushes keeps its bytes for each name and count, and reads back as that worker and count.
+// The text of a message about a worker's pushes keeps its bytes for each name and count, and reads back
+// as that worker and count.
 func TestGoldenWords(t *testing.T) {
 	names := []string{"", "w1", "worker-17.zone-a", "caf\u00e9"}
 	wantTags := []string{"cy8", "Inr", "tkq", "S0F"}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -12,7 +12,8 @@
 	"woaddyke/internal/testsupport/golden"
 )
 
-// Guards the JSON keys of the configuration, each of which is set in the file to a value that is not its default.
+// Guards the JSON keys of the configuration, each of which is set in the file to a value that is not its
+// default.
 func TestSheetKeepsItsKeys(t *testing.T) {
 	read, err := ReadBootstrap("testdata/sheet.json")
 	if err != nil {
@@ -34,7 +35,8 @@
 	filled.RequireSet(t, *read)
 }
 
-// Guards the JSON keys that this build writes for a configuration: a key with another name is another configuration to it.
+// Guards the JSON keys that this build writes for a configuration: a key with another name is another
+// configuration to it.
 func TestSheetKeepsItsForm(t *testing.T) {
 	filled.CompareJSON(t, "testdata/form.json.golden", filled.Value[Bootstrap](t))
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -1,141 +1,129 @@
 package config
 
 import (
-	"errors"
 	"fmt"
 	"maps"
 	"slices"
 	"strings"
-	"time"
 )
 
-const (
-	mostCategories = 2048 // in one file
-	mostPushes     = 1000 // of one op
-	longestTTL     = 24 * time.Hour
-)
-
-// counts checks the figures without which no op can be kept to its rules.
-func (s *Bootstrap) counts() error {
-	positive := func(in map[string]any, name, at string, most float64) error {
-		v, there := in[name]
-		n, ok := v.(float64)
-		if there && (!ok || n <= 0) {
-			return fmt.Errorf("%s%s: %v is no number above 0", at, name, v)
-		}
-		if n > most {
-			return fmt.Errorf("%s%s: %g is over %g", at, name, n, most)
-		}
-		return nil
-	}
-	var err error
-	list, _ := s.RawSettings["categories"].([]any)
-	if len(list) > mostCategories {
-		err = fmt.Errorf("%d categories, at most %d are served", len(list), mostCategories)
-	}
-	for i, c := range list {
-		one, _ := c.(map[string]any)
-		at := fmt.Sprintf("categories.%d.", i)
-		err = errors.Join(err, positive(one, "ttlNs", at, float64(longestTTL)),
-			positive(one, "targetLatencyNs", at, float64(longestTTL)))
+// CheckReload checks that this configuration may take the place of the one in force: it must not lack a
+// key of that one or have a value of another kind for it. A file that was cut or damaged in editing must
+// not come into force in part.
+func (s *Bootstrap) CheckReload(inForce *Bootstrap) error {
+	before, after := maps.Clone(inForce.raw), maps.Clone(s.raw)
+	if _, exists := after["known"]; exists {
+		delete(before, "known") // the list of workers changes
 	}
-	bounds, _ := s.RawSettings["bounds"].(map[string]any)
-	if n, ok := bounds["maxPushes"].(float64); ok && n > 0 && n < 1 {
-		return fmt.Errorf("bounds.maxPushes: %g is no push", n)
-	}
-	return errors.Join(err, positive(bounds, "maxPushes", "bounds.", mostPushes))
-}
-
-// CheckReload tells what keeps this sheet from taking the place of one in force: a key that it lacks, or a value of another kind.
-// A file that was cut or slipped in editing must not be half in force.
-func (s *Bootstrap) CheckReload(before *Bootstrap) error {
-	was, is := maps.Clone(before.raw), maps.Clone(s.raw)
-	if _, there := is["known"]; there {
-		delete(was, "known") // the workers come and go
-	}
-	return lacks("", was, is)
+	return checkSameKeys("", before, after)
 }
 
-// lacks finds a key of one object that another of the same kind has not.
-func lacks(path string, was, is any) error {
-	switch was := was.(type) {
+// checkSameKeys returns the first difference between two values of the file that only damage explains.
+func checkSameKeys(path string, before, after any) error {
+	switch before := before.(type) {
 	case map[string]any:
-		is, ok := is.(map[string]any)
-		if !ok {
-			return fmt.Errorf("%s is no object", path)
-		}
-		for _, k := range slices.Sorted(maps.Keys(was)) {
-			at := strings.TrimPrefix(path+"."+k, ".")
-			v, there := is[k]
-			if !there || v == nil && was[k] != nil {
-				return fmt.Errorf("%s is missing", at)
-			}
-			if err := lacks(at, was[k], v); err != nil {
-				return err
-			}
-		}
+		return checkSameObject(path, before, after)
 	case []any:
-		is, ok := is.([]any)
-		if !ok {
-			return fmt.Errorf("%s is no list", path)
-		}
-		if common := inAll(was); common != nil {
-			for i, v := range is {
-				if err := lacks(fmt.Sprintf("%s.%d", path, i), common, v); err != nil {
-					return err
-				}
-			}
-		}
+		return checkSameList(path, before, after)
 	case float64:
-		if _, ok := is.(float64); !ok {
-			return fmt.Errorf("%s: %v is no number", path, is)
-		}
+		return checkSameKind[float64](path, "a number", after)
 	case string:
-		if _, ok := is.(string); !ok {
-			return fmt.Errorf("%s: %v is no text", path, is)
-		}
+		return checkSameKind[string](path, "a text", after)
 	case bool:
-		if _, ok := is.(bool); !ok {
-			return fmt.Errorf("%s: %v is neither true nor false", path, is)
+		return checkSameKind[bool](path, "true or false", after)
+	}
+	return nil
+}
+
+func checkSameObject(path string, before map[string]any, after any) error {
+	object, ok := after.(map[string]any)
+	if !ok {
+		return &ConfigError{Key: path, Problem: "must be an object"}
+	}
+	for _, key := range slices.Sorted(maps.Keys(before)) {
+		keyPath := strings.TrimPrefix(path+"."+key, ".")
+		value, exists := object[key]
+		if !exists || value == nil && before[key] != nil {
+			return missing(keyPath)
+		}
+		if err := checkSameKeys(keyPath, before[key], value); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkSameList checks the entries of a list of objects for the keys that all objects had before. The
+// length may change.
+func checkSameList(path string, before []any, after any) error {
+	list, ok := after.([]any)
+	if !ok {
+		return &ConfigError{Key: path, Problem: "must be a list"}
+	}
+	common := commonKeys(before)
+	if common == nil {
+		return nil
+	}
+	for i, entry := range list {
+		if err := checkSameObject(fmt.Sprintf("%s.%d", path, i), common, entry); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// inAll are the keys that all objects of a list have, nil where it holds anything else.
-func inAll(list []any) any {
-	var common map[string]any
-	for _, v := range list {
-		o, ok := v.(map[string]any)
+func checkSameKind[kind any](path, description string, after any) error {
+	if _, ok := after.(kind); ok {
+		return nil
+	}
+	return invalid(path, after, "must be %s", description)
+}
+
+// commonKeys returns the keys that all objects of a list have, each with a value. It returns nil where
+// the list is empty or has entries that are no objects.
+func commonKeys(list []any) (common map[string]any) {
+	for _, entry := range list {
+		object, ok := entry.(map[string]any)
 		if !ok {
 			return nil
 		}
 		if common == nil {
-			common = maps.Clone(o)
+			common = maps.Clone(object)
 		}
-		maps.DeleteFunc(common, func(k string, _ any) bool { return o[k] == nil })
-	}
-	if common == nil {
-		return nil
+		maps.DeleteFunc(common, func(key string, _ any) bool { return object[key] == nil })
 	}
 	return common
 }
 
-// CategoriesChanged tells whether this sheet's categories or pushes differ from another's, and whether any of the rest of what only a
-// restart takes up does.
-func (s *Bootstrap) CategoriesChanged(before *Bootstrap) (retunes, rest bool) {
-	now := func(k string) bool {
-		return strings.HasPrefix(k, "categories.") || strings.HasPrefix(k, "extra.class") || k == "bounds.maxPushes"
-	}
-	rest = s.Listen != before.Listen || s.Limits != before.Limits || s.Console != before.Console
-	lacks := func(a, b map[string]any) {
-		for k, v := range a {
-			if w, there := b[k]; !there || v != w {
-				retunes, rest = retunes || now(k), rest || !now(k)
+// categoryExtrasPrefix begins the keys of settings beside the categories that have an entry for each of
+// them.
+const categoryExtrasPrefix = "extra.class"
+
+// reloadable tells whether a setting changes while the scheduler serves.
+func reloadable(key string) bool {
+	return strings.HasPrefix(key, KeyCategories+".") ||
+		strings.HasPrefix(key, categoryExtrasPrefix) ||
+		key == KeyMaxPushes
+}
+
+// CategoriesChanged compares with the configuration in force. reload tells whether settings differ that
+// change while the scheduler serves, restart whether anything differs that changes only at the next
+// start.
+func (s *Bootstrap) CategoriesChanged(inForce *Bootstrap) (reload, restart bool) {
+	restart = s.Listen != inForce.Listen || s.Limits != inForce.Limits || s.Console != inForce.Console
+	compare := func(settings, others Settings) {
+		for key, value := range settings {
+			if other, exists := others[key]; exists && value == other {
+				continue
+			}
+			if reloadable(key) {
+				reload = true
+			} else {
+				restart = true
 			}
 		}
 	}
-	lacks(s.Settings, before.Settings)
-	lacks(before.Settings, s.Settings)
-	return retunes, rest
+	compare(s.Settings, inForce.Settings)
+	compare(inForce.Settings, s.Settings)
+	return reload, restart
 }
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -1,13 +1,18 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 )
 
-// A file that was cut short or slipped in editing must not be half in force: it is turned down whole, and says why.
+// notJSON tells whether a text is from the decoder, which knows no key.
+func notJSON(text string) bool { return text == "unexpected end" || text == "invalid character" }
+
+// A file that was cut short or slipped in editing must not be half in force: it is turned down whole, and
+// says why.
 func TestAFileThatCanNotFollowIsTurnedDown(t *testing.T) {
 	const whole = `{"listen":"a:1","discovery":"a:2","seed":"ff","known":{"rev":1,"targets":[]},"settings":{"bounds":` +
 		`{"maxPushes":6,"cancel":true},"zones":["a"],"categories":[{"name":"look","ttlNs":5,"effect":"dedup","windowNs":7},` +
@@ -32,32 +37,36 @@
 		{`,"windowNs":7`, ``, ""}, // not all categories have one
 		{whole, "", "unexpected end"},
 		{whole[len(whole)/2:], "", "unexpected end"},
-		{`"discovery":"a:2",`, "", "no discovery"},
-		{`"known"`, `"unknown"`, "known is missing"},
-		{`"cancel"`, `"cancels"`, "settings.bounds.cancel is missing"},
-		{`"maxPushes":6,`, "", "settings.bounds.maxPushes is missing"},
-		{`,"effect":"retryable"`, "", "settings.categories.1.effect is missing"},
-		{`"ttlNs":5,"effect":"dedup"`, `"effect":"dedup"`, "no category"},
-		{`"see","ttlNs":5`, `"see"`, "settings.categories.1.ttlNs is missing"},
-		{`"see","ttlNs":5`, `"see","ttlNs":0`, "categories.1.ttlNs: 0 is no number above 0"},
-		{`"see","ttlNs":5`, `"see","ttlNs":"5"`, "is no number above 0"},
-		{`"maxPushes":6`, `"maxPushes":-1`, "bounds.maxPushes: -1 is no number above 0"},
-		{`"maxPushes":6`, `"maxPushes":null`, "is no number above 0"},
-		{`"maxPushes":6`, `"maxPushes":0.5`, "is no push"},
-		{`"maxPushes":6`, `"maxPushes":1e9`, "is over 1000"},
+		{`"discovery":"a:2",`, "", "discovery: is missing"},
+		{`"known"`, `"unknown"`, "known: is missing"},
+		{`"cancel"`, `"cancels"`, "settings.bounds.cancel: is missing"},
+		{`"maxPushes":6,`, "", "settings.bounds.maxPushes: is missing"},
+		{`,"effect":"retryable"`, "", "settings.categories.1.effect: is missing"},
+		{`"ttlNs":5,"effect":"dedup"`, `"effect":"dedup"`, "settings.categories.0.ttlNs: is missing"},
+		{`"see","ttlNs":5`, `"see"`, "settings.categories.1.ttlNs: is missing"},
+		{`"see","ttlNs":5`, `"see","ttlNs":0`, "settings.categories.1.ttlNs: must be a number above 0 and at most 86400000000000, got 0"},
+		{`"see","ttlNs":5`, `"see","ttlNs":"5"`, `settings.categories.1.ttlNs: must be a number above 0 and at most 86400000000000, got "5"`},
+		{`"maxPushes":6`, `"maxPushes":-1`, "settings.bounds.maxPushes: must be a number from 1 to 1000, got -1"},
+		{`"maxPushes":6`, `"maxPushes":null`, "settings.bounds.maxPushes: must be a number from 1 to 1000, got null"},
+		{`"maxPushes":6`, `"maxPushes":0.5`, "settings.bounds.maxPushes: must be a number from 1 to 1000, got 0.5"},
+		{`"maxPushes":6`, `"maxPushes":1e9`, "settings.bounds.maxPushes: must be a number from 1 to 1000, got 1e+09"},
 		{`"maxPushes":6`, `"maxPushes":NaN`, "invalid character"},
-		{`"see","ttlNs":5`, `"see","ttlNs":1e300`, "is over"},
-		{`"see","ttlNs":5`, `"see","ttlNs":[5]`, "is no number above 0"},
+		{`"see","ttlNs":5`, `"see","ttlNs":1e300`, "settings.categories.1.ttlNs: must be a number above 0 and at most 86400000000000, got 1e+300"},
+		{`"see","ttlNs":5`, `"see","ttlNs":[5]`, "settings.categories.1.ttlNs: must be a number above 0 and at most 86400000000000, got [5]"},
 		{`"seed":"ff"`, `"seed":"xyz"`, "seed"},
-		{`"listen":"a:1",`, "", "no listen"},
+		{`"listen":"a:1",`, "", "listen: is missing"},
 		{`"seed":"ff",`, "", "seed"},
-		{`"cancel":true`, `"cancel":1`, "neither true nor false"},
-		{`["a"]`, `"a"`, "settings.zones is no list"},
+		{`"cancel":true`, `"cancel":1`, "settings.bounds.cancel: must be true or false, got 1"},
+		{`["a"]`, `"a"`, "settings.zones: must be a list"},
 	} {
 		s, err := read(strings.Replace(whole, c.old, c.new, 1))
 		if err == nil {
 			err = s.CheckReload(before)
 		}
+		var key *ConfigError
+		if errors.As(err, &key) != (c.want != "" && !notJSON(c.want)) {
+			t.Errorf("%s for %s: error %v: the key must be found in it", c.new, c.old, err)
+		}
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("%s for %s: error %v, want %q", c.new, c.old, err, c.want)
 		}
@@ -108,9 +117,10 @@
 	})
 }
 
-// A site of two years' size has 560 categories, and twice as many must be taken; a file without end must not.
+// A site of two years' size has 560 categories, and twice as many must be taken; a file without end must
+// not.
 func TestAsManyCategoriesAsALargeSiteHasAreRead(t *testing.T) {
-	for n, fits := range map[int]bool{1120: true, mostCategories: true, mostCategories + 1: false} {
+	for n, fits := range map[int]bool{1120: true, maxCategories: true, maxCategories + 1: false} {
 		path := filepath.Join(t.TempDir(), "sheet")
 		text := `{"listen":"a:1","discovery":"a:2","seed":"ff","settings":{"categories":[` +
 			strings.TrimSuffix(strings.Repeat(`{"name":"c","ttlNs":5},`, n), ",") + `]}}`
@@ -118,13 +128,14 @@
 			t.Fatal(err)
 		}
 		s, err := ReadBootstrap(path)
-		if fits && (err != nil || len(s.Categories()) != n) || !fits && (err == nil || !strings.HasSuffix(err.Error(), "2049 categories, at most 2048 are served")) {
+		if fits && (err != nil || len(s.Categories()) != n) || !fits && (err == nil || !strings.HasSuffix(err.Error(), "settings.categories: must have at most 2048 entries, got 2049")) {
 			t.Errorf("%d categories: %v", n, err)
 		}
 	}
 }
 
-// Which of the terms change at once and which wait for a restart is told apart for each, whatever else stays.
+// Which of the terms change at once and which wait for a restart is told apart for each, whatever else
+// stays.
 func TestWhatChangesAtOnceIsToldFromWhatWaits(t *testing.T) {
 	sheet := func(site map[string]any) *Bootstrap { return &Bootstrap{Settings: site} }
 	of := func(more ...any) map[string]any {
