--- a/cmd/woaddyke/copies.go
+++ b/cmd/woaddyke/copies_command.go
@@ -16,18 +16,18 @@
 	"woaddyke/internal/cluster/replica"
 )
 
-// errDiffer ends verify where copies are not the same.
-var errDiffer = errors.New("the copies differ")
+// errReplicasDiffer ends verify where copies are not the same.
+var errReplicasDiffer = errors.New("the copies differ")
 
-func showCopies() *cobra.Command {
+func copiesCommand() *cobra.Command {
 	var at, id, category string
 	c := &cobra.Command{Use: "copies", Short: "Show what one scheduler holds of the fates of ops, or an id's fate", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			out := c.OutOrStdout()
 			if id != "" {
-				var p page
+				var p recordsPage
 				q := url.Values{"id": {id}, "category": {category}}
-				if err := ask(at, "/api/copies/records?"+q.Encode(), &p); err != nil {
+				if err := getConsole(at, "/api/copies/records?"+q.Encode(), &p); err != nil {
 					return err
 				}
 				if len(p.Rows) == 0 {
@@ -41,7 +41,7 @@
 				return w.Flush()
 			}
 			var s replica.Status
-			if err := ask(at, "/api/copies", &s); err != nil {
+			if err := getConsole(at, "/api/copies", &s); err != nil {
 				return err
 			}
 			fmt.Fprintf(out, "keepers %s, turn %d, epoch %s\n", strings.Join(s.Replicas, ", "), s.Epoch, s.SetID)
@@ -53,7 +53,7 @@
 				fmt.Fprintf(out, "part in changes of keepers: %s\n", s.Agreement)
 			}
 			fmt.Fprintf(out, "keeper here: %v, with a vote: %v; %d records, %d bytes, digest %s\n", s.IsReplica, s.Voting, s.Records, s.Bytes, s.Digest)
-			fmt.Fprintf(out, "asking for %d ops, holding %d, telling of %d; %s\n", s.PendingClaims, s.GrantedClaims, s.PendingReports, counts(s.Counts))
+			fmt.Fprintf(out, "asking for %d ops, holding %d, telling of %d; %s\n", s.PendingClaims, s.GrantedClaims, s.PendingReports, formatCounts(s.Counts))
 			for _, l := range s.Peers {
 				fmt.Fprintf(out, "knows %s up to %d, with a vote: %v, caught up: %v\n", l.Replica, l.Position, l.Voting, l.CaughtUp)
 			}
@@ -62,24 +62,24 @@
 	c.PersistentFlags().StringVar(&at, "console", os.Getenv("RELAY_CONSOLE"), "the scheduler's second address; for verify those of all keepers, with commas")
 	c.Flags().StringVar(&id, "id", "", "show the fate of the op with this id")
 	c.Flags().StringVar(&category, "category", "", "of that op")
-	c.AddCommand(verify(&at), change(&at))
+	c.AddCommand(verifyCommand(&at), changeReplicasCommand(&at))
 	return c
 }
 
-// errNotChanged ends a change of keepers that did not come about.
-var errNotChanged = errors.New("the keepers are not changed")
+// errReplicasNotChanged ends a change of keepers that did not come about.
+var errReplicasNotChanged = errors.New("the keepers are not changed")
 
-const changeEvery = 200 * time.Millisecond // between two looks at a change
+const changePollInterval = 200 * time.Millisecond // between two looks at a change
 
-// change has other keepers agreed, and waits until the old ones may go.
-func change(at *string) *cobra.Command {
+// changeReplicasCommand has other keepers agreed, and waits until the old ones may go.
+func changeReplicasCommand(at *string) *cobra.Command {
 	var within time.Duration
 	c := &cobra.Command{Use: "keepers NAME...", Short: "Have these members keep copies from now on, by agreement of a majority of the old and the new",
 		Args: cobra.MinimumNArgs(1), RunE: func(c *cobra.Command, names []string) error {
 			out := c.OutOrStdout()
 			until := time.Now().Add(within)
-			for said := ""; ; time.Sleep(changeEvery) {
-				o, err := askKeepers(*at, names)
+			for said := ""; ; time.Sleep(changePollInterval) {
+				o, err := requestReplicas(*at, names)
 				if err != nil {
 					return err
 				}
@@ -91,12 +91,12 @@
 					break
 				}
 				if !o.Again || time.Now().After(until) {
-					return errNotChanged
+					return errReplicasNotChanged
 				}
 			}
-			for ; ; time.Sleep(changeEvery) {
+			for ; ; time.Sleep(changePollInterval) {
 				var s replica.Status // a fresh one: what is left out of an answer would stay as it was
-				if err := ask(*at, "/api/copies", &s); err != nil {
+				if err := getConsole(*at, "/api/copies", &s); err != nil {
 					return err
 				}
 				if len(s.PreviousReplicas) == 0 {
@@ -112,21 +112,21 @@
 	return c
 }
 
-// askKeepers asks once for a change from the keepers that there are.
-func askKeepers(at string, names []string) (o outcome, err error) {
+// requestReplicas asks once for a change from the keepers that there are.
+func requestReplicas(at string, names []string) (o changeResult, err error) {
 	var s replica.Status
-	if err := ask(at, "/api/copies", &s); err != nil {
+	if err := getConsole(at, "/api/copies", &s); err != nil {
 		return o, err
 	}
 	if s.Epoch == 0 {
 		return o, errors.New("changes of keepers are not founded: all keepers of the file must have been up at once, with agreed = true")
 	}
 	q := url.Values{"turn": {fmt.Sprint(s.Epoch)}, "keepers": {strings.Join(names, ",")}}
-	return o, call(http.MethodPost, at, "/api/copies/keepers?"+q.Encode(), &o)
+	return o, callConsole(http.MethodPost, at, "/api/copies/keepers?"+q.Encode(), &o)
 }
 
-// verify compares all copies and names differences: a claim that may still be used, or an end, that one keeper does not have.
-func verify(at *string) *cobra.Command {
+// verifyCommand compares all copies and names differences: a claim that may still be used, or an end, that one keeper does not have.
+func verifyCommand(at *string) *cobra.Command {
 	return &cobra.Command{Use: "verify", Short: "Compare the copies of several keepers, and name differences", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			addrs := strings.Split(*at, ",")
@@ -137,8 +137,8 @@
 			for _, addr := range addrs {
 				after := ""
 				for {
-					var p page
-					if err := ask(addr, "/api/copies/records?after="+url.QueryEscape(after), &p); err != nil {
+					var p recordsPage
+					if err := getConsole(addr, "/api/copies/records?after="+url.QueryEscape(after), &p); err != nil {
 						return err
 					}
 					for _, r := range p.Rows {
@@ -176,7 +176,7 @@
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d claims at %d keepers, %d differ\n", len(keys), len(addrs), differ)
 			if differ > 0 {
-				return errDiffer
+				return errReplicasDiffer
 			}
 			return nil
 		}}
--- a/cmd/woaddyke/copies_test.go
+++ b/cmd/woaddyke/copies_test.go
@@ -261,7 +261,7 @@
 		known := 0
 		for _, p := range c.Places[:3] {
 			for _, id := range []string{"seen", "late"} {
-				var x page
+				var x recordsPage
 				if p.Get("/api/copies/records?category=note&id="+id, &x) && len(x.Rows) == 1 && x.Rows[0].Group != "" {
 					known++
 				}
@@ -404,7 +404,7 @@
 		if again, text := repeat(t, c.Places[0], "pay", id); again != status || text != first {
 			t.Errorf("%.12s elsewhere: %d %.40q", id, again, text)
 		}
-		var records page
+		var records recordsPage
 		if !c.Places[0].Get("/api/copies/records?category=pay&id="+url.QueryEscape(id), &records) || len(records.Rows) != 1 {
 			t.Errorf("%.12s: staff see %+v", id, records.Rows)
 		}
--- a/cmd/woaddyke/operator.go
+++ b/cmd/woaddyke/features.go
@@ -12,16 +12,16 @@
 	"woaddyke/internal/config/features"
 )
 
-// offers are the tables of the operator's file. What is nil is off: no socket, no goroutine and no timer.
-type offers struct {
+// featureTables are the tables of the operator's file. What is nil is off: no socket, no goroutine and no timer.
+type featureTables struct {
 	Members *mesh.Config    `toml:"members"`
 	Copies  *replica.Config `toml:"copies"`
 }
 
-// readOffers reads the operator's file; without one nothing is offered.
-func readOffers(path string, sheet *config.Bootstrap) (*offers, error) {
+// readFeatures reads the operator's file; without one nothing is offered.
+func readFeatures(path string, sheet *config.Bootstrap) (*featureTables, error) {
 	if path == "" {
-		return &offers{}, nil
+		return &featureTables{}, nil
 	}
 	var named struct { // which tables are there: the others keep no defaults
 		Members *map[string]any `toml:"members"`
@@ -31,18 +31,18 @@
 	if err := features.Read(path, &named, all); err != nil {
 		return nil, err
 	}
-	o := &offers{}
+	o := &featureTables{}
 	if named.Members != nil {
 		o.Members = mesh.Defaults()
 	}
 	if named.Copies != nil {
 		o.Copies = replica.Defaults()
 	}
-	return o, features.Read(path, o, func() error { return o.check(sheet) })
+	return o, features.Read(path, o, func() error { return o.validate(sheet) })
 }
 
 // descriptors is how many the tables that are on may take.
-func (o *offers) descriptors() (n int) {
+func (o *featureTables) descriptors() (n int) {
 	if o.Members != nil {
 		n += mesh.Descriptors
 	}
@@ -52,7 +52,7 @@
 	return n
 }
 
-func (o *offers) check(sheet *config.Bootstrap) error {
+func (o *featureTables) validate(sheet *config.Bootstrap) error {
 	t := o.Members
 	if t == nil {
 		if o.Copies != nil {
--- a/cmd/woaddyke/golden_test.go
+++ b/cmd/woaddyke/golden_test.go
@@ -21,17 +21,17 @@
 
 // Guards the JSON keys that tools of the staff read at /api/staff.
 func TestStaffCallKeepsItsForm(t *testing.T) {
-	filled.CompareJSON(t, "testdata/staff.json.golden", filled.Value[told](t))
+	filled.CompareJSON(t, "testdata/staff.json.golden", filled.Value[operatorStatus](t))
 }
 
 // Guards the JSON keys that tools of the staff read at /api/copies/records.
 func TestRecordsCallKeepsItsForm(t *testing.T) {
-	filled.CompareJSON(t, "testdata/records.json.golden", filled.Value[page](t))
+	filled.CompareJSON(t, "testdata/records.json.golden", filled.Value[recordsPage](t))
 }
 
 // Guards the JSON keys that tools of the staff read after a change of keepers at /api/copies/keepers.
 func TestKeepersCallKeepsItsForm(t *testing.T) {
-	filled.CompareJSON(t, "testdata/keepers.json.golden", filled.Value[outcome](t))
+	filled.CompareJSON(t, "testdata/keepers.json.golden", filled.Value[changeResult](t))
 }
 
 // Guards that the members command reads each key it prints from what a scheduler of another build shows at /api/members, and the
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var read view
+	var read membersView
 	if err := json.Unmarshal(text, &read); err != nil {
 		t.Fatal(err)
 	}
@@ -53,9 +53,9 @@
 
 // Guards the methods and paths of the calls that tools of the staff make where members and copies are switched on.
 func TestCallsKeepTheirPaths(t *testing.T) {
-	p := &process{mesh: &mesh.Mesh{}, fates: &replica.Replica{}}
+	p := &process{mesh: &mesh.Mesh{}, replica: &replica.Replica{}}
 	var list bytes.Buffer
-	for _, c := range p.calls() {
+	for _, c := range p.consoleCalls() {
 		fmt.Fprintf(&list, "%s, changes: %v\n", c.Path, c.Changes)
 	}
 	golden.Compare(t, "testdata/calls.txt.golden", list.Bytes())
@@ -97,11 +97,11 @@
 func TestOffersKeepTheirKeys(t *testing.T) {
 	sheet := &config.Bootstrap{Name: "n1", RawSettings: map[string]any{"bounds": map[string]any{"peerMessages": true}}, Settings: map[string]any{},
 		Limits: config.Limits{Sockets: 1024}}
-	read, err := readOffers("testdata/operator.toml", sheet)
+	read, err := readFeatures("testdata/operator.toml", sheet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	filled.RequireDiffers(t, *read, offers{})
+	filled.RequireDiffers(t, *read, featureTables{})
 	filled.RequireDiffers(t, *read.Members, *mesh.Defaults())
 	filled.RequireDiffers(t, *read.Copies, *replica.Defaults())
 	text, err := toml.Marshal(read)
--- a/cmd/woaddyke/main.go
+++ b/cmd/woaddyke/main.go
@@ -16,15 +16,15 @@
 
 func main() {
 	if err := command().Execute(); err != nil {
-		complain(err)
+		reportError(err)
 		os.Exit(1)
 	}
 }
 
-const complaintTime = time.Second // for an error to be read before the process ends
+const reportTimeout = time.Second // for an error to be read before the process ends
 
-// complain says why the command failed, to whoever reads it in time.
-func complain(err error) {
+// reportError says why the command failed, to whoever reads it in time.
+func reportError(err error) {
 	said := make(chan struct{})
 	go func() {
 		fmt.Fprintln(os.Stderr, "woaddyke:", err)
@@ -32,18 +32,18 @@
 	}()
 	select {
 	case <-said:
-	case <-time.After(complaintTime):
+	case <-time.After(reportTimeout):
 	}
 }
 
 func command() *cobra.Command {
 	root := &cobra.Command{Use: "woaddyke", Short: "Pushes ops to workers, beside each submitter",
 		SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(serve(), check(), showMembers(), showCopies(), version())
+	root.AddCommand(serveCommand(), checkCommand(), membersCommand(), copiesCommand(), versionCommand())
 	return root
 }
 
-func check() *cobra.Command {
+func checkCommand() *cobra.Command {
 	var operators string
 	c := &cobra.Command{Use: "check FILE", Short: "Say what is wrong with a configuration",
 		Args: cobra.ExactArgs(1),
@@ -52,7 +52,7 @@
 			if err != nil {
 				return err
 			}
-			if _, err := readOffers(operators, sheet); err != nil {
+			if _, err := readFeatures(operators, sheet); err != nil {
 				return err
 			}
 			if _, err := frontend.New(sheet, zerolog.Nop()); err != nil {
@@ -65,7 +65,7 @@
 	return c
 }
 
-func version() *cobra.Command {
+func versionCommand() *cobra.Command {
 	return &cobra.Command{Use: "version", Short: "Say which build this is", Args: cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) {
 			build := "unknown"
--- a/cmd/woaddyke/members.go
+++ b/cmd/woaddyke/members_command.go
@@ -14,14 +14,16 @@
 	"github.com/spf13/cobra"
 )
 
-const staffTime = 3 * time.Second // for a scheduler to answer its staff
+const consoleTimeout = 3 * time.Second // for a scheduler to answer its staff
 
-// ask reads a call of a scheduler's second address.
-func ask(addr, path string, into any) error { return call(http.MethodGet, addr, path, into) }
+// getConsole reads a call of a scheduler's second address.
+func getConsole(addr, path string, into any) error {
+	return callConsole(http.MethodGet, addr, path, into)
+}
 
-// call makes a call on a second address.
-func call(method, addr, path string, into any) error {
-	client := http.Client{Timeout: staffTime}
+// callConsole makes a call on a second address.
+func callConsole(method, addr, path string, into any) error {
+	client := http.Client{Timeout: consoleTimeout}
 	r, err := http.NewRequest(method, "http://"+addr+path, nil)
 	if err != nil {
 		return err
@@ -40,8 +42,8 @@
 	return json.NewDecoder(io.LimitReader(resp.Body, 16<<20)).Decode(into)
 }
 
-// view is what the second address shows of members, as far as it is printed.
-type view struct {
+// membersView is what the second address shows of members, as far as it is printed.
+type membersView struct {
 	Self struct {
 		Name, Address, State string
 		Incarnation, Turn    uint64
@@ -62,7 +64,7 @@
 	}
 }
 
-func counts(m map[string]uint64) string {
+func formatCounts(m map[string]uint64) string {
 	var all []string
 	for k, v := range m {
 		all = append(all, fmt.Sprintf("%s %d", k, v))
@@ -71,7 +73,7 @@
 	return strings.Join(all, ", ")
 }
 
-func (v *view) print(out io.Writer) {
+func (v *membersView) print(out io.Writer) {
 	s := &v.Self
 	note := ""
 	if s.Deaf {
@@ -82,7 +84,7 @@
 	}
 	fmt.Fprintf(out, "%s at %s is %s, incarnation %d, turn %d%s; view %s\n", s.Name, s.Address, s.State, s.Incarnation, s.Turn, note, v.Digest)
 	fmt.Fprintf(out, "late by %.0f ms last, %.0f ms at worst; %.0f%% of direct pings lost; %s; dropped: %s\n", v.LateMS, v.WorstMS, 100*s.Loss,
-		counts(s.Counts), counts(v.Dropped))
+		formatCounts(s.Counts), formatCounts(v.Dropped))
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tSTATE\tFOR\tBY\tINCARNATION\tTURN\tROUND TRIP\tFROM HERE\tADDRESS")
 	for _, m := range v.Members {
@@ -98,17 +100,17 @@
 	w.Flush()
 }
 
-func showMembers() *cobra.Command {
+func membersCommand() *cobra.Command {
 	var at string
 	c := &cobra.Command{Use: "members", Short: "Show which schedulers one of them holds to be here, doubted or gone", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var v view
-			if err := ask(at, "/api/members", &v); err != nil {
+			var v membersView
+			if err := getConsole(at, "/api/members", &v); err != nil {
 				return err
 			}
 			v.print(c.OutOrStdout())
-			var s told
-			if err := ask(at, "/api/staff", &s); err != nil {
+			var s operatorStatus
+			if err := getConsole(at, "/api/staff", &s); err != nil {
 				return err
 			}
 			if len(s.Differ) > 0 {
--- a/cmd/woaddyke/members_test.go
+++ b/cmd/woaddyke/members_test.go
@@ -204,7 +204,7 @@
 	resp.Body.Close()
 	for i, want := range [][]string{{"n3"}, {"n3"}, {"n1", "n2"}} {
 		c.Await("it knows who differs and who is evacuated", func() bool {
-			var x told
+			var x operatorStatus
 			return c.Places[i].Get("/api/staff", &x) && slices.Equal(x.Differ, want) && slices.Contains(x.Away, "n2") == (i != 1)
 		})
 	}
--- a/cmd/woaddyke/operator_test.go
+++ b/cmd/woaddyke/operator_test.go
@@ -16,7 +16,7 @@
 // The example in deploy/ must be a file that the program takes, with all its defaults as stated.
 func TestTheExampleOfTheOperatorsFileIsFit(t *testing.T) {
 	sheet := &config.Bootstrap{Name: "n1", Limits: config.Limits{Sockets: 1024}, Settings: map[string]any{}}
-	o, err := readOffers("../../deploy/operator.toml", sheet)
+	o, err := readFeatures("../../deploy/operator.toml", sheet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 	}
 	path := filepath.Join(t.TempDir(), "bare.toml")
 	os.WriteFile(path, []byte(strings.Join(bare, "\n")), 0o600)
-	b, err := readOffers(path, sheet)
+	b, err := readFeatures(path, sheet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 		guards + "keepers=[\"a\"]\nspares=[\"b\"]\n", guards + "keepers=[\"a\"]\njoin=\"2h\"\n", guards + "keepers=[\"a\"]\ncatch_up=1\n",
 		guards + "keepers=[\"" + sheet.Name + "\"]\nagreed=true\n"} {
 		os.WriteFile(path, []byte(bad), 0o600)
-		if _, err := readOffers(path, sheet); err == nil || strings.Count(err.Error(), "\n") > 0 || !strings.Contains(err.Error(), "bare.toml:") {
+		if _, err := readFeatures(path, sheet); err == nil || strings.Count(err.Error(), "\n") > 0 || !strings.Contains(err.Error(), "bare.toml:") {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
@@ -67,26 +67,26 @@
 // Where the operator's file is not named, membership must cost nothing: the bench and the platform have it off.
 func TestWithoutAnOperatorsFileNothingMoreRuns(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	runs := func(o offers) (mesh bool) {
+	runs := func(o featureTables) (mesh bool) {
 		p := replaceable(t, "127.0.0.1:0")
-		p.offers, p.sheet.Name, p.log, p.stop = o, "n1", zerolog.Nop(), func() {}
-		at, err := p.begin()
+		p.features, p.bootstrap.Name, p.log, p.stop = o, "n1", zerolog.Nop(), func() {}
+		at, err := p.openServer()
 		if err != nil {
 			t.Fatal(err)
 		}
 		stop, ended := p.start(at)
-		<-p.front.Ready()
+		<-p.server.Ready()
 		room := make([]byte, 1<<20)
 		mesh = strings.Contains(string(room[:runtime.Stack(room, true)]), "woaddyke/internal/cluster/mesh")
 		if stop(); p.mesh != nil { // its sockets and timers are its own
-			p.board.close()
+			p.operatorBoard.close()
 			p.mesh.Close()
 			mesh = true
 		}
 		<-ended
 		return mesh
 	}
-	o, err := readOffers("", &config.Bootstrap{})
+	o, err := readFeatures("", &config.Bootstrap{})
 	if err != nil || o.Members != nil {
 		t.Fatalf("%+v, %v", o, err)
 	}
@@ -95,7 +95,7 @@
 	}
 	path := filepath.Join(t.TempDir(), "on.toml")
 	os.WriteFile(path, []byte("[members]\ncluster=\"a\"\nlisten=\"127.0.0.1:0\"\n"), 0o600)
-	if o, err = readOffers(path, &config.Bootstrap{Name: "n1", Limits: config.Limits{Sockets: 1024}, Settings: map[string]any{}}); err != nil {
+	if o, err = readFeatures(path, &config.Bootstrap{Name: "n1", Limits: config.Limits{Sockets: 1024}, Settings: map[string]any{}}); err != nil {
 		t.Fatal(err)
 	}
 	if !runs(*o) {
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	for _, sockets := range []int{64, 99, 100} {
-		_, err := readOffers(path, &config.Bootstrap{Name: "n1", Limits: config.Limits{Sockets: sockets}, Settings: map[string]any{}})
+		_, err := readFeatures(path, &config.Bootstrap{Name: "n1", Limits: config.Limits{Sockets: sockets}, Settings: map[string]any{}})
 		if enough := sockets == 100; (err == nil) != enough || !enough && !strings.Contains(err.Error(), "100 at least") {
 			t.Errorf("%d: %v", sockets, err)
 		}
--- a/cmd/woaddyke/process.go
+++ b/cmd/woaddyke/process.go
@@ -26,29 +26,29 @@
 
 // process is one scheduler's process, which may take the place of another and be replaced by one.
 type process struct {
-	sheet *config.Bootstrap
-	front *frontend.Server
-	log   zerolog.Logger
-	lost  func() uint64 // lines of the log that nobody could read; nil where nobody counts
-
-	offers offers
-	board  *board           // beside mesh
-	mesh   *mesh.Mesh       // nil where the operator's file has no members
-	fates  *replica.Replica // nil where it has no copies
-	stop   func()           // ends this process as SIGTERM does
-
-	mu      sync.Mutex
-	offered io.Closer // ends the offer that is on
+	bootstrap    *config.Bootstrap
+	server       *frontend.Server
+	log          zerolog.Logger
+	lostLogLines func() uint64 // lines of the log that nobody could read; nil where nobody counts
+
+	features      featureTables
+	operatorBoard *operatorBoard   // beside mesh
+	mesh          *mesh.Mesh       // nil where the operator's file has no members
+	replica       *replica.Replica // nil where it has no copies
+	stop          func()           // ends this process as SIGTERM does
+
+	mu             sync.Mutex
+	successorOffer io.Closer // ends the offer that is on
 }
 
-// memory sets how much the collector may let grow, with so many processes beside one another. The rest is for stacks, the
+// setMemoryLimit sets how much the collector may let grow, with so many processes beside one another. The rest is for stacks, the
 // program itself and what the kernel counts against it.
-func (p *process) memory(processes int64) {
-	debug.SetMemoryLimit(int64(p.sheet.Limits.MemoryMB) << 20 * 3 / 4 / processes)
+func (p *process) setMemoryLimit(processes int64) {
+	debug.SetMemoryLimit(int64(p.bootstrap.Limits.MemoryMB) << 20 * 3 / 4 / processes)
 }
 
-// fewer takes the machine's own bound on descriptors for the configuration's where it is lower: what lies beyond is not there.
-func fewer(sheet *config.Bootstrap, log zerolog.Logger) {
+// limitDescriptors takes the machine's own bound on descriptors for the configuration's where it is lower: what lies beyond is not there.
+func limitDescriptors(sheet *config.Bootstrap, log zerolog.Logger) {
 	var r unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &r); err != nil || r.Cur >= uint64(sheet.Limits.Sockets) {
 		return
@@ -57,54 +57,54 @@
 	sheet.Limits.Sockets = int(r.Cur)
 }
 
-// make makes the scheduler, from what one before handed over if one did, and has it leave descriptors for what the operator's file has run beside it.
-func (p *process) make(before *hotrestart.State) (err error) {
-	if p.front, err = frontend.NewSuccessor(p.sheet, before, p.log); err != nil {
+// createServer makes the scheduler, from what one before handed over if one did, and has it leave descriptors for what the operator's file has run beside it.
+func (p *process) createServer(before *hotrestart.State) (err error) {
+	if p.server, err = frontend.NewSuccessor(p.bootstrap, before, p.log); err != nil {
 		return err
 	}
-	if p.lost != nil {
-		p.front.SetLostLogLines(p.lost)
+	if p.lostLogLines != nil {
+		p.server.SetLostLogLines(p.lostLogLines)
 	}
-	if n := p.offers.descriptors(); n > 0 {
-		p.front.Reserve(n)
+	if n := p.features.descriptors(); n > 0 {
+		p.server.Reserve(n)
 	}
 	return nil
 }
 
-// begin makes the scheduler and its listening socket, from those of a process that is to be replaced if there is one.
-func (p *process) begin() (at net.Listener, err error) {
+// openServer makes the scheduler and its listening socket, from those of a process that is to be replaced if there is one.
+func (p *process) openServer() (at net.Listener, err error) {
 	var legacy *transfer.Handover
 	stranger := false // beside another's scheduler clients would come to either
-	if p.sheet.Console != "" {
-		asker, err := p.asker().Encode()
+	if p.bootstrap.Console != "" {
+		asker, err := p.handoverRequest().Encode()
 		if err != nil {
 			return nil, err
 		}
-		legacy, err = p.ask(asker)
+		legacy, err = p.receiveHandover(asker)
 		if err != nil && !errors.Is(err, os.ErrNotExist) && !errors.Is(err, syscall.ECONNREFUSED) {
 			p.log.Warn().Err(err).Msg("nothing taken over")
 		}
 		stranger = errors.Is(err, transfer.ErrRefused)
 	}
 	if legacy != nil {
-		if at, err = p.inherit(legacy); err == nil {
+		if at, err = p.restore(legacy); err == nil {
 			return at, nil
 		}
 		legacy.Close()
 		p.log.Warn().Err(err).Msg("nothing taken over")
 	}
-	if err = p.make(nil); err != nil {
+	if err = p.createServer(nil); err != nil {
 		return nil, err
 	}
 	var how net.ListenConfig
-	if p.sheet.Console != "" && !stranger {
-		how.Control = shared
+	if p.bootstrap.Console != "" && !stranger {
+		how.Control = setReusePort
 	}
-	at, err = oserror.RetryTransient(func() (net.Listener, error) { return how.Listen(context.Background(), "tcp", p.sheet.Listen) })
+	at, err = oserror.RetryTransient(func() (net.Listener, error) { return how.Listen(context.Background(), "tcp", p.bootstrap.Listen) })
 	if err != nil {
 		return nil, fmt.Errorf("listening: %w", err)
 	}
-	if err = p.join(nil, hotrestart.State{}); err != nil {
+	if err = p.joinCluster(nil, hotrestart.State{}); err != nil {
 		at.Close()
 		return nil, err
 	}
@@ -112,39 +112,39 @@
 }
 
 const (
-	joinTime = 5 * time.Second // for the process before to become a member, so that it can hand that over
-	askEvery = 100 * time.Millisecond
+	joinTimeout     = 5 * time.Second // for the process before to become a member, so that it can hand that over
+	receiveInterval = 100 * time.Millisecond
 )
 
-// ask takes over from the process before. One that is not a member yet, or not just now, is asked again: its member's address can only be
+// receiveHandover takes over from the process before. One that is not a member yet, or not just now, is asked again: its member's address can only be
 // had from it, and without that this process could not start.
-func (p *process) ask(asker []byte) (*transfer.Handover, error) {
-	path, there := transfer.SocketPath(p.sheet.Listen, p.sheet.Name), false
-	for until := time.Now().Add(joinTime); ; time.Sleep(askEvery) {
+func (p *process) receiveHandover(asker []byte) (*transfer.Handover, error) {
+	path, there := transfer.SocketPath(p.bootstrap.Listen, p.bootstrap.Name), false
+	for until := time.Now().Add(joinTimeout); ; time.Sleep(receiveInterval) {
 		legacy, err := transfer.Receive(path, asker)
-		if p.offers.Members == nil || errors.Is(err, transfer.ErrRefused) || err != nil && !there || time.Now().After(until) {
+		if p.features.Members == nil || errors.Is(err, transfer.ErrRefused) || err != nil && !there || time.Now().After(until) {
 			return legacy, err
 		}
 		if there = true; err != nil {
 			continue // between two offers of its own
 		}
-		if state, err := hotrestart.DecodeState(legacy.Text); err != nil || len(state.Membership) > 0 {
+		if state, err := hotrestart.DecodeState(legacy.State); err != nil || len(state.Membership) > 0 {
 			return legacy, nil
 		}
 		legacy.Close()
 	}
 }
 
-// shared lets the process that takes this one's place listen beside it, where it could not take the socket over.
-func shared(_, _ string, c syscall.RawConn) error {
+// setReusePort lets the process that takes this one's place listen beside it, where it could not take the socket over.
+func setReusePort(_, _ string, c syscall.RawConn) error {
 	var no error
 	err := c.Control(func(fd uintptr) { no = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
 	return errors.Join(err, no)
 }
 
-// inherit makes the scheduler from what came, and its listening socket from the one that came.
-func (p *process) inherit(legacy *transfer.Handover) (listener net.Listener, err error) {
-	state, err := hotrestart.DecodeState(legacy.Text)
+// restore makes the scheduler from what came, and its listening socket from the one that came.
+func (p *process) restore(legacy *transfer.Handover) (listener net.Listener, err error) {
+	state, err := hotrestart.DecodeState(legacy.State)
 	if err != nil {
 		return nil, err
 	}
@@ -160,60 +160,60 @@
 			at.Close() // open and unread, it would go on being dealt clients
 		}
 	}()
-	if _, want, err := net.SplitHostPort(p.sheet.Listen); err == nil {
+	if _, want, err := net.SplitHostPort(p.bootstrap.Listen); err == nil {
 		if _, got, _ := net.SplitHostPort(at.Addr().String()); want != "0" && got != want {
 			return nil, fmt.Errorf("handover: the socket that came is at %s", at.Addr())
 		}
 	}
 	var peers *net.UDPConn
-	if len(legacy.Files) > 1 && p.sheet.Peers != nil && len(state.Membership) == 0 {
+	if len(legacy.Files) > 1 && p.bootstrap.Peers != nil && len(state.Membership) == 0 {
 		conn, err := oserror.RetryTransient(func() (net.PacketConn, error) { return net.FilePacketConn(legacy.Files[1]) })
 		if err != nil {
 			return nil, fmt.Errorf("handover: %w", err)
 		}
 		peers, _ = conn.(*net.UDPConn)
 	}
-	p.sheet.KnownWorkers = state.KnownWorkers
-	if err = p.make(&state); err != nil {
+	p.bootstrap.KnownWorkers = state.KnownWorkers
+	if err = p.createServer(&state); err != nil {
 		return nil, err
 	}
-	if err = p.join(legacy, state); err != nil {
+	if err = p.joinCluster(legacy, state); err != nil {
 		return nil, err
 	}
 	for _, f := range legacy.Files {
 		f.Close() // what is used of them was duplicated
 	}
-	p.front.RestoreState(state, peers)
-	p.memory(2)
+	p.server.RestoreState(state, peers)
+	p.setMemoryLimit(2)
 	p.log.Info().Int("sockets", state.Sockets).Msg("took over")
 	go func() {
 		<-legacy.PredecessorEnded
-		p.front.Limit(p.sheet.Limits.Sockets)
-		p.memory(1)
+		p.server.Limit(p.bootstrap.Limits.Sockets)
+		p.setMemoryLimit(1)
 		p.log.Info().Msg("the process before has ended")
 	}()
 	return at, nil
 }
 
-// offer lets another process take the place of this one, once this one serves.
-func (p *process) offer() {
-	<-p.front.Ready()
+// offerHandover lets another process take the place of this one, once this one serves.
+func (p *process) offerHandover() {
+	<-p.server.Ready()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.offered != nil {
-		p.offered.Close()
+	if p.successorOffer != nil {
+		p.successorOffer.Close()
 	}
 	var err error
-	if p.offered, err = transfer.Serve(transfer.SocketPath(p.sheet.Listen, p.sheet.Name), p, p.log); err != nil {
+	if p.successorOffer, err = transfer.Serve(transfer.SocketPath(p.bootstrap.Listen, p.bootstrap.Name), p, p.log); err != nil {
 		p.log.Warn().Err(err).Msg("no process can take over from this one")
 	}
 }
 
-// asker is who this process is to one whose place it may take, and to one that may take its own.
-func (p *process) asker() hotrestart.Request {
-	a := hotrestart.Request{Name: p.sheet.Name, Listen: p.sheet.Listen, Discovery: p.sheet.Discovery, Settings: p.sheet.SettingsHash()}
-	if p.front != nil {
-		a.Discovery, a.Settings = p.front.Discovery(), p.front.SettingsHash()
+// handoverRequest is who this process is to one whose place it may take, and to one that may take its own.
+func (p *process) handoverRequest() hotrestart.Request {
+	a := hotrestart.Request{Name: p.bootstrap.Name, Listen: p.bootstrap.Listen, Discovery: p.bootstrap.Discovery, Settings: p.bootstrap.SettingsHash()}
+	if p.server != nil {
+		a.Discovery, a.Settings = p.server.Discovery(), p.server.SettingsHash()
 	}
 	return a
 }
@@ -222,28 +222,28 @@
 func (p *process) HandOver(asker []byte) ([]byte, []syscall.Conn, error) {
 	a, err := hotrestart.DecodeRequest(asker)
 	if err == nil {
-		err = a.CheckSuccessorOf(p.asker())
+		err = a.CheckSuccessorOf(p.handoverRequest())
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	return p.front.HandOver(p.giveMember)
+	return p.server.HandOver(p.handOverMembership)
 }
 
 // SetSuccessor shares what only one process may use. An heir that was ready has offered in this one's place; when it has ended, the
 // next would find nobody there.
 func (p *process) SetSuccessor(there bool) {
-	p.front.SetSuccessor(there)
+	p.server.SetSuccessor(there)
 	if there {
-		p.memory(2)
+		p.setMemoryLimit(2)
 		return
 	}
-	p.memory(1)
+	p.setMemoryLimit(1)
 	if p.mesh != nil {
 		p.mesh.Resume()
 	}
-	if p.fates != nil {
-		p.fates.Resumed()
+	if p.replica != nil {
+		p.replica.Resumed()
 	}
-	p.offer()
+	p.offerHandover()
 }
--- a/cmd/woaddyke/process_test.go
+++ b/cmd/woaddyke/process_test.go
@@ -30,7 +30,7 @@
 
 // replaceable is a process with a stand-in discovery that knows no worker.
 func replaceable(t *testing.T, listen string) *process {
-	return &process{log: zerolog.Nop(), sheet: &config.Bootstrap{Listen: listen, Console: "127.0.0.1:0",
+	return &process{log: zerolog.Nop(), bootstrap: &config.Bootstrap{Listen: listen, Console: "127.0.0.1:0",
 		Discovery: discoveryOf(t, `{"rev":7,"all":true,"targets":[]}`), Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
 		Settings: config.Flatten(map[string]any{"categories": []any{map[string]any{"name": "look", "ttlNs": 3e9}}})}}
 }
@@ -39,7 +39,7 @@
 func (p *process) start(at net.Listener) (stop func(), ended chan error) {
 	ctx, stop := context.WithCancel(context.Background())
 	ended = make(chan error, 1)
-	go func() { ended <- p.front.Serve(ctx, at, 3*time.Second) }()
+	go func() { ended <- p.server.Serve(ctx, at, 3*time.Second) }()
 	return stop, ended
 }
 
@@ -79,26 +79,26 @@
 	addr := freeAddr(t)
 	first, log := replaceable(t, addr), &lines{}
 	first.log = zerolog.New(log)
-	at, err := first.begin()
+	at, err := first.openServer()
 	if err != nil {
 		t.Fatal(err)
 	}
 	stop, ended := first.start(at)
 	defer stop()
-	first.offer()
+	first.offerHandover()
 	kept := dial(t, addr)
 	if status, ends := health(t, kept); status != http.StatusOK || ends {
 		t.Fatalf("the first process: %d, ends %v", status, ends)
 	}
 
 	second := replaceable(t, addr)
-	heirs, err := second.begin()
+	heirs, err := second.openServer()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var known struct{ Rev int }
-	if err := json.Unmarshal(second.sheet.KnownWorkers, &known); err != nil || known.Rev != 7 {
-		t.Errorf("the list that came: %s, %v", second.sheet.KnownWorkers, err)
+	if err := json.Unmarshal(second.bootstrap.KnownWorkers, &known); err != nil || known.Rev != 7 {
+		t.Errorf("the list that came: %s, %v", second.bootstrap.KnownWorkers, err)
 	}
 	stop()
 	await(t, "it has noted that it is to end", log, func() bool { return strings.Contains(log.String(), `"message":"stopping"`) })
@@ -115,9 +115,9 @@
 	if status, ends := health(t, waits); status != http.StatusOK || ends {
 		t.Errorf("the second process: %d, ends %v", status, ends)
 	}
-	second.offer()
+	second.offerHandover()
 	third := replaceable(t, addr)
-	if last, err := third.begin(); err != nil || third.sheet.KnownWorkers == nil {
+	if last, err := third.openServer(); err != nil || third.bootstrap.KnownWorkers == nil {
 		t.Errorf("the third process: %v", err)
 	} else {
 		last.Close()
@@ -131,13 +131,13 @@
 func TestWithoutALegacyAProcessListensBesideTheOther(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	first := replaceable(t, "127.0.0.1:0")
-	at, err := first.begin()
+	at, err := first.openServer()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer at.Close()
 	second := replaceable(t, at.Addr().String())
-	beside, err := second.begin()
+	beside, err := second.openServer()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,23 +150,23 @@
 	t.Setenv("TMPDIR", t.TempDir())
 	addr := freeAddr(t)
 	first := replaceable(t, addr)
-	at, err := first.begin()
+	at, err := first.openServer()
 	if err != nil {
 		t.Fatal(err)
 	}
 	stop, ended := first.start(at)
 	defer stop()
-	first.offer()
+	first.offerHandover()
 	other := replaceable(t, addr)
-	other.sheet.Settings = config.Flatten(map[string]any{"categories": []any{map[string]any{"name": "pay", "ttlNs": 3e9}}})
-	if at, err := other.begin(); err == nil {
+	other.bootstrap.Settings = config.Flatten(map[string]any{"categories": []any{map[string]any{"name": "pay", "ttlNs": 3e9}}})
+	if at, err := other.openServer(); err == nil {
 		at.Close()
 		t.Error("it listens where another's clients come")
 	}
-	if other.sheet.KnownWorkers != nil {
-		t.Errorf("it knows another's workers: %s", other.sheet.KnownWorkers)
+	if other.bootstrap.KnownWorkers != nil {
+		t.Errorf("it knows another's workers: %s", other.bootstrap.KnownWorkers)
 	}
-	if first.front.HasSuccessor() {
+	if first.server.HasSuccessor() {
 		t.Error("the one that serves takes it for its heir")
 	}
 	for range 5 {
--- a/cmd/woaddyke/serve.go
+++ b/cmd/woaddyke/serve.go
@@ -20,9 +20,9 @@
 	"woaddyke/internal/observe/logsink"
 )
 
-const logEnd = time.Second // for the last lines of the log to be read
+const logFlushTimeout = time.Second // for the last lines of the log to be read
 
-func serve() *cobra.Command {
+func serveCommand() *cobra.Command {
 	var path, level, staff, operators string
 	var within time.Duration
 	c := &cobra.Command{Use: "serve", Short: "Run a scheduler until SIGTERM; SIGHUP rereads the configuration", Args: cobra.NoArgs,
@@ -38,7 +38,7 @@
 			zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 			signal.Ignore(syscall.SIGPIPE) // whoever reads the log may leave
 			sink := logsink.New(os.Stderr)
-			defer sink.Close(logEnd)
+			defer sink.Close(logFlushTimeout)
 			log := zerolog.New(sink).Level(l).With().Timestamp().Logger()
 			sheet, err := oserror.RetryTransient(func() (*config.Bootstrap, error) { return config.ReadBootstrap(path) })
 			if err != nil {
@@ -47,8 +47,8 @@
 			if sheet.Console == "" {
 				sheet.Console = staff
 			}
-			fewer(sheet, log)
-			offers, err := readOffers(operators, sheet)
+			limitDescriptors(sheet, log)
+			offers, err := readFeatures(operators, sheet)
 			if err != nil {
 				return err
 			}
@@ -60,23 +60,23 @@
 				<-told
 				stop()
 			}()
-			p := &process{sheet: sheet, log: log, lost: sink.Lost, offers: *offers, stop: stop}
-			p.memory(1)
-			at, err := p.begin()
+			p := &process{bootstrap: sheet, log: log, lostLogLines: sink.Lost, features: *offers, stop: stop}
+			p.setMemoryLimit(1)
+			at, err := p.openServer()
 			if err != nil {
 				return err
 			}
 			if p.mesh != nil {
 				defer p.mesh.Close()
-				defer p.board.close()
-				defer context.AfterFunc(ctx, p.leave)()
-				if p.fates != nil {
-					defer p.fates.Close()
+				defer p.operatorBoard.close()
+				defer context.AfterFunc(ctx, p.leaveCluster)()
+				if p.replica != nil {
+					defer p.replica.Close()
 				}
 			}
 			go func() {
 				for range reread {
-					p.front.ReloadConfig(path)
+					p.server.ReloadConfig(path)
 				}
 			}()
 			if sheet.Console != "" {
@@ -85,10 +85,10 @@
 					return fmt.Errorf("listening for staff: %w", err)
 				}
 				defer calls.Close()
-				console.Serve(calls, p.front, log, p.calls()...)
-				go p.offer()
+				console.Serve(calls, p.server, log, p.consoleCalls()...)
+				go p.offerHandover()
 			}
-			return p.front.Serve(ctx, at, within)
+			return p.server.Serve(ctx, at, within)
 		}}
 	c.Flags().StringVar(&path, "config", os.Getenv("RELAY_CONFIG"), "file with what this scheduler is told")
 	c.Flags().StringVar(&staff, "console", os.Getenv("RELAY_CONSOLE"), "address for staff, where the configuration names none")
--- a/internal/base/oserror/oserror.go
+++ b/internal/base/oserror/oserror.go
@@ -23,7 +23,7 @@
 	Closed                           // this side has closed
 )
 
-var kinds = map[syscall.Errno]Kind{
+var kindByErrno = map[syscall.Errno]Kind{
 	syscall.EINTR:  Transient,
 	syscall.EAGAIN: Transient,
 
@@ -61,7 +61,7 @@
 	}
 	var errno syscall.Errno
 	if errors.As(err, &errno) {
-		return kinds[errno]
+		return kindByErrno[errno]
 	}
 	return Unknown
 }
@@ -81,12 +81,12 @@
 	return Classify(err) == DescriptorsExhausted || slices.ContainsFunc(shortages, func(short error) bool { return errors.Is(err, short) })
 }
 
-// startTime is how long a start waits for what the machine is short of.
-const startTime = 10 * time.Second
+// retryTimeout is how long a start waits for what the machine is short of.
+const retryTimeout = 10 * time.Second
 
 // RetryTransient tries what a start needs, and again while the machine is short of something, for ten seconds at most.
 func RetryTransient[T any](try func() (T, error)) (T, error) {
-	until := time.Now().Add(startTime)
+	until := time.Now().Add(retryTimeout)
 	for failures := 1; ; failures++ {
 		x, err := try()
 		if err == nil || !Short(err) || time.Now().After(until) {
@@ -110,21 +110,21 @@
 }
 
 const (
-	firstPause = time.Millisecond
-	mostPause  = 100 * time.Millisecond
-	mostTries  = 60 // of one read or write: about five seconds
+	minBackoff  = time.Millisecond
+	maxBackoff  = 100 * time.Millisecond
+	maxAttempts = 60 // of one read or write: about five seconds
 )
 
 // Backoff is how long to wait after so many failures in a row, 1 for the first one: a failure that lasts must not be a spin.
 func Backoff(failures int) time.Duration {
-	return min(firstPause<<min(max(failures-1, 0), 10), mostPause)
+	return min(minBackoff<<min(max(failures-1, 0), 10), maxBackoff)
 }
 
 // Read reads, and again where the machine lacked something for a moment.
 func Read(read func([]byte) (int, error), b []byte) (int, error) {
 	for tries := 1; ; tries++ {
 		n, err := read(b)
-		if n > 0 || err == nil || !IsLocal(err) || tries == mostTries {
+		if n > 0 || err == nil || !IsLocal(err) || tries == maxAttempts {
 			return n, err
 		}
 		time.Sleep(Backoff(tries))
@@ -138,7 +138,7 @@
 		if n > 0 {
 			written, tries = written+n, 1
 		}
-		if err == nil || !IsLocal(err) || tries == mostTries {
+		if err == nil || !IsLocal(err) || tries == maxAttempts {
 			return written, err
 		}
 		time.Sleep(Backoff(tries))
--- a/internal/base/oserror/oserror_test.go
+++ b/internal/base/oserror/oserror_test.go
@@ -102,7 +102,7 @@
 	last := time.Duration(0)
 	for k := range 100 {
 		p := Backoff(k)
-		if p < last || p < firstPause || p > mostPause {
+		if p < last || p < minBackoff || p > maxBackoff {
 			t.Errorf("%d: %v after %v", k, p, last)
 		}
 		last = p
--- a/internal/lifecycle/boottime/boottime.go
+++ b/internal/lifecycle/boottime/boottime.go
@@ -35,7 +35,7 @@
 	return time.Duration(t.Nano())
 }
 
-var boot = sync.OnceValue(func() string {
+var bootID = sync.OnceValue(func() string {
 	text, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
 		return ""
@@ -44,4 +44,4 @@
 })
 
 // Now is this moment.
-func Now() Reading { return Reading{boot(), Since()} }
+func Now() Reading { return Reading{bootID(), Since()} }
--- a/internal/lifecycle/hotrestart/hotrestart.go
+++ b/internal/lifecycle/hotrestart/hotrestart.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const version = 3 // of State and Asker: a process hands nothing to one that reads it otherwise
+const formatVersion = 3 // of State and Asker: a process hands nothing to one that reads it otherwise
 
 // State is what the giver knows and its heir can't read in the configuration.
 type State struct {
@@ -24,7 +24,7 @@
 	Membership     []byte          `json:"members"` // what it is to other schedulers; its two sockets come last. Empty: nothing
 }
 
-func text(of any) ([]byte, error) {
+func encode(of any) ([]byte, error) {
 	b, err := json.Marshal(of)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -32,13 +32,13 @@
 	return b, nil
 }
 
-// read reads what came, of this form alone.
-func read(text []byte, into any, form *int) error {
+// decode reads what came, of this form alone.
+func decode(text []byte, into any, form *int) error {
 	if err := json.Unmarshal(text, into); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	if *form != version {
-		return fmt.Errorf("handover: version %d, this process reads %d", *form, version)
+	if *form != formatVersion {
+		return fmt.Errorf("handover: version %d, this process reads %d", *form, formatVersion)
 	}
 	return nil
 }
@@ -54,14 +54,14 @@
 
 // Encode are an asker as it is sent.
 func (a Request) Encode() ([]byte, error) {
-	a.Version = version
-	return text(a)
+	a.Version = formatVersion
+	return encode(a)
 }
 
 // DecodeRequest is an asker as it came.
 func DecodeRequest(text []byte) (Request, error) {
 	var a Request
-	if err := read(text, &a, &a.Version); err != nil {
+	if err := decode(text, &a, &a.Version); err != nil {
 		return Request{}, err
 	}
 	return a, nil
@@ -84,14 +84,14 @@
 
 // Encode are the state as it is sent.
 func (s State) Encode() ([]byte, error) {
-	s.Version = version
-	return text(s)
+	s.Version = formatVersion
+	return encode(s)
 }
 
 // DecodeState is the state as it came.
 func DecodeState(text []byte) (State, error) {
 	var s State
-	if err := read(text, &s, &s.Version); err != nil {
+	if err := decode(text, &s, &s.Version); err != nil {
 		return State{}, err
 	}
 	if s.Sockets <= 0 {
--- a/internal/lifecycle/hotrestart/transfer/transfer.go
+++ b/internal/lifecycle/hotrestart/transfer/transfer.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	sendTime     = time.Second     // for a whole message
-	giveTime     = 3 * time.Second // for a giver that may stand for a moment, or whose loop is busy, to answer with all that it hands over
-	longest      = 64 << 20        // bytes of one: 24 MB learned of 12,600 workers, 12 MiB of ids, lists and members, and as much again
-	longestAsker = 64 << 10
-	mostSockets  = 4 // that come with one
+	sendTimeout     = time.Second     // for a whole message
+	receiveTimeout  = 3 * time.Second // for a giver that may stand for a moment, or whose loop is busy, to answer with all that it hands over
+	maxStateBytes   = 64 << 20        // bytes of one: 24 MB learned of 12,600 workers, 12 MiB of ids, lists and members, and as much again
+	maxRequestBytes = 64 << 10
+	maxSockets      = 4 // that come with one
 )
 
 // SocketPath is where a scheduler of this name with this address for clients hands over. The same address may be another one's in another
@@ -39,10 +39,10 @@
 
 // Handover is what a process got from the one before it.
 type Handover struct {
-	Text             []byte
+	State            []byte
 	Files            []*os.File    // the sockets, in the order in which they were given
 	PredecessorEnded chan struct{} // closed when the giver has ended
-	line             *retryConn
+	conn             *retryConn
 }
 
 // Close lets the giver go on alone: what it gave is of no use.
@@ -50,7 +50,7 @@
 	for _, f := range l.Files {
 		f.Close()
 	}
-	l.line.Close()
+	l.conn.Close()
 }
 
 // ErrRefused is the giver's word that it hands nothing to this asker.
@@ -60,14 +60,14 @@
 // there is none.
 func Receive(path string, asker []byte) (*Handover, error) {
 	// A process that does not hear of the one before, for want of a descriptor, would serve ids beside it that it does not know.
-	nc, err := oserror.RetryTransient(func() (net.Conn, error) { return net.DialTimeout("unix", path, sendTime) })
+	nc, err := oserror.RetryTransient(func() (net.Conn, error) { return net.DialTimeout("unix", path, sendTimeout) })
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	line := &retryConn{nc.(*net.UnixConn)}
 	var l *Handover
-	if err = introduce(line, asker); err == nil {
-		l, err = receive(line)
+	if err = writeRequest(line, asker); err == nil {
+		l, err = readHandover(line)
 	}
 	if err != nil {
 		line.Close()
@@ -75,27 +75,27 @@
 	}
 	go func() {
 		defer close(l.PredecessorEnded)
-		awaitEnd(line)
+		waitForEnd(line)
 	}()
 	return l, nil
 }
 
-// introduce says who asks: a giver that is not asked by its like gives nothing up.
-func introduce(line *retryConn, asker []byte) error {
-	line.SetDeadline(time.Now().Add(sendTime))
+// writeRequest says who asks: a giver that is not asked by its like gives nothing up.
+func writeRequest(line *retryConn, asker []byte) error {
+	line.SetDeadline(time.Now().Add(sendTimeout))
 	_, err := line.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(asker))), asker...))
 	return err
 }
 
-// hears reads who asks.
-func hears(line *retryConn) ([]byte, error) {
-	line.SetDeadline(time.Now().Add(sendTime))
+// readRequest reads who asks.
+func readRequest(line *retryConn) ([]byte, error) {
+	line.SetDeadline(time.Now().Add(sendTimeout))
 	var size [4]byte
 	if _, err := io.ReadFull(line, size[:]); err != nil {
 		return nil, err
 	}
 	length := binary.BigEndian.Uint32(size[:])
-	if length > longestAsker {
+	if length > maxRequestBytes {
 		return nil, fmt.Errorf("an asker of %d bytes", length)
 	}
 	asker := make([]byte, length)
@@ -103,18 +103,18 @@
 	return asker, err
 }
 
-func receive(line *retryConn) (*Handover, error) {
-	if err := sameUser(line); err != nil {
+func readHandover(line *retryConn) (*Handover, error) {
+	if err := checkSameUser(line); err != nil {
 		return nil, err
 	}
-	line.SetDeadline(time.Now().Add(giveTime))
+	line.SetDeadline(time.Now().Add(receiveTimeout))
 	var size [4]byte
-	rights := make([]byte, unix.CmsgSpace(4*mostSockets))
+	rights := make([]byte, unix.CmsgSpace(4*maxSockets))
 	n, m, err := line.readRights(size[:], rights)
 	if err != nil {
 		return nil, err
 	}
-	l := &Handover{PredecessorEnded: make(chan struct{}), line: line}
+	l := &Handover{PredecessorEnded: make(chan struct{}), conn: line}
 	fail := func(err error) (*Handover, error) {
 		for _, f := range l.Files {
 			f.Close()
@@ -142,11 +142,11 @@
 	if length == 0 {
 		return fail(ErrRefused)
 	}
-	if length > longest {
+	if length > maxStateBytes {
 		return fail(fmt.Errorf("a message of %d bytes", length))
 	}
-	l.Text = make([]byte, length)
-	if _, err := io.ReadFull(line, l.Text); err != nil {
+	l.State = make([]byte, length)
+	if _, err := io.ReadFull(line, l.State); err != nil {
 		return fail(err)
 	}
 	return l, line.SetDeadline(time.Time{})
@@ -177,12 +177,12 @@
 		l.Close()
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	go offer(l.AcceptUnix, g, log)
+	go acceptSuccessors(l.AcceptUnix, g, log)
 	return l, nil
 }
 
-// offer hands over to one after another until nobody can come any more.
-func offer(accept func() (*net.UnixConn, error), g Predecessor, log zerolog.Logger) {
+// acceptSuccessors hands over to one after another until nobody can come any more.
+func acceptSuccessors(accept func() (*net.UnixConn, error), g Predecessor, log zerolog.Logger) {
 	failures := 0 // in a row
 	for {
 		accepted, err := accept()
@@ -196,12 +196,12 @@
 		}
 		failures = 0
 		line := &retryConn{accepted}
-		given, err := send(line, g)
+		given, err := handOver(line, g)
 		if err != nil {
 			log.Warn().Err(err).Msg("not handed over")
 		} else {
 			log.Info().Msg("handed over")
-			awaitEnd(line)
+			waitForEnd(line)
 			log.Info().Msg("the process that took over has ended")
 		}
 		line.Close()
@@ -211,12 +211,12 @@
 	}
 }
 
-// send hands over. The giver is told of its heir before that one can know of it: it may be told to end at once.
-func send(line *retryConn, g Predecessor) (given bool, err error) {
-	if err := sameUser(line); err != nil {
+// handOver hands over. The giver is told of its heir before that one can know of it: it may be told to end at once.
+func handOver(line *retryConn, g Predecessor) (given bool, err error) {
+	if err := checkSameUser(line); err != nil {
 		return false, err
 	}
-	asker, err := hears(line)
+	asker, err := readRequest(line)
 	if err != nil {
 		return false, err
 	}
@@ -226,10 +226,10 @@
 		return false, err
 	}
 	g.SetSuccessor(true)
-	return true, write(line, text, sockets)
+	return true, writeHandover(line, text, sockets)
 }
 
-func write(line *retryConn, text []byte, sockets []syscall.Conn) error {
+func writeHandover(line *retryConn, text []byte, sockets []syscall.Conn) error {
 	var fds []int
 	for _, s := range sockets {
 		raw, err := s.SyscallConn()
@@ -241,7 +241,7 @@
 			return err
 		}
 	}
-	line.SetDeadline(time.Now().Add(sendTime))
+	line.SetDeadline(time.Now().Add(sendTimeout))
 	size := binary.BigEndian.AppendUint32(nil, uint32(len(text)))
 	if err := line.writeRights(size, unix.UnixRights(fds...)); err != nil {
 		return err
@@ -252,13 +252,13 @@
 	return line.SetDeadline(time.Time{})
 }
 
-// awaitEnd returns when the other side has ended or closed.
-func awaitEnd(line *retryConn) {
+// waitForEnd returns when the other side has ended or closed.
+func waitForEnd(line *retryConn) {
 	io.Copy(io.Discard, line) // nothing more is said; the end comes with an error or without
 }
 
-// sameUser keeps others on the machine from taking a socket, or from giving one.
-func sameUser(line *retryConn) error {
+// checkSameUser keeps others on the machine from taking a socket, or from giving one.
+func checkSameUser(line *retryConn) error {
 	raw, err := line.SyscallConn()
 	if err != nil {
 		return err
--- a/internal/lifecycle/hotrestart/transfer/transfer_test.go
+++ b/internal/lifecycle/hotrestart/transfer/transfer_test.go
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	got, err := Receive(path, []byte(`me`))
-	if err != nil || len(got.Text) != 500_000 || len(got.Files) != 1 || !<-g.heirs {
+	if err != nil || len(got.State) != 500_000 || len(got.Files) != 1 || !<-g.heirs {
 		t.Fatalf("%v", err)
 	}
 	client, err := net.Dial("tcp", l.Addr().String())
@@ -86,7 +86,7 @@
 		t.Fatal(err)
 	}
 	defer offer.Close()
-	if got, err := Receive(path, []byte(`me`)); err != nil || len(got.Text) != len(g.text) {
+	if got, err := Receive(path, []byte(`me`)); err != nil || len(got.State) != len(g.text) {
 		t.Errorf("%v", err)
 	}
 }
@@ -110,10 +110,10 @@
 		t.Fatal(err)
 	}
 	line := &retryConn{nc.(*net.UnixConn)}
-	if err := introduce(line, []byte(`me`)); err != nil {
+	if err := writeRequest(line, []byte(`me`)); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := receive(line); err != nil || len(got.Files) != 1 || !<-g.heirs {
+	if got, err := readHandover(line); err != nil || len(got.Files) != 1 || !<-g.heirs {
 		t.Fatalf("%v", err)
 	}
 	line.Close()
@@ -173,7 +173,7 @@
 			}()
 		}
 		began := time.Now()
-		if _, err := Receive(path, []byte(`me`)); err == nil || time.Since(began) > 5*sendTime {
+		if _, err := Receive(path, []byte(`me`)); err == nil || time.Since(began) > 5*sendTimeout {
 			t.Errorf("%s: %v after %v", name, err, time.Since(began))
 		}
 		l.Close()
@@ -245,7 +245,7 @@
 	}
 	g, none, ended := &giver{l: l.(*net.TCPListener), heirs: make(chan bool, 9)}, 3, make(chan bool)
 	go func() {
-		offer(func() (*net.UnixConn, error) {
+		acceptSuccessors(func() (*net.UnixConn, error) {
 			if none--; none >= 0 {
 				return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 			}
--- a/internal/observe/invariant/invariant.go
+++ b/internal/observe/invariant/invariant.go
@@ -18,12 +18,12 @@
 	Repeating             // a further push, or a nack: what was pushed before allows it
 	Closing               // the end of a client's connection: each request that was read has its answer
 	Starting              // the first push of an op: it is the only one under its id, and granted where that is asked for
-	rules                 // how many there are
+	numRules              // how many there are
 )
 
-var names = [rules]string{"sending", "repeating", "closing", "starting"}
+var ruleNames = [numRules]string{"sending", "repeating", "closing", "starting"}
 
-func (r Rule) String() string { return names[r] }
+func (r Rule) String() string { return ruleNames[r] }
 
 // Reason is how a rule was broken.
 type Reason string
@@ -45,13 +45,13 @@
 	DuplicateID      Reason = "an op with this id is out"
 )
 
-// logged is how many breaches of each rule are logged.
-const logged = 5
+// maxLoggedPerRule is how many breaches of each rule are logged.
+const maxLoggedPerRule = 5
 
 // Checker counts the breaches of one process. Its methods may be called from any goroutine.
 type Checker struct {
 	log    zerolog.Logger
-	counts [rules]atomic.Uint64
+	counts [numRules]atomic.Uint64
 }
 
 // New is a guard that has seen none.
@@ -59,7 +59,7 @@
 
 // Violated counts a breach; of the first few a line is logged with what the caller adds to it.
 func (g *Checker) Violated(r Rule, why Reason, with func(*zerolog.Event)) {
-	if n := g.counts[r].Add(1); n > logged {
+	if n := g.counts[r].Add(1); n > maxLoggedPerRule {
 		return
 	}
 	line := g.log.Error().Stringer("rule", r).Str("why", string(why))
@@ -71,8 +71,8 @@
 
 // Counts are the breaches so far, by rule.
 func (g *Checker) Counts() map[string]uint64 {
-	counts := make(map[string]uint64, rules)
-	for r := range rules {
+	counts := make(map[string]uint64, numRules)
+	for r := range numRules {
 		counts[r.String()] = g.counts[r].Load()
 	}
 	return counts
--- a/internal/observe/invariant/invariant_test.go
+++ b/internal/observe/invariant/invariant_test.go
@@ -19,7 +19,7 @@
 	if len(counts) != 4 || counts["closing"] != 1000 || counts["sending"] != 1 || counts["repeating"]+counts["starting"] != 0 {
 		t.Errorf("%v", counts)
 	}
-	if n := strings.Count(log.String(), "\n"); n != logged+1 {
+	if n := strings.Count(log.String(), "\n"); n != maxLoggedPerRule+1 {
 		t.Errorf("%d lines: %s", n, log.String())
 	}
 	if !strings.Contains(log.String(), `"rule":"closing","why":"a request that was read has no answer","op":7`) {
--- a/internal/observe/logsink/logsink.go
+++ b/internal/observe/logsink/logsink.go
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// mostBytes wait to be written; beyond them lines are dropped.
-const mostBytes = 1 << 20
+// maxPendingBytes wait to be written; beyond them lines are dropped.
+const maxPendingBytes = 1 << 20
 
 // Sink is one log. Write may be called from any goroutine and waits for nothing.
 type Sink struct {
 	out io.Writer
 
 	mu      sync.Mutex
-	waiting []byte // whole lines
+	pending []byte // whole lines
 	dropped uint64 // since the log said so last
 	lost    uint64 // in all
 	closed  bool
-	news    chan struct{} // has one when something waits, or it is closed
-	ended   chan struct{}
+	wakeup  chan struct{} // has one when something waits, or it is closed
+	done    chan struct{}
 }
 
 // New makes a log that is written to out.
 func New(out io.Writer) *Sink {
-	s := &Sink{out: out, news: make(chan struct{}, 1), ended: make(chan struct{})}
+	s := &Sink{out: out, wakeup: make(chan struct{}, 1), done: make(chan struct{})}
 	go s.run()
 	return s
 }
@@ -37,11 +37,11 @@
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || len(s.waiting)+len(line) > mostBytes {
+	if s.closed || len(s.pending)+len(line) > maxPendingBytes {
 		s.dropped, s.lost = s.dropped+1, s.lost+1
 		return len(line), nil
 	}
-	s.waiting = append(s.waiting, line...)
+	s.pending = append(s.pending, line...)
 	s.wake()
 	return len(line), nil
 }
@@ -62,14 +62,14 @@
 	late := time.NewTimer(within)
 	defer late.Stop()
 	select {
-	case <-s.ended:
+	case <-s.done:
 	case <-late.C:
 	}
 }
 
 func (s *Sink) wake() {
 	select {
-	case s.news <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -87,15 +87,15 @@
 
 // run writes until it is closed and nothing waits.
 func (s *Sink) run() {
-	defer close(s.ended)
+	defer close(s.done)
 	var room []byte
 	whole := true // the last line that was written
-	for range s.news {
+	for range s.wakeup {
 		for {
-			b := s.take(room)
+			b := s.takeBatch(room)
 			room = b.lines // before anything else: the other one has been given away
 			if !b.empty() {
-				whole = s.write(b, whole)
+				whole = s.writeBatch(b, whole)
 			}
 			if len(b.lines) == 0 {
 				if b.closed {
@@ -107,23 +107,23 @@
 	}
 }
 
-// take is what waits. Lines that come from now on go into other room, which must not be that of what is taken.
-func (s *Sink) take(room []byte) batch {
+// takeBatch is what waits. Lines that come from now on go into other room, which must not be that of what is taken.
+func (s *Sink) takeBatch(room []byte) batch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b := batch{lines: s.waiting, closed: s.closed}
-	s.waiting = room[:0]
+	b := batch{lines: s.pending, closed: s.closed}
+	s.pending = room[:0]
 	if len(b.lines) > 0 || b.closed {
 		b.dropped, s.dropped = s.dropped, 0
 	}
 	return b
 }
 
-// write writes a batch and tells whether the last line is whole. What can't be written is lost; half a line is ended before the next.
-func (s *Sink) write(b batch, whole bool) bool {
+// writeBatch writes a batch and tells whether the last line is whole. What can't be written is lost; half a line is ended before the next.
+func (s *Sink) writeBatch(b batch, whole bool) bool {
 	if !whole {
 		if _, err := s.out.Write([]byte("\n")); err != nil {
-			s.lose(b.lines, b.dropped)
+			s.countLost(b.lines, b.dropped)
 			return false
 		}
 	}
@@ -135,12 +135,12 @@
 	if err == nil {
 		return true
 	}
-	s.lose(b.lines[min(n, len(b.lines)):], b.dropped)
+	s.countLost(b.lines[min(n, len(b.lines)):], b.dropped)
 	return n == 0 && whole || n > 0 && text[n-1] == '\n'
 }
 
-// lose counts lines that could not be written, and has the log tell of them and of those before when it can.
-func (s *Sink) lose(lines []byte, dropped uint64) {
+// countLost counts lines that could not be written, and has the log tell of them and of those before when it can.
+func (s *Sink) countLost(lines []byte, dropped uint64) {
 	n := uint64(bytes.Count(lines, []byte("\n")))
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/observe/logsink/logsink_test.go
+++ b/internal/observe/logsink/logsink_test.go
@@ -42,7 +42,7 @@
 	out := &reader{let: make(chan error)}
 	s := New(out)
 	line := []byte(strings.Repeat("x", 999) + "\n")
-	const lines = 4 * mostBytes / 1000
+	const lines = 4 * maxPendingBytes / 1000
 	for range lines {
 		s.Write(line)
 	}
@@ -96,7 +96,7 @@
 		t.Errorf("it took %v", took)
 	}
 	close(out.let)
-	<-s.ended
+	<-s.done
 }
 
 // BenchmarkWrite is what a line costs whoever logs it.
--- a/internal/workers/discovery/crowd_test.go
+++ b/internal/workers/discovery/crowd_test.go
@@ -22,7 +22,7 @@
 // caller is a scheduler of a crowd, by its spans alone.
 type caller struct {
 	chance *rand.Rand
-	b      broken
+	b      callHistory
 	wait   time.Duration
 	at     time.Duration // of its next call
 }
@@ -61,7 +61,7 @@
 	var all callers
 	for i := range r.schedulers {
 		c := &caller{chance: rand.New(rand.NewPCG(r.seed<<32+uint64(i), 0))}
-		c.wait = s.again(c.b, c.chance.Float64())
+		c.wait = s.nextBackoff(c.b, c.chance.Float64())
 		c.at = c.wait
 		all = append(all, c)
 	}
@@ -80,15 +80,15 @@
 			heap.Pop(&all)
 			continue
 		}
-		c.b.failed(now >= r.back || r.down == turned)
-		c.b.waited, c.b.took = c.wait, 0
+		c.b.addFailure(now >= r.back || r.down == turned)
+		c.b.backoff, c.b.duration = c.wait, 0
 		if now >= r.back {
 			out.away++
 		} else if r.down == hangs {
-			c.b.took = s.Settle
+			c.b.duration = s.Response
 		}
-		c.wait = s.again(c.b, c.chance.Float64())
-		c.at += c.b.took + c.wait
+		c.wait = s.nextBackoff(c.b, c.chance.Float64())
+		c.at += c.b.duration + c.wait
 		heap.Fix(&all, 0)
 	}
 	slices.Sort(out.told)
@@ -125,7 +125,7 @@
 				"503 for 2 min":  {back: 2 * time.Minute, down: turned},
 			} {
 				for r.seed = range uint64(3) {
-					period := TimeoutsFor(false, schedulers, grace).Turned
+					period := TimeoutsFor(false, schedulers, grace).MaxBackoffRejected
 					r.schedulers, r.grace, r.rate = schedulers, grace, float64(schedulers)/3+10
 					out := r.play()
 					down, most := out.rates()
@@ -134,7 +134,7 @@
 						t.Logf("%d schedulers, grace %v, %s, %.0f calls a second: %.0f a second before the return, %d in the busiest second after it, %d turned away, all told %.1f s after it",
 							schedulers, grace, name, r.rate, down, most, out.away, last.Seconds())
 					}
-					if last > told-applying {
+					if last > changeDeadline-applyTime {
 						t.Errorf("%d schedulers, grace %v, %s, seed %d: the last is told %v after the return", schedulers, grace, name, r.seed, last)
 					}
 					if need := float64(schedulers) / period.Seconds(); r.back >= 20*time.Second && r.down == turned && down > 1.2*need+3 {
--- a/internal/workers/discovery/discovery.go
+++ b/internal/workers/discovery/discovery.go
@@ -19,10 +19,10 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// errTurnedAway is a call that discovery had no time for.
-var errTurnedAway = errors.New("turned away")
+// errRejected is a call that discovery had no time for.
+var errRejected = errors.New("turned away")
 
-const deleted = "DELETED" // the state, among changes only, of a worker that has left the list
+const stateDeleted = "DELETED" // the state, among changes only, of a worker that has left the list
 
 // Message is a list as discovery words it.
 type Message struct {
@@ -50,60 +50,60 @@
 			continue // nobody could ever be told that it has gone
 		}
 		in.Endpoints = append(in.Endpoints, reducer.Endpoint{Worker: t.UID, Addr: t.Endpoint, Zone: t.AZ, MachineKind: t.Model, WorkerGroup: t.PodGroup,
-			Ready: t.State == "SERVING", Removed: t.State == deleted, BootID: t.BootMS, StartedAt: starts.of(t)})
+			Ready: t.State == "SERVING", Removed: t.State == stateDeleted, BootID: t.BootMS, StartedAt: starts.startedAt(t)})
 	}
 	return in
 }
 
 // Client is discovery at the address last given, as of one version of its list.
 type Client struct {
-	tell   func(reducer.Input)
-	client http.Client
-
-	watched atomic.Pointer[watchConn] // of the watch that is on, nil without one
-	log     zerolog.Logger
-	one     sync.Mutex // held by the watch that is on
-	chance  *rand.Rand // Keep's
-	spans   Timeouts
-	starts  *StartTimes
-	moved   chan struct{} // wakes Keep
-
-	mu   sync.Mutex
-	addr string
-	end  context.CancelFunc // of the watch that is on
-	rev  int64              // of the list
-	list map[string]target  // by uid
+	notify     func(reducer.Input)
+	httpClient http.Client
+
+	watchedConn    atomic.Pointer[watchConn] // of the watch that is on, nil without one
+	log            zerolog.Logger
+	watching       sync.Mutex // held by the watch that is on
+	random         *rand.Rand // Keep's
+	timeouts       Timeouts
+	startTimes     *StartTimes
+	addressChanged chan struct{} // wakes Keep
+
+	mu          sync.Mutex
+	addr        string
+	cancelWatch context.CancelFunc // of the watch that is on
+	revision    int64              // of the list
+	workers     map[string]target  // by uid
 }
 
 // New makes a roster that goes on from a remembered list, and draws the moments of its calls from its seed
 // over a spread that it shares with the other schedulers.
 func New(addr string, known Message, spans Timeouts, seed uint64, starts *StartTimes, tell func(reducer.Input), log zerolog.Logger) *Client {
 	known.All = true
-	r := &Client{addr: addr, tell: tell, log: log, starts: starts, end: func() {}, moved: make(chan struct{}, 1),
-		chance: rand.New(rand.NewPCG(seed, 0)), spans: spans,
-		client: http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
-			DialContext: dialWatch(min(spans.Settle, dialed))}}}
-	r.keep(context.Background(), &known)
+	r := &Client{addr: addr, notify: tell, log: log, startTimes: starts, cancelWatch: func() {}, addressChanged: make(chan struct{}, 1),
+		random: rand.New(rand.NewPCG(seed, 0)), timeouts: spans,
+		httpClient: http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
+			DialContext: dialWatch(min(spans.Response, dialTimeout))}}}
+	r.apply(context.Background(), &known)
 	return r
 }
 
-// keep takes a message into the list, unless the watch that it came by has been ended: what the discovery of before said late
+// apply takes a message into the list, unless the watch that it came by has been ended: what the discovery of before said late
 // must not stand over what the next one says.
-func (r *Client) keep(on context.Context, m *Message) bool {
+func (r *Client) apply(on context.Context, m *Message) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if on.Err() != nil {
 		return false
 	}
-	if r.rev = m.Rev; m.All {
-		r.list = map[string]target{}
+	if r.revision = m.Rev; m.All {
+		r.workers = map[string]target{}
 	}
 	for _, t := range m.Targets {
-		if r.list[t.UID] = t; t.State == deleted {
-			delete(r.list, t.UID)
+		if r.workers[t.UID] = t; t.State == stateDeleted {
+			delete(r.workers, t.UID)
 		}
 	}
-	r.starts.forget(r.list)
+	r.startTimes.prune(r.workers)
 	return true
 }
 
@@ -111,9 +111,9 @@
 func (r *Client) Snapshot() ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m := Message{Rev: r.rev, All: true, Targets: []target{}}
-	for _, uid := range slices.Sorted(maps.Keys(r.list)) {
-		m.Targets = append(m.Targets, r.list[uid])
+	m := Message{Rev: r.revision, All: true, Targets: []target{}}
+	for _, uid := range slices.Sorted(maps.Keys(r.workers)) {
+		m.Targets = append(m.Targets, r.workers[uid])
 	}
 	return json.Marshal(m)
 }
@@ -123,30 +123,30 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.addr != addr {
-		r.rev = 0 // another discovery counts as it likes: it is to tell all
+		r.revision = 0 // another discovery counts as it likes: it is to tell all
 	}
 	r.addr = addr
-	r.end()
+	r.cancelWatch()
 	select {
-	case r.moved <- struct{}{}:
+	case r.addressChanged <- struct{}{}:
 	default:
 	}
 }
 
 // Run watches until the context ends, and connects again whenever the watch breaks.
 func (r *Client) Run(ctx context.Context) {
-	var b broken
-	wait := r.spans.again(b, r.chance.Float64()) // the remembered list serves meanwhile
+	var b callHistory
+	wait := r.timeouts.nextBackoff(b, r.random.Float64()) // the remembered list serves meanwhile
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.moved:
-			b, wait = broken{}, 0
+		case <-r.addressChanged:
+			b, wait = callHistory{}, 0
 		case <-time.After(wait):
 		}
 		r.mu.Lock()
-		on := r.replace(ctx)
+		on := r.replaceWatch(ctx)
 		r.mu.Unlock()
 		began := time.Now()
 		heard, err := r.watch(on)
@@ -154,21 +154,21 @@
 			return
 		}
 		if heard {
-			b = broken{}
+			b = callHistory{}
 		} else {
-			b.failed(errors.Is(err, errTurnedAway))
+			b.addFailure(errors.Is(err, errRejected))
 		}
-		b.silent, b.took, b.waited = errors.Is(err, errSilent), time.Since(began), wait
-		wait = r.spans.again(b, r.chance.Float64())
+		b.idle, b.duration, b.backoff = errors.Is(err, errIdleTimeout), time.Since(began), wait
+		wait = r.timeouts.nextBackoff(b, r.random.Float64())
 		if !errors.Is(err, context.Canceled) { // a move is no break
 			r.log.Warn().Err(err).Dur("again_in_ms", wait).Msg("watch broke")
 		}
 	}
 }
 
-// replace ends the watch that is on, with the lock held, and returns the context of the next one.
-func (r *Client) replace(ctx context.Context) context.Context {
-	r.end()
-	ctx, r.end = context.WithCancel(ctx)
+// replaceWatch ends the watch that is on, with the lock held, and returns the context of the next one.
+func (r *Client) replaceWatch(ctx context.Context) context.Context {
+	r.cancelWatch()
+	ctx, r.cancelWatch = context.WithCancel(ctx)
 	return ctx
 }
--- a/internal/workers/discovery/discovery_test.go
+++ b/internal/workers/discovery/discovery_test.go
@@ -80,7 +80,7 @@
 	for range 2 {
 		select {
 		case <-calls:
-		case <-time.After(lone.Settle + time.Second):
+		case <-time.After(lone.Response + time.Second):
 			t.Fatal("not called")
 		}
 	}
@@ -172,13 +172,13 @@
 			for r.Context().Err() == nil {
 				fmt.Fprintln(w)
 				w.(http.Flusher).Flush()
-				time.Sleep(beat)
+				time.Sleep(heartbeatInterval)
 			}
 		})}
 		go s.Serve(p)
 		for i := range schedulers {
 			r := New("discovery", Message{}, TimeoutsFor(false, schedulers, 2500*time.Millisecond), uint64(i), unknown(), func(reducer.Input) {}, zerolog.Nop())
-			r.client.Transport.(*http.Transport).DialContext = p.dial
+			r.httpClient.Transport.(*http.Transport).DialContext = p.dial
 			go r.Run(ctx)
 		}
 		time.Sleep(within)
@@ -187,7 +187,7 @@
 			t.Errorf("%d of %d schedulers watch after %v; calls by second: %v", served, schedulers, within, calls)
 		}
 		for s, n := range calls {
-			if n > 3*callRate {
+			if n > 3*callsPerSecond {
 				t.Errorf("%d calls in second %d", n, s)
 			}
 		}
--- a/internal/workers/discovery/ends_test.go
+++ b/internal/workers/discovery/ends_test.go
@@ -64,7 +64,7 @@
 		case answers:
 			say(`{"rev":9,"all":true,"targets":[]}` + "\n")
 			for r.Context().Err() == nil {
-				time.Sleep(beat)
+				time.Sleep(heartbeatInterval)
 				say("\n")
 			}
 		case hangs:
@@ -73,12 +73,12 @@
 			say("")
 		case beats:
 			say("\n")
-			time.Sleep(beat)
+			time.Sleep(heartbeatInterval)
 			say("\n")
 		case halved:
 			say(`{"rev":9,"all":true,`)
 			for r.Context().Err() == nil {
-				time.Sleep(beat)
+				time.Sleep(heartbeatInterval)
 				say("\n")
 			}
 		case reset:
@@ -104,7 +104,7 @@
 			}{
 				"at the start":          {0, func(int, time.Duration) way { return answers }},
 				"silent after its head": {silenceTold, func(call int, _ time.Duration) way { return []way{headed, answers}[min(call-1, 1)] }},
-				"silent after a line":   {silenceTold + beat, func(call int, _ time.Duration) way { return []way{beats, answers}[min(call-1, 1)] }},
+				"silent after a line":   {silenceTold + heartbeatInterval, func(call int, _ time.Duration) way { return []way{beats, answers}[min(call-1, 1)] }},
 				"silent in an object":   {silenceTold, func(call int, _ time.Duration) way { return []way{halved, answers}[min(call-1, 1)] }},
 				"silent twice":          {silenceTold, func(call int, _ time.Duration) way { return []way{headed, hangs, answers}[min(call-1, 2)] }},
 				"silent twice, headed":  {silenceTold, func(call int, _ time.Duration) way { return []way{headed, headed, answers}[min(call-1, 2)] }},
@@ -142,7 +142,7 @@
 		go a.serve()
 		at := make(chan time.Time, 99)
 		r := New("discovery", Message{}, spans, seed, unknown(), func(reducer.Input) { at <- time.Now() }, zerolog.Nop())
-		r.client.Transport.(*http.Transport).DialContext = a.dial
+		r.httpClient.Transport.(*http.Transport).DialContext = a.dial
 		go r.Run(ctx)
 		got := <-at
 		a.mu.Lock()
@@ -166,8 +166,8 @@
 	if _, err := r.watch(context.Background()); err == nil {
 		t.Error("a watch that ends is broken")
 	}
-	if len(told) != 3 || !told[0].Snapshot || len(told[0].Endpoints) != 1 || !told[0].Endpoints[0].Ready || r.rev != 46 {
-		t.Errorf("told %+v, version %d", told, r.rev)
+	if len(told) != 3 || !told[0].Snapshot || len(told[0].Endpoints) != 1 || !told[0].Endpoints[0].Ready || r.revision != 46 {
+		t.Errorf("told %+v, version %d", told, r.revision)
 	}
 }
 
@@ -193,8 +193,8 @@
 			addr, calls := discovery(t, good+spoilt)
 			told := 0
 			r := New(addr, Message{Rev: 1}, lone, 7, unknown(), func(reducer.Input) { told++ }, zerolog.Nop())
-			if _, err := r.watch(context.Background()); err == nil || told != 1 || r.rev != 42 || len(r.list) != 1 {
-				t.Fatalf("%v, told %d times, version %d, %d workers", err, told, r.rev, len(r.list))
+			if _, err := r.watch(context.Background()); err == nil || told != 1 || r.revision != 42 || len(r.workers) != 1 {
+				t.Fatalf("%v, told %d times, version %d, %d workers", err, told, r.revision, len(r.workers))
 			}
 			<-calls
 			ctx, stop := context.WithCancel(context.Background())
@@ -229,14 +229,14 @@
 	r := New(s.Listener.Addr().String(), Message{Rev: 1}, lone, 7, unknown(), func(reducer.Input) { t.Error("told") }, zerolog.Nop())
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	if _, err := r.watch(context.Background()); !errors.Is(err, errTooLong) {
+	if _, err := r.watch(context.Background()); !errors.Is(err, errObjectTooLarge) {
 		t.Errorf("%v", err)
 	}
-	if runtime.ReadMemStats(&after); after.TotalAlloc-before.TotalAlloc > 12*longest {
+	if runtime.ReadMemStats(&after); after.TotalAlloc-before.TotalAlloc > 12*maxObjectBytes {
 		t.Errorf("%d MB were taken for it", (after.TotalAlloc-before.TotalAlloc)>>20)
 	}
-	if r.rev != 1 {
-		t.Errorf("version %d", r.rev)
+	if r.revision != 1 {
+		t.Errorf("version %d", r.revision)
 	}
 }
 
@@ -255,8 +255,8 @@
 
 // The decoder keeps what stands before an object: empty lines of months, or a flood of them, stayed in memory.
 func TestEmptyLinesAreNotKept(t *testing.T) {
-	m := &meter{from: &blanks{1 << 16}, left: longest, lives: func() {}, beats: func() {}}
-	if n, err := m.Read(make([]byte, 512)); n != 0 || err != io.EOF || !m.heard {
+	m := &objectReader{source: &blanks{1 << 16}, remaining: maxObjectBytes, onActivity: func() {}, onHeartbeat: func() {}}
+	if n, err := m.Read(make([]byte, 512)); n != 0 || err != io.EOF || !m.alive {
 		t.Errorf("%d bytes go on, %v", n, err)
 	}
 }
@@ -292,7 +292,7 @@
 	// A line that was read whole before the move and is taken in after it.
 	on, end := context.WithCancel(ctx)
 	end()
-	if r.keep(on, &Message{Rev: 91, All: true}) || len(r.list) != 1 {
+	if r.apply(on, &Message{Rev: 91, All: true}) || len(r.workers) != 1 {
 		t.Error("a line of a watch that has ended was taken in")
 	}
 }
--- a/internal/workers/discovery/golden_test.go
+++ b/internal/workers/discovery/golden_test.go
@@ -17,9 +17,9 @@
 // Guards the bytes of the known workers, in order of their names, that a handover carries between builds.
 func TestKnownKeepsItsForm(t *testing.T) {
 	message := filled.Value[Message](t)
-	r := Client{rev: message.Rev, list: map[string]target{}}
+	r := Client{revision: message.Rev, workers: map[string]target{}}
 	for _, worker := range message.Targets {
-		r.list[worker.UID] = worker
+		r.workers[worker.UID] = worker
 	}
 	text, err := r.Snapshot()
 	if err != nil {
--- a/internal/workers/discovery/pieces_test.go
+++ b/internal/workers/discovery/pieces_test.go
@@ -33,7 +33,7 @@
 		if _, err := r.watch(context.Background()); err == nil {
 			t.Errorf("%s: a watch that ends is broken", way.Name)
 		}
-		return told, r.rev
+		return told, r.revision
 	}
 	way = fragmentpeer.Whole(whole)[0]
 	want, _ := watch()
--- a/internal/workers/discovery/start_times_test.go
+++ b/internal/workers/discovery/start_times_test.go
@@ -21,7 +21,7 @@
 
 // ageOf is how old a worker is to the module.
 func (s *StartTimes) ageOf(t *target) time.Duration {
-	return time.Duration(s.clock.Now()) - time.Duration(s.of(t))*config.Tenth
+	return time.Duration(s.clock.Now()) - time.Duration(s.startedAt(t))*config.Tenth
 }
 
 func near(got, want time.Duration) bool { return (got - want).Abs() <= 2*time.Millisecond }
@@ -34,27 +34,27 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := unknown()
 				old := seenAt("old", 10*time.Hour, off)
-				was := s.of(old)
-				s.alive()
+				was := s.startedAt(old)
+				s.noteHeartbeat()
 				time.Sleep(time.Second)
 				most := 200 * time.Millisecond
-				for k := range 3 * fewSeen {
-					if k == fewSeen-1 {
-						most = 200*time.Millisecond + usualWay
-					} else if k < fewSeen && off > 0 && off <= turnsUp {
+				for k := range 3 * samplesPerEstimate {
+					if k == samplesPerEstimate-1 {
+						most = 200*time.Millisecond + usualListingDelay
+					} else if k < samplesPerEstimate && off > 0 && off <= maxListingDelay {
 						most = 200*time.Millisecond + off // so little may be the way to here, until a few have turned up
 					}
 					x := seenAt(fmt.Sprint("new", k), 200*time.Millisecond, off)
 					if age := s.ageOf(x); age < 0 || age > most+2*time.Millisecond {
 						t.Errorf("worker %d: %v old", k, age)
 					}
-					s.alive()
+					s.noteHeartbeat()
 					time.Sleep(500 * time.Millisecond)
-					if first, again := s.of(x), s.of(x); first != again {
+					if first, again := s.startedAt(x), s.startedAt(x); first != again {
 						t.Errorf("one start is at %v and at %v", first, again)
 					}
 				}
-				if s.of(old) != was {
+				if s.startedAt(old) != was {
 					t.Error("a worker that has not started again has another start")
 				}
 			})
@@ -69,15 +69,15 @@
 		if age := s.ageOf(seenAt("first", 90*time.Second, 0)); !near(age, 90*time.Second) {
 			t.Errorf("of the first list: %v", age)
 		}
-		s.alive()
+		s.noteHeartbeat()
 		time.Sleep(20 * time.Second)
 		if age := s.ageOf(seenAt("silence", 15*time.Second, 0)); !near(age, 15*time.Second) {
 			t.Errorf("in a silence of 20 s: %v", age)
 		}
-		if at := s.of(&target{UID: "ever"}); at != 0 {
+		if at := s.startedAt(&target{UID: "ever"}); at != 0 {
 			t.Errorf("long ago is %v", at)
 		}
-		s.alive()
+		s.noteHeartbeat()
 		if age := s.ageOf(seenAt("forgotten", 80*time.Hour, 0)); !near(age, 0) {
 			t.Errorf("one that nobody had told of: %v", age)
 		}
@@ -107,12 +107,12 @@
 		boot := time.Now().UnixMilli()
 		last := dispatch.Time(0)
 		for range 5 {
-			at := s.of(&target{UID: "w", BootMS: boot})
+			at := s.startedAt(&target{UID: "w", BootMS: boot})
 			if at <= last {
 				t.Errorf("%v after %v", at, last)
 			}
 			last, boot = at, boot+1
-			s.alive()
+			s.noteHeartbeat()
 		}
 	})
 }
@@ -122,8 +122,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		was := unknown()
 		x := seenAt("w", 3*time.Second, time.Hour)
-		was.alive()
-		at := was.of(x)
+		was.noteHeartbeat()
+		at := was.startedAt(x)
 		time.Sleep(2 * time.Second)
 		is := clock.New()
 		shift := dispatch.Time(is.Now()-was.clock.Now()) / dispatch.Time(100_000)
@@ -132,7 +132,7 @@
 			before[uid] = ProcessStart{s.BootMS, s.At + shift}
 		}
 		heir := NewStartTimes(is, before)
-		if got := heir.of(x); got != at+shift {
+		if got := heir.startedAt(x); got != at+shift {
 			t.Errorf("%v, want %v", got, at+shift)
 		}
 		if age := heir.ageOf(seenAt("fresh", 0, time.Hour)); !near(age, 0) {
@@ -145,18 +145,18 @@
 func TestStartsAreBounded(t *testing.T) {
 	s := unknown()
 	list := map[string]target{}
-	for k := range 3 * mostLeft {
+	for k := range 3 * maxRemovedWorkers {
 		x := target{UID: fmt.Sprint(k), BootMS: int64(k + 1)}
-		s.of(&x)
+		s.startedAt(&x)
 		if k%100 == 0 {
 			list[x.UID] = x
 		}
-		if s.forget(list); len(s.known) > len(list)+mostLeft {
-			t.Fatalf("%d are known with %d in the list", len(s.known), len(list))
+		if s.prune(list); len(s.processes) > len(list)+maxRemovedWorkers {
+			t.Fatalf("%d are known with %d in the list", len(s.processes), len(list))
 		}
 	}
 	for uid := range list {
-		if _, known := s.known[uid]; !known {
+		if _, known := s.processes[uid]; !known {
 			t.Errorf("%s is forgotten", uid)
 		}
 	}
--- a/internal/workers/discovery/starved_test.go
+++ b/internal/workers/discovery/starved_test.go
@@ -21,39 +21,39 @@
 // or late for too often with nothing read, ends the watch.
 func TestALateTimerIsNoSilence(t *testing.T) {
 	ended, lies := 0, false // something unread
-	s := listenFor(time.Hour, func() bool { return lies }, func() { ended++ })
+	s := newIdleTimer(time.Hour, func() bool { return lies }, func() { ended++ })
 	defer s.stop()
 	due := func(late time.Duration) {
 		s.mu.Lock()
-		s.due = time.Now().Add(-late)
+		s.deadline = time.Now().Add(-late)
 		s.mu.Unlock()
-		s.over()
+		s.expired()
 	}
-	if due(3 * time.Second); ended != 0 || time.Until(s.due) > unread {
-		t.Fatalf("ended %d times by a late timer, due in %v", ended, time.Until(s.due))
+	if due(3 * time.Second); ended != 0 || time.Until(s.deadline) > unreadGrace {
+		t.Fatalf("ended %d times by a late timer, due in %v", ended, time.Until(s.deadline))
 	}
-	if s.broken(time.Hour); s.late != 0 || time.Until(s.due) < time.Minute {
+	if s.reset(time.Hour); s.lateTimers != 0 || time.Until(s.deadline) < time.Minute {
 		t.Error("what came afterwards was not taken for a sign of life")
 	}
-	if s.over(); ended != 0 { // a timer that had fired in that instant
+	if s.expired(); ended != 0 { // a timer that had fired in that instant
 		t.Error("ended though something had come")
 	}
-	for range mostLate {
+	for range maxLateTimers {
 		due(3 * time.Second)
 	}
 	if ended != 0 {
-		t.Errorf("ended %d times by %d late timers", ended, mostLate)
+		t.Errorf("ended %d times by %d late timers", ended, maxLateTimers)
 	}
 	if due(3 * time.Second); ended != 1 {
-		t.Errorf("ended %d times by %d late timers", ended, mostLate+1)
+		t.Errorf("ended %d times by %d late timers", ended, maxLateTimers+1)
 	}
-	s.broken(time.Hour)
-	if due(starved / 2); ended != 2 {
+	s.reset(time.Hour)
+	if due(maxTimerLateness / 2); ended != 2 {
 		t.Errorf("ended %d times, the second by a timer that was in time", ended)
 	}
-	s.broken(time.Hour)
+	s.reset(time.Hour)
 	lies = true
-	if due(starved / 2); ended != 2 {
+	if due(maxTimerLateness / 2); ended != 2 {
 		t.Error("ended though something lies unread: thrown away with the watch it would be told by the next one alone")
 	}
 }
@@ -63,7 +63,7 @@
 
 func TestMain(m *testing.M) {
 	if addr := os.Getenv(child); addr != "" {
-		r := New(addr, Message{Rev: 7}, Timeouts{Quiet: time.Second, Settle: time.Second, Spread: 1, Silent: 1, Most: 1, Turned: 1}, 7, unknown(), func(in reducer.Input) {
+		r := New(addr, Message{Rev: 7}, Timeouts{Idle: time.Second, Response: time.Second, Spread: 1, SpreadAfterIdle: 1, MaxBackoff: 1, MaxBackoffRejected: 1}, 7, unknown(), func(in reducer.Input) {
 			fmt.Println("told", in.(reducer.EndpointsChanged).Revision)
 			os.Exit(0)
 		}, zerolog.Nop())
--- a/internal/workers/discovery/told_test.go
+++ b/internal/workers/discovery/told_test.go
@@ -78,7 +78,7 @@
 		return nil, errors.New("refused")
 	case dialing:
 		o.add(time.Since(o.from))
-		ctx, stop := context.WithTimeout(ctx, dialed)
+		ctx, stop := context.WithTimeout(ctx, dialTimeout)
 		defer stop()
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -95,7 +95,7 @@
 		}
 		beats := func(until time.Duration) {
 			for r.Context().Err() == nil && time.Since(o.from) < until {
-				time.Sleep(min(beat, until-time.Since(o.from)))
+				time.Sleep(min(heartbeatInterval, until-time.Since(o.from)))
 				say("\n")
 			}
 		}
@@ -146,7 +146,7 @@
 				at <- time.Now()
 			}
 		}, zerolog.Nop())
-		r.client.Transport.(*http.Transport).DialContext = o.dial
+		r.httpClient.Transport.(*http.Transport).DialContext = o.dial
 		go r.Run(ctx)
 		if move > 0 {
 			time.Sleep(move)
@@ -195,7 +195,7 @@
 						continue // an agent has one scheduler
 					}
 					for _, grace := range []time.Duration{250 * time.Millisecond, 10 * time.Second} {
-						for _, slow := range []time.Duration{0, usual, answered - slack} {
+						for _, slow := range []time.Duration{0, usualResponseTime, responseTimeout - slack} {
 							if slow > 0 && pushes {
 								continue // an agent answers at once
 							}
@@ -213,9 +213,9 @@
 									worst, seed = late, k
 								}
 							}
-							most := told - applying
-							if slow > usual {
-								most += min(grace*9/10, slow-usual)
+							most := changeDeadline - applyTime
+							if slow > usualResponseTime {
+								most += min(grace*9/10, slow-usualResponseTime)
 							}
 							if worst > most {
 								t.Errorf("pushes %t, %d schedulers, grace %v, answers in %v, seed %d: applied %v after the return", pushes, schedulers, grace, slow, seed, worst)
@@ -237,7 +237,7 @@
 			for _, how := range [][]way{{turned}, {turned, hangs, refused}} {
 				for seed := range uint64(8) {
 					synctest.Test(t, func(t *testing.T) {
-						o := outage{tally: &tally{}, pipes: pipes{make(chan net.Conn), make(chan struct{})}, from: time.Now(), how: how, slow: usual,
+						o := outage{tally: &tally{}, pipes: pipes{make(chan net.Conn), make(chan struct{})}, from: time.Now(), how: how, slow: usualResponseTime,
 							back: 20*time.Second + time.Duration(seed)*1100*time.Millisecond, then: strings.Replace(old, "SERVING", "DRAINING", 1) + "," + other}
 						go o.serve()
 						var known Message
@@ -251,7 +251,7 @@
 						list.Snapshot, list.Cached = true, true
 						decisions.Step(at(), list)
 						r := New("discovery", known, TimeoutsFor(false, schedulers, grace), seed, unknown(), func(in reducer.Input) { inputs <- in }, zerolog.Nop())
-						r.client.Transport.(*http.Transport).DialContext = o.dial
+						r.httpClient.Transport.(*http.Transport).DialContext = o.dial
 						ctx, stop := context.WithCancel(context.Background())
 						go r.Run(ctx)
 						last, pushes := map[string]time.Duration{}, map[string]int{}
@@ -270,7 +270,7 @@
 								}
 							}
 						}
-						if late := last["old"]; late > told+grace || late < 0 {
+						if late := last["old"]; late > changeDeadline+grace || late < 0 {
 							t.Errorf("%d schedulers, grace %v, seed %d: the last push to a worker that drains %v after discovery's return", schedulers, grace, seed, late)
 						}
 						if last["other"] < 24*time.Second || pushes["old"] < 50 {
@@ -293,7 +293,7 @@
 			o := outage{tally: &tally{}, pipes: pipes{make(chan net.Conn), make(chan struct{})}, from: time.Now(), how: []way{turned}, back: time.Hour}
 			go o.serve()
 			r := New("discovery", Message{}, TimeoutsFor(false, 300, 2500*time.Millisecond), seed, unknown(), func(reducer.Input) {}, zerolog.Nop())
-			r.client.Transport.(*http.Transport).DialContext = o.dial
+			r.httpClient.Transport.(*http.Transport).DialContext = o.dial
 			ctx, stop := context.WithCancel(context.Background())
 			go r.Run(ctx)
 			time.Sleep(time.Minute)
@@ -358,31 +358,31 @@
 					s := TimeoutsFor(pushes, schedulers, grace)
 					over := time.Duration(0) // of the grace, where an answer takes as long as is waited for
 					if !pushes {
-						over = time.Duration(inGrace * float64(grace))
+						over = time.Duration(graceFraction * float64(grace))
 					}
-					for _, answer := range []struct{ takes, over time.Duration }{{min(usual, s.Settle), 0}, {s.Settle, over}} {
+					for _, answer := range []struct{ takes, over time.Duration }{{min(usualResponseTime, s.Response), 0}, {s.Response, over}} {
 						sum := func(name string, from time.Duration) {
-							if sum := from + answer.takes + applying; sum > told+answer.over {
+							if sum := from + answer.takes + applyTime; sum > changeDeadline+answer.over {
 								t.Errorf("%s: %v, with an answer in %v", name, sum, answer.takes)
 							}
 						}
-						sum("the start, or a watch that ended", s.again(broken{}, 1))
-						sum("a silent watch", s.Quiet+s.again(broken{silent: true}, 1))
+						sum("the start, or a watch that ended", s.nextBackoff(callHistory{}, 1))
+						sum("a silent watch", s.Idle+s.nextBackoff(callHistory{idle: true}, 1))
 						for fails := 1; fails < 70; fails++ {
 							for _, luck := range []float64{0, 0.5, 1} {
 								for _, away := range []int{0, 1, fails/2 + 1, fails} {
-									for _, took := range []time.Duration{0, dialed, s.Settle} {
-										b := broken{fails: fails, away: min(away, fails), took: took}
-										sum(fmt.Sprint(b, luck), took+s.again(b, luck))
-										if b.waited = s.again(broken{}, luck); fails == 1 && away == 1 && took == 0 {
-											sum("turned away at the start or after a break", b.waited+s.again(b, 1))
+									for _, took := range []time.Duration{0, dialTimeout, s.Response} {
+										b := callHistory{failures: fails, rejections: min(away, fails), duration: took}
+										sum(fmt.Sprint(b, luck), took+s.nextBackoff(b, luck))
+										if b.backoff = s.nextBackoff(callHistory{}, luck); fails == 1 && away == 1 && took == 0 {
+											sum("turned away at the start or after a break", b.backoff+s.nextBackoff(b, 1))
 										}
 									}
 								}
 							}
 						}
 						// A call that is silent behind its head, or in an object, was reached at that moment.
-						sum("a call without a body", s.Quiet+s.again(broken{fails: 9, away: 9, silent: true, took: s.Quiet}, 1))
+						sum("a call without a body", s.Idle+s.nextBackoff(callHistory{failures: 9, rejections: 9, idle: true, duration: s.Idle}, 1))
 					}
 				})
 			}
--- a/internal/workers/discovery/unread_data.go
+++ b/internal/workers/discovery/unread_data.go
@@ -25,10 +25,10 @@
 
 // Read is called again only when all that was read before has been decoded and told.
 func (c *watchConn) Read(b []byte) (n int, err error) {
-	c.decoded()
+	c.setDecoded()
 	var failed error
 	err = c.raw.Read(func(fd uintptr) bool {
-		n, failed = c.take(fd, b)
+		n, failed = c.readAvailable(fd, b)
 		return !errors.Is(failed, syscall.EAGAIN)
 	})
 	if err == nil {
@@ -43,8 +43,8 @@
 	return n, nil
 }
 
-// take reads what is there, and waits for nothing.
-func (c *watchConn) take(fd uintptr, b []byte) (n int, err error) {
+// readAvailable reads what is there, and waits for nothing.
+func (c *watchConn) readAvailable(fd uintptr, b []byte) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
@@ -57,14 +57,14 @@
 	return n, err
 }
 
-func (c *watchConn) decoded() {
+func (c *watchConn) setDecoded() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.decoding = false
 }
 
-// unread tells whether something lies unread on it, or is being decoded. An end that nobody has read yet is such a thing too.
-func (c *watchConn) unread() bool {
+// hasUnread tells whether something lies unread on it, or is being decoded. An end that nobody has read yet is such a thing too.
+func (c *watchConn) hasUnread() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.decoding {
@@ -96,11 +96,11 @@
 	}
 }
 
-// noting has a watch's connection be the one that is looked at, from the moment at which the watch has it.
-func (r *Client) noting(ctx context.Context) context.Context {
+// withConnTrace has a watch's connection be the one that is looked at, from the moment at which the watch has it.
+func (r *Client) withConnTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) {
 		if c, ok := got.Conn.(*watchConn); ok {
-			r.watched.Store(c)
+			r.watchedConn.Store(c)
 		}
 	}})
 }
@@ -108,6 +108,6 @@
 // HasUnreadData tells whether something of discovery's lies before this process, or is being decoded: what it tells counts as told, though nobody
 // here has taken it up. A process that stood has all of that at once, the ops that came meanwhile beside it.
 func (r *Client) HasUnreadData() bool {
-	c := r.watched.Load()
-	return c != nil && c.unread()
+	c := r.watchedConn.Load()
+	return c != nil && c.hasUnread()
 }
--- a/internal/workers/discovery/watch.go
+++ b/internal/workers/discovery/watch.go
@@ -12,20 +12,20 @@
 	"time"
 )
 
-const longest = 8 << 20 // bytes of one object
+const maxObjectBytes = 8 << 20 // bytes of one object
 
 var (
-	errSilent  = errors.New("nothing came")
-	errTooLong = errors.New("an object is too long")
-	errLacking = errors.New("an object has no version, or is a whole list without workers' entries")
+	errIdleTimeout      = errors.New("nothing came")
+	errObjectTooLarge   = errors.New("an object is too long")
+	errIncompleteObject = errors.New("an object has no version, or is a whole list without workers' entries")
 )
 
 // watch reads one watch until it breaks, and tells whether anything came that says that discovery lives.
 func (r *Client) watch(on context.Context) (heard bool, err error) {
-	r.one.Lock()
-	defer r.one.Unlock()
+	r.watching.Lock()
+	defer r.watching.Unlock()
 	r.mu.Lock()
-	addr, rev := r.addr, r.rev
+	addr, rev := r.addr, r.revision
 	r.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(on)
 	defer cancel(nil)
@@ -34,15 +34,15 @@
 			err = fmt.Errorf("watch: %w", cause)
 		}
 	}()
-	silence := listenFor(r.spans.Settle, r.HasUnreadData, func() { cancel(errSilent) }) // a lost agent says nothing
+	silence := newIdleTimer(r.timeouts.Response, r.HasUnreadData, func() { cancel(errIdleTimeout) }) // a lost agent says nothing
 	defer silence.stop()
 	url := fmt.Sprintf("http://%s/v1/servers?stream=1&index=%d", addr, rev)
-	defer r.watched.Store(nil) // before the next watch begins
-	req, err := http.NewRequestWithContext(r.noting(ctx), http.MethodGet, url, nil)
+	defer r.watchedConn.Store(nil) // before the next watch begins
+	req, err := http.NewRequestWithContext(r.withConnTrace(ctx), http.MethodGet, url, nil)
 	if err != nil {
 		return false, fmt.Errorf("watch: %w", err)
 	}
-	resp, err := r.client.Do(req)
+	resp, err := r.httpClient.Do(req)
 	if err != nil {
 		return false, fmt.Errorf("watch: %w", err)
 	}
@@ -50,12 +50,12 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return false, fmt.Errorf("watch: status %s: %w", resp.Status, errTurnedAway)
+		return false, fmt.Errorf("watch: status %s: %w", resp.Status, errRejected)
 	default:
 		return false, fmt.Errorf("watch: status %s", resp.Status)
 	}
-	silence.broken(r.spans.Quiet)
-	m := &meter{from: resp.Body, left: longest, lives: func() { silence.broken(r.spans.Quiet) }, beats: r.starts.alive}
+	silence.reset(r.timeouts.Idle)
+	m := &objectReader{source: resp.Body, remaining: maxObjectBytes, onActivity: func() { silence.reset(r.timeouts.Idle) }, onHeartbeat: r.startTimes.noteHeartbeat}
 	objects := json.NewDecoder(m) // an object may stand on several lines
 	for {
 		var text struct {
@@ -67,113 +67,113 @@
 			if errors.Is(err, io.EOF) {
 				err = errors.New("ended")
 			}
-			return m.heard, fmt.Errorf("watch: %w", err)
+			return m.alive, fmt.Errorf("watch: %w", err)
 		}
 		if text.Rev == nil || text.All && text.Targets == nil {
-			return m.heard, fmt.Errorf("watch: %w", errLacking)
+			return m.alive, fmt.Errorf("watch: %w", errIncompleteObject)
 		}
-		m.whole(objects.Buffered())
+		m.objectComplete(objects.Buffered())
 		list := Message{Rev: *text.Rev, All: text.All}
 		if text.Targets != nil {
 			list.Targets = *text.Targets
 		}
-		if !r.keep(on, &list) {
-			return m.heard, on.Err()
+		if !r.apply(on, &list) {
+			return m.alive, on.Err()
 		}
 		r.log.Debug().Int64("rev", list.Rev).Bool("whole", list.All).Int("entries", len(list.Targets)).Msg("list")
 		for _, t := range list.Targets {
 			r.log.Debug().Str("worker", t.UID).Str("state", t.State).Str("zone", t.AZ).Int64("boot_ms", t.BootMS).Msg("listed")
 		}
-		r.tell(list.EndpointsChanged(r.starts))
-		r.starts.alive()
+		r.notify(list.EndpointsChanged(r.startTimes))
+		r.startTimes.noteHeartbeat()
 	}
 }
 
 const (
-	starved = 100 * time.Millisecond // a timer that is later than that tells of this process, not of the other side
-	unread  = 500 * time.Millisecond // for what came meanwhile to be read, or a quarter of the span that has passed
+	maxTimerLateness = 100 * time.Millisecond // a timer that is later than that tells of this process, not of the other side
+	unreadGrace      = 500 * time.Millisecond // for what came meanwhile to be read, or a quarter of the span that has passed
 	// So often a late timer is waited for, and not once more: a process that is starved for good has to call anew some time. In
 	// all it is under a third of a drain's grace where lists are pushed, as a call there is given two fifths.
-	mostLate = 3
+	maxLateTimers = 3
 )
 
-// silence ends a watch of which nothing came in time. A process that was stopped or starved meanwhile has what came unread before
+// idleTimer ends a watch of which nothing came in time. A process that was stopped or starved meanwhile has what came unread before
 // it, perhaps a drain that counts as told by now: it reads that first, and does not call anew for it.
-type silence struct {
-	unread func() bool // something lies there, and nobody has come to it yet
-	end    func()
+type idleTimer struct {
+	hasUnread func() bool // something lies there, and nobody has come to it yet
+	onIdle    func()
 
-	mu    sync.Mutex
-	timer *time.Timer
-	span  time.Duration // within which something has to come
-	due   time.Time
-	late  int // how often it was, since something came
+	mu         sync.Mutex
+	timer      *time.Timer
+	timeout    time.Duration // within which something has to come
+	deadline   time.Time
+	lateTimers int // how often it was, since something came
 }
 
-// listenFor begins a silence that is to be broken within a span.
-func listenFor(within time.Duration, unread func() bool, end func()) *silence {
-	s := &silence{unread: unread, end: end, span: within, due: time.Now().Add(within)}
+// newIdleTimer begins a silence that is to be broken within a span.
+func newIdleTimer(within time.Duration, unread func() bool, end func()) *idleTimer {
+	s := &idleTimer{hasUnread: unread, onIdle: end, timeout: within, deadline: time.Now().Add(within)}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.timer = time.AfterFunc(within, s.over)
+	s.timer = time.AfterFunc(within, s.expired)
 	return s
 }
 
-// broken says that something came, and what has to come within the next span.
-func (s *silence) broken(within time.Duration) {
+// reset says that something came, and what has to come within the next span.
+func (s *idleTimer) reset(within time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.span, s.due, s.late = within, time.Now().Add(within), 0
+	s.timeout, s.deadline, s.lateTimers = within, time.Now().Add(within), 0
 	s.timer.Reset(within)
 }
 
-func (s *silence) stop() {
+func (s *idleTimer) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.timer.Stop()
 }
 
-// over is told when the span has passed.
-func (s *silence) over() {
+// expired is told when the span has passed.
+func (s *idleTimer) expired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	left := time.Until(s.due)
-	if left <= 0 && (s.late == mostLate || -left <= starved && !s.unread()) {
-		s.end()
+	left := time.Until(s.deadline)
+	if left <= 0 && (s.lateTimers == maxLateTimers || -left <= maxTimerLateness && !s.hasUnread()) {
+		s.onIdle()
 		return
 	}
 	if left <= 0 {
-		left = min(unread, s.span/4)
-		s.late++
+		left = min(unreadGrace, s.timeout/4)
+		s.lateTimers++
 	} // else it was broken in this instant
-	s.due = time.Now().Add(left)
+	s.deadline = time.Now().Add(left)
 	s.timer.Reset(left)
 }
 
-// meter reads objects with empty lines between them. While none has begun each byte is a sign of life; one that has begun must
+// objectReader reads objects with empty lines between them. While none has begun each byte is a sign of life; one that has begun must
 // be whole within the span that one byte gives, and within its length: half an object that stops is silence, also where empty
 // lines follow it.
-type meter struct {
-	from  io.Reader
-	left  int  // of the object's bytes
-	open  bool // one has begun
-	heard bool // an empty line came, or a list
-	lives func()
-	beats func() // told of each empty line
+type objectReader struct {
+	source      io.Reader
+	remaining   int  // of the object's bytes
+	inObject    bool // one has begun
+	alive       bool // an empty line came, or a list
+	onActivity  func()
+	onHeartbeat func() // told of each empty line
 }
 
 // Read leaves out what is blank between objects: the decoder would keep it until the next one.
-func (m *meter) Read(b []byte) (int, error) {
+func (m *objectReader) Read(b []byte) (int, error) {
 	for {
-		if m.left <= 0 {
-			return 0, errTooLong
+		if m.remaining <= 0 {
+			return 0, errObjectTooLarge
 		}
-		n, err := m.from.Read(b[:min(len(b), m.left)])
+		n, err := m.source.Read(b[:min(len(b), m.remaining)])
 		if n == 0 {
 			return 0, err
 		}
-		m.see(b[:n])
-		if m.open {
+		m.consume(b[:n])
+		if m.inObject {
 			return n, err
 		}
 		if err != nil {
@@ -182,25 +182,25 @@
 	}
 }
 
-// see takes note of bytes that came.
-func (m *meter) see(b []byte) {
-	if !m.open {
-		m.lives()
+// consume takes note of bytes that came.
+func (m *objectReader) consume(b []byte) {
+	if !m.inObject {
+		m.onActivity()
 		if len(bytes.TrimSpace(b)) == 0 {
-			m.heard = true
-			m.beats()
+			m.alive = true
+			m.onHeartbeat()
 			return
 		}
-		m.open = true
+		m.inObject = true
 	}
-	m.left -= len(b)
+	m.remaining -= len(b)
 }
 
-// whole says that a list has come whole, and what was read behind it.
-func (m *meter) whole(rest io.Reader) {
-	m.open, m.left, m.heard = false, longest, true
-	m.lives()
+// objectComplete says that a list has come whole, and what was read behind it.
+func (m *objectReader) objectComplete(rest io.Reader) {
+	m.inObject, m.remaining, m.alive = false, maxObjectBytes, true
+	m.onActivity()
 	if b, err := io.ReadAll(rest); err == nil && len(bytes.TrimSpace(b)) > 0 {
-		m.see(b)
+		m.consume(b)
 	}
 }
--- a/internal/workers/outcome/outcome.go
+++ b/internal/workers/outcome/outcome.go
@@ -29,18 +29,18 @@
 	TimedOut               // nothing more came until the time-out
 	Cancelled              // this side closed it
 	CancelledUnsent        // this side closed it before a byte was written
-	known                  // one more than the last
+	numEndings             // one more than the last
 )
 
-var names = [known]string{"unknown", "done", "failed", "lost", "returned", "turned-away", "rejected",
+var endingNames = [numEndings]string{"unknown", "done", "failed", "lost", "returned", "turned-away", "rejected",
 	"server-error", "no-descriptor", "no-resource", "conn-refused", "never-up", "dial-failed", "part-written", "reset", "ended-early",
 	"garbled", "silent", "withdrawn", "unwritten"}
 
 func (e Ending) String() string {
-	if e < 0 || e >= known {
+	if e < 0 || e >= numEndings {
 		e = Unknown
 	}
-	return names[e]
+	return endingNames[e]
 }
 
 // NeverRan tells whether an ending proves that its push ran nowhere.
--- a/internal/workers/outcome/outcome_test.go
+++ b/internal/workers/outcome/outcome_test.go
@@ -10,7 +10,7 @@
 func TestWhatProvesThatAPushNeverRan(t *testing.T) {
 	never := map[Ending]bool{Returned: true, Shed: true, NoDescriptor: true, NoResource: true, ConnRefused: true,
 		DialTimedOut: true, DialFailed: true, PartiallySent: true, CancelledUnsent: true}
-	for e := Unknown - 1; e <= known+1; e++ {
+	for e := Unknown - 1; e <= numEndings+1; e++ {
 		switch e.Outcome() {
 		case dispatch.Rejected, dispatch.Unreachable, dispatch.NotSent, dispatch.LocalExhaustion:
 			if !never[e] {
