--- a/internal/scheduler/reducer/race_test.go
+++ b/internal/scheduler/reducer/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package ops
+package reducer
 
 // The detector makes a change ten times dearer, and what it looks for here does not grow with their number.
 func init() { dayOfChanges = 800 }
