--- a/internal/frontend/apart_test.go
+++ b/internal/frontend/apart_test.go
@@ -21,7 +21,7 @@
 // Buffers, header maps and connections are used again: nothing of one client's op may be seen in another's, at the worker or in an
 // answer. Half of the clients send in chunks, some answers are refusals.
 func TestNothingOfOneOpIsSeenInAnothers(t *testing.T) {
-	addr, _, _ := scheduler(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		var others []string
 		for name, values := range r.Header {
--- a/internal/frontend/bench_test.go
+++ b/internal/frontend/bench_test.go
@@ -13,10 +13,8 @@
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
 
-	"woaddyke/internal/config"
 	"woaddyke/internal/testsupport/fragmentpeer"
 	"woaddyke/internal/workers/outcome"
 	"woaddyke/internal/workers/workerconn"
@@ -101,18 +99,13 @@
 // thousands of workers, and over one that is kept.
 func BenchmarkProbe(b *testing.B) {
 	addr := answering(b)
-	f, err := New(&config.Bootstrap{Discovery: "127.0.0.1:1", Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
-		Settings: config.Flatten(map[string]any{"categories": []any{map[string]any{"name": "look", "ttlNs": 3e9}}})}, zerolog.Nop())
-	if err != nil {
-		b.Fatal(err)
-	}
 	for _, kept := range []bool{false, true} {
 		b.Run(fmt.Sprint("kept=", kept), func(b *testing.B) {
 			p, to := counted()
 			b.ReportAllocs()
 			for range b.N {
 				ends := make(chan workerconn.End, 1)
-				p.Probe(addr, f.loop.probeHead, time.Now().Add(time.Second), func(e workerconn.End) { ends <- e })
+				p.Probe(addr, []byte(probeRequest), time.Now().Add(time.Second), func(e workerconn.End) { ends <- e })
 				if e := <-ends; e.How != outcome.Done {
 					b.Fatal(e.How)
 				}
--- a/internal/frontend/claims.go
+++ b/internal/frontend/claims.go
@@ -30,21 +30,21 @@
 
 // RequireClaims has ops of some categories asked for before they are taken. It is called before Serve.
 func (f *Server) RequireClaims(by ClaimRegistry, needs func(category string) bool) {
-	f.fates, f.guarded, f.loop.fates, f.loop.granted = by, needs, by, needs
+	f.fates, f.guarded = by, needs
 }
 
-// guard asks for an op. It sets the ticket to end it with, or returns the answer in place of taking it.
-func (f *Server) guard(r *http.Request, h *held) (no *http.Response) {
-	left := time.Duration(int64(h.TTL)*int64(time.Second/10_000) - f.loop.clock.Now())
+// claim asks for an op. It sets the ticket to end it with, or returns the answer in place of taking it.
+func (f *Server) claim(r *http.Request, h *held) (no *http.Response) {
+	left := time.Duration(int64(h.TTL)*int64(time.Second/10_000) - f.clock.Now())
 	rule := f.inForce.Load().rule(h.Category)
 	request := append(append([]byte(h.target), 0), h.request.Body...)
 	d := f.fates.Claim(r.Context(), h.Category, h.ID, request, left, rule.Window)
 	f.log.Debug().Str("id", h.ID).Stringer("outcome", d.Result).Stringer("why", d.Reason).Msg("asked for")
 	switch d.Result {
 	case replication.Granted:
-		h.ticket, h.scope = d.RequestID, rule.Scope
+		h.ticket, h.scope, h.fates = d.RequestID, rule.Scope, f.fates
 		if d.Outcome.Group != "" {
-			at := config.RoundDown(f.loop.clock.Now()) - dispatch.Time(d.Outcome.Age)
+			at := config.RoundDown(f.clock.Now()) - dispatch.Time(d.Outcome.Age)
 			h.PriorAttempt, h.placed = &reducer.PriorAttempt{Group: groupOf(d.Outcome.Group), StartedAt: at}, true
 		}
 		return nil
@@ -91,14 +91,14 @@
 	return g
 }
 
-// ran has the keepers know where an op may have run, the first time that it may.
-func (l *loop) ran(op uint64) {
-	h := l.held[op]
-	if h == nil || h.ticket == 0 || h.scope == "" || h.placed {
+// MayHaveRun has the replicas know where an op may have run, the first time that it may. Only the loop calls it, before
+// it answers the op.
+func (h *held) MayHaveRun(group reducer.Group) {
+	if h.ticket == 0 || h.scope == "" || h.placed {
 		return
 	}
 	h.placed = true
-	l.fates.MayHaveRun(h.ticket, whereOf(h.scope, h.group))
+	h.fates.MayHaveRun(h.ticket, whereOf(h.scope, group))
 }
 
 // settle has the keepers know what became of an op that was asked for.
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -14,6 +14,7 @@
 
 	"woaddyke/internal/lifecycle/clientdrain"
 	"woaddyke/internal/lifecycle/hotrestart"
+	"woaddyke/internal/scheduler"
 )
 
 // ask sends a request on a connection, and tells the answer's status and whether it ends the connection.
@@ -142,7 +143,7 @@
 	_, stop := serveUntil(t, f)
 	defer stop()
 	<-f.Ready()
-	f.loop.in <- message{call: func() { time.Sleep(time.Second) }}
+	f.loop.Inbox() <- scheduler.Query(func(scheduler.State) { time.Sleep(time.Second) })
 	text, _, err := f.HandOver()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,5 +1,5 @@
-// Package frontend serves clients: it takes ops over HTTP, hands each to the loop that runs the reducer, and
-// answers when the op has its one final answer.
+// Package frontend serves clients: it takes ops over HTTP, submits each to the scheduler's loop, and answers when the
+// op has its one final answer.
 package frontend
 
 import (
@@ -28,6 +28,7 @@
 	"woaddyke/internal/lifecycle/hotrestart"
 	"woaddyke/internal/observe/invariant"
 	"woaddyke/internal/observe/metrics"
+	"woaddyke/internal/scheduler"
 	"woaddyke/internal/scheduler/reducer"
 	"woaddyke/internal/workers/discovery"
 	"woaddyke/internal/workers/workerconn"
@@ -45,16 +46,20 @@
 	listWait   = 3 * time.Second        // for discovery's first list, before the remembered one has to do
 	lookEvery  = 20 * time.Millisecond  // while the last connections end
 	newWaits   = 60 * time.Millisecond  // one that has just come up, or was answered, may have its request on the way
-	// From a decision on a push to its first byte, beside the dial: the process may be held up, and come late to a connection that is up.
-	decisionSlack = 300 * time.Millisecond
-	logEvery      = time.Second // between two lines about failures of accept
-	stays         = 0.6         // of its last time it keeps connections: their clients may have no other
+	logEvery   = time.Second            // between two lines about failures of accept
+	stays      = 0.6                    // of its last time it keeps connections: their clients may have no other
 )
 
 // Server is one scheduler on sockets.
 type Server struct {
 	sheet    *config.Bootstrap
-	loop     *loop
+	loop     *scheduler.Loop
+	ops      opScheduler // the loop, as one op sees it
+	pool     *workerconn.Pool
+	guard    *invariant.Checker
+	clock    clock.Clock
+	peers    *peers                    // nil without addresses in the configuration
+	say      func(to int, text string) // in place of peers where members carry words, nil without
 	roster   *discovery.Client
 	starts   *discovery.StartTimes
 	proxy    *httputil.ReverseProxy
@@ -67,7 +72,7 @@
 	clients  *clientconn.Pool
 	tally    *metrics.Recorder
 
-	changes *spillqueue.Queue[message] // of other schedulers, to the loop
+	changes *spillqueue.Queue[scheduler.Message] // of other schedulers, to the loop
 
 	acceptLogged atomic.Pointer[time.Time] // when a failure of accept was logged last
 
@@ -80,12 +85,20 @@
 	shared   *sharing                     // nil: only the own discovery counts
 	known    reducer.EndpointsChanged     // as remembered at the start
 	fates    ClaimRegistry                // nil: this scheduler alone knows its ops
-	guarded  func(category string) bool
+	guarded  func(category string) bool   // nil: no op needs a claim
+}
+
+// opScheduler takes ops and answers them.
+type opScheduler interface {
+	Submit(context.Context, scheduler.Submit) error
+	Send(reducer.Input)
+	Ended() <-chan struct{}
 }
 
 type heldKey struct{}
 
-var errEnded = errors.New("the scheduler has ended")
+// probeRequest asks a worker for its load.
+const probeRequest = "GET /load HTTP/1.1\r\nHost: worker\r\n\r\n"
 
 // New makes a scheduler from what it is told at its start.
 func New(sheet *config.Bootstrap, log zerolog.Logger) (*Server, error) {
@@ -100,47 +113,43 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Server{sheet: sheet, log: log, ready: make(chan struct{}), starts: starts}
+	f := &Server{sheet: sheet, log: log, ready: make(chan struct{}), starts: starts, clock: now, guard: invariant.New(log)}
 	f.clients = clientconn.New(0, 0) // limit sets both bounds
 	f.clients.Failed, f.clients.HeadTime = f.acceptFailed, headTime
 	f.inForce.Store(settingsOf(sheet, nil, time.Time{}, time.Time{}))
 	f.drain = &drainer{clients: f.clients}
 	f.tally = metrics.New(sheet.Categories())
 	dial := sheet.Duration("bounds.connectTimeout", time.Second)
-	f.loop = &loop{
-		in:        make(chan message, backlog),
-		reducer:   reducer.New(sheet.SeedValue, sheet.Settings),
-		pool:      workerconn.New(workerconn.Bounds{Dial: dial, Idle: sheet.Duration("bounds.keepalive", 10*time.Second)}),
-		probeHead: []byte("GET /load HTTP/1.1\r\nHost: worker\r\n\r\n"),
-		probeWait: 2 * dial, // nothing says how long a probe may take: a dial, and as long again
-		log:       log,
-		clock:     now,
-		tally:     f.tally,
-		shows:     sheet.Console != "",
-		listed:    make(chan struct{}),
-		ended:     make(chan struct{}),
-		held:      map[uint64]*held{},
-		out:       map[uint64]*workerconn.Exchange{},
-		freshFor:  dial + decisionSlack,
-		guard:     invariant.New(log),
-		byID:      map[string]uint64{},
-		workers:   watched{grace: sheet.Duration("safety.drainGrace", time.Second), since: map[string]time.Time{}},
-		wake:      time.NewTimer(0),
-	}
-	f.changes = spillqueue.New(f.loop.in, f.loop.ended)
-	f.loop.rule = func(category string) config.CategoryRule { return f.inForce.Load().rule(category) }
-	f.loop.mostPushes = func() int { return f.inForce.Load().mostPushes() }
+	f.pool = workerconn.New(workerconn.Bounds{Dial: dial, Idle: sheet.Duration("bounds.keepalive", 10*time.Second)})
+	decisions := reducer.New(sheet.SeedValue, sheet.Settings)
+	if sheet.ShadowSettings != nil {
+		decisions.SetShadowSettings(sheet.ShadowSettings)
+	}
+	f.loop = scheduler.New(scheduler.Options{
+		Reducer:        decisions,
+		Workers:        f.pool,
+		Policy:         policy{f},
+		Checker:        f.guard,
+		Metrics:        f.tally,
+		Clock:          now,
+		Log:            log,
+		ProbeRequest:   []byte(probeRequest),
+		ConnectTimeout: dial,
+		DrainGrace:     sheet.Duration("safety.drainGrace", time.Second),
+		SendToPeer:     f.sendToPeer,
+		OnStep:         f.clients.Runs,
+		PublishWorkers: sheet.Console != "",
+		LogDivergence:  sheet.ShadowSettings != nil,
+	})
+	f.ops = f.loop
+	f.changes = spillqueue.New(f.loop.Inbox(), f.loop.Ended())
 	f.clients.Ended = func(why clientconn.Reason, addr string) {
 		log.Debug().Str("why", string(why)).Str("client", addr).Msg("client's connection ends")
 	}
 	f.clients.Unanswered = func(addr string) {
-		f.loop.guard.Violated(invariant.Closing, invariant.Unanswered, func(e *zerolog.Event) { e.Str("client", addr) })
+		f.guard.Violated(invariant.Closing, invariant.Unanswered, func(e *zerolog.Event) { e.Str("client", addr) })
 	}
 	f.Limit(sheet.Limits.Sockets)
-	if sheet.ShadowSettings != nil {
-		f.loop.reducer.SetShadowSettings(sheet.ShadowSettings)
-		f.loop.watches = true
-	}
 	var known discovery.Message
 	if len(sheet.KnownWorkers) > 0 {
 		if err := json.Unmarshal(sheet.KnownWorkers, &known); err != nil {
@@ -149,11 +158,11 @@
 	}
 	list := known.EndpointsChanged(starts)
 	list.Snapshot, list.Cached = true, true
-	f.loop.tell(list)
+	f.loop.Send(list)
 	f.known = list
 	spans := discovery.TimeoutsFor(sheet.Settings["discovery"] != "on_request", sheet.Schedulers(), sheet.Duration("safety.drainGrace", time.Second))
 	f.roster = discovery.New(sheet.Discovery, known, spans, sheet.SeedValue, starts, f.listed, log)
-	f.loop.pool.Stale, f.loop.runs = f.listsUnread, f.clients.Runs
+	f.pool.Stale = f.listsUnread
 	f.proxy = &httputil.ReverseProxy{
 		Transport:  f,
 		Rewrite:    func(r *httputil.ProxyRequest) { r.Out.URL.RawQuery = r.In.URL.RawQuery },
@@ -178,21 +187,21 @@
 	defer unwatch()
 	if p := f.sheet.Peers; p != nil {
 		var err error
-		if f.loop.peers, err = listen(p, f.peersAt, f.log); err != nil {
+		if f.peers, err = listen(p, f.peersAt, f.log); err != nil {
 			return err
 		}
-		defer f.loop.peers.conn.Close()
-		go f.loop.peers.hear(f.loop.tell)
+		defer f.peers.conn.Close()
+		go f.peers.hear(f.loop.Send)
 	}
 	go f.roster.Run(watching)
-	quit := make(chan struct{})
+	running, quit := context.WithCancel(context.Background())
 	defer func() {
-		close(quit)
-		<-f.loop.ended // its last counts are logged by then
+		quit()
+		<-f.loop.Ended() // its last counts are logged by then
 	}()
-	go f.loop.run(quit)
+	go f.loop.Run(running)
 	if f.shared != nil {
-		go f.shared.run(quit)
+		go f.shared.run(running)
 	}
 	s := &http.Server{Handler: f, ConnState: f.clients.Track, ConnContext: clientconn.With, ReadHeaderTimeout: headTime,
 		IdleTimeout: 5 * time.Minute, MaxHeaderBytes: 16 << 10,
@@ -202,7 +211,7 @@
 	go func() { failed <- s.Serve(f.clients) }()
 	go func() {
 		select {
-		case <-f.loop.listed:
+		case <-f.loop.Listed():
 		case <-time.After(listWait):
 		}
 		close(f.ready)
@@ -223,7 +232,7 @@
 
 // listsUnread tells whether discovery has told something that the loop has not taken up yet. What a push was decided by may hold no more. It
 // follows the way of a list: one that has left the one place when that is asked is in the next by then.
-func (f *Server) listsUnread() bool { return f.roster.HasUnreadData() || f.loop.unapplied.Load() > 0 }
+func (f *Server) listsUnread() bool { return f.roster.HasUnreadData() || f.loop.HasUnappliedLists() }
 
 // acceptFailed counts a failure of accept that is waited out, and says so at a bounded rate.
 func (f *Server) acceptFailed(err error) {
@@ -242,7 +251,7 @@
 	if f.others != nil {
 		x.Members = f.others()
 	}
-	x.Violations, x.Goroutines = f.loop.guard.Counts(), runtime.NumGoroutine()
+	x.Violations, x.Goroutines = f.guard.Counts(), runtime.NumGoroutine()
 	if f.lost != nil {
 		x.LogLinesLost = f.lost()
 	}
@@ -269,13 +278,13 @@
 	f.stopping.Store(!heir)
 	f.leaving.Store(heir)
 	f.log.Info().Time("by", by).Bool("heir", heir).Msg("stopping")
-	last := reducer.ShutdownStarted{Deadline: config.RoundDown(f.loop.clock.Nanos(by))}
-	f.loop.tell(last)
-	defer time.AfterFunc(time.Until(by), func() { f.loop.tell(last) }).Stop()
+	last := reducer.ShutdownStarted{Deadline: config.RoundDown(f.clock.Nanos(by))}
+	f.loop.Send(last)
+	defer time.AfterFunc(time.Until(by), func() { f.loop.Send(last) }).Stop()
 	leaves := time.Now().Add(time.Duration(stays * float64(within)))
 	if heir {
 		f.clients.Pause()
-		f.loop.peers.deaf()
+		f.peers.deaf()
 	}
 	f.leave(leaves, by.Add(stopSlack/3))
 	// Only now: from its beginning on it drops a request that it has read a moment ago, and closes connections on which one has begun.
@@ -284,8 +293,8 @@
 	if err := s.Shutdown(ctx); err != nil {
 		f.log.Warn().Err(err).Msg("connections were left open")
 	}
-	open, dialed := f.loop.pool.Counts()
-	f.log.Info().Int("open", open).Int("dialed", dialed).Interface("violations", f.loop.guard.Counts()).Msg("stopped")
+	open, dialed := f.pool.Counts()
+	f.log.Info().Int("open", open).Int("dialed", dialed).Interface("violations", f.guard.Counts()).Msg("stopped")
 }
 
 // leave has all clients gone: from a moment on each answer ends its connection, and those that wait for a request are told that
@@ -413,13 +422,13 @@
 	if f.fates != nil {
 		h.Effect = f.CategoryEffect(h.Category) // that it is asked for by, or not
 		if f.guarded(h.Category) {
-			if no := f.guard(r, h); no != nil {
+			if no := f.claim(r, h); no != nil {
 				return no, nil
 			}
 		}
 	}
 	h.Op, h.request.Head = f.numbers.Add(1), requestHead(r, h)
-	if err := f.hand(h); err != nil {
+	if err := f.ops.Submit(h.client, h.submission()); err != nil {
 		if h.ticket != 0 {
 			f.fates.Finish(h.ticket, true, 0, nil)
 		}
@@ -429,8 +438,8 @@
 	case a := <-h.answer:
 		return f.final(r, h, a), nil
 	case <-r.Context().Done():
-		f.loop.tell(reducer.ClientDisconnected{Op: h.Op})
-	case <-f.loop.ended:
+		f.ops.Send(reducer.ClientDisconnected{Op: h.Op})
+	case <-f.ops.Ended():
 	}
 	select {
 	case a := <-h.answer: // it came in the same instant
@@ -443,7 +452,7 @@
 	if err := r.Context().Err(); err != nil {
 		return nil, err
 	}
-	return nil, errEnded
+	return nil, scheduler.ErrEnded
 }
 
 // final is an op's one answer as it goes to its client.
@@ -457,27 +466,12 @@
 	return response(r, a)
 }
 
-// hand gives an op to the loop. One whose client has left by then, at the fates' door or while the loop was busy, is not given.
-func (f *Server) hand(h *held) error {
-	if err := h.client.Err(); err != nil {
-		return err
-	}
-	select {
-	case f.loop.in <- message{in: h.OpArrived, held: h}:
-		return nil
-	case <-h.client.Done():
-		return h.client.Err()
-	case <-f.loop.ended:
-		return errEnded
-	}
-}
-
 func response(r *http.Request, a reducer.Respond) *http.Response {
 	switch a.Verdict {
 	case reducer.Acked:
 		return plain(r, http.StatusOK, a.Result, 0)
 	case reducer.Nacked:
-		return plain(r, http.StatusServiceUnavailable, []byte("nacked: trying again is harmless\n"), span(a.RetryAfter))
+		return plain(r, http.StatusServiceUnavailable, []byte("nacked: trying again is harmless\n"), time.Duration(a.RetryAfter)*config.Tenth)
 	case reducer.UnknownCategory:
 		return plain(r, http.StatusBadRequest, []byte("unknown category\n"), 0)
 	case reducer.DuplicateID:
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -21,8 +21,8 @@
 	"woaddyke/internal/config"
 )
 
-// scheduler starts a scheduler with one worker, and returns its address and what stops it as SIGTERM does.
-func scheduler(t *testing.T, work http.HandlerFunc) (addr string, stop func(), ended chan error) {
+// startScheduler starts a scheduler with one worker, and returns its address and what stops it as SIGTERM does.
+func startScheduler(t *testing.T, work http.HandlerFunc) (addr string, stop func(), ended chan error) {
 	return schedulerBehind(t, work, func(l net.Listener) net.Listener { return l })
 }
 
@@ -111,7 +111,7 @@
 // its connection breaks.
 func TestAnOpGoesToTheWorkerOnceAndAsItCame(t *testing.T) {
 	seen := make(chan string, 9)
-	addr, _, _ := scheduler(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		seen <- r.RequestURI + " " + r.Header.Get("Idempotency-Key") + " " + r.Header.Get(idHeader) + " " +
 			string(b)
@@ -134,7 +134,7 @@
 }
 
 func TestWhatIsNoOpIsAnsweredPlainly(t *testing.T) {
-	addr, _, _ := scheduler(t, func(http.ResponseWriter, *http.Request) { t.Error("it went to the worker") })
+	addr, _, _ := startScheduler(t, func(http.ResponseWriter, *http.Request) { t.Error("it went to the worker") })
 	for header, want := range map[string]int{
 		idHeader + ": ": 400, categoryHeader + ": ": 400, categoryHeader + ": other": 400,
 		timeLeftHeader + ": ": 400, timeLeftHeader + ": 1e3": 400, timeLeftHeader + ": 0": 503,
@@ -155,7 +155,7 @@
 
 // A request with both framings went on to a worker, and so did another that stood in its body.
 func TestNothingIsReadBehindARequestOfDoubtfulLength(t *testing.T) {
-	addr, _, _ := scheduler(t, func(_ http.ResponseWriter, r *http.Request) {
+	addr, _, _ := startScheduler(t, func(_ http.ResponseWriter, r *http.Request) {
 		t.Errorf("%s went to the worker", r.Header.Get(idHeader))
 	})
 	head := "POST / HTTP/1.1\r\nHost: x\r\n" + categoryHeader + ": look\r\n" + timeLeftHeader + ": 9000\r\n"
@@ -186,7 +186,7 @@
 // for.
 func TestAnOpInChunksIsServed(t *testing.T) {
 	bodies := make(chan string, 9)
-	addr, _, _ := scheduler(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		bodies <- r.Header.Get("Content-Length") + string(b)
 		done(w, r.Header.Get(idHeader))
@@ -229,7 +229,7 @@
 // A push for a client that has gone holds a descriptor for nothing.
 func TestAClientThatLeavesEndsItsPush(t *testing.T) {
 	began, ended := make(chan bool, 1), make(chan bool, 1)
-	addr, _, _ := scheduler(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		began <- true
 		<-r.Context().Done()
@@ -253,7 +253,7 @@
 // A process that ends with ops unanswered has lost them, and one that lingers is killed with them.
 func TestAStopAnswersAllAndEnds(t *testing.T) {
 	began := make(chan bool, 1)
-	addr, stop, ended := scheduler(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, stop, ended := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		if io.Copy(io.Discard, r.Body); r.Header.Get(idHeader) == "silent" {
 			began <- true
 			<-r.Context().Done()
@@ -284,7 +284,7 @@
 
 // A worker that says nothing must not cost the op its answer.
 func TestASilentWorkerDoesNotOutlastTheTTL(t *testing.T) {
-	addr, _, _ := scheduler(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	})
@@ -295,7 +295,7 @@
 
 // A flood of connections that say nothing had ops of usual clients turned away, and 10 s for a head let it stay.
 func TestAFloodTakesItsRoomFromItself(t *testing.T) {
-	addr, _, _ := scheduler(t, func(w http.ResponseWriter, r *http.Request) { done(w, r.Header.Get(idHeader)) })
+	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) { done(w, r.Header.Get(idHeader)) })
 	usual := http.Client{}
 	ask := func(id string) string {
 		r, _ := http.NewRequest(http.MethodPost, "http://"+addr, strings.NewReader("x"))
@@ -347,7 +347,7 @@
 
 // A body that was claimed and never came held its client as long as the client liked.
 func TestHalfARequestIsAnsweredSoon(t *testing.T) {
-	addr, _, _ := scheduler(t, func(http.ResponseWriter, *http.Request) { t.Error("it went to the worker") })
+	addr, _, _ := startScheduler(t, func(http.ResponseWriter, *http.Request) { t.Error("it went to the worker") })
 	for _, half := range []string{"POST / HT", "POST / HTTP/1.1\r\nHost: x\r\n" + idHeader + ": a\r\n" + categoryHeader +
 		": look\r\n" + timeLeftHeader + ": 60000\r\nContent-Length: 60\r\n\r\nx"} {
 		c, err := net.Dial("tcp", addr)
--- a/internal/frontend/gone_test.go
+++ b/internal/frontend/gone_test.go
@@ -14,6 +14,7 @@
 	"golang.org/x/sys/unix"
 
 	"woaddyke/internal/cluster/replication"
+	"woaddyke/internal/scheduler"
 )
 
 // deaf are the accepted connections of a scheduler whose watches for its clients' ends never hear of one, as where the goroutines that
@@ -144,8 +145,8 @@
 			<-g.probed
 			g.let <- true
 			g.await(t, "its look is over", func() bool {
-				g.front.loop.pool.Sweep(time.Now().Add(time.Hour))
-				open, _ := g.front.loop.pool.Counts()
+				g.front.pool.Sweep(time.Now().Add(time.Hour))
+				open, _ := g.front.pool.Counts()
 				return open == 0
 			})
 			ofLoop(g) // has taken in what it saw
@@ -168,7 +169,7 @@
 		name: "its push dials",
 		hold: func(_ *testing.T, g *gate) func() {
 			up := make(chan bool)
-			g.front.loop.pool.Connect = func(_ context.Context, network, addr string) (net.Conn, error) {
+			g.front.pool.Connect = func(_ context.Context, network, addr string) (net.Conn, error) {
 				<-up
 				return net.Dial(network, addr)
 			}
@@ -179,14 +180,14 @@
 		hold: func(t *testing.T, g *gate) func() {
 			free := busyLoop(g, 0)
 			return func() {
-				g.await(t, "the op lies before the loop", func() bool { return len(g.front.loop.in) == 1 })
+				g.await(t, "the op lies before the loop", func() bool { return len(g.front.loop.Inbox()) == 1 })
 				close(free)
 			}
 		},
 	}, {
-		name: "the loop has a full backlog",
+		name: "the loop has a full cap(g.front.loop.Inbox())",
 		hold: func(_ *testing.T, g *gate) func() {
-			free := busyLoop(g, backlog)
+			free := busyLoop(g, cap(g.front.loop.Inbox()))
 			return func() { close(free) }
 		},
 	}, {
@@ -309,10 +310,10 @@
 // busyLoop keeps a scheduler's loop from working until it is freed, with so many inputs before it.
 func busyLoop(g *gate, inputs int) (free chan bool) {
 	busy, free := make(chan bool), make(chan bool)
-	g.front.loop.in <- message{call: func() { busy <- true; <-free }}
+	g.front.loop.Inbox() <- scheduler.Query(func(scheduler.State) { busy <- true; <-free })
 	<-busy
 	for range inputs {
-		g.front.loop.in <- message{call: func() {}}
+		g.front.loop.Inbox() <- scheduler.Query(func(scheduler.State) {})
 	}
 	return free
 }
@@ -320,10 +321,10 @@
 // ofLoop asks a scheduler's loop how many ops it has taken, and how many of these wait still.
 func ofLoop(g *gate) (taken uint64, waits int) {
 	done := make(chan bool)
-	g.front.loop.in <- message{call: func() {
-		taken, waits = g.front.loop.taken, len(g.front.loop.held)
+	g.front.loop.Inbox() <- scheduler.Query(func(s scheduler.State) {
+		taken, waits = s.Submitted, s.Pending
 		close(done)
-	}}
+	})
 	<-done
 	return taken, waits
 }
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -10,13 +10,13 @@
 	"net/http"
 	"strconv"
 	"strings"
-	"sync/atomic"
 	"time"
 	"unicode/utf8"
 
 	"woaddyke/dispatch"
 	"woaddyke/internal/config"
 	"woaddyke/internal/frontend/clientconn"
+	"woaddyke/internal/scheduler"
 	"woaddyke/internal/scheduler/reducer"
 	"woaddyke/internal/workers/workerconn"
 )
@@ -29,7 +29,6 @@
 	factsHeader    = "X-Facts"
 
 	largestBody = 64 << 10
-	longestTTL  = 24 * time.Hour
 	wayBack     = 10 * time.Millisecond // the client counts the way to here and back too
 )
 
@@ -41,29 +40,39 @@
 	answer  chan reducer.Respond // has room for the one answer
 	client  context.Context      // of the request: it ends when the client is seen to leave
 
-	until      time.Time                 // its client gives up
-	looked     atomic.Pointer[time.Time] // when it was found to be there last
-	rule       config.CategoryRule       // of its category, as it came
-	mostPushes int                       // as it came
-	pushes     attempts
+	until      time.Time           // its client gives up
+	rule       config.CategoryRule // of its category, as it came
+	mostPushes int                 // as it came
 
 	ticket uint64        // of the fates; 0 for an op that was not asked for
 	scope  string        // of the group that drops its repeats; empty for none
-	group  reducer.Group // of the last push
 	placed bool          // the fates know where it may have run
+	fates  ClaimRegistry // that gave the ticket
 }
 
-// waits tells whether the client is there still: nothing is sent on for one that has left. The server's own word of that may
-// be a moment late, so the connection is looked at too.
-func (h *held) waits() bool {
-	now := time.Now()
-	if h.client.Err() != nil || clientconn.Left(h.client) {
-		return false
+// submission is an op as the scheduler takes it.
+func (h *held) submission() scheduler.Submit {
+	return scheduler.Submit{
+		Op:           h.OpArrived,
+		Client:       h,
+		Deadline:     h.until,
+		Rule:         h.rule,
+		MaxAttempts:  h.mostPushes,
+		ClaimGranted: h.ticket != 0,
+		Reply:        h.answer,
 	}
-	h.looked.Store(&now)
-	return true
 }
 
+// Disconnected tells whether the server has noticed that the client is gone.
+func (h *held) Disconnected() bool { return h.client.Err() != nil }
+
+// Waiting tells whether the client is still there. The server may notice a closed connection a moment late, so the
+// connection itself is looked at too.
+func (h *held) Waiting() bool { return !h.Disconnected() && !clientconn.Left(h.client) }
+
+// Request returns the request for a worker that has so much time left.
+func (h *held) Request(left time.Duration) []byte { return h.request.Bytes(left) }
+
 // refusal is what a client is told whose request is no op.
 type refusal struct {
 	status  int
@@ -94,12 +103,12 @@
 	if err != nil {
 		return nil, bad("%s is no whole number of milliseconds", timeLeftHeader)
 	}
-	wait := time.Duration(min(left, longestTTL.Milliseconds())) * time.Millisecond
+	wait := time.Duration(min(left, scheduler.MaxTTL.Milliseconds())) * time.Millisecond
 	until := came.Add(wait - wayBack - unread(r.Context()))
 	if !until.After(came) {
 		return nil, &refusal{status: http.StatusServiceUnavailable, text: "no time left"}
 	}
-	h.TTL, h.until = config.RoundDown(f.loop.clock.Nanos(until)), until.Add(wayBack)
+	h.TTL, h.until = config.RoundDown(f.clock.Nanos(until)), until.Add(wayBack)
 	inForce := f.inForce.Load()
 	h.rule, h.mostPushes = inForce.rule(h.Category), inForce.mostPushes()
 	if no := f.facts(h, r.Header); no != nil {
--- a/internal/frontend/handover.go
+++ b/internal/frontend/handover.go
@@ -23,20 +23,20 @@
 	if !ok {
 		return nil, nil, errors.New("handover: the listening socket can't be shared")
 	}
-	if sockets = append(sockets, at); f.loop.peers != nil {
-		sockets = append(sockets, f.loop.peers.conn)
+	if sockets = append(sockets, at); f.peers != nil {
+		sockets = append(sockets, f.peers.conn)
 	}
 	known, err := f.roster.Snapshot()
 	if err != nil {
 		return nil, nil, err
 	}
-	workers, _ := f.loop.pool.Counts()
+	workers, _ := f.pool.Counts()
 	giver, heir := hotrestart.SplitDescriptors(f.sheet.Limits.Sockets, f.clients.Sockets()+workers, spare+f.reserved)
-	state := hotrestart.State{Sockets: heir, ClockOffset: f.loop.clock.Offset(), KnownWorkers: known, ClientsDrained: f.drain.on()}
+	state := hotrestart.State{Sockets: heir, ClockOffset: f.clock.Offset(), KnownWorkers: known, ClientsDrained: f.drain.on()}
 	if state.WorkerStarts, err = json.Marshal(f.starts.Snapshot()); err != nil {
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
-	if learned, ok := f.loop.learned(); ok {
+	if learned, err := f.loop.Learned(); err == nil {
 		if state.Learned, err = json.Marshal(learned); err != nil {
 			return nil, nil, fmt.Errorf("handover: %w", err)
 		}
@@ -81,8 +81,8 @@
 	f.peersAt = peers
 	f.Limit(s.Sockets)
 	if learned, err := learnedOf(s); err == nil {
-		learned.Shift(shiftTo(f.loop.clock, s))
-		f.loop.tell(reducer.StateRestored{Learned: learned})
+		learned.Shift(shiftTo(f.clock, s))
+		f.loop.Send(reducer.StateRestored{Learned: learned})
 	} else {
 		f.log.Warn().Err(err).Msg("nothing learned is taken over")
 	}
@@ -124,7 +124,7 @@
 func (f *Server) limit(sockets, workers int) {
 	some, most, workers := parts(sockets-spare-f.reserved, workers)
 	f.clients.Limit(some, most)
-	f.loop.pool.Limit(workers)
+	f.pool.Limit(workers)
 }
 
 // parts parts so many descriptors between clients, of whom from the first bound on some give way, and connections to workers.
--- a/internal/frontend/leave_test.go
+++ b/internal/frontend/leave_test.go
@@ -15,6 +15,7 @@
 
 	"woaddyke/internal/cluster/replication"
 	"woaddyke/internal/config"
+	"woaddyke/internal/scheduler"
 	"woaddyke/internal/scheduler/reducer"
 )
 
@@ -197,7 +198,7 @@
 func TestAnOpWhoseClientLeftInTheBacklogIsNotTaken(t *testing.T) {
 	g := gated(t, false, false)
 	busy, free := make(chan bool), make(chan bool)
-	g.front.loop.in <- message{call: func() { busy <- true; <-free }}
+	g.front.loop.Inbox() <- scheduler.Query(func(scheduler.State) { busy <- true; <-free })
 	<-busy
 	for k, framing := range []string{"Content-Length: 0\r\n\r\n", "Content-Length: 3\r\n\r\nabc"} {
 		c, err := net.Dial("tcp", g.addr)
@@ -205,9 +206,9 @@
 			t.Fatal(err)
 		}
 		fmt.Fprint(c, opText(fmt.Sprint("left", k), framing))
-		g.await(t, "the op lies before the loop", func() bool { return len(g.front.loop.in) > 2*k })
+		g.await(t, "the op lies before the loop", func() bool { return len(g.front.loop.Inbox()) > 2*k })
 		c.Close()
-		g.await(t, "its leaving too", func() bool { return len(g.front.loop.in) > 2*k+1 })
+		g.await(t, "its leaving too", func() bool { return len(g.front.loop.Inbox()) > 2*k+1 })
 	}
 	close(free)
 	g.none(t, "behind ")
@@ -217,10 +218,10 @@
 func TestAnOpWhoseClientLeftBeforeAFullLoopIsNotTaken(t *testing.T) {
 	g := gated(t, false, false)
 	busy, free := make(chan bool), make(chan bool)
-	g.front.loop.in <- message{call: func() { busy <- true; <-free }}
+	g.front.loop.Inbox() <- scheduler.Query(func(scheduler.State) { busy <- true; <-free })
 	<-busy
-	for range backlog {
-		g.front.loop.in <- message{call: func() {}}
+	for range cap(g.front.loop.Inbox()) {
+		g.front.loop.Inbox() <- scheduler.Query(func(scheduler.State) {})
 	}
 	c, err := net.Dial("tcp", g.addr)
 	if err != nil {
@@ -241,7 +242,7 @@
 		t.Run(fmt.Sprint("cancel ", cancel), func(t *testing.T) {
 			g := gated(t, cancel, false)
 			dials, up := make(chan bool, 9), make(chan bool)
-			g.front.loop.pool.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			g.front.pool.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				dials <- true
 				select {
 				case <-up:
@@ -309,14 +310,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	quit := make(chan struct{})
-	close(quit)
-	f.loop.run(quit)
-	for range 2 * backlog {
-		f.loop.tell(nil)
+	ended, end := context.WithCancel(context.Background())
+	end()
+	f.loop.Run(ended)
+	for range 2 * cap(f.loop.Inbox()) {
+		f.loop.Send(nil)
 	}
 	r := httptest.NewRequest(http.MethodPost, "/", nil)
-	for range 2 * backlog {
+	for range 2 * cap(f.loop.Inbox()) {
 		h := &held{client: context.Background()}
 		if _, err := f.RoundTrip(r.WithContext(context.WithValue(r.Context(), heldKey{}, h))); err == nil {
 			t.Fatal("an answer from nowhere")
@@ -324,6 +325,19 @@
 	}
 }
 
+// answeringAtOnce stands in for the loop: it answers each op while that is submitted.
+type answeringAtOnce struct {
+	answer func(scheduler.Submit)
+	ended  chan struct{}
+}
+
+func (a answeringAtOnce) Submit(_ context.Context, op scheduler.Submit) error {
+	a.answer(op)
+	return nil
+}
+func (a answeringAtOnce) Send(reducer.Input)     {}
+func (a answeringAtOnce) Ended() <-chan struct{} { return a.ended }
+
 // torn is a client's connection that breaks under the answer.
 type torn struct{}
 
@@ -337,14 +351,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() {
-		for m := range f.loop.in {
-			if m.held != nil {
-				m.held.answer <- reducer.Respond{Verdict: reducer.Acked, Result: make([]byte, 64<<10)}
-				return
-			}
-		}
-	}()
+	f.ops = answeringAtOnce{func(op scheduler.Submit) {
+		op.Reply <- reducer.Respond{Verdict: reducer.Acked, Result: make([]byte, 64<<10)}
+	}, nil}
 	r := httptest.NewRequest(http.MethodPost, "/", nil)
 	ctx := context.WithValue(r.Context(), http.ServerContextKey, &http.Server{})
 	func() {
@@ -372,24 +381,17 @@
 			by := &granted{ends: make(chan int, 1)}
 			f.RequireClaims(by, func(string) bool { return true })
 			plain, leave := context.WithCancel(context.Background())
-			quit, both := make(chan struct{}), make(chan struct{})
+			ended, both := make(chan struct{}), make(chan struct{})
 			ctx := crossing{plain, both}
-			go func() {
+			f.ops = answeringAtOnce{func(op scheduler.Submit) {
 				defer close(both)
-				for m := range f.loop.in {
-					if m.held == nil {
-						continue
-					}
-					m.held.answer <- reducer.Respond{Verdict: reducer.Acked, Result: []byte("x")}
-					if loopEnds {
-						close(quit)
-						f.loop.run(quit)
-					} else {
-						leave()
-					}
-					return
+				op.Reply <- reducer.Respond{Verdict: reducer.Acked, Result: []byte("x")}
+				if loopEnds {
+					close(ended)
+				} else {
+					leave()
 				}
-			}()
+			}, ended}
 			h := &held{client: plain, answer: make(chan reducer.Respond, 1)}
 			r := httptest.NewRequest(http.MethodPost, "/", nil)
 			if resp, err := f.RoundTrip(r.WithContext(context.WithValue(ctx, heldKey{}, h))); err != nil || resp.StatusCode != http.StatusOK {
--- a/internal/frontend/peer_drains.go
+++ b/internal/frontend/peer_drains.go
@@ -1,6 +1,7 @@
 package frontend
 
 import (
+	"context"
 	"sync"
 	"time"
 
@@ -34,7 +35,7 @@
 
 // ShareDrains has a worker that drains by what a neighbour was told take nothing new from here. It is called before Serve.
 func (f *Server) ShareDrains(of DrainPeers, chance uint64) {
-	s := &sharing{core: drainstate.New(chance), of: of, tell: f.loop.tell, listed: map[string]reducer.Endpoint{}, bound: map[string]bool{}}
+	s := &sharing{core: drainstate.New(chance), of: of, tell: f.loop.Send, listed: map[string]reducer.Endpoint{}, bound: map[string]bool{}}
 	s.take(f.known)
 	f.shared = s
 }
@@ -55,7 +56,7 @@
 		s.hand(l)
 		return
 	}
-	f.loop.tell(in)
+	f.loop.Send(in)
 }
 
 // hand takes what the own discovery tells, and tells the loop of it as it binds here.
@@ -144,13 +145,13 @@
 	}
 }
 
-// run works until quit is closed: it lets go of workers whose words are over.
-func (s *sharing) run(quit <-chan struct{}) {
+// run works until the context ends: it lets go of workers whose words are over.
+func (s *sharing) run(ctx context.Context) {
 	tick := time.NewTicker(shareEvery)
 	defer tick.Stop()
 	for {
 		select {
-		case <-quit:
+		case <-ctx.Done():
 			return
 		case <-tick.C:
 		}
--- a/internal/frontend/peer_drains_test.go
+++ b/internal/frontend/peer_drains_test.go
@@ -26,26 +26,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	<-f.loop.in // the remembered list
 	f.ShareDrains(nobody{}, 7)
 	f.shared.bound["w"] = true
 	freed := make(chan bool, 1)
-	tell := f.shared.tell
+	told := make(chan reducer.Input, 9)
 	f.shared.tell = func(in reducer.Input) { // the process is held up between what it found and its telling
 		freed <- true
 		time.Sleep(heldUp)
-		tell(in)
+		told <- in
 	}
-	quit := make(chan struct{})
-	defer close(quit)
-	go f.shared.run(quit)
+	go f.shared.run(t.Context())
 	<-freed
 	f.listed(reducer.EndpointsChanged{Revision: 2, Endpoints: []reducer.Endpoint{{Worker: "w", Addr: "127.0.0.1:9"}}})
 	var last reducer.Endpoint
 	for k := range 2 {
 		select {
-		case m := <-f.loop.in:
-			last = m.in.(reducer.EndpointsChanged).Endpoints[0]
+		case in := <-told:
+			last = in.(reducer.EndpointsChanged).Endpoints[0]
 		case <-time.After(10 * time.Second):
 			t.Fatalf("%d lists came", k)
 		}
--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -12,6 +12,7 @@
 
 	"woaddyke/internal/base/oserror"
 	"woaddyke/internal/config"
+	"woaddyke/internal/scheduler"
 	"woaddyke/internal/scheduler/reducer"
 )
 
@@ -80,18 +81,27 @@
 	}
 }
 
+// sendToPeer sends a message of the reducer's, which may be lost.
+func (f *Server) sendToPeer(to int, text string) {
+	if f.say != nil {
+		f.say(to, text)
+	} else {
+		f.peers.tell(to, text)
+	}
+}
+
 // SetPeerSender has words to other schedulers go another way than by the configuration's addresses. It is called before Serve.
-func (f *Server) SetPeerSender(say func(to int, text string)) { f.loop.say = say }
+func (f *Server) SetPeerSender(say func(to int, text string)) { f.say = say }
 
 // PeerInput takes what is learned of other schedulers from elsewhere: a word, that one is no more, that one is new. The loop is
 // never waited for: a word that finds no room is lost, as a datagram is.
 func (f *Server) PeerInput(in reducer.Input) {
 	if _, word := in.(reducer.PeerMessage); !word {
-		f.changes.Put(message{in: in}) // they are few, and none must be missed or overtake another
+		f.changes.Put(scheduler.Input{Event: in}) // they are few, and none must be missed or overtake another
 		return
 	}
 	select {
-	case f.loop.in <- message{in: in}:
+	case f.loop.Inbox() <- scheduler.Input{Event: in}:
 	default:
 	}
 }
--- a/internal/frontend/pieces_test.go
+++ b/internal/frontend/pieces_test.go
@@ -15,7 +15,7 @@
 // one in pieces is the op that it is at once.
 func TestOpsInPiecesAreTheSame(t *testing.T) {
 	seen := make(chan string, 9)
-	addr, _, _ := scheduler(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		seen <- r.RequestURI + " " + string(b)
 		done(w, r.Header.Get(idHeader))
--- a/internal/frontend/settings.go
+++ b/internal/frontend/settings.go
@@ -72,6 +72,15 @@
 	return int(n)
 }
 
+// policy is what the scheduler's checks compare attempts with.
+type policy struct{ of *Server }
+
+func (p policy) Rule(category string) config.CategoryRule { return p.of.inForce.Load().rule(category) }
+func (p policy) MaxAttempts() int                         { return p.of.inForce.Load().mostPushes() }
+func (p policy) ClaimRequired(category string) bool {
+	return p.of.guarded != nil && p.of.guarded(category)
+}
+
 // CategoryEffect is how often an op of a category may run, by the settings in force.
 func (f *Server) CategoryEffect(category string) string {
 	return f.inForce.Load().rule(category).Effect
@@ -105,7 +114,7 @@
 	until := now.Add(before.LongestTTL())
 	if retunes {
 		f.tally.SetCategories(sheet.Categories())
-		f.loop.tell(reducer.SettingsChanged{Settings: sheet.Settings, RetainUntil: config.RoundDown(f.loop.clock.Nanos(until))})
+		f.loop.Send(reducer.SettingsChanged{Settings: sheet.Settings, RetainUntil: config.RoundDown(f.clock.Nanos(until))})
 	}
 	f.inForce.Store(settingsOf(sheet, before, now, until))
 	if sheet.Discovery != before.Discovery || !retunes { // a watch that is opened anew at each of a site's changes is a call each for nothing
--- a/internal/frontend/stop_test.go
+++ b/internal/frontend/stop_test.go
@@ -24,7 +24,7 @@
 
 func toBeStopped(t *testing.T) *stopped {
 	s := &stopped{held: make(chan bool, 9), go_: make(chan bool)}
-	s.addr, s.stop, s.ended = scheduler(t, func(w http.ResponseWriter, r *http.Request) {
+	s.addr, s.stop, s.ended = startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		if io.Copy(io.Discard, r.Body); strings.HasPrefix(r.Header.Get(idHeader), "held") {
 			s.held <- true
 			<-s.go_
--- a/internal/frontend/unread_test.go
+++ b/internal/frontend/unread_test.go
@@ -45,7 +45,7 @@
 			t.Run(fmt.Sprintf("%s, %v left", name, left), func(t *testing.T) {
 				t.Parallel()
 				told := make(chan time.Duration, 9)
-				addr, _, _ := scheduler(t, func(w http.ResponseWriter, r *http.Request) {
+				addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 					switch r.Header.Get(idHeader) {
 					case "first":
 						time.Sleep(held)
--- /dev/null
+++ b/internal/scheduler/loop.go
@@ -0,0 +1,214 @@
+package scheduler
+
+import (
+	"context"
+	"time"
+
+	"woaddyke/dispatch"
+	"woaddyke/internal/config"
+	"woaddyke/internal/scheduler/reducer"
+	"woaddyke/internal/workers/outcome"
+	"woaddyke/internal/workers/workerconn"
+)
+
+const (
+	divergenceInterval   = 10 * time.Second // between log lines on shadow settings
+	sweepInterval        = time.Second      // between looks at idle connections to workers
+	workerCountsInterval = time.Second / 5  // the console owes figures of at most half a second ago
+)
+
+// Run works until the context ends.
+func (l *Loop) Run(ctx context.Context) {
+	defer close(l.ended)
+	sweep := time.NewTicker(sweepInterval)
+	defer sweep.Stop()
+	divergence := time.NewTicker(divergenceInterval)
+	defer divergence.Stop()
+	defer l.logDivergence()
+	var workerCounts <-chan time.Time
+	if l.opts.PublishWorkers {
+		ticker := time.NewTicker(workerCountsInterval)
+		defer ticker.Stop()
+		workerCounts = ticker.C
+	}
+	for {
+		select {
+		case m := <-l.inbox:
+			l.receive(m)
+		case <-l.timer.C:
+			l.step(reducer.TimerFired{})
+		case now := <-sweep.C:
+			l.opts.OnStep(time.Now())
+			go l.opts.Workers.Sweep(now)
+		case <-workerCounts:
+			l.opts.Metrics.SetWorkers(l.opts.Reducer.WorkerCounts(config.RoundUp(l.opts.Clock.Now())))
+		case <-divergence.C:
+			l.logDivergence()
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+func (l *Loop) receive(m Message) {
+	switch m := m.(type) {
+	case Input:
+		l.step(m.Event)
+	case Submit:
+		l.accept(m)
+	case Query:
+		m(State{Reducer: l.opts.Reducer, Submitted: l.submitted, Pending: len(l.pending)})
+	}
+}
+
+// accept takes an op, unless its client disconnected while the op was in the inbox.
+func (l *Loop) accept(s Submit) {
+	if s.Client.Disconnected() {
+		return
+	}
+	l.pending[s.Op.Op] = &pendingOp{Submit: s}
+	l.submitted++
+	l.opts.Log.Debug().Uint64("op", s.Op.Op).Str("id", s.Op.ID).Str("category", s.Op.Category).
+		Float64("slots", s.Op.Slots).Int64("work_us", int64(s.Op.Work)*100).Msg("op")
+	l.step(s.Op)
+}
+
+// logDivergence logs how often shadow settings decided otherwise since the start.
+func (l *Loop) logDivergence() {
+	if !l.opts.LogDivergence {
+		return
+	}
+	asked, chosen, spoken := l.opts.Reducer.ShadowDivergence()
+	l.opts.Log.Info().Int("asked", asked).Int("chosen", chosen).Int("spoken", spoken).Uint64("ops", l.submitted).
+		Msg("decided otherwise by the settings watched for")
+}
+
+// step gives the reducer one event and carries out its effects.
+func (l *Loop) step(event reducer.Input) {
+	now := time.Now()
+	l.opts.OnStep(now)
+	l.observe(now, event)
+	for _, e := range l.opts.Reducer.Step(config.RoundUp(l.opts.Clock.Nanos(now)), event) {
+		l.apply(now, e)
+	}
+	if _, list := event.(reducer.EndpointsChanged); list {
+		l.unapplied.Add(-1)
+	}
+}
+
+// observe updates the loop's own records from an event, before the reducer gets it.
+func (l *Loop) observe(now time.Time, event reducer.Input) {
+	switch in := event.(type) {
+	case reducer.AttemptProgressed:
+		if in.Started { // one that is only queued may come back unstarted, and go to another group
+			l.reportMayHaveRun(in.Op)
+		}
+	case reducer.AttemptEnded:
+		l.checks.attemptEnded(l.pending[in.Op], in)
+		delete(l.inFlight, in.Op)
+		if !in.Ending.NeverRan() {
+			l.reportMayHaveRun(in.Op)
+		}
+	case reducer.ClientDisconnected:
+		l.opts.Log.Debug().Uint64("op", in.Op).Msg("client disconnected")
+		l.checks.release(l.pending[in.Op])
+		delete(l.pending, in.Op)
+	case reducer.EndpointsChanged:
+		l.checks.workers.update(in, now)
+		if !in.Cached && !l.listReceived {
+			l.listReceived = true
+			close(l.listed)
+		}
+	}
+}
+
+func (l *Loop) reportMayHaveRun(op uint64) {
+	if p := l.pending[op]; p != nil {
+		p.Client.MayHaveRun(p.group)
+	}
+}
+
+// apply carries out one effect.
+func (l *Loop) apply(now time.Time, effect reducer.Effect) {
+	switch e := effect.(type) {
+	case reducer.Push:
+		l.push(now, e)
+	case reducer.CancelAttempt:
+		if x := l.inFlight[e.Op]; x != nil {
+			x.Close(e.OnlyIfUnsent, e.Ending)
+		}
+	case reducer.Probe:
+		l.probe(now, e)
+	case reducer.Respond:
+		l.respond(now, e)
+	case reducer.SendToPeer:
+		l.opts.SendToPeer(e.Peer, e.Text)
+	case reducer.SetTimer:
+		l.timer.Reset(duration(e.Delay))
+	}
+}
+
+// probe sends a load probe. No setting limits its time: it has a connect timeout for the dial, and one more for the
+// answer.
+func (l *Loop) probe(now time.Time, e reducer.Probe) {
+	l.opts.Workers.Probe(e.Addr, l.opts.ProbeRequest, now.Add(2*l.opts.ConnectTimeout), func(end workerconn.End) {
+		l.opts.Log.Debug().Str("worker", e.Worker).Stringer("ending", end.How).Bool("dialed", end.Dialed).
+			Dur("took_ms", time.Since(now)).Bytes("report", end.Load).Msg("load probe ended")
+		l.Send(reducer.ProbeEnded{Probe: e.Probe, Ending: end.How, LoadReport: end.Load})
+	})
+}
+
+func (l *Loop) respond(now time.Time, e reducer.Respond) {
+	p := l.pending[e.Op]
+	if p == nil {
+		return
+	}
+	delete(l.pending, e.Op)
+	l.checks.responding(now, p, e)
+	l.opts.Log.Debug().Uint64("op", e.Op).Str("id", p.Op.ID).Stringer("verdict", e.Verdict).
+		Stringer("reason", e.Reason).Int("attempts", len(p.attempts)).Msg("answer")
+	p.Reply <- e
+}
+
+// push starts an attempt. The reducer asks for none after an op's answer or after its client disconnected.
+func (l *Loop) push(now time.Time, e reducer.Push) {
+	p := l.pending[e.Op]
+	p.group = e.Group
+	l.checks.attemptStarting(now, p, e)
+	l.opts.Log.Debug().Uint64("op", e.Op).Str("id", p.Op.ID).Str("worker", e.Worker).Int("attempt", e.Attempt).
+		Stringer("previous_ending", p.attempts.previousEnding()).Msg("push")
+	deadline := now.Add(duration(e.Timeout))
+	request := func(left time.Duration) []byte { return l.attemptRequest(now, p, e.Worker, left) }
+	sent := func() { l.opts.Metrics.AttemptSent(p.Op.Category) }
+	progressed := func(line workerconn.Line) { l.attemptProgressed(e.Op, line) }
+	ended := func(end workerconn.End) { l.attemptEnded(now, p, e.Worker, end) }
+	l.inFlight[e.Op] = l.opts.Workers.Push(e.Addr, p.Op.ID, request, deadline, p.clientWaiting, sent, progressed, ended)
+}
+
+// attemptRequest returns the bytes of an attempt just before its first write, or nil for a decision that is too old
+// by then: reports and lists that came since may not have been read.
+func (l *Loop) attemptRequest(decidedAt time.Time, p *pendingOp, worker string, left time.Duration) []byte {
+	if time.Since(decidedAt) > l.opts.ConnectTimeout+dispatchSlack {
+		return nil
+	}
+	l.checks.sending(p, worker, left)
+	return p.Client.Request(left)
+}
+
+func (l *Loop) attemptProgressed(op uint64, line workerconn.Line) {
+	l.opts.Log.Debug().Uint64("op", op).Str("state", line.State).Float64("share", line.Share).Msg("job line")
+	l.Send(reducer.AttemptProgressed{Op: op, Started: line.State == "started", Done: line.Share})
+}
+
+func (l *Loop) attemptEnded(startedAt time.Time, p *pendingOp, worker string, end workerconn.End) {
+	op := p.Op.Op
+	l.opts.Log.Debug().Uint64("op", op).Str("worker", worker).Stringer("ending", end.How).
+		Bool("dialed", end.Dialed).Dur("took_ms", time.Since(startedAt)).Msg("attempt ended")
+	if end.How == outcome.CancelledUnsent && !p.clientWaiting() {
+		// Before the end, so that the reducer starts no other attempt for a client that is gone.
+		l.Send(reducer.ClientDisconnected{Op: op})
+	}
+	l.Send(reducer.AttemptEnded{Op: op, Ending: end.How, Result: end.Result, LoadReport: end.Load})
+}
+
+func duration(t dispatch.Time) time.Duration { return time.Duration(t) * config.Tenth }
