--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -19,7 +19,8 @@
 	deduplicated  = "deduplicated"  // its repeats are dropped within a worker group and a window
 )
 
-// pendingOp is an op without an answer. The loop owns it; writers to workers use its client and checkedAt alone.
+// pendingOp is an op without an answer. The loop owns it; writers to workers use its client and checkedAt
+// alone.
 type pendingOp struct {
 	Submit
 	checkedAt atomic.Pointer[time.Time] // when the client was last found to be there
@@ -27,7 +28,8 @@
 	group     reducer.Group // of the last attempt
 }
 
-// clientWaiting looks whether the client is there. The time is read first, so that checkedAt is never too late.
+// clientWaiting looks whether the client is there. The time is read first, so that checkedAt is never too
+// late.
 func (p *pendingOp) clientWaiting() bool {
 	now := time.Now()
 	if !p.Client.Waiting() {
@@ -64,7 +66,8 @@
 // attempts are the attempts of one op, in their order.
 type attempts []attempt
 
-// firstMayHaveRun returns the first attempt that may have run, or nil. Its group and time limit the later ones.
+// firstMayHaveRun returns the first attempt that may have run, or nil. Its group and time limit the later
+// ones.
 func (all attempts) firstMayHaveRun() *attempt {
 	for i := range all {
 		if all[i].mayHaveRun() {
--- a/internal/scheduler/checks.go
+++ b/internal/scheduler/checks.go
@@ -15,8 +15,9 @@
 	maxExtraTime      = 150 * time.Millisecond // by which a worker may be given more time than the client has
 )
 
-// checks compare each attempt and each answer with the plain rules for the op, by what was done with it and not by
-// what the decision module knows of it. A violation is counted and logged; it doesn't stop anything.
+// checks compare each attempt and each answer with the plain rules for the op, by what was done with it
+// and not by what the decision module knows of it. A violation is counted and logged; it doesn't stop
+// anything.
 type checks struct {
 	*invariant.Checker
 	policy  Policy
--- a/internal/scheduler/checks_test.go
+++ b/internal/scheduler/checks_test.go
@@ -29,7 +29,8 @@
 	return &pendingOp{Submit: submitted, attempts: had}
 }
 
-// Each check sees what it is for, and nothing else: one case of each rule that is broken, and its like that is not.
+// Each check sees what it is for, and nothing else: one case of each rule that is broken, and its like
+// that is not.
 func TestWhatTheChecksSee(t *testing.T) {
 	now := time.Now()
 	once := config.CategoryRule{Effect: "at-most-once"}
--- a/internal/scheduler/loop.go
+++ b/internal/scheduler/loop.go
@@ -79,8 +79,8 @@
 		return
 	}
 	asked, chosen, spoken := l.opts.Reducer.ShadowDivergence()
-	l.opts.Log.Info().Int("asked", asked).Int("chosen", chosen).Int("spoken", spoken).Uint64("ops", l.submitted).
-		Msg("decided otherwise by the settings watched for")
+	l.opts.Log.Info().Int("asked", asked).Int("chosen", chosen).Int("spoken", spoken).
+		Uint64("ops", l.submitted).Msg("decided otherwise by the settings watched for")
 }
 
 // step gives the reducer one event and carries out its effects.
@@ -148,10 +148,11 @@
 	}
 }
 
-// probe sends a load probe. No setting limits its time: it has a connect timeout for the dial, and one more for the
-// answer.
+// probe sends a load probe. No setting limits its time: it has a connect timeout for the dial, and one
+// more for the answer.
 func (l *Loop) probe(now time.Time, e reducer.Probe) {
-	l.opts.Workers.Probe(e.Addr, l.opts.ProbeRequest, now.Add(2*l.opts.ConnectTimeout), func(end workerconn.End) {
+	deadline := now.Add(2 * l.opts.ConnectTimeout)
+	l.opts.Workers.Probe(e.Addr, l.opts.ProbeRequest, deadline, func(end workerconn.End) {
 		l.opts.Log.Debug().Str("worker", e.Worker).Stringer("ending", end.How).Bool("dialed", end.Dialed).
 			Dur("took_ms", time.Since(now)).Bytes("report", end.Load).Msg("load probe ended")
 		l.Send(reducer.ProbeEnded{Probe: e.Probe, Ending: end.How, LoadReport: end.Load})
@@ -175,18 +176,19 @@
 	p := l.pending[e.Op]
 	p.group = e.Group
 	l.checks.attemptStarting(now, p, e)
-	l.opts.Log.Debug().Uint64("op", e.Op).Str("id", p.Op.ID).Str("worker", e.Worker).Int("attempt", e.Attempt).
-		Stringer("previous_ending", p.attempts.previousEnding()).Msg("push")
+	l.opts.Log.Debug().Uint64("op", e.Op).Str("id", p.Op.ID).Str("worker", e.Worker).
+		Int("attempt", e.Attempt).Stringer("previous_ending", p.attempts.previousEnding()).Msg("push")
 	deadline := now.Add(duration(e.Timeout))
 	request := func(left time.Duration) []byte { return l.attemptRequest(now, p, e.Worker, left) }
 	sent := func() { l.opts.Metrics.AttemptSent(p.Op.Category) }
 	progressed := func(line workerconn.Line) { l.attemptProgressed(e.Op, line) }
 	ended := func(end workerconn.End) { l.attemptEnded(now, p, e.Worker, end) }
-	l.inFlight[e.Op] = l.opts.Workers.Push(e.Addr, p.Op.ID, request, deadline, p.clientWaiting, sent, progressed, ended)
+	l.inFlight[e.Op] = l.opts.Workers.Push(
+		e.Addr, p.Op.ID, request, deadline, p.clientWaiting, sent, progressed, ended)
 }
 
-// attemptRequest returns the bytes of an attempt just before its first write, or nil for a decision that is too old
-// by then: reports and lists that came since may not have been read.
+// attemptRequest returns the bytes of an attempt just before its first write, or nil for a decision that
+// is too old by then: reports and lists that came since may not have been read.
 func (l *Loop) attemptRequest(decidedAt time.Time, p *pendingOp, worker string, left time.Duration) []byte {
 	if time.Since(decidedAt) > l.opts.ConnectTimeout+dispatchSlack {
 		return nil
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,6 +1,6 @@
-// Package scheduler runs the event loop of a dispatcher: it feeds ops, load reports, endpoint lists and timers to the
-// reducer, and carries out the effects that the reducer returns. It knows nothing of the protocol that clients speak:
-// a frontend submits ops, and implements Client for whoever waits for them.
+// Package scheduler runs the event loop of a dispatcher: it feeds ops, load reports, endpoint lists and
+// timers to the reducer, and carries out the effects that the reducer returns. It knows nothing of the
+// protocol that clients speak: a frontend submits ops, and implements Client for whoever waits for them.
 package scheduler
 
 import (
@@ -25,11 +25,12 @@
 
 	inboxSize = 256 // messages that wait for the loop
 
-	// learnedTimeout bounds the wait for what the reducer has learned: a successor starts without it after that.
+	// learnedTimeout bounds the wait for what the reducer has learned: a successor starts without it
+	// after that.
 	learnedTimeout = 2 * time.Second
 
-	// dispatchSlack is added to the connect timeout for the time from a decision to the first byte of its attempt:
-	// the process may be held up and come late to a connection that is up.
+	// dispatchSlack is added to the connect timeout for the time from a decision to the first byte of its
+	// attempt: the process may be held up and come late to a connection that is up.
 	dispatchSlack = 300 * time.Millisecond
 )
 
@@ -60,7 +61,8 @@
 	Reply chan<- reducer.Respond
 }
 
-// Query reads the loop's state between two steps. The loop waits for it, and the state is valid only during the call.
+// Query reads the loop's state between two steps. The loop waits for it, and the state is valid only
+// during the call.
 type Query func(State)
 
 func (Input) message()  {}
@@ -74,7 +76,8 @@
 	Pending   int    // of them, those without an answer
 }
 
-// Client is the side of an op that waits for its answer. The loop and the goroutines that write to workers call it.
+// Client is the side of an op that waits for its answer. The loop and the goroutines that write to
+// workers call it.
 type Client interface {
 	// Disconnected tells whether the frontend has noticed that the client is gone. It makes no system call.
 	Disconnected() bool
@@ -118,7 +121,8 @@
 	LogDivergence  bool // logs how often shadow settings decided otherwise
 }
 
-// Loop feeds the reducer and carries out its effects. Run's goroutine alone uses the fields of the second group.
+// Loop feeds the reducer and carries out its effects. Run's goroutine alone uses the fields of the second
+// group.
 type Loop struct {
 	opts      Options
 	inbox     chan Message
@@ -159,8 +163,8 @@
 	}
 }
 
-// Submit hands an op to the loop. It gives up when the context ends, which is that of the op's client: an op whose
-// client is gone by then is never taken.
+// Submit hands an op to the loop. It gives up when the context ends, which is that of the op's client: an
+// op whose client is gone by then is never taken.
 func (l *Loop) Submit(ctx context.Context, s Submit) error {
 	if err := ctx.Err(); err != nil {
 		return err
--- a/internal/scheduler/worker_states.go
+++ b/internal/scheduler/worker_states.go
@@ -7,10 +7,12 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// minSweepSize is the number of workers, beyond twice those of the last sweep, from which on a delta starts a sweep.
+// minSweepSize is the number of workers, beyond twice those of the last sweep, from which on a delta
+// starts a sweep.
 const minSweepSize = 1024
 
-// workerStates knows since when each worker accepts nothing new. The loop updates it, and writers to workers ask it.
+// workerStates knows since when each worker accepts nothing new. The loop updates it, and writers to
+// workers ask it.
 type workerStates struct {
 	drainGrace time.Duration
 
