--- a/internal/frontend/bench_test.go
+++ b/internal/frontend/bench_test.go
@@ -130,7 +130,7 @@
 	addr := answering(b)
 	p, to := counted()
 	for n := range b.N {
-		h := &held{target: "/api"}
+		h := &pendingOp{requestTarget: "/api"}
 		r, _ := http.NewRequest(http.MethodPost, "http://scheduler:9000/api", strings.NewReader(""))
 		r.Header = http.Header{idHeader: {fmt.Sprintf("%016x", n)}, categoryHeader: {"render"}, workHeader: {"50000"}, factsHeader: {"slots=4,memory=2.5"}}
 		request := workerconn.Request{Head: requestHead(r, h)}
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -8,24 +8,24 @@
 	"woaddyke/internal/lifecycle/clientdrain"
 )
 
-// drainer carries out a drain: it closes the connections whose wait is over.
-type drainer struct {
+// clientDrainer carries out a drain: it closes the connections whose wait is over.
+type clientDrainer struct {
 	clients *clientconn.Pool
 	mu      sync.Mutex
-	d       clientdrain.State
-	runs    bool
+	state   clientdrain.State
+	running bool
 }
 
-func (x *drainer) on() bool {
+func (x *clientDrainer) draining() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.d.Draining()
+	return x.state.Draining()
 }
 
-func (x *drainer) takes(now time.Time) bool {
+func (x *clientDrainer) admits(now time.Time) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.d.Admits(now)
+	return x.state.Admits(now)
 }
 
 // DrainClients sends clients away until Rejoin. Ops and all else go on.
@@ -33,36 +33,36 @@
 	x := f.drain
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.d.Start(time.Now()); !x.runs {
-		x.runs = true
+	if x.state.Start(time.Now()); !x.running {
+		x.running = true
 		go x.run()
 	}
 	f.log.Info().Msg("clients are sent away")
 }
 
 // ClientsDrained tells whether clients are sent away.
-func (f *Server) ClientsDrained() bool { return f.drain.on() }
+func (f *Server) ClientsDrained() bool { return f.drain.draining() }
 
 // ReadmitClients takes clients again.
 func (f *Server) ReadmitClients() {
 	f.drain.mu.Lock()
 	defer f.drain.mu.Unlock()
-	f.drain.d.Cancel()
+	f.drain.state.Cancel()
 	f.log.Info().Msg("clients are taken again")
 }
 
 // run works until the drain is over.
-func (x *drainer) run() {
+func (x *clientDrainer) run() {
 	for {
 		x.mu.Lock()
-		most, waited := x.d.ConnectionsToClose(time.Now(), x.clients.Waiting(), lookEvery)
-		if !x.d.Draining() {
-			x.runs = false
+		most, waited := x.state.ConnectionsToClose(time.Now(), x.clients.Waiting(), connectionPollInterval)
+		if !x.state.Draining() {
+			x.running = false
 			x.mu.Unlock()
 			return
 		}
 		x.mu.Unlock()
 		x.clients.Part(most, waited)
-		time.Sleep(lookEvery)
+		time.Sleep(connectionPollInterval)
 	}
 }
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -71,8 +71,8 @@
 	}
 	// An op that comes late would still be held when none may be; its client may come again elsewhere.
 	f.drain.mu.Lock()
-	f.drain.d = clientdrain.State{}
-	f.drain.d.Start(time.Now().Add(-3 * time.Second))
+	f.drain.state = clientdrain.State{}
+	f.drain.state.Start(time.Now().Add(-3 * time.Second))
 	f.drain.mu.Unlock()
 	op := fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\n%s: a\r\n%s: look\r\n%s: 9000\r\nContent-Length: 0\r\n\r\n", idHeader,
 		categoryHeader, timeLeftHeader)
@@ -111,15 +111,15 @@
 		t.Fatal(err)
 	}
 	is.RestoreState(state, nil)
-	if !is.drain.on() {
+	if !is.drain.draining() {
 		t.Error("the heir takes clients")
 	}
 	is.ReadmitClients()
 	// With an heir the front is not told to go elsewhere at the end, unless staff have sent it away.
 	was.SetSuccessor(true)
 	stop()
-	if recorder := httptest.NewRecorder(); !was.leaving.Load() {
-		for until := time.Now().Add(10 * time.Second); !was.leaving.Load() && time.Now().Before(until); {
+	if recorder := httptest.NewRecorder(); !was.closing.Load() {
+		for until := time.Now().Add(10 * time.Second); !was.closing.Load() && time.Now().Before(until); {
 			time.Sleep(time.Millisecond)
 		}
 		if was.health(recorder, httptest.NewRequest(http.MethodGet, "/healthz", nil)); recorder.Code != 503 {
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -145,7 +145,7 @@
 			t.Errorf("%s: %s %q", header, resp.Status, text)
 		}
 	}
-	if resp, _ := post(t, addr+"/api", strings.Repeat("x", largestBody+1)); resp.StatusCode != 413 {
+	if resp, _ := post(t, addr+"/api", strings.Repeat("x", maxBodyBytes+1)); resp.StatusCode != 413 {
 		t.Errorf("a large body: %s", resp.Status)
 	}
 	if resp, err := http.Get("http://" + addr + "/api"); err != nil || resp.StatusCode != 405 {
@@ -165,7 +165,7 @@
 		fmt.Sprintf("Transfer-Encoding: chunked\r\ncontent-LENGTH:%d\r\n\r\n0\r\n\r\n", len(hidden)+5),
 		fmt.Sprintf("Content-Length: 0\r\nContent-Length: %d\r\n\r\n", len(hidden)),
 		"Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-		fmt.Sprintf("Content-Length: %d\r\n\r\n", largestBody+1),
+		fmt.Sprintf("Content-Length: %d\r\n\r\n", maxBodyBytes+1),
 	} {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
--- a/internal/frontend/gone_test.go
+++ b/internal/frontend/gone_test.go
@@ -145,8 +145,8 @@
 			<-g.probed
 			g.let <- true
 			g.await(t, "its look is over", func() bool {
-				g.front.pool.Sweep(time.Now().Add(time.Hour))
-				open, _ := g.front.pool.Counts()
+				g.front.workers.Sweep(time.Now().Add(time.Hour))
+				open, _ := g.front.workers.Counts()
 				return open == 0
 			})
 			ofLoop(g) // has taken in what it saw
@@ -169,7 +169,7 @@
 		name: "its push dials",
 		hold: func(_ *testing.T, g *gate) func() {
 			up := make(chan bool)
-			g.front.pool.Connect = func(_ context.Context, network, addr string) (net.Conn, error) {
+			g.front.workers.Connect = func(_ context.Context, network, addr string) (net.Conn, error) {
 				<-up
 				return net.Dial(network, addr)
 			}
--- a/internal/frontend/handover.go
+++ b/internal/frontend/handover.go
@@ -26,14 +26,14 @@
 	if sockets = append(sockets, at); f.peers != nil {
 		sockets = append(sockets, f.peers.conn)
 	}
-	known, err := f.roster.Snapshot()
+	known, err := f.discovery.Snapshot()
 	if err != nil {
 		return nil, nil, err
 	}
-	workers, _ := f.pool.Counts()
-	giver, heir := hotrestart.SplitDescriptors(f.sheet.Limits.Sockets, f.clients.Sockets()+workers, spare+f.reserved)
-	state := hotrestart.State{Sockets: heir, ClockOffset: f.clock.Offset(), KnownWorkers: known, ClientsDrained: f.drain.on()}
-	if state.WorkerStarts, err = json.Marshal(f.starts.Snapshot()); err != nil {
+	workers, _ := f.workers.Counts()
+	giver, heir := hotrestart.SplitDescriptors(f.bootstrap.Limits.Sockets, f.clients.Sockets()+workers, descriptorsReserved+f.reservedDescriptors)
+	state := hotrestart.State{Sockets: heir, ClockOffset: f.clock.Offset(), KnownWorkers: known, ClientsDrained: f.drain.draining()}
+	if state.WorkerStarts, err = json.Marshal(f.workerStarts.Snapshot()); err != nil {
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
 	if learned, err := f.loop.Learned(); err == nil {
@@ -49,17 +49,17 @@
 	if text, err = state.Encode(); err != nil {
 		return nil, nil, err
 	}
-	f.limit(giver, workers)
+	f.setLimits(giver, workers)
 	return text, sockets, nil
 }
 
-// shiftTo is the span from a moment of the giver's clock to the same moment by this one's.
-func shiftTo(c clock.Clock, s hotrestart.State) dispatch.Time {
+// clockShift is the span from a moment of the giver's clock to the same moment by this one's.
+func clockShift(c clock.Clock, s hotrestart.State) dispatch.Time {
 	return config.RoundUp(int64(c.Offset() - s.ClockOffset))
 }
 
-// startsOf are when workers started as far as a process before this one knew.
-func startsOf(before *hotrestart.State, now clock.Clock) (*discovery.StartTimes, error) {
+// inheritedStarts are when workers started as far as a process before this one knew.
+func inheritedStarts(before *hotrestart.State, now clock.Clock) (*discovery.StartTimes, error) {
 	if before == nil {
 		return discovery.NewStartTimes(now, nil), nil
 	}
@@ -69,7 +69,7 @@
 			return nil, fmt.Errorf("handover: starts of workers: %w", err)
 		}
 	}
-	shift := shiftTo(now, *before)
+	shift := clockShift(now, *before)
 	for uid, s := range known {
 		known[uid] = discovery.ProcessStart{BootMS: s.BootMS, At: max(s.At+shift, 1)}
 	}
@@ -78,10 +78,10 @@
 
 // RestoreState has this process go on from what the one before it gave: before Serve, with its socket for peers, if it had one.
 func (f *Server) RestoreState(s hotrestart.State, peers *net.UDPConn) {
-	f.peersAt = peers
+	f.inheritedPeerConn = peers
 	f.Limit(s.Sockets)
-	if learned, err := learnedOf(s); err == nil {
-		learned.Shift(shiftTo(f.clock, s))
+	if learned, err := inheritedLearned(s); err == nil {
+		learned.Shift(clockShift(f.clock, s))
 		f.loop.Send(reducer.StateRestored{Learned: learned})
 	} else {
 		f.log.Warn().Err(err).Msg("nothing learned is taken over")
@@ -91,8 +91,8 @@
 	}
 }
 
-// learnedOf is what the process before has learned.
-func learnedOf(s hotrestart.State) (learned reducer.Learned, err error) {
+// inheritedLearned is what the process before has learned.
+func inheritedLearned(s hotrestart.State) (learned reducer.Learned, err error) {
 	if len(s.Learned) == 0 || string(s.Learned) == "null" {
 		return reducer.Learned{}, errors.New("its loop was busy")
 	}
@@ -101,35 +101,35 @@
 }
 
 // HasSuccessor tells whether a process is there that takes the place of this one.
-func (f *Server) HasSuccessor() bool { return f.heir.Load() }
+func (f *Server) HasSuccessor() bool { return f.successor.Load() }
 
 // SetSuccessor says that a process is there to take the place of this one, or that it has ended and this one goes on alone.
 func (f *Server) SetSuccessor(there bool) {
-	if f.heir.Store(there); !there {
-		f.Limit(f.sheet.Limits.Sockets)
+	if f.successor.Store(there); !there {
+		f.Limit(f.bootstrap.Limits.Sockets)
 		f.clients.Resume()
 	}
 }
 
 // Reserve keeps so many descriptors for what runs beside the scheduler in its process. It is called before Serve.
 func (f *Server) Reserve(descriptors int) {
-	f.reserved += descriptors
-	f.Limit(f.sheet.Limits.Sockets)
+	f.reservedDescriptors += descriptors
+	f.Limit(f.bootstrap.Limits.Sockets)
 }
 
 // Limit sets how many descriptors this process may use.
-func (f *Server) Limit(sockets int) { f.limit(sockets, 0) }
+func (f *Server) Limit(sockets int) { f.setLimits(sockets, 0) }
 
-// limit leaves room for so many connections to workers at the least, of clients' room: ops that can't be pushed only wait.
-func (f *Server) limit(sockets, workers int) {
-	some, most, workers := parts(sockets-spare-f.reserved, workers)
+// setLimits leaves room for so many connections to workers at the least, of clients' room: ops that can't be pushed only wait.
+func (f *Server) setLimits(sockets, workers int) {
+	some, most, workers := splitDescriptors(sockets-descriptorsReserved-f.reservedDescriptors, workers)
 	f.clients.Limit(some, most)
-	f.pool.Limit(workers)
+	f.workers.Limit(workers)
 }
 
-// parts parts so many descriptors between clients, of whom from the first bound on some give way, and connections to workers.
-func parts(all, keep int) (some, most, workers int) {
+// splitDescriptors parts so many descriptors between clients, of whom from the first bound on some give way, and connections to workers.
+func splitDescriptors(all, keep int) (some, most, workers int) {
 	share := func(part float64) int { return max(int(part*float64(all)), 1) }
-	workers = max(share(forWorkers), min(keep, all-share(forSome)))
-	return max(min(share(forSome), all-workers), 1), max(min(share(forClients), all-workers), 1), workers
+	workers = max(share(workerFraction), min(keep, all-share(softClientFraction)))
+	return max(min(share(softClientFraction), all-workers), 1), max(min(share(maxClientFraction), all-workers), 1), workers
 }
--- a/internal/frontend/leave_test.go
+++ b/internal/frontend/leave_test.go
@@ -242,7 +242,7 @@
 		t.Run(fmt.Sprint("cancel ", cancel), func(t *testing.T) {
 			g := gated(t, cancel, false)
 			dials, up := make(chan bool, 9), make(chan bool)
-			g.front.pool.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			g.front.workers.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				dials <- true
 				select {
 				case <-up:
@@ -318,8 +318,8 @@
 	}
 	r := httptest.NewRequest(http.MethodPost, "/", nil)
 	for range 2 * cap(f.loop.Inbox()) {
-		h := &held{client: context.Background()}
-		if _, err := f.RoundTrip(r.WithContext(context.WithValue(r.Context(), heldKey{}, h))); err == nil {
+		h := &pendingOp{client: context.Background()}
+		if _, err := f.RoundTrip(r.WithContext(context.WithValue(r.Context(), pendingOpKey{}, h))); err == nil {
 			t.Fatal("an answer from nowhere")
 		}
 	}
@@ -362,7 +362,7 @@
 				t.Errorf("the server is to drop the connection: %v", p)
 			}
 		}()
-		f.answer(torn{}, r.WithContext(ctx), &held{client: ctx, answer: make(chan reducer.Respond, 1)}, nil)
+		f.answer(torn{}, r.WithContext(ctx), &pendingOp{client: ctx, reply: make(chan reducer.Respond, 1)}, nil)
 	}()
 	if x := f.Metrics(); x.OpsInFlight != 0 || x.Other.Disconnected != 1 || x.RequestsRead != 1 {
 		t.Errorf("%+v", x)
@@ -392,9 +392,9 @@
 					leave()
 				}
 			}, ended}
-			h := &held{client: plain, answer: make(chan reducer.Respond, 1)}
+			h := &pendingOp{client: plain, reply: make(chan reducer.Respond, 1)}
 			r := httptest.NewRequest(http.MethodPost, "/", nil)
-			if resp, err := f.RoundTrip(r.WithContext(context.WithValue(ctx, heldKey{}, h))); err != nil || resp.StatusCode != http.StatusOK {
+			if resp, err := f.RoundTrip(r.WithContext(context.WithValue(ctx, pendingOpKey{}, h))); err != nil || resp.StatusCode != http.StatusOK {
 				t.Fatalf("loop ends %v: %v, %v", loopEnds, resp, err)
 			}
 			if status := <-by.ends; status != http.StatusOK {
--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -16,19 +16,19 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-const longestWord = 64 // bytes of a datagram; what is cut off is no message
+const maxPeerMessage = 64 // bytes of a datagram; what is cut off is no message
 
-// peers are the other schedulers, by datagrams: what is lost, late or twice does no harm, as each message says how
+// peerTransport are the other schedulers, by datagrams: what is lost, late or twice does no harm, as each message says how
 // many pushes are out and not what has changed.
-type peers struct {
-	conn *net.UDPConn
-	to   map[int]netip.AddrPort
-	by   map[netip.AddrPort]int
-	log  zerolog.Logger
+type peerTransport struct {
+	conn    *net.UDPConn
+	addrs   map[int]netip.AddrPort
+	numbers map[netip.AddrPort]int
+	log     zerolog.Logger
 }
 
-// listen hears on the socket given, or on one of its own.
-func listen(p *config.Peers, conn *net.UDPConn, log zerolog.Logger) (*peers, error) {
+// newPeerTransport hears on the socket given, or on one of its own.
+func newPeerTransport(p *config.Peers, conn *net.UDPConn, log zerolog.Logger) (*peerTransport, error) {
 	if conn == nil {
 		var err error
 		conn, err = oserror.RetryTransient(func() (*net.UDPConn, error) { return net.ListenUDP("udp", net.UDPAddrFromAddrPort(p.ListenAddr)) })
@@ -36,16 +36,16 @@
 			return nil, fmt.Errorf("peers: %w", err)
 		}
 	}
-	s := &peers{conn: conn, to: p.ByNumber, by: map[netip.AddrPort]int{}, log: log}
+	s := &peerTransport{conn: conn, addrs: p.ByNumber, numbers: map[netip.AddrPort]int{}, log: log}
 	for n, addr := range p.ByNumber {
-		s.by[addr] = n
+		s.numbers[addr] = n
 	}
 	return s, nil
 }
 
-// hear reads until the socket is closed. Only the schedulers that the configuration names are heard.
-func (s *peers) hear(tell func(reducer.Input)) {
-	var room [longestWord]byte
+// receive reads until the socket is closed. Only the schedulers that the configuration names are heard.
+func (s *peerTransport) receive(tell func(reducer.Input)) {
+	var room [maxPeerMessage]byte
 	failures := 0 // in a row
 	for {
 		n, from, err := s.conn.ReadFromUDPAddrPort(room[:])
@@ -58,21 +58,21 @@
 			continue
 		}
 		failures = 0
-		if by, known := s.by[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]; known {
+		if by, known := s.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]; known {
 			tell(reducer.PeerMessage{Sender: by, Text: string(room[:n])})
 		}
 	}
 }
 
-// deaf leaves what comes to the process that shares the socket.
-func (s *peers) deaf() {
+// stopReceiving leaves what comes to the process that shares the socket.
+func (s *peerTransport) stopReceiving() {
 	if s != nil {
 		s.conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-func (s *peers) tell(to int, text string) {
-	addr, known := s.to[to]
+func (s *peerTransport) send(to int, text string) {
+	addr, known := s.addrs[to]
 	if !known {
 		return
 	}
@@ -83,21 +83,21 @@
 
 // sendToPeer sends a message of the reducer's, which may be lost.
 func (f *Server) sendToPeer(to int, text string) {
-	if f.say != nil {
-		f.say(to, text)
+	if f.peerSender != nil {
+		f.peerSender(to, text)
 	} else {
-		f.peers.tell(to, text)
+		f.peers.send(to, text)
 	}
 }
 
 // SetPeerSender has words to other schedulers go another way than by the configuration's addresses. It is called before Serve.
-func (f *Server) SetPeerSender(say func(to int, text string)) { f.say = say }
+func (f *Server) SetPeerSender(say func(to int, text string)) { f.peerSender = say }
 
 // PeerInput takes what is learned of other schedulers from elsewhere: a word, that one is no more, that one is new. The loop is
 // never waited for: a word that finds no room is lost, as a datagram is.
 func (f *Server) PeerInput(in reducer.Input) {
 	if _, word := in.(reducer.PeerMessage); !word {
-		f.changes.Put(scheduler.Input{Event: in}) // they are few, and none must be missed or overtake another
+		f.peerChanges.Put(scheduler.Input{Event: in}) // they are few, and none must be missed or overtake another
 		return
 	}
 	select {
--- a/internal/frontend/peers_test.go
+++ b/internal/frontend/peers_test.go
@@ -130,7 +130,7 @@
 		tags[config.WorkerTag(fmt.Sprint("w", i))] = i
 	}
 	other.SetReadDeadline(time.Now().Add(2 * time.Second))
-	var room [longestWord]byte
+	var room [maxPeerMessage]byte
 	for _, want := range []int{1, 0} { // out, and ended
 		n, _, err := other.ReadFromUDP(room[:])
 		if err != nil {
@@ -145,14 +145,14 @@
 func TestOnlyConfiguredSchedulersAreHeard(t *testing.T) {
 	friend, at := datagrams(t)
 	stranger, _ := datagrams(t)
-	s, err := listen(&config.Peers{ListenAddr: netip.MustParseAddrPort("127.0.0.1:0"),
+	s, err := newPeerTransport(&config.Peers{ListenAddr: netip.MustParseAddrPort("127.0.0.1:0"),
 		ByNumber: map[int]netip.AddrPort{7: at}}, nil, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.conn.Close()
 	heard := make(chan reducer.Input, 9)
-	go s.hear(func(in reducer.Input) { heard <- in })
+	go s.receive(func(in reducer.Input) { heard <- in })
 	to := s.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	stranger.WriteToUDPAddrPort([]byte("abc9"), to)
 	friend.WriteToUDPAddrPort([]byte("abc1"), to)
--- a/internal/frontend/request_age.go
+++ b/internal/frontend/request_age.go
@@ -10,16 +10,16 @@
 	"woaddyke/internal/frontend/clientconn"
 )
 
-// unread is how long ago a request came to this machine. What came first of it may lie behind the request before, and its newest bytes in
+// requestAge is how long ago a request came to this machine. What came first of it may lie behind the request before, and its newest bytes in
 // the kernel while the process is stopped, starved or busy accepting others; taken as new, such requests were pushed seconds after their
 // clients' TTL.
-func unread(ctx context.Context) time.Duration {
-	return max(newestUnread(ctx), clientconn.Waited(ctx))
+func requestAge(ctx context.Context) time.Duration {
+	return max(newestBytesAge(ctx), clientconn.Waited(ctx))
 }
 
-// newestUnread is how long ago the newest bytes on a request's connection came. A beat that told of halts was dearer (67 us forty times a
+// newestBytesAge is how long ago the newest bytes on a request's connection came. A beat that told of halts was dearer (67 us forty times a
 // second) and saw only long ones.
-func newestUnread(ctx context.Context) time.Duration {
+func newestBytesAge(ctx context.Context) time.Duration {
 	c, ok := clientconn.Of(ctx).(syscall.Conn)
 	if !ok {
 		return 0
--- a/internal/frontend/settings.go
+++ b/internal/frontend/settings.go
@@ -10,44 +10,44 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-const mostDropped = 4096 // categories that are served no more but for a while
+const maxDroppedCategories = 4096 // categories that are served no more but for a while
 
 // settings are those in force.
 type settings struct {
 	*config.Bootstrap
-	rules map[string]rule // by category; of hundreds, a walk over the sheet for each op cost more than the op
+	rules map[string]categoryRule // by category; of hundreds, a walk over the sheet for each op cost more than the op
 	hash  func() uint64
 }
 
-// rule is a category's, until then if it was dropped.
-type rule struct {
+// categoryRule is a category's, until then if it was dropped.
+type categoryRule struct {
 	config.CategoryRule
-	until time.Time
+	retainedUntil time.Time
 }
 
-// settingsOf takes over what a category that is dropped goes on by for a while.
-func settingsOf(sheet *config.Bootstrap, before *settings, now, until time.Time) *settings {
-	s := &settings{Bootstrap: sheet, rules: map[string]rule{}, hash: sync.OnceValue(sheet.SettingsHash)}
+// newSettings takes over what a category that is dropped goes on by for a while.
+func newSettings(sheet *config.Bootstrap, before *settings, now, until time.Time) *settings {
+	s := &settings{Bootstrap: sheet, rules: map[string]categoryRule{}, hash: sync.OnceValue(sheet.SettingsHash)}
 	for name, r := range sheet.CategoryRules() {
-		s.rules[name] = rule{CategoryRule: r}
+		s.rules[name] = categoryRule{CategoryRule: r}
 	}
 	if before == nil {
 		return s
 	}
 	var dropped []string
 	for name, r := range before.rules {
-		if _, served := s.rules[name]; served || !r.until.IsZero() && now.After(r.until) {
+		if _, served := s.rules[name]; served || !r.retainedUntil.IsZero() && now.After(r.retainedUntil) {
 			continue
 		}
-		if r.until.IsZero() {
-			r.until = until
+		if r.retainedUntil.IsZero() {
+			r.retainedUntil = until
 		}
 		s.rules[name] = r
 		dropped = append(dropped, name)
 	}
-	if len(dropped) > mostDropped { // the reducer has forgotten the first ones too
-		slices.SortFunc(dropped, func(a, b string) int { return s.rules[a].until.Compare(s.rules[b].until) })
-		for _, name := range dropped[:len(dropped)-mostDropped] {
+	if len(dropped) > maxDroppedCategories { // the reducer has forgotten the first ones too
+		slices.SortFunc(dropped, func(a, b string) int { return s.rules[a].retainedUntil.Compare(s.rules[b].retainedUntil) })
+		for _, name := range dropped[:len(dropped)-maxDroppedCategories] {
 			delete(s.rules, name)
 		}
 	}
@@ -57,14 +57,14 @@
 // rule is a category's, empty for one that is not served any more.
 func (s *settings) rule(category string) config.CategoryRule {
 	r := s.rules[category]
-	if !r.until.IsZero() && time.Now().After(r.until) {
+	if !r.retainedUntil.IsZero() && time.Now().After(r.retainedUntil) {
 		return config.CategoryRule{}
 	}
 	return r.CategoryRule
 }
 
-// mostPushes is how often an op may be pushed.
-func (s *settings) mostPushes() int {
+// maxAttempts is how often an op may be pushed.
+func (s *settings) maxAttempts() int {
 	n, ok := s.Settings["bounds.maxPushes"].(float64)
 	if !ok {
 		return 1
@@ -72,13 +72,15 @@
 	return int(n)
 }
 
-// policy is what the scheduler's checks compare attempts with.
-type policy struct{ of *Server }
+// settingsInForce is what the scheduler's checks compare attempts with.
+type settingsInForce struct{ server *Server }
 
-func (p policy) Rule(category string) config.CategoryRule { return p.of.inForce.Load().rule(category) }
-func (p policy) MaxAttempts() int                         { return p.of.inForce.Load().mostPushes() }
-func (p policy) ClaimRequired(category string) bool {
-	return p.of.guarded != nil && p.of.guarded(category)
+func (p settingsInForce) Rule(category string) config.CategoryRule {
+	return p.server.inForce.Load().rule(category)
+}
+func (p settingsInForce) MaxAttempts() int { return p.server.inForce.Load().maxAttempts() }
+func (p settingsInForce) ClaimRequired(category string) bool {
+	return p.server.claimRequired != nil && p.server.claimRequired(category)
 }
 
 // CategoryEffect is how often an op of a category may run, by the settings in force.
@@ -101,7 +103,7 @@
 		err = sheet.CheckReload(before.Bootstrap)
 	}
 	if err != nil {
-		f.tally.ConfigReloaded(false)
+		f.metrics.ConfigReloaded(false)
 		f.log.Error().Err(err).Msg("configuration kept")
 		return
 	}
@@ -113,13 +115,13 @@
 	// What comes for a category that is served no more was sent before its client knew, or is its next try.
 	until := now.Add(before.LongestTTL())
 	if retunes {
-		f.tally.SetCategories(sheet.Categories())
+		f.metrics.SetCategories(sheet.Categories())
 		f.loop.Send(reducer.SettingsChanged{Settings: sheet.Settings, RetainUntil: config.RoundDown(f.clock.Nanos(until))})
 	}
-	f.inForce.Store(settingsOf(sheet, before, now, until))
+	f.inForce.Store(newSettings(sheet, before, now, until))
 	if sheet.Discovery != before.Discovery || !retunes { // a watch that is opened anew at each of a site's changes is a call each for nothing
-		f.roster.SetAddress(sheet.Discovery)
+		f.discovery.SetAddress(sheet.Discovery)
 	}
-	f.tally.ConfigReloaded(true) // last: who reads of it goes by what is in force
+	f.metrics.ConfigReloaded(true) // last: who reads of it goes by what is in force
 	f.log.Info().Str("discovery", sheet.Discovery).Bool("settings", retunes).Msg("configuration reread")
 }
--- a/internal/frontend/settings_test.go
+++ b/internal/frontend/settings_test.go
@@ -104,20 +104,20 @@
 		}
 		return &config.Bootstrap{Settings: config.Flatten(map[string]any{"categories": categories})}
 	}
-	s := settingsOf(of(0), nil, now, now)
+	s := newSettings(of(0), nil, now, now)
 	for i := 1; i < steps; i++ {
-		s = settingsOf(of(i), s, now, now.Add(time.Hour+time.Duration(i)))
+		s = newSettings(of(i), s, now, now.Add(time.Hour+time.Duration(i)))
 	}
 	for step, want := range map[int]bool{steps - 2: true, steps - 3: true, 0: false, 1: false} {
 		if _, holds := s.rules[fmt.Sprint(step, "-", each-1)]; holds != want {
 			t.Errorf("a rule that was dropped at step %d is held: %v", step, holds)
 		}
 	}
-	if len(s.rules) != mostDropped+each {
+	if len(s.rules) != maxDroppedCategories+each {
 		t.Errorf("%d rules", len(s.rules))
 	}
 	later := now.Add(2 * time.Hour)
-	if s = settingsOf(of(0), s, later, later.Add(time.Second)); len(s.rules) != 2*each {
+	if s = newSettings(of(0), s, later, later.Add(time.Second)); len(s.rules) != 2*each {
 		t.Errorf("%d rules after their while", len(s.rules))
 	}
 }
--- a/internal/frontend/told_test.go
+++ b/internal/frontend/told_test.go
@@ -52,7 +52,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.pool.Connect = connect
+			f.workers.Connect = connect
 			addr, _ := serveUntil(t, f)
 			<-f.Ready()
 			sent = time.Now()
@@ -142,7 +142,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.pool.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	f.workers.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 		if err != nil || dials.Add(1) > 1 {
 			return c, err
