--- /dev/null
+++ b/internal/cluster/membership/leave.go
@@ -0,0 +1,35 @@
+package membership
+
+// leaveState is the progress of a process that leaves.
+type leaveState struct {
+	noticesLeft int // rounds of notices that are still to be sent
+	nextNotice  Time
+}
+
+// startLeaving begins to notify others that this process leaves. A process that is no member stops at once.
+func (n *Node) startLeaving() {
+	if n.phase != serving {
+		n.stop()
+		return
+	}
+	n.enter(leaving)
+	n.leave = leaveState{noticesLeft: maxLeaveNotices, nextNotice: n.now}
+	n.self.State = Left
+	n.updateSelfDigest()
+}
+
+// sendLeaveNotices sends the next round of notices, and stops the process after the last one.
+func (n *Node) sendLeaveNotices() {
+	if n.now < n.leave.nextNotice {
+		return
+	}
+	if n.leave.noticesLeft == 0 {
+		n.stop()
+		return
+	}
+	n.leave.noticesLeft--
+	n.leave.nextNotice = n.now + leaveNoticeInterval
+	for _, m := range n.randomMembers(leaveFanout, nil) {
+		n.send(m.record.Addr, Message{Kind: Gossip, Records: []MemberRecord{n.self}})
+	}
+}
--- /dev/null
+++ b/internal/cluster/membership/member_state.go
@@ -0,0 +1,104 @@
+package membership
+
+import "slices"
+
+// stateTransitions are the states that may follow each state of one incarnation of a member. A new
+// incarnation begins in any of them.
+//
+//	from     to       by
+//	Alive    Suspect  markSuspect: a probe failed, or somebody reports it suspect or dead
+//	Alive    Left     markLeft
+//	Suspect  Alive    refute: the member itself, with more refutations
+//	Suspect  Dead     markDead: it did not refute in time
+//	Suspect  Left     markLeft
+//	Dead     Alive    resurrect: the member itself, with more refutations
+//	Dead     Suspect  markSuspect: somebody reports a later suspicion
+//	Dead     Left     markLeft
+//	Left     Alive    resurrect: a hot restart failed after the successor had left
+//	Left     Suspect  markSuspect: somebody reports a later suspicion
+//
+// What this process found while it was isolated is private: discardPrivateState goes back to the state that
+// is reported.
+var stateTransitions = [...][]State{
+	Alive:   {Suspect, Left},
+	Suspect: {Alive, Dead, Left},
+	Dead:    {Alive, Suspect, Left},
+	Left:    {Alive, Suspect},
+}
+
+// markSuspect begins a suspicion, or begins it anew. The member has until suspicionDeadline to refute it.
+func (n *Node) markSuspect(m *member, reporter string, foundHere bool) {
+	n.setState(m, Suspect)
+	m.suspicion = suspicion{startedAt: n.now, confirmations: []string{reporter}, foundHere: foundHere}
+}
+
+// refute ends a suspicion: the member has shown that it is alive.
+func (n *Node) refute(m *member) { n.setState(m, Alive) }
+
+// resurrect takes back that a member has ended: it has shown that it is alive.
+func (n *Node) resurrect(m *member) { n.setState(m, Alive) }
+
+// markDead ends a suspicion that was not refuted.
+func (n *Node) markDead(m *member) { n.setState(m, Dead) }
+
+// markLeft records that a member has left by its own decision.
+func (n *Node) markLeft(m *member) { n.setState(m, Left) }
+
+// discardPrivateState takes back what this process found while it was isolated.
+func (n *Node) discardPrivateState(m *member) {
+	m.private = false
+	n.setState(m, m.record.State)
+	if m.state == Suspect {
+		m.suspicion = suspicion{startedAt: n.now, confirmations: []string{m.record.ReportedBy}}
+	}
+}
+
+// startIncarnation takes the state that is reported of a process that was not known before.
+func (n *Node) startIncarnation(m *member) {
+	n.changeState(m, m.record.State, true)
+	if m.state == Suspect {
+		m.suspicion = suspicion{startedAt: n.now, confirmations: []string{m.record.ReportedBy}}
+	}
+}
+
+// setState changes the state of the present incarnation. A change that stateTransitions does not list is
+// counted as a violated invariant.
+func (n *Node) setState(m *member, state State) {
+	if m.state == state {
+		return
+	}
+	if !slices.Contains(stateTransitions[m.state], state) {
+		n.count(countInvalidState)
+	}
+	n.changeState(m, state, false)
+}
+
+func (n *Node) changeState(m *member, state State, newIncarnation bool) {
+	before := m.state
+	n.members.remove(m)
+	n.detector.unschedule(m)
+	m.state = state
+	m.changedAt = n.now
+	if state != Suspect {
+		m.suspicion = suspicion{}
+	}
+	if state == Alive {
+		m.unansweredPings = 0
+		m.private = false
+	}
+	if state.Ended() && (newIncarnation || !before.Ended()) {
+		m.endedAt = n.endedAt(m.record)
+	}
+	n.members.insert(m)
+	if !state.Ended() {
+		n.detector.schedule(m, n.rand)
+	}
+	n.emit(MemberChanged{MemberView: n.viewOf(m), Before: before, New: newIncarnation})
+}
+
+// endedAt is when a process ended by the age of its record.
+func (n *Node) endedAt(record MemberRecord) Time {
+	return n.now - Time(min(record.Age, n.retentionSeconds()))*second
+}
+
+func (n *Node) retentionSeconds() uint64 { return uint64(n.config.DeadRetention / second) }
--- a/internal/cluster/membership/messages.go
+++ b/internal/cluster/membership/messages.go
@@ -73,7 +73,8 @@
 	Message
 }
 
-// OpenStream has a stream opened and a message sent on it; what comes back is Heard with a stream to answer on.
+// OpenStream has a stream opened and a message sent on it; what comes back is Heard with a stream to answer
+// on.
 type OpenStream struct {
 	To string
 	Message
--- /dev/null
+++ b/internal/cluster/membership/phase.go
@@ -0,0 +1,108 @@
+package membership
+
+import "slices"
+
+// phase is where this process itself stands as a member.
+type phase int
+
+const (
+	joining    phase = iota // it queries what others know of its name, to choose its incarnation
+	serving                 // it is a member
+	catchingUp              // it was stopped for so long that others may have declared it dead; it queries before it sends anything else
+	leaving                 // it notifies others that it leaves
+	standingBy              // another process has replaced it; it queries whether its name is free again
+	stopped                 // it has left, or was replaced and does not stand by
+)
+
+// phaseTransitions are the phases that may follow each phase.
+//
+//	from        to          by
+//	joining     serving     startServing: a member answered, or nobody did in time
+//	joining     stopped     startLeaving
+//	serving     catchingUp  noteLateness: the process was stopped for MinSuspicion or longer
+//	serving     leaving     startLeaving
+//	serving     standingBy  markReplaced, if the process stands by
+//	serving     stopped     markReplaced, if it does not
+//	catchingUp  serving     resumeServing; startServing, if an earlier incarnation than the one that is known
+//	catchingUp  standingBy  markReplaced, if the process stands by
+//	catchingUp  stopped     markReplaced, if it does not; startLeaving
+//	leaving     stopped     sendLeaveNotices: all are sent; startLeaving, if it is requested again
+//	standingBy  serving     startServing: the name is free
+//	standingBy  stopped     startLeaving
+//	stopped     stopped     startLeaving
+var phaseTransitions = [...][]phase{
+	joining:    {serving, stopped},
+	serving:    {catchingUp, leaving, standingBy, stopped},
+	catchingUp: {serving, standingBy, stopped},
+	leaving:    {stopped},
+	standingBy: {serving, stopped},
+	stopped:    {stopped},
+}
+
+// enter changes the phase. A change that phaseTransitions does not list is counted as a violated invariant.
+func (n *Node) enter(next phase) {
+	if !slices.Contains(phaseTransitions[n.phase], next) {
+		n.count(countInvalidPhase)
+	}
+	n.phase = next
+}
+
+// startServing makes this process a member, with a later incarnation than any that was reported of its
+// name.
+func (n *Node) startServing() {
+	n.enter(serving)
+	n.self.Incarnation = Incarnation{Generation: n.join.reportedSelf.Generation + 1, Nonce: n.config.Nonce}
+	n.self.Refutations = 0
+	n.self.State = Alive
+	n.completeJoin()
+}
+
+// resumeServing makes this process a member again after it has caught up, in its present incarnation.
+func (n *Node) resumeServing() {
+	reported := n.join.reportedSelf
+	if reported.Incarnation == n.self.Incarnation && reported.State >= Suspect {
+		n.emit(Event{"was called " + reported.State.String(), reported.ReportedBy})
+		n.self.Refutations = max(n.self.Refutations, reported.Refutations)
+	}
+	n.enter(serving)
+	n.self.Refutations++
+	n.completeJoin()
+}
+
+// completeJoin spreads the record of a process that has just become a member, and fetches what others know.
+func (n *Node) completeJoin() {
+	n.detector.lastHeard = n.now
+	n.announceSelf()
+	n.emit(Joined{})
+	n.pushPullWithRandomMember()
+}
+
+// startCatchingUp has this process query what others report of it before it sends anything else.
+func (n *Node) startCatchingUp() {
+	n.enter(catchingUp)
+	n.startQuery()
+}
+
+// markReplaced ends this process as a member: another process has its name.
+func (n *Node) markReplaced(by MemberRecord) {
+	n.emit(Event{"superseded", by.Addr})
+	n.self.State = Replaced
+	n.conflict.open = nil
+	n.gossip.queue = nil
+	n.detector.cancelProbes()
+	n.updateSelfDigest()
+	if n.config.StandByWhenReplaced {
+		n.enter(standingBy)
+		n.join.queryNonce = n.rand.Uint64()
+		n.join.reportedSelf = by
+	} else {
+		n.enter(stopped)
+	}
+	n.emit(Stopped{Replaced: true})
+}
+
+// stop ends this process as a member by its own decision.
+func (n *Node) stop() {
+	n.enter(stopped)
+	n.emit(Stopped{})
+}
--- a/internal/cluster/membership/record.go
+++ b/internal/cluster/membership/record.go
@@ -33,8 +33,8 @@
 // Ended tells whether a process in this state is held to be no more.
 func (s State) Ended() bool { return s >= Dead }
 
-// Incarnation is one process of a member, or a process and those that took over from it. A later one has a greater incarnation; two
-// that took the same one at once are told apart by a nonce.
+// Incarnation is one process of a member, or a process and those that took over from it. A later one has a
+// greater incarnation; two that took the same one at once are told apart by a nonce.
 type Incarnation struct {
 	Generation uint64 `json:"incarnation"`
 	Nonce      uint64 `json:"-"`
@@ -44,8 +44,8 @@
 	return cmp.Or(cmp.Compare(a.Generation, b.Generation), cmp.Compare(a.Nonce, b.Nonce))
 }
 
-// MemberRecord is what is said of a member. Turn grows each time that the member refutes what is said of its present life, and nobody
-// else may raise it.
+// MemberRecord is what is said of a member. Turn grows each time that the member refutes what is said of
+// its present life, and nobody else may raise it.
 type MemberRecord struct {
 	Name   string
 	Addr   string // where it is told things
@@ -57,8 +57,8 @@
 	Age         uint64 // seconds since a process ended; it is no part of what is compared
 }
 
-// Compare orders claims of one name. What is greater is newer, or worse of the same life and turn; the rest only makes the order
-// total, so that equal views are the same to the letter.
+// Compare orders claims of one name. What is greater is newer, or worse of the same life and turn; the rest
+// only makes the order total, so that equal views are the same to the letter.
 func Compare(a, b MemberRecord) int {
 	return cmp.Or(compareState(a, b), cmp.Compare(a.ReportedBy, b.ReportedBy), cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.Number, b.Number))
 }
@@ -67,8 +67,9 @@
 	return cmp.Or(a.Incarnation.compare(b.Incarnation), cmp.Compare(a.Refutations, b.Refutations), cmp.Compare(a.State, b.State))
 }
 
-// Join is the rule for claims of one name that differ: the greater one, and of equal ones the longer age. It is commutative,
-// associative and idempotent, so that views that have heard the same claims in any order are the same.
+// Join is the rule for claims of one name that differ: the greater one, and of equal ones the longer age.
+// It is commutative, associative and idempotent, so that views that have heard the same claims in any order
+// are the same.
 func Join(a, b MemberRecord) MemberRecord {
 	age := max(a.Age, b.Age)
 	switch c := Compare(a, b); {
--- a/internal/cluster/membership/timers.go
+++ b/internal/cluster/membership/timers.go
@@ -1,178 +1,105 @@
 package membership
 
-import "slices"
+import "math"
 
-// runTimers does all that is due.
-func (m *Node) runTimers() {
-	switch m.phase {
-	case stopped:
-		return
+// runTimers does what is due in the present phase.
+func (n *Node) runTimers() {
+	switch n.phase {
 	case joining, catchingUp:
-		m.sendQueries()
-		return
-	case standingBy:
-		m.queryWhetherNameIsFree()
-		return
+		n.runQuery()
+	case serving:
+		n.runMemberTimers()
 	case leaving:
-		m.sendLeaveNotices()
-		return
-	}
-	m.checkProbes()
-	m.checkSuspects()
-	if m.now >= m.nextProbe {
-		m.nextProbe = m.now + m.config.ProbeInterval*9/10 + Time(m.rand.Int64N(int64(m.config.ProbeInterval/5)+1))
-		m.probeNext()
-	}
-	if m.now >= m.nextJoin {
-		m.nextJoin = m.now + m.jitter(m.config.JoinInterval)
-		m.probeDeadMemberAndSeed()
-	}
-	if m.now >= m.nextPushPull {
-		m.nextPushPull = m.now + m.jitter(m.config.PushPullInterval)
-		m.pushPullWithRandomMember()
-	}
-	if m.now >= m.nextPrune {
-		m.nextPrune = m.now + m.config.DeadRetention/50
-		m.pruneEnded()
-	}
-	if d := m.conflict; d != nil && m.now >= d.nextQuery {
-		m.continueNameConflict(d)
-	}
-	if len(m.queue) > 0 && m.now >= m.nextGossip {
-		m.nextGossip = m.now + gossipInterval
-		for _, e := range m.randomMembers(gossipFanout, nil) {
-			if claims := m.takeRecords(maxRecordBytes, m.recordToRefute(e)...); len(claims) > 0 {
-				m.send(e.record.Addr, Message{Kind: Gossip, Records: claims})
-			}
-		}
+		n.sendLeaveNotices()
+	case standingBy:
+		n.queryWhetherNameIsFree()
+	case stopped:
 	}
 }
 
-// probeNext asks the next in the round.
-func (m *Node) probeNext() {
-	if len(m.probeOrder) == 0 {
-		m.probeOrder = append(m.probeOrder, m.live...)
-		m.rand.Shuffle(len(m.probeOrder), func(i, j int) { m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i] })
-	}
-	if len(m.probeOrder) == 0 || len(m.probes) >= maxProbes {
-		return
+// runMemberTimers does what is due while this process is a member.
+func (n *Node) runMemberTimers() {
+	n.checkProbes()
+	n.checkSuspects()
+	if n.now >= n.detector.nextProbe {
+		interval := n.config.ProbeInterval
+		n.detector.nextProbe = n.now + interval*9/10 + Time(n.rand.Int64N(int64(interval/5)+1))
+		n.probeNext()
 	}
-	e := m.probeOrder[len(m.probeOrder)-1]
-	m.probeOrder = m.probeOrder[:len(m.probeOrder)-1]
-	p := probe{nonce: m.rand.Uint64(), target: e, sentAt: m.now}
-	m.probes = append(m.probes, p)
-	m.send(e.record.Addr, Message{Kind: Ping, Nonce: p.nonce, Records: m.takeRecords(maxRecordBytes, m.recordToRefute(e)...)})
-}
-
-// checkProbes asks through others for those who have not answered, and doubts those who did not answer to anybody.
-func (m *Node) checkProbes() {
-	rest := m.probes[:0:0]
-	var failed []*member
-	for _, p := range m.probes {
-		switch {
-		case m.now >= p.sentAt+m.probeTimeout():
-			if failed = append(failed, p.target); !m.isolated && m.lastHeard <= p.sentAt {
-				m.isolated = true // nobody at all was heard since: that is this process's own trouble
-				m.do(Event{"hears nobody", ""})
-			}
-			continue
-		case !p.indirectSent && m.now >= p.sentAt+m.directTimeout(p.target):
-			p.indirectSent = true
-			m.sendIndirectPings(p.target, p.nonce)
-			m.do(OpenStream{p.target.record.Addr, m.stamped(Message{Kind: Ping, Nonce: p.nonce, Records: m.recordToRefute(p.target)})})
-		case p.indirectSent && !p.resent && m.now >= p.sentAt+2*m.directTimeout(p.target):
-			p.resent = true
-			m.send(p.target.record.Addr, Message{Kind: Ping, Nonce: p.nonce, Records: m.recordToRefute(p.target)})
-		}
-		rest = append(rest, p)
+	if n.now >= n.join.nextAttempt {
+		n.join.nextAttempt = n.now + n.jitter(n.config.JoinInterval)
+		n.pingDeadMemberAndSeed()
 	}
-	m.probes = rest
-	for nonce, r := range m.indirectPings {
-		if m.now >= r.sentAt+2*m.probeTimeout() {
-			delete(m.indirectPings, nonce)
-		}
+	if n.now >= n.gossip.nextPushPull {
+		n.gossip.nextPushPull = n.now + n.jitter(n.config.PushPullInterval)
+		n.pushPullWithRandomMember()
 	}
-	for _, e := range failed {
-		m.probeFailed(e)
+	if n.now >= n.members.nextPrune {
+		n.members.nextPrune = n.now + n.config.DeadRetention/pruningsPerRetention
+		n.pruneEnded()
 	}
-}
-
-// sendIndirectPings has some others ask a member.
-func (m *Node) sendIndirectPings(e *member, nonce uint64) {
-	for _, by := range m.randomMembers(indirectProbes, e) {
-		m.send(by.record.Addr, Message{Kind: IndirectPing, Nonce: nonce, Target: e.record.Name, Records: m.recordToRefute(e)})
+	if conflict := n.conflict.open; conflict != nil && n.now >= conflict.nextQuery {
+		n.continueNameConflict()
 	}
-}
-
-// checkSuspects asks once more those whose doubt ends soon, and holds those whose doubt is over to be gone.
-func (m *Node) checkSuspects() {
-	for _, e := range append([]*member(nil), m.suspects...) {
-		end := m.suspicionDeadline(e)
-		if m.now >= end {
-			m.suspicionExpired(e)
-		} else if e.foundHere && !e.finalProbeSent && m.now >= end-finalProbeLead {
-			e.finalProbeSent = true
-			nonce := m.rand.Uint64()
-			m.send(e.record.Addr, Message{Kind: Ping, Nonce: nonce, Records: m.recordToRefute(e)})
-			m.sendIndirectPings(e, nonce)
-		}
+	if len(n.gossip.queue) > 0 && n.now >= n.gossip.nextRound {
+		n.runGossipRound()
 	}
 }
 
-// probeDeadMemberAndSeed tries to reach one that is gone, and a seed that is nobody here: so cuts end by themselves.
-func (m *Node) probeDeadMemberAndSeed() {
-	if len(m.dead) > 0 {
-		e := m.dead[m.rand.IntN(len(m.dead))]
-		m.send(e.record.Addr, Message{Kind: Ping, Nonce: m.rand.Uint64(), Records: m.recordToRefute(e)})
-	}
-	for range m.config.Seeds { // the next one that is nobody here
-		m.lastSeed = (m.lastSeed + 1) % len(m.config.Seeds)
-		seed := m.config.Seeds[m.lastSeed]
-		if seed != m.self.Addr && !slices.ContainsFunc(m.live, func(e *member) bool { return e.record.Addr == seed }) {
-			m.send(seed, Message{Kind: Ping, Nonce: m.rand.Uint64()})
-			return
-		}
+// nextDue returns the moment at which something is due in the present phase, in the future.
+func (n *Node) nextDue() Time {
+	due := n.now + second
+	switch n.phase {
+	case joining, catchingUp:
+		due = n.join.nextQuery
+	case serving:
+		due = n.nextMemberTimer()
+	case leaving:
+		due = n.leave.nextNotice
+	case standingBy:
+		due = n.join.nextAttempt
+	case stopped:
 	}
+	return max(due, n.now+1)
 }
 
-// queryWhetherNameIsFree asks whether the name of this process is free again.
-func (m *Node) queryWhetherNameIsFree() {
-	if m.now < m.nextJoin {
-		return
+func (n *Node) nextMemberTimer() Time {
+	due := min(n.detector.nextProbe, n.join.nextAttempt, n.gossip.nextPushPull, n.members.nextPrune)
+	if len(n.gossip.queue) > 0 && len(n.members.live) > 0 {
+		due = min(due, n.gossip.nextRound)
 	}
-	m.nextJoin = m.now + m.jitter(m.config.JoinInterval)
-	m.reportedSelf, m.queryNonce = MemberRecord{}, m.rand.Uint64()
-	for _, e := range m.randomMembers(1, nil) {
-		m.send(e.record.Addr, Message{Kind: RecordQuery, Nonce: m.queryNonce})
+	if n.conflict.open != nil {
+		due = min(due, n.conflict.open.nextQuery)
 	}
+	return min(due, n.nextProbeTimer(), n.nextSuspicionTimer())
 }
 
-// sendLeaveNotices tells some that this process ends.
-func (m *Node) sendLeaveNotices() {
-	if m.now < m.nextLeaveNotice {
-		return
-	}
-	if m.leaveNoticesLeft == 0 {
-		m.phase = stopped
-		m.do(Stopped{})
-		return
-	}
-	m.leaveNoticesLeft--
-	m.nextLeaveNotice = m.now + leaveNoticeInterval
-	for _, e := range m.randomMembers(leaveFanout, nil) {
-		m.send(e.record.Addr, Message{Kind: Gossip, Records: []MemberRecord{m.self}})
+// nextProbeTimer returns when an open probe is due to be escalated or given up.
+func (n *Node) nextProbeTimer() Time {
+	due := Time(math.MaxInt64)
+	for _, p := range n.detector.probes {
+		due = min(due, p.sentAt+n.probeTimeout())
+		wait := n.directTimeout(p.target)
+		switch {
+		case p.resent:
+		case p.indirectSent:
+			due = min(due, p.sentAt+2*wait)
+		default:
+			due = min(due, p.sentAt+wait)
+		}
 	}
+	return due
 }
 
-// continueNameConflict asks the other process of this name again, or holds it to be no more.
-func (m *Node) continueNameConflict(d *nameConflict) {
-	if m.now >= d.deadline {
-		m.conflict = nil
-		if d.rival.Incarnation.compare(m.self.Incarnation) > 0 {
-			m.startIncarnationAfter(d.rival.Generation)
+// nextSuspicionTimer returns when a suspicion ends or a final probe is due.
+func (n *Node) nextSuspicionTimer() Time {
+	due := Time(math.MaxInt64)
+	for _, m := range n.members.suspects {
+		deadline := n.suspicionDeadline(m)
+		if m.suspicion.foundHere && !m.suspicion.finalProbeSent {
+			deadline -= finalProbeLead
 		}
-		return
+		due = min(due, deadline)
 	}
-	d.nextQuery = m.now + queryInterval
-	m.send(d.rival.Addr, Message{Kind: NameConflict, Nonce: d.nonce})
+	return due
 }
