--- a/internal/workers/discovery/discovery.go
+++ b/internal/workers/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery holds discovery's list of workers: it reads the list, watches its changes and connects again
-// when the watch breaks.
+// Package discovery reads the list of workers: it watches the list's changes, reports them, and opens the
+// watch again when it breaks.
 package discovery
 
 import (
@@ -19,156 +19,149 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// errRejected is a call that discovery had no time for.
-var errRejected = errors.New("turned away")
-
-const stateDeleted = "DELETED" // the state, among changes only, of a worker that has left the list
-
-// Message is a list as discovery words it.
-type Message struct {
-	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"`
-	Targets []target `json:"targets"`
-}
-
-type target struct {
-	UID      string `json:"uid"`
-	Endpoint string `json:"endpoint"`
-	AZ       string `json:"az"`
-	PodGroup int    `json:"pod_group"`
-	Model    string `json:"model"`
-	State    string `json:"state"`
-	BootMS   int64  `json:"boot_ms"`
-}
-
-// EndpointsChanged is the message as the reducer takes it.
-func (m *Message) EndpointsChanged(starts *StartTimes) reducer.EndpointsChanged {
-	in := reducer.EndpointsChanged{Snapshot: m.All, Revision: m.Rev}
-	for i := range m.Targets {
-		t := &m.Targets[i]
-		if t.UID == "" {
-			continue // nobody could ever be told that it has gone
-		}
-		in.Endpoints = append(in.Endpoints, reducer.Endpoint{Worker: t.UID, Addr: t.Endpoint, Zone: t.AZ, MachineKind: t.Model, WorkerGroup: t.PodGroup,
-			Ready: t.State == "SERVING", Removed: t.State == stateDeleted, BootID: t.BootMS, StartedAt: starts.startedAt(t)})
-	}
-	return in
-}
-
-// Client is discovery at the address last given, as of one version of its list.
+// Client watches the endpoint list of the discovery at one address.
 type Client struct {
-	notify     func(reducer.Input)
+	notify     func(reducer.Input) // reports each message of the watch
 	httpClient http.Client
+	log        zerolog.Logger
+	timeouts   Timeouts
+	startTimes *StartTimes
+	random     *rand.Rand // of Run alone
 
-	watchedConn    atomic.Pointer[watchConn] // of the watch that is on, nil without one
-	log            zerolog.Logger
-	watching       sync.Mutex // held by the watch that is on
-	random         *rand.Rand // Keep's
-	timeouts       Timeouts
-	startTimes     *StartTimes
-	addressChanged chan struct{} // wakes Keep
+	addressChanged chan struct{}             // wakes Run
+	watching       sync.Mutex                // held by the open watch
+	watchedConn    atomic.Pointer[watchConn] // of the open watch, nil without one
 
 	mu          sync.Mutex
 	addr        string
-	cancelWatch context.CancelFunc // of the watch that is on
-	revision    int64              // of the list
-	workers     map[string]target  // by uid
+	cancelWatch context.CancelFunc // ends the open watch
+	revision    int64              // of workers
+	workers     map[string]target  // by UID
 }
 
-// New makes a roster that goes on from a remembered list, and draws the moments of its calls from its seed
-// over a spread that it shares with the other schedulers.
-func New(addr string, known Message, spans Timeouts, seed uint64, starts *StartTimes, tell func(reducer.Input), log zerolog.Logger) *Client {
+// New returns a client that starts from a list that is known already. The moments of its calls are drawn
+// from the seed, over a span that it shares with the other schedulers.
+func New(
+	addr string,
+	known Message,
+	timeouts Timeouts,
+	seed uint64,
+	starts *StartTimes,
+	notify func(reducer.Input),
+	log zerolog.Logger,
+) *Client {
+	c := &Client{
+		addr:           addr,
+		notify:         notify,
+		log:            log,
+		timeouts:       timeouts,
+		startTimes:     starts,
+		random:         rand.New(rand.NewPCG(seed, 0)),
+		addressChanged: make(chan struct{}, 1),
+		cancelWatch:    func() {},
+		httpClient: http.Client{Transport: &http.Transport{
+			DisableKeepAlives:  true,
+			DisableCompression: true,
+			DialContext:        dialWatch(min(timeouts.Response, dialTimeout)),
+		}},
+	}
 	known.All = true
-	r := &Client{addr: addr, notify: tell, log: log, startTimes: starts, cancelWatch: func() {}, addressChanged: make(chan struct{}, 1),
-		random: rand.New(rand.NewPCG(seed, 0)), timeouts: spans,
-		httpClient: http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
-			DialContext: dialWatch(min(spans.Response, dialTimeout))}}}
-	r.apply(context.Background(), &known)
-	return r
+	c.apply(context.Background(), &known)
+	return c
 }
 
-// apply takes a message into the list, unless the watch that it came by has been ended: what the discovery of before said late
-// must not stand over what the next one says.
-func (r *Client) apply(on context.Context, m *Message) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if on.Err() != nil {
+// apply takes a message into the list. It does nothing and returns false where the watch that the message
+// came by has been ended: a late message of the former discovery must not overwrite what the present one
+// says.
+func (c *Client) apply(watch context.Context, m *Message) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if watch.Err() != nil {
 		return false
 	}
-	if r.revision = m.Rev; m.All {
-		r.workers = map[string]target{}
+	c.revision = m.Rev
+	if m.All {
+		c.workers = map[string]target{}
 	}
 	for _, t := range m.Targets {
-		if r.workers[t.UID] = t; t.State == stateDeleted {
-			delete(r.workers, t.UID)
+		if t.State == stateDeleted {
+			delete(c.workers, t.UID)
+		} else {
+			c.workers[t.UID] = t
 		}
 	}
-	r.startTimes.prune(r.workers)
+	c.startTimes.prune(c.workers)
 	return true
 }
 
-// Snapshot is the whole list as of now, in discovery's form.
-func (r *Client) Snapshot() ([]byte, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	m := Message{Rev: r.revision, All: true, Targets: []target{}}
-	for _, uid := range slices.Sorted(maps.Keys(r.workers)) {
-		m.Targets = append(m.Targets, r.workers[uid])
+// Snapshot returns the complete list in discovery's form.
+func (c *Client) Snapshot() ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	m := Message{Rev: c.revision, All: true, Targets: []target{}}
+	for _, uid := range slices.Sorted(maps.Keys(c.workers)) {
+		m.Targets = append(m.Targets, c.workers[uid])
 	}
 	return json.Marshal(m)
 }
 
-// SetAddress goes over to another address at once, also where no watch is on: the old one may tell nothing more.
-func (r *Client) SetAddress(addr string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.addr != addr {
-		r.revision = 0 // another discovery counts as it likes: it is to tell all
+// SetAddress ends the open watch and opens the next one at once, at this address. Nothing that the former
+// discovery sends counts any more.
+func (c *Client) SetAddress(addr string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.addr != addr {
+		c.revision = 0 // versions of another discovery are not comparable: it has to send its complete list
 	}
-	r.addr = addr
-	r.cancelWatch()
+	c.addr = addr
+	c.cancelWatch()
 	select {
-	case r.addressChanged <- struct{}{}:
+	case c.addressChanged <- struct{}{}:
 	default:
 	}
 }
 
-// Run watches until the context ends, and connects again whenever the watch breaks.
-func (r *Client) Run(ctx context.Context) {
-	var b callHistory
-	wait := r.timeouts.nextBackoff(b, r.random.Float64()) // the remembered list serves meanwhile
+// Run watches until the context ends, and opens the watch again whenever it breaks.
+func (c *Client) Run(ctx context.Context) {
+	var history callHistory
+	backoff := c.nextBackoff(history) // the known list serves meanwhile
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.addressChanged:
-			b, wait = callHistory{}, 0
-		case <-time.After(wait):
+		case <-c.addressChanged:
+			history, backoff = callHistory{}, 0
+		case <-time.After(backoff):
 		}
-		r.mu.Lock()
-		on := r.replaceWatch(ctx)
-		r.mu.Unlock()
-		began := time.Now()
-		heard, err := r.watch(on)
+		watchCtx := c.replaceWatch(ctx)
+		startedAt := time.Now()
+		alive, err := c.watch(watchCtx)
 		if ctx.Err() != nil {
 			return
 		}
-		if heard {
-			b = callHistory{}
-		} else {
-			b.addFailure(errors.Is(err, errRejected))
-		}
-		b.idle, b.duration, b.backoff = errors.Is(err, errIdleTimeout), time.Since(began), wait
-		wait = r.timeouts.nextBackoff(b, r.random.Float64())
-		if !errors.Is(err, context.Canceled) { // a move is no break
-			r.log.Warn().Err(err).Dur("again_in_ms", wait).Msg("watch broke")
+		history.addCall(call{
+			alive:    alive,
+			rejected: errors.Is(err, errRejected),
+			idle:     errors.Is(err, errIdleTimeout),
+			duration: time.Since(startedAt),
+			backoff:  backoff,
+		})
+		backoff = c.nextBackoff(history)
+		if !errors.Is(err, context.Canceled) { // SetAddress is no failure
+			c.log.Warn().Err(err).Dur("again_in_ms", backoff).Msg("watch broke")
 		}
 	}
 }
 
-// replaceWatch ends the watch that is on, with the lock held, and returns the context of the next one.
-func (r *Client) replaceWatch(ctx context.Context) context.Context {
-	r.cancelWatch()
-	ctx, r.cancelWatch = context.WithCancel(ctx)
+func (c *Client) nextBackoff(history callHistory) time.Duration {
+	return c.timeouts.nextBackoff(history, c.random.Float64())
+}
+
+// replaceWatch ends the open watch and returns the context of the next one.
+func (c *Client) replaceWatch(ctx context.Context) context.Context {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.cancelWatch()
+	ctx, c.cancelWatch = context.WithCancel(ctx)
 	return ctx
 }
--- a/internal/workers/discovery/start_times.go
+++ b/internal/workers/discovery/start_times.go
@@ -10,111 +10,139 @@
 	"woaddyke/internal/lifecycle/clock"
 )
 
-// Discovery tells a worker's start in Unix time. This is the one place where that is held against this machine's wall clock, which is
-// read once, at the process's start, and may be off by then. What is certain is that nothing has started in the future, and that a worker
-// which turns up on a watch that was heard a moment ago has not been there for long.
+// Discovery sends a worker's start in Unix time. This file alone compares it with this machine's wall
+// clock, which is read once, at the start of this process, and may be wrong by then. Two things are
+// certain: nothing has started in the future, and a worker that is new on a watch that was heard a moment
+// ago has not been there for long.
 
 const (
-	// A worker turns up on a live watch this long after its start at the latest: what discovery has counts as told by then.
+	// maxListingDelay is the longest time from a worker's start until it is on a live watch: its entry is
+	// in force for everybody by then.
 	maxListingDelay = changeDeadline
-	// Of so many that turned up on a live watch one did so within the usual way, late lists included. If the youngest seems older, it is
-	// the wall clock that is ahead: a step of a few seconds is less than what a single late list explains.
+
+	// samplesPerEstimate is how many workers that are new on a live watch make one estimate of the clock
+	// skew. At least one of so many is listed within usualListingDelay, late lists included.
 	samplesPerEstimate = 4
-	usualListingDelay  = 2 * time.Second
-	maxHeartbeatAge    = 3 * heartbeatInterval / 2 // a watch whose last sign of life is no older
-	// A clock that is off by more than this is no clock that was stepped. Whatever else says so tells of that worker alone.
+
+	// usualListingDelay is how old the youngest of samplesPerEstimate workers may seem. If it seems
+	// older, the wall clock is ahead. A step of fewer seconds can't be told from one late list.
+	usualListingDelay = 2 * time.Second
+
+	// maxHeartbeatAge is how old the last heartbeat of a live watch may be.
+	maxHeartbeatAge = 3 * heartbeatInterval / 2
+
+	// maxClockSkew bounds the skew of a clock that was stepped, a day and two hours. A worker that
+	// suggests more has a wrong start time.
 	maxClockSkew = 26 * time.Hour
-	// So many workers that left the list are remembered beside those in it: they may come back as they were.
+
+	// maxRemovedWorkers is how many workers that have left the list are retained beside those in it: they
+	// may come back.
 	maxRemovedWorkers = 1024
+
+	// maxAgeMS bounds the age of a worker, ten years, so that sums don't overflow.
+	maxAgeMS = int64(10 * 365 * 24 * time.Hour / time.Millisecond)
 )
 
 // ProcessStart is when a worker's present process started.
 type ProcessStart struct {
-	BootMS int64         `json:"boot_ms"` // as discovery tells it: it names the process
-	At     dispatch.Time `json:"at"`      // by the clock of whoever says so
+	BootMS int64         `json:"boot_ms"` // as discovery sends it; it tells a worker's processes apart
+	At     dispatch.Time `json:"at"`      // by the clock of the process that says so
 }
 
-// StartTimes tells when workers started, by this process's own clock.
+// StartTimes converts the start times of workers to this process's own clock.
 type StartTimes struct {
 	clock       clock.Clock
-	wallStartMS int64 // the wall clock's Unix milliseconds at the clock's start
+	wallStartMS int64 // Unix milliseconds of the wall clock at the clock's start
 
 	mu        sync.Mutex
-	clockSkew time.Duration // of the wall clock before discovery's, as far as known
-	lastHeard time.Duration // after the clock's start: discovery's last sign of life; negative before one
-	processes map[string]ProcessStart
+	lastHeard time.Duration           // since the clock's start; negative before the first heartbeat
+	processes map[string]ProcessStart // by worker
+	clockSkew time.Duration           // of the wall clock, as far as known; above 0 where it is ahead
 
-	samples  int           // workers that turned up on a live watch since ahead was found
-	youngest time.Duration // of them
+	// Of the estimate that is being made.
+	samples  int           // workers that were new on a live watch
+	youngest time.Duration // age of the youngest of them
 }
 
-// NewStartTimes goes on from what another process knew, with moments moved to this one's clock; nil for nothing.
-func NewStartTimes(c clock.Clock, before map[string]ProcessStart) *StartTimes {
-	s := &StartTimes{clock: c, wallStartMS: time.Now().UnixMilli() - c.Elapsed().Milliseconds(), lastHeard: -1, processes: map[string]ProcessStart{}}
-	if before != nil {
+// NewStartTimes returns start times that begin with those of the predecessor, converted to this clock;
+// nil for none.
+func NewStartTimes(c clock.Clock, predecessor map[string]ProcessStart) *StartTimes {
+	s := &StartTimes{
+		clock:       c,
+		wallStartMS: time.Now().UnixMilli() - c.Elapsed().Milliseconds(),
+		lastHeard:   -1,
+		processes:   map[string]ProcessStart{},
+	}
+	if predecessor != nil {
 		s.lastHeard = c.Elapsed()
-		maps.Copy(s.processes, before)
+		maps.Copy(s.processes, predecessor)
 	}
 	return s
 }
 
-// Snapshot is what another process can go on from.
+// Snapshot returns the start times for a successor.
 func (s *StartTimes) Snapshot() map[string]ProcessStart {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.processes)
 }
 
-// noteHeartbeat notes a sign of life of discovery.
+// noteHeartbeat notes that discovery is alive.
 func (s *StartTimes) noteHeartbeat() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastHeard = s.clock.Elapsed()
 }
 
-// startedAt is when a worker that is listed now started; 0 for long ago.
+// startedAt returns when a worker that is listed now started; 0 for long ago. It is the same for each
+// entry of one process.
 func (s *StartTimes) startedAt(t *target) dispatch.Time {
 	if t.BootMS <= 0 {
 		return 0
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if x, known := s.processes[t.UID]; known && x.BootMS == t.BootMS {
-		return x.At
+	former, known := s.processes[t.UID]
+	if known && former.BootMS == t.BootMS {
+		return former.At
 	}
 	at := config.RoundUp(s.clock.Now() - int64(s.age(t.BootMS)))
-	if x, known := s.processes[t.UID]; known && t.BootMS > x.BootMS {
-		at = max(at, x.At+1) // a later process of the same worker
+	if known && t.BootMS > former.BootMS {
+		at = max(at, former.At+1) // a later process of the same worker
 	}
-	s.processes[t.UID] = ProcessStart{t.BootMS, max(at, 1)}
-	return s.processes[t.UID].At
+	at = max(at, 1)
+	s.processes[t.UID] = ProcessStart{BootMS: t.BootMS, At: at}
+	return at
 }
 
-// age is how long ago a process started that is new here, with the lock held.
+// age returns how long ago a process started that is new here. The caller holds the lock.
 func (s *StartTimes) age(bootMS int64) time.Duration {
-	passed := s.clock.Elapsed()
-	claimed := time.Duration(min(max(s.wallStartMS+passed.Milliseconds()-bootMS, -maxAgeMS), maxAgeMS)) * time.Millisecond
+	elapsed := s.clock.Elapsed()
+	claimedMS := s.wallStartMS + elapsed.Milliseconds() - bootMS
+	claimed := time.Duration(min(max(claimedMS, -maxAgeMS), maxAgeMS)) * time.Millisecond
 	age := claimed - s.clockSkew
-	unseen := passed - s.lastHeard // it may have turned up at any time since then
+	sinceHeard := elapsed - s.lastHeard // the worker may have been listed at any time since then
 	switch {
-	case age < 0 || s.lastHeard >= 0 && age > unseen+maxListingDelay:
-	case s.lastHeard < 0 || unseen > maxHeartbeatAge:
-		return age // nothing tells otherwise
-	default:
-		return s.addSample(age)
-	}
-	// It has just started, as far as anybody knows, and the two clocks differ by what it seems to be older, or younger, than that.
-	if claimed.Abs() <= maxClockSkew {
-		s.clockSkew, s.samples = claimed, 0
+	case age < 0, s.lastHeard >= 0 && age > sinceHeard+maxListingDelay:
+		// It has just started, as far as can be known, so all of the claimed age is skew.
+		if claimed.Abs() <= maxClockSkew {
+			s.clockSkew = claimed
+			s.samples = 0
+		}
+		return 0
+	case s.lastHeard < 0 || sinceHeard > maxHeartbeatAge:
+		return age // nothing contradicts it
 	}
-	return 0
+	return s.addSample(age)
 }
 
-// addSample takes the age of a worker that turned up on a live watch, and returns it as it is by what the last few say, with the lock held.
+// addSample takes the age of a worker that is new on a live watch. It returns the age by the latest
+// estimate of the clock skew. The caller holds the lock.
 func (s *StartTimes) addSample(age time.Duration) time.Duration {
-	if s.samples++; s.samples == 1 {
+	if s.samples == 0 {
 		s.youngest = age
 	}
+	s.samples++
 	s.youngest = min(s.youngest, age)
 	if s.samples < samplesPerEstimate {
 		return age
@@ -127,9 +155,7 @@
 	return age - s.youngest
 }
 
-const maxAgeMS = int64(10 * 365 * 24 * time.Hour / time.Millisecond) // what is older is as good as that
-
-// prune lets go of workers that are in the list no more, once there are many of them.
+// prune deletes workers that are not in the list any more, once there are more than maxRemovedWorkers.
 func (s *StartTimes) prune(list map[string]target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/workers/discovery/unread_data.go
+++ b/internal/workers/discovery/unread_data.go
@@ -14,25 +14,28 @@
 	"woaddyke/internal/workers/workerconn"
 )
 
-// watchConn is the connection of a watch. It knows whether something that came on it has not been handed on yet.
+// watchConn is the connection of a watch. It tells whether data has arrived on it that is not processed
+// yet.
 type watchConn struct {
 	net.Conn
 	raw syscall.RawConn
 
-	mu       sync.Mutex // held while bytes go from the socket to here: they are seen in one of the two
-	decoding bool       // what was read last
+	// mu is held while bytes go from the socket to the reader, so that hasUnread finds them in one of the
+	// two.
+	mu       sync.Mutex
+	decoding bool // the bytes that were read last are being processed
 }
 
-// Read is called again only when all that was read before has been decoded and told.
+// Read is called again only when all that was read before has been decoded and reported.
 func (c *watchConn) Read(b []byte) (n int, err error) {
 	c.setDecoded()
-	var failed error
+	var readErr error
 	err = c.raw.Read(func(fd uintptr) bool {
-		n, failed = c.readAvailable(fd, b)
-		return !errors.Is(failed, syscall.EAGAIN)
+		n, readErr = c.readAvailable(fd, b)
+		return !errors.Is(readErr, syscall.EAGAIN)
 	})
 	if err == nil {
-		err = failed
+		err = readErr
 	}
 	if err != nil {
 		return 0, fmt.Errorf("discovery: %w", err)
@@ -43,7 +46,7 @@
 	return n, nil
 }
 
-// readAvailable reads what is there, and waits for nothing.
+// readAvailable reads without blocking.
 func (c *watchConn) readAvailable(fd uintptr, b []byte) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,51 +66,53 @@
 	c.decoding = false
 }
 
-// hasUnread tells whether something lies unread on it, or is being decoded. An end that nobody has read yet is such a thing too.
+// hasUnread tells whether data is unread or being processed. The end of the connection counts as unread
+// data until it has been read.
 func (c *watchConn) hasUnread() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.decoding {
 		return true
 	}
-	var peeked error
-	err := c.raw.Control(func(fd uintptr) { _, peeked = workerconn.PeekAt(fd) })
-	return err == nil && !errors.Is(peeked, syscall.EAGAIN)
+	var peekErr error
+	err := c.raw.Control(func(fd uintptr) { _, peekErr = workerconn.PeekAt(fd) })
+	return err == nil && !errors.Is(peekErr, syscall.EAGAIN)
 }
 
-// dialWatch opens connections for watches.
-func dialWatch(within time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
-	d := net.Dialer{Timeout: within}
+// dialWatch returns a dialer of connections for watches.
+func dialWatch(timeout time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
-		nc, err := d.DialContext(ctx, network, addr)
+		conn, err := dialer.DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		s, ok := nc.(syscall.Conn)
+		socket, ok := conn.(syscall.Conn)
 		if !ok {
-			return nc, nil
+			return conn, nil
 		}
-		raw, err := s.SyscallConn()
+		raw, err := socket.SyscallConn()
 		if err != nil {
-			nc.Close()
+			conn.Close()
 			return nil, err
 		}
-		return &watchConn{Conn: nc, raw: raw}, nil
+		return &watchConn{Conn: conn, raw: raw}, nil
 	}
 }
 
-// withConnTrace has a watch's connection be the one that is looked at, from the moment at which the watch has it.
-func (r *Client) withConnTrace(ctx context.Context) context.Context {
+// withConnTrace stores a watch's connection in watchedConn as soon as the watch has it.
+func (c *Client) withConnTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) {
-		if c, ok := got.Conn.(*watchConn); ok {
-			r.watchedConn.Store(c)
+		if conn, ok := got.Conn.(*watchConn); ok {
+			c.watchedConn.Store(conn)
 		}
 	}})
 }
 
-// HasUnreadData tells whether something of discovery's lies before this process, or is being decoded: what it tells counts as told, though nobody
-// here has taken it up. A process that stood has all of that at once, the ops that came meanwhile beside it.
-func (r *Client) HasUnreadData() bool {
-	c := r.watchedConn.Load()
-	return c != nil && c.hasUnread()
+// HasUnreadData tells whether data of discovery has arrived and is not processed: its changes are in
+// force, though this process does not know them yet. A process that was stopped has all of that at once,
+// beside the ops that came meanwhile.
+func (c *Client) HasUnreadData() bool {
+	conn := c.watchedConn.Load()
+	return conn != nil && conn.hasUnread()
 }
