--- /dev/null
+++ b/internal/frontend/client_drain.go
@@ -0,0 +1,85 @@
+package frontend
+
+import (
+	"sync"
+	"time"
+
+	"woaddyke/internal/frontend/clientconn"
+	"woaddyke/internal/lifecycle/clientdrain"
+)
+
+// clientDrainer carries out a client drain: it closes idle connections as the drain's state says.
+type clientDrainer struct {
+	clients *clientconn.Pool
+	mu      sync.Mutex
+	state   clientdrain.State
+	running bool // a goroutine closes connections
+}
+
+func (d *clientDrainer) draining() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.state.Draining()
+}
+
+// admits tells whether an op that comes now is admitted.
+func (d *clientDrainer) admits(now time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.state.Admits(now)
+}
+
+func (d *clientDrainer) start() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.state.Start(time.Now())
+	if !d.running {
+		d.running = true
+		go d.run()
+	}
+}
+
+func (d *clientDrainer) cancel() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.state.Cancel()
+}
+
+// run closes connections until the drain is cancelled.
+func (d *clientDrainer) run() {
+	for {
+		count, minIdle, ended := d.next()
+		if ended {
+			return
+		}
+		d.clients.Part(count, minIdle)
+		time.Sleep(connectionPollInterval)
+	}
+}
+
+// next is how many connections to close now, of those that have been idle for so long.
+func (d *clientDrainer) next() (count int, minIdle time.Duration, ended bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	count, minIdle = d.state.ConnectionsToClose(time.Now(), d.clients.Waiting(), connectionPollInterval)
+	if !d.state.Draining() {
+		d.running = false
+		return 0, 0, true
+	}
+	return count, minIdle, false
+}
+
+// DrainClients sends clients to other schedulers until ReadmitClients. Ops that were taken go on.
+func (s *Server) DrainClients() {
+	s.drain.start()
+	s.log.Info().Msg("client drain started")
+}
+
+// ClientsDrained tells whether clients are being drained.
+func (s *Server) ClientsDrained() bool { return s.drain.draining() }
+
+// ReadmitClients ends a client drain.
+func (s *Server) ReadmitClients() {
+	s.drain.cancel()
+	s.log.Info().Msg("client drain ended")
+}
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/client_drain_test.go
@@ -118,8 +118,8 @@
 	// With an heir the front is not told to go elsewhere at the end, unless staff have sent it away.
 	was.SetSuccessor(true)
 	stop()
-	if recorder := httptest.NewRecorder(); !was.closing.Load() {
-		for until := time.Now().Add(10 * time.Second); !was.closing.Load() && time.Now().Before(until); {
+	if recorder := httptest.NewRecorder(); !was.lifecycle.closing.Load() {
+		for until := time.Now().Add(10 * time.Second); !was.lifecycle.closing.Load() && time.Now().Before(until); {
 			time.Sleep(time.Millisecond)
 		}
 		if was.health(recorder, httptest.NewRequest(http.MethodGet, "/healthz", nil)); recorder.Code != 503 {
--- a/internal/frontend/parts_test.go
+++ b/internal/frontend/descriptors_test.go
@@ -9,7 +9,8 @@
 		for sockets := 64 + beside; sockets <= 4096; sockets++ {
 			all := sockets - descriptorsReserved - beside
 			for _, keep := range []int{0, all / 2, all} {
-				some, most, workers := splitDescriptors(all, keep)
+				limits := splitDescriptors(all, keep)
+				some, most, workers := limits.softClients, limits.maxClients, limits.workers
 				if some < 1 || some > most || workers < 1 || most+workers > all {
 					t.Fatalf("%d descriptors, %d beside, %d kept: %d and %d clients, %d for workers", sockets, beside, keep, some, most, workers)
 				}
@@ -17,8 +18,8 @@
 		}
 	}
 	for all := -100; all < 2; all++ { // an heir that got next to nothing
-		if some, most, workers := splitDescriptors(all, 0); some != 1 || most != 1 || workers != 1 {
-			t.Fatalf("%d: %d, %d, %d", all, some, most, workers)
+		if limits := splitDescriptors(all, 0); limits != (descriptorLimits{1, 1, 1}) {
+			t.Fatalf("%d: %+v", all, limits)
 		}
 	}
 }
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -1,188 +1,157 @@
 package frontend
 
 import (
-	"bytes"
 	"context"
 	"errors"
-	"fmt"
-	"io"
-	"math"
 	"net/http"
-	"strconv"
-	"strings"
+	"net/http/httputil"
+	"sync"
 	"time"
-	"unicode/utf8"
 
-	"woaddyke/dispatch"
-	"woaddyke/internal/config"
 	"woaddyke/internal/frontend/clientconn"
-	"woaddyke/internal/scheduler"
-	"woaddyke/internal/scheduler/reducer"
-	"woaddyke/internal/workers/workerconn"
+	"woaddyke/internal/observe/metrics"
 )
 
 const (
-	idHeader       = "X-Correlation-Id"
-	categoryHeader = "X-Service-Class"
-	timeLeftHeader = "X-Time-Left-Ms"
-	workHeader     = "X-Weight-Hint"
-	factsHeader    = "X-Facts"
-
-	maxBodyBytes       = 64 << 10
-	responseTravelTime = 10 * time.Millisecond // the client counts the way to here and back too
+	bodyTimeout       = time.Second      // for a body, after its head
+	answerReadTimeout = 10 * time.Second // for a client to read its answer
+
+	proxyBufferBytes = 4 << 10
 )
 
-// pendingOp is an op that a client waits for.
-type pendingOp struct {
-	reducer.OpArrived
-	requestTarget string               // as the client wrote it
-	request       workerconn.Request   // to workers
-	reply         chan reducer.Respond // has room for the one answer
-	client        context.Context      // of the request: it ends when the client is seen to leave
-
-	deadline    time.Time           // its client gives up
-	rule        config.CategoryRule // of its category, as it came
-	maxAttempts int                 // as it came
-
-	claimID       uint64        // of the fates; 0 for an op that was not asked for
-	claimScope    string        // of the group that drops its repeats; empty for none
-	groupReported bool          // the fates know where it may have run
-	claims        ClaimRegistry // that gave the ticket
+// ServeHTTP answers health checks, takes ops and rejects all else.
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	arrivedAt := time.Now()
+	limitTimes(w, r, arrivedAt)
+	if len(r.TransferEncoding) > 0 && !clientconn.OnlyChunked(r.Context()) {
+		// net/http has dropped a Content-Length beside it. A peer that went by that one would take what
+		// follows the last chunk for body, so nothing more may be read from this connection (RFC 9112,
+		// 6.1).
+		s.answer(w, r, nil, &Rejection{
+			Status:     http.StatusLengthRequired,
+			Text:       "an op comes with a Content-Length or in chunks, not with both",
+			RestUnread: true,
+		})
+		return
+	}
+	if r.Method == http.MethodGet && r.URL.Path == "/healthz" {
+		s.health(w, r)
+		return
+	}
+	op, err := s.readOp(w, r, arrivedAt)
+	if err == nil && !s.drain.admits(time.Now()) {
+		w.Header().Set("Retry-After", "0") // to another scheduler, at once
+		err = &Rejection{Status: http.StatusServiceUnavailable, Text: "clients are sent away"}
+	}
+	s.answer(w, r, op, err)
 }
 
-// submission is an op as the scheduler takes it.
-func (h *pendingOp) submission() scheduler.Submit {
-	return scheduler.Submit{
-		Op:           h.OpArrived,
-		Client:       h,
-		Deadline:     h.deadline,
-		Rule:         h.rule,
-		MaxAttempts:  h.maxAttempts,
-		ClaimGranted: h.claimID != 0,
-		Reply:        h.reply,
+// limitTimes bounds the time for a request's body and for its answer. A request without a body has no
+// read deadline: net/http is already watching for the end of its connection.
+func limitTimes(w http.ResponseWriter, r *http.Request, arrivedAt time.Time) {
+	control := http.NewResponseController(w)
+	control.SetWriteDeadline(arrivedAt.Add(answerReadTimeout))
+	if r.ContentLength != 0 {
+		// Without it net/http would wait for the rest of a request that is rejected.
+		control.SetReadDeadline(arrivedAt.Add(bodyTimeout))
 	}
 }
 
-// Disconnected tells whether the server has noticed that the client is gone.
-func (h *pendingOp) Disconnected() bool { return h.client.Err() != nil }
-
-// Waiting tells whether the client is still there. The server may notice a closed connection a moment late, so the
-// connection itself is looked at too.
-func (h *pendingOp) Waiting() bool { return !h.Disconnected() && !clientconn.Left(h.client) }
-
-// Request returns the request for a worker that has so much time left.
-func (h *pendingOp) Request(left time.Duration) []byte { return h.request.Bytes(left) }
+// answer answers a request, which is an op or has an error, and counts it.
+func (s *Server) answer(w http.ResponseWriter, r *http.Request, op *pendingOp, err error) {
+	s.metrics.RequestStarted()
+	response := &recordedResponse{ResponseWriter: w}
+	end := metrics.Disconnected // as it stays where the proxy panics to have the server drop the connection
+	defer func() { s.metrics.RequestEnded(r.Header.Get(categoryHeader), end) }()
+	var rejection *Rejection
+	switch {
+	case errors.As(err, &rejection):
+		s.reject(response, r, rejection)
+	case err != nil:
+		s.reject(response, r, badRequest("%v", err))
+	default:
+		r.Body = http.NoBody
+		s.proxy.ServeHTTP(response, r.WithContext(withOp(r.Context(), op)))
+	}
+	end = response.finish(r.Context())
+}
 
-// Rejection is what a client is told whose request is no op.
-type Rejection struct {
-	status     int
-	text       string
-	restUnread bool // nobody knows where it ends: nothing that follows can be read
+// recordedResponse records the status of an answer.
+type recordedResponse struct {
+	http.ResponseWriter
+	status int
 }
 
-func badRequest(format string, args ...any) *Rejection {
-	return &Rejection{status: http.StatusBadRequest, text: fmt.Sprintf(format, args...)}
+func (r *recordedResponse) WriteHeader(status int) {
+	r.status = status
+	r.ResponseWriter.WriteHeader(status)
 }
 
-// readOp takes an op from a request: the fields that decisions need, and the rest as it came.
-func (f *Server) readOp(w http.ResponseWriter, r *http.Request, came time.Time) (*pendingOp, *Rejection) {
-	if r.Method != http.MethodPost {
-		return nil, &Rejection{status: http.StatusMethodNotAllowed, text: "ops come by POST"}
-	}
-	h := &pendingOp{requestTarget: r.RequestURI, reply: make(chan reducer.Respond, 1), client: r.Context()}
-	if h.ID = r.Header.Get(idHeader); h.ID == "" {
-		return nil, badRequest("no %s", idHeader)
-	}
-	if !utf8.ValidString(h.ID) {
-		return nil, badRequest("%s is no text in UTF-8: workers could not name the op in JSON", idHeader)
-	}
-	if h.Category = r.Header.Get(categoryHeader); h.Category == "" {
-		return nil, badRequest("no %s", categoryHeader)
-	}
-	left, err := strconv.ParseInt(r.Header.Get(timeLeftHeader), 10, 64)
-	if err != nil {
-		return nil, badRequest("%s is no whole number of milliseconds", timeLeftHeader)
-	}
-	wait := time.Duration(min(left, scheduler.MaxTTL.Milliseconds())) * time.Millisecond
-	until := came.Add(wait - responseTravelTime - requestAge(r.Context()))
-	if !until.After(came) {
-		return nil, &Rejection{status: http.StatusServiceUnavailable, text: "no time left"}
-	}
-	h.TTL, h.deadline = config.RoundDown(f.clock.Nanos(until)), until.Add(responseTravelTime)
-	inForce := f.inForce.Load()
-	h.rule, h.maxAttempts = inForce.rule(h.Category), inForce.maxAttempts()
-	if no := f.readFacts(h, r.Header); no != nil {
-		return nil, no
+// Unwrap is for http.ResponseController.
+func (r *recordedResponse) Unwrap() http.ResponseWriter { return r.ResponseWriter }
+
+// finish writes what is left of an answer and returns how the request ended for its client.
+func (r *recordedResponse) finish(client context.Context) metrics.RequestEnd {
+	disconnected := client.Err() != nil // a client that disconnects later has had its answer
+	if err := http.NewResponseController(r).Flush(); err != nil || disconnected {
+		return metrics.Disconnected
 	}
-	var no *Rejection
-	if h.request.Body, no = readBody(w, r); no != nil {
-		return nil, no
+	switch r.status {
+	case http.StatusOK:
+		return metrics.Succeeded
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
+		return metrics.Rejected
 	}
-	control := http.NewResponseController(w)
-	control.SetReadDeadline(time.Time{})
-	control.SetWriteDeadline(came.Add(wait + answerReadTimeout)) // one that is not read would hold its descriptor
-	return h, nil
+	return metrics.Failed
 }
 
-// readFacts reads the figures that help decisions; an op without them is an op still.
-func (f *Server) readFacts(h *pendingOp, from http.Header) *Rejection {
-	if hint := from.Get(workHeader); hint != "" {
-		us, err := parseNumber(hint)
-		if err != nil {
-			return badRequest("%s: %v", workHeader, err)
-		}
-		h.Work = dispatch.Time(us / 100)
+// health tells load balancers whether to send clients here.
+func (s *Server) health(w http.ResponseWriter, r *http.Request) {
+	status := http.StatusOK
+	if !s.lifecycle.healthy() || s.drain.draining() {
+		status = http.StatusServiceUnavailable
 	}
-	for _, fact := range strings.Split(from.Get(factsHeader), ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(fact), "=")
-		var err error
-		if name == f.bootstrap.AffinityFact && value != "" {
-			h.AffinityKey = config.IdentityHash(value)
-		}
-		switch name {
-		case "slots":
-			h.Slots, err = parseNumber(value)
-		case "memory":
-			h.Memory, err = parseNumber(value)
-		}
-		if err != nil {
-			return badRequest("%s: %v", factsHeader, err)
-		}
-	}
-	return nil
+	s.closeAfter(r.Context(), w.Header(), status)
+	w.WriteHeader(status)
 }
 
-func parseNumber(text string) (float64, error) {
-	v, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-	if err != nil || math.IsNaN(v) || v < 0 || v > 1e12 {
-		return 0, fmt.Errorf("%q is no figure", text)
+// closeAfter ends a client's connection with an answer if the request was at fault, as what follows it
+// may be, or if clients are being drained: a connection that is closed between requests may lose the next
+// one. Requests that were already read from the connection are answered first.
+func (s *Server) closeAfter(client context.Context, h http.Header, status int) {
+	badRequest := status/100 == 4
+	if (badRequest || s.lifecycle.closing.Load() || s.drain.draining()) && !clientconn.More(client) {
+		h.Set("Connection", "close")
 	}
-	return v, nil
 }
 
-// readBody reads a request's body.
-func readBody(w http.ResponseWriter, r *http.Request) ([]byte, *Rejection) {
-	if r.ContentLength > maxBodyBytes {
-		return nil, &Rejection{http.StatusRequestEntityTooLarge, "a body holds at most 64 KiB", true}
-	}
-	var b bytes.Buffer // it grows with what comes: many could claim 64 KiB and send none
-	if _, err := io.Copy(&b, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
-		var large *http.MaxBytesError
-		if errors.As(err, &large) {
-			return nil, &Rejection{http.StatusRequestEntityTooLarge, "a body holds at most 64 KiB", true}
-		}
-		return nil, &Rejection{http.StatusBadRequest, "the body did not come whole", true}
+// newProxy returns the handler of ops. It sends each to the scheduler, in place of another server.
+func (s *Server) newProxy() *httputil.ReverseProxy {
+	return &httputil.ReverseProxy{
+		Transport:  s.transport,
+		Rewrite:    func(r *httputil.ProxyRequest) { r.Out.URL.RawQuery = r.In.URL.RawQuery },
+		BufferPool: &bufferPool{},
+		ModifyResponse: func(r *http.Response) error {
+			s.closeAfter(r.Request.Context(), r.Header, r.StatusCode)
+			return nil
+		},
+		ErrorHandler: func(w http.ResponseWriter, r *http.Request, err error) {
+			if r.Context().Err() == nil {
+				s.log.Error().Err(err).Msg("no answer from the scheduler")
+			}
+			w.WriteHeader(http.StatusBadGateway)
+		},
 	}
-	return b.Bytes(), nil
 }
 
-// requestHead is the head of what goes to workers, up to the time left.
-func requestHead(r *http.Request, h *pendingOp) []byte {
-	b := bytes.NewBuffer(make([]byte, 0, 512))
-	fmt.Fprintf(b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, h.requestTarget, r.Host)
-	own := map[string]bool{timeLeftHeader: true, "Content-Length": true, "Host": true}
-	own["User-Agent"] = r.Header.Get("User-Agent") == "" // the proxy puts in an empty one where there was none
-	r.Header.WriteSubset(b, own)
-	fmt.Fprintf(b, "Content-Length: %d\r\n", len(h.request.Body))
-	return b.Bytes()
+// bufferPool spares the proxy a new buffer for each answer.
+type bufferPool struct{ pool sync.Pool }
+
+func (b *bufferPool) Get() []byte {
+	if v, ok := b.pool.Get().(*[]byte); ok {
+		return *v
+	}
+	return make([]byte, proxyBufferBytes)
 }
+
+func (b *bufferPool) Put(v []byte) { b.pool.Put(&v) }
--- a/internal/frontend/leave_test.go
+++ b/internal/frontend/leave_test.go
@@ -319,7 +319,7 @@
 	r := httptest.NewRequest(http.MethodPost, "/", nil)
 	for range 2 * cap(f.loop.Inbox()) {
 		h := &pendingOp{client: context.Background()}
-		if _, err := f.RoundTrip(r.WithContext(context.WithValue(r.Context(), pendingOpKey{}, h))); err == nil {
+		if _, err := f.transport.RoundTrip(r.WithContext(context.WithValue(r.Context(), pendingOpKey{}, h))); err == nil {
 			t.Fatal("an answer from nowhere")
 		}
 	}
@@ -351,7 +351,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.ops = answeringAtOnce{func(op scheduler.Submit) {
+	f.transport.loop = answeringAtOnce{func(op scheduler.Submit) {
 		op.Reply <- reducer.Respond{Verdict: reducer.Acked, Result: make([]byte, 64<<10)}
 	}, nil}
 	r := httptest.NewRequest(http.MethodPost, "/", nil)
@@ -383,7 +383,7 @@
 			plain, leave := context.WithCancel(context.Background())
 			ended, both := make(chan struct{}), make(chan struct{})
 			ctx := crossing{plain, both}
-			f.ops = answeringAtOnce{func(op scheduler.Submit) {
+			f.transport.loop = answeringAtOnce{func(op scheduler.Submit) {
 				defer close(both)
 				op.Reply <- reducer.Respond{Verdict: reducer.Acked, Result: []byte("x")}
 				if loopEnds {
@@ -394,7 +394,7 @@
 			}, ended}
 			h := &pendingOp{client: plain, reply: make(chan reducer.Respond, 1)}
 			r := httptest.NewRequest(http.MethodPost, "/", nil)
-			if resp, err := f.RoundTrip(r.WithContext(context.WithValue(ctx, pendingOpKey{}, h))); err != nil || resp.StatusCode != http.StatusOK {
+			if resp, err := f.transport.RoundTrip(r.WithContext(context.WithValue(ctx, pendingOpKey{}, h))); err != nil || resp.StatusCode != http.StatusOK {
 				t.Fatalf("loop ends %v: %v, %v", loopEnds, resp, err)
 			}
 			if status := <-by.ends; status != http.StatusOK {
--- a/internal/frontend/peer_drains.go
+++ b/internal/frontend/peer_drains.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"sync"
 	"time"
 
@@ -10,143 +11,159 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// DrainPeers are the other schedulers, as far as lists of workers are shared with them.
+// DrainPeers are the other schedulers, as far as drain records are shared with them.
 type DrainPeers interface {
 	Names() []string
-	SendDrains(to string, words []drainstate.DrainRecord)
+	SendDrains(to string, records []drainstate.DrainRecord)
 	Now() membership.Time
 }
 
 const (
-	drainExchangeInterval = 100 * time.Millisecond // news go round, and those that have come are told all
-	tenthsPerMS           = 10                     // of a ms: by them schedulers tell one another when a worker started, in discovery's words
+	// drainExchangeInterval is the time between two exchanges of drain records.
+	drainExchangeInterval = 100 * time.Millisecond
+
+	// tenthsPerMS converts boot IDs: discovery has them in ms, drain records in tenths of a ms.
+	tenthsPerMS = 10
 )
 
-// peerDrains holds the own discovery's list against what neighbours were told.
+// peerDrains excludes the workers of which another scheduler's discovery said that they are draining,
+// before the own discovery says so.
 type peerDrains struct {
-	order    sync.Mutex // held from a look at what follows until the loop has been told of it; taken before mu
-	mu       sync.Mutex
-	core     *drainstate.Core
-	peers    DrainPeers
-	send     func(reducer.Input)
-	listed   map[string]reducer.Endpoint
-	excluded map[string]bool // that serve by the own list, and take nothing new
-}
+	order sync.Mutex // held from a decision until the loop has been sent its list; taken before mu
 
-// ShareDrains has a worker that drains by what a neighbour was told take nothing new from here. It is called before Serve.
-func (f *Server) ShareDrains(of DrainPeers, chance uint64) {
-	s := &peerDrains{core: drainstate.New(chance), peers: of, send: f.loop.Send, listed: map[string]reducer.Endpoint{}, excluded: map[string]bool{}}
-	s.apply(f.cachedEndpoints)
-	f.peerDrains = s
+	mu        sync.Mutex
+	core      *drainstate.Core
+	peers     DrainPeers
+	send      func(reducer.Input) // to the loop
+	endpoints map[string]reducer.Endpoint
+	excluded  map[string]bool // workers that are ready by the own list, and that the loop was told are not
 }
 
-// PeerDrains takes what a neighbour was told.
-func (f *Server) PeerDrains(words []drainstate.DrainRecord) {
-	if s := f.peerDrains; s != nil {
-		s.mu.Lock()
-		s.step(drainstate.RecordsReceived{Records: words})
-		s.mu.Unlock()
+// ShareDrains excludes workers that another scheduler knows to be draining. It is called before Serve.
+func (s *Server) ShareDrains(peers DrainPeers, seed uint64) {
+	drains := &peerDrains{
+		core:      drainstate.New(seed),
+		peers:     peers,
+		send:      s.loop.Send,
+		endpoints: map[string]reducer.Endpoint{},
+		excluded:  map[string]bool{},
 	}
+	drains.apply(s.endpoints.cached)
+	s.endpoints.peerDrains = drains
 }
 
-// endpointsChanged takes what the own discovery tells.
-func (f *Server) endpointsChanged(in reducer.Input) {
-	l, ok := in.(reducer.EndpointsChanged)
-	if s := f.peerDrains; ok && s != nil {
-		s.forward(l)
-		return
+// PeerDrains takes the drain records that another scheduler sent.
+func (s *Server) PeerDrains(records []drainstate.DrainRecord) {
+	if drains := s.endpoints.peerDrains; drains != nil {
+		drains.mu.Lock()
+		defer drains.mu.Unlock()
+		drains.step(drainstate.RecordsReceived{Records: records})
 	}
-	f.loop.Send(in)
 }
 
-// forward takes what the own discovery tells, and tells the loop of it as it binds here.
-func (s *peerDrains) forward(l reducer.EndpointsChanged) {
-	s.order.Lock()
-	defer s.order.Unlock()
-	s.send(s.apply(l))
+// forward takes a list of the own discovery, and sends it to the loop without the excluded workers.
+func (d *peerDrains) forward(list reducer.EndpointsChanged) {
+	d.order.Lock()
+	defer d.order.Unlock()
+	d.send(d.apply(list))
 }
 
-// exclude tells the loop that a worker takes nothing new, if that holds still.
-func (s *peerDrains) exclude(worker string) {
-	s.order.Lock()
-	defer s.order.Unlock()
-	s.mu.Lock()
-	entry, listed := s.listed[worker]
-	withheld := s.core.Excluded(worker)
-	s.mu.Unlock()
-	if listed && withheld {
-		entry.Ready = false
-		s.send(reducer.EndpointsChanged{Endpoints: []reducer.Endpoint{entry}})
+// exclude sends the loop a worker as not ready, if it is still excluded.
+func (d *peerDrains) exclude(worker string) {
+	d.order.Lock()
+	defer d.order.Unlock()
+	if entry, excluded := d.excludedEntry(worker); excluded {
+		d.send(reducer.EndpointsChanged{Endpoints: []reducer.Endpoint{entry}})
 	}
 }
 
-// readmitExpired tells the loop of workers whose words are over.
-func (s *peerDrains) readmitExpired() {
-	s.order.Lock()
-	defer s.order.Unlock()
-	if free := s.expired(); len(free) > 0 {
-		s.send(reducer.EndpointsChanged{Endpoints: free})
+func (d *peerDrains) excludedEntry(worker string) (entry reducer.Endpoint, excluded bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	entry, listed := d.endpoints[worker]
+	entry.Ready = false
+	return entry, listed && d.core.Excluded(worker)
+}
+
+// readmitExpired sends the loop the workers whose drain records have expired.
+func (d *peerDrains) readmitExpired() {
+	d.order.Lock()
+	defer d.order.Unlock()
+	if expired := d.expired(); len(expired) > 0 {
+		d.send(reducer.EndpointsChanged{Endpoints: expired})
 	}
 }
 
-// expired are the workers that were bound, and are no more.
-func (s *peerDrains) expired() (free []reducer.Endpoint) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.step(drainstate.PeersChanged{Names: s.peers.Names()})
-	for name := range s.excluded {
-		if s.core.Excluded(name) {
+// expired returns the workers that are no longer excluded.
+func (d *peerDrains) expired() (expired []reducer.Endpoint) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.step(drainstate.PeersChanged{Names: d.peers.Names()})
+	for name := range d.excluded {
+		if d.core.Excluded(name) {
 			continue
 		}
-		delete(s.excluded, name)
-		if e, ok := s.listed[name]; ok {
-			free = append(free, e)
+		delete(d.excluded, name)
+		if e, listed := d.endpoints[name]; listed {
+			expired = append(expired, e)
 		}
 	}
-	return free
+	return expired
 }
 
-// apply notes a list and returns it as it binds here.
-func (s *peerDrains) apply(l reducer.EndpointsChanged) reducer.EndpointsChanged {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	in := drainstate.EndpointsChanged{Revision: l.Revision, Snapshot: l.Snapshot}
-	if l.Snapshot {
-		s.listed = map[string]reducer.Endpoint{}
-	}
-	for _, e := range l.Endpoints {
-		in.Endpoints = append(in.Endpoints, drainstate.Endpoint{Worker: e.Worker, BootID: tenthsPerMS * e.BootID, Ready: e.Ready, Removed: e.Removed})
-		if s.listed[e.Worker] = e; e.Removed {
-			delete(s.listed, e.Worker)
+// apply records a list of the own discovery, and returns it with the excluded workers as not ready.
+func (d *peerDrains) apply(list reducer.EndpointsChanged) reducer.EndpointsChanged {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.step(d.record(list))
+	list.Endpoints = slices.Clone(list.Endpoints)
+	for i := range list.Endpoints {
+		e := &list.Endpoints[i]
+		if d.core.Excluded(e.Worker) {
+			e.Ready = false
+			d.excluded[e.Worker] = true
 		}
 	}
-	s.step(in)
-	out := l
-	out.Endpoints = append([]reducer.Endpoint(nil), l.Endpoints...)
-	for i := range out.Endpoints {
-		if e := &out.Endpoints[i]; s.core.Excluded(e.Worker) {
-			e.Ready = false
-			s.excluded[e.Worker] = true
+	return list
+}
+
+// record stores a list, with the lock held, and returns it as the core takes it.
+func (d *peerDrains) record(list reducer.EndpointsChanged) drainstate.EndpointsChanged {
+	if list.Snapshot {
+		d.endpoints = map[string]reducer.Endpoint{}
+	}
+	changed := drainstate.EndpointsChanged{Revision: list.Revision, Snapshot: list.Snapshot}
+	for _, e := range list.Endpoints {
+		changed.Endpoints = append(changed.Endpoints, drainstate.Endpoint{
+			Worker:  e.Worker,
+			BootID:  tenthsPerMS * e.BootID,
+			Ready:   e.Ready,
+			Removed: e.Removed,
+		})
+		if e.Removed {
+			delete(d.endpoints, e.Worker)
+		} else {
+			d.endpoints[e.Worker] = e
 		}
 	}
-	return out
+	return changed
 }
 
-// step feeds the core, with the lock held.
-func (s *peerDrains) step(in drainstate.Input) {
-	for _, e := range s.core.Step(s.peers.Now(), in) {
+// step gives the core an input, with the lock held, and carries out its effects.
+func (d *peerDrains) step(in drainstate.Input) {
+	for _, e := range d.core.Step(d.peers.Now(), in) {
 		switch e := e.(type) {
 		case drainstate.SendRecords:
-			s.peers.SendDrains(e.To, e.Records)
+			d.peers.SendDrains(e.To, e.Records)
 		case drainstate.WorkerExcluded:
-			s.excluded[e.Worker] = true
-			go s.exclude(e.Worker) // the lock is held, and the loop may be busy
+			d.excluded[e.Worker] = true
+			go d.exclude(e.Worker) // the lock is held, and the loop may be busy
 		}
 	}
 }
 
-// run works until the context ends: it lets go of workers whose words are over.
-func (s *peerDrains) run(ctx context.Context) {
+// run exchanges drain records and readmits workers until the context ends.
+func (d *peerDrains) run(ctx context.Context) {
 	tick := time.NewTicker(drainExchangeInterval)
 	defer tick.Stop()
 	for {
@@ -154,7 +171,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
+			d.readmitExpired()
 		}
-		s.readmitExpired()
 	}
 }
--- a/internal/frontend/peer_drains_test.go
+++ b/internal/frontend/peer_drains_test.go
@@ -27,17 +27,17 @@
 		t.Fatal(err)
 	}
 	f.ShareDrains(nobody{}, 7)
-	f.peerDrains.excluded["w"] = true
+	f.endpoints.peerDrains.excluded["w"] = true
 	freed := make(chan bool, 1)
 	told := make(chan reducer.Input, 9)
-	f.peerDrains.send = func(in reducer.Input) { // the process is held up between what it found and its telling
+	f.endpoints.peerDrains.send = func(in reducer.Input) { // the process is held up between what it found and its telling
 		freed <- true
 		time.Sleep(heldUp)
 		told <- in
 	}
-	go f.peerDrains.run(t.Context())
+	go f.endpoints.peerDrains.run(t.Context())
 	<-freed
-	f.endpointsChanged(reducer.EndpointsChanged{Revision: 2, Endpoints: []reducer.Endpoint{{Worker: "w", Addr: "127.0.0.1:9"}}})
+	f.endpoints.changed(reducer.EndpointsChanged{Revision: 2, Endpoints: []reducer.Endpoint{{Worker: "w", Addr: "127.0.0.1:9"}}})
 	var last reducer.Endpoint
 	for k := range 2 {
 		select {
--- /dev/null
+++ b/internal/frontend/rejection.go
@@ -0,0 +1,32 @@
+package frontend
+
+import (
+	"fmt"
+	"net/http"
+
+	"woaddyke/internal/frontend/clientconn"
+)
+
+// Rejection is the error for a request that is no op, or that is not admitted.
+type Rejection struct {
+	Status     int
+	Text       string // for the client
+	RestUnread bool   // the end of the request is not known: nothing that follows it can be read
+}
+
+func (r *Rejection) Error() string { return r.Text }
+
+func badRequest(format string, args ...any) *Rejection {
+	return &Rejection{Status: http.StatusBadRequest, Text: fmt.Sprintf(format, args...)}
+}
+
+// reject answers a request that is no op.
+func (s *Server) reject(w http.ResponseWriter, r *http.Request, rejection *Rejection) {
+	s.log.Debug().Str("error", rejection.Text).Int("status", rejection.Status).Msg("request rejected")
+	if rejection.RestUnread {
+		clientconn.Forfeit(r.Context())
+		w.Header().Set("Connection", "close")
+	}
+	s.closeAfter(r.Context(), w.Header(), rejection.Status)
+	http.Error(w, rejection.Text, rejection.Status)
+}
--- /dev/null
+++ b/internal/frontend/request.go
@@ -0,0 +1,203 @@
+package frontend
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+	"unicode/utf8"
+
+	"woaddyke/dispatch"
+	"woaddyke/internal/config"
+	"woaddyke/internal/frontend/clientconn"
+	"woaddyke/internal/scheduler"
+	"woaddyke/internal/scheduler/reducer"
+	"woaddyke/internal/workers/workerconn"
+)
+
+const (
+	idHeader       = "X-Correlation-Id"
+	categoryHeader = "X-Service-Class"
+	timeLeftHeader = "X-Time-Left-Ms"
+	workHeader     = "X-Weight-Hint"
+	factsHeader    = "X-Facts"
+
+	maxBodyBytes = 64 << 10
+	maxNumber    = 1e12 // in a header
+
+	// responseTravelTime is taken off the time left: the client counts the way to here and back too.
+	responseTravelTime = 10 * time.Millisecond
+)
+
+// pendingOp is an op that a client waits for.
+type pendingOp struct {
+	reducer.OpArrived
+	requestTarget string               // as the client wrote it
+	request       workerconn.Request   // to workers
+	reply         chan reducer.Respond // has space for the one answer
+	client        context.Context      // of the request: it ends when the client is seen to disconnect
+
+	deadline    time.Time           // its client gives up
+	rule        config.CategoryRule // of its category, at its arrival
+	maxAttempts int                 // at its arrival
+
+	claim grantedClaim
+}
+
+// submission is an op as the scheduler takes it.
+func (op *pendingOp) submission() scheduler.Submit {
+	return scheduler.Submit{
+		Op:           op.OpArrived,
+		Client:       op,
+		Deadline:     op.deadline,
+		Rule:         op.rule,
+		MaxAttempts:  op.maxAttempts,
+		ClaimGranted: op.claim.granted(),
+		Reply:        op.reply,
+	}
+}
+
+// Disconnected tells whether the server has noticed that the client is gone.
+func (op *pendingOp) Disconnected() bool { return op.client.Err() != nil }
+
+// Waiting tells whether the client is still there. The server may notice a closed connection a moment
+// late, so the connection itself is looked at too.
+func (op *pendingOp) Waiting() bool { return !op.Disconnected() && !clientconn.Left(op.client) }
+
+// Request returns the request for a worker that has so much time left.
+func (op *pendingOp) Request(left time.Duration) []byte { return op.request.Bytes(left) }
+
+// readOp reads an op from a request: the fields that decisions need, and the rest as it came. An error is
+// a Rejection.
+func (s *Server) readOp(w http.ResponseWriter, r *http.Request, arrivedAt time.Time) (*pendingOp, error) {
+	if r.Method != http.MethodPost {
+		return nil, &Rejection{Status: http.StatusMethodNotAllowed, Text: "ops come by POST"}
+	}
+	op := &pendingOp{requestTarget: r.RequestURI, reply: make(chan reducer.Respond, 1), client: r.Context()}
+	if err := op.readIdentity(r.Header); err != nil {
+		return nil, err
+	}
+	timeLeft, err := s.readDeadline(op, r, arrivedAt)
+	if err != nil {
+		return nil, err
+	}
+	inForce := s.settings.Load()
+	op.rule = inForce.rule(op.Category)
+	op.maxAttempts = inForce.maxAttempts()
+	if err := s.readFacts(op, r.Header); err != nil {
+		return nil, err
+	}
+	if op.request.Body, err = readBody(w, r); err != nil {
+		return nil, err
+	}
+	control := http.NewResponseController(w)
+	control.SetReadDeadline(time.Time{})
+	// An answer that is not read holds a descriptor.
+	control.SetWriteDeadline(arrivedAt.Add(timeLeft + answerReadTimeout))
+	return op, nil
+}
+
+// readIdentity reads an op's ID and category.
+func (op *pendingOp) readIdentity(h http.Header) error {
+	if op.ID = h.Get(idHeader); op.ID == "" {
+		return badRequest("no %s", idHeader)
+	}
+	if !utf8.ValidString(op.ID) {
+		return badRequest("%s is no text in UTF-8: workers could not name the op in JSON", idHeader)
+	}
+	if op.Category = h.Get(categoryHeader); op.Category == "" {
+		return badRequest("no %s", categoryHeader)
+	}
+	return nil
+}
+
+// readDeadline reads the time that the client waits, and sets the op's deadline from it.
+func (s *Server) readDeadline(op *pendingOp, r *http.Request, arrivedAt time.Time) (time.Duration, error) {
+	ms, err := strconv.ParseInt(r.Header.Get(timeLeftHeader), 10, 64)
+	if err != nil {
+		return 0, badRequest("%s is no whole number of milliseconds", timeLeftHeader)
+	}
+	timeLeft := time.Duration(min(ms, scheduler.MaxTTL.Milliseconds())) * time.Millisecond
+	answerBy := arrivedAt.Add(timeLeft - responseTravelTime - requestAge(r.Context()))
+	if !answerBy.After(arrivedAt) {
+		return 0, &Rejection{Status: http.StatusServiceUnavailable, Text: "no time left"}
+	}
+	op.TTL = config.RoundDown(s.clock.Nanos(answerBy))
+	op.deadline = answerBy.Add(responseTravelTime)
+	return timeLeft, nil
+}
+
+// readFacts reads the numbers that help decisions. They may be missing.
+func (s *Server) readFacts(op *pendingOp, h http.Header) error {
+	if hint := h.Get(workHeader); hint != "" {
+		us, err := parseNumber(hint)
+		if err != nil {
+			return badRequest("%s: %v", workHeader, err)
+		}
+		op.Work = dispatch.Time(us / 100)
+	}
+	for _, fact := range strings.Split(h.Get(factsHeader), ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(fact), "=")
+		if name == s.bootstrap.AffinityFact && value != "" {
+			op.AffinityKey = config.IdentityHash(value)
+		}
+		var err error
+		switch name {
+		case "slots":
+			op.Slots, err = parseNumber(value)
+		case "memory":
+			op.Memory, err = parseNumber(value)
+		}
+		if err != nil {
+			return badRequest("%s: %v", factsHeader, err)
+		}
+	}
+	return nil
+}
+
+func parseNumber(text string) (float64, error) {
+	v, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
+	if err != nil || math.IsNaN(v) || v < 0 || v > maxNumber {
+		return 0, fmt.Errorf("%q is no figure", text)
+	}
+	return v, nil
+}
+
+// readBody reads a complete body. Memory grows with what arrives: many clients could announce 64 KiB and
+// send none.
+func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
+	tooLarge := &Rejection{http.StatusRequestEntityTooLarge, "a body holds at most 64 KiB", true}
+	if r.ContentLength > maxBodyBytes {
+		return nil, tooLarge
+	}
+	var body bytes.Buffer
+	if _, err := io.Copy(&body, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
+		var large *http.MaxBytesError
+		if errors.As(err, &large) {
+			return nil, tooLarge
+		}
+		return nil, &Rejection{http.StatusBadRequest, "the body did not come whole", true}
+	}
+	return body.Bytes(), nil
+}
+
+// requestHead returns the head of the request to workers, without the time left.
+func requestHead(r *http.Request, op *pendingOp) []byte {
+	b := bytes.NewBuffer(make([]byte, 0, 512))
+	fmt.Fprintf(b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, op.requestTarget, r.Host)
+	excluded := map[string]bool{
+		timeLeftHeader:   true,
+		"Content-Length": true,
+		"Host":           true,
+		"User-Agent":     r.Header.Get("User-Agent") == "", // the proxy adds an empty one
+	}
+	r.Header.WriteSubset(b, excluded)
+	fmt.Fprintf(b, "Content-Length: %d\r\n", len(op.request.Body))
+	return b.Bytes()
+}
--- a/internal/frontend/request_age.go
+++ b/internal/frontend/request_age.go
@@ -10,17 +10,16 @@
 	"woaddyke/internal/frontend/clientconn"
 )
 
-// requestAge is how long ago a request came to this machine. What came first of it may lie behind the request before, and its newest bytes in
-// the kernel while the process is stopped, starved or busy accepting others; taken as new, such requests were pushed seconds after their
-// clients' TTL.
-func requestAge(ctx context.Context) time.Duration {
-	return max(newestBytesAge(ctx), clientconn.Waited(ctx))
+// requestAge is how long ago a request came to this machine. Its first bytes may lie behind the request
+// before it on the connection, and its newest ones in the kernel while the process is stopped or starved;
+// a request that counted as new then could be pushed after its client's TTL.
+func requestAge(client context.Context) time.Duration {
+	return max(newestBytesAge(client), clientconn.Waited(client))
 }
 
-// newestBytesAge is how long ago the newest bytes on a request's connection came. A beat that told of halts was dearer (67 us forty times a
-// second) and saw only long ones.
-func newestBytesAge(ctx context.Context) time.Duration {
-	c, ok := clientconn.Of(ctx).(syscall.Conn)
+// newestBytesAge is how long ago the newest bytes on a request's connection came, as the kernel says.
+func newestBytesAge(client context.Context) time.Duration {
+	c, ok := clientconn.Of(client).(syscall.Conn)
 	if !ok {
 		return 0
 	}
--- /dev/null
+++ b/internal/frontend/serve.go
@@ -0,0 +1,188 @@
+package frontend
+
+import (
+	"context"
+	"fmt"
+	stdlog "log"
+	"net"
+	"net/http"
+	"time"
+
+	"woaddyke/internal/config"
+	"woaddyke/internal/frontend/clientconn"
+	"woaddyke/internal/scheduler/reducer"
+)
+
+const (
+	headerTimeout    = 1500 * time.Millisecond // for a head, and for a connection's first byte
+	idleTimeout      = 5 * time.Minute         // of a client's connection between two requests
+	maxHeaderBytes   = 16 << 10
+	firstListTimeout = 3 * time.Second // for discovery's first list; after it the cached one is used
+
+	// killGrace is the time after the longest TTL at which a process that stops may be killed.
+	killGrace = 600 * time.Millisecond
+
+	// shutdownMargin is added for the answers at the deadline, and again for their connections.
+	shutdownMargin = killGrace / 3
+
+	// keepAliveFraction is the part of its last time for which this process keeps idle connections open:
+	// their clients may have no other scheduler.
+	keepAliveFraction = 0.6
+
+	// newConnectionGrace keeps a connection open that is new or was just answered: a request may be coming.
+	newConnectionGrace = 60 * time.Millisecond
+
+	connectionPollInterval = 20 * time.Millisecond // while the last connections end
+)
+
+// Serve takes ops until the context ends, and then answers what it has taken within the time given.
+func (s *Server) Serve(ctx context.Context, l net.Listener, within time.Duration) error {
+	watching, stopWatching := context.WithCancel(context.Background())
+	defer stopWatching()
+	if err := s.peers.open(s.bootstrap.Peers); err != nil {
+		return err
+	}
+	defer s.peers.close()
+	go s.endpoints.client.Run(watching)
+	stopLoop := s.startLoop()
+	defer stopLoop()
+	server := s.newHTTPServer()
+	failed := s.startAccepting(server, l)
+	go s.announceReady()
+	s.log.Info().Str("name", s.bootstrap.Name).Str("listen", s.bootstrap.Listen).
+		Int("most_clients", s.clients.Most()).Msg("serving")
+	err := s.awaitEnd(ctx, failed)
+	s.stop(server, within)
+	return err
+}
+
+// startLoop starts the scheduler's loop and what sends to it as long as it runs. The function that it
+// returns ends them, and waits until the loop has logged its last counts.
+func (s *Server) startLoop() (stop func()) {
+	running, cancel := context.WithCancel(context.Background())
+	go s.loop.Run(running)
+	if drains := s.endpoints.peerDrains; drains != nil {
+		go drains.run(running)
+	}
+	return func() {
+		cancel()
+		<-s.loop.Ended()
+	}
+}
+
+func (s *Server) newHTTPServer() *http.Server {
+	return &http.Server{
+		Handler:           s,
+		ConnState:         s.clients.Track,
+		ConnContext:       clientconn.With,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          stdlog.New(s.log.With().Str("level", "warn").Logger(), "", 0),
+	}
+}
+
+// startAccepting accepts clients until the server is shut down. The channel gets the error with which
+// that ends.
+func (s *Server) startAccepting(server *http.Server, l net.Listener) (failed <-chan error) {
+	ended := make(chan error, 1)
+	s.clients.Listener = l
+	go func() { ended <- server.Serve(s.clients) }()
+	return ended
+}
+
+// announceReady closes the ready channel once discovery has sent a list, or after firstListTimeout.
+func (s *Server) announceReady() {
+	select {
+	case <-s.loop.Listed():
+	case <-time.After(firstListTimeout):
+	}
+	close(s.lifecycle.ready)
+}
+
+// awaitEnd waits until this process is to stop, or until it can't accept clients any more: then the ops
+// that it has are still owed their answers.
+func (s *Server) awaitEnd(ctx context.Context, failed <-chan error) error {
+	select {
+	case err := <-failed:
+		s.log.Error().Err(err).Msg("accepting has ended")
+		return fmt.Errorf("serving: %w", err)
+	case <-ctx.Done():
+		return nil
+	}
+}
+
+// Ready is closed when this process can serve: it takes clients, and discovery has sent the workers. If
+// discovery doesn't answer, it serves by the cached list.
+func (s *Server) Ready() <-chan struct{} { return s.lifecycle.ready }
+
+// stop answers all ops that were taken, and closes all connections. Connections go on being accepted and
+// used for a while: what a client wrote to one that the kernel had accepted counts as taken, and the
+// scheduler that the client would turn to may still be down. A successor accepts from the same socket, so
+// with one this process accepts nothing more, and no client has to go elsewhere.
+func (s *Server) stop(server *http.Server, within time.Duration) {
+	within = min(within, s.settings.Load().LongestTTL()) + shutdownMargin
+	deadline := time.Now().Add(within)
+	successor := s.beginStop(deadline)
+	defer s.announceShutdown(deadline).Stop()
+	closeFrom := time.Now().Add(time.Duration(keepAliveFraction * float64(within)))
+	if successor {
+		s.clients.Pause()
+		s.peers.stopReceiving()
+	}
+	s.drainConnections(closeFrom, deadline.Add(shutdownMargin))
+	// Only now: http.Server drops requests that it has just read, and closes connections on which one has
+	// begun.
+	s.shutDownHTTP(server, deadline.Add(shutdownMargin))
+	s.logStopped()
+}
+
+// beginStop sets what health checks and answers say from now on. It tells whether there is a successor.
+func (s *Server) beginStop(deadline time.Time) (successor bool) {
+	successor = s.lifecycle.successor.Load()
+	s.lifecycle.stopping.Store(!successor)
+	s.lifecycle.closing.Store(successor)
+	s.log.Info().Time("by", deadline).Bool("successor", successor).Msg("stopping")
+	return successor
+}
+
+// announceShutdown sends the reducer the moment at which all ops must have their answers, now and at that
+// moment.
+func (s *Server) announceShutdown(deadline time.Time) *time.Timer {
+	shutdown := reducer.ShutdownStarted{Deadline: config.RoundDown(s.clock.Nanos(deadline))}
+	s.loop.Send(shutdown)
+	return time.AfterFunc(time.Until(deadline), func() { s.loop.Send(shutdown) })
+}
+
+// drainConnections returns when no connection is open, or at the deadline. From closeFrom on each answer
+// ends its connection, and idle ones are closed. Without a successor this process accepts clients to the
+// end, as it must when a successor dies meanwhile.
+func (s *Server) drainConnections(closeFrom, deadline time.Time) {
+	emptyPolls := 0 // in a row; a connection that was accepted between two polls is seen at the second
+	for emptyPolls < 2 && time.Now().Before(deadline) {
+		if time.Now().After(closeFrom) {
+			s.lifecycle.closing.Store(true)
+			s.clients.Part(s.clients.Count(), newConnectionGrace)
+		}
+		if (s.lifecycle.successor.Load() || time.Now().After(closeFrom)) && s.clients.Sockets() == 0 {
+			emptyPolls++
+		} else {
+			emptyPolls = 0
+		}
+		time.Sleep(connectionPollInterval)
+	}
+}
+
+func (s *Server) shutDownHTTP(server *http.Server, deadline time.Time) {
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
+	defer cancel()
+	if err := server.Shutdown(ctx); err != nil {
+		s.log.Warn().Err(err).Msg("connections were left open")
+	}
+}
+
+func (s *Server) logStopped() {
+	open, dialed := s.workers.Counts()
+	s.log.Info().Int("open", open).Int("dialed", dialed).
+		Interface("violations", s.checker.Counts()).Msg("stopped")
+}
--- a/internal/frontend/settings.go
+++ b/internal/frontend/settings.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"woaddyke/internal/base/oserror"
@@ -10,60 +11,85 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-const maxDroppedCategories = 4096 // categories that are served no more but for a while
+// maxDroppedCategories bounds the categories that a configuration has dropped and whose rules are still
+// retained. The reducer has the same bound, and deletes the same ones first.
+const maxDroppedCategories = 4096
 
-// settings are those in force.
+// settings are a configuration with what each op needs of it.
 type settings struct {
 	*config.Bootstrap
-	rules map[string]categoryRule // by category; of hundreds, a walk over the sheet for each op cost more than the op
-	hash  func() uint64
+	hash func() uint64
+
+	// rules are by category. A search among hundreds in the configuration costs more than the rest of an op.
+	rules map[string]categoryRule
 }
 
-// categoryRule is a category's, until then if it was dropped.
+// categoryRule is the rule of a category; of one that was dropped, until its retention ends.
 type categoryRule struct {
 	config.CategoryRule
-	retainedUntil time.Time
+	retainedUntil time.Time // zero for a category that is served
+}
+
+func (r categoryRule) expired(now time.Time) bool {
+	return !r.retainedUntil.IsZero() && now.After(r.retainedUntil)
 }
 
-// newSettings takes over what a category that is dropped goes on by for a while.
-func newSettings(sheet *config.Bootstrap, before *settings, now, until time.Time) *settings {
-	s := &settings{Bootstrap: sheet, rules: map[string]categoryRule{}, hash: sync.OnceValue(sheet.SettingsHash)}
-	for name, r := range sheet.CategoryRules() {
-		s.rules[name] = categoryRule{CategoryRule: r}
+// newSettings retains the rules of categories that the settings before, if any, served and the new ones
+// don't.
+func newSettings(bootstrap *config.Bootstrap, before *settings, now, retainUntil time.Time) *settings {
+	s := &settings{
+		Bootstrap: bootstrap,
+		rules:     map[string]categoryRule{},
+		hash:      sync.OnceValue(bootstrap.SettingsHash),
 	}
-	if before == nil {
-		return s
+	for name, rule := range bootstrap.CategoryRules() {
+		s.rules[name] = categoryRule{CategoryRule: rule}
 	}
-	var dropped []string
-	for name, r := range before.rules {
-		if _, served := s.rules[name]; served || !r.retainedUntil.IsZero() && now.After(r.retainedUntil) {
+	if before != nil {
+		s.limitDropped(s.retainDropped(before, now, retainUntil))
+	}
+	return s
+}
+
+// retainDropped returns the names of the categories that it retained.
+func (s *settings) retainDropped(before *settings, now, until time.Time) (dropped []string) {
+	for name, rule := range before.rules {
+		if _, served := s.rules[name]; served || rule.expired(now) {
 			continue
 		}
-		if r.retainedUntil.IsZero() {
-			r.retainedUntil = until
+		if rule.retainedUntil.IsZero() {
+			rule.retainedUntil = until
 		}
-		s.rules[name] = r
+		s.rules[name] = rule
 		dropped = append(dropped, name)
 	}
-	if len(dropped) > maxDroppedCategories { // the reducer has forgotten the first ones too
-		slices.SortFunc(dropped, func(a, b string) int { return s.rules[a].retainedUntil.Compare(s.rules[b].retainedUntil) })
-		for _, name := range dropped[:len(dropped)-maxDroppedCategories] {
-			delete(s.rules, name)
-		}
+	return dropped
+}
+
+// limitDropped deletes the categories that were dropped first, if there are too many.
+func (s *settings) limitDropped(dropped []string) {
+	excess := len(dropped) - maxDroppedCategories
+	if excess <= 0 {
+		return
+	}
+	slices.SortFunc(dropped, func(a, b string) int {
+		return s.rules[a].retainedUntil.Compare(s.rules[b].retainedUntil)
+	})
+	for _, name := range dropped[:excess] {
+		delete(s.rules, name)
 	}
-	return s
 }
 
-// rule is a category's, empty for one that is not served any more.
+// rule is the rule of a category, or the zero rule if it isn't served.
 func (s *settings) rule(category string) config.CategoryRule {
 	r := s.rules[category]
-	if !r.retainedUntil.IsZero() && time.Now().After(r.retainedUntil) {
+	if r.expired(time.Now()) {
 		return config.CategoryRule{}
 	}
 	return r.CategoryRule
 }
 
-// maxAttempts is how often an op may be pushed.
+// maxAttempts is how many attempts an op may have.
 func (s *settings) maxAttempts() int {
 	n, ok := s.Settings["bounds.maxPushes"].(float64)
 	if !ok {
@@ -72,56 +98,75 @@
 	return int(n)
 }
 
-// settingsInForce is what the scheduler's checks compare attempts with.
-type settingsInForce struct{ server *Server }
-
-func (p settingsInForce) Rule(category string) config.CategoryRule {
-	return p.server.inForce.Load().rule(category)
+// schedulerPolicy is what the scheduler's checks compare attempts with.
+type schedulerPolicy struct {
+	settings *atomic.Pointer[settings]
+	claims   *claimGate
 }
-func (p settingsInForce) MaxAttempts() int { return p.server.inForce.Load().maxAttempts() }
-func (p settingsInForce) ClaimRequired(category string) bool {
-	return p.server.claimRequired != nil && p.server.claimRequired(category)
+
+func (p schedulerPolicy) Rule(category string) config.CategoryRule {
+	return p.settings.Load().rule(category)
 }
+func (p schedulerPolicy) MaxAttempts() int                   { return p.settings.Load().maxAttempts() }
+func (p schedulerPolicy) ClaimRequired(category string) bool { return p.claims.required(category) }
 
 // CategoryEffect is how often an op of a category may run, by the settings in force.
-func (f *Server) CategoryEffect(category string) string {
-	return f.inForce.Load().rule(category).Effect
+func (s *Server) CategoryEffect(category string) string {
+	return s.settings.Load().rule(category).Effect
 }
 
-// Discovery is where the list is read, by the configuration in force.
-func (f *Server) Discovery() string { return f.inForce.Load().Discovery }
+// Discovery is discovery's address, by the configuration in force.
+func (s *Server) Discovery() string { return s.settings.Load().Discovery }
 
-// SettingsHash names the settings in force, but for what is each scheduler's own.
-func (f *Server) SettingsHash() uint64 { return f.inForce.Load().hash() }
+// SettingsHash identifies the settings in force, without those that differ between schedulers.
+func (s *Server) SettingsHash() uint64 { return s.settings.Load().hash() }
 
-// ReloadConfig takes up a configuration that was replaced: where discovery is now, the categories and how often an op is pushed.
-// Workers, ops and connections stay as they are, and so does all else until a restart. A file that is at fault changes nothing.
-func (f *Server) ReloadConfig(path string) {
-	before := f.inForce.Load()
-	sheet, err := oserror.RetryTransient(func() (*config.Bootstrap, error) { return config.ReadBootstrap(path) })
-	if err == nil {
-		err = sheet.CheckReload(before.Bootstrap)
-	}
+// ReloadConfig applies a configuration file that was replaced: discovery's address, the categories and
+// the number of attempts. All else stays as it is until a restart. A file with a fault changes nothing.
+func (s *Server) ReloadConfig(path string) {
+	before := s.settings.Load()
+	bootstrap, err := readReload(path, before.Bootstrap)
 	if err != nil {
-		f.metrics.ConfigReloaded(false)
-		f.log.Error().Err(err).Msg("configuration kept")
+		s.metrics.ConfigReloaded(false)
+		s.log.Error().Err(err).Msg("configuration kept")
 		return
 	}
-	retunes, rest := sheet.CategoriesChanged(before.Bootstrap)
-	if rest {
-		f.log.Warn().Msg("all but discovery, categories and pushes changes with a restart only")
+	settingsChanged, othersChanged := bootstrap.CategoriesChanged(before.Bootstrap)
+	if othersChanged {
+		s.log.Warn().Msg("all but discovery, categories and pushes changes with a restart only")
 	}
-	now := time.Now()
-	// What comes for a category that is served no more was sent before its client knew, or is its next try.
-	until := now.Add(before.LongestTTL())
-	if retunes {
-		f.metrics.SetCategories(sheet.Categories())
-		f.loop.Send(reducer.SettingsChanged{Settings: sheet.Settings, RetainUntil: config.RoundDown(f.clock.Nanos(until))})
+	s.applySettings(bootstrap, before, settingsChanged)
+	// SetAddress opens discovery's watch anew. With changed settings alone, which all schedulers of a
+	// deployment get, it would be a call of each for nothing.
+	if bootstrap.Discovery != before.Discovery || !settingsChanged {
+		s.endpoints.client.SetAddress(bootstrap.Discovery)
+	}
+	s.metrics.ConfigReloaded(true) // last: who reads of it goes by what is in force
+	s.log.Info().Str("discovery", bootstrap.Discovery).Bool("settings", settingsChanged).
+		Msg("configuration reread")
+}
+
+// readReload reads a configuration that is to replace another one.
+func readReload(path string, before *config.Bootstrap) (*config.Bootstrap, error) {
+	read := func() (*config.Bootstrap, error) { return config.ReadBootstrap(path) }
+	bootstrap, err := oserror.RetryTransient(read)
+	if err != nil {
+		return nil, err
 	}
-	f.inForce.Store(newSettings(sheet, before, now, until))
-	if sheet.Discovery != before.Discovery || !retunes { // a watch that is opened anew at each of a site's changes is a call each for nothing
-		f.discovery.SetAddress(sheet.Discovery)
+	return bootstrap, bootstrap.CheckReload(before)
+}
+
+// applySettings puts settings in force. Ops that still come for a dropped category were sent before their
+// clients knew, or are retries of such ops.
+func (s *Server) applySettings(bootstrap *config.Bootstrap, before *settings, changed bool) {
+	now := time.Now()
+	retainUntil := now.Add(before.LongestTTL())
+	if changed {
+		s.metrics.SetCategories(bootstrap.Categories())
+		s.loop.Send(reducer.SettingsChanged{
+			Settings:    bootstrap.Settings,
+			RetainUntil: config.RoundDown(s.clock.Nanos(retainUntil)),
+		})
 	}
-	f.metrics.ConfigReloaded(true) // last: who reads of it goes by what is in force
-	f.log.Info().Str("discovery", sheet.Discovery).Bool("settings", retunes).Msg("configuration reread")
+	s.settings.Store(newSettings(bootstrap, before, now, retainUntil))
 }
