--- a/internal/cluster/replication/core.go
+++ b/internal/cluster/replication/core.go
@@ -42,18 +42,18 @@
 
 // Fixed bounds.
 const (
-	mostClaims   = 16   // of one op: beyond them it is refused; released ones that others knew come on top
-	mostWants    = 4096 // wants without an outcome, and ends that no majority knows yet, each
-	mostHere     = 4096
-	ranTicket    = 1 << 63 // tells of where apart from tells of an end
-	boundTicket  = 1 << 62 // the ticket of a want, once it is bound
-	tellTimes    = 50      // an end is told so often before it is left to the keepers' own looks
-	pieceRoom    = 1200    // bytes of records in a message, by estimate
-	pieceDigests = 128
-	burst        = 5 * ms // by so much what is asked for may run ahead of its rate
-	fetchDigests = 24     // as many as may fit an answer: the rest may be had from another keeper meanwhile
-	mostKeepers  = replicaset.MaxReplicas
-	longKey      = 512
+	maxClaimsPerOp    = 16   // of one op: beyond them it is refused; released ones that others knew come on top
+	maxPendingClaims  = 4096 // wants without an outcome, and ends that no majority knows yet, each
+	maxAliveMembers   = 4096
+	groupReportFlag   = 1 << 63 // tells of where apart from tells of an end
+	boundClaimFlag    = 1 << 62 // the ticket of a want, once it is bound
+	maxReportAttempts = 50      // an end is told so often before it is left to the keepers' own looks
+	fetchedPageBytes  = 1200    // bytes of records in a message, by estimate
+	digestsPerPage    = 128
+	catchUpBurst      = 5 * ms // by so much what is asked for may run ahead of its rate
+	digestsPerFetch   = 24     // as many as may fit an answer: the rest may be had from another keeper meanwhile
+	maxReplicas       = replicaset.MaxReplicas
+	maxNameBytes      = 512
 )
 
 // Validate tells what is wrong with the terms.
@@ -75,317 +75,317 @@
 	return replicaset.ValidateNames(t.Replicas)
 }
 
-// answer is what a keeper said to one want.
-type answer struct {
-	granted bool
-	life    Incarnation
-	voters  []Voter
-	why     RefusalReason
-	record  Record
-	at      uint64 // by its own clock
+// claimAnswer is what a keeper said to one want.
+type claimAnswer struct {
+	granted     bool
+	incarnation Incarnation
+	voters      []Voter
+	reason      RefusalReason
+	record      Record
+	grantedAt   uint64 // by its own clock
 }
 
-// want is an op that this scheduler asks for.
-type want struct {
+// activeClaim is an op that this scheduler asks for.
+type activeClaim struct {
 	ClaimRequest
-	claim   Claim
-	bound   string // the group that it is bound to, where it ran for another scheduler
-	first   Time   // beside it: it did not run before
-	asked   Time
-	until   Time
-	next    Time
-	answers map[string]answer
-}
-
-// told is a fate that is being told to the keepers.
-type told struct {
-	ticket  uint64
-	record  Record
-	known   map[string]bool
-	granted map[string]answer // of a word that it may have run: what was granted before that
-	times   int
-	next    Time
-}
-
-// look is how far another keeper's changes are known here.
-type look struct {
-	of         Incarnation
-	since      uint64 // all up to there is known here
-	to         uint64 // and all up to there, once what it lacks has come
-	lacks      []uint64
-	asked      []uint64 // what is being fetched from it
-	waits      bool     // for what another keeper was asked for
-	seen       bool     // since has moved on, which has not been put where records last
-	free       Time     // when the next may be asked for
-	next       Time
-	more       bool
-	registered Incarnation // as which this process is known there
-	voting     bool
-	ready      bool // by its own word
-	through    bool // its changes up to the registration are known
-	mark       uint64
+	claim       Claim
+	group       string // the group that it is bound to, where it ran for another scheduler
+	firstRun    Time   // beside it: it did not run before
+	requestedAt Time
+	deadline    Time
+	nextRetry   Time
+	answers     map[string]claimAnswer
+}
+
+// outcomeReport is a fate that is being told to the keepers.
+type outcomeReport struct {
+	requestID    uint64
+	record       Record
+	acknowledged map[string]bool
+	grants       map[string]claimAnswer // of a word that it may have run: what was granted before that
+	attempts     int
+	nextRetry    Time
+}
+
+// peerState is how far another keeper's changes are known here.
+type peerState struct {
+	incarnation          Incarnation
+	position             uint64 // all up to there is known here
+	pagePosition         uint64 // and all up to there, once what it lacks has come
+	missing              []uint64
+	requested            []uint64 // what is being fetched from it
+	awaitsOther          bool     // for what another keeper was asked for
+	cursorChanged        bool     // since has moved on, which has not been put where records last
+	rateFreeAt           Time     // when the next may be asked for
+	nextSend             Time
+	more                 bool
+	registeredAs         Incarnation // as which this process is known there
+	voting               bool
+	ready                bool // by its own word
+	caughtUp             bool // its changes up to the registration are known
+	registrationPosition uint64
 }
 
 // Core is one process's part: it asks for ops, and it is a keeper if its name is one's.
 type Core struct {
-	t     Config
-	rand  *rand.Rand
-	now   Time
-	out   []Effect
-	set   replicaset.Set
-	all   []string // of the set, once each
-	epoch uint64
-	own   bool // it had its vote when the set came into force, and has had it since
-	ready bool // of a new set, while the old one counts as well: this keeper knows what those knew
-
-	keeper  bool
-	serving bool
-	life    Incarnation
-	voting  bool
-	since   Time // as this life, registered with enough others; 0 before
-	voters  map[string]Incarnation
-	former  map[string]Incarnation // who voted before each of them
-	lasting bool                   // records last: Keep and Drop are asked for
-	kept    Incarnation            // as which life those were kept that came from there; none for a new place, or one that can't be believed
-	seen    []ReplicationCursor    // likewise
-	unkept  bool
-	looks   map[string]*look
-
-	records  map[string]*Record
-	fetching map[uint64]Time // digests that are being fetched from some keeper, and until when no other is asked
-	byDigest map[uint64]*Record
-	order    []*Record // by pos; nil where a record has moved on
-	first    uint64    // pos of the first of order
-	pos      uint64
-	size     int
-	digest   uint64             // of all records, kept as they change: staff who look must not hold up the ops
-	ages     map[Time][]*Record // by the second in which they were first heard of
-	oldest   Time               // of those seconds
-
-	wants   map[uint64]*want
-	mine    map[uint64]*want // granted, and not ended
-	tells   map[uint64]*told
-	gone    map[string]bool
-	here    []string // other members, in order
-	spreads Time
-	counts  map[string]uint64
+	config              Config
+	random              *rand.Rand
+	now                 Time
+	effects             []Effect
+	set                 replicaset.Set
+	members             []string // of the set, once each
+	setID               uint64
+	votingSinceAdoption bool // it had its vote when the set came into force, and has had it since
+	ready               bool // of a new set, while the old one counts as well: this keeper knows what those knew
+
+	isReplica            bool
+	serving              bool
+	incarnation          Incarnation
+	voting               bool
+	registeredSince      Time // as this life, registered with enough others; 0 before
+	voters               map[string]Incarnation
+	formerVoters         map[string]Incarnation // who voted before each of them
+	durable              bool                   // records last: Keep and Drop are asked for
+	persistedIncarnation Incarnation            // as which life those were kept that came from there; none for a new place, or one that can't be believed
+	persistedCursors     []ReplicationCursor    // likewise
+	persistFailed        bool
+	peers                map[string]*peerState
+
+	records       map[string]*Record
+	fetching      map[uint64]Time // digests that are being fetched from some keeper, and until when no other is asked
+	byDigest      map[uint64]*Record
+	changes       []*Record // by pos; nil where a record has moved on
+	firstPosition uint64    // pos of the first of order
+	position      uint64
+	recordBytes   int
+	digest        uint64             // of all records, kept as they change: staff who look must not hold up the ops
+	bySecond      map[Time][]*Record // by the second in which they were first heard of
+	oldestSecond  Time               // of those seconds
+
+	pendingClaims  map[uint64]*activeClaim
+	grantedClaims  map[uint64]*activeClaim // granted, and not ended
+	outcomeReports map[uint64]*outcomeReport
+	deadMembers    map[string]bool
+	aliveMembers   []string // other members, in order
+	nextSetGossip  Time
+	counts         map[string]uint64
 }
 
 // New makes a scheduler without memory. The terms have been checked.
 func New(t Config, now Time) *Core {
-	c := &Core{t: t, rand: rand.New(rand.NewPCG(t.Seed, t.Nonce^0x636f70696573)), now: now,
-		voters: map[string]Incarnation{}, former: map[string]Incarnation{}, looks: map[string]*look{},
-		records: map[string]*Record{}, byDigest: map[uint64]*Record{}, fetching: map[uint64]Time{}, first: 1,
-		ages: map[Time][]*Record{}, oldest: secondOf(now),
-		wants: map[uint64]*want{}, mine: map[uint64]*want{}, tells: map[uint64]*told{}, gone: map[string]bool{}, counts: map[string]uint64{}}
-	c.goBy(replicaset.Configured(t.Replicas))
+	c := &Core{config: t, random: rand.New(rand.NewPCG(t.Seed, t.Nonce^0x636f70696573)), now: now,
+		voters: map[string]Incarnation{}, formerVoters: map[string]Incarnation{}, peers: map[string]*peerState{},
+		records: map[string]*Record{}, byDigest: map[uint64]*Record{}, fetching: map[uint64]Time{}, firstPosition: 1,
+		bySecond: map[Time][]*Record{}, oldestSecond: secondOf(now),
+		pendingClaims: map[uint64]*activeClaim{}, grantedClaims: map[uint64]*activeClaim{}, outcomeReports: map[uint64]*outcomeReport{}, deadMembers: map[string]bool{}, counts: map[string]uint64{}}
+	c.useSet(replicaset.Configured(t.Replicas))
 	return c
 }
 
-// goBy goes by a set.
-func (c *Core) goBy(s replicaset.Set) {
-	c.set, c.all, c.epoch = s, s.Members(), s.ID()
-	c.keeper = slices.Contains(c.all, c.t.Name)
+// useSet goes by a set.
+func (c *Core) useSet(s replicaset.Set) {
+	c.set, c.members, c.setID = s, s.Members(), s.ID()
+	c.isReplica = slices.Contains(c.members, c.config.Name)
 }
 
 // AdoptStored goes by a set that lasted. It is called before Restore and the first input.
 func (c *Core) AdoptStored(s replicaset.Set) {
 	if s.Supersedes(c.set) {
-		c.goBy(s)
+		c.useSet(s)
 	}
 }
 
 // Restore says that records last from now on, and brings those that were kept as a life of this keeper; a zero one for a place that is
 // new. A host calls it before the first input.
 func (c *Core) Restore(records []Record, kept Incarnation, seen []ReplicationCursor) {
-	if c.kept = kept; kept != (Incarnation{}) {
-		c.seen = seen
+	if c.persistedIncarnation = kept; kept != (Incarnation{}) {
+		c.persistedCursors = seen
 	}
-	c.lasting = false // they stand there already
+	c.durable = false // they stand there already
 	for _, r := range records {
-		if c.valid(r) && Time(r.Age) < c.t.Retention/second {
-			c.learn(r, max(c.now, 1))
+		if c.valid(r) && Time(r.Age) < c.config.Retention/second {
+			c.mergeRecord(r, max(c.now, 1))
 		}
 	}
-	c.lasting = true
+	c.durable = true
 }
 
-// loseDisk gives up this keeper's vote. What it granted to its own claims and could not put down does not count: it would be forgotten.
-func (c *Core) loseDisk(in PersistFailed) {
-	c.voting, c.own, c.ready, c.unkept = false, false, false, true
-	for _, w := range c.wants {
+// handlePersistFailed gives up this keeper's vote. What it granted to its own claims and could not put down does not count: it would be forgotten.
+func (c *Core) handlePersistFailed(in PersistFailed) {
+	c.voting, c.votingSinceAdoption, c.ready, c.persistFailed = false, false, false, true
+	for _, w := range c.pendingClaims {
 		if slices.Contains(in.Keys, w.Key) {
-			delete(w.answers, c.t.Name)
+			delete(w.answers, c.config.Name)
 		}
 	}
-	c.do(Event{"has no vote: its records do not last", ""})
+	c.emit(Event{"has no vote: its records do not last", ""})
 }
 
-// restored goes on with a place where records last, after a time without one. What came to be known meanwhile is put there.
-func (c *Core) restored(in StateReloaded) {
-	c.unkept = false
+// handleStateReloaded goes on with a place where records last, after a time without one. What came to be known meanwhile is put there.
+func (c *Core) handleStateReloaded(in StateReloaded) {
+	c.persistFailed = false
 	c.Restore(in.Records, in.Incarnation, in.Cursors)
 	for _, key := range slices.Sorted(maps.Keys(c.records)) {
-		c.do(Persist{c.aged(c.records[key])})
+		c.emit(Persist{c.withAges(c.records[key])})
 	}
 }
 
 // SetID names the set of keepers.
-func (c *Core) SetID() uint64 { return c.epoch }
+func (c *Core) SetID() uint64 { return c.setID }
 
 // Set is the set that is gone by.
 func (c *Core) Set() replicaset.Set { return c.set }
 
-func (c *Core) do(e Effect) { c.out = append(c.out, e) }
+func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
 func (c *Core) count(what string) { c.counts[what]++ }
 
 // send sends a message; one to this process itself is heard at once.
 func (c *Core) send(to string, x Message) {
-	x.SetID = c.epoch
-	if to == c.t.Name {
-		c.hear(MessageReceived{to, x})
+	x.SetID = c.setID
+	if to == c.config.Name {
+		c.handleMessage(MessageReceived{to, x})
 		return
 	}
-	c.do(Send{to, x})
+	c.emit(Send{to, x})
 }
 
 // Step takes an input and returns what to do. Times never go back.
 func (c *Core) Step(now Time, in Input) []Effect {
-	c.now, c.out = max(now, c.now), c.out[:0:0]
+	c.now, c.effects = max(now, c.now), c.effects[:0:0]
 	switch in := in.(type) {
 	case MessageReceived:
-		if in.From != c.t.Name {
-			c.hear(in)
+		if in.From != c.config.Name {
+			c.handleMessage(in)
 		}
 	case ClaimRequest:
-		c.want(in)
+		c.handleClaimRequest(in)
 	case OpEnded:
-		c.end(in)
+		c.handleOpEnded(in)
 	case MayHaveRun:
-		c.ran(in)
+		c.handleMayHaveRun(in)
 	case Membership:
-		c.serve(in)
+		c.handleMembership(in)
 	case AdoptSet:
-		c.adopt(in.Set)
+		c.adoptSet(in.Set)
 	case PersistFailed:
-		c.loseDisk(in)
+		c.handlePersistFailed(in)
 	case StateReloaded:
-		c.restored(in)
+		c.handleStateReloaded(in)
 	case PeerStatus:
-		c.lost(in)
+		c.handlePeerStatus(in)
 	}
-	c.timers()
-	return c.out
+	c.runTimers()
+	return c.effects
 }
 
-// lost notes who is gone and who is here.
-func (c *Core) lost(in PeerStatus) {
-	at, known := slices.BinarySearch(c.here, in.Name)
+// handlePeerStatus notes who is gone and who is here.
+func (c *Core) handlePeerStatus(in PeerStatus) {
+	at, known := slices.BinarySearch(c.aliveMembers, in.Name)
 	switch {
 	case in.Dead:
-		if c.gone[in.Name] = true; known {
-			c.here = slices.Delete(c.here, at, at+1)
+		if c.deadMembers[in.Name] = true; known {
+			c.aliveMembers = slices.Delete(c.aliveMembers, at, at+1)
 		}
 		return
-	case !known && len(c.here) < mostHere:
-		c.here = slices.Insert(c.here, at, in.Name)
+	case !known && len(c.aliveMembers) < maxAliveMembers:
+		c.aliveMembers = slices.Insert(c.aliveMembers, at, in.Name)
 	}
-	if delete(c.gone, in.Name); c.set.GroupID != 0 {
-		c.inForce(in.Name) // it may go by its file
+	if delete(c.deadMembers, in.Name); c.set.GroupID != 0 {
+		c.sendSetInForce(in.Name) // it may go by its file
 	}
 }
 
-// spread tells somebody by chance which set is in force, every now and then: one that was told nothing may go by its file for good.
-func (c *Core) spread() {
-	if c.set.GroupID != 0 && c.keeper && c.now >= c.spreads && len(c.here) > 0 {
-		c.spreads = c.now + second
-		c.inForce(c.here[c.rand.IntN(len(c.here))])
+// gossipSet tells somebody by chance which set is in force, every now and then: one that was told nothing may go by its file for good.
+func (c *Core) gossipSet() {
+	if c.set.GroupID != 0 && c.isReplica && c.now >= c.nextSetGossip && len(c.aliveMembers) > 0 {
+		c.nextSetGossip = c.now + second
+		c.sendSetInForce(c.aliveMembers[c.random.IntN(len(c.aliveMembers))])
 	}
 }
 
-// serve begins or ends a time as a member. A process that is none has no vote; one that is back as the same life has kept its memory.
-func (c *Core) serve(in Membership) {
+// handleMembership begins or ends a time as a member. A process that is none has no vote; one that is back as the same life has kept its memory.
+func (c *Core) handleMembership(in Membership) {
 	if !in.Serving {
 		c.serving = false
 		return
 	}
 	life := Incarnation{in.Generation, in.Nonce}
 	if in.Nonce == 0 {
-		life.Nonce = c.t.Nonce
+		life.Nonce = c.config.Nonce
 	}
-	if c.serving = true; life == c.life {
+	if c.serving = true; life == c.incarnation {
 		return
 	}
-	c.life, c.voting, c.since = life, false, 0
-	c.ready, c.own = false, false
-	for _, k := range c.all {
-		if k != c.t.Name {
-			c.looks[k] = &look{next: c.now}
+	c.incarnation, c.voting, c.registeredSince = life, false, 0
+	c.ready, c.votingSinceAdoption = false, false
+	for _, k := range c.members {
+		if k != c.config.Name {
+			c.peers[k] = &peerState{nextSend: c.now}
 		}
 	}
-	for _, s := range c.seen { // it knows that with what lasts; no later life of this process knows less
-		if l := c.looks[s.Replica]; l != nil {
-			l.of, l.since = s.Incarnation, s.Position
+	for _, s := range c.persistedCursors { // it knows that with what lasts; no later life of this process knows less
+		if l := c.peers[s.Replica]; l != nil {
+			l.incarnation, l.position = s.Incarnation, s.Position
 		}
 	}
-	c.seen = nil
-	if c.keeper {
-		c.voters[c.t.Name] = life
-		c.do(Event{"has no vote until it has caught up", ""})
+	c.persistedCursors = nil
+	if c.isReplica {
+		c.voters[c.config.Name] = life
+		c.emit(Event{"has no vote until it has caught up", ""})
 	}
 }
 
-// want begins to ask for an op.
-func (c *Core) want(in ClaimRequest) {
-	w := &want{ClaimRequest: in, claim: Claim{c.t.Name, c.rand.Uint64()}, until: c.now + min(in.Timeout, c.t.QuorumTimeout), asked: c.now, answers: map[string]answer{}}
+// handleClaimRequest begins to ask for an op.
+func (c *Core) handleClaimRequest(in ClaimRequest) {
+	w := &activeClaim{ClaimRequest: in, claim: Claim{c.config.Name, c.random.Uint64()}, deadline: c.now + min(in.Timeout, c.config.QuorumTimeout), requestedAt: c.now, answers: map[string]claimAnswer{}}
 	switch {
-	case len(c.wants) >= mostWants || len(in.Key) > longKey || in.Key == "":
+	case len(c.pendingClaims) >= maxPendingClaims || len(in.Key) > maxNameBytes || in.Key == "":
 		c.count("no room to ask")
-		c.do(ClaimDecided{RequestID: in.RequestID, Result: NoQuorum, Reason: CapacityReached})
+		c.emit(ClaimDecided{RequestID: in.RequestID, Result: NoQuorum, Reason: CapacityReached})
 		return
 	case !c.serving:
 		c.count("asked while no member")
-		c.do(ClaimDecided{RequestID: in.RequestID, Result: NoQuorum, Reason: NoVote})
+		c.emit(ClaimDecided{RequestID: in.RequestID, Result: NoQuorum, Reason: NoVote})
 		return
 	}
-	c.wants[in.RequestID] = w
-	c.ask(w)
+	c.pendingClaims[in.RequestID] = w
+	c.requestGrants(w)
 }
 
-// ask asks all keepers that have not answered.
-func (c *Core) ask(w *want) {
-	w.next = c.now + c.t.RetryInterval
-	for _, k := range c.all {
-		if a, ok := w.answers[k]; !ok || !a.granted && a.why != AlreadyClaimed {
-			c.send(k, Message{Kind: ClaimRequested, RequestID: w.wire(), Record: Record{Key: w.Key, Fingerprint: w.Fingerprint, Outcomes: []Outcome{c.fateOf(w)}}})
+// requestGrants asks all keepers that have not answered.
+func (c *Core) requestGrants(w *activeClaim) {
+	w.nextRetry = c.now + c.config.RetryInterval
+	for _, k := range c.members {
+		if a, ok := w.answers[k]; !ok || !a.granted && a.reason != AlreadyClaimed {
+			c.send(k, Message{Kind: ClaimRequested, RequestID: w.wireID(), Record: Record{Key: w.Key, Fingerprint: w.Fingerprint, Outcomes: []Outcome{c.claimedOutcome(w)}}})
 		}
-		if c.wants[w.RequestID] != w {
+		if c.pendingClaims[w.RequestID] != w {
 			return // decided by this process's own vote
 		}
 	}
 }
 
-// wire is the ticket of what is asked now: an answer to a claim is none to the one that came in its place.
-func (w *want) wire() uint64 {
-	if w.bound != "" {
-		return w.RequestID | boundTicket
+// wireID is the ticket of what is asked now: an answer to a claim is none to the one that came in its place.
+func (w *activeClaim) wireID() uint64 {
+	if w.group != "" {
+		return w.RequestID | boundClaimFlag
 	}
 	return w.RequestID
 }
 
-// fateOf is a want's claim as it is asked for.
-func (c *Core) fateOf(w *want) Outcome {
-	f := Outcome{Claim: w.claim, Stage: Claimed, Group: w.bound}
-	if w.bound != "" {
-		f.Age = uint64(max(c.now-w.first, 0))
+// claimedOutcome is a want's claim as it is asked for.
+func (c *Core) claimedOutcome(w *activeClaim) Outcome {
+	f := Outcome{Claim: w.claim, Stage: Claimed, Group: w.group}
+	if w.group != "" {
+		f.Age = uint64(max(c.now-w.firstRun, 0))
 	}
 	return f
 }
 
-// granted tells whether a majority has granted it: one of each part, while keepers change. The vote of a process whose place another has
+// hasMajority tells whether a majority has granted it: one of each part, while keepers change. The vote of a process whose place another has
 // taken, by the word of a keeper among those that granted, does not count.
-func (c *Core) granted(w *want) bool {
+func (c *Core) hasMajority(w *activeClaim) bool {
 	newest := map[string]Incarnation{}
 	for _, a := range w.answers {
 		if a.granted {
@@ -398,72 +398,72 @@
 	}
 	return c.set.HasMajority(func(k string) bool {
 		a := w.answers[k]
-		return a.granted && a.life.compare(newest[k]) >= 0
+		return a.granted && a.incarnation.compare(newest[k]) >= 0
 	})
 }
 
-// judge decides a want as soon as the answers allow it.
-func (c *Core) judge(w *want, last bool) {
-	if c.granted(w) && c.now < w.until {
-		delete(c.wants, w.RequestID)
-		c.mine[w.RequestID] = w
+// evaluate decides a want as soon as the answers allow it.
+func (c *Core) evaluate(w *activeClaim, last bool) {
+	if c.hasMajority(w) && c.now < w.deadline {
+		delete(c.pendingClaims, w.RequestID)
+		c.grantedClaims[w.RequestID] = w
 		c.count("granted")
-		c.do(ClaimDecided{RequestID: w.RequestID, Result: Granted, Outcome: c.fateOf(w)})
+		c.emit(ClaimDecided{RequestID: w.RequestID, Result: Granted, Outcome: c.claimedOutcome(w)})
 		return
 	}
 	why := RefusalReason(0)
 	all := Record{Key: w.Key, Fingerprint: w.Fingerprint}
 	other := false
-	for _, k := range c.all {
+	for _, k := range c.members {
 		a, ok := w.answers[k]
 		if !ok || a.granted {
 			continue
 		}
-		if why = max(why, a.why); a.why == AlreadyClaimed {
+		if why = max(why, a.reason); a.reason == AlreadyClaimed {
 			other = other || a.record.Fingerprint != w.Fingerprint
 			all, _ = Join(all, a.record)
 		}
 	}
 	mayYet := c.set.HasMajority(func(k string) bool {
 		a, ok := w.answers[k]
-		return !ok || a.granted || a.why != AlreadyClaimed
+		return !ok || a.granted || a.reason != AlreadyClaimed
 	})
-	if !last && mayYet && c.now < w.until {
-		if end, ok := all.ended(); !ok || !end.ResultRetained {
+	if !last && mayYet && c.now < w.deadline {
+		if end, ok := all.ending(); !ok || !end.ResultRetained {
 			return // a majority may still be had
 		}
 	}
-	if c.bind(w, &all, other) {
+	if c.bindToGroup(w, &all, other) {
 		return
 	}
-	delete(c.wants, w.RequestID)
+	delete(c.pendingClaims, w.RequestID)
 	c.release(w, w.RequestID)
 	d := ClaimDecided{RequestID: w.RequestID, Result: NoQuorum, Reason: why}
-	if end, ok := all.ended(); other {
+	if end, ok := all.ending(); other {
 		d.Result = FingerprintMismatch
 	} else if ok {
 		if d.Result, d.Outcome = AlreadyEnded, end; end.ResultRetained {
 			d.Result = AlreadyAnswered
 		}
-	} else if f, ok := all.stands(w.claim); ok {
-		if d.Result, d.Outcome = InProgress, f; !c.runs(w, &all) {
+	} else if f, ok := all.standing(w.claim); ok {
+		if d.Result, d.Outcome = InProgress, f; !c.inProgressElsewhere(w, &all) {
 			d.Result = OutcomeUnknown
 		}
 	}
 	c.count(d.Result.String())
-	c.do(d)
+	c.emit(d)
 }
 
-// runs tells whether another scheduler that is here has the op.
-func (c *Core) runs(w *want, all *Record) bool {
-	return slices.ContainsFunc(all.Outcomes, func(f Outcome) bool { return f.Stage == Claimed && f.Claim != w.claim && !c.gone[f.Scheduler] })
+// inProgressElsewhere tells whether another scheduler that is here has the op.
+func (c *Core) inProgressElsewhere(w *activeClaim, all *Record) bool {
+	return slices.ContainsFunc(all.Outcomes, func(f Outcome) bool { return f.Stage == Claimed && f.Claim != w.claim && !c.deadMembers[f.Scheduler] })
 }
 
-// bind asks for an op anew that may have run for a scheduler that is gone or has given it up, bound to the group where it did, while that
+// bindToGroup asks for an op anew that may have run for a scheduler that is gone or has given it up, bound to the group where it did, while that
 // drops repeats. It tells whether it does. An age that is answered was true at some moment after this was asked: so the way of the answer is in it.
-func (c *Core) bind(w *want, all *Record, other bool) bool {
-	f, stands := all.stands(w.claim)
-	if _, ended := all.ended(); w.Window == 0 || w.bound != "" || other || ended || !stands || c.runs(w, all) || !all.bound(w.claim, f.Group) {
+func (c *Core) bindToGroup(w *activeClaim, all *Record, other bool) bool {
+	f, stands := all.standing(w.claim)
+	if _, ended := all.ending(); w.Window == 0 || w.group != "" || other || ended || !stands || c.inProgressElsewhere(w, all) || !all.standsOnlyIn(w.claim, f.Group) {
 		return false
 	}
 	first := c.now
@@ -472,136 +472,136 @@
 			if f.Age == 0 {
 				return false
 			}
-			first = min(first, w.asked-Time(min(f.Age, maxAge)))
+			first = min(first, w.requestedAt-Time(min(f.Age, maxAgeTenths)))
 		}
 	}
-	if c.now-first >= w.Window || c.now >= w.until {
+	if c.now-first >= w.Window || c.now >= w.deadline {
 		return false
 	}
-	c.release(w, w.RequestID|boundTicket)
-	w.claim, w.bound, w.first = Claim{c.t.Name, c.rand.Uint64()}, f.Group, first
+	c.release(w, w.RequestID|boundClaimFlag)
+	w.claim, w.group, w.firstRun = Claim{c.config.Name, c.random.Uint64()}, f.Group, first
 	clear(w.answers)
 	c.count("bound to a group")
-	c.ask(w)
+	c.requestGrants(w)
 	return true
 }
 
-// ran has the keepers know where a granted op may have run. Nothing waits for that: without it nobody goes on with the op.
-func (c *Core) ran(in MayHaveRun) {
-	w := c.mine[in.RequestID]
-	if w == nil || w.bound != "" || in.Group == "" {
+// handleMayHaveRun has the keepers know where a granted op may have run. Nothing waits for that: without it nobody goes on with the op.
+func (c *Core) handleMayHaveRun(in MayHaveRun) {
+	w := c.grantedClaims[in.RequestID]
+	if w == nil || w.group != "" || in.Group == "" {
 		return
 	}
-	w.bound, w.first = in.Group, c.now
-	c.tellThose(in.RequestID|ranTicket, Record{Key: w.Key, Fingerprint: w.Fingerprint, Outcomes: []Outcome{c.fateOf(w)}}, map[string]bool{}, w.answers)
+	w.group, w.firstRun = in.Group, c.now
+	c.reportOutcomeWithGrants(in.RequestID|groupReportFlag, Record{Key: w.Key, Fingerprint: w.Fingerprint, Outcomes: []Outcome{c.claimedOutcome(w)}}, map[string]bool{}, w.answers)
 }
 
 // release has the keepers know that a claim is not used. One that has refused it has nothing to release.
-func (c *Core) release(w *want, ticket uint64) {
+func (c *Core) release(w *activeClaim, ticket uint64) {
 	refused := map[string]bool{}
 	for k, a := range w.answers {
 		if !a.granted {
 			refused[k] = true
 		}
 	}
-	c.tell(ticket, Record{Key: w.Key, Fingerprint: w.Fingerprint, Outcomes: []Outcome{{Claim: w.claim, Stage: Released}}}, refused)
+	c.reportOutcome(ticket, Record{Key: w.Key, Fingerprint: w.Fingerprint, Outcomes: []Outcome{{Claim: w.claim, Stage: Released}}}, refused)
 }
 
-// end has the keepers know what became of an op.
-func (c *Core) end(in OpEnded) {
-	w := c.mine[in.RequestID]
+// handleOpEnded has the keepers know what became of an op.
+func (c *Core) handleOpEnded(in OpEnded) {
+	w := c.grantedClaims[in.RequestID]
 	if w == nil {
 		return
 	}
-	delete(c.mine, in.RequestID)
+	delete(c.grantedClaims, in.RequestID)
 	if in.NeverRan {
 		c.release(w, w.RequestID)
 		return
 	}
 	if in.Abandoned {
-		f := c.fateOf(w)
+		f := c.claimedOutcome(w)
 		f.Stage = Abandoned
-		c.tell(in.RequestID, Record{Key: w.Key, Fingerprint: w.Fingerprint, Outcomes: []Outcome{f}}, map[string]bool{})
+		c.reportOutcome(in.RequestID, Record{Key: w.Key, Fingerprint: w.Fingerprint, Outcomes: []Outcome{f}}, map[string]bool{})
 		return
 	}
-	c.tell(in.RequestID, Record{Key: w.Key, Fingerprint: w.Fingerprint, Outcomes: []Outcome{{Claim: w.claim, Stage: Ended, Verdict: in.Verdict, Result: in.Result,
+	c.reportOutcome(in.RequestID, Record{Key: w.Key, Fingerprint: w.Fingerprint, Outcomes: []Outcome{{Claim: w.claim, Stage: Ended, Verdict: in.Verdict, Result: in.Result,
 		ResultRetained: in.ResultRetained}}}, map[string]bool{})
 }
 
-// tell has those keepers know of a fate that need to.
-func (c *Core) tell(ticket uint64, r Record, known map[string]bool) {
-	c.tellThose(ticket, r, known, nil)
+// reportOutcome has those keepers know of a fate that need to.
+func (c *Core) reportOutcome(ticket uint64, r Record, known map[string]bool) {
+	c.reportOutcomeWithGrants(ticket, r, known, nil)
 }
 
-func (c *Core) tellThose(ticket uint64, r Record, known map[string]bool, granted map[string]answer) {
-	if c.toldAll(known) {
+func (c *Core) reportOutcomeWithGrants(ticket uint64, r Record, known map[string]bool, granted map[string]claimAnswer) {
+	if c.allAcknowledged(known) {
 		return
 	}
-	if len(c.tells) >= mostWants {
+	if len(c.outcomeReports) >= maxPendingClaims {
 		c.count("no room to tell") // the claim goes on standing: nobody pushes what may have run
 		return
 	}
-	t := &told{ticket: ticket, record: r, known: known, granted: granted}
-	c.tells[ticket] = t
-	c.tellOn(t)
+	t := &outcomeReport{requestID: ticket, record: r, acknowledged: known, grants: granted}
+	c.outcomeReports[ticket] = t
+	c.sendReport(t)
 }
 
-func (c *Core) tellOn(t *told) {
-	t.times++
-	t.next = c.now + c.t.RetryInterval*Time(min(t.times, 10))
-	for _, k := range c.all {
-		if !t.known[k] {
-			x := Message{Kind: OutcomeReported, RequestID: t.ticket, Record: t.record}
-			if a := t.granted[k]; a.granted {
-				x.LogIncarnation, x.After = a.life, a.at
+func (c *Core) sendReport(t *outcomeReport) {
+	t.attempts++
+	t.nextRetry = c.now + c.config.RetryInterval*Time(min(t.attempts, 10))
+	for _, k := range c.members {
+		if !t.acknowledged[k] {
+			x := Message{Kind: OutcomeReported, RequestID: t.requestID, Record: t.record}
+			if a := t.grants[k]; a.granted {
+				x.LogIncarnation, x.After = a.incarnation, a.grantedAt
 			}
 			c.send(k, x)
 		}
 	}
-	if c.toldAll(t.known) || t.times >= tellTimes && c.set.HasMajority(func(k string) bool { return t.known[k] }) || t.times >= 4*tellTimes {
-		delete(c.tells, t.ticket)
+	if c.allAcknowledged(t.acknowledged) || t.attempts >= maxReportAttempts && c.set.HasMajority(func(k string) bool { return t.acknowledged[k] }) || t.attempts >= 4*maxReportAttempts {
+		delete(c.outcomeReports, t.requestID)
 	}
 }
 
-// toldAll tells whether all keepers that are in force know.
-func (c *Core) toldAll(known map[string]bool) bool {
-	return replicaset.Count(c.all, func(k string) bool { return known[k] }) == len(c.all)
+// allAcknowledged tells whether all keepers that are in force know.
+func (c *Core) allAcknowledged(known map[string]bool) bool {
+	return replicaset.Count(c.members, func(k string) bool { return known[k] }) == len(c.members)
 }
 
 // NextTick is when a Tick is due.
 func (c *Core) NextTick() Time {
 	at := c.now + second
-	for _, w := range c.wants {
-		at = min(at, w.next, w.until)
+	for _, w := range c.pendingClaims {
+		at = min(at, w.nextRetry, w.deadline)
 	}
-	for _, t := range c.tells {
-		at = min(at, t.next)
+	for _, t := range c.outcomeReports {
+		at = min(at, t.nextRetry)
 	}
-	if c.keeper && c.serving {
-		for _, l := range c.looks {
-			at = min(at, l.next)
+	if c.isReplica && c.serving {
+		for _, l := range c.peers {
+			at = min(at, l.nextSend)
 		}
 	}
 	return max(at, c.now+1)
 }
 
-// timers does what is due.
-func (c *Core) timers() {
-	for _, ticket := range due(c.wants, func(w *want) bool { return c.now >= min(w.next, w.until) }) {
-		if w := c.wants[ticket]; c.now >= w.until {
-			c.judge(w, true)
+// runTimers does what is due.
+func (c *Core) runTimers() {
+	for _, ticket := range due(c.pendingClaims, func(w *activeClaim) bool { return c.now >= min(w.nextRetry, w.deadline) }) {
+		if w := c.pendingClaims[ticket]; c.now >= w.deadline {
+			c.evaluate(w, true)
 		} else {
-			c.ask(w)
+			c.requestGrants(w)
 		}
 	}
-	for _, ticket := range due(c.tells, func(t *told) bool { return c.now >= t.next }) {
-		if t := c.tells[ticket]; t != nil {
-			c.tellOn(t)
+	for _, ticket := range due(c.outcomeReports, func(t *outcomeReport) bool { return c.now >= t.nextRetry }) {
+		if t := c.outcomeReports[ticket]; t != nil {
+			c.sendReport(t)
 		}
 	}
-	c.keep()
-	c.spread()
-	c.forget()
+	c.replicate()
+	c.gossipSet()
+	c.expireRecords()
 }
 
 // due are the tickets that are, in order.
@@ -644,13 +644,13 @@
 
 // Status is the state as of now.
 func (c *Core) Status() Status {
-	s := Status{SetID: fmt.Sprintf("%016x", c.epoch), Epoch: c.set.Epoch, Replicas: c.set.New, PreviousReplicas: c.set.Old, Ready: c.ready,
-		IsReplica: c.keeper, Voting: c.voting && c.serving, Records: len(c.records),
-		Bytes: c.size, PendingClaims: len(c.wants), GrantedClaims: len(c.mine), PendingReports: len(c.tells), Digest: fmt.Sprintf("%016x", c.Digest()),
+	s := Status{SetID: fmt.Sprintf("%016x", c.setID), Epoch: c.set.Epoch, Replicas: c.set.New, PreviousReplicas: c.set.Old, Ready: c.ready,
+		IsReplica: c.isReplica, Voting: c.voting && c.serving, Records: len(c.records),
+		Bytes: c.recordBytes, PendingClaims: len(c.pendingClaims), GrantedClaims: len(c.grantedClaims), PendingReports: len(c.outcomeReports), Digest: fmt.Sprintf("%016x", c.Digest()),
 		Counts: map[string]uint64{}, Peers: []PeerProgress{}}
-	for _, k := range c.all {
-		if l := c.looks[k]; l != nil {
-			s.Peers = append(s.Peers, PeerProgress{k, l.since, l.voting, !l.more})
+	for _, k := range c.members {
+		if l := c.peers[k]; l != nil {
+			s.Peers = append(s.Peers, PeerProgress{k, l.position, l.voting, !l.more})
 		}
 	}
 	for k, v := range c.counts {
--- a/internal/cluster/replication/record.go
+++ b/internal/cluster/replication/record.go
@@ -51,14 +51,14 @@
 // stands tells whether what the claim was for may have run, or may run yet, and has no end.
 func (f *Outcome) stands() bool { return f.Stage == Claimed || f.Stage == Abandoned }
 
-// nowhere is where a claim ran of which two groups are told.
-const nowhere = "\x00"
+// conflictingGroups is where a claim ran of which two groups are told.
+const conflictingGroups = "\x00"
 
-// joinFate is the rule for two words of one claim. Of two that can't both be true the one that sends nothing stands.
-func joinFate(a, b Outcome) (c Outcome, breach bool) {
+// joinOutcomes is the rule for two words of one claim. Of two that can't both be true the one that sends nothing stands.
+func joinOutcomes(a, b Outcome) (c Outcome, breach bool) {
 	breach = a.Stage != b.Stage && min(a.Stage, b.Stage) == Released || a.Stage == Ended && b.Stage == Ended && a.Verdict != b.Verdict
 	c = a
-	if cmp.Or(cmp.Compare(a.Stage, b.Stage), cmp.Compare(a.Verdict, b.Verdict), compareHeld(a, b)) < 0 {
+	if cmp.Or(cmp.Compare(a.Stage, b.Stage), cmp.Compare(a.Verdict, b.Verdict), compareResults(a, b)) < 0 {
 		c = b
 	}
 	c.Voted = a.Voted || b.Voted
@@ -67,12 +67,12 @@
 		c.Age = max(a.Age, b.Age)
 	}
 	if c.Group = max(a.Group, b.Group); a.Group != "" && b.Group != "" && a.Group != b.Group {
-		c.Group, breach = nowhere, true // one push fixes the group; of two words nobody may be bound by either
+		c.Group, breach = conflictingGroups, true // one push fixes the group; of two words nobody may be bound by either
 	}
 	return c, breach
 }
 
-func compareHeld(a, b Outcome) int {
+func compareResults(a, b Outcome) int {
 	switch {
 	case a.ResultRetained == b.ResultRetained:
 		return slices.Compare(a.Result, b.Result)
@@ -89,9 +89,9 @@
 	Age         uint64    `cbor:"3,keyasint,omitzero"` // seconds since it was first heard of, on the wire
 	Outcomes    []Outcome `cbor:"4,keyasint,omitzero"` // in order of claims
 
-	since Time
-	pos   uint64 // in the order of changes here
-	sum   uint64 // its digest, as it stands in that of all
+	firstSeen Time
+	position  uint64 // in the order of changes here
+	digestSum uint64 // its digest, as it stands in that of all
 }
 
 func compareClaims(a, b Claim) int {
@@ -111,13 +111,13 @@
 		return true, false
 	}
 	before := r.Outcomes[i]
-	r.Outcomes[i], breach = joinFate(before, f)
+	r.Outcomes[i], breach = joinOutcomes(before, f)
 	after := r.Outcomes[i]
 	return after.Group != before.Group || after.Stage != before.Stage || after.ResultRetained != before.ResultRetained || after.Verdict != before.Verdict, breach
 }
 
-// stands is the claim that may still be used, other than one; false where there is none.
-func (r *Record) stands(but Claim) (Outcome, bool) {
+// standing is the claim that may still be used, other than one; false where there is none.
+func (r *Record) standing(but Claim) (Outcome, bool) {
 	for _, f := range r.Outcomes {
 		if f.stands() && f.Claim != but {
 			return f, true
@@ -126,18 +126,18 @@
 	return Outcome{}, false
 }
 
-// bound tells whether all claims that stand beside one may have run in a group, and nowhere else: a repeat there is dropped.
-func (r *Record) bound(but Claim, where string) bool {
+// standsOnlyIn tells whether all claims that stand beside one may have run in a group, and nowhere else: a repeat there is dropped.
+func (r *Record) standsOnlyIn(but Claim, where string) bool {
 	for _, f := range r.Outcomes {
 		if f.stands() && f.Claim != but && f.Group != where {
 			return false
 		}
 	}
-	return where != "" && where != nowhere
+	return where != "" && where != conflictingGroups
 }
 
-// ended is the end of the op, of several the one with a result.
-func (r *Record) ended() (end Outcome, ok bool) {
+// ending is the end of the op, of several the one with a result.
+func (r *Record) ending() (end Outcome, ok bool) {
 	for _, f := range r.Outcomes {
 		if f.Stage == Ended && (!ok || f.ResultRetained && !end.ResultRetained) {
 			end, ok = f, true
--- a/internal/cluster/replication/record_test.go
+++ b/internal/cluster/replication/record_test.go
@@ -65,7 +65,7 @@
 		{Outcome{Claim: x, Stage: Released}, Outcome{Claim: x, Stage: Ended, Verdict: 200}, Outcome{Claim: x, Stage: Ended, Verdict: 200}, true},
 		{Outcome{Claim: x, Stage: Ended, Verdict: 502}, Outcome{Claim: x, Stage: Ended, Verdict: 200}, Outcome{Claim: x, Stage: Ended, Verdict: 502}, true},
 	} {
-		got, breach := joinFate(c.a, c.b)
+		got, breach := joinOutcomes(c.a, c.b)
 		if !reflect.DeepEqual(got, c.want) || breach != c.breach {
 			t.Errorf("%+v and %+v: %+v, breach %v", c.a, c.b, got, breach)
 		}
@@ -83,11 +83,11 @@
 	c := New(terms, 0)
 	c.Step(1, Membership{Serving: true, Generation: 1})
 	c.Step(2, ClaimRequest{RequestID: 1, Key: "k", Timeout: second})
-	w := c.wants[1]
+	w := c.pendingClaims[1]
 	for _, k := range []string{"a", "b", "c", "stranger"} {
-		c.Step(3, MessageReceived{k, Message{Kind: ClaimGranted, SetID: c.epoch + 1, RequestID: 1}})
+		c.Step(3, MessageReceived{k, Message{Kind: ClaimGranted, SetID: c.setID + 1, RequestID: 1}})
 	}
-	if c.Step(3, MessageReceived{"stranger", Message{Kind: ClaimGranted, SetID: c.epoch, RequestID: 1}}); len(w.answers) > 0 {
+	if c.Step(3, MessageReceived{"stranger", Message{Kind: ClaimGranted, SetID: c.setID, RequestID: 1}}); len(w.answers) > 0 {
 		t.Errorf("counted %v", w.answers)
 	}
 	for _, bad := range [][]string{nil, {"a", "b"}, {"a", "a", "b"}, {"a", "", "b"}} {
@@ -106,13 +106,13 @@
 		c := New(terms, 0)
 		c.Step(1, Membership{Serving: true, Generation: 1})
 		c.Step(2, ClaimRequest{RequestID: 1, Key: "k", Timeout: second})
-		c.Step(3, MessageReceived{"a", Message{Kind: ClaimGranted, SetID: c.epoch, RequestID: 1, Incarnation: Incarnation{1, 1}}})
+		c.Step(3, MessageReceived{"a", Message{Kind: ClaimGranted, SetID: c.setID, RequestID: 1, Incarnation: Incarnation{1, 1}}})
 		known := Incarnation{1, 1}
 		if later {
 			known = Incarnation{2, 7}
 		}
 		got := ClaimResult(0)
-		for _, e := range c.Step(4, MessageReceived{"b", Message{Kind: ClaimGranted, SetID: c.epoch, RequestID: 1, Incarnation: Incarnation{1, 2}, Voters: []Voter{{"a", known}}}}) {
+		for _, e := range c.Step(4, MessageReceived{"b", Message{Kind: ClaimGranted, SetID: c.setID, RequestID: 1, Incarnation: Incarnation{1, 2}, Voters: []Voter{{"a", known}}}}) {
 			if d, ok := e.(ClaimDecided); ok {
 				got = d.Result
 			}
@@ -133,7 +133,7 @@
 		c.Restore(nil, Incarnation{1, 1}, nil)
 		c.Step(1, Membership{Serving: true, Generation: 2, Nonce: 1})
 		for _, k := range []string{"b", "c"} {
-			c.Step(2, MessageReceived{k, Message{Kind: Registered, SetID: c.epoch, Incarnation: Incarnation{1, 1}, LogIncarnation: c.life, Voting: true}})
+			c.Step(2, MessageReceived{k, Message{Kind: Registered, SetID: c.setID, Incarnation: Incarnation{1, 1}, LogIncarnation: c.incarnation, Voting: true}})
 		}
 		if !c.voting {
 			t.Fatal("it has no vote: this test proves nothing")
@@ -143,7 +143,7 @@
 			c.Step(4, PersistFailed{Keys: []string{"k"}})
 		}
 		got := ClaimResult(0)
-		for _, e := range c.Step(5, MessageReceived{"b", Message{Kind: ClaimGranted, SetID: c.epoch, RequestID: 1, Incarnation: Incarnation{1, 1}}}) {
+		for _, e := range c.Step(5, MessageReceived{"b", Message{Kind: ClaimGranted, SetID: c.setID, RequestID: 1, Incarnation: Incarnation{1, 1}}}) {
 			if d, ok := e.(ClaimDecided); ok {
 				got = d.Result
 			}
@@ -192,7 +192,7 @@
 	life := Incarnation{1, terms.Nonce}
 	of := map[string]Incarnation{"b": {1, 2}, "c": {1, 3}}
 	hear := func(k string, x Message) {
-		x.SetID, x.Incarnation, x.LogIncarnation, x.Voting = c.epoch, of[k], of[k], true
+		x.SetID, x.Incarnation, x.LogIncarnation, x.Voting = c.setID, of[k], of[k], true
 		if x.Kind == Registered {
 			x.LogIncarnation = life
 		}
@@ -226,7 +226,7 @@
 	c.Step(2, Tick{})
 	grab := func(nonce uint64, where string) Kind {
 		r := Record{Key: "k", Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"x", nonce}, Stage: Claimed, Group: where}}}
-		for _, e := range c.Step(c.now+1, MessageReceived{"x", Message{Kind: ClaimRequested, SetID: c.epoch, RequestID: nonce, Record: r}}) {
+		for _, e := range c.Step(c.now+1, MessageReceived{"x", Message{Kind: ClaimRequested, SetID: c.setID, RequestID: nonce, Record: r}}) {
 			if s, ok := e.(Send); ok {
 				return s.Kind
 			}
@@ -236,7 +236,7 @@
 	if grab(1, "") != ClaimGranted || grab(2, "zone east") != ClaimRefused {
 		t.Error("beside one that ran nobody knows where")
 	}
-	c.Step(c.now+1, MessageReceived{"x", Message{Kind: OutcomeReported, SetID: c.epoch, Record: Record{Key: "k", Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"x", 1},
+	c.Step(c.now+1, MessageReceived{"x", Message{Kind: OutcomeReported, SetID: c.setID, Record: Record{Key: "k", Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"x", 1},
 		Stage: Claimed, Group: "zone east"}}}}})
 	if grab(3, "") != ClaimRefused || grab(4, "zone west") != ClaimRefused || grab(5, "zone east") != ClaimGranted {
 		t.Error("beside one that ran in the east")
@@ -256,7 +256,7 @@
 		r := Record{Key: "k", Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"y", 1}, Stage: Claimed, Group: "all", Age: age}}}
 		var out []Effect
 		for _, k := range []string{"a", "b"} {
-			out = c.Step(c.now+1, MessageReceived{k, Message{Kind: ClaimRefused, SetID: c.epoch, RequestID: 1, Reason: AlreadyClaimed, Record: r}})
+			out = c.Step(c.now+1, MessageReceived{k, Message{Kind: ClaimRefused, SetID: c.setID, RequestID: 1, Reason: AlreadyClaimed, Record: r}})
 		}
 		bound := false
 		for _, e := range out {
@@ -267,7 +267,7 @@
 			t.Errorf("age %d: bound %v", age, bound)
 		}
 		for _, k := range []string{"a", "b", "c"} {
-			for _, e := range c.Step(c.now+1, MessageReceived{k, Message{Kind: ClaimGranted, SetID: c.epoch, RequestID: 1}}) {
+			for _, e := range c.Step(c.now+1, MessageReceived{k, Message{Kind: ClaimGranted, SetID: c.setID, RequestID: 1}}) {
 				if d, ok := e.(ClaimDecided); ok && d.Result == Granted {
 					t.Error("by grants to the claim before")
 				}
@@ -282,7 +282,7 @@
 	terms.Name, terms.Replicas = "a", []string{"a"}
 	c := New(terms, 0)
 	for n := range 100 {
-		c.learn(Record{Key: fmt.Sprintf("%03d", n*37%100), Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"x", 1}, Stage: Ended}}}, 0)
+		c.mergeRecord(Record{Key: fmt.Sprintf("%03d", n*37%100), Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"x", 1}, Stage: Ended}}}, 0)
 	}
 	var all []string
 	for after := ""; ; after = all[len(all)-1] {
@@ -304,7 +304,7 @@
 	terms.Name, terms.Replicas = "a", []string{"a"}
 	c := New(terms, 0)
 	for n := range 100_000 {
-		c.learn(Record{Key: fmt.Sprintf("%016x", uint64(n)*0x9e3779b97f4a7c15), Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"x", 1}, Stage: Ended}}}, 0)
+		c.mergeRecord(Record{Key: fmt.Sprintf("%016x", uint64(n)*0x9e3779b97f4a7c15), Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"x", 1}, Stage: Ended}}}, 0)
 	}
 	for b.Loop() {
 		c.Page("8", 500)
@@ -328,7 +328,7 @@
 		}
 		bound := false
 		for _, k := range []string{"a", "b"} {
-			for _, e := range c.Step(c.now+1, MessageReceived{k, Message{Kind: ClaimRefused, SetID: c.epoch, RequestID: 1, Reason: AlreadyClaimed, Record: r}}) {
+			for _, e := range c.Step(c.now+1, MessageReceived{k, Message{Kind: ClaimRefused, SetID: c.setID, RequestID: 1, Reason: AlreadyClaimed, Record: r}}) {
 				s, ok := e.(Send)
 				bound = bound || ok && s.Kind == ClaimRequested && s.Record.Outcomes[0].Group == "all"
 			}
