--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -66,12 +66,11 @@
 	return 1 + int((maxLooks-1)*d.rank(o))
 }
 
-// giveUp answers at once: a nack where trying again is harmless, with when to come back; else a dead letter.
-func (d *Dispatcher) giveUp(o *op, pause Time, why RejectionReason) (Verb, int, Time) {
-	d.why = why
+// giveUp answers at once: a nack with its Retry-After where a retry is harmless, else a dead letter.
+func (d *Dispatcher) giveUp(o *op, retryAfter Time, reason RejectionReason) Decision {
 	o.over = true
 	if !d.harmless(o) || len(o.unfit) > 1 {
-		return DeadLetter, 0, 0
+		return Decision{Kind: DeadLetter, Reason: reason}
 	}
-	return Nack, 0, min(max(pause, 0), d.site.longestPause)
+	return Decision{Kind: Nack, Duration: min(max(retryAfter, 0), d.site.longestPause), Reason: reason}
 }
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -12,13 +12,13 @@
 	d.AdvanceClock(now)
 	d.BeginSnapshot()
 	for i := range workers {
-		d.UpsertWorker(i, 1, 1, true, 0)
+		d.UpsertWorker(i, WorkerEntry{Zone: 1, Group: 1, Ready: true})
 	}
 	d.EndUpdate()
 	for i := range held {
 		now++
 		d.AdvanceClock(now)
-		d.AddOp(i, 0, now+1<<40, 1, 0, 0)
+		d.AddOp(i, OpSpec{Category: 0, TTL: now + 1<<40, Slots: 1})
 		pull(d)
 		d.AttemptProgress(i, 0, true, 0)
 	}
@@ -28,7 +28,7 @@
 
 func pull(d *Dispatcher) {
 	for {
-		if do, _, _, _ := d.Next(); do == NoDecision {
+		if d.Next().Kind == NoDecision {
 			return
 		}
 	}
@@ -65,7 +65,7 @@
 					now++
 				}
 				d.AdvanceClock(now)
-				d.AddOp(held, 0, now+1<<40, 1, 0, 0)
+				d.AddOp(held, OpSpec{Category: 0, TTL: now + 1<<40, Slots: 1})
 				pull(d)
 				d.AdvanceClock(now)
 				d.AttemptEnded(held, 0, Succeeded, 1, true)
@@ -83,7 +83,7 @@
 	for i := range held {
 		now++
 		d.AdvanceClock(now)
-		d.AddOp(i, 0, now+1<<40, 1, 0, 0)
+		d.AddOp(i, OpSpec{Category: 0, TTL: now + 1<<40, Slots: 1})
 		served(d, i, now, false)
 	}
 	return d, now
@@ -92,8 +92,8 @@
 func listed(d *Dispatcher, workers int) {
 	d.BeginSnapshot()
 	for i := range workers {
-		d.UpsertWorker(i, i%14, i%100, true, 0)
-		d.IdentifyWorker(i, ownKey(i), 0)
+		d.UpsertWorker(i, WorkerEntry{Zone: i % 14, Group: i % 100, Ready: true})
+		identify(d, i, ownKey(i), 0)
 	}
 	d.EndUpdate()
 }
@@ -101,8 +101,8 @@
 // served carries an op's decisions out: each probe is answered by an idle worker, and the push starts, and is served where it ends.
 func served(d *Dispatcher, i int, now Time, ends bool) {
 	for {
-		do, op, w, _ := d.Next()
-		switch do {
+		next := d.Next()
+		switch next.Kind {
 		case NoDecision:
 			if ends {
 				d.AttemptEnded(i, 0, Succeeded, 1, true)
@@ -110,9 +110,9 @@
 			}
 			return
 		case Probe:
-			d.ProbeAnswered(w, 5, LoadReport{RunningJobs: 0, QueuedJobs: 0, FreeSlots: 4, FreeMemory: -1})
+			d.ProbeAnswered(next.Worker, 5, LoadReport{RunningJobs: 0, QueuedJobs: 0, FreeSlots: 4, FreeMemory: -1})
 		case Push:
-			d.AttemptProgress(op, 0, true, 0)
+			d.AttemptProgress(next.Op, 0, true, 0)
 		}
 	}
 }
@@ -138,10 +138,11 @@
 				for n := range b.N {
 					now++
 					d.AdvanceClock(now)
-					d.AddOp(100, 0, now+1<<40, 1, 0, 0)
+					spec := OpSpec{TTL: now + 1<<40, Slots: 1}
 					if shape.key > 0 {
-						d.SetAffinityKey(100, ownKey(n%500))
+						spec.AffinityKey = ownKey(n % 500)
 					}
+					d.AddOp(100, spec)
 					served(d, 100, now, true)
 				}
 			})
@@ -164,7 +165,7 @@
 				for n := range b.N {
 					now++
 					d.AdvanceClock(now)
-					d.UpsertWorker(n%workers, n%workers%14, n%workers%100, n%2 > 0, 0)
+					d.UpsertWorker(n%workers, WorkerEntry{Zone: n % workers % 14, Group: n % workers % 100, Ready: n%2 > 0})
 					d.EndUpdate()
 				}
 			})
@@ -182,11 +183,11 @@
 				d.AdvanceClock(now)
 				listed(d, 6_300)
 				for i := range 6_300 {
-					d.UpsertWorker(i, i%14, i%100, ready, 0)
+					d.UpsertWorker(i, WorkerEntry{Zone: i % 14, Group: i % 100, Ready: ready})
 				}
 				d.EndUpdate()
 				for i := range held {
-					d.AddOp(i, 0, now+1<<40, 1, 0, 0)
+					d.AddOp(i, OpSpec{Category: 0, TTL: now + 1<<40, Slots: 1})
 				}
 				pull(d)
 				b.ReportAllocs()
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -23,22 +23,6 @@
 
 const second Time = 10_000
 
-// Verb is what Next decided: with an op, a worker and a span where the verb needs them.
-type Verb int
-
-// The span is a time-out, a nack's pause or a wake's delay.
-const (
-	NoDecision Verb = iota
-	Push
-	Probe
-	CancelAttempt // closes the push that is out; its outcome is Withdrawn, or what came just before
-	Nack
-	DeadLetter
-	SetTimer
-	Forget
-	ReportToPeer // another scheduler, its number in the op's place, that the span is the pushes out here at a worker
-)
-
 // ShadowedDecision is a kind of decision: the two workers asked, the one pushed to, a word to another scheduler.
 type ShadowedDecision int
 
@@ -201,7 +185,6 @@
 	asked, served     float64 // ops, of late
 	takes             bool    // workers say at once that they have taken a push
 	woken             Time
-	why               RejectionReason // of the last op that was given up
 }
 
 // New starts a scheduler's dispatcher from its seed and the site's terms.
@@ -254,33 +237,29 @@
 	}
 }
 
-// UpsertWorker is one line of a list.
-func (d *Dispatcher) UpsertWorker(i, zone, cell int, ready bool, since Time) {
+// UpsertWorker takes up one entry of an endpoint list.
+func (d *Dispatcher) UpsertWorker(i int, entry WorkerEntry) {
 	for len(d.workers) <= i {
 		d.workers = append(d.workers, worker{})
 	}
 	w := &d.workers[i]
-	if !w.known || since > w.since {
+	if !w.known || entry.StartedAt > w.since {
 		// A restarted process is another worker under the same id: nothing learned of the old one holds.
 		d.unlearn(w)
-		*w = worker{known: true, since: since, out: w.out, health: sprt.New(0.05, 0.5, healthMax)}
+		*w = worker{known: true, since: entry.StartedAt, out: w.out, health: sprt.New(0.05, 0.5, healthMax)}
 		for _, o := range w.out {
 			d.await(o) // silence of what the old process has is measured from its sending again
 		}
 	}
-	for len(d.zones) <= zone {
+	for len(d.zones) <= entry.Zone {
 		d.zones = append(d.zones, sprt.New(0.2, 0.9, healthMax)) // a few dead workers don't make a zone lost
 	}
-	w.zone, w.cell, w.ready, w.listed = zone, cell, ready, true
-}
-
-// IdentifyWorker gives a listed worker's name, hashed, and its kind of machine. Schedulers must hash names alike.
-func (d *Dispatcher) IdentifyWorker(i int, mark uint64, kind int) {
-	for len(d.kinds) <= kind {
+	w.zone, w.cell, w.ready, w.listed = entry.Zone, entry.Group, entry.Ready, true
+	for len(d.kinds) <= entry.MachineKind {
 		d.kinds = append(d.kinds, machines{})
 	}
-	if w := &d.workers[i]; len(w.strides) == 0 {
-		w.mark, w.kind = mark, kind
+	if len(w.strides) == 0 { // what was learned of a worker counts in its kind's pool, so the kind must stay
+		w.mark, w.kind = entry.IdentityHash, entry.MachineKind
 	}
 }
 
@@ -297,35 +276,35 @@
 	}
 }
 
-// AddOp is a new op. It returns false for a category that the terms do not name and the host has not kept.
-func (d *Dispatcher) AddOp(i, cat int, ttl Time, slots, memory float64, work Time) bool {
-	if cat < 0 || cat >= len(d.categories) || !d.categories[cat].named() {
+// AddOp admits a new op. It returns false for a category that the settings do not name and the host has not
+// retained.
+func (d *Dispatcher) AddOp(i int, spec OpSpec) bool {
+	if spec.Category < 0 || spec.Category >= len(d.categories) || !d.categories[spec.Category].named() {
 		return false
 	}
 	for len(d.ops) <= i {
 		d.ops = append(d.ops, nil)
 	}
 	// A client's TTL runs over all its tries: one that comes with less of it than others has come before.
-	c := &d.categories[cat]
-	c.longest, c.open = max(c.longest, ttl-d.now), c.open+1
-	o := &op{index: i, cat: cat, ttl: ttl, came: ttl - c.longest, slots: slots, memory: memory, work: work,
-		most: d.site.maxPushes}
+	c := &d.categories[spec.Category]
+	c.longest, c.open = max(c.longest, spec.TTL-d.now), c.open+1
+	o := &op{index: i, cat: spec.Category, ttl: spec.TTL, came: spec.TTL - c.longest, slots: spec.Slots,
+		memory: spec.Memory, work: spec.Work, most: d.site.maxPushes, key: spec.AffinityKey}
 	o.number, d.numbered = d.numbered, d.numbered+1
 	d.ops[i], d.held = o, append(d.held, o)
+	if o.key != 0 {
+		d.countKey(o.key)
+	}
+	if p := spec.PriorAttempt; p != nil {
+		o.ran, o.ranAt, o.ranZone, o.ranGrp = true, p.StartedAt, p.Zone, p.Group
+	}
 	return true
 }
 
-// SetPriorAttempt says of a new op that a push of another scheduler may have run, where and since when. A zone or a cell
-// that is not known here is -1.
-func (d *Dispatcher) SetPriorAttempt(i, zone, cell int, at Time) {
-	o := d.ops[i]
-	o.ran, o.ranAt, o.ranZone, o.ranGrp = true, at, zone, cell
-}
-
-// SetAffinityKey gives what a new op needs at its worker, hashed: data that workers keep for a while or must fetch.
-func (d *Dispatcher) SetAffinityKey(i int, key uint64) {
+// countKey counts how often an affinity key is asked for.
+func (d *Dispatcher) countKey(key uint64) {
 	d.age()
-	if d.ops[i].key = key; len(d.asks) < maxKeys || d.asks[key] > 0 {
+	if len(d.asks) < maxKeys || d.asks[key] > 0 {
 		d.asks[key]++
 	}
 	d.asks[allKeys]++
@@ -447,18 +426,13 @@
 // margin is kept before the TTL for the final answer: a time-out and the answer to it take a step each.
 func (d *Dispatcher) margin() Time { return 2*d.site.step + 1 }
 
-// Next decides one thing; the host calls it until it says Nothing.
-func (d *Dispatcher) Next() (do Verb, op, worker int, span Time) {
+// Next returns one decision; the host calls it until its kind is NoDecision.
+func (d *Dispatcher) Next() Decision {
 	for o := d.following(); o != nil; o = d.following() {
-		if do, worker, span := d.decide(o); do != NoDecision {
-			if do == Forget || do == Push {
-				d.held = slices.Delete(d.held, d.heldFrom(o.number), d.heldFrom(o.number+1))
-			}
-			if do == Forget {
-				d.ops[o.index] = nil
-				d.categories[o.cat].open--
-			}
-			return do, o.index, worker, span
+		if next := d.decide(o); next.Kind != NoDecision {
+			next.Op = o.index
+			d.carryOut(o, next.Kind)
+			return next
 		}
 		d.at = o.number + 1
 	}
@@ -466,13 +440,26 @@
 	if len(d.tells) > 0 {
 		x := d.tells[0]
 		d.tells = d.tells[1:]
-		return ReportToPeer, x[0], x[1], Time(len(d.workers[x[1]].out))
+		return Decision{Kind: ReportToPeer, Peer: x[0], Worker: x[1], InFlight: len(d.workers[x[1]].out)}
 	}
 	if at := d.due(); at > d.now && (d.woken <= d.now || at < d.woken) && at < math.MaxInt64 {
 		d.woken = at
-		return SetTimer, 0, 0, at - d.now
+		return Decision{Kind: SetTimer, Duration: at - d.now}
+	}
+	return Decision{}
+}
+
+// carryOut takes an op that is pushed or forgotten out of the pending ones.
+func (d *Dispatcher) carryOut(o *op, kind DecisionKind) {
+	if kind != Forget && kind != Push {
+		return
+	}
+	k := d.heldFrom(o.number)
+	d.held = slices.Delete(d.held, k, k+1)
+	if kind == Forget {
+		d.ops[o.index] = nil
+		d.categories[o.cat].open--
 	}
-	return NoDecision, 0, 0, 0
 }
 
 // due is the next moment at which something may be decided without an input.
@@ -523,73 +510,101 @@
 	return d.late[0]
 }
 
-func (d *Dispatcher) decide(o *op) (do Verb, worker int, span Time) {
+// decide returns what is due for one op, without its index.
+func (d *Dispatcher) decide(o *op) Decision {
 	switch {
 	case o.over && !o.out:
-		return Forget, 0, 0
-	case o.out && !o.over && !o.silent && d.now >= d.overdue(o):
-		o.silent = true
-		d.judge(o.worker, false)
-		// Connections fall silent and answers get lost. Such ops stood out until their TTL, too late for more.
-		if (o.started > 0 || d.untaken(o)) && d.site.cancel && d.repeatable(o) {
-			return CancelAttempt, 0, 0
-		}
-		return NoDecision, 0, 0
-	case o.over || o.out:
-		return NoDecision, 0, 0
+		return Decision{Kind: Forget}
+	case o.over:
+		return Decision{}
+	case o.out:
+		return d.checkSilence(o)
 	case d.now >= o.ttl-d.margin() || !d.repeatable(o):
 		return d.giveUp(o, 0, d.spent(o))
 	}
 	if o.pair == nil {
-		if d.now < o.next {
-			return NoDecision, 0, 0
-		}
-		if o.legs+o.looks == 0 && o.next == 0 && d.figures().scarce && d.chance.Uniform() > d.rank(o) {
-			return d.giveUp(o, d.spare(o)/2, CapacityShort)
-		}
-		from := d.candidates(o)
-		if o.looks > 0 || d.site.peers {
-			// Looking again where a queue was just seen costs probes and finds it still there.
-			from = slices.DeleteFunc(from, func(i int) bool { return d.hopeless(o, i) })
-			if len(from) == 0 {
-				d.found(o, false)
-				return d.giveUp(o, d.spare(o)/2, QueuesTooLong)
-			}
+		if next, drawn := d.drawPair(o); !drawn {
+			return next
 		}
-		if len(from) == 0 {
-			if d.now > o.came+d.categories[o.cat].target {
-				return d.giveUp(o, 0, NoEligibleWorker)
-			}
-			return NoDecision, 0, 0
-		}
-		o.pair = d.both(ShadowedPair, func() []int { return d.pair(o, d.homes(o, slices.Clone(from)), len(from)) })
-		o.got = make([]bool, len(o.pair))
-		o.askedAt = d.now
-		d.met(stats.Bit(len(o.pair) > 0 && o.looks+o.legs == 0), 0)
 	}
 	if d.site.probes && o.asked < len(o.pair) {
 		o.asked++
-		return Probe, o.pair[o.asked-1], 0
+		return Decision{Kind: Probe, Worker: o.pair[o.asked-1]}
 	}
 	if o.asked > 0 && slices.Contains(o.got, false) && d.now < o.askedAt+d.shortWait() {
-		return NoDecision, 0, 0
+		return Decision{}
 	}
-	i, spare, wait := d.both(ShadowedPlacement, func() []int { return []int{d.choose(o)} })[0], d.spare(o), Time(0)
-	excess := max(spare, 1)
-	if i >= 0 {
-		wait = d.wait(o, i)
-		excess = wait - d.patience(o)
+	return d.placeOp(o)
+}
+
+// checkSilence counts an overdue attempt against its worker, once, and cancels it where another one may follow.
+func (d *Dispatcher) checkSilence(o *op) Decision {
+	if o.silent || d.now < d.overdue(o) {
+		return Decision{}
+	}
+	o.silent = true
+	d.judge(o.worker, false)
+	// A silent connection or a lost answer would otherwise occupy the op until its TTL, too late for a retry.
+	if (o.started > 0 || d.untaken(o)) && d.site.cancel && d.repeatable(o) {
+		return Decision{Kind: CancelAttempt}
 	}
-	if excess > 0 {
-		// A queue that outlasts the op's time only makes it late there, and others too: look again, or say no.
-		if o.looks++; spare <= 0 || o.looks >= d.looks(o) {
+	return Decision{}
+}
+
+// drawPair draws the workers to probe; not drawn, the op waits or is given up.
+func (d *Dispatcher) drawPair(o *op) (next Decision, drawn bool) {
+	if d.now < o.next {
+		return Decision{}, false
+	}
+	if o.legs+o.looks == 0 && o.next == 0 && d.figures().scarce && d.chance.Uniform() > d.rank(o) {
+		return d.giveUp(o, d.spare(o)/2, CapacityShort), false
+	}
+	from := d.candidates(o)
+	if o.looks > 0 || d.site.peers {
+		// Looking again where a queue was just seen costs probes and finds it still there.
+		from = slices.DeleteFunc(from, func(i int) bool { return d.hopeless(o, i) })
+		if len(from) == 0 {
 			d.found(o, false)
-			return d.giveUp(o, min(excess, spare/2), StartTooLate)
+			return d.giveUp(o, d.spare(o)/2, QueuesTooLong), false
 		}
-		o.unask()
-		o.next = d.now + spare/4 + 1
-		return NoDecision, 0, 0
 	}
+	if len(from) == 0 {
+		if d.now > o.came+d.categories[o.cat].target {
+			return d.giveUp(o, 0, NoEligibleWorker), false
+		}
+		return Decision{}, false
+	}
+	o.pair = d.both(ShadowedPair, func() []int { return d.pair(o, d.homes(o, slices.Clone(from)), len(from)) })
+	o.got = make([]bool, len(o.pair))
+	o.askedAt = d.now
+	d.met(stats.Bit(len(o.pair) > 0 && o.looks+o.legs == 0), 0)
+	return Decision{}, true
+}
+
+// placeOp pushes the op to the worker chosen of its pair, looks for another pair, or gives the op up.
+func (d *Dispatcher) placeOp(o *op) Decision {
+	chosen := d.both(ShadowedPlacement, func() []int { return []int{d.choose(o)} })[0]
+	spare, wait := d.spare(o), Time(0)
+	excess := max(spare, 1)
+	if chosen >= 0 {
+		wait = d.wait(o, chosen)
+		excess = wait - d.patience(o)
+	}
+	if excess <= 0 {
+		return d.push(o, chosen, wait)
+	}
+	// A queue that outlasts the op's time would make it late there, and those behind it too.
+	if o.looks++; spare <= 0 || o.looks >= d.looks(o) {
+		d.found(o, false)
+		return d.giveUp(o, min(excess, spare/2), StartTooLate)
+	}
+	o.unask()
+	o.next = d.now + spare/4 + 1
+	return Decision{}
+}
+
+// push starts an attempt at a worker, where the op is predicted to wait for so long.
+func (d *Dispatcher) push(o *op, i int, wait Time) Decision {
 	d.found(o, true)
 	o.place, o.foretold, o.looked = d.place(o, i), wait, d.fits(o, i)
 	w := &d.workers[i]
@@ -598,5 +613,5 @@
 	w.out = append(w.out, o)
 	d.tell(i)
 	d.await(o)
-	return Push, i, max(o.ttl-d.now-d.margin()+d.site.step, 1)
+	return Decision{Kind: Push, Worker: i, Duration: max(o.ttl-d.now-d.margin()+d.site.step, 1)}
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -114,7 +114,7 @@
 	d.halved = d.now
 	copy(d.a[:], []float64{4, 4, 4, 4})
 	copy(d.b[:], []float64{4, 4, 4, 0})
-	d.AddOp(0, 0, d.now+50_000, 4, 0, 0)
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 4})
 	decisions(d)
 	if got := pushed(t, d, 0, jobs(2), 1, jobs(0)); got != 1 {
 		t.Errorf("an op of four slots went to worker %d with two free", got)
@@ -127,14 +127,14 @@
 	for i := range d.workers {
 		d.learnPlace(&d.workers[i], place{1, 4_000})
 	}
-	d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	probes := 0
 	for range 400 {
 		for _, a := range decisions(d) {
-			switch a.do {
+			switch a.Kind {
 			case Probe:
 				probes++
-				d.ProbeAnswered(a.worker, 0, jobs(30))
+				d.ProbeAnswered(a.Worker, 0, jobs(30))
 			case Nack:
 				if probes > 2*maxLooks {
 					t.Errorf("%d probes for one op", probes)
@@ -198,30 +198,30 @@
 
 func TestNoReadyWorker(t *testing.T) {
 	d := fleet(0, nil)
-	d.AddOp(0, 4, d.now+50_000, 1, 0, 0)
+	d.AddOp(0, OpSpec{Category: 4, TTL: d.now + 50_000, Slots: 1})
 	if all := decisions(d); len(all) != 0 {
 		t.Fatalf("held at first, got %v", all)
 	}
 	d.AdvanceClock(d.now + 5_001)
-	if all := decisions(d); len(all) == 0 || all[0].do != Nack {
+	if all := decisions(d); len(all) == 0 || all[0].Kind != Nack {
 		t.Errorf("nothing was sent, so a nack is harmless: got %v", all)
 	}
-	d.AddOp(1, 0, d.now+10, 1, 0, 0)
+	d.AddOp(1, OpSpec{Category: 0, TTL: d.now + 10, Slots: 1})
 	all := decisions(d)
-	if !slices.ContainsFunc(all, func(a decision) bool { return a.do == Nack && a.op == 1 }) {
+	if !slices.ContainsFunc(all, func(a Decision) bool { return a.Kind == Nack && a.Op == 1 }) {
 		t.Errorf("an op that comes with no time left is answered at once: %v", all)
 	}
 }
 
 func TestListIsFollowed(t *testing.T) {
 	d := fleet(3, nil)
-	d.UpsertWorker(0, 0, 0, false, 0)
+	d.UpsertWorker(0, WorkerEntry{})
 	d.EndUpdate()
 	d.BeginSnapshot()
-	d.UpsertWorker(2, 0, 2, true, 0)
+	d.UpsertWorker(2, WorkerEntry{Group: 2, Ready: true})
 	d.EndUpdate()
-	d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
-	if all := decisions(d); len(all) != 1 || all[0].worker != 2 {
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
+	if all := decisions(d); len(all) != 1 || all[0].Worker != 2 {
 		t.Errorf("only worker 2 is ready, got %v", all)
 	}
 }
@@ -229,9 +229,9 @@
 // Clients that were turned away came back at once and were given a whole new target each time.
 func TestRetryCountsFromItsFirstTry(t *testing.T) {
 	d := fleet(2, nil)
-	d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	d.AdvanceClock(d.now + 1_000)
-	d.AddOp(1, 0, d.now+46_000, 1, 0, 0)
+	d.AddOp(1, OpSpec{Category: 0, TTL: d.now + 46_000, Slots: 1})
 	if got := d.spare(d.op(0)); got != 4_000 {
 		t.Errorf("the first try has %d to spare, want 4000", got)
 	}
@@ -252,8 +252,8 @@
 	decisions(d)
 	d.AdvanceClock(d.op(0).next)
 	for _, a := range decisions(d) {
-		if a.do == Probe && (a.worker == x || a.worker == y) {
-			t.Errorf("worker %d was probed again", a.worker)
+		if a.Kind == Probe && (a.Worker == x || a.Worker == y) {
+			t.Errorf("worker %d was probed again", a.Worker)
 		}
 	}
 }
@@ -261,7 +261,7 @@
 // Ops with seconds to spare filled queues to seconds, and a category of short targets never found a place.
 func TestPatienceIsCapped(t *testing.T) {
 	d := fleet(2, map[string]any{"categories.1.targetLatency": 100_000.0})
-	d.AddOp(0, 1, d.now+200_000, 1, 0, 0)
+	d.AddOp(0, OpSpec{Category: 1, TTL: d.now + 200_000, Slots: 1})
 	if got := d.patience(d.op(0)); got > 2*5_000 {
 		t.Errorf("patience %d, over twice the least target", got)
 	}
@@ -270,8 +270,8 @@
 // In overload cheap ops took the places of dear ones.
 func TestCheapOpsAreLessPatient(t *testing.T) {
 	d := fleet(2, map[string]any{"benefitPer": "work", "categories.1.benefit": 8.0})
-	d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
-	d.AddOp(1, 1, d.now+50_000, 1, 0, 0)
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
+	d.AddOp(1, OpSpec{Category: 1, TTL: d.now + 50_000, Slots: 1})
 	if cheap, dear := d.patience(d.op(0)), d.patience(d.op(1)); 4*cheap != dear {
 		t.Errorf("patience %d and %d for benefits 2 and 8", cheap, dear)
 	}
@@ -294,7 +294,7 @@
 		d := New(7, terms(map[string]any{"prices.crossZone": price, "myZone": 1.0}))
 		d.AdvanceClock(1_000_000)
 		for i := range 40 {
-			d.UpsertWorker(i, i%4, i, true, 0)
+			d.UpsertWorker(i, WorkerEntry{Zone: i % 4, Group: i, Ready: true})
 		}
 		d.EndUpdate()
 		none, far := 0, 0
@@ -314,7 +314,7 @@
 	d := New(7, terms(map[string]any{"prices.crossZone": 0.03}))
 	d.AdvanceClock(1_000_000)
 	for i := range 40 {
-		d.UpsertWorker(i, i%4, i, true, 0)
+		d.UpsertWorker(i, WorkerEntry{Zone: i % 4, Group: i, Ready: true})
 		d.ProbeAnswered(i, 0, jobs(3*float64(stats.Bit(i%4 == 0))))
 	}
 	d.EndUpdate()
@@ -332,22 +332,22 @@
 func TestWaitForProbesEndsBeforeTTL(t *testing.T) {
 	d := fleet(6, nil)
 	d.trips = []Time{5_000}
-	d.AddOp(0, 0, d.now+1_000, 1, 0, 0)
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 1_000, Slots: 1})
 	var woken Time
 	for {
-		do, _, _, span := d.Next()
-		if do == NoDecision {
+		next := d.Next()
+		if next.Kind == NoDecision {
 			break
 		}
-		if do == SetTimer {
-			woken = span
+		if next.Kind == SetTimer {
+			woken = next.Duration
 		}
 	}
 	if woken == 0 || woken > 1_000-d.margin() {
 		t.Fatalf("woken after %d, too late for a TTL of 1000", woken)
 	}
 	d.AdvanceClock(d.now + woken)
-	if all := decisions(d); len(all) == 0 || all[0].do != Nack {
+	if all := decisions(d); len(all) == 0 || all[0].Kind != Nack {
 		t.Errorf("not answered in time: %v", all)
 	}
 }
@@ -360,7 +360,7 @@
 		d.starts = append(d.starts, start{d.now, 100})
 	}
 	for i := range n {
-		d.AddOp(i, 0, d.now+50_000, 1, 0, 0)
+		d.AddOp(i, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 		decisions(d)
 		d.AdvanceClock(d.now + d.shortWait())
 		d.ProbeAnswered(0, 0, jobs(float64(i)/4)) // worker 1 does not answer the probe
@@ -396,14 +396,14 @@
 	d := fleet(60, nil)
 	across := 0
 	for i := range 60 {
-		d.AddOp(i, 0, d.now+50_000, 1, 0, 0)
+		d.AddOp(i, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 		for _, a := range decisions(d) {
-			if a.worker%2 == 0 {
-				d.ProbeAnswered(a.worker, 0, jobs(0))
+			if a.Worker%2 == 0 {
+				d.ProbeAnswered(a.Worker, 0, jobs(0))
 			} else if across++; i < 40 {
-				d.ProbeFailed(a.worker, 0, TimedOut)
+				d.ProbeFailed(a.Worker, 0, TimedOut)
 			} else {
-				d.ProbeFailed(a.worker, 0, Rejected) // turned away, but reached
+				d.ProbeFailed(a.Worker, 0, Rejected) // turned away, but reached
 			}
 		}
 		d.AdvanceClock(d.now + 500)
@@ -456,7 +456,7 @@
 // Reports are noisy: an empty worker of four slots that told 3.4 free ones was no place for an op of four.
 func TestEmptyWorkerHasRoomForWideOp(t *testing.T) {
 	d := fleet(2, nil)
-	d.AddOp(0, 0, d.now+50_000, 4, 0, 0)
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 4})
 	decisions(d)
 	d.ProbeAnswered(0, 0, LoadReport{RunningJobs: 0, FreeSlots: 3.4, FreeMemory: -1})
 	d.ProbeAnswered(1, 0, LoadReport{RunningJobs: 0.9, FreeSlots: 3.4, FreeMemory: -1})
@@ -468,7 +468,7 @@
 // Ops of four slots were nacked for want of a place where one job of a short rest held one slot.
 func TestPlaceOfWideOpByTheSlotsItLacks(t *testing.T) {
 	d := fleet(3, nil)
-	d.AddOp(0, 0, d.now+50_000, 4, 0, 0)
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 4})
 	for i, n := range []float64{1, 3, 5} {
 		d.ProbeAnswered(i, 0, jobs(n))
 	}
@@ -493,30 +493,30 @@
 // Where probes are not allowed, every op was held for as long as an answer to one might have taken.
 func TestWithoutProbesNoOpWaitsForThem(t *testing.T) {
 	d := fleet(4, map[string]any{"bounds.probes": false})
-	d.AddOp(1, 0, d.now+50_000, 1, 0, 0)
+	d.AddOp(1, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	push(t, d)
 }
 
 // An op that is held beyond the end of its scheduler's process has no answer.
 func TestAStopCutsTTLsShort(t *testing.T) {
 	d := fleet(0, nil)
-	d.AddOp(1, 0, d.now+50_000, 1, 0, 0)
+	d.AddOp(1, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	d.LimitDeadlines(d.now + 1_000)
 	d.AdvanceClock(d.now + 1_000)
-	if all := decisions(d); len(all) == 0 || all[0].do != Nack {
+	if all := decisions(d); len(all) == 0 || all[0].Kind != Nack {
 		t.Fatalf("held beyond the stop: %v", all)
 	}
 }
 
 // A push decided on inside the window was written after it when its connection took long to come up.
 func TestADialDoesNotOutlastTheWindow(t *testing.T) {
-	for wait, want := range map[Time]Verb{17_000: Probe, 19_000: DeadLetter} {
+	for wait, want := range map[Time]DecisionKind{17_000: Probe, 19_000: DeadLetter} {
 		d := fleet(4, map[string]any{"bounds.connectTimeout": 2_000.0})
 		x, y := probed(t, d, 1, 2)
 		pushed(t, d, x, jobs(0), y, jobs(0))
 		d.AdvanceClock(d.now + wait)
 		d.AttemptEnded(1, 0, ConnectionLost, wait, false)
-		if all := decisions(d); len(all) == 0 || all[0].do != want {
+		if all := decisions(d); len(all) == 0 || all[0].Kind != want {
 			t.Errorf("%d after the push: %v, want %v", wait, all, want)
 		}
 	}
@@ -531,13 +531,13 @@
 		d.AdvanceClock(d.now + 10)
 		d.AttemptEnded(0, 0, InvalidRequest, 10, false)
 		all := decisions(d)
-		other := pushed(t, d, all[0].worker, jobs(0), all[1].worker, jobs(0))
+		other := pushed(t, d, all[0].Worker, jobs(0), all[1].Worker, jobs(0))
 		if other == first {
 			t.Fatal("the same worker was asked again")
 		}
 		d.AdvanceClock(d.now + 10)
 		d.AttemptEnded(0, 1, second, 10, second == Succeeded)
-		if all = decisions(d); second == InvalidRequest && (len(all) == 0 || all[0].do != DeadLetter) {
+		if all = decisions(d); second == InvalidRequest && (len(all) == 0 || all[0].Kind != DeadLetter) {
 			t.Errorf("two workers call it unfit: %v", all)
 		}
 		bad := 0
@@ -569,7 +569,7 @@
 		}
 		d.AdvanceClock(d.now + 1_000)
 		all := decisions(d)
-		if called := len(all) > 0 && all[0].do == CancelAttempt; called != want {
+		if called := len(all) > 0 && all[0].Kind == CancelAttempt; called != want {
 			t.Fatalf("category %d: %v", cat, all)
 		}
 		if !want {
@@ -580,7 +580,7 @@
 		}
 		d.AttemptEnded(0, 0, Cancelled, 100, false)
 		d.AdvanceClock(d.now + 10)
-		if all = decisions(d); len(all) == 0 || all[0].do != Probe || all[0].worker == first {
+		if all = decisions(d); len(all) == 0 || all[0].Kind != Probe || all[0].Worker == first {
 			t.Errorf("category %d is not tried elsewhere: %v", cat, all)
 		}
 	}
@@ -605,7 +605,7 @@
 		}
 		d.AdvanceClock(d.now + 100)
 		all := decisions(d)
-		if called := len(all) > 0 && all[0].do == CancelAttempt && all[0].op == 1; called != want || len(all) > 1 {
+		if called := len(all) > 0 && all[0].Kind == CancelAttempt && all[0].Op == 1; called != want || len(all) > 1 {
 			t.Errorf("category %d: %v", cat, all)
 		}
 	}
@@ -616,7 +616,7 @@
 func TestAWorkerThatStartsAndFailsIsDoubted(t *testing.T) {
 	d := fleet(2, nil)
 	for i := range 60 {
-		d.AddOp(i, 0, d.now+50_000, 1, 0, 0)
+		d.AddOp(i, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 		decisions(d)
 		d.AdvanceClock(d.now + d.shortWait())
 		d.ProbeAnswered(0, 0, jobs(0)) // worker 1 does not answer the probe
@@ -641,15 +641,15 @@
 	met := func(turn int) map[uint64]bool {
 		d := fleet(40, map[string]any{"keys": true})
 		for i := range 40 {
-			d.IdentifyWorker(i, uint64((i+turn)%40)*0x51ed2701_9b3c1d77+1, 0)
+			identify(d, i, uint64((i+turn)%40)*0x51ed2701_9b3c1d77+1, 0)
 		}
 		marks := map[uint64]bool{}
 		for k := range 30 {
-			d.AddOp(k, 0, d.now+50_000, 1, 0, 0)
-			d.SetAffinityKey(k, uint64(1+k%10)) // ten keys, so each may have its 2 and a tenth of the fleet, half as much again
+			// Ten keys: each may have its two workers and a tenth of the fleet, half as much again.
+			d.AddOp(k, OpSpec{TTL: d.now + 50_000, Slots: 1, AffinityKey: uint64(1 + k%10)})
 			for _, a := range decisions(d) {
-				if a.do == Probe && k%10 == 3 {
-					marks[d.workers[a.worker].mark] = true
+				if a.Kind == Probe && k%10 == 3 {
+					marks[d.workers[a.Worker].mark] = true
 				}
 			}
 		}
@@ -686,7 +686,7 @@
 func TestAWorkersSpeedIsItsKindsUntilItIsMet(t *testing.T) {
 	d := fleet(4, nil)
 	for i := range 4 {
-		d.IdentifyWorker(i, uint64(i+1), i%2)
+		identify(d, i, uint64(i+1), i%2)
 	}
 	for range 8 {
 		d.workers[0].strides.Add(&d.kinds[d.workers[0].kind].strides, 0.5)
@@ -702,7 +702,7 @@
 	met := func(number float64, price float64) map[int]bool {
 		d := fleet(40, map[string]any{"myNumber": number, "prices.connection": price})
 		for i := range 40 {
-			d.IdentifyWorker(i, uint64(i+1)*0x51ed2701_9b3c1d77, 0)
+			identify(d, i, uint64(i+1)*0x51ed2701_9b3c1d77, 0)
 		}
 		workers := map[int]bool{}
 		for range 60 {
@@ -731,7 +731,7 @@
 		shape["myNumber"] = number
 		d := fleet(8, shape)
 		for i := range 8 {
-			d.IdentifyWorker(i, uint64(i+1)*0x51ed2701_9b3c1d77, 0)
+			identify(d, i, uint64(i+1)*0x51ed2701_9b3c1d77, 0)
 		}
 		d.EndUpdate()
 		return d
@@ -742,16 +742,16 @@
 	d.AdvanceClock(d.now + 50)
 	d.ProbeAnswered(x, 50, jobs(0))
 	d.ProbeAnswered(y, 50, jobs(0))
-	told, worker := map[int]Time{}, -1
+	told, worker := map[int]int{}, -1
 	for _, a := range decisions(d) {
-		switch a.do {
+		switch a.Kind {
 		case Push:
-			worker = a.worker
+			worker = a.Worker
 		case ReportToPeer:
-			if a.worker != worker {
-				t.Errorf("told of worker %d, pushed to %d", a.worker, worker)
+			if a.Worker != worker {
+				t.Errorf("told of worker %d, pushed to %d", a.Worker, worker)
 			}
-			told[a.op] = a.span
+			told[a.Peer] = a.InFlight
 		}
 	}
 	for s := range 12 {
@@ -782,11 +782,11 @@
 
 // Operators watch before they switch: a watch must not change one decision, and must count those that would differ.
 func TestAWatchChangesNothingAndCounts(t *testing.T) {
-	play := func(other map[string]any) (all []decision, counts [ShadowedReport + 1]int) {
+	play := func(other map[string]any) (all []Decision, counts [ShadowedReport + 1]int) {
 		shape := map[string]any{"instances": 12.0, "prices.connection": 0.0, "bounds.peerMessages": false}
 		d := fleet(12, shape)
 		for i := range 12 {
-			d.IdentifyWorker(i, uint64(i+1)*0x51ed2701_9b3c1d77, i%2)
+			identify(d, i, uint64(i+1)*0x51ed2701_9b3c1d77, i%2)
 		}
 		if other != nil {
 			d.SetShadowSettings(terms(other))
@@ -794,12 +794,11 @@
 		d.EndUpdate()
 		for k := range 60 {
 			d.AdvanceClock(d.now + 100)
-			d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
-			d.SetAffinityKey(0, uint64(1+k%5))
+			d.AddOp(0, OpSpec{TTL: d.now + 50_000, Slots: 1, AffinityKey: uint64(1 + k%5)})
 			asked := decisions(d)
 			for _, a := range asked {
 				d.AdvanceClock(d.now + 10)
-				d.ProbeAnswered(a.worker, 0, jobs(0))
+				d.ProbeAnswered(a.Worker, 0, jobs(0))
 			}
 			sent := decisions(d)
 			d.AdvanceClock(d.now + 10)
@@ -838,14 +837,14 @@
 		d.AdvanceClock(1_000_000)
 		d.BeginSnapshot()
 		for i := range 20 {
-			d.UpsertWorker(i, 0, 0, true, Time(999_000*stats.Bit(i > 9))) // half of them are cold
+			d.UpsertWorker(i, WorkerEntry{Ready: true, StartedAt: Time(999_000 * stats.Bit(i > 9))}) // half of them are cold
 		}
 		d.EndUpdate()
 		for i := range 200 {
-			d.AddOp(i, 0, d.now+50_000, 1, 0, 0)
+			d.AddOp(i, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 			for _, a := range decisions(d) {
-				n += stats.Bit(a.worker > 9)
-				d.ProbeAnswered(a.worker, 0, jobs(0))
+				n += stats.Bit(a.Worker > 9)
+				d.ProbeAnswered(a.Worker, 0, jobs(0))
 			}
 			d.AdvanceClock(d.now)
 			push(t, d)
@@ -871,17 +870,17 @@
 	next := 0
 	probes := func(ops, cat int, load LoadReport) (n int) {
 		for range ops {
-			d.AddOp(next, cat, d.now+50_000, 1, 0, 1000)
+			d.AddOp(next, OpSpec{Category: cat, TTL: d.now + 50_000, Slots: 1, Work: 1000})
 			next++
 		}
 		for range 30 { // 0.9 s
 			for _, a := range decisions(d) {
-				switch a.do {
+				switch a.Kind {
 				case Probe:
 					n++
-					d.ProbeAnswered(a.worker, 0, load)
+					d.ProbeAnswered(a.Worker, 0, load)
 				case Push:
-					d.AttemptEnded(a.op, 0, Succeeded, 0, true)
+					d.AttemptEnded(a.Op, 0, Succeeded, 0, true)
 				}
 			}
 			d.AdvanceClock(d.now + 300)
@@ -911,7 +910,7 @@
 // for longer. Nothing of a worker is learned from what was never written to it.
 func TestNothingIsLearnedFromAPushThatWasKeptBack(t *testing.T) {
 	d := fleet(2, map[string]any{"bounds.probes": false})
-	d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	to := push(t, d)
 	w := d.workers[to]
 	d.AdvanceClock(d.now + 70)
@@ -922,7 +921,7 @@
 		t.Errorf("%+v became %+v", w, now)
 	}
 	for _, a := range decisions(d) {
-		if a.do != Forget {
+		if a.Kind != Forget {
 			t.Errorf("%+v", a)
 		}
 	}
@@ -933,16 +932,16 @@
 func TestAPushThatWasNeverWrittenSpendsNone(t *testing.T) {
 	d := fleet(4, map[string]any{"bounds.probes": false, "bounds.maxPushes": 2.0})
 	ttl := d.now + 50*second
-	d.AddOp(0, 0, ttl, 1, 0, 0)
+	d.AddOp(0, OpSpec{Category: 0, TTL: ttl, Slots: 1})
 	unsent := 0
 	for ; unsent < 3; unsent++ {
 		push(t, d)
 		d.AttemptEnded(0, unsent, LocalExhaustion, 0, false)
 		for _, a := range decisions(d) {
-			if a.do == Push {
+			if a.Kind == Push {
 				t.Fatalf("another push at once, after %d", unsent+1)
 			}
-			if a.do == Nack || a.do == DeadLetter {
+			if a.Kind == Nack || a.Kind == DeadLetter {
 				t.Fatalf("given up after %d that were never written", unsent+1)
 			}
 		}
@@ -950,7 +949,7 @@
 	}
 	pushes := 0
 	for ; pushes < 9; pushes++ {
-		if !slices.ContainsFunc(decisions(d), func(a decision) bool { return a.do == Push }) {
+		if !slices.ContainsFunc(decisions(d), func(a Decision) bool { return a.Kind == Push }) {
 			break
 		}
 		d.AttemptEnded(0, unsent+pushes, Rejected, 0, false)
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -29,39 +29,41 @@
 	d.AdvanceClock(1_000_000)
 	d.BeginSnapshot()
 	for i := range n {
-		d.UpsertWorker(i, i%2, i%4, true, 0)
+		d.UpsertWorker(i, WorkerEntry{Zone: i % 2, Group: i % 4, Ready: true})
 	}
 	d.EndUpdate()
 	return d
 }
 
-type decision struct {
-	do         Verb
-	op, worker int
-	span       Time
-}
-
-func decisions(d *Dispatcher) (all []decision) {
+// decisions pulls all decisions but for timers.
+func decisions(d *Dispatcher) (all []Decision) {
 	for {
-		do, op, worker, span := d.Next()
-		if do == NoDecision {
+		next := d.Next()
+		if next.Kind == NoDecision {
 			return all
 		}
-		if do != SetTimer {
-			all = append(all, decision{do, op, worker, span})
+		if next.Kind != SetTimer {
+			all = append(all, next)
 		}
 	}
 }
 
+// identify gives a listed worker its name's hash and its kind of machine.
+func identify(d *Dispatcher, i int, hash uint64, kind int) {
+	w := &d.workers[i]
+	d.UpsertWorker(i, WorkerEntry{Zone: w.zone, Group: w.cell, Ready: w.ready, StartedAt: w.since,
+		IdentityHash: hash, MachineKind: kind})
+}
+
 // probed gives an op to the dispatcher and returns the two workers that it asks.
 func probed(t *testing.T, d *Dispatcher, op, cat int) (x, y int) {
 	t.Helper()
-	d.AddOp(op, cat, d.now+50_000, 1, 0, 0)
+	d.AddOp(op, OpSpec{Category: cat, TTL: d.now + 50_000, Slots: 1})
 	all := decisions(d)
-	if len(all) != 2 || all[0].do != Probe || all[1].do != Probe || all[0].worker == all[1].worker {
+	if len(all) != 2 || all[0].Kind != Probe || all[1].Kind != Probe || all[0].Worker == all[1].Worker {
 		t.Fatalf("a new op must probe two workers, got %v", all)
 	}
-	return all[0].worker, all[1].worker
+	return all[0].Worker, all[1].Worker
 }
 
 // pushed answers probes with the given loads and returns the worker pushed to.
@@ -76,8 +78,8 @@
 func push(t *testing.T, d *Dispatcher) int {
 	t.Helper()
 	for _, a := range decisions(d) {
-		if a.do == Push {
-			return a.worker
+		if a.Kind == Push {
+			return a.Worker
 		}
 	}
 	t.Fatal("no push")
--- a/dispatch/learned_test.go
+++ b/dispatch/learned_test.go
@@ -14,10 +14,10 @@
 func taught(t *testing.T) *Dispatcher {
 	d := fleet(2, map[string]any{"categories.0.name": "look"})
 	for i := range 2 {
-		d.IdentifyWorker(i, uint64(i+1), 0)
+		identify(d, i, uint64(i+1), 0)
 	}
 	for i := range 80 {
-		d.AddOp(i, 0, d.now+50_000, 1, 0, 0)
+		d.AddOp(i, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 		decisions(d)
 		d.AdvanceClock(d.now + d.shortWait())
 		d.ProbeAnswered(0, 3, jobs(float64(i%3)))
@@ -45,7 +45,7 @@
 	}
 	is := fleet(2, map[string]any{"categories.0.name": "look"})
 	for i := range 2 {
-		is.IdentifyWorker(i, uint64(i+1), 0)
+		identify(is, i, uint64(i+1), 0)
 	}
 	is.AdvanceClock(was.now + 5)
 	is.RestoreLearned(l)
@@ -69,9 +69,9 @@
 	l := taught(t).Learned()
 	d := fleet(2, map[string]any{"categories.0.name": "look"})
 	d.AdvanceClock(1 << 40)
-	d.UpsertWorker(0, 0, 0, true, 1<<40-5)
+	d.UpsertWorker(0, WorkerEntry{Ready: true, StartedAt: 1<<40 - 5})
 	for i := range 2 {
-		d.IdentifyWorker(i, uint64(i+1), 0)
+		identify(d, i, uint64(i+1), 0)
 	}
 	l.ThresholdCounts[0][0], l.ThresholdCounts[1][0], l.ThresholdCounts[1][1] = -5, 3, math.MaxFloat64
 	l.HalvedAt, l.StartDelays, l.ProbeRTTs = 1<<50, []Time{-4, math.MaxInt64, 30}, make([]Time, 9000)
@@ -94,6 +94,6 @@
 		len(d.starts) > 0 || d.a[0] != 0 || d.b[1] > d.a[1] || d.halved > d.now {
 		t.Errorf("%+v, taus %v, %d trips, %d starts, a %v, b %v", w, d.taus, len(d.trips), len(d.starts), d.a, d.b)
 	}
-	d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	decisions(d) // it must not panic on any of it
 }
--- a/dispatch/rejection.go
+++ b/dispatch/rejection.go
@@ -24,9 +24,6 @@
 	return whyNames[w]
 }
 
-// LastRejection is the reason of the last decision that gave an op up.
-func (d *Dispatcher) LastRejection() RejectionReason { return d.why }
-
 // spent is why an op is given up that may not be pushed again, or whose time is over.
 func (d *Dispatcher) spent(o *op) RejectionReason {
 	if d.now >= o.ttl-d.margin() {
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -116,8 +116,8 @@
 		if r.Intn(8) == 0 {
 			m.since[i], m.free[i] = now, 0 // what the process before it told says nothing of this one
 		}
-		d.UpsertWorker(i, m.where[i][0], m.where[i][1], m.ready[i], m.since[i])
-		d.IdentifyWorker(i, uint64(i+1)*0x51ed2701_9b3c1d77, i%3)
+		d.UpsertWorker(i, WorkerEntry{Zone: m.where[i][0], Group: m.where[i][1], Ready: m.ready[i], StartedAt: m.since[i]})
+		identify(d, i, uint64(i+1)*0x51ed2701_9b3c1d77, i%3)
 		d.PeerReport(r.Intn(5)-1, i, r.Intn(4)-1)
 	}
 	for step := range 400 {
@@ -143,10 +143,11 @@
 			names[i] = next
 			o := &plainOp{cat: r.Intn(5), ttl: now + Time(r.Intn(30_000))}
 			m.ops[next] = o
-			d.AddOp(i, o.cat, o.ttl, float64(1+r.Intn(2)), 0, 0)
+			spec := OpSpec{Category: o.cat, TTL: o.ttl, Slots: float64(1 + r.Intn(2))}
 			if r.Intn(2) == 0 {
-				d.SetAffinityKey(i, uint64(1+r.Intn(4)))
+				spec.AffinityKey = uint64(1 + r.Intn(4))
 			}
+			d.AddOp(i, spec)
 		}
 		for i, name := range names {
 			if name == 0 || len(m.ops[name].pushes) == 0 {
@@ -225,9 +226,10 @@
 				}
 			}
 		}
-		do, op, worker, span := d.Next()
+		next := d.Next()
+		op, worker, timeout := next.Op, next.Worker, next.Duration
 		name := names[op]
-		switch do {
+		switch next.Kind {
 		case NoDecision:
 			for _, o := range m.ops {
 				if !o.final && now > o.ttl+100 && (len(o.pushes) == 0 || o.pushes[len(o.pushes)-1].ended) {
@@ -238,11 +240,11 @@
 			return agree(t, d)
 		case Push:
 			o := m.ops[name]
-			if !m.mayPush(terms, name, worker, now) || now+span >= o.ttl && span > 1 || now >= o.ttl {
+			if !m.mayPush(terms, name, worker, now) || now+timeout >= o.ttl && timeout > 1 || now >= o.ttl {
 				t.Logf("push against the rules: category %d worker %d", o.cat, worker)
 				return false
 			}
-			o.pushes = append(o.pushes, plainPush{m.where[worker], now, now + span, false, Succeeded, worker,
+			o.pushes = append(o.pushes, plainPush{m.where[worker], now, now + timeout, false, Succeeded, worker,
 				d.ops[op].slots})
 			if terms["bounds.probes"] == true && !m.intoRoom(worker, now) {
 				t.Logf("a push to cold worker %d that has no room", worker)
@@ -259,9 +261,9 @@
 			d.AttemptEnded(op, len(o.pushes)-1, Cancelled, now-p.at, false)
 		case Nack, DeadLetter:
 			o := m.ops[name]
-			if o.final || do == Nack && !m.mayNack(terms, name, now) ||
+			if o.final || next.Kind == Nack && !m.mayNack(terms, name, now) ||
 				len(o.pushes) > 0 && !o.pushes[len(o.pushes)-1].ended {
-				t.Logf("%v against the rules: category %d", do, o.cat)
+				t.Logf("%v against the rules: category %d", next.Kind, o.cat)
 				return false
 			}
 			o.final = true
@@ -310,7 +312,7 @@
 			all[i].AdvanceClock(1_000_000)
 			all[i].BeginSnapshot()
 			for w := range workers {
-				all[i].UpsertWorker(w, 0, 0, true, Time(1_000_000*stats.Bit(w == 0)))
+				all[i].UpsertWorker(w, WorkerEntry{Ready: true, StartedAt: Time(1_000_000 * stats.Bit(w == 0))})
 			}
 			all[i].EndUpdate()
 		}
@@ -323,15 +325,15 @@
 			}
 			d := all[s]
 			d.AdvanceClock(now)
-			d.AddOp(0, 0, now+50_000, 1, 0, 0)
+			d.AddOp(0, OpSpec{Category: 0, TTL: now + 50_000, Slots: 1})
 			for _, a := range decisions(d) {
-				if a.do == Probe {
-					d.ProbeAnswered(a.worker, 0, jobs(2*float64(stats.Bit(a.worker > 0)))) // the cold one reads idle
+				if a.Kind == Probe {
+					d.ProbeAnswered(a.Worker, 0, jobs(2*float64(stats.Bit(a.Worker > 0)))) // the cold one reads idle
 				}
 			}
 			d.AdvanceClock(now)
 			for _, a := range decisions(d) {
-				if a.do == Push && a.worker == 0 {
+				if a.Kind == Push && a.Worker == 0 {
 					at, total = append(at, now), total+1
 				}
 			}
@@ -366,17 +368,17 @@
 	d.AdvanceClock(1)
 	d.BeginSnapshot()
 	for i := range 3 {
-		d.UpsertWorker(i, 0, i, true, 0)
+		d.UpsertWorker(i, WorkerEntry{Group: i, Ready: true})
 	}
 	d.EndUpdate()
 	broken := func(op, place int) (pushes int) { // how often an op is pushed whose pushes all break
-		if !d.AddOp(op, place, d.now+50_000, 1, 0, 0) {
+		if !d.AddOp(op, OpSpec{Category: place, TTL: d.now + 50_000, Slots: 1}) {
 			t.Fatalf("no place %d", place)
 		}
 		for {
-			do, i, _, _ := d.Next()
+			next := d.Next()
 			switch {
-			case do == Push && i == op:
+			case next.Kind == Push && next.Op == op:
 				pushes++
 				if op == 0 && pushes == 1 { // under the first op the settings change
 					if places := d.SetCategories(terms("at-most-once", 1)); !slices.Equal(places, []int{1}) {
@@ -385,7 +387,7 @@
 				}
 				d.AdvanceClock(d.now + 10)
 				d.AttemptEnded(op, pushes-1, ConnectionLost, 10, false)
-			case do == NoDecision:
+			case next.Kind == NoDecision:
 				return pushes
 			}
 		}
--- a/dispatch/settings_bench_test.go
+++ b/dispatch/settings_bench_test.go
@@ -56,13 +56,13 @@
 			d.AdvanceClock(now)
 			d.BeginSnapshot()
 			for i := range 20 {
-				d.UpsertWorker(i, 0, 0, true, 0)
+				d.UpsertWorker(i, WorkerEntry{Ready: true})
 			}
 			d.EndUpdate()
 			op := func(n int) {
 				now++
 				d.AdvanceClock(now)
-				d.AddOp(0, n%entries, now+50_000, 1, 0, 0)
+				d.AddOp(0, OpSpec{Category: n % entries, TTL: now + 50_000, Slots: 1})
 				pull(d)
 				d.AdvanceClock(now)
 				d.AttemptProgress(0, 0, true, 0)
--- a/dispatch/settings_test.go
+++ b/dispatch/settings_test.go
@@ -38,7 +38,7 @@
 		d.AdvanceClock(1)
 		d.BeginSnapshot()
 		for i := range 3 {
-			d.UpsertWorker(i, 0, i, true, 0)
+			d.UpsertWorker(i, WorkerEntry{Group: i, Ready: true})
 		}
 		d.EndUpdate()
 		type came struct {
@@ -67,8 +67,9 @@
 		}
 		pull := func() {
 			for {
-				do, i, _, _ := d.Next()
-				switch do {
+				next := d.Next()
+				i := next.Op
+				switch next.Kind {
 				case NoDecision:
 					return
 				case Push:
@@ -126,7 +127,7 @@
 					used[o.cat] = true
 				}
 				for k := range d.categories {
-					if !d.categories[k].served && !d.categories[k].kept && d.AddOp(99, k, d.now+1<<30, 1, 0, 0) {
+					if !d.categories[k].served && !d.categories[k].kept && d.AddOp(99, OpSpec{Category: k, TTL: d.now + 1<<30, Slots: 1}) {
 						t.Fatalf("an op is taken at place %d, which nobody has named", k)
 					}
 				}
@@ -141,7 +142,7 @@
 				}
 				from := slices.Concat(places, slices.Sorted(maps.Keys(kept)))
 				k := rapid.SampledFrom(from).Draw(t, "place")
-				if !d.AddOp(i, k, d.now+1<<30, 1, 0, 0) {
+				if !d.AddOp(i, OpSpec{Category: k, TTL: d.now + 1<<30, Slots: 1}) {
 					t.Fatalf("no op of place %d is taken", k)
 				}
 				open[i] = &came{rules: d.categories[k].rules, cat: k, most: pushes}
@@ -174,7 +175,7 @@
 	d := New(3, siteOfRules(of, 3))
 	d.AdvanceClock(1)
 	for k := range of {
-		d.AddOp(k, k, d.now+40_000, 1, 0, 0)
+		d.AddOp(k, OpSpec{Category: k, TTL: d.now + 40_000, Slots: 1})
 		for range 40 {
 			d.ran(k, 700)
 		}
@@ -185,7 +186,7 @@
 	old := slices.Clone(d.categories[0].runs)
 	of[0].target = 6_000
 	place := d.SetCategories(siteOfRules(of, 3))[0]
-	d.AddOp(2, place, d.now+40_000, 1, 0, 0)
+	d.AddOp(2, OpSpec{Category: place, TTL: d.now + 40_000, Slots: 1})
 	if c := d.categories[place]; place == 0 || c.middle != 700 || c.usual != 700 || c.longest != 40_000 || d.rank(d.ops[2]) != 0.25 {
 		t.Errorf("place %d: %+v, rank %v", place, c, d.rank(d.ops[2]))
 	}
@@ -212,7 +213,7 @@
 		d := New(3, siteOfRules(of, 3))
 		d.AdvanceClock(1)
 		for k := range of {
-			d.AddOp(k, k, d.now+40_000, 1, 0, 0)
+			d.AddOp(k, OpSpec{Category: k, TTL: d.now + 40_000, Slots: 1})
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
--- a/dispatch/slow_start_test.go
+++ b/dispatch/slow_start_test.go
@@ -173,8 +173,8 @@
 		s.d.BeginSnapshot()
 		for i, w := range p.workers {
 			if w.since <= p.now {
-				s.d.UpsertWorker(i, p.zone(i), p.zone(i)*100+i%7, true, w.since)
-				s.d.IdentifyWorker(i, uint64(i+1)*0x9e3779b97f4a7c15, 0)
+				s.d.UpsertWorker(i, WorkerEntry{Zone: p.zone(i), Group: p.zone(i)*100 + i%7, Ready: true, StartedAt: w.since})
+				identify(s.d, i, uint64(i+1)*0x9e3779b97f4a7c15, 0)
 			}
 		}
 		s.d.EndUpdate()
@@ -221,7 +221,7 @@
 	}
 	s.ops[i] = &coldOp{tries: tries}
 	s.d.AdvanceClock(p.now)
-	s.d.AddOp(i, 0, p.now+50_000, 1, 0, 0)
+	s.d.AddOp(i, OpSpec{Category: 0, TTL: p.now + 50_000, Slots: 1})
 	p.pull(s)
 }
 
@@ -229,45 +229,45 @@
 
 func (p *coldPlay) pull(s *coldScheduler) {
 	for _, a := range decisionsAndWakes(s.d) {
-		o := s.ops[a.op]
-		switch a.do {
+		o := s.ops[a.Op]
+		switch a.Kind {
 		case SetTimer:
-			p.in(a.span, func() {
+			p.in(a.Duration, func() {
 				s.d.AdvanceClock(p.now)
 				p.pull(s)
 			})
 		case Probe:
 			asked := p.now
 			p.in(coldTrip, func() {
-				load := p.shown(a.worker)
+				load := p.shown(a.Worker)
 				p.in(coldTrip, func() {
 					s.d.AdvanceClock(p.now)
-					s.d.ProbeAnswered(a.worker, p.now-asked, load)
+					s.d.ProbeAnswered(a.Worker, p.now-asked, load)
 					p.pull(s)
 				})
 			})
 		case Push:
-			j := coldJob{s, a.op, o.legs}
+			j := coldJob{s, a.Op, o.legs}
 			o.legs++
-			p.in(coldTrip, func() { p.push(a.worker, j) })
+			p.in(coldTrip, func() { p.push(a.Worker, j) })
 		case Nack, DeadLetter:
 			if o.tries < p.again {
-				p.in(a.span+Time(p.r.Intn(2_000)), func() { p.op(s, o.tries+1) })
+				p.in(a.Duration+Time(p.r.Intn(2_000)), func() { p.op(s, o.tries+1) })
 			}
 		case Forget:
-			delete(s.ops, a.op)
-			s.free = append(s.free, a.op)
+			delete(s.ops, a.Op)
+			s.free = append(s.free, a.Op)
 		}
 	}
 }
 
-func decisionsAndWakes(d *Dispatcher) (all []decision) {
+func decisionsAndWakes(d *Dispatcher) (all []Decision) {
 	for {
-		do, op, worker, span := d.Next()
-		if do == NoDecision {
+		next := d.Next()
+		if next.Kind == NoDecision {
 			return all
 		}
-		all = append(all, decision{do, op, worker, span})
+		all = append(all, next)
 	}
 }
 
@@ -493,7 +493,7 @@
 func TestTheLotGoesDownWithEachPairOfAnOp(t *testing.T) {
 	let := func(looks, legs int) (n int) {
 		d := fleet(10, nil)
-		d.UpsertWorker(10, 0, 0, true, d.now-second)
+		d.UpsertWorker(10, WorkerEntry{Ready: true, StartedAt: d.now - second})
 		d.EndUpdate()
 		for range 4_000 {
 			n += 1 - stats.Bit(d.spared(&op{looks: looks, legs: legs}, &d.workers[10], 11))
--- a/internal/scheduler/reducer/reducer.go
+++ b/internal/scheduler/reducer/reducer.go
@@ -392,7 +392,7 @@
 	case ShutdownStarted:
 		todo = r.stop(now, in.Deadline)
 	}
-	return r.pull(now, todo)
+	return r.pullDecisions(now, todo)
 }
 
 func (r *Reducer) list(in EndpointsChanged) (todo []Effect) {
@@ -424,8 +424,8 @@
 			k = len(r.kinds)
 			r.kinds[kind] = k
 		}
-		r.d.UpsertWorker(i, z, e.WorkerGroup, w.ready, e.StartedAt)
-		r.d.IdentifyWorker(i, config.IdentityHash(e.Worker), k)
+		r.d.UpsertWorker(i, dispatch.WorkerEntry{Zone: z, Group: e.WorkerGroup, Ready: w.ready,
+			StartedAt: e.StartedAt, IdentityHash: config.IdentityHash(e.Worker), MachineKind: k})
 	}
 	r.d.EndUpdate()
 	r.forgetWorkers()
@@ -462,20 +462,10 @@
 	} else {
 		r.ops = append(r.ops, op{})
 	}
-	if !r.d.AddOp(i, cat, in.TTL, max(in.Slots, 1), in.Memory, in.Work) {
+	if !r.d.AddOp(i, r.opSpec(cat, in)) {
 		r.free = append(r.free, i)
 		return []Effect{Respond{Op: in.Op, Verdict: UnknownCategory}}
 	}
-	if in.AffinityKey != 0 {
-		r.d.SetAffinityKey(i, in.AffinityKey)
-	}
-	if in.PriorAttempt != nil {
-		z, ok := r.zones[in.PriorAttempt.Zone]
-		if !ok {
-			z = -1
-		}
-		r.d.SetPriorAttempt(i, z, in.PriorAttempt.WorkerGroup, in.PriorAttempt.StartedAt)
-	}
 	r.ops[i] = op{number: in.Op, id: key, ttl: in.TTL}
 	r.ids.hold(key)
 	r.live[in.Op] = i
@@ -485,6 +475,19 @@
 	return nil
 }
 
+func (r *Reducer) opSpec(category int, in OpArrived) dispatch.OpSpec {
+	spec := dispatch.OpSpec{Category: category, TTL: in.TTL, Slots: max(in.Slots, 1), Memory: in.Memory,
+		Work: in.Work, AffinityKey: in.AffinityKey}
+	if p := in.PriorAttempt; p != nil {
+		zone, ok := r.zones[p.Zone]
+		if !ok {
+			zone = -1
+		}
+		spec.PriorAttempt = &dispatch.PriorAttempt{Zone: zone, Group: p.WorkerGroup, StartedAt: p.StartedAt}
+	}
+	return spec
+}
+
 func (r *Reducer) leave(number uint64) []Effect {
 	i, ok := r.live[number]
 	if !ok {
@@ -542,46 +545,72 @@
 	r.d.ProbeFailed(p.worker, elapsed, how)
 }
 
-// pull asks the module for its decisions until there is none.
-func (r *Reducer) pull(now dispatch.Time, todo []Effect) []Effect {
+// pullDecisions asks the dispatcher for its decisions until there is none, and appends their effects.
+func (r *Reducer) pullDecisions(now dispatch.Time, todo []Effect) []Effect {
 	for {
-		do, i, w, span := r.d.Next()
-		switch do {
-		case dispatch.NoDecision:
+		next := r.d.Next()
+		if next.Kind == dispatch.NoDecision {
 			return todo
-		case dispatch.Push:
-			o := &r.ops[i]
-			o.worker, o.sentAt, o.out = w, now, true
-			todo = append(todo, Push{Op: o.number, Attempt: o.legs, Worker: r.workers[w].name, Addr: r.workers[w].addr,
-				Timeout: span, Group: r.workers[w].group})
-			o.legs++
-		case dispatch.CancelAttempt:
-			todo = append(todo, CancelAttempt{Op: r.ops[i].number, Ending: outcome.Cancelled})
-		case dispatch.Probe:
-			r.lastProbe++
-			r.probes[r.lastProbe] = probe{w, now}
-			todo = append(todo, Probe{r.lastProbe, r.workers[w].name, r.workers[w].addr})
-		case dispatch.Nack, dispatch.DeadLetter:
-			o := &r.ops[i]
-			verdict := Nacked
-			if do == dispatch.DeadLetter {
-				verdict = DeadLettered
-			}
-			if !o.answered {
-				o.answered = true
-				todo = append(todo, Respond{Op: o.number, Verdict: verdict, RetryAfter: span, Reason: r.d.LastRejection()})
-			}
-		case dispatch.ReportToPeer:
-			todo = append(todo, SendToPeer{Peer: i, Text: config.EncodePeerReport(r.workers[w].name, int(span))})
-		case dispatch.SetTimer:
-			todo = append(todo, SetTimer{span})
-		case dispatch.Forget:
-			delete(r.live, r.ops[i].number)
-			r.ids.release(now, r.ops[i].id, r.ops[i].ttl)
-			r.ops[i] = op{}
-			r.free = append(r.free, i)
 		}
+		if effect := r.carryOut(now, next); effect != nil {
+			todo = append(todo, effect)
+		}
+	}
+}
+
+// carryOut notes a decision here and returns its effect, nil for one that the host has no part in.
+func (r *Reducer) carryOut(now dispatch.Time, next dispatch.Decision) Effect {
+	switch next.Kind {
+	case dispatch.Push:
+		return r.push(now, next)
+	case dispatch.CancelAttempt:
+		return CancelAttempt{Op: r.ops[next.Op].number, Ending: outcome.Cancelled}
+	case dispatch.Probe:
+		w := &r.workers[next.Worker]
+		r.lastProbe++
+		r.probes[r.lastProbe] = probe{next.Worker, now}
+		return Probe{r.lastProbe, w.name, w.addr}
+	case dispatch.Nack, dispatch.DeadLetter:
+		return r.respond(next)
+	case dispatch.ReportToPeer:
+		text := config.EncodePeerReport(r.workers[next.Worker].name, next.InFlight)
+		return SendToPeer{Peer: next.Peer, Text: text}
+	case dispatch.SetTimer:
+		return SetTimer{next.Duration}
+	case dispatch.Forget:
+		r.forgetOp(now, next.Op)
 	}
+	return nil
+}
+
+func (r *Reducer) push(now dispatch.Time, next dispatch.Decision) Effect {
+	o, w := &r.ops[next.Op], &r.workers[next.Worker]
+	o.worker, o.sentAt, o.out = next.Worker, now, true
+	attempt := o.legs
+	o.legs++
+	return Push{Op: o.number, Attempt: attempt, Worker: w.name, Addr: w.addr, Timeout: next.Duration, Group: w.group}
+}
+
+// respond is the answer to an op that was given up; nil where it has its answer, or its client has gone.
+func (r *Reducer) respond(next dispatch.Decision) Effect {
+	o := &r.ops[next.Op]
+	if o.answered {
+		return nil
+	}
+	o.answered = true
+	verdict := Nacked
+	if next.Kind == dispatch.DeadLetter {
+		verdict = DeadLettered
+	}
+	return Respond{Op: o.number, Verdict: verdict, RetryAfter: next.Duration, Reason: next.Reason}
+}
+
+func (r *Reducer) forgetOp(now dispatch.Time, i int) {
+	o := &r.ops[i]
+	delete(r.live, o.number)
+	r.ids.release(now, o.id, o.ttl)
+	*o = op{}
+	r.free = append(r.free, i)
 }
 
 // stop cuts short what is held. At the moment itself this side stops waiting for workers, as at a TTL.
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -169,12 +169,13 @@
 		if _, twice := s.ops[it.Req]; twice {
 			return fmt.Errorf("req %s came twice", it.Req)
 		}
-		if !s.d.AddOp(s.opIndex(it.Req), it.Lane, config.RoundDown(it.ValidUntil), max(it.Slots, 1), it.Memory,
-			config.RoundUp(it.WorkNs)) {
-			return fmt.Errorf("lane %d is in no settings", it.Lane)
-		}
+		spec := dispatch.OpSpec{Category: it.Lane, TTL: config.RoundDown(it.ValidUntil), Slots: max(it.Slots, 1),
+			Memory: it.Memory, Work: config.RoundUp(it.WorkNs)}
 		if it.RouteKey != "" {
-			s.d.SetAffinityKey(s.ops[it.Req], config.IdentityHash(it.RouteKey))
+			spec.AffinityKey = config.IdentityHash(it.RouteKey)
+		}
+		if !s.d.AddOp(s.opIndex(it.Req), spec) {
+			return fmt.Errorf("lane %d is in no settings", it.Lane)
 		}
 	case "Settled", "UpdateOf", "Dropped":
 		op, ok := s.ops[it.Req]
@@ -253,9 +254,9 @@
 			s.tags[config.WorkerTag(r.Worker)] = wi
 			s.names = append(s.names, r.Worker)
 		}
-		ready := r.Availability == "ready"
-		s.d.UpsertWorker(wi, r.Locality, r.UnitGroup, ready, config.RoundUp(r.SinceNs))
-		s.d.IdentifyWorker(wi, config.IdentityHash(r.Worker), r.ClassOfHost)
+		s.d.UpsertWorker(wi, dispatch.WorkerEntry{Zone: r.Locality, Group: r.UnitGroup,
+			Ready: r.Availability == "ready", StartedAt: config.RoundUp(r.SinceNs),
+			IdentityHash: config.IdentityHash(r.Worker), MachineKind: r.ClassOfHost})
 	}
 	s.d.EndUpdate()
 	return nil
@@ -295,37 +296,49 @@
 
 func (s *scheduler) outbox(box []byte) []byte {
 	for {
-		do, i, worker, span := s.d.Next()
-		if do == dispatch.NoDecision {
+		next := s.d.Next()
+		switch next.Kind {
+		case dispatch.NoDecision:
 			return box
-		}
-		if do == dispatch.Forget {
-			delete(s.ops, s.reqs[i])
-			s.reqs[i] = ""
-			s.free = append(s.free, i)
+		case dispatch.Forget:
+			s.forget(next.Op)
 			continue
+		case dispatch.Push:
+			s.legs[next.Op]++
 		}
 		if len(box) > 0 {
 			box = append(box, ',')
 		}
-		ns := int64(span) * config.Tenth
-		switch do {
-		case dispatch.Push:
-			s.legs[i]++
-			box = fmt.Appendf(box, `{"m":"Send","req":%s,"worker":%s,"withinNs":%d}`,
-				quote(s.reqs[i]), quote(s.names[worker]), ns)
-		case dispatch.CancelAttempt:
-			box = fmt.Appendf(box, `{"m":"Retract","req":%s,"leg":%d}`, quote(s.reqs[i]), s.legs[i]-1)
-		case dispatch.Probe:
-			box = fmt.Appendf(box, `{"m":"Test","worker":%s}`, quote(s.names[worker]))
-		case dispatch.ReportToPeer:
-			box = fmt.Appendf(box, `{"m":"WritePeer","to":%d,"contents":"%s"}`, i, config.EncodePeerReport(s.names[worker], int(span)))
-		case dispatch.Nack:
-			box = fmt.Appendf(box, `{"m":"Decline","req":%s,"pauseNs":%d}`, quote(s.reqs[i]), ns)
-		case dispatch.DeadLetter:
-			box = fmt.Appendf(box, `{"m":"Surrender","req":%s}`, quote(s.reqs[i]))
-		case dispatch.SetTimer:
-			box = fmt.Appendf(box, `{"m":"WakeAt","fromNowNs":%d,"ctx":"due"}`, ns)
-		}
+		box = s.appendDecision(box, next)
+	}
+}
+
+func (s *scheduler) forget(op int) {
+	delete(s.ops, s.reqs[op])
+	s.reqs[op] = ""
+	s.free = append(s.free, op)
+}
+
+// appendDecision writes a decision in the wire's form.
+func (s *scheduler) appendDecision(box []byte, next dispatch.Decision) []byte {
+	ns := int64(next.Duration) * config.Tenth
+	switch next.Kind {
+	case dispatch.Push:
+		return fmt.Appendf(box, `{"m":"Send","req":%s,"worker":%s,"withinNs":%d}`,
+			quote(s.reqs[next.Op]), quote(s.names[next.Worker]), ns)
+	case dispatch.CancelAttempt:
+		return fmt.Appendf(box, `{"m":"Retract","req":%s,"leg":%d}`, quote(s.reqs[next.Op]), s.legs[next.Op]-1)
+	case dispatch.Probe:
+		return fmt.Appendf(box, `{"m":"Test","worker":%s}`, quote(s.names[next.Worker]))
+	case dispatch.ReportToPeer:
+		return fmt.Appendf(box, `{"m":"WritePeer","to":%d,"contents":"%s"}`,
+			next.Peer, config.EncodePeerReport(s.names[next.Worker], next.InFlight))
+	case dispatch.Nack:
+		return fmt.Appendf(box, `{"m":"Decline","req":%s,"pauseNs":%d}`, quote(s.reqs[next.Op]), ns)
+	case dispatch.DeadLetter:
+		return fmt.Appendf(box, `{"m":"Surrender","req":%s}`, quote(s.reqs[next.Op]))
+	case dispatch.SetTimer:
+		return fmt.Appendf(box, `{"m":"WakeAt","fromNowNs":%d,"ctx":"due"}`, ns)
 	}
+	return box
 }
