--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -9,7 +9,7 @@
 // spare is how long the op may still wait and end in time, if it runs like the middle one of its category.
 func (d *Dispatcher) spare(o *op) Time {
 	c := &d.categories[o.cat]
-	return o.came + c.target + Time(max(c.stretch-1, 0)*float64(d.expected(o))) - d.now
+	return o.came + c.LatencyObjective + Time(max(c.Stretch-1, 0)*float64(d.expected(o))) - d.now
 }
 
 // figures works the digest out where inputs have come since.
@@ -25,7 +25,7 @@
 	// Reports seconds late send all schedulers to the workers that look idle. They are taken for late while many
 	// of the last pushes that were to start at once did not; old lateness must not keep reports out.
 	g.scarce = d.room.Doubtful(d.now)
-	late, n, prompt := 0, 0, 5*g.trip+4*d.site.step
+	late, n, prompt := 0, 0, 5*g.trip+4*d.settings.Step
 	g.longest = 0
 	for _, s := range d.starts {
 		if g.longest = max(g.longest, s.took); d.now-s.at < healthMax/3 {
@@ -72,5 +72,5 @@
 	if !d.harmless(o) || len(o.unfit) > 1 {
 		return Decision{Kind: DeadLetter, Reason: reason}
 	}
-	return Decision{Kind: Nack, Duration: min(max(retryAfter, 0), d.site.longestPause), Reason: reason}
+	return Decision{Kind: Nack, Duration: min(max(retryAfter, 0), d.settings.MaxRetryAfter), Reason: reason}
 }
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -7,7 +7,7 @@
 
 // loaded is a scheduler that holds so many ops at its workers, each of them started.
 func loaded(held, workers int) (*Dispatcher, Time) {
-	d := New(7, terms(map[string]any{"discovery": "pushed", "bounds.probes": false, "extra.progress": 10_000.0}))
+	d := New(7, testSettings(func(s *Settings) { s.Probes, s.ProgressInterval = false, 10_000 }))
 	now := Time(1_000_000)
 	d.AdvanceClock(now)
 	d.BeginSnapshot()
@@ -76,8 +76,8 @@
 }
 
 // atSize is a scheduler with workers in 14 zones that holds so many started ops, spread evenly.
-func atSize(workers, held int, more map[string]any) (*Dispatcher, Time) {
-	d, now := New(7, terms(more)), Time(1_000_000)
+func atSize(workers, held int, more func(*Settings)) (*Dispatcher, Time) {
+	d, now := New(7, testSettings(more)), Time(1_000_000)
 	d.AdvanceClock(now)
 	listed(d, workers)
 	for i := range held {
@@ -123,12 +123,12 @@
 	for _, shape := range []struct {
 		name string
 		key  uint64
-		more map[string]any
+		more func(*Settings)
 	}{
-		{"probes=false", 0, map[string]any{"discovery": "pushed", "bounds.probes": false, "extra.progress": 10_000.0}},
-		{"probes=true", 0, map[string]any{"discovery": "pushed", "extra.progress": 10_000.0}},
-		{"keys", 1, map[string]any{"discovery": "pushed", "extra.progress": 10_000.0, "keys": true}},
-		{"regulars", 0, map[string]any{"discovery": "pushed", "extra.progress": 10_000.0, "prices.connection": 1.0}},
+		{"probes=false", 0, func(s *Settings) { s.Probes, s.ProgressInterval = false, 10_000 }},
+		{"probes=true", 0, func(s *Settings) { s.ProgressInterval = 10_000 }},
+		{"keys", 1, func(s *Settings) { s.ProgressInterval, s.AffinityKeys = 10_000, true }},
+		{"regulars", 0, func(s *Settings) { s.ProgressInterval, s.ConnectionPrice = 10_000, 1 }},
 	} {
 		for _, workers := range []int{100, 400, 1_600, 6_300} {
 			b.Run(fmt.Sprintf("%s/workers=%d", shape.name, workers), func(b *testing.B) {
@@ -155,9 +155,10 @@
 	for _, schedulers := range []int{10, 30, 300} {
 		for _, workers := range []int{400, 6_300} {
 			b.Run(fmt.Sprintf("schedulers=%d/workers=%d", schedulers, workers), func(b *testing.B) {
-				d, now := atSize(workers, 0, map[string]any{"prices.connection": 1.0, "bounds.peerMessages": true, "peers": true,
-					"instances": float64(schedulers), "myNumber": 0.0})
-				if !d.site.peers {
+				d, now := atSize(workers, 0, func(s *Settings) {
+					s.ConnectionPrice, s.PeerMessages, s.Schedulers, s.Scheduler = 1, true, schedulers, 0
+				})
+				if !d.settings.PeerMessages {
 					b.Fatal("no words are allowed")
 				}
 				b.ReportAllocs()
@@ -179,7 +180,7 @@
 	for _, ready := range []bool{true, false} {
 		for _, held := range []int{1, 10, 100, 1_000} {
 			b.Run(fmt.Sprintf("ready=%v/held=%d", ready, held), func(b *testing.B) {
-				d, now := New(7, terms(map[string]any{"discovery": "pushed"})), Time(1_000_000)
+				d, now := New(7, testSettings(nil)), Time(1_000_000)
 				d.AdvanceClock(now)
 				listed(d, 6_300)
 				for i := range 6_300 {
--- a/dispatch/choice.go
+++ b/dispatch/choice.go
@@ -63,7 +63,7 @@
 	case 0:
 		from := d.candidates(o)
 		warm := slices.DeleteFunc(slices.Clone(from), func(i int) bool { return d.cold(&d.workers[i]) })
-		if n := len(from); n > 0 && !d.site.probes { // asked once, or twice as in a pair where all are cold
+		if n := len(from); n > 0 && !d.settings.Probes { // asked once, or twice as in a pair where all are cold
 			if i := from[d.chance.Below(n)]; !d.spared(o, &d.workers[i], n*(1+stats.Bit(len(warm) == 0))) {
 				return i
 			}
@@ -109,7 +109,7 @@
 		return o.work
 	}
 	if c := &d.categories[o.cat]; len(c.runs) == 0 {
-		return c.target
+		return c.LatencyObjective
 	}
 	return d.categories[o.cat].middle
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -139,23 +139,14 @@
 	truth         float64 // the share of pushes that started at once, of those that a report said would
 }
 
-// site is what is picked out of the terms, once: looked up by name at each use, they took half of the CPU.
-type site struct {
-	step, dial, call, warmAfter, tipAfter, progress, longestPause Time
-	coldFrom, overload, crossZone, connections                    float64
-	me, all                                                       int
-	maxPushes, myZone                                             int
-	probes, cancel, tellsStart, perWork, peers, keys              bool
-}
-
 // Dispatcher is one scheduler's decisions and what they rest on.
 type Dispatcher struct {
 	chance            stats.Chance
-	site              site
-	other             *site // of another shape that is watched for
+	settings          Settings  // but for the categories
+	shadow            *Settings // under which decisions are repeated, nil for none
 	otherwise         [ShadowedReport + 1]int
 	categories        []category // by place
-	entries           []int      // the places of those in force, in the order of the terms
+	entries           []int      // the places of those in force, in the order of the settings
 	now               Time
 	workers           []worker
 	ready             int
@@ -187,12 +178,12 @@
 	woken             Time
 }
 
-// New starts a scheduler's dispatcher from its seed and the site's terms.
-func New(seed uint64, terms map[string]any) *Dispatcher {
+// New starts a scheduler's dispatcher from its seed and its settings.
+func New(seed uint64, settings Settings) *Dispatcher {
 	d := &Dispatcher{chance: stats.NewChance(seed), asks: map[uint64]float64{},
-		kinds: make([]machines, 1), room: sprt.New(0.1, 0.5, healthMax/3)}
-	d.site = siteOf(terms)
-	d.SetCategories(terms)
+		kinds: make([]machines, 1), room: sprt.New(0.1, 0.5, healthMax/3), settings: settings}
+	d.settings.Categories = nil // they change while the dispatcher runs; d.categories holds those in force
+	d.SetCategories(settings)
 	for k := range d.out {
 		d.out[k] = deadlines.New(func(o *op) (base, ttl Time, counts bool) {
 			return d.silentFrom(o, k), o.ttl, o.out && !o.over && !o.silent && d.awaited(o) == k
@@ -201,24 +192,22 @@
 	return d
 }
 
-// SetShadowSettings has this dispatcher count how often another shape's terms would have had it decide otherwise.
-func (d *Dispatcher) SetShadowSettings(terms map[string]any) {
-	s := siteOf(terms)
-	d.other = &s
-}
+// SetShadowSettings has this dispatcher count how often other settings would have had it decide otherwise.
+func (d *Dispatcher) SetShadowSettings(settings Settings) { d.shadow = &settings }
 
-// ShadowDivergence is what a watch has counted.
+// ShadowDivergence returns the decisions that shadow settings would have made otherwise.
 func (d *Dispatcher) ShadowDivergence() [ShadowedReport + 1]int { return d.otherwise }
 
-// both decides, under a watch first as the other terms would, with the same luck. No words come there.
-func (d *Dispatcher) both(kind ShadowedDecision, decide func() []int) []int {
-	if d.other == nil {
+// withShadow decides, where there are shadow settings first under these, with the same random numbers. Peer
+// reports are never sent under them, so they decide as if there were none.
+func (d *Dispatcher) withShadow(kind ShadowedDecision, decide func() []int) []int {
+	if d.shadow == nil {
 		return decide()
 	}
-	site, chance := d.site, d.chance
-	d.site, d.site.peers = *d.other, false
+	settings, chance := d.settings, d.chance
+	d.settings, d.settings.PeerMessages = *d.shadow, false
 	would := decide()
-	d.site, d.chance = site, chance
+	d.settings, d.chance = settings, chance
 	is := decide()
 	d.otherwise[kind] += stats.Bit(!slices.Equal(would, is))
 	return is
@@ -271,7 +260,7 @@
 		w.ready = w.ready && w.listed
 		d.ready += stats.Bit(w.ready)
 	}
-	if s := d.site; s.peers && s.connections > 0 || d.other != nil && d.other.peers && d.other.connections > 0 {
+	if d.settings.exchangesPeerReports() || d.shadow != nil && d.shadow.exchangesPeerReports() {
 		d.audiences()
 	}
 }
@@ -289,7 +278,7 @@
 	c := &d.categories[spec.Category]
 	c.longest, c.open = max(c.longest, spec.TTL-d.now), c.open+1
 	o := &op{index: i, cat: spec.Category, ttl: spec.TTL, came: spec.TTL - c.longest, slots: spec.Slots,
-		memory: spec.Memory, work: spec.Work, most: d.site.maxPushes, key: spec.AffinityKey}
+		memory: spec.Memory, work: spec.Work, most: d.settings.MaxAttempts, key: spec.AffinityKey}
 	o.number, d.numbered = d.numbered, d.numbered+1
 	d.ops[i], d.held = o, append(d.held, o)
 	if o.key != 0 {
@@ -373,7 +362,7 @@
 			w.strides.Add(&d.kinds[w.kind].strides, float64(d.now-o.started)/float64(max(d.expected(o), 1)))
 			d.ran(o.cat, d.now-o.started)
 			d.fresh = false
-		} else if !d.site.tellsStart {
+		} else if !d.settings.ReportsStarts {
 			d.taus = stats.Keep(d.taus, d.now-o.askedAt)
 		}
 		d.judge(o.worker, true)
@@ -424,7 +413,7 @@
 }
 
 // margin is kept before the TTL for the final answer: a time-out and the answer to it take a step each.
-func (d *Dispatcher) margin() Time { return 2*d.site.step + 1 }
+func (d *Dispatcher) margin() Time { return 2*d.settings.Step + 1 }
 
 // Next returns one decision; the host calls it until its kind is NoDecision.
 func (d *Dispatcher) Next() Decision {
@@ -527,7 +516,7 @@
 			return next
 		}
 	}
-	if d.site.probes && o.asked < len(o.pair) {
+	if d.settings.Probes && o.asked < len(o.pair) {
 		o.asked++
 		return Decision{Kind: Probe, Worker: o.pair[o.asked-1]}
 	}
@@ -545,7 +534,7 @@
 	o.silent = true
 	d.judge(o.worker, false)
 	// A silent connection or a lost answer would otherwise occupy the op until its TTL, too late for a retry.
-	if (o.started > 0 || d.untaken(o)) && d.site.cancel && d.repeatable(o) {
+	if (o.started > 0 || d.untaken(o)) && d.settings.CancelsAttempts && d.repeatable(o) {
 		return Decision{Kind: CancelAttempt}
 	}
 	return Decision{}
@@ -560,7 +549,7 @@
 		return d.giveUp(o, d.spare(o)/2, CapacityShort), false
 	}
 	from := d.candidates(o)
-	if o.looks > 0 || d.site.peers {
+	if o.looks > 0 || d.settings.PeerMessages {
 		// Looking again where a queue was just seen costs probes and finds it still there.
 		from = slices.DeleteFunc(from, func(i int) bool { return d.hopeless(o, i) })
 		if len(from) == 0 {
@@ -569,12 +558,12 @@
 		}
 	}
 	if len(from) == 0 {
-		if d.now > o.came+d.categories[o.cat].target {
+		if d.now > o.came+d.categories[o.cat].LatencyObjective {
 			return d.giveUp(o, 0, NoEligibleWorker), false
 		}
 		return Decision{}, false
 	}
-	o.pair = d.both(ShadowedPair, func() []int { return d.pair(o, d.homes(o, slices.Clone(from)), len(from)) })
+	o.pair = d.withShadow(ShadowedPair, func() []int { return d.pair(o, d.homes(o, slices.Clone(from)), len(from)) })
 	o.got = make([]bool, len(o.pair))
 	o.askedAt = d.now
 	d.met(stats.Bit(len(o.pair) > 0 && o.looks+o.legs == 0), 0)
@@ -583,7 +572,7 @@
 
 // placeOp pushes the op to the worker chosen of its pair, looks for another pair, or gives the op up.
 func (d *Dispatcher) placeOp(o *op) Decision {
-	chosen := d.both(ShadowedPlacement, func() []int { return []int{d.choose(o)} })[0]
+	chosen := d.withShadow(ShadowedPlacement, func() []int { return []int{d.choose(o)} })[0]
 	spare, wait := d.spare(o), Time(0)
 	excess := max(spare, 1)
 	if chosen >= 0 {
@@ -613,5 +602,5 @@
 	w.out = append(w.out, o)
 	d.tell(i)
 	d.await(o)
-	return Decision{Kind: Push, Worker: i, Duration: max(o.ttl-d.now-d.margin()+d.site.step, 1)}
+	return Decision{Kind: Push, Worker: i, Duration: max(o.ttl-d.now-d.margin()+d.settings.Step, 1)}
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -260,7 +260,7 @@
 
 // Ops with seconds to spare filled queues to seconds, and a category of short targets never found a place.
 func TestPatienceIsCapped(t *testing.T) {
-	d := fleet(2, map[string]any{"categories.1.targetLatency": 100_000.0})
+	d := fleet(2, func(s *Settings) { s.Categories[1].LatencyObjective = 100_000 })
 	d.AddOp(0, OpSpec{Category: 1, TTL: d.now + 200_000, Slots: 1})
 	if got := d.patience(d.op(0)); got > 2*5_000 {
 		t.Errorf("patience %d, over twice the least target", got)
@@ -269,7 +269,7 @@
 
 // In overload cheap ops took the places of dear ones.
 func TestCheapOpsAreLessPatient(t *testing.T) {
-	d := fleet(2, map[string]any{"benefitPer": "work", "categories.1.benefit": 8.0})
+	d := fleet(2, func(s *Settings) { s.BenefitPerWork, s.Categories[1].Benefit = true, 8 })
 	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	d.AddOp(1, OpSpec{Category: 1, TTL: d.now + 50_000, Slots: 1})
 	if cheap, dear := d.patience(d.op(0)), d.patience(d.op(1)); 4*cheap != dear {
@@ -278,7 +278,7 @@
 }
 
 func TestOwnZoneOfTwoLow(t *testing.T) {
-	d := fleet(2, map[string]any{"prices.crossZone": 0.03, "myZone": 1.0})
+	d := fleet(2, func(s *Settings) { s.CrossZonePrice, s.Zone = 0.03, 1 })
 	for i := range 10 {
 		probed(t, d, i, 0)
 		if got := pushed(t, d, 0, jobs(0), 1, jobs(0)); got != 1 {
@@ -291,7 +291,7 @@
 // In four zones, three ops in four met only workers that cost a crossing.
 func TestOneOfThePairIsNear(t *testing.T) {
 	for _, price := range []float64{0, 0.03} {
-		d := New(7, terms(map[string]any{"prices.crossZone": price, "myZone": 1.0}))
+		d := New(7, testSettings(func(s *Settings) { s.CrossZonePrice, s.Zone = price, 1 }))
 		d.AdvanceClock(1_000_000)
 		for i := range 40 {
 			d.UpsertWorker(i, WorkerEntry{Zone: i % 4, Group: i, Ready: true})
@@ -311,7 +311,7 @@
 
 // With most schedulers in one zone, its workers had to do all their work while other zones stood idle.
 func TestBusyOwnZoneIsNotPreferred(t *testing.T) {
-	d := New(7, terms(map[string]any{"prices.crossZone": 0.03}))
+	d := New(7, testSettings(func(s *Settings) { s.CrossZonePrice = 0.03 }))
 	d.AdvanceClock(1_000_000)
 	for i := range 40 {
 		d.UpsertWorker(i, WorkerEntry{Zone: i % 4, Group: i, Ready: true})
@@ -492,7 +492,7 @@
 
 // Where probes are not allowed, every op was held for as long as an answer to one might have taken.
 func TestWithoutProbesNoOpWaitsForThem(t *testing.T) {
-	d := fleet(4, map[string]any{"bounds.probes": false})
+	d := fleet(4, func(s *Settings) { s.Probes = false })
 	d.AddOp(1, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	push(t, d)
 }
@@ -511,7 +511,7 @@
 // A push decided on inside the window was written after it when its connection took long to come up.
 func TestADialDoesNotOutlastTheWindow(t *testing.T) {
 	for wait, want := range map[Time]DecisionKind{17_000: Probe, 19_000: DeadLetter} {
-		d := fleet(4, map[string]any{"bounds.connectTimeout": 2_000.0})
+		d := fleet(4, func(s *Settings) { s.DialTimeout, s.AcknowledgeTimeout = 2_000.0, 2_000.0 })
 		x, y := probed(t, d, 1, 2)
 		pushed(t, d, x, jobs(0), y, jobs(0))
 		d.AdvanceClock(d.now + wait)
@@ -553,8 +553,8 @@
 // Jobs ended and their answers were lost: each such op stood out until its TTL, and its client had no time left.
 func TestAStartedPushThatFallsSilentIsCalledOff(t *testing.T) {
 	for cat, want := range []bool{true, true, true, true, false} { // an at-most-once op can't be pushed again
-		d := fleet(8, map[string]any{"extra.progress": 10_000.0})
-		d.categories[cat].window = 50_000
+		d := fleet(8, func(s *Settings) { s.ProgressInterval = 10_000 })
+		d.categories[cat].DedupWindow = 50_000
 		for range stats.Few {
 			d.starts = append(d.starts, start{d.now, 100})
 		}
@@ -589,7 +589,7 @@
 // A connection that fell silent held its op until the TTL, though workers say at once that they have taken one.
 func TestAPushThatIsNotTakenIsCalledOff(t *testing.T) {
 	for cat, want := range []bool{true, true, true, true, false} {
-		d := fleet(8, map[string]any{"bounds.connectTimeout": 2_000.0})
+		d := fleet(8, func(s *Settings) { s.DialTimeout, s.AcknowledgeTimeout = 2_000.0, 2_000.0 })
 		x, y := probed(t, d, 0, cat)
 		pushed(t, d, x, jobs(0), y, jobs(0))
 		d.AdvanceClock(d.now + 5_000)
@@ -639,7 +639,7 @@
 // schedulers that number the workers differently must mean the same ones.
 func TestAKeysOpsMeetTheSameFewWorkers(t *testing.T) {
 	met := func(turn int) map[uint64]bool {
-		d := fleet(40, map[string]any{"keys": true})
+		d := fleet(40, func(s *Settings) { s.AffinityKeys = true })
 		for i := range 40 {
 			identify(d, i, uint64((i+turn)%40)*0x51ed2701_9b3c1d77+1, 0)
 		}
@@ -699,8 +699,8 @@
 
 // Each of hundreds of quiet schedulers kept a connection to half the fleet: there a scheduler meets a few of its own.
 func TestWhereConnectionsCostASchedulerMeetsFewWorkers(t *testing.T) {
-	met := func(number float64, price float64) map[int]bool {
-		d := fleet(40, map[string]any{"myNumber": number, "prices.connection": price})
+	met := func(number int, price float64) map[int]bool {
+		d := fleet(40, func(s *Settings) { s.Scheduler, s.ConnectionPrice = number, price })
 		for i := range 40 {
 			identify(d, i, uint64(i+1)*0x51ed2701_9b3c1d77, 0)
 		}
@@ -726,10 +726,12 @@
 
 // Hundreds of schedulers saw the same free slot in reports seconds late: those that meet a worker say what they have there.
 func TestSchedulersTellWhatTheyHaveAtTheirRegulars(t *testing.T) {
-	shape := map[string]any{"prices.connection": 0.05, "bounds.peerMessages": true, "instances": 12.0}
-	at := func(number float64) *Dispatcher {
-		shape["myNumber"] = number
-		d := fleet(8, shape)
+	shape := func(s *Settings) { s.ConnectionPrice, s.PeerMessages, s.Schedulers = 0.05, true, 12 }
+	at := func(number int) *Dispatcher {
+		d := fleet(8, func(s *Settings) {
+			shape(s)
+			s.Scheduler = number
+		})
 		for i := range 8 {
 			identify(d, i, uint64(i+1)*0x51ed2701_9b3c1d77, 0)
 		}
@@ -755,7 +757,7 @@
 		}
 	}
 	for s := range 12 {
-		other := at(float64(s))
+		other := at(s)
 		if want := slices.Contains(other.workers[worker].audience, s) && s != 1; want != (told[s] == 1) {
 			t.Errorf("scheduler %d meets the worker: %v; told of %d", s, want, told[s])
 		}
@@ -782,14 +784,14 @@
 
 // Operators watch before they switch: a watch must not change one decision, and must count those that would differ.
 func TestAWatchChangesNothingAndCounts(t *testing.T) {
-	play := func(other map[string]any) (all []Decision, counts [ShadowedReport + 1]int) {
-		shape := map[string]any{"instances": 12.0, "prices.connection": 0.0, "bounds.peerMessages": false}
+	play := func(other func(*Settings)) (all []Decision, counts [ShadowedReport + 1]int) {
+		shape := func(s *Settings) { s.Schedulers, s.ConnectionPrice, s.PeerMessages = 12, 0, false }
 		d := fleet(12, shape)
 		for i := range 12 {
 			identify(d, i, uint64(i+1)*0x51ed2701_9b3c1d77, i%2)
 		}
 		if other != nil {
-			d.SetShadowSettings(terms(other))
+			d.SetShadowSettings(testSettings(other))
 		}
 		d.EndUpdate()
 		for k := range 60 {
@@ -809,17 +811,19 @@
 	}
 	plain, _ := play(nil)
 	for name, c := range map[string]struct {
-		other               map[string]any
+		other               func(*Settings)
 		asked, told, chosen bool
 	}{
-		"the same":            {other: map[string]any{}},
-		"keys":                {other: map[string]any{"keys": true}, asked: true},
-		"connections":         {other: map[string]any{"prices.connection": 0.05}, asked: true},
-		"connections, peers":  {other: map[string]any{"prices.connection": 0.05, "bounds.peerMessages": true}, asked: true, told: true},
-		"crossings that cost": {other: map[string]any{"prices.crossZone": 0.05}, asked: true, chosen: true},
+		"the same":            {other: func(*Settings) {}},
+		"keys":                {other: func(s *Settings) { s.AffinityKeys = true }, asked: true},
+		"connections":         {other: func(s *Settings) { s.ConnectionPrice = 0.05 }, asked: true},
+		"connections, peers":  {other: func(s *Settings) { s.ConnectionPrice, s.PeerMessages = 0.05, true }, asked: true, told: true},
+		"crossings that cost": {other: func(s *Settings) { s.CrossZonePrice = 0.05 }, asked: true, chosen: true},
 	} {
-		c.other["instances"] = 12.0
-		got, n := play(c.other)
+		got, n := play(func(s *Settings) {
+			c.other(s)
+			s.Schedulers = 12
+		})
 		if !slices.Equal(got, plain) {
 			t.Errorf("%s: the watch changed decisions", name)
 		}
@@ -833,7 +837,7 @@
 // workers as seldom where reports were true as where they said nothing.
 func TestColdWorkersAreAskedMoreWhereReportsProveTrue(t *testing.T) {
 	asked := func(took Time) (n int) {
-		d := New(7, terms(nil))
+		d := New(7, testSettings(nil))
 		d.AdvanceClock(1_000_000)
 		d.BeginSnapshot()
 		for i := range 20 {
@@ -865,7 +869,7 @@
 // With a quarter of the fleet left, all ops and their clients' repeats asked for every free slot: workers spent a tenth
 // of their time on probes, and the cheapest ops found as many places as the dearest.
 func TestWhereDearOpsFindNoPlaceCheapOnesAskLess(t *testing.T) {
-	d := fleet(20, map[string]any{"benefitPer": "work", "categories.0.benefit": 1.0, "categories.1.benefit": 10.0})
+	d := fleet(20, func(s *Settings) { s.BenefitPerWork, s.Categories[0].Benefit, s.Categories[1].Benefit = true, 1, 10 })
 	d.placed, d.took = 10, 50_000 // a place in a queue takes half a second
 	next := 0
 	probes := func(ops, cat int, load LoadReport) (n int) {
@@ -909,7 +913,7 @@
 // A push that was kept back because its client had left was taken for word from its worker, and silence about others there was let pass
 // for longer. Nothing of a worker is learned from what was never written to it.
 func TestNothingIsLearnedFromAPushThatWasKeptBack(t *testing.T) {
-	d := fleet(2, map[string]any{"bounds.probes": false})
+	d := fleet(2, func(s *Settings) { s.Probes = false })
 	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	to := push(t, d)
 	w := d.workers[to]
@@ -930,7 +934,7 @@
 // A push that was never written, as this machine lacked the means, was seen by no worker: it spends none of the pushes that an op may
 // have, and the next one comes after a pause.
 func TestAPushThatWasNeverWrittenSpendsNone(t *testing.T) {
-	d := fleet(4, map[string]any{"bounds.probes": false, "bounds.maxPushes": 2.0})
+	d := fleet(4, func(s *Settings) { s.Probes, s.MaxAttempts = false, 2 })
 	ttl := d.now + 50*second
 	d.AddOp(0, OpSpec{Category: 0, TTL: ttl, Slots: 1})
 	unsent := 0
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -2,30 +2,28 @@
 
 import "testing"
 
-// terms are a small site's: two categories of each effect and scope, on request.
-func terms(more map[string]any) map[string]any {
-	t := map[string]any{
-		"bounds.maxPushes": 4.0, "bounds.probes": true, "bounds.cancel": true, "bounds.retryAfter": true,
-		"extra.tellsStart": true, "instances": 3.0, "myNumber": 1.0, "myZone": 0.0, "step": 50.0,
-		"safety.warmAfter": 80_000.0, "safety.coldFrom": 0.3, "safety.overloadFactor": 2.5,
-		"safety.tipAfter": 15_000.0, "safety.drainGrace": 2_500.0, "safety.askEvery": 100_000.0,
-		"bounds.maxRetryAfter": 20_000.0,
+// testSettings are a small deployment's, with a category of each effect and scope; change may be nil.
+func testSettings(change func(*Settings)) Settings {
+	s := Settings{
+		MaxAttempts: 4, Scheduler: 1, Schedulers: 3, Step: 50, AcknowledgeTimeout: second, MaxRetryAfter: 20_000,
+		Probes: true, CancelsAttempts: true, ReportsStarts: true,
+		SlowStart: SlowStartSettings{WarmAfter: 80_000, InitialCapacity: 0.3, OverloadFactor: 2.5, OverloadWindow: 15_000},
 	}
-	for i, e := range [][2]string{{"redeliverable", "all"}, {"deduplicated", "all"}, {"deduplicated", "zone"},
-		{"deduplicated", "cell"}, {"at-most-once", "all"}} {
-		at := "categories." + string(rune('0'+i)) + "."
-		t[at+"effect"], t[at+"dedupScope"] = e[0], e[1]
-		t[at+"ttl"], t[at+"targetLatency"], t[at+"window"], t[at+"benefit"] = 50_000.0, 5_000.0, 20_000.0, 2.0
+	for _, rules := range []CategoryRules{{Effect: Idempotent, DedupScope: DedupEverywhere},
+		{Effect: Deduplicated, DedupScope: DedupEverywhere}, {Effect: Deduplicated, DedupScope: DedupInZone},
+		{Effect: Deduplicated, DedupScope: DedupInGroup}, {Effect: AtMostOnce, DedupScope: DedupEverywhere}} {
+		rules.TTL, rules.LatencyObjective, rules.DedupWindow, rules.Benefit = 50_000, 5_000, 20_000, 2
+		s.Categories = append(s.Categories, rules)
 	}
-	for k, v := range more {
-		t[k] = v
+	if change != nil {
+		change(&s)
 	}
-	return t
+	return s
 }
 
 // fleet makes a dispatcher that knows n warm workers, in two zones and four cells.
-func fleet(n int, more map[string]any) *Dispatcher {
-	d := New(7, terms(more))
+func fleet(n int, change func(*Settings)) *Dispatcher {
+	d := New(7, testSettings(change))
 	d.AdvanceClock(1_000_000)
 	d.BeginSnapshot()
 	for i := range n {
--- a/dispatch/learned.go
+++ b/dispatch/learned.go
@@ -51,7 +51,7 @@
 	}
 	for _, c := range d.categories {
 		if c.served {
-			l.Categories[c.name] = LearnedCategory{c.longest, c.runs}
+			l.Categories[c.Name] = LearnedCategory{c.longest, c.runs}
 		}
 	}
 	for i := range d.workers {
@@ -132,7 +132,7 @@
 	}
 	for i := range d.categories {
 		c := &d.categories[i]
-		if r, ok := l.Categories[c.name]; ok {
+		if r, ok := l.Categories[c.Name]; ok {
 			c.longest, c.runs = min(max(r.LongestTTL, 0), never), spans(r.ServiceTimes)
 			c.sum()
 		}
--- a/dispatch/learned_test.go
+++ b/dispatch/learned_test.go
@@ -12,7 +12,7 @@
 
 // taught is a dispatcher that has seen worker 0 fail, and both serve.
 func taught(t *testing.T) *Dispatcher {
-	d := fleet(2, map[string]any{"categories.0.name": "look"})
+	d := fleet(2, func(s *Settings) { s.Categories[0].Name = "look" })
 	for i := range 2 {
 		identify(d, i, uint64(i+1), 0)
 	}
@@ -43,7 +43,7 @@
 	if err := json.Unmarshal(text, &l); err != nil {
 		t.Fatal(err)
 	}
-	is := fleet(2, map[string]any{"categories.0.name": "look"})
+	is := fleet(2, func(s *Settings) { s.Categories[0].Name = "look" })
 	for i := range 2 {
 		identify(is, i, uint64(i+1), 0)
 	}
@@ -67,7 +67,7 @@
 // A worker that has restarted is another under the same name, and what can't be must not reach a decision.
 func TestWhatDoesNotHoldIsNotLearned(t *testing.T) {
 	l := taught(t).Learned()
-	d := fleet(2, map[string]any{"categories.0.name": "look"})
+	d := fleet(2, func(s *Settings) { s.Categories[0].Name = "look" })
 	d.AdvanceClock(1 << 40)
 	d.UpsertWorker(0, WorkerEntry{Ready: true, StartedAt: 1<<40 - 5})
 	for i := range 2 {
--- a/dispatch/probing.go
+++ b/dispatch/probing.go
@@ -74,11 +74,11 @@
 func (d *Dispatcher) homes(o *op, from []int) []int {
 	key, n := o.key, 2.0
 	switch {
-	case key > 0 && d.site.keys:
+	case key > 0 && d.settings.AffinityKeys:
 		share := (d.asks[key] + d.askedBefore[key]) / max(d.asks[allKeys]+d.askedBefore[allKeys], 1)
 		n += homeShare * share * float64(d.ready)
-	case d.site.connections > 0:
-		key, n = ownKey(d.site.me), regulars
+	case d.settings.ConnectionPrice > 0:
+		key, n = ownKey(d.settings.Scheduler), regulars
 	default:
 		return from
 	}
@@ -95,7 +95,7 @@
 func (d *Dispatcher) pair(o *op, from []int, all int) (pair []int) {
 	own, some := 0, len(from)
 	var jobs, seen [2]float64
-	if d.site.crossZone > 0 {
+	if d.settings.CrossZonePrice > 0 {
 		for k, i := range from {
 			near := stats.Bit(d.near(i))
 			if r := d.workers[i].last(); r != nil {
@@ -131,7 +131,7 @@
 	if len(d.trips) == 0 {
 		return d.least / 4
 	}
-	return min(2*d.figures().trip+d.site.step, d.least/2)
+	return min(2*d.figures().trip+d.settings.Step, d.least/2)
 }
 
 // hopeless tells of a worker that was read too lately for its queue to be short enough by now.
@@ -144,5 +144,5 @@
 }
 
 func (d *Dispatcher) near(i int) bool {
-	return d.site.crossZone == 0 || d.workers[i].zone == d.site.myZone
+	return d.settings.CrossZonePrice == 0 || d.workers[i].zone == d.settings.Zone
 }
--- a/dispatch/queries.go
+++ b/dispatch/queries.go
@@ -18,7 +18,7 @@
 
 // PeerJoined tells a scheduler that is new all that it would have been told, had it been here.
 func (d *Dispatcher) PeerJoined(s int) {
-	if !d.site.peers || s == d.site.me {
+	if !d.settings.PeerMessages || s == d.settings.Scheduler {
 		return
 	}
 	for i := range d.workers {
@@ -29,4 +29,4 @@
 }
 
 // CategoryEffect is how often ops of a category may run, by its place.
-func (d *Dispatcher) CategoryEffect(place int) string { return d.categories[place].effect }
+func (d *Dispatcher) CategoryEffect(place int) Effect { return d.categories[place].Effect }
--- a/dispatch/retries.go
+++ b/dispatch/retries.go
@@ -13,10 +13,10 @@
 		return false
 	}
 	c := &d.categories[o.cat]
-	if !o.ran || c.effect != "deduplicated" || c.scope == "all" {
+	if !o.ran || c.Effect != Deduplicated || c.DedupScope == DedupEverywhere {
 		return true
 	}
-	return c.scope == "zone" && w.zone == o.ranZone || w.cell == o.ranGrp // no two zones share a cell
+	return c.DedupScope == DedupInZone && w.zone == o.ranZone || w.cell == o.ranGrp // no two zones share a cell
 }
 
 // repeatable tells whether a further push may be sent at all; a dial must not outlast the window. An op that
@@ -26,18 +26,18 @@
 	if o.legs >= o.most || len(o.unfit) > 1 {
 		return false
 	}
-	if !o.ran && !o.out || c.effect == "redeliverable" {
+	if !o.ran && !o.out || c.Effect == Idempotent {
 		return true
 	}
 	ranAt := [2]Time{o.sentAt, o.ranAt}[stats.Bit(o.ran)] // the push that is out may be the first that runs
-	return c.effect == "deduplicated" && d.now+d.site.dial < ranAt+c.window
+	return c.Effect == Deduplicated && d.now+d.settings.DialTimeout < ranAt+c.DedupWindow
 }
 
 // harmless tells whether a nack keeps its promise.
 func (d *Dispatcher) harmless(o *op) bool {
 	c := &d.categories[o.cat]
-	if !o.ran || c.effect == "redeliverable" {
+	if !o.ran || c.Effect == Idempotent {
 		return true
 	}
-	return c.effect == "deduplicated" && c.scope == "all" && d.now < o.ranAt+c.window
+	return c.Effect == Deduplicated && c.DedupScope == DedupEverywhere && d.now < o.ranAt+c.DedupWindow
 }
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -41,16 +41,16 @@
 	return !p.ended || p.how != Rejected && p.how != Unreachable && p.how != NotSent && p.how != LocalExhaustion
 }
 
-func (m *plain) mayPush(t map[string]any, op, worker int, now Time) bool {
+func (m *plain) mayPush(s Settings, op, worker int, now Time) bool {
 	o := m.ops[op]
-	at := "categories." + string(rune('0'+o.cat)) + "."
+	c := s.Categories[o.cat]
 	sent := 0
 	for _, p := range o.pushes {
 		if !p.ended || p.how != LocalExhaustion { // that one reached nobody
 			sent++
 		}
 	}
-	if o.final || !m.ready[worker] || sent >= int(t["bounds.maxPushes"].(float64)) {
+	if o.final || !m.ready[worker] || sent >= s.MaxAttempts {
 		return false
 	}
 	for _, p := range o.pushes {
@@ -63,11 +63,11 @@
 			continue
 		}
 		switch {
-		case t[at+"effect"] == "redeliverable":
-		case t[at+"effect"] == "at-most-once", now >= p.at+Time(t[at+"window"].(float64)):
+		case c.Effect == Idempotent:
+		case c.Effect == AtMostOnce, now >= p.at+c.DedupWindow:
 			return false
-		case t[at+"dedupScope"] == "zone" && m.where[worker][0] != p.where[0],
-			t[at+"dedupScope"] == "cell" && m.where[worker] != p.where:
+		case c.DedupScope == DedupInZone && m.where[worker][0] != p.where[0],
+			c.DedupScope == DedupInGroup && m.where[worker] != p.where:
 			return false
 		}
 		break // the first that may have run fixes group and window
@@ -75,13 +75,13 @@
 	return true
 }
 
-func (m *plain) mayNack(t map[string]any, op int, now Time) bool {
+func (m *plain) mayNack(s Settings, op int, now Time) bool {
 	o := m.ops[op]
-	at := "categories." + string(rune('0'+o.cat)) + "."
+	c := s.Categories[o.cat]
 	for _, p := range o.pushes {
-		past := now >= p.at+Time(t[at+"window"].(float64))
-		if p.mayHaveRun() && t[at+"effect"] != "redeliverable" &&
-			(t[at+"effect"] == "at-most-once" || t[at+"dedupScope"] != "all" || past) {
+		past := now >= p.at+c.DedupWindow
+		if p.mayHaveRun() && c.Effect != Idempotent &&
+			(c.Effect == AtMostOnce || c.DedupScope != DedupEverywhere || past) {
 			return false
 		}
 	}
@@ -98,11 +98,14 @@
 // storm drives a dispatcher through made-up trouble and checks each decision against the plain rules.
 func storm(t *testing.T, seed int64) bool {
 	r := rand.New(rand.NewSource(seed))
-	terms := terms(map[string]any{"bounds.probes": r.Intn(5) > 0,
-		"extra.progress":      2_000 * float64(r.Intn(2)),
-		"bounds.secondCopies": r.Intn(2) == 0, "bounds.peerMessages": r.Intn(2) == 0, "keys": true,
-		"prices.connection": 0.05 * float64(r.Intn(2))})
-	d := New(uint64(seed), terms)
+	settings := testSettings(func(s *Settings) {
+		s.Probes = r.Intn(5) > 0
+		s.ProgressInterval = 2_000 * Time(r.Intn(2))
+		s.PeerMessages = r.Intn(2) == 0
+		s.AffinityKeys = true
+		s.ConnectionPrice = 0.05 * float64(r.Intn(2))
+	})
+	d := New(uint64(seed), settings)
 	m := &plain{map[int]bool{}, map[int][2]int{}, map[int]Time{}, map[int]*plainOp{}, map[int]float64{},
 		map[int]Time{}}
 	now, next := Time(1_000_000), 0
@@ -169,7 +172,7 @@
 			d.AttemptEnded(i, len(o.pushes)-1, p.how, now-p.at, o.final)
 		}
 		d.AdvanceClock(now)
-		if !judgeAll(t, d, m, terms, names, now, r) {
+		if !judgeAll(t, d, m, settings, names, now, r) {
 			return false
 		}
 		now += Time(r.Intn(300))
@@ -213,13 +216,13 @@
 	return got == want
 }
 
-func judgeAll(t *testing.T, d *Dispatcher, m *plain, terms map[string]any, names []int, now Time,
+func judgeAll(t *testing.T, d *Dispatcher, m *plain, settings Settings, names []int, now Time,
 	r *rand.Rand) bool {
 	for {
 		for i, name := range names {
 			if o := d.op(i); name != 0 && o != nil {
 				for w := range d.workers {
-					if want := m.mayPush(terms, name, w, now); d.allowed(o, w) != want {
+					if want := m.mayPush(settings, name, w, now); d.allowed(o, w) != want {
 						t.Logf("op of category %d, worker %d: module %v, rules %v", o.cat, w, !want, want)
 						return false
 					}
@@ -240,20 +243,20 @@
 			return agree(t, d)
 		case Push:
 			o := m.ops[name]
-			if !m.mayPush(terms, name, worker, now) || now+timeout >= o.ttl && timeout > 1 || now >= o.ttl {
+			if !m.mayPush(settings, name, worker, now) || now+timeout >= o.ttl && timeout > 1 || now >= o.ttl {
 				t.Logf("push against the rules: category %d worker %d", o.cat, worker)
 				return false
 			}
 			o.pushes = append(o.pushes, plainPush{m.where[worker], now, now + timeout, false, Succeeded, worker,
 				d.ops[op].slots})
-			if terms["bounds.probes"] == true && !m.intoRoom(worker, now) {
+			if settings.Probes && !m.intoRoom(worker, now) {
 				t.Logf("a push to cold worker %d that has no room", worker)
 				return false
 			}
 		case CancelAttempt:
 			o := m.ops[name]
 			p := &o.pushes[len(o.pushes)-1]
-			if p.ended || terms["bounds.cancel"] != true {
+			if p.ended || !settings.CancelsAttempts {
 				t.Logf("called off against the rules: category %d", o.cat)
 				return false
 			}
@@ -261,7 +264,7 @@
 			d.AttemptEnded(op, len(o.pushes)-1, Cancelled, now-p.at, false)
 		case Nack, DeadLetter:
 			o := m.ops[name]
-			if o.final || next.Kind == Nack && !m.mayNack(terms, name, now) ||
+			if o.final || next.Kind == Nack && !m.mayNack(settings, name, now) ||
 				len(o.pushes) > 0 && !o.pushes[len(o.pushes)-1].ended {
 				t.Logf("%v against the rules: category %d", next.Kind, o.cat)
 				return false
@@ -308,7 +311,7 @@
 		r := rand.New(rand.NewSource(int64(day)))
 		all := make([]*Dispatcher, schedulers)
 		for i := range all {
-			all[i] = New(r.Uint64(), terms(map[string]any{"instances": 200.0, "myNumber": float64(i)}))
+			all[i] = New(r.Uint64(), testSettings(func(s *Settings) { s.Schedulers, s.Scheduler = 200, i }))
 			all[i].AdvanceClock(1_000_000)
 			all[i].BeginSnapshot()
 			for w := range workers {
@@ -360,11 +363,10 @@
 
 // Settings that change while ops are open: an op pushed again under rules that it was not taken with breaks rule 2.
 func TestOpenOpsKeepTheRulesThatTheyCameWith(t *testing.T) {
-	terms := func(effect string, pushes float64) map[string]any {
-		return map[string]any{"step": 10.0, "bounds.maxPushes": pushes, "categories.0.ttl": 50_000.0,
-			"categories.0.targetLatency": 1000.0, "categories.0.name": "pay", "categories.0.effect": effect}
+	settings := func(effect Effect, attempts int) Settings {
+		return settingsOf([]CategoryRules{{Name: "pay", Effect: effect, TTL: 50_000, LatencyObjective: 1000}}, attempts)
 	}
-	d := New(3, terms("redeliverable", 3))
+	d := New(3, settings(Idempotent, 3))
 	d.AdvanceClock(1)
 	d.BeginSnapshot()
 	for i := range 3 {
@@ -381,7 +383,7 @@
 			case next.Kind == Push && next.Op == op:
 				pushes++
 				if op == 0 && pushes == 1 { // under the first op the settings change
-					if places := d.SetCategories(terms("at-most-once", 1)); !slices.Equal(places, []int{1}) {
+					if places := d.SetCategories(settings(AtMostOnce, 1)); !slices.Equal(places, []int{1}) {
 						t.Fatalf("another effect has place %v", places)
 					}
 				}
@@ -398,7 +400,7 @@
 	if n := broken(1, 1); n != 1 {
 		t.Errorf("an at-most-once op that may have run is pushed %d times", n)
 	}
-	if places := d.SetCategories(terms("redeliverable", 2)); !slices.Equal(places, []int{0}) {
+	if places := d.SetCategories(settings(Idempotent, 2)); !slices.Equal(places, []int{0}) {
 		t.Errorf("terms that were known have place %v: what was learned is lost", places)
 	}
 	if n := broken(2, 0); n != 2 {
@@ -408,9 +410,9 @@
 
 // Two categories alike in all but nothing: each needs a place of its own, or their names would mean one another.
 func TestCategoriesAlikeHavePlacesOfTheirOwn(t *testing.T) {
-	terms := map[string]any{"categories.0.ttl": 5.0, "categories.1.ttl": 5.0}
-	d := New(3, terms)
-	if places := d.SetCategories(terms); !slices.Equal(places, []int{0, 1}) {
+	settings := settingsOf([]CategoryRules{{TTL: 5}, {TTL: 5}}, 1)
+	d := New(3, settings)
+	if places := d.SetCategories(settings); !slices.Equal(places, []int{0, 1}) {
 		t.Errorf("places %v", places)
 	}
 }
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -3,21 +3,13 @@
 import (
 	"math"
 	"slices"
-	"strconv"
 
 	"woaddyke/internal/base/stats"
 )
 
-// rules are a category's terms.
-type rules struct {
-	name, effect, scope string
-	ttl, target, window Time
-	stretch, benefit    float64
-}
-
 // category is at a place that ops refer to.
 type category struct {
-	rules
+	CategoryRules
 	longest       Time   // the longest time that a client was seen to give
 	runs          []Time // of its ops, the last few
 	middle, usual Time   // of those: the median, the mean
@@ -49,16 +41,16 @@
 
 // worth is what an op of a category earns for its work; false while its runs are unknown.
 func (d *Dispatcher) worth(c *category) (b float64, known bool) {
-	if d.site.perWork {
-		return c.benefit, true
+	if d.settings.BenefitPerWork {
+		return c.Benefit, true
 	}
-	return c.benefit / float64(max(c.usual, 1)), len(c.runs) > 0
+	return c.Benefit / float64(max(c.usual, 1)), len(c.runs) > 0
 }
 
 func (d *Dispatcher) most() (most float64, ok bool) {
 	x := &d.dearest
-	if !x.holds || x.perWork != d.site.perWork {
-		*x = dearest{ok: true, holds: true, perWork: d.site.perWork}
+	if !x.holds || x.perWork != d.settings.BenefitPerWork {
+		*x = dearest{ok: true, holds: true, perWork: d.settings.BenefitPerWork}
 		for k := range d.categories {
 			if c := &d.categories[k]; c.served {
 				b, known := d.worth(c)
@@ -80,57 +72,27 @@
 	}
 }
 
-func reader(terms map[string]any) (num func(string, float64) float64, span func(string, Time) Time) {
-	num = func(name string, otherwise float64) float64 {
-		if v, ok := terms[name].(float64); ok {
-			return v
-		}
-		return otherwise
-	}
-	return num, func(name string, otherwise Time) Time { return Time(num(name, float64(otherwise))) }
-}
-
-func siteOf(terms map[string]any) site {
-	num, span := reader(terms)
-	s := site{step: span("step", 0), dial: span("bounds.connectTimeout", 0),
-		call: span("bounds.connectTimeout", second), warmAfter: span("safety.warmAfter", 0), tipAfter: span("safety.tipAfter", 0),
-		progress: span("extra.progress", 0), coldFrom: num("safety.coldFrom", 1),
-		overload: num("safety.overloadFactor", 1), crossZone: num("prices.crossZone", 0),
-		connections: num("prices.connection", 0), me: int(num("myNumber", 0)), all: int(num("instances", 1)),
-		peers: terms["bounds.peerMessages"] == true, maxPushes: int(num("bounds.maxPushes", 1)),
-		myZone: int(num("myZone", 0)), probes: terms["bounds.probes"] == true,
-		cancel: terms["bounds.cancel"] == true, tellsStart: terms["extra.tellsStart"] == true,
-		perWork: terms["benefitPer"] == "work", keys: terms["keys"] == true}
-	if terms["bounds.retryAfter"] == true {
-		s.longestPause = span("bounds.maxRetryAfter", 0)
-	}
-	return s
-}
-
-// SetCategories takes up the categories that the terms name, and their number of pushes. It returns each one's place, in the
-// order of the terms. One whose place is known with the same terms keeps it, and with it what was learned of it; what was
-// learned of one of the same name goes along to its new place. Ops keep the place and the number of pushes that they came
-// with. The host names the places beside those of the terms that it goes on giving ops of; any other one without an open op
-// is given to the next category that needs one, so that places are as many as are in use at a time, however often terms change.
-func (d *Dispatcher) SetCategories(terms map[string]any, kept ...int) (places []int) {
-	num, _ := reader(terms)
-	d.site.maxPushes = int(num("bounds.maxPushes", 1))
+// SetCategories takes up the categories and the number of attempts of other settings. It returns each
+// category's place, in their order. One whose place is known with the same rules keeps it, and with it what was
+// learned of it; what was learned of one of the same name goes along to its new place. Ops keep the place and
+// the number of attempts that they came with. The host names in retained the places that it goes on giving ops
+// of; any other place that no category in force and no open op refers to is given to the next category that
+// needs one, so that the number of places is bounded by those in use at a time.
+func (d *Dispatcher) SetCategories(settings Settings, retained ...int) (places []int) {
+	d.settings.MaxAttempts = settings.MaxAttempts
 	for k := range d.categories {
 		c := &d.categories[k]
 		c.before, c.served, c.kept = c.served, false, false
 	}
-	for _, k := range kept {
+	for _, k := range retained {
 		d.categories[k].kept = true
 	}
 	d.least, d.fresh, d.dearest.holds = math.MaxInt64, false, false
 	var index *index       // wanted for what has changed: most is as it was
 	var without []category // a place so far
-	for i := 0; ; i++ {
-		c, ok := entry(terms, i)
-		if !ok {
-			break
-		}
-		d.least = min(d.least, c.target)
+	for i, rules := range settings.Categories {
+		c := category{CategoryRules: rules, served: true}
+		d.least = min(d.least, c.LatencyObjective)
 		if i < len(d.entries) && d.alike(d.entries[i], &c) {
 			d.categories[d.entries[i]].served = true
 			places = append(places, d.entries[i])
@@ -139,16 +101,16 @@
 		if index == nil {
 			index = d.index()
 		}
-		k := index.find(c.name, func(k int) bool { return d.alike(k, &c) })
+		k := index.find(c.Name, func(k int) bool { return d.alike(k, &c) })
 		if places = append(places, k); k >= 0 {
 			d.categories[k].served = true
 			continue
 		}
-		if k = index.find(c.name, func(k int) bool { return d.categories[k].before }); k >= 0 && c.name != "" {
+		if k = index.find(c.Name, func(k int) bool { return d.categories[k].before }); k >= 0 && c.Name != "" {
 			// How long its ops run is no matter of its terms. Without that all categories had the rank of the dearest until one of
 			// its ops had ended, at each change.
 			x := &d.categories[k]
-			if c.runs, c.middle, c.usual = slices.Clone(x.runs), x.middle, x.usual; x.ttl == c.ttl {
+			if c.runs, c.middle, c.usual = slices.Clone(x.runs), x.middle, x.usual; x.TTL == c.TTL {
 				c.longest = x.longest
 			}
 		}
@@ -171,32 +133,9 @@
 	return slices.Clone(places)
 }
 
-// entry is the i-th category that the terms name, false beyond the last one.
-func entry(terms map[string]any, i int) (c category, ok bool) {
-	n := strconv.Itoa(i)
-	at := append(make([]byte, 0, 64), "categories."+n+"."...)
-	value := func(name string) any { return terms[string(append(at, name...))] }
-	num := func(name string, otherwise float64) float64 {
-		if v, ok := value(name).(float64); ok {
-			return v
-		}
-		return otherwise
-	}
-	if _, ok = terms[string(append(at, "ttl"...))]; !ok {
-		return c, false
-	}
-	c = category{served: true, rules: rules{ttl: Time(num("ttl", 0)), target: Time(num("targetLatency", 0)),
-		window: Time(num("window", 0)), benefit: num("benefit", 1)}}
-	c.stretch, _ = terms["extra.classStretch."+n].(float64)
-	c.name, _ = value("name").(string)
-	c.effect, _ = value("effect").(string)
-	c.scope, _ = value("dedupScope").(string)
-	return c, true
-}
-
 // alike tells whether the place k has the rules of c and is not taken by an entry of the new terms yet.
 func (d *Dispatcher) alike(k int, c *category) bool {
-	return !d.categories[k].served && d.categories[k].rules == c.rules
+	return !d.categories[k].served && d.categories[k].CategoryRules == c.CategoryRules
 }
 
 // index finds places by the name of their category.
@@ -209,7 +148,7 @@
 	n := len(d.categories)
 	x := &index{make(map[string]int, n), make([]int, n)}
 	for k := n - 1; k >= 0; k-- {
-		name := d.categories[k].name
+		name := d.categories[k].Name
 		if x.next[k] = -1; x.first[name] > 0 {
 			x.next[k] = x.first[name] - 1
 		}
--- a/dispatch/settings_bench_test.go
+++ b/dispatch/settings_bench_test.go
@@ -2,24 +2,22 @@
 
 import (
 	"fmt"
-	"strconv"
 	"testing"
 )
 
-// siteTerms are the terms of so many categories, as a site has them.
-func siteTerms(entries int) map[string]any {
-	t := map[string]any{"step": 10.0, "bounds.maxPushes": 3.0, "bounds.probes": true}
+// manyCategories are the settings of so many categories.
+func manyCategories(entries int) Settings {
+	var all []CategoryRules
 	for i := range entries {
-		at := "categories." + strconv.Itoa(i) + "."
-		t[at+"name"], t[at+"effect"], t[at+"dedupScope"] = fmt.Sprintf("team-%d", i), "deduplicated", "zone"
-		t[at+"ttl"], t[at+"targetLatency"], t[at+"window"], t[at+"benefit"] = 50_000.0, 5_000.0, 20_000.0, 2.0
+		all = append(all, CategoryRules{Name: fmt.Sprintf("team-%d", i), Effect: Deduplicated, DedupScope: DedupInZone,
+			TTL: 50_000, LatencyObjective: 5_000, DedupWindow: 20_000, Benefit: 2})
 	}
-	return t
+	return settingsOf(all, 3)
 }
 
-// change gives one of the categories terms that it never had.
-func change(terms map[string]any, entries, n int) {
-	terms["categories."+strconv.Itoa(n%entries)+".targetLatency"] = float64(5_001 + n)
+// change gives one of the categories rules that it never had.
+func change(settings Settings, n int) {
+	settings.Categories[n%len(settings.Categories)].LatencyObjective = Time(5_001 + n)
 }
 
 // BenchmarkChange is one category's change among so many, after so many before it.
@@ -27,17 +25,17 @@
 	for _, entries := range []int{3, 560} {
 		for _, before := range []int{0, 16_000, 100_000} {
 			b.Run(fmt.Sprintf("entries=%d/before=%d", entries, before), func(b *testing.B) {
-				terms := siteTerms(entries)
-				d := New(7, terms)
+				settings := manyCategories(entries)
+				d := New(7, settings)
 				n := 0
 				for ; n < before; n++ {
-					change(terms, entries, n)
-					d.SetCategories(terms)
+					change(settings, n)
+					d.SetCategories(settings)
 				}
 				b.ReportAllocs()
 				for b.Loop() {
-					change(terms, entries, n)
-					d.SetCategories(terms)
+					change(settings, n)
+					d.SetCategories(settings)
 					n++
 				}
 				b.ReportMetric(float64(len(d.categories)), "places")
@@ -50,8 +48,8 @@
 func BenchmarkOpAmong(b *testing.B) {
 	for _, entries := range []int{3, 560} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
-			d := New(7, siteTerms(entries))
-			d.site.probes, d.site.tellsStart = false, true
+			d := New(7, manyCategories(entries))
+			d.settings.Probes, d.settings.ReportsStarts = false, true
 			now := Time(1_000_000)
 			d.AdvanceClock(now)
 			d.BeginSnapshot()
--- a/dispatch/settings_test.go
+++ b/dispatch/settings_test.go
@@ -9,16 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// siteOfRules is the terms of some categories, in the order of their names here.
-func siteOfRules(all []rules, pushes float64) map[string]any {
-	t := map[string]any{"step": 10.0, "bounds.maxPushes": pushes}
-	for i, r := range all {
-		at := fmt.Sprintf("categories.%d.", i)
-		t[at+"name"], t[at+"effect"], t[at+"dedupScope"], t[at+"benefit"] = r.name, r.effect, r.scope, r.benefit
-		t[at+"ttl"], t[at+"targetLatency"], t[at+"window"] = float64(r.ttl), float64(r.target), float64(r.window)
-		t[fmt.Sprintf("extra.classStretch.%d", i)] = r.stretch
-	}
-	return t
+// settingsOf are settings of some categories, in their order.
+func settingsOf(all []CategoryRules, attempts int) Settings {
+	return Settings{Categories: slices.Clone(all), MaxAttempts: attempts, Step: 10, Schedulers: 1, AcknowledgeTimeout: second,
+		SlowStart: SlowStartSettings{InitialCapacity: 1, OverloadFactor: 1}}
 }
 
 // Places were given out for good, and after a thousand of them no change was taken until the process was replaced. Now that they are
@@ -26,15 +20,15 @@
 // an at-most-once op at a place that became a redeliverable category's would be run twice.
 func TestAPlaceIsNobodyElsesWhileAnythingRefersToIt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		anyRules := rapid.Custom(func(t *rapid.T) rules {
-			return rules{name: rapid.SampledFrom([]string{"a", "b", "c", "d", "e", ""}).Draw(t, "name"),
-				effect: rapid.SampledFrom([]string{"redeliverable", "deduplicated", "at-most-once"}).Draw(t, "effect"),
-				scope:  rapid.SampledFrom([]string{"all", "cell"}).Draw(t, "scope"), benefit: float64(rapid.IntRange(1, 3).Draw(t, "benefit")),
-				ttl: 50_000, target: Time(rapid.IntRange(1, 4).Draw(t, "target") * 1000), window: 20_000, stretch: 1}
+		anyRules := rapid.Custom(func(t *rapid.T) CategoryRules {
+			return CategoryRules{Name: rapid.SampledFrom([]string{"a", "b", "c", "d", "e", ""}).Draw(t, "name"),
+				Effect:     rapid.SampledFrom([]Effect{Idempotent, Deduplicated, AtMostOnce}).Draw(t, "effect"),
+				DedupScope: rapid.SampledFrom([]DedupScope{DedupEverywhere, DedupInGroup}).Draw(t, "scope"), Benefit: float64(rapid.IntRange(1, 3).Draw(t, "benefit")),
+				TTL: 50_000, LatencyObjective: Time(rapid.IntRange(1, 4).Draw(t, "target") * 1000), DedupWindow: 20_000, Stretch: 1}
 		})
 		inForce := rapid.SliceOfN(anyRules, 1, 6).Draw(t, "rules")
-		d := New(3, siteOfRules(inForce, 3))
-		places := d.SetCategories(siteOfRules(inForce, 3))
+		d := New(3, settingsOf(inForce, 3))
+		places := d.SetCategories(settingsOf(inForce, 3))
 		d.AdvanceClock(1)
 		d.BeginSnapshot()
 		for i := range 3 {
@@ -42,26 +36,26 @@
 		}
 		d.EndUpdate()
 		type came struct {
-			rules
+			CategoryRules
 			cat, most, legs int
 			out             bool
 		}
-		open, kept := map[int]*came{}, map[int]rules{} // ops by index; places by what the host has them for
+		open, kept := map[int]*came{}, map[int]CategoryRules{} // ops by index; places by what the host has them for
 		pushes, peak := 3, len(d.categories)
 		check := func() {
 			for i, k := range places {
-				if got := d.categories[k].rules; got != inForce[i] {
+				if got := d.categories[k].CategoryRules; got != inForce[i] {
 					t.Fatalf("entry %d has the place of %+v, not of %+v", i, got, inForce[i])
 				}
 			}
 			for k, want := range kept {
-				if got := d.categories[k].rules; got != want {
+				if got := d.categories[k].CategoryRules; got != want {
 					t.Fatalf("place %d that the host keeps for %+v is that of %+v", k, want, got)
 				}
 			}
 			for i, o := range open {
-				if got := d.ops[i]; d.categories[got.cat].rules != o.rules || got.most != o.most {
-					t.Fatalf("op %d came by %+v, %d pushes, and is under %+v, %d", i, o.rules, o.most, d.categories[got.cat].rules, got.most)
+				if got := d.ops[i]; d.categories[got.cat].CategoryRules != o.CategoryRules || got.most != o.most {
+					t.Fatalf("op %d came by %+v, %d pushes, and is under %+v, %d", i, o.CategoryRules, o.most, d.categories[got.cat].CategoryRules, got.most)
 				}
 			}
 		}
@@ -74,12 +68,12 @@
 					return
 				case Push:
 					o := open[i]
-					if o.legs++; o.legs > o.most || o.legs > 1 && o.effect == "at-most-once" {
+					if o.legs++; o.legs > o.most || o.legs > 1 && o.Effect == AtMostOnce {
 						t.Fatalf("op %d is pushed %d times: %+v", i, o.legs, *o)
 					}
 					o.out = true
 				case Nack:
-					if o := open[i]; o.effect == "at-most-once" && o.legs > 0 {
+					if o := open[i]; o.Effect == AtMostOnce && o.legs > 0 {
 						t.Fatalf("op %d may have run and is nacked: %+v", i, *o)
 					}
 				case Forget:
@@ -94,7 +88,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(*rapid.T) { check() },
 			"change": func(t *rapid.T) {
-				was := map[int]rules{}
+				was := map[int]CategoryRules{}
 				maps.Copy(was, kept)
 				for i, k := range places {
 					was[k] = inForce[i]
@@ -112,7 +106,7 @@
 					}
 				}
 				pushes = rapid.IntRange(1, 4).Draw(t, "pushes")
-				places = d.SetCategories(siteOfRules(inForce, float64(pushes)), slices.Sorted(maps.Keys(kept))...)
+				places = d.SetCategories(settingsOf(inForce, pushes), slices.Sorted(maps.Keys(kept))...)
 				used := map[int]bool{}
 				for _, k := range places {
 					if used[k] {
@@ -145,7 +139,7 @@
 				if !d.AddOp(i, OpSpec{Category: k, TTL: d.now + 1<<30, Slots: 1}) {
 					t.Fatalf("no op of place %d is taken", k)
 				}
-				open[i] = &came{rules: d.categories[k].rules, cat: k, most: pushes}
+				open[i] = &came{CategoryRules: d.categories[k].CategoryRules, cat: k, most: pushes}
 				pull()
 			},
 			"end": func(t *rapid.T) {
@@ -170,9 +164,9 @@
 // What was learned of a category went with its terms: whatever of them changed, its ops' usual run was unknown again, and until one had
 // ended all categories had the rank of the dearest.
 func TestWhatIsLearnedOfACategoryGoesAlongToItsNewTerms(t *testing.T) {
-	of := []rules{{name: "look", effect: "redeliverable", ttl: 50_000, target: 5_000, benefit: 1, stretch: 1},
-		{name: "pay", effect: "redeliverable", ttl: 50_000, target: 5_000, benefit: 4, stretch: 1}}
-	d := New(3, siteOfRules(of, 3))
+	of := []CategoryRules{{Name: "look", Effect: Idempotent, TTL: 50_000, LatencyObjective: 5_000, Benefit: 1, Stretch: 1},
+		{Name: "pay", Effect: Idempotent, TTL: 50_000, LatencyObjective: 5_000, Benefit: 4, Stretch: 1}}
+	d := New(3, settingsOf(of, 3))
 	d.AdvanceClock(1)
 	for k := range of {
 		d.AddOp(k, OpSpec{Category: k, TTL: d.now + 40_000, Slots: 1})
@@ -184,8 +178,8 @@
 		t.Fatalf("rank %v", got)
 	}
 	old := slices.Clone(d.categories[0].runs)
-	of[0].target = 6_000
-	place := d.SetCategories(siteOfRules(of, 3))[0]
+	of[0].LatencyObjective = 6_000
+	place := d.SetCategories(settingsOf(of, 3))[0]
 	d.AddOp(2, OpSpec{Category: place, TTL: d.now + 40_000, Slots: 1})
 	if c := d.categories[place]; place == 0 || c.middle != 700 || c.usual != 700 || c.longest != 40_000 || d.rank(d.ops[2]) != 0.25 {
 		t.Errorf("place %d: %+v, rank %v", place, c, d.rank(d.ops[2]))
@@ -195,9 +189,9 @@
 	if x, y := d.categories[0].runs, d.categories[place].runs; x[len(x)-1] != 8 || y[len(y)-1] != 9 || !slices.Equal(x[:len(x)-1], old[1:]) {
 		t.Errorf("the runs of open ops and of new ones are mixed: %v, %v", x, y)
 	}
-	of[0].ttl = 20_000 // clients give less now: an op by the longest time that was seen would count as late from the beginning
-	if place = d.SetCategories(siteOfRules(of, 3))[0]; d.categories[place].longest != 0 || d.categories[place].middle != 700 {
-		t.Errorf("with another ttl: %+v", d.categories[place])
+	of[0].TTL = 20_000 // clients give less now: an op by the longest time that was seen would count as late from the beginning
+	if place = d.SetCategories(settingsOf(of, 3))[0]; d.categories[place].longest != 0 || d.categories[place].middle != 700 {
+		t.Errorf("with another TTL: %+v", d.categories[place])
 	}
 }
 
@@ -206,11 +200,11 @@
 func TestTheDearestCategoryIsTheOneThatAWalkFinds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "n")
-		var of []rules
+		var of []CategoryRules
 		for i := range n {
-			of = append(of, rules{name: fmt.Sprint(i), ttl: 50_000, target: 5_000, benefit: float64(rapid.IntRange(0, 9).Draw(t, "benefit"))})
+			of = append(of, CategoryRules{Name: fmt.Sprint(i), TTL: 50_000, LatencyObjective: 5_000, Benefit: float64(rapid.IntRange(0, 9).Draw(t, "benefit"))})
 		}
-		d := New(3, siteOfRules(of, 3))
+		d := New(3, settingsOf(of, 3))
 		d.AdvanceClock(1)
 		for k := range of {
 			d.AddOp(k, OpSpec{Category: k, TTL: d.now + 40_000, Slots: 1})
@@ -219,10 +213,10 @@
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0:
 				i := rapid.IntRange(0, n-1).Draw(t, "which")
-				of[i].benefit = float64(rapid.IntRange(0, 9).Draw(t, "benefit"))
-				d.SetCategories(siteOfRules(of, 3))
+				of[i].Benefit = float64(rapid.IntRange(0, 9).Draw(t, "benefit"))
+				d.SetCategories(settingsOf(of, 3))
 			case 1:
-				d.site.perWork = !d.site.perWork
+				d.settings.BenefitPerWork = !d.settings.BenefitPerWork
 			default:
 				d.ran(rapid.IntRange(0, len(d.categories)-1).Draw(t, "ran"), Time(rapid.IntRange(1, 50).Draw(t, "took")))
 			}
--- a/dispatch/slow_start.go
+++ b/dispatch/slow_start.go
@@ -14,7 +14,7 @@
 	if !d.cold(w) {
 		return 1
 	}
-	return d.site.coldFrom + (1-d.site.coldFrom)*float64(d.now-w.since)/float64(d.site.warmAfter)
+	return d.settings.SlowStart.InitialCapacity + (1-d.settings.SlowStart.InitialCapacity)*float64(d.now-w.since)/float64(d.settings.SlowStart.WarmAfter)
 }
 
 // budget is how many ops like this one the terms let all schedulers together send to a worker in the span after which it
@@ -22,7 +22,7 @@
 // shown, each busy with one such op after the other.
 func (d *Dispatcher) budget(o *op, w *worker) float64 {
 	slots := max(d.kinds[w.kind].slots, 1)
-	return d.site.overload * d.warmth(w) * slots * float64(d.site.tipAfter) / float64(max(d.expected(o), 1))
+	return d.settings.SlowStart.OverloadFactor * d.warmth(w) * slots * float64(d.settings.SlowStart.OverloadWindow) / float64(max(d.expected(o), 1))
 }
 
 // share is how much of a budget of n the mean may be, so that chance does not pass n + 2 sqrt(n) + 2, at which a worker falls.
@@ -54,7 +54,7 @@
 }
 
 func (d *Dispatcher) cold(w *worker) bool {
-	return w.since > 0 && d.now < w.since+d.site.warmAfter
+	return w.since > 0 && d.now < w.since+d.settings.SlowStart.WarmAfter
 }
 
 // spared draws whether a cold worker is kept out of an op's pair. An equal share of the budget was under one
@@ -69,6 +69,6 @@
 	}
 	proven := min(4*d.figures().truth-2.8, 1) // 1 from 19 starts in 20 on, and nothing below 14
 	part := max(share(d.budget(o, w))/(rise*d.demand()), proven)
-	lot := d.site.overload / 2 * d.warmth(w) * part * float64(from) / float64(max(d.ready, 1)*(1+o.looks+o.legs))
+	lot := d.settings.SlowStart.OverloadFactor / 2 * d.warmth(w) * part * float64(from) / float64(max(d.ready, 1)*(1+o.looks+o.legs))
 	return d.chance.Uniform() >= lot
 }
--- a/dispatch/slow_start_test.go
+++ b/dispatch/slow_start_test.go
@@ -15,18 +15,18 @@
 // are exponential.
 type coldDay struct {
 	schedulers, workers, zones int
-	cold                       int            // so many workers start a second into the day
-	own                        int            // workers of zone 0; an equal part where it is 0
-	home                       float64        // share of the schedulers that are in zone 0; an equal part where it is 0
-	first                      float64        // share of the arrivals that scheduler 0 has; an equal one where it is 0
-	load, burst                float64        // arrivals over what the warm fleet does; the same for the 2 s after 1 s of cold
-	run                        Time           // of a mean job at a warm worker
-	late                       Time           // how old the reports are
-	blind                      bool           // a cold worker's reports say that it is idle
-	turn                       Time           // that is so from this long after the start on
-	again                      int            // how often a client comes back after a nack
-	span                       Time           // of arrivals after the start
-	more                       map[string]any // terms
+	cold                       int             // so many workers start a second into the day
+	own                        int             // workers of zone 0; an equal part where it is 0
+	home                       float64         // share of the schedulers that are in zone 0; an equal part where it is 0
+	first                      float64         // share of the arrivals that scheduler 0 has; an equal one where it is 0
+	load, burst                float64         // arrivals over what the warm fleet does; the same for the 2 s after 1 s of cold
+	run                        Time            // of a mean job at a warm worker
+	late                       Time            // how old the reports are
+	blind                      bool            // a cold worker's reports say that it is idle
+	turn                       Time            // that is so from this long after the start on
+	again                      int             // how often a client comes back after a nack
+	span                       Time            // of arrivals after the start
+	more                       func(*Settings) // may be nil
 }
 
 // coldFigures are what a day shows of its cold workers.
@@ -142,11 +142,9 @@
 				at = 1 + s%(p.zones-1)
 			}
 		}
-		t := terms(map[string]any{"instances": float64(day.schedulers), "myNumber": float64(s), "myZone": float64(at), "prices.crossZone": 0.0})
-		for k, v := range day.more {
-			t[k] = v
-		}
-		x := &coldScheduler{d: New(p.r.Uint64(), t), ops: map[int]*coldOp{}}
+		settings := testSettings(day.more)
+		settings.Schedulers, settings.Scheduler, settings.Zone = day.schedulers, s, at
+		x := &coldScheduler{d: New(p.r.Uint64(), settings), ops: map[int]*coldOp{}}
 		x.d.AdvanceClock(p.now)
 		p.schedulers = append(p.schedulers, x)
 	}
@@ -401,9 +399,9 @@
 	least float64
 	day   coldDay
 } {
-	crossing := map[string]any{"prices.crossZone": 0.01}
-	regulars := map[string]any{"prices.connection": 0.01}
-	words := map[string]any{"prices.connection": 0.01, "bounds.peerMessages": true}
+	crossing := func(s *Settings) { s.CrossZonePrice = 0.01 }
+	regulars := func(s *Settings) { s.ConnectionPrice = 0.01 }
+	words := func(s *Settings) { s.ConnectionPrice, s.PeerMessages = 0.01, true }
 	day := func(change func(*coldDay)) coldDay {
 		d := coldDay{schedulers: 30, workers: 40, cold: 24, load: 0.7, run: 2_000, span: 3 * second, more: crossing, zones: 3}
 		change(&d)
@@ -419,11 +417,11 @@
 		"thirty, burst":        {0.7, day(func(d *coldDay) { d.load, d.burst, d.again = 1, 1.5, 2 })},
 		"quiet hundreds":       {0.5, day(func(d *coldDay) { d.schedulers, d.workers, d.cold = 300, 100, 60 })},
 		"all cold":             {0.45, day(func(d *coldDay) { d.cold = 40 })},
-		"no probes":            {0.2, day(func(d *coldDay) { d.more = map[string]any{"bounds.probes": false} })},
-		"no probes, full":      {0.35, day(func(d *coldDay) { d.load, d.more = 1, map[string]any{"bounds.probes": false} })},
-		"no probes, burst":     {0.5, day(func(d *coldDay) { d.load, d.burst, d.again, d.more = 1, 1.5, 2, map[string]any{"bounds.probes": false} })},
-		"no probes, all cold":  {0.5, day(func(d *coldDay) { d.cold, d.more = 40, map[string]any{"bounds.probes": false} })},
-		"no probes, threefold": {0.5, day(func(d *coldDay) { d.load, d.more = 3, map[string]any{"bounds.probes": false} })},
+		"no probes":            {0.2, day(func(d *coldDay) { d.more = func(s *Settings) { s.Probes = false } })},
+		"no probes, full":      {0.35, day(func(d *coldDay) { d.load, d.more = 1, func(s *Settings) { s.Probes = false } })},
+		"no probes, burst":     {0.5, day(func(d *coldDay) { d.load, d.burst, d.again, d.more = 1, 1.5, 2, func(s *Settings) { s.Probes = false } })},
+		"no probes, all cold":  {0.5, day(func(d *coldDay) { d.cold, d.more = 40, func(s *Settings) { s.Probes = false } })},
+		"no probes, threefold": {0.5, day(func(d *coldDay) { d.load, d.more = 3, func(s *Settings) { s.Probes = false } })},
 		"hundreds, all cold":   {0.3, day(func(d *coldDay) { d.schedulers, d.workers, d.cold = 200, 60, 60 })},
 		"late reports":         {0.35, day(func(d *coldDay) { d.late, d.load = second, 1 })},
 		"long jobs":            {0, day(func(d *coldDay) { d.run = 20_000 })},
--- a/dispatch/timeouts.go
+++ b/dispatch/timeouts.go
@@ -44,11 +44,11 @@
 // allowance is how much silence about a push is let pass. It is measured by the longest starts of late, so
 // that pauses and slowness of the whole fleet aren't read as many sick workers.
 func (d *Dispatcher) allowance(awaited int) Time {
-	every := d.site.progress
+	every := d.settings.ProgressInterval
 	switch {
 	case awaited == taking:
-		return 2 * d.site.call // a dial, and as long again
-	case !d.site.tellsStart || len(d.starts) < stats.Few/4 || awaited == progress && every <= 0:
+		return 2 * d.settings.AcknowledgeTimeout // a dial, and as long again
+	case !d.settings.ReportsStarts || len(d.starts) < stats.Few/4 || awaited == progress && every <= 0:
 		return never
 	case awaited == starting:
 		return 2*d.figures().longest + second/10 + every
--- a/internal/scheduler/reducer/reducer.go
+++ b/internal/scheduler/reducer/reducer.go
@@ -255,49 +255,42 @@
 	stopBy     dispatch.Time
 }
 
-// New starts a reducer from a scheduler's seed and its site's terms.
-func New(seed uint64, site map[string]any) *Reducer {
-	r := &Reducer{d: dispatch.New(seed, site), report: config.ReportFormatOf(site), dropped: map[string]dropped{},
+// New starts a reducer from a scheduler's seed and its flat settings.
+func New(seed uint64, flat map[string]any) *Reducer {
+	settings := config.DecisionSettings(flat)
+	r := &Reducer{d: dispatch.New(seed, settings), report: config.ReportFormatOf(flat), dropped: map[string]dropped{},
 		zones: map[string]int{}, kinds: map[string]int{}, tags: map[string]int{}, indices: map[string]int{},
 		live: map[uint64]int{}, probes: map[uint64]probe{}, ids: newTakenIDs()}
-	r.byKind = site["kinds"] == true
-	r.inline = site["report.how"] == "inline"
-	r.cancel = site["bounds.cancel"] == true
-	r.categories = named(namesOf(site), r.d.SetCategories(site))
-	for i, z := range config.StringList(site, "failureDomains") {
+	r.byKind = flat["kinds"] == true
+	r.inline = flat["report.how"] == "inline"
+	r.cancel = flat["bounds.cancel"] == true
+	r.categories = placesByName(settings.Categories, r.d.SetCategories(settings))
+	for i, z := range config.StringList(flat, "failureDomains") {
 		r.zones[z] = i
 	}
 	return r
 }
 
-// namesOf are the names of a site's categories, in their order; empty for one without.
-func namesOf(site map[string]any) (names []string) {
-	for i := 0; ; i++ {
-		if _, ok := site[config.ItemKey("categories", i, "ttl")]; !ok {
-			return names
+// placesByName maps the names of categories to their places; one without a name can't be asked for.
+func placesByName(categories []dispatch.CategoryRules, places []int) map[string]int {
+	byName := make(map[string]int, len(categories))
+	for i, category := range categories {
+		if category.Name != "" {
+			byName[category.Name] = places[i]
 		}
-		name, _ := site[config.ItemKey("categories", i, "name")].(string)
-		names = append(names, name)
 	}
-}
-
-// named are the places of categories by their names.
-func named(names []string, places []int) map[string]int {
-	by := make(map[string]int, len(names))
-	for i, name := range names {
-		if by[name] = places[i]; name == "" {
-			delete(by, name)
-		}
-	}
-	return by
+	return byName
 }
 
 // retune takes up other categories. A place at the module is kept for those that are dropped for as long as each is served.
 func (r *Reducer) retune(now dispatch.Time, in SettingsChanged) {
-	names := namesOf(in.Settings)
-	served := named(names, make([]int, len(names))) // the places come after those that are kept are told
+	settings := config.DecisionSettings(in.Settings)
+	served := make(map[string]bool, len(settings.Categories))
+	for _, category := range settings.Categories {
+		served[category.Name] = true
+	}
 	for name, place := range r.categories {
-		if _, ok := served[name]; !ok {
+		if !served[name] {
 			r.dropped[name] = dropped{place, in.RetainUntil}
 		}
 	}
@@ -313,7 +306,7 @@
 			r.dropped[name] = dropped{-1, x.until}
 		}
 	}
-	r.categories = named(names, r.d.SetCategories(in.Settings, kept...))
+	r.categories = placesByName(settings.Categories, r.d.SetCategories(settings, kept...))
 }
 
 // forgetDropped keeps the last of those that were dropped: names without end would fill the memory.
@@ -338,8 +331,10 @@
 	return place, ok
 }
 
-// SetShadowSettings has the module count what other terms would have had it decide otherwise.
-func (r *Reducer) SetShadowSettings(terms map[string]any) { r.d.SetShadowSettings(terms) }
+// SetShadowSettings has the dispatcher count what other flat settings would have had it decide otherwise.
+func (r *Reducer) SetShadowSettings(flat map[string]any) {
+	r.d.SetShadowSettings(config.DecisionSettings(flat))
+}
 
 // ShadowDivergence is what a watch has counted, by kind of decision.
 func (r *Reducer) ShadowDivergence() (asked, chosen, spoken int) {
@@ -447,7 +442,7 @@
 		}
 		return []Effect{Respond{Op: in.Op, Verdict: verdict}}
 	}
-	if in.Effect != "" && in.Effect != r.d.CategoryEffect(cat) {
+	if in.Effect != "" && dispatch.Effect(in.Effect) != r.d.CategoryEffect(cat) {
 		// The settings changed between the door and here: it was asked for by one rule, and would be kept to another.
 		return []Effect{Respond{Op: in.Op, Verdict: Nacked}}
 	}
--- a/internal/scheduler/reducer/reducer_test.go
+++ b/internal/scheduler/reducer/reducer_test.go
@@ -7,6 +7,7 @@
 	"testing/quick"
 
 	"woaddyke/dispatch"
+	"woaddyke/internal/config"
 	"woaddyke/internal/workers/outcome"
 )
 
@@ -110,7 +111,7 @@
 		"bounds.cancel": true, "bounds.maxPushes": 3.0,
 		"categories.0.name": "look", "categories.0.ttl": 5.0, "categories.0.effect": "redeliverable",
 		"categories.0.targetLatency": float64(second)}
-	r.d = dispatch.New(7, site)
+	r.d = dispatch.New(7, config.DecisionSettings(site))
 	r.Step(1, EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{Worker: "w", Addr: "a:1", Ready: true},
 		{Worker: "v", Addr: "a:2", Ready: true}}})
 	p, _ := first[Push](arrive(r, 1, "look"))
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -226,7 +226,7 @@
 	site := config.Flatten(it.Setup)
 	site["keys"] = true // ops carry them only where workers keep something
 	s := &scheduler{workers: map[string]int{}, tags: map[string]int{}, ops: map[string]int{}, report: config.ReportFormatOf(site)}
-	s.d = dispatch.New(seed, site)
+	s.d = dispatch.New(seed, config.DecisionSettings(site))
 	s.d.AdvanceClock(config.RoundUp(wall))
 	hosts[id] = s
 	return nil
