--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -93,7 +93,7 @@
 	d.BeginSnapshot()
 	for i := range workers {
 		d.UpsertWorker(i, WorkerEntry{Zone: i % 14, Group: i % 100, Ready: true})
-		identify(d, i, ownKey(i), 0)
+		identify(d, i, schedulerKey(i), 0)
 	}
 	d.EndUpdate()
 }
@@ -140,7 +140,7 @@
 					d.AdvanceClock(now)
 					spec := OpSpec{TTL: now + 1<<40, Slots: 1}
 					if shape.key > 0 {
-						spec.AffinityKey = ownKey(n % 500)
+						spec.AffinityKey = schedulerKey(n % 500)
 					}
 					d.AddOp(100, spec)
 					served(d, 100, now, true)
--- a/dispatch/settings_test.go
+++ b/dispatch/categories_test.go
@@ -54,8 +54,8 @@
 				}
 			}
 			for i, o := range open {
-				if got := d.ops[i]; d.categories[got.cat].CategoryRules != o.CategoryRules || got.most != o.most {
-					t.Fatalf("op %d came by %+v, %d pushes, and is under %+v, %d", i, o.CategoryRules, o.most, d.categories[got.cat].CategoryRules, got.most)
+				if got := d.ops[i]; d.categories[got.category].CategoryRules != o.CategoryRules || got.maxAttempts != o.most {
+					t.Fatalf("op %d came by %+v, %d pushes, and is under %+v, %d", i, o.CategoryRules, o.most, d.categories[got.category].CategoryRules, got.maxAttempts)
 				}
 			}
 		}
@@ -121,7 +121,7 @@
 					used[o.cat] = true
 				}
 				for k := range d.categories {
-					if !d.categories[k].served && !d.categories[k].kept && d.AddOp(99, OpSpec{Category: k, TTL: d.now + 1<<30, Slots: 1}) {
+					if !d.categories[k].inForce && !d.categories[k].retained && d.AddOp(99, OpSpec{Category: k, TTL: d.now + 1<<30, Slots: 1}) {
 						t.Fatalf("an op is taken at place %d, which nobody has named", k)
 					}
 				}
@@ -171,26 +171,26 @@
 	for k := range of {
 		d.AddOp(k, OpSpec{Category: k, TTL: d.now + 40_000, Slots: 1})
 		for range 40 {
-			d.ran(k, 700)
+			d.addServiceTime(k, 700)
 		}
 	}
-	if got := d.rank(d.ops[0]); got != 0.25 {
+	if got := d.relativeWeight(d.ops[0]); got != 0.25 {
 		t.Fatalf("rank %v", got)
 	}
-	old := slices.Clone(d.categories[0].runs)
+	old := slices.Clone(d.categories[0].serviceTimes)
 	of[0].LatencyObjective = 6_000
 	place := d.SetCategories(settingsOf(of, 3))[0]
 	d.AddOp(2, OpSpec{Category: place, TTL: d.now + 40_000, Slots: 1})
-	if c := d.categories[place]; place == 0 || c.middle != 700 || c.usual != 700 || c.longest != 40_000 || d.rank(d.ops[2]) != 0.25 {
-		t.Errorf("place %d: %+v, rank %v", place, c, d.rank(d.ops[2]))
+	if c := d.categories[place]; place == 0 || c.medianServiceTime != 700 || c.meanServiceTime != 700 || c.longestTTL != 40_000 || d.relativeWeight(d.ops[2]) != 0.25 {
+		t.Errorf("place %d: %+v, rank %v", place, c, d.relativeWeight(d.ops[2]))
 	}
-	d.ran(place, 9)
-	d.ran(0, 8)
-	if x, y := d.categories[0].runs, d.categories[place].runs; x[len(x)-1] != 8 || y[len(y)-1] != 9 || !slices.Equal(x[:len(x)-1], old[1:]) {
+	d.addServiceTime(place, 9)
+	d.addServiceTime(0, 8)
+	if x, y := d.categories[0].serviceTimes, d.categories[place].serviceTimes; x[len(x)-1] != 8 || y[len(y)-1] != 9 || !slices.Equal(x[:len(x)-1], old[1:]) {
 		t.Errorf("the runs of open ops and of new ones are mixed: %v, %v", x, y)
 	}
 	of[0].TTL = 20_000 // clients give less now: an op by the longest time that was seen would count as late from the beginning
-	if place = d.SetCategories(settingsOf(of, 3))[0]; d.categories[place].longest != 0 || d.categories[place].middle != 700 {
+	if place = d.SetCategories(settingsOf(of, 3))[0]; d.categories[place].longestTTL != 0 || d.categories[place].medianServiceTime != 700 {
 		t.Errorf("with another TTL: %+v", d.categories[place])
 	}
 }
@@ -218,12 +218,12 @@
 			case 1:
 				d.settings.BenefitPerWork = !d.settings.BenefitPerWork
 			default:
-				d.ran(rapid.IntRange(0, len(d.categories)-1).Draw(t, "ran"), Time(rapid.IntRange(1, 50).Draw(t, "took")))
+				d.addServiceTime(rapid.IntRange(0, len(d.categories)-1).Draw(t, "ran"), Time(rapid.IntRange(1, 50).Draw(t, "took")))
 			}
 			o := d.ops[rapid.IntRange(0, n-1).Draw(t, "op")]
-			got := d.rank(o)
-			d.dearest.holds = false
-			if want := d.rank(o); got != want && fmt.Sprint(got) != fmt.Sprint(want) {
+			got := d.relativeWeight(o)
+			d.highestWeight.valid = false
+			if want := d.relativeWeight(o); got != want && fmt.Sprint(got) != fmt.Sprint(want) {
 				t.Fatalf("rank %v, by a walk %v", got, want)
 			}
 		}
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -24,9 +24,9 @@
 		{"one side empty", []float64{0, 0, 6}, []float64{0, 0, 2}, 0},
 	} {
 		d := fleet(2, nil)
-		d.halved = d.now
-		copy(d.a[:], c.a)
-		copy(d.b[:], c.b)
+		d.halvedAt = d.now
+		copy(d.observed[:], c.a)
+		copy(d.idleAfter[:], c.b)
 		if got := d.threshold(); got != c.want {
 			t.Errorf("%s: T = %d, want %d", c.name, got, c.want)
 		}
@@ -36,38 +36,38 @@
 func TestPairingWindowEnds(t *testing.T) {
 	for gap, want := range map[Time]float64{49: 0, 50: 1, 200: 1, 201: 0} {
 		d := fleet(2, nil)
-		d.halved, d.taus = d.now, []Time{100}
+		d.halvedAt, d.startDelays = d.now, []Time{100}
 		d.ProbeAnswered(0, 0, jobs(3))
 		d.AdvanceClock(d.now + gap)
 		d.ProbeAnswered(0, 0, jobs(1))
-		if d.a[3] != want || d.b[3] != want {
-			t.Errorf("gap %d: a = %v, b = %v, want %v", gap, d.a[3], d.b[3], want)
+		if d.observed[3] != want || d.idleAfter[3] != want {
+			t.Errorf("gap %d: a = %v, b = %v, want %v", gap, d.observed[3], d.idleAfter[3], want)
 		}
 	}
 	d := fleet(2, nil)
-	d.halved, d.taus = d.now, []Time{100}
+	d.halvedAt, d.startDelays = d.now, []Time{100}
 	d.ProbeAnswered(0, 0, jobs(3))
 	d.AdvanceClock(d.now + 100)
 	d.ProbeAnswered(0, 0, jobs(5))
-	if d.a[3] != 1 || d.b[3] != 0 {
-		t.Errorf("a queue is no idleness: a = %v, b = %v", d.a[3], d.b[3])
+	if d.observed[3] != 1 || d.idleAfter[3] != 0 {
+		t.Errorf("a queue is no idleness: a = %v, b = %v", d.observed[3], d.idleAfter[3])
 	}
 }
 
 func TestCountersHalve(t *testing.T) {
 	d := fleet(2, nil)
-	d.halved, d.a[2], d.b[2] = d.now, 8, 4
-	d.AdvanceClock(d.now + 2*ageing)
-	if d.age(); d.a[2] != 2 || d.b[2] != 1 {
-		t.Errorf("after two spans a = %v, b = %v, want 2 and 1", d.a[2], d.b[2])
+	d.halvedAt, d.observed[2], d.idleAfter[2] = d.now, 8, 4
+	d.AdvanceClock(d.now + 2*counterHalfLife)
+	if d.halveCounters(); d.observed[2] != 2 || d.idleAfter[2] != 1 {
+		t.Errorf("after two spans a = %v, b = %v, want 2 and 1", d.observed[2], d.idleAfter[2])
 	}
 }
 
 func TestPlacement(t *testing.T) {
 	low := func(d *Dispatcher) { // T = 1
-		d.halved = d.now
-		copy(d.a[:], []float64{4, 4, 4, 4})
-		copy(d.b[:], []float64{4, 4, 0, 0})
+		d.halvedAt = d.now
+		copy(d.observed[:], []float64{4, 4, 4, 4})
+		copy(d.idleAfter[:], []float64{4, 4, 0, 0})
 	}
 	for _, c := range []struct {
 		name   string
@@ -78,7 +78,7 @@
 		took := map[bool]int{}
 		for i := range 40 {
 			d := fleet(6, nil)
-			d.chance += stats.Chance(i * 7919)
+			d.random += stats.Chance(i * 7919)
 			low(d)
 			x, y := probed(t, d, 0, 0)
 			took[pushed(t, d, x, jobs(c.jx), y, jobs(c.jy)) == y]++
@@ -111,9 +111,9 @@
 // Wide ops went to Low workers without room for them and blocked the queue.
 func TestWideOpNeedsRoom(t *testing.T) {
 	d := fleet(2, nil)
-	d.halved = d.now
-	copy(d.a[:], []float64{4, 4, 4, 4})
-	copy(d.b[:], []float64{4, 4, 4, 0})
+	d.halvedAt = d.now
+	copy(d.observed[:], []float64{4, 4, 4, 4})
+	copy(d.idleAfter[:], []float64{4, 4, 4, 0})
 	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 4})
 	decisions(d)
 	if got := pushed(t, d, 0, jobs(2), 1, jobs(0)); got != 1 {
@@ -125,7 +125,7 @@
 func TestHopelessOpIsNackedSoon(t *testing.T) {
 	d := fleet(6, nil)
 	for i := range d.workers {
-		d.learnPlace(&d.workers[i], place{1, 4_000})
+		d.addQueueSample(&d.workers[i], queueSample{1, 4_000})
 	}
 	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	probes := 0
@@ -136,7 +136,7 @@
 				probes++
 				d.ProbeAnswered(a.Worker, 0, jobs(30))
 			case Nack:
-				if probes > 2*maxLooks {
+				if probes > 2*maxProbeRounds {
 					t.Errorf("%d probes for one op", probes)
 				}
 				return
@@ -164,8 +164,8 @@
 func TestClearlySlowerWorkerIsPassedOver(t *testing.T) {
 	d := fleet(2, nil)
 	for range 12 {
-		d.workers[0].strides = append(d.workers[0].strides, 2)
-		d.workers[1].strides = append(d.workers[1].strides, 1)
+		d.workers[0].serviceTimeRatios = append(d.workers[0].serviceTimeRatios, 2)
+		d.workers[1].serviceTimeRatios = append(d.workers[1].serviceTimeRatios, 1)
 	}
 	probed(t, d, 0, 0)
 	if got := pushed(t, d, 0, jobs(0), 1, jobs(0)); got != 1 {
@@ -176,21 +176,21 @@
 func TestDoubtfulWorkerIsSeldomButStillGivenWork(t *testing.T) {
 	d := fleet(2, nil)
 	for range 3 {
-		d.judge(0, false)
+		d.recordVerdict(0, false)
 	}
 	if !d.workers[0].health.Doubtful(d.now) || d.workers[1].health.Doubtful(d.now) {
 		t.Fatal("three failures in a row must make a worker doubtful, and only that one")
 	}
 	n := 0
 	for range 1000 {
-		if d.workers[0].health.Admitted(d.now, &d.chance) {
+		if d.workers[0].health.Admitted(d.now, &d.random) {
 			n++
 		}
 	}
 	if n < 50 || n > 500 {
 		t.Errorf("admitted %d times in 1000", n)
 	}
-	d.AdvanceClock(d.now + healthMax + 1)
+	d.AdvanceClock(d.now + maxVerdictAge + 1)
 	if d.workers[0].health.Doubtful(d.now) {
 		t.Error("old verdicts still count")
 	}
@@ -232,10 +232,10 @@
 	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	d.AdvanceClock(d.now + 1_000)
 	d.AddOp(1, OpSpec{Category: 0, TTL: d.now + 46_000, Slots: 1})
-	if got := d.spare(d.op(0)); got != 4_000 {
+	if got := d.spareTime(d.op(0)); got != 4_000 {
 		t.Errorf("the first try has %d to spare, want 4000", got)
 	}
-	if got := d.spare(d.op(1)); got != 1_000 {
+	if got := d.spareTime(d.op(1)); got != 1_000 {
 		t.Errorf("a try with 4000 of its TTL used has %d to spare, want 1000", got)
 	}
 }
@@ -244,13 +244,13 @@
 func TestSecondLookSkipsWhatWasJustSeenFull(t *testing.T) {
 	d := fleet(5, nil)
 	for i := range d.workers {
-		d.learnPlace(&d.workers[i], place{1, 4_000})
+		d.addQueueSample(&d.workers[i], queueSample{1, 4_000})
 	}
 	x, y := probed(t, d, 0, 0)
 	d.ProbeAnswered(x, 0, jobs(9))
 	d.ProbeAnswered(y, 0, jobs(9))
 	decisions(d)
-	d.AdvanceClock(d.op(0).next)
+	d.AdvanceClock(d.op(0).notBefore)
 	for _, a := range decisions(d) {
 		if a.Kind == Probe && (a.Worker == x || a.Worker == y) {
 			t.Errorf("worker %d was probed again", a.Worker)
@@ -331,7 +331,7 @@
 // An op that came with little of its TTL waited for probes until that was over, and was never answered.
 func TestWaitForProbesEndsBeforeTTL(t *testing.T) {
 	d := fleet(6, nil)
-	d.trips = []Time{5_000}
+	d.probeRTTs = []Time{5_000}
 	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 1_000, Slots: 1})
 	var woken Time
 	for {
@@ -357,7 +357,7 @@
 	t.Helper()
 	d := fleet(2, nil)
 	for range stats.Few {
-		d.starts = append(d.starts, start{d.now, 100})
+		d.startSamples = append(d.startSamples, startSample{d.now, 100})
 	}
 	for i := range n {
 		d.AddOp(i, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
@@ -426,10 +426,10 @@
 // Reports seconds late sent all schedulers to the workers that looked idle; starts then came a second late.
 func TestLateReportsAreSetAside(t *testing.T) {
 	d := fleet(2, nil)
-	d.trips = []Time{100}
+	d.probeRTTs = []Time{100}
 	for i := range stats.Few {
 		// Half late: over a fleet that hundreds share, where reports are a second old, such starts took longer the more room was told.
-		d.starts = append(d.starts, start{d.now, []Time{9_000, 100}[i%2]})
+		d.startSamples = append(d.startSamples, startSample{d.now, []Time{9_000, 100}[i%2]})
 	}
 	probed(t, d, 0, 0)
 	first := pushed(t, d, 0, jobs(0), 1, jobs(0))
@@ -439,16 +439,16 @@
 	if second := pushed(t, d, 0, loads[0], 1, loads[1]); second == first {
 		t.Error("followed a late report to the worker that has this scheduler's own push")
 	}
-	d.AdvanceClock(d.now + healthMax)
-	if d.figures().misled {
+	d.AdvanceClock(d.now + maxVerdictAge)
+	if d.currentDigest().reportsStale {
 		t.Error("old lateness still sets reports aside")
 	}
 	d = fleet(2, nil)
-	d.trips = []Time{100}
+	d.probeRTTs = []Time{100}
 	for i := range stats.Few {
-		d.starts = append(d.starts, start{d.now, []Time{9_000, 100, 100, 100}[i%4]})
+		d.startSamples = append(d.startSamples, startSample{d.now, []Time{9_000, 100, 100, 100}[i%4]})
 	}
-	if d.figures().misled {
+	if d.currentDigest().reportsStale {
 		t.Error("reports that three starts in four prove true are set aside")
 	}
 }
@@ -460,7 +460,7 @@
 	decisions(d)
 	d.ProbeAnswered(0, 0, LoadReport{RunningJobs: 0, FreeSlots: 3.4, FreeMemory: -1})
 	d.ProbeAnswered(1, 0, LoadReport{RunningJobs: 0.9, FreeSlots: 3.4, FreeMemory: -1})
-	if !d.fits(d.op(0), 0) || d.fits(d.op(0), 1) {
+	if !d.hasCapacity(d.op(0), 0) || d.hasCapacity(d.op(0), 1) {
 		t.Error("of two workers that tell 3.4 free slots only the empty one has room for four")
 	}
 }
@@ -473,7 +473,7 @@
 		d.ProbeAnswered(i, 0, jobs(n))
 	}
 	o := d.op(0)
-	if x, y, z := d.place(o, 0), d.place(o, 1), d.place(o, 2); x != 0.25 || y != 0.75 || z != 2 {
+	if x, y, z := d.queuePosition(o, 0), d.queuePosition(o, 1), d.queuePosition(o, 2); x != 0.25 || y != 0.75 || z != 2 {
 		t.Errorf("places %v, %v, %v with one and three slots lacking and one waiting", x, y, z)
 	}
 }
@@ -556,7 +556,7 @@
 		d := fleet(8, func(s *Settings) { s.ProgressInterval = 10_000 })
 		d.categories[cat].DedupWindow = 50_000
 		for range stats.Few {
-			d.starts = append(d.starts, start{d.now, 100})
+			d.startSamples = append(d.startSamples, startSample{d.now, 100})
 		}
 		x, y := probed(t, d, 0, cat)
 		first := pushed(t, d, x, jobs(0), y, jobs(0))
@@ -628,7 +628,7 @@
 	}
 	in := 0
 	for range 1000 {
-		in += stats.Bit(slices.Contains(d.candidates(&op{most: 1}), 0))
+		in += stats.Bit(slices.Contains(d.candidates(&op{maxAttempts: 1}), 0))
 	}
 	if in > 300 || in == 0 {
 		t.Errorf("a candidate %d times in 1000", in)
@@ -649,7 +649,7 @@
 			d.AddOp(k, OpSpec{TTL: d.now + 50_000, Slots: 1, AffinityKey: uint64(1 + k%10)})
 			for _, a := range decisions(d) {
 				if a.Kind == Probe && k%10 == 3 {
-					marks[d.workers[a.Worker].mark] = true
+					marks[d.workers[a.Worker].identityHash] = true
 				}
 			}
 		}
@@ -676,7 +676,7 @@
 	d.ProbeAnswered(1, 50, LoadReport{RunningJobs: -1, QueuedJobs: 0, FreeSlots: 1, FreeMemory: -1})
 	d.ProbeAnswered(2, 50, LoadReport{RunningJobs: -1, QueuedJobs: 3, FreeSlots: 0, FreeMemory: -1})
 	for i, want := range []float64{0, 3, 7} {
-		if got := d.count(i); got != want {
+		if got := d.jobCount(i); got != want {
 			t.Errorf("worker %d counts %g, want %g", i, got, want)
 		}
 	}
@@ -689,10 +689,10 @@
 		identify(d, i, uint64(i+1), i%2)
 	}
 	for range 8 {
-		d.workers[0].strides.Add(&d.kinds[d.workers[0].kind].strides, 0.5)
-		d.workers[1].strides.Add(&d.kinds[d.workers[1].kind].strides, 2)
+		d.workers[0].serviceTimeRatios.Add(&d.kinds[d.workers[0].kind].serviceTimeRatios, 0.5)
+		d.workers[1].serviceTimeRatios.Add(&d.kinds[d.workers[1].kind].serviceTimeRatios, 2)
 	}
-	if fast, slow := d.slow(2), d.slow(3); fast != 0.5 || slow != 2 {
+	if fast, slow := d.serviceTimeRatio(2), d.serviceTimeRatio(3); fast != 0.5 || slow != 2 {
 		t.Errorf("workers not met: %g and %g, want 0.5 and 2", fast, slow)
 	}
 }
@@ -719,7 +719,7 @@
 		t.Errorf("connections are free and %d workers met", n)
 	}
 	one, two := met(1, 0.05), met(2, 0.05)
-	if len(one) > regulars || len(two) > regulars || maps.Equal(one, two) {
+	if len(one) > subscribersPerWorker || len(two) > subscribersPerWorker || maps.Equal(one, two) {
 		t.Errorf("one scheduler meets %v, another %v", one, two)
 	}
 }
@@ -758,10 +758,10 @@
 	}
 	for s := range 12 {
 		other := at(s)
-		if want := slices.Contains(other.workers[worker].audience, s) && s != 1; want != (told[s] == 1) {
+		if want := slices.Contains(other.workers[worker].subscribers, s) && s != 1; want != (told[s] == 1) {
 			t.Errorf("scheduler %d meets the worker: %v; told of %d", s, want, told[s])
 		}
-		if !slices.Contains(other.workers[worker].audience, s) || s == 1 {
+		if !slices.Contains(other.workers[worker].subscribers, s) || s == 1 {
 			continue
 		}
 		other.ProbeAnswered(worker, 50, jobs(0))
@@ -769,14 +769,14 @@
 			other.PeerReport(by, worker, 1) // its own number and this among them
 		}
 		other.PeerReport(12, worker, 40)
-		if n, _, ok := other.tally(worker); !ok || n != 11 {
+		if n, _, ok := other.peerTally(worker); !ok || n != 11 {
 			t.Errorf("scheduler %d counts %g jobs by word of eleven others", s, n)
 		}
-		if o := (&op{slots: 1}); other.fits(o, worker) || other.place(o, worker) == 0 {
+		if o := (&op{slots: 1}); other.hasCapacity(o, worker) || other.queuePosition(o, worker) == 0 {
 			t.Error("a report of free slots outweighs the others' word")
 		}
-		other.AdvanceClock(other.now + recent)
-		if n, _, _ := other.tally(worker); n != 0 {
+		other.AdvanceClock(other.now + maxPeerReportAge)
+		if n, _, _ := other.peerTally(worker); n != 0 {
 			t.Errorf("%g jobs by word that is old", n)
 		}
 	}
@@ -870,7 +870,7 @@
 // of their time on probes, and the cheapest ops found as many places as the dearest.
 func TestWhereDearOpsFindNoPlaceCheapOnesAskLess(t *testing.T) {
 	d := fleet(20, func(s *Settings) { s.BenefitPerWork, s.Categories[0].Benefit, s.Categories[1].Benefit = true, 1, 10 })
-	d.placed, d.took = 10, 50_000 // a place in a queue takes half a second
+	d.queuePositions, d.queueWaits = 10, 50_000 // a place in a queue takes half a second
 	next := 0
 	probes := func(ops, cat int, load LoadReport) (n int) {
 		for range ops {
@@ -920,8 +920,8 @@
 	d.AdvanceClock(d.now + 70)
 	d.ClientDisconnected(0)
 	d.AttemptEnded(0, 0, NotSent, 70, false)
-	if now := d.workers[to]; now.heard != w.heard || len(now.health.Verdicts()) != len(w.health.Verdicts()) ||
-		len(now.places)+len(now.strides)+len(now.readings) > 0 || len(now.out) > 0 || len(d.taus)+len(d.starts) > 0 {
+	if now := d.workers[to]; now.heardAt != w.heardAt || len(now.health.Verdicts()) != len(w.health.Verdicts()) ||
+		len(now.queueSamples)+len(now.serviceTimeRatios)+len(now.readings) > 0 || len(now.inFlight) > 0 || len(d.startDelays)+len(d.startSamples) > 0 {
 		t.Errorf("%+v became %+v", w, now)
 	}
 	for _, a := range decisions(d) {
--- a/dispatch/forget.go
+++ b/dispatch/forget.go
@@ -10,17 +10,17 @@
 		if o == nil {
 			continue
 		}
-		if o.legs > 0 {
+		if o.attempts > 0 {
 			used[o.worker] = true
 		}
 		for _, i := range o.pair {
 			used[i] = true
 		}
-		for _, i := range o.unfit {
+		for _, i := range o.calledInvalidBy {
 			used[i] = true
 		}
 	}
-	for _, t := range d.tells {
+	for _, t := range d.pendingPeerReports {
 		used[t[1]] = true
 	}
 	return used
@@ -29,15 +29,15 @@
 // ForgetWorker frees the index of a worker that has left the list and is not in use.
 func (d *Dispatcher) ForgetWorker(i int) {
 	w := &d.workers[i]
-	d.unlearn(w)
+	d.discardSamples(w)
 	*w = worker{}
-	d.fresh = false
+	d.digestValid = false
 }
 
-// unlearn takes a worker's samples out of what all workers share.
-func (d *Dispatcher) unlearn(w *worker) {
-	for _, p := range w.places {
-		d.placed, d.took = d.placed-p.place, d.took-p.took
+// discardSamples takes a worker's samples out of what all workers share.
+func (d *Dispatcher) discardSamples(w *worker) {
+	for _, p := range w.queueSamples {
+		d.queuePositions, d.queueWaits = d.queuePositions-p.position, d.queueWaits-p.wait
 	}
-	w.strides.Leave(&d.kinds[w.kind].strides)
+	w.serviceTimeRatios.Leave(&d.kinds[w.kind].serviceTimeRatios)
 }
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -49,7 +49,7 @@
 // identify gives a listed worker its name's hash and its kind of machine.
 func identify(d *Dispatcher, i int, hash uint64, kind int) {
 	w := &d.workers[i]
-	d.UpsertWorker(i, WorkerEntry{Zone: w.zone, Group: w.cell, Ready: w.ready, StartedAt: w.since,
+	d.UpsertWorker(i, WorkerEntry{Zone: w.zone, Group: w.group, Ready: w.ready, StartedAt: w.startedAt,
 		IdentityHash: hash, MachineKind: kind})
 }
 
--- a/dispatch/learned.go
+++ b/dispatch/learned.go
@@ -12,7 +12,7 @@
 
 // Learned is what a dispatcher has learned, for that of the process that takes its place on the same machine.
 type Learned struct {
-	ThresholdCounts    [2][maxCount + 1]float64   `json:"counts"` // the design's a and b
+	ThresholdCounts    [2][maxState + 1]float64   `json:"counts"` // the design's a and b
 	HalvedAt           Time                       `json:"halved"`
 	StartDelays        []Time                     `json:"taus"`
 	ProbeRTTs          []Time                     `json:"trips"`
@@ -32,26 +32,26 @@
 
 // LearnedWorker is what was learned of a worker as of its last start.
 type LearnedWorker struct {
-	StartedAt Time         `json:"since"`
-	Slots     float64      `json:"slots"` // the most that were seen free at one of its kind
-	Strides   []float64    `json:"strides"`
-	Places    [][2]float64 `json:"places"` // in its queue, and how long each took to start
-	Health    []Verdict    `json:"health"`
+	StartedAt         Time         `json:"since"`
+	MaxFreeSlots      float64      `json:"slots"` // the most that were seen free at one of its kind
+	ServiceTimeRatios []float64    `json:"strides"`
+	QueueSamples      [][2]float64 `json:"places"` // in its queue, and how long each took to start
+	Health            []Verdict    `json:"health"`
 }
 
 // Learned tells what this dispatcher has learned. The lists in it may be read while it goes on: they only grow at their ends.
 func (d *Dispatcher) Learned() Learned {
-	l := Learned{ThresholdCounts: [2][maxCount + 1]float64{d.a, d.b}, HalvedAt: d.halved, StartDelays: d.taus, ProbeRTTs: d.trips,
-		PlacementVerdicts: d.room.Verdicts(), Categories: map[string]LearnedCategory{}, Workers: map[uint64]*LearnedWorker{}, WorkersAcknowledge: d.takes}
-	for _, s := range d.starts {
-		l.StartSamples = append(l.StartSamples, [2]Time{s.at, s.took})
+	l := Learned{ThresholdCounts: [2][maxState + 1]float64{d.observed, d.idleAfter}, HalvedAt: d.halvedAt, StartDelays: d.startDelays, ProbeRTTs: d.probeRTTs,
+		PlacementVerdicts: d.placements.Verdicts(), Categories: map[string]LearnedCategory{}, Workers: map[uint64]*LearnedWorker{}, WorkersAcknowledge: d.workersAcknowledge}
+	for _, s := range d.startSamples {
+		l.StartSamples = append(l.StartSamples, [2]Time{s.at, s.delay})
 	}
 	for z := range d.zones {
 		l.Zones = append(l.Zones, d.zones[z].Verdicts())
 	}
 	for _, c := range d.categories {
-		if c.served {
-			l.Categories[c.Name] = LearnedCategory{c.longest, c.runs}
+		if c.inForce {
+			l.Categories[c.Name] = LearnedCategory{c.longestTTL, c.serviceTimes}
 		}
 	}
 	for i := range d.workers {
@@ -59,11 +59,11 @@
 		if !w.listed {
 			continue
 		}
-		x := &LearnedWorker{StartedAt: w.since, Slots: d.kinds[w.kind].slots, Strides: w.strides, Health: w.health.Verdicts()}
-		for _, p := range w.places {
-			x.Places = append(x.Places, [2]float64{p.place, float64(p.took)})
+		x := &LearnedWorker{StartedAt: w.startedAt, MaxFreeSlots: d.kinds[w.kind].maxFreeSlots, ServiceTimeRatios: w.serviceTimeRatios, Health: w.health.Verdicts()}
+		for _, p := range w.queueSamples {
+			x.QueueSamples = append(x.QueueSamples, [2]float64{p.position, float64(p.wait)})
 		}
-		l.Workers[w.mark] = x
+		l.Workers[w.identityHash] = x
 	}
 	return l
 }
@@ -116,49 +116,49 @@
 	usable := func(x float64) bool { return x >= 0 && x < math.MaxInt32 }
 	for k, a := range l.ThresholdCounts[0] {
 		if b := l.ThresholdCounts[1][k]; usable(a) && usable(b) && b <= a {
-			d.a[k], d.b[k] = a, b
+			d.observed[k], d.idleAfter[k] = a, b
 		}
 	}
-	d.halved = min(max(l.HalvedAt, 0), d.now)
-	d.taus, d.trips, d.takes = spans(l.StartDelays), spans(l.ProbeRTTs), l.WorkersAcknowledge
+	d.halvedAt = min(max(l.HalvedAt, 0), d.now)
+	d.startDelays, d.probeRTTs, d.workersAcknowledge = spans(l.StartDelays), spans(l.ProbeRTTs), l.WorkersAcknowledge
 	for _, s := range l.StartSamples {
 		if s[0] > 0 && s[0] <= d.now && s[1] >= 0 && s[1] < never {
-			d.starts = stats.Keep(d.starts, start{s[0], s[1]})
+			d.startSamples = stats.Keep(d.startSamples, startSample{s[0], s[1]})
 		}
 	}
-	judge(&d.room, l.PlacementVerdicts)
+	judge(&d.placements, l.PlacementVerdicts)
 	for z := range min(len(l.Zones), len(d.zones)) {
 		judge(&d.zones[z], l.Zones[z])
 	}
 	for i := range d.categories {
 		c := &d.categories[i]
 		if r, ok := l.Categories[c.Name]; ok {
-			c.longest, c.runs = min(max(r.LongestTTL, 0), never), spans(r.ServiceTimes)
-			c.sum()
+			c.longestTTL, c.serviceTimes = min(max(r.LongestTTL, 0), never), spans(r.ServiceTimes)
+			c.summarize()
 		}
 	}
-	d.dearest.holds = false
+	d.highestWeight.valid = false
 	for i := range d.workers {
 		w := &d.workers[i]
-		x := l.Workers[w.mark]
-		if x == nil || x.StartedAt != w.since || len(w.strides) > 0 {
+		x := l.Workers[w.identityHash]
+		if x == nil || x.StartedAt != w.startedAt || len(w.serviceTimeRatios) > 0 {
 			continue // unknown there, restarted since, or better known here
 		}
 		k := &d.kinds[w.kind]
-		if usable(x.Slots) {
-			k.slots = max(k.slots, x.Slots)
+		if usable(x.MaxFreeSlots) {
+			k.maxFreeSlots = max(k.maxFreeSlots, x.MaxFreeSlots)
 		}
-		for _, s := range x.Strides {
+		for _, s := range x.ServiceTimeRatios {
 			if usable(s) {
-				w.strides.Add(&k.strides, s)
+				w.serviceTimeRatios.Add(&k.serviceTimeRatios, s)
 			}
 		}
-		for _, p := range x.Places {
+		for _, p := range x.QueueSamples {
 			if usable(p[0]) && usable(p[1]) {
-				d.learnPlace(w, place{p[0], Time(p[1])})
+				d.addQueueSample(w, queueSample{p[0], Time(p[1])})
 			}
 		}
 		judge(&w.health, x.Health)
 	}
-	d.fresh = false
+	d.digestValid = false
 }
--- a/dispatch/learned_test.go
+++ b/dispatch/learned_test.go
@@ -49,14 +49,14 @@
 	}
 	is.AdvanceClock(was.now + 5)
 	is.RestoreLearned(l)
-	if !is.Suspected(0, is.now) || is.Suspected(1, is.now) || is.threshold() != was.threshold() || is.a != was.a {
+	if !is.Suspected(0, is.now) || is.Suspected(1, is.now) || is.threshold() != was.threshold() || is.observed != was.observed {
 		t.Errorf("doubts %v and %v, T %d for %d", is.Suspected(0, is.now), is.Suspected(1, is.now), is.threshold(), was.threshold())
 	}
 	was.AdvanceClock(is.now)
-	o := &op{most: 1}
+	o := &op{maxAttempts: 1}
 	for i := range 2 {
-		if is.finish(o, i) != was.finish(o, i) || is.shortWait() != was.shortWait() {
-			t.Errorf("worker %d: foretold %d for %d, probes awaited for %d", i, is.finish(o, i), was.finish(o, i), is.shortWait())
+		if is.predictFinish(o, i) != was.predictFinish(o, i) || is.shortWait() != was.shortWait() {
+			t.Errorf("worker %d: foretold %d for %d, probes awaited for %d", i, is.predictFinish(o, i), was.predictFinish(o, i), is.shortWait())
 		}
 	}
 	if again := is.Learned(); !reflect.DeepEqual(again.Workers, l.Workers) || !reflect.DeepEqual(again.Categories, l.Categories) {
@@ -78,11 +78,11 @@
 	l.StartSamples = [][2]Time{{1 << 60, 3}, {4, -1}}
 	l.Zones = append(l.Zones, make([]sprt.Verdict[Time], 70))
 	l.Categories = map[string]LearnedCategory{"look": {LongestTTL: math.MaxInt64, ServiceTimes: []Time{-1, 5}}, "gone": {}}
-	l.Workers[2].Strides = []float64{-1, math.Inf(1), 2}
-	l.Workers[2].Places = [][2]float64{{-1, 5}, {1, math.Inf(1)}, {1, 5}}
+	l.Workers[2].ServiceTimeRatios = []float64{-1, math.Inf(1), 2}
+	l.Workers[2].QueueSamples = [][2]float64{{-1, 5}, {1, math.Inf(1)}, {1, 5}}
 	l.Workers[2].Health = append(l.Workers[2].Health, sprt.Verdict[Time]{At: 1 << 60})
 	d.RestoreLearned(l)
-	if len(d.workers[0].strides) > 0 || d.Suspected(0, d.now) {
+	if len(d.workers[0].serviceTimeRatios) > 0 || d.Suspected(0, d.now) {
 		t.Error("the worker that has restarted is judged by its past")
 	}
 	for _, v := range d.workers[1].health.Verdicts() {
@@ -90,9 +90,9 @@
 			t.Error("a verdict of a time to come is kept")
 		}
 	}
-	if w := d.workers[1]; len(w.strides) != 1 || len(w.places) != 1 || len(d.taus) != 1 || len(d.trips) > stats.Few ||
-		len(d.starts) > 0 || d.a[0] != 0 || d.b[1] > d.a[1] || d.halved > d.now {
-		t.Errorf("%+v, taus %v, %d trips, %d starts, a %v, b %v", w, d.taus, len(d.trips), len(d.starts), d.a, d.b)
+	if w := d.workers[1]; len(w.serviceTimeRatios) != 1 || len(w.queueSamples) != 1 || len(d.startDelays) != 1 || len(d.probeRTTs) > stats.Few ||
+		len(d.startSamples) > 0 || d.observed[0] != 0 || d.idleAfter[1] > d.observed[1] || d.halvedAt > d.now {
+		t.Errorf("%+v, taus %v, %d trips, %d starts, a %v, b %v", w, d.startDelays, len(d.probeRTTs), len(d.startSamples), d.observed, d.idleAfter)
 	}
 	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	decisions(d) // it must not panic on any of it
--- a/dispatch/queries.go
+++ b/dispatch/queries.go
@@ -12,7 +12,7 @@
 // PeerLost voids what another scheduler has said: it is no more, and so are its pushes.
 func (d *Dispatcher) PeerLost(by int) {
 	for i := range d.workers {
-		d.workers[i].words.Drop(by)
+		d.workers[i].peerReports.Drop(by)
 	}
 }
 
@@ -22,8 +22,8 @@
 		return
 	}
 	for i := range d.workers {
-		if w := &d.workers[i]; len(w.out) > 0 && slices.Contains(w.audience, s) {
-			d.tells = append(d.tells, [2]int{s, i})
+		if w := &d.workers[i]; len(w.inFlight) > 0 && slices.Contains(w.subscribers, s) {
+			d.pendingPeerReports = append(d.pendingPeerReports, [2]int{s, i})
 		}
 	}
 }
--- a/dispatch/rejection.go
+++ b/dispatch/rejection.go
@@ -12,20 +12,20 @@
 	QueuesTooLong                     // wherever it may go a queue was seen that is too long
 	NoEligibleWorker                  // no worker may be asked, beyond its target
 	StartTooLate                      // the places that were found come too late
-	whys
+	rejectionReasons
 )
 
-var whyNames = [whys]string{"not given up", "time is up", "no push left", "fleet scarce", "queues hopeless", "nobody takes it", "no place in time"}
+var rejectionNames = [rejectionReasons]string{"not given up", "time is up", "no push left", "fleet scarce", "queues hopeless", "nobody takes it", "no place in time"}
 
 func (w RejectionReason) String() string {
-	if w < 0 || w >= whys {
+	if w < 0 || w >= rejectionReasons {
 		w = NotRejected
 	}
-	return whyNames[w]
+	return rejectionNames[w]
 }
 
-// spent is why an op is given up that may not be pushed again, or whose time is over.
-func (d *Dispatcher) spent(o *op) RejectionReason {
+// exhaustionReason is why an op is given up that may not be pushed again, or whose time is over.
+func (d *Dispatcher) exhaustionReason(o *op) RejectionReason {
 	if d.now >= o.ttl-d.margin() {
 		return DeadlineExceeded
 	}
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -193,10 +193,10 @@
 func agree(t *testing.T, d *Dispatcher) bool {
 	want, got := Time(math.MaxInt64), Time(math.MaxInt64)
 	for _, o := range d.ops {
-		if o == nil || !o.out || o.over || o.silent {
+		if o == nil || !o.inFlight || o.finished || o.silenceCounted {
 			continue
 		}
-		limit := d.overdue(o)
+		limit := d.silenceLimit(o)
 		if d.now >= limit {
 			t.Logf("op %d is overdue and was not looked at", o.index)
 			return false
@@ -205,8 +205,8 @@
 			want = min(want, limit)
 		}
 	}
-	for k, a := range d.out {
-		if at, ok := a.Next(d.allowance(k)); ok {
+	for k, a := range d.inFlight {
+		if at, ok := a.Next(d.silenceAllowance(k)); ok {
 			got = min(got, at)
 		}
 	}
@@ -222,8 +222,8 @@
 		for i, name := range names {
 			if o := d.op(i); name != 0 && o != nil {
 				for w := range d.workers {
-					if want := m.mayPush(settings, name, w, now); d.allowed(o, w) != want {
-						t.Logf("op of category %d, worker %d: module %v, rules %v", o.cat, w, !want, want)
+					if want := m.mayPush(settings, name, w, now); d.mayPush(o, w) != want {
+						t.Logf("op of category %d, worker %d: module %v, rules %v", o.category, w, !want, want)
 						return false
 					}
 				}
--- a/dispatch/slow_start_test.go
+++ b/dispatch/slow_start_test.go
@@ -494,7 +494,7 @@
 		d.UpsertWorker(10, WorkerEntry{Ready: true, StartedAt: d.now - second})
 		d.EndUpdate()
 		for range 4_000 {
-			n += 1 - stats.Bit(d.spared(&op{looks: looks, legs: legs}, &d.workers[10], 11))
+			n += 1 - stats.Bit(d.excludedBySlowStart(&op{probeRounds: looks, attempts: legs}, &d.workers[10], 11))
 		}
 		return n
 	}
@@ -509,7 +509,7 @@
 // The mean that the lot keeps to has to leave room for chance at every size of the budget, from a fraction of an op to hundreds.
 func TestChanceDoesNotPassTheBound(t *testing.T) {
 	for n := 0.05; n < 400; n *= 1.01 {
-		mean, bound := n*share(n), coldBound(n)
+		mean, bound := n*meanWithinBudget(n), coldBound(n)
 		beyond, p := 0.0, math.Exp(-mean)
 		for k := 1.0; k < 2*bound+20; k++ {
 			if p *= mean / k; k > bound {
--- a/dispatch/timeouts.go
+++ b/dispatch/timeouts.go
@@ -8,7 +8,7 @@
 
 // What is awaited of a push that is out, and when silence about it counts against its worker.
 
-func (d *Dispatcher) judge(i int, ok bool) {
+func (d *Dispatcher) recordVerdict(i int, ok bool) {
 	w := &d.workers[i]
 	d.zones[w.zone].Add(d.now, ok)
 	w.health.Add(d.now, ok)
@@ -16,54 +16,54 @@
 
 // What is awaited of a push: that its worker takes it, that the job starts, and word of it once it has.
 const (
-	taking = iota
-	starting
-	progress
+	awaitingAcknowledgement = iota
+	awaitingStart
+	awaitingProgress
 )
 
 func (d *Dispatcher) awaited(o *op) int {
 	switch {
-	case d.untaken(o):
-		return taking
-	case o.started == 0:
-		return starting
+	case d.unacknowledged(o):
+		return awaitingAcknowledgement
+	case o.startedAt == 0:
+		return awaitingStart
 	}
-	return progress
+	return awaitingProgress
 }
 
-func (d *Dispatcher) await(o *op) { d.out[d.awaited(o)].Add(o) }
+func (d *Dispatcher) track(o *op) { d.inFlight[d.awaited(o)].Add(o) }
 
-// silentFrom is the moment from which on silence about a push is measured.
-func (d *Dispatcher) silentFrom(o *op, awaited int) Time {
-	if awaited == starting {
-		return max(o.sentAt, d.workers[o.worker].heard) + 2*o.foretold
+// silenceSince is the moment from which on silence about a push is measured.
+func (d *Dispatcher) silenceSince(o *op, awaited int) Time {
+	if awaited == awaitingStart {
+		return max(o.sentAt, d.workers[o.worker].heardAt) + 2*o.predictedWait
 	}
-	return o.heard // what its worker says of other pushes tells nothing of this one's connection
+	return o.heardAt // what its worker says of other pushes tells nothing of this one's connection
 }
 
-// allowance is how much silence about a push is let pass. It is measured by the longest starts of late, so
+// silenceAllowance is how much silence about a push is let pass. It is measured by the longest starts of late, so
 // that pauses and slowness of the whole fleet aren't read as many sick workers.
-func (d *Dispatcher) allowance(awaited int) Time {
+func (d *Dispatcher) silenceAllowance(awaited int) Time {
 	every := d.settings.ProgressInterval
 	switch {
-	case awaited == taking:
+	case awaited == awaitingAcknowledgement:
 		return 2 * d.settings.AcknowledgeTimeout // a dial, and as long again
-	case !d.settings.ReportsStarts || len(d.starts) < stats.Few/4 || awaited == progress && every <= 0:
+	case !d.settings.ReportsStarts || len(d.startSamples) < stats.Few/4 || awaited == awaitingProgress && every <= 0:
 		return never
-	case awaited == starting:
-		return 2*d.figures().longest + second/10 + every
+	case awaited == awaitingStart:
+		return 2*d.currentDigest().maxStartDelay + second/10 + every
 	}
 	return 3 * every
 }
 
-// overdue is when silence about a push that is out speaks against its worker.
-func (d *Dispatcher) overdue(o *op) Time {
+// silenceLimit is when silence about a push that is out speaks against its worker.
+func (d *Dispatcher) silenceLimit(o *op) Time {
 	k := d.awaited(o)
-	return d.silentFrom(o, k) + d.allowance(k)
+	return d.silenceSince(o, k) + d.silenceAllowance(k)
 }
 
-// untaken tells of a push whose worker has not said that it has it, where that is the first thing said.
-func (d *Dispatcher) untaken(o *op) bool { return d.takes && o.heard == o.sentAt }
+// unacknowledged tells of a push whose worker has not said that it has it, where that is the first thing said.
+func (d *Dispatcher) unacknowledged(o *op) bool { return d.workersAcknowledge && o.heardAt == o.sentAt }
 
 // never is a span that no push outlasts, and can be added to.
 const never Time = math.MaxInt64 / 4
--- a/internal/scheduler/reducer/learned_test.go
+++ b/internal/scheduler/reducer/learned_test.go
@@ -64,7 +64,7 @@
 			Zones: []string{"z"}, Module: dispatch.Learned{HalvedAt: moment, StartDelays: []dispatch.Time{3}, ProbeRTTs: []dispatch.Time{4},
 				StartSamples: [][2]dispatch.Time{{moment, 5}}, PlacementVerdicts: verdicts(), Zones: [][]dispatch.Verdict{verdicts()},
 				Categories: map[string]dispatch.LearnedCategory{"look": {LongestTTL: 6, ServiceTimes: []dispatch.Time{7}}},
-				Workers: map[uint64]*dispatch.LearnedWorker{1: {StartedAt: moment, Places: [][2]float64{{8, 9}}, Health: verdicts()},
+				Workers: map[uint64]*dispatch.LearnedWorker{1: {StartedAt: moment, QueueSamples: [][2]float64{{8, 9}}, Health: verdicts()},
 					2: {StartedAt: 0}, 3: nil}}}
 	}
 	got := at(1000)
