--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -7,18 +7,18 @@
 
 // loaded is a scheduler that holds so many ops at its workers, each of them started.
 func loaded(held, workers int) (*Dispatcher, Time) {
-	d := New(7, terms(map[string]any{"discovery": "pushed", "bounds.probes": false, "extra.progress": 10_000.0}))
+	d := New(7, testSettings(func(s *Settings) { s.Probes, s.ProgressInterval = false, 10_000 }))
 	now := Time(1_000_000)
 	d.AdvanceClock(now)
 	d.BeginSnapshot()
 	for i := range workers {
-		d.UpsertWorker(i, 1, 1, true, 0)
+		d.UpsertWorker(i, WorkerEntry{Zone: 1, Group: 1, Ready: true})
 	}
 	d.EndUpdate()
 	for i := range held {
 		now++
 		d.AdvanceClock(now)
-		d.AddOp(i, 0, now+1<<40, 1, 0, 0)
+		d.AddOp(i, OpSpec{Category: 0, TTL: now + 1<<40, Slots: 1})
 		pull(d)
 		d.AttemptProgress(i, 0, true, 0)
 	}
@@ -28,7 +28,7 @@
 
 func pull(d *Dispatcher) {
 	for {
-		if do, _, _, _ := d.Next(); do == NoDecision {
+		if d.Next().Kind == NoDecision {
 			return
 		}
 	}
@@ -65,7 +65,7 @@
 					now++
 				}
 				d.AdvanceClock(now)
-				d.AddOp(held, 0, now+1<<40, 1, 0, 0)
+				d.AddOp(held, OpSpec{Category: 0, TTL: now + 1<<40, Slots: 1})
 				pull(d)
 				d.AdvanceClock(now)
 				d.AttemptEnded(held, 0, Succeeded, 1, true)
@@ -76,14 +76,14 @@
 }
 
 // atSize is a scheduler with workers in 14 zones that holds so many started ops, spread evenly.
-func atSize(workers, held int, more map[string]any) (*Dispatcher, Time) {
-	d, now := New(7, terms(more)), Time(1_000_000)
+func atSize(workers, held int, more func(*Settings)) (*Dispatcher, Time) {
+	d, now := New(7, testSettings(more)), Time(1_000_000)
 	d.AdvanceClock(now)
 	listed(d, workers)
 	for i := range held {
 		now++
 		d.AdvanceClock(now)
-		d.AddOp(i, 0, now+1<<40, 1, 0, 0)
+		d.AddOp(i, OpSpec{Category: 0, TTL: now + 1<<40, Slots: 1})
 		served(d, i, now, false)
 	}
 	return d, now
@@ -92,8 +92,8 @@
 func listed(d *Dispatcher, workers int) {
 	d.BeginSnapshot()
 	for i := range workers {
-		d.UpsertWorker(i, i%14, i%100, true, 0)
-		d.IdentifyWorker(i, ownKey(i), 0)
+		d.UpsertWorker(i, WorkerEntry{Zone: i % 14, Group: i % 100, Ready: true})
+		identify(d, i, schedulerKey(i), 0)
 	}
 	d.EndUpdate()
 }
@@ -101,8 +101,8 @@
 // served carries an op's decisions out: each probe is answered by an idle worker, and the push starts, and is served where it ends.
 func served(d *Dispatcher, i int, now Time, ends bool) {
 	for {
-		do, op, w, _ := d.Next()
-		switch do {
+		next := d.Next()
+		switch next.Kind {
 		case NoDecision:
 			if ends {
 				d.AttemptEnded(i, 0, Succeeded, 1, true)
@@ -110,9 +110,9 @@
 			}
 			return
 		case Probe:
-			d.ProbeAnswered(w, 5, LoadReport{RunningJobs: 0, QueuedJobs: 0, FreeSlots: 4, FreeMemory: -1})
+			d.ProbeAnswered(next.Worker, 5, LoadReport{RunningJobs: 0, QueuedJobs: 0, FreeSlots: 4, FreeMemory: -1})
 		case Push:
-			d.AttemptProgress(op, 0, true, 0)
+			d.AttemptProgress(next.Op, 0, true, 0)
 		}
 	}
 }
@@ -123,12 +123,12 @@
 	for _, shape := range []struct {
 		name string
 		key  uint64
-		more map[string]any
+		more func(*Settings)
 	}{
-		{"probes=false", 0, map[string]any{"discovery": "pushed", "bounds.probes": false, "extra.progress": 10_000.0}},
-		{"probes=true", 0, map[string]any{"discovery": "pushed", "extra.progress": 10_000.0}},
-		{"keys", 1, map[string]any{"discovery": "pushed", "extra.progress": 10_000.0, "keys": true}},
-		{"regulars", 0, map[string]any{"discovery": "pushed", "extra.progress": 10_000.0, "prices.connection": 1.0}},
+		{"probes=false", 0, func(s *Settings) { s.Probes, s.ProgressInterval = false, 10_000 }},
+		{"probes=true", 0, func(s *Settings) { s.ProgressInterval = 10_000 }},
+		{"keys", 1, func(s *Settings) { s.ProgressInterval, s.AffinityKeys = 10_000, true }},
+		{"regulars", 0, func(s *Settings) { s.ProgressInterval, s.ConnectionPrice = 10_000, 1 }},
 	} {
 		for _, workers := range []int{100, 400, 1_600, 6_300} {
 			b.Run(fmt.Sprintf("%s/workers=%d", shape.name, workers), func(b *testing.B) {
@@ -138,10 +138,11 @@
 				for n := range b.N {
 					now++
 					d.AdvanceClock(now)
-					d.AddOp(100, 0, now+1<<40, 1, 0, 0)
+					spec := OpSpec{TTL: now + 1<<40, Slots: 1}
 					if shape.key > 0 {
-						d.SetAffinityKey(100, ownKey(n%500))
+						spec.AffinityKey = schedulerKey(n % 500)
 					}
+					d.AddOp(100, spec)
 					served(d, 100, now, true)
 				}
 			})
@@ -154,9 +155,10 @@
 	for _, schedulers := range []int{10, 30, 300} {
 		for _, workers := range []int{400, 6_300} {
 			b.Run(fmt.Sprintf("schedulers=%d/workers=%d", schedulers, workers), func(b *testing.B) {
-				d, now := atSize(workers, 0, map[string]any{"prices.connection": 1.0, "bounds.peerMessages": true, "peers": true,
-					"instances": float64(schedulers), "myNumber": 0.0})
-				if !d.site.peers {
+				d, now := atSize(workers, 0, func(s *Settings) {
+					s.ConnectionPrice, s.PeerMessages, s.Schedulers, s.Scheduler = 1, true, schedulers, 0
+				})
+				if !d.settings.PeerMessages {
 					b.Fatal("no words are allowed")
 				}
 				b.ReportAllocs()
@@ -164,7 +166,7 @@
 				for n := range b.N {
 					now++
 					d.AdvanceClock(now)
-					d.UpsertWorker(n%workers, n%workers%14, n%workers%100, n%2 > 0, 0)
+					d.UpsertWorker(n%workers, WorkerEntry{Zone: n % workers % 14, Group: n % workers % 100, Ready: n%2 > 0})
 					d.EndUpdate()
 				}
 			})
@@ -178,15 +180,15 @@
 	for _, ready := range []bool{true, false} {
 		for _, held := range []int{1, 10, 100, 1_000} {
 			b.Run(fmt.Sprintf("ready=%v/held=%d", ready, held), func(b *testing.B) {
-				d, now := New(7, terms(map[string]any{"discovery": "pushed"})), Time(1_000_000)
+				d, now := New(7, testSettings(nil)), Time(1_000_000)
 				d.AdvanceClock(now)
 				listed(d, 6_300)
 				for i := range 6_300 {
-					d.UpsertWorker(i, i%14, i%100, ready, 0)
+					d.UpsertWorker(i, WorkerEntry{Zone: i % 14, Group: i % 100, Ready: ready})
 				}
 				d.EndUpdate()
 				for i := range held {
-					d.AddOp(i, 0, now+1<<40, 1, 0, 0)
+					d.AddOp(i, OpSpec{Category: 0, TTL: now + 1<<40, Slots: 1})
 				}
 				pull(d)
 				b.ReportAllocs()
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -24,9 +24,9 @@
 		{"one side empty", []float64{0, 0, 6}, []float64{0, 0, 2}, 0},
 	} {
 		d := fleet(2, nil)
-		d.halved = d.now
-		copy(d.a[:], c.a)
-		copy(d.b[:], c.b)
+		d.halvedAt = d.now
+		copy(d.observed[:], c.a)
+		copy(d.idleAfter[:], c.b)
 		if got := d.threshold(); got != c.want {
 			t.Errorf("%s: T = %d, want %d", c.name, got, c.want)
 		}
@@ -36,38 +36,38 @@
 func TestPairingWindowEnds(t *testing.T) {
 	for gap, want := range map[Time]float64{49: 0, 50: 1, 200: 1, 201: 0} {
 		d := fleet(2, nil)
-		d.halved, d.taus = d.now, []Time{100}
+		d.halvedAt, d.startDelays = d.now, []Time{100}
 		d.ProbeAnswered(0, 0, jobs(3))
 		d.AdvanceClock(d.now + gap)
 		d.ProbeAnswered(0, 0, jobs(1))
-		if d.a[3] != want || d.b[3] != want {
-			t.Errorf("gap %d: a = %v, b = %v, want %v", gap, d.a[3], d.b[3], want)
+		if d.observed[3] != want || d.idleAfter[3] != want {
+			t.Errorf("gap %d: a = %v, b = %v, want %v", gap, d.observed[3], d.idleAfter[3], want)
 		}
 	}
 	d := fleet(2, nil)
-	d.halved, d.taus = d.now, []Time{100}
+	d.halvedAt, d.startDelays = d.now, []Time{100}
 	d.ProbeAnswered(0, 0, jobs(3))
 	d.AdvanceClock(d.now + 100)
 	d.ProbeAnswered(0, 0, jobs(5))
-	if d.a[3] != 1 || d.b[3] != 0 {
-		t.Errorf("a queue is no idleness: a = %v, b = %v", d.a[3], d.b[3])
+	if d.observed[3] != 1 || d.idleAfter[3] != 0 {
+		t.Errorf("a queue is no idleness: a = %v, b = %v", d.observed[3], d.idleAfter[3])
 	}
 }
 
 func TestCountersHalve(t *testing.T) {
 	d := fleet(2, nil)
-	d.halved, d.a[2], d.b[2] = d.now, 8, 4
-	d.AdvanceClock(d.now + 2*ageing)
-	if d.age(); d.a[2] != 2 || d.b[2] != 1 {
-		t.Errorf("after two spans a = %v, b = %v, want 2 and 1", d.a[2], d.b[2])
+	d.halvedAt, d.observed[2], d.idleAfter[2] = d.now, 8, 4
+	d.AdvanceClock(d.now + 2*counterHalfLife)
+	if d.halveCounters(); d.observed[2] != 2 || d.idleAfter[2] != 1 {
+		t.Errorf("after two spans a = %v, b = %v, want 2 and 1", d.observed[2], d.idleAfter[2])
 	}
 }
 
 func TestPlacement(t *testing.T) {
 	low := func(d *Dispatcher) { // T = 1
-		d.halved = d.now
-		copy(d.a[:], []float64{4, 4, 4, 4})
-		copy(d.b[:], []float64{4, 4, 0, 0})
+		d.halvedAt = d.now
+		copy(d.observed[:], []float64{4, 4, 4, 4})
+		copy(d.idleAfter[:], []float64{4, 4, 0, 0})
 	}
 	for _, c := range []struct {
 		name   string
@@ -78,7 +78,7 @@
 		took := map[bool]int{}
 		for i := range 40 {
 			d := fleet(6, nil)
-			d.chance += stats.Chance(i * 7919)
+			d.random += stats.Chance(i * 7919)
 			low(d)
 			x, y := probed(t, d, 0, 0)
 			took[pushed(t, d, x, jobs(c.jx), y, jobs(c.jy)) == y]++
@@ -111,10 +111,10 @@
 // Wide ops went to Low workers without room for them and blocked the queue.
 func TestWideOpNeedsRoom(t *testing.T) {
 	d := fleet(2, nil)
-	d.halved = d.now
-	copy(d.a[:], []float64{4, 4, 4, 4})
-	copy(d.b[:], []float64{4, 4, 4, 0})
-	d.AddOp(0, 0, d.now+50_000, 4, 0, 0)
+	d.halvedAt = d.now
+	copy(d.observed[:], []float64{4, 4, 4, 4})
+	copy(d.idleAfter[:], []float64{4, 4, 4, 0})
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 4})
 	decisions(d)
 	if got := pushed(t, d, 0, jobs(2), 1, jobs(0)); got != 1 {
 		t.Errorf("an op of four slots went to worker %d with two free", got)
@@ -125,18 +125,18 @@
 func TestHopelessOpIsNackedSoon(t *testing.T) {
 	d := fleet(6, nil)
 	for i := range d.workers {
-		d.learnPlace(&d.workers[i], place{1, 4_000})
+		d.addQueueSample(&d.workers[i], queueSample{1, 4_000})
 	}
-	d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	probes := 0
 	for range 400 {
 		for _, a := range decisions(d) {
-			switch a.do {
+			switch a.Kind {
 			case Probe:
 				probes++
-				d.ProbeAnswered(a.worker, 0, jobs(30))
+				d.ProbeAnswered(a.Worker, 0, jobs(30))
 			case Nack:
-				if probes > 2*maxLooks {
+				if probes > 2*maxProbeRounds {
 					t.Errorf("%d probes for one op", probes)
 				}
 				return
@@ -164,8 +164,8 @@
 func TestClearlySlowerWorkerIsPassedOver(t *testing.T) {
 	d := fleet(2, nil)
 	for range 12 {
-		d.workers[0].strides = append(d.workers[0].strides, 2)
-		d.workers[1].strides = append(d.workers[1].strides, 1)
+		d.workers[0].serviceTimeRatios = append(d.workers[0].serviceTimeRatios, 2)
+		d.workers[1].serviceTimeRatios = append(d.workers[1].serviceTimeRatios, 1)
 	}
 	probed(t, d, 0, 0)
 	if got := pushed(t, d, 0, jobs(0), 1, jobs(0)); got != 1 {
@@ -176,21 +176,21 @@
 func TestDoubtfulWorkerIsSeldomButStillGivenWork(t *testing.T) {
 	d := fleet(2, nil)
 	for range 3 {
-		d.judge(0, false)
+		d.recordVerdict(0, false)
 	}
 	if !d.workers[0].health.Doubtful(d.now) || d.workers[1].health.Doubtful(d.now) {
 		t.Fatal("three failures in a row must make a worker doubtful, and only that one")
 	}
 	n := 0
 	for range 1000 {
-		if d.workers[0].health.Admitted(d.now, &d.chance) {
+		if d.workers[0].health.Admitted(d.now, &d.random) {
 			n++
 		}
 	}
 	if n < 50 || n > 500 {
 		t.Errorf("admitted %d times in 1000", n)
 	}
-	d.AdvanceClock(d.now + healthMax + 1)
+	d.AdvanceClock(d.now + maxVerdictAge + 1)
 	if d.workers[0].health.Doubtful(d.now) {
 		t.Error("old verdicts still count")
 	}
@@ -198,30 +198,30 @@
 
 func TestNoReadyWorker(t *testing.T) {
 	d := fleet(0, nil)
-	d.AddOp(0, 4, d.now+50_000, 1, 0, 0)
+	d.AddOp(0, OpSpec{Category: 4, TTL: d.now + 50_000, Slots: 1})
 	if all := decisions(d); len(all) != 0 {
 		t.Fatalf("held at first, got %v", all)
 	}
 	d.AdvanceClock(d.now + 5_001)
-	if all := decisions(d); len(all) == 0 || all[0].do != Nack {
+	if all := decisions(d); len(all) == 0 || all[0].Kind != Nack {
 		t.Errorf("nothing was sent, so a nack is harmless: got %v", all)
 	}
-	d.AddOp(1, 0, d.now+10, 1, 0, 0)
+	d.AddOp(1, OpSpec{Category: 0, TTL: d.now + 10, Slots: 1})
 	all := decisions(d)
-	if !slices.ContainsFunc(all, func(a decision) bool { return a.do == Nack && a.op == 1 }) {
+	if !slices.ContainsFunc(all, func(a Decision) bool { return a.Kind == Nack && a.Op == 1 }) {
 		t.Errorf("an op that comes with no time left is answered at once: %v", all)
 	}
 }
 
 func TestListIsFollowed(t *testing.T) {
 	d := fleet(3, nil)
-	d.UpsertWorker(0, 0, 0, false, 0)
+	d.UpsertWorker(0, WorkerEntry{})
 	d.EndUpdate()
 	d.BeginSnapshot()
-	d.UpsertWorker(2, 0, 2, true, 0)
+	d.UpsertWorker(2, WorkerEntry{Group: 2, Ready: true})
 	d.EndUpdate()
-	d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
-	if all := decisions(d); len(all) != 1 || all[0].worker != 2 {
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
+	if all := decisions(d); len(all) != 1 || all[0].Worker != 2 {
 		t.Errorf("only worker 2 is ready, got %v", all)
 	}
 }
@@ -229,13 +229,13 @@
 // Clients that were turned away came back at once and were given a whole new target each time.
 func TestRetryCountsFromItsFirstTry(t *testing.T) {
 	d := fleet(2, nil)
-	d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	d.AdvanceClock(d.now + 1_000)
-	d.AddOp(1, 0, d.now+46_000, 1, 0, 0)
-	if got := d.spare(d.op(0)); got != 4_000 {
+	d.AddOp(1, OpSpec{Category: 0, TTL: d.now + 46_000, Slots: 1})
+	if got := d.spareTime(d.op(0)); got != 4_000 {
 		t.Errorf("the first try has %d to spare, want 4000", got)
 	}
-	if got := d.spare(d.op(1)); got != 1_000 {
+	if got := d.spareTime(d.op(1)); got != 1_000 {
 		t.Errorf("a try with 4000 of its TTL used has %d to spare, want 1000", got)
 	}
 }
@@ -244,24 +244,24 @@
 func TestSecondLookSkipsWhatWasJustSeenFull(t *testing.T) {
 	d := fleet(5, nil)
 	for i := range d.workers {
-		d.learnPlace(&d.workers[i], place{1, 4_000})
+		d.addQueueSample(&d.workers[i], queueSample{1, 4_000})
 	}
 	x, y := probed(t, d, 0, 0)
 	d.ProbeAnswered(x, 0, jobs(9))
 	d.ProbeAnswered(y, 0, jobs(9))
 	decisions(d)
-	d.AdvanceClock(d.op(0).next)
+	d.AdvanceClock(d.op(0).notBefore)
 	for _, a := range decisions(d) {
-		if a.do == Probe && (a.worker == x || a.worker == y) {
-			t.Errorf("worker %d was probed again", a.worker)
+		if a.Kind == Probe && (a.Worker == x || a.Worker == y) {
+			t.Errorf("worker %d was probed again", a.Worker)
 		}
 	}
 }
 
 // Ops with seconds to spare filled queues to seconds, and a category of short targets never found a place.
 func TestPatienceIsCapped(t *testing.T) {
-	d := fleet(2, map[string]any{"categories.1.targetLatency": 100_000.0})
-	d.AddOp(0, 1, d.now+200_000, 1, 0, 0)
+	d := fleet(2, func(s *Settings) { s.Categories[1].LatencyObjective = 100_000 })
+	d.AddOp(0, OpSpec{Category: 1, TTL: d.now + 200_000, Slots: 1})
 	if got := d.patience(d.op(0)); got > 2*5_000 {
 		t.Errorf("patience %d, over twice the least target", got)
 	}
@@ -269,16 +269,16 @@
 
 // In overload cheap ops took the places of dear ones.
 func TestCheapOpsAreLessPatient(t *testing.T) {
-	d := fleet(2, map[string]any{"benefitPer": "work", "categories.1.benefit": 8.0})
-	d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
-	d.AddOp(1, 1, d.now+50_000, 1, 0, 0)
+	d := fleet(2, func(s *Settings) { s.BenefitPerWork, s.Categories[1].Benefit = true, 8 })
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
+	d.AddOp(1, OpSpec{Category: 1, TTL: d.now + 50_000, Slots: 1})
 	if cheap, dear := d.patience(d.op(0)), d.patience(d.op(1)); 4*cheap != dear {
 		t.Errorf("patience %d and %d for benefits 2 and 8", cheap, dear)
 	}
 }
 
 func TestOwnZoneOfTwoLow(t *testing.T) {
-	d := fleet(2, map[string]any{"prices.crossZone": 0.03, "myZone": 1.0})
+	d := fleet(2, func(s *Settings) { s.CrossZonePrice, s.Zone = 0.03, 1 })
 	for i := range 10 {
 		probed(t, d, i, 0)
 		if got := pushed(t, d, 0, jobs(0), 1, jobs(0)); got != 1 {
@@ -291,10 +291,10 @@
 // In four zones, three ops in four met only workers that cost a crossing.
 func TestOneOfThePairIsNear(t *testing.T) {
 	for _, price := range []float64{0, 0.03} {
-		d := New(7, terms(map[string]any{"prices.crossZone": price, "myZone": 1.0}))
+		d := New(7, testSettings(func(s *Settings) { s.CrossZonePrice, s.Zone = price, 1 }))
 		d.AdvanceClock(1_000_000)
 		for i := range 40 {
-			d.UpsertWorker(i, i%4, i, true, 0)
+			d.UpsertWorker(i, WorkerEntry{Zone: i % 4, Group: i, Ready: true})
 		}
 		d.EndUpdate()
 		none, far := 0, 0
@@ -311,10 +311,10 @@
 
 // With most schedulers in one zone, its workers had to do all their work while other zones stood idle.
 func TestBusyOwnZoneIsNotPreferred(t *testing.T) {
-	d := New(7, terms(map[string]any{"prices.crossZone": 0.03}))
+	d := New(7, testSettings(func(s *Settings) { s.CrossZonePrice = 0.03 }))
 	d.AdvanceClock(1_000_000)
 	for i := range 40 {
-		d.UpsertWorker(i, i%4, i, true, 0)
+		d.UpsertWorker(i, WorkerEntry{Zone: i % 4, Group: i, Ready: true})
 		d.ProbeAnswered(i, 0, jobs(3*float64(stats.Bit(i%4 == 0))))
 	}
 	d.EndUpdate()
@@ -331,23 +331,23 @@
 // An op that came with little of its TTL waited for probes until that was over, and was never answered.
 func TestWaitForProbesEndsBeforeTTL(t *testing.T) {
 	d := fleet(6, nil)
-	d.trips = []Time{5_000}
-	d.AddOp(0, 0, d.now+1_000, 1, 0, 0)
+	d.probeRTTs = []Time{5_000}
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 1_000, Slots: 1})
 	var woken Time
 	for {
-		do, _, _, span := d.Next()
-		if do == NoDecision {
+		next := d.Next()
+		if next.Kind == NoDecision {
 			break
 		}
-		if do == SetTimer {
-			woken = span
+		if next.Kind == SetTimer {
+			woken = next.Duration
 		}
 	}
 	if woken == 0 || woken > 1_000-d.margin() {
 		t.Fatalf("woken after %d, too late for a TTL of 1000", woken)
 	}
 	d.AdvanceClock(d.now + woken)
-	if all := decisions(d); len(all) == 0 || all[0].do != Nack {
+	if all := decisions(d); len(all) == 0 || all[0].Kind != Nack {
 		t.Errorf("not answered in time: %v", all)
 	}
 }
@@ -357,10 +357,10 @@
 	t.Helper()
 	d := fleet(2, nil)
 	for range stats.Few {
-		d.starts = append(d.starts, start{d.now, 100})
+		d.startSamples = append(d.startSamples, startSample{d.now, 100})
 	}
 	for i := range n {
-		d.AddOp(i, 0, d.now+50_000, 1, 0, 0)
+		d.AddOp(i, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 		decisions(d)
 		d.AdvanceClock(d.now + d.shortWait())
 		d.ProbeAnswered(0, 0, jobs(float64(i)/4)) // worker 1 does not answer the probe
@@ -396,14 +396,14 @@
 	d := fleet(60, nil)
 	across := 0
 	for i := range 60 {
-		d.AddOp(i, 0, d.now+50_000, 1, 0, 0)
+		d.AddOp(i, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 		for _, a := range decisions(d) {
-			if a.worker%2 == 0 {
-				d.ProbeAnswered(a.worker, 0, jobs(0))
+			if a.Worker%2 == 0 {
+				d.ProbeAnswered(a.Worker, 0, jobs(0))
 			} else if across++; i < 40 {
-				d.ProbeFailed(a.worker, 0, TimedOut)
+				d.ProbeFailed(a.Worker, 0, TimedOut)
 			} else {
-				d.ProbeFailed(a.worker, 0, Rejected) // turned away, but reached
+				d.ProbeFailed(a.Worker, 0, Rejected) // turned away, but reached
 			}
 		}
 		d.AdvanceClock(d.now + 500)
@@ -426,10 +426,10 @@
 // Reports seconds late sent all schedulers to the workers that looked idle; starts then came a second late.
 func TestLateReportsAreSetAside(t *testing.T) {
 	d := fleet(2, nil)
-	d.trips = []Time{100}
+	d.probeRTTs = []Time{100}
 	for i := range stats.Few {
 		// Half late: over a fleet that hundreds share, where reports are a second old, such starts took longer the more room was told.
-		d.starts = append(d.starts, start{d.now, []Time{9_000, 100}[i%2]})
+		d.startSamples = append(d.startSamples, startSample{d.now, []Time{9_000, 100}[i%2]})
 	}
 	probed(t, d, 0, 0)
 	first := pushed(t, d, 0, jobs(0), 1, jobs(0))
@@ -439,16 +439,16 @@
 	if second := pushed(t, d, 0, loads[0], 1, loads[1]); second == first {
 		t.Error("followed a late report to the worker that has this scheduler's own push")
 	}
-	d.AdvanceClock(d.now + healthMax)
-	if d.figures().misled {
+	d.AdvanceClock(d.now + maxVerdictAge)
+	if d.currentDigest().reportsStale {
 		t.Error("old lateness still sets reports aside")
 	}
 	d = fleet(2, nil)
-	d.trips = []Time{100}
+	d.probeRTTs = []Time{100}
 	for i := range stats.Few {
-		d.starts = append(d.starts, start{d.now, []Time{9_000, 100, 100, 100}[i%4]})
+		d.startSamples = append(d.startSamples, startSample{d.now, []Time{9_000, 100, 100, 100}[i%4]})
 	}
-	if d.figures().misled {
+	if d.currentDigest().reportsStale {
 		t.Error("reports that three starts in four prove true are set aside")
 	}
 }
@@ -456,11 +456,11 @@
 // Reports are noisy: an empty worker of four slots that told 3.4 free ones was no place for an op of four.
 func TestEmptyWorkerHasRoomForWideOp(t *testing.T) {
 	d := fleet(2, nil)
-	d.AddOp(0, 0, d.now+50_000, 4, 0, 0)
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 4})
 	decisions(d)
 	d.ProbeAnswered(0, 0, LoadReport{RunningJobs: 0, FreeSlots: 3.4, FreeMemory: -1})
 	d.ProbeAnswered(1, 0, LoadReport{RunningJobs: 0.9, FreeSlots: 3.4, FreeMemory: -1})
-	if !d.fits(d.op(0), 0) || d.fits(d.op(0), 1) {
+	if !d.hasCapacity(d.op(0), 0) || d.hasCapacity(d.op(0), 1) {
 		t.Error("of two workers that tell 3.4 free slots only the empty one has room for four")
 	}
 }
@@ -468,12 +468,12 @@
 // Ops of four slots were nacked for want of a place where one job of a short rest held one slot.
 func TestPlaceOfWideOpByTheSlotsItLacks(t *testing.T) {
 	d := fleet(3, nil)
-	d.AddOp(0, 0, d.now+50_000, 4, 0, 0)
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 4})
 	for i, n := range []float64{1, 3, 5} {
 		d.ProbeAnswered(i, 0, jobs(n))
 	}
 	o := d.op(0)
-	if x, y, z := d.place(o, 0), d.place(o, 1), d.place(o, 2); x != 0.25 || y != 0.75 || z != 2 {
+	if x, y, z := d.queuePosition(o, 0), d.queuePosition(o, 1), d.queuePosition(o, 2); x != 0.25 || y != 0.75 || z != 2 {
 		t.Errorf("places %v, %v, %v with one and three slots lacking and one waiting", x, y, z)
 	}
 }
@@ -492,31 +492,31 @@
 
 // Where probes are not allowed, every op was held for as long as an answer to one might have taken.
 func TestWithoutProbesNoOpWaitsForThem(t *testing.T) {
-	d := fleet(4, map[string]any{"bounds.probes": false})
-	d.AddOp(1, 0, d.now+50_000, 1, 0, 0)
+	d := fleet(4, func(s *Settings) { s.Probes = false })
+	d.AddOp(1, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	push(t, d)
 }
 
 // An op that is held beyond the end of its scheduler's process has no answer.
 func TestAStopCutsTTLsShort(t *testing.T) {
 	d := fleet(0, nil)
-	d.AddOp(1, 0, d.now+50_000, 1, 0, 0)
+	d.AddOp(1, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	d.LimitDeadlines(d.now + 1_000)
 	d.AdvanceClock(d.now + 1_000)
-	if all := decisions(d); len(all) == 0 || all[0].do != Nack {
+	if all := decisions(d); len(all) == 0 || all[0].Kind != Nack {
 		t.Fatalf("held beyond the stop: %v", all)
 	}
 }
 
 // A push decided on inside the window was written after it when its connection took long to come up.
 func TestADialDoesNotOutlastTheWindow(t *testing.T) {
-	for wait, want := range map[Time]Verb{17_000: Probe, 19_000: DeadLetter} {
-		d := fleet(4, map[string]any{"bounds.connectTimeout": 2_000.0})
+	for wait, want := range map[Time]DecisionKind{17_000: Probe, 19_000: DeadLetter} {
+		d := fleet(4, func(s *Settings) { s.DialTimeout, s.AcknowledgeTimeout = 2_000.0, 2_000.0 })
 		x, y := probed(t, d, 1, 2)
 		pushed(t, d, x, jobs(0), y, jobs(0))
 		d.AdvanceClock(d.now + wait)
 		d.AttemptEnded(1, 0, ConnectionLost, wait, false)
-		if all := decisions(d); len(all) == 0 || all[0].do != want {
+		if all := decisions(d); len(all) == 0 || all[0].Kind != want {
 			t.Errorf("%d after the push: %v, want %v", wait, all, want)
 		}
 	}
@@ -531,13 +531,13 @@
 		d.AdvanceClock(d.now + 10)
 		d.AttemptEnded(0, 0, InvalidRequest, 10, false)
 		all := decisions(d)
-		other := pushed(t, d, all[0].worker, jobs(0), all[1].worker, jobs(0))
+		other := pushed(t, d, all[0].Worker, jobs(0), all[1].Worker, jobs(0))
 		if other == first {
 			t.Fatal("the same worker was asked again")
 		}
 		d.AdvanceClock(d.now + 10)
 		d.AttemptEnded(0, 1, second, 10, second == Succeeded)
-		if all = decisions(d); second == InvalidRequest && (len(all) == 0 || all[0].do != DeadLetter) {
+		if all = decisions(d); second == InvalidRequest && (len(all) == 0 || all[0].Kind != DeadLetter) {
 			t.Errorf("two workers call it unfit: %v", all)
 		}
 		bad := 0
@@ -553,10 +553,10 @@
 // Jobs ended and their answers were lost: each such op stood out until its TTL, and its client had no time left.
 func TestAStartedPushThatFallsSilentIsCalledOff(t *testing.T) {
 	for cat, want := range []bool{true, true, true, true, false} { // an at-most-once op can't be pushed again
-		d := fleet(8, map[string]any{"extra.progress": 10_000.0})
-		d.categories[cat].window = 50_000
+		d := fleet(8, func(s *Settings) { s.ProgressInterval = 10_000 })
+		d.categories[cat].DedupWindow = 50_000
 		for range stats.Few {
-			d.starts = append(d.starts, start{d.now, 100})
+			d.startSamples = append(d.startSamples, startSample{d.now, 100})
 		}
 		x, y := probed(t, d, 0, cat)
 		first := pushed(t, d, x, jobs(0), y, jobs(0))
@@ -569,7 +569,7 @@
 		}
 		d.AdvanceClock(d.now + 1_000)
 		all := decisions(d)
-		if called := len(all) > 0 && all[0].do == CancelAttempt; called != want {
+		if called := len(all) > 0 && all[0].Kind == CancelAttempt; called != want {
 			t.Fatalf("category %d: %v", cat, all)
 		}
 		if !want {
@@ -580,7 +580,7 @@
 		}
 		d.AttemptEnded(0, 0, Cancelled, 100, false)
 		d.AdvanceClock(d.now + 10)
-		if all = decisions(d); len(all) == 0 || all[0].do != Probe || all[0].worker == first {
+		if all = decisions(d); len(all) == 0 || all[0].Kind != Probe || all[0].Worker == first {
 			t.Errorf("category %d is not tried elsewhere: %v", cat, all)
 		}
 	}
@@ -589,7 +589,7 @@
 // A connection that fell silent held its op until the TTL, though workers say at once that they have taken one.
 func TestAPushThatIsNotTakenIsCalledOff(t *testing.T) {
 	for cat, want := range []bool{true, true, true, true, false} {
-		d := fleet(8, map[string]any{"bounds.connectTimeout": 2_000.0})
+		d := fleet(8, func(s *Settings) { s.DialTimeout, s.AcknowledgeTimeout = 2_000.0, 2_000.0 })
 		x, y := probed(t, d, 0, cat)
 		pushed(t, d, x, jobs(0), y, jobs(0))
 		d.AdvanceClock(d.now + 5_000)
@@ -605,7 +605,7 @@
 		}
 		d.AdvanceClock(d.now + 100)
 		all := decisions(d)
-		if called := len(all) > 0 && all[0].do == CancelAttempt && all[0].op == 1; called != want || len(all) > 1 {
+		if called := len(all) > 0 && all[0].Kind == CancelAttempt && all[0].Op == 1; called != want || len(all) > 1 {
 			t.Errorf("category %d: %v", cat, all)
 		}
 	}
@@ -616,7 +616,7 @@
 func TestAWorkerThatStartsAndFailsIsDoubted(t *testing.T) {
 	d := fleet(2, nil)
 	for i := range 60 {
-		d.AddOp(i, 0, d.now+50_000, 1, 0, 0)
+		d.AddOp(i, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 		decisions(d)
 		d.AdvanceClock(d.now + d.shortWait())
 		d.ProbeAnswered(0, 0, jobs(0)) // worker 1 does not answer the probe
@@ -628,7 +628,7 @@
 	}
 	in := 0
 	for range 1000 {
-		in += stats.Bit(slices.Contains(d.candidates(&op{most: 1}), 0))
+		in += stats.Bit(slices.Contains(d.candidates(&op{maxAttempts: 1}), 0))
 	}
 	if in > 300 || in == 0 {
 		t.Errorf("a candidate %d times in 1000", in)
@@ -639,17 +639,17 @@
 // schedulers that number the workers differently must mean the same ones.
 func TestAKeysOpsMeetTheSameFewWorkers(t *testing.T) {
 	met := func(turn int) map[uint64]bool {
-		d := fleet(40, map[string]any{"keys": true})
+		d := fleet(40, func(s *Settings) { s.AffinityKeys = true })
 		for i := range 40 {
-			d.IdentifyWorker(i, uint64((i+turn)%40)*0x51ed2701_9b3c1d77+1, 0)
+			identify(d, i, uint64((i+turn)%40)*0x51ed2701_9b3c1d77+1, 0)
 		}
 		marks := map[uint64]bool{}
 		for k := range 30 {
-			d.AddOp(k, 0, d.now+50_000, 1, 0, 0)
-			d.SetAffinityKey(k, uint64(1+k%10)) // ten keys, so each may have its 2 and a tenth of the fleet, half as much again
+			// Ten keys: each may have its two workers and a tenth of the fleet, half as much again.
+			d.AddOp(k, OpSpec{TTL: d.now + 50_000, Slots: 1, AffinityKey: uint64(1 + k%10)})
 			for _, a := range decisions(d) {
-				if a.do == Probe && k%10 == 3 {
-					marks[d.workers[a.worker].mark] = true
+				if a.Kind == Probe && k%10 == 3 {
+					marks[d.workers[a.Worker].identityHash] = true
 				}
 			}
 		}
@@ -676,7 +676,7 @@
 	d.ProbeAnswered(1, 50, LoadReport{RunningJobs: -1, QueuedJobs: 0, FreeSlots: 1, FreeMemory: -1})
 	d.ProbeAnswered(2, 50, LoadReport{RunningJobs: -1, QueuedJobs: 3, FreeSlots: 0, FreeMemory: -1})
 	for i, want := range []float64{0, 3, 7} {
-		if got := d.count(i); got != want {
+		if got := d.jobCount(i); got != want {
 			t.Errorf("worker %d counts %g, want %g", i, got, want)
 		}
 	}
@@ -686,23 +686,23 @@
 func TestAWorkersSpeedIsItsKindsUntilItIsMet(t *testing.T) {
 	d := fleet(4, nil)
 	for i := range 4 {
-		d.IdentifyWorker(i, uint64(i+1), i%2)
+		identify(d, i, uint64(i+1), i%2)
 	}
 	for range 8 {
-		d.workers[0].strides.Add(&d.kinds[d.workers[0].kind].strides, 0.5)
-		d.workers[1].strides.Add(&d.kinds[d.workers[1].kind].strides, 2)
+		d.workers[0].serviceTimeRatios.Add(&d.kinds[d.workers[0].kind].serviceTimeRatios, 0.5)
+		d.workers[1].serviceTimeRatios.Add(&d.kinds[d.workers[1].kind].serviceTimeRatios, 2)
 	}
-	if fast, slow := d.slow(2), d.slow(3); fast != 0.5 || slow != 2 {
+	if fast, slow := d.serviceTimeRatio(2), d.serviceTimeRatio(3); fast != 0.5 || slow != 2 {
 		t.Errorf("workers not met: %g and %g, want 0.5 and 2", fast, slow)
 	}
 }
 
 // Each of hundreds of quiet schedulers kept a connection to half the fleet: there a scheduler meets a few of its own.
 func TestWhereConnectionsCostASchedulerMeetsFewWorkers(t *testing.T) {
-	met := func(number float64, price float64) map[int]bool {
-		d := fleet(40, map[string]any{"myNumber": number, "prices.connection": price})
+	met := func(number int, price float64) map[int]bool {
+		d := fleet(40, func(s *Settings) { s.Scheduler, s.ConnectionPrice = number, price })
 		for i := range 40 {
-			d.IdentifyWorker(i, uint64(i+1)*0x51ed2701_9b3c1d77, 0)
+			identify(d, i, uint64(i+1)*0x51ed2701_9b3c1d77, 0)
 		}
 		workers := map[int]bool{}
 		for range 60 {
@@ -719,19 +719,21 @@
 		t.Errorf("connections are free and %d workers met", n)
 	}
 	one, two := met(1, 0.05), met(2, 0.05)
-	if len(one) > regulars || len(two) > regulars || maps.Equal(one, two) {
+	if len(one) > subscribersPerWorker || len(two) > subscribersPerWorker || maps.Equal(one, two) {
 		t.Errorf("one scheduler meets %v, another %v", one, two)
 	}
 }
 
 // Hundreds of schedulers saw the same free slot in reports seconds late: those that meet a worker say what they have there.
 func TestSchedulersTellWhatTheyHaveAtTheirRegulars(t *testing.T) {
-	shape := map[string]any{"prices.connection": 0.05, "bounds.peerMessages": true, "instances": 12.0}
-	at := func(number float64) *Dispatcher {
-		shape["myNumber"] = number
-		d := fleet(8, shape)
+	shape := func(s *Settings) { s.ConnectionPrice, s.PeerMessages, s.Schedulers = 0.05, true, 12 }
+	at := func(number int) *Dispatcher {
+		d := fleet(8, func(s *Settings) {
+			shape(s)
+			s.Scheduler = number
+		})
 		for i := range 8 {
-			d.IdentifyWorker(i, uint64(i+1)*0x51ed2701_9b3c1d77, 0)
+			identify(d, i, uint64(i+1)*0x51ed2701_9b3c1d77, 0)
 		}
 		d.EndUpdate()
 		return d
@@ -742,24 +744,24 @@
 	d.AdvanceClock(d.now + 50)
 	d.ProbeAnswered(x, 50, jobs(0))
 	d.ProbeAnswered(y, 50, jobs(0))
-	told, worker := map[int]Time{}, -1
+	told, worker := map[int]int{}, -1
 	for _, a := range decisions(d) {
-		switch a.do {
+		switch a.Kind {
 		case Push:
-			worker = a.worker
+			worker = a.Worker
 		case ReportToPeer:
-			if a.worker != worker {
-				t.Errorf("told of worker %d, pushed to %d", a.worker, worker)
+			if a.Worker != worker {
+				t.Errorf("told of worker %d, pushed to %d", a.Worker, worker)
 			}
-			told[a.op] = a.span
+			told[a.Peer] = a.InFlight
 		}
 	}
 	for s := range 12 {
-		other := at(float64(s))
-		if want := slices.Contains(other.workers[worker].audience, s) && s != 1; want != (told[s] == 1) {
+		other := at(s)
+		if want := slices.Contains(other.workers[worker].subscribers, s) && s != 1; want != (told[s] == 1) {
 			t.Errorf("scheduler %d meets the worker: %v; told of %d", s, want, told[s])
 		}
-		if !slices.Contains(other.workers[worker].audience, s) || s == 1 {
+		if !slices.Contains(other.workers[worker].subscribers, s) || s == 1 {
 			continue
 		}
 		other.ProbeAnswered(worker, 50, jobs(0))
@@ -767,14 +769,14 @@
 			other.PeerReport(by, worker, 1) // its own number and this among them
 		}
 		other.PeerReport(12, worker, 40)
-		if n, _, ok := other.tally(worker); !ok || n != 11 {
+		if n, _, ok := other.peerTally(worker); !ok || n != 11 {
 			t.Errorf("scheduler %d counts %g jobs by word of eleven others", s, n)
 		}
-		if o := (&op{slots: 1}); other.fits(o, worker) || other.place(o, worker) == 0 {
+		if o := (&op{slots: 1}); other.hasCapacity(o, worker) || other.queuePosition(o, worker) == 0 {
 			t.Error("a report of free slots outweighs the others' word")
 		}
-		other.AdvanceClock(other.now + recent)
-		if n, _, _ := other.tally(worker); n != 0 {
+		other.AdvanceClock(other.now + maxPeerReportAge)
+		if n, _, _ := other.peerTally(worker); n != 0 {
 			t.Errorf("%g jobs by word that is old", n)
 		}
 	}
@@ -782,24 +784,23 @@
 
 // Operators watch before they switch: a watch must not change one decision, and must count those that would differ.
 func TestAWatchChangesNothingAndCounts(t *testing.T) {
-	play := func(other map[string]any) (all []decision, counts [ShadowedReport + 1]int) {
-		shape := map[string]any{"instances": 12.0, "prices.connection": 0.0, "bounds.peerMessages": false}
+	play := func(other func(*Settings)) (all []Decision, counts [ShadowedReport + 1]int) {
+		shape := func(s *Settings) { s.Schedulers, s.ConnectionPrice, s.PeerMessages = 12, 0, false }
 		d := fleet(12, shape)
 		for i := range 12 {
-			d.IdentifyWorker(i, uint64(i+1)*0x51ed2701_9b3c1d77, i%2)
+			identify(d, i, uint64(i+1)*0x51ed2701_9b3c1d77, i%2)
 		}
 		if other != nil {
-			d.SetShadowSettings(terms(other))
+			d.SetShadowSettings(testSettings(other))
 		}
 		d.EndUpdate()
 		for k := range 60 {
 			d.AdvanceClock(d.now + 100)
-			d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
-			d.SetAffinityKey(0, uint64(1+k%5))
+			d.AddOp(0, OpSpec{TTL: d.now + 50_000, Slots: 1, AffinityKey: uint64(1 + k%5)})
 			asked := decisions(d)
 			for _, a := range asked {
 				d.AdvanceClock(d.now + 10)
-				d.ProbeAnswered(a.worker, 0, jobs(0))
+				d.ProbeAnswered(a.Worker, 0, jobs(0))
 			}
 			sent := decisions(d)
 			d.AdvanceClock(d.now + 10)
@@ -810,17 +811,19 @@
 	}
 	plain, _ := play(nil)
 	for name, c := range map[string]struct {
-		other               map[string]any
+		other               func(*Settings)
 		asked, told, chosen bool
 	}{
-		"the same":            {other: map[string]any{}},
-		"keys":                {other: map[string]any{"keys": true}, asked: true},
-		"connections":         {other: map[string]any{"prices.connection": 0.05}, asked: true},
-		"connections, peers":  {other: map[string]any{"prices.connection": 0.05, "bounds.peerMessages": true}, asked: true, told: true},
-		"crossings that cost": {other: map[string]any{"prices.crossZone": 0.05}, asked: true, chosen: true},
+		"the same":            {other: func(*Settings) {}},
+		"keys":                {other: func(s *Settings) { s.AffinityKeys = true }, asked: true},
+		"connections":         {other: func(s *Settings) { s.ConnectionPrice = 0.05 }, asked: true},
+		"connections, peers":  {other: func(s *Settings) { s.ConnectionPrice, s.PeerMessages = 0.05, true }, asked: true, told: true},
+		"crossings that cost": {other: func(s *Settings) { s.CrossZonePrice = 0.05 }, asked: true, chosen: true},
 	} {
-		c.other["instances"] = 12.0
-		got, n := play(c.other)
+		got, n := play(func(s *Settings) {
+			c.other(s)
+			s.Schedulers = 12
+		})
 		if !slices.Equal(got, plain) {
 			t.Errorf("%s: the watch changed decisions", name)
 		}
@@ -834,18 +837,18 @@
 // workers as seldom where reports were true as where they said nothing.
 func TestColdWorkersAreAskedMoreWhereReportsProveTrue(t *testing.T) {
 	asked := func(took Time) (n int) {
-		d := New(7, terms(nil))
+		d := New(7, testSettings(nil))
 		d.AdvanceClock(1_000_000)
 		d.BeginSnapshot()
 		for i := range 20 {
-			d.UpsertWorker(i, 0, 0, true, Time(999_000*stats.Bit(i > 9))) // half of them are cold
+			d.UpsertWorker(i, WorkerEntry{Ready: true, StartedAt: Time(999_000 * stats.Bit(i > 9))}) // half of them are cold
 		}
 		d.EndUpdate()
 		for i := range 200 {
-			d.AddOp(i, 0, d.now+50_000, 1, 0, 0)
+			d.AddOp(i, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 			for _, a := range decisions(d) {
-				n += stats.Bit(a.worker > 9)
-				d.ProbeAnswered(a.worker, 0, jobs(0))
+				n += stats.Bit(a.Worker > 9)
+				d.ProbeAnswered(a.Worker, 0, jobs(0))
 			}
 			d.AdvanceClock(d.now)
 			push(t, d)
@@ -866,22 +869,22 @@
 // With a quarter of the fleet left, all ops and their clients' repeats asked for every free slot: workers spent a tenth
 // of their time on probes, and the cheapest ops found as many places as the dearest.
 func TestWhereDearOpsFindNoPlaceCheapOnesAskLess(t *testing.T) {
-	d := fleet(20, map[string]any{"benefitPer": "work", "categories.0.benefit": 1.0, "categories.1.benefit": 10.0})
-	d.placed, d.took = 10, 50_000 // a place in a queue takes half a second
+	d := fleet(20, func(s *Settings) { s.BenefitPerWork, s.Categories[0].Benefit, s.Categories[1].Benefit = true, 1, 10 })
+	d.queuePositions, d.queueWaits = 10, 50_000 // a place in a queue takes half a second
 	next := 0
 	probes := func(ops, cat int, load LoadReport) (n int) {
 		for range ops {
-			d.AddOp(next, cat, d.now+50_000, 1, 0, 1000)
+			d.AddOp(next, OpSpec{Category: cat, TTL: d.now + 50_000, Slots: 1, Work: 1000})
 			next++
 		}
 		for range 30 { // 0.9 s
 			for _, a := range decisions(d) {
-				switch a.do {
+				switch a.Kind {
 				case Probe:
 					n++
-					d.ProbeAnswered(a.worker, 0, load)
+					d.ProbeAnswered(a.Worker, 0, load)
 				case Push:
-					d.AttemptEnded(a.op, 0, Succeeded, 0, true)
+					d.AttemptEnded(a.Op, 0, Succeeded, 0, true)
 				}
 			}
 			d.AdvanceClock(d.now + 300)
@@ -910,19 +913,19 @@
 // A push that was kept back because its client had left was taken for word from its worker, and silence about others there was let pass
 // for longer. Nothing of a worker is learned from what was never written to it.
 func TestNothingIsLearnedFromAPushThatWasKeptBack(t *testing.T) {
-	d := fleet(2, map[string]any{"bounds.probes": false})
-	d.AddOp(0, 0, d.now+50_000, 1, 0, 0)
+	d := fleet(2, func(s *Settings) { s.Probes = false })
+	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	to := push(t, d)
 	w := d.workers[to]
 	d.AdvanceClock(d.now + 70)
 	d.ClientDisconnected(0)
 	d.AttemptEnded(0, 0, NotSent, 70, false)
-	if now := d.workers[to]; now.heard != w.heard || len(now.health.Verdicts()) != len(w.health.Verdicts()) ||
-		len(now.places)+len(now.strides)+len(now.readings) > 0 || len(now.out) > 0 || len(d.taus)+len(d.starts) > 0 {
+	if now := d.workers[to]; now.heardAt != w.heardAt || len(now.health.Verdicts()) != len(w.health.Verdicts()) ||
+		len(now.queueSamples)+len(now.serviceTimeRatios)+len(now.readings) > 0 || len(now.inFlight) > 0 || len(d.startDelays)+len(d.startSamples) > 0 {
 		t.Errorf("%+v became %+v", w, now)
 	}
 	for _, a := range decisions(d) {
-		if a.do != Forget {
+		if a.Kind != Forget {
 			t.Errorf("%+v", a)
 		}
 	}
@@ -931,18 +934,18 @@
 // A push that was never written, as this machine lacked the means, was seen by no worker: it spends none of the pushes that an op may
 // have, and the next one comes after a pause.
 func TestAPushThatWasNeverWrittenSpendsNone(t *testing.T) {
-	d := fleet(4, map[string]any{"bounds.probes": false, "bounds.maxPushes": 2.0})
+	d := fleet(4, func(s *Settings) { s.Probes, s.MaxAttempts = false, 2 })
 	ttl := d.now + 50*second
-	d.AddOp(0, 0, ttl, 1, 0, 0)
+	d.AddOp(0, OpSpec{Category: 0, TTL: ttl, Slots: 1})
 	unsent := 0
 	for ; unsent < 3; unsent++ {
 		push(t, d)
 		d.AttemptEnded(0, unsent, LocalExhaustion, 0, false)
 		for _, a := range decisions(d) {
-			if a.do == Push {
+			if a.Kind == Push {
 				t.Fatalf("another push at once, after %d", unsent+1)
 			}
-			if a.do == Nack || a.do == DeadLetter {
+			if a.Kind == Nack || a.Kind == DeadLetter {
 				t.Fatalf("given up after %d that were never written", unsent+1)
 			}
 		}
@@ -950,7 +953,7 @@
 	}
 	pushes := 0
 	for ; pushes < 9; pushes++ {
-		if !slices.ContainsFunc(decisions(d), func(a decision) bool { return a.do == Push }) {
+		if !slices.ContainsFunc(decisions(d), func(a Decision) bool { return a.Kind == Push }) {
 			break
 		}
 		d.AttemptEnded(0, unsent+pushes, Rejected, 0, false)
--- a/dispatch/queries.go
+++ b/dispatch/queries.go
@@ -12,21 +12,21 @@
 // PeerLost voids what another scheduler has said: it is no more, and so are its pushes.
 func (d *Dispatcher) PeerLost(by int) {
 	for i := range d.workers {
-		d.workers[i].words.Drop(by)
+		d.workers[i].peerReports.Drop(by)
 	}
 }
 
 // PeerJoined tells a scheduler that is new all that it would have been told, had it been here.
 func (d *Dispatcher) PeerJoined(s int) {
-	if !d.site.peers || s == d.site.me {
+	if !d.settings.PeerMessages || s == d.settings.Scheduler {
 		return
 	}
 	for i := range d.workers {
-		if w := &d.workers[i]; len(w.out) > 0 && slices.Contains(w.audience, s) {
-			d.tells = append(d.tells, [2]int{s, i})
+		if w := &d.workers[i]; len(w.inFlight) > 0 && slices.Contains(w.subscribers, s) {
+			d.pendingPeerReports = append(d.pendingPeerReports, [2]int{s, i})
 		}
 	}
 }
 
 // CategoryEffect is how often ops of a category may run, by its place.
-func (d *Dispatcher) CategoryEffect(place int) string { return d.categories[place].effect }
+func (d *Dispatcher) CategoryEffect(place int) Effect { return d.categories[place].Effect }
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -41,16 +41,16 @@
 	return !p.ended || p.how != Rejected && p.how != Unreachable && p.how != NotSent && p.how != LocalExhaustion
 }
 
-func (m *plain) mayPush(t map[string]any, op, worker int, now Time) bool {
+func (m *plain) mayPush(s Settings, op, worker int, now Time) bool {
 	o := m.ops[op]
-	at := "categories." + string(rune('0'+o.cat)) + "."
+	c := s.Categories[o.cat]
 	sent := 0
 	for _, p := range o.pushes {
 		if !p.ended || p.how != LocalExhaustion { // that one reached nobody
 			sent++
 		}
 	}
-	if o.final || !m.ready[worker] || sent >= int(t["bounds.maxPushes"].(float64)) {
+	if o.final || !m.ready[worker] || sent >= s.MaxAttempts {
 		return false
 	}
 	for _, p := range o.pushes {
@@ -63,11 +63,11 @@
 			continue
 		}
 		switch {
-		case t[at+"effect"] == "redeliverable":
-		case t[at+"effect"] == "at-most-once", now >= p.at+Time(t[at+"window"].(float64)):
+		case c.Effect == Idempotent:
+		case c.Effect == AtMostOnce, now >= p.at+c.DedupWindow:
 			return false
-		case t[at+"dedupScope"] == "zone" && m.where[worker][0] != p.where[0],
-			t[at+"dedupScope"] == "cell" && m.where[worker] != p.where:
+		case c.DedupScope == DedupInZone && m.where[worker][0] != p.where[0],
+			c.DedupScope == DedupInGroup && m.where[worker] != p.where:
 			return false
 		}
 		break // the first that may have run fixes group and window
@@ -75,13 +75,13 @@
 	return true
 }
 
-func (m *plain) mayNack(t map[string]any, op int, now Time) bool {
+func (m *plain) mayNack(s Settings, op int, now Time) bool {
 	o := m.ops[op]
-	at := "categories." + string(rune('0'+o.cat)) + "."
+	c := s.Categories[o.cat]
 	for _, p := range o.pushes {
-		past := now >= p.at+Time(t[at+"window"].(float64))
-		if p.mayHaveRun() && t[at+"effect"] != "redeliverable" &&
-			(t[at+"effect"] == "at-most-once" || t[at+"dedupScope"] != "all" || past) {
+		past := now >= p.at+c.DedupWindow
+		if p.mayHaveRun() && c.Effect != Idempotent &&
+			(c.Effect == AtMostOnce || c.DedupScope != DedupEverywhere || past) {
 			return false
 		}
 	}
@@ -98,11 +98,14 @@
 // storm drives a dispatcher through made-up trouble and checks each decision against the plain rules.
 func storm(t *testing.T, seed int64) bool {
 	r := rand.New(rand.NewSource(seed))
-	terms := terms(map[string]any{"bounds.probes": r.Intn(5) > 0,
-		"extra.progress":      2_000 * float64(r.Intn(2)),
-		"bounds.secondCopies": r.Intn(2) == 0, "bounds.peerMessages": r.Intn(2) == 0, "keys": true,
-		"prices.connection": 0.05 * float64(r.Intn(2))})
-	d := New(uint64(seed), terms)
+	settings := testSettings(func(s *Settings) {
+		s.Probes = r.Intn(5) > 0
+		s.ProgressInterval = 2_000 * Time(r.Intn(2))
+		s.PeerMessages = r.Intn(2) == 0
+		s.AffinityKeys = true
+		s.ConnectionPrice = 0.05 * float64(r.Intn(2))
+	})
+	d := New(uint64(seed), settings)
 	m := &plain{map[int]bool{}, map[int][2]int{}, map[int]Time{}, map[int]*plainOp{}, map[int]float64{},
 		map[int]Time{}}
 	now, next := Time(1_000_000), 0
@@ -116,8 +119,8 @@
 		if r.Intn(8) == 0 {
 			m.since[i], m.free[i] = now, 0 // what the process before it told says nothing of this one
 		}
-		d.UpsertWorker(i, m.where[i][0], m.where[i][1], m.ready[i], m.since[i])
-		d.IdentifyWorker(i, uint64(i+1)*0x51ed2701_9b3c1d77, i%3)
+		d.UpsertWorker(i, WorkerEntry{Zone: m.where[i][0], Group: m.where[i][1], Ready: m.ready[i], StartedAt: m.since[i]})
+		identify(d, i, uint64(i+1)*0x51ed2701_9b3c1d77, i%3)
 		d.PeerReport(r.Intn(5)-1, i, r.Intn(4)-1)
 	}
 	for step := range 400 {
@@ -143,10 +146,11 @@
 			names[i] = next
 			o := &plainOp{cat: r.Intn(5), ttl: now + Time(r.Intn(30_000))}
 			m.ops[next] = o
-			d.AddOp(i, o.cat, o.ttl, float64(1+r.Intn(2)), 0, 0)
+			spec := OpSpec{Category: o.cat, TTL: o.ttl, Slots: float64(1 + r.Intn(2))}
 			if r.Intn(2) == 0 {
-				d.SetAffinityKey(i, uint64(1+r.Intn(4)))
+				spec.AffinityKey = uint64(1 + r.Intn(4))
 			}
+			d.AddOp(i, spec)
 		}
 		for i, name := range names {
 			if name == 0 || len(m.ops[name].pushes) == 0 {
@@ -168,7 +172,7 @@
 			d.AttemptEnded(i, len(o.pushes)-1, p.how, now-p.at, o.final)
 		}
 		d.AdvanceClock(now)
-		if !judgeAll(t, d, m, terms, names, now, r) {
+		if !judgeAll(t, d, m, settings, names, now, r) {
 			return false
 		}
 		now += Time(r.Intn(300))
@@ -189,10 +193,10 @@
 func agree(t *testing.T, d *Dispatcher) bool {
 	want, got := Time(math.MaxInt64), Time(math.MaxInt64)
 	for _, o := range d.ops {
-		if o == nil || !o.out || o.over || o.silent {
+		if o == nil || !o.inFlight || o.finished || o.silenceCounted {
 			continue
 		}
-		limit := d.overdue(o)
+		limit := d.silenceLimit(o)
 		if d.now >= limit {
 			t.Logf("op %d is overdue and was not looked at", o.index)
 			return false
@@ -201,8 +205,8 @@
 			want = min(want, limit)
 		}
 	}
-	for k, a := range d.out {
-		if at, ok := a.Next(d.allowance(k)); ok {
+	for k, a := range d.inFlight {
+		if at, ok := a.Next(d.silenceAllowance(k)); ok {
 			got = min(got, at)
 		}
 	}
@@ -212,22 +216,23 @@
 	return got == want
 }
 
-func judgeAll(t *testing.T, d *Dispatcher, m *plain, terms map[string]any, names []int, now Time,
+func judgeAll(t *testing.T, d *Dispatcher, m *plain, settings Settings, names []int, now Time,
 	r *rand.Rand) bool {
 	for {
 		for i, name := range names {
 			if o := d.op(i); name != 0 && o != nil {
 				for w := range d.workers {
-					if want := m.mayPush(terms, name, w, now); d.allowed(o, w) != want {
-						t.Logf("op of category %d, worker %d: module %v, rules %v", o.cat, w, !want, want)
+					if want := m.mayPush(settings, name, w, now); d.mayPush(o, w) != want {
+						t.Logf("op of category %d, worker %d: module %v, rules %v", o.category, w, !want, want)
 						return false
 					}
 				}
 			}
 		}
-		do, op, worker, span := d.Next()
+		next := d.Next()
+		op, worker, timeout := next.Op, next.Worker, next.Duration
 		name := names[op]
-		switch do {
+		switch next.Kind {
 		case NoDecision:
 			for _, o := range m.ops {
 				if !o.final && now > o.ttl+100 && (len(o.pushes) == 0 || o.pushes[len(o.pushes)-1].ended) {
@@ -238,20 +243,20 @@
 			return agree(t, d)
 		case Push:
 			o := m.ops[name]
-			if !m.mayPush(terms, name, worker, now) || now+span >= o.ttl && span > 1 || now >= o.ttl {
+			if !m.mayPush(settings, name, worker, now) || now+timeout >= o.ttl && timeout > 1 || now >= o.ttl {
 				t.Logf("push against the rules: category %d worker %d", o.cat, worker)
 				return false
 			}
-			o.pushes = append(o.pushes, plainPush{m.where[worker], now, now + span, false, Succeeded, worker,
+			o.pushes = append(o.pushes, plainPush{m.where[worker], now, now + timeout, false, Succeeded, worker,
 				d.ops[op].slots})
-			if terms["bounds.probes"] == true && !m.intoRoom(worker, now) {
+			if settings.Probes && !m.intoRoom(worker, now) {
 				t.Logf("a push to cold worker %d that has no room", worker)
 				return false
 			}
 		case CancelAttempt:
 			o := m.ops[name]
 			p := &o.pushes[len(o.pushes)-1]
-			if p.ended || terms["bounds.cancel"] != true {
+			if p.ended || !settings.CancelsAttempts {
 				t.Logf("called off against the rules: category %d", o.cat)
 				return false
 			}
@@ -259,9 +264,9 @@
 			d.AttemptEnded(op, len(o.pushes)-1, Cancelled, now-p.at, false)
 		case Nack, DeadLetter:
 			o := m.ops[name]
-			if o.final || do == Nack && !m.mayNack(terms, name, now) ||
+			if o.final || next.Kind == Nack && !m.mayNack(settings, name, now) ||
 				len(o.pushes) > 0 && !o.pushes[len(o.pushes)-1].ended {
-				t.Logf("%v against the rules: category %d", do, o.cat)
+				t.Logf("%v against the rules: category %d", next.Kind, o.cat)
 				return false
 			}
 			o.final = true
@@ -306,11 +311,11 @@
 		r := rand.New(rand.NewSource(int64(day)))
 		all := make([]*Dispatcher, schedulers)
 		for i := range all {
-			all[i] = New(r.Uint64(), terms(map[string]any{"instances": 200.0, "myNumber": float64(i)}))
+			all[i] = New(r.Uint64(), testSettings(func(s *Settings) { s.Schedulers, s.Scheduler = 200, i }))
 			all[i].AdvanceClock(1_000_000)
 			all[i].BeginSnapshot()
 			for w := range workers {
-				all[i].UpsertWorker(w, 0, 0, true, Time(1_000_000*stats.Bit(w == 0)))
+				all[i].UpsertWorker(w, WorkerEntry{Ready: true, StartedAt: Time(1_000_000 * stats.Bit(w == 0))})
 			}
 			all[i].EndUpdate()
 		}
@@ -323,15 +328,15 @@
 			}
 			d := all[s]
 			d.AdvanceClock(now)
-			d.AddOp(0, 0, now+50_000, 1, 0, 0)
+			d.AddOp(0, OpSpec{Category: 0, TTL: now + 50_000, Slots: 1})
 			for _, a := range decisions(d) {
-				if a.do == Probe {
-					d.ProbeAnswered(a.worker, 0, jobs(2*float64(stats.Bit(a.worker > 0)))) // the cold one reads idle
+				if a.Kind == Probe {
+					d.ProbeAnswered(a.Worker, 0, jobs(2*float64(stats.Bit(a.Worker > 0)))) // the cold one reads idle
 				}
 			}
 			d.AdvanceClock(now)
 			for _, a := range decisions(d) {
-				if a.do == Push && a.worker == 0 {
+				if a.Kind == Push && a.Worker == 0 {
 					at, total = append(at, now), total+1
 				}
 			}
@@ -358,34 +363,33 @@
 
 // Settings that change while ops are open: an op pushed again under rules that it was not taken with breaks rule 2.
 func TestOpenOpsKeepTheRulesThatTheyCameWith(t *testing.T) {
-	terms := func(effect string, pushes float64) map[string]any {
-		return map[string]any{"step": 10.0, "bounds.maxPushes": pushes, "categories.0.ttl": 50_000.0,
-			"categories.0.targetLatency": 1000.0, "categories.0.name": "pay", "categories.0.effect": effect}
+	settings := func(effect Effect, attempts int) Settings {
+		return settingsOf([]CategoryRules{{Name: "pay", Effect: effect, TTL: 50_000, LatencyObjective: 1000}}, attempts)
 	}
-	d := New(3, terms("redeliverable", 3))
+	d := New(3, settings(Idempotent, 3))
 	d.AdvanceClock(1)
 	d.BeginSnapshot()
 	for i := range 3 {
-		d.UpsertWorker(i, 0, i, true, 0)
+		d.UpsertWorker(i, WorkerEntry{Group: i, Ready: true})
 	}
 	d.EndUpdate()
 	broken := func(op, place int) (pushes int) { // how often an op is pushed whose pushes all break
-		if !d.AddOp(op, place, d.now+50_000, 1, 0, 0) {
+		if !d.AddOp(op, OpSpec{Category: place, TTL: d.now + 50_000, Slots: 1}) {
 			t.Fatalf("no place %d", place)
 		}
 		for {
-			do, i, _, _ := d.Next()
+			next := d.Next()
 			switch {
-			case do == Push && i == op:
+			case next.Kind == Push && next.Op == op:
 				pushes++
 				if op == 0 && pushes == 1 { // under the first op the settings change
-					if places := d.SetCategories(terms("at-most-once", 1)); !slices.Equal(places, []int{1}) {
+					if places := d.SetCategories(settings(AtMostOnce, 1)); !slices.Equal(places, []int{1}) {
 						t.Fatalf("another effect has place %v", places)
 					}
 				}
 				d.AdvanceClock(d.now + 10)
 				d.AttemptEnded(op, pushes-1, ConnectionLost, 10, false)
-			case do == NoDecision:
+			case next.Kind == NoDecision:
 				return pushes
 			}
 		}
@@ -396,7 +400,7 @@
 	if n := broken(1, 1); n != 1 {
 		t.Errorf("an at-most-once op that may have run is pushed %d times", n)
 	}
-	if places := d.SetCategories(terms("redeliverable", 2)); !slices.Equal(places, []int{0}) {
+	if places := d.SetCategories(settings(Idempotent, 2)); !slices.Equal(places, []int{0}) {
 		t.Errorf("terms that were known have place %v: what was learned is lost", places)
 	}
 	if n := broken(2, 0); n != 2 {
@@ -406,9 +410,9 @@
 
 // Two categories alike in all but nothing: each needs a place of its own, or their names would mean one another.
 func TestCategoriesAlikeHavePlacesOfTheirOwn(t *testing.T) {
-	terms := map[string]any{"categories.0.ttl": 5.0, "categories.1.ttl": 5.0}
-	d := New(3, terms)
-	if places := d.SetCategories(terms); !slices.Equal(places, []int{0, 1}) {
+	settings := settingsOf([]CategoryRules{{TTL: 5}, {TTL: 5}}, 1)
+	d := New(3, settings)
+	if places := d.SetCategories(settings); !slices.Equal(places, []int{0, 1}) {
 		t.Errorf("places %v", places)
 	}
 }
--- a/dispatch/slow_start_test.go
+++ b/dispatch/slow_start_test.go
@@ -15,18 +15,18 @@
 // are exponential.
 type coldDay struct {
 	schedulers, workers, zones int
-	cold                       int            // so many workers start a second into the day
-	own                        int            // workers of zone 0; an equal part where it is 0
-	home                       float64        // share of the schedulers that are in zone 0; an equal part where it is 0
-	first                      float64        // share of the arrivals that scheduler 0 has; an equal one where it is 0
-	load, burst                float64        // arrivals over what the warm fleet does; the same for the 2 s after 1 s of cold
-	run                        Time           // of a mean job at a warm worker
-	late                       Time           // how old the reports are
-	blind                      bool           // a cold worker's reports say that it is idle
-	turn                       Time           // that is so from this long after the start on
-	again                      int            // how often a client comes back after a nack
-	span                       Time           // of arrivals after the start
-	more                       map[string]any // terms
+	cold                       int             // so many workers start a second into the day
+	own                        int             // workers of zone 0; an equal part where it is 0
+	home                       float64         // share of the schedulers that are in zone 0; an equal part where it is 0
+	first                      float64         // share of the arrivals that scheduler 0 has; an equal one where it is 0
+	load, burst                float64         // arrivals over what the warm fleet does; the same for the 2 s after 1 s of cold
+	run                        Time            // of a mean job at a warm worker
+	late                       Time            // how old the reports are
+	blind                      bool            // a cold worker's reports say that it is idle
+	turn                       Time            // that is so from this long after the start on
+	again                      int             // how often a client comes back after a nack
+	span                       Time            // of arrivals after the start
+	more                       func(*Settings) // may be nil
 }
 
 // coldFigures are what a day shows of its cold workers.
@@ -142,11 +142,9 @@
 				at = 1 + s%(p.zones-1)
 			}
 		}
-		t := terms(map[string]any{"instances": float64(day.schedulers), "myNumber": float64(s), "myZone": float64(at), "prices.crossZone": 0.0})
-		for k, v := range day.more {
-			t[k] = v
-		}
-		x := &coldScheduler{d: New(p.r.Uint64(), t), ops: map[int]*coldOp{}}
+		settings := testSettings(day.more)
+		settings.Schedulers, settings.Scheduler, settings.Zone = day.schedulers, s, at
+		x := &coldScheduler{d: New(p.r.Uint64(), settings), ops: map[int]*coldOp{}}
 		x.d.AdvanceClock(p.now)
 		p.schedulers = append(p.schedulers, x)
 	}
@@ -173,8 +171,8 @@
 		s.d.BeginSnapshot()
 		for i, w := range p.workers {
 			if w.since <= p.now {
-				s.d.UpsertWorker(i, p.zone(i), p.zone(i)*100+i%7, true, w.since)
-				s.d.IdentifyWorker(i, uint64(i+1)*0x9e3779b97f4a7c15, 0)
+				s.d.UpsertWorker(i, WorkerEntry{Zone: p.zone(i), Group: p.zone(i)*100 + i%7, Ready: true, StartedAt: w.since})
+				identify(s.d, i, uint64(i+1)*0x9e3779b97f4a7c15, 0)
 			}
 		}
 		s.d.EndUpdate()
@@ -221,7 +219,7 @@
 	}
 	s.ops[i] = &coldOp{tries: tries}
 	s.d.AdvanceClock(p.now)
-	s.d.AddOp(i, 0, p.now+50_000, 1, 0, 0)
+	s.d.AddOp(i, OpSpec{Category: 0, TTL: p.now + 50_000, Slots: 1})
 	p.pull(s)
 }
 
@@ -229,45 +227,45 @@
 
 func (p *coldPlay) pull(s *coldScheduler) {
 	for _, a := range decisionsAndWakes(s.d) {
-		o := s.ops[a.op]
-		switch a.do {
+		o := s.ops[a.Op]
+		switch a.Kind {
 		case SetTimer:
-			p.in(a.span, func() {
+			p.in(a.Duration, func() {
 				s.d.AdvanceClock(p.now)
 				p.pull(s)
 			})
 		case Probe:
 			asked := p.now
 			p.in(coldTrip, func() {
-				load := p.shown(a.worker)
+				load := p.shown(a.Worker)
 				p.in(coldTrip, func() {
 					s.d.AdvanceClock(p.now)
-					s.d.ProbeAnswered(a.worker, p.now-asked, load)
+					s.d.ProbeAnswered(a.Worker, p.now-asked, load)
 					p.pull(s)
 				})
 			})
 		case Push:
-			j := coldJob{s, a.op, o.legs}
+			j := coldJob{s, a.Op, o.legs}
 			o.legs++
-			p.in(coldTrip, func() { p.push(a.worker, j) })
+			p.in(coldTrip, func() { p.push(a.Worker, j) })
 		case Nack, DeadLetter:
 			if o.tries < p.again {
-				p.in(a.span+Time(p.r.Intn(2_000)), func() { p.op(s, o.tries+1) })
+				p.in(a.Duration+Time(p.r.Intn(2_000)), func() { p.op(s, o.tries+1) })
 			}
 		case Forget:
-			delete(s.ops, a.op)
-			s.free = append(s.free, a.op)
+			delete(s.ops, a.Op)
+			s.free = append(s.free, a.Op)
 		}
 	}
 }
 
-func decisionsAndWakes(d *Dispatcher) (all []decision) {
+func decisionsAndWakes(d *Dispatcher) (all []Decision) {
 	for {
-		do, op, worker, span := d.Next()
-		if do == NoDecision {
+		next := d.Next()
+		if next.Kind == NoDecision {
 			return all
 		}
-		all = append(all, decision{do, op, worker, span})
+		all = append(all, next)
 	}
 }
 
@@ -401,9 +399,9 @@
 	least float64
 	day   coldDay
 } {
-	crossing := map[string]any{"prices.crossZone": 0.01}
-	regulars := map[string]any{"prices.connection": 0.01}
-	words := map[string]any{"prices.connection": 0.01, "bounds.peerMessages": true}
+	crossing := func(s *Settings) { s.CrossZonePrice = 0.01 }
+	regulars := func(s *Settings) { s.ConnectionPrice = 0.01 }
+	words := func(s *Settings) { s.ConnectionPrice, s.PeerMessages = 0.01, true }
 	day := func(change func(*coldDay)) coldDay {
 		d := coldDay{schedulers: 30, workers: 40, cold: 24, load: 0.7, run: 2_000, span: 3 * second, more: crossing, zones: 3}
 		change(&d)
@@ -419,11 +417,11 @@
 		"thirty, burst":        {0.7, day(func(d *coldDay) { d.load, d.burst, d.again = 1, 1.5, 2 })},
 		"quiet hundreds":       {0.5, day(func(d *coldDay) { d.schedulers, d.workers, d.cold = 300, 100, 60 })},
 		"all cold":             {0.45, day(func(d *coldDay) { d.cold = 40 })},
-		"no probes":            {0.2, day(func(d *coldDay) { d.more = map[string]any{"bounds.probes": false} })},
-		"no probes, full":      {0.35, day(func(d *coldDay) { d.load, d.more = 1, map[string]any{"bounds.probes": false} })},
-		"no probes, burst":     {0.5, day(func(d *coldDay) { d.load, d.burst, d.again, d.more = 1, 1.5, 2, map[string]any{"bounds.probes": false} })},
-		"no probes, all cold":  {0.5, day(func(d *coldDay) { d.cold, d.more = 40, map[string]any{"bounds.probes": false} })},
-		"no probes, threefold": {0.5, day(func(d *coldDay) { d.load, d.more = 3, map[string]any{"bounds.probes": false} })},
+		"no probes":            {0.2, day(func(d *coldDay) { d.more = func(s *Settings) { s.Probes = false } })},
+		"no probes, full":      {0.35, day(func(d *coldDay) { d.load, d.more = 1, func(s *Settings) { s.Probes = false } })},
+		"no probes, burst":     {0.5, day(func(d *coldDay) { d.load, d.burst, d.again, d.more = 1, 1.5, 2, func(s *Settings) { s.Probes = false } })},
+		"no probes, all cold":  {0.5, day(func(d *coldDay) { d.cold, d.more = 40, func(s *Settings) { s.Probes = false } })},
+		"no probes, threefold": {0.5, day(func(d *coldDay) { d.load, d.more = 3, func(s *Settings) { s.Probes = false } })},
 		"hundreds, all cold":   {0.3, day(func(d *coldDay) { d.schedulers, d.workers, d.cold = 200, 60, 60 })},
 		"late reports":         {0.35, day(func(d *coldDay) { d.late, d.load = second, 1 })},
 		"long jobs":            {0, day(func(d *coldDay) { d.run = 20_000 })},
@@ -493,10 +491,10 @@
 func TestTheLotGoesDownWithEachPairOfAnOp(t *testing.T) {
 	let := func(looks, legs int) (n int) {
 		d := fleet(10, nil)
-		d.UpsertWorker(10, 0, 0, true, d.now-second)
+		d.UpsertWorker(10, WorkerEntry{Ready: true, StartedAt: d.now - second})
 		d.EndUpdate()
 		for range 4_000 {
-			n += 1 - stats.Bit(d.spared(&op{looks: looks, legs: legs}, &d.workers[10], 11))
+			n += 1 - stats.Bit(d.excludedBySlowStart(&op{probeRounds: looks, attempts: legs}, &d.workers[10], 11))
 		}
 		return n
 	}
@@ -511,7 +509,7 @@
 // The mean that the lot keeps to has to leave room for chance at every size of the budget, from a fraction of an op to hundreds.
 func TestChanceDoesNotPassTheBound(t *testing.T) {
 	for n := 0.05; n < 400; n *= 1.01 {
-		mean, bound := n*share(n), coldBound(n)
+		mean, bound := n*meanWithinBudget(n), coldBound(n)
 		beyond, p := 0.0, math.Exp(-mean)
 		for k := 1.0; k < 2*bound+20; k++ {
 			if p *= mean / k; k > bound {
--- a/internal/scheduler/reducer/reducer.go
+++ b/internal/scheduler/reducer/reducer.go
@@ -255,49 +255,42 @@
 	stopBy     dispatch.Time
 }
 
-// New starts a reducer from a scheduler's seed and its site's terms.
-func New(seed uint64, site map[string]any) *Reducer {
-	r := &Reducer{d: dispatch.New(seed, site), report: config.ReportFormatOf(site), dropped: map[string]dropped{},
+// New starts a reducer from a scheduler's seed and its flat settings.
+func New(seed uint64, flat map[string]any) *Reducer {
+	settings := config.DecisionSettings(flat)
+	r := &Reducer{d: dispatch.New(seed, settings), report: config.ReportFormatOf(flat), dropped: map[string]dropped{},
 		zones: map[string]int{}, kinds: map[string]int{}, tags: map[string]int{}, indices: map[string]int{},
 		live: map[uint64]int{}, probes: map[uint64]probe{}, ids: newTakenIDs()}
-	r.byKind = site["kinds"] == true
-	r.inline = site["report.how"] == "inline"
-	r.cancel = site["bounds.cancel"] == true
-	r.categories = named(namesOf(site), r.d.SetCategories(site))
-	for i, z := range config.StringList(site, "failureDomains") {
+	r.byKind = flat["kinds"] == true
+	r.inline = flat["report.how"] == "inline"
+	r.cancel = flat["bounds.cancel"] == true
+	r.categories = placesByName(settings.Categories, r.d.SetCategories(settings))
+	for i, z := range config.StringList(flat, "failureDomains") {
 		r.zones[z] = i
 	}
 	return r
 }
 
-// namesOf are the names of a site's categories, in their order; empty for one without.
-func namesOf(site map[string]any) (names []string) {
-	for i := 0; ; i++ {
-		if _, ok := site[config.ItemKey("categories", i, "ttl")]; !ok {
-			return names
+// placesByName maps the names of categories to their places; one without a name can't be asked for.
+func placesByName(categories []dispatch.CategoryRules, places []int) map[string]int {
+	byName := make(map[string]int, len(categories))
+	for i, category := range categories {
+		if category.Name != "" {
+			byName[category.Name] = places[i]
 		}
-		name, _ := site[config.ItemKey("categories", i, "name")].(string)
-		names = append(names, name)
 	}
-}
-
-// named are the places of categories by their names.
-func named(names []string, places []int) map[string]int {
-	by := make(map[string]int, len(names))
-	for i, name := range names {
-		if by[name] = places[i]; name == "" {
-			delete(by, name)
-		}
-	}
-	return by
+	return byName
 }
 
 // retune takes up other categories. A place at the module is kept for those that are dropped for as long as each is served.
 func (r *Reducer) retune(now dispatch.Time, in SettingsChanged) {
-	names := namesOf(in.Settings)
-	served := named(names, make([]int, len(names))) // the places come after those that are kept are told
+	settings := config.DecisionSettings(in.Settings)
+	served := make(map[string]bool, len(settings.Categories))
+	for _, category := range settings.Categories {
+		served[category.Name] = true
+	}
 	for name, place := range r.categories {
-		if _, ok := served[name]; !ok {
+		if !served[name] {
 			r.dropped[name] = dropped{place, in.RetainUntil}
 		}
 	}
@@ -313,7 +306,7 @@
 			r.dropped[name] = dropped{-1, x.until}
 		}
 	}
-	r.categories = named(names, r.d.SetCategories(in.Settings, kept...))
+	r.categories = placesByName(settings.Categories, r.d.SetCategories(settings, kept...))
 }
 
 // forgetDropped keeps the last of those that were dropped: names without end would fill the memory.
@@ -338,8 +331,10 @@
 	return place, ok
 }
 
-// SetShadowSettings has the module count what other terms would have had it decide otherwise.
-func (r *Reducer) SetShadowSettings(terms map[string]any) { r.d.SetShadowSettings(terms) }
+// SetShadowSettings has the dispatcher count what other flat settings would have had it decide otherwise.
+func (r *Reducer) SetShadowSettings(flat map[string]any) {
+	r.d.SetShadowSettings(config.DecisionSettings(flat))
+}
 
 // ShadowDivergence is what a watch has counted, by kind of decision.
 func (r *Reducer) ShadowDivergence() (asked, chosen, spoken int) {
@@ -392,7 +387,7 @@
 	case ShutdownStarted:
 		todo = r.stop(now, in.Deadline)
 	}
-	return r.pull(now, todo)
+	return r.pullDecisions(now, todo)
 }
 
 func (r *Reducer) list(in EndpointsChanged) (todo []Effect) {
@@ -424,8 +419,8 @@
 			k = len(r.kinds)
 			r.kinds[kind] = k
 		}
-		r.d.UpsertWorker(i, z, e.WorkerGroup, w.ready, e.StartedAt)
-		r.d.IdentifyWorker(i, config.IdentityHash(e.Worker), k)
+		r.d.UpsertWorker(i, dispatch.WorkerEntry{Zone: z, Group: e.WorkerGroup, Ready: w.ready,
+			StartedAt: e.StartedAt, IdentityHash: config.IdentityHash(e.Worker), MachineKind: k})
 	}
 	r.d.EndUpdate()
 	r.forgetWorkers()
@@ -447,7 +442,7 @@
 		}
 		return []Effect{Respond{Op: in.Op, Verdict: verdict}}
 	}
-	if in.Effect != "" && in.Effect != r.d.CategoryEffect(cat) {
+	if in.Effect != "" && dispatch.Effect(in.Effect) != r.d.CategoryEffect(cat) {
 		// The settings changed between the door and here: it was asked for by one rule, and would be kept to another.
 		return []Effect{Respond{Op: in.Op, Verdict: Nacked}}
 	}
@@ -462,20 +457,10 @@
 	} else {
 		r.ops = append(r.ops, op{})
 	}
-	if !r.d.AddOp(i, cat, in.TTL, max(in.Slots, 1), in.Memory, in.Work) {
+	if !r.d.AddOp(i, r.opSpec(cat, in)) {
 		r.free = append(r.free, i)
 		return []Effect{Respond{Op: in.Op, Verdict: UnknownCategory}}
 	}
-	if in.AffinityKey != 0 {
-		r.d.SetAffinityKey(i, in.AffinityKey)
-	}
-	if in.PriorAttempt != nil {
-		z, ok := r.zones[in.PriorAttempt.Zone]
-		if !ok {
-			z = -1
-		}
-		r.d.SetPriorAttempt(i, z, in.PriorAttempt.WorkerGroup, in.PriorAttempt.StartedAt)
-	}
 	r.ops[i] = op{number: in.Op, id: key, ttl: in.TTL}
 	r.ids.hold(key)
 	r.live[in.Op] = i
@@ -485,6 +470,19 @@
 	return nil
 }
 
+func (r *Reducer) opSpec(category int, in OpArrived) dispatch.OpSpec {
+	spec := dispatch.OpSpec{Category: category, TTL: in.TTL, Slots: max(in.Slots, 1), Memory: in.Memory,
+		Work: in.Work, AffinityKey: in.AffinityKey}
+	if p := in.PriorAttempt; p != nil {
+		zone, ok := r.zones[p.Zone]
+		if !ok {
+			zone = -1
+		}
+		spec.PriorAttempt = &dispatch.PriorAttempt{Zone: zone, Group: p.WorkerGroup, StartedAt: p.StartedAt}
+	}
+	return spec
+}
+
 func (r *Reducer) leave(number uint64) []Effect {
 	i, ok := r.live[number]
 	if !ok {
@@ -542,48 +540,74 @@
 	r.d.ProbeFailed(p.worker, elapsed, how)
 }
 
-// pull asks the module for its decisions until there is none.
-func (r *Reducer) pull(now dispatch.Time, todo []Effect) []Effect {
+// pullDecisions asks the dispatcher for its decisions until there is none, and appends their effects.
+func (r *Reducer) pullDecisions(now dispatch.Time, todo []Effect) []Effect {
 	for {
-		do, i, w, span := r.d.Next()
-		switch do {
-		case dispatch.NoDecision:
+		next := r.d.Next()
+		if next.Kind == dispatch.NoDecision {
 			return todo
-		case dispatch.Push:
-			o := &r.ops[i]
-			o.worker, o.sentAt, o.out = w, now, true
-			todo = append(todo, Push{Op: o.number, Attempt: o.legs, Worker: r.workers[w].name, Addr: r.workers[w].addr,
-				Timeout: span, Group: r.workers[w].group})
-			o.legs++
-		case dispatch.CancelAttempt:
-			todo = append(todo, CancelAttempt{Op: r.ops[i].number, Ending: outcome.Cancelled})
-		case dispatch.Probe:
-			r.lastProbe++
-			r.probes[r.lastProbe] = probe{w, now}
-			todo = append(todo, Probe{r.lastProbe, r.workers[w].name, r.workers[w].addr})
-		case dispatch.Nack, dispatch.DeadLetter:
-			o := &r.ops[i]
-			verdict := Nacked
-			if do == dispatch.DeadLetter {
-				verdict = DeadLettered
-			}
-			if !o.answered {
-				o.answered = true
-				todo = append(todo, Respond{Op: o.number, Verdict: verdict, RetryAfter: span, Reason: r.d.LastRejection()})
-			}
-		case dispatch.ReportToPeer:
-			todo = append(todo, SendToPeer{Peer: i, Text: config.EncodePeerReport(r.workers[w].name, int(span))})
-		case dispatch.SetTimer:
-			todo = append(todo, SetTimer{span})
-		case dispatch.Forget:
-			delete(r.live, r.ops[i].number)
-			r.ids.release(now, r.ops[i].id, r.ops[i].ttl)
-			r.ops[i] = op{}
-			r.free = append(r.free, i)
+		}
+		if effect := r.carryOut(now, next); effect != nil {
+			todo = append(todo, effect)
 		}
 	}
 }
 
+// carryOut notes a decision here and returns its effect, nil for one that the host has no part in.
+func (r *Reducer) carryOut(now dispatch.Time, next dispatch.Decision) Effect {
+	switch next.Kind {
+	case dispatch.Push:
+		return r.push(now, next)
+	case dispatch.CancelAttempt:
+		return CancelAttempt{Op: r.ops[next.Op].number, Ending: outcome.Cancelled}
+	case dispatch.Probe:
+		w := &r.workers[next.Worker]
+		r.lastProbe++
+		r.probes[r.lastProbe] = probe{next.Worker, now}
+		return Probe{r.lastProbe, w.name, w.addr}
+	case dispatch.Nack, dispatch.DeadLetter:
+		return r.respond(next)
+	case dispatch.ReportToPeer:
+		text := config.EncodePeerReport(r.workers[next.Worker].name, next.InFlight)
+		return SendToPeer{Peer: next.Peer, Text: text}
+	case dispatch.SetTimer:
+		return SetTimer{next.Duration}
+	case dispatch.Forget:
+		r.forgetOp(now, next.Op)
+	}
+	return nil
+}
+
+func (r *Reducer) push(now dispatch.Time, next dispatch.Decision) Effect {
+	o, w := &r.ops[next.Op], &r.workers[next.Worker]
+	o.worker, o.sentAt, o.out = next.Worker, now, true
+	attempt := o.legs
+	o.legs++
+	return Push{Op: o.number, Attempt: attempt, Worker: w.name, Addr: w.addr, Timeout: next.Duration, Group: w.group}
+}
+
+// respond is the answer to an op that was given up; nil where it has its answer, or its client has gone.
+func (r *Reducer) respond(next dispatch.Decision) Effect {
+	o := &r.ops[next.Op]
+	if o.answered {
+		return nil
+	}
+	o.answered = true
+	verdict := Nacked
+	if next.Kind == dispatch.DeadLetter {
+		verdict = DeadLettered
+	}
+	return Respond{Op: o.number, Verdict: verdict, RetryAfter: next.Duration, Reason: next.Reason}
+}
+
+func (r *Reducer) forgetOp(now dispatch.Time, i int) {
+	o := &r.ops[i]
+	delete(r.live, o.number)
+	r.ids.release(now, o.id, o.ttl)
+	*o = op{}
+	r.free = append(r.free, i)
+}
+
 // stop cuts short what is held. At the moment itself this side stops waiting for workers, as at a TTL.
 func (r *Reducer) stop(now, by dispatch.Time) (todo []Effect) {
 	r.stopBy = by
