--- /dev/null
+++ b/internal/codepolicy/architecture_test.go
@@ -0,0 +1,115 @@
+package codepolicy
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// qualifiedName is a declaration as the architecture page names it: package, and a function, a type or a type's method or field.
+var qualifiedName = regexp.MustCompile("`([a-z]+)\\.([A-Za-z]+(?:\\.[A-Za-z]+)?)`")
+
+// A newcomer follows the page's names into the code. One that is not declared any more leads nowhere.
+func TestArchitecturePageNamesWhatIsDeclared(t *testing.T) {
+	page, err := os.ReadFile(filepath.Join(root, "docs", "architecture.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	declared := declaredNames(t)
+	names := qualifiedName.FindAllStringSubmatch(string(page), -1)
+	if len(names) == 0 {
+		t.Fatal("the page names nothing: this check looks at nothing")
+	}
+	for _, name := range names {
+		if !declared[name[1]+"."+name[2]] {
+			t.Errorf("the page names %s.%s, which is not declared", name[1], name[2])
+		}
+	}
+}
+
+// declaredNames returns the functions, types, methods and fields of the scheduler's packages, each behind its package's name.
+func declaredNames(t *testing.T) map[string]bool {
+	t.Helper()
+	names := map[string]bool{}
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		rel, _ := filepath.Rel(root, path)
+		if entry.IsDir() {
+			return skipForeign(rel)
+		}
+		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			return nil
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return err
+		}
+		for _, declaration := range file.Decls {
+			collectNames(declaration, file.Name.Name, names)
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return names
+}
+
+// collectNames adds what one declaration declares.
+func collectNames(declaration ast.Decl, pkg string, names map[string]bool) {
+	switch declaration := declaration.(type) {
+	case *ast.FuncDecl:
+		names[pkg+"."+receiverPrefix(declaration)+declaration.Name.Name] = true
+	case *ast.GenDecl:
+		for _, spec := range declaration.Specs {
+			if typeSpec, ok := spec.(*ast.TypeSpec); ok {
+				names[pkg+"."+typeSpec.Name.Name] = true
+				collectMembers(typeSpec, pkg, names)
+			}
+		}
+	}
+}
+
+// receiverPrefix is the type of a method and a dot; empty for a function.
+func receiverPrefix(function *ast.FuncDecl) string {
+	if function.Recv == nil {
+		return ""
+	}
+	receiver := function.Recv.List[0].Type
+	if pointer, ok := receiver.(*ast.StarExpr); ok {
+		receiver = pointer.X
+	}
+	if generic, ok := receiver.(*ast.IndexExpr); ok {
+		receiver = generic.X
+	}
+	if name, ok := receiver.(*ast.Ident); ok {
+		return name.Name + "."
+	}
+	return ""
+}
+
+// collectMembers adds the fields of a struct and the methods of an interface.
+func collectMembers(spec *ast.TypeSpec, pkg string, names map[string]bool) {
+	var fields *ast.FieldList
+	switch kind := spec.Type.(type) {
+	case *ast.StructType:
+		fields = kind.Fields
+	case *ast.InterfaceType:
+		fields = kind.Methods
+	default:
+		return
+	}
+	for _, field := range fields.List {
+		for _, name := range field.Names {
+			names[pkg+"."+spec.Name.Name+"."+name.Name] = true
+		}
+	}
+}
--- a/internal/codepolicy/codepolicy_test.go
+++ b/internal/codepolicy/codepolicy_test.go
@@ -21,6 +21,17 @@
 	at         token.Position
 }
 
+// notTheScheduler are folders whose code is not part of the scheduler: the lab, trials and examples.
+var notTheScheduler = []string{"internal/lab", "spikes", "examples", "journal", ".git", "cmd/lab", "cmd/hollow"}
+
+// skipForeign tells a walk over the project to leave out what is not part of the scheduler.
+func skipForeign(folder string) error {
+	if slices.Contains(notTheScheduler, filepath.ToSlash(folder)) {
+		return filepath.SkipDir
+	}
+	return nil
+}
+
 // uses are all selectors of some names in the program's own code: tests, the lab and what is tried elsewhere are none of it.
 func uses(t *testing.T, wanted func(on ast.Expr, name string) bool) (all []place) {
 	t.Helper()
@@ -30,10 +41,7 @@
 		}
 		rel, _ := filepath.Rel(root, path)
 		if d.IsDir() {
-			if slices.Contains([]string{"internal/lab", "spikes", "examples", "journal", ".git", "cmd/lab", "cmd/hollow"}, filepath.ToSlash(rel)) {
-				return filepath.SkipDir
-			}
-			return nil
+			return skipForeign(rel)
 		}
 		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return nil
