--- /dev/null
+++ b/internal/cluster/replication/outcome_reports.go
@@ -0,0 +1,145 @@
+package replication
+
+import "woaddyke/internal/cluster/replicaset"
+
+// outcomeReport is an outcome that is being reported to the replicas.
+type outcomeReport struct {
+	requestID    uint64 // on the wire
+	record       Record
+	acknowledged map[string]bool
+	grants       map[string]claimAnswer // for a report of the worker group: what was granted before the op ran
+	attempts     int
+	nextRetry    Time
+}
+
+// message is the report as it is sent to a replica. The moment of its own grant goes back to it: the op did
+// not run before.
+func (r *outcomeReport) message(to string) Message {
+	x := Message{Kind: OutcomeReported, RequestID: r.requestID, Record: r.record}
+	if grant := r.grants[to]; grant.granted {
+		x.LogIncarnation, x.After = grant.incarnation, grant.grantedAt
+	}
+	return x
+}
+
+// handleMayHaveRun reports in which worker group a granted op may have run. Nothing waits for that: without
+// it nobody goes on with the op.
+func (c *Core) handleMayHaveRun(in MayHaveRun) {
+	claim := c.claims.granted[in.RequestID]
+	if claim == nil || claim.group != "" || in.Group == "" {
+		return
+	}
+	claim.group, claim.firstRun = in.Group, c.now
+	c.report(&outcomeReport{
+		requestID:    in.RequestID | groupReportFlag,
+		record:       claim.record(claim.outcome(Claimed, c.now)),
+		acknowledged: map[string]bool{},
+		grants:       claim.answers,
+	})
+}
+
+// handleOpEnded reports what became of a granted op.
+func (c *Core) handleOpEnded(in OpEnded) {
+	claim := c.claims.granted[in.RequestID]
+	if claim == nil {
+		return
+	}
+	delete(c.claims.granted, in.RequestID)
+	if in.NeverRan {
+		c.releaseClaim(claim, claim.RequestID)
+		return
+	}
+	outcome := Outcome{
+		Claim:          claim.claim,
+		Stage:          Ended,
+		Verdict:        in.Verdict,
+		Result:         in.Result,
+		ResultRetained: in.ResultRetained,
+	}
+	if in.Abandoned {
+		outcome = claim.outcome(Abandoned, c.now)
+	}
+	c.report(&outcomeReport{
+		requestID:    in.RequestID,
+		record:       claim.record(outcome),
+		acknowledged: map[string]bool{},
+	})
+}
+
+// releaseClaim reports that a claim is not used. A replica that refused it has nothing to release.
+func (c *Core) releaseClaim(claim *activeClaim, requestID uint64) {
+	refused := map[string]bool{}
+	for name, answer := range claim.answers {
+		if !answer.granted {
+			refused[name] = true
+		}
+	}
+	c.report(&outcomeReport{
+		requestID:    requestID,
+		record:       claim.record(Outcome{Claim: claim.claim, Stage: Released}),
+		acknowledged: refused,
+	})
+}
+
+// report begins to report an outcome to the replicas that have not acknowledged it.
+func (c *Core) report(r *outcomeReport) {
+	if c.allAcknowledged(r) {
+		return
+	}
+	if len(c.claims.reports) >= maxPendingClaims {
+		c.count("no room to tell") // the claim stands on: nobody pushes what may have run
+		return
+	}
+	c.claims.reports[r.requestID] = r
+	c.sendReport(r)
+}
+
+// sendReport sends a report to the replicas that have not acknowledged it, and ends it once that is enough.
+func (c *Core) sendReport(r *outcomeReport) {
+	r.attempts++
+	r.nextRetry = c.now + c.config.RetryInterval*Time(min(r.attempts, 10))
+	for _, name := range c.active.members {
+		if !r.acknowledged[name] {
+			c.send(name, r.message(name))
+		}
+	}
+	if c.reportDone(r) {
+		delete(c.claims.reports, r.requestID)
+	}
+}
+
+// reportDone tells whether a report need not be sent again: the replicas that lack it pull it from others.
+func (c *Core) reportDone(r *outcomeReport) bool {
+	if c.allAcknowledged(r) || r.attempts >= 4*maxReportAttempts {
+		return true
+	}
+	return r.attempts >= maxReportAttempts &&
+		c.active.set.HasMajority(func(name string) bool { return r.acknowledged[name] })
+}
+
+func (c *Core) allAcknowledged(r *outcomeReport) bool {
+	members := c.active.members
+	return replicaset.Count(members, func(name string) bool { return r.acknowledged[name] }) == len(members)
+}
+
+// retryReports sends the reports that are due again.
+func (c *Core) retryReports() {
+	isDue := func(r *outcomeReport) bool { return c.now >= r.nextRetry }
+	for _, id := range dueIDs(c.claims.reports, isDue) {
+		if r := c.claims.reports[id]; r != nil {
+			c.sendReport(r)
+		}
+	}
+}
+
+// handleOutcomeKnown records a replica's acknowledgement.
+func (c *Core) handleOutcomeKnown(in MessageReceived) {
+	r := c.claims.reports[in.RequestID]
+	if r == nil {
+		return
+	}
+	r.acknowledged[in.From] = true
+	if c.allAcknowledged(r) {
+		delete(c.claims.reports, in.RequestID)
+	}
+}
--- a/internal/cluster/replication/record_test.go
+++ b/internal/cluster/replication/record_test.go
@@ -83,11 +83,11 @@
 	c := New(terms, 0)
 	c.Step(1, Membership{Serving: true, Generation: 1})
 	c.Step(2, ClaimRequest{RequestID: 1, Key: "k", Timeout: second})
-	w := c.pendingClaims[1]
+	w := c.claims.pending[1]
 	for _, k := range []string{"a", "b", "c", "stranger"} {
-		c.Step(3, MessageReceived{k, Message{Kind: ClaimGranted, SetID: c.setID + 1, RequestID: 1}})
+		c.Step(3, MessageReceived{k, Message{Kind: ClaimGranted, SetID: c.active.id + 1, RequestID: 1}})
 	}
-	if c.Step(3, MessageReceived{"stranger", Message{Kind: ClaimGranted, SetID: c.setID, RequestID: 1}}); len(w.answers) > 0 {
+	if c.Step(3, MessageReceived{"stranger", Message{Kind: ClaimGranted, SetID: c.active.id, RequestID: 1}}); len(w.answers) > 0 {
 		t.Errorf("counted %v", w.answers)
 	}
 	for _, bad := range [][]string{nil, {"a", "b"}, {"a", "a", "b"}, {"a", "", "b"}} {
@@ -106,13 +106,13 @@
 		c := New(terms, 0)
 		c.Step(1, Membership{Serving: true, Generation: 1})
 		c.Step(2, ClaimRequest{RequestID: 1, Key: "k", Timeout: second})
-		c.Step(3, MessageReceived{"a", Message{Kind: ClaimGranted, SetID: c.setID, RequestID: 1, Incarnation: Incarnation{1, 1}}})
+		c.Step(3, MessageReceived{"a", Message{Kind: ClaimGranted, SetID: c.active.id, RequestID: 1, Incarnation: Incarnation{1, 1}}})
 		known := Incarnation{1, 1}
 		if later {
 			known = Incarnation{2, 7}
 		}
 		got := ClaimResult(0)
-		for _, e := range c.Step(4, MessageReceived{"b", Message{Kind: ClaimGranted, SetID: c.setID, RequestID: 1, Incarnation: Incarnation{1, 2}, Voters: []Voter{{"a", known}}}}) {
+		for _, e := range c.Step(4, MessageReceived{"b", Message{Kind: ClaimGranted, SetID: c.active.id, RequestID: 1, Incarnation: Incarnation{1, 2}, Voters: []Voter{{"a", known}}}}) {
 			if d, ok := e.(ClaimDecided); ok {
 				got = d.Result
 			}
@@ -133,9 +133,9 @@
 		c.Restore(nil, Incarnation{1, 1}, nil)
 		c.Step(1, Membership{Serving: true, Generation: 2, Nonce: 1})
 		for _, k := range []string{"b", "c"} {
-			c.Step(2, MessageReceived{k, Message{Kind: Registered, SetID: c.setID, Incarnation: Incarnation{1, 1}, LogIncarnation: c.incarnation, Voting: true}})
+			c.Step(2, MessageReceived{k, Message{Kind: Registered, SetID: c.active.id, Incarnation: Incarnation{1, 1}, LogIncarnation: c.registration.incarnation, Voting: true}})
 		}
-		if !c.voting {
+		if !c.registration.voting {
 			t.Fatal("it has no vote: this test proves nothing")
 		}
 		c.Step(3, ClaimRequest{RequestID: 1, Key: "k", Timeout: second})
@@ -143,7 +143,7 @@
 			c.Step(4, PersistFailed{Keys: []string{"k"}})
 		}
 		got := ClaimResult(0)
-		for _, e := range c.Step(5, MessageReceived{"b", Message{Kind: ClaimGranted, SetID: c.setID, RequestID: 1, Incarnation: Incarnation{1, 1}}}) {
+		for _, e := range c.Step(5, MessageReceived{"b", Message{Kind: ClaimGranted, SetID: c.active.id, RequestID: 1, Incarnation: Incarnation{1, 1}}}) {
 			if d, ok := e.(ClaimDecided); ok {
 				got = d.Result
 			}
@@ -192,7 +192,7 @@
 	life := Incarnation{1, terms.Nonce}
 	of := map[string]Incarnation{"b": {1, 2}, "c": {1, 3}}
 	hear := func(k string, x Message) {
-		x.SetID, x.Incarnation, x.LogIncarnation, x.Voting = c.setID, of[k], of[k], true
+		x.SetID, x.Incarnation, x.LogIncarnation, x.Voting = c.active.id, of[k], of[k], true
 		if x.Kind == Registered {
 			x.LogIncarnation = life
 		}
@@ -207,13 +207,13 @@
 	hear("c", Message{Kind: DigestPage, Next: 1})
 	hear("b", Message{Kind: DigestPage, Next: 1, Digests: []uint64{r.digest()}})
 	hear("b", Message{Kind: Fetched, Next: 2, Digests: []uint64{r.digest()}}) // it is another by now, and stands second
-	if c.voting {
+	if c.registration.voting {
 		t.Fatal("it votes without the record")
 	}
 	hear("b", Message{Kind: DigestPage, After: 1, Next: 2, Digests: []uint64{then.digest()}})
 	hear("b", Message{Kind: Fetched, Next: 2, Digests: []uint64{then.digest()}, Records: []Record{then}})
-	if _, ok := c.Lookup("k"); !c.voting || !ok {
-		t.Errorf("with all that there is: voting %v, known %v", c.voting, ok)
+	if _, ok := c.Lookup("k"); !c.registration.voting || !ok {
+		t.Errorf("with all that there is: voting %v, known %v", c.registration.voting, ok)
 	}
 }
 
@@ -226,7 +226,7 @@
 	c.Step(2, Tick{})
 	grab := func(nonce uint64, where string) Kind {
 		r := Record{Key: "k", Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"x", nonce}, Stage: Claimed, Group: where}}}
-		for _, e := range c.Step(c.now+1, MessageReceived{"x", Message{Kind: ClaimRequested, SetID: c.setID, RequestID: nonce, Record: r}}) {
+		for _, e := range c.Step(c.now+1, MessageReceived{"x", Message{Kind: ClaimRequested, SetID: c.active.id, RequestID: nonce, Record: r}}) {
 			if s, ok := e.(Send); ok {
 				return s.Kind
 			}
@@ -236,7 +236,7 @@
 	if grab(1, "") != ClaimGranted || grab(2, "zone east") != ClaimRefused {
 		t.Error("beside one that ran nobody knows where")
 	}
-	c.Step(c.now+1, MessageReceived{"x", Message{Kind: OutcomeReported, SetID: c.setID, Record: Record{Key: "k", Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"x", 1},
+	c.Step(c.now+1, MessageReceived{"x", Message{Kind: OutcomeReported, SetID: c.active.id, Record: Record{Key: "k", Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"x", 1},
 		Stage: Claimed, Group: "zone east"}}}}})
 	if grab(3, "") != ClaimRefused || grab(4, "zone west") != ClaimRefused || grab(5, "zone east") != ClaimGranted {
 		t.Error("beside one that ran in the east")
@@ -256,7 +256,7 @@
 		r := Record{Key: "k", Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"y", 1}, Stage: Claimed, Group: "all", Age: age}}}
 		var out []Effect
 		for _, k := range []string{"a", "b"} {
-			out = c.Step(c.now+1, MessageReceived{k, Message{Kind: ClaimRefused, SetID: c.setID, RequestID: 1, Reason: AlreadyClaimed, Record: r}})
+			out = c.Step(c.now+1, MessageReceived{k, Message{Kind: ClaimRefused, SetID: c.active.id, RequestID: 1, Reason: AlreadyClaimed, Record: r}})
 		}
 		bound := false
 		for _, e := range out {
@@ -267,7 +267,7 @@
 			t.Errorf("age %d: bound %v", age, bound)
 		}
 		for _, k := range []string{"a", "b", "c"} {
-			for _, e := range c.Step(c.now+1, MessageReceived{k, Message{Kind: ClaimGranted, SetID: c.setID, RequestID: 1}}) {
+			for _, e := range c.Step(c.now+1, MessageReceived{k, Message{Kind: ClaimGranted, SetID: c.active.id, RequestID: 1}}) {
 				if d, ok := e.(ClaimDecided); ok && d.Result == Granted {
 					t.Error("by grants to the claim before")
 				}
@@ -328,7 +328,7 @@
 		}
 		bound := false
 		for _, k := range []string{"a", "b"} {
-			for _, e := range c.Step(c.now+1, MessageReceived{k, Message{Kind: ClaimRefused, SetID: c.setID, RequestID: 1, Reason: AlreadyClaimed, Record: r}}) {
+			for _, e := range c.Step(c.now+1, MessageReceived{k, Message{Kind: ClaimRefused, SetID: c.active.id, RequestID: 1, Reason: AlreadyClaimed, Record: r}}) {
 				s, ok := e.(Send)
 				bound = bound || ok && s.Kind == ClaimRequested && s.Record.Outcomes[0].Group == "all"
 			}
--- /dev/null
+++ b/internal/cluster/replication/status.go
@@ -0,0 +1,75 @@
+package replication
+
+import (
+	"fmt"
+	"maps"
+)
+
+// Status is the state that operators see.
+type Status struct {
+	SetID            string            `json:"epoch"`
+	Epoch            uint64            `json:"turn"` // of the agreed set; 0: the set is as configured
+	Replicas         []string          `json:"keepers"`
+	PreviousReplicas []string          `json:"before,omitempty"` // while the set is joint: those of its old part
+	Ready            bool              `json:"ready,omitempty"`  // while the set is joint: this replica is ready
+	IsReplica        bool              `json:"keeper"`
+	Voting           bool              `json:"voting"`
+	Records          int               `json:"records"`
+	Bytes            int               `json:"bytes"`
+	PendingClaims    int               `json:"asking"` // without a decision yet
+	GrantedClaims    int               `json:"mine"`   // with ops that have not ended
+	PendingReports   int               `json:"telling"`
+	Peers            []PeerProgress    `json:"looks"`
+	Digest           string            `json:"digest"`
+	Counts           map[string]uint64 `json:"counts"`
+}
+
+// PeerProgress is how far another replica's changes are known.
+type PeerProgress struct {
+	Replica  string `json:"keeper"`
+	Position uint64 `json:"since"`
+	Voting   bool   `json:"voting"`
+	CaughtUp bool   `json:"caught_up"`
+}
+
+// Status returns the state as of the last input.
+func (c *Core) Status() Status {
+	s := Status{
+		SetID:            fmt.Sprintf("%016x", c.active.id),
+		Epoch:            c.active.set.Epoch,
+		Replicas:         c.active.set.New,
+		PreviousReplicas: c.active.set.Old,
+		Ready:            c.registration.ready,
+		IsReplica:        c.active.isReplica,
+		Voting:           c.registration.voting && c.registration.serving,
+		Records:          len(c.records.byKey),
+		Bytes:            c.records.bytes,
+		PendingClaims:    len(c.claims.pending),
+		GrantedClaims:    len(c.claims.granted),
+		PendingReports:   len(c.claims.reports),
+		Peers:            []PeerProgress{},
+		Digest:           fmt.Sprintf("%016x", c.Digest()),
+		Counts:           maps.Clone(c.counts),
+	}
+	for _, name := range c.active.members {
+		if peer := c.catchUp.peers[name]; peer != nil {
+			s.Peers = append(s.Peers, PeerProgress{name, peer.position, peer.voting, !peer.more})
+		}
+	}
+	return s
+}
+
+// Digest is equal for two replicas with the same outcomes.
+func (c *Core) Digest() uint64 { return c.records.digest }
+
+// Lookup returns a record as it is known here.
+func (c *Core) Lookup(key string) (Record, bool) {
+	r, ok := c.records.byKey[key]
+	if !ok {
+		return Record{}, false
+	}
+	return *r, true
+}
+
+// Page returns up to limit records in the order of their keys, after a key.
+func (c *Core) Page(after string, limit int) []Record { return c.records.page(after, limit) }
