--- a/cmd/woaddyke/process.go
+++ b/cmd/woaddyke/process.go
@@ -190,7 +190,7 @@
 		<-legacy.PredecessorEnded
 		p.server.Limit(p.bootstrap.Limits.Sockets)
 		p.setMemoryLimit(1)
-		p.log.Info().Msg("the process before has ended")
+		p.log.Info().Msg("predecessor has ended")
 	}()
 	return at, nil
 }
--- a/internal/lifecycle/hotrestart/hotrestart_test.go
+++ b/internal/lifecycle/hotrestart/hotrestart_test.go
@@ -1,6 +1,9 @@
 package hotrestart
 
-import "testing"
+import (
+	"errors"
+	"testing"
+)
 
 // Half a message, or one of another build, must leave the second process to start as if it were alone.
 func TestWhatCanNotBeReadIsNoState(t *testing.T) {
@@ -83,3 +86,23 @@
 		}
 	}
 }
+
+// Who reads the log has to tell another build from another scheduler, and both from another deployment.
+func TestRefusalsAreTyped(t *testing.T) {
+	var version *VersionError
+	if _, err := DecodeRequest([]byte(`{"version":2}`)); !errors.As(err, &version) || *version != (VersionError{Got: 2, Want: 3}) {
+		t.Errorf("another version: %v", err)
+	}
+	if _, err := DecodeState([]byte(`{"version":3}`)); !errors.Is(err, ErrNoDescriptors) {
+		t.Errorf("no descriptors: %v", err)
+	}
+	predecessor := Request{Name: "n1", Listen: "a:1", Discovery: "a:2", Settings: 7}
+	var mismatch *MismatchError
+	err := Request{Name: "n2", Listen: "a:1"}.CheckSuccessorOf(predecessor)
+	if !errors.As(err, &mismatch) || *mismatch != (MismatchError{Field: "name", Successor: "n2", Predecessor: "n1"}) {
+		t.Errorf("another name: %v", err)
+	}
+	if err := (Request{Name: "n1", Listen: "a:1"}).CheckSuccessorOf(predecessor); !errors.Is(err, ErrOtherDeployment) {
+		t.Errorf("another deployment: %v", err)
+	}
+}
--- a/internal/lifecycle/hotrestart/transfer/retryconn.go
+++ b/internal/lifecycle/hotrestart/transfer/retryconn.go
@@ -6,8 +6,9 @@
 	"woaddyke/internal/base/oserror"
 )
 
-// retryConn is the connection between a giver and its heir. Each takes the end of the line for the other's end, so a call that fails as this
-// machine lacks something for a moment is made again, and never read as that.
+// retryConn is the connection between a predecessor and its successor. Each takes the end of the
+// connection for the other's end, so a call that fails for want of something on this machine is repeated,
+// and never taken for it.
 type retryConn struct{ *net.UnixConn }
 
 func (l *retryConn) Read(b []byte) (int, error) { return oserror.Read(l.UnixConn.Read, b) }
--- a/internal/lifecycle/hotrestart/transfer/transfer_test.go
+++ b/internal/lifecycle/hotrestart/transfer/transfer_test.go
@@ -261,3 +261,40 @@
 	at.Close()
 	<-ended
 }
+
+// A length that no state or request has must be refused by its own error, before memory is given for it.
+func TestSizesAreBoundedByTypedErrors(t *testing.T) {
+	for name, c := range map[string]struct {
+		length []byte
+		read   func(*retryConn) error
+		want   SizeError
+	}{
+		"request": {[]byte{0, 1, 0, 1}, func(l *retryConn) error { _, err := readRequest(l); return err },
+			SizeError{Message: "request", Size: 1<<16 + 1, Most: 1 << 16}},
+		"state": {[]byte{4, 0, 0, 1}, func(l *retryConn) error { _, err := readHandover(l); return err },
+			SizeError{Message: "state", Size: 64<<20 + 1, Most: 64 << 20}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "h")
+			l, err := net.Listen("unix", path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer l.Close()
+			go func() {
+				if conn, err := l.Accept(); err == nil {
+					conn.Write(c.length)
+				}
+			}()
+			conn, err := net.Dial("unix", path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer conn.Close()
+			var size *SizeError
+			if err := c.read(&retryConn{conn.(*net.UnixConn)}); !errors.As(err, &size) || *size != c.want {
+				t.Errorf("%v, want %v", err, &c.want)
+			}
+		})
+	}
+}
