--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -211,6 +211,9 @@
 	return nil
 }
 
+// violationMessages are the log messages for a violated invariant, of this build and of earlier ones.
+var violationMessages = []string{"invariant violated", "a rule is broken"}
+
 func (v *Verdict) readLog(name string, from io.Reader) error {
 	lines := bufio.NewReader(from)
 	for {
@@ -220,7 +223,7 @@
 			v.find("", "%s: %s", name, bytes.TrimSpace(text))
 		}
 		var line struct{ Message, Rule, Why, ID string }
-		if json.Unmarshal(text, &line) == nil && line.Message == "a rule is broken" {
+		if json.Unmarshal(text, &line) == nil && slices.Contains(violationMessages, line.Message) {
 			v.Violations++
 			v.find(line.ID, "%s: %s: %s", name, line.Rule, strings.TrimSpace(string(text)))
 		}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -71,6 +71,7 @@
 	}{
 		"all is well":           {`{"message":"stopped"}`, fine, well, 0},
 		"a guard":               {`{"message":"a rule is broken","rule":"sending","why":"x","id":"a"}` + "\n" + `{"message":"a rule is broken","rule":"closing"}`, fine, well, 2},
+		"an invariant":          {`{"message":"invariant violated","rule":"sending","why":"x","id":"a"}` + "\n" + `{"message":"invariant violated","rule":"closing"}`, fine, well, 2},
 		"a crash":               {"panic: index out of range\n", fine, well, 1},
 		"an op that stays":      {"", map[int]held{0: {InFlight: 1}, 1: {}}, well, 1},
 		"descriptors":           {"", map[int]held{0: {files: 9 + moreFiles + 1}, 1: {}}, well, 1},
--- a/internal/lifecycle/boottime/boottime.go
+++ b/internal/lifecycle/boottime/boottime.go
@@ -1,6 +1,7 @@
-// Package boottime reads the time since the machine was started. It goes on while a process stands still and while the machine sleeps,
-// nobody can set it, and all processes of the machine read the same; so it is what moments are told by from one process to another and
-// from one life of a process to the next. The wall clock is not: it may be stepped at any time.
+// Package boottime reads the time since the machine was started. That clock goes on while a process is
+// stopped and while the machine sleeps, can't be set, and is the same for all processes of the machine.
+// So moments that pass from one process to another, or are persisted, refer to it; the wall clock may be
+// stepped at any time.
 package boottime
 
 import (
@@ -12,29 +13,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// Reading is a moment on the clock of one start of the machine.
+// Reading is a moment, which is comparable with those of the same start of the machine.
 type Reading struct {
-	BootID    string        // names the start of the machine; empty where that can't be told
-	SinceBoot time.Duration // since then
+	BootID    string // names the start of the machine; empty where the system does not say
+	SinceBoot time.Duration
 }
 
-// After is how long after another reading this one was taken; false where that can't be known, as the machine was started in between.
-func (r Reading) After(before Reading) (time.Duration, bool) {
-	if r.BootID == "" || r.BootID != before.BootID || r.SinceBoot < before.SinceBoot {
+// After returns how long after an earlier reading this one was taken. It returns false where that is
+// unknown: the machine was started in between.
+func (r Reading) After(earlier Reading) (time.Duration, bool) {
+	if r.BootID == "" || r.BootID != earlier.BootID || r.SinceBoot < earlier.SinceBoot {
 		return 0, false
 	}
-	return r.SinceBoot - before.SinceBoot, true
+	return r.SinceBoot - earlier.SinceBoot, true
 }
 
-// Since is the time since the machine was started.
+// Since returns the time since the machine was started. A system without that clock has its monotonic
+// clock read.
 func Since() time.Duration {
-	var t unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		unix.ClockGettime(unix.CLOCK_MONOTONIC, &t)
+	var now unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
+		unix.ClockGettime(unix.CLOCK_MONOTONIC, &now)
 	}
-	return time.Duration(t.Nano())
+	return time.Duration(now.Nano())
 }
 
+// bootID is the kernel's name for this start of the machine.
 var bootID = sync.OnceValue(func() string {
 	text, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
@@ -43,5 +47,5 @@
 	return strings.TrimSpace(string(text))
 })
 
-// Now is this moment.
-func Now() Reading { return Reading{bootID(), Since()} }
+// Now returns a reading of this moment.
+func Now() Reading { return Reading{BootID: bootID(), SinceBoot: Since()} }
--- a/internal/observe/invariant/invariant.go
+++ b/internal/observe/invariant/invariant.go
@@ -1,6 +1,15 @@
-// Package invariant checks while a scheduler runs what must never happen: a few promises that all paths have to keep, each looked at where a
-// path can no longer turn back. A breach is counted, the first few are logged with the states that led to them, and nothing is stopped: a
-// guard that ended the process would lose what it guards.
+// Package invariant counts violations of promises that every path through a running scheduler must keep.
+// Each is checked where a path can no longer turn back. A violation is counted, the first few of each
+// rule are logged with the states that led to them, and the process goes on: its end would lose the ops
+// that the rule protects.
+//
+//	rule       is checked before                  reasons
+//	sending    the first byte of an attempt       ClientGone, PastTTL, DeadlineTooLong, WorkerDraining
+//	repeating  a retry or a hedged request        AttemptInFlight, AttemptsExceeded, MayHaveRun,
+//	                                              OutsideGroup
+//	repeating  a nack                             NotHarmless
+//	starting   the first attempt of an op         NotGranted, DuplicateID
+//	closing    the end of a client's connection   Unanswered
 package invariant
 
 import (
@@ -12,68 +21,68 @@
 // Rule is a promise.
 type Rule int
 
-// The rules.
+// The rules. Their order is that of ruleNames.
 const (
-	Sending   Rule = iota // the first byte of a push: its client is there, in time, and its worker takes new work
-	Repeating             // a further push, or a nack: what was pushed before allows it
-	Closing               // the end of a client's connection: each request that was read has its answer
-	Starting              // the first push of an op: it is the only one under its id, and granted where that is asked for
-	numRules              // how many there are
+	Sending   Rule = iota // an attempt goes out in time, for a client that waits, to a worker that takes work
+	Repeating             // the attempts so far allow a further attempt, or a nack
+	Closing               // each request that was read has its answer
+	Starting              // an op is the only one under its ID, and its claim is granted where it needs one
+	numRules
 )
 
+// ruleNames are the names in log lines and on the console.
 var ruleNames = [numRules]string{"sending", "repeating", "closing", "starting"}
 
 func (r Rule) String() string { return ruleNames[r] }
 
-// Reason is how a rule was broken.
+// Reason is how a rule was violated, as the log has it.
 type Reason string
 
 // The reasons.
 const (
-	ClientGone       Reason = "the client was not looked at in time"
-	PastTTL          Reason = "after the client's time"
-	DeadlineTooLong  Reason = "more time is told than the client has"
-	WorkerDraining   Reason = "the worker takes nothing new"
-	AttemptInFlight  Reason = "another push is out"
-	MayHaveRun       Reason = "a push before may have run"
-	OutsideGroup     Reason = "a push before may have run in another group, or too long ago"
-	AlreadyAnswered  Reason = "the op has its answer"
-	AttemptsExceeded Reason = "the op has had all its pushes"
-	NotHarmless      Reason = "a nack for what may have run"
+	ClientGone       Reason = "the client's connection was not checked in time"
+	PastTTL          Reason = "the op's TTL has passed"
+	DeadlineTooLong  Reason = "the deadline for the worker is later than the op's TTL allows"
+	WorkerDraining   Reason = "the worker is draining"
+	AttemptInFlight  Reason = "another attempt is in flight"
+	MayHaveRun       Reason = "a prior attempt may have run"
+	OutsideGroup     Reason = "a prior attempt may have run in another worker group, or before the window"
+	AttemptsExceeded Reason = "the op has had all its attempts"
+	NotHarmless      Reason = "a nack for an op that may have run"
 	Unanswered       Reason = "a request that was read has no answer"
-	NotGranted       Reason = "nobody granted the op"
-	DuplicateID      Reason = "an op with this id is out"
+	NotGranted       Reason = "no claim was granted for the op"
+	DuplicateID      Reason = "another op with this ID is open"
 )
 
-// maxLoggedPerRule is how many breaches of each rule are logged.
+// maxLoggedPerRule bounds the lines of one rule, so that a fault can't fill a disk.
 const maxLoggedPerRule = 5
 
-// Checker counts the breaches of one process. Its methods may be called from any goroutine.
+// Checker counts the violations of one process. Its methods may be called from any goroutine.
 type Checker struct {
 	log    zerolog.Logger
 	counts [numRules]atomic.Uint64
 }
 
-// New is a guard that has seen none.
+// New returns a checker without violations.
 func New(log zerolog.Logger) *Checker { return &Checker{log: log} }
 
-// Violated counts a breach; of the first few a line is logged with what the caller adds to it.
-func (g *Checker) Violated(r Rule, why Reason, with func(*zerolog.Event)) {
-	if n := g.counts[r].Add(1); n > maxLoggedPerRule {
+// Violated counts a violation. addFields, which may be nil, adds the caller's fields to the log line.
+func (c *Checker) Violated(rule Rule, reason Reason, addFields func(*zerolog.Event)) {
+	if c.counts[rule].Add(1) > maxLoggedPerRule {
 		return
 	}
-	line := g.log.Error().Stringer("rule", r).Str("why", string(why))
-	if with != nil {
-		with(line)
+	line := c.log.Error().Stringer("rule", rule).Str("why", string(reason))
+	if addFields != nil {
+		addFields(line)
 	}
-	line.Msg("a rule is broken")
+	line.Msg("invariant violated")
 }
 
-// Counts are the breaches so far, by rule.
-func (g *Checker) Counts() map[string]uint64 {
+// Counts returns the violations so far by the rules' names.
+func (c *Checker) Counts() map[string]uint64 {
 	counts := make(map[string]uint64, numRules)
-	for r := range numRules {
-		counts[r.String()] = g.counts[r].Load()
+	for rule := range numRules {
+		counts[rule.String()] = c.counts[rule].Load()
 	}
 	return counts
 }
--- a/internal/observe/invariant/invariant_test.go
+++ b/internal/observe/invariant/invariant_test.go
@@ -22,7 +22,7 @@
 	if n := strings.Count(log.String(), "\n"); n != maxLoggedPerRule+1 {
 		t.Errorf("%d lines: %s", n, log.String())
 	}
-	if !strings.Contains(log.String(), `"rule":"closing","why":"a request that was read has no answer","op":7`) {
+	if !strings.Contains(log.String(), `"rule":"closing","why":"a request that was read has no answer","op":7,"message":"invariant violated"`) {
 		t.Error(log.String())
 	}
 }
