--- a/internal/observe/console/console.go
+++ b/internal/observe/console/console.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	mostCallers = 16 // connections at once; beyond them the one that has waited longest gives way
-	roomTime    = 200 * time.Millisecond
-	callTime    = 2 * time.Second // for a whole call to come, and for its answer to be read
+	maxConnections = 16 // connections at once; beyond them the one that has waited longest gives way
+	slotTimeout    = 200 * time.Millisecond
+	callTimeout    = 2 * time.Second // for a whole call to come, and for its answer to be read
 )
 
 // Scheduler is what calls are answered from. None of its methods may wait: answers are owed under any load.
@@ -46,28 +46,28 @@
 		}
 	})
 	mux.HandleFunc("GET /api/telemetry", func(w http.ResponseWriter, _ *http.Request) {
-		show(w, of.Metrics(), log)
+		writeJSON(w, of.Metrics(), log)
 	})
 	for _, c := range more {
 		method := http.MethodGet
 		if c.Changes {
 			method = http.MethodPost
 		}
-		mux.HandleFunc(method+" "+c.Path, func(w http.ResponseWriter, r *http.Request) { show(w, c.Answer(r), log) })
+		mux.HandleFunc(method+" "+c.Path, func(w http.ResponseWriter, r *http.Request) { writeJSON(w, c.Answer(r), log) })
 	}
 	mux.HandleFunc("POST /api/evacuate", func(http.ResponseWriter, *http.Request) { of.DrainClients() })
 	mux.HandleFunc("POST /api/rejoin", func(http.ResponseWriter, *http.Request) { of.ReadmitClients() })
-	callers := clientconn.New(mostCallers, mostCallers)
+	callers := clientconn.New(maxConnections, maxConnections)
 	callers.Listener = l
-	callers.Patience = roomTime // those before are read and answered, or found to say nothing
-	s := &http.Server{Handler: mux, ConnState: callers.Track, ReadTimeout: callTime, WriteTimeout: callTime,
+	callers.Patience = slotTimeout // those before are read and answered, or found to say nothing
+	s := &http.Server{Handler: mux, ConnState: callers.Track, ReadTimeout: callTimeout, WriteTimeout: callTimeout,
 		MaxHeaderBytes: 8 << 10, ErrorLog: stdlog.New(log.With().Str("level", "warn").Logger(), "", 0)}
 	s.SetKeepAlivesEnabled(false)
 	go s.Serve(callers)
 	log.Info().Str("console", l.Addr().String()).Msg("answering staff")
 }
 
-func show(w http.ResponseWriter, what any, log zerolog.Logger) {
+func writeJSON(w http.ResponseWriter, what any, log zerolog.Logger) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(what); err != nil {
 		log.Debug().Err(err).Msg("figures not read")
--- a/internal/observe/console/console_test.go
+++ b/internal/observe/console/console_test.go
@@ -87,7 +87,7 @@
 	of := &scheduler{make(chan struct{}), make(chan string, 9)}
 	close(of.ready)
 	addr := serve(t, of)
-	for range 4 * mostCallers {
+	for range 4 * maxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -96,7 +96,7 @@
 		fmt.Fprint(c, "GET /api/re")
 	}
 	began := time.Now()
-	if status, _ := call(t, addr, "GET", "/api/ready"); status != http.StatusOK || time.Since(began) > callTime/2 {
+	if status, _ := call(t, addr, "GET", "/api/ready"); status != http.StatusOK || time.Since(began) > callTimeout/2 {
 		t.Errorf("%d after %v", status, time.Since(began))
 	}
 }
--- a/internal/observe/metrics/metrics.go
+++ b/internal/observe/metrics/metrics.go
@@ -8,8 +8,8 @@
 	"sync"
 )
 
-// mostCategories have figures of their own, those that are served before those that were; ops of the others count as other.
-const mostCategories = 2048
+// maxCategories have figures of their own, those that are served before those that were; ops of the others count as other.
+const maxCategories = 2048
 
 // OpCounts are the counts of one category's ops.
 type OpCounts struct {
@@ -61,15 +61,15 @@
 // Recorder keeps the figures. Its methods may be called from any goroutine, and none of them waits for more than the
 // others' few instructions.
 type Recorder struct {
-	mu      sync.Mutex
-	f       Metrics
-	served  map[string]bool
-	dropped []string // that have figures and are served no more, the last one last
+	mu                sync.Mutex
+	metrics           Metrics
+	servedCategories  map[string]bool
+	droppedCategories []string // that have figures and are served no more, the last one last
 }
 
 // New starts with the categories that are served now: one without an op yet has figures too.
 func New(categories []string) *Recorder {
-	t := &Recorder{f: Metrics{Requests: map[string]OpCounts{}}}
+	t := &Recorder{metrics: Metrics{Requests: map[string]OpCounts{}}}
 	t.SetCategories(categories)
 	return t
 }
@@ -79,25 +79,25 @@
 func (t *Recorder) SetCategories(categories []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	before := t.served
-	t.served = make(map[string]bool, len(categories))
-	for _, c := range categories[:min(len(categories), mostCategories)] {
-		t.served[c] = true
-		if _, known := t.f.Requests[c]; !known {
-			t.f.Requests[c] = OpCounts{}
+	before := t.servedCategories
+	t.servedCategories = make(map[string]bool, len(categories))
+	for _, c := range categories[:min(len(categories), maxCategories)] {
+		t.servedCategories[c] = true
+		if _, known := t.metrics.Requests[c]; !known {
+			t.metrics.Requests[c] = OpCounts{}
 		} else if !before[c] {
-			t.dropped = slices.DeleteFunc(t.dropped, func(x string) bool { return x == c })
+			t.droppedCategories = slices.DeleteFunc(t.droppedCategories, func(x string) bool { return x == c })
 		}
 	}
 	for _, c := range slices.Sorted(maps.Keys(before)) {
-		if !t.served[c] {
-			t.dropped = append(t.dropped, c)
+		if !t.servedCategories[c] {
+			t.droppedCategories = append(t.droppedCategories, c)
 		}
 	}
-	for len(t.f.Requests) > mostCategories {
-		t.f.Other.add(t.f.Requests[t.dropped[0]])
-		delete(t.f.Requests, t.dropped[0])
-		t.dropped = t.dropped[1:]
+	for len(t.metrics.Requests) > maxCategories {
+		t.metrics.Other.add(t.metrics.Requests[t.droppedCategories[0]])
+		delete(t.metrics.Requests, t.droppedCategories[0])
+		t.droppedCategories = t.droppedCategories[1:]
 	}
 }
 
@@ -110,18 +110,18 @@
 func (t *Recorder) RequestStarted() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.f.OpsInFlight++
-	t.f.RequestsRead++
+	t.metrics.OpsInFlight++
+	t.metrics.RequestsRead++
 }
 
 // RequestEnded counts an op's one answer.
 func (t *Recorder) RequestEnded(category string, how RequestEnd) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.f.OpsInFlight--
-	o, known := t.f.Requests[category]
+	t.metrics.OpsInFlight--
+	o, known := t.metrics.Requests[category]
 	if !known { // one by one strangers' names would fill the memory
-		o = t.f.Other
+		o = t.metrics.Other
 	}
 	switch how {
 	case Succeeded:
@@ -134,9 +134,9 @@
 		o.Failed++
 	}
 	if known {
-		t.f.Requests[category] = o
+		t.metrics.Requests[category] = o
 	} else {
-		t.f.Other = o
+		t.metrics.Other = o
 	}
 }
 
@@ -144,12 +144,12 @@
 func (t *Recorder) AttemptSent(category string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.f.Attempts++
-	if o, known := t.f.Requests[category]; known {
+	t.metrics.Attempts++
+	if o, known := t.metrics.Requests[category]; known {
 		o.Attempts++
-		t.f.Requests[category] = o
+		t.metrics.Requests[category] = o
 	} else {
-		t.f.Other.Attempts++
+		t.metrics.Other.Attempts++
 	}
 }
 
@@ -157,7 +157,7 @@
 func (t *Recorder) SetWorkers(known, excluded int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.f.WorkersKnown, t.f.WorkersExcluded = known, excluded
+	t.metrics.WorkersKnown, t.metrics.WorkersExcluded = known, excluded
 }
 
 // ConfigReloaded counts a configuration that was taken up or turned down.
@@ -165,9 +165,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if taken {
-		t.f.ReloadsOK++
+		t.metrics.ReloadsOK++
 	} else {
-		t.f.ReloadsFailed++
+		t.metrics.ReloadsFailed++
 	}
 }
 
@@ -175,15 +175,15 @@
 func (t *Recorder) AcceptFailed() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.f.AcceptFailures++
-	return t.f.AcceptFailures
+	t.metrics.AcceptFailures++
+	return t.metrics.AcceptFailures
 }
 
 // Snapshot are those of now.
 func (t *Recorder) Snapshot() Metrics {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	f := t.f
+	f := t.metrics
 	f.Requests = maps.Clone(f.Requests)
 	return f
 }
--- a/internal/observe/metrics/metrics_test.go
+++ b/internal/observe/metrics/metrics_test.go
@@ -42,12 +42,12 @@
 	y.RequestStarted()
 	y.RequestEnded("stranger", Failed)
 	var many []string
-	for i := range 2 * mostCategories {
+	for i := range 2 * maxCategories {
 		many = append(many, fmt.Sprint(i))
 	}
 	y.SetCategories(many)
 	f := y.Snapshot()
-	if _, kept := f.Requests["stranger"]; kept || len(f.Requests) != mostCategories || f.OpsInFlight != 0 {
+	if _, kept := f.Requests["stranger"]; kept || len(f.Requests) != maxCategories || f.OpsInFlight != 0 {
 		t.Errorf("%d categories, stranger %v, %d held", len(f.Requests), kept, f.OpsInFlight)
 	}
 	f.Requests["look"] = OpCounts{Succeeded: 7}
@@ -87,13 +87,13 @@
 			t.Errorf("%s is served and has %+v, %v", c, o, has)
 		}
 	}
-	for _, want := range []string{name(changes - entries - 1), name(changes - mostCategories)} {
+	for _, want := range []string{name(changes - entries - 1), name(changes - maxCategories)} {
 		if _, has := f.Requests[want]; !has {
 			t.Errorf("%s, one of the last that were dropped, has no figures", want)
 		}
 	}
-	if _, has := f.Requests[name(changes-mostCategories-1)]; has || len(f.Requests) != mostCategories || len(y.dropped) != mostCategories-entries {
-		t.Errorf("%d categories have figures, of them %d dropped", len(f.Requests), len(y.dropped))
+	if _, has := f.Requests[name(changes-maxCategories-1)]; has || len(f.Requests) != maxCategories || len(y.droppedCategories) != maxCategories-entries {
+		t.Errorf("%d categories have figures, of them %d dropped", len(f.Requests), len(y.droppedCategories))
 	}
 	sum, attempts := f.Other.Succeeded+f.Other.Rejected+f.Other.Failed+f.Other.Disconnected, f.Other.Attempts
 	for _, o := range f.Requests {
@@ -106,7 +106,7 @@
 	was := f.Requests[back]
 	served[0] = back
 	y.SetCategories(served)
-	if y.Snapshot().Requests[back] != was || len(y.dropped) != mostCategories-entries {
-		t.Errorf("back again, it has %+v, not %+v; %d dropped", y.Snapshot().Requests[back], was, len(y.dropped))
+	if y.Snapshot().Requests[back] != was || len(y.droppedCategories) != maxCategories-entries {
+		t.Errorf("back again, it has %+v, not %+v; %d dropped", y.Snapshot().Requests[back], was, len(y.droppedCategories))
 	}
 }
