--- a/internal/cluster/mesh/bench_test.go
+++ b/internal/cluster/mesh/bench_test.go
@@ -19,7 +19,8 @@
 // ipUDPHeaderBytes are what IP and UDP put before a datagram.
 const ipUDPHeaderBytes = 20 + 8
 
-// wireBytes is what a message takes on the wire, as this package words it. A play's addresses are shorter than real ones.
+// wireBytes is what a message takes on the wire, as this package words it. A play's addresses are shorter
+// than real ones.
 func wireBytes(b *testing.B, x membership.Message) int64 {
 	text, err := encode(withRealisticNames(x))
 	if err != nil {
@@ -38,7 +39,8 @@
 
 const realAddr = "10.101.102.103:7946"
 
-// withRealisticNames is a message as of a real deployment, with names and addresses as long as they are there.
+// withRealisticNames is a message as of a real deployment, with names and addresses as long as they are
+// there.
 func withRealisticNames(x membership.Message) membership.Message {
 	one := func(c membership.MemberRecord) membership.MemberRecord {
 		c.Name, c.Addr = "scheduler-"+c.Name, realAddr
@@ -59,8 +61,9 @@
 	return x
 }
 
-// BenchmarkMember is what a member costs while nothing happens, for each virtual second: bytes sent as they are on the wire,
-// messages, and the time its core takes. One member sends as many as it hears, in the mean.
+// BenchmarkMember is what a member costs while nothing happens, for each virtual second: bytes sent as they
+// are on the wire, messages, and the time its core takes. One member sends as many as it hears, in the
+// mean.
 func BenchmarkMember(b *testing.B) {
 	for _, n := range []int{5, 20, 100, 300, 1_000, 2_000} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
@@ -96,7 +99,8 @@
 	return s
 }
 
-// BenchmarkRestart is what the restart of a part of the members costs those that stay: bytes sent by one of them, by each restart.
+// BenchmarkRestart is what the restart of a part of the members costs those that stay: bytes sent by one of
+// them, by each restart.
 func BenchmarkRestart(b *testing.B) {
 	for _, n := range []int{100, 300, 1_000} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
@@ -128,8 +132,9 @@
 	}
 }
 
-// BenchmarkParted is what it costs a member that a region of a quarter of them is cut off for five minutes, and is back: bytes sent while
-// they are parted and in the minute after, over what goes on at rest, by each that was lost and found again.
+// BenchmarkParted is what it costs a member that a region of a quarter of them is cut off for five minutes,
+// and is back: bytes sent while they are parted and in the minute after, over what goes on at rest, by each
+// that was lost and found again.
 func BenchmarkParted(b *testing.B) {
 	for _, n := range []int{40, 100, 200} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
@@ -242,8 +247,9 @@
 	}
 }
 
-// BenchmarkOther is what the messages between schedulers that are not of membership take on the wire: what staff decided, which goes to one
-// member a second and at each change to all of them, and words of workers that drain.
+// BenchmarkOther is what the messages between schedulers that are not of membership take on the wire: what
+// staff decided, which goes to one member a second and at each change to all of them, and words of workers
+// that drain.
 func BenchmarkOther(b *testing.B) {
 	from := recordToWire(membership.MemberRecord{Name: "scheduler-0001", Addr: realAddr, Number: 1, Incarnation: membership.Incarnation{Generation: 3, Nonce: 1 << 60}, State: membership.Alive,
 		ReportedBy: "scheduler-0001"})
--- a/internal/cluster/mesh/config.go
+++ b/internal/cluster/mesh/config.go
@@ -1,5 +1,3 @@
-// Package mesh carries what schedulers say to one another: datagrams and streams between members. It owns the sockets, the
-// encoding and the clock, and is the one place that reads what another scheduler sent; internal/cluster/membership decides.
 package mesh
 
 import (
@@ -12,101 +10,151 @@
 	"woaddyke/internal/config/features"
 )
 
-// Config is the part of the operator's file that is called members.
+// Values of Config.WhenReplaced.
+const (
+	standByWhenReplaced = "stand-by"
+	endWhenReplaced     = "end"
+)
+
+// Config is the table members of the features file.
 type Config struct {
-	Cluster           string            `toml:"cluster"`       // members of another are not heard
+	Cluster           string            `toml:"cluster"`       // messages of another cluster are dropped
 	Listen            string            `toml:"listen"`        // for datagrams and streams
-	Advertise         string            `toml:"advertise"`     // what the others are told; empty: listen
-	Seeds             []string          `toml:"seeds"`         // whom to ask first
-	Networks          []string          `toml:"networks"`      // addresses outside of them are neither heard nor told anything
+	Advertise         string            `toml:"advertise"`     // where others reach this member; empty: Listen
+	Seeds             []string          `toml:"seeds"`         // members that are tried first
+	Networks          []string          `toml:"networks"`      // nothing is received from or sent to others
 	ProbeInterval     features.Duration `toml:"probe"`         // between two pings
 	ProbeTimeout      features.Duration `toml:"window"`        // for an answer, direct or through others
-	MinSuspicion      features.Duration `toml:"doubt"`         // least span between a doubt and "gone"
-	MaxSuspicion      features.Duration `toml:"longest_doubt"` // longest, with a single accuser
-	PushPullInterval  features.Duration `toml:"exchange"`      // between full exchanges
-	JoinInterval      features.Duration `toml:"seek"`          // between tries to reach seeds and those that are gone
-	DeadRetention     features.Duration `toml:"memory"`        // of those that are gone or have left
-	MaxMembers        int               `toml:"most"`          // names in the view
-	WhenReplaced      string            `toml:"superseded"`    // what a process does whose name another has: "stand-by" or "end"
-	ShareDrains       bool              `toml:"workers"`       // a worker that drains by what another was told takes nothing new from here
-	CarryPeerMessages bool              `toml:"words"`         // peers are reached by the view and not by the configuration
+	MinSuspicion      features.Duration `toml:"doubt"`         // from suspicion to death, with all confirmations
+	MaxSuspicion      features.Duration `toml:"longest_doubt"` // the same, with none
+	PushPullInterval  features.Duration `toml:"exchange"`      // mean, between push-pulls
+	JoinInterval      features.Duration `toml:"seek"`          // mean, between attempts to reach dead members
+	DeadRetention     features.Duration `toml:"memory"`        // of members that are dead or have left
+	MaxMembers        int               `toml:"most"`          // in the view
+	WhenReplaced      string            `toml:"superseded"`    // what a process does whose name another has
+	ShareDrains       bool              `toml:"workers"`       // drains that other members report are followed
+	CarryPeerMessages bool              `toml:"words"`         // peers are reached as members, not by settings
 
 	networks []netip.Prefix
 }
 
-// Defaults is a table as it is where the file leaves keys out.
+// Defaults returns the table as it is where the file leaves keys out.
 func Defaults() *Config {
 	d := membership.Defaults()
-	span := func(t membership.Time) features.Duration {
-		return features.Duration(time.Duration(t) * membership.Tenth)
+	return &Config{
+		Networks:         []string{"127.0.0.0/8"},
+		ProbeInterval:    duration(d.ProbeInterval),
+		ProbeTimeout:     duration(d.ProbeTimeout),
+		MinSuspicion:     duration(d.MinSuspicion),
+		MaxSuspicion:     duration(d.MaxSuspicion),
+		PushPullInterval: duration(d.PushPullInterval),
+		JoinInterval:     duration(d.JoinInterval),
+		DeadRetention:    duration(d.DeadRetention),
+		MaxMembers:       d.MaxMembers,
+		WhenReplaced:     standByWhenReplaced,
 	}
-	return &Config{Networks: []string{"127.0.0.0/8"}, ProbeInterval: span(d.ProbeInterval), ProbeTimeout: span(d.ProbeTimeout), MinSuspicion: span(d.MinSuspicion),
-		MaxSuspicion: span(d.MaxSuspicion), PushPullInterval: span(d.PushPullInterval), JoinInterval: span(d.JoinInterval), DeadRetention: span(d.DeadRetention), MaxMembers: d.MaxMembers,
-		WhenReplaced: "stand-by"}
 }
 
-// Validate tells what is wrong, and works out what the rest needs.
-func (t *Config) Validate() error {
-	fault := func(key string, err error) error { return &features.ConfigError{Table: "members", Key: key, Err: err} }
-	t.networks = nil
-	for _, n := range t.Networks {
-		p, err := netip.ParsePrefix(n)
-		if err != nil {
-			return fault("networks", err)
-		}
-		t.networks = append(t.networks, p)
+func duration(t membership.Time) features.Duration {
+	return features.Duration(time.Duration(t) * membership.Tenth)
+}
+
+func timeOf(d features.Duration) membership.Time { return membership.TimeOf(time.Duration(d)) }
+
+// Validate returns a features.ConfigError for the first key that is invalid. It must be called before the
+// table is used.
+func (c *Config) Validate() error {
+	if err := c.parseNetworks(); err != nil {
+		return err
+	}
+	if err := c.validateAddresses(); err != nil {
+		return err
+	}
+	if c.WhenReplaced != standByWhenReplaced && c.WhenReplaced != endWhenReplaced {
+		return invalid("superseded", fmt.Errorf("%q is neither \"stand-by\" nor \"end\"", c.WhenReplaced))
 	}
-	address := func(key, addr string) error {
-		a, err := netip.ParseAddrPort(addr)
-		switch {
-		case err != nil:
-			return fault(key, err)
-		case !t.allowed(a.Addr()):
-			return fault(key, fmt.Errorf("%s lies outside the networks", addr))
-		case a.Port() == 0 && key != "listen":
-			return fault(key, fmt.Errorf("%s has no port", addr))
+	node := c.membershipConfig("a name", "an address", -1)
+	if err := node.Validate(); err != nil {
+		return features.ErrorFromCheck("members", err)
+	}
+	return nil
+}
+
+func invalid(key string, err error) error {
+	return &features.ConfigError{Table: "members", Key: key, Err: err}
+}
+
+func (c *Config) parseNetworks() error {
+	c.networks = nil
+	for _, text := range c.Networks {
+		network, err := netip.ParsePrefix(text)
+		if err != nil {
+			return invalid("networks", err)
 		}
-		return nil
+		c.networks = append(c.networks, network)
 	}
-	if t.Listen == "" {
-		return fault("listen", errors.New("an address is wanted"))
+	return nil
+}
+
+func (c *Config) validateAddresses() error {
+	if c.Listen == "" {
+		return invalid("listen", errors.New("an address is wanted"))
 	}
-	if err := address("listen", t.Listen); err != nil {
+	if err := c.validateAddress("listen", c.Listen); err != nil {
 		return err
 	}
-	if t.Advertise != "" {
-		if err := address("advertise", t.Advertise); err != nil {
+	if c.Advertise != "" {
+		if err := c.validateAddress("advertise", c.Advertise); err != nil {
 			return err
 		}
 	}
-	for _, s := range t.Seeds {
-		if err := address("seeds", s); err != nil {
+	for _, seed := range c.Seeds {
+		if err := c.validateAddress("seeds", seed); err != nil {
 			return err
 		}
 	}
-	if t.WhenReplaced != "stand-by" && t.WhenReplaced != "end" {
-		return fault("superseded", fmt.Errorf("%q is neither \"stand-by\" nor \"end\"", t.WhenReplaced))
-	}
-	terms := t.membershipConfig("a name", "an address", -1)
-	if err := terms.Validate(); err != nil {
-		return features.ErrorFromCheck("members", err)
+	return nil
+}
+
+func (c *Config) validateAddress(key, text string) error {
+	addr, err := netip.ParseAddrPort(text)
+	switch {
+	case err != nil:
+		return invalid(key, err)
+	case !c.allowed(addr.Addr()):
+		return invalid(key, fmt.Errorf("%s lies outside the networks", text))
+	case addr.Port() == 0 && key != "listen":
+		return invalid(key, fmt.Errorf("%s has no port", text))
 	}
 	return nil
 }
 
-// allowed tells whether an address may be heard and told things.
-func (t *Config) allowed(a netip.Addr) bool {
-	for _, n := range t.networks {
-		if n.Contains(a.Unmap()) {
+// allowed tells whether messages from an address are read, and sent to it.
+func (c *Config) allowed(addr netip.Addr) bool {
+	for _, network := range c.networks {
+		if network.Contains(addr.Unmap()) {
 			return true
 		}
 	}
 	return false
 }
 
-func (t *Config) membershipConfig(name, addr string, number int) membership.Config {
-	span := func(s features.Duration) membership.Time { return membership.TimeOf(time.Duration(s)) }
-	return membership.Config{Cluster: t.Cluster, Name: name, Addr: addr, Number: number, Seeds: t.Seeds, ProbeInterval: span(t.ProbeInterval),
-		ProbeTimeout: span(t.ProbeTimeout), MinSuspicion: span(t.MinSuspicion), MaxSuspicion: span(t.MaxSuspicion), PushPullInterval: span(t.PushPullInterval), JoinInterval: span(t.JoinInterval),
-		DeadRetention: span(t.DeadRetention), MaxMembers: t.MaxMembers, StandByWhenReplaced: t.WhenReplaced == "stand-by"}
+// membershipConfig returns the configuration of a node. It lacks nonce and seed.
+func (c *Config) membershipConfig(name, addr string, number int) membership.Config {
+	return membership.Config{
+		Cluster:             c.Cluster,
+		Name:                name,
+		Addr:                addr,
+		Number:              number,
+		Seeds:               c.Seeds,
+		ProbeInterval:       timeOf(c.ProbeInterval),
+		ProbeTimeout:        timeOf(c.ProbeTimeout),
+		MinSuspicion:        timeOf(c.MinSuspicion),
+		MaxSuspicion:        timeOf(c.MaxSuspicion),
+		PushPullInterval:    timeOf(c.PushPullInterval),
+		JoinInterval:        timeOf(c.JoinInterval),
+		DeadRetention:       timeOf(c.DeadRetention),
+		MaxMembers:          c.MaxMembers,
+		StandByWhenReplaced: c.WhenReplaced == standByWhenReplaced,
+	}
 }
--- a/internal/cluster/mesh/golden_messages_test.go
+++ b/internal/cluster/mesh/golden_messages_test.go
@@ -18,7 +18,8 @@
 
 const goldenFolder = "testdata/golden"
 
-// filler sets every exported field that it reaches to a non-zero value, and no two numbers or texts to the same one.
+// filler sets every exported field that it reaches to a non-zero value, and no two numbers or texts to the
+// same one.
 type filler struct{ last int }
 
 func (f *filler) fill(t *testing.T, v reflect.Value) {
@@ -127,7 +128,8 @@
 	}
 }
 
-// The frame and the message of each kind that is sent on a stream keep their bytes and decode to the same value.
+// The frame and the message of each kind that is sent on a stream keep their bytes and decode to the same
+// value.
 func TestGoldenStreamMessages(t *testing.T) {
 	for name, kind := range map[string]membership.Kind{"digests": membership.Digests, "differs": membership.DigestDiff, "rest": membership.DigestDiffReply} {
 		t.Run(name, func(t *testing.T) {
@@ -170,7 +172,8 @@
 	}
 }
 
-// requireGoldenOther compares a message of another service, sent by a sender with every field set, with its file in both directions.
+// requireGoldenOther compares a message of another service, sent by a sender with every field set, with its
+// file in both directions.
 func requireGoldenOther(t *testing.T, name string, message serviceMessage) {
 	t.Helper()
 	path := filepath.Join(goldenFolder, "other_"+name+".bin")
@@ -187,7 +190,8 @@
 	}
 }
 
-// The message of each kind that schedulers and keepers exchange about records keeps its bytes and decodes to the same value.
+// The message of each kind that schedulers and keepers exchange about records keeps its bytes and decodes
+// to the same value.
 func TestGoldenCopiesMessages(t *testing.T) {
 	for name, kind := range map[string]replication.Kind{"grab": replication.ClaimRequested, "granted": replication.ClaimGranted, "refused": replication.ClaimRefused,
 		"tell": replication.OutcomeReported, "known": replication.OutcomeKnown, "register": replication.Register, "registered": replication.Registered,
@@ -200,7 +204,8 @@
 	}
 }
 
-// The numbers of the reasons for which a keeper refuses and of the stages of a claim keep their bytes in a message.
+// The numbers of the reasons for which a keeper refuses and of the stages of a claim keep their bytes in a
+// message.
 func TestGoldenReasonsAndStages(t *testing.T) {
 	reasons := map[string]replication.RefusalReason{"taken": replication.AlreadyClaimed, "learning": replication.NoVote, "epoch": replication.WrongSet, "full": replication.CapacityReached,
 		"stale": replication.ClaimReleased}
@@ -219,7 +224,8 @@
 	}
 }
 
-// The message of each kind that members exchange about the set of keepers keeps its bytes and decodes to the same value.
+// The message of each kind that members exchange about the set of keepers keeps its bytes and decodes to
+// the same value.
 func TestGoldenKeepersMessages(t *testing.T) {
 	for name, kind := range map[string]replicaset.Kind{"seat_asked": replicaset.VoterQuery, "seat_said": replicaset.VoterReply,
 		"founded": replicaset.GroupFounded, "joined": replicaset.VoterAccepted, "round": replicaset.RaftMessage, "reseat": replicaset.ReplaceVoter,
@@ -232,7 +238,8 @@
 	}
 }
 
-// The message that tells which workers drain or have left keeps its bytes, with the names of its fields, and decodes to the same value.
+// The message that tells which workers drain or have left keeps its bytes, with the names of its fields,
+// and decodes to the same value.
 func TestGoldenWorkers(t *testing.T) {
 	requireGoldenOther(t, "workers", serviceMessage{Drains: filledValue[[]drainstate.DrainRecord](t)})
 }
@@ -263,7 +270,8 @@
 	}
 }
 
-// Each boolean field of a message keeps its key when it alone is set, which tells it from the other booleans.
+// Each boolean field of a message keeps its key when it alone is set, which tells it from the other
+// booleans.
 func TestGoldenFlags(t *testing.T) {
 	fate := func(fate replication.Outcome) *replication.Message {
 		return &replication.Message{Kind: replication.OutcomeReported, Record: replication.Record{Key: "key", Outcomes: []replication.Outcome{fate}}}
--- /dev/null
+++ b/internal/cluster/mesh/loop.go
@@ -0,0 +1,164 @@
+package mesh
+
+import (
+	"time"
+
+	"woaddyke/internal/cluster/membership"
+)
+
+// loop is the goroutine that owns the node: its queue and its end.
+type loop struct {
+	inputs chan membership.Input
+	calls  chan func() // run between two inputs
+	quit   chan struct{}
+	done   chan struct{} // closed when it has ended
+}
+
+func newLoop() loop {
+	return loop{
+		inputs: make(chan membership.Input, maxQueuedInputs),
+		calls:  make(chan func()),
+		quit:   make(chan struct{}),
+		done:   make(chan struct{}),
+	}
+}
+
+// servingState is what the host was last notified of. The loop owns it.
+type servingState struct {
+	incarnation membership.Incarnation
+	catchingUp  bool
+}
+
+// run feeds the node and carries out its effects until the mesh is closed.
+func (m *Mesh) run() {
+	defer close(m.loop.done)
+	tick := time.NewTimer(0)
+	defer tick.Stop()
+	snapshot := time.NewTicker(snapshotInterval)
+	defer snapshot.Stop()
+	for {
+		select {
+		case <-m.loop.quit:
+			return
+		case call := <-m.loop.calls:
+			call()
+			continue
+		case <-snapshot.C:
+			m.updateSnapshot()
+			continue
+		case input := <-m.loop.inputs:
+			m.handleInput(input)
+		case <-tick.C:
+			m.handleInput(membership.Tick{})
+		}
+		if !m.handedOver.Load() {
+			wait := time.Duration(m.node.NextTick()-Now()) * membership.Tenth
+			tick.Reset(max(wait, 0))
+		}
+	}
+}
+
+// enqueue passes an input to the loop, or drops it if the queue is full.
+func (m *Mesh) enqueue(input membership.Input) {
+	select {
+	case m.loop.inputs <- input:
+	default:
+		m.dropped.add(errQueueFull)
+	}
+}
+
+// call runs a function in the loop and waits for it. It does nothing once the loop has ended.
+func (m *Mesh) call(f func()) {
+	returned := make(chan struct{})
+	select {
+	case m.loop.calls <- func() { f(); close(returned) }:
+		<-returned
+	case <-m.loop.done:
+	}
+}
+
+func (m *Mesh) handleInput(input membership.Input) {
+	if m.handedOver.Load() {
+		return
+	}
+	viewChanged, joined := false, false
+	for _, effect := range m.node.Step(Now(), input) {
+		switch effect.(type) {
+		case membership.Joined:
+			viewChanged, joined = true, true
+		case membership.MemberChanged, membership.Stopped:
+			viewChanged = true
+		}
+		m.apply(effect)
+	}
+	if viewChanged || m.node.Self() != m.known.Load().self {
+		m.updateSnapshot()
+	}
+	m.reportServing(joined)
+}
+
+// apply carries out an effect of the node.
+func (m *Mesh) apply(effect membership.Effect) {
+	switch e := effect.(type) {
+	case membership.Send:
+		m.sendDatagram(e.To, e.Message)
+	case membership.OpenStream:
+		m.openStream(e.To, e.Message)
+	case membership.StreamReply:
+		m.streams.reply(e)
+	case membership.MemberChanged:
+		m.memberChanged(e)
+	case membership.UserMessageReceived:
+		if m.host.UserMessage != nil {
+			m.host.UserMessage(e.Number, e.Text)
+		}
+	case membership.Event:
+		m.log.Info().Str("what", e.Description).Str("who", e.Member).Msg("membership")
+	case membership.Joined:
+		self := m.node.Status()
+		m.log.Info().Uint64("incarnation", self.Generation).Int("live", self.Live).Msg("is a member")
+	case membership.Stopped:
+		m.stopped(e)
+	}
+}
+
+func (m *Mesh) memberChanged(e membership.MemberChanged) {
+	m.log.Info().
+		Str("member", e.Name).
+		Stringer("state", e.State).
+		Stringer("before", e.Before).
+		Uint64("incarnation", e.Generation).
+		Uint64("turn", e.Refutations).
+		Str("by", e.ReportedBy).
+		Bool("private", e.Private).
+		Msg("member changed")
+	if m.host.MemberChanged != nil {
+		m.host.MemberChanged(e)
+	}
+}
+
+func (m *Mesh) stopped(e membership.Stopped) {
+	if m.host.Serving != nil {
+		m.host.Serving(false, membership.Incarnation{})
+	}
+	m.log.Info().Bool("superseded", e.Replaced).Msg("is a member no more")
+	if m.host.Stopped != nil {
+		m.host.Stopped(e.Replaced)
+	}
+}
+
+// reportServing notifies the host when this process has become a member, when it begins or ends to catch
+// up, and when its incarnation has grown: it may have chosen one without knowledge of another process of
+// its name.
+func (m *Mesh) reportServing(joined bool) {
+	if m.host.Serving == nil {
+		return
+	}
+	self := m.node.Self()
+	now := servingState{incarnation: self.Incarnation, catchingUp: m.node.CatchingUp()}
+	newIncarnation := now.incarnation != m.reported.incarnation && self.State == membership.Alive
+	if joined || newIncarnation || now.catchingUp != m.reported.catchingUp {
+		m.reported = now
+		m.host.Serving(!now.catchingUp, now.incarnation)
+	}
+}
--- a/internal/cluster/mesh/mesh_test.go
+++ b/internal/cluster/mesh/mesh_test.go
@@ -80,16 +80,17 @@
 	}
 }
 
-// The clock counts while the process stands still and can't be set back; a process that has ended leaves nothing running.
+// The clock counts while the process stands still and can't be set back; a process that has ended leaves
+// nothing running.
 func TestStartHandoverAndClose(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	before := clock{}.now()
+	before := Now()
 	a, err := Start(table(t), Identity{"a", 0, 1}, Host{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	other := table(t)
-	other.Seeds = []string{a.udp.LocalAddr().String()}
+	other.Seeds = []string{a.sockets.udp.LocalAddr().String()}
 	b, err := Start(other, Identity{"b", 1, 1}, Host{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -128,13 +129,13 @@
 	b.Resume()
 	b.Close()
 	a.Close()
-	if after := (clock{}).now(); after <= before {
+	if after := Now(); after <= before {
 		t.Errorf("the clock went from %d to %d", before, after)
 	}
 }
 
-// A process that took its incarnation without knowing of an earlier one goes beyond it later. Its host must be told: as a keeper it
-// registered under the lower one for good, and nobody took that.
+// A process that took its incarnation without knowing of an earlier one goes beyond it later. Its host must
+// be told: as a keeper it registered under the lower one for good, and nobody took that.
 func TestHostIsNotifiedOfLaterIncarnation(t *testing.T) {
 	lives := make(chan uint64, 9)
 	a, err := Start(table(t), Identity{"a", 0, 1}, Host{Serving: func(_ bool, l membership.Incarnation) { lives <- l.Generation }}, zerolog.Nop())
@@ -168,12 +169,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.WriteToUDP(text, a.udp.LocalAddr().(*net.UDPAddr))
+	b.WriteToUDP(text, a.sockets.udp.LocalAddr().(*net.UDPAddr))
 	await(6)
 }
 
-// Words of workers whose names are as long as one may be fit a message, in as many as are told at a time; a name that is longer costs the
-// others nothing.
+// Words of workers whose names are as long as one may be fit a message, in as many as are told at a time; a
+// name that is longer costs the others nothing.
 func TestLongestDrainRecordsFitADatagram(t *testing.T) {
 	long := func(letter string, n int) string { return strings.Repeat(letter, n) }
 	from := membership.MemberRecord{Name: long("n", 255), Addr: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535", Number: 1 << 20, Incarnation: membership.Incarnation{Generation: 1 << 60, Nonce: 1 << 63},
--- /dev/null
+++ b/internal/cluster/mesh/sockets.go
@@ -0,0 +1,100 @@
+package mesh
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"net/netip"
+	"os"
+	"syscall"
+	"time"
+
+	"woaddyke/internal/base/oserror"
+)
+
+const portTries = 20 // to find a port that is free for datagrams and streams
+
+// sockets are the two sockets of a member, on the same address.
+type sockets struct {
+	udp *net.UDPConn
+	tcp *net.TCPListener
+}
+
+// listen opens both sockets. With port 0 it tries several ports, as one that is free for datagrams may be
+// taken for streams.
+func listen(text string) (s sockets, err error) {
+	addr, err := netip.ParseAddrPort(text)
+	if err != nil {
+		return s, err
+	}
+	for range portTries {
+		s.udp, err = oserror.RetryTransient(func() (*net.UDPConn, error) {
+			return net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
+		})
+		if err != nil {
+			return s, err
+		}
+		sameAddr := net.TCPAddrFromAddrPort(s.udp.LocalAddr().(*net.UDPAddr).AddrPort())
+		s.tcp, err = oserror.RetryTransient(func() (*net.TCPListener, error) {
+			return net.ListenTCP("tcp", sameAddr)
+		})
+		if err == nil {
+			return s, nil
+		}
+		s.udp.Close()
+		if addr.Port() != 0 {
+			break
+		}
+	}
+	return s, err
+}
+
+// socketsFrom takes over the sockets of a predecessor: that of datagrams, then that of streams.
+func socketsFrom(files []*os.File) (s sockets, err error) {
+	conn, err := oserror.RetryTransient(func() (net.PacketConn, error) { return net.FilePacketConn(files[0]) })
+	if err != nil {
+		return s, err
+	}
+	listener, err := oserror.RetryTransient(func() (net.Listener, error) { return net.FileListener(files[1]) })
+	if err != nil {
+		conn.Close()
+		return s, err
+	}
+	udp, isUDP := conn.(*net.UDPConn)
+	tcp, isTCP := listener.(*net.TCPListener)
+	if !isUDP || !isTCP {
+		return s, errors.New("what was handed over are no sockets of a member")
+	}
+	return sockets{udp, tcp}, nil
+}
+
+func (s sockets) addr() *net.UDPAddr { return s.udp.LocalAddr().(*net.UDPAddr) }
+
+// allowReads ends an interruption of the readers.
+func (s sockets) allowReads() {
+	s.udp.SetReadDeadline(time.Time{})
+	s.tcp.SetDeadline(time.Time{})
+}
+
+// interruptReads has all reads fail with os.ErrDeadlineExceeded.
+func (s sockets) interruptReads() {
+	past := time.Unix(1, 0)
+	s.udp.SetReadDeadline(past)
+	s.tcp.SetDeadline(past)
+}
+
+// conns returns the sockets in the order in which socketsFrom takes them.
+func (s sockets) conns() []syscall.Conn { return []syscall.Conn{s.udp, s.tcp} }
+
+func (s sockets) close() {
+	s.udp.Close()
+	s.tcp.Close()
+}
+
+// readsEnded tells whether an error of a read means that the sockets were interrupted or closed.
+func readsEnded(err error) bool {
+	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed)
+}
+
+// startError is an error that keeps a process from being a member.
+func startError(err error) error { return fmt.Errorf("members: %w", err) }
--- a/internal/cluster/mesh/wire.go
+++ b/internal/cluster/mesh/wire.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/binary"
-	"errors"
 	"fmt"
 	"io"
 	"net/netip"
@@ -17,25 +16,27 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// A message is two letters, the version, a hash of the rest and the rest, in CBOR (RFC 8949). On a stream its length goes before it.
+// This file is the only one that knows the forms in which schedulers write messages. A message is a header
+// and a body in CBOR (RFC 8949). The header is the letter 'w', a letter for the kind of the body, the
+// version of the protocol and the xxHash64 of the body. On a stream the length of the message, in 4 bytes,
+// goes before it. All numbers of the header are big-endian.
 const (
+	firstByte        = 'w'
+	membershipMark   = 'm'
+	serviceMark      = 'o'
 	version          = 1
 	headerSize       = 2 + 1 + 8
-	maxDatagramBytes = 1900 // of members; another may hold an answer, and is parted by the network where it is longer
-	maxServiceBytes  = 8 << 10
-	maxRecordBytes   = 640 // of a claim at its longest, in a message on a stream
-	baseFrameBytes   = 64 << 10
-	maxArrayElements = 1 << 16
-)
-
-// What is wrong with a message. Each is counted.
-var (
-	errTooLong = errors.New("too long")
-	errVersion = errors.New("wrong version")
-	errGarbled = errors.New("garbled")
-	errOutside = errors.New("outside the networks")
+	maxDatagramBytes = 1900     // of a membership message
+	maxServiceBytes  = 8 << 10  // of a service message, which IP may fragment
+	maxRecordBytes   = 640      // of a member record in a message on a stream
+	baseFrameBytes   = 64 << 10 // of a message on a stream without its records
+	maxArrayElements = 1 << 16  // in a body
+	maxMapPairs      = 20       // in a body
+	maxNesting       = 10       // of a body
 )
 
+// wireRecord is a member record, an array in the order of the fields. The protocol calls it a claim,
+// Refutations turn and ReportedBy by.
 type wireRecord struct {
 	_           struct{} `cbor:",toarray"`
 	Name, Addr  string
@@ -48,6 +49,7 @@
 	Age         uint64
 }
 
+// wireMessage is a membership message.
 type wireMessage struct {
 	Kind             uint8        `cbor:"1,keyasint"`
 	Cluster          string       `cbor:"2,keyasint"`
@@ -63,165 +65,242 @@
 	Text             string       `cbor:"12,keyasint,omitempty"`
 }
 
+// wireHandover is what a process hands to its successor.
+type wireHandover struct {
+	Self    wireRecord   `cbor:"1,keyasint"`
+	Seq     uint64       `cbor:"2,keyasint"`
+	Records []wireRecord `cbor:"3,keyasint"`
+}
+
+// serviceMessage is a message of one of the services that use the mesh, with its sender. The services' own
+// types have keys of their own.
+type serviceMessage struct {
+	Cluster string     `cbor:"1,keyasint"`
+	From    wireRecord `cbor:"2,keyasint"`
+
+	// One of these is set.
+	Replication   *replication.Message     `cbor:"3,keyasint,omitempty"`
+	Drains        []drainstate.DrainRecord `cbor:"4,keyasint,omitempty"`
+	ReplicaSet    *replicaset.Message      `cbor:"5,keyasint,omitempty"`
+	OperatorState *operatorstate.State     `cbor:"6,keyasint,omitempty"`
+}
+
+// strict rejects what no scheduler writes, and bounds what a message can make the decoder allocate.
 var strict = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 10, MaxArrayElements: maxArrayElements,
-		MaxMapPairs: 20, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
-		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode()
+	mode, err := cbor.DecOptions{
+		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
+		MaxNestedLevels:   maxNesting,
+		MaxArrayElements:  maxArrayElements,
+		MaxMapPairs:       maxMapPairs,
+		IndefLength:       cbor.IndefLengthForbidden,
+		TagsMd:            cbor.TagsForbidden,
+		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
+	}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
 	}
 	return mode
 }()
 
-func recordToWire(c membership.MemberRecord) wireRecord {
-	return wireRecord{Name: c.Name, Addr: c.Addr, Number: c.Number, Incarnation: c.Generation, Nonce: c.Nonce, Refutations: c.Refutations,
-		State: uint8(c.State), ReportedBy: c.ReportedBy, Age: c.Age}
+func recordToWire(r membership.MemberRecord) wireRecord {
+	return wireRecord{
+		Name:        r.Name,
+		Addr:        r.Addr,
+		Number:      r.Number,
+		Incarnation: r.Generation,
+		Nonce:       r.Nonce,
+		Refutations: r.Refutations,
+		State:       uint8(r.State),
+		ReportedBy:  r.ReportedBy,
+		Age:         r.Age,
+	}
+}
+
+func recordFromWire(w wireRecord) membership.MemberRecord {
+	return membership.MemberRecord{
+		Name:        w.Name,
+		Addr:        w.Addr,
+		Number:      w.Number,
+		Incarnation: w.incarnation(),
+		Refutations: w.Refutations,
+		State:       membership.State(w.State),
+		ReportedBy:  w.ReportedBy,
+		Age:         w.Age,
+	}
+}
+
+func (w wireRecord) incarnation() membership.Incarnation {
+	return membership.Incarnation{Generation: w.Incarnation, Nonce: w.Nonce}
+}
+
+// recordsToWire returns nil for no records, so that their key is left out.
+func recordsToWire(records []membership.MemberRecord) (wire []wireRecord) {
+	for _, record := range records {
+		wire = append(wire, recordToWire(record))
+	}
+	return wire
+}
+
+func recordsFromWire(wire []wireRecord) (records []membership.MemberRecord) {
+	for _, w := range wire {
+		records = append(records, recordFromWire(w))
+	}
+	return records
 }
 
-func recordFromWire(c wireRecord) membership.MemberRecord {
-	return membership.MemberRecord{Name: c.Name, Addr: c.Addr, Number: c.Number, Incarnation: membership.Incarnation{Generation: c.Incarnation, Nonce: c.Nonce},
-		Refutations: c.Refutations, State: membership.State(c.State), ReportedBy: c.ReportedBy, Age: c.Age}
+func messageToWire(m membership.Message) wireMessage {
+	return wireMessage{
+		Kind:             uint8(m.Kind),
+		Cluster:          m.Cluster,
+		From:             recordToWire(m.From),
+		Seq:              m.Seq,
+		Nonce:            m.Nonce,
+		Target:           m.Target,
+		Addr:             m.Addr,
+		Records:          recordsToWire(m.Records),
+		Digests:          m.Digests,
+		Buckets:          m.Buckets,
+		SenderCatchingUp: m.SenderCatchingUp,
+		Text:             m.Text,
+	}
 }
 
-// encode is a message as it is sent.
-func encode(x membership.Message) ([]byte, error) {
-	w := wireMessage{Kind: uint8(x.Kind), Cluster: x.Cluster, From: recordToWire(x.From), Seq: x.Seq, Nonce: x.Nonce, Target: x.Target,
-		Addr: x.Addr, Digests: x.Digests, Buckets: x.Buckets, SenderCatchingUp: x.SenderCatchingUp, Text: x.Text}
-	for _, c := range x.Records {
-		w.Records = append(w.Records, recordToWire(c))
+func messageFromWire(w wireMessage) membership.Message {
+	return membership.Message{
+		Kind:             membership.Kind(w.Kind),
+		Cluster:          w.Cluster,
+		From:             recordFromWire(w.From),
+		Seq:              w.Seq,
+		Nonce:            w.Nonce,
+		Target:           w.Target,
+		Addr:             w.Addr,
+		Records:          recordsFromWire(w.Records),
+		Digests:          w.Digests,
+		Buckets:          w.Buckets,
+		SenderCatchingUp: w.SenderCatchingUp,
+		Text:             w.Text,
 	}
-	body, err := cbor.Marshal(w)
+}
+
+// encode returns a membership message as it is sent.
+func encode(message membership.Message) ([]byte, error) {
+	body, err := cbor.Marshal(messageToWire(message))
 	if err != nil {
 		return nil, fmt.Errorf("mesh: %w", err)
 	}
-	return withHeader('m', body), nil
+	return withHeader(membershipMark, body), nil
 }
 
-// decode reads a message. Addresses in it that nobody may be told anything at make it unfit as a whole: a member led to one would
-// send there.
-func decode(text []byte, inside func(netip.Addr) bool) (membership.Message, error) {
-	var x membership.Message
-	body, err := checkedBody('m', text)
+// decode reads a membership message. One with any address that is not allowed is rejected as a whole: a
+// member that merged its records would send there. The error is a dropCause.
+func decode(text []byte, allowed func(netip.Addr) bool) (membership.Message, error) {
+	body, err := checkedBody(membershipMark, text)
 	if err != nil {
-		return x, err
+		return membership.Message{}, err
 	}
 	var w wireMessage
-	if err := strict.Unmarshal(body, &w); err != nil {
-		return x, errGarbled
-	}
-	addr := func(a string) bool {
-		p, err := netip.ParseAddrPort(a)
-		return err == nil && inside(p.Addr()) && p.Port() != 0
+	if strict.Unmarshal(body, &w) != nil {
+		return membership.Message{}, errGarbled
 	}
-	if !addr(w.From.Addr) {
-		return x, errOutside
+	if !usableAddr(w.From.Addr, allowed) {
+		return membership.Message{}, errOutside
 	}
-	x = membership.Message{Kind: membership.Kind(w.Kind), Cluster: w.Cluster, From: recordFromWire(w.From), Seq: w.Seq, Nonce: w.Nonce,
-		Target: w.Target, Addr: w.Addr, Digests: w.Digests, Buckets: w.Buckets, SenderCatchingUp: w.SenderCatchingUp, Text: w.Text}
-	for _, c := range w.Records {
-		if !addr(c.Addr) {
-			return x, errOutside
+	for _, record := range w.Records {
+		if !usableAddr(record.Addr, allowed) {
+			return membership.Message{}, errOutside
 		}
-		x.Records = append(x.Records, recordFromWire(c))
 	}
-	return x, nil
+	return messageFromWire(w), nil
 }
 
-// wireHandover is what one process hands the next.
-type wireHandover struct {
-	Self    wireRecord   `cbor:"1,keyasint"`
-	Seq     uint64       `cbor:"2,keyasint"`
-	Records []wireRecord `cbor:"3,keyasint"`
+func usableAddr(text string, allowed func(netip.Addr) bool) bool {
+	addr, err := netip.ParseAddrPort(text)
+	return err == nil && allowed(addr.Addr()) && addr.Port() != 0
 }
 
-func encodeHandover(l membership.HandoverState) ([]byte, error) {
-	w := wireHandover{Self: recordToWire(l.Self), Seq: l.Seq}
-	for _, c := range l.Records {
-		w.Records = append(w.Records, recordToWire(c))
-	}
-	return cbor.Marshal(w)
+func encodeHandover(state membership.HandoverState) ([]byte, error) {
+	return cbor.Marshal(wireHandover{
+		Self:    recordToWire(state.Self),
+		Seq:     state.Seq,
+		Records: recordsToWire(state.Records),
+	})
 }
 
-func decodeHandover(text []byte) (l membership.HandoverState, err error) {
+func decodeHandover(text []byte) (membership.HandoverState, error) {
 	var w wireHandover
-	if err = strict.Unmarshal(text, &w); err != nil {
-		return l, fmt.Errorf("members: %w", err)
+	if err := strict.Unmarshal(text, &w); err != nil {
+		return membership.HandoverState{}, fmt.Errorf("members: %w", err)
 	}
-	l = membership.HandoverState{Self: recordFromWire(w.Self), Seq: w.Seq}
-	for _, c := range w.Records {
-		l.Records = append(l.Records, recordFromWire(c))
-	}
-	return l, nil
-}
-
-// serviceMessage is a message that is not of membership, with who sends it: of copies or their keepers, or words of workers. The pure types stand in it as
-// they are, with keys of their own.
-type serviceMessage struct {
-	Cluster     string                   `cbor:"1,keyasint"`
-	From        wireRecord               `cbor:"2,keyasint"`
-	Replication *replication.Message     `cbor:"3,keyasint,omitempty"`
-	Drains      []drainstate.DrainRecord `cbor:"4,keyasint,omitempty"`
-
-	ReplicaSet    *replicaset.Message  `cbor:"5,keyasint,omitempty"`
-	OperatorState *operatorstate.State `cbor:"6,keyasint,omitempty"`
+	return membership.HandoverState{
+		Self:    recordFromWire(w.Self),
+		Seq:     w.Seq,
+		Records: recordsFromWire(w.Records),
+	}, nil
 }
 
-const serviceMark = 'o' // in place of the second letter
-
-func encodeService(w serviceMessage) ([]byte, error) {
-	body, err := cbor.Marshal(w)
+func encodeService(message serviceMessage) ([]byte, error) {
+	body, err := cbor.Marshal(message)
 	if err != nil {
 		return nil, fmt.Errorf("mesh: %w", err)
 	}
 	return withHeader(serviceMark, body), nil
 }
 
-func decodeService(text []byte) (w serviceMessage, err error) {
+// decodeService reads a service message. The error is a dropCause.
+func decodeService(text []byte) (message serviceMessage, err error) {
 	body, err := checkedBody(serviceMark, text)
-	if err == nil && strict.Unmarshal(body, &w) != nil {
-		err = errGarbled
+	if err != nil {
+		return message, err
+	}
+	if strict.Unmarshal(body, &message) != nil {
+		return message, errGarbled
 	}
-	return w, err
+	return message, nil
 }
 
-// withHeader puts the head before a body.
+// isService tells by its header whether a datagram is a service message.
+func isService(text []byte) bool { return len(text) > 1 && text[1] == serviceMark }
+
 func withHeader(mark byte, body []byte) []byte {
-	text := make([]byte, headerSize, headerSize+len(body))
-	text[0], text[1], text[2] = 'w', mark, version
-	binary.BigEndian.PutUint64(text[3:], xxhash.Sum64(body))
+	text := make([]byte, 0, headerSize+len(body))
+	text = append(text, firstByte, mark, version)
+	text = binary.BigEndian.AppendUint64(text, xxhash.Sum64(body))
 	return append(text, body...)
 }
 
-// checkedBody checks the head and takes it off.
+// checkedBody checks the header and returns what follows it. The error is a dropCause.
 func checkedBody(mark byte, text []byte) ([]byte, error) {
-	switch {
-	case len(text) < headerSize || text[0] != 'w' || text[1] != mark:
+	if len(text) < headerSize || text[0] != firstByte || text[1] != mark {
 		return nil, errGarbled
-	case text[2] != version:
+	}
+	if text[2] != version {
 		return nil, errVersion
-	case xxhash.Sum64(text[headerSize:]) != binary.BigEndian.Uint64(text[3:]):
+	}
+	body := text[headerSize:]
+	if xxhash.Sum64(body) != binary.BigEndian.Uint64(text[3:]) {
 		return nil, errGarbled
 	}
-	return text[headerSize:], nil
+	return body, nil
 }
 
-// writeFrame and readFrame are of streams.
+// writeFrame writes a message with its length to a stream.
 func writeFrame(w io.Writer, text []byte) error {
-	head := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(text)), uint32(len(text)))
-	_, err := w.Write(append(head, text...))
+	frame := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(text)), uint32(len(text)))
+	_, err := w.Write(append(frame, text...))
 	return err
 }
 
-func readFrame(r io.Reader, most int) ([]byte, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+// readFrame reads a message from a stream. The error is errTooLong for one that is longer than the limit.
+func readFrame(r io.Reader, limit int) ([]byte, error) {
+	var length [4]byte
+	if _, err := io.ReadFull(r, length[:]); err != nil {
 		return nil, err
 	}
-	n := binary.BigEndian.Uint32(head[:])
-	if int64(n) > int64(most) {
+	size := binary.BigEndian.Uint32(length[:])
+	if int64(size) > int64(limit) {
 		return nil, errTooLong
 	}
-	text := make([]byte, n)
+	text := make([]byte, size)
 	if _, err := io.ReadFull(r, text); err != nil {
 		return nil, err
 	}
--- a/internal/codepolicy/codepolicy_test.go
+++ b/internal/codepolicy/codepolicy_test.go
@@ -92,7 +92,7 @@
 	}), map[string]string{
 		"internal/workers/discovery/start_times.go UnixMilli": "boot_ms is discovery's Unix time; it is held against this machine's clock of the start, here alone",
 		"internal/frontend/clientconn/clientconn.go Unix":     "a deadline long past, to end a wait; no clock is read",
-		"internal/cluster/mesh/mesh.go Unix":                  "the same",
+		"internal/cluster/mesh/sockets.go Unix":               "the same",
 		"internal/frontend/peers.go Unix":                     "the same",
 	})
 }
@@ -105,7 +105,7 @@
 		"internal/workers/workerconn/exchange.go Write":                  "the one write of a push or a probe",
 		"internal/workers/workerconn/workerconn.go Dialer":               "the one dial of a worker",
 		"internal/workers/discovery/unread_data.go Dialer":               "discovery",
-		"internal/cluster/mesh/mesh.go Dialer":                           "other members",
+		"internal/cluster/mesh/streams.go Dialer":                        "other members",
 		"internal/testsupport/fragmentpeer/fragmentpeer.go Dial":         "peers of tests; the program does not have it",
 		"internal/lifecycle/hotrestart/transfer/transfer.go DialTimeout": "the process before, on a Unix socket",
 	})
