--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -137,8 +137,8 @@
 	}
 	for _, span := range spans {
 		if span.value < span.min || span.value > span.max {
-			return fmt.Errorf("%s: %v lies outside %v to %v", span.key, durationOf(span.value), durationOf(span.min),
-				durationOf(span.max))
+			return fmt.Errorf("%s: %v lies outside %v to %v",
+				span.key, durationOf(span.value), durationOf(span.min), durationOf(span.max))
 		}
 	}
 	return nil
--- a/internal/cluster/membership/failure_detector.go
+++ b/internal/cluster/membership/failure_detector.go
@@ -158,8 +158,12 @@
 // sendIndirectPings asks some others to ping a member.
 func (n *Node) sendIndirectPings(m *member, nonce uint64) {
 	for _, helper := range n.randomMembers(indirectProbes, m) {
-		request := Message{Kind: IndirectPing, Nonce: nonce, Target: m.record.Name, Records: n.recordToRefute(m)}
-		n.send(helper.record.Addr, request)
+		n.send(helper.record.Addr, Message{
+			Kind:    IndirectPing,
+			Nonce:   nonce,
+			Target:  m.record.Name,
+			Records: n.recordToRefute(m),
+		})
 	}
 }
 
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -35,7 +35,8 @@
 // maxTransmits is how often each record is sent: it grows with the logarithm of the cluster and with the
 // loss of messages.
 func (n *Node) maxTransmits() int {
-	return int(math.Ceil(transmitFactor * math.Log2(float64(len(n.members.live)+2)) * n.detector.lossFactor()))
+	log := math.Log2(float64(len(n.members.live) + 2))
+	return int(math.Ceil(transmitFactor * log * n.detector.lossFactor()))
 }
 
 // takeRecords returns the given records and those of the queue that fit a datagram beside them, the least
--- a/internal/cluster/membership/join.go
+++ b/internal/cluster/membership/join.go
@@ -98,7 +98,8 @@
 // concludeQuery decides how this process goes on after a reply.
 func (n *Node) concludeQuery(authoritative bool) {
 	reported := n.join.reportedSelf
-	nameTaken := reported.Generation > 0 && reported.Incarnation != n.self.Incarnation && !reported.State.Ended()
+	another := reported.Generation > 0 && reported.Incarnation != n.self.Incarnation
+	nameTaken := another && !reported.State.Ended()
 	switch {
 	case n.phase == catchingUp && nameTaken:
 		// The process that runs goes before the one that was stopped, whichever is older: the others have
--- a/internal/cluster/membership/phase.go
+++ b/internal/cluster/membership/phase.go
@@ -23,7 +23,7 @@
 //	serving     leaving     startLeaving
 //	serving     standingBy  markReplaced, if the process stands by
 //	serving     stopped     markReplaced, if it does not
-//	catchingUp  serving     resumeServing; startServing, if an earlier incarnation than the one that is known
+//	catchingUp  serving     resumeServing; startServing, if a later incarnation has ended
 //	catchingUp  standingBy  markReplaced, if the process stands by
 //	catchingUp  stopped     markReplaced, if it does not; startLeaving
 //	leaving     stopped     sendLeaveNotices: all are sent; startLeaving, if it is requested again
--- a/internal/cluster/mesh/config.go
+++ b/internal/cluster/mesh/config.go
@@ -20,20 +20,20 @@
 type Config struct {
 	Cluster           string            `toml:"cluster"`       // messages of another cluster are dropped
 	Listen            string            `toml:"listen"`        // for datagrams and streams
-	Advertise         string            `toml:"advertise"`     // where others reach this member; empty: Listen
+	Advertise         string            `toml:"advertise"`     // where others reach this one; empty: Listen
 	Seeds             []string          `toml:"seeds"`         // members that are tried first
 	Networks          []string          `toml:"networks"`      // nothing is received from or sent to others
 	ProbeInterval     features.Duration `toml:"probe"`         // between two pings
 	ProbeTimeout      features.Duration `toml:"window"`        // for an answer, direct or through others
-	MinSuspicion      features.Duration `toml:"doubt"`         // from suspicion to death, with all confirmations
-	MaxSuspicion      features.Duration `toml:"longest_doubt"` // the same, with none
+	MinSuspicion      features.Duration `toml:"doubt"`         // from suspicion to death, if it is confirmed
+	MaxSuspicion      features.Duration `toml:"longest_doubt"` // the same, if nobody confirms it
 	PushPullInterval  features.Duration `toml:"exchange"`      // mean, between push-pulls
 	JoinInterval      features.Duration `toml:"seek"`          // mean, between attempts to reach dead members
 	DeadRetention     features.Duration `toml:"memory"`        // of members that are dead or have left
 	MaxMembers        int               `toml:"most"`          // in the view
 	WhenReplaced      string            `toml:"superseded"`    // what a process does whose name another has
-	ShareDrains       bool              `toml:"workers"`       // drains that other members report are followed
-	CarryPeerMessages bool              `toml:"words"`         // peers are reached as members, not by settings
+	ShareDrains       bool              `toml:"workers"`       // drains that others report are followed
+	CarryPeerMessages bool              `toml:"words"`         // peers are reached as members
 
 	networks []netip.Prefix
 }
--- a/internal/cluster/mesh/dropped.go
+++ b/internal/cluster/mesh/dropped.go
@@ -17,7 +17,7 @@
 	errGarbled        dropCause = "garbled"
 	errOutside        dropCause = "outside the networks"
 	errWrongCluster   dropCause = "wrong cluster"
-	errNotEnabled     dropCause = "switched off here"             // a service that the features file leaves off
+	errNotEnabled     dropCause = "switched off here"             // a service that is not enabled
 	errUnknownSender  dropCause = "not the process that is known" // under the sender's name
 	errQueueFull      dropCause = "no room"                       // in the queue of the loop
 	errTooManyStreams dropCause = "too many streams"              // that others opened
@@ -48,7 +48,10 @@
 	now := time.Now()
 	if now.Sub(d.loggedAt) >= dropLogInterval {
 		d.loggedAt = now
-		d.log.Warn().Str("why", cause.Error()).Interface("all", d.counts).Msg("messages of others are dropped")
+		d.log.Warn().
+			Str("why", cause.Error()).
+			Interface("all", d.counts).
+			Msg("messages of others are dropped")
 	}
 }
 
--- a/internal/cluster/mesh/sockets.go
+++ b/internal/cluster/mesh/sockets.go
@@ -51,11 +51,15 @@
 
 // socketsFrom takes over the sockets of a predecessor: that of datagrams, then that of streams.
 func socketsFrom(files []*os.File) (s sockets, err error) {
-	conn, err := oserror.RetryTransient(func() (net.PacketConn, error) { return net.FilePacketConn(files[0]) })
+	conn, err := oserror.RetryTransient(func() (net.PacketConn, error) {
+		return net.FilePacketConn(files[0])
+	})
 	if err != nil {
 		return s, err
 	}
-	listener, err := oserror.RetryTransient(func() (net.Listener, error) { return net.FileListener(files[1]) })
+	listener, err := oserror.RetryTransient(func() (net.Listener, error) {
+		return net.FileListener(files[1])
+	})
 	if err != nil {
 		conn.Close()
 		return s, err
