--- a/internal/cluster/replica/config.go
+++ b/internal/cluster/replica/config.go
@@ -1,5 +1,3 @@
-// Package replica keeps the fates of ops on real time: it runs the core of copies, sends what that asks for over the mesh, and answers the
-// front's door. internal/cluster/replication decides.
 package replica
 
 import (
@@ -13,48 +11,65 @@
 	"woaddyke/internal/config/features"
 )
 
-// Config is the part of the operator's file that is called copies.
+// Config is the table "copies" of the features file.
 type Config struct {
-	Replicas        []string          `toml:"keepers"`       // names of members that hold copies: 3 or 5, the same for all; the first ones, if agreed
-	DynamicReplicas bool              `toml:"agreed"`        // keepers change by agreement, asked for by staff or by the rule
-	ReplaceAfter    features.Duration `toml:"replace_after"` // the rule: a keeper that is gone for so long is replaced by a spare; 0: never
-	Spares          []string          `toml:"spares"`        // in order
-	Deduplicated    bool              `toml:"deduplicated"`  // ops of deduplicated categories are guarded too
-	QuorumTimeout   features.Duration `toml:"wait"`          // longest time for a majority, before an op is nacked
-	JoinTimeout     features.Duration `toml:"join"`          // an id that another scheduler has is waited for so long, in place of a nack at once
-	RetryInterval   features.Duration `toml:"again"`         // between two tries at a keeper that does not answer
-	PullInterval    features.Duration `toml:"pull"`          // between two looks at another keeper's changes
+	Replicas        []string          `toml:"keepers"`       // 3 or 5 members, the same at all; the first set, if agreed
+	DynamicReplicas bool              `toml:"agreed"`        // the set changes by agreement
+	ReplaceAfter    features.Duration `toml:"replace_after"` // a replica dead for so long is replaced; 0: never
+	Spares          []string          `toml:"spares"`        // that replace it, in order of preference
+	Deduplicated    bool              `toml:"deduplicated"`  // ops of deduplicated categories are claimed too
+	QuorumTimeout   features.Duration `toml:"wait"`          // for a majority, before an op is nacked
+	JoinTimeout     features.Duration `toml:"join"`          // for an op that another scheduler has
+	RetryInterval   features.Duration `toml:"again"`         // between two requests to a replica without an answer
+	PullInterval    features.Duration `toml:"pull"`          // between two pulls of another replica's changes
 	Retention       features.Duration `toml:"remember"`      // of an id, from when it first came
-	AmnesiaHoldOff  features.Duration `toml:"hold_off"`      // keepers that lost their memory together have no vote for so long
-	CatchUpRate     int               `toml:"catch_up"`      // bytes a second that are asked of each other keeper while there is much to catch up with
-	MaxRecords      int               `toml:"most"`          // ids
+	AmnesiaHoldOff  features.Duration `toml:"hold_off"`      // without a vote, where all replicas lost their memory
+	CatchUpRate     int               `toml:"catch_up"`      // bytes a second from each replica during catch-up
+	MaxRecords      int               `toml:"most"`
 	MaxBytes        int               `toml:"most_bytes"`
-	MaxResultBytes  int               `toml:"result_bytes"` // longer answers are not held
-	Path            string            `toml:"path"`         // a file on a disk that lasts, for a keeper's records; empty: memory alone
+	MaxResultBytes  int               `toml:"result_bytes"` // longer answers are not retained
+	Path            string            `toml:"path"`         // of the store; empty: memory alone
 	Sync            bool              `toml:"sync"`         // a grant waits until the disk has it
 }
 
-const longestResult = 2 << 10 // so that a message with one fits a datagram of the mesh
+// maxResultBytes is such that a message with a result fits a datagram of the mesh.
+const maxResultBytes = 2 << 10
 
-// Defaults is a table as it is where the file leaves keys out.
+// Defaults returns the table as it is where the file leaves keys out.
 func Defaults() *Config {
 	d := replication.Defaults()
-	span := func(t replication.Time) features.Duration {
-		return features.Duration(time.Duration(t) * membership.Tenth)
+	return &Config{
+		QuorumTimeout:  durationOf(d.QuorumTimeout),
+		RetryInterval:  durationOf(d.RetryInterval),
+		PullInterval:   durationOf(d.PullInterval),
+		Retention:      durationOf(d.Retention),
+		AmnesiaHoldOff: durationOf(d.AmnesiaHoldOff),
+		CatchUpRate:    d.CatchUpRate,
+		MaxRecords:     d.MaxRecords,
+		MaxBytes:       d.MaxBytes,
+		MaxResultBytes: 1 << 10,
+		Sync:           true,
 	}
-	return &Config{QuorumTimeout: span(d.QuorumTimeout), RetryInterval: span(d.RetryInterval), PullInterval: span(d.PullInterval), Retention: span(d.Retention), AmnesiaHoldOff: span(d.AmnesiaHoldOff),
-		CatchUpRate: d.CatchUpRate, MaxRecords: d.MaxRecords, MaxBytes: d.MaxBytes, MaxResultBytes: 1 << 10, Sync: true}
 }
 
-// Validate tells what is wrong. An id must not come again after keepers without memory vote again while its first op may still be out.
-func (t *Config) Validate(longest time.Duration) error {
-	fault := func(key string, err error) error { return &features.ConfigError{Table: "copies", Key: key, Err: err} }
-	terms := t.terms("n", 1, 1)
-	if err := terms.Validate(); err != nil {
+func durationOf(t replication.Time) features.Duration {
+	return features.Duration(time.Duration(t) * membership.Tenth)
+}
+
+func timeOf(d features.Duration) replication.Time { return membership.TimeOf(time.Duration(d)) }
+
+// Validate returns what is wrong. AmnesiaHoldOff must not be below the longest time to live: replicas
+// without memory must not vote while an op that they granted may still be in flight.
+func (t *Config) Validate(maxTTL time.Duration) error {
+	fault := func(key string, err error) error {
+		return &features.ConfigError{Table: "copies", Key: key, Err: err}
+	}
+	replicationConfig := t.replicationConfig("n", 1, 1)
+	if err := replicationConfig.Validate(); err != nil {
 		return features.ErrorFromCheck("copies", err)
 	}
-	rule := t.rule("n", 1)
-	if err := rule.Validate(); err != nil {
+	replicaSetConfig := t.replicaSetConfig("n", 1)
+	if err := replicaSetConfig.Validate(); err != nil {
 		return features.ErrorFromCheck("copies", err)
 	}
 	switch {
@@ -66,23 +81,35 @@
 		return fault("join", errors.New("from 0 to 1m"))
 	case time.Duration(t.PullInterval) < 10*time.Millisecond:
 		return fault("pull", errors.New("10ms at least"))
-	case time.Duration(t.AmnesiaHoldOff) < longest:
-		return fault("hold_off", fmt.Errorf("shorter than the longest time to live, %v", longest))
-	case t.MaxResultBytes < 0 || t.MaxResultBytes > longestResult:
-		return fault("result_bytes", fmt.Errorf("from 0 to %d", longestResult))
+	case time.Duration(t.AmnesiaHoldOff) < maxTTL:
+		return fault("hold_off", fmt.Errorf("shorter than the longest time to live, %v", maxTTL))
+	case t.MaxResultBytes < 0 || t.MaxResultBytes > maxResultBytes:
+		return fault("result_bytes", fmt.Errorf("from 0 to %d", maxResultBytes))
 	}
 	return nil
 }
 
-func (t *Config) terms(name string, chance, nonce uint64) replication.Config {
-	span := func(s features.Duration) replication.Time { return membership.TimeOf(time.Duration(s)) }
-	return replication.Config{Name: name, Replicas: t.Replicas, DynamicReplicas: t.DynamicReplicas, Seed: chance, Nonce: nonce, QuorumTimeout: span(t.QuorumTimeout), RetryInterval: span(t.RetryInterval),
-		PullInterval: span(t.PullInterval), Retention: span(t.Retention), AmnesiaHoldOff: span(t.AmnesiaHoldOff), CatchUpRate: t.CatchUpRate, MaxRecords: t.MaxRecords, MaxBytes: t.MaxBytes}
+func (t *Config) replicationConfig(name string, seed, nonce uint64) replication.Config {
+	return replication.Config{
+		Name:            name,
+		Replicas:        t.Replicas,
+		DynamicReplicas: t.DynamicReplicas,
+		Seed:            seed,
+		Nonce:           nonce,
+		QuorumTimeout:   timeOf(t.QuorumTimeout),
+		RetryInterval:   timeOf(t.RetryInterval),
+		PullInterval:    timeOf(t.PullInterval),
+		Retention:       timeOf(t.Retention),
+		AmnesiaHoldOff:  timeOf(t.AmnesiaHoldOff),
+		CatchUpRate:     t.CatchUpRate,
+		MaxRecords:      t.MaxRecords,
+		MaxBytes:        t.MaxBytes,
+	}
 }
 
-// rule are the agreement's terms.
-func (t *Config) rule(name string, chance uint64) replicaset.Config {
-	r := replicaset.Defaults()
-	r.Name, r.Replicas, r.Seed, r.ReplaceAfter, r.Spares = name, t.Replicas, chance, membership.TimeOf(time.Duration(t.ReplaceAfter)), t.Spares
-	return r
+func (t *Config) replicaSetConfig(name string, seed uint64) replicaset.Config {
+	c := replicaset.Defaults()
+	c.Name, c.Replicas, c.Seed = name, t.Replicas, seed
+	c.ReplaceAfter, c.Spares = timeOf(t.ReplaceAfter), t.Spares
+	return c
 }
--- a/internal/cluster/replica/lost_test.go
+++ b/internal/cluster/replica/delivery_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"github.com/cespare/xxhash/v2"
 	"github.com/rs/zerolog"
 
-	"woaddyke/internal/base/spillqueue"
 	"woaddyke/internal/cluster/membership"
 	"woaddyke/internal/cluster/replication"
 )
@@ -43,18 +43,21 @@
 	}
 }
 
+// payOp is an op of the category pay with an empty request.
+func payOp(id string) claimOp {
+	return claimOp{key: keyOf("pay", id), fingerprint: xxhash.Sum64(nil)}
+}
+
 // A client that leaves just as its op is granted: whoever asked for it had looked in vain, and the grant came behind that look. The claim
 // stood for as long as ids are remembered, and the op could run nowhere.
 func TestAGrantThatCrossesItsClientsLeavingIsGivenBack(t *testing.T) {
-	f := &Replica{in: make(chan input, mostWaiting), ended: make(chan struct{}), waiting: map[uint64]chan replication.ClaimDecided{}, table: Defaults()}
+	ended := make(chan struct{})
+	f := &Replica{queue: newInputQueue(ended), ended: ended, claims: newWaiters[replication.ClaimDecided](), config: Defaults()}
 	ctx, leave := context.WithCancel(context.Background())
 	answered := make(chan replication.ClaimDecided, 1)
-	go func() { answered <- f.ask(ctx, "pay", "a", nil, time.Second, 0) }()
-	want := (<-f.in).copies.(replication.ClaimRequest)
-	f.mu.Lock() // the loop takes the asker for its outcome
-	to := f.waiting[want.RequestID]
-	delete(f.waiting, want.RequestID)
-	f.mu.Unlock()
+	go func() { answered <- f.claimOnce(ctx, payOp("a"), time.Second) }()
+	want := (<-f.queue.inputs).replication.(replication.ClaimRequest)
+	to := f.claims.take(want.RequestID) // the loop takes the asker for its outcome
 	leave()
 	time.Sleep(50 * time.Millisecond) // the asker has seen that by then
 	to <- replication.ClaimDecided{RequestID: want.RequestID, Result: replication.Granted}
@@ -62,9 +65,9 @@
 		return // it came first
 	}
 	select {
-	case in := <-f.in:
-		if end, ok := in.copies.(replication.OpEnded); !ok || end.RequestID != want.RequestID || !end.NeverRan {
-			t.Errorf("%+v", in.copies)
+	case in := <-f.queue.inputs:
+		if end, ok := in.replication.(replication.OpEnded); !ok || end.RequestID != want.RequestID || !end.NeverRan {
+			t.Errorf("%+v", in.replication)
 		}
 	case <-time.After(time.Second):
 		t.Error("the grant is not given back")
@@ -75,18 +78,18 @@
 // full: it went on voting with records that do not last, and the claim stood for good.
 func TestWhatAKeeperOwesItselfIsNotLostWithAFullQueue(t *testing.T) {
 	full := func(f *Replica) {
-		for len(f.in) < cap(f.in) {
-			f.in <- input{copies: replication.Tick{}}
+		for len(f.queue.inputs) < cap(f.queue.inputs) {
+			f.queue.inputs <- input{replication: replication.Tick{}}
 		}
 	}
 	t.Run("a disk that fails", func(t *testing.T) {
 		f := keeper(t)
 		f.call(func() {
-			f.store.Close()
+			f.storage.store.Close()
 			full(f)
-			f.carry(f.core.Step(f.way.Now(), replication.ClaimRequest{RequestID: 1 << 40, Key: "pay\x00a", Timeout: 10_000}))
+			f.step(replication.ClaimRequest{RequestID: 1 << 40, Key: "pay\x00a", Timeout: 10_000})
 		})
-		f.await(t, "all is taken", func() bool { return len(f.in) == 0 })
+		f.await(t, "all is taken", func() bool { return len(f.queue.inputs) == 0 })
 		if f.Status().Voting {
 			t.Error("it votes though its records do not last")
 		}
@@ -95,9 +98,9 @@
 		f := keeper(t)
 		f.call(func() {
 			full(f)
-			f.carry(f.core.Step(f.way.Now(), replication.ClaimRequest{RequestID: 1 << 40, Key: "pay\x00a", Timeout: 10_000}))
+			f.step(replication.ClaimRequest{RequestID: 1 << 40, Key: "pay\x00a", Timeout: 10_000})
 		})
-		f.await(t, "all is taken", func() bool { return len(f.in) == 0 })
+		f.await(t, "all is taken", func() bool { return len(f.queue.inputs) == 0 })
 		if rows := f.Lookup("pay", "a"); len(rows) != 1 || rows[0].Stage == replication.Claimed.String() {
 			t.Errorf("the claim stands: %+v", rows)
 		}
@@ -107,11 +110,11 @@
 // A keeper whose disk fails in the very round in which an op is decided gives it to nobody.
 func TestAGrantThatIsOnNoDiskIsGivenToNobody(t *testing.T) {
 	f := keeper(t)
-	if d := f.ask(t.Context(), "pay", "before", nil, time.Second, 0); d.Result != replication.Granted {
+	if d := f.claimOnce(t.Context(), payOp("before"), time.Second); d.Result != replication.Granted {
 		t.Fatalf("before: %v: this test proves nothing", d.Result)
 	}
-	f.call(func() { f.store.Close() })
-	if d := f.ask(t.Context(), "pay", "a", nil, time.Second, 0); d.Result != replication.NoQuorum {
+	f.call(func() { f.storage.store.Close() })
+	if d := f.claimOnce(t.Context(), payOp("a"), time.Second); d.Result != replication.NoQuorum {
 		t.Errorf("%v", d.Result)
 	}
 }
@@ -120,10 +123,10 @@
 // round, a process that another had taken the place of went on as a member, and one that was gone counted as here.
 func TestChangesOfMembersKeepTheirOrderInAFullQueue(t *testing.T) {
 	const changes = 40
-	f := &Replica{in: make(chan input, mostWaiting), ended: make(chan struct{}), table: Defaults()}
-	f.events = spillqueue.New(f.in, f.ended)
-	for len(f.in) < cap(f.in) {
-		f.in <- input{copies: replication.Tick{}}
+	ended := make(chan struct{})
+	f := &Replica{queue: newInputQueue(ended), ended: ended, config: Defaults()}
+	for len(f.queue.inputs) < cap(f.queue.inputs) {
+		f.queue.inputs <- input{replication: replication.Tick{}}
 	}
 	for k := range changes {
 		f.SetPeerDead("a", k%2 == 0)
@@ -131,8 +134,8 @@
 	var got []bool
 	for late := time.After(10 * time.Second); len(got) < changes; {
 		select {
-		case in := <-f.in:
-			if x, ok := in.copies.(replication.PeerStatus); ok {
+		case in := <-f.queue.inputs:
+			if x, ok := in.replication.(replication.PeerStatus); ok {
 				got = append(got, x.Dead)
 			}
 		case <-late:
--- /dev/null
+++ b/internal/cluster/replica/storage.go
@@ -0,0 +1,252 @@
+package replica
+
+import (
+	"maps"
+	"slices"
+
+	"woaddyke/internal/base/oserror"
+	"woaddyke/internal/cluster/membership"
+	"woaddyke/internal/cluster/replicaset"
+	"woaddyke/internal/cluster/replication"
+	"woaddyke/internal/cluster/store"
+	"woaddyke/internal/lifecycle/boottime"
+)
+
+// storage is where a replica persists its state.
+type storage struct {
+	store      *store.Store // nil: memory alone
+	handedOver bool         // the store was closed for a successor
+}
+
+func (s *storage) close() {
+	if s.store != nil {
+		s.store.Close()
+	}
+}
+
+// persistedState is what a store held when it was opened.
+type persistedState struct {
+	records    replication.StateReloaded
+	setID      uint64           // under which the records were persisted
+	replicaSet replicaset.State // zero where the set does not change by agreement
+}
+
+// recordsFor returns the records, which are complete for no incarnation under another set.
+func (p *persistedState) recordsFor(setID uint64) replication.StateReloaded {
+	records := p.records
+	if p.setID != setID {
+		records.Incarnation = replication.Incarnation{}
+	}
+	return records
+}
+
+// openStorage opens the store at the start. A transient failure of the disk is retried. A store that can't
+// be read ends the start: a replica may forget what it granted only where an operator removes the file.
+func (r *Replica) openStorage(name string, seed uint64, now membership.Time) error {
+	persisted, err := oserror.RetryTransient(func() (persistedState, error) {
+		s, err := store.Open(r.config.Path, r.config.Sync)
+		if err != nil {
+			return persistedState{}, err
+		}
+		r.storage.store = s
+		return r.readStore(s, true)
+	})
+	if err != nil {
+		return err
+	}
+	if r.config.DynamicReplicas {
+		config := r.config.replicaSetConfig(name, seed)
+		r.replicaSet = replicaset.New(config, persisted.replicaSet, now)
+		r.core.AdoptStored(r.replicaSet.Set())
+	}
+	records := persisted.recordsFor(r.core.SetID())
+	r.core.Restore(records.Records, records.Incarnation, records.Cursors)
+	return nil
+}
+
+// readStore reads a store, and closes it where that fails. A new store gets a voter ID where newVoter says
+// so.
+func (r *Replica) readStore(s *store.Store, newVoter bool) (persisted persistedState, err error) {
+	if r.config.DynamicReplicas {
+		persisted.replicaSet, err = readReplicaSet(s, newVoter)
+	}
+	if err == nil {
+		err = r.readRecords(s, &persisted)
+	}
+	if err != nil {
+		s.Close()
+		return persistedState{}, err
+	}
+	return persisted, nil
+}
+
+func readReplicaSet(s *store.Store, newVoter bool) (replicaset.State, error) {
+	state, known, err := s.Agreement()
+	if err != nil || known || !newVoter {
+		return state, err
+	}
+	if state.VoterID, err = randomID(); err != nil {
+		return state, err
+	}
+	return state, s.SaveAgreement(state)
+}
+
+func (r *Replica) readRecords(s *store.Store, persisted *persistedState) error {
+	records, incarnation, setID, complete, err := s.Load(boottime.Now())
+	if err != nil {
+		return err
+	}
+	if !complete {
+		incarnation = replication.Incarnation{}
+	}
+	cursors, err := s.Cursors()
+	if err != nil {
+		return err
+	}
+	persisted.setID = setID
+	persisted.records = replication.StateReloaded{Records: records, Incarnation: incarnation, Cursors: cursors}
+	r.log.Info().Int("records", len(records)).Bool("whole", complete).Str("path", r.config.Path).
+		Msg("copies kept on a disk")
+	return nil
+}
+
+// reopenStorage goes on with the store that was closed for a successor which has ended.
+func (r *Replica) reopenStorage() error {
+	handedOver := false
+	r.call(func() { handedOver = r.storage.handedOver })
+	if !handedOver {
+		return nil
+	}
+	s, err := oserror.RetryTransient(func() (*store.Store, error) {
+		return store.Open(r.config.Path, r.config.Sync)
+	})
+	if err != nil {
+		return err
+	}
+	persisted, err := r.readStore(s, false)
+	if err != nil {
+		return err
+	}
+	resumed := false
+	r.call(func() {
+		resumed = true
+		r.resumeWith(s, persisted)
+	})
+	if !resumed {
+		s.Close() // the loop has ended
+	}
+	return nil
+}
+
+// resumeWith feeds both cores with what a reopened store holds.
+func (r *Replica) resumeWith(s *store.Store, persisted persistedState) {
+	r.storage = storage{store: s}
+	if r.replicaSet != nil {
+		r.stepReplicaSet(replicaset.StateReloaded{State: persisted.replicaSet})
+		r.step(replication.AdoptSet{Set: r.replicaSet.Set()})
+	}
+	r.step(persisted.recordsFor(r.core.SetID()))
+}
+
+// HandOver closes the store for a successor. From then on this process has no vote.
+func (r *Replica) HandOver() {
+	r.call(func() {
+		if r.storage.store == nil {
+			return
+		}
+		r.storage.close()
+		r.storage = storage{handedOver: true}
+		r.core.Step(r.transport.Now(), replication.PersistFailed{})
+		if r.replicaSet != nil {
+			r.replicaSet.Step(r.transport.Now(), replicaset.PersistFailed{})
+		}
+	})
+}
+
+// persist writes what a round of effects asks for; false where that failed. An incarnation and the cursors
+// are written after the records that they cover.
+func (r *Replica) persist(effects []replication.Effect) bool {
+	if r.storage.store == nil {
+		return true
+	}
+	err := r.writeRecords(effects)
+	if err == nil {
+		err = r.writeIncarnations(effects)
+	}
+	if err == nil {
+		err = r.writeCursors(effects)
+	}
+	if err != nil {
+		r.log.Error().Err(err).Msg("copies could not be kept on the disk")
+	}
+	return err == nil
+}
+
+func (r *Replica) writeRecords(effects []replication.Effect) error {
+	put, deleted := map[string]replication.Record{}, []string{}
+	for _, e := range effects {
+		switch e := e.(type) {
+		case replication.Persist:
+			put[e.Key] = e.Record
+		case replication.Delete:
+			delete(put, e.Key)
+			deleted = append(deleted, e.Key)
+		}
+	}
+	if len(put)+len(deleted) == 0 {
+		return nil
+	}
+	return r.storage.store.Write(boottime.Now(), slices.Collect(maps.Values(put)), deleted)
+}
+
+func (r *Replica) writeIncarnations(effects []replication.Effect) error {
+	for _, e := range effects {
+		persisted, is := e.(replication.IncarnationPersisted)
+		if !is {
+			continue
+		}
+		if err := r.storage.store.SetIncarnation(persisted.Incarnation, r.core.SetID()); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (r *Replica) writeCursors(effects []replication.Effect) error {
+	var cursors []replication.ReplicationCursor
+	for _, e := range effects {
+		if cursor, is := e.(replication.ReplicationCursor); is {
+			cursors = append(cursors, cursor)
+		}
+	}
+	if len(cursors) == 0 {
+		return nil
+	}
+	return r.storage.store.SaveCursors(cursors)
+}
+
+// persistReplicaSet writes the latest state of the replica set core, which includes those before it; false
+// where that failed: neither core has a vote then.
+func (r *Replica) persistReplicaSet(effects []replicaset.Effect) bool {
+	state, changed := latestState(effects)
+	if !changed || r.storage.store == nil {
+		return true
+	}
+	err := r.storage.store.SaveAgreement(state)
+	if err == nil {
+		return true
+	}
+	r.log.Error().Err(err).Msg("the agreement could not be kept on the disk")
+	r.replicaSet.Step(r.transport.Now(), replicaset.PersistFailed{})
+	r.core.Step(r.transport.Now(), replication.PersistFailed{})
+	return false
+}
+
+func latestState(effects []replicaset.Effect) (state replicaset.State, found bool) {
+	for _, e := range slices.Backward(effects) {
+		if persist, is := e.(replicaset.Persist); is {
+			return persist.State, true
+		}
+	}
+	return replicaset.State{}, false
+}
