--- /dev/null
+++ b/internal/cluster/replicaset/effects.go
@@ -0,0 +1,33 @@
+package replicaset
+
+// Effect is one of Persist, Send, SetAgreed, ChangeResult and Event.
+type Effect interface{ effect() }
+
+// Persist writes a state, before any message after it is sent.
+type Persist struct{ State }
+
+// Send sends a message to a member.
+type Send struct {
+	To string
+	Message
+}
+
+// SetAgreed is a set that is in force from now on.
+type SetAgreed struct{ Set }
+
+// ChangeResult is the answer to a ChangeRequest.
+type ChangeResult struct {
+	RequestID uint64
+	OK        bool
+	Retryable bool // the same request may succeed later
+	Message   string
+}
+
+// Event is logged for operators.
+type Event struct{ Description, Subject string }
+
+func (Persist) effect()      {}
+func (Send) effect()         {}
+func (SetAgreed) effect()    {}
+func (ChangeResult) effect() {}
+func (Event) effect()        {}
--- a/internal/cluster/replicaset/golden_test.go
+++ b/internal/cluster/replicaset/golden_test.go
@@ -93,7 +93,11 @@
 func requireGolden[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	path := filepath.Join(goldenFolder, name+".cbor")
-	golden.Compare(t, path, marshal(value))
+	text, err := cbor.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, path, text)
 	var got T
 	if err := cbor.Unmarshal(readGolden(t, path), &got); err != nil || !reflect.DeepEqual(got, value) {
 		t.Fatalf("got %+v, %v\nwant %+v", got, err, value)
@@ -123,7 +127,7 @@
 // A core that starts on a snapshot whose data an earlier build wrote takes its turn and the names of its voters.
 func TestGoldenSnapshotDataIsTakenAtStart(t *testing.T) {
 	data := filled[settled](t)
-	voters := []uint64{data.Seats[0].ID, data.Seats[1].ID}
+	voters := []uint64{data.Voters[0].ID, data.Voters[1].ID}
 	snapshot := raftpb.Snapshot{Data: readGolden(t, filepath.Join(goldenFolder, "settled.cbor")),
 		Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1, ConfState: raftpb.ConfState{Voters: voters}}}
 	hard := raftpb.HardState{Term: 1, Commit: 1}
@@ -133,10 +137,10 @@
 		t.Fatal(errSnapshot, errHard)
 	}
 	terms := Defaults()
-	terms.Name, terms.Replicas = data.Seats[0].Name, []string{data.Seats[0].Name, data.Seats[1].Name}
+	terms.Name, terms.Replicas = data.Voters[0].Name, []string{data.Voters[0].Name, data.Voters[1].Name}
 	core := New(terms, State{VoterID: voters[0], GroupID: 1, Snapshot: snapshotText, HardState: hardText}, 0)
 	core.Step(1, Membership{Serving: true})
-	want := Set{GroupID: 1, Epoch: data.Turn, New: terms.Replicas}
+	want := Set{GroupID: 1, Epoch: data.Epoch, New: terms.Replicas}
 	if got := core.Set(); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v; the core takes part: %s", got, want, core.Status())
 	}
--- /dev/null
+++ b/internal/cluster/replicaset/raft_group.go
@@ -0,0 +1,394 @@
+package replicaset
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"log"
+	"slices"
+
+	"github.com/fxamacker/cbor/v2"
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+)
+
+const (
+	maxLogEntries       = 64   // before what is applied is put into a snapshot
+	maxMessageBytes     = 4096 // of entries in one raft message
+	maxInflightMessages = 16
+	maxStoredBytes      = 1 << 30 // of entries that are persisted
+	maxSenders          = 4 * MaxReplicas
+	snapshotHeartbeats  = 5  // after which a snapshot without an answer is sent again
+	quorumHeartbeats    = 10 // without a majority's answers, after which a leader steps down
+)
+
+// discardLogger keeps the raft library from writing to the standard error.
+var discardLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
+
+// raftGroup drives the library's node, and holds what the log has stated.
+type raftGroup struct {
+	node    *raft.RawNode // nil: this process has no part in the group now
+	log     *raft.MemoryStorage
+	conf    raftpb.ConfState
+	applied uint64 // index
+	epoch   uint64 // of the latest change that was applied
+
+	names           map[uint64]string // of the voters
+	senders         map[uint64]string // by voter ID, for as long as its name is not known
+	snapshotsSentAt map[uint64]Time   // without an answer yet
+
+	compactionDue bool // after this round
+	removed       bool // this process is no voter any more: the node ends after this round
+}
+
+func newRaftGroup() raftGroup {
+	return raftGroup{senders: map[uint64]string{}, snapshotsSentAt: map[uint64]Time{}}
+}
+
+func (g *raftGroup) isLeader() bool {
+	return g.node != nil && g.node.BasicStatus().RaftState == raft.StateLeader
+}
+
+// isVoter tells whether a voter ID is part of the group, as far as this process knows.
+func (g *raftGroup) isVoter(id uint64) bool {
+	return slices.Contains(g.conf.Voters, id) || slices.Contains(g.conf.VotersOutgoing, id)
+}
+
+func (g *raftGroup) nameOf(id uint64) string {
+	if name := g.names[id]; name != "" {
+		return name
+	}
+	return g.senders[id]
+}
+
+func (g *raftGroup) addNames(voters []Voter) {
+	for _, v := range voters {
+		g.names[v.ID] = v.Name
+	}
+}
+
+// addSender records under which name a voter ID sends.
+func (g *raftGroup) addSender(id uint64, name string) {
+	g.senders[id] = name
+	if len(g.senders) > maxSenders {
+		clear(g.senders)
+		g.senders[id] = name
+	}
+}
+
+// voters are the present voters, in the order of their IDs.
+func (g *raftGroup) voters() (voters []Voter) {
+	ids := append(slices.Clone(g.conf.Voters), g.conf.VotersOutgoing...)
+	slices.Sort(ids)
+	for _, id := range ids {
+		voters = append(voters, Voter{id, g.names[id]})
+	}
+	return slices.Compact(voters)
+}
+
+// sortedNames are the names of some voters, in order.
+func (g *raftGroup) sortedNames(ids []uint64) (names []string) {
+	for _, id := range ids {
+		names = append(names, g.names[id])
+	}
+	slices.Sort(names)
+	return names
+}
+
+// set is what the log states as the set, from an epoch on.
+func (g *raftGroup) set(groupID, epoch uint64) Set {
+	return Set{
+		GroupID: groupID,
+		Epoch:   epoch,
+		Old:     g.sortedNames(g.conf.VotersOutgoing),
+		New:     g.sortedNames(g.conf.Voters),
+	}
+}
+
+// loadEntries adds the entries of a persisted state to the log.
+func (g *raftGroup) loadEntries(entries [][]byte) error {
+	for _, text := range entries {
+		var entry raftpb.Entry
+		if err := entry.Unmarshal(text); err != nil {
+			return fmt.Errorf("stored entry: %w", err)
+		}
+		g.log.Append([]raftpb.Entry{entry})
+	}
+	return nil
+}
+
+// save writes the log into a state.
+func (g *raftGroup) save(state *State) error {
+	hard, _, _ := g.log.InitialState()
+	snapshot, _ := g.log.Snapshot()
+	var err1, err2 error
+	state.HardState, err1 = hard.Marshal()
+	state.Snapshot, err2 = snapshot.Marshal()
+	if err := errors.Join(err1, err2); err != nil {
+		return err
+	}
+	first, _ := g.log.FirstIndex()
+	last, _ := g.log.LastIndex()
+	state.Entries = nil
+	if last < first {
+		return nil
+	}
+	entries, err := g.log.Entries(first, last+1, maxStoredBytes)
+	if err != nil {
+		return err
+	}
+	for _, entry := range entries {
+		text, err := entry.Marshal()
+		if err != nil {
+			return err
+		}
+		state.Entries = append(state.Entries, text)
+	}
+	return nil
+}
+
+// settled is the data of a snapshot beside the raft configuration.
+type settled struct {
+	Epoch  uint64  `cbor:"Turn"`
+	Voters []Voter `cbor:"Seats"`
+}
+
+// startNode runs the raft node on the state that was persisted.
+func (c *Core) startNode() error {
+	g := &c.raft
+	g.log = raft.NewMemoryStorage()
+	g.names, g.conf, g.applied = map[uint64]string{}, raftpb.ConfState{}, 0
+	var snapshot raftpb.Snapshot
+	var hard raftpb.HardState
+	err := errors.Join(snapshot.Unmarshal(c.state.Snapshot), hard.Unmarshal(c.state.HardState))
+	if err != nil {
+		return fmt.Errorf("stored state: %w", err)
+	}
+	if !raft.IsEmptySnap(snapshot) {
+		g.log.ApplySnapshot(snapshot)
+		if err := c.applySnapshot(snapshot); err != nil {
+			return err
+		}
+	}
+	g.log.SetHardState(hard)
+	if err := g.loadEntries(c.state.Entries); err != nil {
+		return err
+	}
+	g.node, err = raft.NewRawNode(&raft.Config{
+		ID:                c.state.VoterID,
+		ElectionTick:      quorumHeartbeats,
+		HeartbeatTick:     1,
+		Storage:           g.log,
+		Applied:           g.applied,
+		MaxSizePerMsg:     maxMessageBytes,
+		MaxInflightMsgs:   maxInflightMessages,
+		CheckQuorum:       true,
+		PreVote:           true,
+		StepDownOnRemoval: true,
+		Logger:            discardLogger,
+	})
+	if err != nil {
+		return err
+	}
+	c.resetElectionTimer()
+	return c.processReady()
+}
+
+// applySnapshot takes over the voters that a snapshot states.
+func (c *Core) applySnapshot(s raftpb.Snapshot) error {
+	var data settled
+	if err := cbor.Unmarshal(s.Data, &data); err != nil {
+		return fmt.Errorf("snapshot: %w", err)
+	}
+	c.raft.addNames(data.Voters)
+	c.raft.applied, c.raft.conf = s.Metadata.Index, s.Metadata.ConfState
+	c.adoptAgreed(data.Epoch)
+	return nil
+}
+
+// adoptAgreed uses the set that the log states, from an epoch on.
+func (c *Core) adoptAgreed(epoch uint64) {
+	c.raft.epoch = epoch
+	s := c.raft.set(c.state.GroupID, epoch)
+	if s.Supersedes(c.set) {
+		c.useSet(s)
+		c.emit(SetAgreed{s})
+	}
+}
+
+// processReady carries out what the node has ready, until there is no more.
+func (c *Core) processReady() error {
+	g := &c.raft
+	for g.node != nil && g.node.HasReady() {
+		if err := c.process(g.node.Ready()); err != nil {
+			return err
+		}
+	}
+	if g.removed {
+		g.node, g.removed = nil, false // what it voted stays persisted
+	}
+	return nil
+}
+
+func (c *Core) process(ready raft.Ready) error {
+	if err := c.storeReady(ready); err != nil {
+		return err
+	}
+	if err := c.sendRaftMessages(ready.Messages); err != nil {
+		return err
+	}
+	for _, entry := range ready.CommittedEntries {
+		if err := c.applyEntry(entry); err != nil {
+			return err
+		}
+	}
+	g := &c.raft
+	g.node.Advance(ready)
+	first, err := g.log.FirstIndex()
+	if g.compactionDue || err == nil && g.applied >= first+maxLogEntries {
+		return c.compact()
+	}
+	return nil
+}
+
+// storeReady adds to the log, and has it persisted before the messages that follow.
+func (c *Core) storeReady(ready raft.Ready) error {
+	g := &c.raft
+	hasSnapshot := !raft.IsEmptySnap(ready.Snapshot)
+	if hasSnapshot {
+		g.log.ApplySnapshot(ready.Snapshot)
+		if err := c.applySnapshot(ready.Snapshot); err != nil {
+			return err
+		}
+	}
+	if !raft.IsEmptyHardState(ready.HardState) {
+		g.log.SetHardState(ready.HardState)
+	}
+	g.log.Append(ready.Entries)
+	if ready.MustSync || hasSnapshot {
+		return c.persist()
+	}
+	return nil
+}
+
+func (c *Core) sendRaftMessages(messages []raftpb.Message) error {
+	for _, m := range messages {
+		text, err := m.Marshal()
+		if err != nil {
+			return err
+		}
+		if m.Type == raftpb.MsgSnap {
+			c.raft.snapshotsSentAt[m.To] = c.now
+		}
+		c.send(c.raft.nameOf(m.To), Message{Kind: RaftMessage, RaftMessage: text})
+	}
+	return nil
+}
+
+// applyEntry applies an entry that is committed.
+func (c *Core) applyEntry(entry raftpb.Entry) error {
+	if entry.Type == raftpb.EntryConfChangeV2 {
+		if err := c.applyChange(entry); err != nil {
+			return err
+		}
+	}
+	c.raft.applied = entry.Index
+	return nil
+}
+
+func (c *Core) applyChange(entry raftpb.Entry) error {
+	var change raftpb.ConfChangeV2
+	if err := change.Unmarshal(entry.Data); err != nil {
+		return fmt.Errorf("committed change: %w", err)
+	}
+	var voters []Voter
+	if len(change.Context) > 0 {
+		if err := cbor.Unmarshal(change.Context, &voters); err != nil {
+			return fmt.Errorf("voters of a committed change: %w", err)
+		}
+	}
+	g := &c.raft
+	g.addNames(voters)
+	wasVoter := g.isVoter(c.state.VoterID)
+	g.conf = *g.node.ApplyConfChange(change)
+	c.adoptAgreed(entry.Index)
+	c.answerAgreedChange()
+	g.compactionDue = true // a new voter takes no snapshot that it is not part of
+	g.removed = wasVoter && !g.isVoter(c.state.VoterID)
+	return nil
+}
+
+// compact puts what is applied into a snapshot, with the names of the present voters.
+func (c *Core) compact() error {
+	g := &c.raft
+	g.compactionDue = false
+	voters := g.voters()
+	data, err := cbor.Marshal(settled{g.epoch, voters})
+	if err != nil {
+		return err
+	}
+	if _, err := g.log.CreateSnapshot(g.applied, &g.conf, data); err != nil {
+		return err
+	}
+	if err := g.log.Compact(g.applied); err != nil && !errors.Is(err, raft.ErrCompacted) {
+		return err
+	}
+	clear(g.names)
+	g.addNames(voters)
+	return c.persist()
+}
+
+// persist has all that must survive a restart written.
+func (c *Core) persist() error {
+	state := c.state
+	state.Set = c.set
+	if c.raft.log != nil {
+		if err := c.raft.save(&state); err != nil {
+			return err
+		}
+	}
+	c.state = state
+	c.emit(Persist{state})
+	return nil
+}
+
+// propose has the node propose a change. One that is lost is proposed again later.
+func (c *Core) propose(change raftpb.ConfChangeV2) error {
+	c.raft.node.ProposeConfChange(change)
+	return c.processReady()
+}
+
+// handleRaftMessage feeds a message of another voter to the node.
+func (c *Core) handleRaftMessage(in MessageReceived) error {
+	var m raftpb.Message
+	if in.GroupID == 0 || m.Unmarshal(in.RaftMessage) != nil {
+		return nil
+	}
+	if m.To != c.state.VoterID || m.From != in.VoterID {
+		return nil
+	}
+	if c.state.GroupID == 0 {
+		c.state.GroupID = in.GroupID // the announcement of the group was lost
+	}
+	if in.GroupID != c.state.GroupID {
+		return nil
+	}
+	c.raft.addSender(m.From, in.From)
+	if c.raft.node == nil {
+		if err := c.startNode(); err != nil || c.raft.node == nil {
+			return err
+		}
+	}
+	if !c.admitRaftMessage(&m) {
+		return nil
+	}
+	wasLeader := c.IsLeader()
+	c.raft.node.Step(m) // an error means that the message was ignored
+	if err := c.processReady(); err != nil {
+		return err
+	}
+	if c.IsLeader() && !wasLeader {
+		c.election.nextHeartbeat = c.now
+	}
+	return nil
+}
