--- a/internal/base/opkey/opkey.go
+++ b/internal/base/opkey/opkey.go
@@ -1,5 +1,6 @@
-// Package opkey makes the key by which an op is remembered and told to other processes from its client's id. An id may be as long as a
-// request's head and hold any bytes; a key is short, plain ASCII, and takes no more room in JSON than its length.
+// Package opkey makes the key under which an op is known in memory and to other processes, from its client's
+// id. An id may be as long as a request's head and hold any bytes; a key is short plain ASCII and takes no
+// more bytes in JSON than its length.
 package opkey
 
 import (
@@ -8,38 +9,43 @@
 	"strings"
 )
 
-// Longest is the length of the longest key.
-const Longest = 64
+// maxKeyBytes is the length of the longest key.
+const maxKeyBytes = 64
 
 // digestPrefix begins the key of an id that is no key itself.
 const digestPrefix = "sha256:"
 
-var digestLength = len(digestPrefix) + base64.RawURLEncoding.EncodedLen(sha256.Size)
+// digestBytes is the length of such a key.
+var digestBytes = len(digestPrefix) + base64.RawURLEncoding.EncodedLen(sha256.Size)
 
-// FromID is an id's key: the id itself where it is short and plain, and its digest where it is not.
+// FromID returns the key of an id: the id itself where it is short and plain, and its digest elsewhere.
 func FromID(id string) string {
-	if plain(id) && !strings.HasPrefix(id, digestPrefix) {
+	if isPlain(id) && !strings.HasPrefix(id, digestPrefix) {
 		return id
 	}
 	sum := sha256.Sum256([]byte(id))
 	return digestPrefix + base64.RawURLEncoding.EncodeToString(sum[:])
 }
 
-// PeerKey is the key for what another process has told as one: an earlier build told ids as they were.
+// PeerKey returns the key for what another process sent as one. An earlier build sent ids as they were.
 func PeerKey(key string) string {
-	if strings.HasPrefix(key, digestPrefix) && len(key) == digestLength {
+	if strings.HasPrefix(key, digestPrefix) && len(key) == digestBytes {
 		return key
 	}
 	return FromID(key)
 }
 
-// plain tells whether an id is short, and of characters that JSON takes as they are.
-func plain(id string) bool {
-	if len(id) > Longest {
+// jsonEscaped are the printable ASCII characters that encoding/json escapes.
+const jsonEscaped = `"\<>&`
+
+// isPlain tells whether an id is short, and of printable ASCII that JSON does not escape.
+func isPlain(id string) bool {
+	if len(id) > maxKeyBytes {
 		return false
 	}
 	for i := range len(id) {
-		if c := id[i]; c < ' ' || c > '~' || strings.IndexByte(`"\<>&`, c) >= 0 {
+		c := id[i]
+		if c < ' ' || c > '~' || strings.IndexByte(jsonEscaped, c) >= 0 {
 			return false
 		}
 	}
--- a/internal/base/opkey/opkey_test.go
+++ b/internal/base/opkey/opkey_test.go
@@ -8,7 +8,7 @@
 
 // Two ids never have one key, a key is no longer in JSON than it is, and one that comes from another process stays as it is.
 func TestKeysAreShortAndApart(t *testing.T) {
-	ids := []string{"", "9b1f03aa5c7e2d41", "a b", strings.Repeat("x", Longest), strings.Repeat("x", Longest+1), strings.Repeat("x", 9000),
+	ids := []string{"", "9b1f03aa5c7e2d41", "a b", strings.Repeat("x", maxKeyBytes), strings.Repeat("x", maxKeyBytes+1), strings.Repeat("x", 9000),
 		"caf\u00e9", "caf\xe9", "caf\xe8", "<", ">", "&", `"`, `\`, "\x7f", "\t", digestPrefix, FromID("caf\u00e9")}
 	seen := map[string]string{}
 	for _, id := range ids {
@@ -18,7 +18,7 @@
 		}
 		seen[key] = id
 		text, err := json.Marshal(key)
-		if err != nil || len(key) > Longest || len(text) != len(key)+2 {
+		if err != nil || len(key) > maxKeyBytes || len(text) != len(key)+2 {
 			t.Errorf("%.20q: %q is %d bytes long, %s in JSON, %v", id, key, len(key), text, err)
 		}
 		if PeerKey(key) != key {
--- a/internal/base/spillqueue/spillqueue.go
+++ b/internal/base/spillqueue/spillqueue.go
@@ -1,57 +1,60 @@
-// Package spillqueue hands values to a bounded channel without ever waiting, losing one or changing their order: what finds no room waits
-// beside it. It is for few values that must not be missed, such as changes of state; many that may be lost are dropped by whoever has them.
+// Package spillqueue puts values into a bounded channel without waiting, losing one or changing their order:
+// values that find the channel full wait in an unbounded list. It is for few values that must not be lost,
+// such as changes of state; a producer of many values drops some of them instead.
 package spillqueue
 
 import "sync"
 
-// Queue hands on to one channel.
+// Queue puts values into one channel.
 type Queue[T any] struct {
-	to    chan<- T
-	ended <-chan struct{}
+	channel chan<- T
+	ended   <-chan struct{}
 
 	mu      sync.Mutex
-	waiting []T
+	waiting []T // the first of them is being sent by drain
 }
 
-// New makes a queue to a channel, whose reader says by closing ended that it takes nothing more.
-func New[T any](to chan<- T, ended <-chan struct{}) *Queue[T] {
-	return &Queue[T]{to: to, ended: ended}
+// New makes a queue to a channel. Its reader closes ended once it takes nothing more.
+func New[T any](channel chan<- T, ended <-chan struct{}) *Queue[T] {
+	return &Queue[T]{channel: channel, ended: ended}
 }
 
-// Put hands a value on. It returns at once.
-func (q *Queue[T]) Put(x T) {
+// Put adds a value. It returns at once.
+func (q *Queue[T]) Put(value T) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.waiting) == 0 {
 		select {
-		case q.to <- x:
+		case q.channel <- value:
 			return
 		default:
 		}
 	}
-	if q.waiting = append(q.waiting, x); len(q.waiting) == 1 {
-		go q.drain(x)
+	q.waiting = append(q.waiting, value)
+	if len(q.waiting) == 1 {
+		go q.drain(value)
 	}
 }
 
-// drain hands on what waits, from the first value on.
+// drain sends the waiting values, beginning with the first. It ends when none is left, or with the reader.
 func (q *Queue[T]) drain(first T) {
-	for x, more := first, true; more; x, more = q.next() {
+	for value, more := first, true; more; value, more = q.next() {
 		select {
-		case q.to <- x:
+		case q.channel <- value:
 		case <-q.ended:
 			return
 		}
 	}
 }
 
-// next lets go of the value that was handed on, and is the one behind it; false where none is.
-func (q *Queue[T]) next() (x T, more bool) {
+// next removes the value that was sent and returns the one behind it; false where there is none.
+func (q *Queue[T]) next() (value T, more bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.waiting = q.waiting[1:]; len(q.waiting) == 0 {
+	q.waiting = q.waiting[1:]
+	if len(q.waiting) == 0 {
 		q.waiting = nil
-		return x, false
+		return value, false
 	}
 	return q.waiting[0], true
 }
--- a/internal/cluster/drainstate/drainstate.go
+++ b/internal/cluster/drainstate/drainstate.go
@@ -1,30 +1,31 @@
-// Package drainstate keeps a scheduler from going back behind what its neighbours were told of workers: that one drains or has left the list
-// binds whoever hears of it, until its own discovery has come as far. It takes an input with its time and returns what to tell; it does
-// no input or output and reads no clock.
+// Package drainstate spreads which workers are draining or were removed: what discovery told one member
+// binds every member that hears of it, until its own discovery has come as far. The package is pure: it
+// takes an input with its time and returns effects, does no I/O and reads no clock.
 package drainstate
 
 import (
 	"cmp"
+	"maps"
 	"math/rand/v2"
 	"slices"
 
 	"woaddyke/internal/cluster/membership"
 )
 
-// Time is a moment as members take it.
+// Time is a moment in tenths of a millisecond on a clock that only goes forward.
 type Time = membership.Time
 
-// DrainRecord says that a worker takes nothing new, as discovery told somebody. A worker that starts again has another boot and is another
-// one. Revisions are discovery's own.
+// DrainRecord says that a worker takes nothing new, as discovery told a member. A worker that starts again
+// has another boot ID and is another worker.
 type DrainRecord struct {
 	Worker   string `cbor:"Worker"`
 	BootID   int64  `cbor:"Boot"` // ms, as discovery tells it
-	Removed  bool   `cbor:"Gone"` // it has left the list; otherwise it drains
-	Revision int64  `cbor:"Rev"`
+	Removed  bool   `cbor:"Gone"` // from the endpoint list; false: it is draining
+	Revision int64  `cbor:"Rev"`  // discovery's own
 }
 
-// Merge is the rule for two words of one worker: of a later start, else of a later revision, else the worse one. It is commutative,
-// associative and idempotent.
+// Merge returns which of two records of one worker counts: that of the later boot, else of the later
+// revision, else the one that says removed. It is commutative, associative and idempotent.
 func Merge(a, b DrainRecord) DrainRecord {
 	if compare(a, b) < 0 {
 		return b
@@ -33,227 +34,212 @@
 }
 
 func compare(a, b DrainRecord) int {
-	gone := func(w DrainRecord) int {
-		if w.Removed {
-			return 1
-		}
-		return 0
-	}
-	return cmp.Or(cmp.Compare(a.BootID, b.BootID), cmp.Compare(a.Revision, b.Revision), cmp.Compare(gone(a), gone(b)))
-}
-
-// Bounds.
-const (
-	mostWords = 4096
-	fan       = 3            // members that news is told to at a time
-	times     = 4            // so often
-	every     = Time(1000)   // 100 ms
-	mostTold  = 24           // words to one member at a time: with the longest names they fit a message of the mesh
-	longName  = 255          // bytes of a worker's name; nothing is told of one with a longer name
-	remember  = Time(600000) // 60 s: by then discovery has told everybody, or nobody
-)
-
-// Endpoint is a worker as the own discovery tells it.
-type Endpoint struct {
-	Worker  string
-	BootID  int64
-	Ready   bool
-	Removed bool
+	return cmp.Or(
+		cmp.Compare(a.BootID, b.BootID),
+		cmp.Compare(a.Revision, b.Revision),
+		cmp.Compare(severity(a), severity(b)),
+	)
 }
 
-// EndpointsChanged is a list of the own discovery, whole or of changes.
-type EndpointsChanged struct {
-	Revision  int64
-	Snapshot  bool
-	Endpoints []Endpoint
-}
-
-// RecordsReceived are words of another member.
-type RecordsReceived struct{ Records []DrainRecord }
-
-// PeersChanged are the members that are here now; a new one among them is told all.
-type PeersChanged struct{ Names []string }
-
-// Tick says that the moment of Next has come.
-type Tick struct{}
-
-// Input is one of Told, Heard, Others and Tick.
-type Input interface{ input() }
-
-func (EndpointsChanged) input() {}
-func (RecordsReceived) input()  {}
-func (PeersChanged) input()     {}
-func (Tick) input()             {}
-
-// SendRecords has words told to a member.
-type SendRecords struct {
-	To      string
-	Records []DrainRecord
+func severity(r DrainRecord) int {
+	if r.Removed {
+		return 1
+	}
+	return 0
 }
 
-// WorkerExcluded says that a worker takes nothing new from this scheduler, though its own discovery still lists it.
-type WorkerExcluded struct{ Worker string }
+const (
+	maxRecords           = 4096
+	maxRecordsPerMessage = 24  // with the longest names they fit a message of the mesh
+	maxWorkerNameBytes   = 255 // nothing is spread of a worker with a longer name
 
-// Effect is one of Tell and Bound.
-type Effect interface{ effect() }
+	gossipFanout   = 3 // members that a record is sent to in one round
+	gossipRounds   = 4 // in which a record is sent
+	gossipInterval = Time(1_000)
+	retention      = Time(600_000) // 60 s: by then discovery has told everybody, or nobody
 
-func (SendRecords) effect()    {}
-func (WorkerExcluded) effect() {}
+	// seedSalt tells this package's random sequence from others with the same seed.
+	seedSalt = 0x6c69737473
+)
 
-type held struct {
+// storedRecord is a record that is being spread.
+type storedRecord struct {
 	DrainRecord
-	at    Time
-	times int
+	learnedAt Time
+	rounds    int // of gossip in which it was sent
 }
 
-// Core is one scheduler's part.
+func (r *storedRecord) needsGossip() bool { return r.rounds < gossipRounds }
+
+// Core is the part of one scheduler.
 type Core struct {
-	rand   *rand.Rand
-	rev    int64
-	listed map[string]Endpoint
-	words  map[string]*held
-	others []string
-	next   Time
-	now    Time
-	out    []Effect
+	random     *rand.Rand
+	revision   int64               // of the own discovery
+	listed     map[string]Endpoint // by the own discovery
+	records    map[string]*storedRecord
+	peers      []string
+	nextGossip Time
+	now        Time
+	effects    []Effect
 }
 
-// New starts with nothing.
-func New(chance uint64) *Core {
-	return &Core{rand: rand.New(rand.NewPCG(chance, 0x6c69737473)), listed: map[string]Endpoint{}, words: map[string]*held{}}
+// New makes a core without records.
+func New(seed uint64) *Core {
+	return &Core{
+		random:  rand.New(rand.NewPCG(seed, seedSalt)),
+		listed:  map[string]Endpoint{},
+		records: map[string]*storedRecord{},
+	}
 }
 
-// Step takes an input and returns what to do.
+// Step takes an input and returns its effects.
 func (c *Core) Step(now Time, in Input) []Effect {
-	c.now, c.out = max(now, c.now), nil
+	c.now, c.effects = max(now, c.now), nil
 	switch in := in.(type) {
 	case EndpointsChanged:
-		c.told(in)
+		c.handleEndpoints(in)
 	case RecordsReceived:
-		for _, w := range in.Records {
-			c.learn(w)
+		for _, r := range in.Records {
+			c.learn(r)
 		}
 	case PeersChanged:
-		c.members(in.Names)
+		c.handlePeers(in.Names)
 	}
-	if c.now >= c.next {
-		c.next = c.now + every
-		c.spread()
+	if c.now >= c.nextGossip {
+		c.nextGossip = c.now + gossipInterval
+		c.expireRecords()
+		c.gossip()
 	}
-	return c.out
+	return c.effects
 }
 
 // NextTick is when a Tick is due.
-func (c *Core) NextTick() Time { return c.next }
+func (c *Core) NextTick() Time { return c.nextGossip }
 
-func (c *Core) told(in EndpointsChanged) {
-	c.rev = in.Revision
+// handleEndpoints learns of the workers that a list of the own discovery says are draining or removed.
+func (c *Core) handleEndpoints(in EndpointsChanged) {
+	c.revision = in.Revision
 	before := c.listed
 	if in.Snapshot {
 		c.listed = map[string]Endpoint{}
 	}
 	for _, e := range in.Endpoints {
-		was, known := before[e.Worker] // of a change it is the same list
-		if e.Removed {
-			delete(c.listed, e.Worker)
-		} else {
-			c.listed[e.Worker] = e
-		}
-		if e.Removed || !e.Ready {
-			if e.BootID == 0 && known {
-				e.BootID = was.BootID
-			}
-			c.learn(DrainRecord{Worker: e.Worker, BootID: e.BootID, Removed: e.Removed, Revision: in.Revision})
-		}
+		c.handleEndpoint(e, before[e.Worker])
 	}
 	if in.Snapshot {
-		for _, name := range sorted(before) {
-			if _, still := c.listed[name]; !still {
-				c.learn(DrainRecord{Worker: name, BootID: before[name].BootID, Removed: true, Revision: in.Revision})
-			}
-		}
+		c.learnUnlisted(before)
+	}
+}
+
+// handleEndpoint takes one endpoint, and the one that was listed before under its name, if any.
+func (c *Core) handleEndpoint(e, before Endpoint) {
+	if e.Removed {
+		delete(c.listed, e.Worker)
+	} else {
+		c.listed[e.Worker] = e
 	}
+	if e.Ready && !e.Removed {
+		return
+	}
+	bootID := e.BootID
+	if bootID == 0 {
+		bootID = before.BootID // it is the process that was listed
+	}
+	c.learn(DrainRecord{Worker: e.Worker, BootID: bootID, Removed: e.Removed, Revision: c.revision})
 }
 
-func sorted[T any](m map[string]T) []string {
-	names := make([]string, 0, len(m))
-	for n := range m {
-		names = append(names, n)
+// learnUnlisted learns that the workers were removed which a snapshot does not list any more.
+func (c *Core) learnUnlisted(before map[string]Endpoint) {
+	for _, name := range slices.Sorted(maps.Keys(before)) {
+		if _, listed := c.listed[name]; !listed {
+			c.learn(DrainRecord{
+				Worker:   name,
+				BootID:   before[name].BootID,
+				Removed:  true,
+				Revision: c.revision,
+			})
+		}
 	}
-	slices.Sort(names)
-	return names
 }
 
-// learn takes a word, and passes on what is news.
-func (c *Core) learn(w DrainRecord) {
-	if w.Worker == "" || len(w.Worker) > longName {
+// learn stores a record that counts more than the known one, for the next rounds of gossip.
+func (c *Core) learn(r DrainRecord) {
+	if r.Worker == "" || len(r.Worker) > maxWorkerNameBytes {
 		return
 	}
-	h := c.words[w.Worker]
-	if h == nil {
-		if len(c.words) >= mostWords {
-			return // its own discovery will tell
-		}
-		h = &held{}
-		c.words[w.Worker] = h
-	} else if compare(w, h.DrainRecord) <= 0 {
+	known := c.records[r.Worker]
+	switch {
+	case known == nil && len(c.records) >= maxRecords:
+		return // the own discovery will tell
+	case known != nil && compare(r, known.DrainRecord) <= 0:
 		return
 	}
-	*h = held{DrainRecord: w, at: c.now}
-	if c.Excluded(w.Worker) {
-		c.out = append(c.out, WorkerExcluded{w.Worker})
+	c.records[r.Worker] = &storedRecord{DrainRecord: r, learnedAt: c.now}
+	if c.Excluded(r.Worker) {
+		c.effects = append(c.effects, WorkerExcluded{r.Worker})
 	}
 }
 
-// Excluded tells whether a worker takes nothing new though the own discovery lists it as one that serves: a neighbour was told
-// otherwise of this very start of it, at a revision that has not come here.
+// Excluded tells whether a worker takes nothing new though the own discovery lists it as ready: another
+// member was told otherwise of this very boot of it, or a later one, at a revision that has not come here.
 func (c *Core) Excluded(worker string) bool {
-	e, listed := c.listed[worker]
-	h := c.words[worker]
-	return listed && e.Ready && h != nil && h.BootID >= e.BootID && h.Revision > c.rev && c.now-h.at < remember
+	endpoint, listed := c.listed[worker]
+	r := c.records[worker]
+	if !listed || !endpoint.Ready || r == nil {
+		return false
+	}
+	return r.BootID >= endpoint.BootID && r.Revision > c.revision && c.now-r.learnedAt < retention
 }
 
-// members takes the others that are here; those that are new are told all.
-func (c *Core) members(names []string) {
-	for _, n := range names {
-		if !slices.Contains(c.others, n) {
-			c.tell(n, func(*held) bool { return true })
+// handlePeers takes the members that are alive; those that are new are sent all records.
+func (c *Core) handlePeers(names []string) {
+	all := func(*storedRecord) bool { return true }
+	for _, name := range names {
+		if !slices.Contains(c.peers, name) {
+			c.sendRecords(name, all)
 		}
 	}
-	c.others = names
+	c.peers = names
 }
 
-func (c *Core) tell(to string, which func(*held) bool) {
-	var words []DrainRecord
-	for _, name := range sorted(c.words) {
-		if h := c.words[name]; which(h) {
-			words = append(words, h.DrainRecord)
+// sendRecords sends some of the records to a member, in messages of bounded size.
+func (c *Core) sendRecords(to string, included func(*storedRecord) bool) {
+	var records []DrainRecord
+	for _, name := range slices.Sorted(maps.Keys(c.records)) {
+		if r := c.records[name]; included(r) {
+			records = append(records, r.DrainRecord)
 		}
 	}
-	for len(words) > 0 {
-		n := min(len(words), mostTold)
-		c.out = append(c.out, SendRecords{to, words[:n:n]})
-		words = words[n:]
+	for chunk := range slices.Chunk(records, maxRecordsPerMessage) {
+		c.effects = append(c.effects, SendRecords{to, chunk})
 	}
 }
 
-// spread tells some members what is news, a few times: each passes it on.
-func (c *Core) spread() {
-	news := false
-	for name, h := range c.words {
-		if c.now-h.at >= remember {
-			delete(c.words, name)
-		} else if h.times < times {
-			news = true
-		}
-	}
-	if !news || len(c.others) == 0 {
+func (c *Core) expireRecords() {
+	maps.DeleteFunc(c.records, func(_ string, r *storedRecord) bool {
+		return c.now-r.learnedAt >= retention
+	})
+}
+
+// gossip sends the records that are new to a few random members, in a few rounds: each passes them on.
+func (c *Core) gossip() {
+	if len(c.peers) == 0 || !c.hasNews() {
 		return
 	}
-	for _, i := range c.rand.Perm(len(c.others))[:min(fan, len(c.others))] {
-		c.tell(c.others[i], func(h *held) bool { return h.times < times })
+	fanout := min(gossipFanout, len(c.peers))
+	for _, i := range c.random.Perm(len(c.peers))[:fanout] {
+		c.sendRecords(c.peers[i], (*storedRecord).needsGossip)
 	}
-	for _, h := range c.words {
-		h.times++
+	for _, r := range c.records {
+		r.rounds++
+	}
+}
+
+func (c *Core) hasNews() bool {
+	for _, r := range c.records {
+		if r.needsGossip() {
+			return true
+		}
 	}
+	return false
 }
--- a/internal/cluster/drainstate/drainstate_test.go
+++ b/internal/cluster/drainstate/drainstate_test.go
@@ -73,7 +73,7 @@
 	if !c.Excluded("w") {
 		t.Error("an older start's word stands over a later one's")
 	}
-	if c.Step(4+remember, Tick{}); c.Excluded("w") {
+	if c.Step(4+retention, Tick{}); c.Excluded("w") {
 		t.Error("a word is never forgotten")
 	}
 }
@@ -81,11 +81,11 @@
 // Strangers' words must not take the memory, and one who is new is told all.
 func TestWordsAreBounded(t *testing.T) {
 	c := New(1)
-	for i := range 3 * mostWords {
+	for i := range 3 * maxRecords {
 		c.Step(1, RecordsReceived{[]DrainRecord{{fmt.Sprint("w", i), 1, false, 1}}})
 	}
-	if len(c.words) != mostWords {
-		t.Errorf("%d words", len(c.words))
+	if len(c.records) != maxRecords {
+		t.Errorf("%d words", len(c.records))
 	}
 	n := 0
 	for _, e := range c.Step(2, PeersChanged{[]string{"b"}}) {
@@ -93,7 +93,7 @@
 			n += len(x.Records)
 		}
 	}
-	if n < mostWords {
-		t.Errorf("a new one is told %d of %d", n, mostWords)
+	if n < maxRecords {
+		t.Errorf("a new one is told %d of %d", n, maxRecords)
 	}
 }
--- a/internal/cluster/drainstate/told_test.go
+++ b/internal/cluster/drainstate/endpoints_test.go
@@ -10,7 +10,7 @@
 			c := New(7)
 			c.Step(1, EndpointsChanged{Revision: 1, Snapshot: true, Endpoints: []Endpoint{{Worker: "w", BootID: 50, Ready: true}}})
 			c.Step(2, EndpointsChanged{Revision: 2, Snapshot: whole, Endpoints: []Endpoint{change}})
-			if w := c.words["w"]; w == nil || w.BootID != 50 || w.Removed != change.Removed {
+			if w := c.records["w"]; w == nil || w.BootID != 50 || w.Removed != change.Removed {
 				t.Errorf("%s %s: %+v", name, how, w)
 			}
 		}
--- a/internal/cluster/replica/storage.go
+++ b/internal/cluster/replica/storage.go
@@ -81,31 +81,32 @@
 }
 
 func readReplicaSet(s *store.Store, newVoter bool) (replicaset.State, error) {
-	state, known, err := s.Agreement()
+	state, known, err := s.ReplicaSetState()
 	if err != nil || known || !newVoter {
 		return state, err
 	}
 	if state.VoterID, err = randomID(); err != nil {
 		return state, err
 	}
-	return state, s.SaveAgreement(state)
+	return state, s.SaveReplicaSetState(state)
 }
 
 func (r *Replica) readRecords(s *store.Store, persisted *persistedState) error {
-	records, incarnation, setID, complete, err := s.Load(boottime.Now())
+	contents, err := s.Load(boottime.Now())
 	if err != nil {
 		return err
 	}
-	if !complete {
-		incarnation = replication.Incarnation{}
-	}
 	cursors, err := s.Cursors()
 	if err != nil {
 		return err
 	}
-	persisted.setID = setID
-	persisted.records = replication.StateReloaded{Records: records, Incarnation: incarnation, Cursors: cursors}
-	r.log.Info().Int("records", len(records)).Bool("whole", complete).Str("path", r.config.Path).
+	persisted.setID = contents.SetID
+	persisted.records = replication.StateReloaded{
+		Records:     contents.Records,
+		Incarnation: contents.Incarnation,
+		Cursors:     cursors,
+	}
+	r.log.Info().Int("records", len(contents.Records)).Bool("whole", contents.Complete).Str("path", r.config.Path).
 		Msg("copies kept on a disk")
 	return nil
 }
@@ -232,7 +233,7 @@
 	if !changed || r.storage.store == nil {
 		return true
 	}
-	err := r.storage.store.SaveAgreement(state)
+	err := r.storage.store.SaveReplicaSetState(state)
 	if err == nil {
 		return true
 	}
--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	err = errors.Join(s.Write(goldenNow, content.Records, nil), s.SetIncarnation(content.Life, content.Epoch), s.SaveCursors(content.Seen),
-		s.SaveAgreement(content.Agreement), s.Close())
+		s.SaveReplicaSetState(content.Agreement), s.Close())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 // rawRows are all values of a file, by bucket and key, as bbolt has them.
 func rawRows(t *testing.T, path string) map[string]map[string]string {
 	t.Helper()
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTime})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -218,10 +218,11 @@
 			defer s.Close()
 			var got goldenContent
 			var whole, agreed bool
-			var errLoad, errSeen, errAgreement error
-			got.Records, got.Life, got.Epoch, whole, errLoad = s.Load(c.now)
+			var errSeen, errAgreement error
+			contents, errLoad := s.Load(c.now)
+			got.Records, got.Life, got.Epoch, whole = contents.Records, contents.Incarnation, contents.SetID, contents.Complete
 			got.Seen, errSeen = s.Cursors()
-			got.Agreement, agreed, errAgreement = s.Agreement()
+			got.Agreement, agreed, errAgreement = s.ReplicaSetState()
 			if err := errors.Join(errLoad, errSeen, errAgreement); err != nil || !whole || !agreed {
 				t.Fatalf("whole %v, agreed %v, %v", whole, agreed, err)
 			}
--- a/internal/cluster/store/store.go
+++ b/internal/cluster/store/store.go
@@ -1,5 +1,5 @@
-// Package store keeps a keeper's records on a disk that lasts: one file, held by one process at a time, in an embedded store whose
-// transactions are whole or not there. It decides nothing.
+// Package store persists what a replica must remember: one file, held by one process at a time, in an
+// embedded store with atomic transactions. It decides nothing.
 package store
 
 import (
@@ -16,190 +16,202 @@
 	"woaddyke/internal/lifecycle/boottime"
 )
 
-const (
-	lockTime = 2 * time.Second // for the process before to let go of the file
-	version  = 3
-)
+// lockTimeout is how long a predecessor may take to close the file.
+const lockTimeout = 2 * time.Second
+
+// Descriptors is the number of file descriptors that an open store uses.
+const Descriptors = 1
 
-// Forms of before that are read still.
+// Versions of the file's form. Open converts the earlier ones.
 const (
-	catchesUp   = 1 // its records are dropped
-	byWallClock = 2 // the ages of its records are unknown
+	versionCatchUp   = 1 // its records are dropped: the replica catches up as one without memory
+	versionWallClock = 2 // the ages of its records are unknown
+	currentVersion   = 3
 )
 
-// Descriptors is how many an open store holds.
-const Descriptors = 1
-
+// Buckets, and keys in the bucket meta.
 var (
-	recordsName = []byte("records")
-	metaName    = []byte("meta")
-	lifeKey     = []byte("life")
-	epochKey    = []byte("epoch")
-	versionKey  = []byte("version")
-	agreedKey   = []byte("agreed")
-	seenName    = []byte("seen")
-	clockKey    = []byte("clock")
+	recordsBucket = []byte("records")
+	metaBucket    = []byte("meta")
+	cursorsBucket = []byte("seen")
+
+	incarnationKey = []byte("life")
+	setIDKey       = []byte("epoch")
+	versionKey     = []byte("version")
+	replicaSetKey  = []byte("agreed")
+	clockKey       = []byte("clock")
 )
 
-// row is a record as it stands on the disk.
-type row struct {
-	Record replication.Record `cbor:"1,keyasint"`
-	First  int64              `cbor:"3,keyasint"` // ms on the file's clock at which it was first heard of; of a moment before that it is negative
-}
+// incarnationBytes is the size of a stored incarnation: generation and nonce.
+const incarnationBytes = 16
+
+// VersionError is a file of a version that this build does not read.
+type VersionError struct{ Version byte }
 
-// clock is what the moments of rows are told by: the clock of one start of the machine. When the file is opened after another start,
-// all rows are moved to the new clock. How long the machine was down is not known, so their ages go on from the last one that is proven.
-type clock struct {
-	Boot   string `cbor:"1,keyasint"`
-	Latest int64  `cbor:"2,keyasint"` // ms: rows were last written then
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("its form is %d, this build reads %d", e.Version, currentVersion)
 }
 
-func clockAt(now boottime.Reading) clock { return clock{now.BootID, now.SinceBoot.Milliseconds()} }
+// Store is one open file.
+type Store struct {
+	db *bbolt.DB
+}
 
-// readClock is the file's clock; none for a file of a form that told moments by the wall clock.
-func readClock(meta *bbolt.Bucket) (c clock, ok bool, err error) {
-	text := meta.Get(clockKey)
-	if text == nil {
-		return clock{}, false, nil
+// Open opens or creates the file. With sync off a crash of the machine, not of the process, may lose the
+// last records: a replica that comes back from one must not be believed.
+func Open(path string, sync bool) (*Store, error) {
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{
+		Timeout:        lockTimeout,
+		NoSync:         !sync,
+		NoFreelistSync: true,
+		FreelistType:   bbolt.FreelistMapType,
+	})
+	if err != nil {
+		return nil, fmt.Errorf("copies: %s: %w", path, err)
 	}
-	return c, true, cbor.Unmarshal(text, &c)
+	if err := db.Update(prepare); err != nil {
+		return nil, fmt.Errorf("copies: %s: %w", path, errors.Join(err, db.Close()))
+	}
+	return &Store{db}, nil
 }
 
-func (c clock) write(meta *bbolt.Bucket) error {
-	text, err := cbor.Marshal(c)
+// prepare creates the buckets, and converts a file of an earlier version.
+func prepare(tx *bbolt.Tx) error {
+	meta, err := tx.CreateBucketIfNotExists(metaBucket)
 	if err != nil {
 		return err
 	}
-	return meta.Put(clockKey, text)
+	if err := convert(tx, meta); err != nil {
+		return err
+	}
+	_, err1 := tx.CreateBucketIfNotExists(recordsBucket)
+	_, err2 := tx.CreateBucketIfNotExists(cursorsBucket)
+	return errors.Join(err1, err2, meta.Put(versionKey, []byte{currentVersion}))
 }
 
-// goBy has the moments of all rows told by the clock of now.
-func goBy(tx *bbolt.Tx, now boottime.Reading) error {
-	meta, records := tx.Bucket(metaName), tx.Bucket(recordsName)
-	before, known, err := readClock(meta)
-	if err != nil {
-		return err
+// convert drops what this build cannot use of an earlier version. The wall clock of one is left to Load.
+func convert(tx *bbolt.Tx, meta *bbolt.Bucket) error {
+	version := meta.Get(versionKey)
+	if version == nil {
+		return nil
 	}
-	next := clockAt(now)
-	if _, same := now.After(boottime.Reading{BootID: before.Boot, SinceBoot: time.Duration(before.Latest) * time.Millisecond}); known && same {
-		return next.write(meta)
+	switch version[0] {
+	case versionCatchUp:
+		return errors.Join(tx.DeleteBucket(recordsBucket), meta.Delete(incarnationKey))
+	case versionWallClock, currentVersion:
+		return nil
 	}
-	moved := map[string][]byte{}
-	err = records.ForEach(func(key, text []byte) error {
-		var r row
-		if err := cbor.Unmarshal(text, &r); err != nil {
+	return &VersionError{version[0]}
+}
+
+// Contents is what a file holds of a replica's records.
+type Contents struct {
+	Records     []replication.Record
+	Incarnation replication.Incarnation // under which the records are complete
+	SetID       uint64                  // of the replica set under which they were persisted
+	Complete    bool                    // false for a new file, or one whose replica had not caught up: no records
+}
+
+// Load reads the records. From here on the file uses the clock of now.
+func (s *Store) Load(now boottime.Reading) (contents Contents, err error) {
+	err = s.db.Update(func(tx *bbolt.Tx) error {
+		if err := rebase(tx, now); err != nil {
 			return err
 		}
-		age := int64(0) // a moment of the wall clock proves nothing
-		if known {
-			age = max(before.Latest-r.First, 0)
-		}
-		r.First = next.Latest - age
-		moved[string(key)], err = cbor.Marshal(r)
-		return err
+		return contents.read(tx, now)
 	})
-	for key, text := range moved {
-		err = errors.Join(err, records.Put([]byte(key), text))
+	if err != nil {
+		return Contents{}, fmt.Errorf("copies: %w", err)
 	}
-	return errors.Join(err, next.write(meta))
+	return contents, nil
 }
 
-// Store is one file.
-type Store struct {
-	db *bbolt.DB
+func (c *Contents) read(tx *bbolt.Tx, now boottime.Reading) error {
+	meta := tx.Bucket(metaBucket)
+	text := meta.Get(incarnationKey)
+	if len(text) != incarnationBytes {
+		return nil
+	}
+	c.Incarnation = replication.Incarnation{
+		Generation: binary.BigEndian.Uint64(text),
+		Nonce:      binary.BigEndian.Uint64(text[8:]),
+	}
+	c.Complete = c.Incarnation != replication.Incarnation{}
+	if setID := meta.Get(setIDKey); len(setID) == 8 {
+		c.SetID = binary.BigEndian.Uint64(setID)
+	}
+	return tx.Bucket(recordsBucket).ForEach(func(_, text []byte) error {
+		record, err := decodeRecord(text, now)
+		c.Records = append(c.Records, record)
+		return err
+	})
 }
 
-// Open opens or makes the file. With sync off a crash of the machine, not of the process, may lose the last records: a keeper that comes
-// back from one must not be believed.
-func Open(path string, sync bool) (*Store, error) {
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTime, NoSync: !sync, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType})
-	if err != nil {
-		return nil, fmt.Errorf("copies: %s: %w", path, err)
+// decodeRecord reads a record. How long ago its op ran is not known across a restart: an age that is too
+// great would let the op run again in its group after the window, so it is dropped.
+func decodeRecord(text []byte, now boottime.Reading) (replication.Record, error) {
+	var r row
+	if err := cbor.Unmarshal(text, &r); err != nil {
+		return replication.Record{}, err
 	}
-	err = db.Update(func(tx *bbolt.Tx) error {
-		meta, err := tx.CreateBucketIfNotExists(metaName)
-		if err != nil {
-			return err
-		}
-		if v := meta.Get(versionKey); v != nil && v[0] == catchesUp { // its keeper catches up as one without memory
-			err = errors.Join(tx.DeleteBucket(recordsName), meta.Delete(lifeKey))
-		} else if v != nil && v[0] != version && v[0] != byWallClock {
-			return fmt.Errorf("its form is %d, this build reads %d", v[0], version)
-		}
-		if err != nil {
-			return err
-		}
-		_, err = tx.CreateBucketIfNotExists(recordsName)
-		_, err2 := tx.CreateBucketIfNotExists(seenName)
-		return errors.Join(err, err2, meta.Put(versionKey, []byte{version}))
-	})
-	if err != nil {
-		return nil, fmt.Errorf("copies: %s: %w", path, errors.Join(err, db.Close()))
+	for i := range r.Record.Outcomes {
+		r.Record.Outcomes[i].Age = 0
 	}
-	return &Store{db}, nil
+	r.Record.Age = r.age(now)
+	return r.Record, nil
 }
 
-// Load reads all records, and as which life, of which set of keepers, they were kept; false for a file that is new, or whose keeper had
-// not caught up. From here on the file goes by the clock of now.
-func (s *Store) Load(now boottime.Reading) (records []replication.Record, life replication.Incarnation, epoch uint64, ok bool, err error) {
-	err = s.db.Update(func(tx *bbolt.Tx) error {
-		if err := goBy(tx, now); err != nil {
+// Write puts records and deletes others in one transaction. They are durable when it returns without an
+// error. It is called after Load, in the same boot of the machine.
+func (s *Store) Write(now boottime.Reading, put []replication.Record, deleted []string) error {
+	return s.db.Update(func(tx *bbolt.Tx) error {
+		if err := clockAt(now).write(tx.Bucket(metaBucket)); err != nil {
 			return err
 		}
-		meta := tx.Bucket(metaName)
-		l := meta.Get(lifeKey)
-		if len(l) != 16 {
-			return nil
-		}
-		life = replication.Incarnation{Generation: binary.BigEndian.Uint64(l), Nonce: binary.BigEndian.Uint64(l[8:])}
-		ok = life != replication.Incarnation{}
-		if e := meta.Get(epochKey); len(e) == 8 {
-			epoch = binary.BigEndian.Uint64(e)
-		}
-		return tx.Bucket(recordsName).ForEach(func(_, v []byte) error {
-			var x row
-			if err := cbor.Unmarshal(v, &x); err != nil {
+		records := tx.Bucket(recordsBucket)
+		for _, record := range put {
+			if err := putCBOR(records, []byte(record.Key), newRow(record, now)); err != nil {
 				return err
 			}
-			for i := range x.Record.Outcomes {
-				x.Record.Outcomes[i].Age = 0 // how long ago an op ran is not known over a start: a window that is counted too long runs it twice
+		}
+		for _, key := range deleted {
+			if err := records.Delete([]byte(key)); err != nil {
+				return err
 			}
-			x.Record.Age = uint64(max(now.SinceBoot.Milliseconds()-x.First, 0) / 1000)
-			records = append(records, x.Record)
-			return nil
-		})
+		}
+		return nil
 	})
+}
+
+func putCBOR(bucket *bbolt.Bucket, key []byte, value any) error {
+	text, err := cbor.Marshal(value)
 	if err != nil {
-		err = fmt.Errorf("copies: %w", err)
+		return err
 	}
-	return records, life, epoch, ok, err
+	return bucket.Put(key, text)
 }
 
-// Cursors reads up to where each other keeper's changes are in the file.
-func (s *Store) Cursors() (all []replication.ReplicationCursor, err error) {
+// Cursors reads up to which position the changes of each other replica are in the file.
+func (s *Store) Cursors() (cursors []replication.ReplicationCursor, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		return tx.Bucket(seenName).ForEach(func(_, v []byte) error {
-			var x replication.ReplicationCursor
-			err := cbor.Unmarshal(v, &x)
-			all = append(all, x)
+		return tx.Bucket(cursorsBucket).ForEach(func(_, text []byte) error {
+			var cursor replication.ReplicationCursor
+			err := cbor.Unmarshal(text, &cursor)
+			cursors = append(cursors, cursor)
 			return err
 		})
 	})
 	if err != nil {
 		err = fmt.Errorf("copies: %w", err)
 	}
-	return all, err
+	return cursors, err
 }
 
-// SaveCursors notes that they are there up to a position.
-func (s *Store) SaveCursors(all []replication.ReplicationCursor) error {
+// SaveCursors writes cursors, one for each replica.
+func (s *Store) SaveCursors(cursors []replication.ReplicationCursor) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		for _, x := range all {
-			v, err := cbor.Marshal(x)
-			if err != nil {
-				return err
-			}
-			if err := tx.Bucket(seenName).Put([]byte(x.Replica), v); err != nil {
+		for _, cursor := range cursors {
+			if err := putCBOR(tx.Bucket(cursorsBucket), []byte(cursor.Replica), cursor); err != nil {
 				return err
 			}
 		}
@@ -207,68 +219,47 @@
 	})
 }
 
-// SetIncarnation notes as which life the file is whole from now on; a zero one: it is not.
-func (s *Store) SetIncarnation(life replication.Incarnation, epoch uint64) error {
+// SetIncarnation writes under which incarnation, and of which replica set, the records are complete from now
+// on; a zero incarnation: they are not.
+func (s *Store) SetIncarnation(incarnation replication.Incarnation, setID uint64) error {
+	text := binary.BigEndian.AppendUint64(nil, incarnation.Generation)
+	text = binary.BigEndian.AppendUint64(text, incarnation.Nonce)
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		meta := tx.Bucket(metaName)
-		l := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, life.Generation), life.Nonce)
-		return errors.Join(meta.Put(lifeKey, l), meta.Put(epochKey, binary.BigEndian.AppendUint64(nil, epoch)))
+		meta := tx.Bucket(metaBucket)
+		return errors.Join(
+			meta.Put(incarnationKey, text),
+			meta.Put(setIDKey, binary.BigEndian.AppendUint64(nil, setID)),
+		)
 	})
 }
 
-// Agreement reads what lasts of the agreement on who keeps copies; false for a file that has none.
-func (s *Store) Agreement() (state replicaset.State, ok bool, err error) {
+// ReplicaSetState reads the state of the replica set core; false for a file without one.
+func (s *Store) ReplicaSetState() (state replicaset.State, known bool, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		text := tx.Bucket(metaName).Get(agreedKey)
-		if ok = text != nil; !ok {
+		text := tx.Bucket(metaBucket).Get(replicaSetKey)
+		if text == nil {
 			return nil
 		}
+		known = true
 		return cbor.Unmarshal(text, &state)
 	})
 	if err != nil {
 		err = fmt.Errorf("copies: the agreement: %w", err)
 	}
-	return state, ok, err
+	return state, known, err
 }
 
-// SaveAgreement puts the agreement's state down. It is on the disk when this returns without an error, with sync off as well: a vote that is
-// forgotten may be given twice.
-func (s *Store) SaveAgreement(state replicaset.State) error {
-	text, err := cbor.Marshal(state)
-	if err == nil {
-		err = s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(metaName).Put(agreedKey, text) })
-	}
+// SaveReplicaSetState writes the state of the replica set core. It is durable when this returns without an
+// error, with sync off as well: a raft vote that is forgotten may be given twice.
+func (s *Store) SaveReplicaSetState(state replicaset.State) error {
+	err := s.db.Update(func(tx *bbolt.Tx) error {
+		return putCBOR(tx.Bucket(metaBucket), replicaSetKey, state)
+	})
 	if err != nil || !s.db.NoSync {
 		return err
 	}
 	return s.db.Sync()
 }
 
-// Write puts records in and takes others out, all in one step; when it returns without an error they last. It is called after Load, on
-// the same start of the machine.
-func (s *Store) Write(now boottime.Reading, put []replication.Record, drop []string) error {
-	return s.db.Update(func(tx *bbolt.Tx) error {
-		if err := clockAt(now).write(tx.Bucket(metaName)); err != nil {
-			return err
-		}
-		b := tx.Bucket(recordsName)
-		for _, r := range put {
-			v, err := cbor.Marshal(row{r, now.SinceBoot.Milliseconds() - 1000*int64(r.Age)})
-			if err != nil {
-				return err
-			}
-			if err := b.Put([]byte(r.Key), v); err != nil {
-				return err
-			}
-		}
-		for _, key := range drop {
-			if err := b.Delete([]byte(key)); err != nil {
-				return err
-			}
-		}
-		return nil
-	})
-}
-
-// Close lets go of the file.
+// Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
--- a/internal/cluster/store/store_test.go
+++ b/internal/cluster/store/store_test.go
@@ -27,8 +27,8 @@
 		t.Fatal(err)
 	}
 	now := boottime.Reading{BootID: "first", SinceBoot: 1000 * time.Second}
-	if _, _, _, ok, err := s.Load(now); ok || err != nil {
-		t.Errorf("a new file: %v, %v", ok, err)
+	if got, err := s.Load(now); got.Complete || err != nil {
+		t.Errorf("a new file: %v, %v", got.Complete, err)
 	}
 	life := replication.Incarnation{Generation: 4, Nonce: 7}
 	if err := s.SetIncarnation(life, 11); err != nil {
@@ -41,16 +41,16 @@
 	aged.Outcomes[0].Age = 5
 	state := replicaset.State{VoterID: 3, GroupID: 5, Set: replicaset.Set{GroupID: 5, Epoch: 2, New: []string{"n"}}, Entries: [][]byte{{1}}}
 	seen := []replication.ReplicationCursor{{Replica: "m", Incarnation: life, Position: 6}}
-	if err := errors.Join(s.Write(now, []replication.Record{aged}, nil), s.SaveAgreement(state), s.SaveCursors(seen)); err != nil {
+	if err := errors.Join(s.Write(now, []replication.Record{aged}, nil), s.SaveReplicaSetState(state), s.SaveCursors(seen)); err != nil {
 		t.Fatal(err)
 	}
-	if got, _, _, _, _ := s.Load(now); got[2].Outcomes[0].Age != 0 {
+	if got, _ := s.Load(now); got.Records[2].Outcomes[0].Age != 0 {
 		t.Error("how long ago an op ran is told over a start")
 	}
 	if err := s.Write(now, nil, []string{"c\x00z"}); err != nil {
 		t.Fatal(err)
 	}
-	if got, ok, err := s.Agreement(); err != nil || !ok || !reflect.DeepEqual(got, state) {
+	if got, ok, err := s.ReplicaSetState(); err != nil || !ok || !reflect.DeepEqual(got, state) {
 		t.Errorf("the agreement: %+v, %v, %v", got, ok, err)
 	}
 	if got, err := s.Cursors(); err != nil || !reflect.DeepEqual(got, seen) {
@@ -69,9 +69,10 @@
 	want := record("a\x00x")
 	want.Age = 25
 	now.SinceBoot += 20 * time.Second
-	got, l, epoch, ok, err := s.Load(now)
-	if err != nil || !ok || l != life || epoch != 11 || len(got) != 1 || !reflect.DeepEqual(got[0], want) {
-		t.Errorf("%+v, life %v, epoch %d, %v, %v", got, l, epoch, ok, err)
+	got, err := s.Load(now)
+	complete := Contents{Records: []replication.Record{want}, Incarnation: life, SetID: 11, Complete: true}
+	if err != nil || !reflect.DeepEqual(got, complete) {
+		t.Errorf("%+v, %v", got, err)
 	}
 	s.Close()
 }
@@ -107,9 +108,9 @@
 		if s, err = Open(path, false); err != nil {
 			t.Fatal(err)
 		}
-		got, _, _, _, err := s.Load(c.now)
-		if err != nil || len(got) != 1 || got[0].Age != c.age {
-			t.Errorf("%s: %+v, %v, want an age of %d", c.what, got, err, c.age)
+		got, err := s.Load(c.now)
+		if err != nil || len(got.Records) != 1 || got.Records[0].Age != c.age {
+			t.Errorf("%s: %+v, %v, want an age of %d", c.what, got.Records, err, c.age)
 		}
 		s.Close()
 	}
@@ -127,8 +128,8 @@
 		t.Fatal(err)
 	}
 	if err := s.db.Update(func(tx *bbolt.Tx) error {
-		meta := tx.Bucket(metaName)
-		return errors.Join(meta.Delete(clockKey), meta.Put(versionKey, []byte{byWallClock}))
+		meta := tx.Bucket(metaBucket)
+		return errors.Join(meta.Delete(clockKey), meta.Put(versionKey, []byte{versionWallClock}))
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -137,8 +138,8 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if got, _, _, ok, err := s.Load(now); err != nil || !ok || len(got) != 1 || got[0].Age != 0 {
-		t.Errorf("%+v, whole %v, %v", got, ok, err)
+	if got, err := s.Load(now); err != nil || !got.Complete || len(got.Records) != 1 || got.Records[0].Age != 0 {
+		t.Errorf("%+v, %v", got, err)
 	}
 }
 
@@ -164,3 +165,25 @@
 		t.Error("a folder that is not there")
 	}
 }
+
+// A file of a later build must not be read as if it were known, nor changed.
+func TestALaterVersionIsATypedError(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "copies.db")
+	s, err := Open(path, false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	err = s.db.Update(func(tx *bbolt.Tx) error {
+		return tx.Bucket(metaBucket).Put(versionKey, []byte{currentVersion + 1})
+	})
+	if err := errors.Join(err, s.Close()); err != nil {
+		t.Fatal(err)
+	}
+	var unsupported *VersionError
+	if _, err := Open(path, false); !errors.As(err, &unsupported) || unsupported.Version != currentVersion+1 {
+		t.Errorf("got %v", err)
+	}
+	if version := rawRows(t, path)["meta"]["version"]; version != string([]byte{currentVersion + 1}) {
+		t.Errorf("the file has version %q now", version)
+	}
+}
