--- a/internal/cluster/replica/config.go
+++ b/internal/cluster/replica/config.go
@@ -13,18 +13,18 @@
 
 // Config is the table "copies" of the features file.
 type Config struct {
-	Replicas        []string          `toml:"keepers"`       // 3 or 5 members, the same at all; the first set, if agreed
+	Replicas        []string          `toml:"keepers"`       // an odd number, the same at all members
 	DynamicReplicas bool              `toml:"agreed"`        // the set changes by agreement
-	ReplaceAfter    features.Duration `toml:"replace_after"` // a replica dead for so long is replaced; 0: never
+	ReplaceAfter    features.Duration `toml:"replace_after"` // by a spare, once dead for so long; 0: never
 	Spares          []string          `toml:"spares"`        // that replace it, in order of preference
 	Deduplicated    bool              `toml:"deduplicated"`  // ops of deduplicated categories are claimed too
 	QuorumTimeout   features.Duration `toml:"wait"`          // for a majority, before an op is nacked
 	JoinTimeout     features.Duration `toml:"join"`          // for an op that another scheduler has
-	RetryInterval   features.Duration `toml:"again"`         // between two requests to a replica without an answer
+	RetryInterval   features.Duration `toml:"again"`         // to a replica that has not answered
 	PullInterval    features.Duration `toml:"pull"`          // between two pulls of another replica's changes
 	Retention       features.Duration `toml:"remember"`      // of an id, from when it first came
-	AmnesiaHoldOff  features.Duration `toml:"hold_off"`      // without a vote, where all replicas lost their memory
-	CatchUpRate     int               `toml:"catch_up"`      // bytes a second from each replica during catch-up
+	AmnesiaHoldOff  features.Duration `toml:"hold_off"`      // without a vote, if all lost their memory
+	CatchUpRate     int               `toml:"catch_up"`      // bytes a second from each replica
 	MaxRecords      int               `toml:"most"`
 	MaxBytes        int               `toml:"most_bytes"`
 	MaxResultBytes  int               `toml:"result_bytes"` // longer answers are not retained
--- a/internal/cluster/replica/replica.go
+++ b/internal/cluster/replica/replica.go
@@ -56,7 +56,9 @@
 
 // New makes a process's part at a moment of the transport's clock; it does nothing before Start. Successions
 // is the number of hot restarts before this process, as its predecessor's Successions told it.
-func New(config *Config, name string, seed, successions uint64, now membership.Time, log zerolog.Logger) (*Replica, error) {
+func New(
+	config *Config, name string, seed, successions uint64, now membership.Time, log zerolog.Logger,
+) (*Replica, error) {
 	nonce, err := randomID()
 	if err != nil {
 		return nil, err
--- a/internal/cluster/replica/status.go
+++ b/internal/cluster/replica/status.go
@@ -14,7 +14,7 @@
 // Status is the state that operators see.
 type Status struct {
 	replication.Status
-	Agreement string `json:"agreement"`   // the role in changes of the replica set; empty where it does not change
+	Agreement string `json:"agreement"`   // the role in changes of the replica set; empty without
 	Lost      uint64 `json:"inputs_lost"` // since the queue was full
 }
 
--- a/internal/cluster/replica/storage.go
+++ b/internal/cluster/replica/storage.go
@@ -106,7 +106,10 @@
 		Incarnation: contents.Incarnation,
 		Cursors:     cursors,
 	}
-	r.log.Info().Int("records", len(contents.Records)).Bool("whole", contents.Complete).Str("path", r.config.Path).
+	r.log.Info().
+		Int("records", len(contents.Records)).
+		Bool("whole", contents.Complete).
+		Str("path", r.config.Path).
 		Msg("copies kept on a disk")
 	return nil
 }
--- a/internal/cluster/replicaset/election.go
+++ b/internal/cluster/replicaset/election.go
@@ -63,7 +63,8 @@
 		if c.leaseValid() {
 			return false
 		}
-		m.Context = []byte(campaignTransfer) // the library counts its own lease by ticks that only the leader gets
+		// The library counts its own lease by ticks, which only the leader gets.
+		m.Context = []byte(campaignTransfer)
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 		if m.Term >= c.raft.node.BasicStatus().Term {
 			c.election.leaderHeardAt = c.now
--- a/internal/cluster/replication/catch_up.go
+++ b/internal/cluster/replication/catch_up.go
@@ -287,7 +287,10 @@
 // handleFetched merges the records that were missing.
 func (c *Core) handleFetched(in MessageReceived) {
 	peer := c.catchUp.peers[in.From]
-	if peer == nil || peer.registeredAs != c.registration.incarnation || peer.incarnation != in.LogIncarnation {
+	if peer == nil || peer.registeredAs != c.registration.incarnation {
+		return
+	}
+	if peer.incarnation != in.LogIncarnation {
 		return
 	}
 	bytes := c.mergeFetched(in.Records, min(Time(in.RequestID), c.now))
--- /dev/null
+++ b/internal/cluster/replication/catch_up_test.go
@@ -0,0 +1,97 @@
+package replication
+
+import "testing"
+
+// A record that moves on while it is being fetched is not known yet, though all changes up to the
+// registration have been gone through: the vote waits for it.
+func TestWhatMovesOnDuringCatchUp(t *testing.T) {
+	c := newCore("a", "a", "b", "c")
+	c.Step(1, Membership{Serving: true, Generation: 1})
+	own := Incarnation{1, c.config.Nonce}
+	peers := map[string]Incarnation{"b": {1, 2}, "c": {1, 3}}
+	receive := func(from string, x Message) {
+		x.SetID, x.Incarnation, x.LogIncarnation, x.Voting = c.active.id, peers[from], peers[from], true
+		if x.Kind == Registered {
+			x.LogIncarnation = own
+		}
+		c.Step(c.now+1, MessageReceived{from, x})
+	}
+	for _, name := range []string{"b", "c"} {
+		receive(name, Message{Kind: Registered, Next: 1})
+	}
+	claimed := Outcome{Claim: Claim{"x", 1}, Stage: Claimed}
+	before := Record{Key: "k", Fingerprint: 1, Outcomes: []Outcome{claimed}}
+	after := before
+	after.Outcomes = []Outcome{{Claim: Claim{"x", 1}, Stage: Ended, Verdict: 200}}
+	receive("c", Message{Kind: DigestPage, Next: 1})
+	receive("b", Message{Kind: DigestPage, Next: 1, Digests: []uint64{before.digest()}})
+	receive("b", Message{Kind: Fetched, Next: 2, Digests: []uint64{before.digest()}}) // it has changed, to position 2
+	if c.registration.voting {
+		t.Fatal("it votes without the record")
+	}
+	receive("b", Message{Kind: DigestPage, After: 1, Next: 2, Digests: []uint64{after.digest()}})
+	fetched := Message{Kind: Fetched, Next: 2, Digests: []uint64{after.digest()}, Records: []Record{after}}
+	receive("b", fetched)
+	if _, ok := c.Lookup("k"); !c.registration.voting || !ok {
+		t.Errorf("with all that there is: voting %v, known %v", c.registration.voting, ok)
+	}
+}
+
+// No record is fetched from two replicas at once; what one of them did not answer is free for the others.
+func TestADigestIsFetchedFromOneReplica(t *testing.T) {
+	u := newCatchUp()
+	missing := make([]uint64, 3*digestsPerFetch/2)
+	for i := range missing {
+		missing[i] = uint64(i + 1)
+	}
+	first, second := &peerState{missing: missing}, &peerState{missing: missing}
+	first.requested = u.reserve(first.missing, 10, 40)
+	second.requested = u.reserve(second.missing, 10, 40)
+	if len(first.requested) != digestsPerFetch || len(second.requested) != digestsPerFetch/2 {
+		t.Fatalf("%d and %d of %d", len(first.requested), len(second.requested), len(missing))
+	}
+	for _, digest := range second.requested {
+		for _, other := range first.requested {
+			if digest == other {
+				t.Fatalf("%d is fetched twice", digest)
+			}
+		}
+	}
+	if got := u.reserve(missing, 10, 40); len(got) != 0 {
+		t.Errorf("reserved again at once: %v", got)
+	}
+	u.release(first)
+	if got := u.reserve(missing, 10, 40); len(got) != digestsPerFetch {
+		t.Errorf("%d are free after the first answer", len(got))
+	}
+	if got := u.reserve(second.requested, 51, 40); len(got) != len(second.requested) {
+		t.Errorf("%d are free after their reservation has expired", len(got))
+	}
+}
+
+// A peer's changes count as known only without a gap, and only of a peer that votes.
+func TestWhenAPeerIsCaughtUpWith(t *testing.T) {
+	for _, x := range []struct {
+		name     string
+		peer     peerState
+		position uint64
+		caughtUp bool
+	}{
+		{"all is known", peerState{pagePosition: 7, registrationPosition: 7, voting: true}, 7, true},
+		{"a record is missing", peerState{pagePosition: 7, voting: true, missing: []uint64{1}}, 0, false},
+		{"there are more pages", peerState{pagePosition: 7, voting: true, more: true}, 7, false},
+		{"it has no vote", peerState{pagePosition: 7}, 7, false},
+		{"short of the registration", peerState{pagePosition: 7, registrationPosition: 8, voting: true}, 7, false},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			x.peer.advance()
+			if x.peer.position != x.position || x.peer.caughtUp != x.caughtUp {
+				t.Errorf("position %d, caught up %v", x.peer.position, x.peer.caughtUp)
+			}
+			x.peer.restart(Incarnation{2, 1})
+			if x.peer.position != 0 || x.peer.pagePosition != 0 || len(x.peer.missing) > 0 {
+				t.Errorf("after a restart: %+v", x.peer)
+			}
+		})
+	}
+}
--- a/internal/cluster/replication/grants.go
+++ b/internal/cluster/replication/grants.go
@@ -16,7 +16,12 @@
 		c.records.updateDigest(r)
 	}
 	granted := in.Record
-	granted.Outcomes = []Outcome{{Claim: requested.Claim, Stage: Claimed, Voted: true, Group: requested.Group}}
+	granted.Outcomes = []Outcome{{
+		Claim: requested.Claim,
+		Stage: Claimed,
+		Voted: true,
+		Group: requested.Group,
+	}}
 	c.mergeRecord(granted, 0)
 	c.send(in.From, Message{
 		Kind:        ClaimGranted,
--- a/internal/cluster/replication/inputs.go
+++ b/internal/cluster/replication/inputs.go
@@ -35,7 +35,7 @@
 type OpEnded struct {
 	RequestID      uint64
 	NeverRan       bool // it is proved that nothing ran: the id may be claimed again
-	Abandoned      bool // it is pushed no more and may have run, without a final answer: its group may repeat it
+	Abandoned      bool // it is pushed no more and may have run, without an answer: its group may repeat it
 	Verdict        uint16
 	Result         []byte
 	ResultRetained bool
--- a/internal/cluster/replication/messages.go
+++ b/internal/cluster/replication/messages.go
@@ -32,7 +32,7 @@
 	ClaimRefused                    // its answer: no, with the reason and what is known
 	OutcomeReported                 // scheduler to replica: the outcome of a claim
 	OutcomeKnown                    // its answer: the outcome is stored
-	Register                        // replica to replica: this process votes under its name once it has caught up
+	Register                        // replica to replica: this process will vote under its name
 	Registered                      // its answer: it is known as the voter
 	Pull                            // replica to replica: what has changed after a position?
 	DigestPage                      // its answer: digests of records that have
@@ -82,10 +82,10 @@
 	Voting            bool           `cbor:"8,keyasint,omitzero"`
 	Ready             bool           `cbor:"9,keyasint,omitzero"`
 	Set               replicaset.Set `cbor:"10,keyasint,omitzero"` // SetInForce
-	FormerIncarnation Incarnation    `cbor:"11,keyasint,omitzero"` // Registered: the voter before, under the same name
-	LogIncarnation    Incarnation    `cbor:"12,keyasint,omitzero"` // whose order of changes the positions are in
-	After             uint64         `cbor:"13,keyasint,omitzero"` // a position; the moment of a grant, and in a report of it
-	Next              uint64         `cbor:"14,keyasint,omitzero"` // the last position looked at, or the latest one
+	FormerIncarnation Incarnation    `cbor:"11,keyasint,omitzero"` // Registered: the previous voter
+	LogIncarnation    Incarnation    `cbor:"12,keyasint,omitzero"` // that positions belong to
+	After             uint64         `cbor:"13,keyasint,omitzero"` // a position; or the moment of a grant
+	Next              uint64         `cbor:"14,keyasint,omitzero"` // the last position in a page
 	More              bool           `cbor:"15,keyasint,omitzero"`
 	Records           []Record       `cbor:"16,keyasint,omitzero"` // Fetched
 	Digests           []uint64       `cbor:"17,keyasint,omitzero"` // DigestPage, Fetch and Fetched
--- a/internal/cluster/replication/outcome_reports.go
+++ b/internal/cluster/replication/outcome_reports.go
@@ -7,7 +7,7 @@
 	requestID    uint64 // on the wire
 	record       Record
 	acknowledged map[string]bool
-	grants       map[string]claimAnswer // for a report of the worker group: what was granted before the op ran
+	grants       map[string]claimAnswer // in a report of the worker group: those before the op ran
 	attempts     int
 	nextRetry    Time
 }
--- a/internal/cluster/replication/record.go
+++ b/internal/cluster/replication/record.go
@@ -54,8 +54,8 @@
 	Result         []byte `cbor:"3,keyasint,omitzero"` // Ended: the answer; nil where it was not retained
 	ResultRetained bool   `cbor:"4,keyasint,omitzero"` // Result is the complete answer
 	Voted          bool   `cbor:"5,keyasint,omitzero"` // this replica has granted the claim
-	Group          string `cbor:"8,keyasint,omitzero"` // the worker group in which it may have run; empty: unknown
-	Age            uint64 `cbor:"9,keyasint,omitzero"` // on the wire: tenths of a ms since it may first have run; 0: unknown
+	Group          string `cbor:"8,keyasint,omitzero"` // in which it may have run; empty: unknown
+	Age            uint64 `cbor:"9,keyasint,omitzero"` // on the wire: tenths of a ms since notBefore
 
 	notBefore Time // the op did not run before, since the claim was not granted; 0: unknown
 }
--- a/internal/cluster/replication/registration.go
+++ b/internal/cluster/replication/registration.go
@@ -181,7 +181,7 @@
 		c.voteFromOwnRecords()
 		return
 	}
-	if c.records.full() || p.caughtUp < p.enough && !c.heldOff(p) {
+	if c.records.full() || p.caughtUp < p.enough && !c.holdOffElapsed(p) {
 		return
 	}
 	c.registration.voting = true
@@ -199,8 +199,8 @@
 	c.emit(Event{"votes", "its own records"})
 }
 
-// heldOff tells whether this incarnation has been known to enough replicas for AmnesiaHoldOff.
-func (c *Core) heldOff(p quorumProgress) bool {
+// holdOffElapsed tells whether this incarnation has been known to enough replicas for AmnesiaHoldOff.
+func (c *Core) holdOffElapsed(p quorumProgress) bool {
 	return p.registered >= p.enough && c.now-c.registration.registeredSince >= c.config.AmnesiaHoldOff
 }
 
--- /dev/null
+++ b/internal/cluster/replication/registration_test.go
@@ -0,0 +1,40 @@
+package replication
+
+import (
+	"slices"
+	"testing"
+)
+
+// Of two processes under one name the later one is the voter, in whatever order they are heard of, and the
+// one before it is named to it: so it knows that its records may be older than they say.
+func TestTheLaterIncarnationIsTheVoter(t *testing.T) {
+	r := newRegistration()
+	earlier, later := Incarnation{1, 9}, Incarnation{2, 1}
+	for range 2 { // a process may register again
+		if !r.setVoter("b", earlier) {
+			t.Error("the first process is refused")
+		}
+	}
+	if !r.setVoter("b", later) || r.formerVoters["b"] != earlier {
+		t.Errorf("the former voter is %v", r.formerVoters["b"])
+	}
+	if r.setVoter("b", earlier) || r.voters["b"] != later {
+		t.Errorf("the voter is %v", r.voters["b"])
+	}
+	r.learnVoters([]Voter{{"b", earlier}, {"c", later}, {"a", later}}, "a")
+	want := []Voter{{"b", later}, {"c", later}}
+	if got := r.knownVoters([]string{"a", "b", "c"}); !slices.Equal(got, want) {
+		t.Errorf("the voters are %v, want %v", got, want)
+	}
+}
+
+// A new incarnation has nothing of the vote of the one before.
+func TestARestartHasNoVote(t *testing.T) {
+	r := newRegistration()
+	r.incarnation, r.registeredSince = Incarnation{1, 1}, 7
+	r.voting, r.votingSinceAdoption, r.ready = true, true, true
+	r.restart(Incarnation{2, 1})
+	if r.voting || r.votingSinceAdoption || r.ready || r.registeredSince != 0 {
+		t.Errorf("%+v", r)
+	}
+}
--- a/internal/cluster/replication/status.go
+++ b/internal/cluster/replication/status.go
@@ -10,8 +10,8 @@
 	SetID            string            `json:"epoch"`
 	Epoch            uint64            `json:"turn"` // of the agreed set; 0: the set is as configured
 	Replicas         []string          `json:"keepers"`
-	PreviousReplicas []string          `json:"before,omitempty"` // while the set is joint: those of its old part
-	Ready            bool              `json:"ready,omitempty"`  // while the set is joint: this replica is ready
+	PreviousReplicas []string          `json:"before,omitempty"` // joint set: its old part
+	Ready            bool              `json:"ready,omitempty"`  // joint set: this replica is ready
 	IsReplica        bool              `json:"keeper"`
 	Voting           bool              `json:"voting"`
 	Records          int               `json:"records"`
--- a/internal/cluster/store/clock.go
+++ b/internal/cluster/store/clock.go
@@ -14,7 +14,7 @@
 // row is a record as it is stored.
 type row struct {
 	Record    replication.Record `cbor:"1,keyasint"`
-	FirstSeen int64              `cbor:"3,keyasint"` // ms on the file's clock; negative for a moment before its start
+	FirstSeen int64              `cbor:"3,keyasint"` // ms on the file's clock; may be negative
 }
 
 // age is the record's age in whole seconds.
--- a/internal/cluster/store/store.go
+++ b/internal/cluster/store/store.go
@@ -109,7 +109,7 @@
 	Records     []replication.Record
 	Incarnation replication.Incarnation // under which the records are complete
 	SetID       uint64                  // of the replica set under which they were persisted
-	Complete    bool                    // false for a new file, or one whose replica had not caught up: no records
+	Complete    bool                    // false, without records: a new file, or one of a replica behind
 }
 
 // Load reads the records. From here on the file uses the clock of now.
