--- a/internal/observe/logsink/logsink.go
+++ b/internal/observe/logsink/logsink.go
@@ -1,5 +1,6 @@
-// Package logsink takes the lines of a process's log and writes them, without ever holding up whoever logs: a reader that stops, leaves
-// or has a full disk costs lines and nothing else. Lines that find no room are counted, and the log says how many when there is room again.
+// Package logsink writes the lines of a process's log without ever blocking the goroutine that logs. A
+// reader that stops, leaves or has a full disk costs lines and nothing else: lines without space in the
+// buffer are dropped and counted, and the log says how many as soon as it can be written again.
 package logsink
 
 import (
@@ -10,35 +11,43 @@
 	"time"
 )
 
-// maxPendingBytes wait to be written; beyond them lines are dropped.
+// maxPendingBytes bounds the lines that wait to be written. Further ones are dropped.
 const maxPendingBytes = 1 << 20
 
-// Sink is one log. Write may be called from any goroutine and waits for nothing.
+// droppedLine reports lost lines. It has the form of the lines that the logger writes.
+const droppedLine = `{"level":"warn","dropped":%d,"message":"lines of the log were dropped"}` + "\n"
+
+// Sink is one log. Its methods may be called from any goroutine. Write never blocks.
 type Sink struct {
-	out io.Writer
+	out    io.Writer
+	wakeup chan struct{} // has an entry when lines are pending or the sink is closed
+	done   chan struct{} // closed when nothing more is written
 
 	mu      sync.Mutex
-	pending []byte // whole lines
-	dropped uint64 // since the log said so last
-	lost    uint64 // in all
+	pending []byte // complete lines
+	dropped uint64 // lines lost since the log last said so
+	lost    uint64 // lines lost in all
 	closed  bool
-	wakeup  chan struct{} // has one when something waits, or it is closed
-	done    chan struct{}
 }
 
-// New makes a log that is written to out.
+// New returns a sink that writes to out.
 func New(out io.Writer) *Sink {
-	s := &Sink{out: out, wakeup: make(chan struct{}, 1), done: make(chan struct{})}
+	s := &Sink{
+		out:    out,
+		wakeup: make(chan struct{}, 1),
+		done:   make(chan struct{}),
+	}
 	go s.run()
 	return s
 }
 
-// Write takes a line. It never fails: what is lost is counted.
+// Write appends a complete line. It never returns an error: a line that is lost is counted.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || len(s.pending)+len(line) > maxPendingBytes {
-		s.dropped, s.lost = s.dropped+1, s.lost+1
+		s.dropped++
+		s.lost++
 		return len(line), nil
 	}
 	s.pending = append(s.pending, line...)
@@ -46,24 +55,25 @@
 	return len(line), nil
 }
 
-// Lost is how many lines have been dropped or could not be written.
+// Lost returns how many lines were dropped or could not be written.
 func (s *Sink) Lost() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lost
 }
 
-// Close writes what waits, within a time; after that the last lines are lost.
-func (s *Sink) Close(within time.Duration) {
+// Close writes the pending lines, for as long as the timeout allows. Lines that are logged later are
+// lost.
+func (s *Sink) Close(timeout time.Duration) {
 	s.mu.Lock()
 	s.closed = true
 	s.wake()
 	s.mu.Unlock()
-	late := time.NewTimer(within)
-	defer late.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-s.done:
-	case <-late.C:
+	case <-timer.C:
 	}
 }
 
@@ -74,54 +84,58 @@
 	}
 }
 
-// batch is what is written at once.
+// batch is the lines that are written by one call.
 type batch struct {
 	lines   []byte
-	dropped uint64 // lines before and among them that were lost, of which the log is to tell behind them
+	dropped uint64 // lines lost before or among them, which the log has to report after them
 	closed  bool
 }
 
-// empty tells whether there is nothing to write. That lines were dropped is told with the next line, or at the end: where nothing can be
-// written a line on that alone would be dropped as well, and so on without end.
+// empty tells whether there is nothing to write. Lost lines are reported with the next line or at the
+// end: a line on them alone, where nothing can be written, would be lost and reported in turn.
 func (b *batch) empty() bool { return len(b.lines) == 0 && (b.dropped == 0 || !b.closed) }
 
-// run writes until it is closed and nothing waits.
+// run writes until the sink is closed and nothing is pending.
 func (s *Sink) run() {
 	defer close(s.done)
-	var room []byte
-	whole := true // the last line that was written
+	var spare []byte     // the buffer that is not in use
+	lineComplete := true // the last line that was written
 	for range s.wakeup {
 		for {
-			b := s.takeBatch(room)
-			room = b.lines // before anything else: the other one has been given away
+			b := s.takeBatch(spare)
+			spare = b.lines
 			if !b.empty() {
-				whole = s.writeBatch(b, whole)
+				lineComplete = s.writeBatch(b, lineComplete)
 			}
-			if len(b.lines) == 0 {
-				if b.closed {
-					return
-				}
-				break
+			if len(b.lines) > 0 {
+				continue
 			}
+			if b.closed {
+				return
+			}
+			break
 		}
 	}
 }
 
-// takeBatch is what waits. Lines that come from now on go into other room, which must not be that of what is taken.
-func (s *Sink) takeBatch(room []byte) batch {
+// takeBatch returns the pending lines. Later lines go into the spare buffer, which must not be the one
+// that is returned.
+func (s *Sink) takeBatch(spare []byte) batch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := batch{lines: s.pending, closed: s.closed}
-	s.pending = room[:0]
+	s.pending = spare[:0]
 	if len(b.lines) > 0 || b.closed {
-		b.dropped, s.dropped = s.dropped, 0
+		b.dropped = s.dropped
+		s.dropped = 0
 	}
 	return b
 }
 
-// writeBatch writes a batch and tells whether the last line is whole. What can't be written is lost; half a line is ended before the next.
-func (s *Sink) writeBatch(b batch, whole bool) bool {
-	if !whole {
+// writeBatch writes a batch. lineComplete tells whether the last line in the log is complete, before and
+// after; an incomplete one is ended first. Lines that can't be written are lost.
+func (s *Sink) writeBatch(b batch, lineComplete bool) bool {
+	if !lineComplete {
 		if _, err := s.out.Write([]byte("\n")); err != nil {
 			s.countLost(b.lines, b.dropped)
 			return false
@@ -129,17 +143,21 @@
 	}
 	text := b.lines
 	if b.dropped > 0 {
-		text = fmt.Appendf(text, `{"level":"warn","dropped":%d,"message":"lines of the log were dropped"}`+"\n", b.dropped)
+		text = fmt.Appendf(text, droppedLine, b.dropped)
 	}
 	n, err := s.out.Write(text)
 	if err == nil {
 		return true
 	}
 	s.countLost(b.lines[min(n, len(b.lines)):], b.dropped)
-	return n == 0 && whole || n > 0 && text[n-1] == '\n'
+	if n == 0 {
+		return lineComplete
+	}
+	return text[n-1] == '\n'
 }
 
-// countLost counts lines that could not be written, and has the log tell of them and of those before when it can.
+// countLost counts lines that could not be written. The log has yet to report them, and those lost
+// before.
 func (s *Sink) countLost(lines []byte, dropped uint64) {
 	n := uint64(bytes.Count(lines, []byte("\n")))
 	s.mu.Lock()
--- a/internal/workers/outcome/outcome.go
+++ b/internal/workers/outcome/outcome.go
@@ -1,40 +1,60 @@
-// Package outcome names every way in which a push or a probe can end on a connection, and says in one place
-// what each of them proves to the module.
+// Package outcome names every way in which an attempt or a load probe can end on a connection, and says
+// in one place what each of them proves to the decisions.
 package outcome
 
 import "woaddyke/dispatch"
 
-// Ending is how a connection's exchange ended.
+// Ending is how an attempt or a load probe ended on its connection.
 type Ending int
 
-// The zero value is no ending at all, and proves nothing.
+// The endings. Unknown, the zero value, proves nothing.
 const (
 	Unknown         Ending = iota
 	Done                   // the last line was "done", or a probe was answered
 	Failed                 // the last line was "failed"
 	JobKilled              // the last line was "lost": the job was killed
-	Returned               // the last line was "returned", unstarted
-	Shed                   // 503 or 504 that says the op was not processed, or a probe's 503
-	Rejected               // a status that says that the request is at fault
+	Returned               // the last line was "returned": the job was not started
+	Shed                   // a 503 or 504 that says the op was not processed, or a probe's 503
+	Rejected               // a status that says the request is at fault
 	ServerError            // any other status
 	NoDescriptor           // no descriptor was left for a connection
 	NoResource             // this machine lacked something else for one, such as a local port or memory
 	ConnRefused            // the worker's machine refused the connection
 	DialTimedOut           // the connection did not come up in time
 	DialFailed             // it failed to come up in any other way
-	PartiallySent          // it broke before the last byte was written
+	PartiallySent          // the connection broke before the last byte was written
 	Reset                  // it broke after that
 	EndedEarly             // it ended before the last line
-	Malformed              // what came back is no answer, or another op's
-	TimedOut               // nothing more came until the time-out
-	Cancelled              // this side closed it
+	Malformed              // the response is malformed, or is another op's
+	TimedOut               // nothing more came within the timeout
+	Cancelled              // this side closed the connection
 	CancelledUnsent        // this side closed it before a byte was written
-	numEndings             // one more than the last
+	numEndings
 )
 
-var endingNames = [numEndings]string{"unknown", "done", "failed", "lost", "returned", "turned-away", "rejected",
-	"server-error", "no-descriptor", "no-resource", "conn-refused", "never-up", "dial-failed", "part-written", "reset", "ended-early",
-	"garbled", "silent", "withdrawn", "unwritten"}
+// endingNames are the names in log lines, in the order of the endings.
+var endingNames = [numEndings]string{
+	"unknown",
+	"done",
+	"failed",
+	"lost",
+	"returned",
+	"turned-away",
+	"rejected",
+	"server-error",
+	"no-descriptor",
+	"no-resource",
+	"conn-refused",
+	"never-up",
+	"dial-failed",
+	"part-written",
+	"reset",
+	"ended-early",
+	"garbled",
+	"silent",
+	"withdrawn",
+	"unwritten",
+}
 
 func (e Ending) String() string {
 	if e < 0 || e >= numEndings {
@@ -43,7 +63,7 @@
 	return endingNames[e]
 }
 
-// NeverRan tells whether an ending proves that its push ran nowhere.
+// NeverRan tells whether an ending proves that its attempt ran nowhere.
 func (e Ending) NeverRan() bool {
 	switch e.Outcome() {
 	case dispatch.Rejected, dispatch.Unreachable, dispatch.NotSent, dispatch.LocalExhaustion:
@@ -52,7 +72,7 @@
 	return false
 }
 
-// Outcome is what an ending proves. A push of which nothing is known may have run.
+// Outcome returns what an ending proves. An attempt of which nothing is known may have run.
 func (e Ending) Outcome() dispatch.Outcome {
 	switch e {
 	case Done:
