--- a/cmd/woaddyke/serve.go
+++ b/cmd/woaddyke/serve.go
@@ -20,81 +20,152 @@
 	"woaddyke/internal/observe/logsink"
 )
 
-const logFlushTimeout = time.Second // for the last lines of the log to be read
+// logFlushTimeout is for the last lines of the log to be written.
+const logFlushTimeout = time.Second
+
+// serveOptions are the flags of serve.
+type serveOptions struct {
+	configPath   string
+	console      string // for a configuration that names none
+	featuresPath string
+	logLevel     string
+	stopWithin   time.Duration // for workers, after SIGTERM
+}
 
 func serveCommand() *cobra.Command {
-	var path, level, staff, operators string
-	var within time.Duration
-	c := &cobra.Command{Use: "serve", Short: "Run a scheduler until SIGTERM; SIGHUP rereads the configuration", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error {
-			reread := make(chan os.Signal, 1)
-			signal.Notify(reread, syscall.SIGHUP) // first of all: until then it would end the process
-			told := make(chan os.Signal, 1)
-			signal.Notify(told, syscall.SIGTERM, os.Interrupt)
-			l, err := zerolog.ParseLevel(level)
-			if err != nil {
-				return fmt.Errorf("--log: %w", err)
-			}
-			zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
-			signal.Ignore(syscall.SIGPIPE) // whoever reads the log may leave
-			sink := logsink.New(os.Stderr)
-			defer sink.Close(logFlushTimeout)
-			log := zerolog.New(sink).Level(l).With().Timestamp().Logger()
-			sheet, err := oserror.RetryTransient(func() (*config.Bootstrap, error) { return config.ReadBootstrap(path) })
-			if err != nil {
-				return err
-			}
-			if sheet.Console == "" {
-				sheet.Console = staff
-			}
-			limitDescriptors(sheet, log)
-			offers, err := readFeatures(operators, sheet)
-			if err != nil {
-				return err
-			}
-			runtime.GOMAXPROCS(max(1, int(math.Ceil(sheet.Limits.Cores))))
-			// To the very end a further SIGTERM changes nothing: taken back from us it would end the process at once, with all ops.
-			ctx, stop := context.WithCancel(context.Background())
-			defer stop()
-			go func() {
-				<-told
-				stop()
-			}()
-			p := &process{bootstrap: sheet, log: log, lostLogLines: sink.Lost, features: *offers, stop: stop}
-			p.setMemoryLimit(1)
-			at, err := p.openServer()
-			if err != nil {
-				return err
-			}
-			if p.mesh != nil {
-				defer p.mesh.Close()
-				defer p.operatorBoard.close()
-				defer context.AfterFunc(ctx, p.leaveCluster)()
-				if p.replica != nil {
-					defer p.replica.Close()
-				}
-			}
-			go func() {
-				for range reread {
-					p.server.ReloadConfig(path)
-				}
-			}()
-			if sheet.Console != "" {
-				calls, err := oserror.RetryTransient(func() (net.Listener, error) { return net.Listen("tcp", sheet.Console) })
-				if err != nil {
-					return fmt.Errorf("listening for staff: %w", err)
-				}
-				defer calls.Close()
-				console.Serve(calls, p.server, log, p.consoleCalls()...)
-				go p.offerHandover()
-			}
-			return p.server.Serve(ctx, at, within)
-		}}
-	c.Flags().StringVar(&path, "config", os.Getenv("RELAY_CONFIG"), "file with what this scheduler is told")
-	c.Flags().StringVar(&staff, "console", os.Getenv("RELAY_CONSOLE"), "address for staff, where the configuration names none")
-	c.Flags().StringVar(&operators, "operator", "", "the operator's own file: what is offered beyond the configuration")
-	c.Flags().StringVar(&level, "log", "info", "least level that is logged")
-	c.Flags().DurationVar(&within, "stop-within", 3*time.Second,
+	var options serveOptions
+	c := &cobra.Command{
+		Use:   "serve",
+		Short: "Run a scheduler until SIGTERM; SIGHUP rereads the configuration",
+		Args:  cobra.NoArgs,
+		RunE:  func(*cobra.Command, []string) error { return options.serve() },
+	}
+	flags := c.Flags()
+	flags.StringVar(&options.configPath, "config", os.Getenv("RELAY_CONFIG"), "file with what this scheduler is told")
+	flags.StringVar(&options.console, "console", os.Getenv("RELAY_CONSOLE"),
+		"address for staff, where the configuration names none")
+	flags.StringVar(&options.featuresPath, "operator", "",
+		"the operator's own file: what is offered beyond the configuration")
+	flags.StringVar(&options.logLevel, "log", "info", "least level that is logged")
+	flags.DurationVar(&options.stopWithin, "stop-within", 3*time.Second,
 		"after SIGTERM, wait for workers at most this long, or the longest TTL")
 	return c
 }
+
+// serve runs a scheduler to its end. What it opens is closed in reverse order: the console, the cluster,
+// the signals' context, the log.
+func (o *serveOptions) serve() error {
+	reload, terminate := notifySignals()
+	level, err := zerolog.ParseLevel(o.logLevel)
+	if err != nil {
+		return fmt.Errorf("--log: %w", err)
+	}
+	sink := logsink.New(os.Stderr)
+	defer sink.Close(logFlushTimeout)
+	log := newLogger(sink, level)
+	bootstrap, err := o.readBootstrap()
+	if err != nil {
+		return err
+	}
+	limitDescriptors(bootstrap, log)
+	features, err := readFeatures(o.featuresPath, bootstrap)
+	if err != nil {
+		return err
+	}
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(bootstrap.Limits.Cores))))
+	ctx, stop := contextUntil(terminate)
+	defer stop()
+
+	p := &process{bootstrap: bootstrap, log: log, lostLogLines: sink.Lost, features: *features, stop: stop}
+	p.setMemoryLimit(1)
+	listener, err := p.openServer()
+	if err != nil {
+		return err
+	}
+	defer p.leaveClusterAfter(ctx)()
+	go p.reloadOn(reload, o.configPath)
+	closeConsole, err := p.openConsole()
+	if err != nil {
+		return err
+	}
+	defer closeConsole()
+	return p.server.Serve(ctx, listener, o.stopWithin)
+}
+
+// notifySignals comes first in a process: until then SIGHUP would end it.
+func notifySignals() (reload, terminate chan os.Signal) {
+	reload = make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
+	terminate = make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
+	return reload, terminate
+}
+
+// contextUntil returns a context that ends with the first signal. The signals stay caught to the very
+// end: a further SIGTERM must not end the process at once, with all its ops.
+func contextUntil(terminate <-chan os.Signal) (context.Context, context.CancelFunc) {
+	ctx, stop := context.WithCancel(context.Background())
+	go func() {
+		<-terminate
+		stop()
+	}()
+	return ctx, stop
+}
+
+func newLogger(sink *logsink.Sink, level zerolog.Level) zerolog.Logger {
+	signal.Ignore(syscall.SIGPIPE) // the reader of the log may leave
+	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
+	return zerolog.New(sink).Level(level).With().Timestamp().Logger()
+}
+
+func (o *serveOptions) readBootstrap() (*config.Bootstrap, error) {
+	bootstrap, err := oserror.RetryTransient(func() (*config.Bootstrap, error) {
+		return config.ReadBootstrap(o.configPath)
+	})
+	if err != nil {
+		return nil, err
+	}
+	if bootstrap.Console == "" {
+		bootstrap.Console = o.console
+	}
+	return bootstrap, nil
+}
+
+// leaveClusterAfter has this process leave the cluster when the context ends. The returned function
+// closes what belongs to the cluster.
+func (p *process) leaveClusterAfter(ctx context.Context) (closeCluster func()) {
+	if p.mesh == nil {
+		return func() {}
+	}
+	cancelLeave := context.AfterFunc(ctx, p.leaveCluster)
+	return func() {
+		if p.replica != nil {
+			p.replica.Close()
+		}
+		cancelLeave()
+		p.operatorBoard.close()
+		p.mesh.Close()
+	}
+}
+
+func (p *process) reloadOn(reload <-chan os.Signal, configPath string) {
+	for range reload {
+		p.server.ReloadConfig(configPath)
+	}
+}
+
+// openConsole serves operators and successors, where the configuration names an address for them.
+func (p *process) openConsole() (closeConsole func(), err error) {
+	if p.bootstrap.Console == "" {
+		return func() {}, nil
+	}
+	listener, err := oserror.RetryTransient(func() (net.Listener, error) {
+		return net.Listen("tcp", p.bootstrap.Console)
+	})
+	if err != nil {
+		return nil, fmt.Errorf("listening for staff: %w", err)
+	}
+	console.Serve(listener, p.server, p.log, p.consoleCalls()...)
+	go p.offerHandover()
+	return func() { listener.Close() }, nil
+}
