--- a/internal/workers/workerconn/begin_test.go
+++ b/internal/workers/workerconn/begin_test.go
@@ -134,7 +134,7 @@
 		if looks++; looks > 1 {
 			return false
 		}
-		time.Sleep(2 * lookLasts) // the client leaves meanwhile
+		time.Sleep(2 * maxClientCheckAge) // the client leaves meanwhile
 		return true
 	}, func() { t.Error("it is told as written") }, func(Line) {}, func(e End) { ends <- e })
 	if e := <-ends; e.How != outcome.CancelledUnsent {
--- a/internal/workers/workerconn/ends_test.go
+++ b/internal/workers/workerconn/ends_test.go
@@ -66,7 +66,7 @@
 		io.Copy(io.Discard, c)
 	})
 	p := pool(4)
-	p.rest = time.Hour // however slow this machine is
+	p.reuseDelay = time.Hour // however slow this machine is
 	if e := push(p, addr, 20*time.Second); e.How != outcome.Done {
 		t.Fatal(e.How)
 	}
@@ -106,7 +106,7 @@
 	}))
 	defer s.Close()
 	addr, p := s.Listener.Addr().String(), pool(4)
-	p.rest = time.Hour
+	p.reuseDelay = time.Hour
 	idle := func(n int) {
 		t.Helper()
 		for until := time.Now().Add(10 * time.Second); len(p.idleAt(addr)) != n; time.Sleep(time.Millisecond) {
@@ -191,7 +191,7 @@
 			if mb := (after.TotalAlloc - before.TotalAlloc) >> 20; mb > 32 {
 				t.Errorf("%d MB were taken", mb)
 			}
-			if notes > 2+int(time.Since(began)/noteRest) {
+			if notes > 2+int(time.Since(began)/progressInterval) {
 				t.Errorf("%d notes were passed on", notes)
 			}
 		})
@@ -236,7 +236,7 @@
 	})
 	p := New(Bounds{Open: 4, Dial: time.Millisecond, Idle: 10 * time.Second})
 	p.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		time.Sleep(lateDial + 10*time.Millisecond)
+		time.Sleep(maxDialDelay + 10*time.Millisecond)
 		return net.Dial(network, addr)
 	}
 	if e := push(p, addr, 20*time.Second); e.How != outcome.CancelledUnsent {
--- a/internal/workers/workerconn/exchange.go
+++ b/internal/workers/workerconn/exchange.go
@@ -20,20 +20,20 @@
 )
 
 const (
-	longestLine = 512 << 10             // 64 KiB as a JSON string, all escaped: longer is no answer
-	tail        = 50 * time.Millisecond // for the last bytes of an answer that is complete without them
-	lookLasts   = 10 * time.Millisecond // from asking whether a push is wanted to the write; an older answer is asked for again
+	maxLineBytes      = 512 << 10             // 64 KiB as a JSON string, all escaped: longer is no answer
+	finalBytesTimeout = 50 * time.Millisecond // for the last bytes of an answer that is complete without them
+	maxClientCheckAge = 10 * time.Millisecond // from asking whether a push is wanted to the write; an older answer is asked for again
 
 	// From a request's first part, which tells the time that is left, to its last byte. What is told may be too much by 0.15 s.
-	toldLasts = 100 * time.Millisecond
+	maxWriteTime = 100 * time.Millisecond
 	// So much of a request that was not taken at once is held by its socket: a far worker's window would part it for longer than that.
-	socketHolds = 128 << 10
+	sendBufferBytes = 128 << 10
 
-	stalePause = time.Millisecond       // between two looks at whether a push may begin
-	staleWait  = 300 * time.Millisecond // for that; after it the push is kept back
+	stalePollInterval = time.Millisecond       // between two looks at whether a push may begin
+	staleTimeout      = 300 * time.Millisecond // for that; after it the push is kept back
 
-	writePause   = 2 * time.Millisecond // after a write that failed as this machine lacks something
-	mostFailures = 25                   // of such, in a row
+	writeBackoff     = 2 * time.Millisecond // after a write that failed as this machine lacks something
+	maxWriteFailures = 25                   // of such, in a row
 )
 
 // Line is one line that a worker says of a job.
@@ -55,14 +55,14 @@
 
 // Exchange is one push or probe that is out.
 type Exchange struct {
-	pool    *Pool
-	stop    context.CancelFunc
-	push    bool        // it is none of a probe
-	wanted  func() bool // asked before each write
-	mu      sync.Mutex
-	c       *conn
-	written bool           // whole
-	closed  outcome.Ending // why this side closed it, if it did
+	pool      *Pool
+	stop      context.CancelFunc
+	isAttempt bool        // it is none of a probe
+	wanted    func() bool // asked before each write
+	mu        sync.Mutex
+	conn      *conn
+	written   bool           // whole
+	closedAs  outcome.Ending // why this side closed it, if it did
 }
 
 // Close ends an exchange from this side. A request whose last byte is not written yet is never whole then, and never runs.
@@ -76,14 +76,14 @@
 func (x *Exchange) close(onlyUnwritten bool, how outcome.Ending) *conn {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.written && onlyUnwritten || x.closed != outcome.Unknown {
+	if x.written && onlyUnwritten || x.closedAs != outcome.Unknown {
 		return nil
 	}
-	if x.closed = how; !x.written {
-		x.closed = outcome.CancelledUnsent
+	if x.closedAs = how; !x.written {
+		x.closedAs = outcome.CancelledUnsent
 	}
 	x.stop()
-	return x.c
+	return x.conn
 }
 
 // Push writes a request and reads job lines until the last one. Just before each write it asks whether the push is wanted
@@ -93,26 +93,26 @@
 // that takes nothing, or this process standing still may have taken some. It is nil where that has become too much.
 func (p *Pool) Push(addr, id string, request func(left time.Duration) []byte, limit time.Time, wanted func() bool, written func(), note func(Line),
 	end func(End)) *Exchange {
-	return p.begin(true, addr, request, limit, wanted, func(c *conn, e End) (*http.Response, End) {
+	return p.start(true, addr, request, limit, wanted, func(c *conn, e End) (*http.Response, End) {
 		written()
-		return job(c, id, note, e)
+		return readJobLines(c, id, note, e)
 	}, end)
 }
 
 // Probe asks a worker for its load.
 func (p *Pool) Probe(addr string, request []byte, limit time.Time, end func(End)) {
-	p.begin(false, addr, func(time.Duration) []byte { return request }, limit, always, load, end)
+	p.start(false, addr, func(time.Duration) []byte { return request }, limit, always, readLoadReport, end)
 }
 
 func always() bool { return true }
 
-// reader reads an answer, and how the exchange ended from it.
-type reader func(*conn, End) (*http.Response, End)
+// answerReader reads an answer, and how the exchange ended from it.
+type answerReader func(*conn, End) (*http.Response, End)
 
-func (p *Pool) begin(push bool, addr string, request func(time.Duration) []byte, limit time.Time, wanted func() bool, read reader,
+func (p *Pool) start(push bool, addr string, request func(time.Duration) []byte, limit time.Time, wanted func() bool, read answerReader,
 	end func(End)) *Exchange {
-	x, ctx := p.exchange(limit)
-	x.push, x.wanted = push, wanted
+	x, ctx := p.newExchange(limit)
+	x.isAttempt, x.wanted = push, wanted
 	go func() {
 		defer x.stop()
 		c, e := x.send(ctx, addr, request, limit)
@@ -127,47 +127,47 @@
 			return
 		}
 		x.finish(c, resp, e)
-		e.How = x.blame(e.How)
+		e.How = x.ownEndingFirst(e.How)
 		end(e)
 	}()
 	return x
 }
 
-func (p *Pool) exchange(limit time.Time) (*Exchange, context.Context) {
+func (p *Pool) newExchange(limit time.Time) (*Exchange, context.Context) {
 	ctx, stop := context.WithDeadline(context.Background(), limit)
 	return &Exchange{pool: p, stop: stop, wanted: always}, ctx
 }
 
 func (x *Exchange) connect(ctx context.Context, addr string, limit time.Time) (*conn, End) {
 	var e End
-	c := x.pool.take(addr, x.push)
+	c := x.pool.take(addr, x.isAttempt)
 	if c == nil {
 		e.Dialed = true
 		if c, e.How = x.pool.dial(ctx, addr); c == nil {
-			e.How = x.blame(e.How)
+			e.How = x.ownEndingFirst(e.How)
 			return nil, e
 		}
 	}
 	x.mu.Lock()
-	if x.closed != outcome.Unknown {
+	if x.closedAs != outcome.Unknown {
 		x.mu.Unlock()
 		x.pool.drop(c)
-		e.How = x.closed
+		e.How = x.closedAs
 		return nil, e
 	}
-	x.c = c
+	x.conn = c
 	x.mu.Unlock()
 	c.SetDeadline(limit)
-	c.gauge.begin()
+	c.limited.reset()
 	return c, e
 }
 
-// blame lets what this side did stand over what the connection says of it.
-func (x *Exchange) blame(how outcome.Ending) outcome.Ending {
+// ownEndingFirst lets what this side did stand over what the connection says of it.
+func (x *Exchange) ownEndingFirst(how outcome.Ending) outcome.Ending {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.closed != outcome.Unknown && how != outcome.Returned && how != outcome.Shed {
-		return x.closed
+	if x.closedAs != outcome.Unknown && how != outcome.Returned && how != outcome.Shed {
+		return x.closedAs
 	}
 	return how
 }
@@ -184,12 +184,12 @@
 	}
 	e.How = outcome.PartiallySent
 	x.mu.Lock()
-	if x.c = nil; x.closed != outcome.Unknown {
+	if x.conn = nil; x.closedAs != outcome.Unknown {
 		e.How = outcome.CancelledUnsent // this side kept it back or closed it: nothing of that is the worker's doing
 	}
 	x.mu.Unlock()
 	if kept && n == 0 && err == nil && c.SetDeadline(time.Time{}) == nil {
-		x.pool.back(c) // nothing was written to it, and opening it was paid for
+		x.pool.putBack(c) // nothing was written to it, and opening it was paid for
 	} else {
 		x.pool.drop(c)
 	}
@@ -217,9 +217,9 @@
 		x.mu.Lock()
 		defer x.mu.Unlock()
 		stale = false
-		for !x.written && x.closed == outcome.Unknown {
-			if kept = !x.asked(limit) || n > 0 && time.Since(told) > toldLasts; kept {
-				x.closed = outcome.CancelledUnsent
+		for !x.written && x.closedAs == outcome.Unknown {
+			if kept = !x.clientWaits(limit) || n > 0 && time.Since(told) > maxWriteTime; kept {
+				x.closedAs = outcome.CancelledUnsent
 				return true
 			}
 			if stale = n == 0 && x.stale(); stale {
@@ -229,7 +229,7 @@
 				told = time.Now()
 				request = made(limit.Sub(told))
 				if kept = request == nil; kept {
-					x.closed = outcome.CancelledUnsent
+					x.closedAs = outcome.CancelledUnsent
 					return true
 				}
 			}
@@ -237,16 +237,16 @@
 			switch {
 			case err == syscall.EAGAIN:
 				return false
-			case oserror.IsLocal(err) && failures < mostFailures:
+			case oserror.IsLocal(err) && failures < maxWriteFailures:
 				failures++
-				time.Sleep(writePause) // the lock is held for so short a time: a close waits for no other worker
+				time.Sleep(writeBackoff) // the lock is held for so short a time: a close waits for no other worker
 				continue
 			case err != nil && err != syscall.EINTR:
 				failed = err
 				return true
 			}
 			if n == 0 && k < len(request) {
-				syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, socketHolds)
+				syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, sendBufferBytes)
 			}
 			n, failures = n+max(k, 0), 0
 			x.written = n == len(request)
@@ -262,12 +262,12 @@
 }
 
 // stale tells whether a push must not begin just now.
-func (x *Exchange) stale() bool { return x.push && x.pool.Stale != nil && x.pool.Stale() }
+func (x *Exchange) stale() bool { return x.isAttempt && x.pool.Stale != nil && x.pool.Stale() }
 
 // awaitFresh waits until a push may begin, without the lock: whoever brings the news may close it meanwhile. One that may not begin in time
 // is kept back, and false.
 func (x *Exchange) awaitFresh(limit time.Time) bool {
-	until := time.Now().Add(staleWait)
+	until := time.Now().Add(staleTimeout)
 	if limit.Before(until) {
 		until = limit
 	}
@@ -276,45 +276,45 @@
 			x.Close(true, outcome.CancelledUnsent)
 			return false
 		}
-		time.Sleep(stalePause)
+		time.Sleep(stalePollInterval)
 	}
 	return true
 }
 
-// asked asks whether a push is wanted until the answer is young: this process may be kept from running for longer than a client that
+// clientWaits asks whether a push is wanted until the answer is young: this process may be kept from running for longer than a client that
 // has left may be pushed for. What stays is the way from reading the clock into the kernel.
-func (x *Exchange) asked(limit time.Time) bool {
+func (x *Exchange) clientWaits(limit time.Time) bool {
 	for began := time.Now(); began.Before(limit); began = time.Now() {
 		if !x.wanted() {
 			return false
 		}
-		if time.Since(began) <= lookLasts {
+		if time.Since(began) <= maxClientCheckAge {
 			return true
 		}
 	}
 	return false
 }
 
-// answer reads an answer's head; those that only say that one will come are none.
-func answer(c *conn) (*http.Response, error) {
+// readAnswerHead reads an answer's head; those that only say that one will come are none.
+func readAnswerHead(c *conn) (*http.Response, error) {
 	for {
-		resp, err := http.ReadResponse(c.r, nil)
+		resp, err := http.ReadResponse(c.reader, nil)
 		if err != nil || resp.StatusCode >= http.StatusOK || resp.StatusCode == http.StatusSwitchingProtocols {
 			return resp, err
 		}
 	}
 }
 
-// load reads the answer to a probe.
-func load(c *conn, e End) (*http.Response, End) {
-	resp, err := answer(c)
+// readLoadReport reads the answer to a probe.
+func readLoadReport(c *conn, e End) (*http.Response, End) {
+	resp, err := readAnswerHead(c)
 	if err == nil {
-		c.gauge.allow(mostHead + mostLoad)
+		c.limited.allow(maxHeadBytes + maxReportBytes)
 		e.Load, err = io.ReadAll(resp.Body)
 	}
 	switch {
 	case err != nil:
-		e.How = broken(err)
+		e.How = readErrorEnding(err)
 	case resp.StatusCode == http.StatusOK:
 		e.How = outcome.Done
 	case resp.StatusCode == http.StatusServiceUnavailable:
@@ -325,23 +325,23 @@
 	return resp, e
 }
 
-// job reads an answer and its lines.
-func job(c *conn, id string, note func(Line), e End) (*http.Response, End) {
-	resp, err := answer(c)
+// readJobLines reads an answer and its lines.
+func readJobLines(c *conn, id string, note func(Line), e End) (*http.Response, End) {
+	resp, err := readAnswerHead(c)
 	if err != nil {
-		e.How = broken(err)
+		e.How = readErrorEnding(err)
 		return nil, e
 	}
 	e.Load = []byte(resp.Header.Get("X-Backend-Load"))
 	if resp.StatusCode != http.StatusOK {
-		e.How = refused(resp)
+		e.How = rejectionEnding(resp)
 		return resp, e
 	}
-	c.gauge.allow(mostSaid)
+	c.limited.allow(maxAnswerBytes)
 	note(Line{State: "taken", Share: -1})
 	started, noted := false, time.Time{}
 	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(make([]byte, 0, 1024), longestLine)
+	lines.Buffer(make([]byte, 0, 1024), maxLineBytes)
 	for lines.Scan() {
 		text := bytes.TrimSpace(lines.Bytes())
 		if len(text) == 0 {
@@ -363,7 +363,7 @@
 			e.How = outcome.JobKilled
 		default:
 			first := l.State == "started" && !started
-			if now := time.Now(); first || now.Sub(noted) >= noteRest {
+			if now := time.Now(); first || now.Sub(noted) >= progressInterval {
 				started, noted = started || first, now
 				note(l)
 			}
@@ -380,15 +380,15 @@
 		return resp, e
 	}
 	if e.How = outcome.EndedEarly; lines.Err() != nil {
-		if e.How = broken(lines.Err()); errors.Is(lines.Err(), bufio.ErrTooLong) {
+		if e.How = readErrorEnding(lines.Err()); errors.Is(lines.Err(), bufio.ErrTooLong) {
 			e.How = outcome.Malformed
 		}
 	}
 	return resp, e
 }
 
-// refused is what a status says that takes no job.
-func refused(resp *http.Response) outcome.Ending {
+// rejectionEnding is what a status says that takes no job.
+func rejectionEnding(resp *http.Response) outcome.Ending {
 	switch resp.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if resp.Header.Get("X-Unprocessed") == "1" {
@@ -408,18 +408,18 @@
 	switch e.How {
 	case outcome.Done, outcome.Failed, outcome.Returned, outcome.JobKilled, outcome.Shed, outcome.Rejected,
 		outcome.ServerError:
-		c.SetDeadline(time.Now().Add(tail))
-		c.gauge.allow(c.gauge.used + longestLine + 1)
-		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, longestLine))
+		c.SetDeadline(time.Now().Add(finalBytesTimeout))
+		c.limited.allow(c.limited.read + maxLineBytes + 1)
+		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxLineBytes))
 		x.mu.Lock()
-		whole := err == nil && n < longestLine && !resp.Close && x.closed == outcome.Unknown &&
+		whole := err == nil && n < maxLineBytes && !resp.Close && x.closedAs == outcome.Unknown &&
 			resp.StatusCode != http.StatusSwitchingProtocols // what comes behind that is no HTTP
-		x.c = nil // from here on it may be another exchange's
+		x.conn = nil // from here on it may be another exchange's
 		x.mu.Unlock()
 		if whole {
 			c.SetDeadline(time.Time{})
-			if x.push {
-				c.ended = time.Now()
+			if x.isAttempt {
+				c.attemptEndedAt = time.Now()
 			}
 			x.pool.put(c)
 			return
@@ -428,8 +428,8 @@
 	x.pool.drop(c)
 }
 
-// broken is how a connection ended that had taken the whole request.
-func broken(err error) outcome.Ending {
+// readErrorEnding is how a connection ended that had taken the whole request.
+func readErrorEnding(err error) outcome.Ending {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return outcome.TimedOut
--- a/internal/workers/workerconn/workerconn.go
+++ b/internal/workers/workerconn/workerconn.go
@@ -23,40 +23,40 @@
 	Idle time.Duration // a worker closes one that has stood idle for this long
 }
 
-// rest is how long no push goes over a connection after the answer to another. A worker that answers twice does so some milliseconds
+// reuseDelay is how long no push goes over a connection after the answer to another. A worker that answers twice does so some milliseconds
 // later, and a bare status names no op: read as the next push's, a late 503 would prove falsely that it never ran. What comes in this
 // time has the connection given up. After a probe there is no rest: what answers one proves nothing of a push, and the push that
 // follows it goes over the same connection; with a rest there each op paid for a handshake.
-const rest = 50 * time.Millisecond
+const reuseDelay = 50 * time.Millisecond
 
 type conn struct {
 	net.Conn
-	r     *bufio.Reader
-	gauge *gauge // below r
-	addr  string
-	since time.Time // idle since then
-	ended time.Time // the last push on it, zero before one
+	reader         *bufio.Reader
+	limited        *limitedReader // below r
+	addr           string
+	idleSince      time.Time // idle since then
+	attemptEndedAt time.Time // the last push on it, zero before one
 }
 
-// lateDial is let pass between a connection's coming up and its being looked at. What decides on a push reckons that its first byte
+// maxDialDelay is let pass between a connection's coming up and its being looked at. What decides on a push reckons that its first byte
 // comes a dial later at the most: a group drops repeats within its window only, and a starved process is late.
-const lateDial = 100 * time.Millisecond
+const maxDialDelay = 100 * time.Millisecond
 
 // Pool is all connections to workers.
 type Pool struct {
 	Connect func(ctx context.Context, network, addr string) (net.Conn, error) // set before use; nil: the network's own
 	// Stale tells whether a push must not begin just now, as what it was decided by may hold no more; set before use, nil for never.
-	Stale  func() bool
-	bounds Bounds
-	rest   time.Duration
-	mu     sync.Mutex
-	idle   map[string][]*conn // by address, the last used at the end
-	open   int                // with those that are being dialled
-	dialed int
+	Stale      func() bool
+	bounds     Bounds
+	reuseDelay time.Duration
+	mu         sync.Mutex
+	idle       map[string][]*conn // by address, the last used at the end
+	open       int                // with those that are being dialled
+	dialed     int
 }
 
 // New makes a pool without connections.
-func New(b Bounds) *Pool { return &Pool{bounds: b, rest: rest, idle: map[string][]*conn{}} }
+func New(b Bounds) *Pool { return &Pool{bounds: b, reuseDelay: reuseDelay, idle: map[string][]*conn{}} }
 
 // Limit sets another bound on the connections that are open. Idle ones beyond it are closed.
 func (p *Pool) Limit(open int) {
@@ -71,7 +71,7 @@
 func (p *Pool) evict() bool {
 	var oldest *conn
 	for _, few := range p.idle {
-		if len(few) > 0 && (oldest == nil || few[0].since.Before(oldest.since)) {
+		if len(few) > 0 && (oldest == nil || few[0].idleSince.Before(oldest.idleSince)) {
 			oldest = few[0]
 		}
 	}
@@ -93,7 +93,7 @@
 
 // usable tells whether an idle connection may be written to: at the worker's own limit that ends as a reset.
 func (p *Pool) usable(c *conn, now time.Time) bool {
-	return now.Sub(c.since) <= p.bounds.Idle*3/4 && c.sound()
+	return now.Sub(c.idleSince) <= p.bounds.Idle*3/4 && c.isUntouched()
 }
 
 // Sweep closes idle connections that are too old or that the worker has closed.
@@ -126,7 +126,7 @@
 		p.mu.Lock()
 		few := p.idle[addr]
 		k := len(few) - 1
-		for k >= 0 && push && now.Sub(few[k].ended) < p.rest {
+		for k >= 0 && push && now.Sub(few[k].attemptEndedAt) < p.reuseDelay {
 			k--
 		}
 		if k < 0 {
@@ -144,17 +144,17 @@
 }
 
 func (p *Pool) put(c *conn) {
-	c.since = time.Now()
-	p.back(c)
+	c.idleSince = time.Now()
+	p.putBack(c)
 }
 
-// back keeps a connection that was not used as it was: for its worker it has stood idle all the while.
-func (p *Pool) back(c *conn) {
+// putBack keeps a connection that was not used as it was: for its worker it has stood idle all the while.
+func (p *Pool) putBack(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	few := p.idle[c.addr]
 	k := len(few)
-	for k > 0 && few[k-1].since.After(c.since) {
+	for k > 0 && few[k-1].idleSince.After(c.idleSince) {
 		k--
 	}
 	p.idle[c.addr] = slices.Insert(few, k, c)
@@ -167,8 +167,8 @@
 	p.mu.Unlock()
 }
 
-// room reserves a place for a new connection, if need be that of the connection that stood idle longest.
-func (p *Pool) room() bool {
+// reserve reserves a place for a new connection, if need be that of the connection that stood idle longest.
+func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open >= p.bounds.Open && !p.evict() {
@@ -180,7 +180,7 @@
 }
 
 func (p *Pool) dial(ctx context.Context, addr string) (*conn, outcome.Ending) {
-	if !p.room() {
+	if !p.reserve() {
 		return nil, outcome.NoDescriptor
 	}
 	connect := p.Connect
@@ -189,9 +189,9 @@
 	}
 	began := time.Now()
 	nc, err := connect(ctx, "tcp", addr)
-	if err == nil && time.Since(began) <= p.bounds.Dial+lateDial {
-		g := &gauge{from: nc}
-		return &conn{Conn: nc, r: bufio.NewReaderSize(g, 4096), gauge: g, addr: addr, since: time.Now()}, outcome.Unknown
+	if err == nil && time.Since(began) <= p.bounds.Dial+maxDialDelay {
+		g := &limitedReader{from: nc}
+		return &conn{Conn: nc, reader: bufio.NewReaderSize(g, 4096), limited: g, addr: addr, idleSince: time.Now()}, outcome.Unknown
 	}
 	if err == nil {
 		nc.Close()
@@ -215,10 +215,10 @@
 	return nil, outcome.DialFailed
 }
 
-// sound tells whether an idle connection is still as it was left: one that the worker has closed, or has
+// isUntouched tells whether an idle connection is still as it was left: one that the worker has closed, or has
 // written to unasked, must not be used again.
-func (c *conn) sound() bool {
-	if c.r.Buffered() > 0 {
+func (c *conn) isUntouched() bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
 	_, err := Peek(c.Conn)
--- a/internal/workers/workerconn/workerconn_test.go
+++ b/internal/workers/workerconn/workerconn_test.go
@@ -121,7 +121,7 @@
 		for n := 0; n < 100 && len(p.idleAt(addr)) == 0; n++ {
 			time.Sleep(time.Millisecond) // the last bytes are read after the end is told
 		}
-		time.Sleep(rest) // before that it is not used again in any case
+		time.Sleep(reuseDelay) // before that it is not used again in any case
 	}
 	p.Sweep(time.Now().Add(10 * time.Second))
 	if open, _ := p.Counts(); open != 0 {
@@ -140,7 +140,7 @@
 	addr := worker(t, func(net.Conn) { wrote <- true })
 	p := pool(4)
 	limit := time.Now().Add(10 * time.Second)
-	x, ctx := p.exchange(limit)
+	x, ctx := p.newExchange(limit)
 	x.Close(true, outcome.CancelledUnsent)
 	if c, e := x.connect(ctx, addr, limit); c != nil || e.How != outcome.CancelledUnsent {
 		t.Fatalf("%v, %v", c, e.How)
