--- a/internal/workers/workerconn/exchange.go
+++ b/internal/workers/workerconn/exchange.go
@@ -20,23 +20,29 @@
 )
 
 const (
-	maxLineBytes      = 512 << 10             // 64 KiB as a JSON string, all escaped: longer is no answer
+	maxLineBytes      = 512 << 10             // 64 KiB as a JSON string, all escaped
 	finalBytesTimeout = 50 * time.Millisecond // for the last bytes of an answer that is complete without them
-	maxClientCheckAge = 10 * time.Millisecond // from asking whether a push is wanted to the write; an older answer is asked for again
 
-	// From a request's first part, which tells the time that is left, to its last byte. What is told may be too much by 0.15 s.
+	// maxClientCheckAge is the most time from the look at an attempt's client to the write. An older look
+	// is repeated.
+	maxClientCheckAge = 10 * time.Millisecond
+
+	// maxWriteTime is the most time from a request's first part, which names the time left, to its last
+	// byte. The time that a worker is told may be too long by 0.15 s.
 	maxWriteTime = 100 * time.Millisecond
-	// So much of a request that was not taken at once is held by its socket: a far worker's window would part it for longer than that.
+
+	// sendBufferBytes of a request that the kernel didn't take at once go into the socket's buffer: the
+	// window of a far worker would stretch the write beyond maxWriteTime.
 	sendBufferBytes = 128 << 10
 
-	stalePollInterval = time.Millisecond       // between two looks at whether a push may begin
-	staleTimeout      = 300 * time.Millisecond // for that; after it the push is kept back
+	stalePollInterval = time.Millisecond       // between two looks at whether an attempt may begin
+	staleTimeout      = 300 * time.Millisecond // after which an attempt that may not begin is cancelled
 
-	writeBackoff     = 2 * time.Millisecond // after a write that failed as this machine lacks something
+	writeBackoff     = 2 * time.Millisecond // after a write that failed for a shortage of this machine
 	maxWriteFailures = 25                   // of such, in a row
 )
 
-// Line is one line that a worker says of a job.
+// Line is one job line of a worker.
 type Line struct {
 	ID     string          `json:"id"`
 	State  string          `json:"state"`
@@ -53,26 +59,27 @@
 	Dialed bool
 }
 
-// Exchange is one push or probe that is out.
+// Exchange is one attempt or probe in flight.
 type Exchange struct {
 	pool      *Pool
 	stop      context.CancelFunc
-	isAttempt bool        // it is none of a probe
+	isAttempt bool        // not a load probe
 	wanted    func() bool // asked before each write
 	mu        sync.Mutex
 	conn      *conn
-	written   bool           // whole
-	closedAs  outcome.Ending // why this side closed it, if it did
+	written   bool           // completely
+	closedAs  outcome.Ending // by this side, if it did
 }
 
-// Close ends an exchange from this side. A request whose last byte is not written yet is never whole then, and never runs.
+// Close ends an exchange from this side. A request whose last byte is not written yet is never complete
+// then, and never runs.
 func (x *Exchange) Close(onlyUnwritten bool, how outcome.Ending) {
 	if c := x.close(onlyUnwritten, how); c != nil {
 		c.Close() // without the lock: it waits for a write that is in the kernel, which waits for the lock
 	}
 }
 
-// close is the connection that is to be closed, nil for none.
+// close returns the connection to close, nil for none.
 func (x *Exchange) close(onlyUnwritten bool, how outcome.Ending) *conn {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -86,31 +93,39 @@
 	return x.conn
 }
 
-// Push writes a request and reads job lines until the last one. Just before each write it asks whether the push is wanted
-// still, and ends Unwritten where it is not: a dial may have outlasted the client's patience, or a worker that reads slowly the
-// write. It tells once that the request is written whole, notes as they come, and the end once, after the connection is closed or
-// the worker has said its last word on it. The request is made for the time that is left when its first byte is written: a dial, a worker
-// that takes nothing, or this process standing still may have taken some. It is nil where that has become too much.
-func (p *Pool) Push(addr, id string, request func(left time.Duration) []byte, limit time.Time, wanted func() bool, written func(), note func(Line),
-	end func(End)) *Exchange {
+// Push writes a request and reads job lines until the last one. It calls, in this order:
+//
+//   - wanted, just before each write. An attempt that is not wanted ends as CancelledUnsent: a dial, or
+//     the write to a worker that reads slowly, may have outlasted the client's wait.
+//   - request, for the time that is left at the first byte. It returns nil if too much time has passed.
+//   - written, once the request is written completely.
+//   - note, for an answer's head and for each job line before the last one.
+//   - end, once, when the connection is closed or the worker has sent the last line.
+func (p *Pool) Push(
+	addr, id string, request func(left time.Duration) []byte, limit time.Time,
+	wanted func() bool, written func(), note func(Line), end func(End),
+) *Exchange {
 	return p.start(true, addr, request, limit, wanted, func(c *conn, e End) (*http.Response, End) {
 		written()
 		return readJobLines(c, id, note, e)
 	}, end)
 }
 
-// Probe asks a worker for its load.
+// Probe asks a worker for its load report.
 func (p *Pool) Probe(addr string, request []byte, limit time.Time, end func(End)) {
 	p.start(false, addr, func(time.Duration) []byte { return request }, limit, always, readLoadReport, end)
 }
 
 func always() bool { return true }
 
-// answerReader reads an answer, and how the exchange ended from it.
+// answerReader reads an answer, and returns how the exchange ended by it.
 type answerReader func(*conn, End) (*http.Response, End)
 
-func (p *Pool) start(push bool, addr string, request func(time.Duration) []byte, limit time.Time, wanted func() bool, read answerReader,
-	end func(End)) *Exchange {
+// start runs an exchange in a goroutine of its own, which ends with it.
+func (p *Pool) start(
+	push bool, addr string, request func(time.Duration) []byte, limit time.Time,
+	wanted func() bool, read answerReader, end func(End),
+) *Exchange {
 	x, ctx := p.newExchange(limit)
 	x.isAttempt, x.wanted = push, wanted
 	go func() {
@@ -122,7 +137,7 @@
 		}
 		resp, e := read(c, e)
 		if e.How == outcome.Done {
-			end(e) // nobody need wait for the worker's last bytes
+			end(e) // without waiting for the worker's last bytes
 			x.finish(c, resp, e)
 			return
 		}
@@ -133,11 +148,13 @@
 	return x
 }
 
+// newExchange returns an exchange that ends at the limit, and its context.
 func (p *Pool) newExchange(limit time.Time) (*Exchange, context.Context) {
 	ctx, stop := context.WithDeadline(context.Background(), limit)
 	return &Exchange{pool: p, stop: stop, wanted: always}, ctx
 }
 
+// connect takes an idle connection or dials one.
 func (x *Exchange) connect(ctx context.Context, addr string, limit time.Time) (*conn, End) {
 	var e End
 	c := x.pool.take(addr, x.isAttempt)
@@ -162,7 +179,8 @@
 	return c, e
 }
 
-// ownEndingFirst lets what this side did stand over what the connection says of it.
+// ownEndingFirst returns how this side closed the exchange, if it did, rather than what the connection
+// reports of that.
 func (x *Exchange) ownEndingFirst(how outcome.Ending) outcome.Ending {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -172,34 +190,39 @@
 	return how
 }
 
-// send writes a request whole, or ends with no connection.
-func (x *Exchange) send(ctx context.Context, addr string, request func(time.Duration) []byte, limit time.Time) (*conn, End) {
+// send writes a complete request, or returns no connection.
+func (x *Exchange) send(
+	ctx context.Context, addr string, request func(time.Duration) []byte, limit time.Time,
+) (*conn, End) {
 	c, e := x.connect(ctx, addr, limit)
 	if c == nil {
 		return nil, e
 	}
-	n, kept, err := x.write(c, request, limit)
+	n, heldBack, err := x.write(c, request, limit)
 	if x.written {
 		return c, e
 	}
 	e.How = outcome.PartiallySent
 	x.mu.Lock()
 	if x.conn = nil; x.closedAs != outcome.Unknown {
-		e.How = outcome.CancelledUnsent // this side kept it back or closed it: nothing of that is the worker's doing
+		e.How = outcome.CancelledUnsent // by this side: it proves nothing of the worker
 	}
 	x.mu.Unlock()
-	if kept && n == 0 && err == nil && c.SetDeadline(time.Time{}) == nil {
-		x.pool.putBack(c) // nothing was written to it, and opening it was paid for
+	if heldBack && n == 0 && err == nil && c.SetDeadline(time.Time{}) == nil {
+		x.pool.putBack(c) // nothing was written: it can be reused
 	} else {
 		x.pool.drop(c)
 	}
 	return nil, e
 }
 
-// write hands a request to the kernel and tells how much of it was taken, and whether the rest was kept back as it is not wanted any
-// more. A worker begins a request with its last byte, so this is asked before every part: a client may leave while the worker's
-// machine takes nothing. Close comes before or after a part, never between the asking and the write.
-func (x *Exchange) write(c *conn, made func(left time.Duration) []byte, limit time.Time) (n int, kept bool, err error) {
+// write hands a request to the kernel. It returns how many bytes the kernel took, and whether the rest
+// was held back as the attempt is not wanted any more. A worker starts a request at its last byte, so
+// wanted is asked before each part: a client may disconnect while the worker's kernel takes nothing.
+// Close comes before or after a part, never between the question and the write.
+func (x *Exchange) write(
+	c *conn, makeRequest func(left time.Duration) []byte, limit time.Time,
+) (n int, heldBack bool, err error) {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return 0, false, errors.ErrUnsupported
@@ -208,17 +231,17 @@
 	if err != nil {
 		return 0, false, err
 	}
-	var failed error
+	var writeErr error
 	var request []byte
-	var told time.Time // when the request was made
-	failures := 0      // in a row, as this machine lacks something
+	var madeAt time.Time // when the request was made
+	failures := 0        // in a row, for a shortage of this machine
 	stale := false
-	part := func(fd uintptr) bool {
+	writePart := func(fd uintptr) bool {
 		x.mu.Lock()
 		defer x.mu.Unlock()
 		stale = false
 		for !x.written && x.closedAs == outcome.Unknown {
-			if kept = !x.clientWaits(limit) || n > 0 && time.Since(told) > maxWriteTime; kept {
+			if heldBack = !x.clientWaits(limit) || n > 0 && time.Since(madeAt) > maxWriteTime; heldBack {
 				x.closedAs = outcome.CancelledUnsent
 				return true
 			}
@@ -226,9 +249,9 @@
 				return true
 			}
 			if n == 0 {
-				told = time.Now()
-				request = made(limit.Sub(told))
-				if kept = request == nil; kept {
+				madeAt = time.Now()
+				request = makeRequest(limit.Sub(madeAt))
+				if heldBack = request == nil; heldBack {
 					x.closedAs = outcome.CancelledUnsent
 					return true
 				}
@@ -239,10 +262,10 @@
 				return false
 			case oserror.IsLocal(err) && failures < maxWriteFailures:
 				failures++
-				time.Sleep(writeBackoff) // the lock is held for so short a time: a close waits for no other worker
+				time.Sleep(writeBackoff) // the lock is held: Close waits for it
 				continue
 			case err != nil && err != syscall.EINTR:
-				failed = err
+				writeErr = err
 				return true
 			}
 			if n == 0 && k < len(request) {
@@ -253,19 +276,20 @@
 		}
 		return true
 	}
-	for err = raw.Write(part); err == nil && stale; err = raw.Write(part) {
-		if kept = !x.awaitFresh(limit); kept {
+	for err = raw.Write(writePart); err == nil && stale; err = raw.Write(writePart) {
+		if heldBack = !x.awaitFresh(limit); heldBack {
 			break
 		}
 	}
-	return n, kept, errors.Join(err, failed)
+	return n, heldBack, errors.Join(err, writeErr)
 }
 
-// stale tells whether a push must not begin just now.
+// stale tells whether an attempt must not begin now.
 func (x *Exchange) stale() bool { return x.isAttempt && x.pool.Stale != nil && x.pool.Stale() }
 
-// awaitFresh waits until a push may begin, without the lock: whoever brings the news may close it meanwhile. One that may not begin in time
-// is kept back, and false.
+// awaitFresh waits until an attempt may begin. It holds no lock: whoever applies the update that it waits
+// for may close the attempt. It returns false for an attempt that may not begin in time, which ends as
+// CancelledUnsent.
 func (x *Exchange) awaitFresh(limit time.Time) bool {
 	until := time.Now().Add(staleTimeout)
 	if limit.Before(until) {
@@ -281,8 +305,8 @@
 	return true
 }
 
-// clientWaits asks whether a push is wanted until the answer is young: this process may be kept from running for longer than a client that
-// has left may be pushed for. What stays is the way from reading the clock into the kernel.
+// clientWaits asks whether an attempt is wanted, until the answer is at most maxClientCheckAge old: the
+// process may be stopped between the two. What remains is the time from the clock into the kernel.
 func (x *Exchange) clientWaits(limit time.Time) bool {
 	for began := time.Now(); began.Before(limit); began = time.Now() {
 		if !x.wanted() {
@@ -295,13 +319,16 @@
 	return false
 }
 
-// readAnswerHead reads an answer's head; those that only say that one will come are none.
+// readAnswerHead reads the head of an answer, and skips interim ones.
 func readAnswerHead(c *conn) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.reader, nil)
-		if err != nil || resp.StatusCode >= http.StatusOK || resp.StatusCode == http.StatusSwitchingProtocols {
+		if err != nil {
 			return resp, err
 		}
+		if resp.StatusCode >= http.StatusOK || resp.StatusCode == http.StatusSwitchingProtocols {
+			return resp, nil
+		}
 	}
 }
 
@@ -325,7 +352,7 @@
 	return resp, e
 }
 
-// readJobLines reads an answer and its lines.
+// readJobLines reads an answer to an attempt.
 func readJobLines(c *conn, id string, note func(Line), e End) (*http.Response, End) {
 	resp, err := readAnswerHead(c)
 	if err != nil {
@@ -349,7 +376,7 @@
 		}
 		var l Line
 		if err := json.Unmarshal(text, &l); err != nil || l.ID != id {
-			e.How = outcome.Malformed // a line of another op says nothing of this one
+			e.How = outcome.Malformed // a line of another op proves nothing of this one
 			return resp, e
 		}
 		switch l.State {
@@ -387,14 +414,15 @@
 	return resp, e
 }
 
-// rejectionEnding is what a status says that takes no job.
+// rejectionEnding is the ending for a status with which a worker takes no job.
 func rejectionEnding(resp *http.Response) outcome.Ending {
 	switch resp.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if resp.Header.Get("X-Unprocessed") == "1" {
 			return outcome.Shed
 		}
-	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests: // they speak of the moment
+	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests:
+		// They are about the moment, not the request.
 	default:
 		if resp.StatusCode/100 == 4 {
 			return outcome.Rejected
@@ -403,7 +431,7 @@
 	return outcome.ServerError
 }
 
-// finish keeps a connection whose answer came whole, and closes any other.
+// finish keeps a connection whose answer is complete for reuse, and closes any other.
 func (x *Exchange) finish(c *conn, resp *http.Response, e End) {
 	switch e.How {
 	case outcome.Done, outcome.Failed, outcome.Returned, outcome.JobKilled, outcome.Shed, outcome.Rejected,
@@ -428,7 +456,7 @@
 	x.pool.drop(c)
 }
 
-// readErrorEnding is how a connection ended that had taken the whole request.
+// readErrorEnding is the ending for an error on a connection over which the complete request was written.
 func readErrorEnding(err error) outcome.Ending {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -441,10 +469,10 @@
 	return outcome.Malformed
 }
 
-// Request is a request's bytes up to its time left, and its body.
+// Request is the head of a request without the time left, and its body.
 type Request struct{ Head, Body []byte }
 
-// Bytes are the request with the time that this side will wait for it.
+// Bytes returns the request for a worker that has so much time left.
 func (r *Request) Bytes(wait time.Duration) []byte {
 	b := make([]byte, 0, len(r.Head)+len(r.Body)+40)
 	b = append(b, r.Head...)
--- a/internal/workers/workerconn/workerconn.go
+++ b/internal/workers/workerconn/workerconn.go
@@ -1,5 +1,5 @@
-// Package workerconn holds the connections to workers: it dials, keeps idle ones for a while, writes pushes and
-// probes, and reads job lines until an exchange has ended.
+// Package workerconn has the connections to workers: it dials them, reuses idle ones, writes attempts and
+// load probes, and reads job lines until an exchange has ended.
 package workerconn
 
 import (
@@ -16,36 +16,41 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// Bounds are what a site and a machine allow.
+// Bounds are the limits that settings and the machine set.
 type Bounds struct {
 	Open int           // connections at once
-	Dial time.Duration // one that does not come up in this time never will
-	Idle time.Duration // a worker closes one that has stood idle for this long
+	Dial time.Duration // for a connection to come up
+	Idle time.Duration // after which a worker closes an idle connection
 }
 
-// reuseDelay is how long no push goes over a connection after the answer to another. A worker that answers twice does so some milliseconds
-// later, and a bare status names no op: read as the next push's, a late 503 would prove falsely that it never ran. What comes in this
-// time has the connection given up. After a probe there is no rest: what answers one proves nothing of a push, and the push that
-// follows it goes over the same connection; with a rest there each op paid for a handshake.
+// reuseDelay is the least time from an attempt's answer to the next attempt on the same connection. A
+// worker that answers twice does so some milliseconds later, and a bare status names no op: read as the
+// answer to the next attempt, a late 503 would prove falsely that this one never ran. A connection on
+// which something arrives within this time is closed. There is no delay after a load probe: its answer
+// proves nothing of an attempt, and the attempt that follows it reuses the connection.
 const reuseDelay = 50 * time.Millisecond
 
 type conn struct {
 	net.Conn
 	reader         *bufio.Reader
-	limited        *limitedReader // below r
+	limited        *limitedReader // below reader
 	addr           string
-	idleSince      time.Time // idle since then
-	attemptEndedAt time.Time // the last push on it, zero before one
+	idleSince      time.Time
+	attemptEndedAt time.Time // zero before the first
 }
 
-// maxDialDelay is let pass between a connection's coming up and its being looked at. What decides on a push reckons that its first byte
-// comes a dial later at the most: a group drops repeats within its window only, and a starved process is late.
+// maxDialDelay is the most time between a connection's coming up and its use. Decisions assume that an
+// attempt's first byte is sent one connect timeout later at most: a worker group drops repeats only
+// within its window.
 const maxDialDelay = 100 * time.Millisecond
 
-// Pool is all connections to workers.
+// Pool has all connections to workers.
 type Pool struct {
-	Connect func(ctx context.Context, network, addr string) (net.Conn, error) // set before use; nil: the network's own
-	// Stale tells whether a push must not begin just now, as what it was decided by may hold no more; set before use, nil for never.
+	// Connect dials a worker; set before use, nil for net.Dialer.
+	Connect func(ctx context.Context, network, addr string) (net.Conn, error)
+
+	// Stale tells whether no attempt may begin now, as its decision may be outdated; set before use, nil
+	// for never.
 	Stale      func() bool
 	bounds     Bounds
 	reuseDelay time.Duration
@@ -55,10 +60,10 @@
 	dialed     int
 }
 
-// New makes a pool without connections.
+// New returns a pool without connections.
 func New(b Bounds) *Pool { return &Pool{bounds: b, reuseDelay: reuseDelay, idle: map[string][]*conn{}} }
 
-// Limit sets another bound on the connections that are open. Idle ones beyond it are closed.
+// Limit sets the bound on open connections. Idle ones beyond it are closed.
 func (p *Pool) Limit(open int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,7 +72,8 @@
 	}
 }
 
-// evict closes the connection that stood idle longest, with the lock held; false where none is idle.
+// evict closes the connection that has been idle longest, with the lock held. It returns false where none
+// is idle.
 func (p *Pool) evict() bool {
 	var oldest *conn
 	for _, few := range p.idle {
@@ -84,14 +90,15 @@
 	return true
 }
 
-// Counts tells how many connections are open, and how many were dialled.
+// Counts returns how many connections are open, and how many were dialled.
 func (p *Pool) Counts() (open, dialed int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open, p.dialed
 }
 
-// usable tells whether an idle connection may be written to: at the worker's own limit that ends as a reset.
+// usable tells whether an idle connection may be written to. At the worker's own idle limit a write may
+// meet a reset.
 func (p *Pool) usable(c *conn, now time.Time) bool {
 	return now.Sub(c.idleSince) <= p.bounds.Idle*3/4 && c.isUntouched()
 }
@@ -119,7 +126,8 @@
 	}
 }
 
-// take finds an idle connection that can still be written to, and for a push has rested.
+// take returns an idle connection that may be written to, nil for none; for an attempt, one whose reuse
+// delay is over.
 func (p *Pool) take(addr string, push bool) *conn {
 	now := time.Now()
 	for {
@@ -148,7 +156,8 @@
 	p.putBack(c)
 }
 
-// putBack keeps a connection that was not used as it was: for its worker it has stood idle all the while.
+// putBack returns a connection that was not used, with its idle time: for the worker it was idle all the
+// while.
 func (p *Pool) putBack(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,7 +176,7 @@
 	p.mu.Unlock()
 }
 
-// reserve reserves a place for a new connection, if need be that of the connection that stood idle longest.
+// reserve counts a new connection, and if need be closes the one that has been idle longest for it.
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -179,6 +188,14 @@
 	return true
 }
 
+// newConn returns a connection that came up just now.
+func newConn(c net.Conn, addr string) *conn {
+	limited := &limitedReader{from: c}
+	reader := bufio.NewReaderSize(limited, 4096)
+	return &conn{Conn: c, reader: reader, limited: limited, addr: addr, idleSince: time.Now()}
+}
+
+// dial opens a connection within the bounds; the ending says why there is none.
 func (p *Pool) dial(ctx context.Context, addr string) (*conn, outcome.Ending) {
 	if !p.reserve() {
 		return nil, outcome.NoDescriptor
@@ -190,8 +207,7 @@
 	began := time.Now()
 	nc, err := connect(ctx, "tcp", addr)
 	if err == nil && time.Since(began) <= p.bounds.Dial+maxDialDelay {
-		g := &limitedReader{from: nc}
-		return &conn{Conn: nc, reader: bufio.NewReaderSize(g, 4096), limited: g, addr: addr, idleSince: time.Now()}, outcome.Unknown
+		return newConn(nc, addr), outcome.Unknown
 	}
 	if err == nil {
 		nc.Close()
@@ -202,10 +218,11 @@
 	var late net.Error
 	switch {
 	case err == nil:
-		return nil, outcome.CancelledUnsent // it was this side that came late, and nothing of that is the worker's doing
+		return nil, outcome.CancelledUnsent // this side was late: it proves nothing of the worker
 	case oserror.Classify(err) == oserror.DescriptorsExhausted:
 		return nil, outcome.NoDescriptor
-	case oserror.Classify(err) == oserror.ResourceExhausted, errors.Is(err, syscall.EAGAIN): // a connect that finds nothing to do lacks a port
+	case oserror.Classify(err) == oserror.ResourceExhausted, errors.Is(err, syscall.EAGAIN):
+		// Connect fails with EAGAIN where no local port is left.
 		return nil, outcome.NoResource
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return nil, outcome.ConnRefused
@@ -215,8 +232,8 @@
 	return nil, outcome.DialFailed
 }
 
-// isUntouched tells whether an idle connection is still as it was left: one that the worker has closed, or has
-// written to unasked, must not be used again.
+// isUntouched tells whether nothing has arrived on an idle connection: one that the worker has closed, or
+// written to unasked, must not be used.
 func (c *conn) isUntouched() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -225,8 +242,8 @@
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// Peek looks at what has come on a connection and leaves it there: how much, up to a byte. The error is EAGAIN
-// where nothing has come yet, and none where the other side has closed.
+// Peek returns how many bytes have arrived on a connection, up to one, and leaves them there. The error
+// is EAGAIN where nothing has arrived yet, and nil where the other side has closed.
 func Peek(c net.Conn) (n int, err error) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -241,7 +258,7 @@
 	return n, errors.Join(err, peeked)
 }
 
-// PeekAt is Peek for those who have the descriptor.
+// PeekAt is Peek for a descriptor.
 func PeekAt(fd uintptr) (n int, err error) {
 	var b [1]byte
 	n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
