--- a/internal/scheduler/checks_bench_test.go
+++ b/internal/scheduler/checks_bench_test.go
@@ -22,8 +22,12 @@
 	push := reducer.Push{Op: 1, Worker: "w"}
 	b.ReportAllocs()
 	for range b.N {
-		p := &pendingOp{Submit: Submit{Op: reducer.OpArrived{Op: 1, ID: "a", Category: "c"}, Rule: rule, MaxAttempts: 3,
-			Deadline: now.Add(time.Hour)}}
+		p := &pendingOp{Submit: Submit{
+			Op:          reducer.OpArrived{Op: 1, ID: "a", Category: "c"},
+			Rule:        rule,
+			MaxAttempts: 3,
+			Deadline:    now.Add(time.Hour),
+		}}
 		p.checkedAt.Store(&now)
 		pending[1] = p
 		c.attemptStarting(now, p, push)
--- a/internal/scheduler/checks_test.go
+++ b/internal/scheduler/checks_test.go
@@ -29,82 +29,166 @@
 	return &pendingOp{Submit: submitted, attempts: had}
 }
 
-// Each check sees what it is for, and nothing else: one case of each rule that is broken, and its like
-// that is not.
-func TestWhatTheChecksSee(t *testing.T) {
-	now := time.Now()
-	once := config.CategoryRule{Effect: "at-most-once"}
-	group := config.CategoryRule{Effect: deduplicated, Scope: "zone", Window: time.Second}
-	any := config.CategoryRule{Effect: redeliverable}
-	east, west := reducer.Group{Zone: "east"}, reducer.Group{Zone: "west"}
-	past := func(how outcome.Ending, ago time.Duration) attempts {
-		return attempts{{worker: "w", group: east, decidedAt: now.Add(-ago), ending: how}}
+// Rules of categories, and groups of workers.
+var (
+	atMostOnce    = config.CategoryRule{Effect: "at-most-once"}
+	repeatable    = config.CategoryRule{Effect: redeliverable}
+	droppedInZone = config.CategoryRule{Effect: deduplicated, Scope: "zone", Window: time.Second}
+	droppedByAll  = config.CategoryRule{Effect: deduplicated, Scope: "all", Window: time.Second}
+	eastern       = reducer.Group{Zone: "east"}
+	western       = reducer.Group{Zone: "west"}
+)
+
+// newTestChecks are checks under one rule for all categories, with three attempts to an op.
+func newTestChecks(rule config.CategoryRule) *checks {
+	return newChecks(invariant.New(zerolog.Nop()), fixedPolicy{rule: rule, maxAttempts: 3}, time.Second)
+}
+
+// ended are attempts in the east that have ended, the last one as long ago as given.
+func ended(ago time.Duration, endings ...outcome.Ending) (all attempts) {
+	for _, ending := range endings {
+		all = append(all, attempt{worker: "w", group: eastern, decidedAt: time.Now().Add(-ago), ending: ending})
 	}
+	return all
+}
+
+// Each check of an attempt sees what it is for, and nothing else: one case of each violation, and one
+// like it that is none.
+func TestChecksOfAnAttempt(t *testing.T) {
+	inFlight := attempts{{worker: "w", group: eastern, decidedAt: time.Now(), inFlight: true}}
 	for name, c := range map[string]struct {
 		rule     config.CategoryRule
 		attempts attempts
 		to       reducer.Group
-		broken   string
+		violated string
 	}{
-		"a first push":                      {once, nil, east, ""},
-		"one after one that never ran":      {once, past(outcome.ConnRefused, 0), east, ""},
-		"one after one that may have run":   {once, past(outcome.Reset, 0), east, "repeating"},
-		"a redeliverable one":               {any, past(outcome.Reset, 0), west, ""},
-		"a deduplicated one in its group":   {group, past(outcome.TimedOut, 0), east, ""},
-		"in another group":                  {group, past(outcome.TimedOut, 0), west, "repeating"},
-		"beyond its window":                 {group, past(outcome.TimedOut, 2*time.Second), east, "repeating"},
-		"while another is out":              {any, attempts{{worker: "w", group: east, decidedAt: now, inFlight: true}}, east, "repeating"},
-		"one too many":                      {any, append(past(outcome.Reset, 0), append(past(outcome.Reset, 0), past(outcome.Reset, 0)...)...), east, "repeating"},
-		"after some that could not be sent": {any, append(past(outcome.NoResource, 0), append(past(outcome.NoDescriptor, 0), past(outcome.NoResource, 0)...)...), east, ""},
+		"the first one":                      {atMostOnce, nil, eastern, ""},
+		"after one that never ran":           {atMostOnce, ended(0, outcome.ConnRefused), eastern, ""},
+		"after one that may have run":        {atMostOnce, ended(0, outcome.Reset), eastern, "repeating"},
+		"a redeliverable one":                {repeatable, ended(0, outcome.Reset), western, ""},
+		"a deduplicated one in its group":    {droppedInZone, ended(0, outcome.TimedOut), eastern, ""},
+		"a deduplicated one in another":      {droppedInZone, ended(0, outcome.TimedOut), western, "repeating"},
+		"a deduplicated one past its window": {
+			droppedInZone, ended(2*time.Second, outcome.TimedOut), eastern, "repeating",
+		},
+		"while another is in flight":         {repeatable, inFlight, eastern, "repeating"},
+		"one too many": {
+			repeatable, ended(0, outcome.Reset, outcome.Reset, outcome.Reset), eastern, "repeating",
+		},
+		"after some that could not be sent": {
+			repeatable, ended(0, outcome.NoResource, outcome.NoDescriptor, outcome.NoResource), eastern, "",
+		},
 	} {
-		checks := newChecks(invariant.New(zerolog.Nop()), fixedPolicy{rule: c.rule, maxAttempts: 3}, time.Second)
-		p := opOf(c.rule, c.attempts)
-		checks.attemptStarting(now, p, reducer.Push{Op: 1, Worker: "v", Group: c.to})
-		for rule, n := range checks.Counts() {
-			if (rule == c.broken) != (n > 0) {
-				t.Errorf("%s: %s %d times", name, rule, n)
+		t.Run(name, func(t *testing.T) {
+			checks := newTestChecks(c.rule)
+			p := opOf(c.rule, c.attempts)
+			checks.attemptStarting(time.Now(), p, reducer.Push{Op: 1, Worker: "v", Group: c.to})
+			for rule, n := range checks.Counts() {
+				if (rule == c.violated) != (n > 0) {
+					t.Errorf("%s: %d violations", rule, n)
+				}
 			}
-		}
+		})
 	}
-	checks := newChecks(invariant.New(zerolog.Nop()), fixedPolicy{rule: once, maxAttempts: 3, claims: true}, time.Second)
+}
+
+// A first attempt under an ID that another op has, and without the claim that it needs, is two violations.
+func TestChecksOfAFirstAttempt(t *testing.T) {
+	policy := fixedPolicy{rule: atMostOnce, maxAttempts: 3, claims: true}
+	checks := newChecks(invariant.New(zerolog.Nop()), policy, time.Second)
 	checks.ops["a"] = 7
-	checks.workers.drainingSince = map[string]time.Time{"gone": now.Add(-time.Minute), "going": now}
-	p := opOf(once, nil)
-	p.Deadline = now.Add(time.Minute)
-	if checks.attemptStarting(now, p, reducer.Push{Op: 1}); checks.Counts()["starting"] != 2 {
-		t.Errorf("an id that is out, and nobody granted it: %v", checks.Counts())
+	checks.attemptStarting(time.Now(), opOf(atMostOnce, nil), reducer.Push{Op: 1})
+	if checks.Counts()["starting"] != 2 {
+		t.Errorf("%v", checks.Counts())
 	}
-	sent := func(worker string, left time.Duration, checkedAt, deadline time.Time) uint64 {
-		before := checks.Counts()["sending"]
-		p.Deadline = deadline
-		p.checkedAt.Store(&checkedAt)
-		checks.sending(p, worker, left)
-		return checks.Counts()["sending"] - before
+}
+
+func TestChecksOfAFirstByte(t *testing.T) {
+	checks := newTestChecks(atMostOnce)
+	now := time.Now()
+	checks.workers.drainingSince = map[string]time.Time{"drained": now.Add(-time.Minute), "draining": now}
+	for name, c := range map[string]struct {
+		worker     string
+		timeLeft   time.Duration // that the worker is told
+		checkedAgo time.Duration // the client
+		clientLeft time.Duration // until its deadline
+		violations uint64
+	}{
+		"no violation":                 {"w", time.Second, 0, time.Minute, 0},
+		"a client checked a while ago": {"w", time.Second, time.Second, time.Minute, 1},
+		"past the deadline":            {"w", 0, 0, -time.Millisecond, 1},
+		"more time than is left":       {"w", 2 * time.Minute, 0, time.Minute, 1},
+		"a worker that has drained":    {"drained", time.Second, 0, time.Minute, 1},
+		"a worker within the grace":    {"draining", time.Second, 0, time.Minute, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := opOf(atMostOnce, nil)
+			p.Deadline = time.Now().Add(c.clientLeft)
+			checkedAt := time.Now().Add(-c.checkedAgo)
+			p.checkedAt.Store(&checkedAt)
+			before := checks.Counts()["sending"]
+			checks.sending(p, c.worker, c.timeLeft)
+			if got := checks.Counts()["sending"] - before; got != c.violations {
+				t.Errorf("%d violations, want %d", got, c.violations)
+			}
+		})
 	}
-	soon := now.Add(time.Minute)
-	for name, got := range map[string]uint64{
-		"a look of a second ago":    sent("w", time.Second, now.Add(-time.Second), soon),
-		"after its time":            sent("w", 0, time.Now(), now.Add(-time.Millisecond)),
-		"more time than is left":    sent("w", 2*time.Minute, time.Now(), soon),
-		"a worker that is gone":     sent("gone", time.Second, time.Now(), soon),
-		"all is well":               1 + sent("w", time.Second, time.Now(), soon),
-		"a worker within the grace": 1 + sent("going", time.Second, time.Now(), soon),
+}
+
+func TestChecksOfANack(t *testing.T) {
+	for name, c := range map[string]struct {
+		rule       config.CategoryRule
+		attempts   attempts
+		violations uint64
+	}{
+		"of what never ran":                      {atMostOnce, ended(0, outcome.Returned), 0},
+		"of what may have run":                   {atMostOnce, ended(0, outcome.TimedOut), 1},
+		"of what may run again":                  {repeatable, ended(0, outcome.TimedOut), 0},
+		"of what all workers drop":               {droppedByAll, ended(0, outcome.TimedOut), 0},
+		"of what all workers dropped for a time": {droppedByAll, ended(2*time.Second, outcome.TimedOut), 1},
 	} {
-		if got != 1 {
-			t.Errorf("%s: %d", name, got)
+		t.Run(name, func(t *testing.T) {
+			checks := newTestChecks(c.rule)
+			checks.responding(time.Now(), opOf(c.rule, c.attempts), reducer.Respond{Verdict: reducer.Nacked})
+			if got := checks.Counts()["repeating"]; got != c.violations {
+				t.Errorf("%d violations, want %d", got, c.violations)
+			}
+		})
+	}
+}
+
+// A worker is known to be draining from the first list that says so or leaves it out, until a list has it
+// ready again.
+func TestWorkersThatDrain(t *testing.T) {
+	start := time.Now()
+	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
+	list := func(snapshot, ready bool, workers ...string) (in reducer.EndpointsChanged) {
+		in.Snapshot = snapshot
+		for _, worker := range workers {
+			in.Endpoints = append(in.Endpoints, reducer.Endpoint{Worker: worker, Ready: ready})
 		}
+		return in
 	}
-	for name, c := range map[string]struct {
-		rule     config.CategoryRule
-		attempts attempts
-		want     uint64
-	}{"never ran": {once, past(outcome.Returned, 0), 0}, "may have run": {once, past(outcome.TimedOut, 0), 1}, "may be rerun": {any, past(outcome.TimedOut, 0), 0},
-		"all workers drop it": {config.CategoryRule{Effect: deduplicated, Scope: "all", Window: time.Second}, past(outcome.TimedOut, 0), 0},
-		"no more by then":     {config.CategoryRule{Effect: deduplicated, Scope: "all", Window: time.Second}, past(outcome.TimedOut, 2*time.Second), 1}} {
-		checks := newChecks(invariant.New(zerolog.Nop()), fixedPolicy{rule: c.rule, maxAttempts: 3}, time.Second)
-		checks.responding(now, opOf(c.rule, c.attempts), reducer.Respond{Verdict: reducer.Nacked})
-		if got := checks.Counts()["repeating"]; got != c.want {
-			t.Errorf("a nack of what %s: %d", name, got)
+	w := newWorkerStates(time.Second)
+	accepts := func(worker string, ms int, want bool) {
+		t.Helper()
+		if got := w.accepts(worker, at(ms)); got != want {
+			t.Errorf("%s after %d ms: accepts %v", worker, ms, got)
 		}
 	}
+	w.update(list(true, true, "a", "b"), at(0))
+	accepts("a", 5000, true)
+	w.update(list(false, false, "a"), at(100))
+	w.update(list(false, false, "a"), at(900)) // said again: the grace does not start anew
+	accepts("a", 1100, true)
+	accepts("a", 1101, false)
+	accepts("b", 1101, true)
+	w.update(list(true, true, "a"), at(2000)) // without b
+	accepts("a", 9000, true)
+	accepts("b", 3000, true)
+	accepts("b", 3001, false)
+	w.update(list(true, true, "a"), at(2000).Add(MaxTTL+time.Second))
+	if len(w.drainingSince) != 1 {
+		t.Errorf("known: %v", w.drainingSince)
+	}
 }
--- a/internal/scheduler/loop.go
+++ b/internal/scheduler/loop.go
@@ -78,8 +78,8 @@
 	if !l.opts.LogDivergence {
 		return
 	}
-	asked, chosen, spoken := l.opts.Reducer.ShadowDivergence()
-	l.opts.Log.Info().Int("asked", asked).Int("chosen", chosen).Int("spoken", spoken).
+	probed, pushed, reported := l.opts.Reducer.ShadowDivergence()
+	l.opts.Log.Info().Int("asked", probed).Int("chosen", pushed).Int("spoken", reported).
 		Uint64("ops", l.submitted).Msg("decided otherwise by the settings watched for")
 }
 
--- a/internal/scheduler/loop_test.go
+++ b/internal/scheduler/loop_test.go
@@ -32,7 +32,8 @@
 func (c *stubClient) Waiting() bool      { return !c.left.Load() }
 
 func (c *stubClient) Request(left time.Duration) []byte {
-	return fmt.Appendf(nil, "POST / HTTP/1.1\r\nHost: w\r\nContent-Length: 0\r\nX-Left: %d\r\n\r\n", left.Milliseconds())
+	head := "POST / HTTP/1.1\r\nHost: w\r\nContent-Length: 0\r\n"
+	return fmt.Appendf(nil, "%sX-Left: %d\r\n\r\n", head, left.Milliseconds())
 }
 
 func (c *stubClient) MayHaveRun(group reducer.Group) { c.mayRunIn.Store(&group) }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -88,7 +88,8 @@
 	// Request returns the request as it goes to a worker that has so much time left.
 	Request(left time.Duration) []byte
 
-	// MayHaveRun is told by the loop, each time, that the last attempt may have run in a group of workers.
+	// MayHaveRun reports that the last attempt may have run in a group of workers. The loop calls it once or
+	// more for such an attempt, before it answers the op.
 	MayHaveRun(group reducer.Group)
 }
 
