--- a/internal/scheduler/checks_test.go
+++ b/internal/scheduler/checks_test.go
@@ -62,16 +62,16 @@
 		to       reducer.Group
 		violated string
 	}{
-		"the first one":                      {atMostOnce, nil, eastern, ""},
-		"after one that never ran":           {atMostOnce, ended(0, outcome.ConnRefused), eastern, ""},
-		"after one that may have run":        {atMostOnce, ended(0, outcome.Reset), eastern, "repeating"},
-		"a redeliverable one":                {repeatable, ended(0, outcome.Reset), western, ""},
-		"a deduplicated one in its group":    {droppedInZone, ended(0, outcome.TimedOut), eastern, ""},
-		"a deduplicated one in another":      {droppedInZone, ended(0, outcome.TimedOut), western, "repeating"},
+		"the first one":                   {atMostOnce, nil, eastern, ""},
+		"after one that never ran":        {atMostOnce, ended(0, outcome.ConnRefused), eastern, ""},
+		"after one that may have run":     {atMostOnce, ended(0, outcome.Reset), eastern, "repeating"},
+		"a redeliverable one":             {repeatable, ended(0, outcome.Reset), western, ""},
+		"a deduplicated one in its group": {droppedInZone, ended(0, outcome.TimedOut), eastern, ""},
+		"a deduplicated one in another":   {droppedInZone, ended(0, outcome.TimedOut), western, "repeating"},
 		"a deduplicated one past its window": {
 			droppedInZone, ended(2*time.Second, outcome.TimedOut), eastern, "repeating",
 		},
-		"while another is in flight":         {repeatable, inFlight, eastern, "repeating"},
+		"while another is in flight": {repeatable, inFlight, eastern, "repeating"},
 		"one too many": {
 			repeatable, ended(0, outcome.Reset, outcome.Reset, outcome.Reset), eastern, "repeating",
 		},
