--- a/internal/frontend/bench_test.go
+++ b/internal/frontend/bench_test.go
@@ -23,9 +23,9 @@
 // segment is what IPv4, and TCP with time stamps, put before the bytes of a segment.
 const segment = 20 + 32
 
-// wired counts what the connections of a pool send and receive on the wire: bytes and segments, as the kernel counts them when a
+// countingConn counts what the connections of a pool send and receive on the wire: bytes and segments, as the kernel counts them when a
 // connection is closed.
-type wired struct {
+type countingConn struct {
 	net.Conn
 	to *traffic
 }
@@ -36,7 +36,7 @@
 	conns             int64
 }
 
-func (w wired) Close() error {
+func (w countingConn) Close() error {
 	raw, err := w.Conn.(*net.TCPConn).SyscallConn()
 	if err == nil {
 		raw.Control(func(fd uintptr) {
@@ -54,12 +54,14 @@
 }
 
 // SyscallConn is for the look at a connection before it is used.
-func (w wired) SyscallConn() (syscall.RawConn, error) { return w.Conn.(*net.TCPConn).SyscallConn() }
+func (w countingConn) SyscallConn() (syscall.RawConn, error) {
+	return w.Conn.(*net.TCPConn).SyscallConn()
+}
 
 const load = `{"pending":0,"busy_reqs":2,"x0":2,"x1":8.5}`
 
-// answering is a worker that answers each probe with a load report and each push with two job lines, in the form of the lab's.
-func answering(b *testing.B) string {
+// newBenchWorker is a worker that answers each probe with a load report and each push with two job lines, in the form of the lab's.
+func newBenchWorker(b *testing.B) string {
 	return fragmentpeer.Serve(b, func(c *net.TCPConn) {
 		for in := bufio.NewReader(c); ; {
 			r, err := http.ReadRequest(in)
@@ -81,8 +83,8 @@
 	})
 }
 
-// counted is a pool that counts.
-func counted() (*workerconn.Pool, *traffic) {
+// newCountingPool is a pool that counts.
+func newCountingPool() (*workerconn.Pool, *traffic) {
 	to := &traffic{}
 	p := workerconn.New(workerconn.Bounds{Open: 100, Dial: time.Second, Idle: 10 * time.Second})
 	p.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -90,7 +92,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return wired{c, to}, nil
+		return countingConn{c, to}, nil
 	}
 	return p, to
 }
@@ -98,10 +100,10 @@
 // BenchmarkProbe is one probe on the wire, with all heads, both ways: over a connection of its own, as almost every one is among
 // thousands of workers, and over one that is kept.
 func BenchmarkProbe(b *testing.B) {
-	addr := answering(b)
+	addr := newBenchWorker(b)
 	for _, kept := range []bool{false, true} {
 		b.Run(fmt.Sprint("kept=", kept), func(b *testing.B) {
-			p, to := counted()
+			p, to := newCountingPool()
 			b.ReportAllocs()
 			for range b.N {
 				ends := make(chan workerconn.End, 1)
@@ -127,8 +129,8 @@
 
 // BenchmarkPush is a push on the wire, without its body and its result: what its heads and job lines take.
 func BenchmarkPush(b *testing.B) {
-	addr := answering(b)
-	p, to := counted()
+	addr := newBenchWorker(b)
+	p, to := newCountingPool()
 	for n := range b.N {
 		h := &pendingOp{requestTarget: "/api"}
 		r, _ := http.NewRequest(http.MethodPost, "http://scheduler:9000/api", strings.NewReader(""))
--- a/internal/frontend/client_drain_test.go
+++ b/internal/frontend/client_drain_test.go
@@ -17,8 +17,8 @@
 	"woaddyke/internal/scheduler"
 )
 
-// ask sends a request on a connection, and tells the answer's status and whether it ends the connection.
-func ask(t *testing.T, c net.Conn, request string) (status int, ends bool) {
+// roundTrip sends a request on a connection, and tells the answer's status and whether it ends the connection.
+func roundTrip(t *testing.T, c net.Conn, request string) (status int, ends bool) {
 	t.Helper()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	fmt.Fprint(c, request)
@@ -32,7 +32,7 @@
 
 // Clients of a scheduler that was told to drain went on being sent to it; they were to go without losing a job.
 func TestADrainSendsClientsAwayAndTakesThemBack(t *testing.T) {
-	f, err := New(sheetOf(t, `{"rev":1,"all":true,"targets":[]}`), zerolog.Nop())
+	f, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[]}`), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,15 +49,15 @@
 	const check = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 	used, idle := dial(), dial()
 	for _, c := range []net.Conn{used, idle} {
-		if status, ends := ask(t, c, check); status != 200 || ends {
+		if status, ends := roundTrip(t, c, check); status != 200 || ends {
 			t.Fatalf("before: %d, ends %v", status, ends)
 		}
 	}
 	f.DrainClients()
-	if status, ends := ask(t, used, check); status != 503 || !ends {
+	if status, ends := roundTrip(t, used, check); status != 503 || !ends {
 		t.Errorf("on a connection in use: %d, ends %v", status, ends)
 	}
-	if status, ends := ask(t, dial(), "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"); status != 400 || !ends {
+	if status, ends := roundTrip(t, dial(), "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"); status != 400 || !ends {
 		t.Errorf("on a new connection: %d, ends %v; it must be answered still", status, ends)
 	}
 	began := time.Now()
@@ -76,13 +76,13 @@
 	f.drain.mu.Unlock()
 	op := fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\n%s: a\r\n%s: look\r\n%s: 9000\r\nContent-Length: 0\r\n\r\n", idHeader,
 		categoryHeader, timeLeftHeader)
-	if status, ends := ask(t, dial(), op); status != 503 || !ends {
+	if status, ends := roundTrip(t, dial(), op); status != 503 || !ends {
 		t.Errorf("an op three seconds after the call: %d, ends %v", status, ends)
 	}
 	f.ReadmitClients()
 	back := dial()
 	for range 2 {
-		if status, ends := ask(t, back, check); status != 200 || ends {
+		if status, ends := roundTrip(t, back, check); status != 200 || ends {
 			t.Errorf("after the drain: %d, ends %v", status, ends)
 		}
 	}
@@ -91,7 +91,7 @@
 // A scheduler that its staff had drained took clients again when its process was replaced.
 func TestTheHeirOfADrainedProcessIsDrained(t *testing.T) {
 	whole := `{"rev":5,"all":true,"targets":[]}`
-	was, err := New(sheetOf(t, whole), zerolog.Nop())
+	was, err := New(testBootstrap(t, whole), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 	if err != nil || !state.ClientsDrained || len(state.Learned) == 0 {
 		t.Fatalf("%s, %v", text, err)
 	}
-	is, err := New(sheetOf(t, whole), zerolog.Nop())
+	is, err := New(testBootstrap(t, whole), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 // A loop that is busy for a moment just when its heir asks: what it has learned, the ids that are taken among it, is handed over all the
 // same.
 func TestABusyLoopHandsOverWhatItHasLearned(t *testing.T) {
-	f, err := New(sheetOf(t, `{"rev":5,"all":true,"targets":[]}`), zerolog.Nop())
+	f, err := New(testBootstrap(t, `{"rev":5,"all":true,"targets":[]}`), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/figures_test.go
+++ b/internal/frontend/figures_test.go
@@ -18,8 +18,8 @@
 	"woaddyke/internal/observe/metrics"
 )
 
-// book is what the driver itself knows of the requests of one category.
-type book struct{ served, refused, failed, gone, held int }
+// expectedCounts is what the driver itself knows of the requests of one category.
+type expectedCounts struct{ served, refused, failed, gone, held int }
 
 // Figures that drift from what clients saw are worse than none: a refusal that the door worded, or a client that left in the
 // middle, was in no count. At every step all that was taken is in one place, and in the right one. The seed is FIGURES_SEED.
@@ -44,10 +44,10 @@
 				return
 			}
 		}
-		done(w, r.Header.Get(idHeader))
+		writeDone(w, r.Header.Get(idHeader))
 	}))
 	t.Cleanup(worker.Close)
-	sheet := sheetOf(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
+	sheet := testBootstrap(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
 		worker.Listener.Addr()))
 	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 1.0, "cancel": true},
 		"categories": []any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 60e9, "targetLatencyNs": 60e9}}})
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	addr, _ := serveUntil(t, f)
-	var look, other book
+	var look, other expectedCounts
 	pushed := 0
 	sum := func(o metrics.OpCounts) int { return o.Succeeded + o.Rejected + o.Failed + o.Disconnected }
 	// agree waits until the figures say what the book says: the last of an answer is counted just behind it.
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -23,11 +23,11 @@
 
 // startScheduler starts a scheduler with one worker, and returns its address and what stops it as SIGTERM does.
 func startScheduler(t *testing.T, work http.HandlerFunc) (addr string, stop func(), ended chan error) {
-	return schedulerBehind(t, work, func(l net.Listener) net.Listener { return l })
+	return startSchedulerBehind(t, work, func(l net.Listener) net.Listener { return l })
 }
 
-// sheetOf is a sheet without settings, beside a stand-in discovery that tells of the workers known and then no more.
-func sheetOf(t *testing.T, known string) *config.Bootstrap {
+// testBootstrap is a sheet without settings, beside a stand-in discovery that tells of the workers known and then no more.
+func testBootstrap(t *testing.T, known string) *config.Bootstrap {
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintln(w, known)
 		w.(http.Flusher).Flush()
@@ -41,14 +41,14 @@
 		Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 256}}
 }
 
-// schedulerBehind puts something before the scheduler's listener.
-func schedulerBehind(t *testing.T, work http.HandlerFunc, before func(net.Listener) net.Listener) (addr string, stop func(),
+// startSchedulerBehind puts something before the scheduler's listener.
+func startSchedulerBehind(t *testing.T, work http.HandlerFunc, before func(net.Listener) net.Listener) (addr string, stop func(),
 	ended chan error) {
 	worker := httptest.NewServer(work)
 	t.Cleanup(worker.Close)
 	known := fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
 		worker.Listener.Addr())
-	sheet := sheetOf(t, known)
+	sheet := testBootstrap(t, known)
 	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "cancel": true},
 		"categories": []any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 3e8,
 			"targetLatencyNs": 2e8}}})
@@ -103,7 +103,7 @@
 	return resp, string(text)
 }
 
-func done(w http.ResponseWriter, id string) {
+func writeDone(w http.ResponseWriter, id string) {
 	fmt.Fprintf(w, `{"id":%q,"state":"done","result":"made for %s"}`+"\n", id, id)
 }
 
@@ -118,7 +118,7 @@
 		if r.Header.Get(idHeader) == "a2" {
 			panic(http.ErrAbortHandler)
 		}
-		done(w, r.Header.Get(idHeader))
+		writeDone(w, r.Header.Get(idHeader))
 	})
 	resp, text := post(t, addr+"/api/%41?sid=a;b&x=%zz", "the body", "Idempotency-Key: k")
 	if resp.StatusCode != http.StatusOK || text != "made for a1" {
@@ -189,7 +189,7 @@
 	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		bodies <- r.Header.Get("Content-Length") + string(b)
-		done(w, r.Header.Get(idHeader))
+		writeDone(w, r.Header.Get(idHeader))
 	})
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -259,7 +259,7 @@
 			<-r.Context().Done()
 			return
 		}
-		done(w, r.Header.Get(idHeader))
+		writeDone(w, r.Header.Get(idHeader))
 	})
 	status := make(chan int, 1)
 	go func() {
@@ -295,7 +295,7 @@
 
 // A flood of connections that say nothing had ops of usual clients turned away, and 10 s for a head let it stay.
 func TestAFloodTakesItsRoomFromItself(t *testing.T) {
-	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) { done(w, r.Header.Get(idHeader)) })
+	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) { writeDone(w, r.Header.Get(idHeader)) })
 	usual := http.Client{}
 	ask := func(id string) string {
 		r, _ := http.NewRequest(http.MethodPost, "http://"+addr, strings.NewReader("x"))
--- a/internal/frontend/gone_test.go
+++ b/internal/frontend/gone_test.go
@@ -17,18 +17,18 @@
 	"woaddyke/internal/scheduler"
 )
 
-// deaf are the accepted connections of a scheduler whose watches for its clients' ends never hear of one, as where the goroutines that
+// unwatchedListener are the accepted connections of a scheduler whose watches for its clients' ends never hear of one, as where the goroutines that
 // watch get no turn: what a look at the socket does not keep back is sent on.
-type deaf struct {
+type unwatchedListener struct {
 	net.Listener
 	accepts <-chan bool // nil: at once
 	reads   <-chan bool // waited for before each read but a connection's first; nil: at once
 
-	mu   sync.Mutex
-	came []*net.TCPConn
+	mu       sync.Mutex
+	accepted []*net.TCPConn
 }
 
-func (d *deaf) Accept() (net.Conn, error) {
+func (d *unwatchedListener) Accept() (net.Conn, error) {
 	if d.accepts != nil {
 		<-d.accepts
 	}
@@ -38,15 +38,15 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.came = append(d.came, nc.(*net.TCPConn))
-	return &unheard{TCPConn: nc.(*net.TCPConn), of: d}, nil
+	d.accepted = append(d.accepted, nc.(*net.TCPConn))
+	return &unwatchedConn{TCPConn: nc.(*net.TCPConn), listener: d}, nil
 }
 
-// ended is how many of the connections that came this machine knows the end of.
-func (d *deaf) ended(t *testing.T) (n int) {
+// closedByPeer is how many of the connections that came this machine knows the end of.
+func (d *unwatchedListener) closedByPeer(t *testing.T) (n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, c := range d.came {
+	for _, c := range d.accepted {
 		if raw, err := c.SyscallConn(); err != nil {
 			t.Fatal(err)
 		} else if err := raw.Control(func(fd uintptr) {
@@ -61,51 +61,51 @@
 	return n
 }
 
-func (d *deaf) close() {
+func (d *unwatchedListener) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, c := range d.came {
+	for _, c := range d.accepted {
 		c.Close()
 	}
 }
 
-type unheard struct {
+type unwatchedConn struct {
 	*net.TCPConn
-	of   *deaf
-	read bool
+	listener *unwatchedListener
+	read     bool
 }
 
-func (u *unheard) Read(b []byte) (int, error) {
-	if u.read && u.of.reads != nil {
-		<-u.of.reads
+func (u *unwatchedConn) Read(b []byte) (int, error) {
+	if u.read && u.listener.reads != nil {
+		<-u.listener.reads
 	}
 	u.read = true
 	return u.TCPConn.Read(b)
 }
 
-func (u *unheard) SyscallConn() (syscall.RawConn, error) {
+func (u *unwatchedConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := u.TCPConn.SyscallConn()
-	return noWatch{raw}, err
+	return unwatchedRaw{raw}, err
 }
 
-// noWatch is a connection that can be looked at, but that nobody hears from who waits for something to come.
-type noWatch struct{ syscall.RawConn }
+// unwatchedRaw is a connection that can be looked at, but that nobody hears from who waits for something to come.
+type unwatchedRaw struct{ syscall.RawConn }
 
-func (n noWatch) Read(func(uintptr) bool) error {
+func (n unwatchedRaw) Read(func(uintptr) bool) error {
 	return n.RawConn.Read(func(uintptr) bool { return false })
 }
 
-// granting are fates that let an op wait until they are let grant it.
-type granting struct{ asks, grant chan bool }
+// heldClaims are fates that let an op wait until they are let grant it.
+type heldClaims struct{ asks, grant chan bool }
 
-func (g *granting) Claim(context.Context, string, string, []byte, time.Duration, time.Duration) replication.ClaimDecided {
+func (g *heldClaims) Claim(context.Context, string, string, []byte, time.Duration, time.Duration) replication.ClaimDecided {
 	g.asks <- true
 	<-g.grant
 	return replication.ClaimDecided{Result: replication.Granted, RequestID: 7}
 }
-func (*granting) MayHaveRun(uint64, string)        {}
-func (*granting) Finish(uint64, bool, int, []byte) {}
-func (*granting) Abandon(uint64)                   {}
+func (*heldClaims) MayHaveRun(uint64, string)        {}
+func (*heldClaims) Finish(uint64, bool, int, []byte) {}
+func (*heldClaims) Abandon(uint64)                   {}
 
 // In a process whose goroutines get their turns late, the watches among them, a client's close is known to the machine and to nobody in
 // the process. Each way in which an attempt can begin is held in its last moment, the client leaves, and the way is opened: the attempt
@@ -119,57 +119,57 @@
 		id, text string
 		pushes   int // attempts before the client leaves
 		// hold has the op wait in the moment before an attempt, and tells how to let it go on.
-		before func(d *deaf) (open func())
-		prime  func(t *testing.T, g *gate)
+		before func(d *unwatchedListener) (open func())
+		prime  func(t *testing.T, g *gatedScheduler)
 		stay   int   // ops of clients that stay, before
 		more   []any // categories
 		alone  bool  // beside no other test
-		hold   func(t *testing.T, g *gate) (open func())
+		hold   func(t *testing.T, g *gatedScheduler) (open func())
 	}
 	ways := []way{{
 		name: "it waits for probes", probes: true,
-		hold: func(_ *testing.T, g *gate) func() {
+		hold: func(_ *testing.T, g *gatedScheduler) func() {
 			<-g.probed
-			return func() { g.let <- true }
+			return func() { g.releaseProbe <- true }
 		},
 	}, {
 		name: "it looks again", probes: true, category: "soon",
 		stay: 2, alone: true, // it has a second from one look to the next, and half of one for the first
 		more: []any{map[string]any{"name": "soon", "effect": "fragile", "ttlNs": 300e9, "targetLatencyNs": 4e9}},
-		prime: func(t *testing.T, g *gate) {
+		prime: func(t *testing.T, g *gatedScheduler) {
 			g.busy.Store(1)
-			g.stays(t, "slow", 300*time.Millisecond) // by which other probes are waited for
-			g.busy.Store(10000)                      // a queue that outlasts any op
+			g.serveOne(t, "slow", 300*time.Millisecond) // by which other probes are waited for
+			g.busy.Store(10000)                         // a queue that outlasts any op
 		},
-		hold: func(t *testing.T, g *gate) func() {
+		hold: func(t *testing.T, g *gatedScheduler) func() {
 			<-g.probed
-			g.let <- true
+			g.releaseProbe <- true
 			g.await(t, "its look is over", func() bool {
-				g.front.workers.Sweep(time.Now().Add(time.Hour))
-				open, _ := g.front.workers.Counts()
+				g.server.workers.Sweep(time.Now().Add(time.Hour))
+				open, _ := g.server.workers.Counts()
 				return open == 0
 			})
-			ofLoop(g) // has taken in what it saw
+			loopCounts(g) // has taken in what it saw
 			g.busy.Store(0)
-			g.stays(t, "stays", 0) // what is seen for it makes the worker worth another look
-			free := busyLoop(g, 0)
+			g.serveOne(t, "stays", 0) // what is seen for it makes the worker worth another look
+			free := blockLoop(g, 0)
 			return func() {
 				close(free)
 				await(t, "it looks again", g.probed)
-				g.let <- true
+				g.releaseProbe <- true
 			}
 		},
 	}, {
 		name: "it is tried again after an ending", id: "refused", pushes: 1,
-		hold: func(_ *testing.T, g *gate) func() {
+		hold: func(_ *testing.T, g *gatedScheduler) func() {
 			<-g.pushed
-			return func() { close(g.turned) }
+			return func() { close(g.releaseRejected) }
 		},
 	}, {
 		name: "its push dials",
-		hold: func(_ *testing.T, g *gate) func() {
+		hold: func(_ *testing.T, g *gatedScheduler) func() {
 			up := make(chan bool)
-			g.front.workers.Connect = func(_ context.Context, network, addr string) (net.Conn, error) {
+			g.server.workers.Connect = func(_ context.Context, network, addr string) (net.Conn, error) {
 				<-up
 				return net.Dial(network, addr)
 			}
@@ -177,36 +177,36 @@
 		},
 	}, {
 		name: "it lies before a busy loop",
-		hold: func(t *testing.T, g *gate) func() {
-			free := busyLoop(g, 0)
+		hold: func(t *testing.T, g *gatedScheduler) func() {
+			free := blockLoop(g, 0)
 			return func() {
-				g.await(t, "the op lies before the loop", func() bool { return len(g.front.loop.Inbox()) == 1 })
+				g.await(t, "the op lies before the loop", func() bool { return len(g.server.loop.Inbox()) == 1 })
 				close(free)
 			}
 		},
 	}, {
 		name: "the loop has a full cap(g.front.loop.Inbox())",
-		hold: func(_ *testing.T, g *gate) func() {
-			free := busyLoop(g, cap(g.front.loop.Inbox()))
+		hold: func(_ *testing.T, g *gatedScheduler) func() {
+			free := blockLoop(g, cap(g.server.loop.Inbox()))
 			return func() { close(free) }
 		},
 	}, {
 		name: "it is granted", category: "asked",
-		hold: func(_ *testing.T, g *gate) func() {
-			by := &granting{make(chan bool, 1), make(chan bool)}
-			g.front.RequireClaims(by, func(category string) bool { return category == "asked" })
+		hold: func(_ *testing.T, g *gatedScheduler) func() {
+			by := &heldClaims{make(chan bool, 1), make(chan bool)}
+			g.server.RequireClaims(by, func(category string) bool { return category == "asked" })
 			return func() { <-by.asks; close(by.grant) }
 		},
 	}, {
 		name: "its connection is not accepted yet",
-		before: func(d *deaf) func() {
+		before: func(d *unwatchedListener) func() {
 			accepts := make(chan bool)
 			d.accepts = accepts
 			return func() { close(accepts) }
 		},
 	}, {
 		name: "its body is not read yet", text: "Content-Length: 9000\r\n\r\n" + string(make([]byte, 9000)),
-		before: func(d *deaf) func() {
+		before: func(d *unwatchedListener) func() {
 			reads := make(chan bool)
 			d.reads = reads
 			return func() { close(reads) }
@@ -226,17 +226,17 @@
 				if !x.alone {
 					t.Parallel()
 				}
-				d := &deaf{}
+				d := &unwatchedListener{}
 				open := func() {}
 				if x.before != nil {
 					open = x.before(d)
 				}
-				g := gatedBehind(t, false, x.probes, func(l net.Listener) net.Listener {
+				g := newGatedSchedulerBehind(t, false, x.probes, func(l net.Listener) net.Listener {
 					d.Listener = l
 					return d
 				}, x.more...)
 				t.Cleanup(d.close)
-				await(t, "ready", g.front.Ready())
+				await(t, "ready", g.server.Ready())
 				if x.prime != nil {
 					x.prime(t, g)
 				}
@@ -267,17 +267,17 @@
 				}
 				leave(nc.(*net.TCPConn))
 				if d.accepts == nil {
-					g.await(t, "the machine knows", func() bool { return d.ended(t) > 0 })
+					g.await(t, "the machine knows", func() bool { return d.closedByPeer(t) > 0 })
 				}
 				open()
 				g.await(t, "decided on, and at its end", func() bool {
-					taken, waits := ofLoop(g)
+					taken, waits := loopCounts(g)
 					return taken == uint64(x.stay+1) && waits == 0
 				})
 				if n := len(g.pushed); n != 0 {
 					t.Errorf("it was sent on: %q", <-g.pushed)
 				}
-				if f := g.front.Metrics(); f.Attempts != x.stay+x.pushes {
+				if f := g.server.Metrics(); f.Attempts != x.stay+x.pushes {
 					t.Errorf("%d attempts, not %d", f.Attempts, x.stay+x.pushes)
 				}
 			})
@@ -285,13 +285,13 @@
 	}
 }
 
-// stays has an op of a client that stays probe and go; the probe is answered after a while.
-func (g *gate) stays(t *testing.T, id string, answers time.Duration) {
+// serveOne has an op of a client that stays probe and go; the probe is answered after a while.
+func (g *gatedScheduler) serveOne(t *testing.T, id string, answers time.Duration) {
 	t.Helper()
 	go func() {
 		<-g.probed
 		time.Sleep(answers)
-		g.let <- true
+		g.releaseProbe <- true
 	}()
 	if resp, _ := post(t, g.addr, "", idHeader+": "+id); resp.StatusCode != http.StatusOK || <-g.pushed != id {
 		t.Errorf("%s: %s", id, resp.Status)
@@ -307,21 +307,21 @@
 	}
 }
 
-// busyLoop keeps a scheduler's loop from working until it is freed, with so many inputs before it.
-func busyLoop(g *gate, inputs int) (free chan bool) {
+// blockLoop keeps a scheduler's loop from working until it is freed, with so many inputs before it.
+func blockLoop(g *gatedScheduler, inputs int) (free chan bool) {
 	busy, free := make(chan bool), make(chan bool)
-	g.front.loop.Inbox() <- scheduler.Query(func(scheduler.State) { busy <- true; <-free })
+	g.server.loop.Inbox() <- scheduler.Query(func(scheduler.State) { busy <- true; <-free })
 	<-busy
 	for range inputs {
-		g.front.loop.Inbox() <- scheduler.Query(func(scheduler.State) {})
+		g.server.loop.Inbox() <- scheduler.Query(func(scheduler.State) {})
 	}
 	return free
 }
 
-// ofLoop asks a scheduler's loop how many ops it has taken, and how many of these wait still.
-func ofLoop(g *gate) (taken uint64, waits int) {
+// loopCounts asks a scheduler's loop how many ops it has taken, and how many of these wait still.
+func loopCounts(g *gatedScheduler) (taken uint64, waits int) {
 	done := make(chan bool)
-	g.front.loop.Inbox() <- scheduler.Query(func(s scheduler.State) {
+	g.server.loop.Inbox() <- scheduler.Query(func(s scheduler.State) {
 		taken, waits = s.Submitted, s.Pending
 		close(done)
 	})
@@ -333,15 +333,15 @@
 // their ends are slower than the loop, which has 256 ops before it and as many again behind each that it takes.
 func TestAThousandClientsThatLeaveAtOnce(t *testing.T) {
 	const clients = 1000
-	d := &deaf{}
-	g := gatedBehind(t, false, false, func(l net.Listener) net.Listener {
+	d := &unwatchedListener{}
+	g := newGatedSchedulerBehind(t, false, false, func(l net.Listener) net.Listener {
 		d.Listener = l
 		return d
 	})
 	defer d.close()
-	await(t, "ready", g.front.Ready())
-	g.front.Limit(4 * clients)
-	free := busyLoop(g, 0)
+	await(t, "ready", g.server.Ready())
+	g.server.Limit(4 * clients)
+	free := blockLoop(g, 0)
 	var open []net.Conn
 	for k := range clients {
 		c, err := net.Dial("tcp", g.addr)
@@ -351,17 +351,17 @@
 		io.WriteString(c, opText(fmt.Sprint("left", k), "Content-Length: 0\r\n\r\n"))
 		open = append(open, c)
 	}
-	g.await(t, "all are there", func() bool { return g.front.Metrics().OpsInFlight == clients })
+	g.await(t, "all are there", func() bool { return g.server.Metrics().OpsInFlight == clients })
 	for _, c := range open {
 		c.Close()
 	}
-	g.await(t, "the machine knows", func() bool { return d.ended(t) == clients })
+	g.await(t, "the machine knows", func() bool { return d.closedByPeer(t) == clients })
 	close(free)
 	g.await(t, "all are at their end", func() bool {
-		taken, waits := ofLoop(g)
+		taken, waits := loopCounts(g)
 		return taken == clients && waits == 0
 	})
-	if f := g.front.Metrics(); f.Attempts != 0 || len(g.pushed) != 0 {
+	if f := g.server.Metrics(); f.Attempts != 0 || len(g.pushed) != 0 {
 		t.Errorf("%d attempts, %d came", f.Attempts, len(g.pushed))
 	}
 	if resp, _ := post(t, g.addr, "", idHeader+": stays"); resp.StatusCode != http.StatusOK || <-g.pushed != "stays" {
--- a/internal/frontend/isolation_test.go
+++ b/internal/frontend/isolation_test.go
@@ -79,10 +79,10 @@
 func TestAStopBeforeTheFirstListAnswersAll(t *testing.T) {
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	t.Cleanup(silent.Close)
-	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { done(w, r.Header.Get(idHeader)) }))
+	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { writeDone(w, r.Header.Get(idHeader)) }))
 	t.Cleanup(worker.Close)
 	known := fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`, worker.Listener.Addr())
-	sheet := sheetOf(t, known)
+	sheet := testBootstrap(t, known)
 	sheet.Discovery = silent.Listener.Addr().String()
 	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 1.0},
 		"categories": []any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 1e9, "targetLatencyNs": 1e9}}})
--- a/internal/frontend/leave_test.go
+++ b/internal/frontend/leave_test.go
@@ -19,31 +19,31 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// gate is a scheduler whose one worker answers probes only when let, and counts the ops that come.
-type gate struct {
-	front  *Server
-	addr   string
-	probed chan bool    // a probe has come
-	let    chan bool    // answers one
-	busy   atomic.Int64 // what the answers say to be waiting and to run, as of the question
-	pushed chan string  // the ids of ops that came
-	turned chan bool    // lets the worker turn away an op of the name "refused"; one of the name "slow" takes 20 ms to start
+// gatedScheduler is a scheduler whose one worker answers probes only when let, and counts the ops that come.
+type gatedScheduler struct {
+	server          *Server
+	addr            string
+	probed          chan bool    // a probe has come
+	releaseProbe    chan bool    // answers one
+	busy            atomic.Int64 // what the answers say to be waiting and to run, as of the question
+	pushed          chan string  // the ids of ops that came
+	releaseRejected chan bool    // lets the worker turn away an op of the name "refused"; one of the name "slow" takes 20 ms to start
 }
 
-// gated starts one. Nothing is decided on an op before its worker has been let answer: probes may take a minute.
-func gated(t *testing.T, cancel, probes bool) *gate {
-	return gatedBehind(t, cancel, probes, func(l net.Listener) net.Listener { return l })
+// newGatedScheduler starts one. Nothing is decided on an op before its worker has been let answer: probes may take a minute.
+func newGatedScheduler(t *testing.T, cancel, probes bool) *gatedScheduler {
+	return newGatedSchedulerBehind(t, cancel, probes, func(l net.Listener) net.Listener { return l })
 }
 
-// gatedBehind puts something before its listener, and may have it serve more categories. Probes may take a quarter of the least target.
-func gatedBehind(t *testing.T, cancel, probes bool, before func(net.Listener) net.Listener, more ...any) *gate {
-	g := &gate{probed: make(chan bool, 99), let: make(chan bool), pushed: make(chan string, 9999), turned: make(chan bool)}
+// newGatedSchedulerBehind puts something before its listener, and may have it serve more categories. Probes may take a quarter of the least target.
+func newGatedSchedulerBehind(t *testing.T, cancel, probes bool, before func(net.Listener) net.Listener, more ...any) *gatedScheduler {
+	g := &gatedScheduler{probed: make(chan bool, 99), releaseProbe: make(chan bool), pushed: make(chan string, 9999), releaseRejected: make(chan bool)}
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			busy := g.busy.Load()
 			g.probed <- true
 			select {
-			case <-g.let:
+			case <-g.releaseProbe:
 			case <-r.Context().Done():
 			}
 			fmt.Fprintf(w, `{"pending":%d,"busy_reqs":%[1]d}`+"\n", busy)
@@ -53,7 +53,7 @@
 		g.pushed <- r.Header.Get(idHeader)
 		if r.Header.Get(idHeader) == "refused" {
 			select {
-			case <-g.turned:
+			case <-g.releaseRejected:
 			case <-r.Context().Done():
 			}
 			w.Header().Set("X-Unprocessed", "1")
@@ -64,13 +64,13 @@
 			time.Sleep(20 * time.Millisecond) // a start takes its time, by which a queue is judged
 			fmt.Fprintln(w, `{"id":"slow","state":"started"}`)
 		}
-		done(w, r.Header.Get(idHeader))
+		writeDone(w, r.Header.Get(idHeader))
 	}))
 	t.Cleanup(func() {
 		worker.CloseClientConnections() // a probe may wait still where a test has failed
 		worker.Close()
 	})
-	sheet := sheetOf(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
+	sheet := testBootstrap(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
 		worker.Listener.Addr()))
 	sheet.Settings = config.Flatten(map[string]any{
 		"bounds": map[string]any{"maxPushes": 3.0, "cancel": cancel, "probes": probes, "connectTimeoutNs": 60e9},
@@ -81,7 +81,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.front = f
+	g.server = f
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -93,13 +93,13 @@
 	return g
 }
 
-// none lets what is held go on, and has an op of a client that stays behind it: what was to be sent on before is there by then.
-func (g *gate) none(t *testing.T, step string) {
+// expectNothingSent lets what is held go on, and has an op of a client that stays behind it: what was to be sent on before is there by then.
+func (g *gatedScheduler) expectNothingSent(t *testing.T, step string) {
 	t.Helper()
 	go func() {
 		for {
 			select {
-			case g.let <- true:
+			case g.releaseProbe <- true:
 			case <-t.Context().Done():
 				return
 			}
@@ -116,11 +116,11 @@
 	}
 }
 
-func (g *gate) await(t *testing.T, what string, ok func() bool) {
+func (g *gatedScheduler) await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("%s: never; figures %+v", what, g.front.Metrics())
+			t.Fatalf("%s: never; figures %+v", what, g.server.Metrics())
 		}
 	}
 }
@@ -152,7 +152,7 @@
 		"closes after one longer than 4 K": {empty, opText("next", "Content-Length: 9000\r\n\r\n"+string(make([]byte, 9000))), func(c *net.TCPConn) { c.Close() }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := gated(t, true, true)
+			g := newGatedScheduler(t, true, true)
 			nc, err := net.Dial("tcp", g.addr)
 			if err != nil {
 				t.Fatal(err)
@@ -164,17 +164,17 @@
 			io.WriteString(c, x.then)
 			x.leave(c)
 			g.await(t, "seen to leave", func() bool {
-				f := g.front.Metrics()
+				f := g.server.Metrics()
 				return f.OpsInFlight == 0 && f.Requests["look"].Disconnected >= 1 && f.Requests["look"].Failed+f.Requests["look"].Rejected == 0
 			})
-			g.none(t, "behind ")
+			g.expectNothingSent(t, "behind ")
 		})
 	}
 }
 
 // A next request that is there before the answer to the first one is read once that is answered, as it came.
 func TestARequestBehindAnotherIsServedAfterIt(t *testing.T) {
-	g := gated(t, true, true)
+	g := newGatedScheduler(t, true, true)
 	c, err := net.Dial("tcp", g.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -183,12 +183,12 @@
 	fmt.Fprint(c, opText("first", "Content-Length: 0\r\n\r\n"))
 	<-g.probed
 	fmt.Fprint(c, opText("second", "Content-Length: 3\r\n\r\nabc"))
-	g.let <- true
+	g.releaseProbe <- true
 	if id := <-g.pushed; id != "first" {
 		t.Fatal(id)
 	}
 	<-g.probed
-	g.let <- true
+	g.releaseProbe <- true
 	if id := <-g.pushed; id != "second" {
 		t.Fatal(id)
 	}
@@ -196,9 +196,9 @@
 
 // An op that lay before a busy loop, with its client's leaving behind it, went to a worker at once where no probe is waited for.
 func TestAnOpWhoseClientLeftInTheBacklogIsNotTaken(t *testing.T) {
-	g := gated(t, false, false)
+	g := newGatedScheduler(t, false, false)
 	busy, free := make(chan bool), make(chan bool)
-	g.front.loop.Inbox() <- scheduler.Query(func(scheduler.State) { busy <- true; <-free })
+	g.server.loop.Inbox() <- scheduler.Query(func(scheduler.State) { busy <- true; <-free })
 	<-busy
 	for k, framing := range []string{"Content-Length: 0\r\n\r\n", "Content-Length: 3\r\n\r\nabc"} {
 		c, err := net.Dial("tcp", g.addr)
@@ -206,33 +206,36 @@
 			t.Fatal(err)
 		}
 		fmt.Fprint(c, opText(fmt.Sprint("left", k), framing))
-		g.await(t, "the op lies before the loop", func() bool { return len(g.front.loop.Inbox()) > 2*k })
+		g.await(t, "the op lies before the loop", func() bool { return len(g.server.loop.Inbox()) > 2*k })
 		c.Close()
-		g.await(t, "its leaving too", func() bool { return len(g.front.loop.Inbox()) > 2*k+1 })
+		g.await(t, "its leaving too", func() bool { return len(g.server.loop.Inbox()) > 2*k+1 })
 	}
 	close(free)
-	g.none(t, "behind ")
+	g.expectNothingSent(t, "behind ")
 }
 
 // A client that leaves while there is no room before the loop is waited for by nobody, and its op is never taken.
 func TestAnOpWhoseClientLeftBeforeAFullLoopIsNotTaken(t *testing.T) {
-	g := gated(t, false, false)
+	g := newGatedScheduler(t, false, false)
 	busy, free := make(chan bool), make(chan bool)
-	g.front.loop.Inbox() <- scheduler.Query(func(scheduler.State) { busy <- true; <-free })
+	g.server.loop.Inbox() <- scheduler.Query(func(scheduler.State) { busy <- true; <-free })
 	<-busy
-	for range cap(g.front.loop.Inbox()) {
-		g.front.loop.Inbox() <- scheduler.Query(func(scheduler.State) {})
+	for range cap(g.server.loop.Inbox()) {
+		g.server.loop.Inbox() <- scheduler.Query(func(scheduler.State) {})
 	}
 	c, err := net.Dial("tcp", g.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprint(c, opText("left", "Content-Length: 0\r\n\r\n"))
-	g.await(t, "the op waits", func() bool { return g.front.Metrics().OpsInFlight == 1 })
+	g.await(t, "the op waits", func() bool { return g.server.Metrics().OpsInFlight == 1 })
 	c.Close()
-	g.await(t, "seen to leave", func() bool { f := g.front.Metrics(); return f.OpsInFlight == 0 && f.Requests["look"].Disconnected == 1 })
+	g.await(t, "seen to leave", func() bool {
+		f := g.server.Metrics()
+		return f.OpsInFlight == 0 && f.Requests["look"].Disconnected == 1
+	})
 	close(free)
-	g.none(t, "behind ")
+	g.expectNothingSent(t, "behind ")
 }
 
 // A push that is still dialling when its client leaves was written when the connection came up, where the settings allow no cancel:
@@ -240,9 +243,9 @@
 func TestADialThatOutlastsItsClientIsNotWrittenTo(t *testing.T) {
 	for _, cancel := range []bool{false, true} {
 		t.Run(fmt.Sprint("cancel ", cancel), func(t *testing.T) {
-			g := gated(t, cancel, false)
+			g := newGatedScheduler(t, cancel, false)
 			dials, up := make(chan bool, 9), make(chan bool)
-			g.front.workers.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			g.server.workers.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				dials <- true
 				select {
 				case <-up:
@@ -258,36 +261,36 @@
 			fmt.Fprint(c, opText("left", "Content-Length: 0\r\n\r\n"))
 			<-dials
 			c.Close()
-			g.await(t, "seen to leave", func() bool { return g.front.Metrics().Requests["look"].Disconnected == 1 })
+			g.await(t, "seen to leave", func() bool { return g.server.Metrics().Requests["look"].Disconnected == 1 })
 			close(up)
-			g.none(t, "behind ")
-			if f := g.front.Metrics(); f.Attempts != 3 {
+			g.expectNothingSent(t, "behind ")
+			if f := g.server.Metrics(); f.Attempts != 3 {
 				t.Errorf("%d pushes are counted as written, of three", f.Attempts)
 			}
 		})
 	}
 }
 
-// asked are fates that let an op wait until its client has left, and are told what became of it.
-type asked struct {
+// claimsAfterDisconnect are fates that let an op wait until its client has left, and are told what became of it.
+type claimsAfterDisconnect struct {
 	waits chan bool
 	ends  chan bool // whether it is said to be unsent
 }
 
-func (a *asked) Claim(ctx context.Context, _, _ string, _ []byte, _, _ time.Duration) replication.ClaimDecided {
+func (a *claimsAfterDisconnect) Claim(ctx context.Context, _, _ string, _ []byte, _, _ time.Duration) replication.ClaimDecided {
 	a.waits <- true
 	<-ctx.Done()
 	return replication.ClaimDecided{Result: replication.Granted, RequestID: 7} // the grant that crosses it
 }
-func (a *asked) MayHaveRun(uint64, string)                     {}
-func (a *asked) Finish(_ uint64, unsent bool, _ int, _ []byte) { a.ends <- unsent }
-func (a *asked) Abandon(uint64)                                {}
+func (a *claimsAfterDisconnect) MayHaveRun(uint64, string)                     {}
+func (a *claimsAfterDisconnect) Finish(_ uint64, unsent bool, _ int, _ []byte) { a.ends <- unsent }
+func (a *claimsAfterDisconnect) Abandon(uint64)                                {}
 
 // A grant that came as the client left was spent on nobody, and its op called one that may have run.
 func TestAnOpWhoseClientLeftAtTheFatesDoorIsUnsent(t *testing.T) {
-	g := gated(t, false, false)
-	by := &asked{make(chan bool, 1), make(chan bool, 1)}
-	g.front.RequireClaims(by, func(category string) bool { return category == "asked" })
+	g := newGatedScheduler(t, false, false)
+	by := &claimsAfterDisconnect{make(chan bool, 1), make(chan bool, 1)}
+	g.server.RequireClaims(by, func(category string) bool { return category == "asked" })
 	for k := range 12 { // the loop has room too: without the question before it, half of them are given
 		c, err := net.Dial("tcp", g.addr)
 		if err != nil {
@@ -301,12 +304,12 @@
 			t.Error("it is said that it may have run")
 		}
 	}
-	g.none(t, "behind ")
+	g.expectNothingSent(t, "behind ")
 }
 
 // A handler that waits for a loop that has ended would keep its process from ending.
 func TestNobodyWaitsForALoopThatHasEnded(t *testing.T) {
-	f, err := New(sheetOf(t, `{"rev":1,"all":true,"targets":[]}`), zerolog.Nop())
+	f, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[]}`), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -325,33 +328,33 @@
 	}
 }
 
-// answeringAtOnce stands in for the loop: it answers each op while that is submitted.
-type answeringAtOnce struct {
+// immediateScheduler stands in for the loop: it answers each op while that is submitted.
+type immediateScheduler struct {
 	answer func(scheduler.Submit)
 	ended  chan struct{}
 }
 
-func (a answeringAtOnce) Submit(_ context.Context, op scheduler.Submit) error {
+func (a immediateScheduler) Submit(_ context.Context, op scheduler.Submit) error {
 	a.answer(op)
 	return nil
 }
-func (a answeringAtOnce) Send(reducer.Input)     {}
-func (a answeringAtOnce) Ended() <-chan struct{} { return a.ended }
+func (a immediateScheduler) Send(reducer.Input)     {}
+func (a immediateScheduler) Ended() <-chan struct{} { return a.ended }
 
-// torn is a client's connection that breaks under the answer.
-type torn struct{}
+// brokenWriter is a client's connection that breaks under the answer.
+type brokenWriter struct{}
 
-func (torn) Header() http.Header       { return http.Header{} }
-func (torn) Write([]byte) (int, error) { return 0, net.ErrClosed }
-func (torn) WriteHeader(int)           {}
+func (brokenWriter) Header() http.Header       { return http.Header{} }
+func (brokenWriter) Write([]byte) (int, error) { return 0, net.ErrClosed }
+func (brokenWriter) WriteHeader(int)           {}
 
 // The proxy gives up by a panic where an answer can't be written, and the op stood in the figures as in flight for good.
 func TestAnAnswerThatCanNotBeWrittenIsCountedAsGone(t *testing.T) {
-	f, err := New(sheetOf(t, `{"rev":1,"all":true,"targets":[]}`), zerolog.Nop())
+	f, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[]}`), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.transport.loop = answeringAtOnce{func(op scheduler.Submit) {
+	f.transport.loop = immediateScheduler{func(op scheduler.Submit) {
 		op.Reply <- reducer.Respond{Verdict: reducer.Acked, Result: make([]byte, 64<<10)}
 	}, nil}
 	r := httptest.NewRequest(http.MethodPost, "/", nil)
@@ -362,7 +365,7 @@
 				t.Errorf("the server is to drop the connection: %v", p)
 			}
 		}()
-		f.answer(torn{}, r.WithContext(ctx), &pendingOp{client: ctx, reply: make(chan reducer.Respond, 1)}, nil)
+		f.answer(brokenWriter{}, r.WithContext(ctx), &pendingOp{client: ctx, reply: make(chan reducer.Respond, 1)}, nil)
 	}()
 	if x := f.Metrics(); x.OpsInFlight != 0 || x.Other.Disconnected != 1 || x.RequestsRead != 1 {
 		t.Errorf("%+v", x)
@@ -374,16 +377,16 @@
 func TestAnAnswerThatCrossesTheLeavingStands(t *testing.T) {
 	for _, loopEnds := range []bool{false, true} {
 		for range 60 {
-			f, err := New(sheetOf(t, `{"rev":1,"all":true,"targets":[]}`), zerolog.Nop())
+			f, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[]}`), zerolog.Nop())
 			if err != nil {
 				t.Fatal(err)
 			}
-			by := &granted{ends: make(chan int, 1)}
+			by := &recordedClaims{ends: make(chan int, 1)}
 			f.RequireClaims(by, func(string) bool { return true })
 			plain, leave := context.WithCancel(context.Background())
 			ended, both := make(chan struct{}), make(chan struct{})
-			ctx := crossing{plain, both}
-			f.transport.loop = answeringAtOnce{func(op scheduler.Submit) {
+			ctx := blockedContext{plain, both}
+			f.transport.loop = immediateScheduler{func(op scheduler.Submit) {
 				defer close(both)
 				op.Reply <- reducer.Respond{Verdict: reducer.Acked, Result: []byte("x")}
 				if loopEnds {
@@ -405,23 +408,23 @@
 	}
 }
 
-// crossing is a context that is waited on only once two things have happened.
-type crossing struct {
+// blockedContext is a context that is waited on only once two things have happened.
+type blockedContext struct {
 	context.Context
 	both chan struct{}
 }
 
-func (c crossing) Done() <-chan struct{} {
+func (c blockedContext) Done() <-chan struct{} {
 	<-c.both
 	return c.Context.Done()
 }
 
-// granted are fates that grant all and are told what came of it.
-type granted struct{ ends chan int }
+// recordedClaims are fates that grant all and are told what came of it.
+type recordedClaims struct{ ends chan int }
 
-func (*granted) Claim(context.Context, string, string, []byte, time.Duration, time.Duration) replication.ClaimDecided {
+func (*recordedClaims) Claim(context.Context, string, string, []byte, time.Duration, time.Duration) replication.ClaimDecided {
 	return replication.ClaimDecided{Result: replication.Granted, RequestID: 7}
 }
-func (*granted) MayHaveRun(uint64, string)                       {}
-func (g *granted) Finish(_ uint64, _ bool, status int, _ []byte) { g.ends <- status }
-func (*granted) Abandon(uint64)                                  {}
+func (*recordedClaims) MayHaveRun(uint64, string)                       {}
+func (g *recordedClaims) Finish(_ uint64, _ bool, status int, _ []byte) { g.ends <- status }
+func (*recordedClaims) Abandon(uint64)                                  {}
--- a/internal/frontend/peer_drains_test.go
+++ b/internal/frontend/peer_drains_test.go
@@ -11,22 +11,22 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// nobody is a cluster of one.
-type nobody struct{}
+// noPeers is a cluster of one.
+type noPeers struct{}
 
-func (nobody) Names() []string                             { return nil }
-func (nobody) SendDrains(string, []drainstate.DrainRecord) {}
-func (nobody) Now() membership.Time                        { return 1 }
+func (noPeers) Names() []string                             { return nil }
+func (noPeers) SendDrains(string, []drainstate.DrainRecord) {}
+func (noPeers) Now() membership.Time                        { return 1 }
 
 // A worker that a neighbour's word had bound is let go of in the instant in which the own discovery tells that it drains: the word of its
 // going back into service came to the loop behind that of its drain, and it was given new work until the next list.
 func TestADrainIsNotOvertakenByALettingGo(t *testing.T) {
 	const heldUp = 100 * time.Millisecond
-	f, err := New(sheetOf(t, `{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":"127.0.0.1:9","state":"SERVING"}]}`), zerolog.Nop())
+	f, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":"127.0.0.1:9","state":"SERVING"}]}`), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.ShareDrains(nobody{}, 7)
+	f.ShareDrains(noPeers{}, 7)
 	f.endpoints.peerDrains.excluded["w"] = true
 	freed := make(chan bool, 1)
 	told := make(chan reducer.Input, 9)
--- a/internal/frontend/peers_test.go
+++ b/internal/frontend/peers_test.go
@@ -31,8 +31,8 @@
 	return b.Buffer.Write(p)
 }
 
-// datagrams opens a stand-in's socket.
-func datagrams(t *testing.T) (*net.UDPConn, netip.AddrPort) {
+// listenUDP opens a stand-in's socket.
+func listenUDP(t *testing.T) (*net.UDPConn, netip.AddrPort) {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -42,8 +42,8 @@
 	return conn, conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// moved starts a scheduler beside four stand-in workers with the given parts of a new shape, sends ops and stops it.
-func moved(t *testing.T, change func(*config.Bootstrap, map[string]any), n int) (log string) {
+// runScheduler starts a scheduler beside four stand-in workers with the given parts of a new shape, sends ops and stops it.
+func runScheduler(t *testing.T, change func(*config.Bootstrap, map[string]any), n int) (log string) {
 	t.Helper()
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -57,7 +57,7 @@
 			worker.Listener.Addr(), i%2))
 	}
 	known := `{"rev":1,"all":true,"targets":[` + strings.Join(targets, ",") + `]}`
-	sheet := sheetOf(t, known)
+	sheet := testBootstrap(t, known)
 	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0}, "instances": 2.0, "myNumber": 0.0,
 		"categories": []any{map[string]any{"name": "look", "effect": "retryable", "ttlNs": 3e9, "targetLatencyNs": 2e9}}})
 	change(sheet, sheet.Settings)
@@ -98,7 +98,7 @@
 // Operators want to see what the new settings would change before they switch: the counts must come from real ops.
 func TestAWatchOnSocketsCountsByKind(t *testing.T) {
 	watch := func(other map[string]any) string {
-		return moved(t, func(s *config.Bootstrap, site map[string]any) {
+		return runScheduler(t, func(s *config.Bootstrap, site map[string]any) {
 			s.AffinityFact, s.ShadowSettings = "routeKey", map[string]any{}
 			for k, v := range site {
 				s.ShadowSettings[k] = v
@@ -119,8 +119,8 @@
 
 // Each push is told to the scheduler that meets the worker too; one that is not configured is not heard.
 func TestPushesAreToldToTheOthers(t *testing.T) {
-	other, at := datagrams(t)
-	moved(t, func(s *config.Bootstrap, site map[string]any) {
+	other, at := listenUDP(t)
+	runScheduler(t, func(s *config.Bootstrap, site map[string]any) {
 		site["prices.connection"], site["bounds.peerMessages"] = 0.05, true
 		s.Peers = &config.Peers{ListenAddr: netip.MustParseAddrPort("127.0.0.1:0"),
 			ByNumber: map[int]netip.AddrPort{1: at}}
@@ -143,8 +143,8 @@
 }
 
 func TestOnlyConfiguredSchedulersAreHeard(t *testing.T) {
-	friend, at := datagrams(t)
-	stranger, _ := datagrams(t)
+	friend, at := listenUDP(t)
+	stranger, _ := listenUDP(t)
 	s, err := newPeerTransport(&config.Peers{ListenAddr: netip.MustParseAddrPort("127.0.0.1:0"),
 		ByNumber: map[int]netip.AddrPort{7: at}}, nil, zerolog.Nop())
 	if err != nil {
@@ -163,7 +163,7 @@
 
 // An address that another process has must end the start with a plain error, not leave it waiting for its own loop.
 func TestAnAddressThatIsTakenEndsTheStart(t *testing.T) {
-	_, at := datagrams(t)
+	_, at := listenUDP(t)
 	sheet := &config.Bootstrap{Discovery: "127.0.0.1:1", Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
 		Settings: map[string]any{}, Peers: &config.Peers{ListenAddr: at}}
 	f, err := New(sheet, zerolog.Nop())
--- a/internal/frontend/pieces_test.go
+++ b/internal/frontend/pieces_test.go
@@ -18,7 +18,7 @@
 	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		seen <- r.RequestURI + " " + string(b)
-		done(w, r.Header.Get(idHeader))
+		writeDone(w, r.Header.Get(idHeader))
 	})
 	send := func(way fragmentpeer.Way) (status int) {
 		t.Helper()
--- a/internal/frontend/settings_test.go
+++ b/internal/frontend/settings_test.go
@@ -18,26 +18,26 @@
 	"woaddyke/internal/config"
 )
 
-// asking are fates that grant all and remember of which categories they were asked, and with which window.
-type asking struct{ of chan string }
+// recordedWindows are fates that grant all and remember of which categories they were asked, and with which window.
+type recordedWindows struct{ of chan string }
 
-func (a *asking) Claim(_ context.Context, category, _ string, _ []byte, _, window time.Duration) replication.ClaimDecided {
+func (a *recordedWindows) Claim(_ context.Context, category, _ string, _ []byte, _, window time.Duration) replication.ClaimDecided {
 	a.of <- fmt.Sprint(category, " ", window)
 	return replication.ClaimDecided{Result: replication.Granted, RequestID: 7}
 }
-func (*asking) MayHaveRun(uint64, string)        {}
-func (*asking) Finish(uint64, bool, int, []byte) {}
-func (*asking) Abandon(uint64)                   {}
+func (*recordedWindows) MayHaveRun(uint64, string)        {}
+func (*recordedWindows) Finish(uint64, bool, int, []byte) {}
+func (*recordedWindows) Abandon(uint64)                   {}
 
 // An op of a category that was dropped is served by its old rules for a while, but the fates were not asked for it any more: an
 // at-most-once op could run at two schedulers.
 func TestAnOpOfADroppedCategoryIsAskedForStill(t *testing.T) {
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		done(w, r.Header.Get(idHeader))
+		writeDone(w, r.Header.Get(idHeader))
 	}))
 	t.Cleanup(worker.Close)
-	stand := sheetOf(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`, worker.Listener.Addr()))
+	stand := testBootstrap(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`, worker.Listener.Addr()))
 	path := filepath.Join(t.TempDir(), "sheet")
 	write := func(categories string) {
 		t.Helper()
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	by := &asking{make(chan string, 9)}
+	by := &recordedWindows{make(chan string, 9)}
 	f.RequireClaims(by, func(category string) bool {
 		return f.CategoryEffect(category) == "at-most-once" || f.CategoryEffect(category) == "deduplicated"
 	})
--- a/internal/frontend/stop_test.go
+++ b/internal/frontend/stop_test.go
@@ -13,28 +13,28 @@
 	"woaddyke/internal/base/stats"
 )
 
-// stopped is a scheduler whose worker holds the op named "held" until told, and what its clients need.
-type stopped struct {
-	addr  string
-	stop  func()
-	ended chan error
-	held  chan bool // the op is at its worker
-	go_   chan bool // lets it be done
+// stoppableScheduler is a scheduler whose worker holds the op named "held" until told, and what its clients need.
+type stoppableScheduler struct {
+	addr    string
+	stop    func()
+	ended   chan error
+	held    chan bool // the op is at its worker
+	release chan bool // lets it be done
 }
 
-func toBeStopped(t *testing.T) *stopped {
-	s := &stopped{held: make(chan bool, 9), go_: make(chan bool)}
+func newStoppableScheduler(t *testing.T) *stoppableScheduler {
+	s := &stoppableScheduler{held: make(chan bool, 9), release: make(chan bool)}
 	s.addr, s.stop, s.ended = startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		if io.Copy(io.Discard, r.Body); strings.HasPrefix(r.Header.Get(idHeader), "held") {
 			s.held <- true
-			<-s.go_
+			<-s.release
 		}
-		done(w, r.Header.Get(idHeader))
+		writeDone(w, r.Header.Get(idHeader))
 	})
 	return s
 }
 
-func (s *stopped) dial(t *testing.T) (net.Conn, *bufio.Reader) {
+func (s *stoppableScheduler) dial(t *testing.T) (net.Conn, *bufio.Reader) {
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -44,8 +44,8 @@
 	return c, bufio.NewReader(c)
 }
 
-// answer is the status of the next answer, and whether it ends the connection; 0 where none comes.
-func answer(r *bufio.Reader) (status int, ends bool) {
+// readAnswer is the status of the next answer, and whether it ends the connection; 0 where none comes.
+func readAnswer(r *bufio.Reader) (status int, ends bool) {
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
 		return 0, true
@@ -58,11 +58,11 @@
 // connections and on new ones, at once and in pieces, with others that lie idle, begun or held at a worker just then. The standard
 // server's own end drops a request that it has read in that instant, and closes connections on which one has begun.
 func TestWhatComesUpToTheLastMomentOfAStopIsAnswered(t *testing.T) {
-	s := toBeStopped(t)
+	s := newStoppableScheduler(t)
 	const whole = "Content-Length: 2\r\n\r\nhi"
 	idle, idles := s.dial(t)
 	fmt.Fprint(idle, opText("idle", whole))
-	if status, _ := answer(idles); status != http.StatusOK {
+	if status, _ := readAnswer(idles); status != http.StatusOK {
 		t.Fatal(status)
 	}
 	atWorker, held := s.dial(t)
@@ -87,7 +87,7 @@
 			kept, keeps = c, bufio.NewReader(c)
 		}
 		fmt.Fprint(kept, opText(fmt.Sprint("on", n), whole))
-		status, ends := answer(keeps)
+		status, ends := readAnswer(keeps)
 		if status == 0 && fresh {
 			lost++
 		}
@@ -97,11 +97,11 @@
 		}
 		if n == 3 {
 			fmt.Fprint(begun, text[30:])
-			if status, _ := answer(pieces); status != http.StatusOK {
+			if status, _ := readAnswer(pieces); status != http.StatusOK {
 				t.Errorf("the one in pieces: %d", status)
 			}
-			close(s.go_)
-			if status, _ := answer(held); status != http.StatusOK {
+			close(s.release)
+			if status, _ := readAnswer(held); status != http.StatusOK {
 				t.Errorf("the one at its worker: %d", status)
 			}
 		}
@@ -112,7 +112,7 @@
 	if answered < 10 {
 		t.Errorf("%d answers: this test proves nothing", answered)
 	}
-	if status, _ := answer(idles); status != 0 {
+	if status, _ := readAnswer(idles); status != 0 {
 		t.Errorf("the idle one got %d", status)
 	}
 	if err := <-s.ended; err != nil {
@@ -125,12 +125,12 @@
 	for _, cut := range []int{1, 40, len(opText("pieces", "Content-Length: 2\r\n\r\n")), len(opText("pieces", "Content-Length: 2\r\n\r\nh"))} {
 		t.Run(fmt.Sprint(cut), func(t *testing.T) {
 			t.Parallel()
-			s := toBeStopped(t)
+			s := newStoppableScheduler(t)
 			c, r := s.dial(t)
 			watch, watched := s.dial(t)
 			text := opText("pieces", "Content-Length: 2\r\n\r\nhi")
 			fmt.Fprint(watch, opText("watch", "Content-Length: 0\r\n\r\n"))
-			if status, _ := answer(watched); status != http.StatusOK {
+			if status, _ := readAnswer(watched); status != http.StatusOK {
 				t.Fatal(status)
 			}
 			s.stop()
@@ -143,7 +143,7 @@
 			fmt.Fprint(c, text[:cut])
 			<-closed
 			fmt.Fprint(c, text[cut:])
-			if status, ends := answer(r); status != http.StatusOK || !ends {
+			if status, ends := readAnswer(r); status != http.StatusOK || !ends {
 				t.Errorf("%d, ends %v", status, ends)
 			}
 			if err := <-s.ended; err != nil {
--- a/internal/frontend/told_test.go
+++ b/internal/frontend/told_test.go
@@ -34,17 +34,17 @@
 			if err != nil {
 				return nil, err
 			}
-			return &blocked{TCPConn: c.(*net.TCPConn), until: time.Now().Add(holdUp)}, nil
+			return &fullSocketConn{TCPConn: c.(*net.TCPConn), until: time.Now().Add(holdUp)}, nil
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			came := make(chan [2]time.Duration, 1) // after the client's sending, and what it was told
 			var sent time.Time
-			sheet := sheetOf(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
-				serveAt(t, func(w http.ResponseWriter, r *http.Request) {
+			sheet := testBootstrap(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
+				newWorker(t, func(w http.ResponseWriter, r *http.Request) {
 					ms, _ := strconv.Atoi(r.Header.Get(timeLeftHeader))
 					came <- [2]time.Duration{time.Since(sent), time.Duration(ms) * time.Millisecond}
-					done(w, r.Header.Get(idHeader))
+					writeDone(w, r.Header.Get(idHeader))
 				})))
 			sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "connectTimeoutNs": 2e9},
 				"categories": []any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 5e9, "targetLatencyNs": 4e9}}})
@@ -67,8 +67,8 @@
 	}
 }
 
-// serveAt is the address of a worker.
-func serveAt(t *testing.T, work http.HandlerFunc) string {
+// newWorker is the address of a worker.
+func newWorker(t *testing.T, work http.HandlerFunc) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -79,24 +79,24 @@
 	return l.Addr().String()
 }
 
-// blocked is a connection whose socket takes nothing until a moment: the one that is written to until then is full.
-type blocked struct {
+// fullSocketConn is a connection whose socket takes nothing until a moment: the one that is written to until then is full.
+type fullSocketConn struct {
 	*net.TCPConn
 	until time.Time
 }
 
-func (b *blocked) SyscallConn() (syscall.RawConn, error) {
+func (b *fullSocketConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := b.TCPConn.SyscallConn()
-	return &blockedRaw{raw, b.until}, err
+	return &fullSocketRaw{raw, b.until}, err
 }
 
-type blockedRaw struct {
+type fullSocketRaw struct {
 	syscall.RawConn
 	until time.Time
 }
 
 // Write calls as the network's own does, first at once and again when the socket takes something.
-func (b *blockedRaw) Write(try func(fd uintptr) bool) error {
+func (b *fullSocketRaw) Write(try func(fd uintptr) bool) error {
 	if time.Now().Before(b.until) {
 		r, w, err := fullPipe()
 		if err != nil {
@@ -131,10 +131,10 @@
 	const holdUp = 1500 * time.Millisecond
 	var dials, pushes atomic.Int32
 	decided := &lineCount{of: `"message":"push"`}
-	sheet := sheetOf(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
-		serveAt(t, func(w http.ResponseWriter, r *http.Request) {
+	sheet := testBootstrap(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
+		newWorker(t, func(w http.ResponseWriter, r *http.Request) {
 			pushes.Add(1)
-			done(w, r.Header.Get(idHeader))
+			writeDone(w, r.Header.Get(idHeader))
 		})))
 	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "connectTimeoutNs": 2e8},
 		"categories": []any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 9e9, "targetLatencyNs": 8e9}}})
@@ -147,7 +147,7 @@
 		if err != nil || dials.Add(1) > 1 {
 			return c, err
 		}
-		return &blocked{TCPConn: c.(*net.TCPConn), until: time.Now().Add(holdUp)}, nil
+		return &fullSocketConn{TCPConn: c.(*net.TCPConn), until: time.Now().Add(holdUp)}, nil
 	}
 	addr, _ := serveUntil(t, f)
 	<-f.Ready()
--- a/internal/frontend/unread_test.go
+++ b/internal/frontend/unread_test.go
@@ -14,10 +14,10 @@
 // What lay in the kernel while nobody read it was taken for new, and pushed after its client's TTL.
 func TestARequestThatLayUnreadIsDatedBack(t *testing.T) {
 	worked := make(chan string, 9)
-	addr, _, _ := schedulerBehind(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _, _ := startSchedulerBehind(t, func(w http.ResponseWriter, r *http.Request) {
 		worked <- r.Header.Get(idHeader)
-		done(w, r.Header.Get(idHeader))
-	}, func(l net.Listener) net.Listener { return &late{Listener: l, by: 400 * time.Millisecond} })
+		writeDone(w, r.Header.Get(idHeader))
+	}, func(l net.Listener) net.Listener { return &delayedListener{Listener: l, by: 400 * time.Millisecond} })
 	for left, want := range map[int]int{300: http.StatusServiceUnavailable, 5000: http.StatusOK} {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -53,7 +53,7 @@
 						ms, _ := strconv.Atoi(r.Header.Get(timeLeftHeader))
 						told <- time.Duration(ms) * time.Millisecond
 					}
-					done(w, r.Header.Get(idHeader))
+					writeDone(w, r.Header.Get(idHeader))
 				})
 				c, err := net.Dial("tcp", addr)
 				if err != nil {
@@ -97,13 +97,13 @@
 	}
 }
 
-// late accepts each connection only after a while, as a process does that was stopped.
-type late struct {
+// delayedListener accepts each connection only after a while, as a process does that was stopped.
+type delayedListener struct {
 	net.Listener
 	by time.Duration
 }
 
-func (l *late) Accept() (net.Conn, error) {
+func (l *delayedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	time.Sleep(l.by)
 	return c, err
