--- a/internal/workers/outcome/outcome.go
+++ b/internal/workers/outcome/outcome.go
@@ -32,28 +32,28 @@
 	numEndings
 )
 
-// endingNames are the names in log lines, in the order of the endings.
+// endingNames are the names in log lines.
 var endingNames = [numEndings]string{
-	"unknown",
-	"done",
-	"failed",
-	"lost",
-	"returned",
-	"turned-away",
-	"rejected",
-	"server-error",
-	"no-descriptor",
-	"no-resource",
-	"conn-refused",
-	"never-up",
-	"dial-failed",
-	"part-written",
-	"reset",
-	"ended-early",
-	"garbled",
-	"silent",
-	"withdrawn",
-	"unwritten",
+	Unknown:         "unknown",
+	Done:            "done",
+	Failed:          "failed",
+	JobKilled:       "lost",
+	Returned:        "returned",
+	Shed:            "turned-away",
+	Rejected:        "rejected",
+	ServerError:     "server-error",
+	NoDescriptor:    "no-descriptor",
+	NoResource:      "no-resource",
+	ConnRefused:     "conn-refused",
+	DialTimedOut:    "never-up",
+	DialFailed:      "dial-failed",
+	PartiallySent:   "part-written",
+	Reset:           "reset",
+	EndedEarly:      "ended-early",
+	Malformed:       "garbled",
+	TimedOut:        "silent",
+	Cancelled:       "withdrawn",
+	CancelledUnsent: "unwritten",
 }
 
 func (e Ending) String() string {
--- a/internal/workers/workerconn/workerconn.go
+++ b/internal/workers/workerconn/workerconn.go
@@ -1,5 +1,5 @@
-// Package workerconn holds the connections to workers: it dials, keeps idle ones for a while, writes pushes and
-// probes, and reads job lines until an exchange has ended.
+// Package workerconn has the connections to workers: it dials them, reuses idle ones, writes attempts and
+// load probes, and reads job lines until an exchange has ended.
 package workerconn
 
 import (
@@ -16,49 +16,54 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// Bounds are what a site and a machine allow.
+// Bounds are the limits that settings and the machine set.
 type Bounds struct {
 	Open int           // connections at once
-	Dial time.Duration // one that does not come up in this time never will
-	Idle time.Duration // a worker closes one that has stood idle for this long
+	Dial time.Duration // for a connection to come up
+	Idle time.Duration // after which a worker closes an idle connection
 }
 
-// rest is how long no push goes over a connection after the answer to another. A worker that answers twice does so some milliseconds
-// later, and a bare status names no op: read as the next push's, a late 503 would prove falsely that it never ran. What comes in this
-// time has the connection given up. After a probe there is no rest: what answers one proves nothing of a push, and the push that
-// follows it goes over the same connection; with a rest there each op paid for a handshake.
-const rest = 50 * time.Millisecond
+// reuseDelay is the least time from an attempt's answer to the next attempt on the same connection. A
+// worker that answers twice does so some milliseconds later, and a bare status names no op: read as the
+// answer to the next attempt, a late 503 would prove falsely that this one never ran. A connection on
+// which something arrives within this time is closed. There is no delay after a load probe: its answer
+// proves nothing of an attempt, and the attempt that follows it reuses the connection.
+const reuseDelay = 50 * time.Millisecond
 
 type conn struct {
 	net.Conn
-	r     *bufio.Reader
-	gauge *gauge // below r
-	addr  string
-	since time.Time // idle since then
-	ended time.Time // the last push on it, zero before one
+	reader         *bufio.Reader
+	limited        *limitedReader // below reader
+	addr           string
+	idleSince      time.Time
+	attemptEndedAt time.Time // zero before the first
 }
 
-// lateDial is let pass between a connection's coming up and its being looked at. What decides on a push reckons that its first byte
-// comes a dial later at the most: a group drops repeats within its window only, and a starved process is late.
-const lateDial = 100 * time.Millisecond
+// maxDialDelay is the most time between a connection's coming up and its use. Decisions assume that an
+// attempt's first byte is sent one connect timeout later at most: a worker group drops repeats only
+// within its window.
+const maxDialDelay = 100 * time.Millisecond
 
-// Pool is all connections to workers.
+// Pool has all connections to workers.
 type Pool struct {
-	Connect func(ctx context.Context, network, addr string) (net.Conn, error) // set before use; nil: the network's own
-	// Stale tells whether a push must not begin just now, as what it was decided by may hold no more; set before use, nil for never.
-	Stale  func() bool
-	bounds Bounds
-	rest   time.Duration
-	mu     sync.Mutex
-	idle   map[string][]*conn // by address, the last used at the end
-	open   int                // with those that are being dialled
-	dialed int
+	// Connect dials a worker; set before use, nil for net.Dialer.
+	Connect func(ctx context.Context, network, addr string) (net.Conn, error)
+
+	// Stale tells whether no attempt may begin now, as its decision may be outdated; set before use, nil
+	// for never.
+	Stale      func() bool
+	bounds     Bounds
+	reuseDelay time.Duration
+	mu         sync.Mutex
+	idle       map[string][]*conn // by address, the last used at the end
+	open       int                // with those that are being dialled
+	dialed     int
 }
 
-// New makes a pool without connections.
-func New(b Bounds) *Pool { return &Pool{bounds: b, rest: rest, idle: map[string][]*conn{}} }
+// New returns a pool without connections.
+func New(b Bounds) *Pool { return &Pool{bounds: b, reuseDelay: reuseDelay, idle: map[string][]*conn{}} }
 
-// Limit sets another bound on the connections that are open. Idle ones beyond it are closed.
+// Limit sets the bound on open connections. Idle ones beyond it are closed.
 func (p *Pool) Limit(open int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,11 +72,12 @@
 	}
 }
 
-// evict closes the connection that stood idle longest, with the lock held; false where none is idle.
+// evict closes the connection that has been idle longest, with the lock held. It returns false where none
+// is idle.
 func (p *Pool) evict() bool {
 	var oldest *conn
 	for _, few := range p.idle {
-		if len(few) > 0 && (oldest == nil || few[0].since.Before(oldest.since)) {
+		if len(few) > 0 && (oldest == nil || few[0].idleSince.Before(oldest.idleSince)) {
 			oldest = few[0]
 		}
 	}
@@ -84,16 +90,17 @@
 	return true
 }
 
-// Counts tells how many connections are open, and how many were dialled.
+// Counts returns how many connections are open, and how many were dialled.
 func (p *Pool) Counts() (open, dialed int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open, p.dialed
 }
 
-// usable tells whether an idle connection may be written to: at the worker's own limit that ends as a reset.
+// usable tells whether an idle connection may be written to. At the worker's own idle limit a write may
+// meet a reset.
 func (p *Pool) usable(c *conn, now time.Time) bool {
-	return now.Sub(c.since) <= p.bounds.Idle*3/4 && c.sound()
+	return now.Sub(c.idleSince) <= p.bounds.Idle*3/4 && c.isUntouched()
 }
 
 // Sweep closes idle connections that are too old or that the worker has closed.
@@ -119,14 +126,15 @@
 	}
 }
 
-// take finds an idle connection that can still be written to, and for a push has rested.
+// take returns an idle connection that may be written to, nil for none; for an attempt, one whose reuse
+// delay is over.
 func (p *Pool) take(addr string, push bool) *conn {
 	now := time.Now()
 	for {
 		p.mu.Lock()
 		few := p.idle[addr]
 		k := len(few) - 1
-		for k >= 0 && push && now.Sub(few[k].ended) < p.rest {
+		for k >= 0 && push && now.Sub(few[k].attemptEndedAt) < p.reuseDelay {
 			k--
 		}
 		if k < 0 {
@@ -144,17 +152,18 @@
 }
 
 func (p *Pool) put(c *conn) {
-	c.since = time.Now()
-	p.back(c)
+	c.idleSince = time.Now()
+	p.putBack(c)
 }
 
-// back keeps a connection that was not used as it was: for its worker it has stood idle all the while.
-func (p *Pool) back(c *conn) {
+// putBack returns a connection that was not used, with its idle time: for the worker it was idle all the
+// while.
+func (p *Pool) putBack(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	few := p.idle[c.addr]
 	k := len(few)
-	for k > 0 && few[k-1].since.After(c.since) {
+	for k > 0 && few[k-1].idleSince.After(c.idleSince) {
 		k--
 	}
 	p.idle[c.addr] = slices.Insert(few, k, c)
@@ -167,8 +176,8 @@
 	p.mu.Unlock()
 }
 
-// room reserves a place for a new connection, if need be that of the connection that stood idle longest.
-func (p *Pool) room() bool {
+// reserve counts a new connection, and if need be closes the one that has been idle longest for it.
+func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open >= p.bounds.Open && !p.evict() {
@@ -179,8 +188,16 @@
 	return true
 }
 
+// newConn returns a connection that came up just now.
+func newConn(c net.Conn, addr string) *conn {
+	limited := &limitedReader{from: c}
+	reader := bufio.NewReaderSize(limited, 4096)
+	return &conn{Conn: c, reader: reader, limited: limited, addr: addr, idleSince: time.Now()}
+}
+
+// dial opens a connection within the bounds; the ending says why there is none.
 func (p *Pool) dial(ctx context.Context, addr string) (*conn, outcome.Ending) {
-	if !p.room() {
+	if !p.reserve() {
 		return nil, outcome.NoDescriptor
 	}
 	connect := p.Connect
@@ -189,9 +206,8 @@
 	}
 	began := time.Now()
 	nc, err := connect(ctx, "tcp", addr)
-	if err == nil && time.Since(began) <= p.bounds.Dial+lateDial {
-		g := &gauge{from: nc}
-		return &conn{Conn: nc, r: bufio.NewReaderSize(g, 4096), gauge: g, addr: addr, since: time.Now()}, outcome.Unknown
+	if err == nil && time.Since(began) <= p.bounds.Dial+maxDialDelay {
+		return newConn(nc, addr), outcome.Unknown
 	}
 	if err == nil {
 		nc.Close()
@@ -202,10 +218,11 @@
 	var late net.Error
 	switch {
 	case err == nil:
-		return nil, outcome.CancelledUnsent // it was this side that came late, and nothing of that is the worker's doing
+		return nil, outcome.CancelledUnsent // this side was late: it proves nothing of the worker
 	case oserror.Classify(err) == oserror.DescriptorsExhausted:
 		return nil, outcome.NoDescriptor
-	case oserror.Classify(err) == oserror.ResourceExhausted, errors.Is(err, syscall.EAGAIN): // a connect that finds nothing to do lacks a port
+	case oserror.Classify(err) == oserror.ResourceExhausted, errors.Is(err, syscall.EAGAIN):
+		// Connect fails with EAGAIN where no local port is left.
 		return nil, outcome.NoResource
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return nil, outcome.ConnRefused
@@ -215,18 +232,18 @@
 	return nil, outcome.DialFailed
 }
 
-// sound tells whether an idle connection is still as it was left: one that the worker has closed, or has
-// written to unasked, must not be used again.
-func (c *conn) sound() bool {
-	if c.r.Buffered() > 0 {
+// isUntouched tells whether nothing has arrived on an idle connection: one that the worker has closed, or
+// written to unasked, must not be used.
+func (c *conn) isUntouched() bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
 	_, err := Peek(c.Conn)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// Peek looks at what has come on a connection and leaves it there: how much, up to a byte. The error is EAGAIN
-// where nothing has come yet, and none where the other side has closed.
+// Peek returns how many bytes have arrived on a connection, up to one, and leaves them there. The error
+// is EAGAIN where nothing has arrived yet, and nil where the other side has closed.
 func Peek(c net.Conn) (n int, err error) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -241,7 +258,7 @@
 	return n, errors.Join(err, peeked)
 }
 
-// PeekAt is Peek for those who have the descriptor.
+// PeekAt is Peek for a descriptor.
 func PeekAt(fd uintptr) (n int, err error) {
 	var b [1]byte
 	n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
