--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -68,7 +68,7 @@
 				d.AddOp(held, OpSpec{Category: 0, TTL: now + 1<<40, Slots: 1})
 				pull(d)
 				d.AdvanceClock(now)
-				d.AttemptEnded(held, 0, Succeeded, 1, true)
+				d.AttemptEnded(held, 0, Succeeded, true)
 				pull(d)
 			}
 		})
@@ -105,7 +105,7 @@
 		switch next.Kind {
 		case NoDecision:
 			if ends {
-				d.AttemptEnded(i, 0, Succeeded, 1, true)
+				d.AttemptEnded(i, 0, Succeeded, true)
 				pull(d)
 			}
 			return
--- a/dispatch/categories_bench_test.go
+++ b/dispatch/categories_bench_test.go
@@ -38,7 +38,7 @@
 					d.SetCategories(settings)
 					n++
 				}
-				b.ReportMetric(float64(len(d.categories)), "places")
+				b.ReportMetric(float64(len(d.categories.all)), "places")
 			})
 		}
 	}
@@ -67,7 +67,7 @@
 				pull(d)
 				now += Time(5 + n%7)
 				d.AdvanceClock(now)
-				d.AttemptEnded(0, 0, Succeeded, 5, true)
+				d.AttemptEnded(0, 0, Succeeded, true)
 				pull(d)
 			}
 			n := 0
--- a/dispatch/categories_test.go
+++ b/dispatch/categories_test.go
@@ -15,6 +15,10 @@
 		SlowStart: SlowStartSettings{InitialCapacity: 1, OverloadFactor: 1}}
 }
 
+func addServiceTime(d *Dispatcher, place int, ran Time) {
+	d.categories.addServiceTime(place, ran, d.settings.BenefitPerWork)
+}
+
 // Places were given out for good, and after a thousand of them no change was taken until the process was replaced. Now that they are
 // given back, none may become another category's while an open op, a name that the host goes on serving, or the terms in force have it:
 // an at-most-once op at a place that became a redeliverable category's would be run twice.
@@ -41,21 +45,21 @@
 			out             bool
 		}
 		open, kept := map[int]*came{}, map[int]CategoryRules{} // ops by index; places by what the host has them for
-		pushes, peak := 3, len(d.categories)
+		pushes, peak := 3, len(d.categories.all)
 		check := func() {
 			for i, k := range places {
-				if got := d.categories[k].CategoryRules; got != inForce[i] {
+				if got := d.categories.all[k].CategoryRules; got != inForce[i] {
 					t.Fatalf("entry %d has the place of %+v, not of %+v", i, got, inForce[i])
 				}
 			}
 			for k, want := range kept {
-				if got := d.categories[k].CategoryRules; got != want {
+				if got := d.categories.all[k].CategoryRules; got != want {
 					t.Fatalf("place %d that the host keeps for %+v is that of %+v", k, want, got)
 				}
 			}
 			for i, o := range open {
-				if got := d.ops[i]; d.categories[got.category].CategoryRules != o.CategoryRules || got.maxAttempts != o.most {
-					t.Fatalf("op %d came by %+v, %d pushes, and is under %+v, %d", i, o.CategoryRules, o.most, d.categories[got.category].CategoryRules, got.maxAttempts)
+				if got := d.ops.byIndex[i]; d.categories.all[got.category].CategoryRules != o.CategoryRules || got.maxAttempts != o.most {
+					t.Fatalf("op %d came by %+v, %d pushes, and is under %+v, %d", i, o.CategoryRules, o.most, d.categories.all[got.category].CategoryRules, got.maxAttempts)
 				}
 			}
 		}
@@ -120,13 +124,13 @@
 				for _, o := range open {
 					used[o.cat] = true
 				}
-				for k := range d.categories {
-					if !d.categories[k].inForce && !d.categories[k].retained && d.AddOp(99, OpSpec{Category: k, TTL: d.now + 1<<30, Slots: 1}) {
+				for k := range d.categories.all {
+					if !d.categories.all[k].inForce && !d.categories.all[k].retained && d.AddOp(99, OpSpec{Category: k, TTL: d.now + 1<<30, Slots: 1}) {
 						t.Fatalf("an op is taken at place %d, which nobody has named", k)
 					}
 				}
-				if peak = max(peak, len(used)); len(d.categories) > peak {
-					t.Fatalf("%d places, and never more than %d in use at a time", len(d.categories), peak)
+				if peak = max(peak, len(used)); len(d.categories.all) > peak {
+					t.Fatalf("%d places, and never more than %d in use at a time", len(d.categories.all), peak)
 				}
 			},
 			"op": func(t *rapid.T) {
@@ -139,7 +143,7 @@
 				if !d.AddOp(i, OpSpec{Category: k, TTL: d.now + 1<<30, Slots: 1}) {
 					t.Fatalf("no op of place %d is taken", k)
 				}
-				open[i] = &came{CategoryRules: d.categories[k].CategoryRules, cat: k, most: pushes}
+				open[i] = &came{CategoryRules: d.categories.all[k].CategoryRules, cat: k, most: pushes}
 				pull()
 			},
 			"end": func(t *rapid.T) {
@@ -151,7 +155,7 @@
 				if o.out {
 					o.out = false
 					how := rapid.SampledFrom([]Outcome{Succeeded, ConnectionLost, ConnectionLost}).Draw(t, "how")
-					d.AttemptEnded(i, o.legs-1, how, 10, how == Succeeded)
+					d.AttemptEnded(i, o.legs-1, how, how == Succeeded)
 				} else {
 					d.ClientDisconnected(i)
 				}
@@ -171,27 +175,27 @@
 	for k := range of {
 		d.AddOp(k, OpSpec{Category: k, TTL: d.now + 40_000, Slots: 1})
 		for range 40 {
-			d.addServiceTime(k, 700)
+			addServiceTime(d, k, 700)
 		}
 	}
-	if got := d.relativeWeight(d.ops[0]); got != 0.25 {
+	if got := d.relativeWeight(d.ops.byIndex[0]); got != 0.25 {
 		t.Fatalf("rank %v", got)
 	}
-	old := slices.Clone(d.categories[0].serviceTimes)
+	old := slices.Clone(d.categories.all[0].serviceTimes)
 	of[0].LatencyObjective = 6_000
 	place := d.SetCategories(settingsOf(of, 3))[0]
 	d.AddOp(2, OpSpec{Category: place, TTL: d.now + 40_000, Slots: 1})
-	if c := d.categories[place]; place == 0 || c.medianServiceTime != 700 || c.meanServiceTime != 700 || c.longestTTL != 40_000 || d.relativeWeight(d.ops[2]) != 0.25 {
-		t.Errorf("place %d: %+v, rank %v", place, c, d.relativeWeight(d.ops[2]))
+	if c := d.categories.all[place]; place == 0 || c.medianServiceTime != 700 || c.meanServiceTime != 700 || c.longestTTL != 40_000 || d.relativeWeight(d.ops.byIndex[2]) != 0.25 {
+		t.Errorf("place %d: %+v, rank %v", place, c, d.relativeWeight(d.ops.byIndex[2]))
 	}
-	d.addServiceTime(place, 9)
-	d.addServiceTime(0, 8)
-	if x, y := d.categories[0].serviceTimes, d.categories[place].serviceTimes; x[len(x)-1] != 8 || y[len(y)-1] != 9 || !slices.Equal(x[:len(x)-1], old[1:]) {
+	addServiceTime(d, place, 9)
+	addServiceTime(d, 0, 8)
+	if x, y := d.categories.all[0].serviceTimes, d.categories.all[place].serviceTimes; x[len(x)-1] != 8 || y[len(y)-1] != 9 || !slices.Equal(x[:len(x)-1], old[1:]) {
 		t.Errorf("the runs of open ops and of new ones are mixed: %v, %v", x, y)
 	}
 	of[0].TTL = 20_000 // clients give less now: an op by the longest time that was seen would count as late from the beginning
-	if place = d.SetCategories(settingsOf(of, 3))[0]; d.categories[place].longestTTL != 0 || d.categories[place].medianServiceTime != 700 {
-		t.Errorf("with another TTL: %+v", d.categories[place])
+	if place = d.SetCategories(settingsOf(of, 3))[0]; d.categories.all[place].longestTTL != 0 || d.categories.all[place].medianServiceTime != 700 {
+		t.Errorf("with another TTL: %+v", d.categories.all[place])
 	}
 }
 
@@ -218,11 +222,11 @@
 			case 1:
 				d.settings.BenefitPerWork = !d.settings.BenefitPerWork
 			default:
-				d.addServiceTime(rapid.IntRange(0, len(d.categories)-1).Draw(t, "ran"), Time(rapid.IntRange(1, 50).Draw(t, "took")))
+				addServiceTime(d, rapid.IntRange(0, len(d.categories.all)-1).Draw(t, "ran"), Time(rapid.IntRange(1, 50).Draw(t, "took")))
 			}
-			o := d.ops[rapid.IntRange(0, n-1).Draw(t, "op")]
+			o := d.ops.byIndex[rapid.IntRange(0, n-1).Draw(t, "op")]
 			got := d.relativeWeight(o)
-			d.highestWeight.valid = false
+			d.categories.highest.valid = false
 			if want := d.relativeWeight(o); got != want && fmt.Sprint(got) != fmt.Sprint(want) {
 				t.Fatalf("rank %v, by a walk %v", got, want)
 			}
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -25,8 +25,8 @@
 	} {
 		d := fleet(2, nil)
 		d.halvedAt = d.now
-		copy(d.observed[:], c.a)
-		copy(d.idleAfter[:], c.b)
+		copy(d.estimator.observed[:], c.a)
+		copy(d.estimator.idleAfter[:], c.b)
 		if got := d.threshold(); got != c.want {
 			t.Errorf("%s: T = %d, want %d", c.name, got, c.want)
 		}
@@ -36,38 +36,38 @@
 func TestPairingWindowEnds(t *testing.T) {
 	for gap, want := range map[Time]float64{49: 0, 50: 1, 200: 1, 201: 0} {
 		d := fleet(2, nil)
-		d.halvedAt, d.startDelays = d.now, []Time{100}
+		d.halvedAt, d.estimator.startDelays = d.now, []Time{100}
 		d.ProbeAnswered(0, 0, jobs(3))
 		d.AdvanceClock(d.now + gap)
 		d.ProbeAnswered(0, 0, jobs(1))
-		if d.observed[3] != want || d.idleAfter[3] != want {
-			t.Errorf("gap %d: a = %v, b = %v, want %v", gap, d.observed[3], d.idleAfter[3], want)
+		if d.estimator.observed[3] != want || d.estimator.idleAfter[3] != want {
+			t.Errorf("gap %d: a = %v, b = %v, want %v", gap, d.estimator.observed[3], d.estimator.idleAfter[3], want)
 		}
 	}
 	d := fleet(2, nil)
-	d.halvedAt, d.startDelays = d.now, []Time{100}
+	d.halvedAt, d.estimator.startDelays = d.now, []Time{100}
 	d.ProbeAnswered(0, 0, jobs(3))
 	d.AdvanceClock(d.now + 100)
 	d.ProbeAnswered(0, 0, jobs(5))
-	if d.observed[3] != 1 || d.idleAfter[3] != 0 {
-		t.Errorf("a queue is no idleness: a = %v, b = %v", d.observed[3], d.idleAfter[3])
+	if d.estimator.observed[3] != 1 || d.estimator.idleAfter[3] != 0 {
+		t.Errorf("a queue is no idleness: a = %v, b = %v", d.estimator.observed[3], d.estimator.idleAfter[3])
 	}
 }
 
 func TestCountersHalve(t *testing.T) {
 	d := fleet(2, nil)
-	d.halvedAt, d.observed[2], d.idleAfter[2] = d.now, 8, 4
+	d.halvedAt, d.estimator.observed[2], d.estimator.idleAfter[2] = d.now, 8, 4
 	d.AdvanceClock(d.now + 2*counterHalfLife)
-	if d.halveCounters(); d.observed[2] != 2 || d.idleAfter[2] != 1 {
-		t.Errorf("after two spans a = %v, b = %v, want 2 and 1", d.observed[2], d.idleAfter[2])
+	if d.halveCounters(); d.estimator.observed[2] != 2 || d.estimator.idleAfter[2] != 1 {
+		t.Errorf("after two spans a = %v, b = %v, want 2 and 1", d.estimator.observed[2], d.estimator.idleAfter[2])
 	}
 }
 
 func TestPlacement(t *testing.T) {
 	low := func(d *Dispatcher) { // T = 1
 		d.halvedAt = d.now
-		copy(d.observed[:], []float64{4, 4, 4, 4})
-		copy(d.idleAfter[:], []float64{4, 4, 0, 0})
+		copy(d.estimator.observed[:], []float64{4, 4, 4, 4})
+		copy(d.estimator.idleAfter[:], []float64{4, 4, 0, 0})
 	}
 	for _, c := range []struct {
 		name   string
@@ -97,12 +97,12 @@
 	if all := decisions(d); len(all) != 0 {
 		t.Fatalf("decided before the short wait was over: %v", all)
 	}
-	d.AdvanceClock(d.now + d.shortWait())
+	d.AdvanceClock(d.now + d.probeTimeout())
 	if got := push(t, d); got != x {
 		t.Errorf("pushed to %d, not to the worker that answered, %d", got, x)
 	}
 	probed(t, d, 1, 0)
-	d.AdvanceClock(d.now + d.shortWait())
+	d.AdvanceClock(d.now + d.probeTimeout())
 	if got := push(t, d); got < 0 || got >= 6 {
 		t.Errorf("nobody answered: pushed to %d", got)
 	}
@@ -112,8 +112,8 @@
 func TestWideOpNeedsRoom(t *testing.T) {
 	d := fleet(2, nil)
 	d.halvedAt = d.now
-	copy(d.observed[:], []float64{4, 4, 4, 4})
-	copy(d.idleAfter[:], []float64{4, 4, 4, 0})
+	copy(d.estimator.observed[:], []float64{4, 4, 4, 4})
+	copy(d.estimator.idleAfter[:], []float64{4, 4, 4, 0})
 	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 4})
 	decisions(d)
 	if got := pushed(t, d, 0, jobs(2), 1, jobs(0)); got != 1 {
@@ -124,8 +124,8 @@
 // Queues that outlast an op's time: each op was probed two dozen times and pushed late all the same.
 func TestHopelessOpIsNackedSoon(t *testing.T) {
 	d := fleet(6, nil)
-	for i := range d.workers {
-		d.addQueueSample(&d.workers[i], queueSample{1, 4_000})
+	for i := range d.fleet.workers {
+		d.addQueueSample(&d.fleet.workers[i], queueSample{1, 4_000})
 	}
 	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	probes := 0
@@ -164,8 +164,8 @@
 func TestClearlySlowerWorkerIsPassedOver(t *testing.T) {
 	d := fleet(2, nil)
 	for range 12 {
-		d.workers[0].serviceTimeRatios = append(d.workers[0].serviceTimeRatios, 2)
-		d.workers[1].serviceTimeRatios = append(d.workers[1].serviceTimeRatios, 1)
+		d.fleet.workers[0].serviceTimeRatios = append(d.fleet.workers[0].serviceTimeRatios, 2)
+		d.fleet.workers[1].serviceTimeRatios = append(d.fleet.workers[1].serviceTimeRatios, 1)
 	}
 	probed(t, d, 0, 0)
 	if got := pushed(t, d, 0, jobs(0), 1, jobs(0)); got != 1 {
@@ -176,14 +176,14 @@
 func TestDoubtfulWorkerIsSeldomButStillGivenWork(t *testing.T) {
 	d := fleet(2, nil)
 	for range 3 {
-		d.recordVerdict(0, false)
+		d.fleet.recordVerdict(d.now, 0, false)
 	}
-	if !d.workers[0].health.Doubtful(d.now) || d.workers[1].health.Doubtful(d.now) {
+	if !d.fleet.workers[0].health.Doubtful(d.now) || d.fleet.workers[1].health.Doubtful(d.now) {
 		t.Fatal("three failures in a row must make a worker doubtful, and only that one")
 	}
 	n := 0
 	for range 1000 {
-		if d.workers[0].health.Admitted(d.now, &d.random) {
+		if d.fleet.workers[0].health.Admitted(d.now, &d.random) {
 			n++
 		}
 	}
@@ -191,7 +191,7 @@
 		t.Errorf("admitted %d times in 1000", n)
 	}
 	d.AdvanceClock(d.now + maxVerdictAge + 1)
-	if d.workers[0].health.Doubtful(d.now) {
+	if d.fleet.workers[0].health.Doubtful(d.now) {
 		t.Error("old verdicts still count")
 	}
 }
@@ -232,10 +232,10 @@
 	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	d.AdvanceClock(d.now + 1_000)
 	d.AddOp(1, OpSpec{Category: 0, TTL: d.now + 46_000, Slots: 1})
-	if got := d.spareTime(d.op(0)); got != 4_000 {
+	if got := d.spareTime(d.ops.at(0)); got != 4_000 {
 		t.Errorf("the first try has %d to spare, want 4000", got)
 	}
-	if got := d.spareTime(d.op(1)); got != 1_000 {
+	if got := d.spareTime(d.ops.at(1)); got != 1_000 {
 		t.Errorf("a try with 4000 of its TTL used has %d to spare, want 1000", got)
 	}
 }
@@ -243,14 +243,14 @@
 // Second looks at queues seen a moment ago cost two probes each and found them still there.
 func TestSecondLookSkipsWhatWasJustSeenFull(t *testing.T) {
 	d := fleet(5, nil)
-	for i := range d.workers {
-		d.addQueueSample(&d.workers[i], queueSample{1, 4_000})
+	for i := range d.fleet.workers {
+		d.addQueueSample(&d.fleet.workers[i], queueSample{1, 4_000})
 	}
 	x, y := probed(t, d, 0, 0)
 	d.ProbeAnswered(x, 0, jobs(9))
 	d.ProbeAnswered(y, 0, jobs(9))
 	decisions(d)
-	d.AdvanceClock(d.op(0).notBefore)
+	d.AdvanceClock(d.ops.at(0).probes.notBefore)
 	for _, a := range decisions(d) {
 		if a.Kind == Probe && (a.Worker == x || a.Worker == y) {
 			t.Errorf("worker %d was probed again", a.Worker)
@@ -262,7 +262,7 @@
 func TestPatienceIsCapped(t *testing.T) {
 	d := fleet(2, func(s *Settings) { s.Categories[1].LatencyObjective = 100_000 })
 	d.AddOp(0, OpSpec{Category: 1, TTL: d.now + 200_000, Slots: 1})
-	if got := d.patience(d.op(0)); got > 2*5_000 {
+	if got := d.patience(d.ops.at(0)); got > 2*5_000 {
 		t.Errorf("patience %d, over twice the least target", got)
 	}
 }
@@ -272,7 +272,7 @@
 	d := fleet(2, func(s *Settings) { s.BenefitPerWork, s.Categories[1].Benefit = true, 8 })
 	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	d.AddOp(1, OpSpec{Category: 1, TTL: d.now + 50_000, Slots: 1})
-	if cheap, dear := d.patience(d.op(0)), d.patience(d.op(1)); 4*cheap != dear {
+	if cheap, dear := d.patience(d.ops.at(0)), d.patience(d.ops.at(1)); 4*cheap != dear {
 		t.Errorf("patience %d and %d for benefits 2 and 8", cheap, dear)
 	}
 }
@@ -284,7 +284,7 @@
 		if got := pushed(t, d, 0, jobs(0), 1, jobs(0)); got != 1 {
 			t.Fatal("crossed zones between two Low workers")
 		}
-		d.AttemptEnded(i, 0, Succeeded, 0, true)
+		d.AttemptEnded(i, 0, Succeeded, true)
 	}
 }
 
@@ -331,7 +331,7 @@
 // An op that came with little of its TTL waited for probes until that was over, and was never answered.
 func TestWaitForProbesEndsBeforeTTL(t *testing.T) {
 	d := fleet(6, nil)
-	d.probeRTTs = []Time{5_000}
+	d.samples.probeRTTs = []Time{5_000}
 	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 1_000, Slots: 1})
 	var woken Time
 	for {
@@ -357,12 +357,12 @@
 	t.Helper()
 	d := fleet(2, nil)
 	for range stats.Few {
-		d.startSamples = append(d.startSamples, startSample{d.now, 100})
+		d.samples.startSamples = append(d.samples.startSamples, startSample{d.now, 100})
 	}
 	for i := range n {
 		d.AddOp(i, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 		decisions(d)
-		d.AdvanceClock(d.now + d.shortWait())
+		d.AdvanceClock(d.now + d.probeTimeout())
 		d.ProbeAnswered(0, 0, jobs(float64(i)/4)) // worker 1 does not answer the probe
 		if push(t, d) != 0 {
 			t.Fatal("set-up: not pushed to worker 0")
@@ -375,7 +375,7 @@
 		}
 		decisions(d)
 	}
-	return d.workers[0].health.Doubtful(d.now)
+	return d.fleet.workers[0].health.Doubtful(d.now)
 }
 
 // A hung worker went on taking ops; a worker behind a wide job was taken for a hung one.
@@ -419,17 +419,17 @@
 			}
 		}
 		decisions(d)
-		d.AttemptEnded(i, 0, Succeeded, 0, true)
+		d.AttemptEnded(i, 0, Succeeded, true)
 	}
 }
 
 // Reports seconds late sent all schedulers to the workers that looked idle; starts then came a second late.
 func TestLateReportsAreSetAside(t *testing.T) {
 	d := fleet(2, nil)
-	d.probeRTTs = []Time{100}
+	d.samples.probeRTTs = []Time{100}
 	for i := range stats.Few {
 		// Half late: over a fleet that hundreds share, where reports are a second old, such starts took longer the more room was told.
-		d.startSamples = append(d.startSamples, startSample{d.now, []Time{9_000, 100}[i%2]})
+		d.samples.startSamples = append(d.samples.startSamples, startSample{d.now, []Time{9_000, 100}[i%2]})
 	}
 	probed(t, d, 0, 0)
 	first := pushed(t, d, 0, jobs(0), 1, jobs(0))
@@ -444,9 +444,9 @@
 		t.Error("old lateness still sets reports aside")
 	}
 	d = fleet(2, nil)
-	d.probeRTTs = []Time{100}
+	d.samples.probeRTTs = []Time{100}
 	for i := range stats.Few {
-		d.startSamples = append(d.startSamples, startSample{d.now, []Time{9_000, 100, 100, 100}[i%4]})
+		d.samples.startSamples = append(d.samples.startSamples, startSample{d.now, []Time{9_000, 100, 100, 100}[i%4]})
 	}
 	if d.currentDigest().reportsStale {
 		t.Error("reports that three starts in four prove true are set aside")
@@ -460,7 +460,7 @@
 	decisions(d)
 	d.ProbeAnswered(0, 0, LoadReport{RunningJobs: 0, FreeSlots: 3.4, FreeMemory: -1})
 	d.ProbeAnswered(1, 0, LoadReport{RunningJobs: 0.9, FreeSlots: 3.4, FreeMemory: -1})
-	if !d.hasCapacity(d.op(0), 0) || d.hasCapacity(d.op(0), 1) {
+	if !d.hasCapacity(d.ops.at(0), 0) || d.hasCapacity(d.ops.at(0), 1) {
 		t.Error("of two workers that tell 3.4 free slots only the empty one has room for four")
 	}
 }
@@ -472,7 +472,7 @@
 	for i, n := range []float64{1, 3, 5} {
 		d.ProbeAnswered(i, 0, jobs(n))
 	}
-	o := d.op(0)
+	o := d.ops.at(0)
 	if x, y, z := d.queuePosition(o, 0), d.queuePosition(o, 1), d.queuePosition(o, 2); x != 0.25 || y != 0.75 || z != 2 {
 		t.Errorf("places %v, %v, %v with one and three slots lacking and one waiting", x, y, z)
 	}
@@ -515,7 +515,7 @@
 		x, y := probed(t, d, 1, 2)
 		pushed(t, d, x, jobs(0), y, jobs(0))
 		d.AdvanceClock(d.now + wait)
-		d.AttemptEnded(1, 0, ConnectionLost, wait, false)
+		d.AttemptEnded(1, 0, ConnectionLost, false)
 		if all := decisions(d); len(all) == 0 || all[0].Kind != want {
 			t.Errorf("%d after the push: %v, want %v", wait, all, want)
 		}
@@ -529,20 +529,20 @@
 		x, y := probed(t, d, 0, 0)
 		first := pushed(t, d, x, jobs(0), y, jobs(0))
 		d.AdvanceClock(d.now + 10)
-		d.AttemptEnded(0, 0, InvalidRequest, 10, false)
+		d.AttemptEnded(0, 0, InvalidRequest, false)
 		all := decisions(d)
 		other := pushed(t, d, all[0].Worker, jobs(0), all[1].Worker, jobs(0))
 		if other == first {
 			t.Fatal("the same worker was asked again")
 		}
 		d.AdvanceClock(d.now + 10)
-		d.AttemptEnded(0, 1, second, 10, second == Succeeded)
+		d.AttemptEnded(0, 1, second, second == Succeeded)
 		if all = decisions(d); second == InvalidRequest && (len(all) == 0 || all[0].Kind != DeadLetter) {
 			t.Errorf("two workers call it unfit: %v", all)
 		}
 		bad := 0
-		for i := range d.workers {
-			bad += stats.Bit(d.workers[i].health.Failed())
+		for i := range d.fleet.workers {
+			bad += stats.Bit(d.fleet.workers[i].health.Failed())
 		}
 		if bad != want {
 			t.Errorf("%d workers with a bad verdict, want %d", bad, want)
@@ -554,9 +554,9 @@
 func TestAStartedPushThatFallsSilentIsCalledOff(t *testing.T) {
 	for cat, want := range []bool{true, true, true, true, false} { // an at-most-once op can't be pushed again
 		d := fleet(8, func(s *Settings) { s.ProgressInterval = 10_000 })
-		d.categories[cat].DedupWindow = 50_000
+		d.categories.all[cat].DedupWindow = 50_000
 		for range stats.Few {
-			d.startSamples = append(d.startSamples, startSample{d.now, 100})
+			d.samples.startSamples = append(d.samples.startSamples, startSample{d.now, 100})
 		}
 		x, y := probed(t, d, 0, cat)
 		first := pushed(t, d, x, jobs(0), y, jobs(0))
@@ -575,10 +575,10 @@
 		if !want {
 			continue
 		}
-		if !d.workers[first].health.Failed() {
+		if !d.fleet.workers[first].health.Failed() {
 			t.Error("no verdict on the worker")
 		}
-		d.AttemptEnded(0, 0, Cancelled, 100, false)
+		d.AttemptEnded(0, 0, Cancelled, false)
 		d.AdvanceClock(d.now + 10)
 		if all = decisions(d); len(all) == 0 || all[0].Kind != Probe || all[0].Worker == first {
 			t.Errorf("category %d is not tried elsewhere: %v", cat, all)
@@ -618,13 +618,13 @@
 	for i := range 60 {
 		d.AddOp(i, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 		decisions(d)
-		d.AdvanceClock(d.now + d.shortWait())
+		d.AdvanceClock(d.now + d.probeTimeout())
 		d.ProbeAnswered(0, 0, jobs(0)) // worker 1 does not answer the probe
 		bad := push(t, d) == 0 && i%5 > 0
 		d.AdvanceClock(d.now + 10)
 		d.AttemptProgress(i, 0, true, 0)
 		how := Outcome(stats.Bit(bad) * int(Failed))
-		d.AttemptEnded(i, 0, how, 10, how == Succeeded)
+		d.AttemptEnded(i, 0, how, how == Succeeded)
 	}
 	in := 0
 	for range 1000 {
@@ -649,7 +649,7 @@
 			d.AddOp(k, OpSpec{TTL: d.now + 50_000, Slots: 1, AffinityKey: uint64(1 + k%10)})
 			for _, a := range decisions(d) {
 				if a.Kind == Probe && k%10 == 3 {
-					marks[d.workers[a.Worker].identityHash] = true
+					marks[d.fleet.workers[a.Worker].identityHash] = true
 				}
 			}
 		}
@@ -689,10 +689,10 @@
 		identify(d, i, uint64(i+1), i%2)
 	}
 	for range 8 {
-		d.workers[0].serviceTimeRatios.Add(&d.kinds[d.workers[0].kind].serviceTimeRatios, 0.5)
-		d.workers[1].serviceTimeRatios.Add(&d.kinds[d.workers[1].kind].serviceTimeRatios, 2)
+		d.fleet.workers[0].serviceTimeRatios.Add(&d.fleet.kinds[d.fleet.workers[0].kind].serviceTimeRatios, 0.5)
+		d.fleet.workers[1].serviceTimeRatios.Add(&d.fleet.kinds[d.fleet.workers[1].kind].serviceTimeRatios, 2)
 	}
-	if fast, slow := d.serviceTimeRatio(2), d.serviceTimeRatio(3); fast != 0.5 || slow != 2 {
+	if fast, slow := d.fleet.serviceTimeRatio(2), d.fleet.serviceTimeRatio(3); fast != 0.5 || slow != 2 {
 		t.Errorf("workers not met: %g and %g, want 0.5 and 2", fast, slow)
 	}
 }
@@ -710,7 +710,7 @@
 			workers[x], workers[y] = true, true
 			pushed(t, d, x, jobs(0), y, jobs(0))
 			d.AdvanceClock(d.now + 50)
-			d.AttemptEnded(0, 0, Succeeded, 50, true)
+			d.AttemptEnded(0, 0, Succeeded, true)
 			decisions(d)
 		}
 		return workers
@@ -758,10 +758,10 @@
 	}
 	for s := range 12 {
 		other := at(s)
-		if want := slices.Contains(other.workers[worker].subscribers, s) && s != 1; want != (told[s] == 1) {
+		if want := slices.Contains(other.fleet.workers[worker].subscribers, s) && s != 1; want != (told[s] == 1) {
 			t.Errorf("scheduler %d meets the worker: %v; told of %d", s, want, told[s])
 		}
-		if !slices.Contains(other.workers[worker].subscribers, s) || s == 1 {
+		if !slices.Contains(other.fleet.workers[worker].subscribers, s) || s == 1 {
 			continue
 		}
 		other.ProbeAnswered(worker, 50, jobs(0))
@@ -804,7 +804,7 @@
 			}
 			sent := decisions(d)
 			d.AdvanceClock(d.now + 10)
-			d.AttemptEnded(0, 0, Succeeded, 10, true)
+			d.AttemptEnded(0, 0, Succeeded, true)
 			all = append(append(append(all, asked...), sent...), decisions(d)...)
 		}
 		return all, d.ShadowDivergence()
@@ -854,7 +854,7 @@
 			push(t, d)
 			d.AdvanceClock(d.now + took)
 			d.AttemptProgress(i, 0, true, 0)
-			d.AttemptEnded(i, 0, Succeeded, took, true)
+			d.AttemptEnded(i, 0, Succeeded, true)
 			decisions(d)
 			d.AdvanceClock(d.now + 320 - took)
 		}
@@ -870,7 +870,7 @@
 // of their time on probes, and the cheapest ops found as many places as the dearest.
 func TestWhereDearOpsFindNoPlaceCheapOnesAskLess(t *testing.T) {
 	d := fleet(20, func(s *Settings) { s.BenefitPerWork, s.Categories[0].Benefit, s.Categories[1].Benefit = true, 1, 10 })
-	d.queuePositions, d.queueWaits = 10, 50_000 // a place in a queue takes half a second
+	d.samples.queue.positions, d.samples.queue.waits = 10, 50_000 // a place in a queue takes half a second
 	next := 0
 	probes := func(ops, cat int, load LoadReport) (n int) {
 		for range ops {
@@ -884,7 +884,7 @@
 					n++
 					d.ProbeAnswered(a.Worker, 0, load)
 				case Push:
-					d.AttemptEnded(a.Op, 0, Succeeded, 0, true)
+					d.AttemptEnded(a.Op, 0, Succeeded, true)
 				}
 			}
 			d.AdvanceClock(d.now + 300)
@@ -916,12 +916,12 @@
 	d := fleet(2, func(s *Settings) { s.Probes = false })
 	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	to := push(t, d)
-	w := d.workers[to]
+	w := d.fleet.workers[to]
 	d.AdvanceClock(d.now + 70)
 	d.ClientDisconnected(0)
-	d.AttemptEnded(0, 0, NotSent, 70, false)
-	if now := d.workers[to]; now.heardAt != w.heardAt || len(now.health.Verdicts()) != len(w.health.Verdicts()) ||
-		len(now.queueSamples)+len(now.serviceTimeRatios)+len(now.readings) > 0 || len(now.inFlight) > 0 || len(d.startDelays)+len(d.startSamples) > 0 {
+	d.AttemptEnded(0, 0, NotSent, false)
+	if now := d.fleet.workers[to]; now.heardAt != w.heardAt || len(now.health.Verdicts()) != len(w.health.Verdicts()) ||
+		len(now.queueSamples)+len(now.serviceTimeRatios)+len(now.readings) > 0 || len(now.inFlight) > 0 || len(d.estimator.startDelays)+len(d.samples.startSamples) > 0 {
 		t.Errorf("%+v became %+v", w, now)
 	}
 	for _, a := range decisions(d) {
@@ -940,7 +940,7 @@
 	unsent := 0
 	for ; unsent < 3; unsent++ {
 		push(t, d)
-		d.AttemptEnded(0, unsent, LocalExhaustion, 0, false)
+		d.AttemptEnded(0, unsent, LocalExhaustion, false)
 		for _, a := range decisions(d) {
 			if a.Kind == Push {
 				t.Fatalf("another push at once, after %d", unsent+1)
@@ -956,7 +956,7 @@
 		if !slices.ContainsFunc(decisions(d), func(a Decision) bool { return a.Kind == Push }) {
 			break
 		}
-		d.AttemptEnded(0, unsent+pushes, Rejected, 0, false)
+		d.AttemptEnded(0, unsent+pushes, Rejected, false)
 		d.AdvanceClock(d.now + second/20)
 	}
 	if pushes != 2 {
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -48,7 +48,7 @@
 
 // identify gives a listed worker its name's hash and its kind of machine.
 func identify(d *Dispatcher, i int, hash uint64, kind int) {
-	w := &d.workers[i]
+	w := &d.fleet.workers[i]
 	d.UpsertWorker(i, WorkerEntry{Zone: w.zone, Group: w.group, Ready: w.ready, StartedAt: w.startedAt,
 		IdentityHash: hash, MachineKind: kind})
 }
--- a/dispatch/inputs.go
+++ b/dispatch/inputs.go
@@ -24,3 +24,40 @@
 	IdentityHash uint64 // of its name; schedulers must hash names alike
 	MachineKind  int
 }
+
+// LoadReport is a worker's report of its load; a value below 0 was not reported.
+type LoadReport struct{ RunningJobs, QueuedJobs, FreeSlots, FreeMemory float64 }
+
+// Outcome is how an attempt ended.
+type Outcome int
+
+// Rejected, Unreachable, NotSent and LocalExhaustion prove that the attempt never ran; after the others
+// it may have.
+const (
+	Succeeded Outcome = iota
+	Failed
+	Rejected
+	TimedOut
+	Unreachable
+	ConnectionLost
+	Cancelled
+	NotSent
+	LocalExhaustion // not sent, as this machine lacked a descriptor, a port or memory
+	InvalidRequest  // the worker says that the op itself is at fault
+)
+
+// heardFromWorker tells whether an outcome shows that the worker said something.
+func (o Outcome) heardFromWorker() bool {
+	return o != TimedOut && o != Cancelled && o != NotSent && o != LocalExhaustion
+}
+
+// neverRan tells whether an outcome proves that the worker did not run the attempt. Succeeded is no
+// question.
+func (o Outcome) neverRan() bool {
+	return o == Rejected || o == NotSent || o == Unreachable || o == LocalExhaustion
+}
+
+// workerAtFault tells whether an outcome counts against the worker.
+func (o Outcome) workerAtFault() bool {
+	return o == Failed || o == TimedOut || o == ConnectionLost || o == Unreachable
+}
--- a/dispatch/learned.go
+++ b/dispatch/learned.go
@@ -7,12 +7,12 @@
 	"woaddyke/internal/base/stats"
 )
 
-// Verdict is one on a worker, a zone or the fleet's room.
+// Verdict is one on a worker, on the way to a zone, or on whether an op found a place.
 type Verdict = sprt.Verdict[Time]
 
-// Learned is what a dispatcher has learned, for that of the process that takes its place on the same machine.
+// Learned is what a dispatcher has learned, for the one of its process's successor on the same machine.
 type Learned struct {
-	ThresholdCounts    [2][maxState + 1]float64   `json:"counts"` // the design's a and b
+	ThresholdCounts    [2][maxState + 1]float64   `json:"counts"` // a_l and b_l of the paper
 	HalvedAt           Time                       `json:"halved"`
 	StartDelays        []Time                     `json:"taus"`
 	ProbeRTTs          []Time                     `json:"trips"`
@@ -20,7 +20,7 @@
 	PlacementVerdicts  []Verdict                  `json:"room"`
 	Zones              [][]Verdict                `json:"zones"`
 	Categories         map[string]LearnedCategory `json:"categories"` // by name
-	Workers            map[uint64]*LearnedWorker  `json:"workers"`    // by mark
+	Workers            map[uint64]*LearnedWorker  `json:"workers"`    // by identity hash
 	WorkersAcknowledge bool                       `json:"takes"`
 }
 
@@ -30,40 +30,52 @@
 	ServiceTimes []Time `json:"runs"`
 }
 
-// LearnedWorker is what was learned of a worker as of its last start.
+// LearnedWorker is what was learned of a worker since its last start.
 type LearnedWorker struct {
 	StartedAt         Time         `json:"since"`
-	MaxFreeSlots      float64      `json:"slots"` // the most that were seen free at one of its kind
+	MaxFreeSlots      float64      `json:"slots"` // that were reported free at one of its kind
 	ServiceTimeRatios []float64    `json:"strides"`
-	QueueSamples      [][2]float64 `json:"places"` // in its queue, and how long each took to start
+	QueueSamples      [][2]float64 `json:"places"` // the position in its queue, and the wait
 	Health            []Verdict    `json:"health"`
 }
 
-// Learned tells what this dispatcher has learned. The lists in it may be read while it goes on: they only grow at their ends.
+// Learned returns what this dispatcher has learned. The lists in it may be read while the dispatcher goes
+// on: they only grow at their ends.
 func (d *Dispatcher) Learned() Learned {
-	l := Learned{ThresholdCounts: [2][maxState + 1]float64{d.observed, d.idleAfter}, HalvedAt: d.halvedAt, StartDelays: d.startDelays, ProbeRTTs: d.probeRTTs,
-		PlacementVerdicts: d.placements.Verdicts(), Categories: map[string]LearnedCategory{}, Workers: map[uint64]*LearnedWorker{}, WorkersAcknowledge: d.workersAcknowledge}
-	for _, s := range d.startSamples {
+	l := Learned{
+		ThresholdCounts:    [2][maxState + 1]float64{d.estimator.observed, d.estimator.idleAfter},
+		HalvedAt:           d.halvedAt,
+		StartDelays:        d.estimator.startDelays,
+		ProbeRTTs:          d.samples.probeRTTs,
+		PlacementVerdicts:  d.placements.Verdicts(),
+		Categories:         map[string]LearnedCategory{},
+		Workers:            map[uint64]*LearnedWorker{},
+		WorkersAcknowledge: d.workersAcknowledge,
+	}
+	for _, s := range d.samples.startSamples {
 		l.StartSamples = append(l.StartSamples, [2]Time{s.at, s.delay})
 	}
-	for z := range d.zones {
-		l.Zones = append(l.Zones, d.zones[z].Verdicts())
+	for z := range d.fleet.zones {
+		l.Zones = append(l.Zones, d.fleet.zones[z].Verdicts())
 	}
-	for _, c := range d.categories {
-		if c.inForce {
+	for k := range d.categories.all {
+		if c := &d.categories.all[k]; c.inForce {
 			l.Categories[c.Name] = LearnedCategory{c.longestTTL, c.serviceTimes}
 		}
 	}
-	for i := range d.workers {
-		w := &d.workers[i]
-		if !w.listed {
-			continue
+	for i := range d.fleet.workers {
+		if w := &d.fleet.workers[i]; w.listed {
+			l.Workers[w.identityHash] = w.learned(d.fleet.slots(w))
 		}
-		x := &LearnedWorker{StartedAt: w.startedAt, MaxFreeSlots: d.kinds[w.kind].maxFreeSlots, ServiceTimeRatios: w.serviceTimeRatios, Health: w.health.Verdicts()}
-		for _, p := range w.queueSamples {
-			x.QueueSamples = append(x.QueueSamples, [2]float64{p.position, float64(p.wait)})
-		}
-		l.Workers[w.identityHash] = x
+	}
+	return l
+}
+
+func (w *worker) learned(slots float64) *LearnedWorker {
+	l := &LearnedWorker{StartedAt: w.startedAt, MaxFreeSlots: slots, ServiceTimeRatios: w.serviceTimeRatios,
+		Health: w.health.Verdicts()}
+	for _, s := range w.queueSamples {
+		l.QueueSamples = append(l.QueueSamples, [2]float64{s.position, float64(s.wait)})
 	}
 	return l
 }
@@ -95,70 +107,96 @@
 	}
 }
 
-// RestoreLearned starts from what another process's dispatcher had learned, once the workers are listed. What can't be, such as a
-// negative span or a moment to come, is left out: the other build may have a fault that this one has not.
+// RestoreLearned starts from what another process's dispatcher had learned, once the workers are listed.
+// What is impossible, such as a negative span or a moment to come, is left out: the other build may have
+// a fault that this one has not.
 func (d *Dispatcher) RestoreLearned(l Learned) {
-	spans := func(few []Time) (good []Time) {
-		for _, t := range few {
-			if t >= 0 && t < never {
-				good = stats.Keep(good, t)
-			}
+	d.estimator.restore(&l)
+	d.halvedAt = min(max(l.HalvedAt, 0), d.now)
+	d.workersAcknowledge = l.WorkersAcknowledge
+	d.samples.restore(&l, d.now)
+	restoreVerdicts(&d.placements, l.PlacementVerdicts, d.now)
+	for z := range min(len(l.Zones), len(d.fleet.zones)) {
+		restoreVerdicts(&d.fleet.zones[z], l.Zones[z], d.now)
+	}
+	d.categories.restore(l.Categories)
+	for i := range d.fleet.workers {
+		w := &d.fleet.workers[i]
+		known := l.Workers[w.identityHash]
+		if known == nil || known.StartedAt != w.startedAt || len(w.serviceTimeRatios) > 0 {
+			continue // unknown there, restarted since, or better known here
 		}
-		return good
+		d.restoreWorker(w, known)
 	}
-	judge := func(t *sprt.Test[Time], verdicts []Verdict) {
-		for _, v := range verdicts[max(0, len(verdicts)-stats.Few):] {
-			if v.At > 0 && v.At <= d.now {
-				t.Add(v.At, v.OK)
-			}
+	d.digest.valid = false
+}
+
+func (e *thresholdEstimator) restore(l *Learned) {
+	for state, a := range l.ThresholdCounts[0] {
+		if b := l.ThresholdCounts[1][state]; usable(a) && usable(b) && b <= a {
+			e.observed[state], e.idleAfter[state] = a, b
 		}
 	}
-	usable := func(x float64) bool { return x >= 0 && x < math.MaxInt32 }
-	for k, a := range l.ThresholdCounts[0] {
-		if b := l.ThresholdCounts[1][k]; usable(a) && usable(b) && b <= a {
-			d.observed[k], d.idleAfter[k] = a, b
+	e.startDelays = usableSpans(l.StartDelays)
+}
+
+func (s *loadSamples) restore(l *Learned, now Time) {
+	s.probeRTTs = usableSpans(l.ProbeRTTs)
+	for _, sample := range l.StartSamples {
+		at, delay := sample[0], sample[1]
+		if at > 0 && at <= now && usableSpan(delay) {
+			s.startSamples = stats.Keep(s.startSamples, startSample{at, delay})
 		}
 	}
-	d.halvedAt = min(max(l.HalvedAt, 0), d.now)
-	d.startDelays, d.probeRTTs, d.workersAcknowledge = spans(l.StartDelays), spans(l.ProbeRTTs), l.WorkersAcknowledge
-	for _, s := range l.StartSamples {
-		if s[0] > 0 && s[0] <= d.now && s[1] >= 0 && s[1] < never {
-			d.startSamples = stats.Keep(d.startSamples, startSample{s[0], s[1]})
+}
+
+func (t *categoryTable) restore(known map[string]LearnedCategory) {
+	for k := range t.all {
+		c := &t.all[k]
+		if learned, ok := known[c.Name]; ok {
+			c.longestTTL = min(max(learned.LongestTTL, 0), never)
+			c.setServiceTimes(usableSpans(learned.ServiceTimes))
 		}
 	}
-	judge(&d.placements, l.PlacementVerdicts)
-	for z := range min(len(l.Zones), len(d.zones)) {
-		judge(&d.zones[z], l.Zones[z])
+	t.highest.valid = false
+}
+
+func (d *Dispatcher) restoreWorker(w *worker, known *LearnedWorker) {
+	kind := &d.fleet.kinds[w.kind]
+	if usable(known.MaxFreeSlots) {
+		kind.maxFreeSlots = max(kind.maxFreeSlots, known.MaxFreeSlots)
 	}
-	for i := range d.categories {
-		c := &d.categories[i]
-		if r, ok := l.Categories[c.Name]; ok {
-			c.longestTTL, c.serviceTimes = min(max(r.LongestTTL, 0), never), spans(r.ServiceTimes)
-			c.summarize()
+	for _, ratio := range known.ServiceTimeRatios {
+		if usable(ratio) {
+			w.serviceTimeRatios.Add(&kind.serviceTimeRatios, ratio)
 		}
 	}
-	d.highestWeight.valid = false
-	for i := range d.workers {
-		w := &d.workers[i]
-		x := l.Workers[w.identityHash]
-		if x == nil || x.StartedAt != w.startedAt || len(w.serviceTimeRatios) > 0 {
-			continue // unknown there, restarted since, or better known here
-		}
-		k := &d.kinds[w.kind]
-		if usable(x.MaxFreeSlots) {
-			k.maxFreeSlots = max(k.maxFreeSlots, x.MaxFreeSlots)
+	for _, s := range known.QueueSamples {
+		if position, wait := s[0], s[1]; usable(position) && usable(wait) {
+			d.addQueueSample(w, queueSample{position, Time(wait)})
 		}
-		for _, s := range x.ServiceTimeRatios {
-			if usable(s) {
-				w.serviceTimeRatios.Add(&k.serviceTimeRatios, s)
-			}
+	}
+	restoreVerdicts(&w.health, known.Health, d.now)
+}
+
+// restoreVerdicts adds the last verdicts that are not of a time to come.
+func restoreVerdicts(t *sprt.Test[Time], verdicts []Verdict, now Time) {
+	for _, v := range verdicts[max(0, len(verdicts)-stats.Few):] {
+		if v.At > 0 && v.At <= now {
+			t.Add(v.At, v.OK)
 		}
-		for _, p := range x.QueueSamples {
-			if usable(p[0]) && usable(p[1]) {
-				d.addQueueSample(w, queueSample{p[0], Time(p[1])})
-			}
+	}
+}
+
+func usable(x float64) bool { return x >= 0 && x < math.MaxInt32 }
+
+func usableSpan(t Time) bool { return t >= 0 && t < never }
+
+func usableSpans(all []Time) (usable []Time) {
+	for _, t := range all {
+		if usableSpan(t) {
+			usable = stats.Keep(usable, t)
 		}
-		judge(&w.health, x.Health)
 	}
-	d.digestValid = false
+	return usable
 }
--- a/dispatch/learned_test.go
+++ b/dispatch/learned_test.go
@@ -19,14 +19,14 @@
 	for i := range 80 {
 		d.AddOp(i, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 		decisions(d)
-		d.AdvanceClock(d.now + d.shortWait())
+		d.AdvanceClock(d.now + d.probeTimeout())
 		d.ProbeAnswered(0, 3, jobs(float64(i%3)))
 		bad := push(t, d) == 0 && i%5 > 0
 		d.AdvanceClock(d.now + 10)
 		d.AttemptProgress(i, 0, true, 0)
 		d.AdvanceClock(d.now + 200)
 		how := Outcome(stats.Bit(bad) * int(Failed))
-		d.AttemptEnded(i, 0, how, 210, how == Succeeded)
+		d.AttemptEnded(i, 0, how, how == Succeeded)
 		decisions(d)
 	}
 	return d
@@ -49,14 +49,14 @@
 	}
 	is.AdvanceClock(was.now + 5)
 	is.RestoreLearned(l)
-	if !is.Suspected(0, is.now) || is.Suspected(1, is.now) || is.threshold() != was.threshold() || is.observed != was.observed {
+	if !is.Suspected(0, is.now) || is.Suspected(1, is.now) || is.threshold() != was.threshold() || is.estimator.observed != was.estimator.observed {
 		t.Errorf("doubts %v and %v, T %d for %d", is.Suspected(0, is.now), is.Suspected(1, is.now), is.threshold(), was.threshold())
 	}
 	was.AdvanceClock(is.now)
 	o := &op{maxAttempts: 1}
 	for i := range 2 {
-		if is.predictFinish(o, i) != was.predictFinish(o, i) || is.shortWait() != was.shortWait() {
-			t.Errorf("worker %d: foretold %d for %d, probes awaited for %d", i, is.predictFinish(o, i), was.predictFinish(o, i), is.shortWait())
+		if is.predictFinish(o, i) != was.predictFinish(o, i) || is.probeTimeout() != was.probeTimeout() {
+			t.Errorf("worker %d: foretold %d for %d, probes awaited for %d", i, is.predictFinish(o, i), was.predictFinish(o, i), is.probeTimeout())
 		}
 	}
 	if again := is.Learned(); !reflect.DeepEqual(again.Workers, l.Workers) || !reflect.DeepEqual(again.Categories, l.Categories) {
@@ -82,17 +82,17 @@
 	l.Workers[2].QueueSamples = [][2]float64{{-1, 5}, {1, math.Inf(1)}, {1, 5}}
 	l.Workers[2].Health = append(l.Workers[2].Health, sprt.Verdict[Time]{At: 1 << 60})
 	d.RestoreLearned(l)
-	if len(d.workers[0].serviceTimeRatios) > 0 || d.Suspected(0, d.now) {
+	if len(d.fleet.workers[0].serviceTimeRatios) > 0 || d.Suspected(0, d.now) {
 		t.Error("the worker that has restarted is judged by its past")
 	}
-	for _, v := range d.workers[1].health.Verdicts() {
+	for _, v := range d.fleet.workers[1].health.Verdicts() {
 		if v.At > d.now {
 			t.Error("a verdict of a time to come is kept")
 		}
 	}
-	if w := d.workers[1]; len(w.serviceTimeRatios) != 1 || len(w.queueSamples) != 1 || len(d.startDelays) != 1 || len(d.probeRTTs) > stats.Few ||
-		len(d.startSamples) > 0 || d.observed[0] != 0 || d.idleAfter[1] > d.observed[1] || d.halvedAt > d.now {
-		t.Errorf("%+v, taus %v, %d trips, %d starts, a %v, b %v", w, d.startDelays, len(d.probeRTTs), len(d.startSamples), d.observed, d.idleAfter)
+	if w := d.fleet.workers[1]; len(w.serviceTimeRatios) != 1 || len(w.queueSamples) != 1 || len(d.estimator.startDelays) != 1 || len(d.samples.probeRTTs) > stats.Few ||
+		len(d.samples.startSamples) > 0 || d.estimator.observed[0] != 0 || d.estimator.idleAfter[1] > d.estimator.observed[1] || d.halvedAt > d.now {
+		t.Errorf("%+v, taus %v, %d trips, %d starts, a %v, b %v", w, d.estimator.startDelays, len(d.samples.probeRTTs), len(d.samples.startSamples), d.estimator.observed, d.estimator.idleAfter)
 	}
 	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
 	decisions(d) // it must not panic on any of it
--- a/dispatch/local_exhaustion.go
+++ b/dispatch/local_exhaustion.go
@@ -2,37 +2,36 @@
 
 import "slices"
 
-// What this machine lacked the means to send: no worker saw it, so it proves nothing of one, and the op is owed as many pushes and looks
-// as before. Each next try comes after a longer pause, or the shortage would be a spin.
+// What this machine lacked a descriptor, a port or memory for: no worker saw it, so it proves nothing of
+// one, and the op is owed as many attempts and probe rounds as before.
 
 const (
-	minExhaustionBackoff = second / 100
-	maxExhaustionBackoff = second / 10
+	minExhaustionBackoff  = second / 100
+	maxExhaustionBackoff  = second / 10
+	maxExhaustionDoubling = 8
 )
 
-// refundAttempt takes back a push for which this machine lacked the means.
+// refundAttempt takes back an attempt that this machine lacked the means for.
 func (d *Dispatcher) refundAttempt(o *op) {
 	o.maxAttempts++ // the one that was counted reached nobody
 	o.backOff(d.now)
 }
 
-// backOff holds an op before it is tried again.
+// backOff holds an op before it is tried again, longer each time: the shortage would otherwise become a
+// spin.
 func (o *op) backOff(now Time) {
-	o.notBefore = now + min(minExhaustionBackoff<<o.exhaustions, maxExhaustionBackoff)
-	o.exhaustions = min(o.exhaustions+1, 8)
+	o.probes.notBefore = now + min(minExhaustionBackoff<<o.exhaustions, maxExhaustionBackoff)
+	o.exhaustions = min(o.exhaustions+1, maxExhaustionDoubling)
 }
 
-// judgeZone judges the way to a worker by a probe without an answer.
-func (d *Dispatcher) judgeZone(i int, how Outcome) {
-	if how != LocalExhaustion {
-		d.zones[d.workers[i].zone].Add(d.now, how == Rejected)
-	}
-}
-
-// dropProbed takes a worker out of an op's pair whose probe has no answer. Of a pair of which nobody could be asked another is drawn.
+// dropProbed takes a worker out of an op's pair whose probe has no answer: waiting on would only hold the
+// op. Of a pair of which nobody could be probed another one is drawn.
 func (d *Dispatcher) dropProbed(o *op, k int, how Outcome) {
-	o.pair, o.answered, o.probesSent = slices.Delete(o.pair, k, k+1), slices.Delete(o.answered, k, k+1), o.probesSent-1
-	if how == LocalExhaustion && len(o.pair) == 0 {
+	p := &o.probes
+	p.pair = slices.Delete(p.pair, k, k+1)
+	p.answered = slices.Delete(p.answered, k, k+1)
+	p.sent--
+	if how == LocalExhaustion && len(p.pair) == 0 {
 		o.discardPair()
 		o.backOff(d.now)
 	}
--- a/dispatch/probing.go
+++ b/dispatch/probing.go
@@ -7,118 +7,107 @@
 	"woaddyke/internal/base/stats"
 )
 
-// Which workers an op asks, and what their answers bring.
+// Which workers an op probes, and what their answers bring.
 
-// ProbeAnswered is the answer to a probe.
+const (
+	// pairSize is the number of workers probed in a round.
+	pairSize = 2
+	// admissionDraws is how often a suspected worker has to be admitted by its sequential test.
+	admissionDraws = 2
+)
+
+// ProbeAnswered takes a load report: the answer to a probe, or one that came with an attempt's end.
 func (d *Dispatcher) ProbeAnswered(i int, elapsed Time, load LoadReport) {
-	d.probeRTTs, d.digestValid = stats.Keep(d.probeRTTs, elapsed), false
+	d.samples.probeRTTs = stats.Keep(d.samples.probeRTTs, elapsed)
+	d.digest.valid = false
 	d.endProbe(i, elapsed, Succeeded)
-	w := &d.workers[i]
-	d.zones[w.zone].Add(d.now, true)
-	k := &d.kinds[w.kind]
-	if k.maxFreeSlots = max(k.maxFreeSlots, math.Round(load.FreeSlots)); load.RunningJobs < 0 && load.FreeSlots >= 0 && load.QueuedJobs >= 0 {
-		// Without a count each reading was one of no jobs: T stayed 0 and all were Low. A slot not free is busy.
-		load.RunningJobs = load.QueuedJobs + max(k.maxFreeSlots-load.FreeSlots, 0)
+	w := &d.fleet.workers[i]
+	d.fleet.zones[w.zone].Add(d.now, true)
+	kind := &d.fleet.kinds[w.kind]
+	kind.maxFreeSlots = max(kind.maxFreeSlots, math.Round(load.FreeSlots))
+	if load.RunningJobs < 0 && load.FreeSlots >= 0 && load.QueuedJobs >= 0 {
+		// Without a count each reading would be one of no jobs, T would stay 0 and all would be Low.
+		load.RunningJobs = load.QueuedJobs + max(kind.maxFreeSlots-load.FreeSlots, 0)
 	}
 	r := reading{load: load, answeredAt: d.now, sentAt: d.now - elapsed}
-	d.pairUp(w, r)
+	d.learnThreshold(w, r)
 	w.readings = stats.Keep(w.readings, r)
 }
 
-// ProbeFailed is a probe that failed. A zone that is cut off shows in probes first: over many workers each
-// scheduler has too few outcomes of any one to notice. A probe turned away has reached its worker.
+// ProbeFailed is a probe without a report. An unreachable zone shows in probes first: over many workers
+// each scheduler has too few outcomes of any one to notice. A rejected probe has reached its worker.
 func (d *Dispatcher) ProbeFailed(i int, elapsed Time, how Outcome) {
-	d.judgeZone(i, how)
+	if how != LocalExhaustion {
+		d.fleet.zones[d.fleet.workers[i].zone].Add(d.now, how == Rejected)
+	}
 	d.endProbe(i, elapsed, how)
 }
 
-// endProbe notes the end of a probe; a report came where it was served.
+// endProbe notes the end of a probe for each op that waits for one of this worker.
 func (d *Dispatcher) endProbe(i int, elapsed Time, how Outcome) {
-	for _, o := range d.pending {
-		k := slices.Index(o.pair, i)
-		if o.finished || k < 0 || d.now-elapsed < o.probedAt {
+	for _, o := range d.ops.pending {
+		k := slices.Index(o.probes.pair, i)
+		if o.finished || k < 0 || d.now-elapsed < o.probes.sentAt {
 			continue
 		}
-		if o.answered[k] = how == Succeeded; how != Succeeded {
-			d.dropProbed(o, k, how) // waiting on for an answer that has failed only holds the op
+		if o.probes.answered[k] = how == Succeeded; how != Succeeded {
+			d.dropProbed(o, k, how)
 		}
 	}
 }
 
-// candidates are the workers that the op may be pushed to; the doubtful among them by lot.
+// candidates are the workers that the op may be pushed to. Of suspected workers and zones only some, by
+// chance; all of them where no other is left.
 func (d *Dispatcher) candidates(o *op) []int {
-	var may, sound []int
-	open := make([]bool, len(d.zones))
+	var eligible, admitted []int
+	open := make([]bool, len(d.fleet.zones))
 	for z := range open {
-		open[z] = d.zones[z].Admitted(d.now, &d.random)
+		open[z] = d.fleet.zones[z].Admitted(d.now, &d.random)
 	}
-	for i := range d.workers {
-		if d.mayPush(o, i) {
-			may = append(may, i)
-			h := &d.workers[i].health // drawn twice: what fails its ops at once always looks Low
-			if (o.attempts == 0 || i != o.worker) && open[d.workers[i].zone] &&
-				h.Admitted(d.now, &d.random) && h.Admitted(d.now, &d.random) {
-				sound = append(sound, i)
-			}
+	for i := range d.fleet.workers {
+		if !d.mayPush(o, i) {
+			continue
+		}
+		eligible = append(eligible, i)
+		w := &d.fleet.workers[i]
+		if (o.attempts == 0 || i != o.last.worker) && open[w.zone] && d.admits(w) {
+			admitted = append(admitted, i)
 		}
 	}
-	if len(sound) > 0 {
-		return sound
+	if len(admitted) > 0 {
+		return admitted
 	}
-	return may
+	return eligible
 }
 
-// preferredWorkers are the workers that an op's pair is drawn from. With a key: the first of the key's own order, as
-// many as its share of the ops fills and two more; over a whole fleet workers fetched most keys anew, and the
-// store stalled. Else, where connections cost, the regulars: each scheduler kept one to half of the fleet.
-func (d *Dispatcher) preferredWorkers(o *op, from []int) []int {
-	key, n := o.key, 2.0
-	switch {
-	case key > 0 && d.settings.AffinityKeys:
-		share := (d.keyCounts[key] + d.previousKeyCounts[key]) / max(d.keyCounts[allKeys]+d.previousKeyCounts[allKeys], 1)
-		n += keyWorkersFactor * share * float64(d.ready)
-	case d.settings.ConnectionPrice > 0:
-		key, n = schedulerKey(d.settings.Scheduler), subscribersPerWorker
-	default:
-		return from
+// admits draws whether a worker takes part. It draws twice: one that fails its ops at once holds few
+// jobs, so it always looks Low.
+func (d *Dispatcher) admits(w *worker) bool {
+	for range admissionDraws {
+		if !w.health.Admitted(d.now, &d.random) {
+			return false
+		}
 	}
-	stats.Order(key, from, d.identityHash)
-	return from[:min(len(from), int(n))]
+	return true
 }
 
-func (d *Dispatcher) identityHash(i int) uint64 { return d.workers[i].identityHash }
-
-func schedulerKey(scheduler int) uint64 { return uint64(scheduler+1) * 0x9e3779b97f4a7c15 }
-
-// samplePair draws the two workers to probe; one of them from the own zone where crossing is paid for. Among all of
-// them most ops of a small zone met only workers that cost a crossing.
+// samplePair draws the workers to probe from some of all candidates. Where crossing zones is paid for,
+// one of them comes from the own zone: else most ops of a small zone would meet only workers of other
+// zones.
 func (d *Dispatcher) samplePair(o *op, from []int, all int) (pair []int) {
-	own, some := 0, len(from)
-	var jobs, seen [2]float64
-	if d.settings.CrossZonePrice > 0 {
-		for k, i := range from {
-			near := stats.Bit(d.inOwnZone(i))
-			if r := d.workers[i].last(); r != nil {
-				jobs[near], seen[near] = jobs[near]+max(r.load.RunningJobs, 0), seen[near]+1
-			}
-			if near > 0 {
-				from[k], from[own] = from[own], i
-				own++
-			}
-		}
-	}
-	if own == some || jobs[1]*seen[0] > finishNoiseRatio*jobs[0]*seen[1] {
-		own = 0 // a zone with more than its share of the schedulers would do all their work
-	}
-	for len(pair) < 2 && len(from) > 0 {
+	inZone, total := d.partitionByZone(from), len(from)
+	for len(pair) < pairSize && len(from) > 0 {
 		k, n := d.random.Below(len(from)), all
-		if own > 0 && len(from) == some {
-			k, n = d.random.Below(own), min(all, own*len(d.zones)) // a small zone's workers are asked more than others
+		if inZone > 0 && len(from) == total {
+			// A small zone's workers are probed more than others, so each one's part of the ops is larger.
+			k, n = d.random.Below(inZone), min(all, inZone*len(d.fleet.zones))
 		}
 		i := from[k]
-		if from = slices.Delete(from, k, k+1); d.excludedBySlowStart(o, &d.workers[i], n) {
-			// Another cold one in its place would be asked more than its lot says.
-			from = slices.DeleteFunc(from, func(j int) bool { return d.warmingUp(&d.workers[j]) })
+		from = slices.Delete(from, k, k+1)
+		if d.excludedBySlowStart(o, &d.fleet.workers[i], n) {
+			// Another one that is warming up, in its place, would be probed more than its probability
+			// says.
+			from = slices.DeleteFunc(from, func(j int) bool { return d.warmingUp(&d.fleet.workers[j]) })
 			continue
 		}
 		pair = append(pair, i)
@@ -126,23 +115,45 @@
 	return pair
 }
 
-// shortWait is how long an op waits for its probes: what they took of late, and a little more.
-func (d *Dispatcher) shortWait() Time {
-	if len(d.probeRTTs) == 0 {
-		return d.minObjective / 4
+// partitionByZone moves the workers of the own zone to the front and returns their number. It is 0 where
+// crossing costs nothing, where all are in the own zone, and where that is clearly busier than the
+// others: a zone with more than its part of the schedulers would do all their work.
+func (d *Dispatcher) partitionByZone(from []int) (inZone int) {
+	if d.settings.CrossZonePrice <= 0 {
+		return 0
+	}
+	var jobs, readings [2]float64 // of other zones, of the own zone
+	for k, i := range from {
+		near := stats.Bit(d.inOwnZone(i))
+		if r := d.fleet.workers[i].lastReading(); r != nil {
+			jobs[near] += max(r.load.RunningJobs, 0)
+			readings[near]++
+		}
+		if near > 0 {
+			from[k], from[inZone] = from[inZone], i
+			inZone++
+		}
+	}
+	if inZone == len(from) || jobs[1]*readings[0] > finishNoiseRatio*jobs[0]*readings[1] {
+		return 0
+	}
+	return inZone
+}
+
+// probeTimeout is how long an op waits for its probes: twice the median round trip, and a step.
+func (d *Dispatcher) probeTimeout() Time {
+	if len(d.samples.probeRTTs) == 0 {
+		return d.categories.minObjective / 4
 	}
-	return min(2*d.currentDigest().probeRTT+d.settings.Step, d.minObjective/2)
+	return min(2*d.currentDigest().probeRTT+d.settings.Step, d.categories.minObjective/2)
 }
 
-// queueTooLong tells of a worker that was read too lately for its queue to be short enough by now.
+// queueTooLong tells whether a worker was read too lately for its queue to be short enough for the op by
+// now.
 func (d *Dispatcher) queueTooLong(o *op, i int) bool {
 	if _, _, ok := d.peerTally(i); ok {
 		return d.predictWait(o, i) > d.patience(o)
 	}
-	r := d.workers[i].last()
+	r := d.fleet.workers[i].lastReading()
 	return r != nil && d.now < r.answeredAt+d.predictWait(o, i)-d.patience(o)
 }
-
-func (d *Dispatcher) inOwnZone(i int) bool {
-	return d.settings.CrossZonePrice == 0 || d.workers[i].zone == d.settings.Zone
-}
--- a/dispatch/rejection.go
+++ b/dispatch/rejection.go
@@ -6,28 +6,28 @@
 // The reasons, a closed set: logs and figures name them.
 const (
 	NotRejected       RejectionReason = iota
-	DeadlineExceeded                  // its time is over, but for the answer
-	AttemptsExhausted                 // no further push is allowed
+	DeadlineExceeded                  // its TTL leaves time for the answer only
+	AttemptsExhausted                 // no further attempt is allowed
 	CapacityShort                     // ops like it find no place in the fleet now
-	QueuesTooLong                     // wherever it may go a queue was seen that is too long
-	NoEligibleWorker                  // no worker may be asked, beyond its target
-	StartTooLate                      // the places that were found come too late
+	QueuesTooLong                     // at each worker that it may go to, the queue is known to be too long
+	NoEligibleWorker                  // there is no worker to probe, and its objective has passed
+	StartTooLate                      // at the workers that it probed it would start too late
 	rejectionReasons
 )
 
-var rejectionNames = [rejectionReasons]string{"not given up", "time is up", "no push left", "fleet scarce", "queues hopeless", "nobody takes it", "no place in time"}
-
-func (w RejectionReason) String() string {
-	if w < 0 || w >= rejectionReasons {
-		w = NotRejected
-	}
-	return rejectionNames[w]
+var rejectionNames = [rejectionReasons]string{
+	NotRejected:       "not given up",
+	DeadlineExceeded:  "time is up",
+	AttemptsExhausted: "no push left",
+	CapacityShort:     "fleet scarce",
+	QueuesTooLong:     "queues hopeless",
+	NoEligibleWorker:  "nobody takes it",
+	StartTooLate:      "no place in time",
 }
 
-// exhaustionReason is why an op is given up that may not be pushed again, or whose time is over.
-func (d *Dispatcher) exhaustionReason(o *op) RejectionReason {
-	if d.now >= o.ttl-d.margin() {
-		return DeadlineExceeded
+func (r RejectionReason) String() string {
+	if r < 0 || r >= rejectionReasons {
+		r = NotRejected
 	}
-	return AttemptsExhausted
+	return rejectionNames[r]
 }
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -169,7 +169,7 @@
 				p.how = TimedOut
 			}
 			o.final = o.final || p.how == Succeeded
-			d.AttemptEnded(i, len(o.pushes)-1, p.how, now-p.at, o.final)
+			d.AttemptEnded(i, len(o.pushes)-1, p.how, o.final)
 		}
 		d.AdvanceClock(now)
 		if !judgeAll(t, d, m, settings, names, now, r) {
@@ -192,8 +192,8 @@
 // agree holds the queues of deadlines against a walk over all that is out: a push that they lose is never found silent.
 func agree(t *testing.T, d *Dispatcher) bool {
 	want, got := Time(math.MaxInt64), Time(math.MaxInt64)
-	for _, o := range d.ops {
-		if o == nil || !o.inFlight || o.finished || o.silenceCounted {
+	for _, o := range d.ops.byIndex {
+		if o == nil || !o.last.inFlight || o.finished || o.last.silenceCounted {
 			continue
 		}
 		limit := d.silenceLimit(o)
@@ -205,8 +205,8 @@
 			want = min(want, limit)
 		}
 	}
-	for k, a := range d.inFlight {
-		if at, ok := a.Next(d.silenceAllowance(k)); ok {
+	for k, a := range d.ops.inFlight {
+		if at, ok := a.Next(d.silenceAllowance(awaited(k))); ok {
 			got = min(got, at)
 		}
 	}
@@ -220,8 +220,8 @@
 	r *rand.Rand) bool {
 	for {
 		for i, name := range names {
-			if o := d.op(i); name != 0 && o != nil {
-				for w := range d.workers {
+			if o := d.ops.at(i); name != 0 && o != nil {
+				for w := range d.fleet.workers {
 					if want := m.mayPush(settings, name, w, now); d.mayPush(o, w) != want {
 						t.Logf("op of category %d, worker %d: module %v, rules %v", o.category, w, !want, want)
 						return false
@@ -248,7 +248,7 @@
 				return false
 			}
 			o.pushes = append(o.pushes, plainPush{m.where[worker], now, now + timeout, false, Succeeded, worker,
-				d.ops[op].slots})
+				d.ops.byIndex[op].slots})
 			if settings.Probes && !m.intoRoom(worker, now) {
 				t.Logf("a push to cold worker %d that has no room", worker)
 				return false
@@ -261,7 +261,7 @@
 				return false
 			}
 			p.ended, p.how = true, Cancelled
-			d.AttemptEnded(op, len(o.pushes)-1, Cancelled, now-p.at, false)
+			d.AttemptEnded(op, len(o.pushes)-1, Cancelled, false)
 		case Nack, DeadLetter:
 			o := m.ops[name]
 			if o.final || next.Kind == Nack && !m.mayNack(settings, name, now) ||
@@ -340,7 +340,7 @@
 					at, total = append(at, now), total+1
 				}
 			}
-			d.AttemptEnded(0, 0, Succeeded, 1, true)
+			d.AttemptEnded(0, 0, Succeeded, true)
 			d.AdvanceClock(now)
 			decisions(d)
 		}
@@ -388,7 +388,7 @@
 					}
 				}
 				d.AdvanceClock(d.now + 10)
-				d.AttemptEnded(op, pushes-1, ConnectionLost, 10, false)
+				d.AttemptEnded(op, pushes-1, ConnectionLost, false)
 			case next.Kind == NoDecision:
 				return pushes
 			}
--- a/dispatch/slow_start.go
+++ b/dispatch/slow_start.go
@@ -6,69 +6,92 @@
 	"woaddyke/internal/base/stats"
 )
 
-// What a scheduler can tell by itself of how much a cold worker bears and of how much all of them ask. The lot is drawn in
-// dispatch.go; docs/design.md has the sum of what all send, and how far it is spread.
+// How much a worker that is warming up is sent by this scheduler alone, without knowledge of what the
+// others send. docs/design.md has the sum of what all send, and how far it is spread.
 
-// capacityReached is the share of its capacity that a worker has reached for sure.
+const (
+	// demandHeadroom is by how much arrivals may grow before it shows in the ratio of ops that succeed.
+	demandHeadroom = 1.5
+	// maxCountedOps bounds the ops in the demand's ratio, so that it tells of now.
+	maxCountedOps = 2 * stats.Few
+)
+
+// demandCounts counts ops for which a worker was drawn, and those that succeeded.
+type demandCounts struct{ drawn, succeeded float64 }
+
+func (c *demandCounts) addDrawn() {
+	c.drawn++
+	if c.drawn > maxCountedOps {
+		c.drawn /= 2
+		c.succeeded /= 2
+	}
+}
+
+func (c *demandCounts) addSucceeded() { c.succeeded++ }
+
+// warmingUp tells whether a worker's process has started too lately to have its full capacity.
+func (d *Dispatcher) warmingUp(w *worker) bool {
+	return w.startedAt > 0 && d.now < w.startedAt+d.settings.SlowStart.WarmAfter
+}
+
+// capacityReached is the fraction of its capacity that a worker has for sure.
 func (d *Dispatcher) capacityReached(w *worker) float64 {
 	if !d.warmingUp(w) {
 		return 1
 	}
-	return d.settings.SlowStart.InitialCapacity + (1-d.settings.SlowStart.InitialCapacity)*float64(d.now-w.startedAt)/float64(d.settings.SlowStart.WarmAfter)
+	s := &d.settings.SlowStart
+	return s.InitialCapacity + (1-s.InitialCapacity)*float64(d.now-w.startedAt)/float64(s.WarmAfter)
 }
 
-// slowStartBudget is how many ops like this one the terms let all schedulers together send to a worker in the span after which it
-// falls: the stated multiple of what it can do by now. Nobody tells its capacity: that is the most slots that its kind has
-// shown, each busy with one such op after the other.
+// slowStartBudget is how many ops like this one the settings allow all schedulers together to send to a
+// worker within the overload window: the stated multiple of what it can do by now. Its capacity is
+// reported nowhere; it is taken as the most slots that its kind has shown, each busy with one such op
+// after the other.
 func (d *Dispatcher) slowStartBudget(o *op, w *worker) float64 {
-	slots := max(d.kinds[w.kind].maxFreeSlots, 1)
-	return d.settings.SlowStart.OverloadFactor * d.capacityReached(w) * slots * float64(d.settings.SlowStart.OverloadWindow) / float64(max(d.expectedServiceTime(o), 1))
+	s := &d.settings.SlowStart
+	slots := max(d.fleet.slots(w), 1)
+	serviceTime := float64(max(d.expectedServiceTime(o), 1))
+	return s.OverloadFactor * d.capacityReached(w) * slots * float64(s.OverloadWindow) / serviceTime
 }
 
-// meanWithinBudget is how much of a budget of n the mean may be, so that chance does not pass n + 2 sqrt(n) + 2, at which a worker falls.
-// That is about (sqrt(n) + 1)^2, and a Poisson sum's spread is a half on the scale of square roots, whatever its mean.
+// meanWithinBudget is the fraction of a budget of n that the mean may be, so that chance does not pass n
+// + 2 sqrt(n) + 2, at which a worker fails. That is about (sqrt(n) + 1)^2, and a Poisson sum's deviation
+// is a half on the scale of square roots, whatever its mean.
 func meanWithinBudget(n float64) float64 {
 	root := math.Sqrt(n)
 	return root / (root + 1) * root / (root + 1)
 }
 
-// countDemand counts ops that have asked some worker, and such that were served. Only the last few dozen tell of now.
-func (d *Dispatcher) countDemand(asked, served int) {
-	if d.opsAsking += float64(asked); d.opsAsking > 2*stats.Few {
-		d.opsAsking, d.opsServed = d.opsAsking/2, d.opsServed/2
-	}
-	d.opsServed += float64(served)
-}
-
-// demand is the ops that come over what the fleet can do, 1 at least. Who sees a part of them sees their ratio: ops for each
-// that is served, times the share of their capacity that the ready workers have reached. Ops that the lot kept from asking
-// anybody don't count: a fleet that was all cold would have seen ever more demand, and been asked ever less.
+// demand is the ops that arrive over what the fleet can do, 1 at least. A scheduler that sees a part of
+// them sees their ratio: ops for each one that succeeds, times the fraction of their capacity that the
+// ready workers have reached. Ops for which no worker was drawn don't count: a fleet that is all warming
+// up would show ever more demand, and be sent ever less.
 func (d *Dispatcher) demand() float64 {
-	able := 0.0
-	for i := range d.workers {
-		if w := &d.workers[i]; w.ready {
-			able += d.capacityReached(w)
+	reached := 0.0
+	for i := range d.fleet.workers {
+		if w := &d.fleet.workers[i]; w.ready {
+			reached += d.capacityReached(w)
 		}
 	}
-	return max((d.opsAsking+1)/(d.opsServed+1)*able/float64(max(d.ready, 1)), 1)
+	ratio := (d.demandCounts.drawn + 1) / (d.demandCounts.succeeded + 1)
+	return max(ratio*reached/float64(max(d.fleet.ready, 1)), 1)
 }
 
-func (d *Dispatcher) warmingUp(w *worker) bool {
-	return w.startedAt > 0 && d.now < w.startedAt+d.settings.SlowStart.WarmAfter
+// admissionProbability is the chance with which a worker that is warming up takes part in a pair drawn
+// from so many workers. Equal parts of the budget for all schedulers would be under one op a window among
+// hundreds of them, most of which are quiet, and new workers would lie idle. But all ops ask a worker for
+// twice what a fleet at full load can do there, whichever scheduler has them: a probability for each op
+// keeps their sum to the part of the budget that leaves room for chance, and for demandHeadroom; to all
+// of it where reports prove accurate, as most ops that probe are then told of no capacity. Later pairs of
+// an op, more ops than the fleet can do, and fewer workers to draw from, ask more.
+func (d *Dispatcher) admissionProbability(o *op, w *worker, from int) float64 {
+	accurate := min(4*d.currentDigest().reportAccuracy-2.8, 1) // 1 from 19 starts in 20 on, none below 14
+	part := max(meanWithinBudget(d.slowStartBudget(o, w))/(demandHeadroom*d.demand()), accurate)
+	asking := float64(max(d.fleet.ready, 1) * (1 + o.probes.rounds + o.attempts))
+	return d.settings.SlowStart.OverloadFactor / 2 * d.capacityReached(w) * part * float64(from) / asking
 }
 
-// excludedBySlowStart draws whether a cold worker is kept out of an op's pair. An equal share of the budget was under one
-// op a span among hundreds of schedulers, most of them quiet: new workers lay idle. But all ops ask a worker
-// for twice what a fleet at full load can do there, whoever sends them: a lot for each op keeps their sum to
-// the part of the budget that leaves room for chance, and for half as many again; to all of it where reports
-// prove true, as most that ask are then told of no room: at half a zone that was back lay idle. Later pairs
-// of an op, more ops than the fleet can do, and fewer workers to draw from, ask more.
+// excludedBySlowStart draws whether a worker is kept out of an op's pair, as it is warming up.
 func (d *Dispatcher) excludedBySlowStart(o *op, w *worker, from int) bool {
-	if !d.warmingUp(w) {
-		return false
-	}
-	proven := min(4*d.currentDigest().reportAccuracy-2.8, 1) // 1 from 19 starts in 20 on, and nothing below 14
-	part := max(meanWithinBudget(d.slowStartBudget(o, w))/(demandHeadroom*d.demand()), proven)
-	lot := d.settings.SlowStart.OverloadFactor / 2 * d.capacityReached(w) * part * float64(from) / float64(max(d.ready, 1)*(1+o.probeRounds+o.attempts))
-	return d.random.Uniform() >= lot
+	return d.warmingUp(w) && d.random.Uniform() >= d.admissionProbability(o, w, from)
 }
--- a/dispatch/slow_start_test.go
+++ b/dispatch/slow_start_test.go
@@ -336,7 +336,7 @@
 			p.served++
 		}
 		j.by.d.AdvanceClock(p.now)
-		j.by.d.AttemptEnded(j.op, j.leg, how, 1, how == Succeeded)
+		j.by.d.AttemptEnded(j.op, j.leg, how, how == Succeeded)
 		p.pull(j.by)
 	})
 }
@@ -451,9 +451,11 @@
 		"blind regulars, 90%": {0, day(func(d *coldDay) {
 			d.workers, d.cold, d.first, d.blind, d.more, d.zones = 20, 20, 0.9, true, regulars, 1
 		})},
-		"blind long jobs":   {0, day(func(d *coldDay) { d.run, d.blind, d.load, d.burst = 20_000, true, 1, 1.5 })},
-		"blind longer jobs": {0, day(func(d *coldDay) { d.run, d.blind, d.load, d.burst, d.workers, d.cold = 100_000, true, 1, 1.5, 200, 120 })},
-		"blind short jobs":  {0.5, day(func(d *coldDay) { d.workers, d.cold, d.run, d.blind, d.load, d.burst = 10, 6, 300, true, 1, 1.5 })},
+		"blind long jobs": {0, day(func(d *coldDay) { d.run, d.blind, d.load, d.burst = 20_000, true, 1, 1.5 })},
+		"blind longer jobs": {0, day(func(d *coldDay) {
+			d.run, d.blind, d.load, d.burst, d.workers, d.cold = 100_000, true, 1, 1.5, 200, 120
+		})},
+		"blind short jobs": {0.5, day(func(d *coldDay) { d.workers, d.cold, d.run, d.blind, d.load, d.burst = 10, 6, 300, true, 1, 1.5 })},
 	}
 }
 
@@ -494,7 +496,7 @@
 		d.UpsertWorker(10, WorkerEntry{Ready: true, StartedAt: d.now - second})
 		d.EndUpdate()
 		for range 4_000 {
-			n += 1 - stats.Bit(d.excludedBySlowStart(&op{probeRounds: looks, attempts: legs}, &d.workers[10], 11))
+			n += 1 - stats.Bit(d.excludedBySlowStart(&op{probes: opProbes{rounds: looks}, attempts: legs}, &d.fleet.workers[10], 11))
 		}
 		return n
 	}
--- a/dispatch/threshold.go
+++ b/dispatch/threshold.go
@@ -6,39 +6,75 @@
 	"woaddyke/internal/base/stats"
 )
 
-// How the threshold on a worker's job count is learned, by Entropy Minimax from how often a count led to idleness one delay later.
+const (
+	// maxState is the paper's T_m: longer queues count as this long.
+	maxState = 15
+	// counterHalfLife is the period after which the counters halve.
+	counterHalfLife = 10 * second
+	// maxHalvings is how many periods are made up for: what is older than that is nothing.
+	maxHalvings = 99
+	// entropyTolerance keeps rounding from preferring a later cut of the same entropy.
+	entropyTolerance = 1e-12
+)
 
-// pairUp counts each reading with the next one that comes 0.5 tau to 2 tau later (design: a_l, b_l).
-func (d *Dispatcher) pairUp(w *worker, next reading) {
-	if len(d.startDelays) == 0 {
-		return
-	}
-	d.halveCounters()
-	tau := stats.Mean(d.startDelays)
-	for k := range w.readings {
-		r := &w.readings[k]
-		if gap := next.answeredAt - r.answeredAt; r.paired || 2*gap < tau || gap > 2*tau {
+// thresholdEstimator learns the paper's threshold T by Entropy Minimax (section 2.2): it counts how often
+// a number of jobs at a worker was followed, one start delay later, by an idle worker.
+type thresholdEstimator struct {
+	observed    [maxState + 1]float64 // a_l: readings in state l
+	idleAfter   [maxState + 1]float64 // b_l: those of them that were followed by idleness
+	startDelays []Time                // from a probe to the start of its job, the last few; their mean is tau
+}
+
+// pairReadings counts each earlier reading with the next one that comes 0.5 tau to 2 tau later.
+func (e *thresholdEstimator) pairReadings(earlier []reading, next reading) {
+	tau := stats.Mean(e.startDelays)
+	for k := range earlier {
+		r := &earlier[k]
+		gap := next.answeredAt - r.answeredAt
+		if r.paired || 2*gap < tau || gap > 2*tau {
 			continue
 		}
 		r.paired = true
 		l := stateOf(r.load)
-		d.observed[l]++
-		d.idleAfter[l] += float64(stats.Bit(isIdle(next.load)))
+		e.observed[l]++
+		e.idleAfter[l] += float64(stats.Bit(isIdle(next.load)))
 	}
 }
 
-func (d *Dispatcher) halveCounters() {
-	d.halvedAt = max(d.halvedAt, d.now-99*counterHalfLife) // what is older than that is nothing
-	for ; d.now-d.halvedAt >= counterHalfLife; d.halvedAt += counterHalfLife {
-		for l := range d.observed {
-			d.observed[l] /= 2
-			d.idleAfter[l] /= 2
+func (e *thresholdEstimator) halve() {
+	for l := range e.observed {
+		e.observed[l] /= 2
+		e.idleAfter[l] /= 2
+	}
+}
+
+// threshold is T: the state at which the partition of the readings has the least conditional entropy
+// H(X|Y = l). The paper leaves T open where no cut tells much. A cut is no threshold if the states right
+// of it mostly lead to idleness too: a quiet fleet would have T = 0, and idle workers would be High.
+func (e *thresholdEstimator) threshold() (t int) {
+	var all, allIdle float64 // A(L) + A(R), B(L) + B(R)
+	for l := range e.observed {
+		all += e.observed[l]
+		allIdle += e.idleAfter[l]
+	}
+	least := math.Inf(1)
+	var left, leftIdle float64 // A(L), B(L)
+	for l := range e.observed {
+		left += e.observed[l]
+		leftIdle += e.idleAfter[l]
+		right, rightIdle := all-left, allIdle-leftIdle
+		h := (left*stats.Entropy(leftIdle/left) + right*stats.Entropy(rightIdle/right)) / all
+		if right > 0 && 2*rightIdle > right {
+			continue
+		}
+		if h < least-entropyTolerance {
+			least, t = h, l
 		}
-		d.previousKeyCounts, d.keyCounts = d.keyCounts, map[uint64]float64{}
 	}
+	return t
 }
 
-// isIdle extends "holds no jobs" to workers of several slots, which hardly ever hold none.
+// isIdle extends the paper's "holds no jobs" to workers of several slots, which hardly ever hold none.
 func isIdle(l LoadReport) bool {
 	if l.FreeSlots < 0 {
 		return l.RunningJobs < 0.5
@@ -46,29 +82,34 @@
 	return l.FreeSlots >= 0.5 && l.QueuedJobs < 0.5
 }
 
+// stateOf is the paper's state l, the number of jobs.
 func stateOf(l LoadReport) int { return min(max(int(math.Round(l.RunningJobs)), 0), maxState) }
 
-// threshold is T: the count that parts the readings with the least conditional entropy.
-func (d *Dispatcher) threshold() int {
-	d.halveCounters()
-	var allA, allB, a, b float64
-	for l := range d.observed {
-		allA += d.observed[l]
-		allB += d.idleAfter[l]
+// halveCounters halves the threshold's counters and those of affinity keys for each period that has
+// passed.
+func (d *Dispatcher) halveCounters() {
+	d.halvedAt = max(d.halvedAt, d.now-maxHalvings*counterHalfLife)
+	for ; d.now-d.halvedAt >= counterHalfLife; d.halvedAt += counterHalfLife {
+		d.estimator.halve()
+		d.keys.halve()
 	}
-	best, t := math.Inf(1), 0
-	for l := range d.observed {
-		a += d.observed[l]
-		b += d.idleAfter[l]
-		h := (a*stats.Entropy(b/a) + (allA-a)*stats.Entropy((allB-b)/(allA-a))) / allA
-		// The paper leaves T open where no cut tells much. A cut is no threshold if counts above it mostly lead to
-		// idleness too: a quiet fleet would have T = 0, and call idle workers High.
-		if allA-a > 0 && 2*(allB-b) > allA-a {
-			continue
-		}
-		if h < best-1e-12 {
-			best, t = h, l
-		}
+}
+
+// learnThreshold pairs a worker's earlier readings with its next one, once a start delay is known.
+func (d *Dispatcher) learnThreshold(w *worker, next reading) {
+	if len(d.estimator.startDelays) == 0 {
+		return
 	}
-	return t
+	d.halveCounters()
+	d.estimator.pairReadings(w.readings, next)
+}
+
+func (d *Dispatcher) addStartDelay(delay Time) {
+	d.estimator.startDelays = stats.Keep(d.estimator.startDelays, delay)
+}
+
+// threshold is T as of now.
+func (d *Dispatcher) threshold() int {
+	d.halveCounters()
+	return d.estimator.threshold()
 }
--- a/dispatch/timeouts.go
+++ b/dispatch/timeouts.go
@@ -1,69 +1,84 @@
 package dispatch
 
-import (
-	"math"
+// What is awaited of an attempt in flight, and when silence about it counts against its worker.
 
-	"woaddyke/internal/base/stats"
-)
-
-// What is awaited of a push that is out, and when silence about it counts against its worker.
-
-func (d *Dispatcher) recordVerdict(i int, ok bool) {
-	w := &d.workers[i]
-	d.zones[w.zone].Add(d.now, ok)
-	w.health.Add(d.now, ok)
-}
+// awaited is the event that an attempt in flight waits for.
+type awaited int
 
-// What is awaited of a push: that its worker takes it, that the job starts, and word of it once it has.
 const (
-	awaitingAcknowledgement = iota
-	awaitingStart
-	awaitingProgress
+	awaitingAcknowledgement awaited = iota // the worker reports that it has the attempt
+	awaitingStart                          // the job starts
+	awaitingProgress                       // the running job reports its progress or its end
+	awaitedEvents
 )
 
-func (d *Dispatcher) awaited(o *op) int {
+func (d *Dispatcher) awaited(o *op) awaited {
 	switch {
 	case d.unacknowledged(o):
 		return awaitingAcknowledgement
-	case o.startedAt == 0:
+	case o.last.startedAt == 0:
 		return awaitingStart
 	}
 	return awaitingProgress
 }
 
-func (d *Dispatcher) track(o *op) { d.inFlight[d.awaited(o)].Add(o) }
+// unacknowledged tells of an attempt whose worker has not acknowledged it, where workers do.
+func (d *Dispatcher) unacknowledged(o *op) bool {
+	return d.workersAcknowledge && o.last.heardAt == o.last.sentAt
+}
+
+// track adds an attempt to those of which the same event is awaited.
+func (d *Dispatcher) track(o *op) { d.ops.inFlight[d.awaited(o)].Add(o) }
 
-// silenceSince is the moment from which on silence about a push is measured.
-func (d *Dispatcher) silenceSince(o *op, awaited int) Time {
-	if awaited == awaitingStart {
-		return max(o.sentAt, d.workers[o.worker].heardAt) + 2*o.predictedWait
+// silenceSince is the moment from which silence about an attempt is measured.
+func (d *Dispatcher) silenceSince(o *op, event awaited) Time {
+	if event == awaitingStart {
+		heardAt := d.fleet.workers[o.last.worker].heardAt
+		return max(o.last.sentAt, heardAt) + 2*o.last.predictedWait
 	}
-	return o.heardAt // what its worker says of other pushes tells nothing of this one's connection
+	return o.last.heardAt // reports of other attempts say nothing of this one's connection
 }
 
-// silenceAllowance is how much silence about a push is let pass. It is measured by the longest starts of late, so
-// that pauses and slowness of the whole fleet aren't read as many sick workers.
-func (d *Dispatcher) silenceAllowance(awaited int) Time {
-	every := d.settings.ProgressInterval
-	switch {
-	case awaited == awaitingAcknowledgement:
-		return 2 * d.settings.AcknowledgeTimeout // a dial, and as long again
-	case !d.settings.ReportsStarts || len(d.startSamples) < stats.Few/4 || awaited == awaitingProgress && every <= 0:
+// silenceAllowance is how much silence about an attempt is allowed. For a start it is measured by the
+// longest ones of late, so that a pause or slowness of the whole fleet does not count as many failed
+// workers.
+func (d *Dispatcher) silenceAllowance(event awaited) Time {
+	interval := d.settings.ProgressInterval
+	switch event {
+	case awaitingAcknowledgement:
+		return 2 * d.settings.AcknowledgeTimeout
+	case awaitingStart:
+		if !d.startsAreKnown() {
+			return never
+		}
+		return 2*d.currentDigest().maxStartDelay + second/10 + interval
+	}
+	if !d.startsAreKnown() || interval <= 0 {
 		return never
-	case awaited == awaitingStart:
-		return 2*d.currentDigest().maxStartDelay + second/10 + every
 	}
-	return 3 * every
+	return 3 * interval
 }
 
-// silenceLimit is when silence about a push that is out speaks against its worker.
-func (d *Dispatcher) silenceLimit(o *op) Time {
-	k := d.awaited(o)
-	return d.silenceSince(o, k) + d.silenceAllowance(k)
+// startsAreKnown tells whether workers report starts, and enough of them were seen.
+func (d *Dispatcher) startsAreKnown() bool {
+	return d.settings.ReportsStarts && len(d.samples.startSamples) >= minStartSamples
 }
 
-// unacknowledged tells of a push whose worker has not said that it has it, where that is the first thing said.
-func (d *Dispatcher) unacknowledged(o *op) bool { return d.workersAcknowledge && o.heardAt == o.sentAt }
+// silenceLimit is the moment from which silence about an attempt in flight counts against the worker.
+func (d *Dispatcher) silenceLimit(o *op) Time {
+	event := d.awaited(o)
+	return d.silenceSince(o, event) + d.silenceAllowance(event)
+}
 
-// never is a span that no push outlasts, and can be added to.
-const never Time = math.MaxInt64 / 4
+// collectOverdue finds this round's attempts that are overdue, once.
+func (d *Dispatcher) collectOverdue() {
+	if d.ops.overdueCollected {
+		return
+	}
+	d.ops.overdueCollected = true
+	for event, attempts := range d.ops.inFlight {
+		overdue := attempts.Overdue(d.now, d.silenceAllowance(awaited(event)))
+		d.ops.overdue = append(d.ops.overdue, overdue...)
+	}
+	d.ops.sortOverdue()
+}
--- a/internal/scheduler/reducer/reducer.go
+++ b/internal/scheduler/reducer/reducer.go
@@ -513,7 +513,7 @@
 		todo = append(todo, Respond{Op: in.Op, Verdict: Acked, Result: in.Result})
 	}
 	elapsed := now - o.sentAt
-	r.d.AttemptEnded(i, o.legs-1, how, elapsed, how == dispatch.Succeeded)
+	r.d.AttemptEnded(i, o.legs-1, how, how == dispatch.Succeeded)
 	if r.inline && len(in.LoadReport) > 0 {
 		if load, err := r.report.FromJSON(in.LoadReport); err == nil {
 			r.d.ProbeAnswered(o.worker, elapsed, load)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -184,7 +184,7 @@
 		}
 		switch it.M {
 		case "Settled":
-			s.d.AttemptEnded(op, it.Leg, outcomeOf(it.How), config.RoundDown(it.ElapsedNs), it.Over)
+			s.d.AttemptEnded(op, it.Leg, outcomeOf(it.How), it.Over)
 			if wi, known := s.workers[it.Worker]; known && len(it.HealthInfo) > 0 {
 				s.d.ProbeAnswered(wi, config.RoundDown(it.ElapsedNs), s.report.FromRow(it.HealthInfo))
 			}
