--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -64,7 +64,7 @@
 // falls with its priority weight.
 func (d *Dispatcher) shed(o *op) bool {
 	return o.firstLook() && o.probes.notBefore == 0 && d.currentDigest().capacityShort &&
-		d.random.Uniform() > d.relativeWeight(o)
+		d.random.Float64() > d.relativeWeight(o)
 }
 
 // giveUp answers at once: a nack with its Retry-After where a retry is harmless, else a dead letter.
--- a/dispatch/affinity.go
+++ b/dispatch/affinity.go
@@ -50,6 +50,6 @@
 	default:
 		return from
 	}
-	stats.Order(key, from, d.fleet.identityHash)
+	stats.RendezvousOrder(key, from, d.fleet.identityHash)
 	return from[:min(len(from), int(n))]
 }
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -47,7 +47,7 @@
 	a, w := &o.last, &d.fleet.workers[o.last.worker]
 	a.startedAt = d.now
 	if a.reportedIdle {
-		d.samples.startSamples = stats.Keep(d.samples.startSamples, startSample{d.now, d.now - a.sentAt})
+		d.samples.startSamples = stats.AppendRecent(d.samples.startSamples, startSample{d.now, d.now - a.sentAt})
 	}
 	d.addStartDelay(d.now - o.probes.sentAt)
 	d.fleet.zones[w.zone].Add(d.now, true)
--- a/dispatch/categories.go
+++ b/dispatch/categories.go
@@ -90,7 +90,7 @@
 func (t *categoryTable) addServiceTime(place int, ran Time, benefitPerWork bool) {
 	c := &t.all[place]
 	before, knownBefore := c.weight(benefitPerWork)
-	c.setServiceTimes(stats.Keep(c.serviceTimes, ran))
+	c.setServiceTimes(stats.AppendRecent(c.serviceTimes, ran))
 	after, _ := c.weight(benefitPerWork)
 	if c.inForce && (!knownBefore || after != before && max(after, before) >= t.highest.weight) {
 		t.highest.valid = false
--- a/dispatch/choice.go
+++ b/dispatch/choice.go
@@ -46,12 +46,12 @@
 	warm := slices.DeleteFunc(slices.Clone(from), func(i int) bool { return d.warmingUp(&d.fleet.workers[i]) })
 	if n := len(from); n > 0 && !d.settings.Probes {
 		draws := 1 + stats.Bit(len(warm) == 0)
-		if i := from[d.random.Below(n)]; !d.excludedBySlowStart(o, &d.fleet.workers[i], n*draws) {
+		if i := from[d.random.IntN(n)]; !d.excludedBySlowStart(o, &d.fleet.workers[i], n*draws) {
 			return i
 		}
 	}
 	if len(warm) > 0 {
-		return warm[d.random.Below(len(warm))]
+		return warm[d.random.IntN(len(warm))]
 	}
 	return nobody
 }
@@ -78,7 +78,7 @@
 	case lowX && lowY && nearX != nearY:
 		return pick(nearY) // crossing is paid for, and gains nothing while both are Low
 	case lowX && lowY || lowX == lowY && jobsX == jobsY:
-		return pick(d.random.Below(2) == 1)
+		return pick(d.random.IntN(2) == 1)
 	}
 	return pick(lowY || !lowX && jobsY < jobsX)
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -18,7 +18,7 @@
 // Dispatcher is one scheduler's decisions and the state that they rest on.
 type Dispatcher struct {
 	settings           Settings // but for the categories
-	random             stats.Chance
+	random             stats.Random
 	now                Time
 	timerAt            Time // the moment of the last SetTimer
 	categories         categoryTable
@@ -41,7 +41,7 @@
 func New(seed uint64, settings Settings) *Dispatcher {
 	d := &Dispatcher{
 		settings:   settings,
-		random:     stats.NewChance(seed),
+		random:     stats.NewRandom(seed),
 		fleet:      workerTable{kinds: make([]machineKind, 1)},
 		keys:       affinityKeys{counts: map[uint64]float64{}},
 		placements: sprt.New(placementOrdinaryFailure, placementShortFailure, maxPlacementAge),
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -78,7 +78,7 @@
 		took := map[bool]int{}
 		for i := range 40 {
 			d := fleet(6, nil)
-			d.random += stats.Chance(i * 7919)
+			d.random += stats.Random(i * 7919)
 			low(d)
 			x, y := probed(t, d, 0, 0)
 			took[pushed(t, d, x, jobs(c.jx), y, jobs(c.jy)) == y]++
@@ -178,7 +178,7 @@
 	for range 3 {
 		d.fleet.recordVerdict(d.now, 0, false)
 	}
-	if !d.fleet.workers[0].health.Doubtful(d.now) || d.fleet.workers[1].health.Doubtful(d.now) {
+	if !d.fleet.workers[0].health.Suspected(d.now) || d.fleet.workers[1].health.Suspected(d.now) {
 		t.Fatal("three failures in a row must make a worker doubtful, and only that one")
 	}
 	n := 0
@@ -191,7 +191,7 @@
 		t.Errorf("admitted %d times in 1000", n)
 	}
 	d.AdvanceClock(d.now + maxVerdictAge + 1)
-	if d.fleet.workers[0].health.Doubtful(d.now) {
+	if d.fleet.workers[0].health.Suspected(d.now) {
 		t.Error("old verdicts still count")
 	}
 }
@@ -356,7 +356,7 @@
 func silent(t *testing.T, n int, speaks bool) bool {
 	t.Helper()
 	d := fleet(2, nil)
-	for range stats.Few {
+	for range stats.MaxRecent {
 		d.samples.startSamples = append(d.samples.startSamples, startSample{d.now, 100})
 	}
 	for i := range n {
@@ -375,7 +375,7 @@
 		}
 		decisions(d)
 	}
-	return d.fleet.workers[0].health.Doubtful(d.now)
+	return d.fleet.workers[0].health.Suspected(d.now)
 }
 
 // A hung worker went on taking ops; a worker behind a wide job was taken for a hung one.
@@ -427,7 +427,7 @@
 func TestLateReportsAreSetAside(t *testing.T) {
 	d := fleet(2, nil)
 	d.samples.probeRTTs = []Time{100}
-	for i := range stats.Few {
+	for i := range stats.MaxRecent {
 		// Half late: over a fleet that hundreds share, where reports are a second old, such starts took longer the more room was told.
 		d.samples.startSamples = append(d.samples.startSamples, startSample{d.now, []Time{9_000, 100}[i%2]})
 	}
@@ -445,7 +445,7 @@
 	}
 	d = fleet(2, nil)
 	d.samples.probeRTTs = []Time{100}
-	for i := range stats.Few {
+	for i := range stats.MaxRecent {
 		d.samples.startSamples = append(d.samples.startSamples, startSample{d.now, []Time{9_000, 100, 100, 100}[i%4]})
 	}
 	if d.currentDigest().reportsStale {
@@ -555,7 +555,7 @@
 	for cat, want := range []bool{true, true, true, true, false} { // an at-most-once op can't be pushed again
 		d := fleet(8, func(s *Settings) { s.ProgressInterval = 10_000 })
 		d.categories.all[cat].DedupWindow = 50_000
-		for range stats.Few {
+		for range stats.MaxRecent {
 			d.samples.startSamples = append(d.samples.startSamples, startSample{d.now, 100})
 		}
 		x, y := probed(t, d, 0, cat)
--- a/dispatch/learned.go
+++ b/dispatch/learned.go
@@ -145,7 +145,7 @@
 	for _, sample := range l.StartSamples {
 		at, delay := sample[0], sample[1]
 		if at > 0 && at <= now && usableSpan(delay) {
-			s.startSamples = stats.Keep(s.startSamples, startSample{at, delay})
+			s.startSamples = stats.AppendRecent(s.startSamples, startSample{at, delay})
 		}
 	}
 }
@@ -181,7 +181,7 @@
 
 // restoreVerdicts adds the last verdicts that are not of a time to come.
 func restoreVerdicts(t *sprt.Test[Time], verdicts []Verdict, now Time) {
-	for _, v := range verdicts[max(0, len(verdicts)-stats.Few):] {
+	for _, v := range verdicts[max(0, len(verdicts)-stats.MaxRecent):] {
 		if v.At > 0 && v.At <= now {
 			t.Add(v.At, v.OK)
 		}
@@ -195,7 +195,7 @@
 func usableSpans(all []Time) (usable []Time) {
 	for _, t := range all {
 		if usableSpan(t) {
-			usable = stats.Keep(usable, t)
+			usable = stats.AppendRecent(usable, t)
 		}
 	}
 	return usable
--- a/dispatch/learned_test.go
+++ b/dispatch/learned_test.go
@@ -90,7 +90,7 @@
 			t.Error("a verdict of a time to come is kept")
 		}
 	}
-	if w := d.fleet.workers[1]; len(w.serviceTimeRatios) != 1 || len(w.queueSamples) != 1 || len(d.estimator.startDelays) != 1 || len(d.samples.probeRTTs) > stats.Few ||
+	if w := d.fleet.workers[1]; len(w.serviceTimeRatios) != 1 || len(w.queueSamples) != 1 || len(d.estimator.startDelays) != 1 || len(d.samples.probeRTTs) > stats.MaxRecent ||
 		len(d.samples.startSamples) > 0 || d.estimator.observed[0] != 0 || d.estimator.idleAfter[1] > d.estimator.observed[1] || d.halvedAt > d.now {
 		t.Errorf("%+v, taus %v, %d trips, %d starts, a %v, b %v", w, d.estimator.startDelays, len(d.samples.probeRTTs), len(d.samples.startSamples), d.estimator.observed, d.estimator.idleAfter)
 	}
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -28,7 +28,7 @@
 		}
 	}
 	for s := range d.settings.Schedulers {
-		stats.Order(schedulerKey(s), ready, d.fleet.identityHash)
+		stats.RendezvousOrder(schedulerKey(s), ready, d.fleet.identityHash)
 		for _, i := range ready[:min(subscribersPerWorker, len(ready))] {
 			w := &d.fleet.workers[i]
 			w.subscribers = append(w.subscribers, s)
@@ -60,7 +60,7 @@
 // PeerLost voids the reports of a scheduler that is dead: its attempts are void too.
 func (d *Dispatcher) PeerLost(peer int) {
 	for i := range d.fleet.workers {
-		d.fleet.workers[i].peerReports.Drop(peer)
+		d.fleet.workers[i].peerReports.Remove(peer)
 	}
 }
 
--- a/dispatch/probing.go
+++ b/dispatch/probing.go
@@ -18,7 +18,7 @@
 
 // ProbeAnswered takes a load report: the answer to a probe, or one that came with an attempt's end.
 func (d *Dispatcher) ProbeAnswered(i int, elapsed Time, load LoadReport) {
-	d.samples.probeRTTs = stats.Keep(d.samples.probeRTTs, elapsed)
+	d.samples.probeRTTs = stats.AppendRecent(d.samples.probeRTTs, elapsed)
 	d.digest.valid = false
 	d.endProbe(i, elapsed, Succeeded)
 	w := &d.fleet.workers[i]
@@ -31,7 +31,7 @@
 	}
 	r := reading{load: load, answeredAt: d.now, sentAt: d.now - elapsed}
 	d.learnThreshold(w, r)
-	w.readings = stats.Keep(w.readings, r)
+	w.readings = stats.AppendRecent(w.readings, r)
 }
 
 // ProbeFailed is a probe without a report. An unreachable zone shows in probes first: over many workers
@@ -97,10 +97,10 @@
 func (d *Dispatcher) samplePair(o *op, from []int, all int) (pair []int) {
 	inZone, total := d.partitionByZone(from), len(from)
 	for len(pair) < pairSize && len(from) > 0 {
-		k, n := d.random.Below(len(from)), all
+		k, n := d.random.IntN(len(from)), all
 		if inZone > 0 && len(from) == total {
 			// A small zone's workers are probed more than others, so each one's part of the ops is larger.
-			k, n = d.random.Below(inZone), min(all, inZone*len(d.fleet.zones))
+			k, n = d.random.IntN(inZone), min(all, inZone*len(d.fleet.zones))
 		}
 		i := from[k]
 		from = slices.Delete(from, k, k+1)
--- a/dispatch/queries.go
+++ b/dispatch/queries.go
@@ -4,7 +4,7 @@
 // chance only. Nothing is decided by this.
 func (d *Dispatcher) Suspected(i int, now Time) bool {
 	w := &d.fleet.workers[i]
-	return w.health.Doubtful(now) || d.fleet.zones[w.zone].Doubtful(now)
+	return w.health.Suspected(now) || d.fleet.zones[w.zone].Suspected(now)
 }
 
 // CategoryEffect is how often ops of the category at a place may run.
--- a/dispatch/samples.go
+++ b/dispatch/samples.go
@@ -4,7 +4,7 @@
 
 const (
 	// minStartSamples are needed before anything is concluded from start samples.
-	minStartSamples = stats.Few / 4
+	minStartSamples = stats.MaxRecent / 4
 	// maxStartSampleAge bounds the start samples that tell whether reports are stale: old staleness must
 	// not keep reports out.
 	maxStartSampleAge = maxVerdictAge / 3
@@ -57,7 +57,7 @@
 	if len(d.samples.probeRTTs) > 0 {
 		g.probeRTT = stats.Quantile(d.samples.probeRTTs, 0.5)
 	}
-	g.capacityShort = d.placements.Doubtful(d.now)
+	g.capacityShort = d.placements.Suspected(d.now)
 	late, n := 0, 0
 	promptDelay := 5*g.probeRTT + 4*d.settings.Step
 	g.maxStartDelay = 0
--- a/dispatch/slow_start.go
+++ b/dispatch/slow_start.go
@@ -13,7 +13,7 @@
 	// demandHeadroom is by how much arrivals may grow before it shows in the ratio of ops that succeed.
 	demandHeadroom = 1.5
 	// maxCountedOps bounds the ops in the demand's ratio, so that it tells of now.
-	maxCountedOps = 2 * stats.Few
+	maxCountedOps = 2 * stats.MaxRecent
 )
 
 // demandCounts counts ops for which a worker was drawn, and those that succeeded.
@@ -93,5 +93,5 @@
 
 // excludedBySlowStart draws whether a worker is kept out of an op's pair, as it is warming up.
 func (d *Dispatcher) excludedBySlowStart(o *op, w *worker, from int) bool {
-	return d.warmingUp(w) && d.random.Uniform() >= d.admissionProbability(o, w, from)
+	return d.warmingUp(w) && d.random.Float64() >= d.admissionProbability(o, w, from)
 }
--- a/dispatch/threshold.go
+++ b/dispatch/threshold.go
@@ -105,7 +105,7 @@
 }
 
 func (d *Dispatcher) addStartDelay(delay Time) {
-	d.estimator.startDelays = stats.Keep(d.estimator.startDelays, delay)
+	d.estimator.startDelays = stats.AppendRecent(d.estimator.startDelays, delay)
 }
 
 // threshold is T as of now.
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -29,7 +29,7 @@
 
 	readings          []reading     // the last few, the newest last
 	queueSamples      []queueSample // the last few
-	serviceTimeRatios stats.Part    // service times over the expected ones, the last few
+	serviceTimeRatios stats.Recent  // service times over the expected ones, the last few
 	health            sprt.Test[Time]
 	heardAt           Time // when it last said anything of an attempt
 
@@ -83,7 +83,7 @@
 // kind's weigh in.
 func (t *workerTable) serviceTimeRatio(i int) float64 {
 	w := &t.workers[i]
-	return t.kinds[w.kind].serviceTimeRatios.Middle(w.serviceTimeRatios)
+	return t.kinds[w.kind].serviceTimeRatios.Median(w.serviceTimeRatios)
 }
 
 // recordVerdict counts an outcome for or against a worker and the way to its zone.
@@ -185,15 +185,15 @@
 	for _, s := range w.queueSamples {
 		d.samples.queue.remove(s)
 	}
-	w.serviceTimeRatios.Leave(&d.fleet.kinds[w.kind].serviceTimeRatios)
+	w.serviceTimeRatios.RemoveFrom(&d.fleet.kinds[w.kind].serviceTimeRatios)
 }
 
 // addQueueSample adds a sample to a worker's and to those of all workers.
 func (d *Dispatcher) addQueueSample(w *worker, s queueSample) {
-	if len(w.queueSamples) == stats.Few {
+	if len(w.queueSamples) == stats.MaxRecent {
 		d.samples.queue.remove(w.queueSamples[0])
 	}
-	w.queueSamples = stats.Keep(w.queueSamples, s)
+	w.queueSamples = stats.AppendRecent(w.queueSamples, s)
 	d.samples.queue.add(s)
 }
 
--- a/internal/base/deadlines/deadlines.go
+++ b/internal/base/deadlines/deadlines.go
@@ -11,8 +11,8 @@
 // Queue is the items of one kind. An item may be added twice; it is then found twice.
 type Queue[T any, M ~int64] struct {
 	state     State[T, M]
-	late      heap[T] // by base, for Late
-	next      heap[T] // by base, for Next
+	byBase    heap[T] // by base, for Late
+	pending   heap[T] // by base, for Next
 	postponed heap[T] // out of next: their moments lay beyond their limits; by how much the span must shrink
 }
 
@@ -25,20 +25,20 @@
 	if !counts {
 		return
 	}
-	a.late.push(int64(base), item)
-	a.next.push(int64(base), item)
+	a.byBase.push(int64(base), item)
+	a.pending.push(int64(base), item)
 }
 
 // Overdue takes out the items whose moment has come, in no order.
 func (a *Queue[T, M]) Overdue(now, span M) (late []T) {
-	for len(a.late) > 0 && M(a.late[0].key)+span <= now {
-		item := a.late.pop()
+	for len(a.byBase) > 0 && M(a.byBase[0].key)+span <= now {
+		item := a.byBase.pop()
 		switch base, _, counts := a.state(item); {
 		case !counts:
 		case base+span <= now:
 			late = append(late, item)
 		default:
-			a.late.push(int64(base), item)
+			a.byBase.push(int64(base), item)
 		}
 	}
 	return late
@@ -51,23 +51,23 @@
 		switch base, limit, counts := a.state(item); {
 		case !counts:
 		case base+span < limit:
-			a.next.push(int64(base), item)
+			a.pending.push(int64(base), item)
 		default:
 			a.postponed.push(int64(base-limit), item)
 		}
 	}
-	for len(a.next) > 0 {
-		top := a.next[0]
+	for len(a.pending) > 0 {
+		top := a.pending[0]
 		base, limit, counts := a.state(top.item)
 		switch {
 		case !counts:
-			a.next.pop()
+			a.pending.pop()
 		case base+span >= limit:
-			a.next.pop()
+			a.pending.pop()
 			a.postponed.push(int64(base-limit), top.item)
 		case int64(base) > top.key:
-			a.next.pop()
-			a.next.push(int64(base), top.item)
+			a.pending.pop()
+			a.pending.push(int64(base), top.item)
 		default:
 			return base + span, true
 		}
--- a/internal/base/sprt/sprt.go
+++ b/internal/base/sprt/sprt.go
@@ -17,19 +17,19 @@
 
 // Test is a sequential test of an ordinary chance of failure against one that is none, over the last few verdicts.
 type Test[M ~int64] struct {
-	verdicts []Verdict[M] // newest last
-	failed   M            // when the last bad one came
-	p0, p1   float64
-	old      M // a verdict older than this says nothing about now
+	verdicts      []Verdict[M] // newest last
+	lastFailureAt M            // when the last bad one came
+	p0, p1        float64
+	maxAge        M // a verdict older than this says nothing about now
 }
 
 // New makes a test of p0 against p1.
-func New[M ~int64](p0, p1 float64, old M) Test[M] { return Test[M]{p0: p0, p1: p1, old: old} }
+func New[M ~int64](p0, p1 float64, old M) Test[M] { return Test[M]{p0: p0, p1: p1, maxAge: old} }
 
 // Add is another verdict.
 func (t *Test[M]) Add(now M, ok bool) {
-	if t.verdicts = stats.Keep(t.verdicts, Verdict[M]{now, ok}); !ok {
-		t.failed = now
+	if t.verdicts = stats.AppendRecent(t.verdicts, Verdict[M]{now, ok}); !ok {
+		t.lastFailureAt = now
 	}
 }
 
@@ -37,22 +37,22 @@
 func (t *Test[M]) Verdicts() []Verdict[M] { return t.verdicts }
 
 // Failed tells whether any verdict was bad.
-func (t *Test[M]) Failed() bool { return t.failed > 0 }
+func (t *Test[M]) Failed() bool { return t.lastFailureAt > 0 }
 
-// Doubtful tells whether the verdicts speak for the high chance.
-func (t *Test[M]) Doubtful(now M) bool {
-	doubtful, _ := t.change(now)
+// Suspected tells whether the verdicts speak for the high chance.
+func (t *Test[M]) Suspected(now M) bool {
+	doubtful, _ := t.changePoint(now)
 	return doubtful
 }
 
-// change tells whether the verdicts speak for the high chance, and since which of them they do.
-func (t *Test[M]) change(now M) (doubtful bool, since int) {
+// changePoint tells whether the verdicts speak for the high chance, and since which of them they do.
+func (t *Test[M]) changePoint(now M) (doubtful bool, since int) {
 	const accept = 2.9 // ln((1-beta)/alpha) for both errors near 0.05
 	s := 0.0
-	if !t.Failed() || now-t.failed > t.old {
+	if !t.Failed() || now-t.lastFailureAt > t.maxAge {
 		return false, 0
 	}
-	for now-t.verdicts[0].At > t.old {
+	for now-t.verdicts[0].At > t.maxAge {
 		t.verdicts = t.verdicts[1:]
 	}
 	bad, good := math.Log(t.p1/t.p0), math.Log((1-t.p1)/(1-t.p0))
@@ -71,8 +71,8 @@
 
 // Admitted draws a doubtful chance of success from its posterior, so that nothing is ever forgotten. The verdicts from
 // before the change count for nothing: of a zone lost after thirty good ones the next thirty tries were let through.
-func (t *Test[M]) Admitted(now M, chance *stats.Chance) bool {
-	doubtful, since := t.change(now)
+func (t *Test[M]) Admitted(now M, chance *stats.Random) bool {
+	doubtful, since := t.changePoint(now)
 	if !doubtful {
 		return true
 	}
@@ -86,8 +86,8 @@
 	// Beta(good, bad), each one over its count, is the good-th smallest of good+bad-1 uniform draws.
 	draws := make([]float64, len(few)+1)
 	for i := range draws {
-		draws[i] = chance.Uniform()
+		draws[i] = chance.Float64()
 	}
 	slices.Sort(draws)
-	return chance.Uniform() < draws[good-1]
+	return chance.Float64() < draws[good-1]
 }
--- a/internal/base/sprt/sprt_test.go
+++ b/internal/base/sprt/sprt_test.go
@@ -8,15 +8,15 @@
 
 // Two failures in a row are chance at one in twenty; three are not. Old verdicts must not speak, nor the doubtful be shut out.
 func TestDoubtComesAndGoes(t *testing.T) {
-	d, chance := New[int64](0.05, 0.5, 100), stats.NewChance(3)
+	d, chance := New[int64](0.05, 0.5, 100), stats.NewRandom(3)
 	d.Add(10, true)
 	d.Add(11, false)
-	if d.Doubtful(11) {
+	if d.Suspected(11) {
 		t.Error("doubted after one failure")
 	}
 	d.Add(12, false)
 	d.Add(13, false)
-	if !d.Doubtful(13) {
+	if !d.Suspected(13) {
 		t.Error("not doubted after three failures")
 	}
 	in := 0
@@ -28,7 +28,7 @@
 	if in < 100 || in > 600 { // a mean of 2 in 6
 		t.Errorf("admitted %d of 1000 times", in)
 	}
-	if d.Doubtful(114) {
+	if d.Suspected(114) {
 		t.Error("doubted for verdicts that are old")
 	}
 }
@@ -36,7 +36,7 @@
 // Of a zone that was lost after thirty good verdicts the next tries were let through nine times in ten: what came before
 // the change says nothing of it.
 func TestWhatCameBeforeAChangeDoesNotSpeakForIt(t *testing.T) {
-	d, chance := New[int64](0.2, 0.9, 1000), stats.NewChance(3)
+	d, chance := New[int64](0.2, 0.9, 1000), stats.NewRandom(3)
 	for now := range int64(30) {
 		d.Add(now, true)
 	}
--- a/internal/base/stats/stats.go
+++ b/internal/base/stats/stats.go
@@ -8,12 +8,12 @@
 	"slices"
 )
 
-// Few is how many of a measurement are kept.
-const Few = 32
+// MaxRecent is how many of a measurement are kept.
+const MaxRecent = 32
 
-// Keep adds a value to the last few.
-func Keep[T any](few []T, v T) []T {
-	if few = append(few, v); len(few) > Few {
+// AppendRecent adds a value to the last few.
+func AppendRecent[T any](few []T, v T) []T {
+	if few = append(few, v); len(few) > MaxRecent {
 		few = few[1:]
 	}
 	return few
@@ -21,7 +21,7 @@
 
 // Quantile is the value at the share q of the last few, of which there must be one at least.
 func Quantile[T cmp.Ordered](few []T, q float64) T {
-	var room [Few]T
+	var room [MaxRecent]T
 	s := append(room[:0], few...)
 	slices.Sort(s)
 	return s[int(q*float64(len(s)-1)+0.5)]
@@ -64,35 +64,35 @@
 	*p = slices.Insert(*p, k, x)
 }
 
-// Drop takes out one value, which must be in it.
-func (p *Pool) Drop(x float64) {
+// Remove takes out one value, which must be in it.
+func (p *Pool) Remove(x float64) {
 	k, _ := slices.BinarySearch(*p, x)
 	*p = slices.Delete(*p, k, k+1)
 }
 
-// Part is the last few of one's values, which count in a pool too.
-type Part []float64
+// Recent is the last few of one's values, which count in a pool too.
+type Recent []float64
 
 // Add is another value, here and in the pool.
-func (p *Part) Add(pool *Pool, x float64) {
-	if len(*p) == Few {
-		pool.Drop((*p)[0])
+func (p *Recent) Add(pool *Pool, x float64) {
+	if len(*p) == MaxRecent {
+		pool.Remove((*p)[0])
 		*p = (*p)[1:]
 	}
 	*p = append(*p, x)
 	pool.Add(x)
 }
 
-// Leave takes all of them out of the pool.
-func (p *Part) Leave(pool *Pool) {
+// RemoveFrom takes all of them out of the pool.
+func (p *Recent) RemoveFrom(pool *Pool) {
 	for _, x := range *p {
-		pool.Drop(x)
+		pool.Remove(x)
 	}
 	*p = nil
 }
 
-// Middle is the upper median of the pool, or of few values and three times that one; 1 where the pool is empty.
-func (p Pool) Middle(few []float64) float64 {
+// Median is the upper median of the pool, or of few values and three times that one; 1 where the pool is empty.
+func (p Pool) Median(few []float64) float64 {
 	if len(p) == 0 {
 		return 1
 	}
@@ -102,24 +102,24 @@
 	return s[len(s)/2]
 }
 
-// Chance is a multiply-with-carry generator.
-type Chance uint64
+// Random is a multiply-with-carry generator.
+type Random uint64
 
-// NewChance starts a generator from a seed.
-func NewChance(seed uint64) Chance { return Chance(seed&0xffffffff | 1<<32) }
+// NewRandom starts a generator from a seed.
+func NewRandom(seed uint64) Random { return Random(seed&0xffffffff | 1<<32) }
 
-// Below is a number from 0 to under n.
-func (c *Chance) Below(n int) int {
+// IntN is a number from 0 to under n.
+func (c *Random) IntN(n int) int {
 	*c = 4294957665*(*c&0xffffffff) + *c>>32
-	return int(*c & 0xffffffff * Chance(n) >> 32)
+	return int(*c & 0xffffffff * Random(n) >> 32)
 }
 
-// Uniform is a number from 0 to under 1.
-func (c *Chance) Uniform() float64 { return float64(c.Below(1<<30)) / (1 << 30) }
+// Float64 is a number from 0 to under 1.
+func (c *Random) Float64() float64 { return float64(c.IntN(1<<30)) / (1 << 30) }
 
-// Order sorts items by a hash of a key and their marks: an order of the key's own, which everybody who knows the marks
+// RendezvousOrder sorts items by a hash of a key and their marks: an order of the key's own, which everybody who knows the marks
 // works out alike, and in which what comes or goes moves nothing else.
-func Order(key uint64, items []int, mark func(item int) uint64) {
+func RendezvousOrder(key uint64, items []int, mark func(item int) uint64) {
 	type ranked struct {
 		rank uint64
 		item int
--- a/internal/base/stats/stats_test.go
+++ b/internal/base/stats/stats_test.go
@@ -11,9 +11,9 @@
 	for _, x := range []float64{5, 1, 3, 3, 2} {
 		p.Add(x)
 	}
-	p.Drop(3)
-	if !slices.Equal(p, Pool{1, 2, 3, 5}) || p.Middle(nil) != 3 || p.Middle([]float64{9, 9, 9, 9}) != 9 {
-		t.Errorf("%v, middle %g, with four nines %g", p, p.Middle(nil), p.Middle([]float64{9, 9, 9, 9}))
+	p.Remove(3)
+	if !slices.Equal(p, Pool{1, 2, 3, 5}) || p.Median(nil) != 3 || p.Median([]float64{9, 9, 9, 9}) != 9 {
+		t.Errorf("%v, middle %g, with four nines %g", p, p.Median(nil), p.Median([]float64{9, 9, 9, 9}))
 	}
 }
 
@@ -23,10 +23,10 @@
 	firsts := map[int]int{}
 	for key := range uint64(400) {
 		all := []int{0, 1, 2, 3, 4, 5, 6, 7}
-		Order(key+1, all, mark)
+		RendezvousOrder(key+1, all, mark)
 		firsts[all[0]]++
 		some := []int{7, 6, 5, 4, 2, 1, 0}
-		Order(key+1, some, mark)
+		RendezvousOrder(key+1, some, mark)
 		if want := slices.DeleteFunc(all, func(i int) bool { return i == 3 }); !slices.Equal(some, want) {
 			t.Fatalf("key %d: %v without worker 3, want %v", key, some, want)
 		}
@@ -41,15 +41,15 @@
 // What a worker has learned goes with it: left in the pool, it spoke for the fleet for good.
 func TestAPartLeavesThePoolWhole(t *testing.T) {
 	var pool Pool
-	var one, other Part
+	var one, other Recent
 	other.Add(&pool, 7)
-	for i := range 2 * Few {
+	for i := range 2 * MaxRecent {
 		one.Add(&pool, float64(i))
 	}
-	if len(one) != Few || len(pool) != Few+1 || one[0] != Few {
+	if len(one) != MaxRecent || len(pool) != MaxRecent+1 || one[0] != MaxRecent {
 		t.Errorf("%d kept from %g, %d in the pool", len(one), one[0], len(pool))
 	}
-	one.Leave(&pool)
+	one.RemoveFrom(&pool)
 	if len(pool) != 1 || pool[0] != 7 {
 		t.Errorf("left behind: %v", pool)
 	}
--- a/internal/cluster/peerload/peerload.go
+++ b/internal/cluster/peerload/peerload.go
@@ -3,33 +3,33 @@
 
 import "slices"
 
-type word[M ~int64] struct {
-	by, n int
-	at    M
+type report[M ~int64] struct {
+	sender, value int
+	at            M
 }
 
 // Reports are the last words of others, in order of their numbers.
-type Reports[M ~int64] []word[M]
+type Reports[M ~int64] []report[M]
 
 // Set is another's word, in place of its last.
 func (w *Reports[M]) Set(by, n int, now M) {
-	k, found := slices.BinarySearchFunc(*w, by, func(x word[M], by int) int { return x.by - by })
+	k, found := slices.BinarySearchFunc(*w, by, func(x report[M], by int) int { return x.sender - by })
 	if !found {
-		*w = slices.Insert(*w, k, word[M]{})
+		*w = slices.Insert(*w, k, report[M]{})
 	}
-	(*w)[k] = word[M]{by, n, now}
+	(*w)[k] = report[M]{by, n, now}
 }
 
-// Drop forgets another's word.
-func (w *Reports[M]) Drop(by int) {
-	*w = slices.DeleteFunc(*w, func(x word[M]) bool { return x.by == by })
+// Remove forgets another's word.
+func (w *Reports[M]) Remove(by int) {
+	*w = slices.DeleteFunc(*w, func(x report[M]) bool { return x.sender == by })
 }
 
 // Sum is of the words younger than old: one who has fallen silent says nothing about now.
 func (w Reports[M]) Sum(now, old M) (n int) {
 	for _, x := range w {
 		if now-x.at < old {
-			n += x.n
+			n += x.value
 		}
 	}
 	return n
--- a/internal/scheduler/reducer/changes_test.go
+++ b/internal/scheduler/reducer/changes_test.go
@@ -236,8 +236,8 @@
 	if most := entries + held + 3; highest >= most { // at 5.4 s a change and 20 s for a dropped one, two such and a new one
 		t.Errorf("place %d is in use, of %d that are needed", highest, most)
 	}
-	if len(r.dropped) > mostDropped || len(r.live) != held {
-		t.Errorf("%d dropped categories and %d ops are held", len(r.dropped), len(r.live))
+	if len(r.droppedCategories) > maxDroppedCategories || len(r.opsByNumber) != held {
+		t.Errorf("%d dropped categories and %d ops are held", len(r.droppedCategories), len(r.opsByNumber))
 	}
 	for i := range held { // they came as redeliverable, which their categories were not any more and then were again
 		todo := r.Step(now, AttemptEnded{Op: uint64(i + 1), Ending: outcome.Reset})
@@ -274,11 +274,11 @@
 		}
 	}
 	many := Learned{Dropped: map[string]dispatch.Time{}}
-	for i := range 2 * mostDropped {
+	for i := range 2 * maxDroppedCategories {
 		many.Dropped[fmt.Sprint(i)] = 5
 	}
-	if heir.Step(6, StateRestored{many}); len(heir.dropped) > mostDropped {
-		t.Errorf("%d dropped names are taken over", len(heir.dropped))
+	if heir.Step(6, StateRestored{many}); len(heir.droppedCategories) > maxDroppedCategories {
+		t.Errorf("%d dropped names are taken over", len(heir.droppedCategories))
 	}
 }
 
--- a/internal/scheduler/reducer/churn_test.go
+++ b/internal/scheduler/reducer/churn_test.go
@@ -81,8 +81,8 @@
 		if known, _ := r.WorkerCounts(now); known != listed {
 			t.Errorf("seed %d: %d workers are listed, want %d", seed, known, listed)
 		}
-		if len(r.tags) > len(r.indices) || len(r.indices) > most { // two names may share a tag
-			t.Errorf("seed %d: %d names, %d tags", seed, len(r.indices), len(r.tags))
+		if len(r.workersByTag) > len(r.workersByName) || len(r.workersByName) > most { // two names may share a tag
+			t.Errorf("seed %d: %d names, %d tags", seed, len(r.workersByName), len(r.workersByTag))
 		}
 	}
 }
@@ -100,21 +100,21 @@
 			if _, pushed := first[Push](todo); pushed == probes || probed != probes {
 				t.Fatalf("%+v", todo)
 			}
-			i := r.indices["v"]
+			i := r.workersByName["v"]
 			r.Step(3, EndpointsChanged{Endpoints: []Endpoint{{Worker: "v", Removed: true}}})
 			if probes {
 				r.Step(3, ClientDisconnected{Op: 1}) // the probe alone is out
 			}
 			next := 0
 			churn := func(until func() bool) {
-				for end := next + 6*mostGone; next < end && !until(); next++ {
+				for end := next + 6*minForgettableWorkers; next < end && !until(); next++ {
 					r.Step(4, EndpointsChanged{Endpoints: []Endpoint{{Worker: fmt.Sprint("w", next-1), Removed: true},
 						{Worker: fmt.Sprint("w", next), Addr: fmt.Sprint("b:", next)}}})
 				}
 			}
 			churn(func() bool { return r.workers[i].name != "v" })
-			if r.workers[i].name != "v" || len(r.vacant) == 0 {
-				t.Fatalf("its index is %q's, %d are free", r.workers[i].name, len(r.vacant))
+			if r.workers[i].name != "v" || len(r.freeWorkers) == 0 {
+				t.Fatalf("its index is %q's, %d are free", r.workers[i].name, len(r.freeWorkers))
 			}
 			if probes {
 				r.Step(5, ProbeEnded{Probe: p.Probe, Ending: outcome.DialTimedOut})
--- a/internal/scheduler/reducer/ends_test.go
+++ b/internal/scheduler/reducer/ends_test.go
@@ -185,8 +185,8 @@
 			say("op %d has no answer: %+v", k, *o)
 		}
 	}
-	if len(r.live) > 0 {
-		say("%d ops are held still", len(r.live))
+	if len(r.opsByNumber) > 0 {
+		say("%d ops are held still", len(r.opsByNumber))
 	}
 	return fault
 }
--- a/internal/scheduler/reducer/ids_test.go
+++ b/internal/scheduler/reducer/ids_test.go
@@ -30,8 +30,8 @@
 			t.Fatalf("op %d: %v", n, got)
 		}
 		r.Step(now, AttemptEnded{Op: 2 + n, Ending: outcome.Done})
-		if len(r.ids.by) > most {
-			t.Fatalf("%d ids are kept after %d ops", len(r.ids.by), n+1)
+		if len(r.ids.byID) > most {
+			t.Fatalf("%d ids are kept after %d ops", len(r.ids.byID), n+1)
 		}
 	}
 	for _, id := range []string{"held", fmt.Sprint("id", ops-1), fmt.Sprint("id", ops-20_000)} {
@@ -46,14 +46,14 @@
 	const part = 12 << 20
 	r := started()
 	now := second
-	for n := range uint64(mostIDs) {
+	for n := range uint64(maxIDs) {
 		id := fmt.Sprint(n, strings.Repeat("<long>", 20))
 		r.Step(now, OpArrived{Op: n, ID: id, Category: "look", TTL: now + 24*3600*second})
 		r.Step(now, AttemptEnded{Op: n, Ending: outcome.Done})
 	}
 	learned := r.Learned()
 	text, err := json.Marshal(learned)
-	if err != nil || len(learned.IDs) < keptIDs || len(text) > part {
+	if err != nil || len(learned.IDs) < maxRetainedIDs || len(text) > part {
 		t.Errorf("%d ids take %d bytes, %v", len(learned.IDs), len(text), err)
 	}
 }
--- a/internal/scheduler/reducer/learned.go
+++ b/internal/scheduler/reducer/learned.go
@@ -12,10 +12,10 @@
 
 // Learned tells what is known now that the next process can't read anywhere.
 func (r *Reducer) Learned() Learned {
-	l := Learned{Module: r.d.Learned(), Zones: make([]string, len(r.zones)), IDs: r.ids.untils(),
-		Dropped: make(map[string]dispatch.Time, len(r.dropped))}
-	for name, x := range r.dropped {
-		l.Dropped[name] = x.until
+	l := Learned{Module: r.dispatcher.Learned(), Zones: make([]string, len(r.zones)), IDs: r.ids.expiries(),
+		Dropped: make(map[string]dispatch.Time, len(r.droppedCategories))}
+	for name, x := range r.droppedCategories {
+		l.Dropped[name] = x.retainUntil
 	}
 	for name, z := range r.zones {
 		l.Zones[z] = name
@@ -47,8 +47,8 @@
 
 func (StateRestored) input() {}
 
-// inherit goes on from it. A zone that is not known here, or by no place there, is left out.
-func (r *Reducer) inherit(in StateRestored) {
+// restoreState goes on from it. A zone that is not known here, or by no place there, is left out.
+func (r *Reducer) restoreState(in StateRestored) {
 	theirs := in.Module.Zones
 	in.Module.Zones = nil
 	ours := make([][]dispatch.Verdict, len(r.zones))
@@ -58,13 +58,13 @@
 		}
 	}
 	in.Module.Zones = ours
-	r.d.RestoreLearned(in.Module)
-	r.ids.inherit(in.IDs)
+	r.dispatcher.RestoreLearned(in.Module)
+	r.ids.restore(in.IDs)
 	for name, until := range in.Dropped { // their rules are not in this process's configuration, so their ops are only nacked
 		_, served := r.categories[name]
-		if _, known := r.dropped[name]; !served && !known {
-			r.dropped[name] = dropped{-1, until}
+		if _, known := r.droppedCategories[name]; !served && !known {
+			r.droppedCategories[name] = droppedCategory{-1, until}
 		}
 	}
-	r.forgetDropped()
+	r.pruneDroppedCategories()
 }
--- a/internal/scheduler/reducer/reducer.go
+++ b/internal/scheduler/reducer/reducer.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	mostKinds   = 256  // of machines told apart; the module keeps something for each
-	mostDropped = 4096 // categories that are served no more and whose ops are not taken for strangers' yet
-	mostGone    = 1024 // workers that have left the list and are remembered, beside as many as were known at the last look
+	maxMachineKinds       = 256  // of machines told apart; the module keeps something for each
+	maxDroppedCategories  = 4096 // categories that are served no more and whose ops are not taken for strangers' yet
+	minForgettableWorkers = 1024 // workers that have left the list and are remembered, beside as many as were known at the last look
 )
 
 // Input is one of Listed, Arrived, Left, Noted, Ended, Probed, Told, Fell, Came, Woken, Retuned,
@@ -212,10 +212,10 @@
 	number   uint64
 	id       string
 	ttl      dispatch.Time
-	legs     int
+	attempts int
 	worker   int // of the last push
 	sentAt   dispatch.Time
-	out      bool
+	inFlight bool
 	answered bool // or its client has left
 }
 
@@ -224,47 +224,47 @@
 	sentAt dispatch.Time
 }
 
-// dropped is a category that is served until then.
-type dropped struct {
-	place int // at the module; -1 once it may be another's
-	until dispatch.Time
+// droppedCategory is a category that is served until then.
+type droppedCategory struct {
+	place       int // at the module; -1 once it may be another's
+	retainUntil dispatch.Time
 }
 
 // Reducer holds a scheduler's ops. All its state changes in Take.
 type Reducer struct {
-	d          *dispatch.Dispatcher
-	report     config.ReportFormat
-	inline     bool
-	cancel     bool
-	categories map[string]int     // by name: the place of each at the module
-	dropped    map[string]dropped // those that are served no more but for a while
-	zones      map[string]int
-	byKind     bool // kinds are told apart
-	kinds      map[string]int
-	tags       map[string]int // workers by what messages call them
-	indices    map[string]int // of workers
-	workers    []worker
-	vacant     []int          // indices of workers that were forgotten
-	forgetAt   int            // with more workers than that those that have left are looked over
-	live       map[uint64]int // op number to index
-	ids        takenIDs
-	ops        []op // by index
-	free       []int
-	probes     map[uint64]probe
-	lastProbe  uint64
-	stopBy     dispatch.Time
+	dispatcher         *dispatch.Dispatcher
+	report             config.ReportFormat
+	reportsInline      bool
+	cancelsAttempts    bool
+	categories         map[string]int             // by name: the place of each at the module
+	droppedCategories  map[string]droppedCategory // those that are served no more but for a while
+	zones              map[string]int
+	distinguishesKinds bool // kinds are told apart
+	kinds              map[string]int
+	workersByTag       map[string]int // workers by what messages call them
+	workersByName      map[string]int // of workers
+	workers            []worker
+	freeWorkers        []int          // indices of workers that were forgotten
+	forgetWorkersAt    int            // with more workers than that those that have left are looked over
+	opsByNumber        map[uint64]int // op number to index
+	ids                idRegistry
+	ops                []op // by index
+	freeOps            []int
+	probes             map[uint64]probe
+	lastProbe          uint64
+	shutdownDeadline   dispatch.Time
 }
 
 // New starts a reducer from a scheduler's seed and its flat settings.
 func New(seed uint64, flat map[string]any) *Reducer {
 	settings := config.DecisionSettings(flat)
-	r := &Reducer{d: dispatch.New(seed, settings), report: config.ReportFormatOf(flat), dropped: map[string]dropped{},
-		zones: map[string]int{}, kinds: map[string]int{}, tags: map[string]int{}, indices: map[string]int{},
-		live: map[uint64]int{}, probes: map[uint64]probe{}, ids: newTakenIDs()}
-	r.byKind = flat["kinds"] == true
-	r.inline = flat["report.how"] == "inline"
-	r.cancel = flat["bounds.cancel"] == true
-	r.categories = placesByName(settings.Categories, r.d.SetCategories(settings))
+	r := &Reducer{dispatcher: dispatch.New(seed, settings), report: config.ReportFormatOf(flat), droppedCategories: map[string]droppedCategory{},
+		zones: map[string]int{}, kinds: map[string]int{}, workersByTag: map[string]int{}, workersByName: map[string]int{},
+		opsByNumber: map[uint64]int{}, probes: map[uint64]probe{}, ids: newIDRegistry()}
+	r.distinguishesKinds = flat["kinds"] == true
+	r.reportsInline = flat["report.how"] == "inline"
+	r.cancelsAttempts = flat["bounds.cancel"] == true
+	r.categories = placesByName(settings.Categories, r.dispatcher.SetCategories(settings))
 	for i, z := range config.StringList(flat, "failureDomains") {
 		r.zones[z] = i
 	}
@@ -282,8 +282,8 @@
 	return byName
 }
 
-// retune takes up other categories. A place at the module is kept for those that are dropped for as long as each is served.
-func (r *Reducer) retune(now dispatch.Time, in SettingsChanged) {
+// changeSettings takes up other categories. A place at the module is kept for those that are dropped for as long as each is served.
+func (r *Reducer) changeSettings(now dispatch.Time, in SettingsChanged) {
 	settings := config.DecisionSettings(in.Settings)
 	served := make(map[string]bool, len(settings.Categories))
 	for _, category := range settings.Categories {
@@ -291,54 +291,54 @@
 	}
 	for name, place := range r.categories {
 		if !served[name] {
-			r.dropped[name] = dropped{place, in.RetainUntil}
+			r.droppedCategories[name] = droppedCategory{place, in.RetainUntil}
 		}
 	}
 	for name := range served {
-		delete(r.dropped, name)
+		delete(r.droppedCategories, name)
 	}
-	r.forgetDropped()
+	r.pruneDroppedCategories()
 	var kept []int
-	for name, x := range r.dropped {
-		if x.place >= 0 && now <= x.until {
+	for name, x := range r.droppedCategories {
+		if x.place >= 0 && now <= x.retainUntil {
 			kept = append(kept, x.place)
 		} else if x.place >= 0 {
-			r.dropped[name] = dropped{-1, x.until}
+			r.droppedCategories[name] = droppedCategory{-1, x.retainUntil}
 		}
 	}
-	r.categories = placesByName(settings.Categories, r.d.SetCategories(settings, kept...))
+	r.categories = placesByName(settings.Categories, r.dispatcher.SetCategories(settings, kept...))
 }
 
-// forgetDropped keeps the last of those that were dropped: names without end would fill the memory.
-func (r *Reducer) forgetDropped() {
-	if len(r.dropped) <= mostDropped {
+// pruneDroppedCategories keeps the last of those that were dropped: names without end would fill the memory.
+func (r *Reducer) pruneDroppedCategories() {
+	if len(r.droppedCategories) <= maxDroppedCategories {
 		return
 	}
-	names := slices.SortedFunc(maps.Keys(r.dropped), func(a, b string) int {
-		return cmp.Or(cmp.Compare(r.dropped[a].until, r.dropped[b].until), strings.Compare(a, b))
+	names := slices.SortedFunc(maps.Keys(r.droppedCategories), func(a, b string) int {
+		return cmp.Or(cmp.Compare(r.droppedCategories[a].retainUntil, r.droppedCategories[b].retainUntil), strings.Compare(a, b))
 	})
-	for _, name := range names[:len(names)-mostDropped*3/4] { // some more at once, so that few changes sort them
-		delete(r.dropped, name)
+	for _, name := range names[:len(names)-maxDroppedCategories*3/4] { // some more at once, so that few changes sort them
+		delete(r.droppedCategories, name)
 	}
 }
 
-// place is where the module has a category; false where it is not served.
-func (r *Reducer) place(now dispatch.Time, category string) (place int, ok bool) {
+// categoryPlace is where the module has a category; false where it is not served.
+func (r *Reducer) categoryPlace(now dispatch.Time, category string) (place int, ok bool) {
 	if place, ok = r.categories[category]; !ok {
-		x, was := r.dropped[category]
-		place, ok = x.place, was && x.place >= 0 && now <= x.until
+		x, was := r.droppedCategories[category]
+		place, ok = x.place, was && x.place >= 0 && now <= x.retainUntil
 	}
 	return place, ok
 }
 
 // SetShadowSettings has the dispatcher count what other flat settings would have had it decide otherwise.
 func (r *Reducer) SetShadowSettings(flat map[string]any) {
-	r.d.SetShadowSettings(config.DecisionSettings(flat))
+	r.dispatcher.SetShadowSettings(config.DecisionSettings(flat))
 }
 
 // ShadowDivergence is what a watch has counted, by kind of decision.
 func (r *Reducer) ShadowDivergence() (asked, chosen, spoken int) {
-	n := r.d.ShadowDivergence()
+	n := r.dispatcher.ShadowDivergence()
 	return n[dispatch.ShadowedPair], n[dispatch.ShadowedPlacement], n[dispatch.ShadowedReport]
 }
 
@@ -347,7 +347,7 @@
 	for i, w := range r.workers {
 		if w.listed {
 			known++
-			avoided += stats.Bit(!w.ready || r.d.Suspected(i, now))
+			avoided += stats.Bit(!w.ready || r.dispatcher.Suspected(i, now))
 		}
 	}
 	return known, avoided
@@ -355,52 +355,52 @@
 
 // Step tells the module of an input and returns what is to be done.
 func (r *Reducer) Step(now dispatch.Time, in Input) []Effect {
-	r.d.AdvanceClock(now)
+	r.dispatcher.AdvanceClock(now)
 	var todo []Effect
 	switch in := in.(type) {
 	case EndpointsChanged:
-		todo = r.list(in)
+		todo = r.updateEndpoints(in)
 	case OpArrived:
-		todo = r.arrive(now, in)
+		todo = r.admitOp(now, in)
 	case ClientDisconnected:
-		todo = r.leave(in.Op)
+		todo = r.disconnectClient(in.Op)
 	case AttemptProgressed:
-		if i, ok := r.live[in.Op]; ok {
-			r.d.AttemptProgress(i, r.ops[i].legs-1, in.Started, in.Done)
+		if i, ok := r.opsByNumber[in.Op]; ok {
+			r.dispatcher.AttemptProgress(i, r.ops[i].attempts-1, in.Started, in.Done)
 		}
 	case AttemptEnded:
-		todo = r.end(now, in)
+		todo = r.endAttempt(now, in)
 	case ProbeEnded:
-		r.probed(now, in)
+		r.endProbe(now, in)
 	case PeerMessage:
-		if i, n, ok := config.DecodePeerReport(in.Text, r.tags); ok {
-			r.d.PeerReport(in.Sender, i, n)
+		if i, n, ok := config.DecodePeerReport(in.Text, r.workersByTag); ok {
+			r.dispatcher.PeerReport(in.Sender, i, n)
 		}
 	case PeerLost:
-		r.d.PeerLost(in.Peer)
+		r.dispatcher.PeerLost(in.Peer)
 	case PeerJoined:
-		r.d.PeerJoined(in.Peer)
+		r.dispatcher.PeerJoined(in.Peer)
 	case SettingsChanged:
-		r.retune(now, in)
+		r.changeSettings(now, in)
 	case StateRestored:
-		r.inherit(in)
+		r.restoreState(in)
 	case ShutdownStarted:
-		todo = r.stop(now, in.Deadline)
+		todo = r.startShutdown(now, in.Deadline)
 	}
 	return r.pullDecisions(now, todo)
 }
 
-func (r *Reducer) list(in EndpointsChanged) (todo []Effect) {
+func (r *Reducer) updateEndpoints(in EndpointsChanged) (todo []Effect) {
 	if in.Snapshot {
-		r.d.BeginSnapshot()
+		r.dispatcher.BeginSnapshot()
 		for i := range r.workers {
 			r.workers[i].listed, r.workers[i].ready = false, false
 		}
 	}
 	for _, e := range in.Endpoints {
-		i, ok := r.indices[e.Worker]
+		i, ok := r.workersByName[e.Worker]
 		if !ok {
-			i = r.index(e.Worker)
+			i = r.addWorker(e.Worker)
 		}
 		z, ok := r.zones[e.Zone]
 		if !ok {
@@ -411,7 +411,7 @@
 		w.group = Group{e.Zone, e.WorkerGroup}
 		w.addr, w.listed, w.ready = e.Addr, !e.Removed, e.Ready && e.Addr != ""
 		kind := e.MachineKind
-		if _, known := r.kinds[kind]; !r.byKind || !known && len(r.kinds) >= mostKinds {
+		if _, known := r.kinds[kind]; !r.distinguishesKinds || !known && len(r.kinds) >= maxMachineKinds {
 			kind = "" // what is not told apart is learned together
 		}
 		k, ok := r.kinds[kind]
@@ -419,53 +419,53 @@
 			k = len(r.kinds)
 			r.kinds[kind] = k
 		}
-		r.d.UpsertWorker(i, dispatch.WorkerEntry{Zone: z, Group: e.WorkerGroup, Ready: w.ready,
+		r.dispatcher.UpsertWorker(i, dispatch.WorkerEntry{Zone: z, Group: e.WorkerGroup, Ready: w.ready,
 			StartedAt: e.StartedAt, IdentityHash: config.IdentityHash(e.Worker), MachineKind: k})
 	}
-	r.d.EndUpdate()
+	r.dispatcher.EndUpdate()
 	r.forgetWorkers()
 	for i := range r.ops {
 		// A dial that outlasts the drain's grace must not end in a push.
-		if o := &r.ops[i]; o.out && !r.workers[o.worker].ready {
+		if o := &r.ops[i]; o.inFlight && !r.workers[o.worker].ready {
 			todo = append(todo, CancelAttempt{Op: o.number, OnlyIfUnsent: true, Ending: outcome.CancelledUnsent})
 		}
 	}
 	return todo
 }
 
-func (r *Reducer) arrive(now dispatch.Time, in OpArrived) []Effect {
-	cat, ok := r.place(now, in.Category)
+func (r *Reducer) admitOp(now dispatch.Time, in OpArrived) []Effect {
+	cat, ok := r.categoryPlace(now, in.Category)
 	if !ok {
 		verdict := UnknownCategory
-		if _, was := r.dropped[in.Category]; was {
+		if _, was := r.droppedCategories[in.Category]; was {
 			verdict = Nacked // it was never pushed, and its client has done nothing wrong
 		}
 		return []Effect{Respond{Op: in.Op, Verdict: verdict}}
 	}
-	if in.Effect != "" && dispatch.Effect(in.Effect) != r.d.CategoryEffect(cat) {
+	if in.Effect != "" && dispatch.Effect(in.Effect) != r.dispatcher.CategoryEffect(cat) {
 		// The settings changed between the door and here: it was asked for by one rule, and would be kept to another.
 		return []Effect{Respond{Op: in.Op, Verdict: Nacked}}
 	}
 	// A second push under one id is a second copy for its worker, also after the answer: the first may still run.
 	key := opkey.FromID(in.ID)
-	if r.ids.taken(now, key) {
+	if r.ids.isReserved(now, key) {
 		return []Effect{Respond{Op: in.Op, Verdict: DuplicateID}}
 	}
 	i := len(r.ops)
-	if n := len(r.free); n > 0 {
-		i, r.free = r.free[n-1], r.free[:n-1]
+	if n := len(r.freeOps); n > 0 {
+		i, r.freeOps = r.freeOps[n-1], r.freeOps[:n-1]
 	} else {
 		r.ops = append(r.ops, op{})
 	}
-	if !r.d.AddOp(i, r.opSpec(cat, in)) {
-		r.free = append(r.free, i)
+	if !r.dispatcher.AddOp(i, r.opSpec(cat, in)) {
+		r.freeOps = append(r.freeOps, i)
 		return []Effect{Respond{Op: in.Op, Verdict: UnknownCategory}}
 	}
 	r.ops[i] = op{number: in.Op, id: key, ttl: in.TTL}
-	r.ids.hold(key)
-	r.live[in.Op] = i
-	if r.stopBy > 0 {
-		r.d.LimitDeadlines(r.stopBy)
+	r.ids.reserve(key)
+	r.opsByNumber[in.Op] = i
+	if r.shutdownDeadline > 0 {
+		r.dispatcher.LimitDeadlines(r.shutdownDeadline)
 	}
 	return nil
 }
@@ -483,46 +483,46 @@
 	return spec
 }
 
-func (r *Reducer) leave(number uint64) []Effect {
-	i, ok := r.live[number]
+func (r *Reducer) disconnectClient(number uint64) []Effect {
+	i, ok := r.opsByNumber[number]
 	if !ok {
 		return nil
 	}
 	o := &r.ops[i]
 	o.answered = true
-	r.d.ClientDisconnected(i)
+	r.dispatcher.ClientDisconnected(i)
 	switch {
-	case o.out && r.cancel:
+	case o.inFlight && r.cancelsAttempts:
 		return []Effect{CancelAttempt{Op: number, Ending: outcome.Cancelled}}
-	case o.out: // to keep back what is not written yet withdraws nothing: it is no cancel
+	case o.inFlight: // to keep back what is not written yet withdraws nothing: it is no cancel
 		return []Effect{CancelAttempt{Op: number, OnlyIfUnsent: true, Ending: outcome.CancelledUnsent}}
 	}
 	return nil
 }
 
-func (r *Reducer) end(now dispatch.Time, in AttemptEnded) (todo []Effect) {
-	i, ok := r.live[in.Op]
-	if !ok || !r.ops[i].out {
+func (r *Reducer) endAttempt(now dispatch.Time, in AttemptEnded) (todo []Effect) {
+	i, ok := r.opsByNumber[in.Op]
+	if !ok || !r.ops[i].inFlight {
 		return nil
 	}
 	o := &r.ops[i]
-	o.out = false
+	o.inFlight = false
 	how := in.Ending.Outcome()
 	if how == dispatch.Succeeded && !o.answered {
 		o.answered = true
 		todo = append(todo, Respond{Op: in.Op, Verdict: Acked, Result: in.Result})
 	}
 	elapsed := now - o.sentAt
-	r.d.AttemptEnded(i, o.legs-1, how, how == dispatch.Succeeded)
-	if r.inline && len(in.LoadReport) > 0 {
+	r.dispatcher.AttemptEnded(i, o.attempts-1, how, how == dispatch.Succeeded)
+	if r.reportsInline && len(in.LoadReport) > 0 {
 		if load, err := r.report.FromJSON(in.LoadReport); err == nil {
-			r.d.ProbeAnswered(o.worker, elapsed, load)
+			r.dispatcher.ProbeAnswered(o.worker, elapsed, load)
 		}
 	}
 	return todo
 }
 
-func (r *Reducer) probed(now dispatch.Time, in ProbeEnded) {
+func (r *Reducer) endProbe(now dispatch.Time, in ProbeEnded) {
 	p, ok := r.probes[in.Probe]
 	if !ok {
 		return
@@ -532,18 +532,18 @@
 	if how == dispatch.Succeeded {
 		load, err := r.report.FromJSON(in.LoadReport)
 		if err == nil {
-			r.d.ProbeAnswered(p.worker, elapsed, load)
+			r.dispatcher.ProbeAnswered(p.worker, elapsed, load)
 			return
 		}
 		how = dispatch.Failed
 	}
-	r.d.ProbeFailed(p.worker, elapsed, how)
+	r.dispatcher.ProbeFailed(p.worker, elapsed, how)
 }
 
 // pullDecisions asks the dispatcher for its decisions until there is none, and appends their effects.
 func (r *Reducer) pullDecisions(now dispatch.Time, todo []Effect) []Effect {
 	for {
-		next := r.d.Next()
+		next := r.dispatcher.Next()
 		if next.Kind == dispatch.NoDecision {
 			return todo
 		}
@@ -580,9 +580,9 @@
 
 func (r *Reducer) push(now dispatch.Time, next dispatch.Decision) Effect {
 	o, w := &r.ops[next.Op], &r.workers[next.Worker]
-	o.worker, o.sentAt, o.out = next.Worker, now, true
-	attempt := o.legs
-	o.legs++
+	o.worker, o.sentAt, o.inFlight = next.Worker, now, true
+	attempt := o.attempts
+	o.attempts++
 	return Push{Op: o.number, Attempt: attempt, Worker: w.name, Addr: w.addr, Timeout: next.Duration, Group: w.group}
 }
 
@@ -602,18 +602,18 @@
 
 func (r *Reducer) forgetOp(now dispatch.Time, i int) {
 	o := &r.ops[i]
-	delete(r.live, o.number)
+	delete(r.opsByNumber, o.number)
 	r.ids.release(now, o.id, o.ttl)
 	*o = op{}
-	r.free = append(r.free, i)
+	r.freeOps = append(r.freeOps, i)
 }
 
-// stop cuts short what is held. At the moment itself this side stops waiting for workers, as at a TTL.
-func (r *Reducer) stop(now, by dispatch.Time) (todo []Effect) {
-	r.stopBy = by
-	r.d.LimitDeadlines(by)
+// startShutdown cuts short what is held. At the moment itself this side stops waiting for workers, as at a TTL.
+func (r *Reducer) startShutdown(now, by dispatch.Time) (todo []Effect) {
+	r.shutdownDeadline = by
+	r.dispatcher.LimitDeadlines(by)
 	for i := range r.ops {
-		if o := &r.ops[i]; o.out && now >= by {
+		if o := &r.ops[i]; o.inFlight && now >= by {
 			todo = append(todo, CancelAttempt{Op: o.number, Ending: outcome.TimedOut})
 		}
 	}
--- a/internal/scheduler/reducer/reducer_test.go
+++ b/internal/scheduler/reducer/reducer_test.go
@@ -40,8 +40,8 @@
 
 func TestAnUnknownCategoryIsAnsweredAtOnce(t *testing.T) {
 	r := started()
-	if a, ok := first[Respond](arrive(r, 1, "none such")); !ok || a.Verdict != UnknownCategory || len(r.live) != 0 {
-		t.Fatalf("%+v, %d live", a, len(r.live))
+	if a, ok := first[Respond](arrive(r, 1, "none such")); !ok || a.Verdict != UnknownCategory || len(r.opsByNumber) != 0 {
+		t.Fatalf("%+v, %d live", a, len(r.opsByNumber))
 	}
 }
 
@@ -74,8 +74,8 @@
 		t.Errorf("after its TTL: %v", got)
 	}
 	r.Step(3*second, ClientDisconnected{Op: 4})
-	if r.Step(3*second, AttemptEnded{Op: 4, Ending: outcome.Cancelled}); len(r.live) > 0 || len(r.ids.by) > 4096 {
-		t.Errorf("%d ids, %d ops", len(r.ids.by), len(r.live))
+	if r.Step(3*second, AttemptEnded{Op: 4, Ending: outcome.Cancelled}); len(r.opsByNumber) > 0 || len(r.ids.byID) > 4096 {
+		t.Errorf("%d ids, %d ops", len(r.ids.byID), len(r.opsByNumber))
 	}
 }
 
@@ -85,8 +85,8 @@
 		r := started()
 		arrive(r, 1, "pay")
 		a, ok := first[Respond](r.Step(3, AttemptEnded{Op: 1, Ending: how}))
-		if !ok || a.Verdict != want || len(r.live) != 0 {
-			t.Errorf("%v: %+v, %d live", how, a, len(r.live))
+		if !ok || a.Verdict != want || len(r.opsByNumber) != 0 {
+			t.Errorf("%v: %+v, %d live", how, a, len(r.opsByNumber))
 		}
 	}
 }
@@ -111,7 +111,7 @@
 		"bounds.cancel": true, "bounds.maxPushes": 3.0,
 		"categories.0.name": "look", "categories.0.ttl": 5.0, "categories.0.effect": "redeliverable",
 		"categories.0.targetLatency": float64(second)}
-	r.d = dispatch.New(7, config.DecisionSettings(site))
+	r.dispatcher = dispatch.New(7, config.DecisionSettings(site))
 	r.Step(1, EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{Worker: "w", Addr: "a:1", Ready: true},
 		{Worker: "v", Addr: "a:2", Ready: true}}})
 	p, _ := first[Push](arrive(r, 1, "look"))
@@ -139,8 +139,8 @@
 	if c, ok := first[CancelAttempt](r.Step(3, ClientDisconnected{Op: 1})); !ok || c.OnlyIfUnsent {
 		t.Fatal("the push for nobody is not closed")
 	}
-	if todo := r.Step(4, AttemptEnded{Op: 1, Ending: outcome.Cancelled}); len(todo) > 0 || len(r.live) > 0 {
-		t.Fatalf("%+v, %d live", todo, len(r.live))
+	if todo := r.Step(4, AttemptEnded{Op: 1, Ending: outcome.Cancelled}); len(todo) > 0 || len(r.opsByNumber) > 0 {
+		t.Fatalf("%+v, %d live", todo, len(r.opsByNumber))
 	}
 }
 
@@ -226,7 +226,7 @@
 		for n := uint64(1); n <= last; n++ {
 			sound = sound && (left[n] || answered[n] == 1)
 		}
-		return sound && len(r.live) == 0
+		return sound && len(r.opsByNumber) == 0
 	}
 	if err := quick.Check(agree, &quick.Config{MaxCount: 200, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Fatal(err)
@@ -241,10 +241,10 @@
 		if n := len(r.kinds); n != 1 && !on || n != 2 && on {
 			t.Errorf("switched on: %v, kinds: %d", on, n)
 		}
-		for i := range 2 * mostKinds {
+		for i := range 2 * maxMachineKinds {
 			r.Step(1, EndpointsChanged{Endpoints: []Endpoint{{Worker: fmt.Sprint(i), MachineKind: fmt.Sprint(i)}}})
 		}
-		if n := len(r.kinds); n > mostKinds+1 {
+		if n := len(r.kinds); n > maxMachineKinds+1 {
 			t.Errorf("%d kinds are kept", n)
 		}
 	}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -15,7 +15,7 @@
 	"woaddyke/internal/config"
 )
 
-const maxZone = 1 << 12 // the module keeps something for each zone and kind up to the highest number
+const maxIndex = 1 << 12 // the module keeps something for each zone and kind up to the highest number
 
 type batch struct {
 	WallNs *int64  `json:"wallNs"`
@@ -62,15 +62,15 @@
 }
 
 type scheduler struct {
-	d       *dispatch.Dispatcher
-	report  config.ReportFormat
-	workers map[string]int
-	tags    map[string]int // workers by the tags that messages carry
-	names   []string
-	ops     map[string]int
-	reqs    []string // by op index; empty when the index is free
-	legs    []int    // pushes of each
-	free    []int
+	dispatcher *dispatch.Dispatcher
+	report     config.ReportFormat
+	workers    map[string]int
+	tags       map[string]int // workers by the tags that messages carry
+	names      []string
+	ops        map[string]int
+	requests   []string // by op index; empty when the index is free
+	attempts   []int    // pushes of each
+	freeOps    []int
 }
 
 // Serve answers batches until the end of input.
@@ -84,7 +84,7 @@
 			return fmt.Errorf("reading batch %d: %w", n, err)
 		}
 		if len(bytes.TrimSpace(line)) > 0 {
-			if e := answer(hosts, line, w); e != nil {
+			if e := serveBatch(hosts, line, w); e != nil {
 				return fmt.Errorf("batch %d: %w", n, e)
 			}
 			if e := w.Flush(); e != nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-func answer(hosts map[string]*scheduler, line []byte, w *bufio.Writer) error {
+func serveBatch(hosts map[string]*scheduler, line []byte, w *bufio.Writer) error {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
 		return fmt.Errorf("malformed: %w", err)
@@ -115,7 +115,7 @@
 			if err := json.Unmarshal(raw, &it); err != nil {
 				return fmt.Errorf("%s: malformed item: %w", g.SchedulerID, err)
 			}
-			if err := take(hosts, g.SchedulerID, *b.WallNs, &it); err != nil {
+			if err := applyItem(hosts, g.SchedulerID, *b.WallNs, &it); err != nil {
 				return fmt.Errorf("%s: %s: %w", g.SchedulerID, it.M, err)
 			}
 		}
@@ -123,7 +123,7 @@
 		if s == nil {
 			continue
 		}
-		s.d.AdvanceClock(config.RoundUp(*b.WallNs))
+		s.dispatcher.AdvanceClock(config.RoundUp(*b.WallNs))
 		box := s.outbox(nil)
 		if len(box) == 0 {
 			continue
@@ -143,8 +143,8 @@
 	return b
 }
 
-// take turns one item into one call.
-func take(hosts map[string]*scheduler, id string, wall int64, it *item) error {
+// applyItem turns one item into one call.
+func applyItem(hosts map[string]*scheduler, id string, wall int64, it *item) error {
 	s := hosts[id]
 	switch it.M {
 	case "PowerOn":
@@ -158,7 +158,7 @@
 	if s == nil {
 		return errors.New("scheduler was not powered on")
 	}
-	s.d.AdvanceClock(config.RoundUp(wall))
+	s.dispatcher.AdvanceClock(config.RoundUp(wall))
 	switch it.M {
 	case "Topology":
 		return s.topology(it)
@@ -174,7 +174,7 @@
 		if it.RouteKey != "" {
 			spec.AffinityKey = config.IdentityHash(it.RouteKey)
 		}
-		if !s.d.AddOp(s.opIndex(it.Req), spec) {
+		if !s.dispatcher.AddOp(s.opIndex(it.Req), spec) {
 			return fmt.Errorf("lane %d is in no settings", it.Lane)
 		}
 	case "Settled", "UpdateOf", "Dropped":
@@ -184,18 +184,18 @@
 		}
 		switch it.M {
 		case "Settled":
-			s.d.AttemptEnded(op, it.Leg, outcomeOf(it.How), it.Over)
+			s.dispatcher.AttemptEnded(op, it.Leg, outcomeOf(it.How), it.Over)
 			if wi, known := s.workers[it.Worker]; known && len(it.HealthInfo) > 0 {
-				s.d.ProbeAnswered(wi, config.RoundDown(it.ElapsedNs), s.report.FromRow(it.HealthInfo))
+				s.dispatcher.ProbeAnswered(wi, config.RoundDown(it.ElapsedNs), s.report.FromRow(it.HealthInfo))
 			}
 		case "UpdateOf":
-			s.d.AttemptProgress(op, it.Leg, it.Topic == 1, it.Level)
+			s.dispatcher.AttemptProgress(op, it.Leg, it.Topic == 1, it.Level)
 		case "Dropped":
-			s.d.ClientDisconnected(op)
+			s.dispatcher.ClientDisconnected(op)
 		}
 	case "Message":
 		if i, n, ok := config.DecodePeerReport(it.Contents, s.tags); ok {
-			s.d.PeerReport(it.By, i, n)
+			s.dispatcher.PeerReport(it.By, i, n)
 		}
 	case "StatusBack":
 		wi, ok := s.workers[it.Worker]
@@ -203,9 +203,9 @@
 			return fmt.Errorf("worker %q was in no list", it.Worker)
 		}
 		if it.How == 10 {
-			s.d.ProbeAnswered(wi, config.RoundDown(it.ElapsedNs), s.report.FromRow(it.HealthInfo))
+			s.dispatcher.ProbeAnswered(wi, config.RoundDown(it.ElapsedNs), s.report.FromRow(it.HealthInfo))
 		} else {
-			s.d.ProbeFailed(wi, config.RoundDown(it.ElapsedNs), outcomeOf(it.How))
+			s.dispatcher.ProbeFailed(wi, config.RoundDown(it.ElapsedNs), outcomeOf(it.How))
 		}
 	}
 	return nil // TickDue, and items of later wires only move the clock
@@ -226,8 +226,8 @@
 	site := config.Flatten(it.Setup)
 	site["keys"] = true // ops carry them only where workers keep something
 	s := &scheduler{workers: map[string]int{}, tags: map[string]int{}, ops: map[string]int{}, report: config.ReportFormatOf(site)}
-	s.d = dispatch.New(seed, config.DecisionSettings(site))
-	s.d.AdvanceClock(config.RoundUp(wall))
+	s.dispatcher = dispatch.New(seed, config.DecisionSettings(site))
+	s.dispatcher.AdvanceClock(config.RoundUp(wall))
 	hosts[id] = s
 	return nil
 }
@@ -235,16 +235,16 @@
 func (s *scheduler) topology(it *item) error {
 	whole := it.Scope != "changes" && it.Scope != "refused"
 	if whole {
-		s.d.BeginSnapshot()
+		s.dispatcher.BeginSnapshot()
 	}
 	for _, r := range it.Records {
 		if r.Worker == "" {
 			return errors.New("record without worker")
 		}
-		if r.Locality < 0 || r.Locality > maxZone {
+		if r.Locality < 0 || r.Locality > maxIndex {
 			return fmt.Errorf("locality %d of %s", r.Locality, r.Worker)
 		}
-		if r.ClassOfHost < 0 || r.ClassOfHost > maxZone {
+		if r.ClassOfHost < 0 || r.ClassOfHost > maxIndex {
 			return fmt.Errorf("classOfHost %d of %s", r.ClassOfHost, r.Worker)
 		}
 		wi, ok := s.workers[r.Worker]
@@ -254,21 +254,21 @@
 			s.tags[config.WorkerTag(r.Worker)] = wi
 			s.names = append(s.names, r.Worker)
 		}
-		s.d.UpsertWorker(wi, dispatch.WorkerEntry{Zone: r.Locality, Group: r.UnitGroup,
+		s.dispatcher.UpsertWorker(wi, dispatch.WorkerEntry{Zone: r.Locality, Group: r.UnitGroup,
 			Ready: r.Availability == "ready", StartedAt: config.RoundUp(r.SinceNs),
 			IdentityHash: config.IdentityHash(r.Worker), MachineKind: r.ClassOfHost})
 	}
-	s.d.EndUpdate()
+	s.dispatcher.EndUpdate()
 	return nil
 }
 
 func (s *scheduler) opIndex(req string) int {
-	i := len(s.reqs)
-	if n := len(s.free); n > 0 {
-		i, s.free = s.free[n-1], s.free[:n-1]
-		s.reqs[i], s.legs[i] = req, 0
+	i := len(s.requests)
+	if n := len(s.freeOps); n > 0 {
+		i, s.freeOps = s.freeOps[n-1], s.freeOps[:n-1]
+		s.requests[i], s.attempts[i] = req, 0
 	} else {
-		s.reqs, s.legs = append(s.reqs, req), append(s.legs, 0)
+		s.requests, s.attempts = append(s.requests, req), append(s.attempts, 0)
 	}
 	s.ops[req] = i
 	return i
@@ -296,7 +296,7 @@
 
 func (s *scheduler) outbox(box []byte) []byte {
 	for {
-		next := s.d.Next()
+		next := s.dispatcher.Next()
 		switch next.Kind {
 		case dispatch.NoDecision:
 			return box
@@ -304,7 +304,7 @@
 			s.forget(next.Op)
 			continue
 		case dispatch.Push:
-			s.legs[next.Op]++
+			s.attempts[next.Op]++
 		}
 		if len(box) > 0 {
 			box = append(box, ',')
@@ -314,9 +314,9 @@
 }
 
 func (s *scheduler) forget(op int) {
-	delete(s.ops, s.reqs[op])
-	s.reqs[op] = ""
-	s.free = append(s.free, op)
+	delete(s.ops, s.requests[op])
+	s.requests[op] = ""
+	s.freeOps = append(s.freeOps, op)
 }
 
 // appendDecision writes a decision in the wire's form.
@@ -325,18 +325,18 @@
 	switch next.Kind {
 	case dispatch.Push:
 		return fmt.Appendf(box, `{"m":"Send","req":%s,"worker":%s,"withinNs":%d}`,
-			quote(s.reqs[next.Op]), quote(s.names[next.Worker]), ns)
+			quote(s.requests[next.Op]), quote(s.names[next.Worker]), ns)
 	case dispatch.CancelAttempt:
-		return fmt.Appendf(box, `{"m":"Retract","req":%s,"leg":%d}`, quote(s.reqs[next.Op]), s.legs[next.Op]-1)
+		return fmt.Appendf(box, `{"m":"Retract","req":%s,"leg":%d}`, quote(s.requests[next.Op]), s.attempts[next.Op]-1)
 	case dispatch.Probe:
 		return fmt.Appendf(box, `{"m":"Test","worker":%s}`, quote(s.names[next.Worker]))
 	case dispatch.ReportToPeer:
 		return fmt.Appendf(box, `{"m":"WritePeer","to":%d,"contents":"%s"}`,
 			next.Peer, config.EncodePeerReport(s.names[next.Worker], next.InFlight))
 	case dispatch.Nack:
-		return fmt.Appendf(box, `{"m":"Decline","req":%s,"pauseNs":%d}`, quote(s.reqs[next.Op]), ns)
+		return fmt.Appendf(box, `{"m":"Decline","req":%s,"pauseNs":%d}`, quote(s.requests[next.Op]), ns)
 	case dispatch.DeadLetter:
-		return fmt.Appendf(box, `{"m":"Surrender","req":%s}`, quote(s.reqs[next.Op]))
+		return fmt.Appendf(box, `{"m":"Surrender","req":%s}`, quote(s.requests[next.Op]))
 	case dispatch.SetTimer:
 		return fmt.Appendf(box, `{"m":"WakeAt","fromNowNs":%d,"ctx":"due"}`, ns)
 	}
