--- /dev/null
+++ b/internal/scheduler/reducer/attempts.go
@@ -0,0 +1,57 @@
+package reducer
+
+import "woaddyke/dispatch"
+
+// probe is a load probe that has not ended.
+type probe struct {
+	worker int
+	sentAt dispatch.Time
+}
+
+func (r *Reducer) progressAttempt(in AttemptProgressed) {
+	if i, ok := r.opsByNumber[in.Op]; ok {
+		r.dispatcher.AttemptProgress(i, r.ops[i].attempts-1, in.Started, in.Done)
+	}
+}
+
+// endAttempt notes the end of an attempt. Its success is the op's answer.
+func (r *Reducer) endAttempt(now dispatch.Time, in AttemptEnded) (todo []Effect) {
+	i, ok := r.opsByNumber[in.Op]
+	if !ok || !r.ops[i].inFlight {
+		return nil
+	}
+	o := &r.ops[i]
+	o.inFlight = false
+	how := in.Ending.Outcome()
+	succeeded := how == dispatch.Succeeded
+	if succeeded && !o.answered {
+		o.answered = true
+		todo = append(todo, Respond{Op: in.Op, Verdict: Acked, Result: in.Result})
+	}
+	r.dispatcher.AttemptEnded(i, o.attempts-1, how, succeeded)
+	if r.reportsInline && len(in.LoadReport) > 0 {
+		if load, err := r.report.FromJSON(in.LoadReport); err == nil {
+			r.dispatcher.ProbeAnswered(o.worker, now-o.sentAt, load)
+		}
+	}
+	return todo
+}
+
+// endProbe notes the end of a probe. One whose report can't be read has failed.
+func (r *Reducer) endProbe(now dispatch.Time, in ProbeEnded) {
+	p, ok := r.probes[in.Probe]
+	if !ok {
+		return
+	}
+	delete(r.probes, in.Probe)
+	how, elapsed := in.Ending.Outcome(), now-p.sentAt
+	if how == dispatch.Succeeded {
+		load, err := r.report.FromJSON(in.LoadReport)
+		if err == nil {
+			r.dispatcher.ProbeAnswered(p.worker, elapsed, load)
+			return
+		}
+		how = dispatch.Failed
+	}
+	r.dispatcher.ProbeFailed(p.worker, elapsed, how)
+}
--- /dev/null
+++ b/internal/scheduler/reducer/decisions.go
@@ -0,0 +1,67 @@
+package reducer
+
+import (
+	"woaddyke/dispatch"
+	"woaddyke/internal/config"
+	"woaddyke/internal/workers/outcome"
+)
+
+// pullDecisions asks the dispatcher for its decisions until there is none, and appends their effects.
+func (r *Reducer) pullDecisions(now dispatch.Time, todo []Effect) []Effect {
+	for {
+		next := r.dispatcher.Next()
+		if next.Kind == dispatch.NoDecision {
+			return todo
+		}
+		if effect := r.carryOut(now, next); effect != nil {
+			todo = append(todo, effect)
+		}
+	}
+}
+
+// carryOut notes a decision here and returns its effect, nil for one that the host has no part in.
+func (r *Reducer) carryOut(now dispatch.Time, next dispatch.Decision) Effect {
+	switch next.Kind {
+	case dispatch.Push:
+		return r.push(now, next)
+	case dispatch.CancelAttempt:
+		return CancelAttempt{Op: r.ops[next.Op].number, Ending: outcome.Cancelled}
+	case dispatch.Probe:
+		w := &r.workers[next.Worker]
+		r.lastProbe++
+		r.probes[r.lastProbe] = probe{next.Worker, now}
+		return Probe{r.lastProbe, w.name, w.addr}
+	case dispatch.Nack, dispatch.DeadLetter:
+		return r.respond(next)
+	case dispatch.ReportToPeer:
+		text := config.EncodePeerReport(r.workers[next.Worker].name, next.InFlight)
+		return SendToPeer{Peer: next.Peer, Text: text}
+	case dispatch.SetTimer:
+		return SetTimer{next.Duration}
+	case dispatch.Forget:
+		r.forgetOp(now, next.Op)
+	}
+	return nil
+}
+
+func (r *Reducer) push(now dispatch.Time, next dispatch.Decision) Effect {
+	o, w := &r.ops[next.Op], &r.workers[next.Worker]
+	o.worker, o.sentAt, o.inFlight = next.Worker, now, true
+	attempt := o.attempts
+	o.attempts++
+	return Push{Op: o.number, Attempt: attempt, Worker: w.name, Addr: w.addr, Timeout: next.Duration, Group: w.group}
+}
+
+// respond is the answer to an op that was given up; nil where it has its answer, or its client has gone.
+func (r *Reducer) respond(next dispatch.Decision) Effect {
+	o := &r.ops[next.Op]
+	if o.answered {
+		return nil
+	}
+	o.answered = true
+	verdict := Nacked
+	if next.Kind == dispatch.DeadLetter {
+		verdict = DeadLettered
+	}
+	return Respond{Op: o.number, Verdict: verdict, RetryAfter: next.Duration, Reason: next.Reason}
+}
--- a/internal/scheduler/reducer/learned.go
+++ b/internal/scheduler/reducer/learned.go
@@ -2,15 +2,15 @@
 
 import "woaddyke/dispatch"
 
-// Learned is what a reducer hands on to that of the process that takes its place.
+// Learned is what a reducer hands on to the one of its process's successor.
 type Learned struct {
 	Module  dispatch.Learned         `json:"module"`
-	Zones   []string                 `json:"zones"`   // whose verdicts the module's are, in their order
-	IDs     map[string]dispatch.Time `json:"ids"`     // taken until then
-	Dropped map[string]dispatch.Time `json:"dropped"` // categories that were served until then
+	Zones   []string                 `json:"zones"`   // whose verdicts Module.Zones are, in their order
+	IDs     map[string]dispatch.Time `json:"ids"`     // when each is free
+	Dropped map[string]dispatch.Time `json:"dropped"` // categories by the end of their retention
 }
 
-// Learned tells what is known now that the next process can't read anywhere.
+// Learned returns what is known now that a successor can't read anywhere.
 func (r *Reducer) Learned() Learned {
 	l := Learned{Module: r.dispatcher.Learned(), Zones: make([]string, len(r.zones)), IDs: r.ids.expiries(),
 		Dropped: make(map[string]dispatch.Time, len(r.droppedCategories))}
@@ -28,8 +28,8 @@
 	return l
 }
 
-// Shift moves all moments by a span, to the clock of another process. What was read from a message may be shifted, not what a reducer
-// goes on with.
+// Shift moves all moments by a span, to the clock of another process. What was decoded from a message may
+// be shifted, not what a reducer goes on with.
 func (l *Learned) Shift(by dispatch.Time) {
 	l.Module.Shift(by)
 	for id, until := range l.IDs {
@@ -42,29 +42,35 @@
 	}
 }
 
-// StateRestored brings what another process's reducer had learned, after its list.
+// StateRestored brings what a predecessor's reducer had learned, after its endpoint list.
 type StateRestored struct{ Learned }
 
 func (StateRestored) input() {}
 
-// restoreState goes on from it. A zone that is not known here, or by no place there, is left out.
+// restoreState goes on from a predecessor's state. A zone that is not known here, or had no verdicts
+// there, is left out.
 func (r *Reducer) restoreState(in StateRestored) {
 	theirs := in.Module.Zones
-	in.Module.Zones = nil
-	ours := make([][]dispatch.Verdict, len(r.zones))
+	in.Module.Zones = make([][]dispatch.Verdict, len(r.zones))
 	for k, name := range in.Zones[:min(len(in.Zones), len(theirs))] {
 		if z, ok := r.zones[name]; ok {
-			ours[z] = theirs[k]
+			in.Module.Zones[z] = theirs[k]
 		}
 	}
-	in.Module.Zones = ours
 	r.dispatcher.RestoreLearned(in.Module)
 	r.ids.restore(in.IDs)
-	for name, until := range in.Dropped { // their rules are not in this process's configuration, so their ops are only nacked
-		_, served := r.categories[name]
-		if _, known := r.droppedCategories[name]; !served && !known {
-			r.droppedCategories[name] = droppedCategory{-1, until}
+	r.restoreDroppedCategories(in.Dropped)
+	r.pruneDroppedCategories()
+}
+
+// restoreDroppedCategories takes over dropped categories. Their rules are not in this process's
+// configuration, so their ops are only nacked.
+func (r *Reducer) restoreDroppedCategories(retainUntil map[string]dispatch.Time) {
+	for name, until := range retainUntil {
+		_, inForce := r.categories[name]
+		_, known := r.droppedCategories[name]
+		if !inForce && !known {
+			r.droppedCategories[name] = droppedCategory{noPlace, until}
 		}
 	}
-	r.pruneDroppedCategories()
 }
