--- a/cmd/hollow/main.go
+++ b/cmd/hollow/main.go
@@ -1,6 +1,7 @@
-// Command hollow runs many schedulers' part in a cluster in one process, for the lab: the program's own members on sockets of their own,
-// without clients, workers or a console. It reads what they are told as JSON from its standard input, says "up" once all have sockets, and
-// answers each further line with a line for each member; it ends with its input.
+// Command hollow runs the membership of many schedulers in one process, for the lab: the program's own mesh
+// on sockets of their own, without clients, workers or a console. It reads their configuration as one line
+// of JSON from standard input, prints "up" once all have sockets, and answers each further line with the
+// state of each member in a line of its own. It ends with its input.
 package main
 
 import (
@@ -18,28 +19,37 @@
 	"woaddyke/internal/cluster/mesh"
 )
 
-// told is what the members of one process are told.
-type told struct {
-	Cluster string   `json:"cluster"`
-	Seeds   []string `json:"seeds"`
-	Lines   string   `json:"lines"` // further ones of the operator's table
-	Chance  uint64   `json:"chance"`
-	Members []struct {
-		Name      string `json:"name"`
-		Listen    string `json:"listen"`
-		Advertise string `json:"advertise"`
-	} `json:"members"`
+// config configures the members of one process.
+type config struct {
+	Cluster string         `json:"cluster"`
+	Seeds   []string       `json:"seeds"`
+	Lines   string         `json:"lines"` // further lines of the table members
+	Seed    uint64         `json:"chance"`
+	Members []memberConfig `json:"members"`
 }
 
-// state is what one member holds.
-type state struct {
+type memberConfig struct {
+	Name      string `json:"name"`
+	Listen    string `json:"listen"`
+	Advertise string `json:"advertise"`
+}
+
+// memberState is what one member reports.
+type memberState struct {
 	Name    string  `json:"name"`
 	Live    int     `json:"live"`
 	Digest  string  `json:"digest"`
 	WorstMS float64 `json:"worst_late_ms"`
 }
 
-const leaveTime = 300 * time.Millisecond // for the members to say that they leave
+// member is one scheduler of the process.
+type member struct {
+	name  string
+	mesh  *mesh.Mesh
+	board *board
+}
+
+const leaveTimeout = 300 * time.Millisecond // for the members to notify others that they leave
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
@@ -54,51 +64,82 @@
 	if err != nil {
 		return fmt.Errorf("what the members are told: %w", err)
 	}
-	var t told
-	if err := json.Unmarshal(line, &t); err != nil {
+	var c config
+	if err := json.Unmarshal(line, &c); err != nil {
 		return fmt.Errorf("what the members are told: %w", err)
 	}
-	var all []*mesh.Mesh
-	var boards []*board
+	var members []*member
 	quit := make(chan struct{})
 	defer func() {
 		close(quit)
-		for _, m := range all {
-			m.Leave()
-		}
-		time.Sleep(leaveTime)
-		for _, m := range all {
-			m.Close()
-		}
+		leave(members)
 	}()
-	for n, who := range t.Members {
-		table := mesh.Defaults()
-		if err := toml.Unmarshal([]byte(t.Lines), table); err != nil {
-			return fmt.Errorf("the operator's lines: %w", err)
-		}
-		table.Cluster, table.Seeds, table.Listen, table.Advertise = t.Cluster, t.Seeds, who.Listen, who.Advertise
-		if err := table.Validate(); err != nil {
-			return err
-		}
-		b := newBoard()
-		m, err := mesh.Start(table, mesh.Identity{Name: who.Name, Number: -1, Seed: t.Chance + uint64(n)}, b.host(), zerolog.Nop())
+	for number := range c.Members {
+		m, err := startMember(&c, number)
 		if err != nil {
 			return err
 		}
-		all, boards = append(all, m), append(boards, b)
+		members = append(members, m)
 	}
-	go tellStaff(all, boards, quit)
+	go broadcastOperatorStates(members, quit)
 	fmt.Fprintln(to, "up")
-	say := json.NewEncoder(to)
+	return answer(in, to, members)
+}
+
+// startMember starts a member by its number in the configuration.
+func startMember(c *config, number int) (*member, error) {
+	who := c.Members[number]
+	table := mesh.Defaults()
+	if err := toml.Unmarshal([]byte(c.Lines), table); err != nil {
+		return nil, fmt.Errorf("the operator's lines: %w", err)
+	}
+	table.Cluster = c.Cluster
+	table.Seeds = c.Seeds
+	table.Listen = who.Listen
+	table.Advertise = who.Advertise
+	if err := table.Validate(); err != nil {
+		return nil, err
+	}
+	identity := mesh.Identity{Name: who.Name, Number: -1, Seed: c.Seed + uint64(number)}
+	b := newBoard()
+	m, err := mesh.Start(table, identity, b.host(), zerolog.Nop())
+	if err != nil {
+		return nil, err
+	}
+	return &member{name: who.Name, mesh: m, board: b}, nil
+}
+
+// leave ends all members, after they had the time to notify others.
+func leave(members []*member) {
+	for _, m := range members {
+		m.mesh.Leave()
+	}
+	time.Sleep(leaveTimeout)
+	for _, m := range members {
+		m.mesh.Close()
+	}
+}
+
+// answer answers each line of the input with the states of all members.
+func answer(in *bufio.Reader, to io.Writer, members []*member) error {
+	out := json.NewEncoder(to)
 	for {
-		if _, err := in.ReadBytes('\n'); errors.Is(err, io.EOF) {
+		_, err := in.ReadBytes('\n')
+		if errors.Is(err, io.EOF) {
 			return nil
-		} else if err != nil {
+		}
+		if err != nil {
 			return err
 		}
-		for n, m := range all {
-			s := m.Status()
-			if err := say.Encode(state{t.Members[n].Name, s.Self.Live, s.Digest, s.WorstMS}); err != nil {
+		for _, m := range members {
+			status := m.mesh.Status()
+			state := memberState{
+				Name:    m.name,
+				Live:    status.Self.Live,
+				Digest:  status.Digest,
+				WorstMS: status.WorstMS,
+			}
+			if err := out.Encode(state); err != nil {
 				return err
 			}
 		}
--- /dev/null
+++ b/cmd/hollow/operator_state.go
@@ -0,0 +1,90 @@
+package main
+
+import (
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"woaddyke/internal/cluster/membership"
+	"woaddyke/internal/cluster/mesh"
+	"woaddyke/internal/cluster/operatorstate"
+	"woaddyke/internal/lifecycle/boottime"
+)
+
+// broadcastInterval is the program's own span between two operator states that it sends to a random member.
+const broadcastInterval = time.Second
+
+// board is what one member knows of operator states. It has no settings of its own, and takes those that it
+// receives first.
+type board struct {
+	mu          sync.Mutex
+	states      *operatorstate.Board
+	hasSettings bool
+	changed     bool // the own state, since it was sent last
+}
+
+func newBoard() *board { return &board{states: operatorstate.New(uint64(boottime.Since()))} }
+
+func (b *board) host() mesh.Host {
+	return mesh.Host{OperatorState: b.receive, MemberChanged: b.memberChanged}
+}
+
+func (b *board) receive(from string, incarnation uint64, state operatorstate.State) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.states.Receive(from, incarnation, state)
+	if !b.hasSettings {
+		b.hasSettings = true
+		b.changed = b.states.SetOwn(state.Settings, false)
+	}
+}
+
+func (b *board) memberChanged(c membership.MemberChanged) {
+	if !c.State.Ended() {
+		return
+	}
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.states.Forget(c.Name)
+}
+
+// takeOwn returns the own state, and whether it has changed since the last call. It reports false as long
+// as there is none.
+func (b *board) takeOwn() (state operatorstate.State, changed, known bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	changed = b.changed
+	b.changed = false
+	return b.states.Own(), changed, b.hasSettings
+}
+
+// broadcastOperatorStates has each member send its operator state as a scheduler does: a changed one to all
+// others, and in each interval one to a random member.
+func broadcastOperatorStates(members []*member, quit chan struct{}) {
+	tick := time.NewTicker(broadcastInterval)
+	defer tick.Stop()
+	for {
+		for _, m := range members {
+			m.broadcastOperatorState()
+		}
+		select {
+		case <-tick.C:
+		case <-quit:
+			return
+		}
+	}
+}
+
+func (m *member) broadcastOperatorState() {
+	state, changed, known := m.board.takeOwn()
+	names := m.mesh.Names()
+	if !known || len(names) == 0 {
+		return
+	}
+	if !changed {
+		names = []string{names[rand.IntN(len(names))]}
+	}
+	for _, name := range names {
+		m.mesh.BroadcastOperatorState(name, state)
+	}
+}
--- a/internal/cluster/operatorstate/operatorstate.go
+++ b/internal/cluster/operatorstate/operatorstate.go
@@ -1,5 +1,6 @@
-// Package operatorstate keeps what schedulers tell one another of what staff decided for each: which settings it runs by, and whether its clients
-// are sent away. It does no input or output and reads no clock.
+// Package operatorstate keeps what operators decided for each scheduler of a cluster, as the schedulers
+// notify one another of it: the settings that a scheduler uses, and whether its clients are drained. It
+// does no I/O and reads no clock.
 package operatorstate
 
 import (
@@ -7,61 +8,89 @@
 	"slices"
 )
 
-// State is what a scheduler says of itself. N grows with each that differs from the one before.
+const maxMembers = 4096 // other schedulers, as many as a view has by default
+
+// State is what a scheduler reports of itself.
 type State struct {
-	Settings       uint64 `cbor:"1,keyasint,omitzero"` // a hash of what is the same for all where it should be
-	ClientsDrained bool   `cbor:"2,keyasint,omitzero"` // its clients are sent away
-	Sequence       uint64 `cbor:"3,keyasint,omitzero"`
+	Settings       uint64 `cbor:"1,keyasint,omitzero"` // hash of what should be the same everywhere
+	ClientsDrained bool   `cbor:"2,keyasint,omitzero"` // its clients are sent to other schedulers
+	Sequence       uint64 `cbor:"3,keyasint,omitzero"` // grows with each change of the state
 }
 
-// memberState is the newest word of a member, and which of its processes said so.
+// memberState is the newest state of a member, and the incarnation that reported it.
 type memberState struct {
 	state       State
 	incarnation uint64
 }
 
-const maxMembers = 4096 // members, as many as a view has by default
+// newerThan tells whether a state replaces another one: of two incarnations the later one's does, and of
+// one incarnation the state with the greater sequence number.
+func (m memberState) newerThan(other memberState) bool {
+	if m.incarnation != other.incarnation {
+		return m.incarnation > other.incarnation
+	}
+	return m.state.Sequence > other.state.Sequence
+}
 
-// Board is what one scheduler knows.
+// Board is what one scheduler knows of its own state and those of the others. It is not safe for concurrent
+// use.
 type Board struct {
 	own    State
 	ownSet bool
 	byName map[string]memberState
 }
 
-// New is a board with nothing on it. A process that takes over counts on from a later start than the one before.
+// New returns a board that knows of no other scheduler. The sequence number of the own state begins at
+// start, which must be greater for a successor than for its predecessor.
 func New(start uint64) *Board {
 	return &Board{own: State{Sequence: start}, byName: map[string]memberState{}}
 }
 
-// SetOwn sets the own word; it tells whether that is news, which everybody should hear.
-func (b *Board) SetOwn(settings uint64, away bool) bool {
-	if b.ownSet && b.own.Settings == settings && b.own.ClientsDrained == away {
+// SetOwn sets the own state. It reports whether that has changed, so that all others are to be notified.
+func (b *Board) SetOwn(settings uint64, clientsDrained bool) bool {
+	if b.ownSet && b.own.Settings == settings && b.own.ClientsDrained == clientsDrained {
 		return false
 	}
 	b.ownSet = true
-	b.own = State{settings, away, b.own.Sequence + 1}
+	b.own = State{
+		Settings:       settings,
+		ClientsDrained: clientsDrained,
+		Sequence:       b.own.Sequence + 1,
+	}
 	return true
 }
 
-// Own is the own word.
+// Own returns the own state.
 func (b *Board) Own() State { return b.own }
 
-// Receive takes another's word. One that is not newer than what is known changes nothing: of two processes of one name the later one's
-// stands, and of one process the later word.
-func (b *Board) Receive(name string, life uint64, w State) {
-	was, known := b.byName[name]
-	if !known && len(b.byName) >= maxMembers || known && (life < was.incarnation || life == was.incarnation && w.Sequence <= was.state.Sequence) {
+// Receive takes the state that an incarnation of a member reports. One that is not newer than what is known
+// changes nothing.
+func (b *Board) Receive(name string, incarnation uint64, state State) {
+	received := memberState{state: state, incarnation: incarnation}
+	current, known := b.byName[name]
+	if known && !received.newerThan(current) {
 		return
 	}
-	b.byName[name] = memberState{w, life}
+	if !known && len(b.byName) >= maxMembers {
+		return
+	}
+	b.byName[name] = received
 }
 
-// Forget forgets a member that is no more.
+// Forget drops the state of a member that has ended.
 func (b *Board) Forget(name string) { delete(b.byName, name) }
 
-// Others are the names of which something holds, in order.
-func (b *Board) Others(holds func(State) bool) (names []string) {
+// DifferingMembers returns the names of those that use other settings than this scheduler, in order.
+func (b *Board) DifferingMembers() []string {
+	return b.namesWhere(func(s State) bool { return s.Settings != b.own.Settings })
+}
+
+// DrainedMembers returns the names of those whose clients are drained, in order.
+func (b *Board) DrainedMembers() []string {
+	return b.namesWhere(func(s State) bool { return s.ClientsDrained })
+}
+
+func (b *Board) namesWhere(holds func(State) bool) (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(b.byName)) {
 		if holds(b.byName[name].state) {
 			names = append(names, name)
@@ -69,13 +98,3 @@
 	}
 	return names
 }
-
-// DifferingMembers are those that run by other settings than this one.
-func (b *Board) DifferingMembers() []string {
-	return b.Others(func(w State) bool { return w.Settings != b.own.Settings })
-}
-
-// DrainedMembers are those whose clients are sent away.
-func (b *Board) DrainedMembers() []string {
-	return b.Others(func(w State) bool { return w.ClientsDrained })
-}
--- a/internal/cluster/operatorstate/operatorstate_test.go
+++ b/internal/cluster/operatorstate/operatorstate_test.go
@@ -1,30 +1,64 @@
 package operatorstate
 
 import (
+	"fmt"
 	"slices"
 	"testing"
 )
 
-// Words come late, twice and of processes that are no more: what is newest by the member's own count stands.
-func TestNewestStateIsKept(t *testing.T) {
+// The own state is to be sent to everybody when it changes, and only then.
+func TestSetOwnReportsChanges(t *testing.T) {
 	b := New(0)
-	if !b.SetOwn(7, false) || b.SetOwn(7, false) || !b.SetOwn(7, true) || b.Own().Sequence != 2 {
-		t.Error("the own word is news when it differs, and only then")
+	for i, c := range []struct {
+		settings uint64
+		drained  bool
+		changed  bool
+	}{{7, false, true}, {7, false, false}, {7, true, true}} {
+		if got := b.SetOwn(c.settings, c.drained); got != c.changed {
+			t.Errorf("change %d: %v, want %v", i, got, c.changed)
+		}
+	}
+	if want := (State{Settings: 7, ClientsDrained: true, Sequence: 2}); b.Own() != want {
+		t.Errorf("the own state is %+v, want %+v", b.Own(), want)
 	}
-	for _, x := range []struct {
-		life uint64
-		w    State
+}
+
+// States come late, twice and of incarnations that have ended: the newest by the member's own count is
+// kept.
+func TestNewestStateIsKept(t *testing.T) {
+	b := New(0)
+	b.SetOwn(7, true)
+	for _, c := range []struct {
+		incarnation uint64
+		state       State
 	}{{2, State{8, true, 3}}, {2, State{7, false, 2}}, {1, State{9, false, 9}}, {2, State{9, false, 3}}} {
-		b.Receive("n", x.life, x.w)
+		b.Receive("n", c.incarnation, c.state)
 	}
 	if !slices.Equal(b.DifferingMembers(), []string{"n"}) || !slices.Equal(b.DrainedMembers(), []string{"n"}) {
-		t.Errorf("an older word stands: %v, %v", b.DifferingMembers(), b.DrainedMembers())
+		t.Errorf("an older state is kept: %v, %v", b.DifferingMembers(), b.DrainedMembers())
 	}
-	if b.Receive("n", 3, State{7, false, 1}); len(b.DifferingMembers())+len(b.DrainedMembers()) > 0 {
-		t.Errorf("a later process counts from 1: %v, %v", b.DifferingMembers(), b.DrainedMembers())
+	b.Receive("n", 3, State{7, false, 1})
+	if len(b.DifferingMembers())+len(b.DrainedMembers()) > 0 {
+		t.Errorf("a later incarnation counts from 1: %v, %v", b.DifferingMembers(), b.DrainedMembers())
 	}
 	b.Receive("m", 1, State{6, false, 1})
-	if b.Forget("m"); len(b.DifferingMembers()) > 0 {
-		t.Error("one that is gone differs still")
+	b.Forget("m")
+	if len(b.DifferingMembers()) > 0 {
+		t.Error("a member that has ended differs still")
+	}
+}
+
+// Names that strangers make up must not take the memory of the process, nor the place of a known member.
+func TestBoardIsBounded(t *testing.T) {
+	b := New(0)
+	for i := range 2 * maxMembers {
+		b.Receive(fmt.Sprintf("n%05d", i), 1, State{Settings: 1, Sequence: 1})
+	}
+	b.Receive("n00000", 1, State{Settings: 1, ClientsDrained: true, Sequence: 2})
+	if got := len(b.DifferingMembers()); got != maxMembers {
+		t.Errorf("%d members are known, at most %d", got, maxMembers)
+	}
+	if !slices.Equal(b.DrainedMembers(), []string{"n00000"}) {
+		t.Errorf("a known member's state is not taken: %v", b.DrainedMembers())
 	}
 }
