--- a/internal/cluster/replication/simulation/change_test.go
+++ b/internal/cluster/replication/simulation/change_test.go
@@ -10,11 +10,11 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// changing is a cluster whose keepers change by agreement, once that is founded.
-func changing(t *testing.T, n, count int, seed uint64) *Play {
+// dynamicCluster is a cluster whose keepers change by agreement, once that is founded.
+func dynamicCluster(t *testing.T, n, count int, seed uint64) *Cluster {
 	t.Helper()
 	p := New(n, count, seed)
-	p.Agreed = true
+	p.DynamicReplicas = true
 	for i := range n {
 		p.Start(i)
 	}
@@ -27,20 +27,20 @@
 	return p
 }
 
-// change has staff ask for keepers, again and again until they stand, and tells whether they do in time.
-func (p *Play) change(i int, within Time, want ...int) bool {
+// changeReplicas has staff ask for keepers, again and again until they stand, and tells whether they do in time.
+func (p *Cluster) changeReplicas(i int, within Time, want ...int) bool {
 	until := p.Now() + within
 	for p.Now() < until {
-		p.Change(i, want...)
+		p.RequestChange(i, want...)
 		p.Run(p.Now() + 2*Second)
-		if p.stands(i, want...) {
+		if p.replicasAre(i, want...) {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *Play) stands(i int, want ...int) bool {
+func (p *Cluster) replicasAre(i int, want ...int) bool {
 	var names []string
 	for _, k := range want {
 		names = append(names, fmt.Sprint("n", k))
@@ -50,31 +50,31 @@
 	return !set.Joint() && slices.Equal(set.New, names)
 }
 
-func (p *Play) cutOff(a, b []int, on bool) {
+func (p *Cluster) partition(a, b []int, on bool) {
 	for _, i := range a {
 		for _, j := range b {
-			p.Cut(i, j, on)
-			p.Cut(j, i, on)
+			p.CutLink(i, j, on)
+			p.CutLink(j, i, on)
 		}
 	}
 }
 
-func (p *Play) clean(t *testing.T) {
+func (p *Cluster) requireNoViolations(t *testing.T) {
 	t.Helper()
-	for _, b := range p.Breaches {
+	for _, b := range p.Violations {
 		t.Error(b)
 	}
 }
 
-// atRest checks that so many places go by one set of keepers, all of which have their votes and the same copies.
-func (p *Play) atRest(t *testing.T, seed uint64, places int) {
+// checkConverged checks that so many places go by one set of keepers, all of which have their votes and the same copies.
+func (p *Cluster) checkConverged(t *testing.T, seed uint64, places int) {
 	t.Helper()
 	set, digest := p.Core(0).Set(), ""
 	for i := range places {
 		if got := p.Core(i).Set(); got.ID() != set.ID() || got.Joint() {
 			t.Errorf("seed %d: at rest n%d goes by %+v, n0 by %+v", seed, i, got, set)
 		}
-		if !slices.Contains(set.New, p.places[i].name) {
+		if !slices.Contains(set.New, p.nodes[i].name) {
 			continue
 		}
 		s := p.Core(i).Status()
@@ -90,24 +90,24 @@
 // All keepers are replaced by others: whatever the old ones granted, the new ones know.
 func TestAllKeepersAreReplaced(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
-		p := changing(t, 7, 3, seed)
+		p := dynamicCluster(t, 7, 3, seed)
 		for k := range 30 {
-			p.Want(6, fmt.Sprint("x", k))
+			p.Claim(6, fmt.Sprint("x", k))
 		}
 		p.Run(p.Now() + Second)
-		if !p.change(6, 10*Second, 3, 4, 5) {
+		if !p.changeReplicas(6, 10*Second, 3, 4, 5) {
 			t.Fatalf("seed %d: the keepers are %v", seed, p.Core(6).Set())
 		}
 		for i := range 3 {
 			p.Kill(i)
 		}
 		for k := range 30 {
-			p.outcome(6, fmt.Sprint("x", k))
+			p.claimResult(6, fmt.Sprint("x", k))
 		}
-		if got := p.outcome(6, "new"); got != replication.Granted {
+		if got := p.claimResult(6, "new"); got != replication.Granted {
 			t.Errorf("seed %d: the new keepers give nothing: %v", seed, got)
 		}
-		p.clean(t)
+		p.requireNoViolations(t)
 	}
 }
 
@@ -116,38 +116,38 @@
 func TestOldKeepersStayUntilTheNewOnesKnow(t *testing.T) {
 	led := false
 	for seed := uint64(1); seed <= 8; seed++ {
-		p := changing(t, 8, 5, seed)
+		p := dynamicCluster(t, 8, 5, seed)
 		for i := 2; i < 5; i++ { // one that hears who is ready
-			led = led || p.places[i].agree.IsLeader()
+			led = led || p.nodes[i].replicaSet.IsLeader()
 		}
-		p.Lose = func(to string, x replication.Message) bool {
+		p.DropIf = func(to string, x replication.Message) bool {
 			return to == "n0" || to == "n1" || to == "n5" // all of them at first, so that three others grant
 		}
-		p.Want(7, "x")
+		p.Claim(7, "x")
 		p.Run(p.Now() + Second)
 		if p.Granted != 1 {
 			t.Fatalf("seed %d: not given", seed)
 		}
 		for _, mute := range []string{"n0 n1 n5", "n0 n1"} { // then one of the three knows: that is not enough
-			p.Lose = func(to string, x replication.Message) bool {
+			p.DropIf = func(to string, x replication.Message) bool {
 				return strings.Contains(mute, to) && x.Kind == replication.DigestPage
 			}
 			for range 4 {
-				p.Change(6, 0, 1, 5)
+				p.RequestChange(6, 0, 1, 5)
 				p.Run(p.Now() + Second)
-				p.Want(6, "x")
+				p.Claim(6, "x")
 			}
 			if set := p.Core(6).Set(); !set.Joint() {
 				t.Errorf("seed %d: the old ones are let go while %s know nothing: %v", seed, mute, set)
 			}
 		}
-		p.Lose = nil
+		p.DropIf = nil
 		p.Run(p.Now() + 3*Second)
-		if !p.stands(6, 0, 1, 5) {
+		if !p.replicasAre(6, 0, 1, 5) {
 			t.Errorf("seed %d: the change has no end: %v", seed, p.Core(6).Set())
 		}
-		p.outcome(6, "x")
-		p.clean(t)
+		p.claimResult(6, "x")
+		p.requireNoViolations(t)
 	}
 	if !led {
 		t.Error("none led that would have heard: this proves little")
@@ -156,54 +156,54 @@
 
 // One of three is dead and another takes its place; ops go on all the while.
 func TestADeadKeeperIsReplacedUnderLoad(t *testing.T) {
-	p := changing(t, 6, 3, 1)
+	p := dynamicCluster(t, 6, 3, 1)
 	p.Kill(2)
 	begin, n := p.Now(), 0
-	for at := begin; at < begin+6*Second; at += 50 * MS {
+	for at := begin; at < begin+6*Second; at += 50 * Millisecond {
 		n++
-		p.At(at, func() { p.Want(5, fmt.Sprint("y", at)) })
+		p.At(at, func() { p.Claim(5, fmt.Sprint("y", at)) })
 	}
-	p.Change(4, 0, 1, 3)
+	p.RequestChange(4, 0, 1, 3)
 	p.Run(begin + 8*Second)
 	refused := 0
 	for _, op := range p.History {
-		if op.What == "asked" && op.At >= begin && op.Outcome == replication.NoQuorum {
+		if op.Step == "asked" && op.At >= begin && op.Result == replication.NoQuorum {
 			refused++
 		}
 	}
-	if !p.stands(5, 0, 1, 3) || refused > 0 {
+	if !p.replicasAre(5, 0, 1, 3) || refused > 0 {
 		t.Errorf("keepers %v; %d of %d ops refused meanwhile", p.Core(5).Set(), refused, n)
 	}
 	p.Kill(1) // two of the new three are enough
-	if got := p.outcome(5, "z"); got != replication.Granted {
+	if got := p.claimResult(5, "z"); got != replication.Granted {
 		t.Errorf("with two of the new three: %v", got)
 	}
-	p.clean(t)
+	p.requireNoViolations(t)
 }
 
 // Parted, and staff ask on both sides: one side alone can agree, and the other takes that over afterwards.
 func TestStaffAskOnBothSidesOfACut(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
-		p := changing(t, 8, 3, seed)
+		p := dynamicCluster(t, 8, 3, seed)
 		a, b := []int{0, 1, 3, 6}, []int{2, 4, 5, 7}
-		p.cutOff(a, b, true)
+		p.partition(a, b, true)
 		p.Run(p.Now() + 3*Second)
 		for range 3 {
-			p.Change(6, 0, 1, 3)
-			p.Change(7, 2, 4, 5)
+			p.RequestChange(6, 0, 1, 3)
+			p.RequestChange(7, 2, 4, 5)
 			p.Run(p.Now() + 2*Second)
-			p.Want(6, "x")
-			p.Want(7, "x")
+			p.Claim(6, "x")
+			p.Claim(7, "x")
 		}
-		if !p.stands(6, 0, 1, 3) || p.stands(7, 2, 4, 5) {
+		if !p.replicasAre(6, 0, 1, 3) || p.replicasAre(7, 2, 4, 5) {
 			t.Fatalf("seed %d: keepers %v and %v", seed, p.Core(6).Set(), p.Core(7).Set())
 		}
-		p.cutOff(a, b, false)
+		p.partition(a, b, false)
 		p.Run(p.Now() + 5*Second)
-		if !p.stands(7, 0, 1, 3) || !p.stands(2, 0, 1, 3) {
+		if !p.replicasAre(7, 0, 1, 3) || !p.replicasAre(2, 0, 1, 3) {
 			t.Errorf("seed %d: after the cut %v and %v", seed, p.Core(7).Set(), p.Core(2).Set())
 		}
-		p.clean(t)
+		p.requireNoViolations(t)
 	}
 }
 
@@ -211,80 +211,80 @@
 // was given before the changes, and comes after them, does not count.
 func TestAMessageOfBeforeTwoChanges(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
-		p := changing(t, 8, 3, seed)
+		p := dynamicCluster(t, 8, 3, seed)
 		p.Pause(7)
-		p.Want(7, "x") // waits in it
-		if !p.change(6, 10*Second, 2, 3, 4) || !p.change(6, 10*Second, 4, 5, 6) {
+		p.Claim(7, "x") // waits in it
+		if !p.changeReplicas(6, 10*Second, 2, 3, 4) || !p.changeReplicas(6, 10*Second, 4, 5, 6) {
 			t.Fatalf("seed %d: the keepers are %v", seed, p.Core(6).Set())
 		}
-		p.outcome(6, "x")
+		p.claimResult(6, "x")
 		p.Resume(7)
 		p.Run(p.Now() + 2*Second)
-		if got := p.outcome(7, "y"); got != replication.Granted {
+		if got := p.claimResult(7, "y"); got != replication.Granted {
 			t.Errorf("seed %d: it has not learned who keeps: %v, %v", seed, got, p.Core(7).Set())
 		}
-		p.clean(t)
+		p.requireNoViolations(t)
 	}
 }
 
 // A keeper loses its disk: it is seated anew by the others, and votes for copies once it has caught up.
 func TestAKeeperThatLostItsDisk(t *testing.T) {
 	for _, k := range []int{0, 2} { // the one that founds, and another
-		p := changing(t, 5, 3, 3)
-		p.Want(4, "x")
+		p := dynamicCluster(t, 5, 3, 3)
+		p.Claim(4, "x")
 		p.Run(p.Now() + Second)
 		turn := p.Core(4).Set().Epoch
 		p.Kill(k)
-		p.Forget(k)
+		p.LoseDisk(k)
 		p.Start(k)
 		p.Run(p.Now() + 6*Second)
 		if set := p.Core(4).Set(); set.Joint() || set.Epoch == turn || !p.Core(k).Status().Voting {
 			t.Fatalf("n%d: %+v, voting %v", k, set, p.Core(k).Status().Voting)
 		}
 		p.Kill((k + 1) % 3) // now its vote is needed, in both
-		if !p.change(4, 20*Second, k, (k+2)%3, 3) {
+		if !p.changeReplicas(4, 20*Second, k, (k+2)%3, 3) {
 			t.Errorf("n%d: the keepers are %v", k, p.Core(4).Set())
 		}
-		p.clean(t)
+		p.requireNoViolations(t)
 	}
 }
 
 // The rule replaces a keeper that is gone for long, and none that is back in time; a spare that can't be heard is not let in.
 func TestTheRuleReplaces(t *testing.T) {
 	p := New(6, 3, 1)
-	p.Agreed, p.Rule.ReplaceAfter, p.Rule.Spares = true, 20*Second, []string{"n3", "n4"}
+	p.DynamicReplicas, p.ReplicaSetConfig.ReplaceAfter, p.ReplicaSetConfig.Spares = true, 20*Second, []string{"n3", "n4"}
 	for i := range 6 {
 		p.Start(i)
 	}
 	p.Run(30 * Second)
 	for i := range 6 {
-		p.See(i, true)
+		p.SetAlive(i, true)
 	}
 	p.Kill(1)
-	p.See(1, false)
+	p.SetAlive(1, false)
 	p.Run(p.Now() + 15*Second)
 	p.Start(1)
-	p.See(1, true)
+	p.SetAlive(1, true)
 	p.Run(p.Now() + 20*Second)
-	if !p.stands(5, 0, 1, 2) {
+	if !p.replicasAre(5, 0, 1, 2) {
 		t.Errorf("replaced before its time: %v", p.Core(5).Set())
 	}
 	p.Kill(3)
-	p.See(3, false)
+	p.SetAlive(3, false)
 	p.Kill(1)
-	p.See(1, false)
+	p.SetAlive(1, false)
 	p.Run(p.Now() + 30*Second)
-	if !p.stands(5, 0, 2, 4) {
+	if !p.replicasAre(5, 0, 2, 4) {
 		t.Errorf("not replaced by the spare that is here: %v", p.Core(5).Set())
 	}
-	p.clean(t)
+	p.requireNoViolations(t)
 }
 
 // The agreement is founded by all keepers of the file together: two of three that found one while the third is away could be joined by a
 // third that founds another.
 func TestTheFoundingTakesAllKeepers(t *testing.T) {
 	p := New(4, 3, 1)
-	p.Agreed = true
+	p.DynamicReplicas = true
 	for _, i := range []int{0, 1, 3} {
 		p.Start(i)
 	}
@@ -299,45 +299,45 @@
 			t.Errorf("n%d: %v", i, p.Core(i).Set())
 		}
 	}
-	p.outcome(3, "x")
-	p.clean(t)
+	p.claimResult(3, "x")
+	p.requireNoViolations(t)
 }
 
 // What can't be is refused in plain words, and changes nothing.
 func TestWhatStaffAreRefused(t *testing.T) {
-	p := changing(t, 6, 3, 1)
+	p := dynamicCluster(t, 6, 3, 1)
 	p.Kill(5)
 	for _, x := range []struct {
 		want []int
 		text string
 	}{{[]int{0, 1}, "odd number"}, {[]int{0, 1, 1}, "stands twice"}, {[]int{0, 1, 5}, "nothing is heard of n5"}} {
-		ticket := p.Change(4, x.want...)
+		ticket := p.RequestChange(4, x.want...)
 		p.Run(p.Now() + 3*Second)
-		if a := p.Answers[ticket]; a.Done || !strings.Contains(a.Text, x.text) {
+		if a := p.Answers[ticket]; a.OK || !strings.Contains(a.Text, x.text) {
 			t.Errorf("%v: %+v", x.want, a)
 		}
 	}
-	if !p.change(4, 10*Second, 1, 2, 3) {
+	if !p.changeReplicas(4, 10*Second, 1, 2, 3) {
 		t.Fatal(p.Core(4).Set())
 	}
-	p.tickets++ // by one who saw the set before
-	p.agree(p.places[4], p.Core(4), replicaset.ChangeRequest{RequestID: p.tickets, Epoch: 1, Replicas: []string{"n0", "n2", "n3"}})
+	p.lastRequest++ // by one who saw the set before
+	p.stepReplicaSet(p.nodes[4], p.Core(4), replicaset.ChangeRequest{RequestID: p.lastRequest, Epoch: 1, Replicas: []string{"n0", "n2", "n3"}})
 	p.Run(p.Now() + 3*Second)
-	if a := p.Answers[p.tickets]; a.Done || !strings.Contains(a.Text, "have changed meanwhile") {
+	if a := p.Answers[p.lastRequest]; a.OK || !strings.Contains(a.Text, "have changed meanwhile") {
 		t.Errorf("from a set that is no more: %+v", a)
 	}
-	if !p.change(4, 10*Second, 0, 1, 2) {
+	if !p.changeReplicas(4, 10*Second, 0, 1, 2) {
 		t.Fatal(p.Core(4).Set())
 	}
-	one, two := p.Change(3, 0, 1, 3), p.Change(4, 0, 1, 4)
+	one, two := p.RequestChange(3, 0, 1, 3), p.RequestChange(4, 0, 1, 4)
 	p.Run(p.Now() + 3*Second)
-	if a, b := p.Answers[one], p.Answers[two]; a.Done == b.Done {
+	if a, b := p.Answers[one], p.Answers[two]; a.OK == b.OK {
 		t.Errorf("two at once: %+v and %+v", a, b)
 	}
-	if !p.stands(4, 0, 1, 3) && !p.stands(4, 0, 1, 4) {
+	if !p.replicasAre(4, 0, 1, 3) && !p.replicasAre(4, 0, 1, 4) {
 		t.Errorf("the keepers are %v", p.Core(4).Set())
 	}
-	p.clean(t)
+	p.requireNoViolations(t)
 }
 
 // Whatever fails while keepers change, and whenever, no op is given to two schedulers; and at rest all go by one set.
@@ -346,23 +346,23 @@
 	granted, turns := 0, 0
 	for seed := first; seed <= last; seed++ {
 		p := New(7, 3, seed)
-		p.Agreed = true
+		p.DynamicReplicas = true
 		r := p.Rand
-		p.Loss, p.Dup, p.Delay = []float64{0, 0.05, 0.2}[r.IntN(3)], 0.05, Time(2+r.IntN(200))
+		p.Loss, p.Duplication, p.Delay = []float64{0, 0.05, 0.2}[r.IntN(3)], 0.05, Time(2+r.IntN(200))
 		for i := range 7 {
 			p.Start(i)
 		}
 		p.Run(8 * Second)
-		p.Crash = []float64{0, 0.0002, 0.001}[r.IntN(3)]
+		p.CrashProbability = []float64{0, 0.0002, 0.001}[r.IntN(3)]
 		begin, end := p.Now(), p.Now()+30*Second
 		for at := begin; at < end; at += Time(r.IntN(1500)) {
 			i, j, key := r.IntN(7), r.IntN(7), fmt.Sprint("op", at/(2*Second), "-", r.IntN(3))
-			p.At(at, func() { p.Want(i, key) })
-			p.At(at+Time(r.IntN(30)), func() { p.Want(j, key) })
+			p.At(at, func() { p.Claim(i, key) })
+			p.At(at+Time(r.IntN(30)), func() { p.Claim(j, key) })
 		}
 		for at := begin; at < end; at += Time(r.IntN(40_000)) {
 			by, want := r.IntN(7), r.Perm(7)[:[]int{1, 3, 3, 5}[r.IntN(4)]]
-			p.At(at, func() { p.Change(by, want...) })
+			p.At(at, func() { p.RequestChange(by, want...) })
 		}
 		busy := make([]Time, 7)
 		for at := begin; at < end; at += Time(r.IntN(30_000)) {
@@ -378,22 +378,22 @@
 				p.At(at, func() { p.Pause(i) })
 				p.At(at+long, func() { p.Resume(i) })
 			default:
-				p.At(at, func() { p.Cut(i, j, true) })
-				p.At(at+long, func() { p.Cut(i, j, false) })
+				p.At(at, func() { p.CutLink(i, j, true) })
+				p.At(at+long, func() { p.CutLink(i, j, false) })
 				if kind == 4 {
-					p.At(at, func() { p.Cut(j, i, true) })
-					p.At(at+long, func() { p.Cut(j, i, false) })
+					p.At(at, func() { p.CutLink(j, i, true) })
+					p.At(at+long, func() { p.CutLink(j, i, false) })
 				}
 			}
 		}
 		p.Run(end + 5*Second)
-		p.Crash, p.Loss, p.Dup = 0, 0, 0
+		p.CrashProbability, p.Loss, p.Duplication = 0, 0, 0
 		p.Run(end + 60*Second)
-		granted, turns = granted+p.Granted, turns+len(p.Turns)
-		for _, b := range p.Breaches {
+		granted, turns = granted+p.Granted, turns+len(p.Epochs)
+		for _, b := range p.Violations {
 			t.Errorf("seed %d: %s (SEED=%d repeats it)", seed, b, seed)
 		}
-		p.atRest(t, seed, 7)
+		p.checkConverged(t, seed, 7)
 		if t.Failed() {
 			return
 		}
--- a/internal/cluster/replication/simulation/disk_test.go
+++ b/internal/cluster/replication/simulation/disk_test.go
@@ -18,13 +18,13 @@
 	first, last := seeds(40)
 	granted, failed := 0, 0
 	for seed := first; seed <= last; seed++ {
-		p := changing(t, 5, 3, seed)
-		p.Loss, p.Dup, p.Delay = []float64{0, 0.05}[p.Rand.IntN(2)], 0.05, Time(2+p.Rand.IntN(100))
+		p := dynamicCluster(t, 5, 3, seed)
+		p.Loss, p.Duplication, p.Delay = []float64{0, 0.05}[p.Rand.IntN(2)], 0.05, Time(2+p.Rand.IntN(100))
 		for range 3 {
 			burst(p, changes)
 			p.Run(p.Now() + burstTime)
 		}
-		p.Loss, p.Dup = 0, 0
+		p.Loss, p.Duplication = 0, 0
 		for i := range 5 {
 			if p.FailDisk(i, false); p.DiskFailed(i) {
 				p.Kill(i)
@@ -33,11 +33,11 @@
 			}
 		}
 		p.Run(p.Now() + 40*Second)
-		granted, failed = granted+p.Granted, failed+p.Failed
-		for _, b := range p.Breaches {
+		granted, failed = granted+p.Granted, failed+p.DiskFailures
+		for _, b := range p.Violations {
 			t.Errorf("seed %d: %s (SEED=%d repeats it)", seed, b, seed)
 		}
-		p.atRest(t, seed, 5)
+		p.checkConverged(t, seed, 5)
 		if t.Failed() {
 			return
 		}
@@ -51,11 +51,11 @@
 
 // burst draws troubles that cross: a keeper's disk fails, another one is cut off from some, and those that could know are killed and come
 // back. Ids are asked for at one of these meanwhile and again anywhere afterwards.
-func burst(p *Play, changes bool) {
+func burst(p *Cluster, changes bool) {
 	r, from := p.Rand, p.Now()+Second
 	keepers := r.Perm(3)
 	if changes {
-		keepers = p.keepersNow()
+		keepers = p.threeReplicas()
 		r.Shuffle(3, func(i, j int) { keepers[i], keepers[j] = keepers[j], keepers[i] })
 	}
 	failing, knows, apart := keepers[0], keepers[1], keepers[2]
@@ -67,8 +67,8 @@
 	}
 	for _, other := range []int{failing, knows} {
 		if likely() {
-			p.At(from-100*MS, func() { p.cutOff([]int{apart}, []int{other}, true) })
-			p.At(at(3*Second, 5*Second), func() { p.cutOff([]int{apart}, []int{other}, false) })
+			p.At(from-100*Millisecond, func() { p.partition([]int{apart}, []int{other}, true) })
+			p.At(at(3*Second, 5*Second), func() { p.partition([]int{apart}, []int{other}, false) })
 		}
 	}
 	for _, i := range []int{failing, knows} {
@@ -80,24 +80,24 @@
 	}
 	if changes && r.IntN(2) == 0 {
 		by, want := r.IntN(5), r.Perm(5)[:3]
-		p.At(at(0, 3*Second), func() { p.Change(by, want...) })
+		p.At(at(0, 3*Second), func() { p.RequestChange(by, want...) })
 	}
 	for k := range 12 {
 		key := fmt.Sprint("op", from, "-", k)
 		first := []int{failing, knows}[r.IntN(2)]
-		p.At(at(0, 2*Second), func() { p.Want(first, key) })
+		p.At(at(0, 2*Second), func() { p.Claim(first, key) })
 		for range 3 {
 			again := r.IntN(5)
-			p.At(at(4*Second, 10*Second), func() { p.Want(again, key) })
+			p.At(at(4*Second, 10*Second), func() { p.Claim(again, key) })
 		}
 	}
 }
 
-// keepersNow are three places: those of the keepers, as the last place knows them, and others where they are fewer.
-func (p *Play) keepersNow() []int {
+// threeReplicas are three places: those of the keepers, as the last place knows them, and others where they are fewer.
+func (p *Cluster) threeReplicas() []int {
 	var are, others []int
 	set := p.Core(4).Set()
-	for i, pl := range p.places {
+	for i, pl := range p.nodes {
 		if slices.Contains(set.New, pl.name) {
 			are = append(are, i)
 		} else {
--- a/internal/cluster/replication/simulation/figures_test.go
+++ b/internal/cluster/replication/simulation/figures_test.go
@@ -23,9 +23,9 @@
 	for _, cutOff := range []bool{false, true} {
 		for n := 10; n <= most; n *= 10 {
 			p := New(4, 3, 1)
-			p.Terms.MaxRecords, p.Terms.MaxBytes, p.Terms.Retention = 2*most+10, 1<<31, 7*24*3600*Second
+			p.Config.MaxRecords, p.Config.MaxBytes, p.Config.Retention = 2*most+10, 1<<31, 7*24*3600*Second
 			if os.Getenv("FULL") != "" {
-				p.Terms.CatchUpRate = 1 << 40
+				p.Config.CatchUpRate = 1 << 40
 			}
 			for i := range 4 {
 				p.Start(i)
@@ -37,7 +37,7 @@
 					r := replication.Record{Key: fmt.Sprintf("charge\x00%016x", kept+k), Fingerprint: 1, Outcomes: []replication.Outcome{{Claim: replication.Claim{Scheduler: "n3", Nonce: uint64(kept + k)},
 						Stage: replication.Ended, Verdict: 200, ResultRetained: true, Result: []byte("charged, and here is what the client was told of it: 0123456789")}}}
 					for _, i := range to {
-						pl := p.places[i]
+						pl := p.nodes[i]
 						pl.core.Step(p.Now(), replication.MessageReceived{From: "n3", Message: replication.Message{Kind: replication.OutcomeReported, SetID: pl.core.SetID(), Record: r}})
 					}
 				}
@@ -46,7 +46,7 @@
 			if cutOff {
 				tell(most, 0, 1, 2)
 				p.Run(p.Now() + 120*Second)
-				parted(p, true)
+				isolateReplica2(p, true)
 			} else {
 				p.Kill(2)
 			}
@@ -55,20 +55,20 @@
 			text, _ := cbor.Marshal(replication.Record{Key: fmt.Sprintf("charge\x00%016x", 1), Fingerprint: 1, Outcomes: []replication.Outcome{{Claim: replication.Claim{Scheduler: "n3", Nonce: 1 << 60},
 				Stage: replication.Ended, Verdict: 200, ResultRetained: true, Result: []byte(strings.Repeat("x", 64))}}})
 			missed = n * len(text)
-			p.Weigh = func(e replication.Send) {
+			p.OnSend = func(e replication.Send) {
 				if e.To == "n2" && (e.Kind == replication.DigestPage || e.Kind == replication.Fetched) {
 					text, _ := cbor.Marshal(e.Message)
 					bytes += len(text)
 				}
 			}
 			if cutOff {
-				parted(p, false)
+				isolateReplica2(p, false)
 			} else {
 				p.Start(2)
 			}
 			began, cpu := p.Now(), time.Now()
 			for p.Core(2).Digest() != p.Core(0).Digest() || !p.Core(2).Status().Voting {
-				p.Run(p.Now() + 10*MS)
+				p.Run(p.Now() + 10*Millisecond)
 				if p.Now()-began > 3600*Second {
 					t.Fatal("it does not catch up")
 				}
@@ -83,7 +83,7 @@
 	}
 }
 
-func parted(p *Play, on bool) { p.cutOff([]int{2}, []int{0, 1, 3}, on) }
+func isolateReplica2(p *Cluster, on bool) { p.partition([]int{2}, []int{0, 1, 3}, on) }
 
 // What a guarded op costs in messages, for the record: `OPS=2000 go test -run OpFigures -v`.
 func TestOpFigures(t *testing.T) {
@@ -98,7 +98,7 @@
 		}
 		p.Run(6 * Second)
 		messages, bytes := 0, 0
-		p.Weigh = func(e replication.Send) {
+		p.OnSend = func(e replication.Send) {
 			text, _ := cbor.Marshal(e.Message)
 			messages, bytes = messages+1, bytes+len(text)
 		}
@@ -106,7 +106,7 @@
 		p.Run(began + 10*Second)
 		calm := bytes
 		for k := range n {
-			p.At(p.Now()+Time(k*50), func() { p.Want(keepers+k%(8-keepers), fmt.Sprintf("charge\x00%016x", k)) })
+			p.At(p.Now()+Time(k*50), func() { p.Claim(keepers+k%(8-keepers), fmt.Sprintf("charge\x00%016x", k)) })
 		}
 		messages, bytes = 0, 0
 		p.Run(p.Now() + Time(n*50) + 5*Second)
--- a/internal/cluster/replication/simulation/history_test.go
+++ b/internal/cluster/replication/simulation/history_test.go
@@ -9,32 +9,32 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// fate is an op as if there were one scheduler: who has it, and whether it has ended.
-type fate struct {
+// opState is an op as if there were one scheduler: who has it, and whether it has ended.
+type opState struct {
 	holder int // 0: nobody
 	ended  bool
 }
 
-// oneScheduler is what the history of an op must look like, whatever order the schedulers were asked in.
-var oneScheduler = porcupine.Model{
-	Init: func() any { return fate{} },
+// singleScheduler is what the history of an op must look like, whatever order the schedulers were asked in.
+var singleScheduler = porcupine.Model{
+	Init: func() any { return opState{} },
 	Step: func(state, input, output any) (bool, any) {
-		s, op := state.(fate), input.(Op)
-		switch op.What {
+		s, op := state.(opState), input.(HistoryEntry)
+		switch op.Step {
 		case "released":
 			if s.holder == op.Claim && !s.ended {
-				return true, fate{}
+				return true, opState{}
 			}
 			return false, s
 		case "ended":
 			if s.holder == op.Claim && !s.ended {
-				return true, fate{op.Claim, true}
+				return true, opState{op.Claim, true}
 			}
 			return false, s
 		}
 		switch output.(replication.ClaimResult) {
 		case replication.Granted:
-			return s.holder == 0, fate{holder: op.Claim}
+			return s.holder == 0, opState{holder: op.Claim}
 		case replication.AlreadyAnswered, replication.AlreadyEnded:
 			return s.ended, s
 		}
@@ -48,7 +48,7 @@
 	for seed := uint64(1); seed <= 40; seed++ {
 		p := New(5, 3, seed)
 		r := p.Rand
-		p.Loss, p.Dup, p.Delay = 0.1, 0.05, Time(2+r.IntN(300))
+		p.Loss, p.Duplication, p.Delay = 0.1, 0.05, Time(2+r.IntN(300))
 		for i := range 5 {
 			p.Start(i)
 		}
@@ -56,28 +56,28 @@
 		begin := p.Now()
 		for k := range 250 {
 			i, key := r.IntN(5), fmt.Sprint("op", k/25, "-", r.IntN(3))
-			p.At(begin+Time(k*500+r.IntN(500)), func() { p.Want(i, key) })
+			p.At(begin+Time(k*500+r.IntN(500)), func() { p.Claim(i, key) })
 		}
 		for k := range 8 {
 			i, at := r.IntN(5), begin+Time(k*15_000+r.IntN(15_000))
 			p.At(at, func() { p.Pause(i) })
 			p.At(at+Time(r.IntN(12_000)), func() { p.Resume(i) })
 			j := r.IntN(5)
-			p.At(at, func() { p.Cut(i, j, true) })
-			p.At(at+Time(r.IntN(12_000)), func() { p.Cut(i, j, false) })
+			p.At(at, func() { p.CutLink(i, j, true) })
+			p.At(at+Time(r.IntN(12_000)), func() { p.CutLink(i, j, false) })
 		}
 		p.Run(begin + 30*Second)
 		byKey := map[string][]porcupine.Operation{}
 		for n, op := range p.History {
-			x := porcupine.Operation{ClientId: n, Input: op, Output: op.Outcome, Call: int64(op.Asked), Return: int64(op.At)}
-			if op.What != "asked" {
+			x := porcupine.Operation{ClientId: n, Input: op, Output: op.Result, Call: int64(op.RequestedAt), Return: int64(op.At)}
+			if op.Step != "asked" {
 				x.Call = x.Return
 			}
 			byKey[op.Key] = append(byKey[op.Key], x)
 		}
 		given := 0
 		for key, ops := range byKey {
-			if !porcupine.CheckOperations(oneScheduler, ops) {
+			if !porcupine.CheckOperations(singleScheduler, ops) {
 				t.Fatalf("seed %d: the history of %s is not that of one scheduler", seed, key)
 			}
 			for _, op := range ops {
@@ -95,13 +95,13 @@
 // A judge that takes every history proves nothing.
 func TestTheJudgeOfHistoriesSeesADouble(t *testing.T) {
 	mine := func(claim int, call, end int64) porcupine.Operation {
-		return porcupine.Operation{ClientId: claim, Input: Op{What: "asked", Claim: claim}, Output: replication.Granted, Call: call, Return: end}
+		return porcupine.Operation{ClientId: claim, Input: HistoryEntry{Step: "asked", Claim: claim}, Output: replication.Granted, Call: call, Return: end}
 	}
-	if porcupine.CheckOperations(oneScheduler, []porcupine.Operation{mine(1, 0, 10), mine(2, 5, 20)}) {
+	if porcupine.CheckOperations(singleScheduler, []porcupine.Operation{mine(1, 0, 10), mine(2, 5, 20)}) {
 		t.Error("an op that was given twice")
 	}
-	released := porcupine.Operation{ClientId: 3, Input: Op{What: "released", Claim: 1}, Output: replication.ClaimResult(0), Call: 12, Return: 12}
-	if !porcupine.CheckOperations(oneScheduler, []porcupine.Operation{mine(1, 0, 10), released, mine(2, 13, 20)}) {
+	released := porcupine.Operation{ClientId: 3, Input: HistoryEntry{Step: "released", Claim: 1}, Output: replication.ClaimResult(0), Call: 12, Return: 12}
+	if !porcupine.CheckOperations(singleScheduler, []porcupine.Operation{mine(1, 0, 10), released, mine(2, 13, 20)}) {
 		t.Error("an op that was given back")
 	}
 }
--- a/internal/cluster/replication/simulation/simulation_test.go
+++ b/internal/cluster/replication/simulation/simulation_test.go
@@ -9,7 +9,7 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-func cluster(n, keepers int, seed uint64) *Play {
+func cluster(n, keepers int, seed uint64) *Cluster {
 	p := New(n, keepers, seed)
 	for i := range n {
 		p.Start(i)
@@ -18,14 +18,14 @@
 	return p
 }
 
-// outcome has one scheduler ask and tells what it was told.
-func (p *Play) outcome(i int, key string) replication.ClaimResult {
+// claimResult has one scheduler ask and tells what it was told.
+func (p *Cluster) claimResult(i int, key string) replication.ClaimResult {
 	k := len(p.History)
-	p.Want(i, key)
+	p.Claim(i, key)
 	p.Run(p.Now() + Second)
 	for _, op := range p.History[k:] {
-		if op.Key == key && op.What == "asked" && op.By == p.places[i].name {
-			return op.Outcome
+		if op.Key == key && op.Step == "asked" && op.Scheduler == p.nodes[i].name {
+			return op.Result
 		}
 	}
 	return 0
@@ -53,18 +53,18 @@
 		}
 		p := New(6, keepers, seed)
 		r := p.Rand
-		p.Loss, p.Dup, p.Delay = []float64{0, 0.05, 0.2}[r.IntN(3)], 0.05, Time(2+r.IntN(200))
+		p.Loss, p.Duplication, p.Delay = []float64{0, 0.05, 0.2}[r.IntN(3)], 0.05, Time(2+r.IntN(200))
 		for i := range 6 {
 			p.At(Time(r.IntN(5000)), func() { p.Start(i) })
 		}
 		end := 25 * Second
-		for at := 3500 * MS; at < end; at += Time(r.IntN(1500)) {
+		for at := 3500 * Millisecond; at < end; at += Time(r.IntN(1500)) {
 			// An id comes again within two seconds, which is less than keepers without memory hold off.
 			i, key := r.IntN(6), fmt.Sprint("op", at/(2*Second), "-", r.IntN(3))
-			p.At(at, func() { p.Want(i, key) })
+			p.At(at, func() { p.Claim(i, key) })
 			if r.IntN(2) == 0 { // the same id at another at the same moment, or nearly so
 				j := r.IntN(6)
-				p.At(at+Time(r.IntN(30)), func() { p.Want(j, key) })
+				p.At(at+Time(r.IntN(30)), func() { p.Claim(j, key) })
 			}
 		}
 		busy := make([]Time, 6)
@@ -82,22 +82,22 @@
 				p.At(at+last, func() { p.Resume(i) })
 			case kind == 2:
 				busy[i] = at + 6*Second
-				p.At(at, func() { p.Pause(i); p.Depose(i, Time(r.IntN(30_000))) })
+				p.At(at, func() { p.Pause(i); p.Replace(i, Time(r.IntN(30_000))) })
 			default:
-				p.At(at, func() { p.Cut(i, j, true) })
-				p.At(at+last, func() { p.Cut(i, j, false) })
+				p.At(at, func() { p.CutLink(i, j, true) })
+				p.At(at+last, func() { p.CutLink(i, j, false) })
 				if kind == 4 {
-					p.At(at, func() { p.Cut(j, i, true) })
-					p.At(at+last, func() { p.Cut(j, i, false) })
+					p.At(at, func() { p.CutLink(j, i, true) })
+					p.At(at+last, func() { p.CutLink(j, i, false) })
 				}
 			}
 		}
 		p.Run(end + 12*Second)
 		granted += p.Granted
-		for _, b := range p.Breaches {
+		for _, b := range p.Violations {
 			t.Errorf("seed %d: %s (SEED=%d repeats it)", seed, b, seed)
 		}
-		p.Loss, p.Dup = 0, 0
+		p.Loss, p.Duplication = 0, 0
 		p.Run(end + 50*Second) // by then the latest of all messages has come
 		digest := ""
 		for i := range keepers {
@@ -122,7 +122,7 @@
 	}
 }
 
-func wants(t *testing.T, got, want replication.ClaimResult) {
+func requireResult(t *testing.T, got, want replication.ClaimResult) {
 	t.Helper()
 	if got != want {
 		t.Errorf("%v, not %v", got, want)
@@ -134,17 +134,17 @@
 	for seed := range uint64(200) {
 		p := cluster(6, 3, seed)
 		for i := range 3 {
-			p.Want(3+i, "x")
+			p.Claim(3+i, "x")
 		}
 		p.Run(p.Now() + 2*Second)
 		mine := 0
 		for _, op := range p.History {
-			if op.Outcome == replication.Granted {
+			if op.Result == replication.Granted {
 				mine++
 			}
 		}
-		if mine > 1 || len(p.Breaches) > 0 {
-			t.Fatalf("seed %d: %d have it, %v", seed, mine, p.Breaches)
+		if mine > 1 || len(p.Violations) > 0 {
+			t.Fatalf("seed %d: %d have it, %v", seed, mine, p.Violations)
 		}
 	}
 }
@@ -152,35 +152,35 @@
 // The claimer is killed: its claim stands, and whoever comes next is told that it may have run.
 func TestAClaimerThatIsKilled(t *testing.T) {
 	p := cluster(5, 3, 1)
-	p.Terms.Retention = 600 * Second
+	p.Config.Retention = 600 * Second
 	c := p.Core(4)
-	p.Want(4, "x")
-	p.Run(p.Now() + 20*MS)
+	p.Claim(4, "x")
+	p.Run(p.Now() + 20*Millisecond)
 	if c.Status().GrantedClaims != 1 {
 		t.Fatal("not granted")
 	}
 	p.Kill(4)
-	wants(t, p.outcome(3, "x"), replication.InProgress)
+	requireResult(t, p.claimResult(3, "x"), replication.InProgress)
 	for i := range 4 {
-		p.feed(p.places[i], p.places[i].core, replication.PeerStatus{Name: "n4", Dead: true})
+		p.step(p.nodes[i], p.nodes[i].core, replication.PeerStatus{Name: "n4", Dead: true})
 	}
-	wants(t, p.outcome(3, "x"), replication.OutcomeUnknown)
+	requireResult(t, p.claimResult(3, "x"), replication.OutcomeUnknown)
 }
 
 // Half the keepers gone: nothing is granted, and nothing is guessed.
 func TestAMajorityLostAndBack(t *testing.T) {
 	p := cluster(5, 3, 1)
 	p.Kill(0)
-	wants(t, p.outcome(4, "a"), replication.Granted)
+	requireResult(t, p.claimResult(4, "a"), replication.Granted)
 	p.Kill(1)
-	wants(t, p.outcome(4, "b"), replication.NoQuorum)
+	requireResult(t, p.claimResult(4, "b"), replication.NoQuorum)
 	p.Start(0)
 	p.Start(1)
-	p.Run(p.Now() + 500*MS)
-	wants(t, p.outcome(4, "c"), replication.NoQuorum) // two keepers without their memory: one that has it is too few
+	p.Run(p.Now() + 500*Millisecond)
+	requireResult(t, p.claimResult(4, "c"), replication.NoQuorum) // two keepers without their memory: one that has it is too few
 	p.Run(p.Now() + 5*Second)
-	wants(t, p.outcome(4, "c"), replication.Granted)
-	if got := p.outcome(3, "a"); got == replication.Granted {
+	requireResult(t, p.claimResult(4, "c"), replication.Granted)
+	if got := p.claimResult(3, "a"); got == replication.Granted {
 		t.Errorf("what was claimed before is given again")
 	}
 }
@@ -189,7 +189,7 @@
 func TestAKeeperThatForgot(t *testing.T) {
 	p := cluster(5, 3, 1)
 	for k := range 40 {
-		p.Want(4, fmt.Sprint("x", k))
+		p.Claim(4, fmt.Sprint("x", k))
 	}
 	p.Run(p.Now() + 2*Second)
 	p.Kill(2)
@@ -207,72 +207,72 @@
 func TestCatchUpIsInProportion(t *testing.T) {
 	p := cluster(5, 3, 1)
 	for k := range 2000 {
-		p.At(p.Now()+Time(k*10), func() { p.Want(4, fmt.Sprint("x", k)) })
+		p.At(p.Now()+Time(k*10), func() { p.Claim(4, fmt.Sprint("x", k)) })
 	}
 	p.Run(p.Now() + 10*Second)
 	for i := range 5 {
-		p.Cut(i, 2, true)
-		p.Cut(2, i, true)
+		p.CutLink(i, 2, true)
+		p.CutLink(2, i, true)
 	}
 	for k := range 50 {
-		p.Want(4, fmt.Sprint("y", k))
+		p.Claim(4, fmt.Sprint("y", k))
 	}
 	p.Run(p.Now() + 8*Second)
-	p.Records = 0
+	p.SentRecords = 0
 	for i := range 5 {
-		p.Cut(i, 2, false)
-		p.Cut(2, i, false)
+		p.CutLink(i, 2, false)
+		p.CutLink(2, i, false)
 	}
 	p.Run(p.Now() + 5*Second)
 	if p.Core(2).Status().Digest != p.Core(0).Status().Digest {
 		t.Error("the copies differ")
 	}
-	if p.Records > 4*50 { // from two others each, and each end is news too
-		t.Errorf("%d records were sent for 50 that were missed", p.Records)
+	if p.SentRecords > 4*50 { // from two others each, and each end is news too
+		t.Errorf("%d records were sent for 50 that were missed", p.SentRecords)
 	}
 }
 
 // Full: what is new is refused, and nothing that protects an op is dropped.
 func TestFullKeepersRefuse(t *testing.T) {
 	p := New(4, 3, 1)
-	p.Terms.MaxRecords = 10
+	p.Config.MaxRecords = 10
 	for i := range 4 {
 		p.Start(i)
 	}
 	p.Run(6 * Second)
 	for k := range 10 {
-		wants(t, p.outcome(3, fmt.Sprint("x", k)), replication.Granted)
+		requireResult(t, p.claimResult(3, fmt.Sprint("x", k)), replication.Granted)
 	}
-	wants(t, p.outcome(3, "one more"), replication.NoQuorum)
+	requireResult(t, p.claimResult(3, "one more"), replication.NoQuorum)
 	for k := range 10 {
-		p.outcome(3, fmt.Sprint("x", k))
+		p.claimResult(3, fmt.Sprint("x", k))
 	}
-	if len(p.Breaches) > 0 {
-		t.Error(p.Breaches)
+	if len(p.Violations) > 0 {
+		t.Error(p.Violations)
 	}
 }
 
 // One keeper of three in trouble, whichever and however: not one op is refused for it.
 func TestOneKeeperInTroubleRefusesNothing(t *testing.T) {
-	for what, trouble := range map[string]func(p *Play, k int){
-		"dead":          func(p *Play, k int) { p.Kill(k) },
-		"stopped":       func(p *Play, k int) { p.Pause(k) },
-		"heard by none": func(p *Play, k int) { cutAll(p, k, true, false) },
-		"hears none":    func(p *Play, k int) { cutAll(p, k, false, true) },
+	for what, trouble := range map[string]func(p *Cluster, k int){
+		"dead":          func(p *Cluster, k int) { p.Kill(k) },
+		"stopped":       func(p *Cluster, k int) { p.Pause(k) },
+		"heard by none": func(p *Cluster, k int) { isolate(p, k, true, false) },
+		"hears none":    func(p *Cluster, k int) { isolate(p, k, false, true) },
 	} {
 		for k := range 3 {
 			p := cluster(6, 3, uint64(k+1))
 			trouble(p, k)
 			before := len(p.History)
 			for n := range 200 {
-				p.At(p.Now()+Time(n*50), func() { p.Want(3+n%3, fmt.Sprint("x", n)) })
+				p.At(p.Now()+Time(n*50), func() { p.Claim(3+n%3, fmt.Sprint("x", n)) })
 			}
 			p.Run(p.Now() + 3*Second)
 			unsure, mine := 0, 0
 			for _, op := range p.History[before:] {
-				if op.What == "asked" && op.Outcome == replication.NoQuorum {
+				if op.Step == "asked" && op.Result == replication.NoQuorum {
 					unsure++
-				} else if op.Outcome == replication.Granted {
+				} else if op.Result == replication.Granted {
 					mine++
 				}
 			}
@@ -283,11 +283,11 @@
 	}
 }
 
-func cutAll(p *Play, k int, out, in bool) {
+func isolate(p *Cluster, k int, out, in bool) {
 	for i := range 6 {
 		if i != k {
-			p.Cut(k, i, out)
-			p.Cut(i, k, in)
+			p.CutLink(k, i, out)
+			p.CutLink(i, k, in)
 		}
 	}
 }
@@ -295,34 +295,34 @@
 // Catch-up that is interrupted ten times goes on from where it was: what has come once does not come again.
 func TestCatchUpThatIsInterrupted(t *testing.T) {
 	p := New(5, 3, 1)
-	p.Terms.CatchUpRate = 1 << 16
+	p.Config.CatchUpRate = 1 << 16
 	for i := range 5 {
 		p.Start(i)
 	}
 	p.Run(6 * Second)
-	cut := func(on bool) { p.cutOff([]int{2}, []int{0, 1, 3, 4}, on) }
+	cut := func(on bool) { p.partition([]int{2}, []int{0, 1, 3, 4}, on) }
 	cut(true)
 	for k := range 5000 {
-		p.At(p.Now()+Time(k*8), func() { p.Want(4, fmt.Sprint("x", k)) })
+		p.At(p.Now()+Time(k*8), func() { p.Claim(4, fmt.Sprint("x", k)) })
 	}
 	p.Run(p.Now() + 8*Second)
-	p.Records = 0
+	p.SentRecords = 0
 	for range 10 {
 		cut(false)
-		p.Run(p.Now() + 400*MS)
+		p.Run(p.Now() + 400*Millisecond)
 		if p.Core(2).Digest() == p.Core(0).Digest() {
 			t.Fatal("it caught up between two cuts: this proves nothing")
 		}
 		cut(true)
-		p.Run(p.Now() + 300*MS)
+		p.Run(p.Now() + 300*Millisecond)
 	}
 	cut(false)
 	p.Run(p.Now() + 20*Second)
 	if p.Core(2).Digest() != p.Core(0).Digest() {
 		t.Error("the copies differ")
 	}
-	if p.Records > 5000*5/4 {
-		t.Errorf("%d records were sent for 5000 that were missed", p.Records)
+	if p.SentRecords > 5000*5/4 {
+		t.Errorf("%d records were sent for 5000 that were missed", p.SentRecords)
 	}
 }
 
@@ -333,7 +333,7 @@
 	for seed := uint64(1); seed <= 60; seed++ {
 		p := New(6, 3, seed)
 		r := p.Rand
-		p.Window, p.Loss, p.Dup, p.Delay = 6*Second, []float64{0, 0.1, 0.3}[r.IntN(3)], 0.05, Time(2+r.IntN(200))
+		p.DedupWindow, p.Loss, p.Duplication, p.Delay = 6*Second, []float64{0, 0.1, 0.3}[r.IntN(3)], 0.05, Time(2+r.IntN(200))
 		for i := range 6 {
 			p.Start(i)
 		}
@@ -341,7 +341,7 @@
 		begin := p.Now()
 		for at := begin; at < begin+25*Second; at += Time(r.IntN(1500)) {
 			i, key := r.IntN(6), fmt.Sprint("d", (at-begin)/(9*Second), "-", r.IntN(4))
-			p.At(at, func() { p.Want(i, key) })
+			p.At(at, func() { p.Claim(i, key) })
 		}
 		for at := begin; at < begin+25*Second; at += 3*Second + Time(r.IntN(20_000)) {
 			i, kill, long := 3+r.IntN(3), r.IntN(2) == 0, 2*Second+Time(r.IntN(80_000))
@@ -352,19 +352,19 @@
 					p.Pause(i)
 				}
 			})
-			p.At(at+Second/2, func() { p.Hold(i, true) })
+			p.At(at+Second/2, func() { p.SetDead(i, true) })
 			p.At(at+long, func() {
 				if kill {
 					p.Start(i)
 				} else {
 					p.Resume(i)
 				}
-				p.Hold(i, false)
+				p.SetDead(i, false)
 			})
 		}
 		p.Run(begin + 45*Second)
-		bound += p.Bound
-		for _, b := range p.Breaches {
+		bound += p.BoundClaims
+		for _, b := range p.Violations {
 			t.Errorf("seed %d: %s", seed, b)
 		}
 		if t.Failed() {
