--- a/internal/cluster/replication/simulation/change_test.go
+++ b/internal/cluster/replication/simulation/change_test.go
@@ -167,7 +167,7 @@
 	p.Run(begin + 8*Second)
 	refused := 0
 	for _, op := range p.History {
-		if op.Step == "asked" && op.At >= begin && op.Result == replication.NoQuorum {
+		if op.Step == stepDecided && op.At >= begin && op.Result == replication.NoQuorum {
 			refused++
 		}
 	}
--- a/internal/cluster/replication/simulation/history_test.go
+++ b/internal/cluster/replication/simulation/history_test.go
@@ -21,12 +21,12 @@
 	Step: func(state, input, output any) (bool, any) {
 		s, op := state.(opState), input.(HistoryEntry)
 		switch op.Step {
-		case "released":
+		case stepReleased:
 			if s.holder == op.Claim && !s.ended {
 				return true, opState{}
 			}
 			return false, s
-		case "ended":
+		case stepEnded:
 			if s.holder == op.Claim && !s.ended {
 				return true, opState{op.Claim, true}
 			}
@@ -70,7 +70,7 @@
 		byKey := map[string][]porcupine.Operation{}
 		for n, op := range p.History {
 			x := porcupine.Operation{ClientId: n, Input: op, Output: op.Result, Call: int64(op.RequestedAt), Return: int64(op.At)}
-			if op.Step != "asked" {
+			if op.Step != stepDecided {
 				x.Call = x.Return
 			}
 			byKey[op.Key] = append(byKey[op.Key], x)
@@ -95,12 +95,12 @@
 // A judge that takes every history proves nothing.
 func TestTheJudgeOfHistoriesSeesADouble(t *testing.T) {
 	mine := func(claim int, call, end int64) porcupine.Operation {
-		return porcupine.Operation{ClientId: claim, Input: HistoryEntry{Step: "asked", Claim: claim}, Output: replication.Granted, Call: call, Return: end}
+		return porcupine.Operation{ClientId: claim, Input: HistoryEntry{Step: stepDecided, Claim: claim}, Output: replication.Granted, Call: call, Return: end}
 	}
 	if porcupine.CheckOperations(singleScheduler, []porcupine.Operation{mine(1, 0, 10), mine(2, 5, 20)}) {
 		t.Error("an op that was given twice")
 	}
-	released := porcupine.Operation{ClientId: 3, Input: HistoryEntry{Step: "released", Claim: 1}, Output: replication.ClaimResult(0), Call: 12, Return: 12}
+	released := porcupine.Operation{ClientId: 3, Input: HistoryEntry{Step: stepReleased, Claim: 1}, Output: replication.ClaimResult(0), Call: 12, Return: 12}
 	if !porcupine.CheckOperations(singleScheduler, []porcupine.Operation{mine(1, 0, 10), released, mine(2, 13, 20)}) {
 		t.Error("an op that was given back")
 	}
--- a/internal/cluster/replication/simulation/simulation_test.go
+++ b/internal/cluster/replication/simulation/simulation_test.go
@@ -24,7 +24,7 @@
 	p.Claim(i, key)
 	p.Run(p.Now() + Second)
 	for _, op := range p.History[k:] {
-		if op.Key == key && op.Step == "asked" && op.Scheduler == p.nodes[i].name {
+		if op.Key == key && op.Step == stepDecided && op.Scheduler == p.nodes[i].name {
 			return op.Result
 		}
 	}
@@ -270,7 +270,7 @@
 			p.Run(p.Now() + 3*Second)
 			unsure, mine := 0, 0
 			for _, op := range p.History[before:] {
-				if op.Step == "asked" && op.Result == replication.NoQuorum {
+				if op.Step == stepDecided && op.Result == replication.NoQuorum {
 					unsure++
 				} else if op.Result == replication.Granted {
 					mine++
