--- a/internal/config/bootstrap_test.go
+++ b/internal/config/bootstrap_test.go
@@ -1,104 +1,195 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 )
 
+// readText reads a configuration file with this text.
+func readText(t testing.TB, text string) (*Bootstrap, error) {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return ReadBootstrap(path)
+}
+
+// requireError checks that an error has a text within it, or that there is none where the text is empty.
+func requireError(t *testing.T, err error, want string) {
+	t.Helper()
+	if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
+		t.Errorf("error %v, want %q", err, want)
+	}
+}
+
 // A scheduler that starts on half a configuration breaks rules later instead of saying so now.
-func TestABrokenSheetIsNamed(t *testing.T) {
-	const whole = `{"listen":"a:1","discovery":"a:2","seed":"ff","settings":{"categories":[{"ttlNs":5}]}}`
-	for text, want := range map[string]string{
-		"": "unexpected end", "[]": "cannot unmarshal", `{"seed":"x"}`: "seed",
-		strings.Replace(whole, "a:1", "", 1):                           "listen: is missing",
-		strings.Replace(whole, "a:2", "", 1):                           "discovery: is missing",
-		strings.Replace(whole, "ttlNs", "ttl_us", 1):                   "settings.categories.0.ttlNs: is missing",
-		strings.Replace(whole, `{"l`, `{"limits":{"sockets":3},"l`, 1): "limits.sockets: must be at least 64, got 3",
-		whole: "",
+func TestBrokenConfigurationIsNamed(t *testing.T) {
+	const complete = `{"listen":"a:1","discovery":"a:2","seed":"ff","settings":{"categories":[{"ttlNs":5}]}}`
+	replaced := func(old, with string) string { return strings.Replace(complete, old, with, 1) }
+	for name, c := range map[string]struct{ text, want string }{
+		"complete":        {complete, ""},
+		"empty":           {"", "unexpected end"},
+		"a list":          {"[]", "cannot unmarshal"},
+		"seed":            {`{"seed":"x"}`, `seed: must be a hexadecimal number of at most 64 bits, got "x"`},
+		"no listen":       {replaced("a:1", ""), "listen: is missing"},
+		"no discovery":    {replaced("a:2", ""), "discovery: is missing"},
+		"no category":     {replaced("ttlNs", "ttl_us"), "settings.categories.0.ttlNs: is missing"},
+		"few descriptors": {replaced(`{"l`, `{"limits":{"sockets":3},"l`), "limits.sockets: must be at least 64, got 3"},
+		"little memory":   {replaced(`{"l`, `{"limits":{"memory_mb":31},"l`), "limits.memory_mb: must be at least 32, got 31"},
+		"no processor":    {replaced(`{"l`, `{"limits":{"cores":0},"l`), "limits.cores: must be above 0, got 0"},
 	} {
-		path := filepath.Join(t.TempDir(), "sheet")
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		s, err := ReadBootstrap(path)
-		if want == "" && (err != nil || s.SeedValue != 255) ||
-			want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
-			t.Errorf("%s: error %v, want %q", text, err, want)
-		}
+		t.Run(name, func(t *testing.T) {
+			s, err := readText(t, c.text)
+			requireError(t, err, c.want)
+			if c.want == "" && s.SeedValue != 255 {
+				t.Errorf("seed %d, want 255", s.SeedValue)
+			}
+		})
 	}
-	if _, err := ReadBootstrap(""); err == nil {
-		t.Error("no file, and no error")
+	if _, err := ReadBootstrap(""); !errors.Is(err, ErrNoPath) {
+		t.Errorf("no path: %v", err)
+	}
+	if _, err := ReadBootstrap(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("no file: %v", err)
 	}
 }
 
-// Where many schedulers share a fleet each meets a worker too seldom to learn its speed: without the
-// kinds of machines slow ones were given as much as fast ones. The simulator's wire has always told them
-// apart.
-func TestKindsAreToldApartUnlessSaidOtherwise(t *testing.T) {
-	for more, want := range map[string]bool{"": true, `"kinds":true,`: true, `"kinds":false,`: false} {
-		path := filepath.Join(t.TempDir(), "sheet")
-		text := `{` + more + `"listen":"a:1","discovery":"a:2","seed":"ff","settings":{"categories":[{"ttlNs":5}]}}`
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if s, err := ReadBootstrap(path); err != nil || s.Settings["kinds"] != want {
-			t.Errorf("%s: %v, %v", more, s, err)
-		}
+// All mistakes are named at once, each with its key: who mends a file does not learn of them one by one.
+func TestEachMistakeIsNamed(t *testing.T) {
+	_, err := readText(t, `{"seed":"ff","limits":{"sockets":3,"memory_mb":1}}`)
+	for _, key := range []string{"listen", "discovery", "settings.categories.0.ttlNs", "limits.sockets", "limits.memory_mb"} {
+		requireError(t, err, key+": ")
 	}
 }
 
-// Half a move is worse than none: each slip in what a new shape needs must be named before the first op.
-func TestASlipInTheShapeIsNamed(t *testing.T) {
-	sheet := func(settings, more string) (*Bootstrap, error) {
-		path := filepath.Join(t.TempDir(), "sheet")
-		text := `{"listen":"a:1","discovery":"a:2","seed":"ff",` + more + `"settings":{` + settings +
-			`"categories":[{"ttlNs":5}]}}`
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
+// Where many schedulers share a fleet each meets a worker too seldom to learn its speed: without the kinds of
+// machines slow ones were given as much as fast ones. The simulator's wire has always told them apart.
+func TestMachineKindsAreOnByDefault(t *testing.T) {
+	for option, want := range map[string]bool{"": true, `"kinds":true,`: true, `"kinds":false,`: false} {
+		text := `{` + option + `"listen":"a:1","discovery":"a:2","seed":"ff","settings":{"categories":[{"ttlNs":5}]}}`
+		if s, err := readText(t, text); err != nil || s.Settings[KeyMachineKinds] != want {
+			t.Errorf("%s: %v, %v", option, s, err)
 		}
-		return ReadBootstrap(path)
 	}
-	const all = `"instances":3,"myNumber":1,"bounds":{"peerMessages":true},`
-	for _, c := range [][3]string{
-		{"", "", ""},
-		{`"instances":3,"myNumber":3,`, "", "myNumber"},
-		{`"instances":2.5,`, "", "instances"},
-		{`"instances":1e9,`, "", "instances"},
-		{`"prices":{"connection":-1},`, "", "prices.connection"},
-		{`"prices":{"connection":"much"},`, "", "prices.connection"},
-		{`"bounds":{"peerMessages":1},`, "", "bounds.peerMessages"},
-		{"", `"keys":{"fact":"routeKey"},`, ""},
-		{"", `"keys":{"fact":""},`, "keys"},
-		{"", `"keys":{"fact":"slots"},`, "keys"},
-		{"", `"keys":{"fcat":"routeKey"},`, "fcat"},
-		{all, `"peers":{"listen":"127.0.0.1:0","others":{"0":"127.0.0.1:7"}},`, ""},
-		{"", `"peers":{"listen":"127.0.0.1:0"},`, "do not allow messages"},
-		{all, `"peers":{"listen":"here"},`, "listen"},
-		{all, `"peers":{"listen":"127.0.0.1:0","others":{"3":"127.0.0.1:7"}},`, "peers.others.3: must be the number of a scheduler below 3"},
-		{all, `"peers":{"listen":"127.0.0.1:0","others":{"2":"there"}},`, "peers.others.2: must be an IP address with a port"},
-		{"", `"watch":{"settings":{"prices":{"connection":0.05}},"keys":{"fact":"routeKey"}},`, ""},
-		{"", `"watch":{"settings":{"prices":{"connection":-5}}},`, "watch.settings.prices.connection: must be"},
-		{"", `"watch":{"keys":{"fact":"memory"}},`, "watch.keys.fact: must be"},
-		{"", `"keys":{"fact":"a"},"watch":{"keys":{"fact":"b"}},`, "already"},
+}
+
+// readDeployment reads a configuration with further settings and options.
+func readDeployment(t *testing.T, settings, options string) (*Bootstrap, error) {
+	t.Helper()
+	return readText(t, `{"listen":"a:1","discovery":"a:2","seed":"ff",`+options+
+		`"settings":{`+settings+`"categories":[{"ttlNs":5}]}}`)
+}
+
+// threeSchedulers are settings under which schedulers may report to one another.
+const threeSchedulers = `"instances":3,"myNumber":1,"bounds":{"peerMessages":true},`
+
+// An option that is half on is worse than none: each mistake must be named before the first op.
+func TestMistakesInOptionsAreNamed(t *testing.T) {
+	for name, c := range map[string]struct{ settings, options, want string }{
+		"none": {"", "", ""},
+		"number": {`"instances":3,"myNumber":3,`, "",
+			"settings.myNumber: must be below the number of schedulers, 3, got 3"},
+		"fraction of a scheduler": {`"instances":2.5,`, "",
+			"settings.instances: must be a whole number from 1 to 4096, got 2.5"},
+		"too many schedulers": {`"instances":1e9,`, "",
+			"settings.instances: must be a number from 1 to 4096, got 1e+09"},
+		"price": {`"prices":{"connection":-1},`, "",
+			"settings.prices.connection: must be a number from 0 to 1000, got -1"},
+		"price in words": {`"prices":{"connection":"much"},`, "",
+			`settings.prices.connection: must be a number from 0 to 1000, got "much"`},
+		"messages": {`"bounds":{"peerMessages":1},`, "",
+			"settings.bounds.peerMessages: must be true or false, got 1"},
+		"keys":          {"", `"keys":{"fact":"routeKey"},`, ""},
+		"empty fact":    {"", `"keys":{"fact":""},`, `keys.fact: must be a fact that names an affinity key, got ""`},
+		"reserved fact": {"", `"keys":{"fact":"slots"},`, `keys.fact: must be a fact that names an affinity key, got "slots"`},
+		"unknown key":   {"", `"keys":{"fcat":"routeKey"},`, `keys: json: unknown field "fcat"`},
+		"peers":         {threeSchedulers, `"peers":{"listen":"127.0.0.1:0","others":{"0":"127.0.0.1:7"}},`, ""},
+		"peers without messages": {"", `"peers":{"listen":"127.0.0.1:0"},`,
+			"peers: the settings do not allow messages"},
+		"listen": {threeSchedulers, `"peers":{"listen":"here"},`,
+			`peers.listen: must be an IP address with a port, got "here"`},
+		"other's number": {threeSchedulers, `"peers":{"listen":"127.0.0.1:0","others":{"3":"127.0.0.1:7"}},`,
+			"peers.others.3: must be the number of a scheduler below 3"},
+		"other's address": {threeSchedulers, `"peers":{"listen":"127.0.0.1:0","others":{"2":"there"}},`,
+			`peers.others.2: must be an IP address with a port, got "there"`},
+		"shadow": {"", `"watch":{"settings":{"prices":{"connection":0.05}},"keys":{"fact":"routeKey"}},`, ""},
+		"shadow price": {"", `"watch":{"settings":{"prices":{"connection":-5}}},`,
+			"watch.settings.prices.connection: must be a number from 0 to 1000, got -5"},
+		"shadow fact": {"", `"watch":{"keys":{"fact":"memory"}},`,
+			`watch.keys.fact: must be a fact that names an affinity key, got "memory"`},
+		"two facts": {"", `"keys":{"fact":"a"},"watch":{"keys":{"fact":"b"}},`,
+			`watch.keys.fact: must be "a", from which keys are read already, got "b"`},
 	} {
-		if _, err := sheet(c[0], c[1]); c[2] == "" && err != nil ||
-			c[2] != "" && (err == nil || !strings.Contains(err.Error(), c[2])) {
-			t.Errorf("%s %s: error %v, want %q", c[0], c[1], err, c[2])
-		}
+		t.Run(name, func(t *testing.T) {
+			_, err := readDeployment(t, c.settings, c.options)
+			requireError(t, err, c.want)
+			var mistake *ConfigError
+			if c.want != "" && !errors.As(err, &mistake) {
+				t.Errorf("%v has no key", err)
+			}
+		})
 	}
-	// Where no others are named the module would take their silence for idle workers.
-	if s, err := sheet(all, ""); err != nil || s.Settings["bounds.peerMessages"] != false || s.Settings["keys"] != false {
+}
+
+// Where no other schedulers are named, decisions would take their silence for idle workers.
+func TestOptionsAreOffByDefault(t *testing.T) {
+	s, err := readDeployment(t, threeSchedulers, "")
+	if err != nil || s.Settings[KeyPeerMessages] != false || s.Settings[KeyAffinity] != false {
 		t.Errorf("%v, %v: messages and keys are off by default", s, err)
 	}
-	named, err := sheet(all, `"peers":{"listen":"127.0.0.1:9","others":{"0":"127.0.0.1:7"}},`)
-	if err != nil || named.Peers.ListenAddr.String() != "127.0.0.1:9" || named.Peers.ByNumber[0].String() != "127.0.0.1:7" {
-		t.Errorf("%+v, %v: the addresses must be those of the file", named, err)
+}
+
+func TestPeersAreThoseOfTheFile(t *testing.T) {
+	s, err := readDeployment(t, threeSchedulers, `"peers":{"listen":"127.0.0.1:9","others":{"0":"127.0.0.1:7"}},`)
+	if err != nil {
+		t.Fatal(err)
 	}
-	s, err := sheet(all, `"watch":{"keys":{"fact":"k"},"settings":{"prices":{"connection":0.05}}},`)
-	if err != nil || s.ShadowSettings["prices.connection"] != 0.05 || s.Settings["prices.connection"] != nil ||
-		s.ShadowSettings["keys"] != true || s.Settings["keys"] != false || s.AffinityFact != "k" {
-		t.Errorf("%+v, %v: the watch's settings must stay apart", s, err)
+	if s.Peers.ListenAddr.String() != "127.0.0.1:9" || s.Peers.ByNumber[0].String() != "127.0.0.1:7" {
+		t.Errorf("%+v: the addresses must be those of the file", s.Peers)
+	}
+}
+
+// Settings of the shadow must not reach the decisions in force.
+func TestShadowSettingsStayApart(t *testing.T) {
+	s, err := readDeployment(t, threeSchedulers,
+		`"watch":{"keys":{"fact":"k"},"settings":{"prices":{"connection":0.05}}},`)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if s.ShadowSettings[KeyConnectionPrice] != 0.05 || s.Settings[KeyConnectionPrice] != nil {
+		t.Errorf("prices %v, shadow %v", s.Settings[KeyConnectionPrice], s.ShadowSettings[KeyConnectionPrice])
+	}
+	if s.ShadowSettings[KeyAffinity] != true || s.Settings[KeyAffinity] != false || s.AffinityFact != "k" {
+		t.Errorf("keys %v, shadow %v, fact %q", s.Settings[KeyAffinity], s.ShadowSettings[KeyAffinity], s.AffinityFact)
+	}
+}
+
+// Peer reports by another transport are on only where the settings allow them and no addresses are named.
+func TestAllowPeerMessages(t *testing.T) {
+	peers := `"peers":{"listen":"127.0.0.1:0","others":{"0":"127.0.0.1:7"}},`
+	for name, c := range map[string]struct {
+		settings, options string
+		want              error
+	}{
+		"allowed":     {threeSchedulers, "", nil},
+		"not allowed": {"", "", ErrPeerMessagesDisabled},
+		"addresses":   {threeSchedulers, peers, ErrPeersConfigured},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s, err := readDeployment(t, c.settings, c.options)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := s.AllowPeerMessages(); !errors.Is(err, c.want) {
+				t.Errorf("error %v, want %v", err, c.want)
+			}
+			if c.want == nil && s.Settings[KeyPeerMessages] != true {
+				t.Error("messages are not on")
+			}
+		})
 	}
 }
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -17,13 +17,7 @@
 	const whole = `{"listen":"a:1","discovery":"a:2","seed":"ff","known":{"rev":1,"targets":[]},"settings":{"bounds":` +
 		`{"maxPushes":6,"cancel":true},"zones":["a"],"categories":[{"name":"look","ttlNs":5,"effect":"dedup","windowNs":7},` +
 		`{"name":"see","ttlNs":5,"effect":"retryable"}]}}`
-	read := func(text string) (*Bootstrap, error) {
-		path := filepath.Join(t.TempDir(), "sheet")
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return ReadBootstrap(path)
-	}
+	read := func(text string) (*Bootstrap, error) { return readText(t, text) }
 	before, err := read(whole)
 	if err != nil {
 		t.Fatal(err)
