--- a/internal/frontend/bench_test.go
+++ b/internal/frontend/bench_test.go
@@ -23,8 +23,8 @@
 // segment is what IPv4, and TCP with time stamps, put before the bytes of a segment.
 const segment = 20 + 32
 
-// countingConn counts what the connections of a pool send and receive on the wire: bytes and segments, as the kernel counts them when a
-// connection is closed.
+// countingConn counts what the connections of a pool send and receive on the wire: bytes and segments, as
+// the kernel counts them when a connection is closed.
 type countingConn struct {
 	net.Conn
 	to *traffic
@@ -60,7 +60,8 @@
 
 const load = `{"pending":0,"busy_reqs":2,"x0":2,"x1":8.5}`
 
-// newBenchWorker is a worker that answers each probe with a load report and each push with two job lines, in the form of the lab's.
+// newBenchWorker is a worker that answers each probe with a load report and each push with two job lines,
+// in the form of the lab's.
 func newBenchWorker(b *testing.B) string {
 	return fragmentpeer.Serve(b, func(c *net.TCPConn) {
 		for in := bufio.NewReader(c); ; {
@@ -97,8 +98,8 @@
 	return p, to
 }
 
-// BenchmarkProbe is one probe on the wire, with all heads, both ways: over a connection of its own, as almost every one is among
-// thousands of workers, and over one that is kept.
+// BenchmarkProbe is one probe on the wire, with all heads, both ways: over a connection of its own, as
+// almost every one is among thousands of workers, and over one that is kept.
 func BenchmarkProbe(b *testing.B) {
 	addr := newBenchWorker(b)
 	for _, kept := range []bool{false, true} {
--- a/internal/frontend/client_drain_test.go
+++ b/internal/frontend/client_drain_test.go
@@ -17,7 +17,8 @@
 	"woaddyke/internal/scheduler"
 )
 
-// roundTrip sends a request on a connection, and tells the answer's status and whether it ends the connection.
+// roundTrip sends a request on a connection, and tells the answer's status and whether it ends the
+// connection.
 func roundTrip(t *testing.T, c net.Conn, request string) (status int, ends bool) {
 	t.Helper()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
@@ -30,7 +31,8 @@
 	return resp.StatusCode, resp.Close
 }
 
-// Clients of a scheduler that was told to drain went on being sent to it; they were to go without losing a job.
+// Clients of a scheduler that was told to drain went on being sent to it; they were to go without losing
+// a job.
 func TestADrainSendsClientsAwayAndTakesThemBack(t *testing.T) {
 	f, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[]}`), zerolog.Nop())
 	if err != nil {
@@ -133,8 +135,8 @@
 	}
 }
 
-// A loop that is busy for a moment just when its heir asks: what it has learned, the ids that are taken among it, is handed over all the
-// same.
+// A loop that is busy for a moment just when its heir asks: what it has learned, the ids that are taken
+// among it, is handed over all the same.
 func TestABusyLoopHandsOverWhatItHasLearned(t *testing.T) {
 	f, err := New(testBootstrap(t, `{"rev":5,"all":true,"targets":[]}`), zerolog.Nop())
 	if err != nil {
--- a/internal/frontend/descriptors_test.go
+++ b/internal/frontend/descriptors_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Whatever a process may hold, its clients, its connections to workers and what it keeps for the rest hold no more: what a crowd of
-// clients leaves must be there for the watch, for staff and for a member's streams, also in the part that an heir gets.
+// Whatever a process may hold, its clients, its connections to workers and what it keeps for the rest
+// hold no more: what a crowd of clients leaves must be there for the watch, for staff and for a member's
+// streams, also in the part that an heir gets.
 func TestDescriptorsAddUp(t *testing.T) {
 	for _, beside := range []int{0, 36} { // for the operator's file
 		for sockets := 64 + beside; sockets <= 4096; sockets++ {
--- a/internal/frontend/figures_test.go
+++ b/internal/frontend/figures_test.go
@@ -21,8 +21,9 @@
 // expectedCounts is what the driver itself knows of the requests of one category.
 type expectedCounts struct{ served, refused, failed, gone, held int }
 
-// Figures that drift from what clients saw are worse than none: a refusal that the door worded, or a client that left in the
-// middle, was in no count. At every step all that was taken is in one place, and in the right one. The seed is FIGURES_SEED.
+// Figures that drift from what clients saw are worse than none: a refusal that the door worded, or a
+// client that left in the middle, was in no count. At every step all that was taken is in one place, and
+// in the right one. The seed is FIGURES_SEED.
 func TestFiguresAddUpWhateverBecomesOfOps(t *testing.T) {
 	seed, err := strconv.ParseUint(os.Getenv("FIGURES_SEED"), 10, 64)
 	if err != nil {
@@ -47,10 +48,9 @@
 		writeDone(w, r.Header.Get(idHeader))
 	}))
 	t.Cleanup(worker.Close)
-	sheet := testBootstrap(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
-		worker.Listener.Addr()))
+	sheet := testBootstrap(t, oneWorkerList(worker.Listener.Addr().String()))
 	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 1.0, "cancel": true},
-		"categories": []any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 60e9, "targetLatencyNs": 60e9}}})
+		"categories": []any{category("look", "fragile", 60e9, 60e9)}})
 	f, err := New(sheet, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -21,12 +21,14 @@
 	"woaddyke/internal/config"
 )
 
-// startScheduler starts a scheduler with one worker, and returns its address and what stops it as SIGTERM does.
+// startScheduler starts a scheduler with one worker, and returns its address and what stops it as SIGTERM
+// does.
 func startScheduler(t *testing.T, work http.HandlerFunc) (addr string, stop func(), ended chan error) {
 	return startSchedulerBehind(t, work, func(l net.Listener) net.Listener { return l })
 }
 
-// testBootstrap is a sheet without settings, beside a stand-in discovery that tells of the workers known and then no more.
+// testBootstrap is a sheet without settings, beside a stand-in discovery that tells of the workers known
+// and then no more.
 func testBootstrap(t *testing.T, known string) *config.Bootstrap {
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintln(w, known)
@@ -41,17 +43,26 @@
 		Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 256}}
 }
 
+// oneWorkerList is discovery's complete list of one worker.
+func oneWorkerList(addr string) string {
+	return fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`, addr)
+}
+
+// category is a category as the settings have it; its times are in ns.
+func category(name, effect string, ttl, targetLatency float64) map[string]any {
+	return map[string]any{"name": name, "effect": effect, "ttlNs": ttl, "targetLatencyNs": targetLatency}
+}
+
 // startSchedulerBehind puts something before the scheduler's listener.
-func startSchedulerBehind(t *testing.T, work http.HandlerFunc, before func(net.Listener) net.Listener) (addr string, stop func(),
-	ended chan error) {
+func startSchedulerBehind(
+	t *testing.T, work http.HandlerFunc, before func(net.Listener) net.Listener,
+) (addr string, stop func(), ended chan error) {
 	worker := httptest.NewServer(work)
 	t.Cleanup(worker.Close)
-	known := fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
-		worker.Listener.Addr())
+	known := oneWorkerList(worker.Listener.Addr().String())
 	sheet := testBootstrap(t, known)
 	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "cancel": true},
-		"categories": []any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 3e8,
-			"targetLatencyNs": 2e8}}})
+		"categories": []any{category("look", "fragile", 3e8, 2e8)}})
 	f, err := New(sheet, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -182,8 +193,8 @@
 	}
 }
 
-// Clients that write in pieces were told 411, and a second request whose head came with the first one's body can't be vouched
-// for.
+// Clients that write in pieces were told 411, and a second request whose head came with the first one's
+// body can't be vouched for.
 func TestAnOpInChunksIsServed(t *testing.T) {
 	bodies := make(chan string, 9)
 	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
@@ -293,7 +304,8 @@
 	}
 }
 
-// A flood of connections that say nothing had ops of usual clients turned away, and 10 s for a head let it stay.
+// A flood of connections that say nothing had ops of usual clients turned away, and 10 s for a head let
+// it stay.
 func TestAFloodTakesItsRoomFromItself(t *testing.T) {
 	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) { writeDone(w, r.Header.Get(idHeader)) })
 	usual := http.Client{}
--- a/internal/frontend/gone_test.go
+++ b/internal/frontend/gone_test.go
@@ -17,8 +17,9 @@
 	"woaddyke/internal/scheduler"
 )
 
-// unwatchedListener are the accepted connections of a scheduler whose watches for its clients' ends never hear of one, as where the goroutines that
-// watch get no turn: what a look at the socket does not keep back is sent on.
+// unwatchedListener are the accepted connections of a scheduler whose watches for its clients' ends never
+// hear of one, as where the goroutines that watch get no turn: what a look at the socket does not keep
+// back is sent on.
 type unwatchedListener struct {
 	net.Listener
 	accepts <-chan bool // nil: at once
@@ -88,28 +89,39 @@
 	return unwatchedRaw{raw}, err
 }
 
-// unwatchedRaw is a connection that can be looked at, but that nobody hears from who waits for something to come.
+// unwatchedRaw is a connection that can be looked at, but that nobody hears from who waits for something
+// to come.
 type unwatchedRaw struct{ syscall.RawConn }
 
 func (n unwatchedRaw) Read(func(uintptr) bool) error {
 	return n.RawConn.Read(func(uintptr) bool { return false })
 }
 
-// heldClaims are fates that let an op wait until they are let grant it.
-type heldClaims struct{ asks, grant chan bool }
+// ignoredOutcomes is the part of a registry that hears of ops with a claim. It does nothing.
+type ignoredOutcomes struct{}
 
-func (g *heldClaims) Claim(context.Context, string, string, []byte, time.Duration, time.Duration) replication.ClaimDecided {
-	g.asks <- true
-	<-g.grant
+func (ignoredOutcomes) MayHaveRun(uint64, string)        {}
+func (ignoredOutcomes) Finish(uint64, bool, int, []byte) {}
+func (ignoredOutcomes) Abandon(uint64)                   {}
+
+// heldClaims is a registry that grants an op when it is let.
+type heldClaims struct {
+	ignoredOutcomes
+	asks, grant chan bool
+}
+
+func (c *heldClaims) Claim(
+	context.Context, string, string, []byte, time.Duration, time.Duration,
+) replication.ClaimDecided {
+	c.asks <- true
+	<-c.grant
 	return replication.ClaimDecided{Result: replication.Granted, RequestID: 7}
 }
-func (*heldClaims) MayHaveRun(uint64, string)        {}
-func (*heldClaims) Finish(uint64, bool, int, []byte) {}
-func (*heldClaims) Abandon(uint64)                   {}
 
-// In a process whose goroutines get their turns late, the watches among them, a client's close is known to the machine and to nobody in
-// the process. Each way in which an attempt can begin is held in its last moment, the client leaves, and the way is opened: the attempt
-// is decided on and kept back by the look at the socket alone, and that look is where the op ends.
+// In a process whose goroutines get their turns late, the watches among them, a client's close is known
+// to the machine and to nobody in the process. Each way in which an attempt can begin is held in its last
+// moment, the client leaves, and the way is opened: the attempt is decided on and kept back by the look
+// at the socket alone, and that look is where the op ends.
 func TestALookAloneKeepsBackEachAttempt(t *testing.T) {
 	const empty = "Content-Length: 0\r\n\r\n"
 	type way struct {
@@ -135,7 +147,7 @@
 	}, {
 		name: "it looks again", probes: true, category: "soon",
 		stay: 2, alone: true, // it has a second from one look to the next, and half of one for the first
-		more: []any{map[string]any{"name": "soon", "effect": "fragile", "ttlNs": 300e9, "targetLatencyNs": 4e9}},
+		more: []any{category("soon", "fragile", 300e9, 4e9)},
 		prime: func(t *testing.T, g *gatedScheduler) {
 			g.busy.Store(1)
 			g.serveOne(t, "slow", 300*time.Millisecond) // by which other probes are waited for
@@ -193,7 +205,7 @@
 	}, {
 		name: "it is granted", category: "asked",
 		hold: func(_ *testing.T, g *gatedScheduler) func() {
-			by := &heldClaims{make(chan bool, 1), make(chan bool)}
+			by := &heldClaims{asks: make(chan bool, 1), grant: make(chan bool)}
 			g.server.RequireClaims(by, func(category string) bool { return category == "asked" })
 			return func() { <-by.asks; close(by.grant) }
 		},
@@ -329,8 +341,9 @@
 	return taken, waits
 }
 
-// A thousand clients whose ops wait before a loop that is held, for one reason or another, and that leave all at once: the watches for
-// their ends are slower than the loop, which has 256 ops before it and as many again behind each that it takes.
+// A thousand clients whose ops wait before a loop that is held, for one reason or another, and that leave
+// all at once: the watches for their ends are slower than the loop, which has 256 ops before it and as
+// many again behind each that it takes.
 func TestAThousandClientsThatLeaveAtOnce(t *testing.T) {
 	const clients = 1000
 	d := &unwatchedListener{}
--- a/internal/frontend/isolation_test.go
+++ b/internal/frontend/isolation_test.go
@@ -18,8 +18,9 @@
 	"woaddyke/internal/config"
 )
 
-// Buffers, header maps and connections are used again: nothing of one client's op may be seen in another's, at the worker or in an
-// answer. Half of the clients send in chunks, some answers are refusals.
+// Buffers, header maps and connections are used again: nothing of one client's op may be seen in
+// another's, at the worker or in an answer. Half of the clients send in chunks, some answers are
+// refusals.
 func TestNothingOfOneOpIsSeenInAnothers(t *testing.T) {
 	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
@@ -75,17 +76,18 @@
 	all.Wait()
 }
 
-// Told to end before discovery has said a word, a scheduler answers by the list that it remembers, and does not wait for one.
+// Told to end before discovery has said a word, a scheduler answers by the list that it remembers, and
+// does not wait for one.
 func TestAStopBeforeTheFirstListAnswersAll(t *testing.T) {
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	t.Cleanup(silent.Close)
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { writeDone(w, r.Header.Get(idHeader)) }))
 	t.Cleanup(worker.Close)
-	known := fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`, worker.Listener.Addr())
+	known := oneWorkerList(worker.Listener.Addr().String())
 	sheet := testBootstrap(t, known)
 	sheet.Discovery = silent.Listener.Addr().String()
 	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 1.0},
-		"categories": []any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 1e9, "targetLatencyNs": 1e9}}})
+		"categories": []any{category("look", "fragile", 1e9, 1e9)}})
 	f, err := New(sheet, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/frontend/leave_test.go
+++ b/internal/frontend/leave_test.go
@@ -30,12 +30,14 @@
 	releaseRejected chan bool    // lets the worker turn away an op of the name "refused"; one of the name "slow" takes 20 ms to start
 }
 
-// newGatedScheduler starts one. Nothing is decided on an op before its worker has been let answer: probes may take a minute.
+// newGatedScheduler starts one. Nothing is decided on an op before its worker has been let answer: probes
+// may take a minute.
 func newGatedScheduler(t *testing.T, cancel, probes bool) *gatedScheduler {
 	return newGatedSchedulerBehind(t, cancel, probes, func(l net.Listener) net.Listener { return l })
 }
 
-// newGatedSchedulerBehind puts something before its listener, and may have it serve more categories. Probes may take a quarter of the least target.
+// newGatedSchedulerBehind puts something before its listener, and may have it serve more categories.
+// Probes may take a quarter of the least target.
 func newGatedSchedulerBehind(t *testing.T, cancel, probes bool, before func(net.Listener) net.Listener, more ...any) *gatedScheduler {
 	g := &gatedScheduler{probed: make(chan bool, 99), releaseProbe: make(chan bool), pushed: make(chan string, 9999), releaseRejected: make(chan bool)}
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -70,13 +72,12 @@
 		worker.CloseClientConnections() // a probe may wait still where a test has failed
 		worker.Close()
 	})
-	sheet := testBootstrap(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
-		worker.Listener.Addr()))
+	sheet := testBootstrap(t, oneWorkerList(worker.Listener.Addr().String()))
 	sheet.Settings = config.Flatten(map[string]any{
 		"bounds": map[string]any{"maxPushes": 3.0, "cancel": cancel, "probes": probes, "connectTimeoutNs": 60e9},
 		"report": map[string]any{"fields": []any{"pending", "busy_reqs"}, "how": "on_probe"},
-		"categories": append([]any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 300e9, "targetLatencyNs": 240e9},
-			map[string]any{"name": "asked", "effect": "fragile", "ttlNs": 300e9, "targetLatencyNs": 240e9}}, more...)})
+		"categories": append([]any{category("look", "fragile", 300e9, 240e9),
+			category("asked", "fragile", 300e9, 240e9)}, more...)})
 	f, err := New(sheet, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +94,8 @@
 	return g
 }
 
-// expectNothingSent lets what is held go on, and has an op of a client that stays behind it: what was to be sent on before is there by then.
+// expectNothingSent lets what is held go on, and has an op of a client that stays behind it: what was to
+// be sent on before is there by then.
 func (g *gatedScheduler) expectNothingSent(t *testing.T, step string) {
 	t.Helper()
 	go func() {
@@ -130,8 +132,9 @@
 		timeLeftHeader, framing)
 }
 
-// However a client leaves while its op waits for probes, it is seen, counted as gone, and the op is not sent on. One that had sent
-// a byte of a next request was not seen to leave: the server looks no more once it has that byte.
+// However a client leaves while its op waits for probes, it is seen, counted as gone, and the op is not
+// sent on. One that had sent a byte of a next request was not seen to leave: the server looks no more
+// once it has that byte.
 func TestNothingIsSentOnForAClientThatLeft(t *testing.T) {
 	const empty, chunked = "Content-Length: 0\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 	for name, x := range map[string]struct {
@@ -194,7 +197,8 @@
 	}
 }
 
-// An op that lay before a busy loop, with its client's leaving behind it, went to a worker at once where no probe is waited for.
+// An op that lay before a busy loop, with its client's leaving behind it, went to a worker at once where
+// no probe is waited for.
 func TestAnOpWhoseClientLeftInTheBacklogIsNotTaken(t *testing.T) {
 	g := newGatedScheduler(t, false, false)
 	busy, free := make(chan bool), make(chan bool)
@@ -214,7 +218,8 @@
 	g.expectNothingSent(t, "behind ")
 }
 
-// A client that leaves while there is no room before the loop is waited for by nobody, and its op is never taken.
+// A client that leaves while there is no room before the loop is waited for by nobody, and its op is
+// never taken.
 func TestAnOpWhoseClientLeftBeforeAFullLoopIsNotTaken(t *testing.T) {
 	g := newGatedScheduler(t, false, false)
 	busy, free := make(chan bool), make(chan bool)
@@ -238,8 +243,8 @@
 	g.expectNothingSent(t, "behind ")
 }
 
-// A push that is still dialling when its client leaves was written when the connection came up, where the settings allow no cancel:
-// to keep back what is not written withdraws nothing.
+// A push that is still dialling when its client leaves was written when the connection came up, where the
+// settings allow no cancel: to keep back what is not written withdraws nothing.
 func TestADialThatOutlastsItsClientIsNotWrittenTo(t *testing.T) {
 	for _, cancel := range []bool{false, true} {
 		t.Run(fmt.Sprint("cancel ", cancel), func(t *testing.T) {
@@ -271,25 +276,28 @@
 	}
 }
 
-// claimsAfterDisconnect are fates that let an op wait until its client has left, and are told what became of it.
+// claimsAfterDisconnect is a registry that grants an op once its client has left, and records whether
+// the op never ran.
 type claimsAfterDisconnect struct {
+	ignoredOutcomes
 	waits chan bool
-	ends  chan bool // whether it is said to be unsent
+	ends  chan bool
 }
 
-func (a *claimsAfterDisconnect) Claim(ctx context.Context, _, _ string, _ []byte, _, _ time.Duration) replication.ClaimDecided {
-	a.waits <- true
+func (c *claimsAfterDisconnect) Claim(
+	ctx context.Context, _, _ string, _ []byte, _, _ time.Duration,
+) replication.ClaimDecided {
+	c.waits <- true
 	<-ctx.Done()
 	return replication.ClaimDecided{Result: replication.Granted, RequestID: 7} // the grant that crosses it
 }
-func (a *claimsAfterDisconnect) MayHaveRun(uint64, string)                     {}
-func (a *claimsAfterDisconnect) Finish(_ uint64, unsent bool, _ int, _ []byte) { a.ends <- unsent }
-func (a *claimsAfterDisconnect) Abandon(uint64)                                {}
+
+func (c *claimsAfterDisconnect) Finish(_ uint64, neverRan bool, _ int, _ []byte) { c.ends <- neverRan }
 
 // A grant that came as the client left was spent on nobody, and its op called one that may have run.
 func TestAnOpWhoseClientLeftAtTheFatesDoorIsUnsent(t *testing.T) {
 	g := newGatedScheduler(t, false, false)
-	by := &claimsAfterDisconnect{make(chan bool, 1), make(chan bool, 1)}
+	by := &claimsAfterDisconnect{waits: make(chan bool, 1), ends: make(chan bool, 1)}
 	g.server.RequireClaims(by, func(category string) bool { return category == "asked" })
 	for k := range 12 { // the loop has room too: without the question before it, half of them are given
 		c, err := net.Dial("tcp", g.addr)
@@ -348,7 +356,8 @@
 func (brokenWriter) Write([]byte) (int, error) { return 0, net.ErrClosed }
 func (brokenWriter) WriteHeader(int)           {}
 
-// The proxy gives up by a panic where an answer can't be written, and the op stood in the figures as in flight for good.
+// The proxy gives up by a panic where an answer can't be written, and the op stood in the figures as in
+// flight for good.
 func TestAnAnswerThatCanNotBeWrittenIsCountedAsGone(t *testing.T) {
 	f, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[]}`), zerolog.Nop())
 	if err != nil {
@@ -372,8 +381,9 @@
 	}
 }
 
-// An op's answer and its client's leaving, or the loop's end, in one instant: the answer stands, and the fates are told of its result.
-// Half of such were told that the op may have run, and a repeat under its id was a dead letter.
+// An op's answer and its client's leaving, or the loop's end, in one instant: the answer stands, and the
+// registry is told of its result. Half of such were told that the op may have run, and a repeat under its
+// id was a dead letter.
 func TestAnAnswerThatCrossesTheLeavingStands(t *testing.T) {
 	for _, loopEnds := range []bool{false, true} {
 		for range 60 {
@@ -401,7 +411,7 @@
 				t.Fatalf("loop ends %v: %v, %v", loopEnds, resp, err)
 			}
 			if status := <-by.ends; status != http.StatusOK {
-				t.Fatalf("loop ends %v: the fates are told of %d", loopEnds, status)
+				t.Fatalf("loop ends %v: the registry is told of %d", loopEnds, status)
 			}
 			leave()
 		}
@@ -419,12 +429,16 @@
 	return c.Context.Done()
 }
 
-// recordedClaims are fates that grant all and are told what came of it.
-type recordedClaims struct{ ends chan int }
+// recordedClaims is a registry that grants all, and records the status of each outcome.
+type recordedClaims struct {
+	ignoredOutcomes
+	ends chan int
+}
 
-func (*recordedClaims) Claim(context.Context, string, string, []byte, time.Duration, time.Duration) replication.ClaimDecided {
+func (*recordedClaims) Claim(
+	context.Context, string, string, []byte, time.Duration, time.Duration,
+) replication.ClaimDecided {
 	return replication.ClaimDecided{Result: replication.Granted, RequestID: 7}
 }
-func (*recordedClaims) MayHaveRun(uint64, string)                       {}
-func (g *recordedClaims) Finish(_ uint64, _ bool, status int, _ []byte) { g.ends <- status }
-func (*recordedClaims) Abandon(uint64)                                  {}
+
+func (c *recordedClaims) Finish(_ uint64, _ bool, status int, _ []byte) { c.ends <- status }
--- a/internal/frontend/peer_drains_test.go
+++ b/internal/frontend/peer_drains_test.go
@@ -18,8 +18,9 @@
 func (noPeers) SendDrains(string, []drainstate.DrainRecord) {}
 func (noPeers) Now() membership.Time                        { return 1 }
 
-// A worker that a neighbour's word had bound is let go of in the instant in which the own discovery tells that it drains: the word of its
-// going back into service came to the loop behind that of its drain, and it was given new work until the next list.
+// A worker that a neighbour's word had bound is let go of in the instant in which the own discovery tells
+// that it drains: the word of its going back into service came to the loop behind that of its drain, and
+// it was given new work until the next list.
 func TestADrainIsNotOvertakenByALettingGo(t *testing.T) {
 	const heldUp = 100 * time.Millisecond
 	f, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":"127.0.0.1:9","state":"SERVING"}]}`), zerolog.Nop())
--- a/internal/frontend/peers_test.go
+++ b/internal/frontend/peers_test.go
@@ -42,7 +42,8 @@
 	return conn, conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// runScheduler starts a scheduler beside four stand-in workers with the given parts of a new shape, sends ops and stops it.
+// runScheduler starts a scheduler beside four stand-in workers with the given parts of a new shape, sends
+// ops and stops it.
 func runScheduler(t *testing.T, change func(*config.Bootstrap, map[string]any), n int) (log string) {
 	t.Helper()
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -59,7 +60,7 @@
 	known := `{"rev":1,"all":true,"targets":[` + strings.Join(targets, ",") + `]}`
 	sheet := testBootstrap(t, known)
 	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0}, "instances": 2.0, "myNumber": 0.0,
-		"categories": []any{map[string]any{"name": "look", "effect": "retryable", "ttlNs": 3e9, "targetLatencyNs": 2e9}}})
+		"categories": []any{category("look", "retryable", 3e9, 2e9)}})
 	change(sheet, sheet.Settings)
 	var out safeBuffer
 	f, err := New(sheet, zerolog.New(&out))
@@ -95,7 +96,8 @@
 	return out.String()
 }
 
-// Operators want to see what the new settings would change before they switch: the counts must come from real ops.
+// Operators want to see what the new settings would change before they switch: the counts must come from
+// real ops.
 func TestAWatchOnSocketsCountsByKind(t *testing.T) {
 	watch := func(other map[string]any) string {
 		return runScheduler(t, func(s *config.Bootstrap, site map[string]any) {
@@ -161,7 +163,8 @@
 	}
 }
 
-// An address that another process has must end the start with a plain error, not leave it waiting for its own loop.
+// An address that another process has must end the start with a plain error, not leave it waiting for its
+// own loop.
 func TestAnAddressThatIsTakenEndsTheStart(t *testing.T) {
 	_, at := listenUDP(t)
 	sheet := &config.Bootstrap{Discovery: "127.0.0.1:1", Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
--- a/internal/frontend/pieces_test.go
+++ b/internal/frontend/pieces_test.go
@@ -11,8 +11,8 @@
 	"woaddyke/internal/testsupport/fragmentpeer"
 )
 
-// Clients write as their own buffers have it, end their sending and leave. An op cut off in the middle must never go on, and
-// one in pieces is the op that it is at once.
+// Clients write as their own buffers have it, end their sending and leave. An op cut off in the middle
+// must never go on, and one in pieces is the op that it is at once.
 func TestOpsInPiecesAreTheSame(t *testing.T) {
 	seen := make(chan string, 9)
 	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/frontend/settings_test.go
+++ b/internal/frontend/settings_test.go
@@ -18,26 +18,28 @@
 	"woaddyke/internal/config"
 )
 
-// recordedWindows are fates that grant all and remember of which categories they were asked, and with which window.
-type recordedWindows struct{ of chan string }
+// recordedWindows is a registry that grants all, and records the categories and windows of the claims.
+type recordedWindows struct {
+	ignoredOutcomes
+	of chan string
+}
 
-func (a *recordedWindows) Claim(_ context.Context, category, _ string, _ []byte, _, window time.Duration) replication.ClaimDecided {
-	a.of <- fmt.Sprint(category, " ", window)
+func (r *recordedWindows) Claim(
+	_ context.Context, category, _ string, _ []byte, _, window time.Duration,
+) replication.ClaimDecided {
+	r.of <- fmt.Sprint(category, " ", window)
 	return replication.ClaimDecided{Result: replication.Granted, RequestID: 7}
 }
-func (*recordedWindows) MayHaveRun(uint64, string)        {}
-func (*recordedWindows) Finish(uint64, bool, int, []byte) {}
-func (*recordedWindows) Abandon(uint64)                   {}
 
-// An op of a category that was dropped is served by its old rules for a while, but the fates were not asked for it any more: an
-// at-most-once op could run at two schedulers.
+// An op of a category that was dropped is served by its old rules for a while, but claims were not
+// asked for it any more: an at-most-once op could run at two schedulers.
 func TestAnOpOfADroppedCategoryIsAskedForStill(t *testing.T) {
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		writeDone(w, r.Header.Get(idHeader))
 	}))
 	t.Cleanup(worker.Close)
-	stand := testBootstrap(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`, worker.Listener.Addr()))
+	stand := testBootstrap(t, oneWorkerList(worker.Listener.Addr().String()))
 	path := filepath.Join(t.TempDir(), "sheet")
 	write := func(categories string) {
 		t.Helper()
@@ -59,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	by := &recordedWindows{make(chan string, 9)}
+	by := &recordedWindows{of: make(chan string, 9)}
 	f.RequireClaims(by, func(category string) bool {
 		return f.CategoryEffect(category) == "at-most-once" || f.CategoryEffect(category) == "deduplicated"
 	})
@@ -87,7 +89,7 @@
 		}
 		for category, want := range map[string]string{"look": "", "pay": "pay 0s", "note": "note 5s"} {
 			if got := ask(category); got != want {
-				t.Errorf("step %d, an op of %s: the fates are asked for %q, not %q", step, category, got, want)
+				t.Errorf("step %d, an op of %s: claims are asked for %q, not %q", step, category, got, want)
 			}
 		}
 	}
--- a/internal/frontend/stop_test.go
+++ b/internal/frontend/stop_test.go
@@ -13,7 +13,8 @@
 	"woaddyke/internal/base/stats"
 )
 
-// stoppableScheduler is a scheduler whose worker holds the op named "held" until told, and what its clients need.
+// stoppableScheduler is a scheduler whose worker holds the op named "held" until told, and what its
+// clients need.
 type stoppableScheduler struct {
 	addr    string
 	stop    func()
@@ -54,9 +55,10 @@
 	return resp.StatusCode, resp.Close
 }
 
-// From the word to stop up to the last moment, what is written whole to a connection that the machine accepted is answered: on kept
-// connections and on new ones, at once and in pieces, with others that lie idle, begun or held at a worker just then. The standard
-// server's own end drops a request that it has read in that instant, and closes connections on which one has begun.
+// From the word to stop up to the last moment, what is written whole to a connection that the machine
+// accepted is answered: on kept connections and on new ones, at once and in pieces, with others that lie
+// idle, begun or held at a worker just then. The standard server's own end drops a request that it has
+// read in that instant, and closes connections on which one has begun.
 func TestWhatComesUpToTheLastMomentOfAStopIsAnswered(t *testing.T) {
 	s := newStoppableScheduler(t)
 	const whole = "Content-Length: 2\r\n\r\nhi"
@@ -120,7 +122,8 @@
 	}
 }
 
-// A request that has begun and whose rest comes only while its scheduler leaves is served, and its connection ends with it.
+// A request that has begun and whose rest comes only while its scheduler leaves is served, and its
+// connection ends with it.
 func TestARequestInPiecesAcrossTheEndOfAStopIsServed(t *testing.T) {
 	for _, cut := range []int{1, 40, len(opText("pieces", "Content-Length: 2\r\n\r\n")), len(opText("pieces", "Content-Length: 2\r\n\r\nh"))} {
 		t.Run(fmt.Sprint(cut), func(t *testing.T) {
@@ -134,7 +137,8 @@
 				t.Fatal(status)
 			}
 			s.stop()
-			// The idle one is closed when its scheduler leaves; a request begins before that, and ends after it.
+			// The idle one is closed when its scheduler leaves; a request begins before that, and ends
+			// after it.
 			closed := make(chan bool)
 			go func() {
 				io.Copy(io.Discard, watch)
--- a/internal/frontend/told_test.go
+++ b/internal/frontend/told_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"net"
 	"net/http"
 	"strconv"
@@ -20,8 +19,9 @@
 // toldSlack is by how much the time that a worker is told may be more than what its client has left.
 const toldSlack = 150 * time.Millisecond
 
-// A worker is told how long its answer is waited for, at most what the client has left when the request is written: it was what was left
-// when the push was decided on, before the connection came up, or before the worker's machine took the first byte.
+// A worker is told how long its answer is waited for, at most what the client has left when the request
+// is written: it was what was left when the push was decided on, before the connection came up, or before
+// the worker's machine took the first byte.
 func TestAWorkerIsToldWhatIsLeftWhenItIsWrittenTo(t *testing.T) {
 	const left, holdUp = 3 * time.Second, 600 * time.Millisecond
 	for name, connect := range map[string]func(context.Context, string, string) (net.Conn, error){
@@ -40,14 +40,13 @@
 		t.Run(name, func(t *testing.T) {
 			came := make(chan [2]time.Duration, 1) // after the client's sending, and what it was told
 			var sent time.Time
-			sheet := testBootstrap(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
-				newWorker(t, func(w http.ResponseWriter, r *http.Request) {
-					ms, _ := strconv.Atoi(r.Header.Get(timeLeftHeader))
-					came <- [2]time.Duration{time.Since(sent), time.Duration(ms) * time.Millisecond}
-					writeDone(w, r.Header.Get(idHeader))
-				})))
+			sheet := testBootstrap(t, oneWorkerList(newWorker(t, func(w http.ResponseWriter, r *http.Request) {
+				ms, _ := strconv.Atoi(r.Header.Get(timeLeftHeader))
+				came <- [2]time.Duration{time.Since(sent), time.Duration(ms) * time.Millisecond}
+				writeDone(w, r.Header.Get(idHeader))
+			})))
 			sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "connectTimeoutNs": 2e9},
-				"categories": []any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 5e9, "targetLatencyNs": 4e9}}})
+				"categories": []any{category("look", "fragile", 5e9, 4e9)}})
 			f, err := New(sheet, zerolog.Nop())
 			if err != nil {
 				t.Fatal(err)
@@ -79,7 +78,8 @@
 	return l.Addr().String()
 }
 
-// fullSocketConn is a connection whose socket takes nothing until a moment: the one that is written to until then is full.
+// fullSocketConn is a connection whose socket takes nothing until a moment: the one that is written to
+// until then is full.
 type fullSocketConn struct {
 	*net.TCPConn
 	until time.Time
@@ -125,19 +125,19 @@
 	}
 }
 
-// A push that was decided on long before its first byte is decided on anew: what was told of its worker meanwhile may lie unread, as in a
-// process that stood. The dial is bounded by itself; a socket that takes nothing is not.
+// A push that was decided on long before its first byte is decided on anew: what was told of its worker
+// meanwhile may lie unread, as in a process that stood. The dial is bounded by itself; a socket that
+// takes nothing is not.
 func TestAPushThatHasBecomeOldIsDecidedOnAnew(t *testing.T) {
 	const holdUp = 1500 * time.Millisecond
 	var dials, pushes atomic.Int32
 	decided := &lineCount{of: `"message":"push"`}
-	sheet := testBootstrap(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
-		newWorker(t, func(w http.ResponseWriter, r *http.Request) {
-			pushes.Add(1)
-			writeDone(w, r.Header.Get(idHeader))
-		})))
+	sheet := testBootstrap(t, oneWorkerList(newWorker(t, func(w http.ResponseWriter, r *http.Request) {
+		pushes.Add(1)
+		writeDone(w, r.Header.Get(idHeader))
+	})))
 	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "connectTimeoutNs": 2e8},
-		"categories": []any{map[string]any{"name": "look", "effect": "fragile", "ttlNs": 9e9, "targetLatencyNs": 8e9}}})
+		"categories": []any{category("look", "fragile", 9e9, 8e9)}})
 	f, err := New(sheet, zerolog.New(decided))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/frontend/unread_test.go
+++ b/internal/frontend/unread_test.go
@@ -36,8 +36,9 @@
 	}
 }
 
-// A request that comes behind another waits here for the answer to that one, and its client counts meanwhile. It was dated by the newest
-// bytes that came on its connection, so that a third request behind it, or a part of one, made it young again.
+// A request that comes behind another waits here for the answer to that one, and its client counts
+// meanwhile. It was dated by the newest bytes that came on its connection, so that a third request behind
+// it, or a part of one, made it young again.
 func TestARequestBehindAnotherCountsItsTimeFromWhenItCame(t *testing.T) {
 	const held = 500 * time.Millisecond
 	for name, apart := range map[string]time.Duration{"in one write": 0, "soon after": 50 * time.Millisecond} {
--- a/internal/lifecycle/clientdrain/clientdrain_test.go
+++ b/internal/lifecycle/clientdrain/clientdrain_test.go
@@ -9,8 +9,8 @@
 
 func at(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
 
-// Connections closed before the front has noticed come back by the same front; those closed at one moment come to the others
-// in one burst; those kept for long hold clients that were to go.
+// Connections closed before the front has noticed come back by the same front; those closed at one moment
+// come to the others in one burst; those kept for long hold clients that were to go.
 func TestConnectionsThatWaitAreClosedBitByBit(t *testing.T) {
 	var d State
 	d.Start(began)
--- a/internal/observe/metrics/metrics_test.go
+++ b/internal/observe/metrics/metrics_test.go
@@ -56,8 +56,9 @@
 	}
 }
 
-// Over a day of changes names came and went until there was no room, and new categories had no figures. Those that are served always
-// have, the ones that were dropped first make room, and no op is lost from the sums.
+// Over a day of changes names came and went until there was no room, and new categories had no figures.
+// Those that are served always have, the ones that were dropped first make room, and no op is lost from
+// the sums.
 func TestDroppedCategoriesMakeRoomAndNoOpIsLost(t *testing.T) {
 	const entries, changes = 560, 5000
 	name := func(i int) string { return fmt.Sprint("c", i) }
