--- a/internal/frontend/leave_test.go
+++ b/internal/frontend/leave_test.go
@@ -339,15 +339,15 @@
 // immediateScheduler stands in for the loop: it answers each op while that is submitted.
 type immediateScheduler struct {
 	answer func(scheduler.Submit)
-	ended  chan struct{}
+	done   chan struct{}
 }
 
 func (a immediateScheduler) Submit(_ context.Context, op scheduler.Submit) error {
 	a.answer(op)
 	return nil
 }
-func (a immediateScheduler) Send(reducer.Input)     {}
-func (a immediateScheduler) Ended() <-chan struct{} { return a.ended }
+func (a immediateScheduler) Send(reducer.Input)    {}
+func (a immediateScheduler) Done() <-chan struct{} { return a.done }
 
 // brokenWriter is a client's connection that breaks under the answer.
 type brokenWriter struct{}
--- a/internal/frontend/op_transport.go
+++ b/internal/frontend/op_transport.go
@@ -26,7 +26,7 @@
 type opScheduler interface {
 	Submit(ctx context.Context, op scheduler.Submit) error
 	Send(event reducer.Input)
-	Ended() <-chan struct{}
+	Done() <-chan struct{}
 }
 
 // opTransport is the reverse proxy's transport: it submits the op of a request to the scheduler, and
@@ -84,7 +84,7 @@
 		return t.finalResponse(r, op, answer), nil
 	case <-r.Context().Done():
 		t.loop.Send(reducer.ClientDisconnected{Op: op.Op})
-	case <-t.loop.Ended():
+	case <-t.loop.Done():
 	}
 	select {
 	case answer := <-op.reply:
@@ -95,7 +95,7 @@
 	if err := r.Context().Err(); err != nil {
 		return nil, err
 	}
-	return nil, scheduler.ErrEnded
+	return nil, scheduler.ErrStopped
 }
 
 // finalResponse is the answer to an op as it goes to its client.
--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -30,7 +30,7 @@
 }
 
 func newPeerMessages(loop *scheduler.Loop, log zerolog.Logger) *peerMessages {
-	return &peerMessages{loop: loop, changes: spillqueue.New(loop.Inbox(), loop.Ended()), log: log}
+	return &peerMessages{loop: loop, changes: spillqueue.New(loop.Inbox(), loop.Done()), log: log}
 }
 
 // open starts the transport where the configuration has addresses of peers.
--- a/internal/frontend/serve.go
+++ b/internal/frontend/serve.go
@@ -66,7 +66,7 @@
 	}
 	return func() {
 		cancel()
-		<-s.loop.Ended()
+		<-s.loop.Done()
 	}
 }
 
@@ -94,7 +94,7 @@
 // announceReady closes the ready channel once discovery has sent a list, or after firstListTimeout.
 func (s *Server) announceReady() {
 	select {
-	case <-s.loop.Listed():
+	case <-s.loop.EndpointsReady():
 	case <-time.After(firstListTimeout):
 	}
 	close(s.lifecycle.ready)
--- a/internal/scheduler/loop.go
+++ b/internal/scheduler/loop.go
@@ -19,7 +19,7 @@
 
 // Run works until the context ends.
 func (l *Loop) Run(ctx context.Context) {
-	defer close(l.ended)
+	defer close(l.done)
 	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	divergence := time.NewTicker(divergenceInterval)
@@ -117,7 +117,7 @@
 		l.checks.workers.update(in, now)
 		if !in.Cached && !l.listReceived {
 			l.listReceived = true
-			close(l.listed)
+			close(l.endpointsReady)
 		}
 	}
 }
@@ -190,7 +190,7 @@
 // attemptRequest returns the bytes of an attempt just before its first write, or nil for a decision that
 // is too old by then: reports and lists that came since may not have been read.
 func (l *Loop) attemptRequest(decidedAt time.Time, p *pendingOp, worker string, left time.Duration) []byte {
-	if time.Since(decidedAt) > l.opts.ConnectTimeout+dispatchSlack {
+	if time.Since(decidedAt) > l.opts.ConnectTimeout+maxDispatchDelay {
 		return nil
 	}
 	l.checks.sending(p, worker, left)
--- a/internal/scheduler/loop_test.go
+++ b/internal/scheduler/loop_test.go
@@ -119,7 +119,7 @@
 	addr, attempts := servingWorker(t)
 	l := newLoop(t, addr)
 	go l.Run(t.Context())
-	receive(t, "listed", l.Listed())
+	receive(t, "listed", l.EndpointsReady())
 	client := &stubClient{}
 	op, reply := submission(l, 1, client)
 	if err := l.Submit(t.Context(), op); err != nil {
@@ -184,7 +184,7 @@
 	}{
 		"the client has left":      {newLoop(t, "127.0.0.1:9"), disconnected, context.Canceled},
 		"the client leaves":        {full, leaves, context.DeadlineExceeded},
-		"the loop has ended, full": {ended, t.Context(), ErrEnded},
+		"the loop has ended, full": {ended, t.Context(), ErrStopped},
 	} {
 		op, _ := submission(c.loop, 1, &stubClient{})
 		if err := c.loop.Submit(c.client, op); !errors.Is(err, c.want) {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -29,14 +29,14 @@
 	// after that.
 	learnedTimeout = 2 * time.Second
 
-	// dispatchSlack is added to the connect timeout for the time from a decision to the first byte of its
+	// maxDispatchDelay is added to the connect timeout for the time from a decision to the first byte of its
 	// attempt: the process may be held up and come late to a connection that is up.
-	dispatchSlack = 300 * time.Millisecond
+	maxDispatchDelay = 300 * time.Millisecond
 )
 
 var (
-	// ErrEnded says that the loop takes nothing more.
-	ErrEnded = errors.New("the scheduler has ended")
+	// ErrStopped says that the loop takes nothing more.
+	ErrStopped = errors.New("the scheduler has ended")
 
 	// ErrBusy says that the loop did not answer a query in time.
 	ErrBusy = errors.New("the scheduler's loop is busy")
@@ -125,11 +125,11 @@
 // Loop feeds the reducer and carries out its effects. Run's goroutine alone uses the fields of the second
 // group.
 type Loop struct {
-	opts      Options
-	inbox     chan Message
-	ended     chan struct{} // closed once Run takes nothing more
-	listed    chan struct{} // closed with the first endpoint list that is not cached
-	unapplied atomic.Int64  // endpoint lists sent and not applied
+	opts           Options
+	inbox          chan Message
+	done           chan struct{} // closed once Run takes nothing more
+	endpointsReady chan struct{} // closed with the first endpoint list that is not cached
+	unapplied      atomic.Int64  // endpoint lists sent and not applied
 
 	submitted    uint64
 	listReceived bool // listed is closed
@@ -142,14 +142,14 @@
 // New returns a loop that Run starts. Messages may be sent before that, up to the size of the inbox.
 func New(o Options) *Loop {
 	return &Loop{
-		opts:     o,
-		inbox:    make(chan Message, inboxSize),
-		ended:    make(chan struct{}),
-		listed:   make(chan struct{}),
-		pending:  map[uint64]*pendingOp{},
-		inFlight: map[uint64]*workerconn.Exchange{},
-		timer:    time.NewTimer(0),
-		checks:   newChecks(o.Checker, o.Policy, o.DrainGrace),
+		opts:           o,
+		inbox:          make(chan Message, inboxSize),
+		done:           make(chan struct{}),
+		endpointsReady: make(chan struct{}),
+		pending:        map[uint64]*pendingOp{},
+		inFlight:       map[uint64]*workerconn.Exchange{},
+		timer:          time.NewTimer(0),
+		checks:         newChecks(o.Checker, o.Policy, o.DrainGrace),
 	}
 }
 
@@ -160,7 +160,7 @@
 	}
 	select {
 	case l.inbox <- Input{event}:
-	case <-l.ended:
+	case <-l.done:
 	}
 }
 
@@ -175,19 +175,19 @@
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-l.ended:
-		return ErrEnded
+	case <-l.done:
+		return ErrStopped
 	}
 }
 
 // Inbox is for senders that must not wait. Endpoint lists and ops go by Send and Submit.
 func (l *Loop) Inbox() chan<- Message { return l.inbox }
 
-// Ended is closed once the loop takes nothing more.
-func (l *Loop) Ended() <-chan struct{} { return l.ended }
+// Done is closed once the loop takes nothing more.
+func (l *Loop) Done() <-chan struct{} { return l.done }
 
-// Listed is closed once discovery has sent an endpoint list.
-func (l *Loop) Listed() <-chan struct{} { return l.listed }
+// EndpointsReady is closed once discovery has sent an endpoint list.
+func (l *Loop) EndpointsReady() <-chan struct{} { return l.endpointsReady }
 
 // HasUnappliedLists tells whether an endpoint list has been sent that the reducer hasn't got yet.
 func (l *Loop) HasUnappliedLists() bool { return l.unapplied.Load() > 0 }
