--- a/dispatch/choice.go
+++ b/dispatch/choice.go
@@ -25,8 +25,7 @@
 func (d *Dispatcher) chooseWorker(o *op) int {
 	var eligible []int
 	for k, i := range o.probes.pair {
-		w := &d.fleet.workers[i]
-		if o.probes.answered[k] && d.mayPush(o, i) && (!d.warmingUp(w) || w.lastReading() != nil && d.hasCapacity(o, i)) {
+		if o.probes.answered[k] && d.mayPush(o, i) && d.safeWhileWarmingUp(o, i) {
 			eligible = append(eligible, i)
 		}
 	}
@@ -39,11 +38,17 @@
 	return d.chooseOfTwo(o, eligible[0], eligible[1])
 }
 
+// safeWhileWarmingUp tells whether a worker has its full capacity, or its last report shows capacity for the op.
+func (d *Dispatcher) safeWhileWarmingUp(o *op, i int) bool {
+	w := &d.fleet.workers[i]
+	return !d.warmingUp(w) || w.lastReading() != nil && d.hasCapacity(o, i)
+}
+
 // chooseUnprobed draws among all ready workers, without those that are warming up. Where probes are not
 // allowed one of these is asked once, or twice as in a pair where all are warming up.
 func (d *Dispatcher) chooseUnprobed(o *op) int {
 	from := d.candidates(o)
-	warm := slices.DeleteFunc(slices.Clone(from), func(i int) bool { return d.warmingUp(&d.fleet.workers[i]) })
+	warm := d.withoutWarmingUp(slices.Clone(from))
 	if n := len(from); n > 0 && !d.settings.Probes {
 		draws := 1 + stats.Bit(len(warm) == 0)
 		if i := from[d.random.IntN(n)]; !d.excludedBySlowStart(o, &d.fleet.workers[i], n*draws) {
@@ -56,6 +61,11 @@
 	return nobody
 }
 
+// withoutWarmingUp removes the workers that are warming up.
+func (d *Dispatcher) withoutWarmingUp(from []int) []int {
+	return slices.DeleteFunc(from, func(i int) bool { return d.warmingUp(&d.fleet.workers[i]) })
+}
+
 // chooseOfTwo compares the two workers of a pair.
 func (d *Dispatcher) chooseOfTwo(o *op, x, y int) int {
 	pick := func(second bool) int { return [2]int{x, y}[stats.Bit(second)] }
--- a/dispatch/op.go
+++ b/dispatch/op.go
@@ -59,15 +59,18 @@
 // discardPair lets the next pair be drawn.
 func (o *op) discardPair() { o.probes.pair, o.probes.answered, o.probes.sent = nil, nil, 0 }
 
-// firstLook tells whether the op has been probed for in vain or attempted yet.
+// firstLook tells whether the op has neither been probed for in vain nor attempted.
 func (o *op) firstLook() bool { return o.attempts+o.probes.rounds == 0 }
 
 // opTable holds the ops that are not forgotten.
 type opTable struct {
-	byIndex          []*op
-	pending          []*op                                      // without an attempt in flight, in order of arrival
-	inFlight         [awaitedEvents]*deadlines.Queue[*op, Time] // by what is awaited of the attempt
-	overdue          []*op                                      // of this round, in order of arrival
+	byIndex []*op
+	pending []*op // without an attempt in flight, in order of arrival
+
+	// inFlight are the attempts in flight, by what is awaited of them.
+	inFlight [awaitedEvents]*deadlines.Queue[*op, Time]
+
+	overdue          []*op // of this round, in order of arrival
 	overdueCollected bool
 	nextNumber       int // from which Next goes on in this round
 	admitted         int // ops so far
--- a/dispatch/probing.go
+++ b/dispatch/probing.go
@@ -107,7 +107,7 @@
 		if d.excludedBySlowStart(o, &d.fleet.workers[i], n) {
 			// Another one that is warming up, in its place, would be probed more than its probability
 			// says.
-			from = slices.DeleteFunc(from, func(j int) bool { return d.warmingUp(&d.fleet.workers[j]) })
+			from = d.withoutWarmingUp(from)
 			continue
 		}
 		pair = append(pair, i)
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -22,12 +22,14 @@
 
 // CategoryRules is what the settings say of a category.
 type CategoryRules struct {
-	Name                               string // may be empty, for a category that ops name by its place
-	Effect                             Effect
-	DedupScope                         DedupScope
-	TTL, LatencyObjective, DedupWindow Time
-	Stretch                            float64 // the factor of its service time by which an op may take longer
-	Benefit                            float64 // of an op, or of its work where Settings.BenefitPerWork is set
+	Name             string // may be empty, for a category that ops name by its place
+	Effect           Effect
+	DedupScope       DedupScope
+	DedupWindow      Time
+	TTL              Time
+	LatencyObjective Time
+	Stretch          float64 // the objective grows with the service time, by this factor less 1
+	Benefit          float64 // of an op, or of its work where Settings.BenefitPerWork is set
 }
 
 // Settings is what a dispatcher is told of its deployment.
--- a/internal/cluster/peerload/peerload.go
+++ b/internal/cluster/peerload/peerload.go
@@ -1,4 +1,4 @@
-// Package peerload keeps what others last said of something: one number each, with the time of its saying.
+// Package peerload holds the last reports of others about something: one number each, with its time.
 package peerload
 
 import "slices"
@@ -8,29 +8,30 @@
 	at            M
 }
 
-// Reports are the last words of others, in order of their numbers.
+// Reports are the last reports of others, in order of the senders' numbers.
 type Reports[M ~int64] []report[M]
 
-// Set is another's word, in place of its last.
-func (w *Reports[M]) Set(by, n int, now M) {
-	k, found := slices.BinarySearchFunc(*w, by, func(x report[M], by int) int { return x.sender - by })
+// Set takes a sender's report, in place of its last.
+func (r *Reports[M]) Set(sender, value int, now M) {
+	bySender := func(x report[M], sender int) int { return x.sender - sender }
+	k, found := slices.BinarySearchFunc(*r, sender, bySender)
 	if !found {
-		*w = slices.Insert(*w, k, report[M]{})
+		*r = slices.Insert(*r, k, report[M]{})
 	}
-	(*w)[k] = report[M]{by, n, now}
+	(*r)[k] = report[M]{sender, value, now}
 }
 
-// Remove forgets another's word.
-func (w *Reports[M]) Remove(by int) {
-	*w = slices.DeleteFunc(*w, func(x report[M]) bool { return x.sender == by })
+// Remove deletes a sender's report.
+func (r *Reports[M]) Remove(sender int) {
+	*r = slices.DeleteFunc(*r, func(x report[M]) bool { return x.sender == sender })
 }
 
-// Sum is of the words younger than old: one who has fallen silent says nothing about now.
-func (w Reports[M]) Sum(now, old M) (n int) {
-	for _, x := range w {
-		if now-x.at < old {
-			n += x.value
+// Sum is that of the reports younger than maxAge: a sender that has fallen silent says nothing about now.
+func (r Reports[M]) Sum(now, maxAge M) (sum int) {
+	for _, x := range r {
+		if now-x.at < maxAge {
+			sum += x.value
 		}
 	}
-	return n
+	return sum
 }
--- a/internal/scheduler/reducer/decisions.go
+++ b/internal/scheduler/reducer/decisions.go
@@ -44,12 +44,14 @@
 	return nil
 }
 
+// push starts an attempt.
 func (r *Reducer) push(now dispatch.Time, next dispatch.Decision) Effect {
 	o, w := &r.ops[next.Op], &r.workers[next.Worker]
 	o.worker, o.sentAt, o.inFlight = next.Worker, now, true
 	attempt := o.attempts
 	o.attempts++
-	return Push{Op: o.number, Attempt: attempt, Worker: w.name, Addr: w.addr, Timeout: next.Duration, Group: w.group}
+	return Push{Op: o.number, Attempt: attempt, Worker: w.name, Addr: w.addr, Group: w.group,
+		Timeout: next.Duration}
 }
 
 // respond is the answer to an op that was given up; nil where it has its answer, or its client has gone.
--- a/internal/scheduler/reducer/endpoints.go
+++ b/internal/scheduler/reducer/endpoints.go
@@ -39,7 +39,8 @@
 	r.forgetWorkers()
 	for i := range r.ops {
 		if o := &r.ops[i]; o.inFlight && !r.workers[o.worker].ready {
-			todo = append(todo, CancelAttempt{Op: o.number, OnlyIfUnsent: true, Ending: outcome.CancelledUnsent})
+			cancel := CancelAttempt{Op: o.number, OnlyIfUnsent: true, Ending: outcome.CancelledUnsent}
+			todo = append(todo, cancel)
 		}
 	}
 	return todo
