--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -18,7 +18,7 @@
 	for i := range held {
 		now++
 		d.AdvanceClock(now)
-		d.AddOp(i, OpSpec{Category: 0, TTL: now + 1<<40, Slots: 1})
+		d.AddOp(i, OpSpec{TTL: now + 1<<40, Slots: 1})
 		pull(d)
 		d.AttemptProgress(i, 0, true, 0)
 	}
@@ -65,7 +65,7 @@
 					now++
 				}
 				d.AdvanceClock(now)
-				d.AddOp(held, OpSpec{Category: 0, TTL: now + 1<<40, Slots: 1})
+				d.AddOp(held, OpSpec{TTL: now + 1<<40, Slots: 1})
 				pull(d)
 				d.AdvanceClock(now)
 				d.AttemptEnded(held, 0, Succeeded, true)
@@ -83,7 +83,7 @@
 	for i := range held {
 		now++
 		d.AdvanceClock(now)
-		d.AddOp(i, OpSpec{Category: 0, TTL: now + 1<<40, Slots: 1})
+		d.AddOp(i, OpSpec{TTL: now + 1<<40, Slots: 1})
 		served(d, i, now, false)
 	}
 	return d, now
@@ -188,7 +188,7 @@
 				}
 				d.EndUpdate()
 				for i := range held {
-					d.AddOp(i, OpSpec{Category: 0, TTL: now + 1<<40, Slots: 1})
+					d.AddOp(i, OpSpec{TTL: now + 1<<40, Slots: 1})
 				}
 				pull(d)
 				b.ReportAllocs()
--- a/dispatch/learned_test.go
+++ b/dispatch/learned_test.go
@@ -17,7 +17,7 @@
 		identify(d, i, uint64(i+1), 0)
 	}
 	for i := range 80 {
-		d.AddOp(i, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
+		d.AddOp(i, OpSpec{TTL: d.now + 50_000, Slots: 1})
 		decisions(d)
 		d.AdvanceClock(d.now + d.probeTimeout())
 		d.ProbeAnswered(0, 3, jobs(float64(i%3)))
@@ -94,6 +94,6 @@
 		len(d.samples.startSamples) > 0 || d.estimator.observed[0] != 0 || d.estimator.idleAfter[1] > d.estimator.observed[1] || d.halvedAt > d.now {
 		t.Errorf("%+v, taus %v, %d trips, %d starts, a %v, b %v", w, d.estimator.startDelays, len(d.samples.probeRTTs), len(d.samples.startSamples), d.estimator.observed, d.estimator.idleAfter)
 	}
-	d.AddOp(0, OpSpec{Category: 0, TTL: d.now + 50_000, Slots: 1})
+	d.AddOp(0, OpSpec{TTL: d.now + 50_000, Slots: 1})
 	decisions(d) // it must not panic on any of it
 }
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -328,7 +328,7 @@
 			}
 			d := all[s]
 			d.AdvanceClock(now)
-			d.AddOp(0, OpSpec{Category: 0, TTL: now + 50_000, Slots: 1})
+			d.AddOp(0, OpSpec{TTL: now + 50_000, Slots: 1})
 			for _, a := range decisions(d) {
 				if a.Kind == Probe {
 					d.ProbeAnswered(a.Worker, 0, jobs(2*float64(stats.Bit(a.Worker > 0)))) // the cold one reads idle
--- a/dispatch/slow_start_test.go
+++ b/dispatch/slow_start_test.go
@@ -219,7 +219,7 @@
 	}
 	s.ops[i] = &coldOp{tries: tries}
 	s.d.AdvanceClock(p.now)
-	s.d.AddOp(i, OpSpec{Category: 0, TTL: p.now + 50_000, Slots: 1})
+	s.d.AddOp(i, OpSpec{TTL: p.now + 50_000, Slots: 1})
 	p.pull(s)
 }
 
