--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -60,7 +60,7 @@
 	return 1 + int((maxProbeRounds-1)*d.relativeWeight(o))
 }
 
-// shed tells whether an op is to be given up unprobed: while capacity is short, with a probability that
+// shed reports whether an op is to be given up unprobed: while capacity is short, with a probability that
 // falls with its priority weight.
 func (d *Dispatcher) shed(o *op) bool {
 	return o.firstLook() && o.probes.notBefore == 0 && d.currentDigest().capacityShort &&
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -2,8 +2,6 @@
 
 import (
 	"slices"
-
-	"woaddyke/internal/base/stats"
 )
 
 // What the progress and the end of an attempt prove.
@@ -41,13 +39,13 @@
 	}
 }
 
-// attemptStarted learns from a start. It speaks for the way to the worker's zone; of the worker it says
-// little, which may fail all that it starts.
+// attemptStarted learns from a start. It is a good verdict on the way to the worker's zone, but none on
+// the worker, which may fail all that it starts.
 func (d *Dispatcher) attemptStarted(o *op) {
 	a, w := &o.last, &d.fleet.workers[o.last.worker]
 	a.startedAt = d.now
 	if a.reportedIdle {
-		d.samples.startSamples = stats.AppendRecent(d.samples.startSamples, startSample{d.now, d.now - a.sentAt})
+		d.samples.addStart(startSample{d.now, d.now - a.sentAt})
 	}
 	d.addStartDelay(d.now - o.probes.sentAt)
 	d.fleet.zones[w.zone].Add(d.now, true)
--- a/dispatch/categories.go
+++ b/dispatch/categories.go
@@ -20,10 +20,10 @@
 	openOps           int  // that are not forgotten
 }
 
-// acceptsOps tells whether there may be new ops of it.
+// acceptsOps reports whether there may be new ops of it.
 func (c *category) acceptsOps() bool { return c.inForce || c.retained }
 
-// free tells whether nothing refers to its place.
+// free reports whether nothing refers to its place.
 func (c *category) free() bool { return !c.acceptsOps() && c.openOps == 0 }
 
 // setServiceTimes takes over service times, and works out what decisions read of them.
@@ -185,7 +185,7 @@
 	}
 }
 
-// hasRules tells whether a place has these rules and is not taken by a category of the new settings yet.
+// hasRules reports whether a place has these rules and is not taken by a category of the new settings yet.
 func (t *categoryTable) hasRules(place int, rules *CategoryRules) bool {
 	return !t.all[place].inForce && t.all[place].CategoryRules == *rules
 }
--- a/dispatch/choice.go
+++ b/dispatch/choice.go
@@ -13,14 +13,14 @@
 	finishNoiseRatio = 1.3
 	// reportLag is how old an attempt may be that a load report does not show yet.
 	reportLag = second / 10
-	// nobody is the index of no worker.
-	nobody = -1
+	// noWorker is the index of none.
+	noWorker = -1
 	// unknownThreshold makes no worker Low.
 	unknownThreshold = -1
 )
 
 // chooseWorker places the op as the design does: Low before High, a random one of two Low, else the one
-// with fewer jobs; the one that answered, if one did; else a random ready one. It returns nobody where
+// with fewer jobs; the one that answered, if one did; else a random ready one. It returns noWorker where
 // there is none.
 func (d *Dispatcher) chooseWorker(o *op) int {
 	var eligible []int
@@ -38,7 +38,8 @@
 	return d.chooseOfTwo(o, eligible[0], eligible[1])
 }
 
-// safeWhileWarmingUp tells whether a worker has its full capacity, or its last report shows capacity for the op.
+// safeWhileWarmingUp reports whether a worker has its full capacity, or its last report shows capacity for
+// the op.
 func (d *Dispatcher) safeWhileWarmingUp(o *op, i int) bool {
 	w := &d.fleet.workers[i]
 	return !d.warmingUp(w) || w.lastReading() != nil && d.hasCapacity(o, i)
@@ -58,7 +59,7 @@
 	if len(warm) > 0 {
 		return warm[d.random.IntN(len(warm))]
 	}
-	return nobody
+	return noWorker
 }
 
 // withoutWarmingUp removes the workers that are warming up.
@@ -98,7 +99,7 @@
 	return d.predictWait(o, i) + Time(d.fleet.serviceTimeRatio(i)*float64(d.expectedServiceTime(o)))
 }
 
-// hasCapacity tells whether the op would start at once. It guards against Low workers on which a wide op
+// hasCapacity reports whether the op would start at once. It guards against Low workers on which a wide op
 // must wait for slots while others wait behind it.
 func (d *Dispatcher) hasCapacity(o *op, i int) bool {
 	if jobs, slots, ok := d.peerTally(i); ok {
@@ -110,7 +111,7 @@
 	}
 	pushed := d.pushedSince(i, r.sentAt)
 	if len(pushed) == 0 && r.load.RunningJobs >= 0 && r.load.RunningJobs < 0.5 {
-		return true // free slots are reported with noise; a worker without jobs has all of them
+		return true // reported free slots are noisy; a worker without jobs has all of them
 	}
 	slots, memory := r.load.FreeSlots, r.load.FreeMemory
 	for _, p := range pushed {
@@ -133,7 +134,7 @@
 	return pushed
 }
 
-// inOwnZone tells whether a worker is reached without a crossing that is paid for.
+// inOwnZone reports whether a worker is reached without a crossing that is paid for.
 func (d *Dispatcher) inOwnZone(i int) bool {
 	return d.settings.CrossZonePrice == 0 || d.fleet.workers[i].zone == d.settings.Zone
 }
--- a/dispatch/decide.go
+++ b/dispatch/decide.go
@@ -7,7 +7,7 @@
 // margin is kept before the TTL for the final answer: a timeout and the answer to it take a step each.
 func (d *Dispatcher) margin() Time { return 2*d.settings.Step + 1 }
 
-// deadlinePassed tells whether an op's TTL leaves time for the answer only.
+// deadlinePassed reports whether an op's TTL leaves time for the answer only.
 func (d *Dispatcher) deadlinePassed(o *op) bool { return d.now >= o.ttl-d.margin() }
 
 // decide returns what is due for one op, without its index.
@@ -39,7 +39,7 @@
 	return d.placeOp(o)
 }
 
-// awaitsProbes tells whether a probe of the op is still worth waiting for.
+// awaitsProbes reports whether the op still waits for a probe.
 func (d *Dispatcher) awaitsProbes(o *op) bool {
 	p := &o.probes
 	return p.sent > 0 && slices.Contains(p.answered, false) && d.now < p.sentAt+d.probeTimeout()
@@ -104,7 +104,7 @@
 	chosen := d.withShadow(ShadowedPlacement, func() []int { return []int{d.chooseWorker(o)} })[0]
 	spare, wait := d.spareTime(o), Time(0)
 	excess := max(spare, 1)
-	if chosen != nobody {
+	if chosen != noWorker {
 		wait = d.predictWait(o, chosen)
 		excess = wait - d.patience(o)
 	}
@@ -167,7 +167,7 @@
 // nextDeadlineOf is the next moment at which something may be decided for a pending op. A wait for probes
 // must not outlast the TTL.
 func (d *Dispatcher) nextDeadlineOf(o *op) Time {
-	const retryInterval = second / 20 // while there is nobody to probe
+	const retryInterval = second / 20 // while there is no worker to probe
 	probing := o.probes.sentAt + d.probeTimeout()
 	if o.probes.pair == nil {
 		probing = max(o.probes.notBefore, d.now+retryInterval)
--- a/dispatch/inputs.go
+++ b/dispatch/inputs.go
@@ -46,18 +46,18 @@
 	InvalidRequest  // the worker says that the op itself is at fault
 )
 
-// heardFromWorker tells whether an outcome shows that the worker said something.
+// heardFromWorker reports whether an outcome shows that the worker said something.
 func (o Outcome) heardFromWorker() bool {
 	return o != TimedOut && o != Cancelled && o != NotSent && o != LocalExhaustion
 }
 
-// neverRan tells whether an outcome proves that the worker did not run the attempt. Succeeded is no
+// neverRan reports whether an outcome proves that the worker did not run the attempt. Succeeded is no
 // question.
 func (o Outcome) neverRan() bool {
 	return o == Rejected || o == NotSent || o == Unreachable || o == LocalExhaustion
 }
 
-// workerAtFault tells whether an outcome counts against the worker.
+// workerAtFault reports whether an outcome counts against the worker.
 func (o Outcome) workerAtFault() bool {
 	return o == Failed || o == TimedOut || o == ConnectionLost || o == Unreachable
 }
--- a/dispatch/learned.go
+++ b/dispatch/learned.go
@@ -145,7 +145,7 @@
 	for _, sample := range l.StartSamples {
 		at, delay := sample[0], sample[1]
 		if at > 0 && at <= now && usableSpan(delay) {
-			s.startSamples = stats.AppendRecent(s.startSamples, startSample{at, delay})
+			s.addStart(startSample{at, delay})
 		}
 	}
 }
--- a/dispatch/local_exhaustion.go
+++ b/dispatch/local_exhaustion.go
@@ -13,7 +13,7 @@
 
 // refundAttempt takes back an attempt that this machine lacked the means for.
 func (d *Dispatcher) refundAttempt(o *op) {
-	o.maxAttempts++ // the one that was counted reached nobody
+	o.maxAttempts++ // the one that was counted reached no worker
 	o.backOff(d.now)
 }
 
@@ -25,7 +25,7 @@
 }
 
 // dropProbed takes a worker out of an op's pair whose probe has no answer: waiting on would only hold the
-// op. Of a pair of which nobody could be probed another one is drawn.
+// op. Of a pair of which no worker could be probed another one is drawn.
 func (d *Dispatcher) dropProbed(o *op, k int, how Outcome) {
 	p := &o.probes
 	p.pair = slices.Delete(p.pair, k, k+1)
--- a/dispatch/op.go
+++ b/dispatch/op.go
@@ -14,7 +14,7 @@
 	maxAttempts     int // as of its arrival
 	attempts        int
 	ttl, work       Time
-	arrivedAt       Time // when the client first asked, as far as can be told
+	arrivedAt       Time // when the client first asked, as far as its TTL shows it
 	slots, memory   float64
 	affinityKey     uint64
 	probes          opProbes
@@ -59,7 +59,7 @@
 // discardPair lets the next pair be drawn.
 func (o *op) discardPair() { o.probes.pair, o.probes.answered, o.probes.sent = nil, nil, 0 }
 
-// firstLook tells whether the op has neither been probed for in vain nor attempted.
+// firstLook reports whether the op has neither been probed for in vain nor attempted.
 func (o *op) firstLook() bool { return o.attempts+o.probes.rounds == 0 }
 
 // opTable holds the ops that are not forgotten.
--- a/dispatch/probing.go
+++ b/dispatch/probing.go
@@ -148,7 +148,7 @@
 	return min(2*d.currentDigest().probeRTT+d.settings.Step, d.categories.minObjective/2)
 }
 
-// queueTooLong tells whether a worker was read too lately for its queue to be short enough for the op by
+// queueTooLong reports whether a worker was read too lately for its queue to be short enough for the op by
 // now.
 func (d *Dispatcher) queueTooLong(o *op, i int) bool {
 	if _, _, ok := d.peerTally(i); ok {
--- a/dispatch/retries.go
+++ b/dispatch/retries.go
@@ -19,8 +19,8 @@
 	return w.group == o.run.group // no two zones share a group
 }
 
-// mayAttempt tells whether a further attempt is allowed at all; a dial must not outlast the window. An op
-// that two workers call invalid is: each of its attempts would count against a sound worker.
+// mayAttempt reports whether a further attempt is allowed at all; a dial must not outlast the window. An
+// op that two workers call invalid is: each of its attempts would count against a sound worker.
 func (d *Dispatcher) mayAttempt(o *op) bool {
 	c := &d.categories.all[o.category]
 	if o.attempts >= o.maxAttempts || len(o.calledInvalidBy) > 1 {
@@ -36,7 +36,7 @@
 	return c.Effect == Deduplicated && d.now+d.settings.DialTimeout < firstSentAt+c.DedupWindow
 }
 
-// retryIsHarmless tells whether a nack keeps its promise.
+// retryIsHarmless reports whether a nack keeps its promise.
 func (d *Dispatcher) retryIsHarmless(o *op) bool {
 	c := &d.categories.all[o.category]
 	if !o.run.possible || c.Effect == Idempotent {
--- a/dispatch/samples.go
+++ b/dispatch/samples.go
@@ -17,6 +17,10 @@
 	queue        queueTotals   // of all workers' queue samples
 }
 
+func (s *loadSamples) addStart(sample startSample) {
+	s.startSamples = stats.AppendRecent(s.startSamples, sample)
+}
+
 // startSample is when a job started, and how long after its push.
 type startSample struct{ at, delay Time }
 
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -32,7 +32,7 @@
 	Benefit          float64 // of an op, or of its work where Settings.BenefitPerWork is set
 }
 
-// Settings is what a dispatcher is told of its deployment.
+// Settings are the parameters of a deployment that decisions rest on.
 type Settings struct {
 	Categories         []CategoryRules
 	MaxAttempts        int  // of an op
@@ -63,5 +63,5 @@
 	OverloadWindow  Time    // over which what it is sent is summed up
 }
 
-// exchangesPeerReports tells whether schedulers report their attempts in flight to each other.
+// exchangesPeerReports reports whether schedulers report their attempts in flight to each other.
 func (s *Settings) exchangesPeerReports() bool { return s.PeerMessages && s.ConnectionPrice > 0 }
--- a/dispatch/shadow.go
+++ b/dispatch/shadow.go
@@ -23,7 +23,7 @@
 	divergence [shadowedDecisions]int
 }
 
-// exchangesPeerReports tells whether schedulers would report to each other under the shadow settings.
+// exchangesPeerReports reports whether schedulers would report to each other under the shadow settings.
 func (s *shadow) exchangesPeerReports() bool {
 	return s.settings != nil && s.settings.exchangesPeerReports()
 }
--- a/dispatch/slow_start.go
+++ b/dispatch/slow_start.go
@@ -12,7 +12,7 @@
 const (
 	// demandHeadroom is by how much arrivals may grow before it shows in the ratio of ops that succeed.
 	demandHeadroom = 1.5
-	// maxCountedOps bounds the ops in the demand's ratio, so that it tells of now.
+	// maxCountedOps bounds the ops in the demand's ratio, so that it follows the present demand.
 	maxCountedOps = 2 * stats.MaxRecent
 )
 
@@ -29,7 +29,7 @@
 
 func (c *demandCounts) addSucceeded() { c.succeeded++ }
 
-// warmingUp tells whether a worker's process has started too lately to have its full capacity.
+// warmingUp reports whether a worker's process has started too lately to have its full capacity.
 func (d *Dispatcher) warmingUp(w *worker) bool {
 	return w.startedAt > 0 && d.now < w.startedAt+d.settings.SlowStart.WarmAfter
 }
@@ -82,8 +82,8 @@
 // hundreds of them, most of which are quiet, and new workers would lie idle. But all ops ask a worker for
 // twice what a fleet at full load can do there, whichever scheduler has them: a probability for each op
 // keeps their sum to the part of the budget that leaves room for chance, and for demandHeadroom; to all
-// of it where reports prove accurate, as most ops that probe are then told of no capacity. Later pairs of
-// an op, more ops than the fleet can do, and fewer workers to draw from, ask more.
+// of it where reports prove accurate, as most ops that probe then find no capacity reported. Later pairs
+// of an op, more ops than the fleet can do, and fewer workers to draw from, ask more.
 func (d *Dispatcher) admissionProbability(o *op, w *worker, from int) float64 {
 	accurate := min(4*d.currentDigest().reportAccuracy-2.8, 1) // 1 from 19 starts in 20 on, none below 14
 	part := max(meanWithinBudget(d.slowStartBudget(o, w))/(demandHeadroom*d.demand()), accurate)
--- a/dispatch/threshold.go
+++ b/dispatch/threshold.go
@@ -49,8 +49,9 @@
 }
 
 // threshold is T: the state at which the partition of the readings has the least conditional entropy
-// H(X|Y = l). The paper leaves T open where no cut tells much. A cut is no threshold if the states right
-// of it mostly lead to idleness too: a quiet fleet would have T = 0, and idle workers would be High.
+// H(X|Y = l). The paper leaves T open where all cuts have nearly the same entropy. A cut is no threshold
+// if the states right of it mostly lead to idleness too: a quiet fleet would have T = 0, and idle workers
+// would be High.
 func (e *thresholdEstimator) threshold() (t int) {
 	var all, allIdle float64 // A(L) + A(R), B(L) + B(R)
 	for l := range e.observed {
--- a/dispatch/timeouts.go
+++ b/dispatch/timeouts.go
@@ -22,7 +22,7 @@
 	return awaitingProgress
 }
 
-// unacknowledged tells of an attempt whose worker has not acknowledged it, where workers do.
+// unacknowledged reports whether the worker has not acknowledged an attempt, where workers do.
 func (d *Dispatcher) unacknowledged(o *op) bool {
 	return d.workersAcknowledge && o.last.heardAt == o.last.sentAt
 }
@@ -59,7 +59,7 @@
 	return 3 * interval
 }
 
-// startsAreKnown tells whether workers report starts, and enough of them were seen.
+// startsAreKnown reports whether workers report starts, and enough of them were seen.
 func (d *Dispatcher) startsAreKnown() bool {
 	return d.settings.ReportsStarts && len(d.samples.startSamples) >= minStartSamples
 }
--- a/internal/base/sprt/sprt.go
+++ b/internal/base/sprt/sprt.go
@@ -42,16 +42,16 @@
 // Verdicts returns the most recent ones, the newest last.
 func (t *Test[M]) Verdicts() []Verdict[M] { return t.verdicts }
 
-// Failed tells whether any verdict was bad.
+// Failed reports whether any verdict was bad.
 func (t *Test[M]) Failed() bool { return t.lastFailureAt > 0 }
 
-// Suspected tells whether the verdicts speak for p1.
+// Suspected reports whether the verdicts are more likely under p1.
 func (t *Test[M]) Suspected(now M) bool {
 	suspected, _ := t.changePoint(now)
 	return suspected
 }
 
-// changePoint tells whether the verdicts speak for p1, and from which one on they do.
+// changePoint reports whether the verdicts are more likely under p1, and from which one on they are.
 func (t *Test[M]) changePoint(now M) (suspected bool, from int) {
 	if !t.Failed() || now-t.lastFailureAt > t.maxAge {
 		return false, 0
--- a/internal/scheduler/reducer/categories.go
+++ b/internal/scheduler/reducer/categories.go
@@ -23,7 +23,7 @@
 	retainUntil dispatch.Time
 }
 
-// retained tells whether ops of the category are still admitted.
+// retained reports whether ops of the category are still admitted.
 func (c droppedCategory) retained(now dispatch.Time) bool {
 	return c.place != noPlace && now <= c.retainUntil
 }
--- a/internal/scheduler/reducer/endpoints.go
+++ b/internal/scheduler/reducer/endpoints.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxMachineKinds bounds the kinds told apart; the dispatcher keeps samples of each.
+	// maxMachineKinds bounds the kinds that are distinguished; the dispatcher keeps samples of each.
 	maxMachineKinds = 256
 	// minForgettableWorkers is the number of known workers up to which those that have left are not
 	// looked for.
@@ -64,7 +64,7 @@
 	})
 }
 
-// machineKind is the number of a kind of machine. Kinds that are not told apart are learned together.
+// machineKind is the number of a kind of machine. Kinds that are not distinguished share their samples.
 func (r *Reducer) machineKind(name string) int {
 	_, known := r.kinds[name]
 	if !r.distinguishesKinds || !known && len(r.kinds) >= maxMachineKinds {
--- a/internal/scheduler/reducer/op_ids.go
+++ b/internal/scheduler/reducer/op_ids.go
@@ -33,7 +33,7 @@
 
 func newIDRegistry() idRegistry { return idRegistry{byID: map[string]reservedID{}} }
 
-// isReserved tells whether another op has the ID.
+// isReserved reports whether another op has the ID.
 func (x *idRegistry) isReserved(now dispatch.Time, id string) bool {
 	t, known := x.byID[id]
 	return known && (t.expiresAt == 0 || now <= t.expiresAt)
--- a/internal/scheduler/reducer/reducer.go
+++ b/internal/scheduler/reducer/reducer.go
@@ -15,7 +15,7 @@
 	report             config.ReportFormat
 	reportsInline      bool // load reports come with the ends of attempts
 	cancelsAttempts    bool
-	distinguishesKinds bool // kinds of machines are told apart
+	distinguishesKinds bool // of machines; else all share their samples
 
 	categories        map[string]int // the dispatcher's place of each
 	droppedCategories map[string]droppedCategory
