--- a/dispatch/probing.go
+++ b/dispatch/probing.go
@@ -107,7 +107,7 @@
 		if d.excludedBySlowStart(o, &d.fleet.workers[i], n) {
 			// Another one that is warming up, in its place, would be probed more than its probability
 			// says.
-			from = slices.DeleteFunc(from, func(j int) bool { return d.warmingUp(&d.fleet.workers[j]) })
+			from = d.withoutWarmingUp(from)
 			continue
 		}
 		pair = append(pair, i)
@@ -148,7 +148,7 @@
 	return min(2*d.currentDigest().probeRTT+d.settings.Step, d.categories.minObjective/2)
 }
 
-// queueTooLong tells whether a worker was read too lately for its queue to be short enough for the op by
+// queueTooLong reports whether a worker was read too lately for its queue to be short enough for the op by
 // now.
 func (d *Dispatcher) queueTooLong(o *op, i int) bool {
 	if _, _, ok := d.peerTally(i); ok {
