--- a/internal/cluster/replica/effects.go
+++ b/internal/cluster/replica/effects.go
@@ -1,6 +1,8 @@
 package replica
 
 import (
+	"github.com/rs/zerolog"
+
 	"woaddyke/internal/cluster/replicaset"
 	"woaddyke/internal/cluster/replication"
 )
@@ -33,7 +35,8 @@
 				followUps = append(followUps, replication.OpEnded{RequestID: e.RequestID, NeverRan: true})
 			}
 		case replication.Event:
-			r.log.Info().Str("what", e.Description).Str("of", e.Subject).Msg("copies")
+			line := r.logEvent(e.Warning).Str("event", e.Description).Str("subject", e.Subject)
+			line.Msg("replication event")
 		}
 	}
 	for _, in := range followUps {
@@ -96,8 +99,17 @@
 				result <- e
 			}
 		case replicaset.Event:
-			r.log.Info().Str("what", e.Description).Str("of", e.Subject).Msg("keepers")
+			line := r.logEvent(e.Warning).Str("event", e.Description).Str("subject", e.Subject)
+			line.Msg("replica set event")
 		}
 	}
 	return true
 }
+
+// logEvent begins a log line for an event.
+func (r *Replica) logEvent(warning bool) *zerolog.Event {
+	if warning {
+		return r.log.Warn()
+	}
+	return r.log.Info()
+}
--- a/internal/cluster/replica/membership.go
+++ b/internal/cluster/replica/membership.go
@@ -65,7 +65,7 @@
 // Resumed says that the successor has ended and this process goes on.
 func (r *Replica) Resumed() {
 	if err := r.reopenStorage(); err != nil {
-		r.log.Error().Err(err).Msg("goes on without the place where copies last")
+		r.log.Error().Err(err).Msg("reopening the replication store failed")
 	}
 	r.Serving(r.identity.resume())
 }
--- a/internal/cluster/replica/storage.go
+++ b/internal/cluster/replica/storage.go
@@ -108,9 +108,9 @@
 	}
 	r.log.Info().
 		Int("records", len(contents.Records)).
-		Bool("whole", contents.Complete).
+		Bool("complete", contents.Complete).
 		Str("path", r.config.Path).
-		Msg("copies kept on a disk")
+		Msg("replication store opened")
 	return nil
 }
 
@@ -181,7 +181,7 @@
 		err = r.writeCursors(effects)
 	}
 	if err != nil {
-		r.log.Error().Err(err).Msg("copies could not be kept on the disk")
+		r.log.Error().Err(err).Msg("persisting records failed")
 	}
 	return err == nil
 }
@@ -240,7 +240,7 @@
 	if err == nil {
 		return true
 	}
-	r.log.Error().Err(err).Msg("the agreement could not be kept on the disk")
+	r.log.Error().Err(err).Msg("persisting the replica set state failed")
 	r.replicaSet.Step(r.transport.Now(), replicaset.PersistFailed{})
 	r.core.Step(r.transport.Now(), replication.PersistFailed{})
 	return false
--- a/internal/cluster/replicaset/changes.go
+++ b/internal/cluster/replicaset/changes.go
@@ -133,7 +133,10 @@
 			c.emit(ChangeResult{id, err == nil, retryable, text})
 		}
 	}
-	c.emit(Event{"change of keepers: " + text, strings.Join(change.replicas, ", ")})
+	c.emit(Event{
+		Description: "replica set change: " + text,
+		Subject:     strings.Join(change.replicas, ", "),
+	})
 }
 
 // handleChangeRequested begins a change that another member forwarded, or answers why not.
--- a/internal/cluster/replicaset/core.go
+++ b/internal/cluster/replicaset/core.go
@@ -135,7 +135,7 @@
 	case ReplicasReady:
 		c.changes.readyEpoch = in.Epoch
 	case PersistFailed:
-		c.fail("its state does not last")
+		c.fail("state is not durable")
 	case StateReloaded:
 		return c.handleStateReloaded(in.State)
 	}
@@ -208,7 +208,7 @@
 func (c *Core) fail(reason string) {
 	c.failed = true
 	c.raft.node = nil
-	c.emit(Event{"takes no part in changes of keepers any more", reason})
+	c.emit(Event{Description: LeftGroup, Subject: reason, Warning: true})
 }
 
 func (c *Core) useSet(s Set) {
--- a/internal/cluster/replicaset/core_test.go
+++ b/internal/cluster/replicaset/core_test.go
@@ -92,7 +92,7 @@
 	for _, e := range c.Step(now, MessageReceived{"b", Message{Kind: RaftMessage, GroupID: founding, VoterID: 9,
 		RaftMessage: round(raftpb.Message{Type: raftpb.MsgHeartbeat, To: 5, From: 9, Term: 99, Commit: 99})}}) {
 		n, ok := e.(Event)
-		said = said || ok && n.Description == "takes no part in changes of keepers any more"
+		said = said || ok && n.Description == LeftGroup
 	}
 	if !said || c.Status() != "none any more" {
 		t.Errorf("said %v, part %s", said, c.Status())
--- a/internal/cluster/replicaset/effects.go
+++ b/internal/cluster/replicaset/effects.go
@@ -24,7 +24,14 @@
 }
 
 // Event is logged for operators.
-type Event struct{ Description, Subject string }
+type Event struct {
+	Description string
+	Subject     string
+	Warning     bool // operators should act on it
+}
+
+// LeftGroup is the description of the event that this process takes no part in the raft group any more.
+const LeftGroup = "takes no part in the raft group any more"
 
 func (Persist) effect()      {}
 func (Send) effect()         {}
--- a/internal/cluster/replicaset/group_creation.go
+++ b/internal/cluster/replicaset/group_creation.go
@@ -50,7 +50,7 @@
 		return nil
 	}
 	groupID := c.random.Uint64() | 1
-	c.emit(Event{"changes of keepers are founded", strings.Join(c.config.Replicas, ", ")})
+	c.emit(Event{Description: "raft group created", Subject: strings.Join(c.config.Replicas, ", ")})
 	if err := c.joinGroup(groupID, voters); err != nil {
 		return err
 	}
--- a/internal/cluster/replicaset/replacement.go
+++ b/internal/cluster/replicaset/replacement.go
@@ -51,7 +51,7 @@
 func (c *Core) replace(replica, spare string) {
 	replicas := slices.Clone(c.set.New)
 	replicas[slices.Index(replicas, replica)] = spare
-	c.emit(Event{"a keeper is gone for long, and a spare takes its place", replica + ", " + spare})
+	c.emit(Event{Description: "dead replica is replaced by a spare", Subject: replica + ", " + spare})
 	c.changes.lastChange = c.now
 	c.beginChange(&activeChange{replicas: replicas, voterIDs: map[string]uint64{}}, c.set.Epoch)
 }
--- a/internal/cluster/replication/durability.go
+++ b/internal/cluster/replication/durability.go
@@ -42,7 +42,7 @@
 			delete(claim.answers, c.config.Name)
 		}
 	}
-	c.emit(Event{"has no vote: its records do not last", ""})
+	c.emit(Event{Description: "no vote: records are not durable", Warning: true})
 }
 
 // handleStateReloaded goes on with a durable store after a time without one, and persists what came to be
--- a/internal/cluster/replication/effects.go
+++ b/internal/cluster/replication/effects.go
@@ -53,7 +53,11 @@
 }
 
 // Event is logged for operators.
-type Event struct{ Description, Subject string }
+type Event struct {
+	Description string
+	Subject     string
+	Warning     bool // operators should act on it
+}
 
 // Persist writes a record, before any message after it is sent.
 type Persist struct{ Record }
--- a/internal/cluster/replication/records.go
+++ b/internal/cluster/replication/records.go
@@ -61,7 +61,7 @@
 	}
 	if r.protects() && x.protects() {
 		c.count("breach: two requests under one id")
-		c.emit(Event{"two requests under one id", x.Key})
+		c.emit(Event{Description: "two requests under one id", Subject: x.Key, Warning: true})
 	}
 	r.Fingerprint = max(r.Fingerprint, x.Fingerprint)
 }
@@ -82,7 +82,7 @@
 		changed = changed || updated
 		if conflict {
 			c.count("breach: words that can't both be true")
-			c.emit(Event{"words that can't both be true", r.Key})
+			c.emit(Event{Description: "conflicting outcomes of one claim", Subject: r.Key, Warning: true})
 		}
 	}
 	return changed
--- a/internal/cluster/replication/registration.go
+++ b/internal/cluster/replication/registration.go
@@ -83,7 +83,7 @@
 	c.resetPeers()
 	if c.active.isReplica {
 		c.registration.voters[c.config.Name] = incarnation
-		c.emit(Event{"has no vote until it has caught up", ""})
+		c.emit(Event{Description: "no vote until caught up"})
 	}
 }
 
@@ -131,7 +131,10 @@
 func (c *Core) discardPersistedIncarnation() {
 	c.durability.persistedIncarnation = Incarnation{}
 	c.catchUp.restartAll()
-	c.emit(Event{"its records are older than they say: it catches up as one without memory", ""})
+	c.emit(Event{
+		Description: "stored records are outdated: catching up as if without memory",
+		Warning:     true,
+	})
 	c.persistIncarnation(Incarnation{})
 }
 
@@ -186,7 +189,7 @@
 	}
 	c.registration.voting = true
 	c.persistIncarnation(c.registration.incarnation)
-	c.emit(Event{"votes", ""})
+	c.emit(Event{Description: "votes"})
 	c.updateReadiness(p)
 }
 
@@ -196,7 +199,7 @@
 	c.registration.voting, c.registration.votingSinceAdoption = true, true
 	c.durability.persistedIncarnation = Incarnation{}
 	c.persistIncarnation(c.registration.incarnation)
-	c.emit(Event{"votes", "its own records"})
+	c.emit(Event{Description: "votes", Subject: "on its stored records"})
 }
 
 // holdOffElapsed tells whether this incarnation has been known to enough replicas for AmnesiaHoldOff.
@@ -218,7 +221,7 @@
 	}
 	if !r.ready && caughtUp >= replicaset.ReadQuorum(len(p.part)) {
 		r.ready = true
-		c.emit(Event{"knows what the keepers before knew", ""})
+		c.emit(Event{Description: "ready: knows what the previous replicas knew"})
 	}
 	newPart := c.active.set.New
 	if replicaset.Count(newPart, c.replicaReady) >= replicaset.Majority(len(newPart)) {
--- a/internal/cluster/replication/replica_set.go
+++ b/internal/cluster/replication/replica_set.go
@@ -134,7 +134,10 @@
 	c.updateVoteForSet(wasReplica)
 	c.updatePeersForSet()
 	c.emit(SetAdopted{s})
-	c.emit(Event{"keepers: " + strings.Join(s.New, ", "), strings.Join(s.Old, ", ")})
+	c.emit(Event{
+		Description: "replica set in force: " + strings.Join(s.New, ", "),
+		Subject:     strings.Join(s.Old, ", "),
+	})
 	c.restartPendingClaims()
 	if c.registration.serving {
 		c.startVoting()
--- a/internal/cluster/replication/simulation/disk.go
+++ b/internal/cluster/replication/simulation/disk.go
@@ -35,7 +35,9 @@
 
 // load returns what a replication core restores under a set.
 func (d *disk) load(now Time, setID uint64) (
-	records []replication.Record, incarnation replication.Incarnation, cursors []replication.ReplicationCursor,
+	records []replication.Record,
+	incarnation replication.Incarnation,
+	cursors []replication.ReplicationCursor,
 ) {
 	for _, key := range slices.Sorted(maps.Keys(d.records)) {
 		r := d.records[key]
@@ -53,7 +55,9 @@
 
 func isWrite(e replication.Effect) bool {
 	switch e.(type) {
-	case replication.Persist, replication.Delete, replication.ReplicationCursor, replication.IncarnationPersisted:
+	case replication.Persist, replication.Delete:
+		return true
+	case replication.ReplicationCursor, replication.IncarnationPersisted:
 		return true
 	}
 	return false
--- a/internal/cluster/replication/simulation/node.go
+++ b/internal/cluster/replication/simulation/node.go
@@ -104,7 +104,7 @@
 		case replicaset.ChangeResult:
 			c.Answers[e.RequestID] = ChangeAnswer{e.OK, e.Message}
 		case replicaset.Event:
-			if e.Description == "takes no part in changes of keepers any more" {
+			if e.Description == replicaset.LeftGroup {
 				c.violation("%s: %s", n.name, e.Subject)
 			}
 		}
