--- a/internal/base/spillqueue/spillqueue_test.go
+++ b/internal/base/spillqueue/spillqueue_test.go
@@ -7,7 +7,8 @@
 	"go.uber.org/goleak"
 )
 
-// Many hand on at once to a reader that is slow at times: all comes, each one's in its order, and nobody waits.
+// Many hand on at once to a reader that is slow at times: all comes, each one's in its order, and nobody
+// waits.
 func TestAllComesInOrder(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	const writers, each = 8, 500
--- a/internal/cluster/drainstate/drainstate_test.go
+++ b/internal/cluster/drainstate/drainstate_test.go
@@ -26,7 +26,8 @@
 	return entries
 }
 
-// A scheduler that is cut off from discovery went on pushing to a worker whose drain its neighbours had been told of.
+// A scheduler that is cut off from discovery went on pushing to a worker whose drain its neighbours had
+// been told of.
 func TestANeighboursDrainBinds(t *testing.T) {
 	a, b := New(1), New(2)
 	a.Step(1, EndpointsChanged{Revision: 7, Snapshot: true, Endpoints: serving("w1", "w2")})
@@ -55,8 +56,8 @@
 	}
 }
 
-// A list of a lower revision, such as of a discovery that was restarted, must not bring a drained worker back while neighbours know
-// better; nor may an old word hold back a worker that has started again.
+// A list of a lower revision, such as of a discovery that was restarted, must not bring a drained worker
+// back while neighbours know better; nor may an old word hold back a worker that has started again.
 func TestThreeAgesOfOneWorker(t *testing.T) {
 	c := New(1)
 	c.Step(1, RecordsReceived{[]DrainRecord{{"w", 5, false, 20}}})
--- a/internal/cluster/drainstate/endpoints_test.go
+++ b/internal/cluster/drainstate/endpoints_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// A change that says that a worker is gone, or drains, and not of which start: it is of the process that was listed. The entry before was read
-// when the change stood in its place already, so that neighbours were told of no process, and bound by nothing.
+// A change that says that a worker is gone, or drains, and not of which start: it is of the process that
+// was listed. The entry before was read when the change stood in its place already, so that neighbours
+// were told of no process, and bound by nothing.
 func TestAChangeWithoutAStartIsOfTheProcessThatWasListed(t *testing.T) {
 	for name, change := range map[string]Endpoint{"gone": {Worker: "w", Removed: true}, "drains": {Worker: "w"}} {
 		for how, whole := range map[string]bool{"by a change": false, "by a whole list": true} {
--- a/internal/cluster/replica/delivery_test.go
+++ b/internal/cluster/replica/delivery_test.go
@@ -48,8 +48,8 @@
 	return claimOp{key: keyOf("pay", id), fingerprint: xxhash.Sum64(nil)}
 }
 
-// A client that leaves just as its op is granted: whoever asked for it had looked in vain, and the grant came behind that look. The claim
-// stood for as long as ids are remembered, and the op could run nowhere.
+// A client that leaves just as its op is granted: whoever asked for it had looked in vain, and the grant
+// came behind that look. The claim stood for as long as ids are remembered, and the op could run nowhere.
 func TestAGrantThatCrossesItsClientsLeavingIsGivenBack(t *testing.T) {
 	ended := make(chan struct{})
 	f := &Replica{queue: newInputQueue(ended), ended: ended, claims: newWaiters[replication.ClaimDecided](), config: Defaults()}
@@ -74,8 +74,9 @@
 	}
 }
 
-// What a keeper must do when its disk fails, and when a grant finds nobody, was put at the end of its own queue, and lost where that was
-// full: it went on voting with records that do not last, and the claim stood for good.
+// What a keeper must do when its disk fails, and when a grant finds nobody, was put at the end of its own
+// queue, and lost where that was full: it went on voting with records that do not last, and the claim
+// stood for good.
 func TestWhatAKeeperOwesItselfIsNotLostWithAFullQueue(t *testing.T) {
 	full := func(f *Replica) {
 		for len(f.queue.inputs) < cap(f.queue.inputs) {
@@ -119,8 +120,9 @@
 	}
 }
 
-// Who is here and whether this process is a member comes in the order in which it happened, however full the queue is: told the other way
-// round, a process that another had taken the place of went on as a member, and one that was gone counted as here.
+// Who is here and whether this process is a member comes in the order in which it happened, however full
+// the queue is: told the other way round, a process that another had taken the place of went on as a
+// member, and one that was gone counted as here.
 func TestChangesOfMembersKeepTheirOrderInAFullQueue(t *testing.T) {
 	const changes = 40
 	ended := make(chan struct{})
--- a/internal/cluster/replicaset/core_test.go
+++ b/internal/cluster/replicaset/core_test.go
@@ -4,99 +4,117 @@
 	"testing"
 
 	"go.etcd.io/raft/v3/raftpb"
-	"pgregory.net/rapid"
 )
 
-// A later set of the same agreement stands in place of an earlier one, an agreed one in place of a file's, and of two foundings neither:
-// whoever takes sets in whatever order ends with the same.
-func TestWhichSetStands(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		var all []Set
-		for range rapid.IntRange(1, 8).Draw(t, "sets") {
-			s := Set{New: []string{"a", "b", "c"}}
-			if turn := rapid.Uint64Range(0, 5).Draw(t, "turn"); turn > 0 {
-				s = Set{GroupID: 7, Epoch: turn, New: []string{rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}}
-			}
-			all = append(all, s)
-		}
-		latest := func(order []Set) (turn uint64) {
-			s := Configured([]string{"a", "b", "c"})
-			for _, x := range order {
-				if x.Supersedes(s) {
-					s = x
-				}
-			}
-			return s.Epoch
-		}
-		if a, b := latest(all), latest(rapid.Permutation(all).Draw(t, "order")); a != b {
-			t.Errorf("turn %d, in another order %d", a, b)
-		}
-	})
-	a, b := Set{GroupID: 1, Epoch: 9, New: []string{"a"}}, Set{GroupID: 2, Epoch: 3, New: []string{"a"}}
-	if a.Supersedes(b) || b.Supersedes(a) || a.Supersedes(a) {
-		t.Error("of two foundings, or of one set twice, one stands over the other")
+// newLeader is the leader of a group of its own.
+func newLeader(t *testing.T) *Core {
+	t.Helper()
+	config := Defaults()
+	config.Name, config.Replicas = "a", []string{"a"}
+	c := New(config, State{VoterID: 5}, 0)
+	c.Step(1, Membership{Serving: true})
+	for range 60 {
+		c.Step(c.now+100*ms, Tick{})
 	}
-	if (Set{GroupID: 1, Epoch: 9, New: []string{"a"}}).ID() == (Set{GroupID: 1, Epoch: 10, New: []string{"a"}}).ID() {
-		t.Error("two turns with the same keepers have one name")
+	if !c.IsLeader() || c.Set().Epoch != 1 {
+		t.Fatalf("alone: %s, %v", c.Status(), c.Set())
 	}
+	return c
 }
 
-// While keepers change a majority is one of each part, whoever stands in both.
-func TestAMajorityOfEachPart(t *testing.T) {
-	s := Set{GroupID: 1, Epoch: 2, Old: []string{"a", "b", "c"}, New: []string{"c", "d", "e"}}
-	for names, want := range map[string]bool{"abc": false, "ab": false, "cde": false, "acd": true, "abde": true, "abcd": true, "ade": false} {
-		got := s.HasMajority(func(k string) bool {
-			for _, c := range names {
-				if string(c) == k {
-					return true
-				}
-			}
-			return false
-		})
-		if got != want {
-			t.Errorf("%s: %v", names, got)
+// leftGroup tells whether some effects say that the process takes no part in the group any more.
+func leftGroup(effects []Effect) bool {
+	for _, e := range effects {
+		if event, ok := e.(Event); ok && event.Description == LeftGroup {
+			return true
 		}
 	}
+	return false
 }
 
-// A message that makes no sense, or that the library can't bear, must not end the process: it takes no part any more, and says so.
-func TestWhatTheLibraryCannotBear(t *testing.T) {
-	terms := Defaults()
-	terms.Name, terms.Replicas = "a", []string{"a"}
-	c := New(terms, State{VoterID: 5}, 0)
-	now := Time(1)
-	c.Step(now, Membership{Serving: true})
-	for range 60 {
-		now += 100 * ms
-		c.Step(now, Tick{})
-	}
-	if !c.IsLeader() || c.Set().Epoch != 1 {
-		t.Fatalf("alone: %s, %v", c.Status(), c.Set())
+func marshalMessage(t *testing.T, m raftpb.Message) []byte {
+	t.Helper()
+	text, err := m.Marshal()
+	if err != nil {
+		t.Fatal(err)
 	}
-	round := func(m raftpb.Message) []byte {
-		text, err := m.Marshal()
-		if err != nil {
-			t.Fatal(err)
-		}
-		return text
+	return text
+}
+
+// A message that makes no sense, or that the library can't bear, must not end the process: it takes no part
+// any more, and says so.
+func TestWhatTheLibraryCannotBear(t *testing.T) {
+	c := newLeader(t)
+	groupID := c.Set().GroupID
+	receive := func(text []byte) []Effect {
+		x := Message{Kind: RaftMessage, GroupID: groupID, VoterID: 9, RaftMessage: text}
+		return c.Step(c.now, MessageReceived{"b", x})
 	}
-	founding := c.Set().GroupID
-	for _, text := range [][]byte{nil, {1, 2, 3}, round(raftpb.Message{Type: raftpb.MsgHup, To: 5, From: 9}),
-		round(raftpb.Message{Type: raftpb.MsgHeartbeat, To: 6, From: 9, Term: 99, Commit: 99})} {
-		c.Step(now, MessageReceived{"b", Message{Kind: RaftMessage, GroupID: founding, VoterID: 9, RaftMessage: text}})
+	heartbeat := raftpb.Message{Type: raftpb.MsgHeartbeat, To: 5, From: 9, Term: 99, Commit: 99}
+	toAnother := heartbeat
+	toAnother.To = 6
+	for _, text := range [][]byte{
+		nil,
+		{1, 2, 3},
+		marshalMessage(t, raftpb.Message{Type: raftpb.MsgHup, To: 5, From: 9}),
+		marshalMessage(t, toAnother),
+	} {
+		receive(text)
 	}
 	if !c.IsLeader() {
 		t.Fatalf("after nonsense: %s", c.Status())
 	}
-	said := false
-	for _, e := range c.Step(now, MessageReceived{"b", Message{Kind: RaftMessage, GroupID: founding, VoterID: 9,
-		RaftMessage: round(raftpb.Message{Type: raftpb.MsgHeartbeat, To: 5, From: 9, Term: 99, Commit: 99})}}) {
-		n, ok := e.(Event)
-		said = said || ok && n.Description == LeftGroup
-	}
+	said := leftGroup(receive(marshalMessage(t, heartbeat)))
 	if !said || c.Status() != "none any more" {
 		t.Errorf("said %v, part %s", said, c.Status())
 	}
-	c.Step(now+second, Tick{})
-	c.Step(now+second, ChangeRequest{RequestID: 1, Epoch: 1, Replicas: []string{"a"}})
+	c.Step(c.now+second, Tick{})
+	c.Step(c.now, ChangeRequest{RequestID: 1, Epoch: 1, Replicas: []string{"a"}})
+}
+
+// A stored state that makes no sense must not end the process either; with a state that does it goes on.
+func TestAStoredStateThatMakesNoSense(t *testing.T) {
+	good := newLeader(t).state
+	badData := raftpb.Snapshot{Data: []byte{0xff}, Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1}}
+	badDataText, err := badData.Marshal()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, damage := range map[string]func(*State){
+		"snapshot":      func(s *State) { s.Snapshot = []byte{1, 2, 3} },
+		"snapshot data": func(s *State) { s.Snapshot = badDataText },
+		"hard state":    func(s *State) { s.HardState = []byte{1, 2, 3} },
+		"entry":         func(s *State) { s.Entries = [][]byte{{1, 2, 3}} },
+	} {
+		t.Run(name, func(t *testing.T) {
+			config := Defaults()
+			config.Name, config.Replicas = "a", []string{"a"}
+			state := good
+			damage(&state)
+			c := New(config, state, 0)
+			if effects := c.Step(1, Membership{Serving: true}); !leftGroup(effects) || len(effects) != 1 {
+				t.Errorf("effects %+v", effects)
+			}
+			c.Step(2, StateReloaded{good})
+			if c.Status() != "follows" {
+				t.Errorf("with a good state: %s", c.Status())
+			}
+		})
+	}
+}
+
+// A disk that fails ends the part in the group until it works again.
+func TestAStateThatIsNotDurable(t *testing.T) {
+	c := newLeader(t)
+	state := c.state
+	if !leftGroup(c.Step(c.now, PersistFailed{})) || c.IsLeader() {
+		t.Errorf("after the failure: %s", c.Status())
+	}
+	c.Step(c.now, StateReloaded{state})
+	for range 60 {
+		c.Step(c.now+100*ms, Tick{})
+	}
+	if !c.IsLeader() {
+		t.Errorf("after it works again: %s", c.Status())
+	}
 }
--- a/internal/cluster/replicaset/golden_test.go
+++ b/internal/cluster/replicaset/golden_test.go
@@ -15,7 +15,8 @@
 
 const goldenFolder = "testdata/golden"
 
-// filler sets every exported field that it reaches to a non-zero value, and no two numbers or texts to the same one.
+// filler sets every exported field that it reaches to a non-zero value, and no two numbers or texts to
+// the same one.
 type filler struct{ last int }
 
 func (f *filler) fill(t *testing.T, v reflect.Value) {
@@ -124,7 +125,8 @@
 	requireGolden(t, "state", filled[State](t))
 }
 
-// A core that starts on a snapshot whose data an earlier build wrote takes its turn and the names of its voters.
+// A core that starts on a snapshot whose data an earlier build wrote takes its turn and the names of its
+// voters.
 func TestGoldenSnapshotDataIsTakenAtStart(t *testing.T) {
 	data := filled[settled](t)
 	voters := []uint64{data.Voters[0].ID, data.Voters[1].ID}
--- a/internal/cluster/replication/simulation/change_test.go
+++ b/internal/cluster/replication/simulation/change_test.go
@@ -27,7 +27,8 @@
 	return p
 }
 
-// changeReplicas has staff ask for keepers, again and again until they stand, and tells whether they do in time.
+// changeReplicas has staff ask for keepers, again and again until they stand, and tells whether they do
+// in time.
 func (p *Cluster) changeReplicas(i int, within Time, want ...int) bool {
 	until := p.Now() + within
 	for p.Now() < until {
@@ -66,7 +67,8 @@
 	}
 }
 
-// checkConverged checks that so many places go by one set of keepers, all of which have their votes and the same copies.
+// checkConverged checks that so many places go by one set of keepers, all of which have their votes and
+// the same copies.
 func (p *Cluster) checkConverged(t *testing.T, seed uint64, places int) {
 	t.Helper()
 	set, digest := p.Core(0).Set(), ""
@@ -111,8 +113,9 @@
 	}
 }
 
-// What the new keepers are told of the past is lost on its way: the old ones are not let go before it has come, though two of the three
-// are new ones that were old ones, and had their votes all along. What the other three granted these do not know.
+// What the new keepers are told of the past is lost on its way: the old ones are not let go before it has
+// come, though two of the three are new ones that were old ones, and had their votes all along. What the
+// other three granted these do not know.
 func TestOldKeepersStayUntilTheNewOnesKnow(t *testing.T) {
 	led := false
 	for seed := uint64(1); seed <= 8; seed++ {
@@ -207,8 +210,8 @@
 	}
 }
 
-// A scheduler that stood still through two changes asks the keepers of before: these refuse, and tell who keeps now; and an answer that
-// was given before the changes, and comes after them, does not count.
+// A scheduler that stood still through two changes asks the keepers of before: these refuse, and tell who
+// keeps now; and an answer that was given before the changes, and comes after them, does not count.
 func TestAMessageOfBeforeTwoChanges(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		p := dynamicCluster(t, 8, 3, seed)
@@ -249,7 +252,8 @@
 	}
 }
 
-// The rule replaces a keeper that is gone for long, and none that is back in time; a spare that can't be heard is not let in.
+// The rule replaces a keeper that is gone for long, and none that is back in time; a spare that can't be
+// heard is not let in.
 func TestTheRuleReplaces(t *testing.T) {
 	p := New(6, 3, 1)
 	p.DynamicReplicas, p.ReplicaSetConfig.ReplaceAfter, p.ReplicaSetConfig.Spares = true, 20*Second, []string{"n3", "n4"}
@@ -280,8 +284,8 @@
 	p.requireNoViolations(t)
 }
 
-// The agreement is founded by all keepers of the file together: two of three that found one while the third is away could be joined by a
-// third that founds another.
+// The agreement is founded by all keepers of the file together: two of three that found one while the
+// third is away could be joined by a third that founds another.
 func TestTheFoundingTakesAllKeepers(t *testing.T) {
 	p := New(4, 3, 1)
 	p.DynamicReplicas = true
@@ -340,7 +344,8 @@
 	p.requireNoViolations(t)
 }
 
-// Whatever fails while keepers change, and whenever, no op is given to two schedulers; and at rest all go by one set.
+// Whatever fails while keepers change, and whenever, no op is given to two schedulers; and at rest all go
+// by one set.
 func TestDrawnChangesOfKeepers(t *testing.T) {
 	first, last := seeds(24)
 	granted, turns := 0, 0
--- a/internal/cluster/replication/simulation/disk_test.go
+++ b/internal/cluster/replication/simulation/disk_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// Disks of keepers fail for a while, with half of what they fail to sync written all the same, while processes are killed and cut off. No op
-// is given twice, and once each keeper whose disk failed has been started again, all have their votes and the same copies.
+// Disks of keepers fail for a while, with half of what they fail to sync written all the same, while
+// processes are killed and cut off. No op is given twice, and once each keeper whose disk failed has been
+// started again, all have their votes and the same copies.
 func TestDrawnDisksThatFail(t *testing.T) { playDisks(t, false) }
 
 // The same while staff change the keepers.
@@ -49,8 +50,9 @@
 
 const burstTime = 14 * Second
 
-// burst draws troubles that cross: a keeper's disk fails, another one is cut off from some, and those that could know are killed and come
-// back. Ids are asked for at one of these meanwhile and again anywhere afterwards.
+// burst draws troubles that cross: a keeper's disk fails, another one is cut off from some, and those
+// that could know are killed and come back. Ids are asked for at one of these meanwhile and again
+// anywhere afterwards.
 func burst(p *Cluster, changes bool) {
 	r, from := p.Rand, p.Now()+Second
 	keepers := r.Perm(3)
@@ -93,7 +95,8 @@
 	}
 }
 
-// threeReplicas are three places: those of the keepers, as the last place knows them, and others where they are fewer.
+// threeReplicas are three places: those of the keepers, as the last place knows them, and others where
+// they are fewer.
 func (p *Cluster) threeReplicas() []int {
 	var are, others []int
 	set := p.Core(4).Set()
--- a/internal/cluster/replication/simulation/figures_test.go
+++ b/internal/cluster/replication/simulation/figures_test.go
@@ -13,8 +13,9 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// What catch-up costs, for the record: `CATCHUP=100000 go test -run CatchUpFigures -v` plays a keeper that comes back without its memory,
-// and one that was cut off, to so many records. A link takes 0.25 to 0.75 ms, and nothing is lost.
+// What catch-up costs, for the record: `CATCHUP=100000 go test -run CatchUpFigures -v` plays a keeper
+// that comes back without its memory, and one that was cut off, to so many records. A link takes 0.25 to
+// 0.75 ms, and nothing is lost.
 func TestCatchUpFigures(t *testing.T) {
 	var most int
 	if fmt.Sscan(os.Getenv("CATCHUP"), &most); most == 0 {
--- a/internal/cluster/replication/simulation/history_test.go
+++ b/internal/cluster/replication/simulation/history_test.go
@@ -43,7 +43,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// The histories of drawn plays are as if there were one scheduler. The judge in the play counts grants; this one knows orders.
+// The histories of drawn plays are as if there were one scheduler. The judge in the play counts grants;
+// this one knows orders.
 func TestHistoriesAreAsOfOneScheduler(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		p := New(5, 3, seed)
--- a/internal/cluster/replication/simulation/simulation_test.go
+++ b/internal/cluster/replication/simulation/simulation_test.go
@@ -42,7 +42,8 @@
 	return 1, plays
 }
 
-// Whatever fails, and whenever: no op is given to two schedulers. SEED repeats a seed that failed, PLAYS plays more.
+// Whatever fails, and whenever: no op is given to two schedulers. SEED repeats a seed that failed, PLAYS
+// plays more.
 func TestDrawnTroubles(t *testing.T) {
 	first, last := seeds(90)
 	granted := 0
@@ -185,7 +186,8 @@
 	}
 }
 
-// A keeper that comes back without its memory has no vote before it has caught up, and then knows what it knew.
+// A keeper that comes back without its memory has no vote before it has caught up, and then knows what it
+// knew.
 func TestAKeeperThatForgot(t *testing.T) {
 	p := cluster(5, 3, 1)
 	for k := range 40 {
@@ -326,8 +328,9 @@
 	}
 }
 
-// Ops whose repeats a group drops go on at another scheduler, when theirs is held for gone: in that group alone, while it drops repeats,
-// also where the first one is only stopped, and where what says so is lost or late.
+// Ops whose repeats a group drops go on at another scheduler, when theirs is held for gone: in that group
+// alone, while it drops repeats, also where the first one is only stopped, and where what says so is lost
+// or late.
 func TestDrawnRepeatsInTheGroup(t *testing.T) {
 	bound := 0
 	for seed := uint64(1); seed <= 60; seed++ {
--- a/internal/cluster/store/bench_test.go
+++ b/internal/cluster/store/bench_test.go
@@ -16,8 +16,8 @@
 	return all
 }
 
-// BenchmarkKeep is what a grant waits for at a keeper with a file: so many records written together, beside many that are there. With
-// sync the disk has them.
+// BenchmarkKeep is what a grant waits for at a keeper with a file: so many records written together,
+// beside many that are there. With sync the disk has them.
 func BenchmarkKeep(b *testing.B) {
 	for _, sync := range []bool{false, true} {
 		for _, together := range []int{1, 64} {
--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -19,7 +19,8 @@
 
 const goldenFile = "testdata/keeper.db"
 
-// filler sets every exported field that it reaches to a non-zero value, and no two numbers or texts to the same one.
+// filler sets every exported field that it reaches to a non-zero value, and no two numbers or texts to
+// the same one.
 type filler struct{ last int }
 
 func (f *filler) fill(t *testing.T, v reflect.Value) {
@@ -200,7 +201,8 @@
 	}
 }
 
-// A keeper's file of an earlier build gives the records, life, epoch, positions and agreement that were put into it.
+// A keeper's file of an earlier build gives the records, life, epoch, positions and agreement that were
+// put into it.
 func TestGoldenFileIsRead(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/cluster/store/store_test.go
+++ b/internal/cluster/store/store_test.go
@@ -19,7 +19,8 @@
 	return replication.Record{Key: key, Fingerprint: 3, Age: 5, Outcomes: []replication.Outcome{{Claim: replication.Claim{Scheduler: "n", Nonce: 9}, Stage: replication.Claimed, Voted: true}}}
 }
 
-// A keeper that comes back must know what it granted, as which life; and nobody else may use its file meanwhile.
+// A keeper that comes back must know what it granted, as which life; and nobody else may use its file
+// meanwhile.
 func TestRecordsLast(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "copies.db")
 	s, err := Open(path, true)
@@ -77,8 +78,8 @@
 	s.Close()
 }
 
-// A record is as old as has been proven, and never older: what passed between two starts of the machine is not known, nor by how much a
-// clock was off that went back. From then on its age goes on.
+// A record is as old as has been proven, and never older: what passed between two starts of the machine
+// is not known, nor by how much a clock was off that went back. From then on its age goes on.
 func TestARecordIsNoOlderThanIsProven(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "copies.db")
 	at := func(boot string, seconds int) boottime.Reading {
@@ -116,7 +117,8 @@
 	}
 }
 
-// A file of the form before told moments by the wall clock: its records are read, and nothing is made of their moments.
+// A file of the form before told moments by the wall clock: its records are read, and nothing is made of
+// their moments.
 func TestAFileThatWentByTheWallClockIsRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "copies.db")
 	s, err := Open(path, false)
