--- a/internal/base/opkey/opkey_test.go
+++ b/internal/base/opkey/opkey_test.go
@@ -9,8 +9,12 @@
 // Two ids never have one key, a key is no longer in JSON than it is, and one that comes from another
 // process stays as it is.
 func TestKeysAreShortAndApart(t *testing.T) {
-	ids := []string{"", "9b1f03aa5c7e2d41", "a b", strings.Repeat("x", maxKeyBytes), strings.Repeat("x", maxKeyBytes+1), strings.Repeat("x", 9000),
-		"caf\u00e9", "caf\xe9", "caf\xe8", "<", ">", "&", `"`, `\`, "\x7f", "\t", digestPrefix, FromID("caf\u00e9")}
+	ids := []string{
+		"", "9b1f03aa5c7e2d41", "a b",
+		strings.Repeat("x", maxKeyBytes), strings.Repeat("x", maxKeyBytes+1), strings.Repeat("x", 9000),
+		"caf\u00e9", "caf\xe9", "caf\xe8", "<", ">", "&", `"`, `\`, "\x7f", "\t",
+		digestPrefix, FromID("caf\u00e9"),
+	}
 	seen := map[string]string{}
 	for _, id := range ids {
 		key := FromID(id)
--- a/internal/cluster/drainstate/drainstate_test.go
+++ b/internal/cluster/drainstate/drainstate_test.go
@@ -9,7 +9,12 @@
 
 func TestJoinIsAJoin(t *testing.T) {
 	draw := func(t *rapid.T, label string) DrainRecord {
-		return DrainRecord{"w", rapid.Int64Range(0, 2).Draw(t, label), rapid.Bool().Draw(t, label), rapid.Int64Range(0, 3).Draw(t, label)}
+		return DrainRecord{
+			Worker:   "w",
+			BootID:   rapid.Int64Range(0, 2).Draw(t, label),
+			Removed:  rapid.Bool().Draw(t, label),
+			Revision: rapid.Int64Range(0, 3).Draw(t, label),
+		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := draw(t, "a"), draw(t, "b"), draw(t, "c")
--- a/internal/cluster/replica/delivery_test.go
+++ b/internal/cluster/replica/delivery_test.go
@@ -52,7 +52,12 @@
 // came behind that look. The claim stood for as long as ids are remembered, and the op could run nowhere.
 func TestAGrantThatCrossesItsClientsLeavingIsGivenBack(t *testing.T) {
 	ended := make(chan struct{})
-	f := &Replica{queue: newInputQueue(ended), ended: ended, claims: newWaiters[replication.ClaimDecided](), config: Defaults()}
+	f := &Replica{
+		queue:  newInputQueue(ended),
+		ended:  ended,
+		claims: newWaiters[replication.ClaimDecided](),
+		config: Defaults(),
+	}
 	ctx, leave := context.WithCancel(context.Background())
 	answered := make(chan replication.ClaimDecided, 1)
 	go func() { answered <- f.claimOnce(ctx, payOp("a"), time.Second) }()
@@ -66,7 +71,8 @@
 	}
 	select {
 	case in := <-f.queue.inputs:
-		if end, ok := in.replication.(replication.OpEnded); !ok || end.RequestID != want.RequestID || !end.NeverRan {
+		end, ok := in.replication.(replication.OpEnded)
+		if !ok || end.RequestID != want.RequestID || !end.NeverRan {
 			t.Errorf("%+v", in.replication)
 		}
 	case <-time.After(time.Second):
--- a/internal/cluster/replica/replica_test.go
+++ b/internal/cluster/replica/replica_test.go
@@ -19,7 +19,10 @@
 
 func (alone) SendReplication(string, replication.Message) {}
 func (alone) SendReplicaSet(string, replicaset.Message)   {}
-func (a alone) Now() membership.Time                      { return longAgo + membership.TimeOf(time.Since(a.start)) }
+
+func (a alone) Now() membership.Time {
+	return longAgo + membership.TimeOf(time.Since(a.start))
+}
 
 const longAgo membership.Time = 40 * 24 * 3600 * 10_000 // more than any id is remembered
 
@@ -43,19 +46,14 @@
 		defer f.Close()
 		f.Start(w)
 		f.Serving(true, membership.Incarnation{Generation: uint64(time.Now().UnixNano() >> 16)})
-		for until := time.Now().Add(20 * time.Second); !f.Status().Voting; time.Sleep(time.Millisecond) {
-			if time.Now().After(until) {
-				t.Fatal("no vote")
-			}
-		}
+		f.await(t, "it has its vote", func() bool { return f.Status().Voting })
 		d := f.Claim(context.Background(), "pay", id, []byte("x"), time.Second, 0)
 		if end && d.Result == replication.Granted {
 			f.Finish(d.RequestID, false, 200, []byte("done"))
-			for until := time.Now().Add(20 * time.Second); len(f.Lookup("pay", id)) == 0 || f.Lookup("pay", id)[0].Stage != "ended"; time.Sleep(time.Millisecond) {
-				if time.Now().After(until) {
-					t.Fatal("its end is not known")
-				}
-			}
+			f.await(t, "its end is known", func() bool {
+				rows := f.Lookup("pay", id)
+				return len(rows) > 0 && rows[0].Stage == "ended"
+			})
 		}
 		return d.Result
 	}
@@ -63,7 +61,13 @@
 		id   string
 		end  bool
 		want replication.ClaimResult
-	}{{"a", true, replication.Granted}, {"a", false, replication.AlreadyAnswered}, {"b", false, replication.Granted}, {"b", false, replication.InProgress}, {"a", false, replication.AlreadyAnswered}} {
+	}{
+		{"a", true, replication.Granted},
+		{"a", false, replication.AlreadyAnswered},
+		{"b", false, replication.Granted},
+		{"b", false, replication.InProgress},
+		{"a", false, replication.AlreadyAnswered},
+	} {
 		if got := ask(x.id, x.end); got != x.want {
 			t.Errorf("%s: %v, not %v", x.id, got, x.want)
 		}
--- a/internal/cluster/replication/catch_up_test.go
+++ b/internal/cluster/replication/catch_up_test.go
@@ -25,7 +25,8 @@
 	after.Outcomes = []Outcome{{Claim: Claim{"x", 1}, Stage: Ended, Verdict: 200}}
 	receive("c", Message{Kind: DigestPage, Next: 1})
 	receive("b", Message{Kind: DigestPage, Next: 1, Digests: []uint64{before.digest()}})
-	receive("b", Message{Kind: Fetched, Next: 2, Digests: []uint64{before.digest()}}) // it has changed, to position 2
+	// The record has changed meanwhile, to position 2.
+	receive("b", Message{Kind: Fetched, Next: 2, Digests: []uint64{before.digest()}})
 	if c.registration.voting {
 		t.Fatal("it votes without the record")
 	}
@@ -81,7 +82,10 @@
 		{"a record is missing", peerState{pagePosition: 7, voting: true, missing: []uint64{1}}, 0, false},
 		{"there are more pages", peerState{pagePosition: 7, voting: true, more: true}, 7, false},
 		{"it has no vote", peerState{pagePosition: 7}, 7, false},
-		{"short of the registration", peerState{pagePosition: 7, registrationPosition: 8, voting: true}, 7, false},
+		{
+			"short of the registration",
+			peerState{pagePosition: 7, registrationPosition: 8, voting: true}, 7, false,
+		},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			x.peer.advance()
--- a/internal/cluster/replication/grants_test.go
+++ b/internal/cluster/replication/grants_test.go
@@ -30,7 +30,8 @@
 	}
 	report := Message{Kind: OutcomeReported, SetID: c.active.id, Record: recordOf(1, "zone east")}
 	c.Step(c.now+1, MessageReceived{"x", report})
-	if claim(3, "") != ClaimRefused || claim(4, "zone west") != ClaimRefused || claim(5, "zone east") != ClaimGranted {
+	unbound, elsewhere, same := claim(3, ""), claim(4, "zone west"), claim(5, "zone east")
+	if unbound != ClaimRefused || elsewhere != ClaimRefused || same != ClaimGranted {
 		t.Error("beside one that ran in the east")
 	}
 }
--- a/internal/cluster/replication/simulation/change_test.go
+++ b/internal/cluster/replication/simulation/change_test.go
@@ -84,7 +84,8 @@
 			digest = s.Digest
 		}
 		if s.Digest != digest || !s.Voting {
-			t.Errorf("seed %d: at rest n%d votes: %v, its copies %s, others' %s", seed, i, s.Voting, s.Digest, digest)
+			const format = "seed %d: at rest n%d votes: %v, its copies %s, others' %s"
+			t.Errorf(format, seed, i, s.Voting, s.Digest, digest)
 		}
 	}
 }
@@ -131,7 +132,8 @@
 		if p.Granted != 1 {
 			t.Fatalf("seed %d: not given", seed)
 		}
-		for _, mute := range []string{"n0 n1 n5", "n0 n1"} { // then one of the three knows: that is not enough
+		// At first none of the three knows, and then one: that is not enough.
+		for _, mute := range []string{"n0 n1 n5", "n0 n1"} {
 			p.DropIf = func(to string, x replication.Message) bool {
 				return strings.Contains(mute, to) && x.Kind == replication.DigestPage
 			}
@@ -256,7 +258,8 @@
 // heard is not let in.
 func TestTheRuleReplaces(t *testing.T) {
 	p := New(6, 3, 1)
-	p.DynamicReplicas, p.ReplicaSetConfig.ReplaceAfter, p.ReplicaSetConfig.Spares = true, 20*Second, []string{"n3", "n4"}
+	p.DynamicReplicas = true
+	p.ReplicaSetConfig.ReplaceAfter, p.ReplicaSetConfig.Spares = 20*Second, []string{"n3", "n4"}
 	for i := range 6 {
 		p.Start(i)
 	}
@@ -314,7 +317,11 @@
 	for _, x := range []struct {
 		want []int
 		text string
-	}{{[]int{0, 1}, "odd number"}, {[]int{0, 1, 1}, "stands twice"}, {[]int{0, 1, 5}, "nothing is heard of n5"}} {
+	}{
+		{[]int{0, 1}, "odd number"},
+		{[]int{0, 1, 1}, "stands twice"},
+		{[]int{0, 1, 5}, "nothing is heard of n5"},
+	} {
 		ticket := p.RequestChange(4, x.want...)
 		p.Run(p.Now() + 3*Second)
 		if a := p.Answers[ticket]; a.OK || !strings.Contains(a.Text, x.text) {
@@ -325,7 +332,11 @@
 		t.Fatal(p.Core(4).Set())
 	}
 	p.lastRequest++ // by one who saw the set before
-	p.stepReplicaSet(p.nodes[4], p.Core(4), replicaset.ChangeRequest{RequestID: p.lastRequest, Epoch: 1, Replicas: []string{"n0", "n2", "n3"}})
+	p.stepReplicaSet(p.nodes[4], p.Core(4), replicaset.ChangeRequest{
+		RequestID: p.lastRequest,
+		Epoch:     1,
+		Replicas:  []string{"n0", "n2", "n3"},
+	})
 	p.Run(p.Now() + 3*Second)
 	if a := p.Answers[p.lastRequest]; a.OK || !strings.Contains(a.Text, "have changed meanwhile") {
 		t.Errorf("from a set that is no more: %+v", a)
--- a/internal/cluster/replication/simulation/figures_test.go
+++ b/internal/cluster/replication/simulation/figures_test.go
@@ -35,11 +35,12 @@
 			kept := 0
 			tell := func(n int, to ...int) { // as if so many ops had ended: each known at those keepers
 				for k := range n {
-					r := replication.Record{Key: fmt.Sprintf("charge\x00%016x", kept+k), Fingerprint: 1, Outcomes: []replication.Outcome{{Claim: replication.Claim{Scheduler: "n3", Nonce: uint64(kept + k)},
-						Stage: replication.Ended, Verdict: 200, ResultRetained: true, Result: []byte("charged, and here is what the client was told of it: 0123456789")}}}
+					const result = "charged, and here is what the client was told of it: 0123456789"
+					r := endedRecord(kept+k, uint64(kept+k), result)
 					for _, i := range to {
 						pl := p.nodes[i]
-						pl.core.Step(p.Now(), replication.MessageReceived{From: "n3", Message: replication.Message{Kind: replication.OutcomeReported, SetID: pl.core.SetID(), Record: r}})
+						report := replication.Message{Kind: replication.OutcomeReported, SetID: pl.core.SetID(), Record: r}
+						pl.core.Step(p.Now(), replication.MessageReceived{From: "n3", Message: report})
 					}
 				}
 				kept += n
@@ -53,8 +54,7 @@
 			}
 			tell(n, 0, 1)
 			bytes, missed := 0, 0
-			text, _ := cbor.Marshal(replication.Record{Key: fmt.Sprintf("charge\x00%016x", 1), Fingerprint: 1, Outcomes: []replication.Outcome{{Claim: replication.Claim{Scheduler: "n3", Nonce: 1 << 60},
-				Stage: replication.Ended, Verdict: 200, ResultRetained: true, Result: []byte(strings.Repeat("x", 64))}}})
+			text, _ := cbor.Marshal(endedRecord(1, 1<<60, strings.Repeat("x", 64)))
 			missed = n * len(text)
 			p.OnSend = func(e replication.Send) {
 				if e.To == "n2" && (e.Kind == replication.DigestPage || e.Kind == replication.Fetched) {
@@ -77,13 +77,27 @@
 			var m runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&m)
-			t.Logf("cut off %v, %d missed beside %d: %.2f s, %d bytes, %.2f of what was missed; %.1f s of this machine; %d bytes of memory a record and keeper",
-				cutOff, n, kept-n, float64(p.Now()-began)/float64(Second), bytes, float64(bytes)/float64(missed), time.Since(cpu).Seconds(),
-				int(m.HeapAlloc)/(3*kept))
+			t.Logf("cut off %v, %d missed beside %d: %.2f s, %d bytes, %.2f of what was missed; "+
+				"%.1f s of this machine; %d bytes of memory a record and keeper",
+				cutOff, n, kept-n, float64(p.Now()-began)/float64(Second), bytes,
+				float64(bytes)/float64(missed), time.Since(cpu).Seconds(), int(m.HeapAlloc)/(3*kept))
 		}
 	}
 }
 
+// endedRecord is a record of an op that has ended with a result.
+func endedRecord(op int, nonce uint64, result string) replication.Record {
+	outcome := replication.Outcome{
+		Claim:          replication.Claim{Scheduler: "n3", Nonce: nonce},
+		Stage:          replication.Ended,
+		Verdict:        200,
+		ResultRetained: true,
+		Result:         []byte(result),
+	}
+	key := fmt.Sprintf("charge\x00%016x", op)
+	return replication.Record{Key: key, Fingerprint: 1, Outcomes: []replication.Outcome{outcome}}
+}
+
 func isolateReplica2(p *Cluster, on bool) { p.partition([]int{2}, []int{0, 1, 3}, on) }
 
 // What a guarded op costs in messages, for the record: `OPS=2000 go test -run OpFigures -v`.
@@ -107,11 +121,13 @@
 		p.Run(began + 10*Second)
 		calm := bytes
 		for k := range n {
-			p.At(p.Now()+Time(k*50), func() { p.Claim(keepers+k%(8-keepers), fmt.Sprintf("charge\x00%016x", k)) })
+			scheduler, key := keepers+k%(8-keepers), fmt.Sprintf("charge\x00%016x", k)
+			p.At(p.Now()+Time(k*50), func() { p.Claim(scheduler, key) })
 		}
 		messages, bytes = 0, 0
 		p.Run(p.Now() + Time(n*50) + 5*Second)
-		t.Logf("%d keepers: %.1f messages and %d bytes of CBOR an op, all keepers together, at 200 ops a second; %.0f bytes a second without ops",
+		t.Logf("%d keepers: %.1f messages and %d bytes of CBOR an op, all keepers together, "+
+			"at 200 ops a second; %.0f bytes a second without ops",
 			keepers, float64(messages)/float64(n), bytes/n, float64(calm)/10)
 	}
 }
--- a/internal/cluster/replication/simulation/history_test.go
+++ b/internal/cluster/replication/simulation/history_test.go
@@ -70,7 +70,13 @@
 		p.Run(begin + 30*Second)
 		byKey := map[string][]porcupine.Operation{}
 		for n, op := range p.History {
-			x := porcupine.Operation{ClientId: n, Input: op, Output: op.Result, Call: int64(op.RequestedAt), Return: int64(op.At)}
+			x := porcupine.Operation{
+				ClientId: n,
+				Input:    op,
+				Output:   op.Result,
+				Call:     int64(op.RequestedAt),
+				Return:   int64(op.At),
+			}
 			if op.Step != stepDecided {
 				x.Call = x.Return
 			}
@@ -95,14 +101,27 @@
 
 // A judge that takes every history proves nothing.
 func TestTheJudgeOfHistoriesSeesADouble(t *testing.T) {
-	mine := func(claim int, call, end int64) porcupine.Operation {
-		return porcupine.Operation{ClientId: claim, Input: HistoryEntry{Step: stepDecided, Claim: claim}, Output: replication.Granted, Call: call, Return: end}
+	granted := func(claim int, call, end int64) porcupine.Operation {
+		return porcupine.Operation{
+			ClientId: claim,
+			Input:    HistoryEntry{Step: stepDecided, Claim: claim},
+			Output:   replication.Granted,
+			Call:     call,
+			Return:   end,
+		}
 	}
-	if porcupine.CheckOperations(singleScheduler, []porcupine.Operation{mine(1, 0, 10), mine(2, 5, 20)}) {
+	if porcupine.CheckOperations(singleScheduler, []porcupine.Operation{granted(1, 0, 10), granted(2, 5, 20)}) {
 		t.Error("an op that was given twice")
 	}
-	released := porcupine.Operation{ClientId: 3, Input: HistoryEntry{Step: stepReleased, Claim: 1}, Output: replication.ClaimResult(0), Call: 12, Return: 12}
-	if !porcupine.CheckOperations(singleScheduler, []porcupine.Operation{mine(1, 0, 10), released, mine(2, 13, 20)}) {
+	released := porcupine.Operation{
+		ClientId: 3,
+		Input:    HistoryEntry{Step: stepReleased, Claim: 1},
+		Output:   replication.ClaimResult(0),
+		Call:     12,
+		Return:   12,
+	}
+	givenBack := []porcupine.Operation{granted(1, 0, 10), released, granted(2, 13, 20)}
+	if !porcupine.CheckOperations(singleScheduler, givenBack) {
 		t.Error("an op that was given back")
 	}
 }
--- a/internal/cluster/replication/simulation/simulation_test.go
+++ b/internal/cluster/replication/simulation/simulation_test.go
@@ -178,7 +178,8 @@
 	p.Start(0)
 	p.Start(1)
 	p.Run(p.Now() + 500*Millisecond)
-	requireResult(t, p.claimResult(4, "c"), replication.NoQuorum) // two keepers without their memory: one that has it is too few
+	// Two replicas are without their memory: one that has it is too few.
+	requireResult(t, p.claimResult(4, "c"), replication.NoQuorum)
 	p.Run(p.Now() + 5*Second)
 	requireResult(t, p.claimResult(4, "c"), replication.Granted)
 	if got := p.claimResult(3, "a"); got == replication.Granted {
@@ -336,7 +337,9 @@
 	for seed := uint64(1); seed <= 60; seed++ {
 		p := New(6, 3, seed)
 		r := p.Rand
-		p.DedupWindow, p.Loss, p.Duplication, p.Delay = 6*Second, []float64{0, 0.1, 0.3}[r.IntN(3)], 0.05, Time(2+r.IntN(200))
+		p.DedupWindow = 6 * Second
+		p.Loss, p.Duplication = []float64{0, 0.1, 0.3}[r.IntN(3)], 0.05
+		p.Delay = Time(2 + r.IntN(200))
 		for i := range 6 {
 			p.Start(i)
 		}
--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -110,7 +110,9 @@
 func newGoldenContent(t *testing.T) goldenContent {
 	t.Helper()
 	content := filled[goldenContent](t)
-	stages := []replication.Stage{replication.Claimed, replication.Released, replication.Abandoned, replication.Ended}
+	stages := []replication.Stage{
+		replication.Claimed, replication.Released, replication.Abandoned, replication.Ended,
+	}
 	fates := make([]replication.Outcome, len(stages))
 	for i, stage := range stages {
 		fates[i] = filled[replication.Outcome](t)
@@ -132,8 +134,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = errors.Join(s.Write(goldenNow, content.Records, nil), s.SetIncarnation(content.Life, content.Epoch), s.SaveCursors(content.Seen),
-		s.SaveReplicaSetState(content.Agreement), s.Close())
+	err = errors.Join(
+		s.Write(goldenNow, content.Records, nil),
+		s.SetIncarnation(content.Life, content.Epoch),
+		s.SaveCursors(content.Seen),
+		s.SaveReplicaSetState(content.Agreement),
+		s.Close(),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -204,13 +211,16 @@
 // A keeper's file of an earlier build gives the records, life, epoch, positions and agreement that were
 // put into it.
 func TestGoldenFileIsRead(t *testing.T) {
+	later := goldenNow
+	later.SinceBoot += 20 * time.Second
+	anotherStart := boottime.Reading{BootID: "another-start", SinceBoot: 5 * time.Second}
 	for _, c := range []struct {
 		name   string
 		now    boottime.Reading
 		passed uint64 // seconds by which each record is older
 	}{
-		{"at the same start of the machine", boottime.Reading{BootID: goldenNow.BootID, SinceBoot: goldenNow.SinceBoot + 20*time.Second}, 20},
-		{"at another start of the machine", boottime.Reading{BootID: "another-start", SinceBoot: 5 * time.Second}, 0},
+		{"at the same start of the machine", later, 20},
+		{"at another start of the machine", anotherStart, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, err := Open(copyOfGolden(t), false)
@@ -222,7 +232,8 @@
 			var whole, agreed bool
 			var errSeen, errAgreement error
 			contents, errLoad := s.Load(c.now)
-			got.Records, got.Life, got.Epoch, whole = contents.Records, contents.Incarnation, contents.SetID, contents.Complete
+			got.Records, got.Life = contents.Records, contents.Incarnation
+			got.Epoch, whole = contents.SetID, contents.Complete
 			got.Seen, errSeen = s.Cursors()
 			got.Agreement, agreed, errAgreement = s.ReplicaSetState()
 			if err := errors.Join(errLoad, errSeen, errAgreement); err != nil || !whole || !agreed {
--- a/internal/cluster/store/store_test.go
+++ b/internal/cluster/store/store_test.go
@@ -16,7 +16,12 @@
 )
 
 func record(key string) replication.Record {
-	return replication.Record{Key: key, Fingerprint: 3, Age: 5, Outcomes: []replication.Outcome{{Claim: replication.Claim{Scheduler: "n", Nonce: 9}, Stage: replication.Claimed, Voted: true}}}
+	outcome := replication.Outcome{
+		Claim: replication.Claim{Scheduler: "n", Nonce: 9},
+		Stage: replication.Claimed,
+		Voted: true,
+	}
+	return replication.Record{Key: key, Fingerprint: 3, Age: 5, Outcomes: []replication.Outcome{outcome}}
 }
 
 // A keeper that comes back must know what it granted, as which life; and nobody else may use its file
@@ -40,9 +45,15 @@
 	}
 	aged := record("c\x00z")
 	aged.Outcomes[0].Age = 5
-	state := replicaset.State{VoterID: 3, GroupID: 5, Set: replicaset.Set{GroupID: 5, Epoch: 2, New: []string{"n"}}, Entries: [][]byte{{1}}}
+	set := replicaset.Set{GroupID: 5, Epoch: 2, New: []string{"n"}}
+	state := replicaset.State{VoterID: 3, GroupID: 5, Set: set, Entries: [][]byte{{1}}}
 	seen := []replication.ReplicationCursor{{Replica: "m", Incarnation: life, Position: 6}}
-	if err := errors.Join(s.Write(now, []replication.Record{aged}, nil), s.SaveReplicaSetState(state), s.SaveCursors(seen)); err != nil {
+	err = errors.Join(
+		s.Write(now, []replication.Record{aged}, nil),
+		s.SaveReplicaSetState(state),
+		s.SaveCursors(seen),
+	)
+	if err != nil {
 		t.Fatal(err)
 	}
 	if got, _ := s.Load(now); got.Records[2].Outcomes[0].Age != 0 {
@@ -89,8 +100,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = errors.Join(s.SetIncarnation(replication.Incarnation{Generation: 1}, 1), s.Write(at("first", 990), []replication.Record{record("a")}, nil), // 5 s old
-		s.Write(at("first", 997), nil, []string{"none"}), s.Close())
+	err = errors.Join(
+		s.SetIncarnation(replication.Incarnation{Generation: 1}, 1),
+		s.Write(at("first", 990), []replication.Record{record("a")}, nil), // 5 s old
+		s.Write(at("first", 997), nil, []string{"none"}),
+		s.Close(),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,7 +141,11 @@
 		t.Fatal(err)
 	}
 	now := boottime.Reading{BootID: "first", SinceBoot: time.Hour}
-	if err := errors.Join(s.Write(now, []replication.Record{record("a")}, nil), s.SetIncarnation(replication.Incarnation{Generation: 1}, 1)); err != nil {
+	err = errors.Join(
+		s.Write(now, []replication.Record{record("a")}, nil),
+		s.SetIncarnation(replication.Incarnation{Generation: 1}, 1),
+	)
+	if err != nil {
 		t.Fatal(err)
 	}
 	if err := s.db.Update(func(tx *bbolt.Tx) error {
@@ -140,7 +159,8 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if got, err := s.Load(now); err != nil || !got.Complete || len(got.Records) != 1 || got.Records[0].Age != 0 {
+	got, err := s.Load(now)
+	if err != nil || !got.Complete || len(got.Records) != 1 || got.Records[0].Age != 0 {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
