--- a/internal/base/opkey/opkey.go
+++ b/internal/base/opkey/opkey.go
@@ -38,7 +38,7 @@
 // jsonEscaped are the printable ASCII characters that encoding/json escapes.
 const jsonEscaped = `"\<>&`
 
-// isPlain tells whether an id is short, and of printable ASCII that JSON does not escape.
+// isPlain reports whether an id is short, and of printable ASCII that JSON does not escape.
 func isPlain(id string) bool {
 	if len(id) > maxKeyBytes {
 		return false
--- a/internal/cluster/drainstate/drainstate.go
+++ b/internal/cluster/drainstate/drainstate.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// Excluded tells whether a worker takes nothing new though the own discovery lists it as ready: another
+// Excluded reports whether a worker takes nothing new though the own discovery lists it as ready: another
 // member was told otherwise of this very boot of it, or a later one, at a revision that has not come here.
 func (c *Core) Excluded(worker string) bool {
 	endpoint, listed := c.listed[worker]
--- a/internal/cluster/replica/claims.go
+++ b/internal/cluster/replica/claims.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"sync/atomic"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -16,6 +17,17 @@
 	loopGrace       = time.Second           // beyond QuorumTimeout, for a loop that is late
 )
 
+// pendingClaims are the claims that callers wait for.
+type pendingClaims struct {
+	*waiters[replication.ClaimDecided]
+	lastID atomic.Uint64
+	joined atomic.Int64 // that wait for ops of other schedulers
+}
+
+func newPendingClaims() pendingClaims {
+	return pendingClaims{waiters: newWaiters[replication.ClaimDecided]()}
+}
+
 // claimOp is what a claim is for.
 type claimOp struct {
 	key         string
@@ -37,8 +49,8 @@
 	if decided.Result != replication.InProgress || joinTimeout <= 0 {
 		return decided
 	}
-	defer r.joinedClaims.Add(-1)
-	if r.joinedClaims.Add(1) > maxJoinedClaims {
+	defer r.claims.joined.Add(-1)
+	if r.claims.joined.Add(1) > maxJoinedClaims {
 		return decided
 	}
 	ticker := time.NewTicker(joinInterval)
@@ -58,7 +70,7 @@
 
 // claimOnce asks once, and waits for the decision.
 func (r *Replica) claimOnce(ctx context.Context, op claimOp, timeout time.Duration) replication.ClaimDecided {
-	id := r.lastClaim.Add(1)
+	id := r.claims.lastID.Add(1)
 	result, _ := r.claims.add(id, 0) // bounded by the frontend's open ops
 	noQuorum := replication.ClaimDecided{RequestID: id, Result: replication.NoQuorum}
 	request := replication.ClaimRequest{
--- a/internal/cluster/replica/delivery_test.go
+++ b/internal/cluster/replica/delivery_test.go
@@ -13,7 +13,7 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// keeper is one by itself, with a disk, that has its vote.
+// replica is one by itself, with a disk, that has its vote.
 func keeper(t *testing.T) *Replica {
 	t.Helper()
 	table := Defaults()
@@ -55,7 +55,7 @@
 	f := &Replica{
 		queue:  newInputQueue(ended),
 		ended:  ended,
-		claims: newWaiters[replication.ClaimDecided](),
+		claims: newPendingClaims(),
 		config: Defaults(),
 	}
 	ctx, leave := context.WithCancel(context.Background())
@@ -80,7 +80,7 @@
 	}
 }
 
-// What a keeper must do when its disk fails, and when a grant finds nobody, was put at the end of its own
+// What a replica must do when its disk fails, and when a grant finds nobody, was put at the end of its own
 // queue, and lost where that was full: it went on voting with records that do not last, and the claim
 // stood for good.
 func TestWhatAKeeperOwesItselfIsNotLostWithAFullQueue(t *testing.T) {
@@ -114,7 +114,7 @@
 	})
 }
 
-// A keeper whose disk fails in the very round in which an op is decided gives it to nobody.
+// A replica whose disk fails in the very round in which an op is decided gives it to nobody.
 func TestAGrantThatIsOnNoDiskIsGivenToNobody(t *testing.T) {
 	f := keeper(t)
 	if d := f.claimOnce(t.Context(), payOp("before"), time.Second); d.Result != replication.Granted {
--- a/internal/cluster/replica/effects.go
+++ b/internal/cluster/replica/effects.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// deliverClaim gives a decision to the caller that waits for it. It tells whether a caller got it: not where
-// nobody waits any more, nor a grant in a round that was not persisted, since this replica's own vote may be
-// part of it.
+// deliverClaim gives a decision to the caller that waits for it. It reports whether a caller got it: not
+// where nobody waits any more, nor a grant in a round that was not persisted, since this replica's own
+// vote may be part of it.
 func (r *Replica) deliverClaim(e replication.ClaimDecided, persisted bool) bool {
 	result := r.claims.take(e.RequestID)
 	if result == nil {
--- a/internal/cluster/replica/golden_test.go
+++ b/internal/cluster/replica/golden_test.go
@@ -11,12 +11,12 @@
 	"woaddyke/internal/testsupport/golden"
 )
 
-// Guards the JSON keys that tools of the staff read at /api/copies.
+// Guards the JSON keys that tools of the operators read at /api/copies.
 func TestShownKeepsItsForm(t *testing.T) {
 	filled.CompareJSON(t, "testdata/shown.json.golden", filled.Value[Status](t))
 }
 
-// Guards the JSON keys of one claim that tools of the staff read at /api/copies/records.
+// Guards the JSON keys of one claim that tools of the operators read at /api/copies/records.
 func TestRowKeepsItsForm(t *testing.T) {
 	filled.CompareJSON(t, "testdata/row.json.golden", filled.Value[RecordRow](t))
 }
--- a/internal/cluster/replica/replica.go
+++ b/internal/cluster/replica/replica.go
@@ -10,7 +10,6 @@
 	"fmt"
 	"slices"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -47,11 +46,9 @@
 	ended    chan struct{}
 	quitOnce sync.Once
 
-	claims       *waiters[replication.ClaimDecided]
-	lastClaim    atomic.Uint64 // request ID
-	joinedClaims atomic.Int64  // that wait for ops of other schedulers
-	changes      *waiters[replicaset.ChangeResult]
-	identity     identity
+	claims   pendingClaims
+	changes  *waiters[replicaset.ChangeResult]
+	identity identity
 }
 
 // New makes a process's part at a moment of the transport's clock; it does nothing before Start. Successions
@@ -72,7 +69,7 @@
 		calls:    make(chan func()),
 		quit:     make(chan struct{}),
 		ended:    ended,
-		claims:   newWaiters[replication.ClaimDecided](),
+		claims:   newPendingClaims(),
 		changes:  newWaiters[replicaset.ChangeResult](),
 		identity: identity{successions: successions},
 	}
--- a/internal/cluster/replica/replica_test.go
+++ b/internal/cluster/replica/replica_test.go
@@ -26,7 +26,7 @@
 
 const longAgo membership.Time = 40 * 24 * 3600 * 10_000 // more than any id is remembered
 
-// One keeper by itself: what it granted must be there after a restart, however long the machine has been
+// One replica by itself: what it granted must be there after a restart, however long the machine has been
 // up. Ids of before were forgotten at the first tick, as their ages counted from the clock's start.
 func TestAKeepersOwnRecordsLast(t *testing.T) {
 	defer goleak.VerifyNone(t)
@@ -82,7 +82,7 @@
 
 func (h heard) SendReplication(_ string, x replication.Message) { h.sent <- x }
 
-// Two keepers that lost their memory met each other first, so that one had the incarnation of the process
+// Two replicas that lost their memory met each other first, so that one had the incarnation of the process
 // before it. It registered with a nonce of its own that happened to be the smaller one, and its
 // registration was taken for the earlier process's: no vote, for good.
 func TestAKeeperRegistersAsTheLifeThatMembersKnow(t *testing.T) {
--- a/internal/cluster/replicaset/changes.go
+++ b/internal/cluster/replicaset/changes.go
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// isActive tells whether a request is the one that is being carried out.
+// isActive reports whether a request is the one that is being carried out.
 func (c *Core) isActive(change *activeChange) bool {
 	active := c.changes.active
 	return active != nil && active.requestID == change.requestID && active.requestedBy == change.requestedBy
--- a/internal/cluster/replicaset/core.go
+++ b/internal/cluster/replicaset/core.go
@@ -67,7 +67,7 @@
 // Set is the set in force here.
 func (c *Core) Set() Set { return c.set }
 
-// IsLeader tells whether this process carries out changes now.
+// IsLeader reports whether this process carries out changes now.
 func (c *Core) IsLeader() bool { return c.raft.isLeader() }
 
 // Status is the role of this process, as operators see it.
--- a/internal/cluster/replicaset/core_test.go
+++ b/internal/cluster/replicaset/core_test.go
@@ -22,7 +22,7 @@
 	return c
 }
 
-// leftGroup tells whether some effects say that the process takes no part in the group any more.
+// leftGroup reports whether some effects say that the process takes no part in the group any more.
 func leftGroup(effects []Effect) bool {
 	for _, e := range effects {
 		if event, ok := e.(Event); ok && event.Description == LeftGroup {
--- a/internal/cluster/replicaset/election.go
+++ b/internal/cluster/replicaset/election.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// admitRaftMessage tells whether a message may reach the node. It records the leader's messages, and keeps
+// admitRaftMessage reports whether a message may reach the node. It records the leader's messages, and keeps
 // vote requests away while the leader's lease lasts.
 func (c *Core) admitRaftMessage(m *raftpb.Message) bool {
 	switch m.Type {
@@ -78,7 +78,7 @@
 	return true
 }
 
-// leaseValid tells whether the leader was heard within the election timeout.
+// leaseValid reports whether the leader was heard within the election timeout.
 func (c *Core) leaseValid() bool {
 	heardAt := c.election.leaderHeardAt
 	return heardAt != 0 && c.now-heardAt < c.config.ElectionTimeout
--- a/internal/cluster/replicaset/golden_test.go
+++ b/internal/cluster/replicaset/golden_test.go
@@ -115,12 +115,12 @@
 	requireGolden(t, "seats", filled[[]Voter](t))
 }
 
-// A set of keepers keeps its bytes and decodes to the same value.
+// A set of replicas keeps its bytes and decodes to the same value.
 func TestGoldenSet(t *testing.T) {
 	requireGolden(t, "set", filled[Set](t))
 }
 
-// The state that a keeper stores keeps its bytes and decodes to the same value.
+// The state that a replica stores keeps its bytes and decodes to the same value.
 func TestGoldenState(t *testing.T) {
 	requireGolden(t, "state", filled[State](t))
 }
--- a/internal/cluster/replicaset/group_creation.go
+++ b/internal/cluster/replicaset/group_creation.go
@@ -30,7 +30,7 @@
 	return voters
 }
 
-// createsGroup tells whether this process is the one that creates the group.
+// createsGroup reports whether this process is the one that creates the group.
 func (c *Core) createsGroup() bool {
 	return len(c.config.Replicas) > 0 && c.config.Replicas[0] == c.config.Name
 }
--- a/internal/cluster/replicaset/raft_group.go
+++ b/internal/cluster/replicaset/raft_group.go
@@ -49,7 +49,7 @@
 	return g.node != nil && g.node.BasicStatus().RaftState == raft.StateLeader
 }
 
-// isVoter tells whether a voter ID is part of the group, as far as this process knows.
+// isVoter reports whether a voter ID is part of the group, as far as this process knows.
 func (g *raftGroup) isVoter(id uint64) bool {
 	return slices.Contains(g.conf.Voters, id) || slices.Contains(g.conf.VotersOutgoing, id)
 }
--- a/internal/cluster/replicaset/set.go
+++ b/internal/cluster/replicaset/set.go
@@ -23,7 +23,7 @@
 // Configured is the set that the configuration names.
 func Configured(names []string) Set { return Set{New: names} }
 
-// Joint tells whether a change is under way.
+// Joint reports whether a change is under way.
 func (s Set) Joint() bool { return len(s.Old) > 0 }
 
 // Quorums are the parts of the set, each of which needs a majority; the old one first.
@@ -47,7 +47,7 @@
 
 func (s Set) contains(name string) bool { return slices.Contains(s.Members(), name) }
 
-// HasMajority tells whether a predicate holds for a majority of each part.
+// HasMajority reports whether a predicate holds for a majority of each part.
 func (s Set) HasMajority(holds func(name string) bool) bool {
 	for _, part := range s.Quorums() {
 		if Count(part, holds) < Majority(len(part)) {
@@ -69,7 +69,7 @@
 	return xxhash.Sum64(append(buffer, names...))
 }
 
-// Supersedes tells whether this set replaces another: an agreed one replaces a configured one, and a later
+// Supersedes reports whether this set replaces another: an agreed one replaces a configured one, and a later
 // epoch an earlier one of the same group. Of two groups neither replaces the other.
 func (s Set) Supersedes(other Set) bool {
 	if s.GroupID == 0 {
@@ -78,7 +78,7 @@
 	return other.GroupID == 0 || s.GroupID == other.GroupID && s.Epoch > other.Epoch
 }
 
-// Valid tells whether an agreed set from elsewhere is within bounds.
+// Valid reports whether an agreed set from elsewhere is within bounds.
 func (s Set) Valid() bool {
 	return s.GroupID != 0 && len(s.New) > 0 && len(s.New) <= MaxReplicas && len(s.Old) <= MaxReplicas
 }
--- a/internal/cluster/replication/catch_up.go
+++ b/internal/cluster/replication/catch_up.go
@@ -322,7 +322,7 @@
 		}
 		c.mergeRecord(r, requestedAt)
 	}
-	c.counts["pulled"] += uint64(len(records))
+	c.counts[countRecordsFetched] += uint64(len(records))
 	return bytes
 }
 
--- a/internal/cluster/replication/claims.go
+++ b/internal/cluster/replication/claims.go
@@ -113,11 +113,11 @@
 	claim := newActiveClaim(in, newClaim(c.config.Name, c.random), c.now, c.config.QuorumTimeout)
 	switch {
 	case len(c.claims.pending) >= maxPendingClaims || len(in.Key) > maxNameBytes || in.Key == "":
-		c.count("no room to ask")
+		c.count(countClaimsFull)
 		c.emit(ClaimDecided{RequestID: in.RequestID, Result: NoQuorum, Reason: CapacityReached})
 		return
 	case !c.registration.serving:
-		c.count("asked while no member")
+		c.count(countNotServing)
 		c.emit(ClaimDecided{RequestID: in.RequestID, Result: NoQuorum, Reason: NoVote})
 		return
 	}
@@ -181,7 +181,7 @@
 	c.evaluate(claim, false)
 }
 
-// hasMajority tells whether a majority has granted a claim: one of each part while the set is joint. The
+// hasMajority reports whether a majority has granted a claim: one of each part while the set is joint. The
 // grant of a process does not count where another granting replica knows a later incarnation of it.
 func (c *Core) hasMajority(claim *activeClaim) bool {
 	newest := claim.newestVoters()
@@ -191,7 +191,7 @@
 	})
 }
 
-// majorityPossible tells whether a majority may still grant a claim.
+// majorityPossible reports whether a majority may still grant a claim.
 func (c *Core) majorityPossible(claim *activeClaim) bool {
 	return c.active.set.HasMajority(func(name string) bool {
 		answer, answered := claim.answers[name]
@@ -223,7 +223,7 @@
 func (c *Core) grant(claim *activeClaim) {
 	delete(c.claims.pending, claim.RequestID)
 	c.claims.granted[claim.RequestID] = claim
-	c.count("granted")
+	c.count(countGranted)
 	outcome := claim.outcome(Claimed, c.now)
 	c.emit(ClaimDecided{RequestID: claim.RequestID, Result: Granted, Outcome: outcome})
 }
@@ -251,7 +251,7 @@
 	return all
 }
 
-// hasResult tells whether the op has ended, with a result that was retained.
+// hasResult reports whether the op has ended, with a result that was retained.
 func (r *refusals) hasResult() bool {
 	end, ended := r.record.ending()
 	return ended && end.ResultRetained
@@ -280,14 +280,14 @@
 	return decided
 }
 
-// inProgressElsewhere tells whether a scheduler that is not dead has another claim of the op.
+// inProgressElsewhere reports whether a scheduler that is not dead has another claim of the op.
 func (c *Core) inProgressElsewhere(claim *activeClaim, record *Record) bool {
 	return slices.ContainsFunc(record.Outcomes, func(o Outcome) bool {
 		return o.Stage == Claimed && o.Claim != claim.claim && !c.members.dead[o.Scheduler]
 	})
 }
 
-// bindToGroup replaces a claim by one that is bound to a worker group, and tells whether it did: where the
+// bindToGroup replaces a claim by one that is bound to a worker group, and reports whether it did: where the
 // op may have run for schedulers that are dead or have abandoned it, in that group alone, and the group
 // still drops repeats.
 func (c *Core) bindToGroup(claim *activeClaim, r *refusals) bool {
@@ -307,7 +307,7 @@
 	claim.claim = newClaim(c.config.Name, c.random)
 	claim.group, claim.firstRun = other.Group, firstRun
 	clear(claim.answers)
-	c.count("bound to a group")
+	c.count(countBound)
 	c.requestGrants(claim)
 	return true
 }
--- a/internal/cluster/replication/claims_test.go
+++ b/internal/cluster/replication/claims_test.go
@@ -24,7 +24,7 @@
 	}}
 }
 
-// claimsIn tells whether some effects ask for a claim that is bound to a worker group.
+// claimsIn reports whether some effects ask for a claim that is bound to a worker group.
 func claimsIn(effects []Effect, group string) bool {
 	for _, e := range effects {
 		if s, ok := e.(Send); ok && s.Kind == ClaimRequested && s.Record.Outcomes[0].Group == group {
--- a/internal/cluster/replication/core.go
+++ b/internal/cluster/replication/core.go
@@ -97,13 +97,13 @@
 	switch in.Kind {
 	case ClaimRequested, OutcomeReported, Register, Pull, Fetch:
 		if !c.active.isReplica || !c.registration.serving {
-			c.count("asked as no keeper")
+			c.count(countNotReplica)
 			return
 		}
 		c.handleReplicaRequest(in)
 	case ClaimGranted, ClaimRefused, OutcomeKnown, Registered, DigestPage, Fetched:
 		if !slices.Contains(c.active.members, in.From) {
-			c.count("word of no keeper")
+			c.count(countNotFromReplica)
 			return
 		}
 		c.handleReplicaAnswer(in)
--- a/internal/cluster/replication/grants.go
+++ b/internal/cluster/replication/grants.go
@@ -62,7 +62,7 @@
 
 // refuse answers why a claim is not granted, with the record that forbids it.
 func (c *Core) refuse(in MessageReceived, reason RefusalReason, known *Record) {
-	c.count("refused: " + reason.String())
+	c.count(countRefusedPrefix + reason.String())
 	answer := Message{
 		Kind:        ClaimRefused,
 		RequestID:   in.RequestID,
@@ -95,7 +95,7 @@
 	})
 }
 
-// echoesOwnGrant tells whether a report carries the moment at which this incarnation granted the claim.
+// echoesOwnGrant reports whether a report carries the moment at which this incarnation granted the claim.
 func (c *Core) echoesOwnGrant(x Message) bool {
 	return x.LogIncarnation == c.registration.incarnation &&
 		x.After > 0 && Time(x.After) <= c.now && len(x.Record.Outcomes) == 1
--- a/internal/cluster/replication/messages.go
+++ b/internal/cluster/replication/messages.go
@@ -91,7 +91,7 @@
 	Digests           []uint64       `cbor:"17,keyasint,omitzero"` // DigestPage, Fetch and Fetched
 }
 
-// RequiresDurability tells whether a message states what a replica knows. It must not be sent where that
+// RequiresDurability reports whether a message states what a replica knows. It must not be sent where that
 // was not persisted: the replica would forget it.
 func (x *Message) RequiresDurability() bool {
 	switch x.Kind {
--- a/internal/cluster/replication/outcome_reports.go
+++ b/internal/cluster/replication/outcome_reports.go
@@ -87,7 +87,7 @@
 		return
 	}
 	if len(c.claims.reports) >= maxPendingClaims {
-		c.count("no room to tell") // the claim stands on: nobody pushes what may have run
+		c.count(countReportsFull) // the claim stands on: nobody pushes what may have run
 		return
 	}
 	c.claims.reports[r.requestID] = r
@@ -108,7 +108,7 @@
 	}
 }
 
-// reportDone tells whether a report need not be sent again: the replicas that lack it pull it from others.
+// reportDone reports whether a report need not be sent again: the replicas that lack it pull it from others.
 func (c *Core) reportDone(r *outcomeReport) bool {
 	if c.allAcknowledged(r) || r.attempts >= 4*maxReportAttempts {
 		return true
--- a/internal/cluster/replication/record.go
+++ b/internal/cluster/replication/record.go
@@ -63,14 +63,14 @@
 // conflictingGroups stands for the group of a claim for which two groups were reported.
 const conflictingGroups = "\x00"
 
-// valid tells whether an outcome from elsewhere is within bounds.
+// valid reports whether an outcome from elsewhere is within bounds.
 func (o *Outcome) valid() bool {
 	return o.Stage >= Claimed && o.Stage <= Ended &&
 		o.Scheduler != "" && len(o.Scheduler) <= maxNameBytes &&
 		len(o.Group) <= maxNameBytes
 }
 
-// stands tells whether the op may have run under the claim, or may run yet, and has no answer.
+// stands reports whether the op may have run under the claim, or may run yet, and has no answer.
 func (o *Outcome) stands() bool { return o.Stage == Claimed || o.Stage == Abandoned }
 
 // joinOutcomes merges two outcomes of one claim. Where both can't be true it reports a conflict, and keeps
@@ -95,7 +95,7 @@
 	return joined, conflict
 }
 
-// stagesConflict tells whether one outcome says that nothing ran and the other that something may have, or
+// stagesConflict reports whether one outcome says that nothing ran and the other that something may have, or
 // whether both name an end with another status.
 func stagesConflict(a, b Outcome) bool {
 	if a.Stage == Ended && b.Stage == Ended {
@@ -136,7 +136,7 @@
 	return slices.BinarySearchFunc(r.Outcomes, c, compare)
 }
 
-// join merges an outcome, and tells whether that changed what other replicas must learn.
+// join merges an outcome, and reports whether that changed what other replicas must learn.
 func (r *Record) join(o Outcome) (changed, conflict bool) {
 	i, known := r.find(o.Claim)
 	if !known {
@@ -161,7 +161,7 @@
 	return Outcome{}, false
 }
 
-// standsOnlyIn tells whether all other claims that stand may have run in one worker group alone: that group
+// standsOnlyIn reports whether all other claims that stand may have run in one worker group alone: that group
 // drops a repeat.
 func (r *Record) standsOnlyIn(except Claim, group string) bool {
 	for _, o := range r.Outcomes {
@@ -182,7 +182,7 @@
 	return end, ended
 }
 
-// protects tells whether the op could run twice if the record were forgotten.
+// protects reports whether the op could run twice if the record were forgotten.
 func (r *Record) protects() bool {
 	return slices.ContainsFunc(r.Outcomes, func(o Outcome) bool { return o.Stage != Released })
 }
@@ -222,7 +222,7 @@
 	return sum
 }
 
-// Join merges two copies of a record, and tells whether they conflict. It is commutative, associative and
+// Join merges two copies of a record, and reports whether they conflict. It is commutative, associative and
 // idempotent.
 func Join(a, b Record) (joined Record, conflict bool) {
 	joined = Record{
--- a/internal/cluster/replication/record_log.go
+++ b/internal/cluster/replication/record_log.go
@@ -33,12 +33,12 @@
 	}
 }
 
-// full tells whether nothing more may be learned.
+// full reports whether nothing more may be learned.
 func (l *recordLog) full() bool {
 	return len(l.byKey) >= l.maxRecords || l.bytes >= l.maxBytes
 }
 
-// fits tells whether a new record may be added.
+// fits reports whether a new record may be added.
 func (l *recordLog) fits(r *Record) bool {
 	return len(l.byKey) < l.maxRecords && l.bytes+r.size() <= l.maxBytes
 }
--- a/internal/cluster/replication/records.go
+++ b/internal/cluster/replication/records.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// valid tells whether a record from elsewhere is within bounds.
+// valid reports whether a record from elsewhere is within bounds.
 func (c *Core) valid(r Record) bool {
 	ok := r.Key != "" && len(r.Key) <= maxNameBytes &&
 		len(r.Outcomes) > 0 && len(r.Outcomes) <= 4*maxClaimsPerOp
@@ -10,7 +10,7 @@
 		ok = ok && r.Outcomes[i].valid()
 	}
 	if !ok {
-		c.count("garbled")
+		c.count(countInvalidRecord)
 	}
 	return ok
 }
@@ -44,7 +44,7 @@
 // handleFullLog gives up this replica's vote, since it cannot store a record that may forbid a claim. What
 // found no room is fetched again.
 func (c *Core) handleFullLog() {
-	c.count("no room for a record")
+	c.count(countLogFull)
 	c.registration.loseVote()
 	c.persistIncarnation(Incarnation{})
 	c.catchUp.restartAll()
@@ -60,17 +60,17 @@
 		return
 	}
 	if r.protects() && x.protects() {
-		c.count("breach: two requests under one id")
+		c.count(countFingerprintConflict)
 		c.emit(Event{Description: "two requests under one id", Subject: x.Key, Warning: true})
 	}
 	r.Fingerprint = max(r.Fingerprint, x.Fingerprint)
 }
 
-// mergeOutcomes merges outcomes into a record, and tells whether that changed what others must learn.
+// mergeOutcomes merges outcomes into a record, and reports whether that changed what others must learn.
 func (c *Core) mergeOutcomes(r *Record, outcomes []Outcome, agesTrueAt Time) (changed bool) {
 	for _, o := range outcomes {
 		if _, known := r.find(o.Claim); !known && len(r.Outcomes) >= 4*maxClaimsPerOp {
-			c.count("too many claims")
+			c.count(countTooManyClaims)
 			continue
 		}
 		o.notBefore = 0
@@ -81,7 +81,7 @@
 		updated, conflict := r.join(o)
 		changed = changed || updated
 		if conflict {
-			c.count("breach: words that can't both be true")
+			c.count(countOutcomeConflict)
 			c.emit(Event{Description: "conflicting outcomes of one claim", Subject: r.Key, Warning: true})
 		}
 	}
--- a/internal/cluster/replication/registration.go
+++ b/internal/cluster/replication/registration.go
@@ -94,7 +94,7 @@
 	}
 	r := &c.registration
 	if !r.setVoter(in.From, in.Incarnation) {
-		c.count("registration of an earlier process")
+		c.count(countStaleRegistration)
 		return
 	}
 	c.send(in.From, Message{
@@ -202,7 +202,7 @@
 	c.emit(Event{Description: "votes", Subject: "on its stored records"})
 }
 
-// holdOffElapsed tells whether this incarnation has been known to enough replicas for AmnesiaHoldOff.
+// holdOffElapsed reports whether this incarnation has been known to enough replicas for AmnesiaHoldOff.
 func (c *Core) holdOffElapsed(p quorumProgress) bool {
 	return p.registered >= p.enough && c.now-c.registration.registeredSince >= c.config.AmnesiaHoldOff
 }
@@ -229,7 +229,7 @@
 	}
 }
 
-// replicaReady tells whether a replica has stated that it is ready, to this incarnation.
+// replicaReady reports whether a replica has stated that it is ready, to this incarnation.
 func (c *Core) replicaReady(name string) bool {
 	if name == c.config.Name && c.registration.ready {
 		return true
--- a/internal/cluster/replication/replica_set.go
+++ b/internal/cluster/replication/replica_set.go
@@ -91,7 +91,7 @@
 // handleOtherSet answers a message under another set, so that whichever side is behind learns of the later
 // one.
 func (c *Core) handleOtherSet(in MessageReceived) {
-	c.count("other keepers")
+	c.count(countOtherSet)
 	switch in.Kind {
 	case ClaimRequested:
 		refusal := Message{Kind: ClaimRefused, SetID: in.SetID, RequestID: in.RequestID, Reason: WrongSet}
@@ -113,13 +113,13 @@
 	own := c.active.set
 	switch {
 	case !c.config.DynamicReplicas:
-		c.count("keepers do not change here")
+		c.count(countStaticSet)
 	case in.Set.Supersedes(own) && in.Set.Valid():
 		c.adoptSet(in.Set)
 	case own.Supersedes(in.Set):
 		c.sendSetInForce(in.From)
 	case in.Set.GroupID != 0 && own.GroupID != 0 && in.Set.GroupID != own.GroupID:
-		c.count("another founding")
+		c.count(countOtherGroup)
 	}
 }
 
--- a/internal/cluster/replication/simulation/change_test.go
+++ b/internal/cluster/replication/simulation/change_test.go
@@ -10,7 +10,7 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// dynamicCluster is a cluster whose keepers change by agreement, once that is founded.
+// dynamicCluster is a cluster whose replicas change by agreement, once that is founded.
 func dynamicCluster(t *testing.T, n, count int, seed uint64) *Cluster {
 	t.Helper()
 	p := New(n, count, seed)
@@ -27,8 +27,8 @@
 	return p
 }
 
-// changeReplicas has staff ask for keepers, again and again until they stand, and tells whether they do
-// in time.
+// changeReplicas has operators ask for replicas, again and again until they stand, and reports whether
+// they do in time.
 func (p *Cluster) changeReplicas(i int, within Time, want ...int) bool {
 	until := p.Now() + within
 	for p.Now() < until {
@@ -67,7 +67,7 @@
 	}
 }
 
-// checkConverged checks that so many places go by one set of keepers, all of which have their votes and
+// checkConverged checks that so many places go by one set of replicas, all of which have their votes and
 // the same copies.
 func (p *Cluster) checkConverged(t *testing.T, seed uint64, places int) {
 	t.Helper()
@@ -90,7 +90,7 @@
 	}
 }
 
-// All keepers are replaced by others: whatever the old ones granted, the new ones know.
+// All replicas are replaced by others: whatever the old ones granted, the new ones know.
 func TestAllKeepersAreReplaced(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		p := dynamicCluster(t, 7, 3, seed)
@@ -114,7 +114,7 @@
 	}
 }
 
-// What the new keepers are told of the past is lost on its way: the old ones are not let go before it has
+// What the new replicas are told of the past is lost on its way: the old ones are not let go before it has
 // come, though two of the three are new ones that were old ones, and had their votes all along. What the
 // other three granted these do not know.
 func TestOldKeepersStayUntilTheNewOnesKnow(t *testing.T) {
@@ -186,7 +186,8 @@
 	p.requireNoViolations(t)
 }
 
-// Parted, and staff ask on both sides: one side alone can agree, and the other takes that over afterwards.
+// Parted, and operators ask on both sides: one side alone can agree, and the other takes that over
+// afterwards.
 func TestStaffAskOnBothSidesOfACut(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		p := dynamicCluster(t, 8, 3, seed)
@@ -212,7 +213,7 @@
 	}
 }
 
-// A scheduler that stood still through two changes asks the keepers of before: these refuse, and tell who
+// A scheduler that stood still through two changes asks the replicas of before: these refuse, and tell who
 // keeps now; and an answer that was given before the changes, and comes after them, does not count.
 func TestAMessageOfBeforeTwoChanges(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
@@ -232,7 +233,7 @@
 	}
 }
 
-// A keeper loses its disk: it is seated anew by the others, and votes for copies once it has caught up.
+// A replica loses its disk: it is seated anew by the others, and votes for copies once it has caught up.
 func TestAKeeperThatLostItsDisk(t *testing.T) {
 	for _, k := range []int{0, 2} { // the one that founds, and another
 		p := dynamicCluster(t, 5, 3, 3)
@@ -254,7 +255,7 @@
 	}
 }
 
-// The rule replaces a keeper that is gone for long, and none that is back in time; a spare that can't be
+// The rule replaces a replica that is gone for long, and none that is back in time; a spare that can't be
 // heard is not let in.
 func TestTheRuleReplaces(t *testing.T) {
 	p := New(6, 3, 1)
@@ -287,7 +288,7 @@
 	p.requireNoViolations(t)
 }
 
-// The agreement is founded by all keepers of the file together: two of three that found one while the
+// The agreement is founded by all replicas of the file together: two of three that found one while the
 // third is away could be joined by a third that founds another.
 func TestTheFoundingTakesAllKeepers(t *testing.T) {
 	p := New(4, 3, 1)
@@ -355,7 +356,7 @@
 	p.requireNoViolations(t)
 }
 
-// Whatever fails while keepers change, and whenever, no op is given to two schedulers; and at rest all go
+// Whatever fails while replicas change, and whenever, no op is given to two schedulers; and at rest all go
 // by one set.
 func TestDrawnChangesOfKeepers(t *testing.T) {
 	first, last := seeds(24)
--- a/internal/cluster/replication/simulation/checker.go
+++ b/internal/cluster/replication/simulation/checker.go
@@ -55,7 +55,7 @@
 	requestedAt Time
 }
 
-// sameProcess tells whether the process runs that requested the claim.
+// sameProcess reports whether the process runs that requested the claim.
 func (cl *claim) sameProcess() bool { return cl.scheduler.running && cl.scheduler.core == cl.core }
 
 // firstRun is in which group an op ran first, and when.
--- a/internal/cluster/replication/simulation/cluster.go
+++ b/internal/cluster/replication/simulation/cluster.go
@@ -229,7 +229,7 @@
 	return id
 }
 
-// mayCrash ends a process by chance between two of its effects, and starts it again later. It tells whether
+// mayCrash ends a process by chance between two of its effects, and starts it again later. It reports whether
 // the process has ended.
 func (c *Cluster) mayCrash(n *node, core *replication.Core) bool {
 	if n.core != core || !n.running {
--- a/internal/cluster/replication/simulation/disk.go
+++ b/internal/cluster/replication/simulation/disk.go
@@ -83,11 +83,11 @@
 // FailDisk has the disk of a node take nothing from now on, or work again.
 func (c *Cluster) FailDisk(i int, failing bool) { c.nodes[i].diskFailing = failing }
 
-// DiskFailed tells whether the disk of a node has failed since its process started.
+// DiskFailed reports whether the disk of a node has failed since its process started.
 func (c *Cluster) DiskFailed(i int) bool { return c.nodes[i].diskFailed }
 
-// diskWrite tells whether a round's write fails, and whether it was written: what a disk fails to sync may be
-// written all the same.
+// diskWrite reports whether a round's write fails, and whether it was written: what a disk fails to sync
+// may be written all the same.
 func (c *Cluster) diskWrite(n *node) (failed, written bool) {
 	if !n.diskFailing {
 		return false, true
--- a/internal/cluster/replication/simulation/disk_test.go
+++ b/internal/cluster/replication/simulation/disk_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// Disks of keepers fail for a while, with half of what they fail to sync written all the same, while
-// processes are killed and cut off. No op is given twice, and once each keeper whose disk failed has been
+// Disks of replicas fail for a while, with half of what they fail to sync written all the same, while
+// processes are killed and cut off. No op is given twice, and once each replica whose disk failed has been
 // started again, all have their votes and the same copies.
 func TestDrawnDisksThatFail(t *testing.T) { playDisks(t, false) }
 
-// The same while staff change the keepers.
+// The same while operators change the replicas.
 func TestDrawnDisksThatFailWhileKeepersChange(t *testing.T) { playDisks(t, true) }
 
 func playDisks(t *testing.T, changes bool) {
@@ -50,7 +50,7 @@
 
 const burstTime = 14 * Second
 
-// burst draws troubles that cross: a keeper's disk fails, another one is cut off from some, and those
+// burst draws troubles that cross: a replica's disk fails, another one is cut off from some, and those
 // that could know are killed and come back. Ids are asked for at one of these meanwhile and again
 // anywhere afterwards.
 func burst(p *Cluster, changes bool) {
@@ -95,7 +95,7 @@
 	}
 }
 
-// threeReplicas are three places: those of the keepers, as the last place knows them, and others where
+// threeReplicas are three places: those of the replicas, as the last place knows them, and others where
 // they are fewer.
 func (p *Cluster) threeReplicas() []int {
 	var are, others []int
--- a/internal/cluster/replication/simulation/figures_test.go
+++ b/internal/cluster/replication/simulation/figures_test.go
@@ -13,7 +13,7 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// What catch-up costs, for the record: `CATCHUP=100000 go test -run CatchUpFigures -v` plays a keeper
+// What catch-up costs, for the record: `CATCHUP=100000 go test -run CatchUpFigures -v` plays a replica
 // that comes back without its memory, and one that was cut off, to so many records. A link takes 0.25 to
 // 0.75 ms, and nothing is lost.
 func TestCatchUpFigures(t *testing.T) {
@@ -33,7 +33,7 @@
 			}
 			p.Run(6 * Second)
 			kept := 0
-			tell := func(n int, to ...int) { // as if so many ops had ended: each known at those keepers
+			tell := func(n int, to ...int) { // as if so many ops had ended: each known at those replicas
 				for k := range n {
 					const result = "charged, and here is what the client was told of it: 0123456789"
 					r := endedRecord(kept+k, uint64(kept+k), result)
--- a/internal/cluster/replication/simulation/node.go
+++ b/internal/cluster/replication/simulation/node.go
@@ -20,7 +20,7 @@
 	diskFault
 }
 
-// ready tells whether a process takes an input now. A paused one takes it when it goes on.
+// ready reports whether a process takes an input now. A paused one takes it when it goes on.
 func (n *node) ready(core *replication.Core, later func()) bool {
 	if !n.running || n.core != core {
 		return false
--- a/internal/cluster/replication/simulation/simulation_test.go
+++ b/internal/cluster/replication/simulation/simulation_test.go
@@ -60,7 +60,7 @@
 		}
 		end := 25 * Second
 		for at := 3500 * Millisecond; at < end; at += Time(r.IntN(1500)) {
-			// An id comes again within two seconds, which is less than keepers without memory hold off.
+			// An id comes again within two seconds, which is less than replicas without memory hold off.
 			i, key := r.IntN(6), fmt.Sprint("op", at/(2*Second), "-", r.IntN(3))
 			p.At(at, func() { p.Claim(i, key) })
 			if r.IntN(2) == 0 { // the same id at another at the same moment, or nearly so
@@ -168,7 +168,7 @@
 	requireResult(t, p.claimResult(3, "x"), replication.OutcomeUnknown)
 }
 
-// Half the keepers gone: nothing is granted, and nothing is guessed.
+// Half the replicas gone: nothing is granted, and nothing is guessed.
 func TestAMajorityLostAndBack(t *testing.T) {
 	p := cluster(5, 3, 1)
 	p.Kill(0)
@@ -187,7 +187,7 @@
 	}
 }
 
-// A keeper that comes back without its memory has no vote before it has caught up, and then knows what it
+// A replica that comes back without its memory has no vote before it has caught up, and then knows what it
 // knew.
 func TestAKeeperThatForgot(t *testing.T) {
 	p := cluster(5, 3, 1)
@@ -255,7 +255,7 @@
 	}
 }
 
-// One keeper of three in trouble, whichever and however: not one op is refused for it.
+// One replica of three in trouble, whichever and however: not one op is refused for it.
 func TestOneKeeperInTroubleRefusesNothing(t *testing.T) {
 	for what, trouble := range map[string]func(p *Cluster, k int){
 		"dead":          func(p *Cluster, k int) { p.Kill(k) },
--- a/internal/cluster/store/bench_test.go
+++ b/internal/cluster/store/bench_test.go
@@ -16,7 +16,7 @@
 	return all
 }
 
-// BenchmarkKeep is what a grant waits for at a keeper with a file: so many records written together,
+// BenchmarkKeep is what a grant waits for at a replica with a file: so many records written together,
 // beside many that are there. With sync the disk has them.
 func BenchmarkKeep(b *testing.B) {
 	for _, sync := range []bool{false, true} {
--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -97,13 +97,13 @@
 // goldenNow is the moment at which the golden file was written.
 var goldenNow = boottime.Reading{BootID: "start-of-the-golden-file", SinceBoot: 1000 * time.Second}
 
-// goldenContent is all that a keeper's file holds.
+// goldenContent is all that a replica's file holds.
 type goldenContent struct {
-	Records   []replication.Record // in order of their keys
-	Life      replication.Incarnation
-	Epoch     uint64
-	Seen      []replication.ReplicationCursor // in order of their keepers
-	Agreement replicaset.State
+	Records     []replication.Record // in order of their keys
+	Incarnation replication.Incarnation
+	SetID       uint64
+	Cursors     []replication.ReplicationCursor // in order of their replicas
+	ReplicaSet  replicaset.State
 }
 
 // newGoldenContent is content with every field set, and a record with a claim of each stage.
@@ -122,7 +122,7 @@
 	}
 	content.Records[0].Outcomes = fates
 	content.Records[0].Key, content.Records[1].Key = "category\x00first", "category\x00second"
-	content.Seen[0].Replica, content.Seen[1].Replica = "keeper-1", "keeper-2"
+	content.Cursors[0].Replica, content.Cursors[1].Replica = "keeper-1", "keeper-2"
 	requireNonZero(t, "content", reflect.ValueOf(content))
 	return content
 }
@@ -136,9 +136,9 @@
 	}
 	err = errors.Join(
 		s.Write(goldenNow, content.Records, nil),
-		s.SetIncarnation(content.Life, content.Epoch),
-		s.SaveCursors(content.Seen),
-		s.SaveReplicaSetState(content.Agreement),
+		s.SetIncarnation(content.Incarnation, content.SetID),
+		s.SaveCursors(content.Cursors),
+		s.SaveReplicaSetState(content.ReplicaSet),
 		s.Close(),
 	)
 	if err != nil {
@@ -181,7 +181,7 @@
 	return rows
 }
 
-// The buckets, keys and value bytes that this build writes to a keeper's file are those of the golden file.
+// The buckets, keys and value bytes that this build writes to a replica's file are those of the golden file.
 func TestGoldenFileIsWrittenTheSame(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keeper.db")
 	writeStore(t, path, newGoldenContent(t))
@@ -208,7 +208,7 @@
 	}
 }
 
-// A keeper's file of an earlier build gives the records, life, epoch, positions and agreement that were
+// A replica's file of an earlier build gives the records, life, epoch, positions and agreement that were
 // put into it.
 func TestGoldenFileIsRead(t *testing.T) {
 	later := goldenNow
@@ -232,10 +232,10 @@
 			var whole, agreed bool
 			var errSeen, errAgreement error
 			contents, errLoad := s.Load(c.now)
-			got.Records, got.Life = contents.Records, contents.Incarnation
-			got.Epoch, whole = contents.SetID, contents.Complete
-			got.Seen, errSeen = s.Cursors()
-			got.Agreement, agreed, errAgreement = s.ReplicaSetState()
+			got.Records, got.Incarnation = contents.Records, contents.Incarnation
+			got.SetID, whole = contents.SetID, contents.Complete
+			got.Cursors, errSeen = s.Cursors()
+			got.ReplicaSet, agreed, errAgreement = s.ReplicaSetState()
 			if err := errors.Join(errLoad, errSeen, errAgreement); err != nil || !whole || !agreed {
 				t.Fatalf("whole %v, agreed %v, %v", whole, agreed, err)
 			}
--- a/internal/cluster/store/store_test.go
+++ b/internal/cluster/store/store_test.go
@@ -24,7 +24,7 @@
 	return replication.Record{Key: key, Fingerprint: 3, Age: 5, Outcomes: []replication.Outcome{outcome}}
 }
 
-// A keeper that comes back must know what it granted, as which life; and nobody else may use its file
+// A replica that comes back must know what it granted, as which life; and nobody else may use its file
 // meanwhile.
 func TestRecordsLast(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "copies.db")
