--- a/internal/cluster/replica/delivery_test.go
+++ b/internal/cluster/replica/delivery_test.go
@@ -13,7 +13,7 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// keeper is one by itself, with a disk, that has its vote.
+// replica is one by itself, with a disk, that has its vote.
 func keeper(t *testing.T) *Replica {
 	t.Helper()
 	table := Defaults()
@@ -48,11 +48,16 @@
 	return claimOp{key: keyOf("pay", id), fingerprint: xxhash.Sum64(nil)}
 }
 
-// A client that leaves just as its op is granted: whoever asked for it had looked in vain, and the grant came behind that look. The claim
-// stood for as long as ids are remembered, and the op could run nowhere.
+// A client that leaves just as its op is granted: whoever asked for it had looked in vain, and the grant
+// came behind that look. The claim stood for as long as ids are remembered, and the op could run nowhere.
 func TestAGrantThatCrossesItsClientsLeavingIsGivenBack(t *testing.T) {
 	ended := make(chan struct{})
-	f := &Replica{queue: newInputQueue(ended), ended: ended, claims: newWaiters[replication.ClaimDecided](), config: Defaults()}
+	f := &Replica{
+		queue:  newInputQueue(ended),
+		ended:  ended,
+		claims: newPendingClaims(),
+		config: Defaults(),
+	}
 	ctx, leave := context.WithCancel(context.Background())
 	answered := make(chan replication.ClaimDecided, 1)
 	go func() { answered <- f.claimOnce(ctx, payOp("a"), time.Second) }()
@@ -66,7 +71,8 @@
 	}
 	select {
 	case in := <-f.queue.inputs:
-		if end, ok := in.replication.(replication.OpEnded); !ok || end.RequestID != want.RequestID || !end.NeverRan {
+		end, ok := in.replication.(replication.OpEnded)
+		if !ok || end.RequestID != want.RequestID || !end.NeverRan {
 			t.Errorf("%+v", in.replication)
 		}
 	case <-time.After(time.Second):
@@ -74,8 +80,9 @@
 	}
 }
 
-// What a keeper must do when its disk fails, and when a grant finds nobody, was put at the end of its own queue, and lost where that was
-// full: it went on voting with records that do not last, and the claim stood for good.
+// What a replica must do when its disk fails, and when a grant finds nobody, was put at the end of its own
+// queue, and lost where that was full: it went on voting with records that do not last, and the claim
+// stood for good.
 func TestWhatAKeeperOwesItselfIsNotLostWithAFullQueue(t *testing.T) {
 	full := func(f *Replica) {
 		for len(f.queue.inputs) < cap(f.queue.inputs) {
@@ -107,7 +114,7 @@
 	})
 }
 
-// A keeper whose disk fails in the very round in which an op is decided gives it to nobody.
+// A replica whose disk fails in the very round in which an op is decided gives it to nobody.
 func TestAGrantThatIsOnNoDiskIsGivenToNobody(t *testing.T) {
 	f := keeper(t)
 	if d := f.claimOnce(t.Context(), payOp("before"), time.Second); d.Result != replication.Granted {
@@ -119,8 +126,9 @@
 	}
 }
 
-// Who is here and whether this process is a member comes in the order in which it happened, however full the queue is: told the other way
-// round, a process that another had taken the place of went on as a member, and one that was gone counted as here.
+// Who is here and whether this process is a member comes in the order in which it happened, however full
+// the queue is: told the other way round, a process that another had taken the place of went on as a
+// member, and one that was gone counted as here.
 func TestChangesOfMembersKeepTheirOrderInAFullQueue(t *testing.T) {
 	const changes = 40
 	ended := make(chan struct{})
--- a/internal/cluster/replicaset/changes.go
+++ b/internal/cluster/replicaset/changes.go
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// isActive tells whether a request is the one that is being carried out.
+// isActive reports whether a request is the one that is being carried out.
 func (c *Core) isActive(change *activeChange) bool {
 	active := c.changes.active
 	return active != nil && active.requestID == change.requestID && active.requestedBy == change.requestedBy
@@ -133,7 +133,10 @@
 			c.emit(ChangeResult{id, err == nil, retryable, text})
 		}
 	}
-	c.emit(Event{"change of keepers: " + text, strings.Join(change.replicas, ", ")})
+	c.emit(Event{
+		Description: "replica set change: " + text,
+		Subject:     strings.Join(change.replicas, ", "),
+	})
 }
 
 // handleChangeRequested begins a change that another member forwarded, or answers why not.
--- a/internal/cluster/replicaset/core.go
+++ b/internal/cluster/replicaset/core.go
@@ -67,7 +67,7 @@
 // Set is the set in force here.
 func (c *Core) Set() Set { return c.set }
 
-// IsLeader tells whether this process carries out changes now.
+// IsLeader reports whether this process carries out changes now.
 func (c *Core) IsLeader() bool { return c.raft.isLeader() }
 
 // Status is the role of this process, as operators see it.
@@ -135,7 +135,7 @@
 	case ReplicasReady:
 		c.changes.readyEpoch = in.Epoch
 	case PersistFailed:
-		c.fail("its state does not last")
+		c.fail("state is not durable")
 	case StateReloaded:
 		return c.handleStateReloaded(in.State)
 	}
@@ -208,7 +208,7 @@
 func (c *Core) fail(reason string) {
 	c.failed = true
 	c.raft.node = nil
-	c.emit(Event{"takes no part in changes of keepers any more", reason})
+	c.emit(Event{Description: LeftGroup, Subject: reason, Warning: true})
 }
 
 func (c *Core) useSet(s Set) {
--- a/internal/cluster/replicaset/golden_test.go
+++ b/internal/cluster/replicaset/golden_test.go
@@ -15,7 +15,8 @@
 
 const goldenFolder = "testdata/golden"
 
-// filler sets every exported field that it reaches to a non-zero value, and no two numbers or texts to the same one.
+// filler sets every exported field that it reaches to a non-zero value, and no two numbers or texts to
+// the same one.
 type filler struct{ last int }
 
 func (f *filler) fill(t *testing.T, v reflect.Value) {
@@ -114,17 +115,18 @@
 	requireGolden(t, "seats", filled[[]Voter](t))
 }
 
-// A set of keepers keeps its bytes and decodes to the same value.
+// A set of replicas keeps its bytes and decodes to the same value.
 func TestGoldenSet(t *testing.T) {
 	requireGolden(t, "set", filled[Set](t))
 }
 
-// The state that a keeper stores keeps its bytes and decodes to the same value.
+// The state that a replica stores keeps its bytes and decodes to the same value.
 func TestGoldenState(t *testing.T) {
 	requireGolden(t, "state", filled[State](t))
 }
 
-// A core that starts on a snapshot whose data an earlier build wrote takes its turn and the names of its voters.
+// A core that starts on a snapshot whose data an earlier build wrote takes its turn and the names of its
+// voters.
 func TestGoldenSnapshotDataIsTakenAtStart(t *testing.T) {
 	data := filled[settled](t)
 	voters := []uint64{data.Voters[0].ID, data.Voters[1].ID}
--- a/internal/cluster/replicaset/group_creation.go
+++ b/internal/cluster/replicaset/group_creation.go
@@ -30,7 +30,7 @@
 	return voters
 }
 
-// createsGroup tells whether this process is the one that creates the group.
+// createsGroup reports whether this process is the one that creates the group.
 func (c *Core) createsGroup() bool {
 	return len(c.config.Replicas) > 0 && c.config.Replicas[0] == c.config.Name
 }
@@ -50,7 +50,7 @@
 		return nil
 	}
 	groupID := c.random.Uint64() | 1
-	c.emit(Event{"changes of keepers are founded", strings.Join(c.config.Replicas, ", ")})
+	c.emit(Event{Description: "raft group created", Subject: strings.Join(c.config.Replicas, ", ")})
 	if err := c.joinGroup(groupID, voters); err != nil {
 		return err
 	}
--- a/internal/cluster/replication/simulation/change_test.go
+++ b/internal/cluster/replication/simulation/change_test.go
@@ -10,7 +10,7 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// dynamicCluster is a cluster whose keepers change by agreement, once that is founded.
+// dynamicCluster is a cluster whose replicas change by agreement, once that is founded.
 func dynamicCluster(t *testing.T, n, count int, seed uint64) *Cluster {
 	t.Helper()
 	p := New(n, count, seed)
@@ -27,7 +27,8 @@
 	return p
 }
 
-// changeReplicas has staff ask for keepers, again and again until they stand, and tells whether they do in time.
+// changeReplicas has operators ask for replicas, again and again until they stand, and reports whether
+// they do in time.
 func (p *Cluster) changeReplicas(i int, within Time, want ...int) bool {
 	until := p.Now() + within
 	for p.Now() < until {
@@ -66,7 +67,8 @@
 	}
 }
 
-// checkConverged checks that so many places go by one set of keepers, all of which have their votes and the same copies.
+// checkConverged checks that so many places go by one set of replicas, all of which have their votes and
+// the same copies.
 func (p *Cluster) checkConverged(t *testing.T, seed uint64, places int) {
 	t.Helper()
 	set, digest := p.Core(0).Set(), ""
@@ -82,12 +84,13 @@
 			digest = s.Digest
 		}
 		if s.Digest != digest || !s.Voting {
-			t.Errorf("seed %d: at rest n%d votes: %v, its copies %s, others' %s", seed, i, s.Voting, s.Digest, digest)
+			const format = "seed %d: at rest n%d votes: %v, its copies %s, others' %s"
+			t.Errorf(format, seed, i, s.Voting, s.Digest, digest)
 		}
 	}
 }
 
-// All keepers are replaced by others: whatever the old ones granted, the new ones know.
+// All replicas are replaced by others: whatever the old ones granted, the new ones know.
 func TestAllKeepersAreReplaced(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		p := dynamicCluster(t, 7, 3, seed)
@@ -111,8 +114,9 @@
 	}
 }
 
-// What the new keepers are told of the past is lost on its way: the old ones are not let go before it has come, though two of the three
-// are new ones that were old ones, and had their votes all along. What the other three granted these do not know.
+// What the new replicas are told of the past is lost on its way: the old ones are not let go before it has
+// come, though two of the three are new ones that were old ones, and had their votes all along. What the
+// other three granted these do not know.
 func TestOldKeepersStayUntilTheNewOnesKnow(t *testing.T) {
 	led := false
 	for seed := uint64(1); seed <= 8; seed++ {
@@ -128,7 +132,8 @@
 		if p.Granted != 1 {
 			t.Fatalf("seed %d: not given", seed)
 		}
-		for _, mute := range []string{"n0 n1 n5", "n0 n1"} { // then one of the three knows: that is not enough
+		// At first none of the three knows, and then one: that is not enough.
+		for _, mute := range []string{"n0 n1 n5", "n0 n1"} {
 			p.DropIf = func(to string, x replication.Message) bool {
 				return strings.Contains(mute, to) && x.Kind == replication.DigestPage
 			}
@@ -181,7 +186,8 @@
 	p.requireNoViolations(t)
 }
 
-// Parted, and staff ask on both sides: one side alone can agree, and the other takes that over afterwards.
+// Parted, and operators ask on both sides: one side alone can agree, and the other takes that over
+// afterwards.
 func TestStaffAskOnBothSidesOfACut(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		p := dynamicCluster(t, 8, 3, seed)
@@ -207,8 +213,8 @@
 	}
 }
 
-// A scheduler that stood still through two changes asks the keepers of before: these refuse, and tell who keeps now; and an answer that
-// was given before the changes, and comes after them, does not count.
+// A scheduler that stood still through two changes asks the replicas of before: these refuse, and tell who
+// keeps now; and an answer that was given before the changes, and comes after them, does not count.
 func TestAMessageOfBeforeTwoChanges(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		p := dynamicCluster(t, 8, 3, seed)
@@ -227,7 +233,7 @@
 	}
 }
 
-// A keeper loses its disk: it is seated anew by the others, and votes for copies once it has caught up.
+// A replica loses its disk: it is seated anew by the others, and votes for copies once it has caught up.
 func TestAKeeperThatLostItsDisk(t *testing.T) {
 	for _, k := range []int{0, 2} { // the one that founds, and another
 		p := dynamicCluster(t, 5, 3, 3)
@@ -249,10 +255,12 @@
 	}
 }
 
-// The rule replaces a keeper that is gone for long, and none that is back in time; a spare that can't be heard is not let in.
+// The rule replaces a replica that is gone for long, and none that is back in time; a spare that can't be
+// heard is not let in.
 func TestTheRuleReplaces(t *testing.T) {
 	p := New(6, 3, 1)
-	p.DynamicReplicas, p.ReplicaSetConfig.ReplaceAfter, p.ReplicaSetConfig.Spares = true, 20*Second, []string{"n3", "n4"}
+	p.DynamicReplicas = true
+	p.ReplicaSetConfig.ReplaceAfter, p.ReplicaSetConfig.Spares = 20*Second, []string{"n3", "n4"}
 	for i := range 6 {
 		p.Start(i)
 	}
@@ -280,8 +288,8 @@
 	p.requireNoViolations(t)
 }
 
-// The agreement is founded by all keepers of the file together: two of three that found one while the third is away could be joined by a
-// third that founds another.
+// The agreement is founded by all replicas of the file together: two of three that found one while the
+// third is away could be joined by a third that founds another.
 func TestTheFoundingTakesAllKeepers(t *testing.T) {
 	p := New(4, 3, 1)
 	p.DynamicReplicas = true
@@ -310,7 +318,11 @@
 	for _, x := range []struct {
 		want []int
 		text string
-	}{{[]int{0, 1}, "odd number"}, {[]int{0, 1, 1}, "stands twice"}, {[]int{0, 1, 5}, "nothing is heard of n5"}} {
+	}{
+		{[]int{0, 1}, "odd number"},
+		{[]int{0, 1, 1}, "stands twice"},
+		{[]int{0, 1, 5}, "nothing is heard of n5"},
+	} {
 		ticket := p.RequestChange(4, x.want...)
 		p.Run(p.Now() + 3*Second)
 		if a := p.Answers[ticket]; a.OK || !strings.Contains(a.Text, x.text) {
@@ -321,7 +333,11 @@
 		t.Fatal(p.Core(4).Set())
 	}
 	p.lastRequest++ // by one who saw the set before
-	p.stepReplicaSet(p.nodes[4], p.Core(4), replicaset.ChangeRequest{RequestID: p.lastRequest, Epoch: 1, Replicas: []string{"n0", "n2", "n3"}})
+	p.stepReplicaSet(p.nodes[4], p.Core(4), replicaset.ChangeRequest{
+		RequestID: p.lastRequest,
+		Epoch:     1,
+		Replicas:  []string{"n0", "n2", "n3"},
+	})
 	p.Run(p.Now() + 3*Second)
 	if a := p.Answers[p.lastRequest]; a.OK || !strings.Contains(a.Text, "have changed meanwhile") {
 		t.Errorf("from a set that is no more: %+v", a)
@@ -340,7 +356,8 @@
 	p.requireNoViolations(t)
 }
 
-// Whatever fails while keepers change, and whenever, no op is given to two schedulers; and at rest all go by one set.
+// Whatever fails while replicas change, and whenever, no op is given to two schedulers; and at rest all go
+// by one set.
 func TestDrawnChangesOfKeepers(t *testing.T) {
 	first, last := seeds(24)
 	granted, turns := 0, 0
--- a/internal/cluster/replication/simulation/simulation_test.go
+++ b/internal/cluster/replication/simulation/simulation_test.go
@@ -42,7 +42,8 @@
 	return 1, plays
 }
 
-// Whatever fails, and whenever: no op is given to two schedulers. SEED repeats a seed that failed, PLAYS plays more.
+// Whatever fails, and whenever: no op is given to two schedulers. SEED repeats a seed that failed, PLAYS
+// plays more.
 func TestDrawnTroubles(t *testing.T) {
 	first, last := seeds(90)
 	granted := 0
@@ -59,7 +60,7 @@
 		}
 		end := 25 * Second
 		for at := 3500 * Millisecond; at < end; at += Time(r.IntN(1500)) {
-			// An id comes again within two seconds, which is less than keepers without memory hold off.
+			// An id comes again within two seconds, which is less than replicas without memory hold off.
 			i, key := r.IntN(6), fmt.Sprint("op", at/(2*Second), "-", r.IntN(3))
 			p.At(at, func() { p.Claim(i, key) })
 			if r.IntN(2) == 0 { // the same id at another at the same moment, or nearly so
@@ -167,7 +168,7 @@
 	requireResult(t, p.claimResult(3, "x"), replication.OutcomeUnknown)
 }
 
-// Half the keepers gone: nothing is granted, and nothing is guessed.
+// Half the replicas gone: nothing is granted, and nothing is guessed.
 func TestAMajorityLostAndBack(t *testing.T) {
 	p := cluster(5, 3, 1)
 	p.Kill(0)
@@ -177,7 +178,8 @@
 	p.Start(0)
 	p.Start(1)
 	p.Run(p.Now() + 500*Millisecond)
-	requireResult(t, p.claimResult(4, "c"), replication.NoQuorum) // two keepers without their memory: one that has it is too few
+	// Two replicas are without their memory: one that has it is too few.
+	requireResult(t, p.claimResult(4, "c"), replication.NoQuorum)
 	p.Run(p.Now() + 5*Second)
 	requireResult(t, p.claimResult(4, "c"), replication.Granted)
 	if got := p.claimResult(3, "a"); got == replication.Granted {
@@ -185,7 +187,8 @@
 	}
 }
 
-// A keeper that comes back without its memory has no vote before it has caught up, and then knows what it knew.
+// A replica that comes back without its memory has no vote before it has caught up, and then knows what it
+// knew.
 func TestAKeeperThatForgot(t *testing.T) {
 	p := cluster(5, 3, 1)
 	for k := range 40 {
@@ -252,7 +255,7 @@
 	}
 }
 
-// One keeper of three in trouble, whichever and however: not one op is refused for it.
+// One replica of three in trouble, whichever and however: not one op is refused for it.
 func TestOneKeeperInTroubleRefusesNothing(t *testing.T) {
 	for what, trouble := range map[string]func(p *Cluster, k int){
 		"dead":          func(p *Cluster, k int) { p.Kill(k) },
@@ -326,14 +329,17 @@
 	}
 }
 
-// Ops whose repeats a group drops go on at another scheduler, when theirs is held for gone: in that group alone, while it drops repeats,
-// also where the first one is only stopped, and where what says so is lost or late.
+// Ops whose repeats a group drops go on at another scheduler, when theirs is held for gone: in that group
+// alone, while it drops repeats, also where the first one is only stopped, and where what says so is lost
+// or late.
 func TestDrawnRepeatsInTheGroup(t *testing.T) {
 	bound := 0
 	for seed := uint64(1); seed <= 60; seed++ {
 		p := New(6, 3, seed)
 		r := p.Rand
-		p.DedupWindow, p.Loss, p.Duplication, p.Delay = 6*Second, []float64{0, 0.1, 0.3}[r.IntN(3)], 0.05, Time(2+r.IntN(200))
+		p.DedupWindow = 6 * Second
+		p.Loss, p.Duplication = []float64{0, 0.1, 0.3}[r.IntN(3)], 0.05
+		p.Delay = Time(2 + r.IntN(200))
 		for i := range 6 {
 			p.Start(i)
 		}
