--- a/cmd/woaddyke/features.go
+++ b/cmd/woaddyke/features.go
@@ -12,74 +12,112 @@
 	"woaddyke/internal/config/features"
 )
 
-// featureTables are the tables of the operator's file. What is nil is off: no socket, no goroutine and no timer.
+// Names of the tables of the features file.
+const (
+	membersTable = "members"
+	copiesTable  = "copies"
+)
+
+// featureTables are the tables of the features file. A table that is nil is off: it has no socket,
+// goroutine or timer.
 type featureTables struct {
 	Members *mesh.Config    `toml:"members"`
 	Copies  *replica.Config `toml:"copies"`
 }
 
-// readFeatures reads the operator's file; without one nothing is offered.
-func readFeatures(path string, sheet *config.Bootstrap) (*featureTables, error) {
+// readFeatures reads the features file; without a path all features are off.
+func readFeatures(path string, bootstrap *config.Bootstrap) (*featureTables, error) {
 	if path == "" {
 		return &featureTables{}, nil
 	}
-	var named struct { // which tables are there: the others keep no defaults
+	tables, err := defaultFeatures(path)
+	if err != nil {
+		return nil, err
+	}
+	return tables, features.Read(path, tables, func() error { return tables.validate(bootstrap) })
+}
+
+// defaultFeatures returns the tables that the file has, with their defaults.
+func defaultFeatures(path string) (*featureTables, error) {
+	var present struct {
 		Members *map[string]any `toml:"members"`
 		Copies  *map[string]any `toml:"copies"`
 	}
-	all := func() error { return nil }
-	if err := features.Read(path, &named, all); err != nil {
+	noCheck := func() error { return nil }
+	if err := features.Read(path, &present, noCheck); err != nil {
 		return nil, err
 	}
-	o := &featureTables{}
-	if named.Members != nil {
-		o.Members = mesh.Defaults()
+	tables := &featureTables{}
+	if present.Members != nil {
+		tables.Members = mesh.Defaults()
 	}
-	if named.Copies != nil {
-		o.Copies = replica.Defaults()
+	if present.Copies != nil {
+		tables.Copies = replica.Defaults()
 	}
-	return o, features.Read(path, o, func() error { return o.validate(sheet) })
+	return tables, nil
 }
 
-// descriptors is how many the tables that are on may take.
-func (o *featureTables) descriptors() (n int) {
-	if o.Members != nil {
+// descriptors returns how many descriptors the features may use.
+func (t *featureTables) descriptors() (n int) {
+	if t.Members != nil {
 		n += mesh.Descriptors
 	}
-	if o.Copies != nil {
+	if t.Copies != nil {
 		n += store.Descriptors
 	}
 	return n
 }
 
-func (o *featureTables) validate(sheet *config.Bootstrap) error {
-	t := o.Members
-	if t == nil {
-		if o.Copies != nil {
-			return &features.ConfigError{Table: "copies", Key: "keepers", Err: errors.New("copies need a table members")}
+func (t *featureTables) validate(bootstrap *config.Bootstrap) error {
+	if t.Members == nil {
+		if t.Copies != nil {
+			return copiesError("keepers", errors.New("copies need a table members"))
 		}
 		return nil
 	}
-	if err := t.Validate(); err != nil {
+	if err := t.validateMembers(bootstrap); err != nil {
 		return err
 	}
-	if sheet.Name == "" {
-		return &features.ConfigError{Table: "members", Key: "cluster", Err: errors.New("the configuration gives this scheduler no name")}
+	if t.Copies == nil {
+		return nil
 	}
-	if least := config.MinSockets + o.descriptors(); sheet.Limits.Sockets < least {
-		return &features.ConfigError{Table: "members", Key: "listen",
-			Err: fmt.Errorf("%d descriptors are too few for a scheduler that is a member, %d at least", sheet.Limits.Sockets, least)}
+	return t.validateCopies(bootstrap)
+}
+
+func (t *featureTables) validateMembers(bootstrap *config.Bootstrap) error {
+	if err := t.Members.Validate(); err != nil {
+		return err
 	}
-	if t.CarryPeerMessages {
-		if err := sheet.AllowPeerMessages(); err != nil {
-			return &features.ConfigError{Table: "members", Key: "words", Err: fmt.Errorf("words: %w", err)}
-		}
+	if bootstrap.Name == "" {
+		return membersError("cluster", errors.New("the configuration gives this scheduler no name"))
+	}
+	minSockets := config.MinSockets + t.descriptors()
+	if sockets := bootstrap.Limits.Sockets; sockets < minSockets {
+		return membersError("listen", fmt.Errorf(
+			"%d descriptors are too few for a scheduler that is a member, %d at least", sockets, minSockets))
 	}
-	if c := o.Copies; c != nil {
-		if c.DynamicReplicas && c.Path == "" && (slices.Contains(c.Replicas, sheet.Name) || slices.Contains(c.Spares, sheet.Name)) {
-			return &features.ConfigError{Table: "copies", Key: "path", Err: fmt.Errorf("%s is a keeper or a spare: it needs a file for what must last", sheet.Name)}
+	if t.Members.CarryPeerMessages {
+		if err := bootstrap.AllowPeerMessages(); err != nil {
+			return membersError("words", fmt.Errorf("words: %w", err))
 		}
-		return c.Validate(sheet.LongestTTL())
 	}
 	return nil
 }
+
+func (t *featureTables) validateCopies(bootstrap *config.Bootstrap) error {
+	c, name := t.Copies, bootstrap.Name
+	mayBeReplica := slices.Contains(c.Replicas, name) || slices.Contains(c.Spares, name)
+	if c.DynamicReplicas && c.Path == "" && mayBeReplica {
+		err := fmt.Errorf("%s is a keeper or a spare: it needs a file for what must last", name)
+		return copiesError("path", err)
+	}
+	return c.Validate(bootstrap.LongestTTL())
+}
+
+func membersError(key string, err error) error {
+	return &features.ConfigError{Table: membersTable, Key: key, Err: err}
+}
+
+func copiesError(key string, err error) error {
+	return &features.ConfigError{Table: copiesTable, Key: key, Err: err}
+}
--- a/cmd/woaddyke/main.go
+++ b/cmd/woaddyke/main.go
@@ -3,6 +3,7 @@
 
 import (
 	"fmt"
+	"io"
 	"os"
 	"runtime/debug"
 	"time"
@@ -14,6 +15,9 @@
 	"woaddyke/internal/frontend"
 )
 
+// reportTimeout is for an error to be written before the process ends.
+const reportTimeout = time.Second
+
 func main() {
 	if err := command().Execute(); err != nil {
 		reportError(err)
@@ -21,57 +25,71 @@
 	}
 }
 
-const reportTimeout = time.Second // for an error to be read before the process ends
-
-// reportError says why the command failed, to whoever reads it in time.
+// reportError writes why the command failed. It gives up on a reader that does not read.
 func reportError(err error) {
-	said := make(chan struct{})
+	written := make(chan struct{})
 	go func() {
 		fmt.Fprintln(os.Stderr, "woaddyke:", err)
-		close(said)
+		close(written)
 	}()
 	select {
-	case <-said:
+	case <-written:
 	case <-time.After(reportTimeout):
 	}
 }
 
 func command() *cobra.Command {
-	root := &cobra.Command{Use: "woaddyke", Short: "Pushes ops to workers, beside each submitter",
-		SilenceUsage: true, SilenceErrors: true}
+	root := &cobra.Command{
+		Use:           "woaddyke",
+		Short:         "Pushes ops to workers, beside each submitter",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+	}
 	root.AddCommand(serveCommand(), checkCommand(), membersCommand(), copiesCommand(), versionCommand())
 	return root
 }
 
 func checkCommand() *cobra.Command {
-	var operators string
-	c := &cobra.Command{Use: "check FILE", Short: "Say what is wrong with a configuration",
-		Args: cobra.ExactArgs(1),
+	var featuresPath string
+	c := &cobra.Command{
+		Use:   "check FILE",
+		Short: "Say what is wrong with a configuration",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			sheet, err := config.ReadBootstrap(args[0])
-			if err != nil {
-				return err
-			}
-			if _, err := readFeatures(operators, sheet); err != nil {
-				return err
-			}
-			if _, err := frontend.New(sheet, zerolog.Nop()); err != nil {
-				return err
-			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: fit to serve at %s\n", sheet.Name, sheet.Listen)
-			return nil
-		}}
-	c.Flags().StringVar(&operators, "operator", "", "the operator's own file, checked too")
+			return checkConfiguration(c.OutOrStdout(), args[0], featuresPath)
+		},
+	}
+	c.Flags().StringVar(&featuresPath, "operator", "", "the operator's own file, checked too")
 	return c
 }
 
+// checkConfiguration does all that serve does with the files before it opens anything.
+func checkConfiguration(out io.Writer, path, featuresPath string) error {
+	bootstrap, err := config.ReadBootstrap(path)
+	if err != nil {
+		return err
+	}
+	if _, err := readFeatures(featuresPath, bootstrap); err != nil {
+		return err
+	}
+	if _, err := frontend.New(bootstrap, zerolog.Nop()); err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "%s: fit to serve at %s\n", bootstrap.Name, bootstrap.Listen)
+	return nil
+}
+
 func versionCommand() *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Say which build this is", Args: cobra.NoArgs,
+	return &cobra.Command{
+		Use:   "version",
+		Short: "Say which build this is",
+		Args:  cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) {
 			build := "unknown"
-			if b, ok := debug.ReadBuildInfo(); ok {
-				build = b.Main.Version + " " + b.GoVersion
+			if info, ok := debug.ReadBuildInfo(); ok {
+				build = info.Main.Version + " " + info.GoVersion
 			}
 			fmt.Fprintln(c.OutOrStdout(), "woaddyke", build)
-		}}
+		},
+	}
 }
--- a/cmd/woaddyke/operator_board.go
+++ b/cmd/woaddyke/operator_board.go
@@ -13,25 +13,31 @@
 	"woaddyke/internal/lifecycle/boottime"
 )
 
-const broadcastInterval = time.Second // between two words to somebody by chance, which mend what was lost
+// broadcastInterval is between two broadcasts of the operator state to a random member, which repair
+// lost ones.
+const broadcastInterval = time.Second
 
-// operatorBoard keeps what staff decided for each scheduler, as far as members tell.
+// operatorBoard has what operators decided for each scheduler, as far as members report it.
 type operatorBoard struct {
 	mu     sync.Mutex
 	states *operatorstate.Board
-	differ []string // as it was logged last
-	done   chan struct{}
-	once   sync.Once
+	differ []string // members with other settings, as last logged
+
+	done chan struct{} // ends shareOperatorState
+	once sync.Once
 }
 
 func newOperatorBoard() *operatorBoard {
-	return &operatorBoard{states: operatorstate.New(uint64(boottime.Since())), done: make(chan struct{})}
+	return &operatorBoard{
+		states: operatorstate.New(uint64(boottime.Since())),
+		done:   make(chan struct{}),
+	}
 }
 
-func (b *operatorBoard) receive(name string, life uint64, w operatorstate.State) {
+func (b *operatorBoard) receive(name string, incarnation uint64, state operatorstate.State) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.states.Receive(name, life, w)
+	b.states.Receive(name, incarnation, state)
 }
 
 func (b *operatorBoard) forget(name string) {
@@ -42,51 +48,74 @@
 
 func (b *operatorBoard) close() { b.once.Do(func() { close(b.done) }) }
 
-// operatorStatus is what staff see.
+// operatorStatus is the console's answer on operator state.
 type operatorStatus struct {
-	Settings string   `json:"settings"` // of this one, hashed
-	Differ   []string `json:"differ"`   // members that run by other settings
-	Away     []string `json:"away"`     // members whose clients are sent away
+	Settings string   `json:"settings"` // hash of this scheduler's settings
+	Differ   []string `json:"differ"`   // members with other settings
+	Away     []string `json:"away"`     // members whose clients are drained
 }
 
 func (b *operatorBoard) status() operatorStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return operatorStatus{fmt.Sprintf("%016x", b.states.Own().Settings), append([]string{}, b.states.DifferingMembers()...), append([]string{}, b.states.DrainedMembers()...)}
+	return operatorStatus{
+		Settings: formatHash(b.states.Own().Settings),
+		Differ:   append([]string{}, b.states.DifferingMembers()...), // [] in JSON where there is none
+		Away:     append([]string{}, b.states.DrainedMembers()...),
+	}
+}
+
+func formatHash(hash uint64) string { return fmt.Sprintf("%016x", hash) }
+
+// update is what shareOperatorState has to do with the present operator state.
+type update struct {
+	own        operatorstate.State
+	ownChanged bool
+
+	differ        []string
+	differChanged bool
+}
+
+func (b *operatorBoard) setOwn(settingsHash uint64, clientsDrained bool) (u update) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	u.ownChanged = b.states.SetOwn(settingsHash, clientsDrained)
+	u.own = b.states.Own()
+	u.differ = b.states.DifferingMembers()
+	u.differChanged = !slices.Equal(u.differ, b.differ)
+	b.differ = u.differ
+	return u
 }
 
-// shareOperatorState tells the other schedulers what staff decided for this one, and says in one line which run by other settings.
+// shareOperatorState sends this scheduler's operator state to the other members, and logs which of them
+// have other settings, until the board is closed.
 func (p *process) shareOperatorState() {
-	b := p.operatorBoard
-	tick := time.NewTicker(broadcastInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(broadcastInterval)
+	defer ticker.Stop()
 	for {
-		b.mu.Lock()
-		news := b.states.SetOwn(p.server.SettingsHash(), p.server.ClientsDrained())
-		word, differ := b.states.Own(), b.states.DifferingMembers()
-		changed := !slices.Equal(differ, b.differ)
-		b.differ = differ
-		b.mu.Unlock()
-		if changed {
-			p.log.Warn().Str("here", fmt.Sprintf("%016x", word.Settings)).Str("others", strings.Join(differ, ", ")).Msg("schedulers run by other settings")
+		u := p.operatorBoard.setOwn(p.server.SettingsHash(), p.server.ClientsDrained())
+		if u.differChanged {
+			others := strings.Join(u.differ, ", ")
+			p.log.Warn().Str("here", formatHash(u.own.Settings)).Str("others", others).
+				Msg("schedulers run by other settings")
 		}
 		names := p.mesh.Names()
-		if !news && len(names) > 0 {
-			names = []string{names[rand.IntN(len(names))]} // it decides nothing
+		if !u.ownChanged && len(names) > 0 {
+			names = []string{names[rand.IntN(len(names))]} // no decision depends on this random number
 		}
 		for _, name := range names {
-			p.mesh.BroadcastOperatorState(name, word)
+			p.mesh.BroadcastOperatorState(name, u.own)
 		}
 		select {
-		case <-tick.C:
-		case <-b.done:
+		case <-ticker.C:
+		case <-p.operatorBoard.done:
 			return
 		}
 	}
 }
 
-// memberEnded keeps the board to those that are here.
-func (p *process) memberEnded(c membership.MemberChanged) {
+// forgetEnded removes a member that has ended from the board.
+func (p *process) forgetEnded(c membership.MemberChanged) {
 	if c.State.Ended() {
 		p.operatorBoard.forget(c.Name)
 	}
--- a/cmd/woaddyke/process.go
+++ b/cmd/woaddyke/process.go
@@ -49,7 +49,8 @@
 func limitDescriptors(bootstrap *config.Bootstrap, log zerolog.Logger) {
 	limits := &bootstrap.Limits
 	var allowed unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &allowed); err != nil || allowed.Cur >= uint64(limits.Sockets) {
+	err := unix.Getrlimit(unix.RLIMIT_NOFILE, &allowed)
+	if err != nil || allowed.Cur >= uint64(limits.Sockets) {
 		return
 	}
 	log.Warn().Int("sockets", limits.Sockets).Uint64("allowed", allowed.Cur).
--- a/cmd/woaddyke/serve.go
+++ b/cmd/woaddyke/serve.go
@@ -41,8 +41,9 @@
 		RunE:  func(*cobra.Command, []string) error { return options.serve() },
 	}
 	flags := c.Flags()
-	flags.StringVar(&options.configPath, "config", os.Getenv("RELAY_CONFIG"), "file with what this scheduler is told")
-	flags.StringVar(&options.console, "console", os.Getenv("RELAY_CONSOLE"),
+	flags.StringVar(&options.configPath, "config", os.Getenv("RELAY_CONFIG"),
+		"file with what this scheduler is told")
+	flags.StringVar(&options.console, "console", os.Getenv(consoleFlagEnvVar),
 		"address for staff, where the configuration names none")
 	flags.StringVar(&options.featuresPath, "operator", "",
 		"the operator's own file: what is offered beyond the configuration")
