--- a/internal/base/oserror/oserror_test.go
+++ b/internal/base/oserror/oserror_test.go
@@ -15,7 +15,8 @@
 	return &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}
 }
 
-// Only a socket that is none any more ends accepting: every other error that Linux documents is one connection's or a moment's.
+// Only a socket that is none any more ends accepting: every other error that Linux documents is one
+// connection's or a moment's.
 func TestWhichErrorsEndAccepting(t *testing.T) {
 	for errno := syscall.Errno(1); errno < 134; errno++ {
 		want := errno == syscall.EBADF || errno == syscall.EINVAL || errno == syscall.ENOTSOCK || errno == syscall.EFAULT
@@ -47,7 +48,8 @@
 	}
 }
 
-// A moment's shortage is waited out, nothing is written twice or left out, and a failure of the other side is told at once.
+// A moment's shortage is waited out, nothing is written twice or left out, and a failure of the other
+// side is told at once.
 func TestAShortageIsWaitedOut(t *testing.T) {
 	short := []error{wrapped(syscall.ENOBUFS), wrapped(syscall.ENOMEM)}
 	n, err := Read(func(b []byte) (int, error) {
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -17,7 +17,8 @@
 	return categories
 }
 
-// BenchmarkHash is what a member works out of the settings in force, by which it sees who runs by others.
+// BenchmarkHash is what a member works out of the settings in force, by which it sees who runs by
+// others.
 func BenchmarkHash(b *testing.B) {
 	for _, entries := range []int{3, 256} {
 		b.Run(fmt.Sprintf("categories=%d", entries), func(b *testing.B) {
@@ -30,8 +31,8 @@
 	}
 }
 
-// BenchmarkReread reads a file in which one of so many categories has changed, and checks it against the
-// one in force.
+// BenchmarkReread reads a file in which one of so many categories has changed, and checks it against
+// the one in force.
 func BenchmarkReread(b *testing.B) {
 	for _, entries := range []int{3, 560, maxCategories} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
--- a/internal/config/bootstrap_test.go
+++ b/internal/config/bootstrap_test.go
@@ -18,7 +18,8 @@
 	return ReadBootstrap(path)
 }
 
-// requireError checks that an error has a text within it, or that there is none where the text is empty.
+// requireError checks that an error has a text within it, or that there is none where the text is
+// empty.
 func requireError(t *testing.T, err error, want string) {
 	t.Helper()
 	if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
@@ -58,7 +59,8 @@
 	}
 }
 
-// All mistakes are named at once, each with its key: who mends a file does not learn of them one by one.
+// All mistakes are named at once, each with its key: who mends a file does not learn of them one by
+// one.
 func TestEachMistakeIsNamed(t *testing.T) {
 	_, err := readText(t, `{"seed":"ff","limits":{"sockets":3,"memory_mb":1}}`)
 	for _, key := range []string{"listen", "discovery", "settings.categories.0.ttlNs", "limits.sockets", "limits.memory_mb"} {
@@ -66,8 +68,9 @@
 	}
 }
 
-// Where many schedulers share a fleet each meets a worker too seldom to learn its speed: without the kinds of
-// machines slow ones were given as much as fast ones. The simulator's wire has always told them apart.
+// Where many schedulers share a fleet each meets a worker too seldom to learn its speed: without the
+// kinds of machines slow ones were given as much as fast ones. The simulator's wire has always told
+// them apart.
 func TestMachineKindsAreOnByDefault(t *testing.T) {
 	for option, want := range map[string]bool{"": true, `"kinds":true,`: true, `"kinds":false,`: false} {
 		text := `{` + option + `"listen":"a:1","discovery":"a:2","seed":"ff","settings":{"categories":[{"ttlNs":5}]}}`
@@ -168,7 +171,8 @@
 	}
 }
 
-// Peer reports by another transport are on only where the settings allow them and no addresses are named.
+// Peer reports by another transport are on only where the settings allow them and no addresses are
+// named.
 func TestAllowPeerMessages(t *testing.T) {
 	peers := `"peers":{"listen":"127.0.0.1:0","others":{"0":"127.0.0.1:7"}},`
 	for name, c := range map[string]struct {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -12,8 +12,8 @@
 	"woaddyke/internal/testsupport/golden"
 )
 
-// Guards the JSON keys of the configuration, each of which is set in the file to a value that is not its
-// default.
+// Guards the JSON keys of the configuration, each of which is set in the file to a value that is not
+// its default.
 func TestSheetKeepsItsKeys(t *testing.T) {
 	read, err := ReadBootstrap("testdata/sheet.json")
 	if err != nil {
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -11,8 +11,8 @@
 // notJSON tells whether a text is from the decoder, which knows no key.
 func notJSON(text string) bool { return text == "unexpected end" || text == "invalid character" }
 
-// A file that was cut short or slipped in editing must not be half in force: it is turned down whole, and
-// says why.
+// A file that was cut short or slipped in editing must not be half in force: it is turned down whole,
+// and says why.
 func TestAFileThatCanNotFollowIsTurnedDown(t *testing.T) {
 	const whole = `{"listen":"a:1","discovery":"a:2","seed":"ff","known":{"rev":1,"targets":[]},"settings":{"bounds":` +
 		`{"maxPushes":6,"cancel":true},"zones":["a"],"categories":[{"name":"look","ttlNs":5,"effect":"dedup","windowNs":7},` +
@@ -111,8 +111,8 @@
 	})
 }
 
-// A site of two years' size has 560 categories, and twice as many must be taken; a file without end must
-// not.
+// A site of two years' size has 560 categories, and twice as many must be taken; a file without end
+// must not.
 func TestAsManyCategoriesAsALargeSiteHasAreRead(t *testing.T) {
 	for n, fits := range map[int]bool{1120: true, maxCategories: true, maxCategories + 1: false} {
 		path := filepath.Join(t.TempDir(), "sheet")
--- a/internal/lifecycle/boottime/boottime_test.go
+++ b/internal/lifecycle/boottime/boottime_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Between two starts of the machine, or with a clock that went back, nothing is known of how long it was.
+// Between two starts of the machine, or with a clock that went back, nothing is known of how long it
+// was.
 func TestHowLongIsKnownWithinOneStartAlone(t *testing.T) {
 	at := Reading{"a", 5 * time.Second}
 	for _, c := range []struct {
--- a/internal/lifecycle/clock/clock_test.go
+++ b/internal/lifecycle/clock/clock_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// One moment, as two processes read it, is moved from the clock of one to that of the other by the difference of their offsets.
+// One moment, as two processes read it, is moved from the clock of one to that of the other by the
+// difference of their offsets.
 func TestMomentsMoveByTheDifferenceOfOffsets(t *testing.T) {
 	first := New()
 	time.Sleep(20 * time.Millisecond)
--- a/internal/lifecycle/hotrestart/golden_test.go
+++ b/internal/lifecycle/hotrestart/golden_test.go
@@ -8,7 +8,8 @@
 	"woaddyke/internal/testsupport/golden"
 )
 
-// Guards the bytes of the state that a running process of another build sends to, or reads from, this one during a handover.
+// Guards the bytes of the state that a running process of another build sends to, or reads from, this
+// one during a handover.
 func TestStateKeepsItsForm(t *testing.T) {
 	state := filled.Value[State](t)
 	state.Version = 3
--- a/internal/lifecycle/hotrestart/hotrestart_test.go
+++ b/internal/lifecycle/hotrestart/hotrestart_test.go
@@ -25,9 +25,10 @@
 func TestDescriptorsAreParted(t *testing.T) {
 	for _, c := range [][4]int{{384, 70 - 32, 32, 192}, {384, 250 - 32, 32, 250}, {384, 380 - 32, 32, 272}, {64, 0, 32, 32}, {128, 90, 36, 78},
 		{128, 90, 73, 64}, {129, 0, 73, 64}} {
-		giver, heir := SplitDescriptors(c[0], c[1], c[2])
-		if giver != c[3] || giver+heir != c[0] || heir < min(c[2], c[0]/2) || giver < min(c[2], c[0]/2) {
-			t.Errorf("%d with %d held, %d needed: %d and %d", c[0], c[1], c[2], giver, heir)
+		predecessor, successor := SplitDescriptors(c[0], c[1], c[2])
+		if predecessor != c[3] || predecessor+successor != c[0] ||
+			successor < min(c[2], c[0]/2) || predecessor < min(c[2], c[0]/2) {
+			t.Errorf("%d with %d held, %d needed: %d and %d", c[0], c[1], c[2], predecessor, successor)
 		}
 	}
 }
@@ -52,7 +53,8 @@
 	})
 }
 
-// One customer's scheduler must not take up another's: its listening socket, workers, ids and what was learned of them.
+// One customer's scheduler must not take up another's: its listening socket, workers, ids and what was
+// learned of them.
 func TestOnlyAReplacementMayTakeOver(t *testing.T) {
 	was := Request{Name: "n1", Listen: "127.0.0.1:9000", Discovery: "127.0.0.1:8500", Settings: 7}
 	for name, x := range map[string]struct {
--- a/internal/lifecycle/hotrestart/transfer/transfer_test.go
+++ b/internal/lifecycle/hotrestart/transfer/transfer_test.go
@@ -13,24 +13,24 @@
 	"github.com/rs/zerolog"
 )
 
-type giver struct {
-	l     *net.TCPListener
-	heirs chan bool
-	fails bool
-	text  string // that it hands over; empty: half a megabyte
+type fakePredecessor struct {
+	listener   *net.TCPListener
+	successors chan bool // what SetSuccessor was told
+	refuses    bool
+	state      string // that it hands over; empty: half a megabyte
 }
 
-func (g *giver) SetSuccessor(there bool) { g.heirs <- there }
+func (p *fakePredecessor) SetSuccessor(present bool) { p.successors <- present }
 
-func (g *giver) HandOver(asker []byte) ([]byte, []syscall.Conn, error) {
-	if g.fails || string(asker) != `me` {
+func (p *fakePredecessor) HandOver(request []byte) ([]byte, []syscall.Conn, error) {
+	if p.refuses || string(request) != `me` {
 		return nil, nil, errors.New("not now")
 	}
-	text := g.text
-	if text == "" {
-		text = strings.Repeat("known", 100_000)
+	state := p.state
+	if state == "" {
+		state = strings.Repeat("known", 100_000)
 	}
-	return []byte(text), []syscall.Conn{g.l}, nil
+	return []byte(state), []syscall.Conn{p.listener}, nil
 }
 
 // What waits at the door when the first process closes its listening socket was reset.
@@ -43,13 +43,13 @@
 	if _, err := Receive(path, []byte(`me`)); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("nobody there: %v", err)
 	}
-	g := &giver{l: l.(*net.TCPListener), heirs: make(chan bool, 9)}
-	offer, err := Serve(path, g, zerolog.Nop())
+	predecessor := &fakePredecessor{listener: l.(*net.TCPListener), successors: make(chan bool, 9)}
+	offer, err := Serve(path, predecessor, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := Receive(path, []byte(`me`))
-	if err != nil || len(got.State) != 500_000 || len(got.Files) != 1 || !<-g.heirs {
+	if err != nil || len(got.State) != 500_000 || len(got.Files) != 1 || !<-predecessor.successors {
 		t.Fatalf("%v", err)
 	}
 	client, err := net.Dial("tcp", l.Addr().String())
@@ -58,21 +58,22 @@
 	}
 	defer client.Close()
 	l.Close()
-	heirs, err := net.FileListener(got.Files[0])
+	listener, err := net.FileListener(got.Files[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer heirs.Close()
-	if c, err := heirs.Accept(); err != nil || c.RemoteAddr().String() != client.LocalAddr().String() {
+	defer listener.Close()
+	if c, err := listener.Accept(); err != nil || c.RemoteAddr().String() != client.LocalAddr().String() {
 		t.Errorf("%v, %v", c, err)
 	}
 	offer.Close()
 	if _, err := Receive(path, []byte(`me`)); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("the giver offers no more: %v", err)
+		t.Errorf("the predecessor serves no more: %v", err)
 	}
 }
 
-// At twice the size that is planned for, 12,600 workers, what is learned takes 24 MB and the ids up to 12: it is handed over as any other.
+// At twice the size that is planned for, 12,600 workers, what is learned takes 24 MB and the ids up to
+// 12: it is handed over as any other.
 func TestAllThatAProcessMayKnowIsHandedOver(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,18 +81,18 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	g := &giver{l: l.(*net.TCPListener), heirs: make(chan bool, 9), text: strings.Repeat("x", 36<<20)}
-	offer, err := Serve(path, g, zerolog.Nop())
+	predecessor := &fakePredecessor{listener: l.(*net.TCPListener), successors: make(chan bool, 9), state: strings.Repeat("x", 36<<20)}
+	offer, err := Serve(path, predecessor, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer offer.Close()
-	if got, err := Receive(path, []byte(`me`)); err != nil || len(got.State) != len(g.text) {
+	if got, err := Receive(path, []byte(`me`)); err != nil || len(got.State) != len(predecessor.state) {
 		t.Errorf("%v", err)
 	}
 }
 
-// A giver that went on as if it had an heir would have let its clients go to nobody.
+// A predecessor that went on as if it had a successor would have let its clients go to nobody.
 func TestEachSideSeesTheOthersEnd(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -99,8 +100,8 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	g := &giver{l: l.(*net.TCPListener), heirs: make(chan bool, 9)}
-	offer, err := Serve(path, g, zerolog.Nop())
+	predecessor := &fakePredecessor{listener: l.(*net.TCPListener), successors: make(chan bool, 9)}
+	offer, err := Serve(path, predecessor, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,27 +114,27 @@
 	if err := writeRequest(line, []byte(`me`)); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := readHandover(line); err != nil || len(got.Files) != 1 || !<-g.heirs {
+	if got, err := readHandover(line); err != nil || len(got.Files) != 1 || !<-predecessor.successors {
 		t.Fatalf("%v", err)
 	}
 	line.Close()
 	select {
-	case there := <-g.heirs:
+	case there := <-predecessor.successors:
 		if there {
-			t.Error("the heir has ended")
+			t.Error("the successor has ended")
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("the giver has not seen that its heir has ended")
+		t.Fatal("the predecessor has not seen that its successor has ended")
 	}
-	if got, err := Receive(path, []byte(`me`)); err != nil || !<-g.heirs {
-		t.Errorf("the next heir: %v, %v", got, err)
+	if got, err := Receive(path, []byte(`me`)); err != nil || !<-predecessor.successors {
+		t.Errorf("the next successor: %v, %v", got, err)
 	}
 }
 
-// A process that can't give must not leave its heir waiting, nor stay without heirs.
+// A process that can't hand over must not leave its successor waiting, nor stay without successors.
 func TestAGiverThatFailsSaysSo(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
-	offer, err := Serve(path, &giver{fails: true}, zerolog.Nop())
+	offer, err := Serve(path, &fakePredecessor{refuses: true}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,14 +145,15 @@
 		}
 	}
 	// A path is taken over from one that is gone without a word.
-	if again, err := Serve(path, &giver{fails: true}, zerolog.Nop()); err != nil {
+	if again, err := Serve(path, &fakePredecessor{refuses: true}, zerolog.Nop()); err != nil {
 		t.Error(err)
 	} else {
 		again.Close()
 	}
 }
 
-// A process that is stopped, or dies or hangs in the middle of its message, must not hold up the start of the next one.
+// A process that is stopped, or dies or hangs in the middle of its message, must not hold up the start
+// of the next one.
 func TestAGiverThatHangsOrDiesIsNotWaitedFor(t *testing.T) {
 	for name, serve := range map[string]func(net.Conn){
 		"says nothing":       nil,
@@ -180,8 +182,9 @@
 	}
 }
 
-// Whoever asks and is no replacement leaves the giver as it was: it is not told of an heir, and gives up neither descriptors nor records.
-// One that says nothing, too much, or half of who it is does not keep the next one waiting for long.
+// A process that is no successor leaves the predecessor as it was: it is not told of a successor, and
+// gives up neither descriptors nor records. One that says nothing, too much, or half of who it is does
+// not keep the next one waiting for long.
 func TestAGiverIsNotDisturbedByAStranger(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -189,8 +192,8 @@
 	}
 	defer l.Close()
 	path := filepath.Join(t.TempDir(), "h")
-	g := &giver{l: l.(*net.TCPListener), heirs: make(chan bool, 9)}
-	offer, err := Serve(path, g, zerolog.Nop())
+	predecessor := &fakePredecessor{listener: l.(*net.TCPListener), successors: make(chan bool, 9)}
+	offer, err := Serve(path, predecessor, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -210,17 +213,18 @@
 		}
 		line.Close()
 	}
-	if len(g.heirs) > 0 {
-		t.Error("it was told of an heir")
+	if len(predecessor.successors) > 0 {
+		t.Error("it was told of a successor")
 	}
-	if got, err := Receive(path, []byte("me")); err != nil || !<-g.heirs {
+	if got, err := Receive(path, []byte("me")); err != nil || !<-predecessor.successors {
 		t.Errorf("the next one: %v", err)
 	} else {
 		got.Close()
 	}
 }
 
-// Two schedulers at one address, of other names, or of other network namespaces that share the folder, must not meet.
+// Two schedulers at one address, of other names, or of other network namespaces that share the folder,
+// must not meet.
 func TestPathsAreEachSchedulersOwn(t *testing.T) {
 	if SocketPath("127.0.0.1:9000", "a") == SocketPath("127.0.0.1:9000", "b") || SocketPath("127.0.0.1:9000", "a") == SocketPath("127.0.0.1:9001", "a") {
 		t.Error("they meet")
@@ -231,7 +235,8 @@
 	}
 }
 
-// A process that had no descriptor for the one that asked was never asked again: it could not be replaced any more.
+// A process that had no descriptor for the one that asked was never asked again: it could not be
+// replaced any more.
 func TestAMomentWithoutDescriptorsDoesNotEndTheOffer(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -243,14 +248,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, none, ended := &giver{l: l.(*net.TCPListener), heirs: make(chan bool, 9)}, 3, make(chan bool)
+	predecessor, none, ended := &fakePredecessor{listener: l.(*net.TCPListener), successors: make(chan bool, 9)}, 3, make(chan bool)
 	go func() {
 		acceptSuccessors(func() (*net.UnixConn, error) {
 			if none--; none >= 0 {
 				return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 			}
 			return at.AcceptUnix()
-		}, g, zerolog.Nop())
+		}, predecessor, zerolog.Nop())
 		close(ended)
 	}()
 	got, err := Receive(path, []byte(`me`))
@@ -262,7 +267,8 @@
 	<-ended
 }
 
-// A length that no state or request has must be refused by its own error, before memory is given for it.
+// A length that no state or request has must be refused by its own error, before memory is given for
+// it.
 func TestSizesAreBoundedByTypedErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		length []byte
--- a/internal/observe/logsink/logsink_test.go
+++ b/internal/observe/logsink/logsink_test.go
@@ -37,7 +37,8 @@
 	return n, err
 }
 
-// A reader that has stopped holds up nobody; what it missed is counted, what it had room for comes whole and in order.
+// A reader that has stopped holds up nobody; what it missed is counted, what it had room for comes
+// whole and in order.
 func TestAReaderThatStopsHoldsUpNobody(t *testing.T) {
 	out := &reader{let: make(chan error)}
 	s := New(out)
@@ -125,8 +126,9 @@
 	return 0, syscall.EPIPE
 }
 
-// Where every write fails the sink went on writing that lines were dropped, that this line was dropped, and so on without a rest: one core
-// was busy with it for good, and the lines that were lost had no end.
+// Where every write fails the sink went on writing that lines were dropped, that this line was dropped,
+// and so on without a rest: one core was busy with it for good, and the lines that were lost had no
+// end.
 func TestALogThatNobodyReadsIsNotWrittenToWithoutEnd(t *testing.T) {
 	w := &torn{}
 	s := New(w)
@@ -143,7 +145,8 @@
 	}
 }
 
-// late is a writer that looks at what it was given only when it is told to, as a pipe that is full does.
+// late is a writer that looks at what it was given only when it is told to, as a pipe that is full
+// does.
 type late struct {
 	begun, go_ chan struct{}
 	got        bytes.Buffer
@@ -155,8 +158,8 @@
 	return l.got.Write(p)
 }
 
-// Lines that come while others are being written were put into the very memory that was being written, from the second time on that the log
-// had been at rest: halves of lines came out.
+// Lines that come while others are being written were put into the very memory that was being written,
+// from the second time on that the log had been at rest: halves of lines came out.
 func TestLinesThatComeDuringAWriteChangeNothingOfIt(t *testing.T) {
 	out := &late{begun: make(chan struct{}), go_: make(chan struct{})}
 	s := New(out)
--- a/internal/workers/discovery/crowd_test.go
+++ b/internal/workers/discovery/crowd_test.go
@@ -39,8 +39,8 @@
 	return last
 }
 
-// returns is a play: the watches of all schedulers end at 0, discovery can't be reached until it is back, and from then on takes
-// so many calls a second and turns the others away at once.
+// returns is a play: the watches of all schedulers end at 0, discovery can't be reached until it is
+// back, and from then on takes so many calls a second and turns the others away at once.
 type returns struct {
 	schedulers int
 	grace      time.Duration
@@ -97,7 +97,8 @@
 
 const room = 500 * time.Millisecond // of calls that the stand-in lets wait
 
-// rates says how many calls there are in a second of the last ten while discovery is down, and the most in one from then on.
+// rates says how many calls there are in a second of the last ten while discovery is down, and the most
+// in one from then on.
 func (o returned) rates() (down float64, most int) {
 	for s, n := range o.calls {
 		if s >= 0 {
@@ -109,9 +110,10 @@
 	return down, most
 }
 
-// Thousands come back at once to a discovery that turns calls away. They all have its list within 6 s of its return where it takes
-// a third of their number a second and ten; at half the rate that one call of each in a period needs, it serves them as fast as it
-// can all the same. While it is down, each calls once in a period.
+// Thousands come back at once to a discovery that turns calls away. They all have its list within 6 s
+// of its return where it takes a third of their number a second and ten; at half the rate that one call
+// of each in a period needs, it serves them as fast as it can all the same. While it is down, each
+// calls once in a period.
 func TestACrowdHasItsListsWithinSixSecondsAtABoundedRate(t *testing.T) {
 	for _, schedulers := range []int{1, 20, 80, 300, 1000, 6300} {
 		for _, grace := range []time.Duration{250 * time.Millisecond, 2500 * time.Millisecond, 10 * time.Second} {
@@ -154,8 +156,8 @@
 	}
 }
 
-// What goes over the wire for a call: its head, and a list as discovery words it. The figures are logged; that a call stays
-// small, whatever it asks, is the verdict.
+// What goes over the wire for a call: its head, and a list as discovery words it. The figures are
+// logged; that a call stays small, whatever it asks, is the verdict.
 func TestACallIsSmall(t *testing.T) {
 	for _, entries := range []int{0, 1, 100, 6300} {
 		list := Message{Rev: 1_000_000_042, All: true, Targets: []target{}}
--- a/internal/workers/discovery/discovery_test.go
+++ b/internal/workers/discovery/discovery_test.go
@@ -19,7 +19,8 @@
 // lone are the spans of a scheduler that asks alone.
 var lone = TimeoutsFor(false, 1, time.Second)
 
-// discovery answers each call with the next lines, and then closes it, or keeps it open where none are left.
+// discovery answers each call with the next lines, and then closes it, or keeps it open where none are
+// left.
 func discovery(t *testing.T, answers ...string) (addr string, calls chan string) {
 	calls = make(chan string, 9)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -63,8 +64,8 @@
 	}
 }
 
-// After a move what discovery tells counts as told 4 s later: an agent that takes the call and says nothing held
-// the watch for 6 s.
+// After a move what discovery tells counts as told 4 s later: an agent that takes the call and says
+// nothing held the watch for 6 s.
 func TestASilentAgentIsSoonCalledAgain(t *testing.T) {
 	calls := make(chan bool, 9)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -114,12 +115,13 @@
 func (p *pipes) Close() error   { return nil }
 func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Eighty schedulers started together and asked a discovery that does thirteen calls a second, in turn, and fails what has
-// waited for 2 s though it does the work. They came back within 320 ms, so its time went to calls that had failed by
-// then: a fifth of them had a list again, the others never. One that does four a second can't be had by spreading alone: its
-// eighty schedulers waited for up to 24 s between two calls, and by then what it has counts as told for long. So of such a
-// discovery it is asked what it can bear, two dozen; and of one that turns away at once what it has no time for, that it serves all
-// eighty as fast as it can. Each roster here has its own seed and nothing else.
+// Eighty schedulers started together and asked a discovery that does thirteen calls a second, in turn,
+// and fails what has waited for 2 s though it does the work. They came back within 320 ms, so its time
+// went to calls that had failed by then: a fifth of them had a list again, the others never. One that
+// does four a second can't be had by spreading alone: its eighty schedulers waited for up to 24 s
+// between two calls, and by then what it has counts as told for long. So of such a discovery it is
+// asked what it can bear, two dozen; and of one that turns away at once what it has no time for, that
+// it serves all eighty as fast as it can. Each roster here has its own seed and nothing else.
 func TestADiscoveryThatIsAskedByAllAnswersMost(t *testing.T) {
 	for name, x := range map[string]crowd{
 		"80, 13 a second, in turn":      {80, time.Second / 13, 4 * time.Second, 20 * time.Second},
@@ -191,7 +193,8 @@
 				t.Errorf("%d calls in second %d", n, s)
 			}
 		}
-		// A scheduler that asked 4 s after its start pushed to workers that had gone, 2.55 s after it counted as told.
+		// A scheduler that asked 4 s after its start pushed to workers that had gone, 2.55 s after it
+		// counted as told.
 		if first := calls[0] + calls[1]; first < schedulers {
 			t.Errorf("%d of %d have asked within the grace of a drain", first, schedulers)
 		}
--- a/internal/workers/discovery/ends_test.go
+++ b/internal/workers/discovery/ends_test.go
@@ -27,7 +27,8 @@
 	slack       = 50 * time.Millisecond
 )
 
-// agent is a stand-in for discovery's agent under a clock of the test's. What it has to say, it says on every call that it answers.
+// agent is a stand-in for discovery's agent under a clock of the test's. What it has to say, it says on
+// every call that it answers.
 type agent struct {
 	pipes
 	from  time.Time
@@ -92,9 +93,10 @@
 	s.Serve(&a.pipes)
 }
 
-// From "told" to "applied", with all constants in the sum, stays within the grace of a drain plus its slack: the worst over many
-// draws, for each way in which a list can be late, with one scheduler and with hundreds, and for graces short and long. The
-// constants were guesses: a scheduler waited up to three seconds between two calls to an agent on its own machine.
+// From "told" to "applied", with all constants in the sum, stays within the grace of a drain plus its
+// slack: the worst over many draws, for each way in which a list can be late, with one scheduler and
+// with hundreds, and for graces short and long. The constants were guesses: a scheduler waited up to
+// three seconds between two calls to an agent on its own machine.
 func TestWhatIsToldIsAppliedWithinADrainsGrace(t *testing.T) {
 	for _, grace := range []time.Duration{300 * time.Millisecond, 2500 * time.Millisecond} {
 		for _, schedulers := range []int{1, 300} {
@@ -133,7 +135,8 @@
 	}
 }
 
-// applied is when the list was applied, from the first call on, or from the start where that is the question.
+// applied is when the list was applied, from the first call on, or from the start where that is the
+// question.
 func applied(t *testing.T, seed uint64, spans Timeouts, how func(int, time.Duration) way) (after time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -157,7 +160,8 @@
 	return after
 }
 
-// Lists may come indented. The watch read them line by line, took the first brace for a spoilt list, and never had one.
+// Lists may come indented. The watch read them line by line, took the first brace for a spoilt list,
+// and never had one.
 func TestAnIndentedListIsReadWhole(t *testing.T) {
 	addr, _ := discovery(t, "\n{\n  \"rev\": 44,\n\n  \"all\": true,\n  \"targets\": [\n    {\"uid\": \"w\",\n     \"endpoint\": \"a:1\",\n"+
 		"     \"state\": \"SERVING\"}\n  ]\n}\n\n{\"rev\":45,\n\"all\":false,\n\"targets\":[\n]}{\"rev\":46,\"all\":false,\"targets\":[]}\n")
@@ -171,8 +175,9 @@
 	}
 }
 
-// What is no list leaves the one that is held, and the watch is opened anew from its version: a whole list without entries sent
-// all workers away, and an object without a version had the next call ask from the beginning.
+// What is no list leaves the one that is held, and the watch is opened anew from its version: a whole
+// list without entries sent all workers away, and an object without a version had the next call ask
+// from the beginning.
 func TestASpoiltListLeavesTheOneThatIsHeld(t *testing.T) {
 	const good = `{"rev":42,"all":true,"targets":[{"uid":"w","endpoint":"a:1","state":"SERVING"}]}` + "\n"
 	for name, spoilt := range map[string]string{
@@ -253,7 +258,8 @@
 	return len(p), nil
 }
 
-// The decoder keeps what stands before an object: empty lines of months, or a flood of them, stayed in memory.
+// The decoder keeps what stands before an object: empty lines of months, or a flood of them, stayed in
+// memory.
 func TestEmptyLinesAreNotKept(t *testing.T) {
 	m := &objectReader{source: &blanks{1 << 16}, remaining: maxObjectBytes, onActivity: func() {}, onHeartbeat: func() {}}
 	if n, err := m.Read(make([]byte, 512)); n != 0 || err != io.EOF || !m.alive {
@@ -261,8 +267,8 @@
 	}
 }
 
-// After a move the old discovery's last line, already read, must not stand over the new one's list; and the new one, which counts
-// as it likes, is asked for all.
+// After a move the old discovery's last line, already read, must not stand over the new one's list; and
+// the new one, which counts as it likes, is asked for all.
 func TestAMoveInTheMiddleOfALine(t *testing.T) {
 	half, rest := make(chan bool), make(chan bool)
 	old := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/workers/discovery/golden_test.go
+++ b/internal/workers/discovery/golden_test.go
@@ -9,12 +9,14 @@
 	"woaddyke/internal/testsupport/golden"
 )
 
-// Guards the JSON of discovery's list, which discovery sends, configurations hold and a handover carries between builds.
+// Guards the JSON of discovery's list, which discovery sends, configurations hold and a handover
+// carries between builds.
 func TestMessageKeepsItsForm(t *testing.T) {
 	filled.CompareJSON(t, "testdata/message.json.golden", filled.Value[Message](t))
 }
 
-// Guards the bytes of the known workers, in order of their names, that a handover carries between builds.
+// Guards the bytes of the known workers, in order of their names, that a handover carries between
+// builds.
 func TestKnownKeepsItsForm(t *testing.T) {
 	message := filled.Value[Message](t)
 	r := Client{revision: message.Rev, workers: map[string]target{}}
--- a/internal/workers/discovery/start_times_test.go
+++ b/internal/workers/discovery/start_times_test.go
@@ -14,7 +14,8 @@
 // unknown are the starts of a process that knows of none.
 func unknown() *StartTimes { return NewStartTimes(clock.New(), nil) }
 
-// seenAt is a worker's entry as discovery tells it, by a clock that is behind this process's by so much.
+// seenAt is a worker's entry as discovery tells it, by a clock that is behind this process's by so
+// much.
 func seenAt(uid string, ago, behind time.Duration) *target {
 	return &target{UID: uid, BootMS: time.Now().Add(-ago - behind).UnixMilli()}
 }
@@ -26,8 +27,9 @@
 
 func near(got, want time.Duration) bool { return (got - want).Abs() <= 2*time.Millisecond }
 
-// Whatever a wall clock is off by, a worker that turns up on a live watch is as old as it may be since the watch was last heard, those
-// after it are as old as they are, and what was known before stays as it was.
+// Whatever a wall clock is off by, a worker that turns up on a live watch is as old as it may be since
+// the watch was last heard, those after it are as old as they are, and what was known before stays as
+// it was.
 func TestAWorkerThatTurnsUpOnALiveWatchIsYoung(t *testing.T) {
 	for _, off := range []time.Duration{0, time.Second, 5 * time.Second, -time.Second, 30 * time.Second, time.Hour, -time.Hour, 25 * time.Hour} {
 		t.Run(fmt.Sprint(off), func(t *testing.T) {
@@ -62,7 +64,8 @@
 	}
 }
 
-// A clock that is right is believed: an entry of the first list, one that turned up in a silence, and one of long ago.
+// A clock that is right is believed: an entry of the first list, one that turned up in a silence, and
+// one of long ago.
 func TestAClockThatIsRightIsBelieved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := unknown()
@@ -87,7 +90,8 @@
 	})
 }
 
-// With the clock behind, starts of the first list lie in the future: the last of them is now, the others as long before it as they are.
+// With the clock behind, starts of the first list lie in the future: the last of them is now, the
+// others as long before it as they are.
 func TestStartsOfTheFutureMoveTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := unknown()
@@ -100,7 +104,8 @@
 	})
 }
 
-// A worker that starts again is another one, however discovery's clock went meanwhile as long as it went on.
+// A worker that starts again is another one, however discovery's clock went meanwhile as long as it
+// went on.
 func TestALaterProcessOfAWorkerStartsLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := unknown()
--- a/internal/workers/discovery/starved_test.go
+++ b/internal/workers/discovery/starved_test.go
@@ -17,8 +17,8 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// A timer that is late tells of this process: what came meanwhile lies unread. A few times it waits for that; a timer that is in time,
-// or late for too often with nothing read, ends the watch.
+// A timer that is late tells of this process: what came meanwhile lies unread. A few times it waits for
+// that; a timer that is in time, or late for too often with nothing read, ends the watch.
 func TestALateTimerIsNoSilence(t *testing.T) {
 	ended, lies := 0, false // something unread
 	s := newIdleTimer(time.Hour, func() bool { return lies }, func() { ended++ })
@@ -58,7 +58,8 @@
 	}
 }
 
-// child makes this test's program a scheduler's watch in a process of its own; what it is told it prints.
+// child makes this test's program a scheduler's watch in a process of its own; what it is told it
+// prints.
 const child = "ROSTER_TEST_CHILD"
 
 func TestMain(m *testing.M) {
@@ -72,8 +73,9 @@
 	os.Exit(m.Run())
 }
 
-// A process that is stopped over the end of a call, while discovery's answer comes, reads that answer when it goes on. Its timer was
-// first, so it threw the list away and called anew, as all the schedulers of a starved machine did.
+// A process that is stopped over the end of a call, while discovery's answer comes, reads that answer
+// when it goes on. Its timer was first, so it threw the list away and called anew, as all the
+// schedulers of a starved machine did.
 func TestWhatCameWhileTheProcessWasStoppedIsRead(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/workers/discovery/told_test.go
+++ b/internal/workers/discovery/told_test.go
@@ -25,7 +25,8 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// outage is a discovery that can't be reached for a while, under a clock of the test's. It has a list before, and another after.
+// outage is a discovery that can't be reached for a while, under a clock of the test's. It has a list
+// before, and another after.
 type outage struct {
 	pipes
 	from      time.Time
@@ -133,7 +134,8 @@
 	s.Serve(&o.pipes)
 }
 
-// late is how long after discovery's return its list was applied; a move to another address comes in between where one is given.
+// late is how long after discovery's return its list was applied; a move to another address comes in
+// between where one is given.
 func (o *outage) late(t *testing.T, seed uint64, spans Timeouts, move time.Duration) (after time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -160,9 +162,10 @@
 	return after
 }
 
-// A change counts as told 6 s after discovery had it and could be reached. A scheduler that asks alone and whose calls were turned
-// away for 20 s applied it 17.7 s after that, one of three hundred 18.7 s: waits doubled, up to 16 s and a half more, started
-// from the number of schedulers, and came on top of calls that hung.
+// A change counts as told 6 s after discovery had it and could be reached. A scheduler that asks alone
+// and whose calls were turned away for 20 s applied it 17.7 s after that, one of three hundred 18.7 s:
+// waits doubled, up to 16 s and a half more, started from the number of schedulers, and came on top of
+// calls that hung.
 func TestWhatDiscoveryHasIsAppliedWithinSixSecondsOfItsReturn(t *testing.T) {
 	for name, x := range map[string]struct {
 		outage
@@ -228,8 +231,8 @@
 	}
 }
 
-// From discovery to the pushes: a worker that drains at discovery's return gets nothing new from 6 s and the grace on. After 20 s of
-// 503s it had its last one 17.6 s after that (seed 0).
+// From discovery to the pushes: a worker that drains at discovery's return gets nothing new from 6 s
+// and the grace on. After 20 s of 503s it had its last one 17.6 s after that (seed 0).
 func TestNothingIsPushedLateAfterDiscoveryTurnedCallsAway(t *testing.T) {
 	const old, other = `{"uid":"old","endpoint":"a:1","state":"SERVING"}`, `{"uid":"other","endpoint":"a:2","state":"SERVING"}`
 	for _, schedulers := range []int{1, 300} {
@@ -286,7 +289,8 @@
 	}
 }
 
-// A move calls at once, and once: what it broke off was no wait that the new address has to make up for.
+// A move calls at once, and once: what it broke off was no wait that the new address has to make up
+// for.
 func TestAnAddressThatTurnsAwayIsCalledOnceAtAMove(t *testing.T) {
 	for seed := range uint64(8) {
 		synctest.Test(t, func(t *testing.T) {
@@ -311,7 +315,8 @@
 	}
 }
 
-// The same over real sockets, for a scheduler that asks alone: it is turned away, refused a head, cut in an object, and then told.
+// The same over real sockets, for a scheduler that asks alone: it is turned away, refused a head, cut
+// in an object, and then told.
 func TestAListComesThroughRealSocketsAfterFailedCalls(t *testing.T) {
 	t.Parallel()
 	ways := []way{turned, enough, reset, halved, turned, answers}
@@ -381,7 +386,8 @@
 								}
 							}
 						}
-						// A call that is silent behind its head, or in an object, was reached at that moment.
+						// A call that is silent behind its head, or in an object, was reached at that
+						// moment.
 						sum("a call without a body", s.Idle+s.nextBackoff(callHistory{failures: 9, rejections: 9, idle: true, duration: s.Idle}, 1))
 					}
 				})
