--- a/internal/workers/outcome/outcome.go
+++ b/internal/workers/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome names every way in which an attempt or a load probe can end on a connection, and says in one
-// place what each of them proves.
+// Package outcome names every way in which a push or a probe can end on a connection, and says in one place
+// what each of them proves to the module.
 package outcome
 
 import "woaddyke/dispatch"
@@ -15,7 +15,7 @@
 	JobKilled              // the last line was "lost": the job was killed
 	Returned               // the last line was "returned", unstarted
 	Shed                   // 503 or 504 that says the op was not processed, or a probe's 503
-	Rejected               // a status that says that the request is invalid
+	Rejected               // a status that says that the request is at fault
 	ServerError            // any other status
 	NoDescriptor           // no descriptor was left for a connection
 	NoResource             // this machine lacked something else for one, such as a local port or memory
@@ -32,29 +32,9 @@
 	known                  // one more than the last
 )
 
-// names are for logs and records.
-var names = [known]string{
-	Unknown:         "unknown",
-	Done:            "done",
-	Failed:          "failed",
-	JobKilled:       "lost",
-	Returned:        "returned",
-	Shed:            "turned-away",
-	Rejected:        "rejected",
-	ServerError:     "server-error",
-	NoDescriptor:    "no-descriptor",
-	NoResource:      "no-resource",
-	ConnRefused:     "conn-refused",
-	DialTimedOut:    "never-up",
-	DialFailed:      "dial-failed",
-	PartiallySent:   "part-written",
-	Reset:           "reset",
-	EndedEarly:      "ended-early",
-	Malformed:       "garbled",
-	TimedOut:        "silent",
-	Cancelled:       "withdrawn",
-	CancelledUnsent: "unwritten",
-}
+var names = [known]string{"unknown", "done", "failed", "lost", "returned", "turned-away", "rejected",
+	"server-error", "no-descriptor", "no-resource", "conn-refused", "never-up", "dial-failed", "part-written", "reset", "ended-early",
+	"garbled", "silent", "withdrawn", "unwritten"}
 
 func (e Ending) String() string {
 	if e < 0 || e >= known {
@@ -63,7 +43,7 @@
 	return names[e]
 }
 
-// NeverRan tells whether an ending proves that no worker ran the attempt.
+// NeverRan tells whether an ending proves that its push ran nowhere.
 func (e Ending) NeverRan() bool {
 	switch e.Outcome() {
 	case dispatch.Rejected, dispatch.Unreachable, dispatch.NotSent, dispatch.LocalExhaustion:
@@ -72,7 +52,7 @@
 	return false
 }
 
-// Outcome is what an ending proves. An attempt of which nothing is known may have run.
+// Outcome is what an ending proves. A push of which nothing is known may have run.
 func (e Ending) Outcome() dispatch.Outcome {
 	switch e {
 	case Done:
