--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Queues that outlast an op's time: each op was probed two dozen times and pushed late all the same.
-func TestHopelessOpIsNackedSoon(t *testing.T) {
+func TestOpThatCannotStartInTimeIsNackedSoon(t *testing.T) {
 	d := fleet(6, nil)
 	for i := range d.fleet.workers {
 		d.addQueueSample(&d.fleet.workers[i], queueSample{1, 4_000})
@@ -40,7 +40,7 @@
 }
 
 // In overload cheap ops took the places of dear ones.
-func TestCheapOpsAreLessPatient(t *testing.T) {
+func TestPatienceScalesWithPriorityWeight(t *testing.T) {
 	d := fleet(2, func(s *Settings) { s.BenefitPerWork, s.Categories[1].Benefit = true, 8 })
 	d.AddOp(0, OpSpec{TTL: d.now + 50_000, Slots: 1})
 	d.AddOp(1, OpSpec{Category: 1, TTL: d.now + 50_000, Slots: 1})
@@ -65,7 +65,7 @@
 
 // With a quarter of the fleet left, all ops and their clients' repeats asked for every free slot: workers spent a tenth
 // of their time on probes, and the cheapest ops found as many places as the dearest.
-func TestWhereDearOpsFindNoPlaceCheapOnesAskLess(t *testing.T) {
+func TestLowPriorityOpsProbeLessWhileCapacityIsShort(t *testing.T) {
 	d := fleet(20, func(s *Settings) { s.BenefitPerWork, s.Categories[0].Benefit, s.Categories[1].Benefit = true, 1, 10 })
 	d.samples.queue.positions, d.samples.queue.waits = 10, 50_000 // a place in a queue takes half a second
 	next := 0
--- a/dispatch/affinity_test.go
+++ b/dispatch/affinity_test.go
@@ -7,7 +7,7 @@
 
 // Keys that every worker fetched anew filled the store until all jobs stalled: a key's ops must meet few workers, and
 // schedulers that number the workers differently must mean the same ones.
-func TestAKeysOpsMeetTheSameFewWorkers(t *testing.T) {
+func TestOpsOfAKeyPreferTheSameWorkers(t *testing.T) {
 	met := func(turn int) map[uint64]bool {
 		d := fleet(40, func(s *Settings) { s.AffinityKeys = true })
 		for i := range 40 {
@@ -40,7 +40,7 @@
 }
 
 // Each of hundreds of quiet schedulers kept a connection to half the fleet: there a scheduler meets a few of its own.
-func TestWhereConnectionsCostASchedulerMeetsFewWorkers(t *testing.T) {
+func TestPricedConnectionsLimitTheWorkersProbed(t *testing.T) {
 	met := func(number int, price float64) map[int]bool {
 		d := fleet(40, func(s *Settings) { s.Scheduler, s.ConnectionPrice = number, price })
 		for i := range 40 {
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -8,7 +8,7 @@
 )
 
 // Ops that no worker can use went to six each, and the workers that said so were taken for sick.
-func TestAnUnfitOpSpeaksAgainstNoWorkerUntilAnotherServesIt(t *testing.T) {
+func TestInvalidRequestCountsAgainstWorkerOnlyIfAnotherSucceeds(t *testing.T) {
 	for second, want := range map[Outcome]int{InvalidRequest: 0, Succeeded: 1} {
 		d := fleet(6, nil)
 		x, y := probed(t, d, 0, 0)
@@ -37,7 +37,7 @@
 
 // A worker that started every op and failed four in five kept its full share: each start counted for it. By its
 // share of good verdicts it still got half, since it always looked Low.
-func TestAWorkerThatStartsAndFailsIsDoubted(t *testing.T) {
+func TestWorkerThatStartsAndFailsIsSuspected(t *testing.T) {
 	d := fleet(2, nil)
 	for i := range 60 {
 		d.AddOp(i, OpSpec{TTL: d.now + 50_000, Slots: 1})
@@ -61,7 +61,7 @@
 
 // A push that was kept back because its client had left was taken for word from its worker, and silence about others there was let pass
 // for longer. Nothing of a worker is learned from what was never written to it.
-func TestNothingIsLearnedFromAPushThatWasKeptBack(t *testing.T) {
+func TestNothingIsLearnedFromAnUnsentAttempt(t *testing.T) {
 	d := fleet(2, func(s *Settings) { s.Probes = false })
 	d.AddOp(0, OpSpec{TTL: d.now + 50_000, Slots: 1})
 	to := push(t, d)
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// BenchmarkAudiences is what any list costs where connections are priced and words allowed: who is told of which worker.
-func BenchmarkAudiences(b *testing.B) {
+// BenchmarkSubscribers is what any list costs where connections are priced and words allowed: who is told of which worker.
+func BenchmarkSubscribers(b *testing.B) {
 	for _, schedulers := range []int{10, 30, 300} {
 		for _, workers := range []int{400, 6_300} {
 			b.Run(fmt.Sprintf("schedulers=%d/workers=%d", schedulers, workers), func(b *testing.B) {
--- a/dispatch/categories_bench_test.go
+++ b/dispatch/categories_bench_test.go
@@ -20,8 +20,8 @@
 	settings.Categories[n%len(settings.Categories)].LatencyObjective = Time(5_001 + n)
 }
 
-// BenchmarkChange is one category's change among so many, after so many before it.
-func BenchmarkChange(b *testing.B) {
+// BenchmarkSetCategories is one category's change among so many, after so many before it.
+func BenchmarkSetCategories(b *testing.B) {
 	for _, entries := range []int{3, 560} {
 		for _, before := range []int{0, 16_000, 100_000} {
 			b.Run(fmt.Sprintf("entries=%d/before=%d", entries, before), func(b *testing.B) {
--- a/dispatch/categories_test.go
+++ b/dispatch/categories_test.go
@@ -22,7 +22,7 @@
 // Places were given out for good, and after a thousand of them no change was taken until the process was replaced. Now that they are
 // given back, none may become another category's while an open op, a name that the host goes on serving, or the terms in force have it:
 // an at-most-once op at a place that became a redeliverable category's would be run twice.
-func TestAPlaceIsNobodyElsesWhileAnythingRefersToIt(t *testing.T) {
+func TestPlaceIsNotReusedWhileReferredTo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		anyRules := rapid.Custom(func(t *rapid.T) CategoryRules {
 			return CategoryRules{Name: rapid.SampledFrom([]string{"a", "b", "c", "d", "e", ""}).Draw(t, "name"),
@@ -167,7 +167,7 @@
 
 // What was learned of a category went with its terms: whatever of them changed, its ops' usual run was unknown again, and until one had
 // ended all categories had the rank of the dearest.
-func TestWhatIsLearnedOfACategoryGoesAlongToItsNewTerms(t *testing.T) {
+func TestServiceTimesFollowACategoryToNewRules(t *testing.T) {
 	of := []CategoryRules{{Name: "look", Effect: Idempotent, TTL: 50_000, LatencyObjective: 5_000, Benefit: 1, Stretch: 1},
 		{Name: "pay", Effect: Idempotent, TTL: 50_000, LatencyObjective: 5_000, Benefit: 4, Stretch: 1}}
 	d := New(3, settingsOf(of, 3))
@@ -201,7 +201,7 @@
 
 // The walk over all categories that tells the dearest is made only when one that counts has changed. The rank must be as if it were
 // made each time.
-func TestTheDearestCategoryIsTheOneThatAWalkFinds(t *testing.T) {
+func TestHighestPriorityWeightMatchesAFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "n")
 		var of []CategoryRules
--- a/dispatch/choice_test.go
+++ b/dispatch/choice_test.go
@@ -52,7 +52,7 @@
 }
 
 // Wide ops went to Low workers without room for them and blocked the queue.
-func TestWideOpNeedsRoom(t *testing.T) {
+func TestWideOpNeedsCapacity(t *testing.T) {
 	d := fleet(2, nil)
 	d.halvedAt = d.now
 	copy(d.estimator.observed[:], []float64{4, 4, 4, 4})
@@ -65,7 +65,7 @@
 }
 
 // A busy scheduler saw one idle worker twice before any report showed its own push.
-func TestOwnPushesCount(t *testing.T) {
+func TestOwnAttemptsCount(t *testing.T) {
 	d := fleet(2, nil)
 	probed(t, d, 0, 0)
 	first := pushed(t, d, 0, jobs(0), 1, jobs(0))
@@ -100,7 +100,7 @@
 }
 
 // Reports are noisy: an empty worker of four slots that told 3.4 free ones was no place for an op of four.
-func TestEmptyWorkerHasRoomForWideOp(t *testing.T) {
+func TestIdleWorkerHasCapacityForWideOp(t *testing.T) {
 	d := fleet(2, nil)
 	d.AddOp(0, OpSpec{TTL: d.now + 50_000, Slots: 4})
 	decisions(d)
@@ -112,7 +112,7 @@
 }
 
 // Ops of four slots were nacked for want of a place where one job of a short rest held one slot.
-func TestPlaceOfWideOpByTheSlotsItLacks(t *testing.T) {
+func TestQueuePositionOfWideOpByMissingSlots(t *testing.T) {
 	d := fleet(3, nil)
 	d.AddOp(0, OpSpec{TTL: d.now + 50_000, Slots: 4})
 	for i, n := range []float64{1, 3, 5} {
@@ -125,7 +125,7 @@
 }
 
 // Reports seconds late sent all schedulers to the workers that looked idle; starts then came a second late.
-func TestLateReportsAreSetAside(t *testing.T) {
+func TestStaleReportsAreIgnored(t *testing.T) {
 	d := fleet(2, nil)
 	d.samples.probeRTTs = []Time{100}
 	for i := range stats.MaxRecent {
@@ -155,7 +155,7 @@
 }
 
 // A scheduler that meets a worker once a minute took the slow kind for the fleet's middle.
-func TestAWorkersSpeedIsItsKindsUntilItIsMet(t *testing.T) {
+func TestServiceTimeRatioOfUnknownWorkerIsThatOfItsKind(t *testing.T) {
 	d := fleet(4, nil)
 	for i := range 4 {
 		identify(d, i, uint64(i+1), i%2)
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -36,7 +36,7 @@
 }
 
 // An op that is held beyond the end of its scheduler's process has no answer.
-func TestAStopCutsTTLsShort(t *testing.T) {
+func TestLimitDeadlinesCutsTTLsShort(t *testing.T) {
 	d := fleet(0, nil)
 	d.AddOp(1, OpSpec{TTL: d.now + 50_000, Slots: 1})
 	d.LimitDeadlines(d.now + 1_000)
--- a/dispatch/learned_test.go
+++ b/dispatch/learned_test.go
@@ -10,8 +10,8 @@
 	"woaddyke/internal/base/stats"
 )
 
-// taught is a dispatcher that has seen worker 0 fail, and both serve.
-func taught(t *testing.T) *Dispatcher {
+// dispatcherWithSamples is a dispatcher that has seen worker 0 fail, and both serve.
+func dispatcherWithSamples(t *testing.T) *Dispatcher {
 	d := fleet(2, func(s *Settings) { s.Categories[0].Name = "look" })
 	for i := range 2 {
 		identify(d, i, uint64(i+1), 0)
@@ -33,8 +33,8 @@
 }
 
 // The process that took over met every bad worker anew, and had T at 0.
-func TestWhatWasLearnedComesThroughWhole(t *testing.T) {
-	was := taught(t)
+func TestLearnedSurvivesARoundTrip(t *testing.T) {
+	was := dispatcherWithSamples(t)
 	text, err := json.Marshal(was.Learned())
 	if err != nil {
 		t.Fatal(err)
@@ -65,8 +65,8 @@
 }
 
 // A worker that has restarted is another under the same name, and what can't be must not reach a decision.
-func TestWhatDoesNotHoldIsNotLearned(t *testing.T) {
-	l := taught(t).Learned()
+func TestImpossibleLearnedValuesAreLeftOut(t *testing.T) {
+	l := dispatcherWithSamples(t).Learned()
 	d := fleet(2, func(s *Settings) { s.Categories[0].Name = "look" })
 	d.AdvanceClock(1 << 40)
 	d.UpsertWorker(0, WorkerEntry{Ready: true, StartedAt: 1<<40 - 5})
--- a/dispatch/peers_test.go
+++ b/dispatch/peers_test.go
@@ -6,7 +6,7 @@
 )
 
 // Hundreds of schedulers saw the same free slot in reports seconds late: those that meet a worker say what they have there.
-func TestSchedulersTellWhatTheyHaveAtTheirRegulars(t *testing.T) {
+func TestPeerReportsCountAtSubscribedWorkers(t *testing.T) {
 	shape := func(s *Settings) { s.ConnectionPrice, s.PeerMessages, s.Schedulers = 0.05, true, 12 }
 	at := func(number int) *Dispatcher {
 		d := fleet(8, func(s *Settings) {
--- a/dispatch/probing_test.go
+++ b/dispatch/probing_test.go
@@ -6,7 +6,7 @@
 	"woaddyke/internal/base/stats"
 )
 
-func TestDoubtfulWorkerIsSeldomButStillGivenWork(t *testing.T) {
+func TestSuspectedWorkerIsAdmittedSeldom(t *testing.T) {
 	d := fleet(2, nil)
 	for range 3 {
 		d.fleet.recordVerdict(d.now, 0, false)
@@ -30,7 +30,7 @@
 }
 
 // Second looks at queues seen a moment ago cost two probes each and found them still there.
-func TestSecondLookSkipsWhatWasJustSeenFull(t *testing.T) {
+func TestSecondProbeRoundSkipsQueuesJustSeen(t *testing.T) {
 	d := fleet(5, nil)
 	for i := range d.fleet.workers {
 		d.addQueueSample(&d.fleet.workers[i], queueSample{1, 4_000})
@@ -48,7 +48,7 @@
 }
 
 // In four zones, three ops in four met only workers that cost a crossing.
-func TestOneOfThePairIsNear(t *testing.T) {
+func TestOneOfThePairIsInTheOwnZone(t *testing.T) {
 	for _, price := range []float64{0, 0.03} {
 		d := New(7, testSettings(func(s *Settings) { s.CrossZonePrice, s.Zone = price, 1 }))
 		d.AdvanceClock(1_000_000)
@@ -112,7 +112,7 @@
 }
 
 // A link between zones was cut: each scheduler knew too little of any one worker beyond it, and pushed there.
-func TestCutOffZoneIsFoundByItsProbes(t *testing.T) {
+func TestUnreachableZoneIsSuspectedByFailedProbes(t *testing.T) {
 	d := fleet(60, nil)
 	across := 0
 	for i := range 60 {
@@ -164,7 +164,7 @@
 
 // A zone came back cold and lay idle, while the fifteen warm workers had three quarters of its ops: the lot asked cold
 // workers as seldom where reports were true as where they said nothing.
-func TestColdWorkersAreAskedMoreWhereReportsProveTrue(t *testing.T) {
+func TestWarmingWorkersAreProbedMoreWhileReportsAreAccurate(t *testing.T) {
 	asked := func(took Time) (n int) {
 		d := New(7, testSettings(nil))
 		d.AdvanceClock(1_000_000)
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -10,24 +10,24 @@
 	"woaddyke/internal/base/stats"
 )
 
-// plain is the rules, told slowly: it keeps all that happened and works out afresh what is allowed.
-type plain struct {
-	ready map[int]bool
-	where map[int][2]int // zone and cell
-	since map[int]Time
-	ops   map[int]*plainOp
-	free  map[int]float64 // slots, by the last report
-	told  map[int]Time    // when that came
+// referenceModel is the rules, told slowly: it keeps all that happened and works out afresh what is allowed.
+type referenceModel struct {
+	ready      map[int]bool
+	groupOf    map[int][2]int // zone and cell
+	startedAt  map[int]Time
+	ops        map[int]*referenceOp
+	freeSlots  map[int]float64 // slots, by the last report
+	reportedAt map[int]Time    // when that came
 }
 
-type plainOp struct {
-	cat    int
-	ttl    Time
-	pushes []plainPush
-	final  bool
+type referenceOp struct {
+	cat      int
+	ttl      Time
+	attempts []referenceAttempt
+	answered bool
 }
 
-type plainPush struct {
+type referenceAttempt struct {
 	where [2]int
 	at    Time
 	until Time
@@ -37,28 +37,28 @@
 	slots float64
 }
 
-func (p plainPush) mayHaveRun() bool {
+func (p referenceAttempt) mayHaveRun() bool {
 	return !p.ended || p.how != Rejected && p.how != Unreachable && p.how != NotSent && p.how != LocalExhaustion
 }
 
-func (m *plain) mayPush(s Settings, op, worker int, now Time) bool {
+func (m *referenceModel) mayPush(s Settings, op, worker int, now Time) bool {
 	o := m.ops[op]
 	c := s.Categories[o.cat]
 	sent := 0
-	for _, p := range o.pushes {
+	for _, p := range o.attempts {
 		if !p.ended || p.how != LocalExhaustion { // that one reached nobody
 			sent++
 		}
 	}
-	if o.final || !m.ready[worker] || sent >= s.MaxAttempts {
+	if o.answered || !m.ready[worker] || sent >= s.MaxAttempts {
 		return false
 	}
-	for _, p := range o.pushes {
+	for _, p := range o.attempts {
 		if !p.ended {
 			return false
 		}
 	}
-	for _, p := range o.pushes {
+	for _, p := range o.attempts {
 		if !p.mayHaveRun() {
 			continue
 		}
@@ -66,8 +66,8 @@
 		case c.Effect == Idempotent:
 		case c.Effect == AtMostOnce, now >= p.at+c.DedupWindow:
 			return false
-		case c.DedupScope == DedupInZone && m.where[worker][0] != p.where[0],
-			c.DedupScope == DedupInGroup && m.where[worker] != p.where:
+		case c.DedupScope == DedupInZone && m.groupOf[worker][0] != p.where[0],
+			c.DedupScope == DedupInGroup && m.groupOf[worker] != p.where:
 			return false
 		}
 		break // the first that may have run fixes group and window
@@ -75,10 +75,10 @@
 	return true
 }
 
-func (m *plain) mayNack(s Settings, op int, now Time) bool {
+func (m *referenceModel) mayNack(s Settings, op int, now Time) bool {
 	o := m.ops[op]
 	c := s.Categories[o.cat]
-	for _, p := range o.pushes {
+	for _, p := range o.attempts {
 		past := now >= p.at+c.DedupWindow
 		if p.mayHaveRun() && c.Effect != Idempotent &&
 			(c.Effect == AtMostOnce || c.DedupScope != DedupEverywhere || past) {
@@ -89,14 +89,14 @@
 }
 
 func TestRulesAgreeWithPlainModel(t *testing.T) {
-	if err := quick.Check(func(seed int64) bool { return storm(t, seed) },
+	if err := quick.Check(func(seed int64) bool { return runRandomFaults(t, seed) },
 		&quick.Config{MaxCount: 150, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// storm drives a dispatcher through made-up trouble and checks each decision against the plain rules.
-func storm(t *testing.T, seed int64) bool {
+// runRandomFaults drives a dispatcher through made-up trouble and checks each decision against the plain rules.
+func runRandomFaults(t *testing.T, seed int64) bool {
 	r := rand.New(rand.NewSource(seed))
 	settings := testSettings(func(s *Settings) {
 		s.Probes = r.Intn(5) > 0
@@ -106,20 +106,20 @@
 		s.ConnectionPrice = 0.05 * float64(r.Intn(2))
 	})
 	d := New(uint64(seed), settings)
-	m := &plain{map[int]bool{}, map[int][2]int{}, map[int]Time{}, map[int]*plainOp{}, map[int]float64{},
+	m := &referenceModel{map[int]bool{}, map[int][2]int{}, map[int]Time{}, map[int]*referenceOp{}, map[int]float64{},
 		map[int]Time{}}
 	now, next := Time(1_000_000), 0
 	names := make([]int, 400) // op index to the model's op
 	d.AdvanceClock(now)
 	entry := func(i int) {
-		if m.where[i] == [2]int{} {
-			m.where[i] = [2]int{1 + i%2, i % 4}
+		if m.groupOf[i] == [2]int{} {
+			m.groupOf[i] = [2]int{1 + i%2, i % 4}
 		}
 		m.ready[i] = r.Intn(4) > 0
 		if r.Intn(8) == 0 {
-			m.since[i], m.free[i] = now, 0 // what the process before it told says nothing of this one
+			m.startedAt[i], m.freeSlots[i] = now, 0 // what the process before it told says nothing of this one
 		}
-		d.UpsertWorker(i, WorkerEntry{Zone: m.where[i][0], Group: m.where[i][1], Ready: m.ready[i], StartedAt: m.since[i]})
+		d.UpsertWorker(i, WorkerEntry{Zone: m.groupOf[i][0], Group: m.groupOf[i][1], Ready: m.ready[i], StartedAt: m.startedAt[i]})
 		identify(d, i, uint64(i+1)*0x51ed2701_9b3c1d77, i%3)
 		d.PeerReport(r.Intn(5)-1, i, r.Intn(4)-1)
 	}
@@ -144,7 +144,7 @@
 			}
 			next++
 			names[i] = next
-			o := &plainOp{cat: r.Intn(5), ttl: now + Time(r.Intn(30_000))}
+			o := &referenceOp{cat: r.Intn(5), ttl: now + Time(r.Intn(30_000))}
 			m.ops[next] = o
 			spec := OpSpec{Category: o.cat, TTL: o.ttl, Slots: float64(1 + r.Intn(2))}
 			if r.Intn(2) == 0 {
@@ -153,26 +153,26 @@
 			d.AddOp(i, spec)
 		}
 		for i, name := range names {
-			if name == 0 || len(m.ops[name].pushes) == 0 {
+			if name == 0 || len(m.ops[name].attempts) == 0 {
 				continue
 			}
 			o := m.ops[name]
-			p := &o.pushes[len(o.pushes)-1]
+			p := &o.attempts[len(o.attempts)-1]
 			if p.ended || now < p.until && r.Intn(8) > 0 {
 				continue
 			}
 			if now < p.until && r.Intn(2) == 0 {
-				d.AttemptProgress(i, len(o.pushes)-1, r.Intn(3) > 0, 0.5)
+				d.AttemptProgress(i, len(o.attempts)-1, r.Intn(3) > 0, 0.5)
 				continue
 			}
 			if p.ended, p.how = true, Outcome(r.Intn(int(LocalExhaustion)+1)); now >= p.until {
 				p.how = TimedOut
 			}
-			o.final = o.final || p.how == Succeeded
-			d.AttemptEnded(i, len(o.pushes)-1, p.how, o.final)
+			o.answered = o.answered || p.how == Succeeded
+			d.AttemptEnded(i, len(o.attempts)-1, p.how, o.answered)
 		}
 		d.AdvanceClock(now)
-		if !judgeAll(t, d, m, settings, names, now, r) {
+		if !checkDecisions(t, d, m, settings, names, now, r) {
 			return false
 		}
 		now += Time(r.Intn(300))
@@ -181,7 +181,7 @@
 		}
 	}
 	for name, o := range m.ops {
-		if !o.final {
+		if !o.answered {
 			t.Logf("op %d of category %d never answered", name, o.cat)
 			return false
 		}
@@ -189,8 +189,8 @@
 	return true
 }
 
-// agree holds the queues of deadlines against a walk over all that is out: a push that they lose is never found silent.
-func agree(t *testing.T, d *Dispatcher) bool {
+// deadlinesAgree holds the queues of deadlines against a walk over all that is out: a push that they lose is never found silent.
+func deadlinesAgree(t *testing.T, d *Dispatcher) bool {
 	want, got := Time(math.MaxInt64), Time(math.MaxInt64)
 	for _, o := range d.ops.byIndex {
 		if o == nil || !o.last.inFlight || o.finished || o.last.silenceCounted {
@@ -216,7 +216,7 @@
 	return got == want
 }
 
-func judgeAll(t *testing.T, d *Dispatcher, m *plain, settings Settings, names []int, now Time,
+func checkDecisions(t *testing.T, d *Dispatcher, m *referenceModel, settings Settings, names []int, now Time,
 	r *rand.Rand) bool {
 	for {
 		for i, name := range names {
@@ -235,19 +235,19 @@
 		switch next.Kind {
 		case NoDecision:
 			for _, o := range m.ops {
-				if !o.final && now > o.ttl+100 && (len(o.pushes) == 0 || o.pushes[len(o.pushes)-1].ended) {
+				if !o.answered && now > o.ttl+100 && (len(o.attempts) == 0 || o.attempts[len(o.attempts)-1].ended) {
 					t.Logf("an op of category %d outlived its TTL", o.cat)
 					return false
 				}
 			}
-			return agree(t, d)
+			return deadlinesAgree(t, d)
 		case Push:
 			o := m.ops[name]
 			if !m.mayPush(settings, name, worker, now) || now+timeout >= o.ttl && timeout > 1 || now >= o.ttl {
 				t.Logf("push against the rules: category %d worker %d", o.cat, worker)
 				return false
 			}
-			o.pushes = append(o.pushes, plainPush{m.where[worker], now, now + timeout, false, Succeeded, worker,
+			o.attempts = append(o.attempts, referenceAttempt{m.groupOf[worker], now, now + timeout, false, Succeeded, worker,
 				d.ops.byIndex[op].slots})
 			if settings.Probes && !m.intoRoom(worker, now) {
 				t.Logf("a push to cold worker %d that has no room", worker)
@@ -255,21 +255,21 @@
 			}
 		case CancelAttempt:
 			o := m.ops[name]
-			p := &o.pushes[len(o.pushes)-1]
+			p := &o.attempts[len(o.attempts)-1]
 			if p.ended || !settings.CancelsAttempts {
 				t.Logf("called off against the rules: category %d", o.cat)
 				return false
 			}
 			p.ended, p.how = true, Cancelled
-			d.AttemptEnded(op, len(o.pushes)-1, Cancelled, false)
+			d.AttemptEnded(op, len(o.attempts)-1, Cancelled, false)
 		case Nack, DeadLetter:
 			o := m.ops[name]
-			if o.final || next.Kind == Nack && !m.mayNack(settings, name, now) ||
-				len(o.pushes) > 0 && !o.pushes[len(o.pushes)-1].ended {
+			if o.answered || next.Kind == Nack && !m.mayNack(settings, name, now) ||
+				len(o.attempts) > 0 && !o.attempts[len(o.attempts)-1].ended {
 				t.Logf("%v against the rules: category %d", next.Kind, o.cat)
 				return false
 			}
-			o.final = true
+			o.answered = true
 		case Probe:
 			if !m.ready[worker] {
 				t.Logf("probe of a worker that is not ready")
@@ -278,7 +278,7 @@
 			if r.Intn(4) > 0 {
 				load := jobs(float64(r.Intn(7)))
 				d.ProbeAnswered(worker, 0, load)
-				m.free[worker], m.told[worker] = load.FreeSlots, now
+				m.freeSlots[worker], m.reportedAt[worker] = load.FreeSlots, now
 			}
 		case Forget:
 			names[op] = 0
@@ -287,14 +287,14 @@
 }
 
 // intoRoom tells whether a cold worker's push goes into a slot that its last report and later pushes left.
-func (m *plain) intoRoom(worker int, now Time) bool {
-	if since := m.since[worker]; since == 0 || now >= since+80_000 {
+func (m *referenceModel) intoRoom(worker int, now Time) bool {
+	if since := m.startedAt[worker]; since == 0 || now >= since+80_000 {
 		return true
 	}
-	room := m.free[worker]
+	room := m.freeSlots[worker]
 	for _, o := range m.ops {
-		for _, p := range o.pushes {
-			if p.to == worker && !p.ended && p.at >= m.told[worker] {
+		for _, p := range o.attempts {
+			if p.to == worker && !p.ended && p.at >= m.reportedAt[worker] {
 				room -= p.slots
 			}
 		}
@@ -304,7 +304,7 @@
 
 // Hundreds of schedulers, most of them quiet and a few that carry most, meet one cold worker at full load,
 // and reports tell them nothing: together they must stay within its budget.
-func TestColdBudgetOfHundreds(t *testing.T) {
+func TestSlowStartBudgetAcrossHundredsOfSchedulers(t *testing.T) {
 	const schedulers, workers, length, rate, days = 200, 200, 500, 480, 3 // 480 ops of 50 ms a worker in 6 s
 	total, worst := 0, 0.0
 	for day := range days {
@@ -409,7 +409,7 @@
 }
 
 // Two categories alike in all but nothing: each needs a place of its own, or their names would mean one another.
-func TestCategoriesAlikeHavePlacesOfTheirOwn(t *testing.T) {
+func TestEqualCategoriesHaveSeparatePlaces(t *testing.T) {
 	settings := settingsOf([]CategoryRules{{TTL: 5}, {TTL: 5}}, 1)
 	d := New(3, settings)
 	if places := d.SetCategories(settings); !slices.Equal(places, []int{0, 1}) {
--- a/dispatch/shadow_test.go
+++ b/dispatch/shadow_test.go
@@ -6,7 +6,7 @@
 )
 
 // Operators watch before they switch: a watch must not change one decision, and must count those that would differ.
-func TestAWatchChangesNothingAndCounts(t *testing.T) {
+func TestShadowSettingsOnlyCountDivergence(t *testing.T) {
 	play := func(other func(*Settings)) (all []Decision, counts [ShadowedReport + 1]int) {
 		shape := func(s *Settings) { s.Schedulers, s.ConnectionPrice, s.PeerMessages = 12, 0, false }
 		d := fleet(12, shape)
--- a/dispatch/slow_start_test.go
+++ b/dispatch/slow_start_test.go
@@ -11,9 +11,9 @@
 	"woaddyke/internal/base/stats"
 )
 
-// coldDay is a fleet part of which has just started, and the schedulers that meet it. Each worker has four slots; jobs
+// slowStartDay is a fleet part of which has just started, and the schedulers that meet it. Each worker has four slots; jobs
 // are exponential.
-type coldDay struct {
+type slowStartDay struct {
 	schedulers, workers, zones int
 	cold                       int             // so many workers start a second into the day
 	own                        int             // workers of zone 0; an equal part where it is 0
@@ -29,8 +29,8 @@
 	more                       func(*Settings) // may be nil
 }
 
-// coldFigures are what a day shows of its cold workers.
-type coldFigures struct {
+// slowStartFigures are what a day shows of its cold workers.
+type slowStartFigures struct {
 	falls  int     // of them, those that got more than N + 2 sqrt(N) + 2 in some span of tipAfter
 	worst  float64 // the most that one got in a span, over that bound
 	mean   float64 // got in a span, over N, of all of them
@@ -47,79 +47,79 @@
 	coldStart = coldBegan + second
 )
 
-func coldWarmth(age Time) float64 { return min(1, 0.3+0.7*float64(max(age, 0))/coldWarm) }
+func capacityAtAge(age Time) float64 { return min(1, 0.3+0.7*float64(max(age, 0))/coldWarm) }
 
 // coldAllows is N at an age: the mean jobs that the settings allow in a span.
-func (p *coldDay) allows(age Time) float64 {
-	return 2.5 * coldWarmth(age) * coldSlots * coldTip / float64(p.run)
+func (p *slowStartDay) allows(age Time) float64 {
+	return 2.5 * capacityAtAge(age) * coldSlots * coldTip / float64(p.run)
 }
 
-type coldEvent struct {
+type simulatedEvent struct {
 	at Time
 	n  int // breaks ties
 	do func()
 }
 
-type coldAgenda []coldEvent
+type eventQueue []simulatedEvent
 
-func (q coldAgenda) Len() int { return len(q) }
-func (q coldAgenda) Less(i, j int) bool {
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n
 }
-func (q coldAgenda) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *coldAgenda) Push(x any)   { *q = append(*q, x.(coldEvent)) }
-func (q *coldAgenda) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(simulatedEvent)) }
+func (q *eventQueue) Pop() any {
 	x := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return x
 }
 
-// coldJob is one push at a worker.
-type coldJob struct {
-	by      *coldScheduler
+// simulatedJob is one push at a worker.
+type simulatedJob struct {
+	by      *simulatedScheduler
 	op, leg int
 }
 
-type coldReading struct {
+type simulatedReading struct {
 	at   Time
 	load LoadReport
 }
 
-type coldWorker struct {
+type simulatedWorker struct {
 	since   Time
 	running int
-	waiting []coldJob
-	shown   []coldReading
+	waiting []simulatedJob
+	shown   []simulatedReading
 	got     []Time
 	used    float64 // slot time at its warm speed, while it was cold
 }
 
-type coldOp struct{ tries, legs int }
+type simulatedOp struct{ tries, legs int }
 
-type coldScheduler struct {
+type simulatedScheduler struct {
 	d    *Dispatcher
-	ops  map[int]*coldOp
+	ops  map[int]*simulatedOp
 	free []int
 	all  int
 }
 
-type coldPlay struct {
-	coldDay
+type slowStartSimulation struct {
+	slowStartDay
 	r             *rand.Rand
-	agenda        coldAgenda
+	agenda        eventQueue
 	n             int
 	now           Time
-	schedulers    []*coldScheduler
-	workers       []*coldWorker
+	schedulers    []*simulatedScheduler
+	workers       []*simulatedWorker
 	asked, served int
 }
 
-func (p *coldPlay) in(span Time, do func()) {
+func (p *slowStartSimulation) in(span Time, do func()) {
 	p.n++
-	heap.Push(&p.agenda, coldEvent{p.now + max(span, 1), p.n, do})
+	heap.Push(&p.agenda, simulatedEvent{p.now + max(span, 1), p.n, do})
 }
 
-func (p *coldPlay) zone(i int) int {
+func (p *slowStartSimulation) zone(i int) int {
 	if p.own == 0 {
 		return i % p.zones
 	}
@@ -129,11 +129,11 @@
 	return 1 + (i-p.own)%(p.zones-1)
 }
 
-func playCold(day coldDay, seed int64) coldFigures {
-	p := &coldPlay{coldDay: day, r: rand.New(rand.NewSource(seed)), now: coldBegan}
+func simulateSlowStart(day slowStartDay, seed int64) slowStartFigures {
+	p := &slowStartSimulation{slowStartDay: day, r: rand.New(rand.NewSource(seed)), now: coldBegan}
 	p.zones = max(p.zones, 1)
 	for range day.workers {
-		p.workers = append(p.workers, &coldWorker{})
+		p.workers = append(p.workers, &simulatedWorker{})
 	}
 	for s := range day.schedulers {
 		at := s % p.zones
@@ -144,7 +144,7 @@
 		}
 		settings := testSettings(day.more)
 		settings.Schedulers, settings.Scheduler, settings.Zone = day.schedulers, s, at
-		x := &coldScheduler{d: New(p.r.Uint64(), settings), ops: map[int]*coldOp{}}
+		x := &simulatedScheduler{d: New(p.r.Uint64(), settings), ops: map[int]*simulatedOp{}}
 		x.d.AdvanceClock(p.now)
 		p.schedulers = append(p.schedulers, x)
 	}
@@ -158,14 +158,14 @@
 	p.in(second, p.list)
 	p.arrive()
 	for len(p.agenda) > 0 {
-		e := heap.Pop(&p.agenda).(coldEvent)
+		e := heap.Pop(&p.agenda).(simulatedEvent)
 		p.now = e.at
 		e.do()
 	}
 	return p.figures()
 }
 
-func (p *coldPlay) list() {
+func (p *slowStartSimulation) list() {
 	for _, s := range p.schedulers {
 		s.d.AdvanceClock(p.now)
 		s.d.BeginSnapshot()
@@ -180,7 +180,7 @@
 }
 
 // arrive lets ops come by chance, at the day's rate.
-func (p *coldPlay) arrive() {
+func (p *slowStartSimulation) arrive() {
 	load := p.load
 	if p.now < coldStart {
 		load *= 1 - float64(p.cold)/float64(len(p.workers)) // of those that are there
@@ -210,14 +210,14 @@
 	})
 }
 
-func (p *coldPlay) op(s *coldScheduler, tries int) {
+func (p *slowStartSimulation) op(s *simulatedScheduler, tries int) {
 	i := s.all
 	if len(s.free) > 0 {
 		i, s.free = s.free[len(s.free)-1], s.free[:len(s.free)-1]
 	} else {
 		s.all++
 	}
-	s.ops[i] = &coldOp{tries: tries}
+	s.ops[i] = &simulatedOp{tries: tries}
 	s.d.AdvanceClock(p.now)
 	s.d.AddOp(i, OpSpec{TTL: p.now + 50_000, Slots: 1})
 	p.pull(s)
@@ -225,8 +225,8 @@
 
 const coldTrip = 5 // each way
 
-func (p *coldPlay) pull(s *coldScheduler) {
-	for _, a := range decisionsAndWakes(s.d) {
+func (p *slowStartSimulation) pull(s *simulatedScheduler) {
+	for _, a := range allDecisions(s.d) {
 		o := s.ops[a.Op]
 		switch a.Kind {
 		case SetTimer:
@@ -245,7 +245,7 @@
 				})
 			})
 		case Push:
-			j := coldJob{s, a.Op, o.legs}
+			j := simulatedJob{s, a.Op, o.legs}
 			o.legs++
 			p.in(coldTrip, func() { p.push(a.Worker, j) })
 		case Nack, DeadLetter:
@@ -259,7 +259,7 @@
 	}
 }
 
-func decisionsAndWakes(d *Dispatcher) (all []Decision) {
+func allDecisions(d *Dispatcher) (all []Decision) {
 	for {
 		next := d.Next()
 		if next.Kind == NoDecision {
@@ -269,7 +269,7 @@
 	}
 }
 
-func (p *coldPlay) shown(i int) LoadReport {
+func (p *slowStartSimulation) shown(i int) LoadReport {
 	w := p.workers[i]
 	if p.blind && w.since > 0 && p.now >= coldStart+p.turn {
 		return jobs(0)
@@ -282,13 +282,13 @@
 	return w.shown[0].load
 }
 
-func (p *coldPlay) note(i int) {
+func (p *slowStartSimulation) note(i int) {
 	w := p.workers[i]
-	w.shown = append(w.shown, coldReading{p.now, LoadReport{RunningJobs: float64(w.running + len(w.waiting)),
+	w.shown = append(w.shown, simulatedReading{p.now, LoadReport{RunningJobs: float64(w.running + len(w.waiting)),
 		QueuedJobs: float64(len(w.waiting)), FreeSlots: float64(coldSlots - w.running), FreeMemory: -1}})
 }
 
-func (p *coldPlay) push(i int, j coldJob) {
+func (p *slowStartSimulation) push(i int, j simulatedJob) {
 	w := p.workers[i]
 	if w.since > 0 {
 		w.got = append(w.got, p.now)
@@ -301,7 +301,7 @@
 	p.begin(i)
 }
 
-func (p *coldPlay) begin(i int) {
+func (p *slowStartSimulation) begin(i int) {
 	w := p.workers[i]
 	for len(w.waiting) > 0 && w.running < coldSlots {
 		j := w.waiting[0]
@@ -309,7 +309,7 @@
 		w.running++
 		speed := 1.0
 		if w.since > 0 {
-			speed = coldWarmth(p.now - w.since)
+			speed = capacityAtAge(p.now - w.since)
 		}
 		run := Time(p.r.ExpFloat64()*float64(p.run)/speed) + 1
 		if end := coldStart + min(coldWarm, p.span); w.since > 0 && p.now < end {
@@ -330,7 +330,7 @@
 	p.note(i)
 }
 
-func (p *coldPlay) end(j coldJob, how Outcome) {
+func (p *slowStartSimulation) end(j simulatedJob, how Outcome) {
 	p.in(coldTrip, func() {
 		if how == Succeeded && p.now >= coldStart {
 			p.served++
@@ -341,7 +341,7 @@
 	})
 }
 
-func (p *coldPlay) figures() (f coldFigures) {
+func (p *slowStartSimulation) figures() (f slowStartFigures) {
 	spans, all, can, used := 0, 0.0, 0.0, 0.0
 	var x, xx float64
 	for i := range p.cold {
@@ -362,7 +362,7 @@
 			}
 		}
 		for at := Time(0); at < min(coldWarm, p.span); at += 100 {
-			can += coldSlots * 100 * coldWarmth(at)
+			can += coldSlots * 100 * capacityAtAge(at)
 		}
 		used += w.used
 	}
@@ -375,7 +375,7 @@
 }
 
 // over is the most that a cold worker got in a span, over the bound at the span's end.
-func (p *coldPlay) over(got []Time) (worst float64) {
+func (p *slowStartSimulation) over(got []Time) (worst float64) {
 	from := 0
 	for k, t := range got {
 		age := t - coldStart
@@ -385,77 +385,79 @@
 		for got[from] <= t-coldTip {
 			from++
 		}
-		worst = max(worst, float64(k-from+1)/coldBound(p.allows(age)))
+		worst = max(worst, float64(k-from+1)/overloadBound(p.allows(age)))
 	}
 	return worst
 }
 
-// coldBound is what a worker bears where the settings allow it n: beyond that, so much is chance.
-func coldBound(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
+// overloadBound is what a worker bears where the settings allow it n: beyond that, so much is chance.
+func overloadBound(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 
-// coldDays are those on which the sum of what all send was, or could be, more than a cold worker bears; least is the share of
+// slowStartDays are those on which the sum of what all send was, or could be, more than a cold worker bears; least is the share of
 // the cold workers' capacity that has to be used.
-func coldDays() map[string]struct {
+func slowStartDays() map[string]struct {
 	least float64
-	day   coldDay
+	day   slowStartDay
 } {
 	crossing := func(s *Settings) { s.CrossZonePrice = 0.01 }
 	regulars := func(s *Settings) { s.ConnectionPrice = 0.01 }
 	words := func(s *Settings) { s.ConnectionPrice, s.PeerMessages = 0.01, true }
-	day := func(change func(*coldDay)) coldDay {
-		d := coldDay{schedulers: 30, workers: 40, cold: 24, load: 0.7, run: 2_000, span: 3 * second, more: crossing, zones: 3}
+	day := func(change func(*slowStartDay)) slowStartDay {
+		d := slowStartDay{schedulers: 30, workers: 40, cold: 24, load: 0.7, run: 2_000, span: 3 * second, more: crossing, zones: 3}
 		change(&d)
 		return d
 	}
 	return map[string]struct {
 		least float64
-		day   coldDay
+		day   slowStartDay
 	}{
 		// Reports that tell the truth: the lot must not let the new ones lie idle.
-		"thirty":               {0.6, day(func(d *coldDay) {})},
-		"thirty, full":         {0.65, day(func(d *coldDay) { d.load = 1 })},
-		"thirty, burst":        {0.7, day(func(d *coldDay) { d.load, d.burst, d.again = 1, 1.5, 2 })},
-		"quiet hundreds":       {0.5, day(func(d *coldDay) { d.schedulers, d.workers, d.cold = 300, 100, 60 })},
-		"all cold":             {0.45, day(func(d *coldDay) { d.cold = 40 })},
-		"no probes":            {0.2, day(func(d *coldDay) { d.more = func(s *Settings) { s.Probes = false } })},
-		"no probes, full":      {0.35, day(func(d *coldDay) { d.load, d.more = 1, func(s *Settings) { s.Probes = false } })},
-		"no probes, burst":     {0.5, day(func(d *coldDay) { d.load, d.burst, d.again, d.more = 1, 1.5, 2, func(s *Settings) { s.Probes = false } })},
-		"no probes, all cold":  {0.5, day(func(d *coldDay) { d.cold, d.more = 40, func(s *Settings) { s.Probes = false } })},
-		"no probes, threefold": {0.5, day(func(d *coldDay) { d.load, d.more = 3, func(s *Settings) { s.Probes = false } })},
-		"hundreds, all cold":   {0.3, day(func(d *coldDay) { d.schedulers, d.workers, d.cold = 200, 60, 60 })},
-		"late reports":         {0.35, day(func(d *coldDay) { d.late, d.load = second, 1 })},
-		"long jobs":            {0, day(func(d *coldDay) { d.run = 20_000 })},
-		"one has 90%":          {0.4, day(func(d *coldDay) { d.first = 0.9 })},
-		"regulars, 90%":        {0.1, day(func(d *coldDay) { d.first, d.more, d.zones = 0.9, regulars, 1 })},
-		"few ready, truth":     {0.15, day(func(d *coldDay) { d.workers, d.cold = 5, 3 })},
+		"thirty":          {0.6, day(func(d *slowStartDay) {})},
+		"thirty, full":    {0.65, day(func(d *slowStartDay) { d.load = 1 })},
+		"thirty, burst":   {0.7, day(func(d *slowStartDay) { d.load, d.burst, d.again = 1, 1.5, 2 })},
+		"quiet hundreds":  {0.5, day(func(d *slowStartDay) { d.schedulers, d.workers, d.cold = 300, 100, 60 })},
+		"all cold":        {0.45, day(func(d *slowStartDay) { d.cold = 40 })},
+		"no probes":       {0.2, day(func(d *slowStartDay) { d.more = func(s *Settings) { s.Probes = false } })},
+		"no probes, full": {0.35, day(func(d *slowStartDay) { d.load, d.more = 1, func(s *Settings) { s.Probes = false } })},
+		"no probes, burst": {0.5, day(func(d *slowStartDay) {
+			d.load, d.burst, d.again, d.more = 1, 1.5, 2, func(s *Settings) { s.Probes = false }
+		})},
+		"no probes, all cold":  {0.5, day(func(d *slowStartDay) { d.cold, d.more = 40, func(s *Settings) { s.Probes = false } })},
+		"no probes, threefold": {0.5, day(func(d *slowStartDay) { d.load, d.more = 3, func(s *Settings) { s.Probes = false } })},
+		"hundreds, all cold":   {0.3, day(func(d *slowStartDay) { d.schedulers, d.workers, d.cold = 200, 60, 60 })},
+		"late reports":         {0.35, day(func(d *slowStartDay) { d.late, d.load = second, 1 })},
+		"long jobs":            {0, day(func(d *slowStartDay) { d.run = 20_000 })},
+		"one has 90%":          {0.4, day(func(d *slowStartDay) { d.first = 0.9 })},
+		"regulars, 90%":        {0.1, day(func(d *slowStartDay) { d.first, d.more, d.zones = 0.9, regulars, 1 })},
+		"few ready, truth":     {0.15, day(func(d *slowStartDay) { d.workers, d.cold = 5, 3 })},
 		// Reports by which each cold worker is idle: the lot alone decides.
-		"blind, full":       {0.5, day(func(d *coldDay) { d.blind, d.load = true, 1 })},
-		"blind, burst":      {0.5, day(func(d *coldDay) { d.blind, d.load, d.burst, d.again = true, 1, 1.5, 2 })},
-		"blind all at once": {0.5, day(func(d *coldDay) { d.blind, d.turn, d.load, d.burst, d.again = true, second, 1, 1.5, 2 })},
-		"blind hundreds": {0.4, day(func(d *coldDay) {
+		"blind, full":       {0.5, day(func(d *slowStartDay) { d.blind, d.load = true, 1 })},
+		"blind, burst":      {0.5, day(func(d *slowStartDay) { d.blind, d.load, d.burst, d.again = true, 1, 1.5, 2 })},
+		"blind all at once": {0.5, day(func(d *slowStartDay) { d.blind, d.turn, d.load, d.burst, d.again = true, second, 1, 1.5, 2 })},
+		"blind hundreds": {0.4, day(func(d *slowStartDay) {
 			d.schedulers, d.workers, d.cold = 300, 100, 60
 			d.blind, d.load, d.burst = true, 1, 1.5
 		})},
-		"blind hundreds, repeats": {0.5, day(func(d *coldDay) {
+		"blind hundreds, repeats": {0.5, day(func(d *slowStartDay) {
 			d.schedulers, d.workers, d.cold = 300, 100, 60
 			d.blind, d.load, d.burst, d.again = true, 1, 1.5, 3
 		})},
-		"blind, threefold":   {0.5, day(func(d *coldDay) { d.blind, d.load = true, 3 })},
-		"blind, all cold":    {0.3, day(func(d *coldDay) { d.cold, d.blind, d.load = 40, true, 1 })},
-		"blind, 90%":         {0.3, day(func(d *coldDay) { d.first, d.blind, d.load = 0.9, true, 1 })},
-		"blind, few ready":   {0.3, day(func(d *coldDay) { d.workers, d.cold, d.blind, d.load = 5, 3, true, 1 })},
-		"blind small zone":   {0.5, day(func(d *coldDay) { d.own, d.cold, d.blind, d.load = 4, 4, true, 1 })},
-		"blind crowded zone": {0.5, day(func(d *coldDay) { d.own, d.cold, d.home, d.blind, d.load = 4, 4, 0.7, true, 1 })},
-		"blind regulars":     {0.5, day(func(d *coldDay) { d.blind, d.load, d.more, d.zones = true, 1, regulars, 1 })},
-		"blind, words":       {0.5, day(func(d *coldDay) { d.blind, d.load, d.more, d.zones = true, 1, words, 1 })},
-		"blind regulars, 90%": {0, day(func(d *coldDay) {
+		"blind, threefold":   {0.5, day(func(d *slowStartDay) { d.blind, d.load = true, 3 })},
+		"blind, all cold":    {0.3, day(func(d *slowStartDay) { d.cold, d.blind, d.load = 40, true, 1 })},
+		"blind, 90%":         {0.3, day(func(d *slowStartDay) { d.first, d.blind, d.load = 0.9, true, 1 })},
+		"blind, few ready":   {0.3, day(func(d *slowStartDay) { d.workers, d.cold, d.blind, d.load = 5, 3, true, 1 })},
+		"blind small zone":   {0.5, day(func(d *slowStartDay) { d.own, d.cold, d.blind, d.load = 4, 4, true, 1 })},
+		"blind crowded zone": {0.5, day(func(d *slowStartDay) { d.own, d.cold, d.home, d.blind, d.load = 4, 4, 0.7, true, 1 })},
+		"blind regulars":     {0.5, day(func(d *slowStartDay) { d.blind, d.load, d.more, d.zones = true, 1, regulars, 1 })},
+		"blind, words":       {0.5, day(func(d *slowStartDay) { d.blind, d.load, d.more, d.zones = true, 1, words, 1 })},
+		"blind regulars, 90%": {0, day(func(d *slowStartDay) {
 			d.workers, d.cold, d.first, d.blind, d.more, d.zones = 20, 20, 0.9, true, regulars, 1
 		})},
-		"blind long jobs": {0, day(func(d *coldDay) { d.run, d.blind, d.load, d.burst = 20_000, true, 1, 1.5 })},
-		"blind longer jobs": {0, day(func(d *coldDay) {
+		"blind long jobs": {0, day(func(d *slowStartDay) { d.run, d.blind, d.load, d.burst = 20_000, true, 1, 1.5 })},
+		"blind longer jobs": {0, day(func(d *slowStartDay) {
 			d.run, d.blind, d.load, d.burst, d.workers, d.cold = 100_000, true, 1, 1.5, 200, 120
 		})},
-		"blind short jobs": {0.5, day(func(d *coldDay) { d.workers, d.cold, d.run, d.blind, d.load, d.burst = 10, 6, 300, true, 1, 1.5 })},
+		"blind short jobs": {0.5, day(func(d *slowStartDay) { d.workers, d.cold, d.run, d.blind, d.load, d.burst = 10, 6, 300, true, 1, 1.5 })},
 	}
 }
 
@@ -467,12 +469,12 @@
 	if n, err := strconv.Atoi(os.Getenv("COLD_SEEDS")); err == nil {
 		seeds = n
 	}
-	for name, c := range coldDays() {
+	for name, c := range slowStartDays() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var all coldFigures
+			var all slowStartFigures
 			for seed := range seeds {
-				f := playCold(c.day, int64(seed+1))
+				f := simulateSlowStart(c.day, int64(seed+1))
 				all.falls, all.worst = all.falls+f.falls, max(all.worst, f.worst)
 				all.mean, all.spread = all.mean+f.mean/float64(seeds), all.spread+f.spread/float64(seeds)
 				all.busy, all.served = all.busy+f.busy/float64(seeds), all.served+f.served/float64(seeds)
@@ -490,7 +492,7 @@
 }
 
 // Each further pair of an op asks again: after a push as after a look.
-func TestTheLotGoesDownWithEachPairOfAnOp(t *testing.T) {
+func TestAdmissionProbabilityFallsWithEachPair(t *testing.T) {
 	let := func(looks, legs int) (n int) {
 		d := fleet(10, nil)
 		d.UpsertWorker(10, WorkerEntry{Ready: true, StartedAt: d.now - second})
@@ -511,7 +513,7 @@
 // The mean that the lot keeps to has to leave room for chance at every size of the budget, from a fraction of an op to hundreds.
 func TestChanceDoesNotPassTheBound(t *testing.T) {
 	for n := 0.05; n < 400; n *= 1.01 {
-		mean, bound := n*meanWithinBudget(n), coldBound(n)
+		mean, bound := n*meanWithinBudget(n), overloadBound(n)
 		beyond, p := 0.0, math.Exp(-mean)
 		for k := 1.0; k < 2*bound+20; k++ {
 			if p *= mean / k; k > bound {
--- a/dispatch/timeouts_test.go
+++ b/dispatch/timeouts_test.go
@@ -6,8 +6,8 @@
 	"woaddyke/internal/base/stats"
 )
 
-// silent pushes n ops to worker 0, which never answers, and tells whether it is doubted well past any start.
-func silent(t *testing.T, n int, speaks bool) bool {
+// suspectedAfterSilence pushes n ops to worker 0, which never answers, and tells whether it is doubted well past any start.
+func suspectedAfterSilence(t *testing.T, n int, speaks bool) bool {
 	t.Helper()
 	d := fleet(2, nil)
 	for range stats.MaxRecent {
@@ -33,20 +33,20 @@
 }
 
 // A hung worker went on taking ops; a worker behind a wide job was taken for a hung one.
-func TestSilentWorkerIsDoubtedBusyOneIsNot(t *testing.T) {
-	if !silent(t, 3, false) {
+func TestSilentWorkerIsSuspectedBusyOneIsNot(t *testing.T) {
+	if !suspectedAfterSilence(t, 3, false) {
 		t.Error("a worker silent on three pushes is not doubted")
 	}
-	if silent(t, 3, true) {
+	if suspectedAfterSilence(t, 3, true) {
 		t.Error("a worker that still speaks is doubted")
 	}
-	if silent(t, 1, false) {
+	if suspectedAfterSilence(t, 1, false) {
 		t.Error("one silent push is no verdict")
 	}
 }
 
 // Jobs ended and their answers were lost: each such op stood out until its TTL, and its client had no time left.
-func TestAStartedPushThatFallsSilentIsCalledOff(t *testing.T) {
+func TestSilentStartedAttemptIsCancelled(t *testing.T) {
 	for cat, want := range []bool{true, true, true, true, false} { // an at-most-once op can't be pushed again
 		d := fleet(8, func(s *Settings) { s.ProgressInterval = 10_000 })
 		d.categories.all[cat].DedupWindow = 50_000
@@ -82,7 +82,7 @@
 }
 
 // A connection that fell silent held its op until the TTL, though workers say at once that they have taken one.
-func TestAPushThatIsNotTakenIsCalledOff(t *testing.T) {
+func TestUnacknowledgedAttemptIsCancelled(t *testing.T) {
 	for cat, want := range []bool{true, true, true, true, false} {
 		d := fleet(8, func(s *Settings) { s.DialTimeout, s.AcknowledgeTimeout = 2_000, 2_000 })
 		x, y := probed(t, d, 0, cat)
--- a/internal/base/sprt/sprt_test.go
+++ b/internal/base/sprt/sprt_test.go
@@ -7,7 +7,7 @@
 )
 
 // Two failures in a row are chance at one in twenty; three are not. Old verdicts must not speak, nor the doubtful be shut out.
-func TestDoubtComesAndGoes(t *testing.T) {
+func TestSuspicionComesAndGoes(t *testing.T) {
 	d, chance := New[int64](0.05, 0.5, 100), stats.NewRandom(3)
 	d.Add(10, true)
 	d.Add(11, false)
@@ -35,7 +35,7 @@
 
 // Of a zone that was lost after thirty good verdicts the next tries were let through nine times in ten: what came before
 // the change says nothing of it.
-func TestWhatCameBeforeAChangeDoesNotSpeakForIt(t *testing.T) {
+func TestVerdictsBeforeTheChangePointDoNotCount(t *testing.T) {
 	d, chance := New[int64](0.2, 0.9, 1000), stats.NewRandom(3)
 	for now := range int64(30) {
 		d.Add(now, true)
--- a/internal/base/stats/stats_test.go
+++ b/internal/base/stats/stats_test.go
@@ -18,7 +18,7 @@
 }
 
 // A worker that goes must not move the keys of others: with each change of the list all would be fetched anew.
-func TestAnOrderKeepsTheOthersPlaces(t *testing.T) {
+func TestRendezvousOrderKeepsTheOthersPlaces(t *testing.T) {
 	mark := func(i int) uint64 { return uint64(i+1) * 0x51ed2701_9b3c1d77 }
 	firsts := map[int]int{}
 	for key := range uint64(400) {
@@ -39,7 +39,7 @@
 }
 
 // What a worker has learned goes with it: left in the pool, it spoke for the fleet for good.
-func TestAPartLeavesThePoolWhole(t *testing.T) {
+func TestRecentIsRemovedFromThePool(t *testing.T) {
 	var pool Pool
 	var one, other Recent
 	other.Add(&pool, 7)
--- a/internal/scheduler/reducer/changes_test.go
+++ b/internal/scheduler/reducer/changes_test.go
@@ -248,7 +248,7 @@
 }
 
 // The process that took over answered clients that did not know yet of a dropped category as if it had never been one: 400, for good.
-func TestAnHeirKnowsWhatWasDropped(t *testing.T) {
+func TestSuccessorKnowsDroppedCategories(t *testing.T) {
 	of := func(names ...string) map[string]any {
 		var entries []entry
 		for _, name := range names {
@@ -282,8 +282,8 @@
 	}
 }
 
-// BenchmarkRetuned is one category's change among so many, after so many before it, as the loop has it to take.
-func BenchmarkRetuned(b *testing.B) {
+// BenchmarkSettingsChanged is one category's change among so many, after so many before it, as the loop has it to take.
+func BenchmarkSettingsChanged(b *testing.B) {
 	for _, entries := range []int{3, 560} {
 		for _, before := range []int{0, 16_000, 100_000} {
 			b.Run(fmt.Sprintf("entries=%d/before=%d", entries, before), func(b *testing.B) {
--- a/internal/scheduler/reducer/learned_test.go
+++ b/internal/scheduler/reducer/learned_test.go
@@ -11,7 +11,7 @@
 
 // An id that the process before holds still, or has answered with time left, is held by its heir too: a second push under it
 // would be a copy. And a zone's verdicts belong to its name, not to its number.
-func TestAnHeirKnowsTheIDsAndTheZones(t *testing.T) {
+func TestSuccessorKnowsIDsAndZones(t *testing.T) {
 	was := started()
 	arrive(was, 1, "look")
 	arrive(was, 2, "pay")
--- a/internal/scheduler/reducer/reducer_test.go
+++ b/internal/scheduler/reducer/reducer_test.go
@@ -234,7 +234,7 @@
 }
 
 // Kinds that nobody switched on must not change how a deployment that runs on learns its workers' speeds.
-func TestKindsAreToldApartOnlyWhereSwitchedOn(t *testing.T) {
+func TestKindsAreDistinguishedOnlyWhereSwitchedOn(t *testing.T) {
 	for _, on := range []bool{false, true} {
 		r := New(1, map[string]any{"kinds": on})
 		r.Step(1, EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{Worker: "a", MachineKind: "x", Ready: true}, {Worker: "b", MachineKind: "y"}}})
