--- a/dispatch/affinity_test.go
+++ b/dispatch/affinity_test.go
@@ -65,3 +65,27 @@
 		t.Errorf("one scheduler meets %v, another %v", one, two)
 	}
 }
+
+// Clients choose the keys: counting all of them would fill the memory.
+func TestCountedKeysAreBoundedAndForgotten(t *testing.T) {
+	k := affinityKeys{counts: map[uint64]float64{}}
+	for range 3 {
+		for key := range uint64(2 * maxCountedKeys) {
+			k.count(key + 1)
+		}
+	}
+	if len(k.counts) > maxCountedKeys {
+		t.Errorf("%d keys are counted", len(k.counts))
+	}
+	if f := k.fraction(1); f != 3/float64(6*maxCountedKeys) {
+		t.Errorf("key 1 has %g of the ops", f)
+	}
+	k.halve()
+	if k.fraction(1) == 0 {
+		t.Error("the last period does not count")
+	}
+	k.halve()
+	if k.fraction(1) != 0 {
+		t.Error("a key of two periods ago still counts")
+	}
+}
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -1,14 +1,11 @@
 package dispatch
 
-import (
-	"slices"
-)
+import "slices"
 
 // What the progress and the end of an attempt prove.
 
-// AttemptProgress reports that the attempt has started, or how far its job is; with done below 0, that
-// the worker has acknowledged it and no more.
-func (d *Dispatcher) AttemptProgress(i, attempt int, started bool, done float64) {
+// AttemptProgress takes a worker's report of an attempt in flight.
+func (d *Dispatcher) AttemptProgress(i, attempt int, progress Progress) {
 	o := d.ops.attemptAt(i, attempt)
 	if o == nil {
 		return
@@ -17,10 +14,10 @@
 	o.last.heardAt = max(d.now, o.last.sentAt+1)
 	d.fleet.workers[o.last.worker].heardAt = d.now
 	d.digest.valid = false
-	if done < 0 && !d.workersAcknowledge {
+	if progress.Acknowledged && !d.workersAcknowledge {
 		d.expectAcknowledgements(o)
 	}
-	if started && o.last.startedAt == 0 {
+	if progress.Started && o.last.startedAt == 0 {
 		d.attemptStarted(o)
 	}
 	if d.awaited(o) != before {
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -46,7 +46,7 @@
 		d.ProbeAnswered(0, 0, jobs(0)) // worker 1 does not answer the probe
 		bad := push(t, d) == 0 && i%5 > 0
 		d.AdvanceClock(d.now + 10)
-		d.AttemptProgress(i, 0, true, 0)
+		d.AttemptProgress(i, 0, Progress{Started: true})
 		how := Outcome(stats.Bit(bad) * int(Failed))
 		d.AttemptEnded(i, 0, how, how == Succeeded)
 	}
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -20,7 +20,7 @@
 		d.AdvanceClock(now)
 		d.AddOp(i, OpSpec{TTL: now + 1<<40, Slots: 1})
 		pull(d)
-		d.AttemptProgress(i, 0, true, 0)
+		d.AttemptProgress(i, 0, Progress{Started: true})
 	}
 	pull(d)
 	return d, now
@@ -46,7 +46,7 @@
 					now++
 				}
 				d.AdvanceClock(now)
-				d.AttemptProgress(n%held, 0, false, 0.5)
+				d.AttemptProgress(n%held, 0, Progress{})
 				pull(d)
 			}
 		})
@@ -112,7 +112,7 @@
 		case Probe:
 			d.ProbeAnswered(next.Worker, 5, LoadReport{RunningJobs: 0, QueuedJobs: 0, FreeSlots: 4, FreeMemory: -1})
 		case Push:
-			d.AttemptProgress(next.Op, 0, true, 0)
+			d.AttemptProgress(next.Op, 0, Progress{Started: true})
 		}
 	}
 }
--- a/dispatch/categories_bench_test.go
+++ b/dispatch/categories_bench_test.go
@@ -63,7 +63,7 @@
 				d.AddOp(0, OpSpec{Category: n % entries, TTL: now + 50_000, Slots: 1})
 				pull(d)
 				d.AdvanceClock(now)
-				d.AttemptProgress(0, 0, true, 0)
+				d.AttemptProgress(0, 0, Progress{Started: true})
 				pull(d)
 				now += Time(5 + n%7)
 				d.AdvanceClock(now)
--- a/dispatch/learned_test.go
+++ b/dispatch/learned_test.go
@@ -23,7 +23,7 @@
 		d.ProbeAnswered(0, 3, jobs(float64(i%3)))
 		bad := push(t, d) == 0 && i%5 > 0
 		d.AdvanceClock(d.now + 10)
-		d.AttemptProgress(i, 0, true, 0)
+		d.AttemptProgress(i, 0, Progress{Started: true})
 		d.AdvanceClock(d.now + 200)
 		how := Outcome(stats.Bit(bad) * int(Failed))
 		d.AttemptEnded(i, 0, how, how == Succeeded)
--- a/dispatch/probing_test.go
+++ b/dispatch/probing_test.go
@@ -182,7 +182,7 @@
 			d.AdvanceClock(d.now)
 			push(t, d)
 			d.AdvanceClock(d.now + took)
-			d.AttemptProgress(i, 0, true, 0)
+			d.AttemptProgress(i, 0, Progress{Started: true})
 			d.AttemptEnded(i, 0, Succeeded, true)
 			decisions(d)
 			d.AdvanceClock(d.now + 320 - took)
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -162,7 +162,7 @@
 				continue
 			}
 			if now < p.until && r.Intn(2) == 0 {
-				d.AttemptProgress(i, len(o.attempts)-1, r.Intn(3) > 0, 0.5)
+				d.AttemptProgress(i, len(o.attempts)-1, Progress{Started: r.Intn(3) > 0})
 				continue
 			}
 			if p.ended, p.how = true, Outcome(r.Intn(int(LocalExhaustion)+1)); now >= p.until {
--- a/dispatch/slow_start_test.go
+++ b/dispatch/slow_start_test.go
@@ -317,7 +317,7 @@
 		}
 		p.in(coldTrip, func() {
 			j.by.d.AdvanceClock(p.now)
-			j.by.d.AttemptProgress(j.op, j.leg, true, 0)
+			j.by.d.AttemptProgress(j.op, j.leg, Progress{Started: true})
 			p.pull(j.by)
 		})
 		p.in(coldTrip+run, func() {
--- a/dispatch/threshold_test.go
+++ b/dispatch/threshold_test.go
@@ -17,11 +17,10 @@
 		{"quiet: all that was seen is Low", []float64{5, 5, 5, 5}, []float64{5, 5, 5, 5}, 3},
 		{"one side empty", []float64{0, 0, 6}, []float64{0, 0, 2}, 0},
 	} {
-		d := fleet(2, nil)
-		d.halvedAt = d.now
-		copy(d.estimator.observed[:], c.a)
-		copy(d.estimator.idleAfter[:], c.b)
-		if got := d.threshold(); got != c.want {
+		var e thresholdEstimator
+		copy(e.observed[:], c.a)
+		copy(e.idleAfter[:], c.b)
+		if got := e.threshold(); got != c.want {
 			t.Errorf("%s: T = %d, want %d", c.name, got, c.want)
 		}
 	}
--- a/dispatch/timeouts_test.go
+++ b/dispatch/timeouts_test.go
@@ -25,7 +25,7 @@
 	for range 40 {
 		d.AdvanceClock(d.now + 100)
 		if speaks {
-			d.AttemptProgress(0, 0, true, 0)
+			d.AttemptProgress(0, 0, Progress{Started: true})
 		}
 		decisions(d)
 	}
@@ -56,7 +56,7 @@
 		x, y := probed(t, d, 0, cat)
 		first := pushed(t, d, x, jobs(0), y, jobs(0))
 		d.AdvanceClock(d.now + 100)
-		d.AttemptProgress(0, 0, true, 0)
+		d.AttemptProgress(0, 0, Progress{Started: true})
 		for range 29 {
 			if d.AdvanceClock(d.now + 1_000); len(decisions(d)) > 0 {
 				t.Fatal("called off within three intervals of progress")
@@ -91,7 +91,7 @@
 		if all := decisions(d); len(all) > 0 {
 			t.Fatalf("called off though nobody was seen to say so: %v", all)
 		}
-		d.AttemptProgress(0, 0, false, -1)
+		d.AttemptProgress(0, 0, Progress{Acknowledged: true})
 		x, y = probed(t, d, 1, cat)
 		pushed(t, d, x, jobs(0), y, jobs(0))
 		d.AdvanceClock(d.now + 3_900)
--- a/internal/scheduler/reducer/attempts.go
+++ b/internal/scheduler/reducer/attempts.go
@@ -10,7 +10,8 @@
 
 func (r *Reducer) progressAttempt(in AttemptProgressed) {
 	if i, ok := r.opsByNumber[in.Op]; ok {
-		r.dispatcher.AttemptProgress(i, r.ops[i].attempts-1, in.Started, in.Done)
+		progress := dispatch.Progress{Started: in.Started, Acknowledged: in.Done < 0}
+		r.dispatcher.AttemptProgress(i, r.ops[i].attempts-1, progress)
 	}
 }
 
--- a/internal/simwire/scheduler.go
+++ b/internal/simwire/scheduler.go
@@ -171,7 +171,8 @@
 
 func (s *scheduler) progressAttempt(it *item) error {
 	if op, open := s.opsByName[it.Op]; open {
-		s.dispatcher.AttemptProgress(op, it.Attempt, it.Topic == startTopic, it.Done)
+		progress := dispatch.Progress{Started: it.Topic == startTopic, Acknowledged: it.Done < 0}
+		s.dispatcher.AttemptProgress(op, it.Attempt, progress)
 	}
 	return nil
 }
