--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -21,32 +21,32 @@
 }
 
 type referenceOp struct {
-	cat      int
+	category int
 	ttl      Time
 	attempts []referenceAttempt
 	answered bool
 }
 
 type referenceAttempt struct {
-	where [2]int
-	at    Time
-	until Time
-	ended bool
-	how   Outcome
-	to    int
-	slots float64
+	group     [2]int
+	sentAt    Time
+	timeoutAt Time
+	ended     bool
+	outcome   Outcome
+	worker    int
+	slots     float64
 }
 
 func (p referenceAttempt) mayHaveRun() bool {
-	return !p.ended || p.how != Rejected && p.how != Unreachable && p.how != NotSent && p.how != LocalExhaustion
+	return !p.ended || p.outcome != Rejected && p.outcome != Unreachable && p.outcome != NotSent && p.outcome != LocalExhaustion
 }
 
 func (m *referenceModel) mayPush(s Settings, op, worker int, now Time) bool {
 	o := m.ops[op]
-	c := s.Categories[o.cat]
+	c := s.Categories[o.category]
 	sent := 0
 	for _, p := range o.attempts {
-		if !p.ended || p.how != LocalExhaustion { // that one reached nobody
+		if !p.ended || p.outcome != LocalExhaustion { // that one reached nobody
 			sent++
 		}
 	}
@@ -64,10 +64,10 @@
 		}
 		switch {
 		case c.Effect == Idempotent:
-		case c.Effect == AtMostOnce, now >= p.at+c.DedupWindow:
+		case c.Effect == AtMostOnce, now >= p.sentAt+c.DedupWindow:
 			return false
-		case c.DedupScope == DedupInZone && m.groupOf[worker][0] != p.where[0],
-			c.DedupScope == DedupInGroup && m.groupOf[worker] != p.where:
+		case c.DedupScope == DedupInZone && m.groupOf[worker][0] != p.group[0],
+			c.DedupScope == DedupInGroup && m.groupOf[worker] != p.group:
 			return false
 		}
 		break // the first that may have run fixes group and window
@@ -77,9 +77,9 @@
 
 func (m *referenceModel) mayNack(s Settings, op int, now Time) bool {
 	o := m.ops[op]
-	c := s.Categories[o.cat]
+	c := s.Categories[o.category]
 	for _, p := range o.attempts {
-		past := now >= p.at+c.DedupWindow
+		past := now >= p.sentAt+c.DedupWindow
 		if p.mayHaveRun() && c.Effect != Idempotent &&
 			(c.Effect == AtMostOnce || c.DedupScope != DedupEverywhere || past) {
 			return false
@@ -144,9 +144,9 @@
 			}
 			next++
 			names[i] = next
-			o := &referenceOp{cat: r.Intn(5), ttl: now + Time(r.Intn(30_000))}
+			o := &referenceOp{category: r.Intn(5), ttl: now + Time(r.Intn(30_000))}
 			m.ops[next] = o
-			spec := OpSpec{Category: o.cat, TTL: o.ttl, Slots: float64(1 + r.Intn(2))}
+			spec := OpSpec{Category: o.category, TTL: o.ttl, Slots: float64(1 + r.Intn(2))}
 			if r.Intn(2) == 0 {
 				spec.AffinityKey = uint64(1 + r.Intn(4))
 			}
@@ -158,18 +158,18 @@
 			}
 			o := m.ops[name]
 			p := &o.attempts[len(o.attempts)-1]
-			if p.ended || now < p.until && r.Intn(8) > 0 {
+			if p.ended || now < p.timeoutAt && r.Intn(8) > 0 {
 				continue
 			}
-			if now < p.until && r.Intn(2) == 0 {
+			if now < p.timeoutAt && r.Intn(2) == 0 {
 				d.AttemptProgress(i, len(o.attempts)-1, Progress{Started: r.Intn(3) > 0})
 				continue
 			}
-			if p.ended, p.how = true, Outcome(r.Intn(int(LocalExhaustion)+1)); now >= p.until {
-				p.how = TimedOut
+			if p.ended, p.outcome = true, Outcome(r.Intn(int(LocalExhaustion)+1)); now >= p.timeoutAt {
+				p.outcome = TimedOut
 			}
-			o.answered = o.answered || p.how == Succeeded
-			d.AttemptEnded(i, len(o.attempts)-1, p.how, o.answered)
+			o.answered = o.answered || p.outcome == Succeeded
+			d.AttemptEnded(i, len(o.attempts)-1, p.outcome, o.answered)
 		}
 		d.AdvanceClock(now)
 		if !checkDecisions(t, d, m, settings, names, now, r) {
@@ -182,7 +182,7 @@
 	}
 	for name, o := range m.ops {
 		if !o.answered {
-			t.Logf("op %d of category %d never answered", name, o.cat)
+			t.Logf("op %d of category %d never answered", name, o.category)
 			return false
 		}
 	}
@@ -236,7 +236,7 @@
 		case NoDecision:
 			for _, o := range m.ops {
 				if !o.answered && now > o.ttl+100 && (len(o.attempts) == 0 || o.attempts[len(o.attempts)-1].ended) {
-					t.Logf("an op of category %d outlived its TTL", o.cat)
+					t.Logf("an op of category %d outlived its TTL", o.category)
 					return false
 				}
 			}
@@ -244,12 +244,12 @@
 		case Push:
 			o := m.ops[name]
 			if !m.mayPush(settings, name, worker, now) || now+timeout >= o.ttl && timeout > 1 || now >= o.ttl {
-				t.Logf("push against the rules: category %d worker %d", o.cat, worker)
+				t.Logf("push against the rules: category %d worker %d", o.category, worker)
 				return false
 			}
 			o.attempts = append(o.attempts, referenceAttempt{m.groupOf[worker], now, now + timeout, false, Succeeded, worker,
 				d.ops.byIndex[op].slots})
-			if settings.Probes && !m.intoRoom(worker, now) {
+			if settings.Probes && !m.hadCapacity(worker, now) {
 				t.Logf("a push to cold worker %d that has no room", worker)
 				return false
 			}
@@ -257,16 +257,16 @@
 			o := m.ops[name]
 			p := &o.attempts[len(o.attempts)-1]
 			if p.ended || !settings.CancelsAttempts {
-				t.Logf("called off against the rules: category %d", o.cat)
+				t.Logf("called off against the rules: category %d", o.category)
 				return false
 			}
-			p.ended, p.how = true, Cancelled
+			p.ended, p.outcome = true, Cancelled
 			d.AttemptEnded(op, len(o.attempts)-1, Cancelled, false)
 		case Nack, DeadLetter:
 			o := m.ops[name]
 			if o.answered || next.Kind == Nack && !m.mayNack(settings, name, now) ||
 				len(o.attempts) > 0 && !o.attempts[len(o.attempts)-1].ended {
-				t.Logf("%v against the rules: category %d", next.Kind, o.cat)
+				t.Logf("%v against the rules: category %d", next.Kind, o.category)
 				return false
 			}
 			o.answered = true
@@ -286,15 +286,15 @@
 	}
 }
 
-// intoRoom tells whether a cold worker's push goes into a slot that its last report and later pushes left.
-func (m *referenceModel) intoRoom(worker int, now Time) bool {
+// hadCapacity tells whether a cold worker's push goes into a slot that its last report and later pushes left.
+func (m *referenceModel) hadCapacity(worker int, now Time) bool {
 	if since := m.startedAt[worker]; since == 0 || now >= since+80_000 {
 		return true
 	}
 	room := m.freeSlots[worker]
 	for _, o := range m.ops {
 		for _, p := range o.attempts {
-			if p.to == worker && !p.ended && p.at >= m.reportedAt[worker] {
+			if p.worker == worker && !p.ended && p.sentAt >= m.reportedAt[worker] {
 				room -= p.slots
 			}
 		}
