--- a/dispatch/categories_test.go
+++ b/dispatch/categories_test.go
@@ -233,3 +233,59 @@
 		}
 	})
 }
+
+// Settings that change while ops are open: an op pushed again under rules that it was not taken with breaks rule 2.
+func TestOpenOpsKeepTheRulesThatTheyCameWith(t *testing.T) {
+	settings := func(effect Effect, attempts int) Settings {
+		return settingsOf([]CategoryRules{{Name: "pay", Effect: effect, TTL: 50_000, LatencyObjective: 1000}}, attempts)
+	}
+	d := New(3, settings(Idempotent, 3))
+	d.AdvanceClock(1)
+	d.BeginSnapshot()
+	for i := range 3 {
+		d.UpsertWorker(i, WorkerEntry{Group: i, Ready: true})
+	}
+	d.EndUpdate()
+	broken := func(op, place int) (pushes int) { // how often an op is pushed whose pushes all break
+		if !d.AddOp(op, OpSpec{Category: place, TTL: d.now + 50_000, Slots: 1}) {
+			t.Fatalf("no place %d", place)
+		}
+		for {
+			next := d.Next()
+			switch {
+			case next.Kind == Push && next.Op == op:
+				pushes++
+				if op == 0 && pushes == 1 { // under the first op the settings change
+					if places := d.SetCategories(settings(AtMostOnce, 1)); !slices.Equal(places, []int{1}) {
+						t.Fatalf("another effect has place %v", places)
+					}
+				}
+				d.AdvanceClock(d.now + 10)
+				d.AttemptEnded(op, pushes-1, ConnectionLost, false)
+			case next.Kind == NoDecision:
+				return pushes
+			}
+		}
+	}
+	if n := broken(0, 0); n != 3 {
+		t.Errorf("an op of before is pushed %d times, not 3", n)
+	}
+	if n := broken(1, 1); n != 1 {
+		t.Errorf("an at-most-once op that may have run is pushed %d times", n)
+	}
+	if places := d.SetCategories(settings(Idempotent, 2)); !slices.Equal(places, []int{0}) {
+		t.Errorf("terms that were known have place %v: what was learned is lost", places)
+	}
+	if n := broken(2, 0); n != 2 {
+		t.Errorf("an op is pushed %d times where the settings now say 2", n)
+	}
+}
+
+// Two categories alike in all but nothing: each needs a place of its own, or their names would mean one another.
+func TestEqualCategoriesHaveSeparatePlaces(t *testing.T) {
+	settings := settingsOf([]CategoryRules{{TTL: 5}, {TTL: 5}}, 1)
+	d := New(3, settings)
+	if places := d.SetCategories(settings); !slices.Equal(places, []int{0, 1}) {
+		t.Errorf("places %v", places)
+	}
+}
--- /dev/null
+++ b/dispatch/slow_start_simulation_test.go
@@ -0,0 +1,394 @@
+package dispatch
+
+import (
+	"container/heap"
+	"math"
+	"math/rand"
+
+	"woaddyke/internal/base/stats"
+)
+
+// slowStartDay describes a fleet of which a part has just started, and the schedulers that use it. Each worker has
+// simulatedSlots; service times are exponential.
+type slowStartDay struct {
+	schedulers, workers, zones int
+	warming                    int             // workers that restart a second into the day
+	ownZoneWorkers             int             // workers of zone 0; an equal part where it is 0
+	ownZoneSchedulers          float64         // fraction of the schedulers in zone 0; an equal part where it is 0
+	firstSchedulerLoad         float64         // fraction of the arrivals at scheduler 0; an equal part where it is 0
+	load                       float64         // arrivals over what the warm fleet can do
+	burst                      float64         // the same from 1 to 3 s after the restart; 0 for no burst
+	serviceTime                Time            // the mean at a warm worker
+	reportAge                  Time            // of load reports
+	reportsIdle                bool            // a warming worker's reports say that it is idle
+	reportsIdleAfter           Time            // from this long after the restart on
+	clientRetries              int             // of a client after a nack
+	length                     Time            // of arrivals after the restart
+	change                     func(*Settings) // may be nil
+}
+
+// slowStartFigures are measured at a day's warming workers.
+type slowStartFigures struct {
+	overloaded  int     // workers that got more than overloadBound in some overload window
+	worstLoad   float64 // the most that one got in a window, over that bound
+	meanLoad    float64 // got in a window, over the budget, of all of them
+	dispersion  float64 // the variance of what one gets in a window, over its mean
+	utilization float64 // the fraction of their capacity that was used
+	succeeded   float64 // the fraction of the fleet's ops that succeeded
+}
+
+const (
+	simulatedSlots  = 4
+	overloadWindow  = 15_000
+	warmAfter       = 80_000
+	simulationStart = Time(1_000_000)
+	restartAt       = simulationStart + second
+)
+
+func capacityAtAge(age Time) float64 { return min(1, 0.3+0.7*float64(max(age, 0))/warmAfter) }
+
+// budget is how many jobs the settings allow a worker of this age in an overload window.
+func (p *slowStartDay) budget(age Time) float64 {
+	return 2.5 * capacityAtAge(age) * simulatedSlots * overloadWindow / float64(p.serviceTime)
+}
+
+type simulatedEvent struct {
+	at    Time
+	order int // breaks ties
+	run   func()
+}
+
+type eventQueue []simulatedEvent
+
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+}
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(simulatedEvent)) }
+func (q *eventQueue) Pop() any {
+	x := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return x
+}
+
+// simulatedJob is one attempt at a worker.
+type simulatedJob struct {
+	owner       *simulatedScheduler
+	op, attempt int
+}
+
+type simulatedReading struct {
+	at   Time
+	load LoadReport
+}
+
+type simulatedWorker struct {
+	startedAt        Time
+	running          int
+	waiting          []simulatedJob
+	readings         []simulatedReading
+	arrivals         []Time
+	usedWhileWarming float64 // slot time at its warm speed, while it was cold
+}
+
+type simulatedOp struct{ clientTries, attempts int }
+
+type simulatedScheduler struct {
+	d       *Dispatcher
+	ops     map[int]*simulatedOp
+	freeOps []int
+	opCount int
+}
+
+type slowStartSimulation struct {
+	slowStartDay
+	random             *rand.Rand
+	events             eventQueue
+	eventCount         int
+	now                Time
+	schedulers         []*simulatedScheduler
+	workers            []*simulatedWorker
+	arrived, succeeded int
+}
+
+func (p *slowStartSimulation) after(span Time, do func()) {
+	p.eventCount++
+	heap.Push(&p.events, simulatedEvent{p.now + max(span, 1), p.eventCount, do})
+}
+
+func (p *slowStartSimulation) zoneOf(i int) int {
+	if p.ownZoneWorkers == 0 {
+		return i % p.zones
+	}
+	if i < p.ownZoneWorkers {
+		return 0
+	}
+	return 1 + (i-p.ownZoneWorkers)%(p.zones-1)
+}
+
+func simulateSlowStart(day slowStartDay, seed int64) slowStartFigures {
+	p := &slowStartSimulation{slowStartDay: day, random: rand.New(rand.NewSource(seed)), now: simulationStart}
+	p.zones = max(p.zones, 1)
+	for range day.workers {
+		p.workers = append(p.workers, &simulatedWorker{})
+	}
+	for s := range day.schedulers {
+		at := s % p.zones
+		if day.ownZoneSchedulers > 0 {
+			if at = 0; float64(s) >= day.ownZoneSchedulers*float64(day.schedulers) {
+				at = 1 + s%(p.zones-1)
+			}
+		}
+		settings := testSettings(day.change)
+		settings.Schedulers, settings.Scheduler, settings.Zone = day.schedulers, s, at
+		x := &simulatedScheduler{d: New(p.random.Uint64(), settings), ops: map[int]*simulatedOp{}}
+		x.d.AdvanceClock(p.now)
+		p.schedulers = append(p.schedulers, x)
+	}
+	for i, w := range p.workers {
+		p.recordReading(i)
+		if i < day.warming {
+			w.startedAt = restartAt
+		}
+	}
+	p.updateEndpoints()
+	p.after(second, p.updateEndpoints)
+	p.scheduleArrivals()
+	for len(p.events) > 0 {
+		e := heap.Pop(&p.events).(simulatedEvent)
+		p.now = e.at
+		e.run()
+	}
+	return p.figures()
+}
+
+func (p *slowStartSimulation) updateEndpoints() {
+	for _, s := range p.schedulers {
+		s.d.AdvanceClock(p.now)
+		s.d.BeginSnapshot()
+		for i, w := range p.workers {
+			if w.startedAt <= p.now {
+				s.d.UpsertWorker(i, WorkerEntry{Zone: p.zoneOf(i), Group: p.zoneOf(i)*100 + i%7, Ready: true, StartedAt: w.startedAt})
+				identify(s.d, i, uint64(i+1)*0x9e3779b97f4a7c15, 0)
+			}
+		}
+		s.d.EndUpdate()
+	}
+}
+
+// scheduleArrivals schedules the next op; arrivals are a Poisson process at the day's rate.
+func (p *slowStartSimulation) scheduleArrivals() {
+	load := p.load
+	if p.now < restartAt {
+		load *= 1 - float64(p.warming)/float64(len(p.workers)) // of those that are there
+	}
+	if age := p.now - restartAt; p.burst > 0 && age >= second && age < 3*second {
+		load = p.burst
+	}
+	if load == 0 {
+		p.after(restartAt-p.now, p.scheduleArrivals)
+		return
+	}
+	p.after(Time(p.random.ExpFloat64()*float64(p.serviceTime)/(simulatedSlots*float64(len(p.workers))*load)), func() {
+		if p.now >= restartAt+p.length {
+			return
+		}
+		s := p.random.Intn(len(p.schedulers))
+		if p.firstSchedulerLoad > 0 {
+			if s = 0; p.random.Float64() >= p.firstSchedulerLoad {
+				s = 1 + p.random.Intn(len(p.schedulers)-1)
+			}
+		}
+		if p.now >= restartAt {
+			p.arrived++
+		}
+		p.admitOp(p.schedulers[s], 0)
+		p.scheduleArrivals()
+	})
+}
+
+func (p *slowStartSimulation) admitOp(s *simulatedScheduler, tries int) {
+	i := s.opCount
+	if len(s.freeOps) > 0 {
+		i, s.freeOps = s.freeOps[len(s.freeOps)-1], s.freeOps[:len(s.freeOps)-1]
+	} else {
+		s.opCount++
+	}
+	s.ops[i] = &simulatedOp{clientTries: tries}
+	s.d.AdvanceClock(p.now)
+	s.d.AddOp(i, OpSpec{TTL: p.now + 50_000, Slots: 1})
+	p.carryOutDecisions(s)
+}
+
+// oneWayTrip is a message's time on the network.
+const oneWayTrip = 5
+
+func (p *slowStartSimulation) carryOutDecisions(s *simulatedScheduler) {
+	for _, a := range allDecisions(s.d) {
+		o := s.ops[a.Op]
+		switch a.Kind {
+		case SetTimer:
+			p.after(a.Duration, func() {
+				s.d.AdvanceClock(p.now)
+				p.carryOutDecisions(s)
+			})
+		case Probe:
+			asked := p.now
+			p.after(oneWayTrip, func() {
+				load := p.reportedLoad(a.Worker)
+				p.after(oneWayTrip, func() {
+					s.d.AdvanceClock(p.now)
+					s.d.ProbeAnswered(a.Worker, p.now-asked, load)
+					p.carryOutDecisions(s)
+				})
+			})
+		case Push:
+			j := simulatedJob{s, a.Op, o.attempts}
+			o.attempts++
+			p.after(oneWayTrip, func() { p.enqueue(a.Worker, j) })
+		case Nack, DeadLetter:
+			if o.clientTries < p.clientRetries {
+				p.after(a.Duration+Time(p.random.Intn(2_000)), func() { p.admitOp(s, o.clientTries+1) })
+			}
+		case Forget:
+			delete(s.ops, a.Op)
+			s.freeOps = append(s.freeOps, a.Op)
+		}
+	}
+}
+
+func allDecisions(d *Dispatcher) (all []Decision) {
+	for {
+		next := d.Next()
+		if next.Kind == NoDecision {
+			return all
+		}
+		all = append(all, next)
+	}
+}
+
+func (p *slowStartSimulation) reportedLoad(i int) LoadReport {
+	w := p.workers[i]
+	if p.reportsIdle && w.startedAt > 0 && p.now >= restartAt+p.reportsIdleAfter {
+		return jobs(0)
+	}
+	for k := len(w.readings) - 1; k > 0; k-- {
+		if w.readings[k].at <= p.now-p.reportAge {
+			return w.readings[k].load
+		}
+	}
+	return w.readings[0].load
+}
+
+func (p *slowStartSimulation) recordReading(i int) {
+	w := p.workers[i]
+	w.readings = append(w.readings, simulatedReading{p.now, LoadReport{RunningJobs: float64(w.running + len(w.waiting)),
+		QueuedJobs: float64(len(w.waiting)), FreeSlots: float64(simulatedSlots - w.running), FreeMemory: -1}})
+}
+
+func (p *slowStartSimulation) enqueue(i int, j simulatedJob) {
+	w := p.workers[i]
+	if w.startedAt > 0 {
+		w.arrivals = append(w.arrivals, p.now)
+	}
+	if len(w.waiting) >= 7*simulatedSlots {
+		p.endJob(j, Rejected)
+		return
+	}
+	w.waiting = append(w.waiting, j)
+	p.startJobs(i)
+}
+
+func (p *slowStartSimulation) startJobs(i int) {
+	w := p.workers[i]
+	for len(w.waiting) > 0 && w.running < simulatedSlots {
+		j := w.waiting[0]
+		w.waiting = w.waiting[1:]
+		w.running++
+		speed := 1.0
+		if w.startedAt > 0 {
+			speed = capacityAtAge(p.now - w.startedAt)
+		}
+		run := Time(p.random.ExpFloat64()*float64(p.serviceTime)/speed) + 1
+		if end := restartAt + min(warmAfter, p.length); w.startedAt > 0 && p.now < end {
+			w.usedWhileWarming += float64(min(run, end-p.now)) * speed
+		}
+		p.after(oneWayTrip, func() {
+			j.owner.d.AdvanceClock(p.now)
+			j.owner.d.AttemptProgress(j.op, j.attempt, Progress{Started: true})
+			p.carryOutDecisions(j.owner)
+		})
+		p.after(oneWayTrip+run, func() {
+			w.running--
+			p.startJobs(i)
+			p.recordReading(i)
+			p.endJob(j, Succeeded)
+		})
+	}
+	p.recordReading(i)
+}
+
+func (p *slowStartSimulation) endJob(j simulatedJob, how Outcome) {
+	p.after(oneWayTrip, func() {
+		if how == Succeeded && p.now >= restartAt {
+			p.succeeded++
+		}
+		j.owner.d.AdvanceClock(p.now)
+		j.owner.d.AttemptEnded(j.op, j.attempt, how, how == Succeeded)
+		p.carryOutDecisions(j.owner)
+	})
+}
+
+func (p *slowStartSimulation) figures() (f slowStartFigures) {
+	spans, all, can, used := 0, 0.0, 0.0, 0.0
+	var x, xx float64
+	for i := range p.warming {
+		w := p.workers[i]
+		if o := p.worstOverload(w.arrivals); o > 0 {
+			f.worstLoad = max(f.worstLoad, o)
+			f.overloaded += stats.Bit(o > 1)
+		}
+		for from := Time(0); from+overloadWindow <= min(warmAfter, p.length); from += overloadWindow {
+			n := 0.0
+			for _, t := range w.arrivals {
+				n += float64(stats.Bit(t > restartAt+from && t <= restartAt+from+overloadWindow))
+			}
+			allows := p.budget(from + overloadWindow)
+			spans, all = spans+1, all+n/allows
+			if from == 0 {
+				x, xx = x+n, xx+n*n
+			}
+		}
+		for at := Time(0); at < min(warmAfter, p.length); at += 100 {
+			can += simulatedSlots * 100 * capacityAtAge(at)
+		}
+		used += w.usedWhileWarming
+	}
+	n := float64(p.warming)
+	f.meanLoad, f.utilization, f.succeeded = all/float64(spans), used/can, float64(p.succeeded)/float64(p.arrived)
+	if x > 0 {
+		f.dispersion = (xx/n - x/n*x/n) / (x / n)
+	}
+	return f
+}
+
+// worstOverload is the most that a warming worker got in an overload window, over the bound at the window's end.
+func (p *slowStartSimulation) worstOverload(got []Time) (worst float64) {
+	from := 0
+	for k, t := range got {
+		age := t - restartAt
+		if age >= warmAfter {
+			break
+		}
+		for got[from] <= t-overloadWindow {
+			from++
+		}
+		worst = max(worst, float64(k-from+1)/overloadBound(p.budget(age)))
+	}
+	return worst
+}
+
+// overloadBound is the load above which a worker fails whose budget is n: the budget and twice the deviation of a
+// Poisson sum.
+func overloadBound(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
