--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// In overload cheap ops took the places of dear ones.
+// In overload, ops of low priority weight took the places that others needed.
 func TestPatienceScalesWithPriorityWeight(t *testing.T) {
 	d := fleet(2, func(s *Settings) { s.BenefitPerWork, s.Categories[1].Benefit = true, 8 })
 	d.AddOp(0, OpSpec{TTL: d.now + 50_000, Slots: 1})
@@ -49,7 +49,7 @@
 	}
 }
 
-// Clients that were turned away came back at once and were given a whole new target each time.
+// Clients that were nacked came back at once, and each try was given a whole new objective.
 func TestRetryCountsFromItsFirstTry(t *testing.T) {
 	d := fleet(2, nil)
 	d.AddOp(0, OpSpec{TTL: d.now + 50_000, Slots: 1})
@@ -63,8 +63,9 @@
 	}
 }
 
-// With a quarter of the fleet left, all ops and their clients' repeats asked for every free slot: workers spent a tenth
-// of their time on probes, and the cheapest ops found as many places as the dearest.
+// With a quarter of the fleet left, all ops and their clients' retries asked for every free slot: workers
+// spent a tenth of their time on probes, and ops of the lowest priority weight found as many places as
+// those of the highest.
 func TestLowPriorityOpsProbeLessWhileCapacityIsShort(t *testing.T) {
 	d := fleet(20, func(s *Settings) { s.BenefitPerWork, s.Categories[0].Benefit, s.Categories[1].Benefit = true, 1, 10 })
 	d.samples.queue.positions, d.samples.queue.waits = 10, 50_000 // a place in a queue takes half a second
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -7,7 +7,8 @@
 	"woaddyke/internal/base/stats"
 )
 
-// Ops that no worker can use went to six each, and the workers that said so were taken for sick.
+// Ops that no worker can use had six attempts each, and the workers that rejected them as invalid were
+// suspected.
 func TestInvalidRequestCountsAgainstWorkerOnlyIfAnotherSucceeds(t *testing.T) {
 	for second, want := range map[Outcome]int{InvalidRequest: 0, Succeeded: 1} {
 		d := fleet(6, nil)
@@ -59,8 +60,8 @@
 	}
 }
 
-// A push that was kept back because its client had left was taken for word from its worker, and silence about others there was let pass
-// for longer. Nothing of a worker is learned from what was never written to it.
+// An attempt that was not written, as its client had disconnected, counted as a report from its worker, and
+// silence about others there was allowed for longer. Nothing of a worker is learned from what it never got.
 func TestNothingIsLearnedFromAnUnsentAttempt(t *testing.T) {
 	d := fleet(2, func(s *Settings) { s.Probes = false })
 	d.AddOp(0, OpSpec{TTL: d.now + 50_000, Slots: 1})
@@ -80,8 +81,8 @@
 	}
 }
 
-// A push that was never written, as this machine lacked the means, was seen by no worker: it spends none of the pushes that an op may
-// have, and the next one comes after a pause.
+// An attempt that this machine lacked the means for was seen by no worker: it does not count against the op's
+// attempts, and the next one follows after a backoff.
 func TestAPushThatWasNeverWrittenSpendsNone(t *testing.T) {
 	d := fleet(4, func(s *Settings) { s.Probes, s.MaxAttempts = false, 2 })
 	ttl := d.now + 50*second
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// loaded is a scheduler that holds so many ops at its workers, each of them started.
+// loaded is a scheduler with so many ops at its workers, each of them started.
 func loaded(held, workers int) (*Dispatcher, Time) {
 	d := New(7, testSettings(func(s *Settings) { s.Probes, s.ProgressInterval = false, 10_000 }))
 	now := Time(1_000_000)
@@ -34,7 +34,8 @@
 	}
 }
 
-// BenchmarkInput is word of one push among many that are out: the most frequent input of a busy scheduler.
+// BenchmarkInput is the progress of one attempt among many in flight: the most frequent input of a busy
+// scheduler.
 func BenchmarkInput(b *testing.B) {
 	for _, held := range []int{10, 100, 1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) {
@@ -53,7 +54,7 @@
 	}
 }
 
-// BenchmarkOp is an op from its arrival to its end, beside many that are out.
+// BenchmarkOp is an op from its arrival to its end, beside many in flight.
 func BenchmarkOp(b *testing.B) {
 	for _, held := range []int{10, 100, 1_000, 10_000} {
 		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) {
@@ -98,7 +99,8 @@
 	d.EndUpdate()
 }
 
-// served carries an op's decisions out: each probe is answered by an idle worker, and the push starts, and is served where it ends.
+// served carries an op's decisions out: each probe is answered by an idle worker, the attempt starts, and
+// it succeeds where it ends.
 func served(d *Dispatcher, i int, now Time, ends bool) {
 	for {
 		next := d.Next()
@@ -117,8 +119,9 @@
 	}
 }
 
-// BenchmarkDecision is an op from its arrival to its end, beside 100 that are out, by the length of the list of workers: where probes
-// are allowed and where not, and in the shapes in which a key or the scheduler has its own order of the workers.
+// BenchmarkDecision is an op from its arrival to its end, beside 100 in flight, by the number of workers:
+// where probes are allowed and where not, and where an affinity key or the scheduler has its own order of
+// the workers.
 func BenchmarkDecision(b *testing.B) {
 	for _, shape := range []struct {
 		name string
@@ -150,7 +153,8 @@
 	}
 }
 
-// BenchmarkSubscribers is what any list costs where connections are priced and words allowed: who is told of which worker.
+// BenchmarkSubscribers is an endpoint list where connections are priced and peer messages allowed: it
+// assigns the subscribers of each worker.
 func BenchmarkSubscribers(b *testing.B) {
 	for _, schedulers := range []int{10, 30, 300} {
 		for _, workers := range []int{400, 6_300} {
@@ -174,8 +178,8 @@
 	}
 }
 
-// BenchmarkWaiting is any input to a scheduler among 6,300 workers while ops have no push out: their probes are not answered yet, or no
-// worker is ready.
+// BenchmarkWaiting is any input to a scheduler with 6,300 workers while ops are pending: their probes are
+// not answered yet, or no worker is ready.
 func BenchmarkWaiting(b *testing.B) {
 	for _, ready := range []bool{true, false} {
 		for _, held := range []int{1, 10, 100, 1_000} {
--- a/dispatch/categories_bench_test.go
+++ b/dispatch/categories_bench_test.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// BenchmarkOpAmong is an op from its arrival to its end, with runs known of so many categories whose ops come by turns.
+// BenchmarkOpAmong is an op from its arrival to its end, with service times known of so many categories
+// whose ops come by turns.
 func BenchmarkOpAmong(b *testing.B) {
 	for _, entries := range []int{3, 560} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
--- a/dispatch/categories_test.go
+++ b/dispatch/categories_test.go
@@ -19,9 +19,9 @@
 	d.categories.addServiceTime(place, ran, d.settings.BenefitPerWork)
 }
 
-// Places were given out for good, and after a thousand of them no change was taken until the process was replaced. Now that they are
-// given back, none may become another category's while an open op, a name that the host goes on serving, or the terms in force have it:
-// an at-most-once op at a place that became a redeliverable category's would be run twice.
+// Places are reused. None may become another category's while an open op, a category that the host retains,
+// or the settings in force refer to it: an at-most-once op at a place that became an idempotent category's
+// would run twice.
 func TestPlaceIsNotReusedWhileReferredTo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		anyRules := rapid.Custom(func(t *rapid.T) CategoryRules {
@@ -165,8 +165,8 @@
 	})
 }
 
-// What was learned of a category went with its terms: whatever of them changed, its ops' usual run was unknown again, and until one had
-// ended all categories had the rank of the dearest.
+// Service times were lost with a category's rules: whatever of them changed, all categories had the highest
+// priority until one of its ops had ended.
 func TestServiceTimesFollowACategoryToNewRules(t *testing.T) {
 	of := []CategoryRules{{Name: "look", Effect: Idempotent, TTL: 50_000, LatencyObjective: 5_000, Benefit: 1, Stretch: 1},
 		{Name: "pay", Effect: Idempotent, TTL: 50_000, LatencyObjective: 5_000, Benefit: 4, Stretch: 1}}
@@ -199,8 +199,8 @@
 	}
 }
 
-// The walk over all categories that tells the dearest is made only when one that counts has changed. The rank must be as if it were
-// made each time.
+// The scan for the highest priority weight is repeated only when a weight that counts has changed. The
+// relative weight must be as if it were repeated each time.
 func TestHighestPriorityWeightMatchesAFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "n")
@@ -234,7 +234,7 @@
 	})
 }
 
-// Settings that change while ops are open: an op pushed again under rules that it was not taken with breaks rule 2.
+// An op that is pushed again under rules that it was not admitted with breaks rule 2.
 func TestOpenOpsKeepTheRulesThatTheyCameWith(t *testing.T) {
 	settings := func(effect Effect, attempts int) Settings {
 		return settingsOf([]CategoryRules{{Name: "pay", Effect: effect, TTL: 50_000, LatencyObjective: 1000}}, attempts)
@@ -281,7 +281,7 @@
 	}
 }
 
-// Two categories alike in all but nothing: each needs a place of its own, or their names would mean one another.
+// Two categories of equal rules need a place each, or one name would mean the other.
 func TestEqualCategoriesHaveSeparatePlaces(t *testing.T) {
 	settings := settingsOf([]CategoryRules{{TTL: 5}, {TTL: 5}}, 1)
 	d := New(3, settings)
--- a/dispatch/choice_test.go
+++ b/dispatch/choice_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// Wide ops went to Low workers without room for them and blocked the queue.
+// Wide ops went to Low workers without capacity for them and blocked the queue.
 func TestWideOpNeedsCapacity(t *testing.T) {
 	d := fleet(2, nil)
 	d.halvedAt = d.now
@@ -64,7 +64,7 @@
 	}
 }
 
-// A busy scheduler saw one idle worker twice before any report showed its own push.
+// A busy scheduler saw one idle worker twice before any report showed its own attempt.
 func TestOwnAttemptsCount(t *testing.T) {
 	d := fleet(2, nil)
 	probed(t, d, 0, 0)
@@ -99,7 +99,8 @@
 	}
 }
 
-// Reports are noisy: an empty worker of four slots that told 3.4 free ones was no place for an op of four.
+// Reports are noisy: an empty worker of four slots that reported 3.4 free ones had no capacity for an op of
+// four.
 func TestIdleWorkerHasCapacityForWideOp(t *testing.T) {
 	d := fleet(2, nil)
 	d.AddOp(0, OpSpec{TTL: d.now + 50_000, Slots: 4})
@@ -111,7 +112,7 @@
 	}
 }
 
-// Ops of four slots were nacked for want of a place where one job of a short rest held one slot.
+// Ops of four slots were nacked as finding no place, where one short job took one slot.
 func TestQueuePositionOfWideOpByMissingSlots(t *testing.T) {
 	d := fleet(3, nil)
 	d.AddOp(0, OpSpec{TTL: d.now + 50_000, Slots: 4})
@@ -129,7 +130,8 @@
 	d := fleet(2, nil)
 	d.samples.probeRTTs = []Time{100}
 	for i := range stats.MaxRecent {
-		// Half late: over a fleet that hundreds share, where reports are a second old, such starts took longer the more room was told.
+		// Half of the starts are late: over a shared fleet, where reports are a second old, such starts
+		// took longer the more capacity was reported.
 		d.samples.startSamples = append(d.samples.startSamples, startSample{d.now, []Time{9_000, 100}[i%2]})
 	}
 	probed(t, d, 0, 0)
@@ -154,7 +156,7 @@
 	}
 }
 
-// A scheduler that meets a worker once a minute took the slow kind for the fleet's middle.
+// A scheduler that meets a worker once a minute took a slow kind's jobs for the fleet's median.
 func TestServiceTimeRatioOfUnknownWorkerIsThatOfItsKind(t *testing.T) {
 	d := fleet(4, nil)
 	for i := range 4 {
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// An op that is held beyond the end of its scheduler's process has no answer.
+// An op that is open beyond the end of its scheduler's process has no answer.
 func TestLimitDeadlinesCutsTTLsShort(t *testing.T) {
 	d := fleet(0, nil)
 	d.AddOp(1, OpSpec{TTL: d.now + 50_000, Slots: 1})
--- a/dispatch/peers_test.go
+++ b/dispatch/peers_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Hundreds of schedulers saw the same free slot in reports seconds late: those that meet a worker say what they have there.
+// Hundreds of schedulers saw the same free slot in reports that were seconds old: those that share a worker
+// report their attempts there.
 func TestPeerReportsCountAtSubscribedWorkers(t *testing.T) {
 	shape := func(s *Settings) { s.ConnectionPrice, s.PeerMessages, s.Schedulers = 0.05, true, 12 }
 	at := func(number int) *Dispatcher {
--- a/dispatch/probing_test.go
+++ b/dispatch/probing_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// Second looks at queues seen a moment ago cost two probes each and found them still there.
+// Second probe rounds at queues seen a moment ago cost two probes each and found them still there.
 func TestSecondProbeRoundSkipsQueuesJustSeen(t *testing.T) {
 	d := fleet(5, nil)
 	for i := range d.fleet.workers {
@@ -47,7 +47,7 @@
 	}
 }
 
-// In four zones, three ops in four met only workers that cost a crossing.
+// In four zones, three ops in four met only workers whose zone costs a crossing.
 func TestOneOfThePairIsInTheOwnZone(t *testing.T) {
 	for _, price := range []float64{0, 0.03} {
 		d := New(7, testSettings(func(s *Settings) { s.CrossZonePrice, s.Zone = price, 1 }))
@@ -68,7 +68,7 @@
 	}
 }
 
-// With most schedulers in one zone, its workers had to do all their work while other zones stood idle.
+// With most schedulers in one zone, its workers had to do all their work while other zones were idle.
 func TestBusyOwnZoneIsNotPreferred(t *testing.T) {
 	d := New(7, testSettings(func(s *Settings) { s.CrossZonePrice = 0.03 }))
 	d.AdvanceClock(1_000_000)
@@ -111,7 +111,8 @@
 	}
 }
 
-// A link between zones was cut: each scheduler knew too little of any one worker beyond it, and pushed there.
+// With a link between zones down, each scheduler had too few outcomes of any one worker beyond it, and
+// pushed there.
 func TestUnreachableZoneIsSuspectedByFailedProbes(t *testing.T) {
 	d := fleet(60, nil)
 	across := 0
@@ -123,7 +124,7 @@
 			} else if across++; i < 40 {
 				d.ProbeFailed(a.Worker, 0, TimedOut)
 			} else {
-				d.ProbeFailed(a.Worker, 0, Rejected) // turned away, but reached
+				d.ProbeFailed(a.Worker, 0, Rejected) // but reached
 			}
 		}
 		d.AdvanceClock(d.now + 500)
@@ -143,7 +144,7 @@
 	}
 }
 
-// A failed probe held its op for the whole short wait.
+// A failed probe held its op for the whole probe timeout.
 func TestFailedProbeIsNotWaitedFor(t *testing.T) {
 	d := fleet(6, nil)
 	x, y := probed(t, d, 0, 0)
@@ -155,22 +156,22 @@
 	}
 }
 
-// Where probes are not allowed, every op was held for as long as an answer to one might have taken.
+// Where probes are not allowed, every op waited for as long as an answer to one might have taken.
 func TestWithoutProbesNoOpWaitsForThem(t *testing.T) {
 	d := fleet(4, func(s *Settings) { s.Probes = false })
 	d.AddOp(1, OpSpec{TTL: d.now + 50_000, Slots: 1})
 	push(t, d)
 }
 
-// A zone came back cold and lay idle, while the fifteen warm workers had three quarters of its ops: the lot asked cold
-// workers as seldom where reports were true as where they said nothing.
+// A zone that had restarted was idle while the fifteen warm workers had three quarters of its ops: the
+// admission probability was as low where reports were accurate as where they said nothing.
 func TestWarmingWorkersAreProbedMoreWhileReportsAreAccurate(t *testing.T) {
 	asked := func(took Time) (n int) {
 		d := New(7, testSettings(nil))
 		d.AdvanceClock(1_000_000)
 		d.BeginSnapshot()
 		for i := range 20 {
-			d.UpsertWorker(i, WorkerEntry{Ready: true, StartedAt: Time(999_000 * stats.Bit(i > 9))}) // half of them are cold
+			d.UpsertWorker(i, WorkerEntry{Ready: true, StartedAt: Time(999_000 * stats.Bit(i > 9))}) // half of them are warming up
 		}
 		d.EndUpdate()
 		for i := range 200 {
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -14,7 +14,8 @@
 	}
 }
 
-// runRandomFaults drives a dispatcher through made-up trouble and checks each decision against the plain rules.
+// runRandomFaults drives a dispatcher through random faults and checks each decision against the reference
+// model.
 func runRandomFaults(t *testing.T, seed int64) bool {
 	r := rand.New(rand.NewSource(seed))
 	settings := testSettings(func(s *Settings) {
@@ -36,7 +37,7 @@
 		}
 		m.ready[i] = r.Intn(4) > 0
 		if r.Intn(8) == 0 {
-			m.startedAt[i], m.freeSlots[i] = now, 0 // what the process before it told says nothing of this one
+			m.startedAt[i], m.freeSlots[i] = now, 0 // reports of the process before say nothing of this one
 		}
 		d.UpsertWorker(i, WorkerEntry{Zone: m.groupOf[i][0], Group: m.groupOf[i][1], Ready: m.ready[i], StartedAt: m.startedAt[i]})
 		identify(d, i, uint64(i+1)*0x51ed2701_9b3c1d77, i%3)
@@ -108,7 +109,8 @@
 	return true
 }
 
-// deadlinesAgree holds the queues of deadlines against a walk over all that is out: a push that they lose is never found silent.
+// deadlinesAgree compares the queues of deadlines with a scan of all attempts in flight: one that they lose
+// is never found silent.
 func deadlinesAgree(t *testing.T, d *Dispatcher) bool {
 	want, got := Time(math.MaxInt64), Time(math.MaxInt64)
 	for _, o := range d.ops.byIndex {
--- a/dispatch/shadow_test.go
+++ b/dispatch/shadow_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Operators watch before they switch: a watch must not change one decision, and must count those that would differ.
+// Shadow settings must not change one decision, and must count those that would differ.
 func TestShadowSettingsOnlyCountDivergence(t *testing.T) {
 	play := func(other func(*Settings)) (all []Decision, counts [ShadowedReport + 1]int) {
 		shape := func(s *Settings) { s.Schedulers, s.ConnectionPrice, s.PeerMessages = 12, 0, false }
--- a/dispatch/slow_start_simulation_test.go
+++ b/dispatch/slow_start_simulation_test.go
@@ -89,7 +89,7 @@
 	waiting          []simulatedJob
 	readings         []simulatedReading
 	arrivals         []Time
-	usedWhileWarming float64 // slot time at its warm speed, while it was cold
+	usedWhileWarming float64 // slot time at its warm speed, while it was warming up
 }
 
 type simulatedOp struct{ clientTries, attempts int }
--- a/dispatch/slow_start_test.go
+++ b/dispatch/slow_start_test.go
@@ -178,7 +178,7 @@
 			d.AddOp(0, OpSpec{TTL: now + 50_000, Slots: 1})
 			for _, a := range decisions(d) {
 				if a.Kind == Probe {
-					d.ProbeAnswered(a.Worker, 0, jobs(2*float64(stats.Bit(a.Worker > 0)))) // the cold one reads idle
+					d.ProbeAnswered(a.Worker, 0, jobs(2*float64(stats.Bit(a.Worker > 0)))) // the warming one reports idle
 				}
 			}
 			d.AdvanceClock(now)
--- a/dispatch/threshold_test.go
+++ b/dispatch/threshold_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// Reports without a count all counted as no jobs: T stayed at 0 and every worker was Low.
+// Reports without a job count all counted as no jobs: T stayed at 0 and every worker was Low.
 func TestReportWithoutJobCountIsCompleted(t *testing.T) {
 	d := fleet(3, nil)
 	d.ProbeAnswered(0, 50, LoadReport{RunningJobs: -1, QueuedJobs: 0, FreeSlots: 4, FreeMemory: -1})
--- a/dispatch/timeouts_test.go
+++ b/dispatch/timeouts_test.go
@@ -6,7 +6,8 @@
 	"woaddyke/internal/base/stats"
 )
 
-// suspectedAfterSilence pushes n ops to worker 0, which never answers, and tells whether it is doubted well past any start.
+// suspectedAfterSilence pushes n ops to worker 0, which never answers, and reports whether it is suspected
+// well past any start.
 func suspectedAfterSilence(t *testing.T, n int, speaks bool) bool {
 	t.Helper()
 	d := fleet(2, nil)
@@ -32,7 +33,7 @@
 	return d.fleet.workers[0].health.Suspected(d.now)
 }
 
-// A hung worker went on taking ops; a worker behind a wide job was taken for a hung one.
+// A hung worker went on getting ops; a worker behind a wide job was suspected as a hung one.
 func TestSilentWorkerIsSuspectedBusyOneIsNot(t *testing.T) {
 	if !suspectedAfterSilence(t, 3, false) {
 		t.Error("a worker silent on three pushes is not doubted")
@@ -45,7 +46,8 @@
 	}
 }
 
-// Jobs ended and their answers were lost: each such op stood out until its TTL, and its client had no time left.
+// Jobs ended and their answers were lost: each such op was in flight until its TTL, and its client had no
+// time left.
 func TestSilentStartedAttemptIsCancelled(t *testing.T) {
 	for cat, want := range []bool{true, true, true, true, false} { // an at-most-once op can't be pushed again
 		d := fleet(8, func(s *Settings) { s.ProgressInterval = 10_000 })
@@ -81,7 +83,7 @@
 	}
 }
 
-// A connection that fell silent held its op until the TTL, though workers say at once that they have taken one.
+// A silent connection held its op until the TTL, though workers acknowledge attempts at once.
 func TestUnacknowledgedAttemptIsCancelled(t *testing.T) {
 	for cat, want := range []bool{true, true, true, true, false} {
 		d := fleet(8, func(s *Settings) { s.DialTimeout, s.AcknowledgeTimeout = 2_000, 2_000 })
--- a/internal/scheduler/reducer/ends_test.go
+++ b/internal/scheduler/reducer/ends_test.go
@@ -201,7 +201,8 @@
 	return n, ok
 }
 
-// An op that the fates had let in by one rule, or had not been asked for by it, was taken by another when SIGHUP came in between.
+// An op that was admitted under one effect, or without asking for it, ran under another when SIGHUP came in
+// between.
 func TestAnOpThatSettingsOvertookIsNacked(t *testing.T) {
 	for effect, want := range map[string]Verdict{"": -1, "redeliverable": -1, "at-most-once": Nacked} {
 		r := started()
--- a/internal/scheduler/reducer/learned_test.go
+++ b/internal/scheduler/reducer/learned_test.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// A process tells moments by its own clock: all of them move to that of its heir, and spans stay as they are.
+// A process counts moments by its own clock: all of them move to its successor's, and spans stay as they
+// are.
 func TestWhatWasLearnedMovesToAnotherClock(t *testing.T) {
 	at := func(moment dispatch.Time) Learned {
 		verdicts := func() []dispatch.Verdict { return []dispatch.Verdict{{At: moment, OK: true}, {At: moment + 1}} }
--- a/internal/scheduler/reducer/race_test.go
+++ b/internal/scheduler/reducer/race_test.go
@@ -2,5 +2,6 @@
 
 package ops
 
-// The detector makes a change ten times dearer, and what it looks for here does not grow with their number.
+// The race detector makes a change ten times slower, and what it looks for here does not grow with their
+// number.
 func init() { dayOfChanges = 800 }
--- a/internal/scheduler/reducer/reducer_test.go
+++ b/internal/scheduler/reducer/reducer_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// Another client's op under an id that is held went out as a second copy, and a job line could be either's.
+// Another client's op under a reserved ID ran as a second copy, and a job line could be either's.
 func TestAnIDThatIsTakenIsRefused(t *testing.T) {
 	r := started()
 	ask := func(now dispatch.Time, number uint64, id string) Verdict {
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// The conversation is worth something only as long as it reaches every kind of input and every verb.
+// The conversation guards only what it reaches: every kind of input and every kind of decision.
 func TestTheRecordedConversationReachesMost(t *testing.T) {
 	inputs, outcomes, scopes := map[string]int{}, map[int]int{}, map[string]int{}
 	for line := range bytes.Lines(recorded(t)) {
