--- a/dispatch/affinity_test.go
+++ b/dispatch/affinity_test.go
@@ -7,7 +7,7 @@
 
 // Keys that every worker fetched anew filled the store until all jobs stalled: a key's ops must meet few workers, and
 // schedulers that number the workers differently must mean the same ones.
-func TestAKeysOpsMeetTheSameFewWorkers(t *testing.T) {
+func TestOpsOfAKeyPreferTheSameWorkers(t *testing.T) {
 	met := func(turn int) map[uint64]bool {
 		d := fleet(40, func(s *Settings) { s.AffinityKeys = true })
 		for i := range 40 {
@@ -40,7 +40,7 @@
 }
 
 // Each of hundreds of quiet schedulers kept a connection to half the fleet: there a scheduler meets a few of its own.
-func TestWhereConnectionsCostASchedulerMeetsFewWorkers(t *testing.T) {
+func TestPricedConnectionsLimitTheWorkersProbed(t *testing.T) {
 	met := func(number int, price float64) map[int]bool {
 		d := fleet(40, func(s *Settings) { s.Scheduler, s.ConnectionPrice = number, price })
 		for i := range 40 {
@@ -65,3 +65,27 @@
 		t.Errorf("one scheduler meets %v, another %v", one, two)
 	}
 }
+
+// Clients choose the keys: counting all of them would fill the memory.
+func TestCountedKeysAreBoundedAndForgotten(t *testing.T) {
+	k := affinityKeys{counts: map[uint64]float64{}}
+	for range 3 {
+		for key := range uint64(2 * maxCountedKeys) {
+			k.count(key + 1)
+		}
+	}
+	if len(k.counts) > maxCountedKeys {
+		t.Errorf("%d keys are counted", len(k.counts))
+	}
+	if f := k.fraction(1); f != 3/float64(6*maxCountedKeys) {
+		t.Errorf("key 1 has %g of the ops", f)
+	}
+	k.halve()
+	if k.fraction(1) == 0 {
+		t.Error("the last period does not count")
+	}
+	k.halve()
+	if k.fraction(1) != 0 {
+		t.Error("a key of two periods ago still counts")
+	}
+}
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -7,8 +7,9 @@
 	"woaddyke/internal/base/stats"
 )
 
-// Ops that no worker can use went to six each, and the workers that said so were taken for sick.
-func TestAnUnfitOpSpeaksAgainstNoWorkerUntilAnotherServesIt(t *testing.T) {
+// Ops that no worker can use had six attempts each, and the workers that rejected them as invalid were
+// suspected.
+func TestInvalidRequestCountsAgainstWorkerOnlyIfAnotherSucceeds(t *testing.T) {
 	for second, want := range map[Outcome]int{InvalidRequest: 0, Succeeded: 1} {
 		d := fleet(6, nil)
 		x, y := probed(t, d, 0, 0)
@@ -37,7 +38,7 @@
 
 // A worker that started every op and failed four in five kept its full share: each start counted for it. By its
 // share of good verdicts it still got half, since it always looked Low.
-func TestAWorkerThatStartsAndFailsIsDoubted(t *testing.T) {
+func TestWorkerThatStartsAndFailsIsSuspected(t *testing.T) {
 	d := fleet(2, nil)
 	for i := range 60 {
 		d.AddOp(i, OpSpec{TTL: d.now + 50_000, Slots: 1})
@@ -46,7 +47,7 @@
 		d.ProbeAnswered(0, 0, jobs(0)) // worker 1 does not answer the probe
 		bad := push(t, d) == 0 && i%5 > 0
 		d.AdvanceClock(d.now + 10)
-		d.AttemptProgress(i, 0, true, 0)
+		d.AttemptProgress(i, 0, Progress{Started: true})
 		how := Outcome(stats.Bit(bad) * int(Failed))
 		d.AttemptEnded(i, 0, how, how == Succeeded)
 	}
@@ -59,9 +60,9 @@
 	}
 }
 
-// A push that was kept back because its client had left was taken for word from its worker, and silence about others there was let pass
-// for longer. Nothing of a worker is learned from what was never written to it.
-func TestNothingIsLearnedFromAPushThatWasKeptBack(t *testing.T) {
+// An attempt that was not written, as its client had disconnected, counted as a report from its worker, and
+// silence about others there was allowed for longer. Nothing of a worker is learned from what it never got.
+func TestNothingIsLearnedFromAnUnsentAttempt(t *testing.T) {
 	d := fleet(2, func(s *Settings) { s.Probes = false })
 	d.AddOp(0, OpSpec{TTL: d.now + 50_000, Slots: 1})
 	to := push(t, d)
@@ -80,8 +81,8 @@
 	}
 }
 
-// A push that was never written, as this machine lacked the means, was seen by no worker: it spends none of the pushes that an op may
-// have, and the next one comes after a pause.
+// An attempt that this machine lacked the means for was seen by no worker: it does not count against the op's
+// attempts, and the next one follows after a backoff.
 func TestAPushThatWasNeverWrittenSpendsNone(t *testing.T) {
 	d := fleet(4, func(s *Settings) { s.Probes, s.MaxAttempts = false, 2 })
 	ttl := d.now + 50*second
--- a/dispatch/categories_bench_test.go
+++ b/dispatch/categories_bench_test.go
@@ -20,8 +20,8 @@
 	settings.Categories[n%len(settings.Categories)].LatencyObjective = Time(5_001 + n)
 }
 
-// BenchmarkChange is one category's change among so many, after so many before it.
-func BenchmarkChange(b *testing.B) {
+// BenchmarkSetCategories is one category's change among so many, after so many before it.
+func BenchmarkSetCategories(b *testing.B) {
 	for _, entries := range []int{3, 560} {
 		for _, before := range []int{0, 16_000, 100_000} {
 			b.Run(fmt.Sprintf("entries=%d/before=%d", entries, before), func(b *testing.B) {
@@ -44,7 +44,8 @@
 	}
 }
 
-// BenchmarkOpAmong is an op from its arrival to its end, with runs known of so many categories whose ops come by turns.
+// BenchmarkOpAmong is an op from its arrival to its end, with service times known of so many categories
+// whose ops come by turns.
 func BenchmarkOpAmong(b *testing.B) {
 	for _, entries := range []int{3, 560} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
@@ -63,7 +64,7 @@
 				d.AddOp(0, OpSpec{Category: n % entries, TTL: now + 50_000, Slots: 1})
 				pull(d)
 				d.AdvanceClock(now)
-				d.AttemptProgress(0, 0, true, 0)
+				d.AttemptProgress(0, 0, Progress{Started: true})
 				pull(d)
 				now += Time(5 + n%7)
 				d.AdvanceClock(now)
--- a/dispatch/categories_test.go
+++ b/dispatch/categories_test.go
@@ -19,10 +19,10 @@
 	d.categories.addServiceTime(place, ran, d.settings.BenefitPerWork)
 }
 
-// Places were given out for good, and after a thousand of them no change was taken until the process was replaced. Now that they are
-// given back, none may become another category's while an open op, a name that the host goes on serving, or the terms in force have it:
-// an at-most-once op at a place that became a redeliverable category's would be run twice.
-func TestAPlaceIsNobodyElsesWhileAnythingRefersToIt(t *testing.T) {
+// Places are reused. None may become another category's while an open op, a category that the host retains,
+// or the settings in force refer to it: an at-most-once op at a place that became an idempotent category's
+// would run twice.
+func TestPlaceIsNotReusedWhileReferredTo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		anyRules := rapid.Custom(func(t *rapid.T) CategoryRules {
 			return CategoryRules{Name: rapid.SampledFrom([]string{"a", "b", "c", "d", "e", ""}).Draw(t, "name"),
@@ -165,9 +165,9 @@
 	})
 }
 
-// What was learned of a category went with its terms: whatever of them changed, its ops' usual run was unknown again, and until one had
-// ended all categories had the rank of the dearest.
-func TestWhatIsLearnedOfACategoryGoesAlongToItsNewTerms(t *testing.T) {
+// Service times were lost with a category's rules: whatever of them changed, all categories had the highest
+// priority until one of its ops had ended.
+func TestServiceTimesFollowACategoryToNewRules(t *testing.T) {
 	of := []CategoryRules{{Name: "look", Effect: Idempotent, TTL: 50_000, LatencyObjective: 5_000, Benefit: 1, Stretch: 1},
 		{Name: "pay", Effect: Idempotent, TTL: 50_000, LatencyObjective: 5_000, Benefit: 4, Stretch: 1}}
 	d := New(3, settingsOf(of, 3))
@@ -199,9 +199,9 @@
 	}
 }
 
-// The walk over all categories that tells the dearest is made only when one that counts has changed. The rank must be as if it were
-// made each time.
-func TestTheDearestCategoryIsTheOneThatAWalkFinds(t *testing.T) {
+// The scan for the highest priority weight is repeated only when a weight that counts has changed. The
+// relative weight must be as if it were repeated each time.
+func TestHighestPriorityWeightMatchesAFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "n")
 		var of []CategoryRules
@@ -233,3 +233,59 @@
 		}
 	})
 }
+
+// An op that is pushed again under rules that it was not admitted with breaks rule 2.
+func TestOpenOpsKeepTheRulesThatTheyCameWith(t *testing.T) {
+	settings := func(effect Effect, attempts int) Settings {
+		return settingsOf([]CategoryRules{{Name: "pay", Effect: effect, TTL: 50_000, LatencyObjective: 1000}}, attempts)
+	}
+	d := New(3, settings(Idempotent, 3))
+	d.AdvanceClock(1)
+	d.BeginSnapshot()
+	for i := range 3 {
+		d.UpsertWorker(i, WorkerEntry{Group: i, Ready: true})
+	}
+	d.EndUpdate()
+	broken := func(op, place int) (pushes int) { // how often an op is pushed whose pushes all break
+		if !d.AddOp(op, OpSpec{Category: place, TTL: d.now + 50_000, Slots: 1}) {
+			t.Fatalf("no place %d", place)
+		}
+		for {
+			next := d.Next()
+			switch {
+			case next.Kind == Push && next.Op == op:
+				pushes++
+				if op == 0 && pushes == 1 { // under the first op the settings change
+					if places := d.SetCategories(settings(AtMostOnce, 1)); !slices.Equal(places, []int{1}) {
+						t.Fatalf("another effect has place %v", places)
+					}
+				}
+				d.AdvanceClock(d.now + 10)
+				d.AttemptEnded(op, pushes-1, ConnectionLost, false)
+			case next.Kind == NoDecision:
+				return pushes
+			}
+		}
+	}
+	if n := broken(0, 0); n != 3 {
+		t.Errorf("an op of before is pushed %d times, not 3", n)
+	}
+	if n := broken(1, 1); n != 1 {
+		t.Errorf("an at-most-once op that may have run is pushed %d times", n)
+	}
+	if places := d.SetCategories(settings(Idempotent, 2)); !slices.Equal(places, []int{0}) {
+		t.Errorf("terms that were known have place %v: what was learned is lost", places)
+	}
+	if n := broken(2, 0); n != 2 {
+		t.Errorf("an op is pushed %d times where the settings now say 2", n)
+	}
+}
+
+// Two categories of equal rules need a place each, or one name would mean the other.
+func TestEqualCategoriesHaveSeparatePlaces(t *testing.T) {
+	settings := settingsOf([]CategoryRules{{TTL: 5}, {TTL: 5}}, 1)
+	d := New(3, settings)
+	if places := d.SetCategories(settings); !slices.Equal(places, []int{0, 1}) {
+		t.Errorf("places %v", places)
+	}
+}
--- a/dispatch/choice_test.go
+++ b/dispatch/choice_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Wide ops went to Low workers without room for them and blocked the queue.
-func TestWideOpNeedsRoom(t *testing.T) {
+// Wide ops went to Low workers without capacity for them and blocked the queue.
+func TestWideOpNeedsCapacity(t *testing.T) {
 	d := fleet(2, nil)
 	d.halvedAt = d.now
 	copy(d.estimator.observed[:], []float64{4, 4, 4, 4})
@@ -64,8 +64,8 @@
 	}
 }
 
-// A busy scheduler saw one idle worker twice before any report showed its own push.
-func TestOwnPushesCount(t *testing.T) {
+// A busy scheduler saw one idle worker twice before any report showed its own attempt.
+func TestOwnAttemptsCount(t *testing.T) {
 	d := fleet(2, nil)
 	probed(t, d, 0, 0)
 	first := pushed(t, d, 0, jobs(0), 1, jobs(0))
@@ -99,8 +99,9 @@
 	}
 }
 
-// Reports are noisy: an empty worker of four slots that told 3.4 free ones was no place for an op of four.
-func TestEmptyWorkerHasRoomForWideOp(t *testing.T) {
+// Reports are noisy: an empty worker of four slots that reported 3.4 free ones had no capacity for an op of
+// four.
+func TestIdleWorkerHasCapacityForWideOp(t *testing.T) {
 	d := fleet(2, nil)
 	d.AddOp(0, OpSpec{TTL: d.now + 50_000, Slots: 4})
 	decisions(d)
@@ -111,8 +112,8 @@
 	}
 }
 
-// Ops of four slots were nacked for want of a place where one job of a short rest held one slot.
-func TestPlaceOfWideOpByTheSlotsItLacks(t *testing.T) {
+// Ops of four slots were nacked as finding no place, where one short job took one slot.
+func TestQueuePositionOfWideOpByMissingSlots(t *testing.T) {
 	d := fleet(3, nil)
 	d.AddOp(0, OpSpec{TTL: d.now + 50_000, Slots: 4})
 	for i, n := range []float64{1, 3, 5} {
@@ -125,11 +126,12 @@
 }
 
 // Reports seconds late sent all schedulers to the workers that looked idle; starts then came a second late.
-func TestLateReportsAreSetAside(t *testing.T) {
+func TestStaleReportsAreIgnored(t *testing.T) {
 	d := fleet(2, nil)
 	d.samples.probeRTTs = []Time{100}
 	for i := range stats.MaxRecent {
-		// Half late: over a fleet that hundreds share, where reports are a second old, such starts took longer the more room was told.
+		// Half of the starts are late: over a shared fleet, where reports are a second old, such starts
+		// took longer the more capacity was reported.
 		d.samples.startSamples = append(d.samples.startSamples, startSample{d.now, []Time{9_000, 100}[i%2]})
 	}
 	probed(t, d, 0, 0)
@@ -154,8 +156,8 @@
 	}
 }
 
-// A scheduler that meets a worker once a minute took the slow kind for the fleet's middle.
-func TestAWorkersSpeedIsItsKindsUntilItIsMet(t *testing.T) {
+// A scheduler that meets a worker once a minute took a slow kind's jobs for the fleet's median.
+func TestServiceTimeRatioOfUnknownWorkerIsThatOfItsKind(t *testing.T) {
 	d := fleet(4, nil)
 	for i := range 4 {
 		identify(d, i, uint64(i+1), i%2)
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -3,100 +3,20 @@
 import (
 	"math"
 	"math/rand"
-	"slices"
 	"testing"
 	"testing/quick"
-
-	"woaddyke/internal/base/stats"
 )
 
-// plain is the rules, told slowly: it keeps all that happened and works out afresh what is allowed.
-type plain struct {
-	ready map[int]bool
-	where map[int][2]int // zone and cell
-	since map[int]Time
-	ops   map[int]*plainOp
-	free  map[int]float64 // slots, by the last report
-	told  map[int]Time    // when that came
-}
-
-type plainOp struct {
-	cat    int
-	ttl    Time
-	pushes []plainPush
-	final  bool
-}
-
-type plainPush struct {
-	where [2]int
-	at    Time
-	until Time
-	ended bool
-	how   Outcome
-	to    int
-	slots float64
-}
-
-func (p plainPush) mayHaveRun() bool {
-	return !p.ended || p.how != Rejected && p.how != Unreachable && p.how != NotSent && p.how != LocalExhaustion
-}
-
-func (m *plain) mayPush(s Settings, op, worker int, now Time) bool {
-	o := m.ops[op]
-	c := s.Categories[o.cat]
-	sent := 0
-	for _, p := range o.pushes {
-		if !p.ended || p.how != LocalExhaustion { // that one reached nobody
-			sent++
-		}
-	}
-	if o.final || !m.ready[worker] || sent >= s.MaxAttempts {
-		return false
-	}
-	for _, p := range o.pushes {
-		if !p.ended {
-			return false
-		}
-	}
-	for _, p := range o.pushes {
-		if !p.mayHaveRun() {
-			continue
-		}
-		switch {
-		case c.Effect == Idempotent:
-		case c.Effect == AtMostOnce, now >= p.at+c.DedupWindow:
-			return false
-		case c.DedupScope == DedupInZone && m.where[worker][0] != p.where[0],
-			c.DedupScope == DedupInGroup && m.where[worker] != p.where:
-			return false
-		}
-		break // the first that may have run fixes group and window
-	}
-	return true
-}
-
-func (m *plain) mayNack(s Settings, op int, now Time) bool {
-	o := m.ops[op]
-	c := s.Categories[o.cat]
-	for _, p := range o.pushes {
-		past := now >= p.at+c.DedupWindow
-		if p.mayHaveRun() && c.Effect != Idempotent &&
-			(c.Effect == AtMostOnce || c.DedupScope != DedupEverywhere || past) {
-			return false
-		}
-	}
-	return true
-}
-
 func TestRulesAgreeWithPlainModel(t *testing.T) {
-	if err := quick.Check(func(seed int64) bool { return storm(t, seed) },
+	if err := quick.Check(func(seed int64) bool { return runRandomFaults(t, seed) },
 		&quick.Config{MaxCount: 150, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// storm drives a dispatcher through made-up trouble and checks each decision against the plain rules.
-func storm(t *testing.T, seed int64) bool {
+// runRandomFaults drives a dispatcher through random faults and checks each decision against the reference
+// model.
+func runRandomFaults(t *testing.T, seed int64) bool {
 	r := rand.New(rand.NewSource(seed))
 	settings := testSettings(func(s *Settings) {
 		s.Probes = r.Intn(5) > 0
@@ -106,20 +26,20 @@
 		s.ConnectionPrice = 0.05 * float64(r.Intn(2))
 	})
 	d := New(uint64(seed), settings)
-	m := &plain{map[int]bool{}, map[int][2]int{}, map[int]Time{}, map[int]*plainOp{}, map[int]float64{},
+	m := &referenceModel{map[int]bool{}, map[int][2]int{}, map[int]Time{}, map[int]*referenceOp{}, map[int]float64{},
 		map[int]Time{}}
 	now, next := Time(1_000_000), 0
 	names := make([]int, 400) // op index to the model's op
 	d.AdvanceClock(now)
 	entry := func(i int) {
-		if m.where[i] == [2]int{} {
-			m.where[i] = [2]int{1 + i%2, i % 4}
+		if m.groupOf[i] == [2]int{} {
+			m.groupOf[i] = [2]int{1 + i%2, i % 4}
 		}
 		m.ready[i] = r.Intn(4) > 0
 		if r.Intn(8) == 0 {
-			m.since[i], m.free[i] = now, 0 // what the process before it told says nothing of this one
+			m.startedAt[i], m.freeSlots[i] = now, 0 // reports of the process before say nothing of this one
 		}
-		d.UpsertWorker(i, WorkerEntry{Zone: m.where[i][0], Group: m.where[i][1], Ready: m.ready[i], StartedAt: m.since[i]})
+		d.UpsertWorker(i, WorkerEntry{Zone: m.groupOf[i][0], Group: m.groupOf[i][1], Ready: m.ready[i], StartedAt: m.startedAt[i]})
 		identify(d, i, uint64(i+1)*0x51ed2701_9b3c1d77, i%3)
 		d.PeerReport(r.Intn(5)-1, i, r.Intn(4)-1)
 	}
@@ -144,35 +64,35 @@
 			}
 			next++
 			names[i] = next
-			o := &plainOp{cat: r.Intn(5), ttl: now + Time(r.Intn(30_000))}
+			o := &referenceOp{category: r.Intn(5), ttl: now + Time(r.Intn(30_000))}
 			m.ops[next] = o
-			spec := OpSpec{Category: o.cat, TTL: o.ttl, Slots: float64(1 + r.Intn(2))}
+			spec := OpSpec{Category: o.category, TTL: o.ttl, Slots: float64(1 + r.Intn(2))}
 			if r.Intn(2) == 0 {
 				spec.AffinityKey = uint64(1 + r.Intn(4))
 			}
 			d.AddOp(i, spec)
 		}
 		for i, name := range names {
-			if name == 0 || len(m.ops[name].pushes) == 0 {
+			if name == 0 || len(m.ops[name].attempts) == 0 {
 				continue
 			}
 			o := m.ops[name]
-			p := &o.pushes[len(o.pushes)-1]
-			if p.ended || now < p.until && r.Intn(8) > 0 {
+			p := &o.attempts[len(o.attempts)-1]
+			if p.ended || now < p.timeoutAt && r.Intn(8) > 0 {
 				continue
 			}
-			if now < p.until && r.Intn(2) == 0 {
-				d.AttemptProgress(i, len(o.pushes)-1, r.Intn(3) > 0, 0.5)
+			if now < p.timeoutAt && r.Intn(2) == 0 {
+				d.AttemptProgress(i, len(o.attempts)-1, Progress{Started: r.Intn(3) > 0})
 				continue
 			}
-			if p.ended, p.how = true, Outcome(r.Intn(int(LocalExhaustion)+1)); now >= p.until {
-				p.how = TimedOut
+			if p.ended, p.outcome = true, Outcome(r.Intn(int(LocalExhaustion)+1)); now >= p.timeoutAt {
+				p.outcome = TimedOut
 			}
-			o.final = o.final || p.how == Succeeded
-			d.AttemptEnded(i, len(o.pushes)-1, p.how, o.final)
+			o.answered = o.answered || p.outcome == Succeeded
+			d.AttemptEnded(i, len(o.attempts)-1, p.outcome, o.answered)
 		}
 		d.AdvanceClock(now)
-		if !judgeAll(t, d, m, settings, names, now, r) {
+		if !checkDecisions(t, d, m, settings, names, now, r) {
 			return false
 		}
 		now += Time(r.Intn(300))
@@ -181,16 +101,17 @@
 		}
 	}
 	for name, o := range m.ops {
-		if !o.final {
-			t.Logf("op %d of category %d never answered", name, o.cat)
+		if !o.answered {
+			t.Logf("op %d of category %d never answered", name, o.category)
 			return false
 		}
 	}
 	return true
 }
 
-// agree holds the queues of deadlines against a walk over all that is out: a push that they lose is never found silent.
-func agree(t *testing.T, d *Dispatcher) bool {
+// deadlinesAgree compares the queues of deadlines with a scan of all attempts in flight: one that they lose
+// is never found silent.
+func deadlinesAgree(t *testing.T, d *Dispatcher) bool {
 	want, got := Time(math.MaxInt64), Time(math.MaxInt64)
 	for _, o := range d.ops.byIndex {
 		if o == nil || !o.last.inFlight || o.finished || o.last.silenceCounted {
@@ -216,7 +137,7 @@
 	return got == want
 }
 
-func judgeAll(t *testing.T, d *Dispatcher, m *plain, settings Settings, names []int, now Time,
+func checkDecisions(t *testing.T, d *Dispatcher, m *referenceModel, settings Settings, names []int, now Time,
 	r *rand.Rand) bool {
 	for {
 		for i, name := range names {
@@ -235,41 +156,41 @@
 		switch next.Kind {
 		case NoDecision:
 			for _, o := range m.ops {
-				if !o.final && now > o.ttl+100 && (len(o.pushes) == 0 || o.pushes[len(o.pushes)-1].ended) {
-					t.Logf("an op of category %d outlived its TTL", o.cat)
+				if !o.answered && now > o.ttl+100 && (len(o.attempts) == 0 || o.attempts[len(o.attempts)-1].ended) {
+					t.Logf("an op of category %d outlived its TTL", o.category)
 					return false
 				}
 			}
-			return agree(t, d)
+			return deadlinesAgree(t, d)
 		case Push:
 			o := m.ops[name]
 			if !m.mayPush(settings, name, worker, now) || now+timeout >= o.ttl && timeout > 1 || now >= o.ttl {
-				t.Logf("push against the rules: category %d worker %d", o.cat, worker)
+				t.Logf("push against the rules: category %d worker %d", o.category, worker)
 				return false
 			}
-			o.pushes = append(o.pushes, plainPush{m.where[worker], now, now + timeout, false, Succeeded, worker,
+			o.attempts = append(o.attempts, referenceAttempt{m.groupOf[worker], now, now + timeout, false, Succeeded, worker,
 				d.ops.byIndex[op].slots})
-			if settings.Probes && !m.intoRoom(worker, now) {
+			if settings.Probes && !m.hadCapacity(worker, now) {
 				t.Logf("a push to cold worker %d that has no room", worker)
 				return false
 			}
 		case CancelAttempt:
 			o := m.ops[name]
-			p := &o.pushes[len(o.pushes)-1]
+			p := &o.attempts[len(o.attempts)-1]
 			if p.ended || !settings.CancelsAttempts {
-				t.Logf("called off against the rules: category %d", o.cat)
+				t.Logf("called off against the rules: category %d", o.category)
 				return false
 			}
-			p.ended, p.how = true, Cancelled
-			d.AttemptEnded(op, len(o.pushes)-1, Cancelled, false)
+			p.ended, p.outcome = true, Cancelled
+			d.AttemptEnded(op, len(o.attempts)-1, Cancelled, false)
 		case Nack, DeadLetter:
 			o := m.ops[name]
-			if o.final || next.Kind == Nack && !m.mayNack(settings, name, now) ||
-				len(o.pushes) > 0 && !o.pushes[len(o.pushes)-1].ended {
-				t.Logf("%v against the rules: category %d", next.Kind, o.cat)
+			if o.answered || next.Kind == Nack && !m.mayNack(settings, name, now) ||
+				len(o.attempts) > 0 && !o.attempts[len(o.attempts)-1].ended {
+				t.Logf("%v against the rules: category %d", next.Kind, o.category)
 				return false
 			}
-			o.final = true
+			o.answered = true
 		case Probe:
 			if !m.ready[worker] {
 				t.Logf("probe of a worker that is not ready")
@@ -278,141 +199,10 @@
 			if r.Intn(4) > 0 {
 				load := jobs(float64(r.Intn(7)))
 				d.ProbeAnswered(worker, 0, load)
-				m.free[worker], m.told[worker] = load.FreeSlots, now
+				m.freeSlots[worker], m.reportedAt[worker] = load.FreeSlots, now
 			}
 		case Forget:
 			names[op] = 0
 		}
 	}
 }
-
-// intoRoom tells whether a cold worker's push goes into a slot that its last report and later pushes left.
-func (m *plain) intoRoom(worker int, now Time) bool {
-	if since := m.since[worker]; since == 0 || now >= since+80_000 {
-		return true
-	}
-	room := m.free[worker]
-	for _, o := range m.ops {
-		for _, p := range o.pushes {
-			if p.to == worker && !p.ended && p.at >= m.told[worker] {
-				room -= p.slots
-			}
-		}
-	}
-	return room >= 0
-}
-
-// Hundreds of schedulers, most of them quiet and a few that carry most, meet one cold worker at full load,
-// and reports tell them nothing: together they must stay within its budget.
-func TestColdBudgetOfHundreds(t *testing.T) {
-	const schedulers, workers, length, rate, days = 200, 200, 500, 480, 3 // 480 ops of 50 ms a worker in 6 s
-	total, worst := 0, 0.0
-	for day := range days {
-		r := rand.New(rand.NewSource(int64(day)))
-		all := make([]*Dispatcher, schedulers)
-		for i := range all {
-			all[i] = New(r.Uint64(), testSettings(func(s *Settings) { s.Schedulers, s.Scheduler = 200, i }))
-			all[i].AdvanceClock(1_000_000)
-			all[i].BeginSnapshot()
-			for w := range workers {
-				all[i].UpsertWorker(w, WorkerEntry{Ready: true, StartedAt: Time(1_000_000 * stats.Bit(w == 0))})
-			}
-			all[i].EndUpdate()
-		}
-		var at []Time
-		for n := range workers * rate {
-			now := 1_000_000 + Time(n*60_000/(workers*rate))
-			s := r.Intn(schedulers)
-			if r.Intn(4) > 0 {
-				s = r.Intn(5)
-			}
-			d := all[s]
-			d.AdvanceClock(now)
-			d.AddOp(0, OpSpec{TTL: now + 50_000, Slots: 1})
-			for _, a := range decisions(d) {
-				if a.Kind == Probe {
-					d.ProbeAnswered(a.Worker, 0, jobs(2*float64(stats.Bit(a.Worker > 0)))) // the cold one reads idle
-				}
-			}
-			d.AdvanceClock(now)
-			for _, a := range decisions(d) {
-				if a.Kind == Push && a.Worker == 0 {
-					at, total = append(at, now), total+1
-				}
-			}
-			d.AttemptEnded(0, 0, Succeeded, true)
-			d.AdvanceClock(now)
-			decisions(d)
-		}
-		for i := range at {
-			for j := range i + 1 {
-				if span := at[i] - at[j]; span < 15_000 {
-					share := 0.3 + 0.7*float64(at[i]-15_000-1_000_000)/80_000
-					worst = max(worst, float64((i-j+1)*length)/(2.5*4*max(share, 0.3)*15_000))
-				}
-			}
-		}
-	}
-	if total < days*rate/10 {
-		t.Errorf("%d pushes to a cold worker: it lies idle", total)
-	}
-	if worst > 1 {
-		t.Errorf("%.2f of a cold worker's budget was sent", worst)
-	}
-}
-
-// Settings that change while ops are open: an op pushed again under rules that it was not taken with breaks rule 2.
-func TestOpenOpsKeepTheRulesThatTheyCameWith(t *testing.T) {
-	settings := func(effect Effect, attempts int) Settings {
-		return settingsOf([]CategoryRules{{Name: "pay", Effect: effect, TTL: 50_000, LatencyObjective: 1000}}, attempts)
-	}
-	d := New(3, settings(Idempotent, 3))
-	d.AdvanceClock(1)
-	d.BeginSnapshot()
-	for i := range 3 {
-		d.UpsertWorker(i, WorkerEntry{Group: i, Ready: true})
-	}
-	d.EndUpdate()
-	broken := func(op, place int) (pushes int) { // how often an op is pushed whose pushes all break
-		if !d.AddOp(op, OpSpec{Category: place, TTL: d.now + 50_000, Slots: 1}) {
-			t.Fatalf("no place %d", place)
-		}
-		for {
-			next := d.Next()
-			switch {
-			case next.Kind == Push && next.Op == op:
-				pushes++
-				if op == 0 && pushes == 1 { // under the first op the settings change
-					if places := d.SetCategories(settings(AtMostOnce, 1)); !slices.Equal(places, []int{1}) {
-						t.Fatalf("another effect has place %v", places)
-					}
-				}
-				d.AdvanceClock(d.now + 10)
-				d.AttemptEnded(op, pushes-1, ConnectionLost, false)
-			case next.Kind == NoDecision:
-				return pushes
-			}
-		}
-	}
-	if n := broken(0, 0); n != 3 {
-		t.Errorf("an op of before is pushed %d times, not 3", n)
-	}
-	if n := broken(1, 1); n != 1 {
-		t.Errorf("an at-most-once op that may have run is pushed %d times", n)
-	}
-	if places := d.SetCategories(settings(Idempotent, 2)); !slices.Equal(places, []int{0}) {
-		t.Errorf("terms that were known have place %v: what was learned is lost", places)
-	}
-	if n := broken(2, 0); n != 2 {
-		t.Errorf("an op is pushed %d times where the settings now say 2", n)
-	}
-}
-
-// Two categories alike in all but nothing: each needs a place of its own, or their names would mean one another.
-func TestCategoriesAlikeHavePlacesOfTheirOwn(t *testing.T) {
-	settings := settingsOf([]CategoryRules{{TTL: 5}, {TTL: 5}}, 1)
-	d := New(3, settings)
-	if places := d.SetCategories(settings); !slices.Equal(places, []int{0, 1}) {
-		t.Errorf("places %v", places)
-	}
-}
--- a/dispatch/shadow_test.go
+++ b/dispatch/shadow_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Operators watch before they switch: a watch must not change one decision, and must count those that would differ.
-func TestAWatchChangesNothingAndCounts(t *testing.T) {
+// Shadow settings must not change one decision, and must count those that would differ.
+func TestShadowSettingsOnlyCountDivergence(t *testing.T) {
 	play := func(other func(*Settings)) (all []Decision, counts [ShadowedReport + 1]int) {
 		shape := func(s *Settings) { s.Schedulers, s.ConnectionPrice, s.PeerMessages = 12, 0, false }
 		d := fleet(12, shape)
--- a/dispatch/threshold_test.go
+++ b/dispatch/threshold_test.go
@@ -17,11 +17,10 @@
 		{"quiet: all that was seen is Low", []float64{5, 5, 5, 5}, []float64{5, 5, 5, 5}, 3},
 		{"one side empty", []float64{0, 0, 6}, []float64{0, 0, 2}, 0},
 	} {
-		d := fleet(2, nil)
-		d.halvedAt = d.now
-		copy(d.estimator.observed[:], c.a)
-		copy(d.estimator.idleAfter[:], c.b)
-		if got := d.threshold(); got != c.want {
+		var e thresholdEstimator
+		copy(e.observed[:], c.a)
+		copy(e.idleAfter[:], c.b)
+		if got := e.threshold(); got != c.want {
 			t.Errorf("%s: T = %d, want %d", c.name, got, c.want)
 		}
 	}
@@ -57,8 +56,8 @@
 	}
 }
 
-// Reports without a count all counted as no jobs: T stayed at 0 and every worker was Low.
-func TestAReportWithoutACountIsCounted(t *testing.T) {
+// Reports without a job count all counted as no jobs: T stayed at 0 and every worker was Low.
+func TestReportWithoutJobCountIsCompleted(t *testing.T) {
 	d := fleet(3, nil)
 	d.ProbeAnswered(0, 50, LoadReport{RunningJobs: -1, QueuedJobs: 0, FreeSlots: 4, FreeMemory: -1})
 	d.ProbeAnswered(1, 50, LoadReport{RunningJobs: -1, QueuedJobs: 0, FreeSlots: 1, FreeMemory: -1})
--- a/dispatch/timeouts_test.go
+++ b/dispatch/timeouts_test.go
@@ -6,8 +6,9 @@
 	"woaddyke/internal/base/stats"
 )
 
-// silent pushes n ops to worker 0, which never answers, and tells whether it is doubted well past any start.
-func silent(t *testing.T, n int, speaks bool) bool {
+// suspectedAfterSilence pushes n ops to worker 0, which never answers, and reports whether it is suspected
+// well past any start.
+func suspectedAfterSilence(t *testing.T, n int, speaks bool) bool {
 	t.Helper()
 	d := fleet(2, nil)
 	for range stats.MaxRecent {
@@ -25,28 +26,29 @@
 	for range 40 {
 		d.AdvanceClock(d.now + 100)
 		if speaks {
-			d.AttemptProgress(0, 0, true, 0)
+			d.AttemptProgress(0, 0, Progress{Started: true})
 		}
 		decisions(d)
 	}
 	return d.fleet.workers[0].health.Suspected(d.now)
 }
 
-// A hung worker went on taking ops; a worker behind a wide job was taken for a hung one.
-func TestSilentWorkerIsDoubtedBusyOneIsNot(t *testing.T) {
-	if !silent(t, 3, false) {
+// A hung worker went on getting ops; a worker behind a wide job was suspected as a hung one.
+func TestSilentWorkerIsSuspectedBusyOneIsNot(t *testing.T) {
+	if !suspectedAfterSilence(t, 3, false) {
 		t.Error("a worker silent on three pushes is not doubted")
 	}
-	if silent(t, 3, true) {
+	if suspectedAfterSilence(t, 3, true) {
 		t.Error("a worker that still speaks is doubted")
 	}
-	if silent(t, 1, false) {
+	if suspectedAfterSilence(t, 1, false) {
 		t.Error("one silent push is no verdict")
 	}
 }
 
-// Jobs ended and their answers were lost: each such op stood out until its TTL, and its client had no time left.
-func TestAStartedPushThatFallsSilentIsCalledOff(t *testing.T) {
+// Jobs ended and their answers were lost: each such op was in flight until its TTL, and its client had no
+// time left.
+func TestSilentStartedAttemptIsCancelled(t *testing.T) {
 	for cat, want := range []bool{true, true, true, true, false} { // an at-most-once op can't be pushed again
 		d := fleet(8, func(s *Settings) { s.ProgressInterval = 10_000 })
 		d.categories.all[cat].DedupWindow = 50_000
@@ -56,7 +58,7 @@
 		x, y := probed(t, d, 0, cat)
 		first := pushed(t, d, x, jobs(0), y, jobs(0))
 		d.AdvanceClock(d.now + 100)
-		d.AttemptProgress(0, 0, true, 0)
+		d.AttemptProgress(0, 0, Progress{Started: true})
 		for range 29 {
 			if d.AdvanceClock(d.now + 1_000); len(decisions(d)) > 0 {
 				t.Fatal("called off within three intervals of progress")
@@ -81,8 +83,8 @@
 	}
 }
 
-// A connection that fell silent held its op until the TTL, though workers say at once that they have taken one.
-func TestAPushThatIsNotTakenIsCalledOff(t *testing.T) {
+// A silent connection held its op until the TTL, though workers acknowledge attempts at once.
+func TestUnacknowledgedAttemptIsCancelled(t *testing.T) {
 	for cat, want := range []bool{true, true, true, true, false} {
 		d := fleet(8, func(s *Settings) { s.DialTimeout, s.AcknowledgeTimeout = 2_000, 2_000 })
 		x, y := probed(t, d, 0, cat)
@@ -91,7 +93,7 @@
 		if all := decisions(d); len(all) > 0 {
 			t.Fatalf("called off though nobody was seen to say so: %v", all)
 		}
-		d.AttemptProgress(0, 0, false, -1)
+		d.AttemptProgress(0, 0, Progress{Acknowledged: true})
 		x, y = probed(t, d, 1, cat)
 		pushed(t, d, x, jobs(0), y, jobs(0))
 		d.AdvanceClock(d.now + 3_900)
--- a/internal/scheduler/reducer/learned_test.go
+++ b/internal/scheduler/reducer/learned_test.go
@@ -11,7 +11,7 @@
 
 // An id that the process before holds still, or has answered with time left, is held by its heir too: a second push under it
 // would be a copy. And a zone's verdicts belong to its name, not to its number.
-func TestAnHeirKnowsTheIDsAndTheZones(t *testing.T) {
+func TestSuccessorKnowsIDsAndZones(t *testing.T) {
 	was := started()
 	arrive(was, 1, "look")
 	arrive(was, 2, "pay")
@@ -56,7 +56,8 @@
 	}
 }
 
-// A process tells moments by its own clock: all of them move to that of its heir, and spans stay as they are.
+// A process counts moments by its own clock: all of them move to its successor's, and spans stay as they
+// are.
 func TestWhatWasLearnedMovesToAnotherClock(t *testing.T) {
 	at := func(moment dispatch.Time) Learned {
 		verdicts := func() []dispatch.Verdict { return []dispatch.Verdict{{At: moment, OK: true}, {At: moment + 1}} }
--- a/internal/scheduler/reducer/reducer_test.go
+++ b/internal/scheduler/reducer/reducer_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// Another client's op under an id that is held went out as a second copy, and a job line could be either's.
+// Another client's op under a reserved ID ran as a second copy, and a job line could be either's.
 func TestAnIDThatIsTakenIsRefused(t *testing.T) {
 	r := started()
 	ask := func(now dispatch.Time, number uint64, id string) Verdict {
@@ -234,7 +234,7 @@
 }
 
 // Kinds that nobody switched on must not change how a deployment that runs on learns its workers' speeds.
-func TestKindsAreToldApartOnlyWhereSwitchedOn(t *testing.T) {
+func TestKindsAreDistinguishedOnlyWhereSwitchedOn(t *testing.T) {
 	for _, on := range []bool{false, true} {
 		r := New(1, map[string]any{"kinds": on})
 		r.Step(1, EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{Worker: "a", MachineKind: "x", Ready: true}, {Worker: "b", MachineKind: "y"}}})
