--- /dev/null
+++ b/internal/codepolicy/logmessages_test.go
@@ -0,0 +1,126 @@
+package codepolicy
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// foreignMessages are rows of the table whose lines the standard library words.
+var foreignMessages = []string{"http: ...", "httputil: ..."}
+
+// Operators look a log line up by its message. A message that the on-call page does not list can't be found there, and a row that no
+// code logs misleads.
+func TestOnCallPageListsEveryLogMessage(t *testing.T) {
+	logged, listed := loggedMessages(t), listedMessages(t)
+	for message, where := range logged {
+		if !slices.Contains(listed, message) {
+			t.Errorf("%s logs %q, which the on-call page does not list", where, message)
+		}
+	}
+	for _, message := range listed {
+		if logged[message] == "" && !slices.Contains(foreignMessages, message) {
+			t.Errorf("the on-call page lists %q, which nothing logs", message)
+		}
+	}
+	if len(logged) == 0 {
+		t.Fatal("no log message was found: this check looks at nothing")
+	}
+}
+
+// loggedMessages returns the messages of all log lines of the scheduler, with a place where each is logged.
+func loggedMessages(t *testing.T) map[string]string {
+	t.Helper()
+	messages := map[string]string{}
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		rel, _ := filepath.Rel(root, path)
+		if entry.IsDir() {
+			return skipForeign(rel)
+		}
+		if strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") {
+			collectMessages(t, path, messages)
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return messages
+}
+
+// encodedMessage is the message in a log line that is written without the logger.
+var encodedMessage = regexp.MustCompile(`"message":"([^"]+)"`)
+
+// collectMessages adds the messages that one file logs. A message has to be a string literal, or the page could not be checked.
+func collectMessages(t *testing.T, path string, messages map[string]string) {
+	t.Helper()
+	files := token.NewFileSet()
+	file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ast.Inspect(file, func(n ast.Node) bool {
+		if literal, ok := n.(*ast.BasicLit); ok {
+			for _, line := range encodedMessage.FindAllStringSubmatch(literal.Value, -1) {
+				messages[line[1]] = files.Position(literal.Pos()).String()
+			}
+		}
+		call, ok := n.(*ast.CallExpr)
+		if !ok || len(call.Args) != 1 {
+			return true
+		}
+		method, ok := call.Fun.(*ast.SelectorExpr)
+		if !ok || method.Sel.Name != "Msg" {
+			return true
+		}
+		where := files.Position(call.Pos()).String()
+		literal, ok := call.Args[0].(*ast.BasicLit)
+		if !ok {
+			t.Errorf("%s: the message of a log line is no string literal", where)
+			return true
+		}
+		message, err := strconv.Unquote(literal.Value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		messages[message] = where
+		return true
+	})
+}
+
+var quotedMessage = regexp.MustCompile("`([^`]+)`")
+
+// listedMessages returns the messages in the first column of the table of log lines.
+func listedMessages(t *testing.T) (messages []string) {
+	t.Helper()
+	page, err := os.ReadFile(filepath.Join(root, "docs", "oncall.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, section, found := strings.Cut(string(page), "\n## Log lines\n")
+	if !found {
+		t.Fatal("the on-call page has no section of log lines")
+	}
+	section, _, _ = strings.Cut(section, "\n## ")
+	for _, line := range strings.Split(section, "\n") {
+		if !strings.HasPrefix(line, "| `") {
+			continue
+		}
+		column := strings.Split(line, "|")[1]
+		for _, quoted := range quotedMessage.FindAllStringSubmatch(column, -1) {
+			messages = append(messages, quoted[1])
+		}
+	}
+	return messages
+}
