--- a/internal/cluster/replication/simulation/change_test.go
+++ b/internal/cluster/replication/simulation/change_test.go
@@ -360,62 +360,51 @@
 // by one set.
 func TestDrawnChangesOfKeepers(t *testing.T) {
 	first, last := seeds(24)
-	granted, turns := 0, 0
+	granted, epochs := 0, 0
 	for seed := first; seed <= last; seed++ {
 		p := New(7, 3, seed)
 		p.DynamicReplicas = true
-		r := p.Rand
-		p.Loss, p.Duplication, p.Delay = []float64{0, 0.05, 0.2}[r.IntN(3)], 0.05, Time(2+r.IntN(200))
+		p.drawNetwork(0, 0.05, 0.2)
 		for i := range 7 {
 			p.Start(i)
 		}
 		p.Run(8 * Second)
-		p.CrashProbability = []float64{0, 0.0002, 0.001}[r.IntN(3)]
+		p.CrashProbability = []float64{0, 0.0002, 0.001}[p.Rand.IntN(3)]
 		begin, end := p.Now(), p.Now()+30*Second
-		for at := begin; at < end; at += Time(r.IntN(1500)) {
-			i, j, key := r.IntN(7), r.IntN(7), fmt.Sprint("op", at/(2*Second), "-", r.IntN(3))
-			p.At(at, func() { p.Claim(i, key) })
-			p.At(at+Time(r.IntN(30)), func() { p.Claim(j, key) })
-		}
-		for at := begin; at < end; at += Time(r.IntN(40_000)) {
-			by, want := r.IntN(7), r.Perm(7)[:[]int{1, 3, 3, 5}[r.IntN(4)]]
-			p.At(at, func() { p.RequestChange(by, want...) })
-		}
-		busy := make([]Time, 7)
-		for at := begin; at < end; at += Time(r.IntN(30_000)) {
-			i, j, long := r.IntN(7), r.IntN(7), Time(r.IntN(40_000))
-			switch kind := r.IntN(5); {
-			case kind < 3 && busy[i] > at || i == j:
-			case kind < 2:
-				busy[i] = at + long + Second
-				p.At(at, func() { p.Kill(i) })
-				p.At(at+long, func() { p.Start(i) })
-			case kind == 2:
-				busy[i] = at + long + Second
-				p.At(at, func() { p.Pause(i) })
-				p.At(at+long, func() { p.Resume(i) })
-			default:
-				p.At(at, func() { p.CutLink(i, j, true) })
-				p.At(at+long, func() { p.CutLink(i, j, false) })
-				if kind == 4 {
-					p.At(at, func() { p.CutLink(j, i, true) })
-					p.At(at+long, func() { p.CutLink(j, i, false) })
-				}
-			}
-		}
+		p.drawClaimsInPairs(begin, end)
+		p.drawChanges(begin, end)
+		p.drawOutages(begin, end)
 		p.Run(end + 5*Second)
 		p.CrashProbability, p.Loss, p.Duplication = 0, 0, 0
 		p.Run(end + 60*Second)
-		granted, turns = granted+p.Granted, turns+len(p.Epochs)
-		for _, b := range p.Violations {
-			t.Errorf("seed %d: %s (SEED=%d repeats it)", seed, b, seed)
-		}
+		granted, epochs = granted+p.Granted, epochs+len(p.Epochs)
+		p.reportViolations(t, seed)
 		p.checkConverged(t, seed, 7)
 		if t.Failed() {
 			return
 		}
 	}
-	if plays := int(last - first + 1); granted < 20*plays || turns < 3*plays {
-		t.Errorf("only %d ops were granted and %d turns came into force: this proves little", granted, turns)
+	if runs := int(last - first + 1); granted < 20*runs || epochs < 3*runs {
+		t.Errorf("only %d ops were granted and %d epochs came into force: this proves little", granted, epochs)
+	}
+}
+
+// drawClaimsInPairs plans claims of ids that come again within two seconds, each at two schedulers nearly at
+// the same moment.
+func (p *Cluster) drawClaimsInPairs(begin, end Time) {
+	r := p.Rand
+	for at := begin; at < end; at += Time(r.IntN(1500)) {
+		i, j, key := r.IntN(7), r.IntN(7), fmt.Sprint("op", at/(2*Second), "-", r.IntN(3))
+		p.At(at, func() { p.Claim(i, key) })
+		p.At(at+Time(r.IntN(30)), func() { p.Claim(j, key) })
+	}
+}
+
+// drawChanges plans changes to one, three or five replicas that operators request.
+func (p *Cluster) drawChanges(begin, end Time) {
+	r := p.Rand
+	for at := begin; at < end; at += Time(r.IntN(40_000)) {
+		scheduler, replicas := r.IntN(7), r.Perm(7)[:[]int{1, 3, 3, 5}[r.IntN(4)]]
+		p.At(at, func() { p.RequestChange(scheduler, replicas...) })
 	}
 }
--- a/internal/cluster/replication/simulation/disk_test.go
+++ b/internal/cluster/replication/simulation/disk_test.go
@@ -35,9 +35,7 @@
 		}
 		p.Run(p.Now() + 40*Second)
 		granted, failed = granted+p.Granted, failed+p.DiskFailures
-		for _, b := range p.Violations {
-			t.Errorf("seed %d: %s (SEED=%d repeats it)", seed, b, seed)
-		}
+		p.reportViolations(t, seed)
 		p.checkConverged(t, seed, 5)
 		if t.Failed() {
 			return
--- a/internal/cluster/replication/simulation/simulation_test.go
+++ b/internal/cluster/replication/simulation/simulation_test.go
@@ -48,72 +48,24 @@
 	first, last := seeds(90)
 	granted := 0
 	for seed := first; seed <= last; seed++ {
-		keepers := 3
+		replicas := 3
 		if seed%3 == 0 {
-			keepers = 5
+			replicas = 5
 		}
-		p := New(6, keepers, seed)
-		r := p.Rand
-		p.Loss, p.Duplication, p.Delay = []float64{0, 0.05, 0.2}[r.IntN(3)], 0.05, Time(2+r.IntN(200))
+		p := New(6, replicas, seed)
+		p.drawNetwork(0, 0.05, 0.2)
 		for i := range 6 {
-			p.At(Time(r.IntN(5000)), func() { p.Start(i) })
+			p.At(Time(p.Rand.IntN(5000)), func() { p.Start(i) })
 		}
 		end := 25 * Second
-		for at := 3500 * Millisecond; at < end; at += Time(r.IntN(1500)) {
-			// An id comes again within two seconds, which is less than replicas without memory hold off.
-			i, key := r.IntN(6), fmt.Sprint("op", at/(2*Second), "-", r.IntN(3))
-			p.At(at, func() { p.Claim(i, key) })
-			if r.IntN(2) == 0 { // the same id at another at the same moment, or nearly so
-				j := r.IntN(6)
-				p.At(at+Time(r.IntN(30)), func() { p.Claim(j, key) })
-			}
-		}
-		busy := make([]Time, 6)
-		for at := 4 * Second; at < end; at += Time(r.IntN(20_000)) {
-			i, j, last := r.IntN(6), r.IntN(6), Time(r.IntN(40_000))
-			switch kind := r.IntN(5); {
-			case kind < 3 && busy[i] > at || i == j:
-			case kind == 0:
-				busy[i] = at + last + Second
-				p.At(at, func() { p.Kill(i) })
-				p.At(at+last, func() { p.Start(i) })
-			case kind == 1:
-				busy[i] = at + last + Second
-				p.At(at, func() { p.Pause(i) })
-				p.At(at+last, func() { p.Resume(i) })
-			case kind == 2:
-				busy[i] = at + 6*Second
-				p.At(at, func() { p.Pause(i); p.Replace(i, Time(r.IntN(30_000))) })
-			default:
-				p.At(at, func() { p.CutLink(i, j, true) })
-				p.At(at+last, func() { p.CutLink(i, j, false) })
-				if kind == 4 {
-					p.At(at, func() { p.CutLink(j, i, true) })
-					p.At(at+last, func() { p.CutLink(j, i, false) })
-				}
-			}
-		}
+		p.drawClaims(3500*Millisecond, end)
+		p.drawTroubles(4*Second, end)
 		p.Run(end + 12*Second)
 		granted += p.Granted
-		for _, b := range p.Violations {
-			t.Errorf("seed %d: %s (SEED=%d repeats it)", seed, b, seed)
-		}
+		p.reportViolations(t, seed)
 		p.Loss, p.Duplication = 0, 0
 		p.Run(end + 50*Second) // by then the latest of all messages has come
-		digest := ""
-		for i := range keepers {
-			c := p.Core(i)
-			if c == nil {
-				continue
-			}
-			if s := c.Status(); digest == "" {
-				digest = s.Digest
-			} else if s.Digest != digest {
-				t.Errorf("seed %d: at rest the copies of n%d differ", seed, i)
-			} else if !s.Voting {
-				t.Errorf("seed %d: at rest n%d has no vote", seed, i)
-			}
-		}
+		p.checkReplicasEqual(t, seed, replicas)
 		if t.Failed() {
 			return
 		}
@@ -338,8 +290,7 @@
 		p := New(6, 3, seed)
 		r := p.Rand
 		p.DedupWindow = 6 * Second
-		p.Loss, p.Duplication = []float64{0, 0.1, 0.3}[r.IntN(3)], 0.05
-		p.Delay = Time(2 + r.IntN(200))
+		p.drawNetwork(0, 0.1, 0.3)
 		for i := range 6 {
 			p.Start(i)
 		}
@@ -370,8 +321,8 @@
 		}
 		p.Run(begin + 45*Second)
 		bound += p.BoundClaims
-		for _, b := range p.Violations {
-			t.Errorf("seed %d: %s", seed, b)
+		for _, violation := range p.Violations {
+			t.Errorf("seed %d: %s", seed, violation)
 		}
 		if t.Failed() {
 			return
