--- a/internal/cluster/replicaset/changes_test.go
+++ b/internal/cluster/replicaset/changes_test.go
@@ -72,6 +72,10 @@
 			c.handlePeerStatus(PeerStatus{Name: "b", Alive: true})
 			c.handlePeerStatus(PeerStatus{Name: "b"})
 		}, false},
+		{"back for long", func(c *Core) {
+			c.handlePeerStatus(PeerStatus{Name: "b", Alive: true})
+			c.now += 10 * second
+		}, false},
 		{"no spare is alive", func(c *Core) { c.handlePeerStatus(PeerStatus{Name: "s"}) }, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
