--- a/internal/config/bootstrap.go
+++ b/internal/config/bootstrap.go
@@ -37,7 +37,7 @@
 	SeedValue      uint64         `json:"-"` // Seed as a number
 	Settings       Settings       `json:"-"` // RawSettings and the optional parts, flat
 	ShadowSettings Settings       `json:"-"` // Settings with those of Shadow over them; nil without Shadow
-	AffinityFact   string         `json:"-"` // the fact with an op's affinity key, for use or for Shadow; empty: none
+	AffinityFact   string         `json:"-"` // the fact with the affinity key; empty: none is read
 	raw            map[string]any // the whole file, for CheckReload
 }
 
