--- a/internal/lab/several/several.go
+++ b/internal/lab/several/several.go
@@ -3,6 +3,7 @@
 package several
 
 import (
+	"bytes"
 	"cmp"
 	"encoding/json"
 	"fmt"
@@ -219,13 +220,41 @@
 // Dir is the place's own folder.
 func (p *Place) Dir() string { return p.dir }
 
-// Signal sends the process at a place a signal.
+// stopTimeout bounds the wait for a process to stop.
+const stopTimeout = 5 * time.Second
+
+// Signal sends the process at a place a signal. SIGSTOP takes effect a moment after the call: it returns once no thread runs any more, as a
+// test goes on as if the process could do nothing.
 func (p *Place) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd != nil {
-		p.cmd.Process.Signal(s)
+	if p.cmd == nil {
+		return
+	}
+	p.cmd.Process.Signal(s)
+	if s != syscall.SIGSTOP {
+		return
+	}
+	for deadline := time.Now().Add(stopTimeout); !stopped(p.cmd.Process.Pid) && time.Now().Before(deadline); {
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// stopped tells whether all threads of a process are stopped, as /proc has them (proc(5)).
+func stopped(pid int) bool {
+	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
+	for _, name := range files {
+		text, err := os.ReadFile(name)
+		if err != nil {
+			return false
+		}
+		// The state is the first field behind the command's name, which is in parentheses and may hold any character.
+		fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
+		if len(fields) == 0 || fields[0] != "T" {
+			return false
+		}
 	}
+	return len(files) > 0
 }
 
 // Running hands over the process that runs, so that another can be started in its place; the caller waits for its end.
