--- a/internal/cluster/replication/simulation/simulation_test.go
+++ b/internal/cluster/replication/simulation/simulation_test.go
@@ -120,6 +120,22 @@
 	requireResult(t, p.claimResult(3, "x"), replication.OutcomeUnknown)
 }
 
+// The claimer is killed and comes back under its name at once, before any member holds it for dead. Its former claim stands, and nobody runs
+// it any more: a repeat of the id must not be asked to come back for as long as the record is retained.
+func TestAClaimerThatIsKilledAndComesBack(t *testing.T) {
+	p := cluster(5, 3, 1)
+	p.Config.Retention = 600 * Second
+	p.Claim(4, "x")
+	p.Run(p.Now() + 20*Millisecond)
+	if p.Core(4).Status().GrantedClaims != 1 {
+		t.Fatal("not granted")
+	}
+	p.Kill(4)
+	p.Start(4)
+	p.Run(p.Now() + 30*Second)
+	requireResult(t, p.claimResult(3, "x"), replication.OutcomeUnknown)
+}
+
 // Half the replicas gone: nothing is granted, and nothing is guessed.
 func TestAMajorityLostAndBack(t *testing.T) {
 	p := cluster(5, 3, 1)
