--- a/cmd/woaddyke/cluster.go
+++ b/cmd/woaddyke/cluster.go
@@ -29,7 +29,7 @@
 	}
 	identity := mesh.Identity{
 		Name:   p.bootstrap.Name,
-		Number: p.bootstrap.Number(),
+		Number: p.bootstrap.SchedulerNumber(),
 		Seed:   p.bootstrap.SeedValue,
 	}
 	p.operatorBoard = newOperatorBoard()
@@ -130,7 +130,7 @@
 		return err
 	}
 	host.Replication = p.replica.Receive
-	host.Serving = p.replica.Serving
+	host.Serving = p.replica.SetMembership
 	if table.DynamicReplicas {
 		host.ReplicaSet = p.replica.ReceiveReplicaSet
 	}
@@ -182,7 +182,7 @@
 	state.Membership = record
 	if p.replica != nil {
 		state.Successions = p.replica.Successions()
-		p.replica.HandOver()
+		p.replica.ReleaseStore()
 	}
 	return sockets
 }
--- a/cmd/woaddyke/hot_restart.go
+++ b/cmd/woaddyke/hot_restart.go
@@ -224,7 +224,7 @@
 		p.mesh.Resume()
 	}
 	if p.replica != nil {
-		p.replica.Resumed()
+		p.replica.ResumeAfterSuccessor()
 	}
 	p.offerHandover()
 }
--- a/internal/cluster/replica/delivery_test.go
+++ b/internal/cluster/replica/delivery_test.go
@@ -29,7 +29,7 @@
 	}
 	t.Cleanup(f.Close)
 	f.Start(w)
-	f.Serving(true, membership.Incarnation{Generation: 7})
+	f.SetMembership(true, membership.Incarnation{Generation: 7})
 	f.await(t, "it has its vote", func() bool { return f.Status().Voting })
 	return f
 }
--- a/internal/cluster/replica/membership.go
+++ b/internal/cluster/replica/membership.go
@@ -55,19 +55,19 @@
 	r.queue.offer(input{replicaSet: replicaset.MessageReceived{From: from, Message: x}})
 }
 
-// Serving says whether this process is a member, and as which incarnation.
-func (r *Replica) Serving(serving bool, incarnation membership.Incarnation) {
+// SetMembership says whether this process is a member, and as which incarnation.
+func (r *Replica) SetMembership(serving bool, incarnation membership.Incarnation) {
 	state := r.identity.update(serving, incarnation)
 	r.queue.stateChanges.Put(input{replication: state})
 	r.queue.stateChanges.Put(input{replicaSet: replicaset.Membership{Serving: serving}})
 }
 
-// Resumed says that the successor has ended and this process goes on.
-func (r *Replica) Resumed() {
+// ResumeAfterSuccessor says that the successor has ended and this process goes on.
+func (r *Replica) ResumeAfterSuccessor() {
 	if err := r.reopenStorage(); err != nil {
 		r.log.Error().Err(err).Msg("reopening the replication store failed")
 	}
-	r.Serving(r.identity.resume())
+	r.SetMembership(r.identity.resume())
 }
 
 // Successions is the number of hot restarts before the next process.
--- a/internal/cluster/replica/replica_test.go
+++ b/internal/cluster/replica/replica_test.go
@@ -45,7 +45,7 @@
 		}
 		defer f.Close()
 		f.Start(w)
-		f.Serving(true, membership.Incarnation{Generation: uint64(time.Now().UnixNano() >> 16)})
+		f.SetMembership(true, membership.Incarnation{Generation: uint64(time.Now().UnixNano() >> 16)})
 		f.await(t, "it has its vote", func() bool { return f.Status().Voting })
 		d := f.Claim(context.Background(), "pay", id, []byte("x"), time.Second, 0)
 		if end && d.Result == replication.Granted {
@@ -95,7 +95,7 @@
 	}
 	defer f.Close()
 	f.Start(w)
-	f.Serving(true, membership.Incarnation{Generation: 1, Nonce: 7})
+	f.SetMembership(true, membership.Incarnation{Generation: 1, Nonce: 7})
 	for late := time.After(20 * time.Second); ; {
 		select {
 		case x := <-w.sent:
--- a/internal/cluster/replica/storage.go
+++ b/internal/cluster/replica/storage.go
@@ -152,8 +152,8 @@
 	r.step(persisted.recordsFor(r.core.SetID()))
 }
 
-// HandOver closes the store for a successor. From then on this process has no vote.
-func (r *Replica) HandOver() {
+// ReleaseStore closes the store for a successor. From then on this process has no vote.
+func (r *Replica) ReleaseStore() {
 	r.call(func() {
 		if r.storage.store == nil {
 			return
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -66,7 +66,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				if retunes, _ := s.CategoriesChanged(before); !retunes {
+				if retunes, _ := s.CompareSettings(before); !retunes {
 					b.Fatal("no change")
 				}
 			}
--- a/internal/config/bootstrap.go
+++ b/internal/config/bootstrap.go
@@ -28,10 +28,10 @@
 	RawSettings  map[string]any  `json:"settings"` // nested, as the file has them
 
 	// Optional parts of this project. A null or missing object is off.
-	Kinds  bool    `json:"kinds"` // learn speeds by machine kind; default true
-	Keys   *Keys   `json:"keys"`  // read affinity keys
-	Peers  *Peers  `json:"peers"` // report to other schedulers, where the settings allow it
-	Shadow *Shadow `json:"watch"` // count the decisions that other settings would change
+	LearnMachineKinds bool    `json:"kinds"` // learn speeds by machine kind; default true
+	Keys              *Keys   `json:"keys"`  // read affinity keys
+	Peers             *Peers  `json:"peers"` // report to other schedulers, where the settings allow it
+	Shadow            *Shadow `json:"watch"` // count the decisions that other settings would change
 
 	// Derived from the fields above by ReadBootstrap.
 	SeedValue      uint64         `json:"-"` // Seed as a number
@@ -94,7 +94,7 @@
 }
 
 func parseBootstrap(text []byte) (*Bootstrap, error) {
-	s := &Bootstrap{Kinds: true, Limits: defaultLimits()}
+	s := &Bootstrap{LearnMachineKinds: true, Limits: defaultLimits()}
 	if err := s.decode(text); err != nil {
 		return nil, err
 	}
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// Number returns the number of this scheduler, -1 where the settings have none.
-func (s *Bootstrap) Number() int {
+// SchedulerNumber returns the number of this scheduler, -1 where the settings have none.
+func (s *Bootstrap) SchedulerNumber() int {
 	if number, ok := s.Settings.Number(KeyMyNumber); ok {
 		return int(number)
 	}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	want := Bootstrap{Name: "n2", Listen: "127.0.0.1:9001", Console: "127.0.0.1:9002", Discovery: "127.0.0.1:8501", Seed: "1f",
-		Limits: Limits{Cores: 2.5, MemoryMB: 333, Sockets: 444}, KnownWorkers: json.RawMessage(`{"rev":7}`), Kinds: false,
+		Limits: Limits{Cores: 2.5, MemoryMB: 333, Sockets: 444}, KnownWorkers: json.RawMessage(`{"rev":7}`), LearnMachineKinds: false,
 		Keys: &Keys{Fact: "dataset"},
 		Peers: &Peers{Listen: "127.0.0.1:9003", Others: map[string]string{"1": "127.0.0.1:9004", "3": "127.0.0.1:9005"},
 			ListenAddr: netip.MustParseAddrPort("127.0.0.1:9003"), ByNumber: map[int]netip.AddrPort{
@@ -31,7 +31,7 @@
 	if !reflect.DeepEqual(*read, want) {
 		t.Errorf("read %+v, want %+v", *read, want)
 	}
-	read.Kinds = true // false is not its default
+	read.LearnMachineKinds = true // false is not its default
 	filled.RequireSet(t, *read)
 }
 
@@ -64,8 +64,8 @@
 	if names := read.Categories(); !reflect.DeepEqual(names, []string{"preview", "publish", "charge"}) {
 		t.Errorf("categories %q", names)
 	}
-	if read.Number() != 2 || read.Schedulers() != 4 || read.LongestTTL() != 6*time.Second {
-		t.Errorf("number %d of %d, longest time to live %v", read.Number(), read.Schedulers(), read.LongestTTL())
+	if read.SchedulerNumber() != 2 || read.Schedulers() != 4 || read.LongestTTL() != 6*time.Second {
+		t.Errorf("number %d of %d, longest time to live %v", read.SchedulerNumber(), read.Schedulers(), read.LongestTTL())
 	}
 }
 
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -106,10 +106,10 @@
 		key == KeyMaxPushes
 }
 
-// CategoriesChanged compares with the configuration in force. reload tells whether settings differ that
+// CompareSettings compares with the configuration in force. reload tells whether settings differ that
 // change while the scheduler serves, restart whether anything differs that changes only at the next
 // start.
-func (s *Bootstrap) CategoriesChanged(inForce *Bootstrap) (reload, restart bool) {
+func (s *Bootstrap) CompareSettings(inForce *Bootstrap) (reload, restart bool) {
 	restart = s.Listen != inForce.Listen || s.Limits != inForce.Limits || s.Console != inForce.Console
 	compare := func(settings, others Settings) {
 		for key, value := range settings {
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -74,14 +74,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if retunes, rest := other.CategoriesChanged(before); !retunes || rest {
+	if retunes, rest := other.CompareSettings(before); !retunes || rest {
 		t.Errorf("another effect and another discovery: retunes %v, a restart is needed %v", retunes, rest)
 	}
 	zones, err := read(strings.Replace(whole, `["a"]`, `["b"]`, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if retunes, rest := zones.CategoriesChanged(before); retunes || !rest {
+	if retunes, rest := zones.CompareSettings(before); retunes || !rest {
 		t.Errorf("another zone: retunes %v, a restart is needed %v", retunes, rest)
 	}
 }
@@ -105,7 +105,7 @@
 		if err := s.CheckReload(s); err != nil {
 			t.Errorf("%q can't follow itself: %v", text, err)
 		}
-		if retunes, rest := s.CategoriesChanged(s); retunes || rest {
+		if retunes, rest := s.CompareSettings(s); retunes || rest {
 			t.Errorf("%q differs from itself", text)
 		}
 	})
@@ -147,7 +147,7 @@
 	}{{of(), false, false}, {of("categories.0.name", "b"), true, false}, {of("categories.1.name", "b"), true, false},
 		{of("categories.0.name", nil), true, false}, {of("extra.classStretch.0", 3.0), true, false}, {of("bounds.maxPushes", 4.0), true, false},
 		{of("step", 6.0), false, true}, {of("step", nil), false, true}, {of("more", 1.0), false, true}, {of("step", 6.0, "bounds.maxPushes", nil), true, true}} {
-		if retunes, rest := sheet(c.site).CategoriesChanged(sheet(of())); retunes != c.retunes || rest != c.rest {
+		if retunes, rest := sheet(c.site).CompareSettings(sheet(of())); retunes != c.retunes || rest != c.rest {
 			t.Errorf("%v: %v, %v", c.site, retunes, rest)
 		}
 	}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -103,7 +103,7 @@
 		s.AffinityFact = s.Keys.Fact
 	}
 	s.Settings[KeyAffinity] = s.Keys != nil
-	s.Settings[KeyMachineKinds] = s.Kinds
+	s.Settings[KeyMachineKinds] = s.LearnMachineKinds
 	if s.Peers == nil {
 		// Decisions would take the silence of the other schedulers for idle workers.
 		s.Settings[KeyPeerMessages] = false
--- a/internal/frontend/endpoints.go
+++ b/internal/frontend/endpoints.go
@@ -22,8 +22,8 @@
 }
 
 // decodeCachedEndpoints returns the workers that the configuration names, as discovery last sent them.
-func decodeCachedEndpoints(bootstrap *config.Bootstrap) (discovery.Message, error) {
-	var cached discovery.Message
+func decodeCachedEndpoints(bootstrap *config.Bootstrap) (discovery.EndpointList, error) {
+	var cached discovery.EndpointList
 	if len(bootstrap.KnownWorkers) == 0 {
 		return cached, nil
 	}
@@ -36,7 +36,7 @@
 // newEndpointFeed sends the loop the cached list, and makes discovery's client.
 func newEndpointFeed(
 	bootstrap *config.Bootstrap,
-	cached discovery.Message,
+	cached discovery.EndpointList,
 	starts *discovery.StartTimes,
 	loop *scheduler.Loop,
 	log zerolog.Logger,
@@ -47,7 +47,7 @@
 	loop.Send(feed.cached)
 	watches := bootstrap.Settings["discovery"] != "on_request"
 	timeouts := discovery.TimeoutsFor(watches, bootstrap.Schedulers(), drainGrace(bootstrap))
-	feed.client = discovery.New(
+	feed.client = discovery.NewClient(
 		bootstrap.Discovery, cached, timeouts, bootstrap.SeedValue, starts, feed.changed, log)
 	return feed
 }
--- a/internal/frontend/hot_restart.go
+++ b/internal/frontend/hot_restart.go
@@ -90,7 +90,7 @@
 	if predecessor == nil {
 		return discovery.NewStartTimes(now, nil), nil
 	}
-	known := map[string]discovery.ProcessStart{}
+	known := map[string]discovery.WorkerStart{}
 	if len(predecessor.WorkerStarts) > 0 {
 		if err := json.Unmarshal(predecessor.WorkerStarts, &known); err != nil {
 			return nil, fmt.Errorf("handover: starts of workers: %w", err)
@@ -98,7 +98,7 @@
 	}
 	shift := clockShift(now, *predecessor)
 	for worker, start := range known {
-		known[worker] = discovery.ProcessStart{BootMS: start.BootMS, At: max(start.At+shift, 1)}
+		known[worker] = discovery.WorkerStart{BootMS: start.BootMS, At: max(start.At+shift, 1)}
 	}
 	return discovery.NewStartTimes(now, known), nil
 }
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -128,7 +128,7 @@
 	if !answerBy.After(arrivedAt) {
 		return 0, &Rejection{Status: http.StatusServiceUnavailable, Text: "no time left"}
 	}
-	op.TTL = config.RoundDown(s.clock.Nanos(answerBy))
+	op.TTL = config.RoundDown(s.clock.FromTime(answerBy))
 	op.deadline = answerBy.Add(responseTravelTime)
 	return timeLeft, nil
 }
--- a/internal/frontend/serve.go
+++ b/internal/frontend/serve.go
@@ -149,7 +149,7 @@
 // announceShutdown sends the reducer the moment at which all ops must have their answers, now and at that
 // moment.
 func (s *Server) announceShutdown(deadline time.Time) *time.Timer {
-	shutdown := reducer.ShutdownStarted{Deadline: config.RoundDown(s.clock.Nanos(deadline))}
+	shutdown := reducer.ShutdownStarted{Deadline: config.RoundDown(s.clock.FromTime(deadline))}
 	s.loop.Send(shutdown)
 	return time.AfterFunc(time.Until(deadline), func() { s.loop.Send(shutdown) })
 }
--- a/internal/frontend/settings.go
+++ b/internal/frontend/settings.go
@@ -131,7 +131,7 @@
 		s.log.Error().Err(err).Msg("configuration kept")
 		return
 	}
-	settingsChanged, othersChanged := bootstrap.CategoriesChanged(before.Bootstrap)
+	settingsChanged, othersChanged := bootstrap.CompareSettings(before.Bootstrap)
 	if othersChanged {
 		s.log.Warn().Msg("all but discovery, categories and pushes changes with a restart only")
 	}
@@ -165,7 +165,7 @@
 		s.metrics.SetCategories(bootstrap.Categories())
 		s.loop.Send(reducer.SettingsChanged{
 			Settings:    bootstrap.Settings,
-			RetainUntil: config.RoundDown(s.clock.Nanos(retainUntil)),
+			RetainUntil: config.RoundDown(s.clock.FromTime(retainUntil)),
 		})
 	}
 	s.settings.Store(newSettings(bootstrap, before, now, retainUntil))
--- a/internal/lifecycle/clock/clock.go
+++ b/internal/lifecycle/clock/clock.go
@@ -27,11 +27,11 @@
 	return c
 }
 
-// Nanos converts a time of this process. The time must have a monotonic reading.
-func (c Clock) Nanos(t time.Time) int64 { return int64(origin + t.Sub(c.start)) }
+// FromTime converts a time of this process. The time must have a monotonic reading.
+func (c Clock) FromTime(t time.Time) int64 { return int64(origin + t.Sub(c.start)) }
 
 // Now returns this moment.
-func (c Clock) Now() int64 { return c.Nanos(time.Now()) }
+func (c Clock) Now() int64 { return c.FromTime(time.Now()) }
 
 // Elapsed returns the time since the start.
 func (c Clock) Elapsed() time.Duration { return time.Since(c.start) }
--- a/internal/lifecycle/clock/clock_test.go
+++ b/internal/lifecycle/clock/clock_test.go
@@ -12,11 +12,11 @@
 	time.Sleep(20 * time.Millisecond)
 	second := New()
 	now := time.Now()
-	moved := first.Nanos(now) + int64(second.Offset()-first.Offset())
-	if off := time.Duration(moved - second.Nanos(now)); off.Abs() > 5*time.Millisecond {
+	moved := first.FromTime(now) + int64(second.Offset()-first.Offset())
+	if off := time.Duration(moved - second.FromTime(now)); off.Abs() > 5*time.Millisecond {
 		t.Errorf("off by %v", off)
 	}
-	if first.Nanos(now)-second.Nanos(now) < int64(20*time.Millisecond) {
+	if first.FromTime(now)-second.FromTime(now) < int64(20*time.Millisecond) {
 		t.Error("the later clock is not behind")
 	}
 }
--- a/internal/scheduler/loop.go
+++ b/internal/scheduler/loop.go
@@ -88,7 +88,7 @@
 	now := time.Now()
 	l.opts.OnStep(now)
 	l.observe(now, event)
-	for _, e := range l.opts.Reducer.Step(config.RoundUp(l.opts.Clock.Nanos(now)), event) {
+	for _, e := range l.opts.Reducer.Step(config.RoundUp(l.opts.Clock.FromTime(now)), event) {
 		l.apply(now, e)
 	}
 	if _, list := event.(reducer.EndpointsChanged); list {
--- a/internal/scheduler/loop_test.go
+++ b/internal/scheduler/loop_test.go
@@ -93,7 +93,7 @@
 	reply := make(chan reducer.Respond, 1)
 	return Submit{
 		Op: reducer.OpArrived{
-			Op: number, ID: "a", Category: "look", TTL: config.RoundDown(l.opts.Clock.Nanos(deadline)),
+			Op: number, ID: "a", Category: "look", TTL: config.RoundDown(l.opts.Clock.FromTime(deadline)),
 		},
 		Client:      client,
 		Deadline:    deadline,
--- a/internal/workers/discovery/crowd_test.go
+++ b/internal/workers/discovery/crowd_test.go
@@ -160,7 +160,7 @@
 // logged; that a call stays small, whatever it asks, is the verdict.
 func TestACallIsSmall(t *testing.T) {
 	for _, entries := range []int{0, 1, 100, 6300} {
-		list := Message{Rev: 1_000_000_042, All: true, Targets: []target{}}
+		list := EndpointList{Rev: 1_000_000_042, All: true, Targets: []target{}}
 		for i := range entries {
 			list.Targets = append(list.Targets, target{UID: fmt.Sprintf("s-%08x", uint32(i)*2654435761), Endpoint: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250),
 				AZ: string(rune('a' + i%14)), PodGroup: i % 97, Model: "m2", State: "SERVING", BootMS: 1796181000000 + int64(i)})
@@ -192,7 +192,7 @@
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n0\r\n\r\n", len(text)+1, text)
 		}()
 		began, took, told := time.Now(), time.Duration(0), 0
-		r := New(l.Addr().String(), Message{Rev: 999_999_999}, lone, 7, unknown(), func(in reducer.Input) { took, told = time.Since(began), len(in.(reducer.EndpointsChanged).Endpoints) }, zerolog.Nop())
+		r := NewClient(l.Addr().String(), EndpointList{Rev: 999_999_999}, lone, 7, unknown(), func(in reducer.Input) { took, told = time.Since(began), len(in.(reducer.EndpointsChanged).Endpoints) }, zerolog.Nop())
 		r.watch(context.Background())
 		l.Close()
 		if head := <-asked; len(head) > 200 {
--- a/internal/workers/discovery/discovery.go
+++ b/internal/workers/discovery/discovery.go
@@ -39,11 +39,11 @@
 	workers     map[string]target  // by UID
 }
 
-// New returns a client that starts from a list that is known already. The moments of its calls are drawn
+// NewClient returns a client that starts from a list that is known already. The moments of its calls are drawn
 // from the seed, over a span that it shares with the other schedulers.
-func New(
+func NewClient(
 	addr string,
-	known Message,
+	known EndpointList,
 	timeouts Timeouts,
 	seed uint64,
 	starts *StartTimes,
@@ -73,7 +73,7 @@
 // apply takes a message into the list. It does nothing and returns false where the watch that the message
 // came by has been ended: a late message of the former discovery must not overwrite what the present one
 // says.
-func (c *Client) apply(watch context.Context, m *Message) bool {
+func (c *Client) apply(watch context.Context, m *EndpointList) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if watch.Err() != nil {
@@ -98,7 +98,7 @@
 func (c *Client) Snapshot() ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	m := Message{Rev: c.revision, All: true, Targets: []target{}}
+	m := EndpointList{Rev: c.revision, All: true, Targets: []target{}}
 	for _, uid := range slices.Sorted(maps.Keys(c.workers)) {
 		m.Targets = append(m.Targets, c.workers[uid])
 	}
--- a/internal/workers/discovery/discovery_test.go
+++ b/internal/workers/discovery/discovery_test.go
@@ -43,7 +43,7 @@
 	told := make(chan reducer.Input, 9)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go New(addr, Message{Rev: 41}, lone, 7, unknown(), func(in reducer.Input) { told <- in }, zerolog.Nop()).Run(ctx)
+	go NewClient(addr, EndpointList{Rev: 41}, lone, 7, unknown(), func(in reducer.Input) { told <- in }, zerolog.Nop()).Run(ctx)
 	for _, want := range []string{"stream=1&index=41", "stream=1&index=43"} {
 		select {
 		case got := <-calls:
@@ -75,7 +75,7 @@
 	defer s.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	r := New("127.0.0.1:1", Message{Rev: 1}, lone, 7, unknown(), func(reducer.Input) {}, zerolog.Nop())
+	r := NewClient("127.0.0.1:1", EndpointList{Rev: 1}, lone, 7, unknown(), func(reducer.Input) {}, zerolog.Nop())
 	go r.Run(ctx)
 	r.SetAddress(s.Listener.Addr().String())
 	for range 2 {
@@ -179,7 +179,7 @@
 		})}
 		go s.Serve(p)
 		for i := range schedulers {
-			r := New("discovery", Message{}, TimeoutsFor(false, schedulers, 2500*time.Millisecond), uint64(i), unknown(), func(reducer.Input) {}, zerolog.Nop())
+			r := NewClient("discovery", EndpointList{}, TimeoutsFor(false, schedulers, 2500*time.Millisecond), uint64(i), unknown(), func(reducer.Input) {}, zerolog.Nop())
 			r.httpClient.Transport.(*http.Transport).DialContext = p.dial
 			go r.Run(ctx)
 		}
--- a/internal/workers/discovery/ends_test.go
+++ b/internal/workers/discovery/ends_test.go
@@ -144,7 +144,7 @@
 		a := &agent{pipes: pipes{make(chan net.Conn), make(chan struct{})}, from: time.Now(), how: how}
 		go a.serve()
 		at := make(chan time.Time, 99)
-		r := New("discovery", Message{}, spans, seed, unknown(), func(reducer.Input) { at <- time.Now() }, zerolog.Nop())
+		r := NewClient("discovery", EndpointList{}, spans, seed, unknown(), func(reducer.Input) { at <- time.Now() }, zerolog.Nop())
 		r.httpClient.Transport.(*http.Transport).DialContext = a.dial
 		go r.Run(ctx)
 		got := <-at
@@ -166,7 +166,7 @@
 	addr, _ := discovery(t, "\n{\n  \"rev\": 44,\n\n  \"all\": true,\n  \"targets\": [\n    {\"uid\": \"w\",\n     \"endpoint\": \"a:1\",\n"+
 		"     \"state\": \"SERVING\"}\n  ]\n}\n\n{\"rev\":45,\n\"all\":false,\n\"targets\":[\n]}{\"rev\":46,\"all\":false,\"targets\":[]}\n")
 	var told []reducer.EndpointsChanged
-	r := New(addr, Message{Rev: 1}, lone, 7, unknown(), func(in reducer.Input) { told = append(told, in.(reducer.EndpointsChanged)) }, zerolog.Nop())
+	r := NewClient(addr, EndpointList{Rev: 1}, lone, 7, unknown(), func(in reducer.Input) { told = append(told, in.(reducer.EndpointsChanged)) }, zerolog.Nop())
 	if _, err := r.watch(context.Background()); err == nil {
 		t.Error("a watch that ends is broken")
 	}
@@ -197,7 +197,7 @@
 		t.Run(name, func(t *testing.T) {
 			addr, calls := discovery(t, good+spoilt)
 			told := 0
-			r := New(addr, Message{Rev: 1}, lone, 7, unknown(), func(reducer.Input) { told++ }, zerolog.Nop())
+			r := NewClient(addr, EndpointList{Rev: 1}, lone, 7, unknown(), func(reducer.Input) { told++ }, zerolog.Nop())
 			if _, err := r.watch(context.Background()); err == nil || told != 1 || r.revision != 42 || len(r.workers) != 1 {
 				t.Fatalf("%v, told %d times, version %d, %d workers", err, told, r.revision, len(r.workers))
 			}
@@ -210,7 +210,7 @@
 			stop()
 		})
 	}
-	in := (&Message{Targets: []target{{UID: "a", State: "SERVING", Endpoint: "a:1"}, {UID: "a", State: "SERVING"}, {UID: "b", State: "HATCHING", Endpoint: "b:1"},
+	in := (&EndpointList{Targets: []target{{UID: "a", State: "SERVING", Endpoint: "a:1"}, {UID: "a", State: "SERVING"}, {UID: "b", State: "HATCHING", Endpoint: "b:1"},
 		{UID: "c", State: "SERVING", Endpoint: "c:1", BootMS: 1 << 62}, {UID: "d", BootMS: -1 << 62}}}).EndpointsChanged(unknown())
 	for k, e := range in.Endpoints {
 		if e.StartedAt < 0 || k == 2 && e.Ready {
@@ -231,7 +231,7 @@
 		}
 	}))
 	defer s.Close()
-	r := New(s.Listener.Addr().String(), Message{Rev: 1}, lone, 7, unknown(), func(reducer.Input) { t.Error("told") }, zerolog.Nop())
+	r := NewClient(s.Listener.Addr().String(), EndpointList{Rev: 1}, lone, 7, unknown(), func(reducer.Input) { t.Error("told") }, zerolog.Nop())
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	if _, err := r.watch(context.Background()); !errors.Is(err, errObjectTooLarge) {
@@ -281,7 +281,7 @@
 	defer old.Close()
 	fresh, calls := discovery(t, `{"rev":3,"all":true,"targets":[{"uid":"new","endpoint":"a:1","state":"SERVING"}]}`+"\n")
 	told := make(chan reducer.EndpointsChanged, 9)
-	r := New(old.Listener.Addr().String(), Message{Rev: 80}, lone, 7, unknown(), func(in reducer.Input) { told <- in.(reducer.EndpointsChanged) }, zerolog.Nop())
+	r := NewClient(old.Listener.Addr().String(), EndpointList{Rev: 80}, lone, 7, unknown(), func(in reducer.Input) { told <- in.(reducer.EndpointsChanged) }, zerolog.Nop())
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go r.Run(ctx)
@@ -298,7 +298,7 @@
 	// A line that was read whole before the move and is taken in after it.
 	on, end := context.WithCancel(ctx)
 	end()
-	if r.apply(on, &Message{Rev: 91, All: true}) || len(r.workers) != 1 {
+	if r.apply(on, &EndpointList{Rev: 91, All: true}) || len(r.workers) != 1 {
 		t.Error("a line of a watch that has ended was taken in")
 	}
 }
--- a/internal/workers/discovery/message.go
+++ b/internal/workers/discovery/message.go
@@ -15,8 +15,8 @@
 // errIncompleteObject ends a watch: what such an object changes can't be known.
 var errIncompleteObject = errors.New("an object lacks its version, or a complete list its workers")
 
-// Message is an endpoint list in discovery's form: a snapshot, or the changes since the one before.
-type Message struct {
+// EndpointList is an endpoint list in discovery's form: a snapshot, or the changes since the one before.
+type EndpointList struct {
 	Rev     int64    `json:"rev"` // the version of the list
 	All     bool     `json:"all"` // a snapshot
 	Targets []target `json:"targets"`
@@ -34,7 +34,7 @@
 }
 
 // EndpointsChanged converts the message to the reducer's input.
-func (m *Message) EndpointsChanged(starts *StartTimes) reducer.EndpointsChanged {
+func (m *EndpointList) EndpointsChanged(starts *StartTimes) reducer.EndpointsChanged {
 	input := reducer.EndpointsChanged{Snapshot: m.All, Revision: m.Rev}
 	for i := range m.Targets {
 		t := &m.Targets[i]
@@ -65,11 +65,11 @@
 
 // message returns the event as a list. A snapshot without entries is an error: it would remove all
 // workers.
-func (e *watchEvent) message() (*Message, error) {
+func (e *watchEvent) message() (*EndpointList, error) {
 	if e.Rev == nil || e.All && e.Targets == nil {
 		return nil, errIncompleteObject
 	}
-	m := &Message{Rev: *e.Rev, All: e.All}
+	m := &EndpointList{Rev: *e.Rev, All: e.All}
 	if e.Targets != nil {
 		m.Targets = *e.Targets
 	}
--- a/internal/workers/discovery/pieces_test.go
+++ b/internal/workers/discovery/pieces_test.go
@@ -29,7 +29,7 @@
 	var way fragmentpeer.Way
 	addr := fragmentpeer.Answer(t, func() fragmentpeer.Way { return way })
 	watch := func() (told []reducer.Input, rev int64) {
-		r := New(addr, Message{Rev: 40}, lone, 7, unknown(), func(in reducer.Input) { told = append(told, in) }, zerolog.Nop())
+		r := NewClient(addr, EndpointList{Rev: 40}, lone, 7, unknown(), func(in reducer.Input) { told = append(told, in) }, zerolog.Nop())
 		if _, err := r.watch(context.Background()); err == nil {
 			t.Errorf("%s: a watch that ends is broken", way.Name)
 		}
--- a/internal/workers/discovery/start_times.go
+++ b/internal/workers/discovery/start_times.go
@@ -43,8 +43,8 @@
 	maxAgeMS = int64(10 * 365 * 24 * time.Hour / time.Millisecond)
 )
 
-// ProcessStart is when a worker's present process started.
-type ProcessStart struct {
+// WorkerStart is when a worker's present process started.
+type WorkerStart struct {
 	BootMS int64         `json:"boot_ms"` // as discovery sends it; it tells a worker's processes apart
 	At     dispatch.Time `json:"at"`      // by the clock of the process that says so
 }
@@ -55,9 +55,9 @@
 	wallStartMS int64 // Unix milliseconds of the wall clock at the clock's start
 
 	mu        sync.Mutex
-	lastHeard time.Duration           // since the clock's start; negative before the first heartbeat
-	processes map[string]ProcessStart // by worker
-	clockSkew time.Duration           // of the wall clock, as far as known; above 0 where it is ahead
+	lastHeard time.Duration          // since the clock's start; negative before the first heartbeat
+	processes map[string]WorkerStart // by worker
+	clockSkew time.Duration          // of the wall clock, as far as known; above 0 where it is ahead
 
 	// Of the estimate that is being made.
 	samples  int           // workers that were new on a live watch
@@ -66,12 +66,12 @@
 
 // NewStartTimes returns start times that begin with those of the predecessor, converted to this clock;
 // nil for none.
-func NewStartTimes(c clock.Clock, predecessor map[string]ProcessStart) *StartTimes {
+func NewStartTimes(c clock.Clock, predecessor map[string]WorkerStart) *StartTimes {
 	s := &StartTimes{
 		clock:       c,
 		wallStartMS: time.Now().UnixMilli() - c.Elapsed().Milliseconds(),
 		lastHeard:   -1,
-		processes:   map[string]ProcessStart{},
+		processes:   map[string]WorkerStart{},
 	}
 	if predecessor != nil {
 		s.lastHeard = c.Elapsed()
@@ -81,7 +81,7 @@
 }
 
 // Snapshot returns the start times for a successor.
-func (s *StartTimes) Snapshot() map[string]ProcessStart {
+func (s *StartTimes) Snapshot() map[string]WorkerStart {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.processes)
@@ -111,7 +111,7 @@
 		at = max(at, former.At+1) // a later process of the same worker
 	}
 	at = max(at, 1)
-	s.processes[t.UID] = ProcessStart{BootMS: t.BootMS, At: at}
+	s.processes[t.UID] = WorkerStart{BootMS: t.BootMS, At: at}
 	return at
 }
 
@@ -162,7 +162,7 @@
 	if len(s.processes) <= len(list)+maxRemovedWorkers {
 		return
 	}
-	maps.DeleteFunc(s.processes, func(uid string, _ ProcessStart) bool {
+	maps.DeleteFunc(s.processes, func(uid string, _ WorkerStart) bool {
 		_, listed := list[uid]
 		return !listed
 	})
--- a/internal/workers/discovery/start_times_test.go
+++ b/internal/workers/discovery/start_times_test.go
@@ -134,7 +134,7 @@
 		shift := dispatch.Time(is.Now()-was.clock.Now()) / dispatch.Time(100_000)
 		before := was.Snapshot()
 		for uid, s := range before {
-			before[uid] = ProcessStart{s.BootMS, s.At + shift}
+			before[uid] = WorkerStart{s.BootMS, s.At + shift}
 		}
 		heir := NewStartTimes(is, before)
 		if got := heir.startedAt(x); got != at+shift {
--- a/internal/workers/discovery/starved_test.go
+++ b/internal/workers/discovery/starved_test.go
@@ -64,7 +64,7 @@
 
 func TestMain(m *testing.M) {
 	if addr := os.Getenv(child); addr != "" {
-		r := New(addr, Message{Rev: 7}, Timeouts{Idle: time.Second, Response: time.Second, Spread: 1, SpreadAfterIdle: 1, MaxBackoff: 1, MaxBackoffRejected: 1}, 7, unknown(), func(in reducer.Input) {
+		r := NewClient(addr, EndpointList{Rev: 7}, Timeouts{Idle: time.Second, Response: time.Second, Spread: 1, SpreadAfterIdle: 1, MaxBackoff: 1, MaxBackoffRejected: 1}, 7, unknown(), func(in reducer.Input) {
 			fmt.Println("told", in.(reducer.EndpointsChanged).Revision)
 			os.Exit(0)
 		}, zerolog.Nop())
--- a/internal/workers/discovery/told_test.go
+++ b/internal/workers/discovery/told_test.go
@@ -143,7 +143,7 @@
 		o.pipes, o.from, o.tally = pipes{make(chan net.Conn), make(chan struct{})}, time.Now(), &tally{}
 		go o.serve()
 		at := make(chan time.Time, 99)
-		r := New("discovery", Message{}, spans, seed, unknown(), func(in reducer.Input) {
+		r := NewClient("discovery", EndpointList{}, spans, seed, unknown(), func(in reducer.Input) {
 			if in.(reducer.EndpointsChanged).Revision == 9 {
 				at <- time.Now()
 			}
@@ -243,7 +243,7 @@
 						o := outage{tally: &tally{}, pipes: pipes{make(chan net.Conn), make(chan struct{})}, from: time.Now(), how: how, slow: usualResponseTime,
 							back: 20*time.Second + time.Duration(seed)*1100*time.Millisecond, then: strings.Replace(old, "SERVING", "DRAINING", 1) + "," + other}
 						go o.serve()
-						var known Message
+						var known EndpointList
 						if err := json.Unmarshal([]byte("{\"targets\":["+old+","+other+"]}"), &known); err != nil {
 							t.Fatal(err)
 						}
@@ -253,7 +253,7 @@
 						list := known.EndpointsChanged(unknown())
 						list.Snapshot, list.Cached = true, true
 						decisions.Step(at(), list)
-						r := New("discovery", known, TimeoutsFor(false, schedulers, grace), seed, unknown(), func(in reducer.Input) { inputs <- in }, zerolog.Nop())
+						r := NewClient("discovery", known, TimeoutsFor(false, schedulers, grace), seed, unknown(), func(in reducer.Input) { inputs <- in }, zerolog.Nop())
 						r.httpClient.Transport.(*http.Transport).DialContext = o.dial
 						ctx, stop := context.WithCancel(context.Background())
 						go r.Run(ctx)
@@ -296,7 +296,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			o := outage{tally: &tally{}, pipes: pipes{make(chan net.Conn), make(chan struct{})}, from: time.Now(), how: []way{turned}, back: time.Hour}
 			go o.serve()
-			r := New("discovery", Message{}, TimeoutsFor(false, 300, 2500*time.Millisecond), seed, unknown(), func(reducer.Input) {}, zerolog.Nop())
+			r := NewClient("discovery", EndpointList{}, TimeoutsFor(false, 300, 2500*time.Millisecond), seed, unknown(), func(reducer.Input) {}, zerolog.Nop())
 			r.httpClient.Transport.(*http.Transport).DialContext = o.dial
 			ctx, stop := context.WithCancel(context.Background())
 			go r.Run(ctx)
@@ -342,7 +342,7 @@
 	heard := make(chan int64, 9)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go New(s.Listener.Addr().String(), Message{Rev: 7}, lone, 7, unknown(), func(in reducer.Input) { heard <- in.(reducer.EndpointsChanged).Revision }, zerolog.Nop()).Run(ctx)
+	go NewClient(s.Listener.Addr().String(), EndpointList{Rev: 7}, lone, 7, unknown(), func(in reducer.Input) { heard <- in.(reducer.EndpointsChanged).Revision }, zerolog.Nop()).Run(ctx)
 	select {
 	case rev := <-heard:
 		if rev != 9 || asked.Load() != int64(len(ways)) {
--- a/internal/workers/discovery/watch.go
+++ b/internal/workers/discovery/watch.go
@@ -112,7 +112,7 @@
 	}
 }
 
-func (c *Client) logMessage(m *Message) {
+func (c *Client) logMessage(m *EndpointList) {
 	c.log.Debug().Int64("rev", m.Rev).Bool("whole", m.All).Int("entries", len(m.Targets)).Msg("list")
 	for _, t := range m.Targets {
 		entry := c.log.Debug().Str("worker", t.UID).Str("state", t.State).Str("zone", t.AZ)
