--- a/internal/config/features/errors.go
+++ b/internal/config/features/errors.go
@@ -29,17 +29,14 @@
 
 // ErrorFromCheck is the mistake of a table that the check of a package's parameters returned as a
 // *configerror.Error.
-//
-// A check that still returns a plain text has the key at its beginning, with dashes between its words.
-func ErrorFromCheck(table string, err error) *ConfigError {
+func ErrorFromCheck(table string, err error) error {
 	var mistake *configerror.Error
-	if errors.As(err, &mistake) {
-		cause := *mistake
-		cause.Key = "" // it is the table's key
-		return &ConfigError{Table: table, Key: mistake.Key, Err: &cause}
+	if !errors.As(err, &mistake) {
+		return fmt.Errorf("%s: %w", table, err)
 	}
-	key, problem, _ := strings.Cut(err.Error(), ": ")
-	return &ConfigError{Table: table, Key: strings.ReplaceAll(key, "-", "_"), Err: errors.New(problem)}
+	cause := *mistake
+	cause.Key = "" // it is the table's key
+	return &ConfigError{Table: table, Key: mistake.Key, Err: &cause}
 }
 
 // ParseError is a place of the file that the decoder rejects: TOML syntax, a value of the wrong type, an
