--- a/dispatch/choice.go
+++ b/dispatch/choice.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"math"
 	"slices"
 
 	"woaddyke/internal/base/stats"
@@ -134,6 +135,19 @@
 	return pushed
 }
 
+// jobCount is a worker's jobs: those of its last report and this scheduler's own attempts since.
+func (d *Dispatcher) jobCount(i int) float64 {
+	w := &d.fleet.workers[i]
+	if n, _, ok := d.peerTally(i); ok || d.currentDigest().reportsStale {
+		return n
+	}
+	r := w.lastReading()
+	if r == nil {
+		return 0
+	}
+	return math.Round(r.load.RunningJobs) + float64(len(d.pushedSince(i, r.sentAt)))
+}
+
 // inOwnZone reports whether a worker is reached without a crossing that is paid for.
 func (d *Dispatcher) inOwnZone(i int) bool {
 	return d.settings.CrossZonePrice == 0 || d.fleet.workers[i].zone == d.settings.Zone
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -67,7 +67,9 @@
 
 // Next returns one decision; the host calls it until its kind is NoDecision.
 func (d *Dispatcher) Next() Decision {
-	d.collectOverdue()
+	if !d.ops.overdueCollected {
+		d.collectOverdue()
+	}
 	for o := d.ops.nextUndecided(); o != nil; o = d.ops.nextUndecided() {
 		if next := d.decide(o); next.Kind != NoDecision {
 			next.Op = o.index
--- a/dispatch/inputs.go
+++ b/dispatch/inputs.go
@@ -28,7 +28,8 @@
 // LoadReport is a worker's report of its load; a value below 0 was not reported.
 type LoadReport struct{ RunningJobs, QueuedJobs, FreeSlots, FreeMemory float64 }
 
-// Progress is what a worker reports of an attempt in flight. The zero value says that the job is running on.
+// Progress is what a worker reports of an attempt in flight. The zero value says that the job is running
+// on.
 type Progress struct {
 	Acknowledged bool // the worker has the attempt, and nothing is said of its job
 	Started      bool // the job has started
--- a/dispatch/op.go
+++ b/dispatch/op.go
@@ -142,32 +142,6 @@
 	return t.overdue[0]
 }
 
-// AddOp admits a new op. It returns false for a category that the settings do not name and the host has
-// not retained.
-func (d *Dispatcher) AddOp(i int, spec OpSpec) bool {
-	c := d.categories.acceptingAt(spec.Category)
-	if c == nil {
-		return false
-	}
-	// A client's TTL runs over all its tries: one that comes with less of it than others has come before.
-	c.longestTTL = max(c.longestTTL, spec.TTL-d.now)
-	c.openOps++
-	o := &op{
-		index: i, category: spec.Category, maxAttempts: d.settings.MaxAttempts,
-		ttl: spec.TTL, arrivedAt: spec.TTL - c.longestTTL, work: spec.Work,
-		slots: spec.Slots, memory: spec.Memory, affinityKey: spec.AffinityKey,
-	}
-	d.ops.add(o)
-	if o.affinityKey != noKey {
-		d.halveCounters()
-		d.keys.count(o.affinityKey)
-	}
-	if p := spec.PriorAttempt; p != nil {
-		o.run = firstRun{possible: true, sentAt: p.StartedAt, zone: p.Zone, group: p.Group}
-	}
-	return true
-}
-
 // ClientDisconnected notes that an op's client has gone; nothing is owed to it.
 func (d *Dispatcher) ClientDisconnected(i int) {
 	if o := d.ops.at(i); o != nil {
--- a/dispatch/probing.go
+++ b/dispatch/probing.go
@@ -9,12 +9,8 @@
 
 // Which workers an op probes, and what their answers bring.
 
-const (
-	// pairSize is the number of workers probed in a round.
-	pairSize = 2
-	// admissionDraws is how often a suspected worker has to be admitted by its sequential test.
-	admissionDraws = 2
-)
+// pairSize is the number of workers probed in a round.
+const pairSize = 2
 
 // ProbeAnswered takes a load report: the answer to a probe, or one that came with an attempt's end.
 func (d *Dispatcher) ProbeAnswered(i int, elapsed Time, load LoadReport) {
@@ -80,17 +76,6 @@
 	return eligible
 }
 
-// admits draws whether a worker takes part. It draws twice: one that fails its ops at once holds few
-// jobs, so it always looks Low.
-func (d *Dispatcher) admits(w *worker) bool {
-	for range admissionDraws {
-		if !w.health.Admitted(d.now, &d.random) {
-			return false
-		}
-	}
-	return true
-}
-
 // samplePair draws the workers to probe from some of all candidates. Where crossing zones is paid for,
 // one of them comes from the own zone: else most ops of a small zone would meet only workers of other
 // zones.
--- a/dispatch/timeouts.go
+++ b/dispatch/timeouts.go
@@ -70,11 +70,8 @@
 	return d.silenceSince(o, event) + d.silenceAllowance(event)
 }
 
-// collectOverdue finds this round's attempts that are overdue, once.
+// collectOverdue finds this round's attempts that are overdue.
 func (d *Dispatcher) collectOverdue() {
-	if d.ops.overdueCollected {
-		return
-	}
 	d.ops.overdueCollected = true
 	for event, attempts := range d.ops.inFlight {
 		overdue := attempts.Overdue(d.now, d.silenceAllowance(awaited(event)))
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -1,7 +1,6 @@
 package dispatch
 
 import (
-	"math"
 	"slices"
 
 	"woaddyke/internal/base/sprt"
@@ -9,16 +8,6 @@
 	"woaddyke/internal/cluster/peerload"
 )
 
-// A verdict on a worker, a zone or the fleet that is older than this says nothing about now.
-const maxVerdictAge = 15 * second
-
-// Chances of failure that the sequential tests tell apart. A zone's are far apart, as a few failed
-// workers in it do not make the zone unreachable.
-const (
-	workerOrdinaryFailure, workerSuspectedFailure = 0.05, 0.5
-	zoneOrdinaryFailure, zoneSuspectedFailure     = 0.2, 0.9
-)
-
 // worker is what is known of a worker's present process.
 type worker struct {
 	known, listed, ready bool
@@ -86,20 +75,13 @@
 	return t.kinds[w.kind].serviceTimeRatios.Median(w.serviceTimeRatios)
 }
 
-// recordVerdict counts an outcome for or against a worker and the way to its zone.
-func (t *workerTable) recordVerdict(now Time, i int, ok bool) {
-	w := &t.workers[i]
-	t.zones[w.zone].Add(now, ok)
-	w.health.Add(now, ok)
-}
-
 // grow makes room for an entry's index, zone and kind.
 func (t *workerTable) grow(i int, entry WorkerEntry) {
 	for len(t.workers) <= i {
 		t.workers = append(t.workers, worker{})
 	}
 	for len(t.zones) <= entry.Zone {
-		t.zones = append(t.zones, sprt.New(zoneOrdinaryFailure, zoneSuspectedFailure, maxVerdictAge))
+		t.zones = append(t.zones, newZoneTest())
 	}
 	for len(t.kinds) <= entry.MachineKind {
 		t.kinds = append(t.kinds, machineKind{})
@@ -130,8 +112,7 @@
 // same name. Its silence about attempts of before is measured anew.
 func (d *Dispatcher) replaceProcess(w *worker, startedAt Time) {
 	d.discardSamples(w)
-	*w = worker{known: true, startedAt: startedAt, inFlight: w.inFlight,
-		health: sprt.New(workerOrdinaryFailure, workerSuspectedFailure, maxVerdictAge)}
+	*w = worker{known: true, startedAt: startedAt, inFlight: w.inFlight, health: newWorkerTest()}
 	for _, o := range w.inFlight {
 		d.track(o)
 	}
@@ -196,16 +177,3 @@
 	w.queueSamples = stats.AppendRecent(w.queueSamples, s)
 	d.samples.queue.add(s)
 }
-
-// jobCount is a worker's jobs: those of its last report and this scheduler's own attempts since.
-func (d *Dispatcher) jobCount(i int) float64 {
-	w := &d.fleet.workers[i]
-	if n, _, ok := d.peerTally(i); ok || d.currentDigest().reportsStale {
-		return n
-	}
-	r := w.lastReading()
-	if r == nil {
-		return 0
-	}
-	return math.Round(r.load.RunningJobs) + float64(len(d.pushedSince(i, r.sentAt)))
-}
