--- a/internal/base/deadlines/deadlines_test.go
+++ b/internal/base/deadlines/deadlines_test.go
@@ -11,7 +11,7 @@
 	gone        bool
 }
 
-// A walk over all items is slow and plainly right: both must say the same, whatever bases, limits and the span do.
+// A walk over all items is slow and plainly right: both must agree, whatever bases, limits and the span do.
 func TestItFindsWhatAWalkFinds(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 1))
--- a/internal/base/sprt/sprt_test.go
+++ b/internal/base/sprt/sprt_test.go
@@ -6,7 +6,8 @@
 	"woaddyke/internal/base/stats"
 )
 
-// Two failures in a row are chance at one in twenty; three are not. Old verdicts must not speak, nor the doubtful be shut out.
+// Two failures in a row are chance at one in twenty; three are not. Old verdicts must not count, nor the
+// suspected be excluded.
 func TestSuspicionComesAndGoes(t *testing.T) {
 	d, chance := New[int64](0.05, 0.5, 100), stats.NewRandom(3)
 	d.Add(10, true)
@@ -33,8 +34,8 @@
 	}
 }
 
-// Of a zone that was lost after thirty good verdicts the next tries were let through nine times in ten: what came before
-// the change says nothing of it.
+// Of a zone that became unreachable after thirty good verdicts nine tries in ten were admitted: verdicts
+// from before the change point say nothing of it.
 func TestVerdictsBeforeTheChangePointDoNotCount(t *testing.T) {
 	d, chance := New[int64](0.2, 0.9, 1000), stats.NewRandom(3)
 	for now := range int64(30) {
--- a/internal/base/stats/stats_test.go
+++ b/internal/base/stats/stats_test.go
@@ -17,7 +17,8 @@
 	}
 }
 
-// A worker that goes must not move the keys of others: with each change of the list all would be fetched anew.
+// A worker that leaves must not move the keys of others: with each change of the list all would be fetched
+// anew.
 func TestRendezvousOrderKeepsTheOthersPlaces(t *testing.T) {
 	mark := func(i int) uint64 { return uint64(i+1) * 0x51ed2701_9b3c1d77 }
 	firsts := map[int]int{}
@@ -38,7 +39,7 @@
 	}
 }
 
-// What a worker has learned goes with it: left in the pool, it spoke for the fleet for good.
+// Samples of a worker that has left stayed in the pool and counted for good.
 func TestRecentIsRemovedFromThePool(t *testing.T) {
 	var pool Pool
 	var one, other Recent
--- a/internal/scheduler/reducer/changes_test.go
+++ b/internal/scheduler/reducer/changes_test.go
@@ -41,9 +41,10 @@
 	r.Step(now, l)
 }
 
-// An op of a category whose place went to another one while it was open was pushed again, or dead-lettered, by that one's rules. Ops
-// that stay open across thousands of changes (terms, names, pushes, what is dropped and comes back) are pushed and answered by the rules
-// of the moment in which they came; those of a dropped category too, for its while, and are nacked after it. The seed is CHANGES_SEED.
+// An op of a category whose place went to another one was pushed again, or dead-lettered, by that one's
+// rules. Ops that stay open across thousands of changes (rules, names, attempts, categories that are
+// dropped and come back) are pushed and answered by the rules that they were admitted with; those of a
+// dropped category too while it is retained, and are nacked after that. The seed is CHANGES_SEED.
 func TestOpsKeepTheirRulesAcrossThousandsOfChanges(t *testing.T) {
 	first, last := uint64(0), uint64(6)
 	if seed, err := strconv.ParseUint(os.Getenv("CHANGES_SEED"), 10, 64); err == nil {
@@ -189,9 +190,9 @@
 
 var dayOfChanges = 16_000
 
-// After a thousand categories no change was taken any more, half an hour at the pace of a large site. All of a day's are, one each
-// 5.4 s, also with ops that are open all the while, and what is held after them is what was held at the beginning. CHANGES=100000 makes
-// as many of them.
+// After a thousand categories no change was taken any more, half an hour at the pace of a large site. All
+// changes of a day are taken, one each 5.4 s, also with ops that are open all the while, and the state
+// after them is as large as at the beginning. CHANGES=100000 makes as many of them.
 func TestADayOfChangesIsTakenAndHoldsNothing(t *testing.T) {
 	const entries, held = 560, 20
 	n := dayOfChanges
@@ -260,14 +261,14 @@
 	fleetOf(r, 1)
 	r.Step(2, SettingsChanged{Settings: of("look", "note"), RetainUntil: 2 + second})
 	r.Step(3, SettingsChanged{Settings: of("look"), RetainUntil: 3 + second})
-	heir := New(1, of("look", "note"))
-	fleetOf(heir, 4)
-	heir.Step(4, StateRestored{r.Learned()})
+	successor := New(1, of("look", "note"))
+	fleetOf(successor, 4)
+	successor.Step(4, StateRestored{r.Learned()})
 	for n, c := range []struct {
 		category string
 		want     Verdict // -1: it is pushed
 	}{{"look", -1}, {"pay", Nacked}, {"note", -1}, {"never", UnknownCategory}} {
-		todo := heir.Step(5, OpArrived{Op: uint64(n), ID: fmt.Sprint(n), Category: c.category, TTL: 5 + second})
+		todo := successor.Step(5, OpArrived{Op: uint64(n), ID: fmt.Sprint(n), Category: c.category, TTL: 5 + second})
 		a, answered := first[Respond](todo)
 		if _, pushed := first[Push](todo); pushed != (c.want < 0) || answered && a.Verdict != c.want {
 			t.Errorf("%s: %+v", c.category, todo)
@@ -277,8 +278,8 @@
 	for i := range 2 * maxDroppedCategories {
 		many.Dropped[fmt.Sprint(i)] = 5
 	}
-	if heir.Step(6, StateRestored{many}); len(heir.droppedCategories) > maxDroppedCategories {
-		t.Errorf("%d dropped names are taken over", len(heir.droppedCategories))
+	if successor.Step(6, StateRestored{many}); len(successor.droppedCategories) > maxDroppedCategories {
+		t.Errorf("%d dropped names are taken over", len(successor.droppedCategories))
 	}
 }
 
--- a/internal/scheduler/reducer/ends_test.go
+++ b/internal/scheduler/reducer/ends_test.go
@@ -20,9 +20,10 @@
 	worker         string
 }
 
-// Whatever ends in whatever order (clients that leave, lists, drains, settings, probes, pushes, the process itself), each op has one
-// answer or its client has left; nothing is pushed after either, nothing new to a worker that drains, and an op that came as at-most-once
-// is neither pushed again nor nacked once it may have run. The seed is ENDS_SEED.
+// Whatever ends in whatever order (clients that disconnect, lists, drains, settings, probes, attempts, the
+// process itself), each op has one answer or its client has gone; nothing is pushed after either, nothing
+// new to a draining worker, and an at-most-once op is neither pushed again nor nacked once it may have run.
+// The seed is ENDS_SEED.
 func TestWhateverEndsEachOpHasOneAnswer(t *testing.T) {
 	first, last := uint64(0), uint64(300)
 	if seed, err := strconv.ParseUint(os.Getenv("ENDS_SEED"), 10, 64); err == nil {
--- a/internal/scheduler/reducer/learned_test.go
+++ b/internal/scheduler/reducer/learned_test.go
@@ -9,8 +9,8 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// An id that the process before holds still, or has answered with time left, is held by its heir too: a second push under it
-// would be a copy. And a zone's verdicts belong to its name, not to its number.
+// An ID of a predecessor's op that is open, or was answered with time left, stays reserved at its
+// successor: a second op under it would be a copy. A zone's verdicts belong to its name, not to its number.
 func TestSuccessorKnowsIDsAndZones(t *testing.T) {
 	was := started()
 	arrive(was, 1, "look")
--- a/internal/scheduler/reducer/op_ids_test.go
+++ b/internal/scheduler/reducer/op_ids_test.go
@@ -9,8 +9,8 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// An id stays taken until the TTL of its op, and a client may give up to a day: the ids of answered ops filled the memory. Beyond a bound
-// those that were answered longest ago are free again; one that is held never is.
+// An ID stays reserved until the TTL of its op, which may be a day: the IDs of answered ops filled the
+// memory. Beyond a bound those that were answered longest ago are free again; one of an open op never is.
 func TestTheIDsOfAnsweredOpsAreBounded(t *testing.T) {
 	const most, ops = 150_000, 400_000
 	r := started()
--- a/internal/scheduler/reducer/reducer_test.go
+++ b/internal/scheduler/reducer/reducer_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// What the module calls off must be closed before the next push, or two copies are out.
+// A cancelled attempt must be closed before the next push, or two copies are in flight.
 func TestAPushThatIsCalledOffIsClosedFirst(t *testing.T) {
 	r := started()
 	site := map[string]any{"extra.progress": 100.0, "extra.tellsStart": true,
@@ -126,7 +126,7 @@
 		t.Fatalf("not closed: %+v", todo)
 	}
 	if _, ok := first[Push](todo); ok {
-		t.Fatal("pushed again before the end is told")
+		t.Fatal("pushed again before the attempt has ended")
 	}
 	if again, ok := first[Push](r.Step(305, AttemptEnded{Op: 1, Ending: outcome.Cancelled})); !ok || again.Worker == p.Worker {
 		t.Fatalf("not pushed elsewhere: %+v", again)
@@ -175,7 +175,8 @@
 	}
 }
 
-// Whatever comes in whatever order, an op has one answer, one push out at a time, and nothing after.
+// Whatever comes in whatever order, an op has one answer, one attempt in flight at a time, and nothing
+// after.
 func TestOneAnswerOnePush(t *testing.T) {
 	agree := func(seed int64) bool {
 		chance, r := rand.New(rand.NewSource(seed)), started()
