--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"net/http"
 	"net/http/httputil"
 	"sync"
@@ -63,13 +62,9 @@
 	response := &recordedResponse{ResponseWriter: w}
 	end := metrics.Disconnected // as it stays where the proxy panics to have the server drop the connection
 	defer func() { s.metrics.RequestEnded(r.Header.Get(categoryHeader), end) }()
-	var rejection *Rejection
-	switch {
-	case errors.As(err, &rejection):
-		s.reject(response, r, rejection)
-	case err != nil:
-		s.reject(response, r, badRequest("%v", err))
-	default:
+	if err != nil {
+		s.reject(response, r, asRejection(err))
+	} else {
 		r.Body = http.NoBody
 		s.proxy.ServeHTTP(response, r.WithContext(withOp(r.Context(), op)))
 	}
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -1,6 +1,7 @@
 package frontend
 
 import (
+	"errors"
 	"fmt"
 	"net/http"
 
@@ -16,6 +17,15 @@
 
 func (r *Rejection) Error() string { return r.Text }
 
+// asRejection returns the rejection in an error's chain, or a bad request with the error's text.
+func asRejection(err error) *Rejection {
+	var rejection *Rejection
+	if errors.As(err, &rejection) {
+		return rejection
+	}
+	return badRequest("%v", err)
+}
+
 func badRequest(format string, args ...any) *Rejection {
 	return &Rejection{Status: http.StatusBadRequest, Text: fmt.Sprintf(format, args...)}
 }
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -172,21 +172,24 @@
 // readBody reads a complete body. Memory grows with what arrives: many clients could announce 64 KiB and
 // send none.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	tooLarge := &Rejection{http.StatusRequestEntityTooLarge, "a body holds at most 64 KiB", true}
 	if r.ContentLength > maxBodyBytes {
-		return nil, tooLarge
+		return nil, bodyTooLarge()
 	}
 	var body bytes.Buffer
 	if _, err := io.Copy(&body, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
-			return nil, tooLarge
+			return nil, bodyTooLarge()
 		}
 		return nil, &Rejection{http.StatusBadRequest, "the body did not come whole", true}
 	}
 	return body.Bytes(), nil
 }
 
+func bodyTooLarge() *Rejection {
+	return &Rejection{http.StatusRequestEntityTooLarge, "a body holds at most 64 KiB", true}
+}
+
 // requestHead returns the head of the request to workers, without the time left.
 func requestHead(r *http.Request, op *pendingOp) []byte {
 	b := bytes.NewBuffer(make([]byte, 0, 512))
