--- a/internal/base/deadlines/deadlines.go
+++ b/internal/base/deadlines/deadlines.go
@@ -14,7 +14,7 @@
 	state     State[T, M]
 	byBase    heap[T] // for Overdue
 	pending   heap[T] // by base, for Next
-	postponed heap[T] // not in pending, their deadlines being beyond their limits; by the span needed, negated
+	postponed heap[T] // with deadlines beyond their limits; by base minus limit, for resumePostponed
 }
 
 // New makes a queue.
--- a/internal/scheduler/reducer/race_test.go
+++ b/internal/scheduler/reducer/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package ops
+package reducer
 
 // The race detector makes a change ten times slower, and what it looks for here does not grow with their
 // number.
