--- a/dispatch/reference_model_test.go
+++ b/dispatch/reference_model_test.go
@@ -1,16 +1,19 @@
 package dispatch
 
-import ()
-
 // referenceModel is a slow implementation of the rules: it keeps all that happened and works out afresh what is
 // allowed.
 type referenceModel struct {
 	ready      map[int]bool
-	groupOf    map[int][2]int // zone and cell
+	groupOf    map[int][2]int // zone and worker group
 	startedAt  map[int]Time
 	ops        map[int]*referenceOp
-	freeSlots  map[int]float64 // slots, by the last report
-	reportedAt map[int]Time    // when that came
+	freeSlots  map[int]float64 // by the last report
+	reportedAt map[int]Time    // when that came in
+}
+
+func newReferenceModel() *referenceModel {
+	return &referenceModel{ready: map[int]bool{}, groupOf: map[int][2]int{}, startedAt: map[int]Time{},
+		ops: map[int]*referenceOp{}, freeSlots: map[int]float64{}, reportedAt: map[int]Time{}}
 }
 
 type referenceOp struct {
@@ -30,6 +33,11 @@
 	slots     float64
 }
 
+// inFlight reports whether the last attempt has not ended.
+func (o *referenceOp) inFlight() bool {
+	return len(o.attempts) > 0 && !o.attempts[len(o.attempts)-1].ended
+}
+
 func (p referenceAttempt) mayHaveRun() bool {
 	return !p.ended || p.outcome != Rejected && p.outcome != Unreachable && p.outcome != NotSent && p.outcome != LocalExhaustion
 }
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -3,109 +3,238 @@
 import (
 	"math"
 	"math/rand"
+	"slices"
 	"testing"
 	"testing/quick"
 )
 
 func TestRulesAgreeWithPlainModel(t *testing.T) {
-	if err := quick.Check(func(seed int64) bool { return runRandomFaults(t, seed) },
+	if err := quick.Check(func(seed int64) bool { return newFaultRun(t, seed).run() },
 		&quick.Config{MaxCount: 150, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// runRandomFaults drives a dispatcher through random faults and checks each decision against the reference
-// model.
-func runRandomFaults(t *testing.T, seed int64) bool {
-	r := rand.New(rand.NewSource(seed))
-	settings := testSettings(func(s *Settings) {
-		s.Probes = r.Intn(5) > 0
-		s.ProgressInterval = 2_000 * Time(r.Intn(2))
-		s.PeerMessages = r.Intn(2) == 0
+// faultRun drives a dispatcher through random faults and checks each decision against the reference model.
+type faultRun struct {
+	t        *testing.T
+	random   *rand.Rand
+	settings Settings
+	d        *Dispatcher
+	model    *referenceModel
+	numbers  []int // the model's op by the dispatcher's index, 0 where that is free
+	lastOp   int
+	now      Time
+}
+
+const (
+	faultRunSteps    = 400
+	faultRunArrivals = 300 // steps in which ops arrive; after them all have to get their answers
+)
+
+func newFaultRun(t *testing.T, seed int64) *faultRun {
+	r := &faultRun{t: t, random: rand.New(rand.NewSource(seed)), model: newReferenceModel(),
+		numbers: make([]int, faultRunSteps), now: 1_000_000}
+	r.settings = testSettings(func(s *Settings) {
+		s.Probes = r.random.Intn(5) > 0
+		s.ProgressInterval = 2_000 * Time(r.random.Intn(2))
+		s.PeerMessages = r.random.Intn(2) == 0
 		s.AffinityKeys = true
-		s.ConnectionPrice = 0.05 * float64(r.Intn(2))
+		s.ConnectionPrice = 0.05 * float64(r.random.Intn(2))
 	})
-	d := New(uint64(seed), settings)
-	m := &referenceModel{map[int]bool{}, map[int][2]int{}, map[int]Time{}, map[int]*referenceOp{}, map[int]float64{},
-		map[int]Time{}}
-	now, next := Time(1_000_000), 0
-	names := make([]int, 400) // op index to the model's op
-	d.AdvanceClock(now)
-	entry := func(i int) {
-		if m.groupOf[i] == [2]int{} {
-			m.groupOf[i] = [2]int{1 + i%2, i % 4}
-		}
-		m.ready[i] = r.Intn(4) > 0
-		if r.Intn(8) == 0 {
-			m.startedAt[i], m.freeSlots[i] = now, 0 // reports of the process before say nothing of this one
-		}
-		d.UpsertWorker(i, WorkerEntry{Zone: m.groupOf[i][0], Group: m.groupOf[i][1], Ready: m.ready[i], StartedAt: m.startedAt[i]})
-		identify(d, i, uint64(i+1)*0x51ed2701_9b3c1d77, i%3)
-		d.PeerReport(r.Intn(5)-1, i, r.Intn(4)-1)
-	}
-	for step := range 400 {
-		if step == 0 || r.Intn(60) == 0 {
-			d.BeginSnapshot()
-			for i := range m.ready {
-				m.ready[i] = false
-			}
-			for i := range 6 {
-				entry(i)
-			}
-			d.EndUpdate()
-		} else if r.Intn(15) == 0 {
-			entry(r.Intn(8))
-			d.EndUpdate()
-		}
-		if step < 300 && r.Intn(3) == 0 {
-			i := 0
-			for names[i] != 0 {
-				i++
-			}
-			next++
-			names[i] = next
-			o := &referenceOp{category: r.Intn(5), ttl: now + Time(r.Intn(30_000))}
-			m.ops[next] = o
-			spec := OpSpec{Category: o.category, TTL: o.ttl, Slots: float64(1 + r.Intn(2))}
-			if r.Intn(2) == 0 {
-				spec.AffinityKey = uint64(1 + r.Intn(4))
-			}
-			d.AddOp(i, spec)
+	r.d = New(uint64(seed), r.settings)
+	r.d.AdvanceClock(r.now)
+	return r
+}
+
+func (r *faultRun) run() bool {
+	for step := range faultRunSteps {
+		r.updateEndpoints(step == 0)
+		if step < faultRunArrivals && r.random.Intn(3) == 0 {
+			r.admitOp()
 		}
-		for i, name := range names {
-			if name == 0 || len(m.ops[name].attempts) == 0 {
-				continue
+		for index, number := range r.numbers {
+			if number != 0 && len(r.model.ops[number].attempts) > 0 {
+				r.continueAttempt(index, r.model.ops[number])
 			}
-			o := m.ops[name]
-			p := &o.attempts[len(o.attempts)-1]
-			if p.ended || now < p.timeoutAt && r.Intn(8) > 0 {
-				continue
-			}
-			if now < p.timeoutAt && r.Intn(2) == 0 {
-				d.AttemptProgress(i, len(o.attempts)-1, Progress{Started: r.Intn(3) > 0})
-				continue
-			}
-			if p.ended, p.outcome = true, Outcome(r.Intn(int(LocalExhaustion)+1)); now >= p.timeoutAt {
-				p.outcome = TimedOut
-			}
-			o.answered = o.answered || p.outcome == Succeeded
-			d.AttemptEnded(i, len(o.attempts)-1, p.outcome, o.answered)
 		}
-		d.AdvanceClock(now)
-		if !checkDecisions(t, d, m, settings, names, now, r) {
+		r.d.AdvanceClock(r.now)
+		if !r.checkDecisions() {
 			return false
 		}
-		now += Time(r.Intn(300))
-		if step > 300 {
-			now += 500
+		r.now += Time(r.random.Intn(300))
+		if step > faultRunArrivals {
+			r.now += 500
 		}
 	}
-	for name, o := range m.ops {
+	for number, o := range r.model.ops {
 		if !o.answered {
-			t.Logf("op %d of category %d never answered", name, o.category)
+			return r.fault("op %d of category %d never answered", number, o.category)
+		}
+	}
+	return true
+}
+
+// fault logs what was found and returns false.
+func (r *faultRun) fault(format string, args ...any) bool {
+	r.t.Helper()
+	r.t.Logf(format, args...)
+	return false
+}
+
+// updateEndpoints gives the dispatcher a snapshot, a delta or, most often, nothing.
+func (r *faultRun) updateEndpoints(first bool) {
+	switch {
+	case first || r.random.Intn(60) == 0:
+		r.d.BeginSnapshot()
+		for i := range r.model.ready {
+			r.model.ready[i] = false
+		}
+		for i := range 6 {
+			r.updateWorker(i)
+		}
+	case r.random.Intn(15) == 0:
+		r.updateWorker(r.random.Intn(8))
+	default:
+		return
+	}
+	r.d.EndUpdate()
+}
+
+// updateWorker changes whether a worker is ready, and sometimes restarts it: reports of its last process say
+// nothing of the new one.
+func (r *faultRun) updateWorker(i int) {
+	m := r.model
+	if m.groupOf[i] == [2]int{} {
+		m.groupOf[i] = [2]int{1 + i%2, i % 4}
+	}
+	m.ready[i] = r.random.Intn(4) > 0
+	if r.random.Intn(8) == 0 {
+		m.startedAt[i], m.freeSlots[i] = r.now, 0
+	}
+	r.d.UpsertWorker(i, WorkerEntry{Zone: m.groupOf[i][0], Group: m.groupOf[i][1], Ready: m.ready[i],
+		StartedAt: m.startedAt[i], IdentityHash: uint64(i+1) * 0x51ed2701_9b3c1d77, MachineKind: i % 3})
+	r.d.PeerReport(r.random.Intn(5)-1, i, r.random.Intn(4)-1)
+}
+
+func (r *faultRun) admitOp() {
+	index := slices.Index(r.numbers, 0)
+	r.lastOp++
+	r.numbers[index] = r.lastOp
+	o := &referenceOp{category: r.random.Intn(5), ttl: r.now + Time(r.random.Intn(30_000))}
+	r.model.ops[r.lastOp] = o
+	spec := OpSpec{Category: o.category, TTL: o.ttl, Slots: float64(1 + r.random.Intn(2))}
+	if r.random.Intn(2) == 0 {
+		spec.AffinityKey = uint64(1 + r.random.Intn(4))
+	}
+	r.d.AddOp(index, spec)
+}
+
+// continueAttempt ends the last attempt of an op in any way, has it progress, or leaves it.
+func (r *faultRun) continueAttempt(index int, o *referenceOp) {
+	number := len(o.attempts) - 1
+	a := &o.attempts[number]
+	if a.ended || r.now < a.timeoutAt && r.random.Intn(8) > 0 {
+		return
+	}
+	if r.now < a.timeoutAt && r.random.Intn(2) == 0 {
+		r.d.AttemptProgress(index, number, Progress{Started: r.random.Intn(3) > 0})
+		return
+	}
+	a.ended, a.outcome = true, Outcome(r.random.Intn(int(LocalExhaustion)+1))
+	if r.now >= a.timeoutAt {
+		a.outcome = TimedOut
+	}
+	o.answered = o.answered || a.outcome == Succeeded
+	r.d.AttemptEnded(index, number, a.outcome, o.answered)
+}
+
+// checkDecisions pulls all decisions, carries them out and checks them.
+func (r *faultRun) checkDecisions() bool {
+	for {
+		if !r.mayPushAgrees() {
+			return false
+		}
+		next := r.d.Next()
+		if next.Kind == NoDecision {
+			return r.nobodyOutlivedItsTTL() && deadlinesAgree(r.t, r.d)
+		}
+		if !r.checkDecision(next) {
 			return false
 		}
 	}
+}
+
+// mayPushAgrees compares what the dispatcher and the model allow, for each op and worker.
+func (r *faultRun) mayPushAgrees() bool {
+	for index, number := range r.numbers {
+		o := r.d.ops.at(index)
+		if number == 0 || o == nil {
+			continue
+		}
+		for w := range r.d.fleet.workers {
+			if want := r.model.mayPush(r.settings, number, w, r.now); r.d.mayPush(o, w) != want {
+				return r.fault("op of category %d, worker %d: dispatcher %v, model %v", o.category, w, !want, want)
+			}
+		}
+	}
+	return true
+}
+
+func (r *faultRun) nobodyOutlivedItsTTL() bool {
+	for _, o := range r.model.ops {
+		if !o.answered && r.now > o.ttl+100 && !o.inFlight() {
+			return r.fault("an op of category %d outlived its TTL", o.category)
+		}
+	}
+	return true
+}
+
+func (r *faultRun) checkDecision(next Decision) bool {
+	m, number := r.model, r.numbers[next.Op]
+	o := m.ops[number]
+	switch next.Kind {
+	case Push:
+		return r.checkPush(next)
+	case CancelAttempt:
+		if !o.inFlight() || !r.settings.CancelsAttempts {
+			return r.fault("cancelled against the rules: category %d", o.category)
+		}
+		a := &o.attempts[len(o.attempts)-1]
+		a.ended, a.outcome = true, Cancelled
+		r.d.AttemptEnded(next.Op, len(o.attempts)-1, Cancelled, false)
+	case Nack, DeadLetter:
+		if o.answered || next.Kind == Nack && !m.mayNack(r.settings, number, r.now) || o.inFlight() {
+			return r.fault("decision %v against the rules: category %d", next.Kind, o.category)
+		}
+		o.answered = true
+	case Probe:
+		if !m.ready[next.Worker] {
+			return r.fault("probe of a worker that is not ready")
+		}
+		if r.random.Intn(4) > 0 {
+			load := jobs(float64(r.random.Intn(7)))
+			r.d.ProbeAnswered(next.Worker, 0, load)
+			m.freeSlots[next.Worker], m.reportedAt[next.Worker] = load.FreeSlots, r.now
+		}
+	case Forget:
+		r.numbers[next.Op] = 0
+	}
+	return true
+}
+
+func (r *faultRun) checkPush(next Decision) bool {
+	m, number, timeout := r.model, r.numbers[next.Op], next.Duration
+	o := m.ops[number]
+	tooLong := r.now+timeout >= o.ttl && timeout > 1
+	if !m.mayPush(r.settings, number, next.Worker, r.now) || tooLong || r.now >= o.ttl {
+		return r.fault("push against the rules: category %d worker %d", o.category, next.Worker)
+	}
+	o.attempts = append(o.attempts, referenceAttempt{group: m.groupOf[next.Worker], sentAt: r.now,
+		timeoutAt: r.now + timeout, worker: next.Worker, slots: r.d.ops.byIndex[next.Op].slots})
+	if r.settings.Probes && !m.hadCapacity(next.Worker, r.now) {
+		return r.fault("a push to warming worker %d without capacity", next.Worker)
+	}
 	return true
 }
 
@@ -136,73 +265,3 @@
 	}
 	return got == want
 }
-
-func checkDecisions(t *testing.T, d *Dispatcher, m *referenceModel, settings Settings, names []int, now Time,
-	r *rand.Rand) bool {
-	for {
-		for i, name := range names {
-			if o := d.ops.at(i); name != 0 && o != nil {
-				for w := range d.fleet.workers {
-					if want := m.mayPush(settings, name, w, now); d.mayPush(o, w) != want {
-						t.Logf("op of category %d, worker %d: module %v, rules %v", o.category, w, !want, want)
-						return false
-					}
-				}
-			}
-		}
-		next := d.Next()
-		op, worker, timeout := next.Op, next.Worker, next.Duration
-		name := names[op]
-		switch next.Kind {
-		case NoDecision:
-			for _, o := range m.ops {
-				if !o.answered && now > o.ttl+100 && (len(o.attempts) == 0 || o.attempts[len(o.attempts)-1].ended) {
-					t.Logf("an op of category %d outlived its TTL", o.category)
-					return false
-				}
-			}
-			return deadlinesAgree(t, d)
-		case Push:
-			o := m.ops[name]
-			if !m.mayPush(settings, name, worker, now) || now+timeout >= o.ttl && timeout > 1 || now >= o.ttl {
-				t.Logf("push against the rules: category %d worker %d", o.category, worker)
-				return false
-			}
-			o.attempts = append(o.attempts, referenceAttempt{m.groupOf[worker], now, now + timeout, false, Succeeded, worker,
-				d.ops.byIndex[op].slots})
-			if settings.Probes && !m.hadCapacity(worker, now) {
-				t.Logf("a push to cold worker %d that has no room", worker)
-				return false
-			}
-		case CancelAttempt:
-			o := m.ops[name]
-			p := &o.attempts[len(o.attempts)-1]
-			if p.ended || !settings.CancelsAttempts {
-				t.Logf("called off against the rules: category %d", o.category)
-				return false
-			}
-			p.ended, p.outcome = true, Cancelled
-			d.AttemptEnded(op, len(o.attempts)-1, Cancelled, false)
-		case Nack, DeadLetter:
-			o := m.ops[name]
-			if o.answered || next.Kind == Nack && !m.mayNack(settings, name, now) ||
-				len(o.attempts) > 0 && !o.attempts[len(o.attempts)-1].ended {
-				t.Logf("%v against the rules: category %d", next.Kind, o.category)
-				return false
-			}
-			o.answered = true
-		case Probe:
-			if !m.ready[worker] {
-				t.Logf("probe of a worker that is not ready")
-				return false
-			}
-			if r.Intn(4) > 0 {
-				load := jobs(float64(r.Intn(7)))
-				d.ProbeAnswered(worker, 0, load)
-				m.freeSlots[worker], m.reportedAt[worker] = load.FreeSlots, now
-			}
-		case Forget:
-			names[op] = 0
-		}
-	}
-}
