--- a/dispatch/rejection.go
+++ b/dispatch/rejection.go
@@ -16,13 +16,13 @@
 )
 
 var rejectionNames = [rejectionReasons]string{
-	NotRejected:       "not given up",
-	DeadlineExceeded:  "time is up",
-	AttemptsExhausted: "no push left",
-	CapacityShort:     "fleet scarce",
-	QueuesTooLong:     "queues hopeless",
-	NoEligibleWorker:  "nobody takes it",
-	StartTooLate:      "no place in time",
+	NotRejected:       "not rejected",
+	DeadlineExceeded:  "deadline exceeded",
+	AttemptsExhausted: "attempts exhausted",
+	CapacityShort:     "capacity short",
+	QueuesTooLong:     "queues too long",
+	NoEligibleWorker:  "no eligible worker",
+	StartTooLate:      "start too late",
 }
 
 func (r RejectionReason) String() string {
