--- a/internal/codepolicy/architecture_test.go
+++ b/internal/codepolicy/architecture_test.go
@@ -3,12 +3,9 @@
 import (
 	"go/ast"
 	"go/parser"
-	"go/token"
-	"io/fs"
 	"os"
 	"path/filepath"
 	"regexp"
-	"strings"
 	"testing"
 )
 
@@ -37,28 +34,10 @@
 func declaredNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
-	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
-		if err != nil {
-			return err
+	for _, file := range sourceFiles(t, parser.SkipObjectResolution) {
+		for _, declaration := range file.content.Decls {
+			collectNames(declaration, file.content.Name.Name, names)
 		}
-		rel, _ := filepath.Rel(root, path)
-		if entry.IsDir() {
-			return skipForeign(rel)
-		}
-		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
-			return nil
-		}
-		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
-		if err != nil {
-			return err
-		}
-		for _, declaration := range file.Decls {
-			collectNames(declaration, file.Name.Name, names)
-		}
-		return nil
-	})
-	if err != nil {
-		t.Fatal(err)
 	}
 	return names
 }
--- a/internal/codepolicy/codepolicy_test.go
+++ b/internal/codepolicy/codepolicy_test.go
@@ -6,62 +6,28 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
-	"io/fs"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
 )
 
-const root = "../.."
-
 // place is one use in one file.
 type place struct {
 	file, what string
 	at         token.Position
 }
 
-// notTheScheduler are folders whose code is not part of the scheduler: the lab, trials and examples.
-var notTheScheduler = []string{"internal/lab", "spikes", "examples", "journal", ".git", "cmd/lab", "cmd/hollow"}
-
-// skipForeign tells a walk over the project to leave out what is not part of the scheduler.
-func skipForeign(folder string) error {
-	if slices.Contains(notTheScheduler, filepath.ToSlash(folder)) {
-		return filepath.SkipDir
-	}
-	return nil
-}
-
-// uses are all selectors of some names in the program's own code: tests, the lab and what is tried elsewhere are none of it.
+// uses are all selectors of some names in the scheduler's own code.
 func uses(t *testing.T, wanted func(on ast.Expr, name string) bool) (all []place) {
 	t.Helper()
-	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
-		if err != nil {
-			return err
-		}
-		rel, _ := filepath.Rel(root, path)
-		if d.IsDir() {
-			return skipForeign(rel)
-		}
-		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
-			return nil
-		}
-		files := token.NewFileSet()
-		file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
-		if err != nil {
-			return err
-		}
-		ast.Inspect(file, func(n ast.Node) bool {
-			s, ok := n.(*ast.SelectorExpr)
-			if ok && wanted(s.X, s.Sel.Name) {
-				all = append(all, place{filepath.ToSlash(rel), s.Sel.Name, files.Position(s.Pos())})
+	for _, file := range sourceFiles(t, parser.SkipObjectResolution) {
+		ast.Inspect(file.content, func(n ast.Node) bool {
+			selector, ok := n.(*ast.SelectorExpr)
+			if ok && wanted(selector.X, selector.Sel.Name) {
+				all = append(all, place{file.name, selector.Sel.Name, file.position(selector)})
 			}
 			return true
 		})
-		return nil
-	})
-	if err != nil {
-		t.Fatal(err)
 	}
 	if len(all) == 0 {
 		t.Fatal("no use at all was found: this check looks at nothing")
--- a/internal/codepolicy/floors_test.go
+++ b/internal/codepolicy/floors_test.go
@@ -2,11 +2,7 @@
 
 import (
 	"go/parser"
-	"go/token"
-	"io/fs"
 	"path"
-	"path/filepath"
-	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -70,38 +66,17 @@
 // walkImports visits each package of the scheduler, with an empty import, and each of its imports from this module.
 func walkImports(t *testing.T, visit func(importer, imported string)) {
 	t.Helper()
-	err := filepath.WalkDir(root, func(file string, entry fs.DirEntry, err error) error {
-		if err != nil {
-			return err
-		}
-		rel, _ := filepath.Rel(root, file)
-		rel = filepath.ToSlash(rel)
-		if entry.IsDir() {
-			if slices.Contains(testsOnly, rel) {
-				return filepath.SkipDir
-			}
-			return skipForeign(rel)
-		}
-		if !strings.HasSuffix(rel, ".go") || strings.HasSuffix(rel, "_test.go") {
-			return nil
-		}
-		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ImportsOnly)
-		if err != nil {
-			return err
-		}
-		visit(path.Dir(rel), "")
-		for _, spec := range parsed.Imports {
+	for _, file := range sourceFiles(t, parser.ImportsOnly, testsOnly...) {
+		importer := path.Dir(file.name)
+		visit(importer, "")
+		for _, spec := range file.content.Imports {
 			name, err := strconv.Unquote(spec.Path.Value)
 			if err != nil {
-				return err
+				t.Fatal(err)
 			}
 			if own, found := strings.CutPrefix(name, module+"/"); found {
-				visit(path.Dir(rel), own)
+				visit(importer, own)
 			}
 		}
-		return nil
-	})
-	if err != nil {
-		t.Fatal(err)
 	}
 }
--- a/internal/codepolicy/logmessages_test.go
+++ b/internal/codepolicy/logmessages_test.go
@@ -3,8 +3,6 @@
 import (
 	"go/ast"
 	"go/parser"
-	"go/token"
-	"io/fs"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -40,21 +38,20 @@
 func loggedMessages(t *testing.T) map[string]string {
 	t.Helper()
 	messages := map[string]string{}
-	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
-		if err != nil {
-			return err
-		}
-		rel, _ := filepath.Rel(root, path)
-		if entry.IsDir() {
-			return skipForeign(rel)
-		}
-		if strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") {
-			collectMessages(t, path, messages)
-		}
-		return nil
-	})
-	if err != nil {
-		t.Fatal(err)
+	for _, file := range sourceFiles(t, parser.SkipObjectResolution) {
+		ast.Inspect(file.content, func(n ast.Node) bool {
+			switch n := n.(type) {
+			case *ast.BasicLit:
+				for _, line := range encodedMessage.FindAllStringSubmatch(n.Value, -1) {
+					messages[line[1]] = file.position(n).String()
+				}
+			case *ast.CallExpr:
+				if message, ok := messageOf(t, file, n); ok {
+					messages[message] = file.position(n).String()
+				}
+			}
+			return true
+		})
 	}
 	return messages
 }
@@ -62,41 +59,23 @@
 // encodedMessage is the message in a log line that is written without the logger.
 var encodedMessage = regexp.MustCompile(`"message":"([^"]+)"`)
 
-// collectMessages adds the messages that one file logs. A message has to be a string literal, or the page could not be checked.
-func collectMessages(t *testing.T, path string, messages map[string]string) {
+// messageOf returns the message that a call logs. It has to be a string literal, or the page could not be checked.
+func messageOf(t *testing.T, file sourceFile, call *ast.CallExpr) (message string, ok bool) {
 	t.Helper()
-	files := token.NewFileSet()
-	file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
+	method, ok := call.Fun.(*ast.SelectorExpr)
+	if !ok || method.Sel.Name != "Msg" || len(call.Args) != 1 {
+		return "", false
+	}
+	literal, ok := call.Args[0].(*ast.BasicLit)
+	if !ok {
+		t.Errorf("%s: the message of a log line is no string literal", file.position(call))
+		return "", false
+	}
+	message, err := strconv.Unquote(literal.Value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ast.Inspect(file, func(n ast.Node) bool {
-		if literal, ok := n.(*ast.BasicLit); ok {
-			for _, line := range encodedMessage.FindAllStringSubmatch(literal.Value, -1) {
-				messages[line[1]] = files.Position(literal.Pos()).String()
-			}
-		}
-		call, ok := n.(*ast.CallExpr)
-		if !ok || len(call.Args) != 1 {
-			return true
-		}
-		method, ok := call.Fun.(*ast.SelectorExpr)
-		if !ok || method.Sel.Name != "Msg" {
-			return true
-		}
-		where := files.Position(call.Pos()).String()
-		literal, ok := call.Args[0].(*ast.BasicLit)
-		if !ok {
-			t.Errorf("%s: the message of a log line is no string literal", where)
-			return true
-		}
-		message, err := strconv.Unquote(literal.Value)
-		if err != nil {
-			t.Fatal(err)
-		}
-		messages[message] = where
-		return true
-	})
+	return message, true
 }
 
 var quotedMessage = regexp.MustCompile("`([^`]+)`")
