--- a/internal/cluster/mesh/bench_test.go
+++ b/internal/cluster/mesh/bench_test.go
@@ -39,6 +39,18 @@
 
 const realAddr = "10.101.102.103:7946"
 
+// realRecord is a record as of a real deployment.
+func realRecord() membership.MemberRecord {
+	return membership.MemberRecord{
+		Name:        "scheduler-0001",
+		Addr:        realAddr,
+		Number:      1,
+		Incarnation: membership.Incarnation{Generation: 3, Nonce: 1 << 60},
+		State:       membership.Alive,
+		ReportedBy:  "scheduler-0001",
+	}
+}
+
 // withRealisticNames is a message as of a real deployment, with names and addresses as long as they are
 // there.
 func withRealisticNames(x membership.Message) membership.Message {
@@ -188,22 +200,30 @@
 				runtime.ReadMemStats(&m)
 				return m.HeapAlloc
 			}
-			claim := func(i int) membership.MemberRecord {
-				return membership.MemberRecord{Name: fmt.Sprintf("scheduler-%04d", i), Addr: fmt.Sprintf("10.%d.%d.%d:7946", i%14, i/250, i%250), Number: i,
-					Incarnation: membership.Incarnation{Generation: 3, Nonce: uint64(i)}, State: membership.Alive, ReportedBy: fmt.Sprintf("scheduler-%04d", i)}
+			recordOf := func(i int) membership.MemberRecord {
+				name := fmt.Sprintf("scheduler-%04d", i)
+				return membership.MemberRecord{
+					Name:        name,
+					Addr:        fmt.Sprintf("10.%d.%d.%d:7946", i%14, i/250, i%250),
+					Number:      i,
+					Incarnation: membership.Incarnation{Generation: 3, Nonce: uint64(i)},
+					State:       membership.Alive,
+					ReportedBy:  name,
+				}
 			}
-			t := membership.Defaults()
-			t.Cluster, t.Name, t.Addr, t.Number, t.Seeds, t.Nonce, t.MaxMembers = "c", "me", "10.0.0.1:7946", n, nil, 7, 2*n
+			config := membership.Defaults()
+			config.Cluster, config.Name, config.Addr, config.Number = "c", "me", "10.0.0.1:7946", n
+			config.Nonce, config.MaxMembers = 7, 2*n
 			for range b.N {
 				b.StopTimer()
 				before := live()
 				b.StartTimer()
-				m := membership.New(t, 1)
+				m := membership.New(config, 1)
 				m.Step(1, membership.Tick{})
 				m.Step(60_000, membership.Tick{})
-				x := membership.Message{Kind: membership.DigestDiffReply, Cluster: "c", From: claim(0), Seq: 1}
+				x := membership.Message{Kind: membership.DigestDiffReply, Cluster: "c", From: recordOf(0), Seq: 1}
 				for i := range n {
-					x.Records = append(x.Records, claim(i))
+					x.Records = append(x.Records, recordOf(i))
 				}
 				m.Step(60_001, membership.MessageReceived{Message: x})
 				b.StopTimer()
@@ -232,9 +252,7 @@
 
 // BenchmarkCodec is a ping as it is written and read.
 func BenchmarkCodec(b *testing.B) {
-	c := membership.MemberRecord{Name: "scheduler-0001", Addr: realAddr, Number: 1, Incarnation: membership.Incarnation{Generation: 3, Nonce: 1 << 60}, State: membership.Alive,
-		ReportedBy: "scheduler-0001"}
-	x := membership.Message{Kind: membership.Ping, Cluster: "cluster", From: c, Seq: 1 << 20, Nonce: 1 << 60}
+	x := membership.Message{Kind: membership.Ping, Cluster: "cluster", From: realRecord(), Seq: 1 << 20, Nonce: 1 << 60}
 	b.ReportAllocs()
 	for range b.N {
 		text, err := encode(x)
@@ -251,16 +269,17 @@
 // staff decided, which goes to one member a second and at each change to all of them, and words of workers
 // that drain.
 func BenchmarkOther(b *testing.B) {
-	from := recordToWire(membership.MemberRecord{Name: "scheduler-0001", Addr: realAddr, Number: 1, Incarnation: membership.Incarnation{Generation: 3, Nonce: 1 << 60}, State: membership.Alive,
-		ReportedBy: "scheduler-0001"})
-	var words []drainstate.DrainRecord
+	from := recordToWire(realRecord())
+	var drains []drainstate.DrainRecord
 	for i := range 30 {
-		words = append(words, drainstate.DrainRecord{Worker: fmt.Sprintf("worker-%05d", i), BootID: 1_700_000_000_000, Revision: 1 << 30})
+		name := fmt.Sprintf("worker-%05d", i)
+		drains = append(drains, drainstate.DrainRecord{Worker: name, BootID: 1_700_000_000_000, Revision: 1 << 30})
 	}
+	state := operatorstate.State{Settings: 1 << 60, Sequence: uint64(1_700_000_000_000_000_000)}
 	for name, w := range map[string]serviceMessage{
-		"staff":          {Cluster: "cluster", From: from, OperatorState: &operatorstate.State{Settings: 1 << 60, Sequence: uint64(1_700_000_000_000_000_000)}},
-		"one worker":     {Cluster: "cluster", From: from, Drains: words[:1]},
-		"thirty workers": {Cluster: "cluster", From: from, Drains: words},
+		"staff":          {Cluster: "cluster", From: from, OperatorState: &state},
+		"one worker":     {Cluster: "cluster", From: from, Drains: drains[:1]},
+		"thirty workers": {Cluster: "cluster", From: from, Drains: drains},
 	} {
 		b.Run(name, func(b *testing.B) {
 			size := 0
--- a/internal/cluster/mesh/golden_messages_test.go
+++ b/internal/cluster/mesh/golden_messages_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// filledValue is a value of which every exported field is set.
+// filledValue returns a value of which every exported field is set.
 func filledValue[T any](t *testing.T) (value T) {
 	t.Helper()
 	new(filler).fill(t, reflect.ValueOf(&value).Elem())
@@ -93,10 +93,10 @@
 	return text
 }
 
-// goldenAddress is an address that a member may be told at.
+// goldenAddress is an address that a member may have.
 func goldenAddress(number int) string { return fmt.Sprintf("127.0.0.1:%d", 7000+number) }
 
-// goldenMessage is a message of members with every field set.
+// goldenMessage returns a membership message with every field set.
 func goldenMessage(t *testing.T, kind membership.Kind) membership.Message {
 	t.Helper()
 	message := filledValue[membership.Message](t)
@@ -110,8 +110,16 @@
 
 // The datagram of each kind of membership message keeps its bytes and decodes to the same value.
 func TestGoldenDatagrams(t *testing.T) {
-	for name, kind := range map[string]membership.Kind{"ping": membership.Ping, "ack": membership.Ack, "through": membership.IndirectPing,
-		"gossip": membership.Gossip, "ask": membership.RecordQuery, "tell": membership.RecordReply, "duel": membership.NameConflict, "word": membership.UserMessage} {
+	for name, kind := range map[string]membership.Kind{
+		"ping":    membership.Ping,
+		"ack":     membership.Ack,
+		"through": membership.IndirectPing,
+		"gossip":  membership.Gossip,
+		"ask":     membership.RecordQuery,
+		"tell":    membership.RecordReply,
+		"duel":    membership.NameConflict,
+		"word":    membership.UserMessage,
+	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(goldenFolder, "datagram_"+name+".bin")
 			message := goldenMessage(t, kind)
@@ -131,7 +139,11 @@
 // The frame and the message of each kind that is sent on a stream keep their bytes and decode to the same
 // value.
 func TestGoldenStreamMessages(t *testing.T) {
-	for name, kind := range map[string]membership.Kind{"digests": membership.Digests, "differs": membership.DigestDiff, "rest": membership.DigestDiffReply} {
+	for name, kind := range map[string]membership.Kind{
+		"digests": membership.Digests,
+		"differs": membership.DigestDiff,
+		"rest":    membership.DigestDiffReply,
+	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(goldenFolder, "stream_"+name+".bin")
 			message := goldenMessage(t, kind)
@@ -158,23 +170,23 @@
 }
 
 // The state that a process hands to its successor keeps its bytes and decodes to the same value.
-func TestGoldenLegacy(t *testing.T) {
+func TestGoldenHandover(t *testing.T) {
 	path := filepath.Join(goldenFolder, "legacy.cbor")
-	legacy := filledValue[membership.HandoverState](t)
-	text, err := encodeHandover(legacy)
+	handover := filledValue[membership.HandoverState](t)
+	text, err := encodeHandover(handover)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, path, text)
 	got, err := decodeHandover(readGolden(t, path))
-	if err != nil || !reflect.DeepEqual(got, legacy) {
-		t.Fatalf("got %+v, %v\nwant %+v", got, err, legacy)
+	if err != nil || !reflect.DeepEqual(got, handover) {
+		t.Fatalf("got %+v, %v\nwant %+v", got, err, handover)
 	}
 }
 
-// requireGoldenOther compares a message of another service, sent by a sender with every field set, with its
-// file in both directions.
-func requireGoldenOther(t *testing.T, name string, message serviceMessage) {
+// requireGoldenService compares a message of another service, sent by a sender with every field set, with
+// its file in both directions.
+func requireGoldenService(t *testing.T, name string, message serviceMessage) {
 	t.Helper()
 	path := filepath.Join(goldenFolder, "other_"+name+".bin")
 	message.Cluster = "cluster"
@@ -190,73 +202,109 @@
 	}
 }
 
-// The message of each kind that schedulers and keepers exchange about records keeps its bytes and decodes
+// The message of each kind that schedulers and replicas exchange about outcomes keeps its bytes and decodes
 // to the same value.
-func TestGoldenCopiesMessages(t *testing.T) {
-	for name, kind := range map[string]replication.Kind{"grab": replication.ClaimRequested, "granted": replication.ClaimGranted, "refused": replication.ClaimRefused,
-		"tell": replication.OutcomeReported, "known": replication.OutcomeKnown, "register": replication.Register, "registered": replication.Registered,
-		"pull": replication.Pull, "piece": replication.DigestPage, "in_force": replication.SetInForce, "fetch": replication.Fetch, "fetched": replication.Fetched} {
+func TestGoldenReplicationMessages(t *testing.T) {
+	for name, kind := range map[string]replication.Kind{
+		"grab":       replication.ClaimRequested,
+		"granted":    replication.ClaimGranted,
+		"refused":    replication.ClaimRefused,
+		"tell":       replication.OutcomeReported,
+		"known":      replication.OutcomeKnown,
+		"register":   replication.Register,
+		"registered": replication.Registered,
+		"pull":       replication.Pull,
+		"piece":      replication.DigestPage,
+		"in_force":   replication.SetInForce,
+		"fetch":      replication.Fetch,
+		"fetched":    replication.Fetched,
+	} {
 		t.Run(name, func(t *testing.T) {
 			message := filledValue[replication.Message](t)
 			message.Kind = kind
-			requireGoldenOther(t, "copies_"+name, serviceMessage{Replication: &message})
+			requireGoldenService(t, "copies_"+name, serviceMessage{Replication: &message})
 		})
 	}
 }
 
-// The numbers of the reasons for which a keeper refuses and of the stages of a claim keep their bytes in a
+// The numbers of the reasons for which a replica refuses and of the stages of a claim keep their bytes in a
 // message.
 func TestGoldenReasonsAndStages(t *testing.T) {
-	reasons := map[string]replication.RefusalReason{"taken": replication.AlreadyClaimed, "learning": replication.NoVote, "epoch": replication.WrongSet, "full": replication.CapacityReached,
-		"stale": replication.ClaimReleased}
+	reasons := map[string]replication.RefusalReason{
+		"taken":    replication.AlreadyClaimed,
+		"learning": replication.NoVote,
+		"epoch":    replication.WrongSet,
+		"full":     replication.CapacityReached,
+		"stale":    replication.ClaimReleased,
+	}
 	for name, why := range reasons {
 		t.Run(name, func(t *testing.T) {
-			requireGoldenOther(t, "reason_"+name, serviceMessage{Replication: &replication.Message{Kind: replication.ClaimRefused, Reason: why}})
+			message := replication.Message{Kind: replication.ClaimRefused, Reason: why}
+			requireGoldenService(t, "reason_"+name, serviceMessage{Replication: &message})
 		})
 	}
-	stages := map[string]replication.Stage{"claimed": replication.Claimed, "released": replication.Released, "given_up": replication.Abandoned,
-		"ended": replication.Ended}
+	stages := map[string]replication.Stage{
+		"claimed":  replication.Claimed,
+		"released": replication.Released,
+		"given_up": replication.Abandoned,
+		"ended":    replication.Ended,
+	}
 	for name, stage := range stages {
 		t.Run(name, func(t *testing.T) {
 			record := replication.Record{Key: "key", Outcomes: []replication.Outcome{{Stage: stage}}}
-			requireGoldenOther(t, "stage_"+name, serviceMessage{Replication: &replication.Message{Kind: replication.OutcomeReported, Record: record}})
+			message := replication.Message{Kind: replication.OutcomeReported, Record: record}
+			requireGoldenService(t, "stage_"+name, serviceMessage{Replication: &message})
 		})
 	}
 }
 
-// The message of each kind that members exchange about the set of keepers keeps its bytes and decodes to
+// The message of each kind that members exchange about the replica set keeps its bytes and decodes to
 // the same value.
-func TestGoldenKeepersMessages(t *testing.T) {
-	for name, kind := range map[string]replicaset.Kind{"seat_asked": replicaset.VoterQuery, "seat_said": replicaset.VoterReply,
-		"founded": replicaset.GroupFounded, "joined": replicaset.VoterAccepted, "round": replicaset.RaftMessage, "reseat": replicaset.ReplaceVoter,
-		"asked": replicaset.ChangeRequested, "answered": replicaset.ChangeAnswered} {
+func TestGoldenReplicaSetMessages(t *testing.T) {
+	for name, kind := range map[string]replicaset.Kind{
+		"seat_asked": replicaset.VoterQuery,
+		"seat_said":  replicaset.VoterReply,
+		"founded":    replicaset.GroupFounded,
+		"joined":     replicaset.VoterAccepted,
+		"round":      replicaset.RaftMessage,
+		"reseat":     replicaset.ReplaceVoter,
+		"asked":      replicaset.ChangeRequested,
+		"answered":   replicaset.ChangeAnswered,
+	} {
 		t.Run(name, func(t *testing.T) {
 			message := filledValue[replicaset.Message](t)
 			message.Kind = kind
-			requireGoldenOther(t, "keepers_"+name, serviceMessage{ReplicaSet: &message})
+			requireGoldenService(t, "keepers_"+name, serviceMessage{ReplicaSet: &message})
 		})
 	}
 }
 
-// The message that tells which workers drain or have left keeps its bytes, with the names of its fields,
+// The message that says which workers drain or have left keeps its bytes, with the names of its fields,
 // and decodes to the same value.
-func TestGoldenWorkers(t *testing.T) {
-	requireGoldenOther(t, "workers", serviceMessage{Drains: filledValue[[]drainstate.DrainRecord](t)})
+func TestGoldenDrains(t *testing.T) {
+	requireGoldenService(t, "workers", serviceMessage{Drains: filledValue[[]drainstate.DrainRecord](t)})
 }
 
-// The message that tells what staff decided for a scheduler keeps its bytes and decodes to the same value.
-func TestGoldenStaff(t *testing.T) {
-	word := filledValue[operatorstate.State](t)
-	requireGoldenOther(t, "staff", serviceMessage{OperatorState: &word})
+// The message with what operators decided for a scheduler keeps its bytes and decodes to the same value.
+func TestGoldenOperatorState(t *testing.T) {
+	state := filledValue[operatorstate.State](t)
+	requireGoldenService(t, "staff", serviceMessage{OperatorState: &state})
 }
 
 // The number of each state of a member keeps its bytes in a datagram.
 func TestGoldenMemberStates(t *testing.T) {
-	for name, state := range map[string]membership.State{"joining": membership.Joining, "here": membership.Alive, "doubted": membership.Suspect,
-		"gone": membership.Dead, "left": membership.Left, "superseded": membership.Replaced} {
+	for name, state := range map[string]membership.State{
+		"joining":    membership.Joining,
+		"here":       membership.Alive,
+		"doubted":    membership.Suspect,
+		"gone":       membership.Dead,
+		"left":       membership.Left,
+		"superseded": membership.Replaced,
+	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(goldenFolder, "state_"+name+".bin")
-			message := membership.Message{Kind: membership.Gossip, From: membership.MemberRecord{Addr: goldenAddress(0), State: state}}
+			from := membership.MemberRecord{Addr: goldenAddress(0), State: state}
+			message := membership.Message{Kind: membership.Gossip, From: from}
 			text, err := encode(message)
 			if err != nil {
 				t.Fatal(err)
@@ -273,18 +321,19 @@
 // Each boolean field of a message keeps its key when it alone is set, which tells it from the other
 // booleans.
 func TestGoldenFlags(t *testing.T) {
-	fate := func(fate replication.Outcome) *replication.Message {
-		return &replication.Message{Kind: replication.OutcomeReported, Record: replication.Record{Key: "key", Outcomes: []replication.Outcome{fate}}}
+	withOutcome := func(outcome replication.Outcome) *replication.Message {
+		record := replication.Record{Key: "key", Outcomes: []replication.Outcome{outcome}}
+		return &replication.Message{Kind: replication.OutcomeReported, Record: record}
 	}
 	for name, message := range map[string]serviceMessage{
 		"voting": {Replication: &replication.Message{Kind: replication.DigestPage, Voting: true}},
 		"ready":  {Replication: &replication.Message{Kind: replication.DigestPage, Ready: true}},
 		"more":   {Replication: &replication.Message{Kind: replication.DigestPage, More: true}},
-		"held":   {Replication: fate(replication.Outcome{ResultRetained: true})},
-		"voted":  {Replication: fate(replication.Outcome{Voted: true})},
+		"held":   {Replication: withOutcome(replication.Outcome{ResultRetained: true})},
+		"voted":  {Replication: withOutcome(replication.Outcome{Voted: true})},
 		"done":   {ReplicaSet: &replicaset.Message{Kind: replicaset.ChangeAnswered, OK: true}},
 		"again":  {ReplicaSet: &replicaset.Message{Kind: replicaset.ChangeAnswered, Retryable: true}},
 	} {
-		t.Run(name, func(t *testing.T) { requireGoldenOther(t, "flag_"+name, message) })
+		t.Run(name, func(t *testing.T) { requireGoldenService(t, "flag_"+name, message) })
 	}
 }
--- a/internal/cluster/mesh/mesh_test.go
+++ b/internal/cluster/mesh/mesh_test.go
@@ -7,6 +7,7 @@
 	"os"
 	"reflect"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 
@@ -29,46 +30,104 @@
 	return x
 }
 
+// testRecord is the record of an alive member.
+func testRecord(name, addr string) membership.MemberRecord {
+	return membership.MemberRecord{
+		Name:        name,
+		Addr:        addr,
+		Incarnation: membership.Incarnation{Generation: 1, Nonce: 1},
+		State:       membership.Alive,
+		ReportedBy:  name,
+	}
+}
+
+func drawMessage(t *rapid.T) membership.Message {
+	record := membership.MemberRecord{
+		Name:   rapid.String().Draw(t, "name"),
+		Addr:   "127.0.0.1:7",
+		Number: rapid.IntRange(-1, 9).Draw(t, "number"),
+		Incarnation: membership.Incarnation{
+			Generation: rapid.Uint64().Draw(t, "generation"),
+			Nonce:      rapid.Uint64().Draw(t, "nonce"),
+		},
+		State:      membership.Alive,
+		ReportedBy: "b",
+	}
+	return membership.Message{
+		Kind:             membership.Ping,
+		Cluster:          "c",
+		From:             record,
+		Seq:              rapid.Uint64().Draw(t, "seq"),
+		Records:          []membership.MemberRecord{record, record},
+		Digests:          rapid.SliceOfN(rapid.Uint64(), 1, 5).Draw(t, "digests"),
+		Buckets:          []int{1},
+		Text:             "t",
+		SenderCatchingUp: true,
+	}
+}
+
 // What another build or a bad cable sends must never be read as something else, nor end the process.
 func TestMessagesDecodeAsEncoded(t *testing.T) {
-	inside := table(t).allowed
+	allowed := table(t).allowed
 	rapid.Check(t, func(t *rapid.T) {
-		claim := membership.MemberRecord{Name: rapid.String().Draw(t, "name"), Addr: "127.0.0.1:7", Number: rapid.IntRange(-1, 9).Draw(t, "n"),
-			Incarnation: membership.Incarnation{Generation: rapid.Uint64().Draw(t, "i"), Nonce: rapid.Uint64().Draw(t, "x")}, State: membership.Alive, ReportedBy: "b"}
-		x := membership.Message{Kind: membership.Ping, Cluster: "c", From: claim, Seq: rapid.Uint64().Draw(t, "seq"), Records: []membership.MemberRecord{claim, claim},
-			Digests: rapid.SliceOfN(rapid.Uint64(), 1, 5).Draw(t, "d"), Buckets: []int{1}, Text: "t", SenderCatchingUp: true}
-		text, err := encode(x)
+		message := drawMessage(t)
+		text, err := encode(message)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := decode(text, inside); err != nil || !reflect.DeepEqual(got, x) {
+		if got, err := decode(text, allowed); err != nil || !reflect.DeepEqual(got, message) {
 			t.Fatalf("%+v, %v", got, err)
 		}
-		k := rapid.IntRange(0, len(text)-1).Draw(t, "at")
-		if _, err := decode(text[:k], inside); err == nil {
+		at := rapid.IntRange(0, len(text)-1).Draw(t, "at")
+		if _, err := decode(text[:at], allowed); err == nil {
 			t.Fatal("half a message was read")
 		}
-		text[k] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
-		if _, err := decode(text, inside); err == nil {
+		text[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
+		if _, err := decode(text, allowed); err == nil {
 			t.Fatal("a garbled message was read")
 		}
-		decode(rapid.SliceOf(rapid.Byte()).Draw(t, "noise"), inside)
-		y := replication.Message{Kind: replication.DigestPage, SetID: 7, Records: []replication.Record{{Key: "k\x00i", Fingerprint: 3, Outcomes: []replication.Outcome{
-			{Claim: replication.Claim{Scheduler: "n", Nonce: 9}, Stage: replication.Ended, Verdict: 502, Result: []byte("r"), ResultRetained: true}}}}, Voters: []replication.Voter{{Name: "n"}}}
-		if text, err = encodeService(serviceMessage{Cluster: "c", From: recordToWire(claim), Replication: &y}); err != nil {
+		decode(rapid.SliceOf(rapid.Byte()).Draw(t, "noise"), allowed)
+	})
+}
+
+// A message of a service must come as it was sent, whoever its sender is.
+func TestServiceMessagesDecodeAsEncoded(t *testing.T) {
+	outcome := replication.Outcome{
+		Claim:          replication.Claim{Scheduler: "n", Nonce: 9},
+		Stage:          replication.Ended,
+		Verdict:        502,
+		Result:         []byte("r"),
+		ResultRetained: true,
+	}
+	record := replication.Record{Key: "k\x00i", Fingerprint: 3, Outcomes: []replication.Outcome{outcome}}
+	sent := replication.Message{
+		Kind:    replication.DigestPage,
+		SetID:   7,
+		Records: []replication.Record{record},
+		Voters:  []replication.Voter{{Name: "n"}},
+	}
+	rapid.Check(t, func(t *rapid.T) {
+		from := recordToWire(drawMessage(t).From)
+		text, err := encodeService(serviceMessage{Cluster: "c", From: from, Replication: &sent})
+		if err != nil {
 			t.Fatal(err)
 		}
-		if w, err := decodeService(text); err != nil || !reflect.DeepEqual(*w.Replication, y) {
-			t.Fatalf("%+v, %v", w.Replication, err)
+		got, err := decodeService(text)
+		if err != nil || got.From != from || !reflect.DeepEqual(*got.Replication, sent) {
+			t.Fatalf("%+v, %v", got, err)
 		}
 	})
 }
 
-// An address that a message tells may be anybody's: one outside the networks must not be taken up.
+// An address in a message may be anybody's: one outside the networks must not be taken up.
 func TestAddressesOutsideNetworksAreRejected(t *testing.T) {
-	x := membership.Message{Kind: membership.Ping, Cluster: "c", From: membership.MemberRecord{Name: "a", Addr: "127.0.0.1:7"},
-		Records: []membership.MemberRecord{{Name: "b", Addr: "10.1.2.3:7"}}}
-	text, err := encode(x)
+	message := membership.Message{
+		Kind:    membership.Ping,
+		Cluster: "c",
+		From:    membership.MemberRecord{Name: "a", Addr: "127.0.0.1:7"},
+		Records: []membership.MemberRecord{{Name: "b", Addr: "10.1.2.3:7"}},
+	}
+	text, err := encode(message)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,52 +139,72 @@
 	}
 }
 
-// The clock counts while the process stands still and can't be set back; a process that has ended leaves
-// nothing running.
-func TestStartHandoverAndClose(t *testing.T) {
-	defer goleak.VerifyNone(t)
-	before := Now()
-	a, err := Start(table(t), Identity{"a", 0, 1}, Host{}, zerolog.Nop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	other := table(t)
-	other.Seeds = []string{a.sockets.udp.LocalAddr().String()}
-	b, err := Start(other, Identity{"b", 1, 1}, Host{}, zerolog.Nop())
+// startMesh starts a member on a free port of the loopback address.
+func startMesh(t *testing.T, name string, number int, host Host, seeds ...string) *Mesh {
+	t.Helper()
+	config := table(t)
+	config.Seeds = seeds
+	m, err := Start(config, Identity{name, number, 1}, host, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for until := time.Now().Add(20 * time.Second); len(a.Status().Members) == 0 || a.Status().Members[0].State != membership.Alive; time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(until) {
-			t.Fatal("they never met")
+	t.Cleanup(m.Close)
+	return m
+}
+
+// awaitAlive waits until a member holds another one to be alive.
+func awaitAlive(t *testing.T, m *Mesh) {
+	t.Helper()
+	until := time.Now().Add(20 * time.Second)
+	for ; time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+		members := m.Status().Members
+		if len(members) > 0 && members[0].State == membership.Alive {
+			return
 		}
 	}
-	text, sockets, err := b.HandOver()
-	if err != nil || len(sockets) != 2 {
-		t.Fatalf("%d sockets, %v", len(sockets), err)
-	}
-	var files []*os.File
-	for _, s := range sockets {
-		f, err := s.(interface{ File() (*os.File, error) }).File()
+	t.Fatal("they never met")
+}
+
+// filesOf duplicates the sockets as a successor gets them.
+func filesOf(t *testing.T, conns []syscall.Conn) (files []*os.File) {
+	t.Helper()
+	for _, conn := range conns {
+		f, err := conn.(interface{ File() (*os.File, error) }).File()
 		if err != nil {
 			t.Fatal(err)
 		}
 		files = append(files, f)
 	}
-	heir, err := Restore(other, Identity{"b", 1, 1}, Host{}, zerolog.Nop(), text, files)
+	return files
+}
+
+// The clock counts while the process is stopped and can't be set back; a process that has ended leaves
+// nothing running.
+func TestStartHandoverAndClose(t *testing.T) {
+	defer goleak.VerifyNone(t)
+	before := Now()
+	a := startMesh(t, "a", 0, Host{})
+	b := startMesh(t, "b", 1, Host{}, a.sockets.addr().String())
+	awaitAlive(t, a)
+	state, conns, err := b.HandOver()
+	if err != nil || len(conns) != 2 {
+		t.Fatalf("%d sockets, %v", len(conns), err)
+	}
+	files := filesOf(t, conns)
+	successor, err := Restore(b.config, Identity{"b", 1, 1}, Host{}, zerolog.Nop(), state, files)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, f := range files {
 		f.Close()
 	}
-	if got := heir.Status().Self; got.Incarnation != b.Status().Self.Incarnation {
-		t.Errorf("the heir is %+v, the first one %+v", got.Incarnation, b.Status().Self.Incarnation)
+	if got, want := successor.Status().Self.Incarnation, b.Status().Self.Incarnation; got != want {
+		t.Errorf("the successor is %+v, the predecessor %+v", got, want)
 	}
-	if _, err := Restore(other, Identity{"z", 1, 1}, Host{}, zerolog.Nop(), text, files); err == nil {
-		t.Error("another's place was taken")
+	if _, err := Restore(b.config, Identity{"z", 1, 1}, Host{}, zerolog.Nop(), state, files); err == nil {
+		t.Error("a process of another name took over")
 	}
-	heir.Close()
+	successor.Close()
 	b.Resume()
 	b.Close()
 	a.Close()
@@ -134,25 +213,22 @@
 	}
 }
 
-// A process that took its incarnation without knowing of an earlier one goes beyond it later. Its host must
-// be told: as a keeper it registered under the lower one for good, and nobody took that.
+// A process that chose its incarnation without knowledge of an earlier one goes beyond it later. Its host
+// must be notified: a replica that had registered under the lower one got no answer any more.
 func TestHostIsNotifiedOfLaterIncarnation(t *testing.T) {
-	lives := make(chan uint64, 9)
-	a, err := Start(table(t), Identity{"a", 0, 1}, Host{Serving: func(_ bool, l membership.Incarnation) { lives <- l.Generation }}, zerolog.Nop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer a.Close()
+	generations := make(chan uint64, 9)
+	serving := func(_ bool, incarnation membership.Incarnation) { generations <- incarnation.Generation }
+	a := startMesh(t, "a", 0, Host{Serving: serving})
 	await := func(want uint64) {
 		t.Helper()
-		for late := time.After(20 * time.Second); ; {
+		for timeout := time.After(20 * time.Second); ; {
 			select {
-			case got := <-lives:
+			case got := <-generations:
 				if got == want {
 					return
 				}
-			case <-late:
-				t.Fatalf("never told that it is life %d", want)
+			case <-timeout:
+				t.Fatalf("never notified of generation %d", want)
 			}
 		}
 	}
@@ -162,43 +238,70 @@
 		t.Fatal(err)
 	}
 	defer b.Close()
-	at := b.LocalAddr().String()
-	text, err := encode(membership.Message{Kind: membership.Gossip, Cluster: "c", Seq: 1, From: membership.MemberRecord{Name: "b", Addr: at,
-		Incarnation: membership.Incarnation{Generation: 1, Nonce: 1}, State: membership.Alive, ReportedBy: "b"}, Records: []membership.MemberRecord{{Name: "a", Addr: at,
-		Incarnation: membership.Incarnation{Generation: 5, Nonce: 1}, State: membership.Dead, ReportedBy: "b"}}})
+	addr := b.LocalAddr().String()
+	earlier := testRecord("a", addr)
+	earlier.Generation, earlier.State, earlier.ReportedBy = 5, membership.Dead, "b"
+	text, err := encode(membership.Message{
+		Kind:    membership.Gossip,
+		Cluster: "c",
+		Seq:     1,
+		From:    testRecord("b", addr),
+		Records: []membership.MemberRecord{earlier},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.WriteToUDP(text, a.sockets.udp.LocalAddr().(*net.UDPAddr))
+	b.WriteToUDP(text, a.sockets.addr())
 	await(6)
 }
 
-// Words of workers whose names are as long as one may be fit a message, in as many as are told at a time; a
-// name that is longer costs the others nothing.
+// Drain records of workers whose names are as long as one may be fit a datagram, in as many as are sent at
+// a time; a name that is longer costs the others nothing.
 func TestLongestDrainRecordsFitADatagram(t *testing.T) {
-	long := func(letter string, n int) string { return strings.Repeat(letter, n) }
-	from := membership.MemberRecord{Name: long("n", 255), Addr: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535", Number: 1 << 20, Incarnation: membership.Incarnation{Generation: 1 << 60, Nonce: 1 << 63},
-		Refutations: 1 << 60, State: membership.Alive, ReportedBy: long("b", 255), Age: 1 << 60}
-	c := drainstate.New(1)
-	told := drainstate.EndpointsChanged{Revision: 1 << 60, Snapshot: true, Endpoints: []drainstate.Endpoint{{Worker: long("w", 9000), BootID: 1 << 60}}}
-	for i := range 100 {
-		told.Endpoints = append(told.Endpoints, drainstate.Endpoint{Worker: fmt.Sprintf("%0255d", i), BootID: 1 << 60})
-	}
-	c.Step(1, told)
-	words := 0
-	for _, e := range c.Step(2, drainstate.PeersChanged{Names: []string{"b"}}) {
-		x, ok := e.(drainstate.SendRecords)
+	const records = 100
+	from := longestRecord()
+	core := drainstate.New(1)
+	endpoints := longNamedEndpoints(records)
+	core.Step(1, drainstate.EndpointsChanged{Revision: 1 << 60, Snapshot: true, Endpoints: endpoints})
+	sent := 0
+	for _, effect := range core.Step(2, drainstate.PeersChanged{Names: []string{"b"}}) {
+		send, ok := effect.(drainstate.SendRecords)
 		if !ok {
 			continue
 		}
-		text, err := encodeService(serviceMessage{Cluster: long("c", 255), From: recordToWire(from), Drains: x.Records})
+		message := serviceMessage{From: recordToWire(from), Drains: send.Records}
+		message.Cluster = strings.Repeat("c", 255)
+		text, err := encodeService(message)
 		if err != nil || len(text) > maxServiceBytes {
-			t.Errorf("%d words take %d bytes of %d, %v", len(x.Records), len(text), maxServiceBytes, err)
+			t.Errorf("%d records take %d bytes of %d, %v", len(send.Records), len(text), maxServiceBytes, err)
 			continue
 		}
-		words += len(x.Records)
+		sent += len(send.Records)
 	}
-	if words < 100 {
-		t.Errorf("%d words of 100 are told", words)
+	if sent < records {
+		t.Errorf("%d of %d records are sent", sent, records)
+	}
+}
+
+// longestRecord is a member record of which each field takes as many bytes as it may.
+func longestRecord() membership.MemberRecord {
+	return membership.MemberRecord{
+		Name:        strings.Repeat("n", 255),
+		Addr:        "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535",
+		Number:      1 << 20,
+		Incarnation: membership.Incarnation{Generation: 1 << 60, Nonce: 1 << 63},
+		Refutations: 1 << 60,
+		State:       membership.Alive,
+		ReportedBy:  strings.Repeat("b", 255),
+		Age:         1 << 60,
+	}
+}
+
+// longNamedEndpoints are workers with the longest names, and one with a longer name than any may have.
+func longNamedEndpoints(count int) []drainstate.Endpoint {
+	endpoints := []drainstate.Endpoint{{Worker: strings.Repeat("w", 9000), BootID: 1 << 60}}
+	for i := range count {
+		endpoints = append(endpoints, drainstate.Endpoint{Worker: fmt.Sprintf("%0255d", i), BootID: 1 << 60})
 	}
+	return endpoints
 }
