--- a/internal/cluster/mesh/golden_messages_test.go
+++ b/internal/cluster/mesh/golden_messages_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"fmt"
-	"os"
 	"path/filepath"
 	"reflect"
 	"testing"
@@ -13,93 +12,19 @@
 	"woaddyke/internal/cluster/operatorstate"
 	"woaddyke/internal/cluster/replicaset"
 	"woaddyke/internal/cluster/replication"
+	"woaddyke/internal/testsupport/filled"
 	"woaddyke/internal/testsupport/golden"
 )
 
 const goldenFolder = "testdata/golden"
 
-// filler sets every exported field that it reaches to a non-zero value, and no two numbers or texts to the
-// same one.
-type filler struct{ last int }
-
-func (f *filler) fill(t *testing.T, v reflect.Value) {
-	t.Helper()
-	f.last++
-	switch v.Kind() {
-	case reflect.Struct:
-		for i := range v.NumField() {
-			if v.Type().Field(i).IsExported() {
-				f.fill(t, v.Field(i))
-			}
-		}
-	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		for i := range v.Len() {
-			f.fill(t, v.Index(i))
-		}
-	case reflect.String:
-		v.SetString(fmt.Sprintf("text-%d", f.last))
-	case reflect.Bool:
-		v.SetBool(true)
-	case reflect.Int, reflect.Int64:
-		v.SetInt(int64(f.last))
-	case reflect.Uint8, reflect.Uint16, reflect.Uint64:
-		if v.OverflowUint(uint64(f.last)) {
-			t.Fatalf("%d is too large for %s", f.last, v.Type())
-		}
-		v.SetUint(uint64(f.last))
-	default:
-		t.Fatalf("%s can't be filled", v.Type())
-	}
-}
-
-// filledValue returns a value of which every exported field is set.
-func filledValue[T any](t *testing.T) (value T) {
-	t.Helper()
-	new(filler).fill(t, reflect.ValueOf(&value).Elem())
-	requireNonZero(t, reflect.TypeFor[T]().String(), reflect.ValueOf(value))
-	return value
-}
-
-// requireNonZero fails the test where an exported field, or an element of a list, has its zero value.
-func requireNonZero(t *testing.T, path string, v reflect.Value) {
-	t.Helper()
-	if v.IsZero() {
-		t.Fatalf("%s is zero", path)
-	}
-	switch v.Kind() {
-	case reflect.Struct:
-		for i := range v.NumField() {
-			if field := v.Type().Field(i); field.IsExported() {
-				requireNonZero(t, path+"."+field.Name, v.Field(i))
-			}
-		}
-	case reflect.Slice:
-		if v.Len() == 0 {
-			t.Fatalf("%s is empty", path)
-		}
-		for i := range v.Len() {
-			requireNonZero(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
-		}
-	}
-}
-
-func readGolden(t *testing.T, path string) []byte {
-	t.Helper()
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return text
-}
-
 // goldenAddress is an address that a member may have.
 func goldenAddress(number int) string { return fmt.Sprintf("127.0.0.1:%d", 7000+number) }
 
 // goldenMessage returns a membership message with every field set.
 func goldenMessage(t *testing.T, kind membership.Kind) membership.Message {
 	t.Helper()
-	message := filledValue[membership.Message](t)
+	message := filled.Numbered[membership.Message](t)
 	message.Kind = kind
 	message.From.Addr = goldenAddress(0)
 	for i := range message.Records {
@@ -128,7 +53,7 @@
 				t.Fatal(err)
 			}
 			golden.Compare(t, path, text)
-			got, err := decode(readGolden(t, path), table(t).allowed)
+			got, err := decode(golden.Read(t, path), table(t).allowed)
 			if err != nil || !reflect.DeepEqual(got, message) {
 				t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
 			}
@@ -156,7 +81,7 @@
 				t.Fatal(err)
 			}
 			golden.Compare(t, path, frame.Bytes())
-			rest := bytes.NewReader(readGolden(t, path))
+			rest := bytes.NewReader(golden.Read(t, path))
 			text, err = readFrame(rest, baseFrameBytes)
 			if err != nil || rest.Len() != 0 {
 				t.Fatalf("%d bytes are left after the frame, %v", rest.Len(), err)
@@ -172,13 +97,13 @@
 // The state that a process hands to its successor keeps its bytes and decodes to the same value.
 func TestGoldenHandover(t *testing.T) {
 	path := filepath.Join(goldenFolder, "legacy.cbor")
-	handover := filledValue[membership.HandoverState](t)
+	handover := filled.Numbered[membership.HandoverState](t)
 	text, err := encodeHandover(handover)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, path, text)
-	got, err := decodeHandover(readGolden(t, path))
+	got, err := decodeHandover(golden.Read(t, path))
 	if err != nil || !reflect.DeepEqual(got, handover) {
 		t.Fatalf("got %+v, %v\nwant %+v", got, err, handover)
 	}
@@ -190,13 +115,13 @@
 	t.Helper()
 	path := filepath.Join(goldenFolder, "other_"+name+".bin")
 	message.Cluster = "cluster"
-	message.From = recordToWire(filledValue[membership.MemberRecord](t))
+	message.From = recordToWire(filled.Numbered[membership.MemberRecord](t))
 	text, err := encodeService(message)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, path, text)
-	got, err := decodeService(readGolden(t, path))
+	got, err := decodeService(golden.Read(t, path))
 	if err != nil || !reflect.DeepEqual(got, message) {
 		t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
 	}
@@ -220,7 +145,7 @@
 		"fetched":    replication.Fetched,
 	} {
 		t.Run(name, func(t *testing.T) {
-			message := filledValue[replication.Message](t)
+			message := filled.Numbered[replication.Message](t)
 			message.Kind = kind
 			requireGoldenService(t, "copies_"+name, serviceMessage{Replication: &message})
 		})
@@ -272,7 +197,7 @@
 		"answered":   replicaset.ChangeAnswered,
 	} {
 		t.Run(name, func(t *testing.T) {
-			message := filledValue[replicaset.Message](t)
+			message := filled.Numbered[replicaset.Message](t)
 			message.Kind = kind
 			requireGoldenService(t, "keepers_"+name, serviceMessage{ReplicaSet: &message})
 		})
@@ -282,12 +207,12 @@
 // The message that says which workers drain or have left keeps its bytes, with the names of its fields,
 // and decodes to the same value.
 func TestGoldenDrains(t *testing.T) {
-	requireGoldenService(t, "workers", serviceMessage{Drains: filledValue[[]drainstate.DrainRecord](t)})
+	requireGoldenService(t, "workers", serviceMessage{Drains: filled.Numbered[[]drainstate.DrainRecord](t)})
 }
 
 // The message with what operators decided for a scheduler keeps its bytes and decodes to the same value.
 func TestGoldenOperatorState(t *testing.T) {
-	state := filledValue[operatorstate.State](t)
+	state := filled.Numbered[operatorstate.State](t)
 	requireGoldenService(t, "staff", serviceMessage{OperatorState: &state})
 }
 
@@ -310,7 +235,7 @@
 				t.Fatal(err)
 			}
 			golden.Compare(t, path, text)
-			got, err := decode(readGolden(t, path), table(t).allowed)
+			got, err := decode(golden.Read(t, path), table(t).allowed)
 			if err != nil || !reflect.DeepEqual(got, message) {
 				t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
 			}
--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -14,86 +14,12 @@
 	"woaddyke/internal/cluster/replicaset"
 	"woaddyke/internal/cluster/replication"
 	"woaddyke/internal/lifecycle/boottime"
+	"woaddyke/internal/testsupport/filled"
 	"woaddyke/internal/testsupport/golden"
 )
 
 const goldenFile = "testdata/keeper.db"
 
-// filler sets every exported field that it reaches to a non-zero value, and no two numbers or texts to
-// the same one.
-type filler struct{ last int }
-
-func (f *filler) fill(t *testing.T, v reflect.Value) {
-	t.Helper()
-	f.last++
-	switch v.Kind() {
-	case reflect.Struct:
-		for i := range v.NumField() {
-			if v.Type().Field(i).IsExported() {
-				f.fill(t, v.Field(i))
-			}
-		}
-	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		for i := range v.Len() {
-			f.fill(t, v.Index(i))
-		}
-	case reflect.String:
-		v.SetString(fmt.Sprintf("text-%d", f.last))
-	case reflect.Bool:
-		v.SetBool(true)
-	case reflect.Int, reflect.Int64:
-		v.SetInt(int64(f.last))
-	case reflect.Uint8, reflect.Uint16, reflect.Uint64:
-		if v.OverflowUint(uint64(f.last)) {
-			t.Fatalf("%d is too large for %s", f.last, v.Type())
-		}
-		v.SetUint(uint64(f.last))
-	default:
-		t.Fatalf("%s can't be filled", v.Type())
-	}
-}
-
-// filled is a value of which every exported field is set.
-func filled[T any](t *testing.T) (value T) {
-	t.Helper()
-	new(filler).fill(t, reflect.ValueOf(&value).Elem())
-	requireNonZero(t, reflect.TypeFor[T]().String(), reflect.ValueOf(value))
-	return value
-}
-
-// requireNonZero fails the test where an exported field, or an element of a list, has its zero value.
-func requireNonZero(t *testing.T, path string, v reflect.Value) {
-	t.Helper()
-	if v.IsZero() {
-		t.Fatalf("%s is zero", path)
-	}
-	switch v.Kind() {
-	case reflect.Struct:
-		for i := range v.NumField() {
-			if field := v.Type().Field(i); field.IsExported() {
-				requireNonZero(t, path+"."+field.Name, v.Field(i))
-			}
-		}
-	case reflect.Slice:
-		if v.Len() == 0 {
-			t.Fatalf("%s is empty", path)
-		}
-		for i := range v.Len() {
-			requireNonZero(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
-		}
-	}
-}
-
-func readGolden(t *testing.T, path string) []byte {
-	t.Helper()
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return text
-}
-
 // goldenNow is the moment at which the golden file was written.
 var goldenNow = boottime.Reading{BootID: "start-of-the-golden-file", SinceBoot: 1000 * time.Second}
 
@@ -109,13 +35,13 @@
 // newGoldenContent is content with every field set, and a record with a claim of each stage.
 func newGoldenContent(t *testing.T) goldenContent {
 	t.Helper()
-	content := filled[goldenContent](t)
+	content := filled.Numbered[goldenContent](t)
 	stages := []replication.Stage{
 		replication.Claimed, replication.Released, replication.Abandoned, replication.Ended,
 	}
 	fates := make([]replication.Outcome, len(stages))
 	for i, stage := range stages {
-		fates[i] = filled[replication.Outcome](t)
+		fates[i] = filled.Numbered[replication.Outcome](t)
 		fates[i].Stage = stage
 		fates[i].Scheduler = fmt.Sprintf("scheduler-%d", i)
 		fates[i].Group = fmt.Sprintf("group-%d", i)
@@ -123,7 +49,7 @@
 	content.Records[0].Outcomes = fates
 	content.Records[0].Key, content.Records[1].Key = "category\x00first", "category\x00second"
 	content.Cursors[0].Replica, content.Cursors[1].Replica = "keeper-1", "keeper-2"
-	requireNonZero(t, "content", reflect.ValueOf(content))
+	filled.RequireNonZero(t, "content", content)
 	return content
 }
 
@@ -150,7 +76,7 @@
 func copyOfGolden(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "keeper.db")
-	if err := os.WriteFile(path, readGolden(t, goldenFile), 0o600); err != nil {
+	if err := os.WriteFile(path, golden.Read(t, goldenFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
@@ -186,7 +112,7 @@
 	path := filepath.Join(t.TempDir(), "keeper.db")
 	writeStore(t, path, newGoldenContent(t))
 	if os.Getenv("UPDATE_GOLDEN") == "1" {
-		golden.Compare(t, goldenFile, readGolden(t, path))
+		golden.Compare(t, goldenFile, golden.Read(t, path))
 	}
 	got, want := rawRows(t, path), rawRows(t, copyOfGolden(t))
 	if !reflect.DeepEqual(got, want) {
--- a/internal/testsupport/golden/golden.go
+++ b/internal/testsupport/golden/golden.go
@@ -21,11 +21,17 @@
 		}
 		t.Fatalf("%s was written", path)
 	}
-	want, err := os.ReadFile(path)
+	if want := Read(t, path); !bytes.Equal(got, want) {
+		t.Fatalf("%s differs\n got: %q\nwant: %q", path, got, want)
+	}
+}
+
+// Read returns the content of a file.
+func Read(t testing.TB, path string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(got, want) {
-		t.Fatalf("%s differs\n got: %q\nwant: %q", path, got, want)
-	}
+	return text
 }
