--- a/internal/cluster/membership/failure_detector.go
+++ b/internal/cluster/membership/failure_detector.go
@@ -229,7 +229,7 @@
 func (n *Node) checkIsolation(failed probe) {
 	if !n.detector.isolated && n.detector.lastHeard <= failed.sentAt {
 		n.detector.isolated = true
-		n.emit(Event{"hears nobody", ""})
+		n.emit(Event{"isolated: no member is heard", ""})
 	}
 }
 
@@ -240,7 +240,7 @@
 		return
 	}
 	n.detector.isolated = false
-	n.emit(Event{"hears others again", ""})
+	n.emit(Event{"no longer isolated", ""})
 	for _, name := range n.members.sortedNames() {
 		if m := n.members.byName[name]; m.private {
 			n.discardPrivateState(m)
--- a/internal/cluster/membership/join.go
+++ b/internal/cluster/membership/join.go
@@ -113,7 +113,7 @@
 	case n.phase == catchingUp:
 		n.resumeServing()
 	case n.phase == standingBy && !nameTaken:
-		n.emit(Event{"the name is free", reported.Name})
+		n.emit(Event{"name is free again", reported.Name})
 		n.startServing()
 	}
 }
--- a/internal/cluster/membership/merge.go
+++ b/internal/cluster/membership/merge.go
@@ -39,7 +39,7 @@
 	}
 	if len(n.members.byName) >= n.config.MaxMembers-1 {
 		n.count(countNoRoom)
-		n.emit(Event{"no room in the view", record.Name})
+		n.emit(Event{"view is full, member not added", record.Name})
 		return
 	}
 	m := &member{record: record, index: notListed}
@@ -145,7 +145,7 @@
 		n.startIncarnationAfter(record.Generation)
 	case record.State >= Suspect && record.Refutations >= n.self.Refutations:
 		n.count(countRefuted)
-		n.emit(Event{"refuted that it is " + record.State.String(), record.ReportedBy})
+		n.emit(Event{"refuted a report that it is " + record.State.String(), record.ReportedBy})
 		n.self.Refutations = record.Refutations + 1
 		n.announceSelf()
 	case record.Refutations > n.self.Refutations:
--- a/internal/cluster/membership/messages.go
+++ b/internal/cluster/membership/messages.go
@@ -101,9 +101,9 @@
 	Text   string
 }
 
-// Event is something that concerns this process itself, to be logged. Member is the other process that it
-// involves, or empty.
-type Event struct{ Description, Member string }
+// Event is something that concerns this process itself, to be logged. Subject is the process that it involves,
+// how long it lasted, or empty.
+type Event struct{ Description, Subject string }
 
 // Joined reports that this process is a member from now on.
 type Joined struct{}
--- a/internal/cluster/membership/name_conflict.go
+++ b/internal/cluster/membership/name_conflict.go
@@ -92,7 +92,7 @@
 	}
 	if n.now-n.conflict.lastNotice >= queryInterval {
 		n.conflict.lastNotice = n.now
-		n.emit(Event{"another process uses this name, and is told that it is superseded", rival.Addr})
+		n.emit(Event{"another process uses this name, notified that it is replaced", rival.Addr})
 		n.send(rival.Addr, Message{Kind: Gossip, Records: []MemberRecord{n.self}})
 	}
 }
--- a/internal/cluster/membership/phase.go
+++ b/internal/cluster/membership/phase.go
@@ -61,7 +61,7 @@
 func (n *Node) resumeServing() {
 	reported := n.join.reportedSelf
 	if reported.Incarnation == n.self.Incarnation && reported.State >= Suspect {
-		n.emit(Event{"was called " + reported.State.String(), reported.ReportedBy})
+		n.emit(Event{"was reported " + reported.State.String() + " while it was stopped", reported.ReportedBy})
 		n.self.Refutations = max(n.self.Refutations, reported.Refutations)
 	}
 	n.enter(serving)
@@ -85,7 +85,7 @@
 
 // markReplaced ends this process as a member: another process has its name.
 func (n *Node) markReplaced(by MemberRecord) {
-	n.emit(Event{"superseded", by.Addr})
+	n.emit(Event{"replaced by another process of this name", by.Addr})
 	n.self.State = Replaced
 	n.conflict.open = nil
 	n.gossip.queue = nil
--- a/internal/cluster/mesh/dropped.go
+++ b/internal/cluster/mesh/dropped.go
@@ -49,9 +49,9 @@
 	if now.Sub(d.loggedAt) >= dropLogInterval {
 		d.loggedAt = now
 		d.log.Warn().
-			Str("why", cause.Error()).
-			Interface("all", d.counts).
-			Msg("messages of others are dropped")
+			Str("cause", cause.Error()).
+			Interface("totals", d.counts).
+			Msg("messages of other schedulers dropped")
 	}
 }
 
--- a/internal/cluster/mesh/loop.go
+++ b/internal/cluster/mesh/loop.go
@@ -113,10 +113,10 @@
 			m.host.UserMessage(e.Number, e.Text)
 		}
 	case membership.Event:
-		m.log.Info().Str("what", e.Description).Str("who", e.Member).Msg("membership")
+		m.log.Info().Str("event", e.Description).Str("subject", e.Subject).Msg("membership event")
 	case membership.Joined:
 		self := m.node.Status()
-		m.log.Info().Uint64("incarnation", self.Generation).Int("live", self.Live).Msg("is a member")
+		m.log.Info().Uint64("incarnation", self.Generation).Int("live", self.Live).Msg("joined the cluster")
 	case membership.Stopped:
 		m.stopped(e)
 	}
@@ -141,7 +141,7 @@
 	if m.host.Serving != nil {
 		m.host.Serving(false, membership.Incarnation{})
 	}
-	m.log.Info().Bool("superseded", e.Replaced).Msg("is a member no more")
+	m.log.Info().Bool("replaced", e.Replaced).Msg("no longer a member")
 	if m.host.Stopped != nil {
 		m.host.Stopped(e.Replaced)
 	}
--- a/internal/cluster/mesh/streams.go
+++ b/internal/cluster/mesh/streams.go
@@ -145,7 +145,7 @@
 		defer m.streams.opened.release()
 		conn, err := m.dial(to)
 		if err != nil {
-			m.log.Debug().Err(err).Str("to", to).Msg("no stream")
+			m.log.Debug().Err(err).Str("to", to).Msg("stream not opened")
 			return
 		}
 		m.serveStream(conn, text)
