--- a/internal/cluster/membership/messages.go
+++ b/internal/cluster/membership/messages.go
@@ -101,8 +101,8 @@
 	Text   string
 }
 
-// Event is something that concerns this process itself, to be logged. Subject is the process that it involves,
-// how long it lasted, or empty.
+// Event is something that concerns this process itself, to be logged. Subject is the process that it
+// involves, how long it lasted, or empty.
 type Event struct{ Description, Subject string }
 
 // Joined reports that this process is a member from now on.
--- a/internal/cluster/membership/phase.go
+++ b/internal/cluster/membership/phase.go
@@ -61,7 +61,8 @@
 func (n *Node) resumeServing() {
 	reported := n.join.reportedSelf
 	if reported.Incarnation == n.self.Incarnation && reported.State >= Suspect {
-		n.emit(Event{"was reported " + reported.State.String() + " while it was stopped", reported.ReportedBy})
+		description := "was reported " + reported.State.String() + " while it was stopped"
+		n.emit(Event{description, reported.ReportedBy})
 		n.self.Refutations = max(n.self.Refutations, reported.Refutations)
 	}
 	n.enter(serving)
--- a/internal/cluster/mesh/mesh.go
+++ b/internal/cluster/mesh/mesh.go
@@ -144,7 +144,11 @@
 	} else {
 		m.node = membership.New(nodeConfig, Now())
 	}
-	m.log.Info().Str("member", who.Name).Str("listen", s.addr().String()).Str("address", addr).Msg("joining the cluster")
+	m.log.Info().
+		Str("member", who.Name).
+		Str("listen", s.addr().String()).
+		Str("address", addr).
+		Msg("joining the cluster")
 	m.updateSnapshot()
 	m.startReaders()
 	if predecessor != nil && host.Serving != nil {
