--- a/internal/cluster/mesh/config.go
+++ b/internal/cluster/mesh/config.go
@@ -75,7 +75,7 @@
 	}
 	node := c.membershipConfig("a name", "an address", -1)
 	if err := node.Validate(); err != nil {
-		return features.ErrorFromCheck("members", err)
+		return features.WrapCheckError("members", err)
 	}
 	return nil
 }
--- a/internal/cluster/replica/config.go
+++ b/internal/cluster/replica/config.go
@@ -66,11 +66,11 @@
 	}
 	replicationConfig := t.replicationConfig("n", 1, 1)
 	if err := replicationConfig.Validate(); err != nil {
-		return features.ErrorFromCheck("copies", err)
+		return features.WrapCheckError("copies", err)
 	}
 	replicaSetConfig := t.replicaSetConfig("n", 1)
 	if err := replicaSetConfig.Validate(); err != nil {
-		return features.ErrorFromCheck("copies", err)
+		return features.WrapCheckError("copies", err)
 	}
 	switch {
 	case !t.DynamicReplicas && (t.ReplaceAfter != 0 || len(t.Spares) > 0):
--- a/internal/config/features/errors.go
+++ b/internal/config/features/errors.go
@@ -27,9 +27,9 @@
 // Unwrap returns the cause.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// ErrorFromCheck is the mistake of a table that the check of a package's parameters returned as a
+// WrapCheckError is the mistake of a table that the check of a package's parameters returned as a
 // *configerror.Error.
-func ErrorFromCheck(table string, err error) error {
+func WrapCheckError(table string, err error) error {
 	var mistake *configerror.Error
 	if !errors.As(err, &mistake) {
 		return fmt.Errorf("%s: %w", table, err)
--- a/internal/config/features/features_test.go
+++ b/internal/config/features/features_test.go
@@ -69,7 +69,7 @@
 			":1: members.probe_time: must be at most 1h", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			err := Read(path, &tables{}, func() error { return ErrorFromCheck("members", c.check) })
+			err := Read(path, &tables{}, func() error { return WrapCheckError("members", c.check) })
 			var mistake *ConfigError
 			if !errors.As(err, &mistake) || mistake.Line != c.line || !strings.HasSuffix(err.Error(), path+c.text) {
 				t.Errorf("%v, want the line %d and %q", err, c.line, c.text)
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	cause := errors.New("probe: longer than 1h")
-	err := Read(path, &tables{}, func() error { return ErrorFromCheck("members", cause) })
+	err := Read(path, &tables{}, func() error { return WrapCheckError("members", cause) })
 	if !errors.Is(err, cause) || !strings.HasSuffix(err.Error(), path+": members: probe: longer than 1h") {
 		t.Errorf("%v", err)
 	}
