--- a/internal/config/load_report.go
+++ b/internal/config/load_report.go
@@ -6,12 +6,9 @@
 	"woaddyke/internal/workers/loadreport"
 )
 
-// ReportFormat is the form of a deployment's load reports.
-type ReportFormat = loadreport.Format
-
 // ReportFormatOf returns the form of the load reports of a deployment with these settings. What its extra
 // fields x0 and x1 mean is a setting of its own.
-func ReportFormatOf(settings map[string]any) ReportFormat {
+func ReportFormatOf(settings map[string]any) loadreport.Format {
 	var fields []loadreport.Field
 	for _, name := range StringList(settings, KeyReportFields) {
 		meaning := name
--- a/internal/scheduler/reducer/reducer.go
+++ b/internal/scheduler/reducer/reducer.go
@@ -6,13 +6,14 @@
 import (
 	"woaddyke/dispatch"
 	"woaddyke/internal/config"
+	"woaddyke/internal/workers/loadreport"
 )
 
 // Reducer holds a scheduler's ops and the names of what its dispatcher knows by numbers. All its state
 // changes in Step.
 type Reducer struct {
 	dispatcher         *dispatch.Dispatcher
-	report             config.ReportFormat
+	report             loadreport.Format
 	reportsInline      bool // load reports come with the ends of attempts
 	cancelsAttempts    bool
 	distinguishesKinds bool // of machines; else all share their samples
--- a/internal/simwire/scheduler.go
+++ b/internal/simwire/scheduler.go
@@ -8,6 +8,7 @@
 
 	"woaddyke/dispatch"
 	"woaddyke/internal/config"
+	"woaddyke/internal/workers/loadreport"
 )
 
 // maxIndex bounds the numbers of zones and kinds of machines: the dispatcher keeps state for each number
@@ -17,7 +18,7 @@
 // scheduler is a dispatcher, and the names of what it knows by numbers.
 type scheduler struct {
 	dispatcher    *dispatch.Dispatcher
-	report        config.ReportFormat
+	report        loadreport.Format
 	workerNames   []string
 	workersByName map[string]int
 	workersByTag  map[string]int // by the tags that peer messages carry
