--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -139,8 +139,8 @@
 	}
 	for _, span := range spans {
 		if span.value < span.min || span.value > span.max {
-			const problem = "must be from %v to %v"
-			return invalid(span.key, durationOf(span.value), problem, durationOf(span.min), durationOf(span.max))
+			lowest, highest := durationOf(span.min), durationOf(span.max)
+			return invalid(span.key, durationOf(span.value), "must be from %v to %v", lowest, highest)
 		}
 	}
 	return nil
--- a/internal/workers/discovery/discovery.go
+++ b/internal/workers/discovery/discovery.go
@@ -39,8 +39,8 @@
 	workers     map[string]target  // by UID
 }
 
-// NewClient returns a client that starts from a list that is known already. The moments of its calls are drawn
-// from the seed, over a span that it shares with the other schedulers.
+// NewClient returns a client that starts from a list that is known already. The moments of its calls are
+// drawn from the seed, over a span that it shares with the other schedulers.
 func NewClient(
 	addr string,
 	known EndpointList,
