--- a/cmd/woaddyke/cluster.go
+++ b/cmd/woaddyke/cluster.go
@@ -44,7 +44,7 @@
 			p.attachMesh()
 			return nil
 		}
-		p.log.Warn().Err(err).Msg("not a member in the place of the process before")
+		p.log.Warn().Err(err).Msg("membership not restored")
 	}
 	if p.mesh, err = mesh.Start(table, identity, host, p.log); err != nil {
 		return err
@@ -61,7 +61,7 @@
 		MemberChanged: p.forgetEnded,
 		Stopped: func(replaced bool) {
 			if replaced && table.WhenReplaced == endWhenReplaced {
-				p.log.Error().Msg("another process has this one's name: it ends")
+				p.log.Error().Msg("replaced by another process of this name: stopping")
 				p.stop()
 			}
 		},
@@ -176,7 +176,7 @@
 	}
 	record, sockets, err := p.mesh.HandOver()
 	if err != nil {
-		p.log.Warn().Err(err).Msg("membership is not handed over")
+		p.log.Warn().Err(err).Msg("membership not handed over")
 		return nil
 	}
 	state.Membership = record
--- a/cmd/woaddyke/hot_restart.go
+++ b/cmd/woaddyke/hot_restart.go
@@ -38,7 +38,7 @@
 	}
 	handover, err = p.receiveHandover(request)
 	if err != nil && !errors.Is(err, os.ErrNotExist) && !errors.Is(err, syscall.ECONNREFUSED) {
-		p.log.Warn().Err(err).Msg("nothing taken over")
+		p.log.Warn().Err(err).Msg("no state received from the predecessor")
 	}
 	return handover, errors.Is(err, transfer.ErrRefused), nil
 }
@@ -175,7 +175,7 @@
 	}
 	var err error
 	if p.successorOffer, err = transfer.Serve(p.handoverPath(), p, p.log); err != nil {
-		p.log.Warn().Err(err).Msg("no process can take over from this one")
+		p.log.Warn().Err(err).Msg("handover socket not opened")
 	}
 }
 
--- a/cmd/woaddyke/process.go
+++ b/cmd/woaddyke/process.go
@@ -70,7 +70,7 @@
 			return listener, nil
 		}
 		handover.Close()
-		p.log.Warn().Err(err).Msg("nothing taken over")
+		p.log.Warn().Err(err).Msg("no state received from the predecessor")
 	}
 	// Beside a process that refused, clients would be dealt to either of two deployments.
 	sharePort := p.bootstrap.Console != "" && !refused
--- a/internal/cluster/drainstate/drainstate.go
+++ b/internal/cluster/drainstate/drainstate.go
@@ -1,6 +1,6 @@
-// Package drainstate spreads which workers are draining or were removed: what discovery told one member
-// binds every member that hears of it, until its own discovery has come as far. The package is pure: it
-// takes an input with its time and returns effects, does no I/O and reads no clock.
+// Package drainstate spreads which workers are draining or were removed: what discovery reported to one
+// member binds every member that receives it, until its own discovery has come as far. The package is
+// pure: it takes an input with its time and returns effects, does no I/O and reads no clock.
 package drainstate
 
 import (
@@ -15,8 +15,8 @@
 // Time is a moment in tenths of a millisecond on a clock that only goes forward.
 type Time = membership.Time
 
-// DrainRecord says that a worker takes nothing new, as discovery told a member. A worker that starts again
-// has another boot ID and is another worker.
+// DrainRecord says that a worker takes nothing new, as discovery reported to a member. A worker that
+// starts again has another boot ID and is another worker.
 type DrainRecord struct {
 	Worker   string `cbor:"Worker"`
 	BootID   int64  `cbor:"Boot"` // ms, as discovery tells it
@@ -56,7 +56,7 @@
 	gossipFanout   = 3 // members that a record is sent to in one round
 	gossipRounds   = 4 // in which a record is sent
 	gossipInterval = Time(1_000)
-	retention      = Time(600_000) // 60 s: by then discovery has told everybody, or nobody
+	retention      = Time(600_000) // 60 s: by then discovery has notified every member, or none
 
 	// seedSalt tells this package's random sequence from others with the same seed.
 	seedSalt = 0x6c69737473
@@ -181,7 +181,7 @@
 }
 
 // Excluded reports whether a worker takes nothing new though the own discovery lists it as ready: another
-// member was told otherwise of this very boot of it, or a later one, at a revision that has not come here.
+// member has another report of this very boot of it, or a later one, at a revision that has not come here.
 func (c *Core) Excluded(worker string) bool {
 	endpoint, listed := c.listed[worker]
 	r := c.records[worker]
--- a/internal/cluster/drainstate/inputs.go
+++ b/internal/cluster/drainstate/inputs.go
@@ -3,7 +3,7 @@
 // Endpoint is a worker as the own discovery lists it.
 type Endpoint struct {
 	Worker  string
-	BootID  int64 // ms; 0: not told
+	BootID  int64 // ms; 0: unknown
 	Ready   bool
 	Removed bool
 }
--- a/internal/cluster/replica/claims.go
+++ b/internal/cluster/replica/claims.go
@@ -113,7 +113,7 @@
 	r.queue.stateChanges.Put(input{replication: replication.MayHaveRun{RequestID: id, Group: group}})
 }
 
-// Abandon says that a granted op that may have run is pushed no more, and that its client was told that a
+// Abandon says that a granted op that may have run is pushed no more, and that its client was answered that a
 // repeat is harmless.
 func (r *Replica) Abandon(id uint64) {
 	r.queue.put(input{replication: replication.OpEnded{RequestID: id, Abandoned: true}})
--- a/internal/cluster/replica/replica.go
+++ b/internal/cluster/replica/replica.go
@@ -52,7 +52,7 @@
 }
 
 // New makes a process's part at a moment of the transport's clock; it does nothing before Start. Successions
-// is the number of hot restarts before this process, as its predecessor's Successions told it.
+// is the number of hot restarts before this process, as its predecessor's Successions returned it.
 func New(
 	config *Config, name string, seed, successions uint64, now membership.Time, log zerolog.Logger,
 ) (*Replica, error) {
--- a/internal/cluster/replicaset/changes.go
+++ b/internal/cluster/replicaset/changes.go
@@ -282,8 +282,8 @@
 	}
 }
 
-// proposeChange proposes a change once all new replicas have told their voter IDs: one that is silent must
-// not become a voter.
+// proposeChange proposes a change once all new replicas have reported their voter IDs: one that is silent
+// must not become a voter.
 func (c *Core) proposeChange(change *activeChange) error {
 	kept := map[uint64]bool{}
 	for _, name := range change.replicas {
--- a/internal/cluster/replicaset/group_creation.go
+++ b/internal/cluster/replicaset/group_creation.go
@@ -35,7 +35,7 @@
 	return len(c.config.Replicas) > 0 && c.config.Replicas[0] == c.config.Name
 }
 
-// createGroup creates the group once every configured replica has told its voter ID, and none knows of a
+// createGroup creates the group once every configured replica has reported its voter ID, and none knows of a
 // group that was created before.
 func (c *Core) createGroup() error {
 	if !c.createsGroup() {
--- a/internal/cluster/replication/inputs.go
+++ b/internal/cluster/replication/inputs.go
@@ -48,7 +48,7 @@
 	Nonce      uint64 // tells incarnations of one generation apart, in the members' order; 0: Config.Nonce
 }
 
-// PeerStatus says whether another scheduler is dead. It changes what a client is told, and nothing else.
+// PeerStatus says whether another scheduler is dead. It changes what a client is answered, and nothing else.
 type PeerStatus struct {
 	Name string
 	Dead bool
--- a/internal/cluster/replication/simulation/checker.go
+++ b/internal/cluster/replication/simulation/checker.go
@@ -13,7 +13,7 @@
 	stepEnded    = "ended"
 )
 
-// HistoryEntry is one step of the history: what a scheduler was told of an op, or did with it.
+// HistoryEntry is one step of the history: what a scheduler was answered on an op, or did with it.
 type HistoryEntry struct {
 	At          Time
 	Scheduler   string
--- a/internal/cluster/replication/simulation/cluster.go
+++ b/internal/cluster/replication/simulation/cluster.go
@@ -1,6 +1,6 @@
 // Package simulation runs a whole cluster of schedulers and replicas under one seed in virtual time, with
 // crashes, pauses, cut links, lost memory, failing disks, and messages that are lost, duplicated and late.
-// It checks what the cluster does by what the schedulers are told.
+// It checks what the cluster does by the answers that schedulers get.
 package simulation
 
 import (
@@ -55,7 +55,7 @@
 	lastRequest uint64
 }
 
-// ChangeAnswer is what operators were told of a change of the set.
+// ChangeAnswer is what operators were answered on a change of the set.
 type ChangeAnswer struct {
 	OK   bool
 	Text string
--- a/internal/frontend/hot_restart.go
+++ b/internal/frontend/hot_restart.go
@@ -73,7 +73,7 @@
 	}
 	learned, err := s.loop.Learned()
 	if err != nil {
-		s.log.Warn().Err(err).Msg("nothing learned is handed over")
+		s.log.Warn().Err(err).Msg("learned state not handed over")
 		return nil
 	}
 	state.Learned, err = json.Marshal(learned)
@@ -112,7 +112,7 @@
 		learned.Shift(clockShift(s.clock, state))
 		s.loop.Send(reducer.StateRestored{Learned: learned})
 	} else {
-		s.log.Warn().Err(err).Msg("nothing learned is taken over")
+		s.log.Warn().Err(err).Msg("learned state not restored")
 	}
 	if state.ClientsDrained {
 		s.DrainClients()
--- a/internal/frontend/peer_drains.go
+++ b/internal/frontend/peer_drains.go
@@ -36,7 +36,7 @@
 	peers     DrainPeers
 	send      func(reducer.Input) // to the loop
 	endpoints map[string]reducer.Endpoint
-	excluded  map[string]bool // workers that are ready by the own list, and that the loop was told are not
+	excluded  map[string]bool // workers that are ready by the own list, and excluded at the loop
 }
 
 // ShareDrains excludes workers that another scheduler knows to be draining. It is called before Serve.
--- a/internal/lifecycle/hotrestart/transfer/serve.go
+++ b/internal/lifecycle/hotrestart/transfer/serve.go
@@ -66,7 +66,7 @@
 func serveSuccessor(line *retryConn, predecessor Predecessor, log zerolog.Logger) {
 	accepted, err := handOver(line, predecessor)
 	if err != nil {
-		log.Warn().Err(err).Msg("not handed over")
+		log.Warn().Err(err).Msg("handover rejected")
 	} else {
 		log.Info().Msg("handed over")
 		waitForEnd(line)
--- a/internal/observe/console/console.go
+++ b/internal/observe/console/console.go
@@ -65,7 +65,7 @@
 	}
 	server.SetKeepAlivesEnabled(false)
 	go server.Serve(connections)
-	log.Info().Str("console", l.Addr().String()).Msg("answering staff")
+	log.Info().Str("console", l.Addr().String()).Msg("console listening")
 }
 
 func newHandler(scheduler Scheduler, log zerolog.Logger, calls []Call) http.Handler {
@@ -97,6 +97,6 @@
 func writeJSON(w http.ResponseWriter, v any, log zerolog.Logger) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		log.Debug().Err(err).Msg("figures not read")
+		log.Debug().Err(err).Msg("console answer not read")
 	}
 }
