--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -1,7 +1,6 @@
 package membership
 
 import (
-	"fmt"
 	"strings"
 	"time"
 
@@ -24,7 +23,8 @@
 // TimeOf converts a duration.
 func TimeOf(d time.Duration) Time { return Time(d / Tenth) }
 
-func durationOf(t Time) time.Duration { return time.Duration(t) * Tenth }
+// Duration converts a span.
+func (t Time) Duration() time.Duration { return time.Duration(t) * Tenth }
 
 // Config configures a member.
 type Config struct {
@@ -111,15 +111,15 @@
 	}
 	switch {
 	case c.Name == "" || len(c.Name) > maxNameBytes || strings.ContainsAny(c.Name, "\r\n"):
-		return invalid("name", c.Name, "must have 1 to %d bytes in one line", maxNameBytes)
+		return configerror.Invalid("name", c.Name, "must have 1 to %d bytes in one line", maxNameBytes)
 	case c.Cluster == "" || len(c.Cluster) > maxNameBytes:
-		return invalid("cluster", c.Cluster, "must have 1 to %d bytes", maxNameBytes)
+		return configerror.Invalid("cluster", c.Cluster, "must have 1 to %d bytes", maxNameBytes)
 	case c.MaxMembers < 2 || c.MaxMembers > 1<<16:
-		return invalid("most", c.MaxMembers, "must be from 2 to %d", 1<<16)
+		return configerror.Invalid("most", c.MaxMembers, "must be from 2 to %d", 1<<16)
 	case len(c.Seeds) > maxSeeds:
-		return invalid("seeds", len(c.Seeds), "must have at most %d entries", maxSeeds)
+		return configerror.Invalid("seeds", len(c.Seeds), "must have at most %d entries", maxSeeds)
 	case c.ProbeTimeout < c.ProbeInterval/4:
-		return invalid("window", durationOf(c.ProbeTimeout), "must be at least a quarter of probe")
+		return configerror.Invalid("window", c.ProbeTimeout.Duration(), "must be at least a quarter of probe")
 	}
 	return nil
 }
@@ -139,14 +139,9 @@
 	}
 	for _, span := range spans {
 		if span.value < span.min || span.value > span.max {
-			lowest, highest := durationOf(span.min), durationOf(span.max)
-			return invalid(span.key, durationOf(span.value), "must be from %v to %v", lowest, highest)
+			value, lowest, highest := span.value.Duration(), span.min.Duration(), span.max.Duration()
+			return configerror.Invalid(span.key, value, "must be from %v to %v", lowest, highest)
 		}
 	}
 	return nil
 }
-
-// invalid is the error for a key of the features file with a wrong value.
-func invalid(key string, value any, problem string, args ...any) error {
-	return &configerror.Error{Key: key, Problem: fmt.Sprintf(problem, args...), Value: value}
-}
--- a/internal/cluster/membership/local_health.go
+++ b/internal/cluster/membership/local_health.go
@@ -52,7 +52,7 @@
 	switch n.phase {
 	case serving:
 		if late >= n.config.MinSuspicion {
-			n.emit(Event{"was stopped for longer than a suspicion lasts", durationOf(late).String()})
+			n.emit(Event{"was stopped for longer than a suspicion lasts", late.Duration().String()})
 			n.startCatchingUp()
 		} else if late >= n.config.ProbeTimeout {
 			n.self.Refutations++ // others may suspect it already
--- a/internal/cluster/membership/local_health_test.go
+++ b/internal/cluster/membership/local_health_test.go
@@ -16,15 +16,15 @@
 		{"long after", 10*second + 2*extensionDecay, 0},
 	} {
 		if got := health.suspicionExtension(c.now); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, durationOf(got), durationOf(c.want))
+			t.Errorf("%s: %v, want %v", c.name, got.Duration(), c.want.Duration())
 		}
 	}
 	health.noteLate(10*second, 60*second)
 	health.noteLate(10*second, 100*ms)
 	if got := health.suspicionExtension(10 * second); got != maxExtension {
-		t.Errorf("the extension is %v, at most %v", durationOf(got), durationOf(maxExtension))
+		t.Errorf("the extension is %v, at most %v", got.Duration(), maxExtension.Duration())
 	}
 	if health.lateness != 100*ms || health.maxLateness != 60*second {
-		t.Errorf("late by %v, at most %v", durationOf(health.lateness), durationOf(health.maxLateness))
+		t.Errorf("late by %v, at most %v", health.lateness.Duration(), health.maxLateness.Duration())
 	}
 }
--- a/internal/cluster/membership/member_state_test.go
+++ b/internal/cluster/membership/member_state_test.go
@@ -90,7 +90,7 @@
 		deadline := n.suspicionDeadline(m)
 		n.Step(n.due, Tick{})
 		if ended := m.state == Dead; ended != (n.now >= deadline) {
-			t.Fatalf("at %v the member is %v, its deadline is %v", durationOf(n.now), m.state, durationOf(deadline))
+			t.Fatalf("at %v the member is %v, its deadline is %v", n.now.Duration(), m.state, deadline.Duration())
 		}
 	}
 	if m.state != Dead {
--- a/internal/cluster/membership/suspicion_test.go
+++ b/internal/cluster/membership/suspicion_test.go
@@ -12,18 +12,18 @@
 	n.probeFailed(m)
 	span := func() Time { return n.suspicionDeadline(m) - m.suspicion.startedAt }
 	if got := span(); got != n.config.MaxSuspicion {
-		t.Errorf("without a confirmation it lasts %v, want %v", durationOf(got), durationOf(n.config.MaxSuspicion))
+		t.Errorf("without a confirmation it lasts %v, want %v", got.Duration(), n.config.MaxSuspicion.Duration())
 	}
 	before := span()
 	for _, reporter := range []string{"c", "d", "e"} {
 		n.confirmSuspicion(m, reporter)
 		if got := span(); got >= before {
-			t.Errorf("with %s's confirmation it lasts %v, before %v", reporter, durationOf(got), durationOf(before))
+			t.Errorf("with %s's confirmation it lasts %v, before %v", reporter, got.Duration(), before.Duration())
 		}
 		before = span()
 	}
 	if before != n.config.MinSuspicion {
-		t.Errorf("with all of them it lasts %v, want %v", durationOf(before), durationOf(n.config.MinSuspicion))
+		t.Errorf("with all of them it lasts %v, want %v", before.Duration(), n.config.MinSuspicion.Duration())
 	}
 	n.confirmSuspicion(m, "e")
 	n.confirmSuspicion(m, "f")
--- a/internal/cluster/mesh/config.go
+++ b/internal/cluster/mesh/config.go
@@ -56,7 +56,7 @@
 }
 
 func duration(t membership.Time) features.Duration {
-	return features.Duration(time.Duration(t) * membership.Tenth)
+	return features.Duration(t.Duration())
 }
 
 func timeOf(d features.Duration) membership.Time { return membership.TimeOf(time.Duration(d)) }
--- a/internal/cluster/mesh/golden_messages_test.go
+++ b/internal/cluster/mesh/golden_messages_test.go
@@ -33,6 +33,20 @@
 	return message
 }
 
+// requireGoldenDatagram fails the test unless a message is encoded as the file has it, and the file decodes to the message.
+func requireGoldenDatagram(t *testing.T, path string, message membership.Message) {
+	t.Helper()
+	text, err := encode(message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, path, text)
+	got, err := decode(golden.Read(t, path), table(t).allowed)
+	if err != nil || !reflect.DeepEqual(got, message) {
+		t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
+	}
+}
+
 // The datagram of each kind of membership message keeps its bytes and decodes to the same value.
 func TestGoldenDatagrams(t *testing.T) {
 	for name, kind := range map[string]membership.Kind{
@@ -48,15 +62,7 @@
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(goldenFolder, "datagram_"+name+".bin")
 			message := goldenMessage(t, kind)
-			text, err := encode(message)
-			if err != nil {
-				t.Fatal(err)
-			}
-			golden.Compare(t, path, text)
-			got, err := decode(golden.Read(t, path), table(t).allowed)
-			if err != nil || !reflect.DeepEqual(got, message) {
-				t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
-			}
+			requireGoldenDatagram(t, path, message)
 		})
 	}
 }
@@ -230,15 +236,7 @@
 			path := filepath.Join(goldenFolder, "state_"+name+".bin")
 			from := membership.MemberRecord{Addr: goldenAddress(0), State: state}
 			message := membership.Message{Kind: membership.Gossip, From: from}
-			text, err := encode(message)
-			if err != nil {
-				t.Fatal(err)
-			}
-			golden.Compare(t, path, text)
-			got, err := decode(golden.Read(t, path), table(t).allowed)
-			if err != nil || !reflect.DeepEqual(got, message) {
-				t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
-			}
+			requireGoldenDatagram(t, path, message)
 		})
 	}
 }
--- a/internal/cluster/replica/config.go
+++ b/internal/cluster/replica/config.go
@@ -53,7 +53,7 @@
 }
 
 func durationOf(t replication.Time) features.Duration {
-	return features.Duration(time.Duration(t) * membership.Tenth)
+	return features.Duration(t.Duration())
 }
 
 func timeOf(d features.Duration) replication.Time { return membership.TimeOf(time.Duration(d)) }
--- a/internal/cluster/replicaset/config.go
+++ b/internal/cluster/replicaset/config.go
@@ -1,11 +1,8 @@
 package replicaset
 
 import (
-	"fmt"
 	"slices"
-	"time"
 
-	"woaddyke/internal/cluster/membership"
 	"woaddyke/internal/config/configerror"
 )
 
@@ -48,11 +45,11 @@
 func (t *Config) Validate() error {
 	switch {
 	case t.ReplaceAfter != 0 && t.ReplaceAfter < minReplace:
-		return invalid("replace_after", duration(t.ReplaceAfter), "must be at least 10s, or 0")
+		return configerror.Invalid("replace_after", t.ReplaceAfter.Duration(), "must be at least 10s, or 0")
 	case t.ReplaceAfter != 0 && len(t.Spares) == 0:
-		return invalid("replace_after", nil, "must be 0 where there are no spares")
+		return configerror.Invalid("replace_after", nil, "must be 0 where there are no spares")
 	case len(t.Spares) > maxSpares:
-		return invalid("spares", len(t.Spares), "must have at most %d entries", maxSpares)
+		return configerror.Invalid("spares", len(t.Spares), "must have at most %d entries", maxSpares)
 	}
 	return ValidateNames(t.Replicas)
 }
@@ -61,19 +58,12 @@
 func ValidateNames(names []string) error {
 	if len(names) == 0 || len(names) > MaxReplicas || len(names)%2 == 0 {
 		const problem = "must be an odd number up to %d of names, such as 3 or 5"
-		return invalid("keepers", len(names), problem, MaxReplicas)
+		return configerror.Invalid("keepers", len(names), problem, MaxReplicas)
 	}
 	for i, name := range names {
 		if name == "" || len(name) > maxNameBytes || slices.Contains(names[:i], name) {
-			return invalid("keepers", name, "has a name that stands twice or is no name")
+			return configerror.Invalid("keepers", name, "has a name that stands twice or is no name")
 		}
 	}
 	return nil
 }
-
-func duration(t Time) time.Duration { return time.Duration(t) * membership.Tenth }
-
-// invalid is the error for a key of the features file with a wrong value.
-func invalid(key string, value any, problem string, args ...any) error {
-	return &configerror.Error{Key: key, Problem: fmt.Sprintf(problem, args...), Value: value}
-}
--- a/internal/cluster/replication/config.go
+++ b/internal/cluster/replication/config.go
@@ -1,9 +1,6 @@
 package replication
 
 import (
-	"time"
-
-	"woaddyke/internal/cluster/membership"
 	"woaddyke/internal/cluster/replicaset"
 	"woaddyke/internal/config/configerror"
 )
@@ -72,24 +69,17 @@
 func (t *Config) Validate() error {
 	switch {
 	case t.QuorumTimeout < 5*ms || t.QuorumTimeout > 60*second:
-		return invalid("wait", duration(t.QuorumTimeout), "must be from 5ms to 60s")
+		return configerror.Invalid("wait", t.QuorumTimeout.Duration(), "must be from 5ms to 60s")
 	case t.Retention < second || t.Retention > 7*24*3600*second:
-		return invalid("remember", duration(t.Retention), "must be from 1s to 168h")
+		return configerror.Invalid("remember", t.Retention.Duration(), "must be from 1s to 168h")
 	case t.AmnesiaHoldOff < 0 || t.AmnesiaHoldOff > t.Retention:
-		return invalid("hold_off", duration(t.AmnesiaHoldOff), "must be from 0 to remember")
+		return configerror.Invalid("hold_off", t.AmnesiaHoldOff.Duration(), "must be from 0 to remember")
 	case t.CatchUpRate < 1<<16:
-		return invalid("catch_up", t.CatchUpRate, "must be at least 65536")
+		return configerror.Invalid("catch_up", t.CatchUpRate, "must be at least 65536")
 	case t.MaxRecords < 1 || t.MaxRecords > 10_000_000:
-		return invalid("most", t.MaxRecords, "must be from 1 to 10000000")
+		return configerror.Invalid("most", t.MaxRecords, "must be from 1 to 10000000")
 	case t.MaxBytes < 1<<16:
-		return invalid("most_bytes", t.MaxBytes, "must be at least 65536")
+		return configerror.Invalid("most_bytes", t.MaxBytes, "must be at least 65536")
 	}
 	return replicaset.ValidateNames(t.Replicas)
 }
-
-func duration(t Time) time.Duration { return time.Duration(t) * membership.Tenth }
-
-// invalid is the error for a key of the features file with a wrong value.
-func invalid(key string, value any, problem string) error {
-	return &configerror.Error{Key: key, Problem: problem, Value: value}
-}
--- a/internal/config/configerror/configerror.go
+++ b/internal/config/configerror/configerror.go
@@ -20,6 +20,11 @@
 	Err error
 }
 
+// Invalid returns the mistake of a key whose value must be otherwise; the format says what it must be.
+func Invalid(key string, value any, format string, args ...any) *Error {
+	return &Error{Key: key, Problem: fmt.Sprintf(format, args...), Value: value}
+}
+
 // Error has the form "key: problem, got value: cause", without the parts that are empty.
 func (e *Error) Error() string {
 	var parts []string
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 
 	"woaddyke/internal/config/configerror"
 )
@@ -26,7 +25,7 @@
 	if value == nil {
 		value = null{}
 	}
-	return &ConfigError{Key: key, Problem: fmt.Sprintf(problem, args...), Value: value}
+	return configerror.Invalid(key, value, problem, args...)
 }
 
 // null stands for JSON's null in an error, in which nil is no value.
