--- a/cmd/woaddyke/cluster.go
+++ b/cmd/woaddyke/cluster.go
@@ -68,7 +68,7 @@
 	}
 	if table.CarryPeerMessages {
 		host.UserMessage = func(number int, text string) {
-			p.server.PeerInput(reducer.PeerMessage{Sender: number, Text: text})
+			p.server.ReceivePeerInput(reducer.PeerMessage{Sender: number, Text: text})
 		}
 		host.MemberChanged = func(c membership.MemberChanged) {
 			p.forgetEnded(c)
@@ -76,7 +76,7 @@
 		}
 	}
 	if table.ShareDrains {
-		host.Drains = func(_ string, records []drainstate.DrainRecord) { p.server.PeerDrains(records) }
+		host.Drains = func(_ string, records []drainstate.DrainRecord) { p.server.ReceiveDrainRecords(records) }
 	}
 	return host
 }
@@ -174,12 +174,12 @@
 	}
 	switch {
 	case c.State.Ended():
-		p.server.PeerInput(reducer.PeerLost{Peer: c.Number})
+		p.server.ReceivePeerInput(reducer.PeerLost{Peer: c.Number})
 	case c.State == membership.Alive && (c.New || c.Before.Ended()):
 		if c.New { // another process: the reports of the former one don't hold for it
-			p.server.PeerInput(reducer.PeerLost{Peer: c.Number})
+			p.server.ReceivePeerInput(reducer.PeerLost{Peer: c.Number})
 		}
-		p.server.PeerInput(reducer.PeerJoined{Peer: c.Number})
+		p.server.ReceivePeerInput(reducer.PeerJoined{Peer: c.Number})
 	}
 }
 
--- a/cmd/woaddyke/hot_restart.go
+++ b/cmd/woaddyke/hot_restart.go
@@ -87,7 +87,7 @@
 	p.log.Info().Int("sockets", state.Sockets).Msg("took over")
 	go func() {
 		<-handover.PredecessorEnded
-		p.server.Limit(p.bootstrap.Limits.Sockets)
+		p.server.SetDescriptorLimit(p.bootstrap.Limits.Sockets)
 		p.setMemoryLimit(1)
 		if p.replica != nil {
 			p.replica.PredecessorEnded()
@@ -196,7 +196,7 @@
 		Settings:  p.bootstrap.SettingsHash(),
 	}
 	if p.server != nil { // a reload may have changed them
-		request.Discovery = p.server.Discovery()
+		request.Discovery = p.server.DiscoveryAddr()
 		request.Settings = p.server.SettingsHash()
 	}
 	return request
--- a/cmd/woaddyke/operator_board.go
+++ b/cmd/woaddyke/operator_board.go
@@ -93,7 +93,7 @@
 	ticker := time.NewTicker(broadcastInterval)
 	defer ticker.Stop()
 	for {
-		u := p.operatorBoard.setOwn(p.server.SettingsHash(), p.server.ClientsDrained())
+		u := p.operatorBoard.setOwn(p.server.SettingsHash(), p.server.DrainingClients())
 		if u.differChanged {
 			others := strings.Join(u.differ, ", ")
 			p.log.Warn().Str("here", formatHash(u.own.Settings)).Str("others", others).
--- a/cmd/woaddyke/process.go
+++ b/cmd/woaddyke/process.go
@@ -109,7 +109,7 @@
 		p.server.SetLostLogLines(p.lostLogLines)
 	}
 	if n := p.features.descriptors(); n > 0 {
-		p.server.Reserve(n)
+		p.server.ReserveDescriptors(n)
 	}
 	return nil
 }
--- a/dispatch/categories_test.go
+++ b/dispatch/categories_test.go
@@ -11,7 +11,7 @@
 
 // settingsOf are settings of some categories, in their order.
 func settingsOf(all []CategoryRules, attempts int) Settings {
-	return Settings{Categories: slices.Clone(all), MaxAttempts: attempts, Step: 10, Schedulers: 1, AcknowledgeTimeout: second,
+	return Settings{Categories: slices.Clone(all), MaxAttempts: attempts, TickInterval: 10, Schedulers: 1, AcknowledgeTimeout: second,
 		SlowStart: SlowStartSettings{InitialCapacity: 1, OverloadFactor: 1}}
 }
 
--- a/dispatch/decide.go
+++ b/dispatch/decide.go
@@ -5,7 +5,7 @@
 )
 
 // margin is kept before the TTL for the final answer: a timeout and the answer to it take a step each.
-func (d *Dispatcher) margin() Time { return 2*d.settings.Step + 1 }
+func (d *Dispatcher) margin() Time { return 2*d.settings.TickInterval + 1 }
 
 // deadlinePassed reports whether an op's TTL leaves time for the answer only.
 func (d *Dispatcher) deadlinePassed(o *op) bool { return d.now >= o.ttl-d.margin() }
@@ -132,7 +132,7 @@
 	w.inFlight = append(w.inFlight, o)
 	d.reportToPeers(i)
 	d.track(o)
-	timeout := o.ttl - d.now - d.margin() + d.settings.Step
+	timeout := o.ttl - d.now - d.margin() + d.settings.TickInterval
 	return Decision{Kind: Push, Worker: i, Duration: max(timeout, 1)}
 }
 
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -5,7 +5,7 @@
 // testSettings are a small deployment's, with a category of each effect and scope; change may be nil.
 func testSettings(change func(*Settings)) Settings {
 	s := Settings{
-		MaxAttempts: 4, Scheduler: 1, Schedulers: 3, Step: 50, AcknowledgeTimeout: second, MaxRetryAfter: 20_000,
+		MaxAttempts: 4, Scheduler: 1, Schedulers: 3, TickInterval: 50, AcknowledgeTimeout: second, MaxRetryAfter: 20_000,
 		Probes: true, CancelsAttempts: true, ReportsStarts: true,
 		SlowStart: SlowStartSettings{WarmAfter: 80_000, InitialCapacity: 0.3, OverloadFactor: 2.5, OverloadWindow: 15_000},
 	}
--- a/dispatch/probing.go
+++ b/dispatch/probing.go
@@ -130,7 +130,7 @@
 	if len(d.samples.probeRTTs) == 0 {
 		return d.categories.minObjective / 4
 	}
-	return min(2*d.currentDigest().probeRTT+d.settings.Step, d.categories.minObjective/2)
+	return min(2*d.currentDigest().probeRTT+d.settings.TickInterval, d.categories.minObjective/2)
 }
 
 // queueTooLong reports whether a worker was read too lately for its queue to be short enough for the op by
--- a/dispatch/samples.go
+++ b/dispatch/samples.go
@@ -63,7 +63,7 @@
 	}
 	g.capacityShort = d.placements.Suspected(d.now)
 	late, n := 0, 0
-	promptDelay := 5*g.probeRTT + 4*d.settings.Step
+	promptDelay := 5*g.probeRTT + 4*d.settings.TickInterval
 	g.maxStartDelay = 0
 	for _, s := range d.samples.startSamples {
 		g.maxStartDelay = max(g.maxStartDelay, s.delay)
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -39,7 +39,7 @@
 	Scheduler          int  // this scheduler's number
 	Schedulers         int  // how many there are
 	Zone               int  // of this scheduler
-	Step               Time // between two inputs of the clock, at most
+	TickInterval       Time // between two inputs of the clock, at most
 	DialTimeout        Time // a dial takes at most this long; 0 where it is not limited
 	AcknowledgeTimeout Time // as long as DialTimeout, with a default
 	ProgressInterval   Time // at which workers report how far a job is; 0 where they don't
--- a/internal/config/decision_settings.go
+++ b/internal/config/decision_settings.go
@@ -17,7 +17,7 @@
 		Scheduler:          int(number(flat, "myNumber", 0)),
 		Schedulers:         int(number(flat, "instances", 1)),
 		Zone:               int(number(flat, "myZone", 0)),
-		Step:               span(flat, "step", 0),
+		TickInterval:       span(flat, "step", 0),
 		DialTimeout:        span(flat, "bounds.connectTimeout", 0),
 		AcknowledgeTimeout: span(flat, "bounds.connectTimeout", defaultAcknowledgeTimeout),
 		ProgressInterval:   span(flat, "extra.progress", 0),
--- a/internal/config/decision_settings_test.go
+++ b/internal/config/decision_settings_test.go
@@ -31,7 +31,7 @@
 				LatencyObjective: 5_000, DedupWindow: 20_000, Stretch: 1.5, Benefit: 2},
 			{TTL: 10, Benefit: 1},
 		},
-		MaxAttempts: 4, Scheduler: 2, Schedulers: 9, Zone: 3, Step: 50,
+		MaxAttempts: 4, Scheduler: 2, Schedulers: 9, Zone: 3, TickInterval: 50,
 		DialTimeout: 700, AcknowledgeTimeout: 700, ProgressInterval: 800, MaxRetryAfter: 900,
 		SlowStart: dispatch.SlowStartSettings{WarmAfter: 80_000, InitialCapacity: 0.3, OverloadFactor: 2.5,
 			OverloadWindow: 15_000},
--- a/internal/frontend/bench_test.go
+++ b/internal/frontend/bench_test.go
@@ -87,7 +87,7 @@
 // newCountingPool is a pool that counts.
 func newCountingPool() (*workerconn.Pool, *traffic) {
 	to := &traffic{}
-	p := workerconn.New(workerconn.Bounds{Open: 100, Dial: time.Second, Idle: 10 * time.Second})
+	p := workerconn.New(workerconn.Bounds{MaxOpen: 100, DialTimeout: time.Second, IdleTimeout: 10 * time.Second})
 	p.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 		if err != nil {
@@ -109,8 +109,8 @@
 			for range b.N {
 				ends := make(chan workerconn.End, 1)
 				p.Probe(addr, []byte(probeRequest), time.Now().Add(time.Second), func(e workerconn.End) { ends <- e })
-				if e := <-ends; e.How != outcome.Done {
-					b.Fatal(e.How)
+				if e := <-ends; e.Ending != outcome.Done {
+					b.Fatal(e.Ending)
 				}
 				for open, _ := p.Counts(); !kept && open > 0; open, _ = p.Counts() {
 					p.Sweep(time.Now().Add(time.Minute)) // the last bytes are read after the end is told
@@ -138,10 +138,10 @@
 		r.Header = http.Header{idHeader: {fmt.Sprintf("%016x", n)}, categoryHeader: {"render"}, workHeader: {"50000"}, factsHeader: {"slots=4,memory=2.5"}}
 		request := workerconn.Request{Head: requestHead(r, h)}
 		ends := make(chan workerconn.End, 1)
-		p.Push(addr, r.Header.Get(idHeader), request.Bytes, time.Now().Add(time.Second), func() bool { return true }, func() {}, func(workerconn.Line) {},
+		p.Push(addr, r.Header.Get(idHeader), request.Bytes, time.Now().Add(time.Second), func() bool { return true }, func() {}, func(workerconn.JobLine) {},
 			func(e workerconn.End) { ends <- e })
-		if e := <-ends; e.How != outcome.Done {
-			b.Fatal(e.How)
+		if e := <-ends; e.Ending != outcome.Done {
+			b.Fatal(e.Ending)
 		}
 		for open, _ := p.Counts(); open > 0; open, _ = p.Counts() {
 			p.Sweep(time.Now().Add(time.Minute))
--- a/internal/frontend/client_drain.go
+++ b/internal/frontend/client_drain.go
@@ -52,7 +52,7 @@
 		if ended {
 			return
 		}
-		d.clients.Part(count, minIdle)
+		d.clients.CloseIdle(count, minIdle)
 		time.Sleep(connectionPollInterval)
 	}
 }
@@ -75,8 +75,8 @@
 	s.log.Info().Msg("client drain started")
 }
 
-// ClientsDrained tells whether clients are being drained.
-func (s *Server) ClientsDrained() bool { return s.drain.draining() }
+// DrainingClients tells whether clients are being drained.
+func (s *Server) DrainingClients() bool { return s.drain.draining() }
 
 // ReadmitClients ends a client drain.
 func (s *Server) ReadmitClients() {
--- a/internal/frontend/clientconn/arrivals.go
+++ b/internal/frontend/clientconn/arrivals.go
@@ -125,10 +125,10 @@
 	c.arrived.forget(c.requests.answeredUpTo())
 }
 
-// Waited is how long ago the head of the request that is served came to this machine, as far as this process saw: it may have lain behind
+// HeaderAge is how long ago the head of the request that is served came to this machine, as far as this process saw: it may have lain behind
 // the one before.
-func Waited(ctx context.Context) time.Duration {
-	c, ok := Of(ctx).(*conn)
+func HeaderAge(ctx context.Context) time.Duration {
+	c, ok := FromContext(ctx).(*conn)
 	if !ok {
 		return 0
 	}
--- a/internal/frontend/clientconn/arrivals_test.go
+++ b/internal/frontend/clientconn/arrivals_test.go
@@ -13,8 +13,8 @@
 func TestASlowHeadIsAsOldAsItsLastByte(t *testing.T) {
 	waited := make(chan time.Duration, 1)
 	g := listening(t, 9)
-	s := &http.Server{ConnState: g.Track, ConnContext: With, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		waited <- Waited(r.Context())
+	s := &http.Server{ConnState: g.Track, ConnContext: NewContext, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		waited <- HeaderAge(r.Context())
 	})}
 	go s.Serve(g)
 	t.Cleanup(func() { s.Close() })
--- a/internal/frontend/clientconn/body_test.go
+++ b/internal/frontend/clientconn/body_test.go
@@ -16,7 +16,7 @@
 	const bodyTime = 100 * time.Millisecond
 	gone := make(chan error, 1)
 	g := listening(t, 9)
-	s := &http.Server{ConnState: g.Track, ConnContext: With, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s := &http.Server{ConnState: g.Track, ConnContext: NewContext, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		control := http.NewResponseController(w)
 		control.SetReadDeadline(time.Now().Add(bodyTime))
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
--- a/internal/frontend/clientconn/clientconn.go
+++ b/internal/frontend/clientconn/clientconn.go
@@ -31,13 +31,13 @@
 // takes its room from itself.
 type Pool struct {
 	net.Listener
-	Patience time.Duration // for which a newcomer that finds no room waits, and all behind it, before it is closed
-	HeadTime time.Duration // from a head's first byte on, or from when it is read, until it has to be whole; 0 for no bound
-	// Unanswered is told of each connection that this side closes though a request that was read whole, as far as its head, has no answer and
+	AdmissionTimeout time.Duration // for which a newcomer that finds no room waits, and all behind it, before it is closed
+	HeaderTimeout    time.Duration // from a head's first byte on, or from when it is read, until it has to be whole; 0 for no bound
+	// OnUnanswered is told of each connection that this side closes though a request that was read whole, as far as its head, has no answer and
 	// its client is there; set before use, nil for nobody.
-	Unanswered func(addr string)
-	Ended      func(Reason, string) // told why this side ends a connection or its wait, and whose it is; set before use, nil for nobody
-	Failed     func(error)          // told of each failure of accept that is waited out; set before use, nil for nobody
+	OnUnanswered  func(addr string)
+	OnEnded       func(Reason, string) // told why this side ends a connection or its wait, and whose it is; set before use, nil for nobody
+	OnAcceptError func(error)          // told of each failure of accept that is waited out; set before use, nil for nobody
 
 	mu         sync.Mutex
 	most, full int // from the first on others give way to a newcomer; at the second it is closed unread
@@ -64,8 +64,8 @@
 
 // ended tells why a connection ends.
 func (g *Pool) ended(why Reason, c net.Conn) {
-	if g.Ended != nil {
-		g.Ended(why, c.RemoteAddr().String())
+	if g.OnEnded != nil {
+		g.OnEnded(why, c.RemoteAddr().String())
 	}
 }
 
@@ -141,8 +141,8 @@
 	}
 	owes := owed > 0 && !c.forfeit
 	c.mu.Unlock()
-	if owes && c.of.Unanswered != nil && c.there() {
-		c.of.Unanswered(c.RemoteAddr().String())
+	if owes && c.of.OnUnanswered != nil && c.there() {
+		c.of.OnUnanswered(c.RemoteAddr().String())
 	}
 	return c.Conn.Close()
 }
@@ -178,7 +178,7 @@
 // set. The server itself takes a connection for resting until the fourth byte of a request. A request that is being served has no
 // deadline, and what comes behind it waits for its end.
 func (c *conn) bound() bool {
-	if !c.requests.begun || c.of.HeadTime == 0 {
+	if !c.requests.begun || c.of.HeaderTimeout == 0 {
 		c.headBy = time.Time{}
 		return false
 	}
@@ -186,7 +186,7 @@
 		return false
 	}
 	if c.headBy.IsZero() {
-		c.headBy = time.Now().Add(c.of.HeadTime)
+		c.headBy = time.Now().Add(c.of.HeaderTimeout)
 	}
 	if c.parted || !c.headBy.Before(c.deadline) {
 		return false
@@ -309,9 +309,9 @@
 	return n
 }
 
-// Left tells whether the client of a request has ended its connection or its sending, as far as this machine knows now.
-func Left(ctx context.Context) bool {
-	c, ok := Of(ctx).(*conn)
+// Disconnected tells whether the client of a request has ended its connection or its sending, as far as this machine knows now.
+func Disconnected(ctx context.Context) bool {
+	c, ok := FromContext(ctx).(*conn)
 	if !ok {
 		return false
 	}
@@ -345,9 +345,9 @@
 	return s.SyscallConn()
 }
 
-// Runs is a sign of life of the process, by whoever has something to do once a second or more often. What it is needed for costs more
+// Heartbeat is a sign of life of the process, by whoever has something to do once a second or more often. What it is needed for costs more
 // without: see standstill.
-func (g *Pool) Runs(now time.Time) { g.stands.sign(now) }
+func (g *Pool) Heartbeat(now time.Time) { g.stands.sign(now) }
 
 // New makes room for so many connections: from the first bound on others give way to a newcomer, at the second it
 // is closed unread.
@@ -355,15 +355,15 @@
 	return &Pool{most: most, full: full, open: map[*conn]*entry{}, parted: map[*conn]bool{}, closed: make(chan struct{}, 1)}
 }
 
-// Most is the first bound.
-func (g *Pool) Most() int {
+// SoftLimit is the first bound.
+func (g *Pool) SoftLimit() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.most
 }
 
-// Limit sets other bounds. Of those that are open as many give way as wait and lie beyond the second one.
-func (g *Pool) Limit(most, full int) {
+// SetLimits sets other bounds. Of those that are open as many give way as wait and lie beyond the second one.
+func (g *Pool) SetLimits(most, full int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.most, g.full = most, full
@@ -385,9 +385,9 @@
 	return len(g.open) + len(g.parted)
 }
 
-// Part ends the wait of at most so many that have waited for a request for so long, the longest waiting first. One on which a
+// CloseIdle ends the wait of at most so many that have waited for a request for so long, the longest waiting first. One on which a
 // first byte has come is none of them: the rest comes in pieces, and once its last byte is written the request is taken.
-func (g *Pool) Part(most int, waited time.Duration) {
+func (g *Pool) CloseIdle(most int, waited time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	before := time.Now().Add(-waited)
@@ -456,8 +456,8 @@
 // outlast waits after a failure of accept. Where there is no descriptor somebody gives way, but not at the first word of it: that may be
 // a moment's, and it cost a client its place while hundreds were free.
 func (g *Pool) outlast(err error, failures int) {
-	if g.Failed != nil {
-		g.Failed(err)
+	if g.OnAcceptError != nil {
+		g.OnAcceptError(err)
 	}
 	if oserror.Classify(err) != oserror.DescriptorsExhausted {
 		time.Sleep(oserror.Backoff(failures))
@@ -482,9 +482,9 @@
 		switch {
 		case let:
 			return true
-		case closing && waited < max(closeTime, g.Patience):
+		case closing && waited < max(closeTime, g.AdmissionTimeout):
 			g.awaitClose(closeTime)
-		case waited < g.Patience:
+		case waited < g.AdmissionTimeout:
 			time.Sleep(look)
 		default:
 			return false
@@ -646,9 +646,9 @@
 	}
 }
 
-// More tells whether something of a further request has come on the connection of one that is served.
-func More(ctx context.Context) bool {
-	c, ok := Of(ctx).(*conn)
+// HasPipelinedRequest tells whether something of a further request has come on the connection of one that is served.
+func HasPipelinedRequest(ctx context.Context) bool {
+	c, ok := FromContext(ctx).(*conn)
 	if !ok {
 		return false
 	}
@@ -663,9 +663,9 @@
 	return c.hasUnread()
 }
 
-// Forfeit says that the connection of a request is closed though something may have come behind that.
-func Forfeit(ctx context.Context) {
-	c, ok := Of(ctx).(*conn)
+// SkipUnansweredCheck says that the connection of a request is closed though something may have come behind that.
+func SkipUnansweredCheck(ctx context.Context) {
+	c, ok := FromContext(ctx).(*conn)
 	if !ok {
 		return
 	}
@@ -676,20 +676,22 @@
 
 type key struct{}
 
-// With lets a request's context tell its connection.
-func With(ctx context.Context, nc net.Conn) context.Context { return context.WithValue(ctx, key{}, nc) }
+// NewContext lets a request's context tell its connection.
+func NewContext(ctx context.Context, nc net.Conn) context.Context {
+	return context.WithValue(ctx, key{}, nc)
+}
 
-// Of is the connection of a request, nil where its context does not tell.
-func Of(ctx context.Context) net.Conn {
+// FromContext is the connection of a request, nil where its context does not tell.
+func FromContext(ctx context.Context) net.Conn {
 	nc, _ := ctx.Value(key{}).(net.Conn)
 	return nc
 }
 
-// Served marks the connection of a request whose client has proved to be one of ours.
-func (g *Pool) Served(ctx context.Context) {
+// MarkServed marks the connection of a request whose client has proved to be one of ours.
+func (g *Pool) MarkServed(ctx context.Context) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	c, _ := Of(ctx).(*conn)
+	c, _ := FromContext(ctx).(*conn)
 	if x := g.open[c]; x != nil {
 		x.served = true
 	}
--- a/internal/frontend/clientconn/clientconn_test.go
+++ b/internal/frontend/clientconn/clientconn_test.go
@@ -54,14 +54,14 @@
 	if n, err := begun.Read(make([]byte, 9)); n != 2 {
 		t.Fatalf("%d, %v", n, err)
 	}
-	g.Part(9, time.Hour)
+	g.CloseIdle(9, time.Hour)
 	if g.Count() != 4 {
 		t.Errorf("%d are left of 4 that have not waited for long", g.Count())
 	}
-	if g.Part(1, 0); g.Count() != 3 || g.Waiting() != 2 {
+	if g.CloseIdle(1, 0); g.Count() != 3 || g.Waiting() != 2 {
 		t.Errorf("%d are left, %d wait: one was to go", g.Count(), g.Waiting())
 	}
-	g.Part(9, 0)
+	g.CloseIdle(9, 0)
 	if g.Count() != 2 {
 		t.Errorf("%d are left; the request that has begun and the one that is served were to stay", g.Count())
 	}
@@ -78,7 +78,7 @@
 	}
 	g.Track(begun, http.StateActive)
 	g.Track(begun, http.StateIdle)
-	if g.Part(9, 0); g.Count() != 1 {
+	if g.CloseIdle(9, 0); g.Count() != 1 {
 		t.Errorf("%d are left: after its answer the one in pieces waits like the others", g.Count())
 	}
 }
@@ -91,7 +91,7 @@
 	}
 	defer l.Close()
 	g := New(1, 1)
-	g.Listener, g.Patience = l, 20*time.Second
+	g.Listener, g.AdmissionTimeout = l, 20*time.Second
 	half, flood := pair(t, g)
 	flood.Write([]byte("G"))
 	for until := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -158,7 +158,7 @@
 	if _, let := newcomer(t, g); !let || g.Sockets() != 4 {
 		t.Errorf("with one closed: %v, %d sockets", let, g.Sockets())
 	}
-	if g.Limit(1, 1); g.Count() != 1 || g.Sockets() != 4 {
+	if g.SetLimits(1, 1); g.Count() != 1 || g.Sockets() != 4 {
 		t.Errorf("%d may stay of the one that there is room for, %d sockets", g.Count(), g.Sockets())
 	}
 }
@@ -218,7 +218,7 @@
 	served := map[*conn]bool{}
 	for range 4 {
 		c, _ := newcomer(t, g)
-		g.Served(With(t.Context(), c))
+		g.MarkServed(NewContext(t.Context(), c))
 		g.Track(c, http.StateActive)
 		g.Track(c, http.StateIdle)
 		served[c] = true
--- a/internal/frontend/clientconn/differ_test.go
+++ b/internal/frontend/clientconn/differ_test.go
@@ -56,13 +56,13 @@
 	all := map[string][]seen{}
 	g := listening(t, 9999)
 	unanswered := 0
-	g.Unanswered = func(string) {
+	g.OnUnanswered = func(string) {
 		mu.Lock()
 		defer mu.Unlock()
 		unanswered++
 	}
-	s := &http.Server{ConnState: g.Track, ConnContext: With, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c := Of(r.Context()).(*conn)
+	s := &http.Server{ConnState: g.Track, ConnContext: NewContext, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		c := FromContext(r.Context()).(*conn)
 		c.mu.Lock()
 		x := seen{r.URL.Path, len(c.requests.awaited) > 0}
 		c.mu.Unlock()
--- a/internal/frontend/clientconn/follow.go
+++ b/internal/frontend/clientconn/follow.go
@@ -202,7 +202,7 @@
 // OnlyChunked tells of a chunked request that no length stands beside its chunks. The standard server drops that, and then nobody can
 // tell what a proxy before it took for the body. What was not seen whole counts as one that has both.
 func OnlyChunked(ctx context.Context) bool {
-	c, ok := Of(ctx).(*conn)
+	c, ok := FromContext(ctx).(*conn)
 	if !ok {
 		return false
 	}
--- a/internal/frontend/clientconn/last_test.go
+++ b/internal/frontend/clientconn/last_test.go
@@ -101,7 +101,7 @@
 				}
 			}
 			<-held
-			g.Part(9, 0)
+			g.CloseIdle(9, 0)
 			if g.Sockets() != 1 || g.Count() != 0 {
 				t.Fatalf("%d sockets, %d count", g.Sockets(), g.Count())
 			}
@@ -165,7 +165,7 @@
 	}
 	defer c.Close()
 	<-held
-	g.Part(9, 0)
+	g.CloseIdle(9, 0)
 	for nc := range g.parted {
 		nc.SetReadDeadline(time.Now().Add(time.Hour))
 	}
--- a/internal/frontend/clientconn/queued_test.go
+++ b/internal/frontend/clientconn/queued_test.go
@@ -31,11 +31,11 @@
 	waited, release := make(chan time.Duration, 2), make(chan bool)
 	g := New(9, 9)
 	g.Listener = l
-	s := &http.Server{ConnState: g.Track, ConnContext: With, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		waited <- Waited(r.Context())
+	s := &http.Server{ConnState: g.Track, ConnContext: NewContext, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		waited <- HeaderAge(r.Context())
 		<-release
 	})}
-	g.Runs(time.Now()) // the process itself has run all the time
+	g.Heartbeat(time.Now()) // the process itself has run all the time
 	go s.Serve(g)
 	t.Cleanup(func() { s.Close() })
 	defer close(release)
@@ -49,8 +49,8 @@
 func TestAConnectionsAgeIsNotARequests(t *testing.T) {
 	waited := make(chan time.Duration, 1)
 	g := listening(t, 9)
-	s := &http.Server{ConnState: g.Track, ConnContext: With, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		waited <- Waited(r.Context())
+	s := &http.Server{ConnState: g.Track, ConnContext: NewContext, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		waited <- HeaderAge(r.Context())
 	})}
 	go s.Serve(g)
 	t.Cleanup(func() { s.Close() })
@@ -60,7 +60,7 @@
 	}
 	defer c.Close()
 	time.Sleep(400 * time.Millisecond) // the rig's: the connection rests
-	g.Runs(time.Now())
+	g.Heartbeat(time.Now())
 	io.WriteString(c, request+request)
 	answers := bufio.NewReader(c)
 	for k := range 2 {
--- a/internal/frontend/clientconn/unanswered_test.go
+++ b/internal/frontend/clientconn/unanswered_test.go
@@ -35,9 +35,9 @@
 			}
 			var seen atomic.Int32
 			g := New(9, 9)
-			g.Listener, g.HeadTime, g.Unanswered = l, 100*time.Millisecond, func(string) { seen.Add(1) }
+			g.Listener, g.HeaderTimeout, g.OnUnanswered = l, 100*time.Millisecond, func(string) { seen.Add(1) }
 			closed := make(chan bool, 9)
-			s := &http.Server{ConnContext: With, ReadHeaderTimeout: 100 * time.Millisecond, IdleTimeout: 100 * time.Millisecond,
+			s := &http.Server{ConnContext: NewContext, ReadHeaderTimeout: 100 * time.Millisecond, IdleTimeout: 100 * time.Millisecond,
 				ConnState: func(nc net.Conn, state http.ConnState) {
 					if g.Track(nc, state); state == http.StateClosed {
 						closed <- true
@@ -52,7 +52,7 @@
 						}
 						panic(http.ErrAbortHandler)
 					case "/forfeit":
-						Forfeit(r.Context())
+						SkipUnansweredCheck(r.Context())
 						w.Header().Set("Connection", "close")
 					case "/close":
 						w.Header().Set("Connection", "close")
--- a/internal/frontend/descriptors.go
+++ b/internal/frontend/descriptors.go
@@ -12,22 +12,22 @@
 	workerFraction     = 0.45
 )
 
-// Reserve keeps so many descriptors for what runs beside the scheduler in its process. It is called
+// ReserveDescriptors keeps so many descriptors for what runs beside the scheduler in its process. It is called
 // before Serve.
-func (s *Server) Reserve(descriptors int) {
+func (s *Server) ReserveDescriptors(descriptors int) {
 	s.reservedDescriptors += descriptors
-	s.Limit(s.bootstrap.Limits.Sockets)
+	s.SetDescriptorLimit(s.bootstrap.Limits.Sockets)
 }
 
-// Limit sets how many descriptors this process may use.
-func (s *Server) Limit(descriptors int) { s.setLimits(descriptors, 0) }
+// SetDescriptorLimit sets how many descriptors this process may use.
+func (s *Server) SetDescriptorLimit(descriptors int) { s.setLimits(descriptors, 0) }
 
 // setLimits leaves descriptors for at least so many connections to workers, at clients' cost: ops that
 // can't be pushed only wait.
 func (s *Server) setLimits(descriptors, minWorkers int) {
 	limits := splitDescriptors(descriptors-descriptorsReserved-s.reservedDescriptors, minWorkers)
-	s.clients.Limit(limits.softClients, limits.maxClients)
-	s.workers.Limit(limits.workers)
+	s.clients.SetLimits(limits.softClients, limits.maxClients)
+	s.workers.SetMaxOpen(limits.workers)
 }
 
 // descriptorLimits are numbers of connections, each at least 1.
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -110,7 +110,7 @@
 	s.loop = scheduler.New(s.schedulerOptions())
 	s.transport.loop = s.loop
 	s.peers = newPeerMessages(s.loop, log)
-	s.Limit(bootstrap.Limits.Sockets)
+	s.SetDescriptorLimit(bootstrap.Limits.Sockets)
 	s.endpoints = newEndpointFeed(bootstrap, cached, starts, s.loop, log)
 	s.workers.Stale = s.endpoints.hasUnread
 	s.proxy = s.newProxy()
@@ -119,12 +119,12 @@
 
 func (s *Server) newClientPool() *clientconn.Pool {
 	clients := clientconn.New(0, 0) // setLimits sets both bounds
-	clients.HeadTime = headerTimeout
-	clients.Failed = s.acceptFailed
-	clients.Ended = func(why clientconn.Reason, addr string) {
+	clients.HeaderTimeout = headerTimeout
+	clients.OnAcceptError = s.acceptFailed
+	clients.OnEnded = func(why clientconn.Reason, addr string) {
 		s.log.Debug().Str("why", string(why)).Str("client", addr).Msg("client connection ended")
 	}
-	clients.Unanswered = func(addr string) {
+	clients.OnUnanswered = func(addr string) {
 		withClient := func(e *zerolog.Event) { e.Str("client", addr) }
 		s.checker.Violated(invariant.Closing, invariant.Unanswered, withClient)
 	}
@@ -133,27 +133,27 @@
 
 func newWorkerPool(bootstrap *config.Bootstrap) *workerconn.Pool {
 	return workerconn.New(workerconn.Bounds{
-		Dial: connectTimeout(bootstrap),
-		Idle: bootstrap.Duration("bounds.keepalive", defaultKeepAliveTimeout),
+		DialTimeout: connectTimeout(bootstrap),
+		IdleTimeout: bootstrap.Duration("bounds.keepalive", defaultKeepAliveTimeout),
 	})
 }
 
 func (s *Server) schedulerOptions() scheduler.Options {
 	return scheduler.Options{
-		Reducer:        newReducer(s.bootstrap),
-		Workers:        s.workers,
-		Policy:         schedulerPolicy{settings: &s.settings, claims: &s.transport.claims},
-		Checker:        s.checker,
-		Metrics:        s.metrics,
-		Clock:          s.clock,
-		Log:            s.log,
-		ProbeRequest:   []byte(probeRequest),
-		ConnectTimeout: connectTimeout(s.bootstrap),
-		DrainGrace:     drainGrace(s.bootstrap),
-		SendToPeer:     func(peer int, text string) { s.peers.send(peer, text) },
-		OnStep:         s.clients.Runs,
-		PublishWorkers: s.bootstrap.Console != "",
-		LogDivergence:  s.bootstrap.ShadowSettings != nil,
+		Reducer:             newReducer(s.bootstrap),
+		Workers:             s.workers,
+		Policy:              schedulerPolicy{settings: &s.settings, claims: &s.transport.claims},
+		Checker:             s.checker,
+		Metrics:             s.metrics,
+		Clock:               s.clock,
+		Log:                 s.log,
+		ProbeRequest:        []byte(probeRequest),
+		ConnectTimeout:      connectTimeout(s.bootstrap),
+		DrainGrace:          drainGrace(s.bootstrap),
+		SendToPeer:          func(peer int, text string) { s.peers.send(peer, text) },
+		OnStep:              s.clients.Heartbeat,
+		PublishWorkerCounts: s.bootstrap.Console != "",
+		LogDivergence:       s.bootstrap.ShadowSettings != nil,
 	}
 }
 
--- a/internal/frontend/gone_test.go
+++ b/internal/frontend/gone_test.go
@@ -353,7 +353,7 @@
 	})
 	defer d.close()
 	await(t, "ready", g.server.Ready())
-	g.server.Limit(4 * clients)
+	g.server.SetDescriptorLimit(4 * clients)
 	free := blockLoop(g, 0)
 	var open []net.Conn
 	for k := range clients {
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -115,7 +115,7 @@
 // one. Requests that were already read from the connection are answered first.
 func (s *Server) closeAfter(client context.Context, h http.Header, status int) {
 	badRequest := status/100 == 4
-	if (badRequest || s.lifecycle.closing.Load() || s.drain.draining()) && !clientconn.More(client) {
+	if (badRequest || s.lifecycle.closing.Load() || s.drain.draining()) && !clientconn.HasPipelinedRequest(client) {
 		h.Set("Connection", "close")
 	}
 }
--- a/internal/frontend/hot_restart.go
+++ b/internal/frontend/hot_restart.go
@@ -107,10 +107,10 @@
 // called before Serve.
 func (s *Server) RestoreState(state hotrestart.State, peers *net.UDPConn) {
 	s.peers.inherited = peers
-	s.Limit(state.Sockets)
+	s.SetDescriptorLimit(state.Sockets)
 	if learned, err := inheritedLearned(state); err == nil {
 		learned.Shift(clockShift(s.clock, state))
-		s.loop.Send(reducer.StateRestored{Learned: learned})
+		s.loop.Send(reducer.StateRestored{LearnedState: learned})
 	} else {
 		s.log.Warn().Err(err).Msg("learned state not restored")
 	}
@@ -120,9 +120,9 @@
 }
 
 // inheritedLearned is what a predecessor has learned.
-func inheritedLearned(state hotrestart.State) (learned reducer.Learned, err error) {
+func inheritedLearned(state hotrestart.State) (learned reducer.LearnedState, err error) {
 	if len(state.Learned) == 0 || string(state.Learned) == "null" {
-		return reducer.Learned{}, errNothingLearned
+		return reducer.LearnedState{}, errNothingLearned
 	}
 	err = json.Unmarshal(state.Learned, &learned)
 	return learned, err
@@ -136,7 +136,7 @@
 func (s *Server) SetSuccessor(there bool) {
 	s.lifecycle.successor.Store(there)
 	if !there {
-		s.Limit(s.bootstrap.Limits.Sockets)
+		s.SetDescriptorLimit(s.bootstrap.Limits.Sockets)
 		s.clients.Resume()
 	}
 }
--- a/internal/frontend/op_transport.go
+++ b/internal/frontend/op_transport.go
@@ -101,7 +101,7 @@
 // finalResponse is the answer to an op as it goes to its client.
 func (t *opTransport) finalResponse(r *http.Request, op *pendingOp, answer reducer.Respond) *http.Response {
 	if answer.Verdict == reducer.Acked {
-		t.clients.Served(r.Context())
+		t.clients.MarkServed(r.Context())
 	}
 	op.reportOutcome(answer)
 	return response(r, answer)
--- a/internal/frontend/peer_drains.go
+++ b/internal/frontend/peer_drains.go
@@ -52,8 +52,8 @@
 	s.endpoints.peerDrains = drains
 }
 
-// PeerDrains takes the drain records that another scheduler sent.
-func (s *Server) PeerDrains(records []drainstate.DrainRecord) {
+// ReceiveDrainRecords takes the drain records that another scheduler sent.
+func (s *Server) ReceiveDrainRecords(records []drainstate.DrainRecord) {
 	if drains := s.endpoints.peerDrains; drains != nil {
 		drains.mu.Lock()
 		defer drains.mu.Unlock()
--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -81,9 +81,9 @@
 // is called before Serve.
 func (s *Server) SetPeerSender(send func(to int, text string)) { s.peers.sender = send }
 
-// PeerInput takes what other parts of the process learn of other schedulers: a message, a loss, a join.
+// ReceivePeerInput takes what other parts of the process learn of other schedulers: a message, a loss, a join.
 // It never waits for the loop: a message that finds no space is lost, as a datagram is.
-func (s *Server) PeerInput(event reducer.Input) {
+func (s *Server) ReceivePeerInput(event reducer.Input) {
 	if _, message := event.(reducer.PeerMessage); !message {
 		// Changes of members are few, and must be neither lost nor reordered.
 		s.peers.changes.Put(scheduler.Input{Event: event})
--- a/internal/frontend/peers_lost_test.go
+++ b/internal/frontend/peers_lost_test.go
@@ -20,7 +20,7 @@
 	}
 	const reports = 3
 	for range reports {
-		f.PeerInput(reducer.PeerMessage{Sender: 1, Text: "x"})
+		f.ReceivePeerInput(reducer.PeerMessage{Sender: 1, Text: "x"})
 	}
 	if got := f.peers.lost.Load(); got != reports {
 		t.Errorf("%d lost reports are counted, want %d", got, reports)
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -34,7 +34,7 @@
 func (s *Server) reject(w http.ResponseWriter, r *http.Request, rejection *Rejection) {
 	s.log.Debug().Str("error", rejection.Text).Int("status", rejection.Status).Msg("request rejected")
 	if rejection.RestUnread {
-		clientconn.Forfeit(r.Context())
+		clientconn.SkipUnansweredCheck(r.Context())
 		w.Header().Set("Connection", "close")
 	}
 	s.closeAfter(r.Context(), w.Header(), rejection.Status)
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -66,9 +66,11 @@
 // Disconnected tells whether the server has noticed that the client is gone.
 func (op *pendingOp) Disconnected() bool { return op.client.Err() != nil }
 
-// Waiting tells whether the client is still there. The server may notice a closed connection a moment
+// CheckConnected tells whether the client is still there. The server may notice a closed connection a moment
 // late, so the connection itself is looked at too.
-func (op *pendingOp) Waiting() bool { return !op.Disconnected() && !clientconn.Left(op.client) }
+func (op *pendingOp) CheckConnected() bool {
+	return !op.Disconnected() && !clientconn.Disconnected(op.client)
+}
 
 // Request returns the request for a worker that has so much time left.
 func (op *pendingOp) Request(left time.Duration) []byte { return op.request.Bytes(left) }
--- a/internal/frontend/request_age.go
+++ b/internal/frontend/request_age.go
@@ -14,12 +14,12 @@
 // before it on the connection, and its newest ones in the kernel while the process is stopped or starved;
 // a request that counted as new then could be pushed after its client's TTL.
 func requestAge(client context.Context) time.Duration {
-	return max(newestBytesAge(client), clientconn.Waited(client))
+	return max(newestBytesAge(client), clientconn.HeaderAge(client))
 }
 
 // newestBytesAge is how long ago the newest bytes on a request's connection came, as the kernel says.
 func newestBytesAge(client context.Context) time.Duration {
-	c, ok := clientconn.Of(client).(syscall.Conn)
+	c, ok := clientconn.FromContext(client).(syscall.Conn)
 	if !ok {
 		return 0
 	}
--- a/internal/frontend/serve.go
+++ b/internal/frontend/serve.go
@@ -57,7 +57,7 @@
 	failed := s.startAccepting(server, l)
 	go s.announceReady()
 	s.log.Info().Str("name", s.bootstrap.Name).Str("listen", s.bootstrap.Listen).
-		Int("most_clients", s.clients.Most()).Msg("serving")
+		Int("most_clients", s.clients.SoftLimit()).Msg("serving")
 	err := s.awaitEnd(ctx, failed)
 	s.stop(server, within)
 	return err
@@ -81,7 +81,7 @@
 	return &http.Server{
 		Handler:           s,
 		ConnState:         s.clients.Track,
-		ConnContext:       clientconn.With,
+		ConnContext:       clientconn.NewContext,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
@@ -172,7 +172,7 @@
 	for emptyPolls < 2 && time.Now().Before(deadline) {
 		if time.Now().After(closeFrom) {
 			s.lifecycle.closing.Store(true)
-			s.clients.Part(s.clients.Count(), newConnectionGrace)
+			s.clients.CloseIdle(s.clients.Count(), newConnectionGrace)
 		}
 		if time.Now().After(answersBy) {
 			s.clients.StopReading(deadline.Add(-bodyMargin))
@@ -192,7 +192,7 @@
 	s.clients.StopReading(deadline.Add(-bodyMargin))
 	s.clients.Close()
 	for s.clients.Sockets() > 0 && time.Now().Before(deadline) {
-		s.clients.Part(s.clients.Count(), 0)
+		s.clients.CloseIdle(s.clients.Count(), 0)
 		time.Sleep(lastPollInterval)
 	}
 }
--- a/internal/frontend/settings.go
+++ b/internal/frontend/settings.go
@@ -115,8 +115,8 @@
 	return s.settings.Load().rule(category).Effect
 }
 
-// Discovery is discovery's address, by the configuration in force.
-func (s *Server) Discovery() string { return s.settings.Load().Discovery }
+// DiscoveryAddr is discovery's address, by the configuration in force.
+func (s *Server) DiscoveryAddr() string { return s.settings.Load().Discovery }
 
 // SettingsHash identifies the settings in force, without those that differ between schedulers.
 func (s *Server) SettingsHash() uint64 { return s.settings.Load().hash() }
--- a/internal/observe/console/console.go
+++ b/internal/observe/console/console.go
@@ -54,7 +54,7 @@
 func Serve(l net.Listener, scheduler Scheduler, log zerolog.Logger, calls ...Call) {
 	connections := clientconn.New(maxConnections, maxConnections)
 	connections.Listener = l
-	connections.Patience = slotTimeout
+	connections.AdmissionTimeout = slotTimeout
 	server := &http.Server{
 		Handler:        newHandler(scheduler, log, calls),
 		ConnState:      connections.Track,
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -32,7 +32,7 @@
 // late.
 func (p *pendingOp) clientWaiting() bool {
 	now := time.Now()
-	if !p.Client.Waiting() {
+	if !p.Client.CheckConnected() {
 		return false
 	}
 	p.checkedAt.Store(&now)
--- a/internal/scheduler/loop.go
+++ b/internal/scheduler/loop.go
@@ -26,7 +26,7 @@
 	defer divergence.Stop()
 	defer l.logDivergence()
 	var workerCounts <-chan time.Time
-	if l.opts.PublishWorkers {
+	if l.opts.PublishWorkerCounts {
 		ticker := time.NewTicker(workerCountsInterval)
 		defer ticker.Stop()
 		workerCounts = ticker.C
@@ -153,9 +153,9 @@
 func (l *Loop) probe(now time.Time, e reducer.Probe) {
 	deadline := now.Add(2 * l.opts.ConnectTimeout)
 	l.opts.Workers.Probe(e.Addr, l.opts.ProbeRequest, deadline, func(end workerconn.End) {
-		l.opts.Log.Debug().Str("worker", e.Worker).Stringer("ending", end.How).Bool("dialed", end.Dialed).
+		l.opts.Log.Debug().Str("worker", e.Worker).Stringer("ending", end.Ending).Bool("dialed", end.Dialed).
 			Dur("took_ms", time.Since(now)).Bytes("report", end.Load).Msg("load probe ended")
-		l.Send(reducer.ProbeEnded{Probe: e.Probe, Ending: end.How, LoadReport: end.Load})
+		l.Send(reducer.ProbeEnded{Probe: e.Probe, Ending: end.Ending, LoadReport: end.Load})
 	})
 }
 
@@ -182,7 +182,7 @@
 	deadline := now.Add(duration(e.Timeout))
 	request := func(left time.Duration) []byte { return l.attemptRequest(now, p, e.Worker, left) }
 	sent := func() { l.opts.Metrics.AttemptSent(p.Op.Category) }
-	progressed := func(line workerconn.Line) { l.attemptProgressed(e.Op, line) }
+	progressed := func(line workerconn.JobLine) { l.attemptProgressed(e.Op, line) }
 	ended := func(end workerconn.End) { l.attemptEnded(now, p, e.Worker, end) }
 	l.inFlight[e.Op] = l.opts.Workers.Push(
 		e.Addr, p.Op.ID, request, deadline, wanted, sent, progressed, ended)
@@ -206,15 +206,15 @@
 	return p.Client.Request(left)
 }
 
-func (l *Loop) attemptProgressed(op uint64, line workerconn.Line) {
-	l.opts.Log.Debug().Uint64("op", op).Str("state", line.State).Float64("share", line.Share).Msg("job line")
+func (l *Loop) attemptProgressed(op uint64, line workerconn.JobLine) {
+	l.opts.Log.Debug().Uint64("op", op).Str("state", line.State).Float64("share", line.Progress).Msg("job line")
 	l.Send(progress(op, line))
 }
 
 // progress is what a job line reports. A share below 0 stands for an acknowledgement: in a worker's own line
 // it has no meaning.
-func progress(op uint64, line workerconn.Line) reducer.AttemptProgressed {
-	share := line.Share
+func progress(op uint64, line workerconn.JobLine) reducer.AttemptProgressed {
+	share := line.Progress
 	if line.State != workerconn.StateAcknowledged {
 		share = max(share, 0)
 	}
@@ -223,13 +223,13 @@
 
 func (l *Loop) attemptEnded(startedAt time.Time, p *pendingOp, worker string, end workerconn.End) {
 	op := p.Op.Op
-	l.opts.Log.Debug().Uint64("op", op).Str("worker", worker).Stringer("ending", end.How).
+	l.opts.Log.Debug().Uint64("op", op).Str("worker", worker).Stringer("ending", end.Ending).
 		Bool("dialed", end.Dialed).Dur("took_ms", time.Since(startedAt)).Msg("attempt ended")
-	if end.How == outcome.CancelledUnsent && !p.clientWaiting() {
+	if end.Ending == outcome.CancelledUnsent && !p.clientWaiting() {
 		// Before the end, so that the reducer starts no other attempt for a client that is gone.
 		l.Send(reducer.ClientDisconnected{Op: op})
 	}
-	l.Send(reducer.AttemptEnded{Op: op, Ending: end.How, Result: end.Result, LoadReport: end.Load})
+	l.Send(reducer.AttemptEnded{Op: op, Ending: end.Ending, Result: end.Result, LoadReport: end.Load})
 }
 
 func duration(t dispatch.Time) time.Duration { return time.Duration(t) * config.Tenth }
--- a/internal/scheduler/loop_test.go
+++ b/internal/scheduler/loop_test.go
@@ -28,8 +28,8 @@
 	mayRunIn atomic.Pointer[reducer.Group]
 }
 
-func (c *stubClient) Disconnected() bool { return c.left.Load() }
-func (c *stubClient) Waiting() bool      { return !c.left.Load() }
+func (c *stubClient) Disconnected() bool   { return c.left.Load() }
+func (c *stubClient) CheckConnected() bool { return !c.left.Load() }
 
 func (c *stubClient) Request(left time.Duration) []byte {
 	head := "POST / HTTP/1.1\r\nHost: w\r\nContent-Length: 0\r\n"
@@ -75,7 +75,7 @@
 			"bounds":     map[string]any{"maxPushes": float64(maxAttempts), "connectTimeoutNs": 50e6},
 			"categories": []any{category},
 		})),
-		Workers:        workerconn.New(workerconn.Bounds{Open: 9, Dial: time.Second, Idle: time.Second}),
+		Workers:        workerconn.New(workerconn.Bounds{MaxOpen: 9, DialTimeout: time.Second, IdleTimeout: time.Second}),
 		Policy:         fixedPolicy{rule: rule, maxAttempts: maxAttempts},
 		Checker:        invariant.New(zerolog.Nop()),
 		Metrics:        metrics.New([]string{"look"}),
--- a/internal/scheduler/reducer/bench_test.go
+++ b/internal/scheduler/reducer/bench_test.go
@@ -108,7 +108,7 @@
 				r.Step(now, AttemptEnded{Op: op, Ending: outcome.Done})
 			}
 			b.ResetTimer()
-			var l Learned
+			var l LearnedState
 			for range b.N {
 				l = r.Learned()
 			}
--- a/internal/scheduler/reducer/changes_test.go
+++ b/internal/scheduler/reducer/changes_test.go
@@ -274,7 +274,7 @@
 			t.Errorf("%s: %+v", c.category, todo)
 		}
 	}
-	many := Learned{Dropped: map[string]dispatch.Time{}}
+	many := LearnedState{Dropped: map[string]dispatch.Time{}}
 	for i := range 2 * maxDroppedCategories {
 		many.Dropped[fmt.Sprint(i)] = 5
 	}
--- a/internal/scheduler/reducer/learned.go
+++ b/internal/scheduler/reducer/learned.go
@@ -2,8 +2,8 @@
 
 import "woaddyke/dispatch"
 
-// Learned is what a reducer hands on to the one of its process's successor.
-type Learned struct {
+// LearnedState is what a reducer hands on to the one of its process's successor.
+type LearnedState struct {
 	Module  dispatch.Learned         `json:"module"`
 	Zones   []string                 `json:"zones"`   // whose verdicts Module.Zones are, in their order
 	IDs     map[string]dispatch.Time `json:"ids"`     // when each is free
@@ -11,8 +11,8 @@
 }
 
 // Learned returns what is known now that a successor can't read anywhere.
-func (r *Reducer) Learned() Learned {
-	l := Learned{Module: r.dispatcher.Learned(), Zones: make([]string, len(r.zones)), IDs: r.ids.expiries(),
+func (r *Reducer) Learned() LearnedState {
+	l := LearnedState{Module: r.dispatcher.Learned(), Zones: make([]string, len(r.zones)), IDs: r.ids.expiries(),
 		Dropped: make(map[string]dispatch.Time, len(r.droppedCategories))}
 	for name, x := range r.droppedCategories {
 		l.Dropped[name] = x.retainUntil
@@ -30,7 +30,7 @@
 
 // Shift moves all moments by a span, to the clock of another process. What was decoded from a message may
 // be shifted, not what a reducer goes on with.
-func (l *Learned) Shift(by dispatch.Time) {
+func (l *LearnedState) Shift(by dispatch.Time) {
 	l.Module.Shift(by)
 	for id, until := range l.IDs {
 		if until > 0 {
@@ -43,7 +43,7 @@
 }
 
 // StateRestored brings what a predecessor's reducer had learned, after its endpoint list.
-type StateRestored struct{ Learned }
+type StateRestored struct{ LearnedState }
 
 func (StateRestored) input() {}
 
--- a/internal/scheduler/reducer/learned_test.go
+++ b/internal/scheduler/reducer/learned_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var l Learned
+	var l LearnedState
 	if err := json.Unmarshal(text, &l); err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	}
 	// Nothing at all, or of another site, is no reason to fail.
 	for _, text := range []string{"{}", `{"zones":["a","b"],"module":{"zones":[[]]},"ids":{"a":-1}}`} {
-		var none Learned
+		var none LearnedState
 		if err := json.Unmarshal([]byte(text), &none); err != nil {
 			t.Fatal(err)
 		}
@@ -59,9 +59,9 @@
 // A process counts moments by its own clock: all of them move to its successor's, and spans stay as they
 // are.
 func TestWhatWasLearnedMovesToAnotherClock(t *testing.T) {
-	at := func(moment dispatch.Time) Learned {
+	at := func(moment dispatch.Time) LearnedState {
 		verdicts := func() []dispatch.Verdict { return []dispatch.Verdict{{At: moment, OK: true}, {At: moment + 1}} }
-		return Learned{IDs: map[string]dispatch.Time{"a": moment, "held": 0}, Dropped: map[string]dispatch.Time{"old": moment},
+		return LearnedState{IDs: map[string]dispatch.Time{"a": moment, "held": 0}, Dropped: map[string]dispatch.Time{"old": moment},
 			Zones: []string{"z"}, Module: dispatch.Learned{HalvedAt: moment, StartDelays: []dispatch.Time{3}, ProbeRTTs: []dispatch.Time{4},
 				StartSamples: [][2]dispatch.Time{{moment, 5}}, PlacementVerdicts: verdicts(), Zones: [][]dispatch.Verdict{verdicts()},
 				Categories: map[string]dispatch.LearnedCategory{"look": {LongestTTL: 6, ServiceTimes: []dispatch.Time{7}}},
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -82,8 +82,8 @@
 	// Disconnected tells whether the frontend has noticed that the client is gone. It makes no system call.
 	Disconnected() bool
 
-	// Waiting looks at the client's connection itself. It is called before each write to a worker.
-	Waiting() bool
+	// CheckConnected looks at the client's connection itself. It is called before each write to a worker.
+	CheckConnected() bool
 
 	// Request returns the request as it goes to a worker that has so much time left.
 	Request(left time.Duration) []byte
@@ -118,8 +118,8 @@
 	SendToPeer func(peer int, text string) // sends a message to another scheduler; it may be lost
 	OnStep     func(now time.Time)         // called at each step, and at least once a second
 
-	PublishWorkers bool // sets the counts of workers in Metrics
-	LogDivergence  bool // logs how often shadow settings decided otherwise
+	PublishWorkerCounts bool // sets the counts of workers in Metrics
+	LogDivergence       bool // logs how often shadow settings decided otherwise
 }
 
 // Loop feeds the reducer and carries out its effects. Run's goroutine alone uses the fields of the second
@@ -193,18 +193,18 @@
 func (l *Loop) HasUnappliedLists() bool { return l.unapplied.Load() > 0 }
 
 // Learned returns what the reducer has learned, or ErrBusy.
-func (l *Loop) Learned() (reducer.Learned, error) {
-	learned := make(chan reducer.Learned, 1)
+func (l *Loop) Learned() (reducer.LearnedState, error) {
+	learned := make(chan reducer.LearnedState, 1)
 	timeout := time.After(learnedTimeout)
 	select {
 	case l.inbox <- Query(func(s State) { learned <- s.Reducer.Learned() }):
 	case <-timeout:
-		return reducer.Learned{}, ErrBusy
+		return reducer.LearnedState{}, ErrBusy
 	}
 	select {
 	case x := <-learned:
 		return x, nil
 	case <-timeout:
-		return reducer.Learned{}, ErrBusy
+		return reducer.LearnedState{}, ErrBusy
 	}
 }
--- a/internal/workers/workerconn/begin_test.go
+++ b/internal/workers/workerconn/begin_test.go
@@ -64,7 +64,7 @@
 			e := p.Push(addr, "a1", as(large), time.Now().Add(20*time.Second), func() bool {
 				asked <- true
 				return !left.Load()
-			}, func() { t.Error("it is told as written") }, func(Line) {}, func(e End) { ends <- e })
+			}, func() { t.Error("it is told as written") }, func(JobLine) {}, func(e End) { ends <- e })
 			<-asked
 			if !x.full {
 				select {
@@ -78,8 +78,8 @@
 				e.Close(true, outcome.CancelledUnsent)
 			}
 			close(goOn)
-			if e := <-ends; e.How != outcome.CancelledUnsent {
-				t.Errorf("%v", e.How)
+			if e := <-ends; e.Ending != outcome.CancelledUnsent {
+				t.Errorf("%v", e.Ending)
 			}
 			p.Sweep(time.Now().Add(time.Hour)) // what it was not written on is idle now
 			b := <-came
@@ -108,10 +108,10 @@
 	p := pool(4)
 	p.Connect = narrow(t, false)
 	ends := make(chan End, 1)
-	p.Push(addr, "a1", as(large), time.Now().Add(20*time.Second), always, func() { t.Error("it is told as written") }, func(Line) {},
+	p.Push(addr, "a1", as(large), time.Now().Add(20*time.Second), always, func() { t.Error("it is told as written") }, func(JobLine) {},
 		func(e End) { ends <- e })
-	if e := <-ends; !e.How.NeverRan() {
-		t.Errorf("%v", e.How)
+	if e := <-ends; !e.Ending.NeverRan() {
+		t.Errorf("%v", e.Ending)
 	}
 	if n := <-came; n >= len(large) {
 		t.Errorf("the worker got all of it, told half a second before")
@@ -136,9 +136,9 @@
 		}
 		time.Sleep(2 * maxClientCheckAge) // the client leaves meanwhile
 		return true
-	}, func() { t.Error("it is told as written") }, func(Line) {}, func(e End) { ends <- e })
-	if e := <-ends; e.How != outcome.CancelledUnsent {
-		t.Errorf("%v", e.How)
+	}, func() { t.Error("it is told as written") }, func(JobLine) {}, func(e End) { ends <- e })
+	if e := <-ends; e.Ending != outcome.CancelledUnsent {
+		t.Errorf("%v", e.Ending)
 	}
 	p.Sweep(time.Now().Add(time.Hour))
 	if n := <-came; n > 0 {
--- a/internal/workers/workerconn/ends_test.go
+++ b/internal/workers/workerconn/ends_test.go
@@ -67,14 +67,14 @@
 	})
 	p := pool(4)
 	p.reuseDelay = time.Hour // however slow this machine is
-	if e := push(p, addr, 20*time.Second); e.How != outcome.Done {
-		t.Fatal(e.How)
+	if e := push(p, addr, 20*time.Second); e.Ending != outcome.Done {
+		t.Fatal(e.Ending)
 	}
 	for len(p.idleAt(addr)) == 0 {
 		time.Sleep(time.Millisecond) // the last bytes are read after the end is told
 	}
-	if e := push(p, addr, 20*time.Second); e.How != outcome.Done || !e.Dialed {
-		t.Errorf("the next push: %v, dialed %v", e.How, e.Dialed)
+	if e := push(p, addr, 20*time.Second); e.Ending != outcome.Done || !e.Dialed {
+		t.Errorf("the next push: %v, dialed %v", e.Ending, e.Dialed)
 	}
 	for until := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		if few := p.idleAt(addr); len(few) > 0 {
@@ -119,8 +119,8 @@
 		ends := make(chan End, 1)
 		p.Probe(addr, []byte("GET /load HTTP/1.1\r\nHost: w\r\n\r\n"), time.Now().Add(20*time.Second), func(e End) { ends <- e })
 		e := <-ends
-		if e.How != outcome.Done {
-			t.Fatal(e.How)
+		if e.Ending != outcome.Done {
+			t.Fatal(e.Ending)
 		}
 		return e.Dialed
 	}
@@ -131,8 +131,8 @@
 		dialed := false
 		if x.push {
 			e := push(p, addr, 20*time.Second)
-			if dialed = e.Dialed; e.How != outcome.Done {
-				t.Fatal(e.How)
+			if dialed = e.Dialed; e.Ending != outcome.Done {
+				t.Fatal(e.Ending)
 			}
 		} else {
 			dialed = probe()
@@ -181,12 +181,12 @@
 			runtime.ReadMemStats(&before)
 			ends, notes := make(chan End, 1), 0
 			began := time.Now()
-			pool(1).Push(addr, "a1", as(request), began.Add(20*time.Second), always, func() {}, func(Line) { notes++ },
+			pool(1).Push(addr, "a1", as(request), began.Add(20*time.Second), always, func() {}, func(JobLine) { notes++ },
 				func(e End) { ends <- e })
 			e := <-ends
 			runtime.ReadMemStats(&after)
-			if e.How.NeverRan() || e.How == outcome.Done || e.How == outcome.TimedOut {
-				t.Errorf("%v", e.How)
+			if e.Ending.NeverRan() || e.Ending == outcome.Done || e.Ending == outcome.TimedOut {
+				t.Errorf("%v", e.Ending)
 			}
 			if mb := (after.TotalAlloc - before.TotalAlloc) >> 20; mb > 32 {
 				t.Errorf("%d MB were taken", mb)
@@ -203,8 +203,8 @@
 		})
 		ends := make(chan End, 1)
 		pool(1).Probe(addr, request, time.Now().Add(20*time.Second), func(e End) { ends <- e })
-		if e := <-ends; e.How != outcome.Malformed || len(e.Load) > 0 && e.How == outcome.Done {
-			t.Errorf("%s: %v", name, e.How)
+		if e := <-ends; e.Ending != outcome.Malformed || len(e.Load) > 0 && e.Ending == outcome.Done {
+			t.Errorf("%s: %v", name, e.Ending)
 		}
 	}
 	// A body behind the last line, and more behind that, are the worker's own affair: the op is done, the connection is not kept.
@@ -213,8 +213,8 @@
 		forever(c, "7")
 	})
 	p := pool(1)
-	if e := push(p, addr, 20*time.Second); e.How != outcome.Done || string(e.Result) != "x" {
-		t.Errorf("%v", e.How)
+	if e := push(p, addr, 20*time.Second); e.Ending != outcome.Done || string(e.Result) != "x" {
+		t.Errorf("%v", e.Ending)
 	}
 	for until := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		if open, _ := p.Counts(); open == 0 {
@@ -234,13 +234,13 @@
 		n, _ := c.Read(make([]byte, 1))
 		wrote <- n
 	})
-	p := New(Bounds{Open: 4, Dial: time.Millisecond, Idle: 10 * time.Second})
+	p := New(Bounds{MaxOpen: 4, DialTimeout: time.Millisecond, IdleTimeout: 10 * time.Second})
 	p.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		time.Sleep(maxDialDelay + 10*time.Millisecond)
 		return net.Dial(network, addr)
 	}
-	if e := push(p, addr, 20*time.Second); e.How != outcome.CancelledUnsent {
-		t.Errorf("%v", e.How)
+	if e := push(p, addr, 20*time.Second); e.Ending != outcome.CancelledUnsent {
+		t.Errorf("%v", e.Ending)
 	}
 	if open, _ := p.Counts(); open != 0 || <-wrote > 0 {
 		t.Errorf("%d open, or something was written", open)
@@ -278,9 +278,9 @@
 	} {
 		addr := fragmentpeer.Serve(t, x.serve)
 		ends := make(chan End, 1)
-		pool(1).Push(addr, "a1", as(x.request), time.Now().Add(20*time.Second), always, func() {}, func(Line) {}, func(e End) { ends <- e })
-		if e := <-ends; !x.may[e.How] {
-			t.Errorf("%s: %v", name, e.How)
+		pool(1).Push(addr, "a1", as(x.request), time.Now().Add(20*time.Second), always, func() {}, func(JobLine) {}, func(e End) { ends <- e })
+		if e := <-ends; !x.may[e.Ending] {
+			t.Errorf("%s: %v", name, e.Ending)
 		}
 	}
 }
@@ -313,14 +313,14 @@
 				id := fmt.Sprint(k, "-", n)
 				ends := make(chan End, 1)
 				x := p.Push(addr, id, as([]byte("POST / HTTP/1.1\r\nHost: w\r\nX-Id: "+id+"\r\nContent-Length: 0\r\n\r\n")), time.Now().Add(20*time.Second),
-					always, func() {}, func(Line) {}, func(e End) { ends <- e })
+					always, func() {}, func(JobLine) {}, func(e End) { ends <- e })
 				switch chance.IntN(6) {
 				case 0:
 					x.Close(false, outcome.Cancelled)
 				case 1:
 					p.Sweep(time.Now().Add(time.Duration(chance.IntN(10)) * time.Second))
 				case 2:
-					p.Limit(4 + chance.IntN(8))
+					p.SetMaxOpen(4 + chance.IntN(8))
 				}
 				e := <-ends
 				x.Close(false, outcome.Cancelled) // it has ended: the connection may be another's by now
@@ -328,20 +328,20 @@
 				ran := runs[id]
 				mu.Unlock()
 				switch {
-				case e.How == outcome.Done && (string(e.Result) != id || ran != 1):
+				case e.Ending == outcome.Done && (string(e.Result) != id || ran != 1):
 					t.Errorf("%s got %q and ran %d times", id, e.Result, ran)
-				case e.How.NeverRan() && ran > 0:
-					t.Errorf("%s: %v, and it ran", id, e.How)
-				case e.How != outcome.Done && e.How != outcome.Cancelled && !e.How.NeverRan():
-					t.Errorf("%s: %v", id, e.How)
+				case e.Ending.NeverRan() && ran > 0:
+					t.Errorf("%s: %v, and it ran", id, e.Ending)
+				case e.Ending != outcome.Done && e.Ending != outcome.Cancelled && !e.Ending.NeverRan():
+					t.Errorf("%s: %v", id, e.Ending)
 				}
 			}
 		})
 	}
 	all.Wait()
-	p.Limit(0)
+	p.SetMaxOpen(0)
 	for until := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		p.Limit(0)
+		p.SetMaxOpen(0)
 		open, _ := p.Counts()
 		if open == 0 {
 			break
--- a/internal/workers/workerconn/exchange.go
+++ b/internal/workers/workerconn/exchange.go
@@ -45,18 +45,18 @@
 // StateAcknowledged is the state of the line that stands for an answer's head: the worker has the job.
 const StateAcknowledged = "taken"
 
-// Line is one job line of a worker.
-type Line struct {
-	ID     string          `json:"id"`
-	State  string          `json:"state"`
-	Share  float64         `json:"share"`
-	Result json.RawMessage `json:"result"`
-	Load   json.RawMessage `json:"load"`
+// JobLine is one job line of a worker.
+type JobLine struct {
+	ID       string          `json:"id"`
+	State    string          `json:"state"`
+	Progress float64         `json:"share"`
+	Result   json.RawMessage `json:"result"`
+	Load     json.RawMessage `json:"load"`
 }
 
 // End is how an exchange ended and what came with it.
 type End struct {
-	How    outcome.Ending
+	Ending outcome.Ending
 	Result []byte
 	Load   []byte
 	Dialed bool
@@ -106,7 +106,7 @@
 //   - end, once, when the connection is closed or the worker has sent the last line.
 func (p *Pool) Push(
 	addr, id string, request func(left time.Duration) []byte, limit time.Time,
-	wanted func() bool, written func(), note func(Line), end func(End),
+	wanted func() bool, written func(), note func(JobLine), end func(End),
 ) *Exchange {
 	return p.start(true, addr, request, limit, wanted, func(c *conn, e End) (*http.Response, End) {
 		written()
@@ -139,13 +139,13 @@
 			return
 		}
 		resp, e := read(c, e)
-		if e.How == outcome.Done {
+		if e.Ending == outcome.Done {
 			end(e) // without waiting for the worker's last bytes
 			x.finish(c, resp, e)
 			return
 		}
 		x.finish(c, resp, e)
-		e.How = x.ownEndingFirst(e.How)
+		e.Ending = x.ownEndingFirst(e.Ending)
 		end(e)
 	}()
 	return x
@@ -163,8 +163,8 @@
 	c := x.pool.take(addr, x.isAttempt)
 	if c == nil {
 		e.Dialed = true
-		if c, e.How = x.pool.dial(ctx, addr); c == nil {
-			e.How = x.ownEndingFirst(e.How)
+		if c, e.Ending = x.pool.dial(ctx, addr); c == nil {
+			e.Ending = x.ownEndingFirst(e.Ending)
 			return nil, e
 		}
 	}
@@ -172,7 +172,7 @@
 	if x.closedAs != outcome.Unknown {
 		x.mu.Unlock()
 		x.pool.drop(c)
-		e.How = x.closedAs
+		e.Ending = x.closedAs
 		return nil, e
 	}
 	x.conn = c
@@ -205,10 +205,10 @@
 	if x.written {
 		return c, e
 	}
-	e.How = outcome.PartiallySent
+	e.Ending = outcome.PartiallySent
 	x.mu.Lock()
 	if x.conn = nil; x.closedAs != outcome.Unknown {
-		e.How = outcome.CancelledUnsent // by this side: it proves nothing of the worker
+		e.Ending = outcome.CancelledUnsent // by this side: it proves nothing of the worker
 	}
 	x.mu.Unlock()
 	if heldBack && n == 0 && err == nil && c.SetDeadline(time.Time{}) == nil {
@@ -345,31 +345,31 @@
 	}
 	switch {
 	case err != nil:
-		e.How = readErrorEnding(err)
+		e.Ending = readErrorEnding(err)
 	case resp.StatusCode == http.StatusOK:
-		e.How = outcome.Done
+		e.Ending = outcome.Done
 	case resp.StatusCode == http.StatusServiceUnavailable:
-		e.How = outcome.Shed
+		e.Ending = outcome.Shed
 	default:
-		e.How = outcome.ServerError
+		e.Ending = outcome.ServerError
 	}
 	return resp, e
 }
 
 // readJobLines reads an answer to an attempt.
-func readJobLines(c *conn, id string, note func(Line), e End) (*http.Response, End) {
+func readJobLines(c *conn, id string, note func(JobLine), e End) (*http.Response, End) {
 	resp, err := readAnswerHead(c)
 	if err != nil {
-		e.How = readErrorEnding(err)
+		e.Ending = readErrorEnding(err)
 		return nil, e
 	}
 	e.Load = []byte(resp.Header.Get("X-Backend-Load"))
 	if resp.StatusCode != http.StatusOK {
-		e.How = rejectionEnding(resp)
+		e.Ending = rejectionEnding(resp)
 		return resp, e
 	}
 	c.limited.allow(maxAnswerBytes)
-	note(Line{State: StateAcknowledged, Share: -1})
+	note(JobLine{State: StateAcknowledged, Progress: -1})
 	started, noted := false, time.Time{}
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(make([]byte, 0, 1024), maxLineBytes)
@@ -378,20 +378,20 @@
 		if len(text) == 0 {
 			continue
 		}
-		var l Line
+		var l JobLine
 		if err := json.Unmarshal(text, &l); err != nil || l.ID != id {
-			e.How = outcome.Malformed // a line of another op proves nothing of this one
+			e.Ending = outcome.Malformed // a line of another op proves nothing of this one
 			return resp, e
 		}
 		switch l.State {
 		case "done":
-			e.How = outcome.Done
+			e.Ending = outcome.Done
 		case "failed":
-			e.How = outcome.Failed
+			e.Ending = outcome.Failed
 		case "returned":
-			e.How = outcome.Returned
+			e.Ending = outcome.Returned
 		case "lost":
-			e.How = outcome.JobKilled
+			e.Ending = outcome.JobKilled
 		default:
 			first := l.State == "started" && !started
 			if now := time.Now(); first || now.Sub(noted) >= progressInterval {
@@ -410,9 +410,9 @@
 		}
 		return resp, e
 	}
-	if e.How = outcome.EndedEarly; lines.Err() != nil {
-		if e.How = readErrorEnding(lines.Err()); errors.Is(lines.Err(), bufio.ErrTooLong) {
-			e.How = outcome.Malformed
+	if e.Ending = outcome.EndedEarly; lines.Err() != nil {
+		if e.Ending = readErrorEnding(lines.Err()); errors.Is(lines.Err(), bufio.ErrTooLong) {
+			e.Ending = outcome.Malformed
 		}
 	}
 	return resp, e
@@ -437,7 +437,7 @@
 
 // finish keeps a connection whose answer is complete for reuse, and closes any other.
 func (x *Exchange) finish(c *conn, resp *http.Response, e End) {
-	switch e.How {
+	switch e.Ending {
 	case outcome.Done, outcome.Failed, outcome.Returned, outcome.JobKilled, outcome.Shed, outcome.Rejected,
 		outcome.ServerError:
 		c.SetDeadline(time.Now().Add(finalBytesTimeout))
--- a/internal/workers/workerconn/pieces_test.go
+++ b/internal/workers/workerconn/pieces_test.go
@@ -29,25 +29,25 @@
 	addr := fragmentpeer.Answer(t, func() fragmentpeer.Way { return way })
 	push := func() End {
 		ends := make(chan End, 1)
-		pool(1).Push(addr, "a1", as([]byte("POST / HTTP/1.1\r\n\r\n")), time.Now().Add(20*time.Second), always, func() {}, func(Line) {},
+		pool(1).Push(addr, "a1", as([]byte("POST / HTTP/1.1\r\n\r\n")), time.Now().Add(20*time.Second), always, func() {}, func(JobLine) {},
 			func(e End) { ends <- e })
 		return <-ends
 	}
 	for _, way = range fragmentpeer.Whole(whole) {
-		if e := push(); e.How != outcome.Done || string(e.Result) != "x y" {
-			t.Errorf("%s: %v, %q", way.Name, e.How, e.Result)
+		if e := push(); e.Ending != outcome.Done || string(e.Result) != "x y" {
+			t.Errorf("%s: %v, %q", way.Name, e.Ending, e.Result)
 		}
 	}
 	said := strings.Index(whole, done) + len(done)
 	for _, way = range fragmentpeer.Cuts(whole) {
 		switch e := push(); {
 		case len(way.Text()) >= said:
-			if e.How != outcome.Done || string(e.Result) != "x y" {
-				t.Errorf("%s, after the last word: %v, %q", way.Name, e.How, e.Result)
+			if e.Ending != outcome.Done || string(e.Result) != "x y" {
+				t.Errorf("%s, after the last word: %v, %q", way.Name, e.Ending, e.Result)
 			}
-		case e.How.Outcome() == dispatch.Succeeded || e.How.Outcome() == dispatch.Rejected ||
-			e.How.Outcome() == dispatch.Unreachable || e.How.Outcome() == dispatch.NotSent || e.Result != nil:
-			t.Errorf("%s: %v, %q; the op may have run, and there is no result", way.Name, e.How, e.Result)
+		case e.Ending.Outcome() == dispatch.Succeeded || e.Ending.Outcome() == dispatch.Rejected ||
+			e.Ending.Outcome() == dispatch.Unreachable || e.Ending.Outcome() == dispatch.NotSent || e.Result != nil:
+			t.Errorf("%s: %v, %q; the op may have run, and there is no result", way.Name, e.Ending, e.Result)
 		}
 	}
 	for text, want := range map[string]outcome.Ending{
@@ -57,8 +57,8 @@
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n": outcome.Rejected,
 	} {
 		for _, way = range fragmentpeer.Whole(text) {
-			if e := push(); e.How != want {
-				t.Errorf("%q %s: %v, want %v", text, way.Name, e.How, want)
+			if e := push(); e.Ending != want {
+				t.Errorf("%q %s: %v, want %v", text, way.Name, e.Ending, want)
 			}
 		}
 	}
@@ -76,13 +76,13 @@
 		return <-ends
 	}
 	for _, way = range fragmentpeer.Whole(whole) {
-		if e := probe(); e.How != outcome.Done || string(e.Load) != report {
-			t.Errorf("%s: %v, %q", way.Name, e.How, e.Load)
+		if e := probe(); e.Ending != outcome.Done || string(e.Load) != report {
+			t.Errorf("%s: %v, %q", way.Name, e.Ending, e.Load)
 		}
 	}
 	for _, way = range fragmentpeer.Cuts(whole) {
-		if e := probe(); e.How == outcome.Done {
-			t.Errorf("%s: %v, %q", way.Name, e.How, e.Load)
+		if e := probe(); e.Ending == outcome.Done {
+			t.Errorf("%s: %v, %q", way.Name, e.Ending, e.Load)
 		}
 	}
 }
--- a/internal/workers/workerconn/stale_test.go
+++ b/internal/workers/workerconn/stale_test.go
@@ -37,7 +37,7 @@
 				return stale.Load()
 			}
 			ends := make(chan End, 1)
-			e := p.Push(addr, "a1", as(request), time.Now().Add(20*time.Second), always, func() {}, func(Line) {}, func(e End) { ends <- e })
+			e := p.Push(addr, "a1", as(request), time.Now().Add(20*time.Second), always, func() {}, func(JobLine) {}, func(e End) { ends <- e })
 			for range 3 {
 				<-looks
 			}
@@ -48,8 +48,8 @@
 				e.Close(true, outcome.CancelledUnsent)
 			}
 			stale.Store(!x.fresh)
-			if e := <-ends; e.How != x.want {
-				t.Errorf("%v, not %v", e.How, x.want)
+			if e := <-ends; e.Ending != x.want {
+				t.Errorf("%v, not %v", e.Ending, x.want)
 			}
 			if x.fresh != (came.Load() > 0) {
 				t.Errorf("%d requests came", came.Load())
@@ -61,8 +61,8 @@
 	ends := make(chan End, 1)
 	p.Probe(worker(t, func(c net.Conn) { c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")) }), request, time.Now().Add(10*time.Second),
 		func(e End) { ends <- e })
-	if e := <-ends; e.How != outcome.Done {
-		t.Errorf("a probe: %v", e.How)
+	if e := <-ends; e.Ending != outcome.Done {
+		t.Errorf("a probe: %v", e.Ending)
 	}
 }
 
@@ -93,9 +93,9 @@
 		return request
 	}
 	ends := make(chan End, 1)
-	p.Push(addr, "a1", made, time.Now().Add(20*time.Second), wanted, func() {}, func(Line) {}, func(e End) { ends <- e })
-	if e := <-ends; e.How != outcome.Done {
-		t.Fatal(e.How)
+	p.Push(addr, "a1", made, time.Now().Add(20*time.Second), wanted, func() {}, func(JobLine) {}, func(e End) { ends <- e })
+	if e := <-ends; e.Ending != outcome.Done {
+		t.Fatal(e.Ending)
 	}
 	if got := <-age; got > slow/2 {
 		t.Errorf("the client was looked at %v before the request was made", got)
--- a/internal/workers/workerconn/workerconn.go
+++ b/internal/workers/workerconn/workerconn.go
@@ -18,9 +18,9 @@
 
 // Bounds are the limits that settings and the machine set.
 type Bounds struct {
-	Open int           // connections at once
-	Dial time.Duration // for a connection to come up
-	Idle time.Duration // after which a worker closes an idle connection
+	MaxOpen     int           // connections at once
+	DialTimeout time.Duration // for a connection to come up
+	IdleTimeout time.Duration // after which a worker closes an idle connection
 }
 
 // reuseDelay is the least time from an attempt's answer to the next attempt on the same connection. A
@@ -63,11 +63,11 @@
 // New returns a pool without connections.
 func New(b Bounds) *Pool { return &Pool{bounds: b, reuseDelay: reuseDelay, idle: map[string][]*conn{}} }
 
-// Limit sets the bound on open connections. Idle ones beyond it are closed.
-func (p *Pool) Limit(open int) {
+// SetMaxOpen sets the bound on open connections. Idle ones beyond it are closed.
+func (p *Pool) SetMaxOpen(open int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.bounds.Open = open
+	p.bounds.MaxOpen = open
 	for p.open > open && p.evict() {
 	}
 }
@@ -100,7 +100,7 @@
 // usable tells whether an idle connection may be written to. At the worker's own idle limit a write may
 // meet a reset.
 func (p *Pool) usable(c *conn, now time.Time) bool {
-	return now.Sub(c.idleSince) <= p.bounds.Idle*3/4 && c.isUntouched()
+	return now.Sub(c.idleSince) <= p.bounds.IdleTimeout*3/4 && c.isUntouched()
 }
 
 // Sweep closes idle connections that are too old or that the worker has closed.
@@ -180,7 +180,7 @@
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open >= p.bounds.Open && !p.evict() {
+	if p.open >= p.bounds.MaxOpen && !p.evict() {
 		return false
 	}
 	p.open++
@@ -202,11 +202,11 @@
 	}
 	connect := p.Connect
 	if connect == nil {
-		connect = (&net.Dialer{Timeout: p.bounds.Dial, KeepAlive: -1}).DialContext
+		connect = (&net.Dialer{Timeout: p.bounds.DialTimeout, KeepAlive: -1}).DialContext
 	}
 	began := time.Now()
 	nc, err := connect(ctx, "tcp", addr)
-	if err == nil && time.Since(began) <= p.bounds.Dial+maxDialDelay {
+	if err == nil && time.Since(began) <= p.bounds.DialTimeout+maxDialDelay {
 		return newConn(nc, addr), outcome.Unknown
 	}
 	if err == nil {
--- a/internal/workers/workerconn/workerconn_test.go
+++ b/internal/workers/workerconn/workerconn_test.go
@@ -21,13 +21,13 @@
 }
 
 func pool(open int) *Pool {
-	return New(Bounds{Open: open, Dial: 10 * time.Second, Idle: 10 * time.Second})
+	return New(Bounds{MaxOpen: open, DialTimeout: 10 * time.Second, IdleTimeout: 10 * time.Second})
 }
 
 // push pushes once and waits for the end.
 func push(p *Pool, addr string, wait time.Duration) End {
 	ends := make(chan End, 1)
-	p.Push(addr, "a1", as(request), time.Now().Add(wait), always, func() {}, func(Line) {}, func(e End) { ends <- e })
+	p.Push(addr, "a1", as(request), time.Now().Add(wait), always, func() {}, func(JobLine) {}, func(e End) { ends <- e })
 	return <-ends
 }
 
@@ -66,8 +66,8 @@
 	} {
 		p := pool(4)
 		e := push(p, worker(t, func(c net.Conn) { io.WriteString(c, answer) }), 10*time.Second)
-		if e.How != want || want == outcome.Done && string(e.Result) != "x" {
-			t.Errorf("%q: %v with %q, want %v", answer, e.How, e.Result, want)
+		if e.Ending != want || want == outcome.Done && string(e.Result) != "x" {
+			t.Errorf("%q: %v with %q, want %v", answer, e.Ending, e.Result, want)
 		}
 	}
 }
@@ -79,8 +79,8 @@
 		io.WriteString(c, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: other\r\n\r\n")
 		io.Copy(io.Discard, c)
 	})
-	if e := push(p, addr, 10*time.Second); e.How.NeverRan() {
-		t.Errorf("%v proves nothing", e.How)
+	if e := push(p, addr, 10*time.Second); e.Ending.NeverRan() {
+		t.Errorf("%v proves nothing", e.Ending)
 	}
 	if open, _ := p.Counts(); open != 0 {
 		t.Errorf("%d open, %d idle", open, len(p.idleAt(addr)))
@@ -95,8 +95,8 @@
 		_, err := c.Read(make([]byte, 1))
 		closed <- err
 	}), 300*time.Millisecond)
-	if open, _ := p.Counts(); e.How != outcome.TimedOut || open != 0 {
-		t.Fatalf("%v, %d open", e.How, open)
+	if open, _ := p.Counts(); e.Ending != outcome.TimedOut || open != 0 {
+		t.Fatalf("%v, %d open", e.Ending, open)
 	}
 	if err := <-closed; err != io.EOF {
 		t.Fatal(err)
@@ -115,8 +115,8 @@
 			s.CloseClientConnections()
 			time.Sleep(20 * time.Millisecond)
 		}
-		if e := push(p, addr, 10*time.Second); e.How != outcome.Done || e.Dialed != want {
-			t.Fatalf("push %d: %v, dialed %v", i, e.How, e.Dialed)
+		if e := push(p, addr, 10*time.Second); e.Ending != outcome.Done || e.Dialed != want {
+			t.Fatalf("push %d: %v, dialed %v", i, e.Ending, e.Dialed)
 		}
 		for n := 0; n < 100 && len(p.idleAt(addr)) == 0; n++ {
 			time.Sleep(time.Millisecond) // the last bytes are read after the end is told
@@ -142,8 +142,8 @@
 	limit := time.Now().Add(10 * time.Second)
 	x, ctx := p.newExchange(limit)
 	x.Close(true, outcome.CancelledUnsent)
-	if c, e := x.connect(ctx, addr, limit); c != nil || e.How != outcome.CancelledUnsent {
-		t.Fatalf("%v, %v", c, e.How)
+	if c, e := x.connect(ctx, addr, limit); c != nil || e.Ending != outcome.CancelledUnsent {
+		t.Fatalf("%v, %v", c, e.Ending)
 	}
 	if open, _ := p.Counts(); open != 0 {
 		t.Fatalf("%d open", open)
@@ -156,16 +156,16 @@
 	addr := worker(t, func(net.Conn) { <-hold })
 	p := pool(1)
 	ends := make(chan End, 1)
-	x := p.Push(addr, "a1", as(request), time.Now().Add(time.Minute), always, func() {}, func(Line) {}, func(e End) { ends <- e })
+	x := p.Push(addr, "a1", as(request), time.Now().Add(time.Minute), always, func() {}, func(JobLine) {}, func(e End) { ends <- e })
 	for open, _ := p.Counts(); open == 0; open, _ = p.Counts() {
 		time.Sleep(time.Millisecond)
 	}
-	if e := push(p, addr, time.Second); e.How != outcome.NoDescriptor {
-		t.Errorf("a second connection: %v", e.How)
+	if e := push(p, addr, time.Second); e.Ending != outcome.NoDescriptor {
+		t.Errorf("a second connection: %v", e.Ending)
 	}
 	x.Close(false, outcome.Cancelled)
-	if e := <-ends; e.How != outcome.Cancelled && e.How != outcome.CancelledUnsent {
-		t.Errorf("closed: %v", e.How)
+	if e := <-ends; e.Ending != outcome.Cancelled && e.Ending != outcome.CancelledUnsent {
+		t.Errorf("closed: %v", e.Ending)
 	}
 	close(hold)
 }
@@ -176,8 +176,8 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	if e := push(pool(1), l.Addr().String(), time.Second); e.How != outcome.ConnRefused {
-		t.Fatal(e.How)
+	if e := push(pool(1), l.Addr().String(), time.Second); e.Ending != outcome.ConnRefused {
+		t.Fatal(e.Ending)
 	}
 }
 
@@ -187,12 +187,12 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		time.Sleep(time.Minute)
 	})
-	told := make(chan Line, 9)
-	x := pool(1).Push(addr, "a1", as(request), time.Now().Add(time.Minute), always, func() {}, func(l Line) { told <- l }, func(End) {})
+	told := make(chan JobLine, 9)
+	x := pool(1).Push(addr, "a1", as(request), time.Now().Add(time.Minute), always, func() {}, func(l JobLine) { told <- l }, func(End) {})
 	defer x.Close(false, outcome.Cancelled)
 	select {
 	case l := <-told:
-		if l.State != "taken" || l.Share >= 0 {
+		if l.State != "taken" || l.Progress >= 0 {
 			t.Errorf("%+v", l)
 		}
 	case <-time.After(10 * time.Second):
