--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -13,24 +13,24 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// Effects of a category: how often an op of it may run.
+// Effects of a category, which limit how often an op of it may run.
 const (
 	redeliverable = "redeliverable" // any number of times
-	deduplicated  = "deduplicated"  // its repeats are dropped within a worker group and a window
+	deduplicated  = "deduplicated"  // a worker group drops its duplicates within a time window
 )
 
-// pendingOp is an op without an answer. The loop owns it; writers to workers use its client and checkedAt
-// alone.
+// pendingOp is an op without an answer. The loop owns it; goroutines that write to workers use only its
+// client and checkedAt.
 type pendingOp struct {
 	Submit
-	checkedAt atomic.Pointer[time.Time] // when the client was last found to be there
+	checkedAt atomic.Pointer[time.Time] // when the client was last found connected
 	attempts  attempts
 	group     reducer.Group // of the last attempt
 }
 
-// clientWaiting looks whether the client is there. The time is read first, so that checkedAt is never too
-// late.
-func (p *pendingOp) clientWaiting() bool {
+// checkClient reports whether the client is still connected. It reads the clock before the connection, so
+// that checkedAt is never later than the check.
+func (p *pendingOp) checkClient() bool {
 	now := time.Now()
 	if !p.Client.CheckConnected() {
 		return false
@@ -39,13 +39,13 @@
 	return true
 }
 
-// wantedUntil returns the question that is asked before each write of an attempt: whether the client is there,
-// and a moment has not passed. The zero time is none.
-func (p *pendingOp) wantedUntil(end time.Time) func() bool {
-	return func() bool { return (end.IsZero() || time.Now().Before(end)) && p.clientWaiting() }
+// mayWriteUntil returns a check that runs before each write of an attempt: the client must be connected, and
+// end must not have passed. A zero end sets no limit.
+func (p *pendingOp) mayWriteUntil(end time.Time) func() bool {
+	return func() bool { return (end.IsZero() || time.Now().Before(end)) && p.checkClient() }
 }
 
-// logFields adds what an op has gone through to a log line.
+// logFields adds the op's identity, its number of attempts and its last attempt to a log line.
 func (p *pendingOp) logFields(e *zerolog.Event) {
 	e.Uint64("op", p.Op.Op).Str("id", p.Op.ID).Str("category", p.Op.Category).Int("pushes", len(p.attempts))
 	if n := len(p.attempts); n > 0 {
@@ -63,17 +63,19 @@
 	ending    outcome.Ending
 }
 
-// mayHaveRun tells whether the worker may have run the attempt, or may still do.
+// mayHaveRun reports whether the worker may have run the attempt, or may still run it.
 func (a *attempt) mayHaveRun() bool { return a.inFlight || !a.ending.NeverRan() }
 
-// counts tells whether an attempt is one of those that an op may have at most.
-func (a *attempt) counts() bool { return a.inFlight || a.ending.Outcome() != dispatch.LocalExhaustion }
+// countsAgainstLimit reports whether an attempt counts toward the op's maximum number of attempts.
+func (a *attempt) countsAgainstLimit() bool {
+	return a.inFlight || a.ending.Outcome() != dispatch.LocalExhaustion
+}
 
-// attempts are the attempts of one op, in their order.
+// attempts lists the attempts of one op in their order.
 type attempts []attempt
 
-// firstMayHaveRun returns the first attempt that may have run, or nil. Its group and time limit the later
-// ones.
+// firstMayHaveRun returns the first attempt that may have run, or nil. Its group and start time limit the
+// later attempts.
 func (all attempts) firstMayHaveRun() *attempt {
 	for i := range all {
 		if all[i].mayHaveRun() {
@@ -83,7 +85,7 @@
 	return nil
 }
 
-// previousEnding is how the attempt before the last one ended: the reason for the retry.
+// previousEnding returns how the attempt before the last one ended, which is the reason for the retry.
 func (all attempts) previousEnding() outcome.Ending {
 	if len(all) < 2 {
 		return outcome.Unknown
@@ -91,7 +93,7 @@
 	return all[len(all)-2].ending
 }
 
-// retryViolation is the reason for which a rule forbids a further attempt in a group; empty where it doesn't.
+// retryViolation returns the reason why a rule forbids another attempt in a group, or "" if it allows one.
 func (all attempts) retryViolation(r config.CategoryRule, to reducer.Group, now time.Time) invariant.Reason {
 	first := all.firstMayHaveRun()
 	if first == nil || r.Effect == redeliverable {
@@ -106,11 +108,12 @@
 	return ""
 }
 
-// windowEnd is when the window ends in which a worker group drops a repeat of the op: nothing may be written
-// for it later. It is zero where no window binds it, as nothing may have run. Of several rules that
-// may apply the latest end counts.
+// windowEnd returns the end of the window in which a worker group drops duplicates of the op: no attempt may
+// be written after it. It is zero if no window applies, because no attempt may have run. If several rules
+// may apply, the latest end counts.
 func (p *pendingOp) windowEnd(rules [2]config.CategoryRule, prior time.Time) (end time.Time) {
-	if first := p.attempts.firstMayHaveRun(); first != nil && (prior.IsZero() || first.decidedAt.Before(prior)) {
+	if first := p.attempts.firstMayHaveRun(); first != nil &&
+		(prior.IsZero() || first.decidedAt.Before(prior)) {
 		prior = first.decidedAt
 	}
 	if prior.IsZero() {
@@ -118,7 +121,7 @@
 	}
 	for _, rule := range rules {
 		if rule.Effect != deduplicated {
-			return time.Time{} // the other checks decide
+			return time.Time{} // retryViolation decides
 		}
 		if ruleEnd := prior.Add(rule.Window); ruleEnd.After(end) {
 			end = ruleEnd
@@ -127,7 +130,7 @@
 	return end
 }
 
-// nackIsHarmless tells whether a client may retry after a nack, as the nack promises.
+// nackIsHarmless reports whether a client may safely retry after a nack, as the nack promises.
 func (all attempts) nackIsHarmless(r config.CategoryRule, now time.Time) bool {
 	first := all.firstMayHaveRun()
 	if first == nil || r.Effect == redeliverable {
--- a/internal/scheduler/checks.go
+++ b/internal/scheduler/checks.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	maxClientCheckAge = 100 * time.Millisecond // from the last look at a client to an attempt for it
-	maxExtraTime      = 150 * time.Millisecond // by which a worker may be given more time than the client has
+	maxClientCheckAge = 100 * time.Millisecond // from the last check of a client's connection to a first byte
+	maxTimeLeftExcess = 150 * time.Millisecond // by which a worker's time left may exceed the client's
 )
 
-// checks compare each attempt and each answer with the plain rules for the op, by what was done with it
-// and not by what the decision module knows of it. A violation is counted and logged; it doesn't stop
-// anything.
+// checks compares each attempt and each answer with the rules for the op, using the attempts that were
+// actually made and not the state of the decision module. A violation is counted and logged; nothing is
+// stopped.
 type checks struct {
 	*invariant.Checker
 	policy  Policy
 	workers *workerStates
-	ops     map[string]uint64 // by ID: ops that have had an attempt and have no answer
+	opsByID map[string]uint64 // numbers of ops with an attempt and without an answer
 }
 
 func newChecks(checker *invariant.Checker, policy Policy, drainGrace time.Duration) *checks {
@@ -30,29 +30,29 @@
 		Checker: checker,
 		policy:  policy,
 		workers: newWorkerStates(drainGrace),
-		ops:     map[string]uint64{},
+		opsByID: map[string]uint64{},
 	}
 }
 
-// rules are those that may apply to an op: the one at its arrival and the one in force.
+// rules returns the rules that may apply to an op: the one at its arrival and the one in force.
 func (c *checks) rules(p *pendingOp) [2]config.CategoryRule {
 	return [2]config.CategoryRule{p.Rule, c.policy.Rule(p.Op.Category)}
 }
 
-// attemptStarting checks an attempt when it is decided on, and records it.
+// attemptStarting checks and records an attempt when it is decided.
 func (c *checks) attemptStarting(now time.Time, p *pendingOp, e reducer.Push) {
 	if len(p.attempts) == 0 {
-		c.checkFirst(p)
+		c.checkFirstAttempt(p)
 	}
 	c.checkRetry(now, p, e)
 	p.attempts = append(p.attempts, attempt{worker: e.Worker, group: e.Group, decidedAt: now, inFlight: true})
 }
 
-func (c *checks) checkFirst(p *pendingOp) {
-	if op, found := c.ops[p.Op.ID]; found && op != p.Op.Op {
+func (c *checks) checkFirstAttempt(p *pendingOp) {
+	if op, found := c.opsByID[p.Op.ID]; found && op != p.Op.Op {
 		c.Violated(invariant.Starting, invariant.DuplicateID, p.logFields)
 	}
-	c.ops[p.Op.ID] = p.Op.Op
+	c.opsByID[p.Op.ID] = p.Op.Op
 	if !p.ClaimGranted && c.policy.ClaimRequired(p.Op.Category) && p.Rule == c.policy.Rule(p.Op.Category) {
 		c.Violated(invariant.Starting, invariant.NotGranted, p.logFields)
 	}
@@ -64,7 +64,7 @@
 		if p.attempts[i].inFlight {
 			c.Violated(invariant.Repeating, invariant.AttemptInFlight, p.logFields)
 		}
-		if p.attempts[i].counts() {
+		if p.attempts[i].countsAgainstLimit() {
 			counted++
 		}
 	}
@@ -79,7 +79,7 @@
 	}
 }
 
-// attemptEnded records how the attempt of an op ended; of an op that has its answer already, nothing.
+// attemptEnded records how the last attempt of an op ended. An op that has its answer already is ignored.
 func (c *checks) attemptEnded(p *pendingOp, in reducer.AttemptEnded) {
 	if p == nil || len(p.attempts) == 0 {
 		return
@@ -89,16 +89,16 @@
 	last.ending = in.Ending
 }
 
-// release forgets the ID of an op that ends.
-func (c *checks) release(p *pendingOp) {
-	if p != nil && c.ops[p.Op.ID] == p.Op.Op {
-		delete(c.ops, p.Op.ID)
+// releaseID removes the ID of an op that ends.
+func (c *checks) releaseID(p *pendingOp) {
+	if p != nil && c.opsByID[p.Op.ID] == p.Op.Op {
+		delete(c.opsByID, p.Op.ID)
 	}
 }
 
 // responding checks an op's answer.
 func (c *checks) responding(now time.Time, p *pendingOp, e reducer.Respond) {
-	c.release(p)
+	c.releaseID(p)
 	if e.Verdict != reducer.Nacked {
 		return
 	}
@@ -110,7 +110,7 @@
 	c.Violated(invariant.Repeating, invariant.NotHarmless, p.logFields)
 }
 
-// sending checks the first byte of an attempt. The goroutine that writes it calls this just before.
+// sending checks the first byte of an attempt. The goroutine that writes it calls sending just before.
 func (c *checks) sending(p *pendingOp, worker string, left time.Duration) {
 	now := time.Now()
 	violated := func(why invariant.Reason) {
@@ -125,7 +125,7 @@
 	if now.After(p.Deadline) {
 		violated(invariant.PastTTL)
 	}
-	if left > p.Deadline.Sub(now)+maxExtraTime {
+	if left > p.Deadline.Sub(now)+maxTimeLeftExcess {
 		violated(invariant.DeadlineTooLong)
 	}
 	if !c.workers.accepts(worker, now) {
--- a/internal/scheduler/checks_bench_test.go
+++ b/internal/scheduler/checks_bench_test.go
@@ -12,7 +12,7 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// BenchmarkChecks is what all checks of one op cost that has one attempt and is answered.
+// BenchmarkChecks measures all checks of an op that has one attempt and is answered.
 func BenchmarkChecks(b *testing.B) {
 	rule := config.CategoryRule{Effect: "at-most-once"}
 	c := newChecks(invariant.New(zerolog.Nop()), fixedPolicy{rule: rule, maxAttempts: 3}, time.Second)
@@ -31,7 +31,7 @@
 		p.checkedAt.Store(&now)
 		pending[1] = p
 		c.attemptStarting(now, p, push)
-		p.checkedAt.Store(ref(time.Now()))
+		p.checkedAt.Store(timePointer(time.Now()))
 		c.sending(p, "w", time.Second)
 		c.attemptEnded(pending[1], reducer.AttemptEnded{Op: 1, Ending: outcome.Done})
 		c.responding(now, p, reducer.Respond{Op: 1, Verdict: reducer.Acked})
@@ -41,4 +41,4 @@
 	}
 }
 
-func ref(t time.Time) *time.Time { return &t }
+func timePointer(t time.Time) *time.Time { return &t }
--- a/internal/scheduler/checks_test.go
+++ b/internal/scheduler/checks_test.go
@@ -14,74 +14,92 @@
 
 // fixedPolicy has one rule for all categories.
 type fixedPolicy struct {
-	rule        config.CategoryRule
-	maxAttempts int
-	claims      bool // all categories need one
+	rule          config.CategoryRule
+	maxAttempts   int
+	claimRequired bool // in all categories
 }
 
 func (p fixedPolicy) Rule(string) config.CategoryRule { return p.rule }
 func (p fixedPolicy) MaxAttempts() int                { return p.maxAttempts }
-func (p fixedPolicy) ClaimRequired(string) bool       { return p.claims }
+func (p fixedPolicy) ClaimRequired(string) bool       { return p.claimRequired }
 
-// opOf is an op with the attempts that it has had.
-func opOf(rule config.CategoryRule, had attempts) *pendingOp {
+// newPendingOp returns an op with its attempts so far.
+func newPendingOp(rule config.CategoryRule, previous attempts) *pendingOp {
 	submitted := Submit{Op: reducer.OpArrived{Op: 1, ID: "a"}, Rule: rule, MaxAttempts: 3}
-	return &pendingOp{Submit: submitted, attempts: had}
+	return &pendingOp{Submit: submitted, attempts: previous}
 }
 
-// Rules of categories, and groups of workers.
+// Rules of categories, and worker groups.
 var (
-	atMostOnce    = config.CategoryRule{Effect: "at-most-once"}
-	repeatable    = config.CategoryRule{Effect: redeliverable}
-	droppedInZone = config.CategoryRule{Effect: deduplicated, Scope: "zone", Window: time.Second}
-	droppedByAll  = config.CategoryRule{Effect: deduplicated, Scope: "all", Window: time.Second}
-	eastern       = reducer.Group{Zone: "east"}
-	western       = reducer.Group{Zone: "west"}
+	atMostOnceRule      = config.CategoryRule{Effect: "at-most-once"}
+	redeliverableRule   = config.CategoryRule{Effect: redeliverable}
+	dedupInZoneRule     = config.CategoryRule{Effect: deduplicated, Scope: "zone", Window: time.Second}
+	dedupEverywhereRule = config.CategoryRule{Effect: deduplicated, Scope: "all", Window: time.Second}
+	eastGroup           = reducer.Group{Zone: "east"}
+	westGroup           = reducer.Group{Zone: "west"}
 )
 
-// newTestChecks are checks under one rule for all categories, with three attempts to an op.
+// newTestChecks returns checks with one rule for all categories and at most three attempts per op.
 func newTestChecks(rule config.CategoryRule) *checks {
 	return newChecks(invariant.New(zerolog.Nop()), fixedPolicy{rule: rule, maxAttempts: 3}, time.Second)
 }
 
-// ended are attempts in the east that have ended, the last one as long ago as given.
-func ended(ago time.Duration, endings ...outcome.Ending) (all attempts) {
+// endedAttempts returns attempts in eastGroup that were decided the given time ago and have ended.
+func endedAttempts(ago time.Duration, endings ...outcome.Ending) (all attempts) {
 	for _, ending := range endings {
-		all = append(all, attempt{worker: "w", group: eastern, decidedAt: time.Now().Add(-ago), ending: ending})
+		all = append(all, attempt{
+			worker: "w", group: eastGroup, decidedAt: time.Now().Add(-ago), ending: ending,
+		})
 	}
 	return all
 }
 
-// Each check of an attempt sees what it is for, and nothing else: one case of each violation, and one
-// like it that is none.
-func TestChecksOfAnAttempt(t *testing.T) {
-	inFlight := attempts{{worker: "w", group: eastern, decidedAt: time.Now(), inFlight: true}}
+// Each check of an attempt reports its violation and nothing else. Each violation has a case, next to a
+// similar case without one.
+func TestOnlyAForbiddenAttemptIsAViolation(t *testing.T) {
+	inFlight := attempts{{worker: "w", group: eastGroup, decidedAt: time.Now(), inFlight: true}}
 	for name, c := range map[string]struct {
 		rule     config.CategoryRule
 		attempts attempts
 		to       reducer.Group
 		violated string
 	}{
-		"the first one":                   {atMostOnce, nil, eastern, ""},
-		"after one that never ran":        {atMostOnce, ended(0, outcome.ConnRefused), eastern, ""},
-		"after one that may have run":     {atMostOnce, ended(0, outcome.Reset), eastern, "repeating"},
-		"a redeliverable one":             {repeatable, ended(0, outcome.Reset), western, ""},
-		"a deduplicated one in its group": {droppedInZone, ended(0, outcome.TimedOut), eastern, ""},
-		"a deduplicated one in another":   {droppedInZone, ended(0, outcome.TimedOut), western, "repeating"},
-		"a deduplicated one past its window": {
-			droppedInZone, ended(2*time.Second, outcome.TimedOut), eastern, "repeating",
+		"a first attempt": {atMostOnceRule, nil, eastGroup, ""},
+		"after an attempt that never ran": {
+			atMostOnceRule, endedAttempts(0, outcome.ConnRefused), eastGroup, "",
+		},
+		"after an attempt that may have run": {
+			atMostOnceRule, endedAttempts(0, outcome.Reset), eastGroup, "repeating",
+		},
+		"a redeliverable op": {
+			redeliverableRule, endedAttempts(0, outcome.Reset), westGroup, "",
+		},
+		"a deduplicated op in its group": {
+			dedupInZoneRule, endedAttempts(0, outcome.TimedOut), eastGroup, "",
 		},
-		"while another is in flight": {repeatable, inFlight, eastern, "repeating"},
-		"one too many": {
-			repeatable, ended(0, outcome.Reset, outcome.Reset, outcome.Reset), eastern, "repeating",
+		"a deduplicated op in another group": {
+			dedupInZoneRule, endedAttempts(0, outcome.TimedOut), westGroup, "repeating",
 		},
-		"after some that could not be sent": {
-			repeatable, ended(0, outcome.NoResource, outcome.NoDescriptor, outcome.NoResource), eastern, "",
+		"a deduplicated op after its window": {
+			dedupInZoneRule, endedAttempts(2*time.Second, outcome.TimedOut), eastGroup, "repeating",
+		},
+		"while another attempt is in flight": {redeliverableRule, inFlight, eastGroup, "repeating"},
+		"more attempts than allowed": {
+			redeliverableRule,
+			endedAttempts(0, outcome.Reset, outcome.Reset, outcome.Reset),
+			eastGroup,
+			"repeating",
+		},
+		"after attempts that could not be sent": {
+			redeliverableRule,
+			endedAttempts(0, outcome.NoResource, outcome.NoDescriptor, outcome.NoResource),
+			eastGroup,
+			"",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			checks := newTestChecks(c.rule)
-			p := opOf(c.rule, c.attempts)
+			p := newPendingOp(c.rule, c.attempts)
 			checks.attemptStarting(time.Now(), p, reducer.Push{Op: 1, Worker: "v", Group: c.to})
 			for rule, n := range checks.Counts() {
 				if (rule == c.violated) != (n > 0) {
@@ -92,26 +110,26 @@
 	}
 }
 
-// A first attempt under an ID that another op has, and without the claim that it needs, is two violations.
-func TestChecksOfAFirstAttempt(t *testing.T) {
-	policy := fixedPolicy{rule: atMostOnce, maxAttempts: 3, claims: true}
+// A first attempt with the ID of another open op and without the required claim causes two violations.
+func TestADuplicateIDAndAMissingClaimAreViolations(t *testing.T) {
+	policy := fixedPolicy{rule: atMostOnceRule, maxAttempts: 3, claimRequired: true}
 	checks := newChecks(invariant.New(zerolog.Nop()), policy, time.Second)
-	checks.ops["a"] = 7
-	checks.attemptStarting(time.Now(), opOf(atMostOnce, nil), reducer.Push{Op: 1})
+	checks.opsByID["a"] = 7
+	checks.attemptStarting(time.Now(), newPendingOp(atMostOnceRule, nil), reducer.Push{Op: 1})
 	if checks.Counts()["starting"] != 2 {
 		t.Errorf("%v", checks.Counts())
 	}
 }
 
-func TestChecksOfAFirstByte(t *testing.T) {
-	checks := newTestChecks(atMostOnce)
+func TestAFirstByteAgainstTheRulesIsAViolation(t *testing.T) {
+	checks := newTestChecks(atMostOnceRule)
 	now := time.Now()
 	checks.workers.drainingSince = map[string]time.Time{"drained": now.Add(-time.Minute), "draining": now}
 	for name, c := range map[string]struct {
 		worker     string
-		timeLeft   time.Duration // that the worker is told
-		checkedAgo time.Duration // the client
-		clientLeft time.Duration // until its deadline
+		timeLeft   time.Duration // given to the worker
+		checkedAgo time.Duration // since the last check of the client's connection
+		clientLeft time.Duration // until the client's deadline
 		violations uint64
 	}{
 		"no violation":                 {"w", time.Second, 0, time.Minute, 0},
@@ -122,7 +140,7 @@
 		"a worker within the grace":    {"draining", time.Second, 0, time.Minute, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := opOf(atMostOnce, nil)
+			p := newPendingOp(atMostOnceRule, nil)
 			p.Deadline = time.Now().Add(c.clientLeft)
 			checkedAt := time.Now().Add(-c.checkedAgo)
 			p.checkedAt.Store(&checkedAt)
@@ -135,21 +153,24 @@
 	}
 }
 
-func TestChecksOfANack(t *testing.T) {
+func TestANackOfAnOpThatMayHaveRunIsAViolation(t *testing.T) {
 	for name, c := range map[string]struct {
 		rule       config.CategoryRule
 		attempts   attempts
 		violations uint64
 	}{
-		"of what never ran":                      {atMostOnce, ended(0, outcome.Returned), 0},
-		"of what may have run":                   {atMostOnce, ended(0, outcome.TimedOut), 1},
-		"of what may run again":                  {repeatable, ended(0, outcome.TimedOut), 0},
-		"of what all workers drop":               {droppedByAll, ended(0, outcome.TimedOut), 0},
-		"of what all workers dropped for a time": {droppedByAll, ended(2*time.Second, outcome.TimedOut), 1},
+		"an op that never ran":                 {atMostOnceRule, endedAttempts(0, outcome.Returned), 0},
+		"an at-most-once op that may have run": {atMostOnceRule, endedAttempts(0, outcome.TimedOut), 1},
+		"a redeliverable op":                   {redeliverableRule, endedAttempts(0, outcome.TimedOut), 0},
+		"a deduplicated op within its window":  {dedupEverywhereRule, endedAttempts(0, outcome.TimedOut), 0},
+		"a deduplicated op after its window": {
+			dedupEverywhereRule, endedAttempts(2*time.Second, outcome.TimedOut), 1,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			checks := newTestChecks(c.rule)
-			checks.responding(time.Now(), opOf(c.rule, c.attempts), reducer.Respond{Verdict: reducer.Nacked})
+			checks.responding(
+				time.Now(), newPendingOp(c.rule, c.attempts), reducer.Respond{Verdict: reducer.Nacked})
 			if got := checks.Counts()["repeating"]; got != c.violations {
 				t.Errorf("%d violations, want %d", got, c.violations)
 			}
@@ -157,9 +178,9 @@
 	}
 }
 
-// A worker is known to be draining from the first list that says so or leaves it out, until a list has it
-// ready again.
-func TestWorkersThatDrain(t *testing.T) {
+// A worker is draining from the first list that reports it as draining or omits it, until a list reports it
+// as ready again.
+func TestADrainingWorkerAcceptsAttemptsOnlyWithinTheGrace(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	list := func(snapshot, ready bool, workers ...string) (in reducer.EndpointsChanged) {
@@ -179,11 +200,11 @@
 	w.update(list(true, true, "a", "b"), at(0))
 	accepts("a", 5000, true)
 	w.update(list(false, false, "a"), at(100))
-	w.update(list(false, false, "a"), at(900)) // said again: the grace does not start anew
+	w.update(list(false, false, "a"), at(900)) // repeated: the grace does not restart
 	accepts("a", 1100, true)
 	accepts("a", 1101, false)
 	accepts("b", 1101, true)
-	w.update(list(true, true, "a"), at(2000)) // without b
+	w.update(list(true, true, "a"), at(2000)) // omits b
 	accepts("a", 9000, true)
 	accepts("b", 3000, true)
 	accepts("b", 3001, false)
--- a/internal/scheduler/loop.go
+++ b/internal/scheduler/loop.go
@@ -13,11 +13,11 @@
 
 const (
 	divergenceInterval   = 10 * time.Second // between log lines on shadow settings
-	sweepInterval        = time.Second      // between looks at idle connections to workers
-	workerCountsInterval = time.Second / 5  // the console owes figures of at most half a second ago
+	sweepInterval        = time.Second      // between sweeps of idle connections to workers
+	workerCountsInterval = time.Second / 5  // the console's figures must be at most half a second old
 )
 
-// Run works until the context ends.
+// Run processes messages and timers until the context ends.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.done)
 	sweep := time.NewTicker(sweepInterval)
@@ -61,7 +61,7 @@
 	}
 }
 
-// accept takes an op, unless its client disconnected while the op was in the inbox.
+// accept passes an op to the reducer, unless its client disconnected while the op was in the inbox.
 func (l *Loop) accept(s Submit) {
 	if s.Client.Disconnected() {
 		return
@@ -73,17 +73,17 @@
 	l.step(s.Op)
 }
 
-// logDivergence logs how often shadow settings decided otherwise since the start.
+// logDivergence logs how often shadow settings would have decided differently since the start.
 func (l *Loop) logDivergence() {
 	if !l.opts.LogDivergence {
 		return
 	}
 	probed, pushed, reported := l.opts.Reducer.ShadowDivergence()
 	l.opts.Log.Info().Int("asked", probed).Int("chosen", pushed).Int("spoken", reported).
-		Uint64("ops", l.submitted).Msg("decided otherwise by the settings watched for")
+		Uint64("ops", l.submitted).Msg("decisions that shadow settings would have changed")
 }
 
-// step gives the reducer one event and carries out its effects.
+// step passes one event to the reducer and carries out its effects.
 func (l *Loop) step(event reducer.Input) {
 	now := time.Now()
 	l.opts.OnStep(now)
@@ -92,15 +92,15 @@
 		l.apply(now, e)
 	}
 	if _, list := event.(reducer.EndpointsChanged); list {
-		l.unapplied.Add(-1)
+		l.unappliedLists.Add(-1)
 	}
 }
 
-// observe updates the loop's own records from an event, before the reducer gets it.
+// observe updates the loop's own records from an event before the reducer processes it.
 func (l *Loop) observe(now time.Time, event reducer.Input) {
 	switch in := event.(type) {
 	case reducer.AttemptProgressed:
-		if in.Started { // one that is only queued may come back unstarted, and go to another group
+		if in.Started { // a worker may return a queued job unstarted, and the retry may go to another group
 			l.reportMayHaveRun(in.Op)
 		}
 	case reducer.AttemptEnded:
@@ -111,7 +111,7 @@
 		}
 	case reducer.ClientDisconnected:
 		l.opts.Log.Debug().Uint64("op", in.Op).Msg("client disconnected")
-		l.checks.release(l.pending[in.Op])
+		l.checks.releaseID(l.pending[in.Op])
 		delete(l.pending, in.Op)
 	case reducer.EndpointsChanged:
 		l.checks.workers.update(in, now)
@@ -148,8 +148,8 @@
 	}
 }
 
-// probe sends a load probe. No setting limits its time: it has a connect timeout for the dial, and one
-// more for the answer.
+// probe sends a load probe. No setting bounds its time: it gets one connect timeout for the dial and another
+// for the answer.
 func (l *Loop) probe(now time.Time, e reducer.Probe) {
 	deadline := now.Add(2 * l.opts.ConnectTimeout)
 	l.opts.Workers.Probe(e.Addr, l.opts.ProbeRequest, deadline, func(end workerconn.End) {
@@ -171,11 +171,11 @@
 	p.Reply <- e
 }
 
-// push starts an attempt. The reducer asks for none after an op's answer or after its client disconnected.
+// push starts an attempt. The reducer requests none after an op's answer or after its client disconnected.
 func (l *Loop) push(now time.Time, e reducer.Push) {
 	p := l.pending[e.Op]
 	p.group = e.Group
-	wanted := p.wantedUntil(p.windowEnd(l.checks.rules(p), l.priorAttempt(now, p)))
+	mayWrite := p.mayWriteUntil(p.windowEnd(l.checks.rules(p), l.priorAttemptStart(now, p)))
 	l.checks.attemptStarting(now, p, e)
 	l.opts.Log.Debug().Uint64("op", e.Op).Str("id", p.Op.ID).Str("worker", e.Worker).
 		Int("attempt", e.Attempt).Stringer("previous_ending", p.attempts.previousEnding()).Msg("push")
@@ -185,19 +185,19 @@
 	progressed := func(line workerconn.JobLine) { l.attemptProgressed(e.Op, line) }
 	ended := func(end workerconn.End) { l.attemptEnded(now, p, e.Worker, end) }
 	l.inFlight[e.Op] = l.opts.Workers.Push(
-		e.Addr, p.Op.ID, request, deadline, wanted, sent, progressed, ended)
+		e.Addr, p.Op.ID, request, deadline, mayWrite, sent, progressed, ended)
 }
 
-// priorAttempt is when the op may have run first for another scheduler; zero where it did not.
-func (l *Loop) priorAttempt(now time.Time, p *pendingOp) time.Time {
+// priorAttemptStart is the time from which on the op may have run for another scheduler, or the zero time.
+func (l *Loop) priorAttemptStart(now time.Time, p *pendingOp) time.Time {
 	if p.Op.PriorAttempt == nil {
 		return time.Time{}
 	}
 	return now.Add(duration(p.Op.PriorAttempt.StartedAt - dispatch.Time(config.RoundUp(l.opts.Clock.Now()))))
 }
 
-// attemptRequest returns the bytes of an attempt just before its first write, or nil for a decision that
-// is too old by then: reports and lists that came since may not have been read.
+// attemptRequest returns the bytes of an attempt just before its first write, or nil if the decision is too
+// old by then: load reports and endpoint lists that arrived since may not have been read.
 func (l *Loop) attemptRequest(decidedAt time.Time, p *pendingOp, worker string, left time.Duration) []byte {
 	if time.Since(decidedAt) > l.opts.ConnectTimeout+maxDispatchDelay {
 		return nil
@@ -207,26 +207,27 @@
 }
 
 func (l *Loop) attemptProgressed(op uint64, line workerconn.JobLine) {
-	l.opts.Log.Debug().Uint64("op", op).Str("state", line.State).Float64("share", line.Progress).Msg("job line")
-	l.Send(progress(op, line))
+	l.opts.Log.Debug().Uint64("op", op).Str("state", line.State).Float64("share", line.Progress).
+		Msg("job line")
+	l.Send(progressInput(op, line))
 }
 
-// progress is what a job line reports. A share below 0 stands for an acknowledgement: in a worker's own line
-// it has no meaning.
-func progress(op uint64, line workerconn.JobLine) reducer.AttemptProgressed {
-	share := line.Progress
+// progressInput converts a job line to an event. A progress below 0 stands for an acknowledgement; in a
+// worker's own line it has no meaning and is clamped to 0.
+func progressInput(op uint64, line workerconn.JobLine) reducer.AttemptProgressed {
+	fractionDone := line.Progress
 	if line.State != workerconn.StateAcknowledged {
-		share = max(share, 0)
+		fractionDone = max(fractionDone, 0)
 	}
-	return reducer.AttemptProgressed{Op: op, Started: line.State == "started", Done: share}
+	return reducer.AttemptProgressed{Op: op, Started: line.State == "started", FractionDone: fractionDone}
 }
 
 func (l *Loop) attemptEnded(startedAt time.Time, p *pendingOp, worker string, end workerconn.End) {
 	op := p.Op.Op
 	l.opts.Log.Debug().Uint64("op", op).Str("worker", worker).Stringer("ending", end.Ending).
 		Bool("dialed", end.Dialed).Dur("took_ms", time.Since(startedAt)).Msg("attempt ended")
-	if end.Ending == outcome.CancelledUnsent && !p.clientWaiting() {
-		// Before the end, so that the reducer starts no other attempt for a client that is gone.
+	if end.Ending == outcome.CancelledUnsent && !p.checkClient() {
+		// Sent before the end, so that the reducer starts no retry for a client that disconnected.
 		l.Send(reducer.ClientDisconnected{Op: op})
 	}
 	l.Send(reducer.AttemptEnded{Op: op, Ending: end.Ending, Result: end.Result, LoadReport: end.Load})
--- a/internal/scheduler/reducer/attempts.go
+++ b/internal/scheduler/reducer/attempts.go
@@ -10,12 +10,12 @@
 
 func (r *Reducer) progressAttempt(in AttemptProgressed) {
 	if i, ok := r.opsByNumber[in.Op]; ok {
-		progress := dispatch.Progress{Started: in.Started, Acknowledged: in.Done < 0}
+		progress := dispatch.Progress{Started: in.Started, Acknowledged: in.FractionDone < 0}
 		r.dispatcher.AttemptProgress(i, r.ops[i].attempts-1, progress)
 	}
 }
 
-// endAttempt notes the end of an attempt. Its success is the op's answer.
+// endAttempt records the end of an attempt. A successful attempt answers its op.
 func (r *Reducer) endAttempt(now dispatch.Time, in AttemptEnded) (todo []Effect) {
 	i, ok := r.opsByNumber[in.Op]
 	if !ok || !r.ops[i].inFlight {
@@ -31,14 +31,14 @@
 	}
 	r.dispatcher.AttemptEnded(i, o.attempts-1, how, succeeded)
 	if r.reportsInline && len(in.LoadReport) > 0 {
-		if load, err := r.report.FromJSON(in.LoadReport); err == nil {
+		if load, err := r.reportFormat.FromJSON(in.LoadReport); err == nil {
 			r.dispatcher.ProbeAnswered(o.worker, now-o.sentAt, load)
 		}
 	}
 	return todo
 }
 
-// endProbe notes the end of a probe. One whose report can't be read has failed.
+// endProbe records the end of a load probe. A probe with an unreadable load report counts as failed.
 func (r *Reducer) endProbe(now dispatch.Time, in ProbeEnded) {
 	p, ok := r.probes[in.Probe]
 	if !ok {
@@ -47,7 +47,7 @@
 	delete(r.probes, in.Probe)
 	how, elapsed := in.Ending.Outcome(), now-p.sentAt
 	if how == dispatch.Succeeded {
-		load, err := r.report.FromJSON(in.LoadReport)
+		load, err := r.reportFormat.FromJSON(in.LoadReport)
 		if err == nil {
 			r.dispatcher.ProbeAnswered(p.worker, elapsed, load)
 			return
--- a/internal/scheduler/reducer/bench_test.go
+++ b/internal/scheduler/reducer/bench_test.go
@@ -11,29 +11,39 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// workersOf is a whole list of so many workers in 14 zones, 60 workers to a cell.
-func workersOf(n int) EndpointsChanged {
+// endpointSnapshot returns a snapshot of n workers in 14 zones, with 60 workers per worker group.
+func endpointSnapshot(n int) EndpointsChanged {
 	in := EndpointsChanged{Snapshot: true, Revision: 1}
 	for i := range n {
-		in.Endpoints = append(in.Endpoints, Endpoint{Worker: fmt.Sprintf("worker-%05d", i), Addr: fmt.Sprintf("10.%d.%d.%d:8080", i%14, i/250, i%250),
-			Zone: fmt.Sprintf("zone-%02d", i%14), MachineKind: fmt.Sprintf("kind-%d", i%5), WorkerGroup: i / 60, Ready: true, StartedAt: 1})
+		in.Endpoints = append(in.Endpoints, Endpoint{
+			Worker:      fmt.Sprintf("worker-%05d", i),
+			Addr:        fmt.Sprintf("10.%d.%d.%d:8080", i%14, i/250, i%250),
+			Zone:        fmt.Sprintf("zone-%02d", i%14),
+			MachineKind: fmt.Sprintf("kind-%d", i%5),
+			WorkerGroup: i / 60,
+			Ready:       true,
+			StartedAt:   1,
+		})
 	}
 	return in
 }
 
-// settings are a site's with so many categories, of which one has a target latency of its own.
-func settings(categories, version int) map[string]any {
-	site := map[string]any{"bounds.cancel": true, "bounds.maxPushes": 3.0, "step": 50.0}
+// benchSettings returns settings with the given number of categories. The first one's latency objective
+// depends on the version.
+func benchSettings(categories, version int) map[string]any {
+	settings := map[string]any{"bounds.cancel": true, "bounds.maxPushes": 3.0, "step": 50.0}
 	for k := range categories {
-		at := fmt.Sprintf("categories.%d.", k)
-		site[at+"name"], site[at+"effect"], site[at+"ttl"], site[at+"targetLatency"] = fmt.Sprint("c", k), "redeliverable", 50_000.0, 5_000.0
+		prefix := fmt.Sprintf("categories.%d.", k)
+		settings[prefix+"name"], settings[prefix+"effect"],
+			settings[prefix+"ttl"], settings[prefix+"targetLatency"] =
+			fmt.Sprint("c", k), "redeliverable", 50_000.0, 5_000.0
 	}
-	site["categories.0.targetLatency"] = float64(5_000 + version)
-	return site
+	settings["categories.0.targetLatency"] = float64(5_000 + version)
+	return settings
 }
 
-// heap is what is live, in bytes.
-func heap() float64 {
+// liveHeapBytes returns the size of the heap after a garbage collection.
+func liveHeapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -41,31 +51,32 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkList is what a list costs the reducer and its module: the first whole one, the same again, and a change of one worker.
-func BenchmarkList(b *testing.B) {
+// BenchmarkEndpointsChanged measures an endpoint list in the reducer and the dispatcher: a first snapshot,
+// the same snapshot again, and a delta of one worker.
+func BenchmarkEndpointsChanged(b *testing.B) {
 	for _, workers := range []int{100, 400, 1_600, 6_300} {
-		list := workersOf(workers)
-		site := settings(3, 0)
+		list := endpointSnapshot(workers)
+		settings := benchSettings(3, 0)
 		b.Run(fmt.Sprintf("first/workers=%d", workers), func(b *testing.B) {
 			b.ReportAllocs()
-			var kept []*Reducer
-			before := heap()
+			var reducers []*Reducer
+			before := liveHeapBytes()
 			b.ResetTimer()
 			for range b.N {
-				r := New(7, site)
+				r := New(7, settings)
 				r.Step(1, list)
-				if kept = append(kept, r); len(kept) == 8 {
+				if reducers = append(reducers, r); len(reducers) == 8 {
 					b.StopTimer()
-					b.ReportMetric((heap()-before)/8/float64(workers), "live-B/worker")
-					kept = kept[:0]
-					clear(kept[:8])
+					b.ReportMetric((liveHeapBytes()-before)/8/float64(workers), "live-B/worker")
+					reducers = reducers[:0]
+					clear(reducers[:8])
 					b.StartTimer()
 				}
 			}
 		})
 		b.Run(fmt.Sprintf("again/workers=%d", workers), func(b *testing.B) {
 			b.ReportAllocs()
-			r := New(7, site)
+			r := New(7, settings)
 			r.Step(1, list)
 			b.ResetTimer()
 			for n := range b.N {
@@ -74,7 +85,7 @@
 		})
 		b.Run(fmt.Sprintf("change/workers=%d", workers), func(b *testing.B) {
 			b.ReportAllocs()
-			r := New(7, site)
+			r := New(7, settings)
 			r.Step(1, list)
 			b.ResetTimer()
 			for n := range b.N {
@@ -86,21 +97,23 @@
 	}
 }
 
-// BenchmarkLearned is what one process hands the next, once each worker has served as many ops as are remembered of it: bytes a worker,
-// and the time in which the loop does nothing else.
+// BenchmarkLearned measures the learned state for a successor, once each worker has served as many ops as are
+// sampled per worker: its bytes per worker, and the time for which the loop is blocked.
 func BenchmarkLearned(b *testing.B) {
 	for _, workers := range []int{100, 400} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
-			site := settings(3, 0)
-			site["extra.tellsStart"] = true
-			r := New(7, site)
-			r.Step(1, workersOf(workers))
-			now := dispatch.Time(17_000_000_000_000) // a year of ours, as a process has it
+			settings := benchSettings(3, 0)
+			settings["extra.tellsStart"] = true
+			r := New(7, settings)
+			r.Step(1, endpointSnapshot(workers))
+			now := dispatch.Time(17_000_000_000_000) // a present-day clock reading in units of 0.1 ms
 			for n := range uint64(60 * workers) {
 				now += 100
 				op := n + 1
-				if p, ok := first[Push](r.Step(now, OpArrived{Op: op, ID: fmt.Sprintf("%016x", op), Category: "c0", TTL: now + 50_000})); !ok || p.Op != op {
-					b.Fatal("no push")
+				if p, ok := firstEffect[Push](r.Step(now, OpArrived{
+					Op: op, ID: fmt.Sprintf("%016x", op), Category: "c0", TTL: now + 50_000,
+				})); !ok || p.Op != op {
+					b.Fatal("the op is not pushed")
 				}
 				now += 13
 				r.Step(now, AttemptProgressed{Op: op, Started: true})
@@ -113,13 +126,13 @@
 				l = r.Learned()
 			}
 			b.StopTimer()
-			l.IDs = nil // of the last few seconds
-			from := time.Now()
+			l.IDs = nil // those of the last few seconds
+			start := time.Now()
 			text, err := json.Marshal(l)
 			if err != nil {
 				b.Fatal(err)
 			}
-			b.ReportMetric(float64(time.Since(from).Nanoseconds())/float64(workers), "written-ns/worker")
+			b.ReportMetric(float64(time.Since(start).Nanoseconds())/float64(workers), "written-ns/worker")
 			b.ReportMetric(float64(len(text))/float64(workers), "B/worker")
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*workers), "loop-ns/worker")
 		})
--- a/internal/scheduler/reducer/categories.go
+++ b/internal/scheduler/reducer/categories.go
@@ -10,36 +10,37 @@
 	"woaddyke/internal/config"
 )
 
-// maxDroppedCategories bounds the names of dropped categories; an op of one that is pruned is answered as
-// one of an unknown category.
+// maxDroppedCategories bounds the names of dropped categories; an op of a pruned category is answered as
+// UnknownCategory.
 const maxDroppedCategories = 4096
 
-// noPlace is the place of a dropped category that may be another's.
-const noPlace = -1
+// noIndex stands for the index of a dropped category whose former index may be in use by another category.
+const noIndex = -1
 
 // droppedCategory is a category that is no longer in the settings. Its ops are admitted until retainUntil.
 type droppedCategory struct {
-	place       int // at the dispatcher, or noPlace
+	index       int // in the dispatcher, or noIndex
 	retainUntil dispatch.Time
 }
 
 // retained reports whether ops of the category are still admitted.
 func (c droppedCategory) retained(now dispatch.Time) bool {
-	return c.place != noPlace && now <= c.retainUntil
+	return c.index != noIndex && now <= c.retainUntil
 }
 
-// placesByName maps the names of categories to their places; one without a name can't be asked for.
-func placesByName(categories []dispatch.CategoryRules, places []int) map[string]int {
+// indicesByName maps the names of categories to their indices. It omits categories without a name, which no
+// op can refer to.
+func indicesByName(categories []dispatch.CategoryRules, indices []int) map[string]int {
 	byName := make(map[string]int, len(categories))
 	for i := range categories {
 		if name := categories[i].Name; name != "" {
-			byName[name] = places[i]
+			byName[name] = indices[i]
 		}
 	}
 	return byName
 }
 
-// changeSettings takes up other categories. The dispatcher keeps the places of dropped ones while these
+// changeSettings applies new categories. The dispatcher keeps the indices of dropped categories while they
 // are retained.
 func (r *Reducer) changeSettings(now dispatch.Time, in SettingsChanged) {
 	settings := config.DecisionSettings(in.Settings)
@@ -47,34 +48,35 @@
 	for i := range settings.Categories {
 		named[settings.Categories[i].Name] = true
 	}
-	for name, place := range r.categories {
+	for name, index := range r.categories {
 		if !named[name] {
-			r.droppedCategories[name] = droppedCategory{place, in.RetainUntil}
+			r.droppedCategories[name] = droppedCategory{index, in.RetainUntil}
 		}
 	}
 	for name := range named {
 		delete(r.droppedCategories, name)
 	}
 	r.pruneDroppedCategories()
-	places := r.dispatcher.SetCategories(settings, r.retainedPlaces(now)...)
-	r.categories = placesByName(settings.Categories, places)
+	indices := r.dispatcher.SetCategories(settings, r.retainedIndices(now)...)
+	r.categories = indicesByName(settings.Categories, indices)
 }
 
-// retainedPlaces are the places of retained categories. Those whose retention has expired give theirs up.
-func (r *Reducer) retainedPlaces(now dispatch.Time) (places []int) {
+// retainedIndices returns the indices of retained categories. It releases the index of a category whose
+// retention has expired.
+func (r *Reducer) retainedIndices(now dispatch.Time) (indices []int) {
 	for name, c := range r.droppedCategories {
 		switch {
 		case c.retained(now):
-			places = append(places, c.place)
-		case c.place != noPlace:
-			r.droppedCategories[name] = droppedCategory{noPlace, c.retainUntil}
+			indices = append(indices, c.index)
+		case c.index != noIndex:
+			r.droppedCategories[name] = droppedCategory{noIndex, c.retainUntil}
 		}
 	}
-	return places
+	return indices
 }
 
-// pruneDroppedCategories deletes those whose retention ends first, where there are too many. It deletes a
-// quarter at once, so that few changes sort them.
+// pruneDroppedCategories deletes the dropped categories whose retention ends first, once there are more than
+// maxDroppedCategories. It deletes a quarter at a time, so that few changes have to sort them.
 func (r *Reducer) pruneDroppedCategories() {
 	if len(r.droppedCategories) <= maxDroppedCategories {
 		return
@@ -88,11 +90,11 @@
 	}
 }
 
-// categoryPlace is where the dispatcher has a category; false where its ops are not admitted.
-func (r *Reducer) categoryPlace(now dispatch.Time, category string) (place int, ok bool) {
-	if place, ok = r.categories[category]; ok {
-		return place, true
+// categoryIndex returns the dispatcher's index of a category; ok is false if its ops are not admitted.
+func (r *Reducer) categoryIndex(now dispatch.Time, category string) (index int, ok bool) {
+	if index, ok = r.categories[category]; ok {
+		return index, true
 	}
 	c, dropped := r.droppedCategories[category]
-	return c.place, dropped && c.retained(now)
+	return c.index, dropped && c.retained(now)
 }
--- a/internal/scheduler/reducer/changes_test.go
+++ b/internal/scheduler/reducer/changes_test.go
@@ -12,266 +12,283 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// entry is a category as these tests change it.
-type entry struct {
+// testCategory is a category that these tests change.
+type testCategory struct {
 	name, effect string
 	target       dispatch.Time
 }
 
-func (e entry) into(site map[string]any, i int) {
-	site[config.ItemKey("categories", i, "name")], site[config.ItemKey("categories", i, "effect")] = e.name, e.effect
-	site[config.ItemKey("categories", i, "ttl")], site[config.ItemKey("categories", i, "benefit")] = 50_000.0, 1.0
-	site[config.ItemKey("categories", i, "targetLatency")] = float64(e.target)
+func (c testCategory) writeTo(settings map[string]any, i int) {
+	settings[config.ItemKey("categories", i, "name")], settings[config.ItemKey("categories", i, "effect")] =
+		c.name, c.effect
+	settings[config.ItemKey("categories", i, "ttl")], settings[config.ItemKey("categories", i, "benefit")] =
+		50_000.0, 1.0
+	settings[config.ItemKey("categories", i, "targetLatency")] = float64(c.target)
 }
 
-func siteOf(entries []entry, pushes int) map[string]any {
-	site := map[string]any{"bounds.maxPushes": float64(pushes), "bounds.probes": false, "step": 10.0}
-	for i, e := range entries {
-		e.into(site, i)
+func settingsWith(categories []testCategory, maxAttempts int) map[string]any {
+	settings := map[string]any{"bounds.maxPushes": float64(maxAttempts), "bounds.probes": false, "step": 10.0}
+	for i, c := range categories {
+		c.writeTo(settings, i)
 	}
-	return site
+	return settings
 }
 
-func fleetOf(r *Reducer, now dispatch.Time) {
-	var l EndpointsChanged
+func listTestWorkers(r *Reducer, now dispatch.Time) {
+	var list EndpointsChanged
 	for i := range 6 {
-		l.Endpoints = append(l.Endpoints, Endpoint{Worker: fmt.Sprint("w", i), Addr: "a:1", Zone: "z", Ready: true})
+		list.Endpoints = append(list.Endpoints,
+			Endpoint{Worker: fmt.Sprint("w", i), Addr: "a:1", Zone: "z", Ready: true})
 	}
-	l.Snapshot = true
-	r.Step(now, l)
+	list.Snapshot = true
+	r.Step(now, list)
 }
 
-// An op of a category whose place went to another one was pushed again, or dead-lettered, by that one's
-// rules. Ops that stay open across thousands of changes (rules, names, attempts, categories that are
-// dropped and come back) are pushed and answered by the rules that they were admitted with; those of a
-// dropped category too while it is retained, and are nacked after that. The seed is CHANGES_SEED.
-func TestOpsKeepTheirRulesAcrossThousandsOfChanges(t *testing.T) {
-	first, last := uint64(0), uint64(6)
+// Guards against a retry or a dead letter by another category's rules, which happened when a category's index
+// was reused while its ops were open. Ops that stay open across thousands of settings changes (rules, names,
+// attempts, categories that are dropped and return) are pushed and answered by the rules under which they
+// were admitted. New ops of a dropped category are served by its rules while it is retained, and nacked after
+// that. CHANGES_SEED sets the seed.
+func TestOpsKeepTheirRulesAcrossThousandsOfSettingsChanges(t *testing.T) {
+	firstSeed, endSeed := uint64(0), uint64(6)
 	if seed, err := strconv.ParseUint(os.Getenv("CHANGES_SEED"), 10, 64); err == nil {
-		first, last = seed, seed+1
+		firstSeed, endSeed = seed, seed+1
 	}
-	for seed := first; seed < last; seed++ {
-		if fault := changes(seed, 2000); fault != "" {
-			t.Fatalf("CHANGES_SEED=%d: %s", seed, fault)
+	for seed := firstSeed; seed < endSeed; seed++ {
+		if violation := runSettingsChanges(seed, 2000); violation != "" {
+			t.Fatalf("CHANGES_SEED=%d: %s", seed, violation)
 		}
 	}
 }
 
-func changes(seed uint64, n int) (fault string) {
-	type open struct {
-		entry
-		pushes, legs int
-		out, ran     bool
+func runSettingsChanges(seed uint64, n int) (violation string) {
+	type openOp struct {
+		testCategory
+		maxAttempts, attempts int
+		inFlight, mayHaveRun  bool
 	}
-	chance := rand.New(rand.NewPCG(seed, 2))
-	say := func(format string, args ...any) {
-		if fault == "" {
-			fault = fmt.Sprintf(format, args...)
+	rng := rand.New(rand.NewPCG(seed, 2))
+	report := func(format string, args ...any) {
+		if violation == "" {
+			violation = fmt.Sprintf(format, args...)
 		}
 	}
 	effects := []string{"redeliverable", "at-most-once"}
-	fresh := func(name string) entry {
-		return entry{name, effects[chance.IntN(2)], dispatch.Time(1+chance.IntN(3)) * 100 * second}
+	randomCategory := func(name string) testCategory {
+		return testCategory{name, effects[rng.IntN(2)], dispatch.Time(1+rng.IntN(3)) * 100 * second}
 	}
-	var inForce []entry
+	var inForce []testCategory
 	for i := range 5 {
-		inForce = append(inForce, fresh(fmt.Sprint("c", i)))
+		inForce = append(inForce, randomCategory(fmt.Sprint("c", i)))
 	}
-	pushes := 3
-	r := New(seed, siteOf(inForce, pushes))
+	maxAttempts := 3
+	r := New(seed, settingsWith(inForce, maxAttempts))
 	now := dispatch.Time(second)
-	fleetOf(r, now)
-	ops, last := map[uint64]*open{}, uint64(0)
-	type was struct {
-		entry
-		until dispatch.Time
+	listTestWorkers(r, now)
+	openOps, lastOp := map[uint64]*openOp{}, uint64(0)
+	type formerCategory struct {
+		testCategory
+		retainUntil dispatch.Time
 	}
-	dropped := map[string]was{}
-	served := map[string]entry{}
-	name := func() {
-		clear(served)
+	dropped := map[string]formerCategory{}
+	servedByName := map[string]testCategory{}
+	updateServed := func() {
+		clear(servedByName)
 		for _, e := range inForce {
-			served[e.name] = e
+			servedByName[e.name] = e
 			delete(dropped, e.name)
 		}
 	}
-	name()
-	var broken uint64
-	take := func(in Input) {
+	updateServed()
+	var resetOp uint64
+	apply := func(in Input) {
 		for _, e := range r.Step(now, in) {
 			switch e := e.(type) {
 			case Push:
-				o := ops[e.Op]
-				if o.legs++; o.out || o.legs > o.pushes || o.ran && o.effect == "at-most-once" {
-					say("op %d is pushed: %+v", e.Op, *o)
+				o := openOps[e.Op]
+				if o.attempts++; o.inFlight || o.attempts > o.maxAttempts ||
+					o.mayHaveRun && o.effect == "at-most-once" {
+					report("op %d is pushed: %+v", e.Op, *o)
 				}
-				o.out = true
+				o.inFlight = true
 			case Respond:
-				o := ops[e.Op]
+				o := openOps[e.Op]
 				switch {
-				case e.Verdict == DeadLettered && o.effect != "at-most-once", e.Verdict == Nacked && o.ran && o.effect == "at-most-once",
-					e.Verdict == UnknownCategory, e.Op == broken && e.Verdict == Nacked && o.legs < o.pushes:
-					say("op %d is answered %v: %+v", e.Op, e.Verdict, *o)
+				case e.Verdict == DeadLettered && o.effect != "at-most-once",
+					e.Verdict == Nacked && o.mayHaveRun && o.effect == "at-most-once",
+					e.Verdict == UnknownCategory,
+					e.Op == resetOp && e.Verdict == Nacked && o.attempts < o.maxAttempts:
+					report("op %d is answered %v: %+v", e.Op, e.Verdict, *o)
 				}
-				delete(ops, e.Op)
+				delete(openOps, e.Op)
 			}
 		}
 	}
-	arrive := func(e entry) {
-		last++
-		ops[last] = &open{entry: e, pushes: pushes}
-		take(OpArrived{Op: last, ID: fmt.Sprint(last), Category: e.name, TTL: now + 1<<40, Effect: e.effect})
-		if o := ops[last]; o == nil || !o.out {
-			say("an op of %+v is not pushed", e)
+	submit := func(e testCategory) {
+		lastOp++
+		openOps[lastOp] = &openOp{testCategory: e, maxAttempts: maxAttempts}
+		apply(OpArrived{
+			Op: lastOp, ID: fmt.Sprint(lastOp), Category: e.name, TTL: now + 1<<40, Effect: e.effect,
+		})
+		if o := openOps[lastOp]; o == nil || !o.inFlight {
+			report("an op of %+v is not pushed", e)
 		}
 	}
 	for range n {
-		now += dispatch.Time(chance.IntN(3000))
+		now += dispatch.Time(rng.IntN(3000))
 		before := inForce
-		inForce = append([]entry(nil), inForce...)
-		switch k := chance.IntN(len(inForce)); chance.IntN(6) {
-		case 0: // a name goes, another comes
-			inForce[k] = fresh(fmt.Sprint("d", chance.IntN(8)))
+		inForce = append([]testCategory(nil), inForce...)
+		switch k := rng.IntN(len(inForce)); rng.IntN(6) {
+		case 0: // one name replaces another
+			inForce[k] = randomCategory(fmt.Sprint("d", rng.IntN(8)))
 		case 1:
 			if len(inForce) > 2 {
 				inForce = append(inForce[:k], inForce[k+1:]...)
 			}
 		case 2:
-			inForce = append(inForce, fresh(fmt.Sprint("e", chance.IntN(4))))
+			inForce = append(inForce, randomCategory(fmt.Sprint("e", rng.IntN(4))))
 		case 3:
-			pushes = 1 + chance.IntN(4)
+			maxAttempts = 1 + rng.IntN(4)
 		default:
-			inForce[k] = fresh(inForce[k].name)
+			inForce[k] = randomCategory(inForce[k].name)
 		}
-		names := map[string]bool{} // of two that have one name the last one is served, and the first one only stands there
+		names := map[string]bool{} // of two categories with the same name, only the last one is served
 		for _, e := range inForce {
 			names[e.name] = true
 		}
 		for _, e := range before {
 			if !names[e.name] {
-				dropped[e.name] = was{served[e.name], now + second}
+				dropped[e.name] = formerCategory{servedByName[e.name], now + second}
 			}
 		}
-		take(SettingsChanged{Settings: siteOf(inForce, pushes), RetainUntil: now + second})
-		name()
-		for range chance.IntN(3) {
-			arrive(served[inForce[chance.IntN(len(inForce))].name])
+		apply(SettingsChanged{Settings: settingsWith(inForce, maxAttempts), RetainUntil: now + second})
+		updateServed()
+		for range rng.IntN(3) {
+			submit(servedByName[inForce[rng.IntN(len(inForce))].name])
 		}
 		for _, c := range []string{"c0", "c1", "d0", "d1", "e0"} {
 			switch x, ok := dropped[c]; {
-			case ok && now <= x.until:
-				arrive(x.entry)
+			case ok && now <= x.retainUntil:
+				submit(x.testCategory)
 			case ok:
-				last++
-				if a, _ := first[Respond](r.Step(now, OpArrived{Op: last, ID: fmt.Sprint(last), Category: c, TTL: now + 1<<40})); a.Verdict != Nacked {
-					say("an op of %s, which was dropped, is answered %v", c, a.Verdict)
+				lastOp++
+				if a, _ := firstEffect[Respond](r.Step(now, OpArrived{
+					Op: lastOp, ID: fmt.Sprint(lastOp), Category: c, TTL: now + 1<<40,
+				})); a.Verdict != Nacked {
+					report("an op of the dropped category %s is answered %v", c, a.Verdict)
 				}
 			}
 		}
-		for i := last; i > 0 && i+60 > last; i-- { // some end, and some stay for hundreds of changes
-			o := ops[i]
-			if o == nil || !o.out || chance.IntN(10) > 0 {
+		for i := lastOp; i > 0 && i+60 > lastOp; i-- { // others stay in flight for hundreds of changes
+			o := openOps[i]
+			if o == nil || !o.inFlight || rng.IntN(10) > 0 {
 				continue
 			}
-			if o.out = false; chance.IntN(3) == 0 {
-				o.ran, broken = true, i
-				take(AttemptEnded{Op: i, Ending: outcome.Reset})
-				broken = 0
+			if o.inFlight = false; rng.IntN(3) == 0 {
+				o.mayHaveRun, resetOp = true, i
+				apply(AttemptEnded{Op: i, Ending: outcome.Reset})
+				resetOp = 0
 			} else {
-				take(AttemptEnded{Op: i, Ending: outcome.Done})
+				apply(AttemptEnded{Op: i, Ending: outcome.Done})
 			}
 		}
-		if fault != "" {
-			return fault
+		if violation != "" {
+			return violation
 		}
 	}
-	return fault
+	return violation
 }
 
-var dayOfChanges = 16_000
+var settingsChangesPerDay = 16_000
 
-// After a thousand categories no change was taken any more, half an hour at the pace of a large site. All
-// changes of a day are taken, one each 5.4 s, also with ops that are open all the while, and the state
-// after them is as large as at the beginning. CHANGES=100000 makes as many of them.
-func TestADayOfChangesIsTakenAndHoldsNothing(t *testing.T) {
-	const entries, held = 560, 20
-	n := dayOfChanges
-	if most, err := strconv.Atoi(os.Getenv("CHANGES")); err == nil {
-		n = most
+// Guards against a limit on category changes: after a thousand categories, half an hour at the rate of a
+// large site, no further change was applied. All changes of a day, one every 5.4 s, are applied, even with
+// ops that stay open throughout, and the state does not grow. CHANGES=100000 sets another number of changes.
+func TestADayOfSettingsChangesLeavesBoundedState(t *testing.T) {
+	const categories, openOps = 560, 20
+	n := settingsChangesPerDay
+	if changes, err := strconv.Atoi(os.Getenv("CHANGES")); err == nil {
+		n = changes
 	}
 	effects := []string{"redeliverable", "at-most-once"}
-	var inForce []entry
-	for i := range entries {
-		inForce = append(inForce, entry{fmt.Sprint("team-", i), effects[0], 10 * second})
+	var inForce []testCategory
+	for i := range categories {
+		inForce = append(inForce, testCategory{fmt.Sprint("team-", i), effects[0], 10 * second})
 	}
-	site := siteOf(inForce, 3)
-	r, now, op := New(7, site), dispatch.Time(second), uint64(0)
-	fleetOf(r, now)
+	settings := settingsWith(inForce, 3)
+	r, now, op := New(7, settings), dispatch.Time(second), uint64(0)
+	listTestWorkers(r, now)
 	change := func(i int) {
 		now += 54_000
-		k, e := i%entries, &inForce[i%entries]
-		if e.effect, e.target = effects[i/entries%2], 10*second+dispatch.Time(i); i%3 == 0 {
+		k, e := i%categories, &inForce[i%categories]
+		if e.effect, e.target = effects[i/categories%2], 10*second+dispatch.Time(i); i%3 == 0 {
 			e.name = fmt.Sprint("team-", k, "-", i)
 		}
-		e.into(site, k)
-		r.Step(now, SettingsChanged{Settings: site, RetainUntil: now + 20*second})
+		e.writeTo(settings, k)
+		r.Step(now, SettingsChanged{Settings: settings, RetainUntil: now + 20*second})
 	}
-	send := func(e entry) {
+	submit := func(e testCategory) {
 		t.Helper()
 		op++
-		todo := r.Step(now, OpArrived{Op: op, ID: fmt.Sprint(op), Category: e.name, TTL: now + 1<<40, Effect: e.effect})
-		if _, pushed := first[Push](todo); !pushed {
-			t.Fatalf("an op of %+v: %+v", e, todo)
+		todo := r.Step(now, OpArrived{
+			Op: op, ID: fmt.Sprint(op), Category: e.name, TTL: now + 1<<40, Effect: e.effect,
+		})
+		if _, pushed := firstEffect[Push](todo); !pushed {
+			t.Fatalf("an op of %+v is not pushed: %+v", e, todo)
 		}
 	}
-	for i := range held {
-		send(inForce[i])
+	for i := range openOps {
+		submit(inForce[i])
 	}
-	highest := 0
+	highestIndex := 0
 	for i := range n {
 		change(i)
-		send(inForce[i%entries])
+		submit(inForce[i%categories])
 		r.Step(now, AttemptEnded{Op: op, Ending: outcome.Done})
-		highest = max(highest, r.categories[inForce[i%entries].name])
+		highestIndex = max(highestIndex, r.categories[inForce[i%categories].name])
 	}
-	if most := entries + held + 3; highest >= most { // at 5.4 s a change and 20 s for a dropped one, two such and a new one
-		t.Errorf("place %d is in use, of %d that are needed", highest, most)
+	// With a change every 5.4 s and 20 s of retention, two dropped categories and a new one need an index.
+	if maxIndex := categories + openOps + 3; highestIndex >= maxIndex {
+		t.Errorf("index %d is in use, want below %d", highestIndex, maxIndex)
 	}
-	if len(r.droppedCategories) > maxDroppedCategories || len(r.opsByNumber) != held {
-		t.Errorf("%d dropped categories and %d ops are held", len(r.droppedCategories), len(r.opsByNumber))
+	if len(r.droppedCategories) > maxDroppedCategories || len(r.opsByNumber) != openOps {
+		t.Errorf("%d dropped categories and %d ops remain", len(r.droppedCategories), len(r.opsByNumber))
 	}
-	for i := range held { // they came as redeliverable, which their categories were not any more and then were again
+	for i := range openOps { // admitted as redeliverable; their categories' effect changed and changed back
 		todo := r.Step(now, AttemptEnded{Op: uint64(i + 1), Ending: outcome.Reset})
-		if _, again := first[Push](todo); !again {
-			t.Errorf("op %d of the beginning, which broke, is not pushed again: %+v", i+1, todo)
+		if _, retried := firstEffect[Push](todo); !retried {
+			t.Errorf("op %d, open since the start, is not retried after a reset: %+v", i+1, todo)
 		}
 	}
 }
 
-// The process that took over answered clients that did not know yet of a dropped category as if it had never been one: 400, for good.
-func TestSuccessorKnowsDroppedCategories(t *testing.T) {
-	of := func(names ...string) map[string]any {
-		var entries []entry
+// Guards against a permanent rejection (400) of an op of a dropped category by a successor that did not know
+// that the category had existed. Clients may go on sending such ops for a while; the successor nacks them.
+func TestASuccessorNacksOpsOfDroppedCategories(t *testing.T) {
+	settingsOf := func(names ...string) map[string]any {
+		var categories []testCategory
 		for _, name := range names {
-			entries = append(entries, entry{name, "redeliverable", second})
+			categories = append(categories, testCategory{name, "redeliverable", second})
 		}
-		return siteOf(entries, 3)
+		return settingsWith(categories, 3)
 	}
-	r := New(1, of("look", "pay", "note"))
-	fleetOf(r, 1)
-	r.Step(2, SettingsChanged{Settings: of("look", "note"), RetainUntil: 2 + second})
-	r.Step(3, SettingsChanged{Settings: of("look"), RetainUntil: 3 + second})
-	successor := New(1, of("look", "note"))
-	fleetOf(successor, 4)
+	r := New(1, settingsOf("look", "pay", "note"))
+	listTestWorkers(r, 1)
+	r.Step(2, SettingsChanged{Settings: settingsOf("look", "note"), RetainUntil: 2 + second})
+	r.Step(3, SettingsChanged{Settings: settingsOf("look"), RetainUntil: 3 + second})
+	successor := New(1, settingsOf("look", "note"))
+	listTestWorkers(successor, 4)
 	successor.Step(4, StateRestored{r.Learned()})
 	for n, c := range []struct {
 		category string
-		want     Verdict // -1: it is pushed
+		want     Verdict // -1: the op is pushed
 	}{{"look", -1}, {"pay", Nacked}, {"note", -1}, {"never", UnknownCategory}} {
-		todo := successor.Step(5, OpArrived{Op: uint64(n), ID: fmt.Sprint(n), Category: c.category, TTL: 5 + second})
-		a, answered := first[Respond](todo)
-		if _, pushed := first[Push](todo); pushed != (c.want < 0) || answered && a.Verdict != c.want {
-			t.Errorf("%s: %+v", c.category, todo)
+		todo := successor.Step(5, OpArrived{
+			Op: uint64(n), ID: fmt.Sprint(n), Category: c.category, TTL: 5 + second,
+		})
+		a, answered := firstEffect[Respond](todo)
+		if _, pushed := firstEffect[Push](todo); pushed != (c.want < 0) || answered && a.Verdict != c.want {
+			t.Errorf("category %s: %+v", c.category, todo)
 		}
 	}
 	many := LearnedState{Dropped: map[string]dispatch.Time{}}
@@ -279,27 +296,29 @@
 		many.Dropped[fmt.Sprint(i)] = 5
 	}
 	if successor.Step(6, StateRestored{many}); len(successor.droppedCategories) > maxDroppedCategories {
-		t.Errorf("%d dropped names are taken over", len(successor.droppedCategories))
+		t.Errorf("%d dropped categories are restored", len(successor.droppedCategories))
 	}
 }
 
-// BenchmarkSettingsChanged is one category's change among so many, after so many before it, as the loop has it to take.
+// BenchmarkSettingsChanged measures a change of one category among the given number of categories, after the
+// given number of earlier changes. The loop is blocked for this time.
 func BenchmarkSettingsChanged(b *testing.B) {
-	for _, entries := range []int{3, 560} {
+	for _, categories := range []int{3, 560} {
 		for _, before := range []int{0, 16_000, 100_000} {
-			b.Run(fmt.Sprintf("entries=%d/before=%d", entries, before), func(b *testing.B) {
-				var inForce []entry
-				for i := range entries {
-					inForce = append(inForce, entry{fmt.Sprint("team-", i), "redeliverable", 10 * second})
+			b.Run(fmt.Sprintf("entries=%d/before=%d", categories, before), func(b *testing.B) {
+				var inForce []testCategory
+				for i := range categories {
+					inForce = append(inForce,
+						testCategory{fmt.Sprint("team-", i), "redeliverable", 10 * second})
 				}
-				site := siteOf(inForce, 3)
-				r, now, n := New(7, site), dispatch.Time(second), 0
+				settings := settingsWith(inForce, 3)
+				r, now, n := New(7, settings), dispatch.Time(second), 0
 				change := func() {
 					now += 54_000
-					e := &inForce[n%entries]
+					e := &inForce[n%categories]
 					e.target = 10*second + dispatch.Time(n)
-					e.into(site, n%entries)
-					r.Step(now, SettingsChanged{Settings: site, RetainUntil: now + 20*second})
+					e.writeTo(settings, n%categories)
+					r.Step(now, SettingsChanged{Settings: settings, RetainUntil: now + 20*second})
 					n++
 				}
 				for n < before {
--- a/internal/scheduler/reducer/decisions.go
+++ b/internal/scheduler/reducer/decisions.go
@@ -13,14 +13,14 @@
 		if next.Kind == dispatch.NoDecision {
 			return todo
 		}
-		if effect := r.carryOut(now, next); effect != nil {
+		if effect := r.applyDecision(now, next); effect != nil {
 			todo = append(todo, effect)
 		}
 	}
 }
 
-// carryOut notes a decision here and returns its effect, nil for one that the host has no part in.
-func (r *Reducer) carryOut(now dispatch.Time, next dispatch.Decision) Effect {
+// applyDecision records a decision and returns its effect, or nil if the host has nothing to do.
+func (r *Reducer) applyDecision(now dispatch.Time, next dispatch.Decision) Effect {
 	switch next.Kind {
 	case dispatch.Push:
 		return r.push(now, next)
@@ -54,7 +54,8 @@
 		Timeout: next.Duration}
 }
 
-// respond is the answer to an op that was given up; nil where it has its answer, or its client has gone.
+// respond returns the answer to a nacked or dead-lettered op, or nil if the op already has an answer or its
+// client has disconnected.
 func (r *Reducer) respond(next dispatch.Decision) Effect {
 	o := &r.ops[next.Op]
 	if o.answered {
--- a/internal/scheduler/reducer/effects.go
+++ b/internal/scheduler/reducer/effects.go
@@ -5,7 +5,7 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// Effect is what the host has to do: Push, CancelAttempt, Probe, Respond, SendToPeer or SetTimer.
+// Effect is an action for the host: Push, CancelAttempt, Probe, Respond, SendToPeer or SetTimer.
 type Effect interface{ effect() }
 
 // Push sends an op to a worker and waits for its end until the timeout.
@@ -18,14 +18,15 @@
 	Group   Group // of the worker
 }
 
-// CancelAttempt ends the attempt in flight of an op, or only keeps it from being written.
+// CancelAttempt ends an op's attempt in flight. With OnlyIfUnsent it leaves an attempt that is already being
+// written.
 type CancelAttempt struct {
 	Op           uint64
 	OnlyIfUnsent bool
-	Ending       outcome.Ending // with which it then ends
+	Ending       outcome.Ending // reported for the cancelled attempt
 }
 
-// Probe asks a worker for its load.
+// Probe sends a load probe to a worker.
 type Probe struct {
 	Probe  uint64
 	Worker string
@@ -35,7 +36,7 @@
 // Verdict is an op's final answer.
 type Verdict int
 
-// UnknownCategory and DuplicateID answer ops that the dispatcher was not given.
+// The verdicts. UnknownCategory and DuplicateID answer ops that were not passed to the dispatcher.
 const (
 	Acked Verdict = iota
 	Nacked
@@ -63,7 +64,7 @@
 	Text string
 }
 
-// SetTimer asks for TimerFired after a delay, in place of what was asked for before.
+// SetTimer requests TimerFired after a delay and replaces the previous timer.
 type SetTimer struct{ Delay dispatch.Time }
 
 func (Push) effect()          {}
--- a/internal/scheduler/reducer/endpoints.go
+++ b/internal/scheduler/reducer/endpoints.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// maxMachineKinds bounds the kinds that are distinguished; the dispatcher keeps samples of each.
+	// maxMachineKinds bounds the machine kinds that are distinguished; the dispatcher keeps samples of each.
 	maxMachineKinds = 256
-	// minForgettableWorkers is the number of known workers up to which those that have left are not
-	// looked for.
+	// minForgettableWorkers is the number of known workers up to which those that left the list are not
+	// forgotten.
 	minForgettableWorkers = 1024
 )
 
-// worker is a worker by the index that the dispatcher knows it by.
+// worker is a worker from an endpoint list. Its index in Reducer.workers is the dispatcher's index for it.
 type worker struct {
 	name, addr    string
 	group         Group
 	listed, ready bool
-	vacant        bool // its index is free
+	free          bool // its index is free
 }
 
-// updateEndpoints takes up an endpoint list. An attempt that is not written yet must not be written to a
-// worker that is draining: a dial may outlast the drain's grace.
+// updateEndpoints applies an endpoint list. It cancels unsent attempts to workers that are draining, because
+// a dial may outlast the drain grace.
 func (r *Reducer) updateEndpoints(in EndpointsChanged) (todo []Effect) {
 	if in.Snapshot {
 		r.dispatcher.BeginSnapshot()
@@ -60,20 +60,21 @@
 		Ready:        w.ready,
 		StartedAt:    e.StartedAt,
 		IdentityHash: config.IdentityHash(e.Worker),
-		MachineKind:  r.machineKind(e.MachineKind),
+		MachineKind:  r.machineKindNumber(e.MachineKind),
 	})
 }
 
-// machineKind is the number of a kind of machine. Kinds that are not distinguished share their samples.
-func (r *Reducer) machineKind(name string) int {
-	_, known := r.kinds[name]
-	if !r.distinguishesKinds || !known && len(r.kinds) >= maxMachineKinds {
+// machineKindNumber returns the number of a machine kind. Kinds that are not distinguished get the same
+// number and share their samples.
+func (r *Reducer) machineKindNumber(name string) int {
+	_, known := r.machineKinds[name]
+	if !r.distinguishesMachineKinds || !known && len(r.machineKinds) >= maxMachineKinds {
 		name = ""
 	}
-	return numberOf(r.kinds, name)
+	return numberOf(r.machineKinds, name)
 }
 
-// numberOf numbers names in the order in which they are first seen.
+// numberOf returns the number of a name. Names are numbered in the order in which they are first seen.
 func numberOf(numbers map[string]int, name string) int {
 	n, ok := numbers[name]
 	if !ok {
@@ -83,7 +84,7 @@
 	return n
 }
 
-// addWorker gives a new worker its index.
+// addWorker assigns an index to a new worker.
 func (r *Reducer) addWorker(name string) (i int) {
 	if n := len(r.freeWorkers); n > 0 {
 		i, r.freeWorkers = r.freeWorkers[n-1], r.freeWorkers[:n-1]
@@ -97,11 +98,11 @@
 	return i
 }
 
-// forgetWorkers frees the indices of workers that have left the list, once many are known. One that comes
-// back later is new. A worker that an attempt, a probe or an op refers to keeps its index until the next
-// time.
+// forgetWorkers frees the indices of workers that have left the list, once many workers are known. A worker
+// that returns later is treated as new. A worker that an attempt, a probe or an op refers to keeps its index
+// until a later call.
 func (r *Reducer) forgetWorkers() {
-	if len(r.workersByName) <= max(r.forgetWorkersAt, minForgettableWorkers) {
+	if len(r.workersByName) <= max(r.forgetWorkersAbove, minForgettableWorkers) {
 		return
 	}
 	inUse := r.dispatcher.WorkersInUse()
@@ -109,11 +110,11 @@
 		inUse[p.worker] = true
 	}
 	for i := range r.workers {
-		if w := &r.workers[i]; !w.vacant && !w.listed && !inUse[i] {
+		if w := &r.workers[i]; !w.free && !w.listed && !inUse[i] {
 			r.forgetWorker(i)
 		}
 	}
-	r.forgetWorkersAt = 2*len(r.workersByName) + minForgettableWorkers
+	r.forgetWorkersAbove = 2*len(r.workersByName) + minForgettableWorkers
 }
 
 func (r *Reducer) forgetWorker(i int) {
@@ -123,19 +124,19 @@
 		delete(r.workersByTag, tag)
 	}
 	r.dispatcher.ForgetWorker(i)
-	r.workers[i] = worker{vacant: true}
+	r.workers[i] = worker{free: true}
 	r.freeWorkers = append(r.freeWorkers, i)
 }
 
 // WorkerCounts returns how many workers are in the list, and how many of them are avoided: not ready, or
 // suspected.
-func (r *Reducer) WorkerCounts(now dispatch.Time) (known, avoided int) {
+func (r *Reducer) WorkerCounts(now dispatch.Time) (listed, avoided int) {
 	for i := range r.workers {
 		w := &r.workers[i]
 		if w.listed {
-			known++
+			listed++
 			avoided += stats.Bit(!w.ready || r.dispatcher.Suspected(i, now))
 		}
 	}
-	return known, avoided
+	return listed, avoided
 }
--- a/internal/scheduler/reducer/ends_test.go
+++ b/internal/scheduler/reducer/ends_test.go
@@ -11,190 +11,202 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// known is what the test itself knows of an op: what its client was promised by the settings of the moment in which it came.
-type known struct {
-	once           bool // at-most-once, by those
-	left, answered bool
-	out, written   bool
-	ran            bool // some push may have
-	worker         string
+// opRecord is the test's own record of an op.
+type opRecord struct {
+	atMostOnce             bool // by the settings at its arrival
+	disconnected, answered bool
+	inFlight, written      bool
+	mayHaveRun             bool // in any attempt
+	worker                 string
 }
 
-// Whatever ends in whatever order (clients that disconnect, lists, drains, settings, probes, attempts, the
-// process itself), each op has one answer or its client has gone; nothing is pushed after either, nothing
-// new to a draining worker, and an at-most-once op is neither pushed again nor nacked once it may have run.
-// The seed is ENDS_SEED.
-func TestWhateverEndsEachOpHasOneAnswer(t *testing.T) {
-	first, last := uint64(0), uint64(300)
+// In any order of events (disconnected clients, endpoint lists, drains, settings changes, ends of probes and
+// attempts, a shutdown), each op has one answer or its client has disconnected. No attempt starts after
+// either, none goes to a draining worker, and an at-most-once op is neither retried nor nacked once it may
+// have run. ENDS_SEED sets the seed.
+func TestEachOpHasOneAnswerInAnyOrderOfEvents(t *testing.T) {
+	firstSeed, endSeed := uint64(0), uint64(300)
 	if seed, err := strconv.ParseUint(os.Getenv("ENDS_SEED"), 10, 64); err == nil {
-		first, last = seed, seed+1
+		firstSeed, endSeed = seed, seed+1
 	}
-	for seed := first; seed < last; seed++ {
-		if fault := ends(seed); fault != "" {
-			t.Fatalf("ENDS_SEED=%d: %s", seed, fault)
+	for seed := firstSeed; seed < endSeed; seed++ {
+		if violation := runRandomEvents(seed); violation != "" {
+			t.Fatalf("ENDS_SEED=%d: %s", seed, violation)
 		}
 	}
 }
 
-func ends(seed uint64) (fault string) {
-	chance := rand.New(rand.NewPCG(seed, 0))
-	cancel, probes := chance.IntN(2) == 0, chance.IntN(2) == 0
-	site := func(once string, pushes float64) map[string]any {
-		return map[string]any{"bounds.cancel": cancel, "bounds.probes": probes, "bounds.maxPushes": pushes, "step": 10.0,
-			"extra.tellsStart": true, "extra.progress": 1000.0, "report.fields.0": "pending", "report.fields.1": "busy_reqs",
+func runRandomEvents(seed uint64) (violation string) {
+	rng := rand.New(rand.NewPCG(seed, 0))
+	cancel, probes := rng.IntN(2) == 0, rng.IntN(2) == 0
+	settingsOf := func(payEffect string, maxAttempts float64) map[string]any {
+		return map[string]any{"bounds.cancel": cancel, "bounds.probes": probes,
+			"bounds.maxPushes": maxAttempts, "step": 10.0, "extra.tellsStart": true, "extra.progress": 1000.0,
+			"report.fields.0": "pending", "report.fields.1": "busy_reqs",
 			"categories.0.name": "look", "categories.0.ttl": 5.0, "categories.0.effect": "redeliverable",
 			"categories.0.targetLatency": float64(second), "categories.1.name": "pay", "categories.1.ttl": 5.0,
-			"categories.1.effect": once, "categories.1.targetLatency": float64(second)}
+			"categories.1.effect": payEffect, "categories.1.targetLatency": float64(second)}
 	}
-	once := true
-	r := New(seed, site("at-most-once", 3))
-	ops, ready, open := map[uint64]*known{}, map[string]bool{}, map[uint64]bool{}
+	atMostOnce := true
+	r := New(seed, settingsOf("at-most-once", 3))
+	ops, ready, openProbes := map[uint64]*opRecord{}, map[string]bool{}, map[uint64]bool{}
 	now := dispatch.Time(10)
-	say := func(format string, args ...any) {
-		if fault == "" {
-			fault = fmt.Sprintf(format, args...)
+	report := func(format string, args ...any) {
+		if violation == "" {
+			violation = fmt.Sprintf(format, args...)
 		}
 	}
-	var take func(in Input)
-	carry := func(todo []Effect) {
+	var apply func(in Input)
+	handleEffects := func(todo []Effect) {
 		for _, e := range todo {
 			switch e := e.(type) {
 			case Push:
 				o := ops[e.Op]
-				if o.out || o.left || o.answered || !ready[e.Worker] || o.once && o.ran {
-					say("op %d is pushed to %s: %+v, ready %v", e.Op, e.Worker, *o, ready[e.Worker])
+				if o.inFlight || o.disconnected || o.answered || !ready[e.Worker] ||
+					o.atMostOnce && o.mayHaveRun {
+					report("op %d is pushed to %s: %+v, ready %v", e.Op, e.Worker, *o, ready[e.Worker])
 				}
-				o.out, o.written, o.worker = true, false, e.Worker
+				o.inFlight, o.written, o.worker = true, false, e.Worker
 			case Respond:
 				o := ops[e.Op]
-				if o.answered || o.left || e.Verdict == Nacked && o.once && o.ran {
-					say("op %d is answered %v: %+v", e.Op, e.Verdict, *o)
+				if o.answered || o.disconnected || e.Verdict == Nacked && o.atMostOnce && o.mayHaveRun {
+					report("op %d is answered %v: %+v", e.Op, e.Verdict, *o)
 				}
 				o.answered = true
 			case Probe:
 				if !ready[e.Worker] {
-					say("%s is probed and drains", e.Worker)
+					report("worker %s is probed while it drains", e.Worker)
 				}
-				open[e.Probe] = true
+				openProbes[e.Probe] = true
 			}
 		}
-		for _, e := range todo { // what is closed ends as the connection would have it
+		for _, e := range todo { // cancelled attempts end as their connection would report it
 			if e, ok := e.(CancelAttempt); ok {
 				o := ops[e.Op]
 				switch {
-				case !o.out || o.written && e.OnlyIfUnsent:
+				case !o.inFlight || o.written && e.OnlyIfUnsent:
 				case !o.written:
-					o.out = false
-					take(AttemptEnded{Op: e.Op, Ending: outcome.CancelledUnsent})
+					o.inFlight = false
+					apply(AttemptEnded{Op: e.Op, Ending: outcome.CancelledUnsent})
 				default:
 					if !cancel && e.Ending == outcome.Cancelled {
-						say("op %d is cancelled, which the settings forbid", e.Op)
+						report("op %d is cancelled, which the settings forbid", e.Op)
 					}
-					o.out, o.ran = false, true
-					take(AttemptEnded{Op: e.Op, Ending: e.Ending})
+					o.inFlight, o.mayHaveRun = false, true
+					apply(AttemptEnded{Op: e.Op, Ending: e.Ending})
 				}
 			}
 		}
 	}
-	take = func(in Input) { carry(r.Step(now, in)) }
-	list := func(whole bool) {
+	apply = func(in Input) { handleEffects(r.Step(now, in)) }
+	sendList := func(snapshot bool) {
 		var l EndpointsChanged
-		if l.Snapshot = whole; whole {
+		if l.Snapshot = snapshot; snapshot {
 			clear(ready)
 		}
 		for i := range 4 {
-			if w := fmt.Sprint("w", i); whole || chance.IntN(2) == 0 {
-				ready[w] = chance.IntN(4) > 0
+			if w := fmt.Sprint("w", i); snapshot || rng.IntN(2) == 0 {
+				ready[w] = rng.IntN(4) > 0
 				l.Endpoints = append(l.Endpoints, Endpoint{Worker: w, Addr: "a:1", Zone: "z", Ready: ready[w]})
 			}
 		}
-		take(l)
+		apply(l)
 	}
-	list(true)
-	stop, n := dispatch.Time(0), uint64(0)
+	sendList(true)
+	shutdownDeadline, lastOp := dispatch.Time(0), uint64(0)
 	for range 250 {
-		now += dispatch.Time(chance.IntN(80))
-		k := uint64(chance.IntN(int(n) + 1))
-		switch o := ops[k]; chance.IntN(12) {
+		now += dispatch.Time(rng.IntN(80))
+		number := uint64(rng.IntN(int(lastOp) + 1))
+		switch o := ops[number]; rng.IntN(12) {
 		case 0, 1, 2:
-			n++
-			category := []string{"look", "pay"}[chance.IntN(2)]
-			ops[n] = &known{once: once && category == "pay"}
-			take(OpArrived{Op: n, ID: fmt.Sprint(n), Category: category, TTL: now + dispatch.Time(chance.IntN(int(second)))})
+			lastOp++
+			category := []string{"look", "pay"}[rng.IntN(2)]
+			ops[lastOp] = &opRecord{atMostOnce: atMostOnce && category == "pay"}
+			apply(OpArrived{Op: lastOp, ID: fmt.Sprint(lastOp), Category: category,
+				TTL: now + dispatch.Time(rng.IntN(int(second)))})
 		case 3:
 			if o != nil && !o.answered {
-				o.left = true
+				o.disconnected = true
 			}
-			take(ClientDisconnected{Op: k})
+			apply(ClientDisconnected{Op: number})
 		case 4:
-			list(chance.IntN(4) == 0)
+			sendList(rng.IntN(4) == 0)
 		case 5:
-			if once = chance.IntN(2) == 0; once {
-				take(SettingsChanged{Settings: site("at-most-once", float64(1+chance.IntN(4))), RetainUntil: now + second})
+			if atMostOnce = rng.IntN(2) == 0; atMostOnce {
+				apply(SettingsChanged{
+					Settings: settingsOf("at-most-once", float64(1+rng.IntN(4))), RetainUntil: now + second,
+				})
 			} else {
-				take(SettingsChanged{Settings: site("redeliverable", float64(1+chance.IntN(4))), RetainUntil: now + second})
+				apply(SettingsChanged{
+					Settings: settingsOf("redeliverable", float64(1+rng.IntN(4))), RetainUntil: now + second,
+				})
 			}
 		case 6:
-			if o != nil && o.out && o.written {
-				take(AttemptProgressed{Op: k, Started: chance.IntN(2) == 0, Done: chance.Float64()})
+			if o != nil && o.inFlight && o.written {
+				apply(AttemptProgressed{Op: number, Started: rng.IntN(2) == 0, FractionDone: rng.Float64()})
 			}
 		case 7:
-			if p, ok := least(open); ok {
-				delete(open, p)
-				take(ProbeEnded{Probe: p, Ending: outcome.Ending(chance.IntN(20) - 1), LoadReport: []byte(`{"pending":0,"busy_reqs":1}`)})
+			if p, ok := smallestKey(openProbes); ok {
+				delete(openProbes, p)
+				apply(ProbeEnded{
+					Probe:      p,
+					Ending:     outcome.Ending(rng.IntN(20) - 1),
+					LoadReport: []byte(`{"pending":0,"busy_reqs":1}`),
+				})
 			}
 		case 8:
-			if stop == 0 && chance.IntN(12) == 0 {
-				stop = now + second/2
+			if shutdownDeadline == 0 && rng.IntN(12) == 0 {
+				shutdownDeadline = now + second/2
 			}
-			if stop > 0 {
-				take(ShutdownStarted{Deadline: stop})
+			if shutdownDeadline > 0 {
+				apply(ShutdownStarted{Deadline: shutdownDeadline})
 			}
 		case 9:
-			take(TimerFired{})
+			apply(TimerFired{})
 		default:
-			if o == nil || !o.out {
+			if o == nil || !o.inFlight {
 				break
 			}
-			if !o.written && chance.IntN(2) == 0 {
-				if o.written = true; o.left || !ready[o.worker] {
-					say("op %d is written: %+v, ready %v", k, *o, ready[o.worker])
+			if !o.written && rng.IntN(2) == 0 {
+				if o.written = true; o.disconnected || !ready[o.worker] {
+					report("op %d is written: %+v, ready %v", number, *o, ready[o.worker])
 				}
 				break
 			}
-			how := outcome.Ending(chance.IntN(20) - 1)
+			ending := outcome.Ending(rng.IntN(20) - 1)
 			if !o.written {
-				how = []outcome.Ending{outcome.DialTimedOut, outcome.ConnRefused, outcome.CancelledUnsent, outcome.PartiallySent, outcome.NoDescriptor}[chance.IntN(5)]
+				ending = []outcome.Ending{outcome.DialTimedOut, outcome.ConnRefused, outcome.CancelledUnsent,
+					outcome.PartiallySent, outcome.NoDescriptor}[rng.IntN(5)]
 			}
-			o.out, o.ran = false, o.ran || !how.NeverRan() && how != outcome.Done
-			take(AttemptEnded{Op: k, Ending: how})
+			o.inFlight, o.mayHaveRun = false, o.mayHaveRun || !ending.NeverRan() && ending != outcome.Done
+			apply(AttemptEnded{Op: number, Ending: ending})
 		}
-		if fault != "" {
-			return fault
+		if violation != "" {
+			return violation
 		}
 	}
 	now += 2 * second
-	for k := uint64(1); k <= n; k++ {
-		if o := ops[k]; o.out {
-			o.out, o.ran = false, true
-			take(AttemptEnded{Op: k, Ending: outcome.TimedOut})
+	for number := uint64(1); number <= lastOp; number++ {
+		if o := ops[number]; o.inFlight {
+			o.inFlight, o.mayHaveRun = false, true
+			apply(AttemptEnded{Op: number, Ending: outcome.TimedOut})
 		}
 	}
-	take(TimerFired{})
-	for k := uint64(1); k <= n; k++ {
-		if o := ops[k]; !o.answered && !o.left {
-			say("op %d has no answer: %+v", k, *o)
+	apply(TimerFired{})
+	for number := uint64(1); number <= lastOp; number++ {
+		if o := ops[number]; !o.answered && !o.disconnected {
+			report("op %d has no answer: %+v", number, *o)
 		}
 	}
 	if len(r.opsByNumber) > 0 {
-		say("%d ops are held still", len(r.opsByNumber))
+		report("%d ops are not forgotten", len(r.opsByNumber))
 	}
-	return fault
+	return violation
 }
 
-// least is the smallest of some numbers: a failing seed has to fail again.
-func least(of map[uint64]bool) (n uint64, ok bool) {
-	for k := range of {
+// smallestKey returns the smallest key. Its choice must be deterministic, so that a failing seed fails again.
+func smallestKey(set map[uint64]bool) (n uint64, ok bool) {
+	for k := range set {
 		if !ok || k < n {
 			n, ok = k, true
 		}
@@ -202,15 +214,16 @@
 	return n, ok
 }
 
-// An op that was admitted under one effect, or without asking for it, ran under another when SIGHUP came in
-// between.
-func TestAnOpThatSettingsOvertookIsNacked(t *testing.T) {
+// Guards against an op that runs under another effect than the one under which it was admitted: a SIGHUP may
+// change the settings between its admission and its arrival at the reducer.
+func TestAnOpAdmittedUnderAnotherEffectIsNacked(t *testing.T) {
 	for effect, want := range map[string]Verdict{"": -1, "redeliverable": -1, "at-most-once": Nacked} {
-		r := started()
+		r := newTestReducer()
 		todo := r.Step(2, OpArrived{Op: 1, ID: "a", Category: "look", TTL: 2 * second, Effect: effect})
-		a, answered := first[Respond](todo)
-		if _, pushed := first[Push](todo); answered != (want == Nacked) || pushed == answered || answered && a.Verdict != want {
-			t.Errorf("%q: %+v", effect, todo)
+		a, answered := firstEffect[Respond](todo)
+		if _, pushed := firstEffect[Push](todo); answered != (want == Nacked) || pushed == answered ||
+			answered && a.Verdict != want {
+			t.Errorf("effect %q: %+v", effect, todo)
 		}
 	}
 }
--- a/internal/scheduler/reducer/golden_test.go
+++ b/internal/scheduler/reducer/golden_test.go
@@ -6,7 +6,8 @@
 	"woaddyke/internal/testsupport/filled"
 )
 
-// Guards the JSON of what a reducer has learned, with the dispatcher's part in it, which a handover carries between builds.
-func TestLearnedKeepsItsForm(t *testing.T) {
+// Guards the JSON of the learned state, including the dispatcher's part, which a hot restart passes between
+// builds.
+func TestTheJSONOfLearnedStateIsUnchanged(t *testing.T) {
 	filled.CompareJSON(t, "testdata/learned.json.golden", filled.Value[LearnedState](t))
 }
--- a/internal/scheduler/reducer/inputs.go
+++ b/internal/scheduler/reducer/inputs.go
@@ -17,52 +17,52 @@
 	MachineKind  string
 	WorkerGroup  int
 	Ready        bool
-	Removed      bool          // it is in the list no more
-	BootID       int64         // names its present process, as discovery does
-	StartedAt    dispatch.Time // when that process started; 0: long ago
+	Removed      bool          // no longer in the list
+	BootID       int64         // discovery's ID of the worker's current process
+	StartedAt    dispatch.Time // when that process started; 0 if long ago
 }
 
-// EndpointsChanged is an endpoint list: a snapshot, or a delta. A cached one is from before the start.
+// EndpointsChanged is an endpoint list: a snapshot or a delta. A cached list was received before the start.
 type EndpointsChanged struct {
 	Snapshot, Cached bool
-	Revision         int64 // discovery's own; nothing is decided by it here
+	Revision         int64 // discovery's revision; the reducer does not use it
 	Endpoints        []Endpoint
 }
 
 // OpArrived is a new op; the host numbers ops and never uses a number twice.
 type OpArrived struct {
 	Op            uint64
-	ID            string // the client's own
+	ID            string // chosen by the client
 	Category      string
-	TTL           dispatch.Time // the moment at which the client gives up
+	TTL           dispatch.Time // when the client stops waiting
 	Slots, Memory float64
 	Work          dispatch.Time // the expected service time
-	AffinityKey   uint64        // of data that workers keep, hashed; 0 without
-	PriorAttempt  *PriorAttempt // nil for an op that ran nowhere before
-	Effect        string        // under which the frontend admitted it; empty where nothing depended on it
+	AffinityKey   uint64        // hash of the key of data that workers cache; 0 if none
+	PriorAttempt  *PriorAttempt // nil if no other scheduler may have run the op
+	Effect        string        // under which the frontend admitted the op; empty if nothing depended on it
 }
 
-// PriorAttempt is where an op may have run for another scheduler, and since when.
+// PriorAttempt records where and since when an op may have run for another scheduler.
 type PriorAttempt struct {
 	Group
 	StartedAt dispatch.Time
 }
 
-// Group is where repeats of an op may be dropped.
+// Group is a group of workers that may drop duplicates of an op.
 type Group struct {
 	Zone        string
 	WorkerGroup int
 }
 
-// ClientDisconnected says that an op's client has gone.
+// ClientDisconnected reports that an op's client has disconnected.
 type ClientDisconnected struct{ Op uint64 }
 
-// AttemptProgressed is a report of a running job; with Done below 0, the worker has acknowledged the
-// attempt.
+// AttemptProgressed reports the progress of a job; a FractionDone below 0 means that the worker acknowledged
+// the attempt.
 type AttemptProgressed struct {
-	Op      uint64
-	Started bool
-	Done    float64
+	Op           uint64
+	Started      bool
+	FractionDone float64
 }
 
 // AttemptEnded is the end of an op's attempt in flight.
@@ -70,7 +70,7 @@
 	Op         uint64
 	Ending     outcome.Ending
 	Result     []byte
-	LoadReport []byte // that came with it, if any
+	LoadReport []byte // empty if none came with the result
 }
 
 // ProbeEnded is the end of a load probe.
@@ -80,28 +80,29 @@
 	LoadReport []byte
 }
 
-// PeerMessage is another scheduler's message.
+// PeerMessage is a message from another scheduler.
 type PeerMessage struct {
 	Sender int
 	Text   string
 }
 
-// PeerLost says that another scheduler is dead: what it reported is void at once.
+// PeerLost reports that another scheduler is dead: its reports are discarded at once.
 type PeerLost struct{ Peer int }
 
-// PeerJoined says that another scheduler is new, or back as another process: it is notified of everything.
+// PeerJoined reports that another scheduler is new or has restarted as another process: it is sent all
+// current peer reports.
 type PeerJoined struct{ Peer int }
 
-// TimerFired says that the delay of the last SetTimer has passed.
+// TimerFired reports that the delay of the last SetTimer has passed.
 type TimerFired struct{}
 
-// ShutdownStarted says that all ops must have their answer by the deadline; the host sends it again at
-// that moment.
+// ShutdownStarted reports that all ops must have their answer by the deadline; the host sends it again at
+// the deadline.
 type ShutdownStarted struct{ Deadline dispatch.Time }
 
-// SettingsChanged brings other settings, of which the categories and the number of attempts are taken up.
-// Ops that were admitted keep their rules, and so do those that still come for a category that is no
-// longer in the settings, until RetainUntil.
+// SettingsChanged carries new settings, of which the categories and the number of attempts are applied.
+// Admitted ops keep their rules. Ops that arrive until RetainUntil for a category that is no longer in the
+// settings get the rules that it had.
 type SettingsChanged struct {
 	Settings    map[string]any
 	RetainUntil dispatch.Time
--- a/internal/scheduler/reducer/learned.go
+++ b/internal/scheduler/reducer/learned.go
@@ -2,18 +2,22 @@
 
 import "woaddyke/dispatch"
 
-// LearnedState is what a reducer hands on to the one of its process's successor.
+// LearnedState is the state that a reducer hands over to its successor process.
 type LearnedState struct {
 	Module  dispatch.Learned         `json:"module"`
-	Zones   []string                 `json:"zones"`   // whose verdicts Module.Zones are, in their order
-	IDs     map[string]dispatch.Time `json:"ids"`     // when each is free
-	Dropped map[string]dispatch.Time `json:"dropped"` // categories by the end of their retention
+	Zones   []string                 `json:"zones"`   // names of the zones in Module.Zones, in the same order
+	IDs     map[string]dispatch.Time `json:"ids"`     // when the reservation of each expires
+	Dropped map[string]dispatch.Time `json:"dropped"` // dropped categories, with the end of their retention
 }
 
-// Learned returns what is known now that a successor can't read anywhere.
+// Learned returns the current state that a successor can't get from any other source.
 func (r *Reducer) Learned() LearnedState {
-	l := LearnedState{Module: r.dispatcher.Learned(), Zones: make([]string, len(r.zones)), IDs: r.ids.expiries(),
-		Dropped: make(map[string]dispatch.Time, len(r.droppedCategories))}
+	l := LearnedState{
+		Module:  r.dispatcher.Learned(),
+		Zones:   make([]string, len(r.zones)),
+		IDs:     r.ids.expiries(),
+		Dropped: make(map[string]dispatch.Time, len(r.droppedCategories)),
+	}
 	for name, x := range r.droppedCategories {
 		l.Dropped[name] = x.retainUntil
 	}
@@ -28,8 +32,8 @@
 	return l
 }
 
-// Shift moves all moments by a span, to the clock of another process. What was decoded from a message may
-// be shifted, not what a reducer goes on with.
+// Shift adds an offset to all times, to convert them to another process's clock. It may be called only on a
+// state decoded from a message, not on one that a reducer still uses.
 func (l *LearnedState) Shift(by dispatch.Time) {
 	l.Module.Shift(by)
 	for id, until := range l.IDs {
@@ -42,19 +46,20 @@
 	}
 }
 
-// StateRestored brings what a predecessor's reducer had learned, after its endpoint list.
+// StateRestored carries the learned state of a predecessor's reducer. It follows the predecessor's endpoint
+// list.
 type StateRestored struct{ LearnedState }
 
 func (StateRestored) input() {}
 
-// restoreState goes on from a predecessor's state. A zone that is not known here, or had no verdicts
-// there, is left out.
+// restoreState restores a predecessor's state. It omits a zone that this reducer does not know, or for which
+// the predecessor had no verdicts.
 func (r *Reducer) restoreState(in StateRestored) {
-	theirs := in.Module.Zones
+	predecessorZones := in.Module.Zones
 	in.Module.Zones = make([][]dispatch.Verdict, len(r.zones))
-	for k, name := range in.Zones[:min(len(in.Zones), len(theirs))] {
+	for k, name := range in.Zones[:min(len(in.Zones), len(predecessorZones))] {
 		if z, ok := r.zones[name]; ok {
-			in.Module.Zones[z] = theirs[k]
+			in.Module.Zones[z] = predecessorZones[k]
 		}
 	}
 	r.dispatcher.RestoreLearned(in.Module)
@@ -63,14 +68,14 @@
 	r.pruneDroppedCategories()
 }
 
-// restoreDroppedCategories takes over dropped categories. Their rules are not in this process's
+// restoreDroppedCategories restores a predecessor's dropped categories. Their rules are not in this process's
 // configuration, so their ops are only nacked.
 func (r *Reducer) restoreDroppedCategories(retainUntil map[string]dispatch.Time) {
 	for name, until := range retainUntil {
 		_, inForce := r.categories[name]
 		_, known := r.droppedCategories[name]
 		if !inForce && !known {
-			r.droppedCategories[name] = droppedCategory{noPlace, until}
+			r.droppedCategories[name] = droppedCategory{noIndex, until}
 		}
 	}
 }
--- a/internal/scheduler/reducer/op_ids.go
+++ b/internal/scheduler/reducer/op_ids.go
@@ -8,27 +8,26 @@
 )
 
 const (
-	// minSweepSize is the number of IDs below which expired ones are not looked for.
+	// minSweepSize is the number of IDs below which expired ones are not deleted.
 	minSweepSize = 1024
-	// maxIDs bounds the reserved IDs beside those of open ops: a TTL is what a client says.
+	// maxIDs bounds the reserved IDs, except those of open ops: clients choose the TTLs, which may be long.
 	maxIDs = 1 << 17
-	// maxRetainedIDs is how many of the IDs of answered ops are left after a sweep at the bound.
+	// maxRetainedIDs is the number of IDs of answered ops that remain after a sweep at the bound.
 	maxRetainedIDs = maxIDs * 3 / 4
 )
 
-// reservedID is an ID that no other op may have for now.
+// reservedID is an ID that no other op may use until it expires.
 type reservedID struct {
-	expiresAt dispatch.Time // 0 while its op is open
-	order     uint64        // in which ops were answered
+	expiresAt     dispatch.Time // 0 while its op is open
+	releaseNumber uint64        // position in the order in which ops were answered
 }
 
-// idRegistry reserves the IDs, by their keys, of open ops, and of answered ones until their TTL: until
-// then the client of one may wait for it. Beyond the bound the IDs that were answered longest ago are
-// free.
+// idRegistry reserves the IDs, by their keys, of open ops, and of answered ops until their TTL, because the
+// client may wait until then. Beyond maxIDs, the IDs of the ops answered longest ago are freed.
 type idRegistry struct {
 	byID     map[string]reservedID
-	released uint64 // ops answered so far
-	sweepAt  int    // with so many IDs the expired ones are deleted
+	released uint64 // number of ops answered so far
+	sweepAt  int    // number of IDs that starts a sweep
 }
 
 func newIDRegistry() idRegistry { return idRegistry{byID: map[string]reservedID{}} }
@@ -51,27 +50,27 @@
 	}
 }
 
-// sweep deletes expired IDs, and beyond the bound those that were answered longest ago.
+// sweep deletes expired IDs and, beyond maxIDs, those of the ops answered longest ago.
 func (x *idRegistry) sweep(now dispatch.Time) {
-	x.deleteAnswered(func(r reservedID) bool { return r.expiresAt < now })
+	x.deleteReleased(func(r reservedID) bool { return r.expiresAt < now })
 	if len(x.byID) >= maxIDs {
-		x.deleteAnswered(func(r reservedID) bool { return r.order+maxRetainedIDs <= x.released })
+		x.deleteReleased(func(r reservedID) bool { return r.releaseNumber+maxRetainedIDs <= x.released })
 	}
 	x.scheduleSweep()
 }
 
-// deleteAnswered deletes IDs of answered ops.
-func (x *idRegistry) deleteAnswered(suits func(reservedID) bool) {
-	maps.DeleteFunc(x.byID, func(_ string, r reservedID) bool { return r.expiresAt > 0 && suits(r) })
+// deleteReleased deletes the IDs of answered ops that match.
+func (x *idRegistry) deleteReleased(match func(reservedID) bool) {
+	maps.DeleteFunc(x.byID, func(_ string, r reservedID) bool { return r.expiresAt > 0 && match(r) })
 }
 
-// scheduleSweep sets the next sweep: at twice the IDs, at the bound at the latest, or soon where that is
-// passed.
+// scheduleSweep sets the size that starts the next sweep: twice the current number of IDs, at most maxIDs,
+// but at least minSweepSize more than now.
 func (x *idRegistry) scheduleSweep() {
 	x.sweepAt = max(min(2*len(x.byID), maxIDs), len(x.byID)+minSweepSize)
 }
 
-// restore reserves the IDs of a predecessor's ops; its open ones have their answers by their TTL.
+// restore reserves the IDs of a predecessor's ops; its open ops are answered by their TTL.
 func (x *idRegistry) restore(until map[string]dispatch.Time) {
 	for key, expiresAt := range until {
 		id := opkey.PeerKey(key)
@@ -82,7 +81,7 @@
 	x.scheduleSweep()
 }
 
-// expiries returns when each ID is free; 0 for one of an open op.
+// expiries returns when the reservation of each ID expires; 0 for an open op.
 func (x *idRegistry) expiries() map[string]dispatch.Time {
 	all := make(map[string]dispatch.Time, len(x.byID))
 	for id, t := range x.byID {
--- a/internal/scheduler/reducer/op_ids_test.go
+++ b/internal/scheduler/reducer/op_ids_test.go
@@ -9,42 +9,46 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// An ID stays reserved until the TTL of its op, which may be a day: the IDs of answered ops filled the
-// memory. Beyond a bound those that were answered longest ago are free again; one of an open op never is.
+// Guards against unbounded memory for the IDs of answered ops: an ID stays reserved until the TTL of its op,
+// which may be a day away. Beyond a bound, the IDs of the ops answered longest ago are freed; the ID of an
+// open op never is.
 func TestTheIDsOfAnsweredOpsAreBounded(t *testing.T) {
-	const most, ops = 150_000, 400_000
-	r := started()
+	const maxTracked, ops = 150_000, 400_000
+	r := newTestReducer()
 	now := second
-	ask := func(number uint64, id string) Verdict {
-		if a, ok := first[Respond](r.Step(now, OpArrived{Op: number, ID: id, Category: "look", TTL: now + 24*3600*second})); ok {
+	submit := func(number uint64, id string) Verdict {
+		if a, ok := firstEffect[Respond](r.Step(now, OpArrived{
+			Op: number, ID: id, Category: "look", TTL: now + 24*3600*second,
+		})); ok {
 			return a.Verdict
 		}
 		return -1
 	}
-	if got := ask(1, "held"); got != -1 {
+	if got := submit(1, "held"); got != -1 {
 		t.Fatal(got)
 	}
 	for n := range uint64(ops) {
 		now++
-		if got := ask(2+n, fmt.Sprint("id", n)); got != -1 {
+		if got := submit(2+n, fmt.Sprint("id", n)); got != -1 {
 			t.Fatalf("op %d: %v", n, got)
 		}
 		r.Step(now, AttemptEnded{Op: 2 + n, Ending: outcome.Done})
-		if len(r.ids.byID) > most {
-			t.Fatalf("%d ids are kept after %d ops", len(r.ids.byID), n+1)
+		if len(r.ids.byID) > maxTracked {
+			t.Fatalf("%d IDs are reserved after %d ops", len(r.ids.byID), n+1)
 		}
 	}
 	for _, id := range []string{"held", fmt.Sprint("id", ops-1), fmt.Sprint("id", ops-20_000)} {
-		if got := ask(ops+9, id); got != DuplicateID {
-			t.Errorf("%s: %v, not taken", id, got)
+		if got := submit(ops+9, id); got != DuplicateID {
+			t.Errorf("ID %s: %v, want a duplicate", id, got)
 		}
 	}
 }
 
-// All ids that are kept, however long their clients wrote them, go over to the next process in a part of what one message may hold.
-func TestAllIDsThatAreKeptFitIntoAHandover(t *testing.T) {
-	const part = 12 << 20
-	r := started()
+// All retained IDs, however long the clients' IDs are, take only a part of the handover message to the
+// successor.
+func TestAllRetainedIDsFitIntoAHandover(t *testing.T) {
+	const maxBytes = 12 << 20
+	r := newTestReducer()
 	now := second
 	for n := range uint64(maxIDs) {
 		id := fmt.Sprint(n, strings.Repeat("<long>", 20))
@@ -53,7 +57,7 @@
 	}
 	learned := r.Learned()
 	text, err := json.Marshal(learned)
-	if err != nil || len(learned.IDs) < maxRetainedIDs || len(text) > part {
-		t.Errorf("%d ids take %d bytes, %v", len(learned.IDs), len(text), err)
+	if err != nil || len(learned.IDs) < maxRetainedIDs || len(text) > maxBytes {
+		t.Errorf("%d IDs take %d bytes, %v", len(learned.IDs), len(text), err)
 	}
 }
--- a/internal/scheduler/reducer/ops.go
+++ b/internal/scheduler/reducer/ops.go
@@ -6,10 +6,10 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// unknownZone is the zone of a prior attempt in a zone that is not known here.
+// unknownZone stands for the zone of a prior attempt that is not in this reducer's list of zones.
 const unknownZone = -1
 
-// op is an op that was admitted and is not forgotten, by the index that the dispatcher knows it by.
+// op is an admitted op that is not forgotten. Its index in Reducer.ops is the dispatcher's index for it.
 type op struct {
 	number   uint64
 	id       string
@@ -21,23 +21,24 @@
 	answered bool // or its client has disconnected
 }
 
-// admitOp gives an op to the dispatcher, or answers it at once.
+// admitOp passes an op to the dispatcher, or answers it immediately.
 func (r *Reducer) admitOp(now dispatch.Time, in OpArrived) []Effect {
-	place, ok := r.categoryPlace(now, in.Category)
+	category, ok := r.categoryIndex(now, in.Category)
 	if !ok {
 		return rejectOp(in, r.unknownCategoryVerdict(in.Category))
 	}
-	if in.Effect != "" && dispatch.Effect(in.Effect) != r.dispatcher.CategoryEffect(place) {
-		// The settings have changed since the frontend read the op: it would run under another effect.
+	if in.Effect != "" && dispatch.Effect(in.Effect) != r.dispatcher.CategoryEffect(category) {
+		// The settings have changed since the frontend admitted the op: it would run under another effect.
 		return rejectOp(in, Nacked)
 	}
-	// A second op of one ID would run twice at its worker, also after the answer: the first may still run.
+	// A second op with the same ID would run as a copy of the first, even after the first one's answer: the
+	// first may still run.
 	id := opkey.FromID(in.ID)
 	if r.ids.isReserved(now, id) {
 		return rejectOp(in, DuplicateID)
 	}
-	i := r.takeOpIndex()
-	if !r.dispatcher.AddOp(i, r.opSpec(place, in)) {
+	i := r.allocateOpIndex()
+	if !r.dispatcher.AddOp(i, r.opSpec(category, in)) {
 		r.freeOps = append(r.freeOps, i)
 		return rejectOp(in, UnknownCategory)
 	}
@@ -54,8 +55,8 @@
 	return []Effect{Respond{Op: in.Op, Verdict: verdict}}
 }
 
-// unknownCategoryVerdict is a nack for a dropped category: the op never ran, and its client made no
-// mistake.
+// unknownCategoryVerdict returns a nack for a dropped category: the op never ran, and the client's request
+// was valid.
 func (r *Reducer) unknownCategoryVerdict(category string) Verdict {
 	if _, dropped := r.droppedCategories[category]; dropped {
 		return Nacked
@@ -63,8 +64,8 @@
 	return UnknownCategory
 }
 
-// takeOpIndex takes a free index, or makes one.
-func (r *Reducer) takeOpIndex() (i int) {
+// allocateOpIndex returns a free index, or appends a new one.
+func (r *Reducer) allocateOpIndex() (i int) {
 	if n := len(r.freeOps); n > 0 {
 		i, r.freeOps = r.freeOps[n-1], r.freeOps[:n-1]
 		return i
@@ -73,8 +74,8 @@
 	return len(r.ops) - 1
 }
 
-func (r *Reducer) opSpec(place int, in OpArrived) dispatch.OpSpec {
-	spec := dispatch.OpSpec{Category: place, TTL: in.TTL, Slots: max(in.Slots, 1), Memory: in.Memory,
+func (r *Reducer) opSpec(category int, in OpArrived) dispatch.OpSpec {
+	spec := dispatch.OpSpec{Category: category, TTL: in.TTL, Slots: max(in.Slots, 1), Memory: in.Memory,
 		Work: in.Work, AffinityKey: in.AffinityKey}
 	if p := in.PriorAttempt; p != nil {
 		zone, ok := r.zones[p.Zone]
@@ -86,8 +87,8 @@
 	return spec
 }
 
-// disconnectClient ends what is done for a client that has gone. Where attempts may not be cancelled, one
-// that is not written yet still need not be.
+// disconnectClient ends the work for a client that has disconnected. If attempts may not be cancelled, an
+// attempt that is not written yet is still cancelled.
 func (r *Reducer) disconnectClient(number uint64) []Effect {
 	i, ok := r.opsByNumber[number]
 	if !ok {
@@ -105,8 +106,8 @@
 	return nil
 }
 
-// startShutdown cuts the TTLs of all ops short. At the deadline itself attempts in flight time out, as at
-// a TTL.
+// startShutdown limits the TTLs of all ops to the deadline. At the deadline, attempts in flight time out as
+// at a TTL.
 func (r *Reducer) startShutdown(now, deadline dispatch.Time) (todo []Effect) {
 	r.shutdownDeadline = deadline
 	r.dispatcher.LimitDeadlines(deadline)
--- a/internal/scheduler/reducer/race_test.go
+++ b/internal/scheduler/reducer/race_test.go
@@ -2,6 +2,6 @@
 
 package reducer
 
-// The race detector makes a change ten times slower, and what it looks for here does not grow with their
-// number.
+// The race detector slows a settings change tenfold, and the number of changes does not affect which races it
+// can find here.
 func init() { dayOfChanges = 800 }
--- a/internal/scheduler/reducer/reducer.go
+++ b/internal/scheduler/reducer/reducer.go
@@ -1,6 +1,6 @@
-// Package reducer holds the ops that a scheduler has admitted and has not forgotten. Its one reducer
-// takes an input with its time, gives it to the dispatcher, pulls the decisions and returns them as
-// effects for the host to carry out. It does no input or output, reads no clock and starts nothing.
+// Package reducer holds the ops that a scheduler has admitted and has not forgotten. Its reducer takes an
+// input with its time, passes it to the dispatcher, pulls the decisions and returns them as effects for the
+// host to carry out. It does no I/O, reads no clock and starts no goroutine.
 package reducer
 
 import (
@@ -9,25 +9,25 @@
 	"woaddyke/internal/workers/loadreport"
 )
 
-// Reducer holds a scheduler's ops and the names of what its dispatcher knows by numbers. All its state
-// changes in Step.
+// Reducer holds a scheduler's ops and maps names to the numbers that its dispatcher uses. Its state changes
+// only in Step.
 type Reducer struct {
-	dispatcher         *dispatch.Dispatcher
-	report             loadreport.Format
-	reportsInline      bool // load reports come with the ends of attempts
-	cancelsAttempts    bool
-	distinguishesKinds bool // of machines; else all share their samples
+	dispatcher                *dispatch.Dispatcher
+	reportFormat              loadreport.Format
+	reportsInline             bool // load reports come with the ends of attempts
+	cancelsAttempts           bool
+	distinguishesMachineKinds bool // otherwise all machines share their samples
 
-	categories        map[string]int // the dispatcher's place of each
+	categories        map[string]int // the dispatcher's indices
 	droppedCategories map[string]droppedCategory
 
-	zones           map[string]int
-	kinds           map[string]int // of machines
-	workers         []worker       // by index
-	workersByName   map[string]int
-	workersByTag    map[string]int // by the tags that peer messages carry
-	freeWorkers     []int          // indices
-	forgetWorkersAt int            // with more workers than that, those that have left are forgotten
+	zones              map[string]int
+	machineKinds       map[string]int // numbers
+	workers            []worker       // by index
+	workersByName      map[string]int
+	workersByTag       map[string]int // indices, by the tags that peer messages carry
+	freeWorkers        []int          // indices
+	forgetWorkersAbove int            // number of workers above which those that left the list are forgotten
 
 	ops              []op           // by index
 	opsByNumber      map[uint64]int // indices
@@ -38,32 +38,33 @@
 	shutdownDeadline dispatch.Time // 0 before ShutdownStarted
 }
 
-// New starts a reducer from a scheduler's seed and its flat settings.
+// New returns a reducer for a scheduler's seed and its flattened settings.
 func New(seed uint64, flat map[string]any) *Reducer {
 	settings := config.DecisionSettings(flat)
 	r := &Reducer{
-		dispatcher:         dispatch.New(seed, settings),
-		report:             config.ReportFormatOf(flat),
-		reportsInline:      flat["report.how"] == "inline",
-		cancelsAttempts:    settings.CancelsAttempts,
-		distinguishesKinds: flat["kinds"] == true,
-		droppedCategories:  map[string]droppedCategory{},
-		zones:              map[string]int{},
-		kinds:              map[string]int{},
-		workersByName:      map[string]int{},
-		workersByTag:       map[string]int{},
-		opsByNumber:        map[uint64]int{},
-		ids:                newIDRegistry(),
-		probes:             map[uint64]probe{},
+		dispatcher:                dispatch.New(seed, settings),
+		reportFormat:              config.ReportFormatOf(flat),
+		reportsInline:             flat["report.how"] == "inline",
+		cancelsAttempts:           settings.CancelsAttempts,
+		distinguishesMachineKinds: flat["kinds"] == true,
+		droppedCategories:         map[string]droppedCategory{},
+		zones:                     map[string]int{},
+		machineKinds:              map[string]int{},
+		workersByName:             map[string]int{},
+		workersByTag:              map[string]int{},
+		opsByNumber:               map[uint64]int{},
+		ids:                       newIDRegistry(),
+		probes:                    map[uint64]probe{},
 	}
-	r.categories = placesByName(settings.Categories, r.dispatcher.SetCategories(settings))
+	r.categories = indicesByName(settings.Categories, r.dispatcher.SetCategories(settings))
 	for i, zone := range config.StringList(flat, "failureDomains") {
 		r.zones[zone] = i
 	}
 	return r
 }
 
-// SetShadowSettings has the dispatcher count what other flat settings would have had it decide otherwise.
+// SetShadowSettings makes the dispatcher count the decisions that other flattened settings would have
+// changed.
 func (r *Reducer) SetShadowSettings(flat map[string]any) {
 	r.dispatcher.SetShadowSettings(config.DecisionSettings(flat))
 }
@@ -74,7 +75,7 @@
 	return n[dispatch.ShadowedPair], n[dispatch.ShadowedPlacement], n[dispatch.ShadowedReport]
 }
 
-// Step takes an input and returns what is to be done.
+// Step applies an input and returns the effects to carry out.
 func (r *Reducer) Step(now dispatch.Time, in Input) []Effect {
 	r.dispatcher.AdvanceClock(now)
 	var todo []Effect
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,6 +1,6 @@
 // Package scheduler runs the event loop of a dispatcher: it feeds ops, load reports, endpoint lists and
-// timers to the reducer, and carries out the effects that the reducer returns. It knows nothing of the
-// protocol that clients speak: a frontend submits ops, and implements Client for whoever waits for them.
+// timers to the reducer, and carries out the effects that the reducer returns. It does not depend on the
+// client protocol: a frontend submits ops and implements Client for the side that waits for the answer.
 package scheduler
 
 import (
@@ -20,88 +20,90 @@
 )
 
 const (
-	// MaxTTL is the longest time that a client may wait for an op. A frontend cuts longer ones to it.
+	// MaxTTL is the longest time that a client may wait for an op. A frontend caps longer times at it.
 	MaxTTL = 24 * time.Hour
 
-	inboxSize = 256 // messages that wait for the loop
+	inboxSize = 256 // messages queued for the loop
 
-	// learnedTimeout bounds the wait for what the reducer has learned: a successor starts without it
-	// after that.
+	// learnedTimeout bounds the wait for the reducer's learned state; after it, a successor starts without
+	// that state.
 	learnedTimeout = 2 * time.Second
 
-	// maxDispatchDelay is added to the connect timeout for the time from a decision to the first byte of its
-	// attempt: the process may be held up and come late to a connection that is up.
+	// maxDispatchDelay is added to the connect timeout to bound the time from a decision to the first byte of
+	// its attempt: a stalled process may write late to a connection that is already up.
 	maxDispatchDelay = 300 * time.Millisecond
 )
 
 var (
-	// ErrStopped says that the loop takes nothing more.
+	// ErrStopped is returned once the loop accepts no more messages.
 	ErrStopped = errors.New("the scheduler has ended")
 
-	// ErrBusy says that the loop did not answer a query in time.
+	// ErrBusy is returned when the loop does not answer a query in time.
 	ErrBusy = errors.New("the scheduler's loop is busy")
 )
 
-// Message is what the loop takes: an Input, a Submit or a Query.
+// Message is sent to the loop: an Input, a Submit or a Query.
 type Message interface{ message() }
 
 // Input is an event for the reducer.
 type Input struct{ Event reducer.Input }
 
-// Submit hands an admitted op to the loop, with the terms on which it was admitted.
+// Submit passes an admitted op to the loop, with the settings under which it was admitted.
 type Submit struct {
 	Op           reducer.OpArrived
 	Client       Client
-	Deadline     time.Time           // the moment at which the client gives up
+	Deadline     time.Time           // when the client stops waiting
 	Rule         config.CategoryRule // of the op's category, at its arrival
 	MaxAttempts  int                 // at its arrival
 	ClaimGranted bool                // the replicas granted the claim to run it
 
-	// Reply gets the one final answer. It must have space for it: the loop doesn't wait.
+	// Reply receives the one final answer. It must be buffered: the loop sends without waiting.
 	Reply chan<- reducer.Respond
 }
 
-// Query reads the loop's state between two steps. The loop waits for it, and the state is valid only
-// during the call.
+// Query reads the loop's state between two steps. The loop waits until the call returns, and the state is
+// valid only during the call.
 type Query func(State)
 
 func (Input) message()  {}
 func (Submit) message() {}
 func (Query) message()  {}
 
-// State is what a Query may read.
+// State is the part of the loop's state that a Query reads.
 type State struct {
 	Reducer   *reducer.Reducer
-	Submitted uint64 // ops taken since the start
-	Pending   int    // of them, those without an answer
+	Submitted uint64 // ops accepted since the start
+	Pending   int    // accepted ops without an answer
 }
 
-// Client is the side of an op that waits for its answer. The loop and the goroutines that write to
-// workers call it.
+// Client is the side that waits for an op's answer. The loop and the goroutines that write to workers call
+// its methods.
 type Client interface {
-	// Disconnected tells whether the frontend has noticed that the client is gone. It makes no system call.
+	// Disconnected reports whether the frontend has noticed that the client disconnected. It makes no system
+	// call.
 	Disconnected() bool
 
-	// CheckConnected looks at the client's connection itself. It is called before each write to a worker.
+	// CheckConnected checks the client's connection itself and reports whether the client is still connected.
+	// It is called before each write to a worker.
 	CheckConnected() bool
 
-	// Request returns the request as it goes to a worker that has so much time left.
+	// Request returns the encoded request for a worker, with the time left until the client's deadline.
 	Request(left time.Duration) []byte
 
-	// MayHaveRun reports that the last attempt may have run in a group of workers. The loop calls it once or
-	// more for such an attempt, before it answers the op.
+	// MayHaveRun records that the last attempt may have run in a worker group. For such an attempt the loop
+	// calls it at least once before it answers the op.
 	MayHaveRun(group reducer.Group)
 }
 
-// Policy is what the invariant checks compare attempts with: the settings in force. It may be called from any
-// goroutine.
+// Policy returns the settings in force, with which the invariant checks compare attempts. Its methods may be
+// called from any goroutine.
 type Policy interface {
 	Rule(category string) config.CategoryRule
 	MaxAttempts() int
-	ClaimRequired(category string) bool // before an op of the category may run
+	ClaimRequired(category string) bool // before an op of the category runs
 }
 
-// Options are what a loop is made from.
+// Options configures a Loop.
 type Options struct {
 	Reducer *reducer.Reducer
 	Workers *workerconn.Pool
@@ -111,35 +113,35 @@
 	Clock   clock.Clock
 	Log     zerolog.Logger
 
-	ProbeRequest   []byte        // a load probe as it goes to a worker
+	ProbeRequest   []byte        // an encoded load probe
 	ConnectTimeout time.Duration // of a dial to a worker
-	DrainGrace     time.Duration // for which a worker may still get attempts after its drain was announced
+	DrainGrace     time.Duration // how long a worker still gets attempts after its drain was announced
 
 	SendToPeer func(peer int, text string) // sends a message to another scheduler; it may be lost
 	OnStep     func(now time.Time)         // called at each step, and at least once a second
 
-	PublishWorkerCounts bool // sets the counts of workers in Metrics
-	LogDivergence       bool // logs how often shadow settings decided otherwise
+	PublishWorkerCounts bool // sets the worker counts in Metrics
+	LogDivergence       bool // logs how often shadow settings would have decided differently
 }
 
-// Loop feeds the reducer and carries out its effects. Run's goroutine alone uses the fields of the second
+// Loop feeds the reducer and carries out its effects. Only Run's goroutine uses the fields of the second
 // group.
 type Loop struct {
 	opts           Options
 	inbox          chan Message
-	done           chan struct{} // closed once Run takes nothing more
+	done           chan struct{} // closed once Run receives no more messages
 	endpointsReady chan struct{} // closed with the first endpoint list that is not cached
-	unapplied      atomic.Int64  // endpoint lists sent and not applied
+	unappliedLists atomic.Int64  // endpoint lists sent and not applied
 
 	submitted    uint64
-	listReceived bool // listed is closed
+	listReceived bool // endpointsReady is closed
 	pending      map[uint64]*pendingOp
 	inFlight     map[uint64]*workerconn.Exchange // by op
 	timer        *time.Timer
 	checks       *checks
 }
 
-// New returns a loop that Run starts. Messages may be sent before that, up to the size of the inbox.
+// New returns a loop that Run starts. Up to inboxSize messages may be sent before Run.
 func New(o Options) *Loop {
 	return &Loop{
 		opts:           o,
@@ -153,10 +155,10 @@
 	}
 }
 
-// Send hands an event to the reducer. It waits for space in the inbox, but not for a loop that has ended.
+// Send passes an event to the reducer. It waits for space in the inbox, unless the loop has ended.
 func (l *Loop) Send(event reducer.Input) {
 	if _, list := event.(reducer.EndpointsChanged); list {
-		l.unapplied.Add(1)
+		l.unappliedLists.Add(1)
 	}
 	select {
 	case l.inbox <- Input{event}:
@@ -164,8 +166,8 @@
 	}
 }
 
-// Submit hands an op to the loop. It gives up when the context ends, which is that of the op's client: an
-// op whose client is gone by then is never taken.
+// Submit passes an op to the loop. It returns an error when ctx, the context of the op's client, ends: an op
+// whose client has disconnected by then is never accepted.
 func (l *Loop) Submit(ctx context.Context, s Submit) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -180,19 +182,19 @@
 	}
 }
 
-// Inbox is for senders that must not wait. Endpoint lists and ops go by Send and Submit.
+// Inbox is for senders that must not block. Endpoint lists and ops must be sent by Send and Submit.
 func (l *Loop) Inbox() chan<- Message { return l.inbox }
 
-// Done is closed once the loop takes nothing more.
+// Done is closed once the loop receives no more messages.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
 // EndpointsReady is closed once discovery has sent an endpoint list.
 func (l *Loop) EndpointsReady() <-chan struct{} { return l.endpointsReady }
 
-// HasUnappliedLists tells whether an endpoint list has been sent that the reducer hasn't got yet.
-func (l *Loop) HasUnappliedLists() bool { return l.unapplied.Load() > 0 }
+// HasUnappliedLists reports whether an endpoint list was sent that the reducer has not applied yet.
+func (l *Loop) HasUnappliedLists() bool { return l.unappliedLists.Load() > 0 }
 
-// Learned returns what the reducer has learned, or ErrBusy.
+// Learned returns the reducer's learned state, or ErrBusy.
 func (l *Loop) Learned() (reducer.LearnedState, error) {
 	learned := make(chan reducer.LearnedState, 1)
 	timeout := time.After(learnedTimeout)
--- a/internal/scheduler/window_test.go
+++ b/internal/scheduler/window_test.go
@@ -14,18 +14,19 @@
 	"woaddyke/internal/testsupport/fragmentpeer"
 )
 
-// A repeat of a deduplicated op is decided on within the window in which its worker group drops it, and is held up on its way: a dial that takes
-// its whole time, a list that is being read, a worker whose machine takes nothing. It must not be written once the window is over.
-func TestNoRepeatIsWrittenAfterItsWindow(t *testing.T) {
+// A retry of a deduplicated op is decided within the deduplication window of its worker group, but its write
+// is delayed: by a dial that takes its whole timeout, an endpoint list that is being read, or a worker whose
+// machine accepts no data. It must not be written after the window.
+func TestNoRetryIsWrittenAfterTheDeduplicationWindow(t *testing.T) {
 	const (
-		window  = 400 * time.Millisecond
-		resets  = 200 * time.Millisecond // after the first attempt, which may have run by then
-		held    = 460 * time.Millisecond // the repeat may be written again, so long after the first attempt
-		socket  = 50 * time.Millisecond  // by which limits are longer on sockets
-		further = 300 * time.Millisecond // for a repeat that must not come
+		window       = 400 * time.Millisecond
+		resetAfter   = 200 * time.Millisecond // from a request to its reset; the attempt may have run
+		retryHeld    = 460 * time.Millisecond // from the first attempt, until the retry may be written
+		tolerance    = 50 * time.Millisecond  // for delays of the sockets
+		observeAfter = 300 * time.Millisecond // from the answer, for a retry that must not arrive
 	)
 	var mu sync.Mutex
-	var came []time.Time
+	var arrivals []time.Time
 	worker := fragmentpeer.Serve(t, func(c *net.TCPConn) {
 		for in := bufio.NewReader(c); ; {
 			line, err := in.ReadString('\n')
@@ -36,38 +37,38 @@
 				continue
 			}
 			mu.Lock()
-			came = append(came, time.Now())
+			arrivals = append(arrivals, time.Now())
 			mu.Unlock()
-			time.Sleep(resets)
+			time.Sleep(resetAfter)
 			c.SetLinger(0)
 			c.Close()
 		}
 	})
 	rule := config.CategoryRule{Effect: deduplicated, Scope: "all", Window: window}
-	l := newLoopOf(t, worker, 3, rule, map[string]any{"name": "look", "effect": "dedup", "dedupScope": "all",
-		"windowNs": float64(window), "ttlNs": 60e9, "targetLatencyNs": 60e9})
-	l.opts.Workers.Stale = func() bool { // the repeat is held up, the first attempt is not
+	l := newLoopWithCategory(t, worker, 3, rule, map[string]any{"name": "look", "effect": "dedup",
+		"dedupScope": "all", "windowNs": float64(window), "ttlNs": 60e9, "targetLatencyNs": 60e9})
+	l.opts.Workers.Stale = func() bool { // delays the retry, but not the first attempt
 		mu.Lock()
 		defer mu.Unlock()
-		return len(came) > 0 && time.Since(came[0]) < held
+		return len(arrivals) > 0 && time.Since(arrivals[0]) < retryHeld
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go l.Run(ctx)
-	op, reply := submission(l, 1, &stubClient{})
+	op, reply := newSubmission(l, 1, &stubClient{})
 	op.Rule, op.MaxAttempts = rule, 3
 	if err := l.Submit(ctx, op); err != nil {
 		t.Fatal(err)
 	}
-	if answer := receive(t, "the op's answer", reply); answer.Verdict == reducer.Acked {
+	if answer := await(t, "the op's answer", reply); answer.Verdict == reducer.Acked {
 		t.Errorf("%+v", answer)
 	}
-	time.Sleep(further)
+	time.Sleep(observeAfter)
 	mu.Lock()
 	defer mu.Unlock()
-	for _, at := range came[1:] {
-		if after := at.Sub(came[0]); after > window+socket {
-			t.Errorf("a repeat came %v after the first attempt, the window is %v", after, window)
+	for _, at := range arrivals[1:] {
+		if after := at.Sub(arrivals[0]); after > window+tolerance {
+			t.Errorf("a retry arrived %v after the first attempt, the window is %v", after, window)
 		}
 	}
 }
--- a/internal/scheduler/worker_states.go
+++ b/internal/scheduler/worker_states.go
@@ -7,25 +7,26 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// minSweepSize is the number of workers, beyond twice those of the last sweep, from which on a delta
-// starts a sweep.
+// minSweepSize is the number of workers above twice the count after the last sweep at which a delta starts
+// the next sweep.
 const minSweepSize = 1024
 
-// workerStates knows since when each worker accepts nothing new. The loop updates it, and writers to
-// workers ask it.
+// workerStates records since when each worker has been draining. The loop updates it, and goroutines that
+// write to workers query it.
 type workerStates struct {
 	drainGrace time.Duration
 
 	mu            sync.Mutex
 	drainingSince map[string]time.Time // zero for a worker that is ready
-	sweepSize     int                  // number of workers at which those that are gone for long are deleted
+	sweepSize     int                  // number of workers that starts a sweep
 }
 
 func newWorkerStates(drainGrace time.Duration) *workerStates {
 	return &workerStates{drainGrace: drainGrace, drainingSince: map[string]time.Time{}}
 }
 
-// update applies an endpoint list. A delta costs what has changed, except for a sweep now and then.
+// update applies an endpoint list. The cost of a delta is proportional to its changes, except for an
+// occasional sweep.
 func (w *workerStates) update(in reducer.EndpointsChanged, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -44,7 +45,8 @@
 	}
 }
 
-// sweep marks workers that a snapshot no longer lists, and deletes those for which no attempt can be waiting.
+// sweep marks workers that a snapshot no longer lists as draining, and deletes those that have been draining
+// for longer than MaxTTL: no attempt can be waiting for them.
 func (w *workerStates) sweep(snapshot bool, listed map[string]bool, now time.Time) {
 	for worker, since := range w.drainingSince {
 		switch {
@@ -57,7 +59,7 @@
 	w.sweepSize = 2*len(w.drainingSince) + minSweepSize
 }
 
-// accepts tells whether a worker accepts attempts, or has been draining for less than the grace.
+// accepts reports whether a worker accepts attempts, or has been draining for no longer than the grace.
 func (w *workerStates) accepts(worker string, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
