--- a/internal/scheduler/checks_test.go
+++ b/internal/scheduler/checks_test.go
@@ -117,7 +117,7 @@
 	checks.opsByID["a"] = 7
 	checks.attemptStarting(time.Now(), newPendingOp(atMostOnceRule, nil), reducer.Push{Op: 1})
 	if checks.Counts()["starting"] != 2 {
-		t.Errorf("%v", checks.Counts())
+		t.Errorf("violations: %v, want 2 of starting", checks.Counts())
 	}
 }
 
--- a/internal/scheduler/loop_test.go
+++ b/internal/scheduler/loop_test.go
@@ -127,7 +127,7 @@
 	addr, attempts := startWorker(t)
 	l := newLoop(t, addr)
 	go l.Run(t.Context())
-	await(t, "listed", l.EndpointsReady())
+	await(t, "the first endpoint list", l.EndpointsReady())
 	client := &stubClient{}
 	op, reply := newSubmission(l, 1, client)
 	if err := l.Submit(t.Context(), op); err != nil {
@@ -208,10 +208,10 @@
 	l := newLoop(t, "127.0.0.1:9")
 	start := time.Now()
 	if _, err := l.Learned(); !errors.Is(err, ErrBusy) {
-		t.Errorf("of a loop that doesn't run: %v", err)
+		t.Errorf("a loop that doesn't run: %v, want %v", err, ErrBusy)
 	}
 	if waited := time.Since(start); waited < learnedTimeout {
-		t.Errorf("it timed out after %v", waited)
+		t.Errorf("it timed out after %v, want at least %v", waited, learnedTimeout)
 	}
 	go l.Run(t.Context())
 	if _, err := l.Learned(); err != nil {
--- a/internal/scheduler/reducer/changes_test.go
+++ b/internal/scheduler/reducer/changes_test.go
@@ -175,7 +175,7 @@
 				if a, _ := firstEffect[Respond](r.Step(now, OpArrived{
 					Op: lastOp, ID: fmt.Sprint(lastOp), Category: c, TTL: now + 1<<40,
 				})); a.Verdict != Nacked {
-					report("an op of the dropped category %s is answered %v", c, a.Verdict)
+					report("an op of the dropped category %s is answered %v, want %v", c, a.Verdict, Nacked)
 				}
 			}
 		}
@@ -252,7 +252,8 @@
 		t.Errorf("index %d is in use, want below %d", highestIndex, maxIndex)
 	}
 	if len(r.droppedCategories) > maxDroppedCategories || len(r.opsByNumber) != openOps {
-		t.Errorf("%d dropped categories and %d ops remain", len(r.droppedCategories), len(r.opsByNumber))
+		t.Errorf("%d dropped categories and %d ops remain, want at most %d categories and exactly %d ops",
+			len(r.droppedCategories), len(r.opsByNumber), maxDroppedCategories, openOps)
 	}
 	for i := range openOps { // admitted as redeliverable; their categories' effect changed and changed back
 		todo := r.Step(now, AttemptEnded{Op: uint64(i + 1), Ending: outcome.Reset})
--- a/internal/scheduler/window_test.go
+++ b/internal/scheduler/window_test.go
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	if answer := await(t, "the op's answer", reply); answer.Verdict == reducer.Acked {
-		t.Errorf("%+v", answer)
+		t.Errorf("the op was acked: %+v", answer)
 	}
 	time.Sleep(observeAfter)
 	mu.Lock()
