--- a/internal/scheduler/reducer/attempts.go
+++ b/internal/scheduler/reducer/attempts.go
@@ -16,26 +16,26 @@
 }
 
 // endAttempt records the end of an attempt. A successful attempt answers its op.
-func (r *Reducer) endAttempt(now dispatch.Time, in AttemptEnded) (todo []Effect) {
+func (r *Reducer) endAttempt(now dispatch.Time, in AttemptEnded) (effects []Effect) {
 	i, ok := r.opsByNumber[in.Op]
 	if !ok || !r.ops[i].inFlight {
 		return nil
 	}
 	o := &r.ops[i]
 	o.inFlight = false
-	how := in.Ending.Outcome()
-	succeeded := how == dispatch.Succeeded
+	outcome := in.Ending.Outcome()
+	succeeded := outcome == dispatch.Succeeded
 	if succeeded && !o.answered {
 		o.answered = true
-		todo = append(todo, Respond{Op: in.Op, Verdict: Acked, Result: in.Result})
+		effects = append(effects, Respond{Op: in.Op, Verdict: Acked, Result: in.Result})
 	}
-	r.dispatcher.AttemptEnded(i, o.attempts-1, how, succeeded)
+	r.dispatcher.AttemptEnded(i, o.attempts-1, outcome, succeeded)
 	if r.reportsInline && len(in.LoadReport) > 0 {
 		if load, err := r.reportFormat.FromJSON(in.LoadReport); err == nil {
 			r.dispatcher.ProbeAnswered(o.worker, now-o.sentAt, load)
 		}
 	}
-	return todo
+	return effects
 }
 
 // endProbe records the end of a load probe. A probe with an unreadable load report counts as failed.
@@ -45,14 +45,14 @@
 		return
 	}
 	delete(r.probes, in.Probe)
-	how, elapsed := in.Ending.Outcome(), now-p.sentAt
-	if how == dispatch.Succeeded {
+	outcome, elapsed := in.Ending.Outcome(), now-p.sentAt
+	if outcome == dispatch.Succeeded {
 		load, err := r.reportFormat.FromJSON(in.LoadReport)
 		if err == nil {
 			r.dispatcher.ProbeAnswered(p.worker, elapsed, load)
 			return
 		}
-		how = dispatch.Failed
+		outcome = dispatch.Failed
 	}
-	r.dispatcher.ProbeFailed(p.worker, elapsed, how)
+	r.dispatcher.ProbeFailed(p.worker, elapsed, outcome)
 }
--- a/internal/scheduler/reducer/changes_test.go
+++ b/internal/scheduler/reducer/changes_test.go
@@ -73,9 +73,9 @@
 			violation = fmt.Sprintf(format, args...)
 		}
 	}
-	effects := []string{"redeliverable", "at-most-once"}
+	categoryEffects := []string{"redeliverable", "at-most-once"}
 	randomCategory := func(name string) testCategory {
-		return testCategory{name, effects[rng.IntN(2)], dispatch.Time(1+rng.IntN(3)) * 100 * second}
+		return testCategory{name, categoryEffects[rng.IntN(2)], dispatch.Time(1+rng.IntN(3)) * 100 * second}
 	}
 	var inForce []testCategory
 	for i := range 5 {
@@ -210,10 +210,10 @@
 	if changes, err := strconv.Atoi(os.Getenv("CHANGES")); err == nil {
 		n = changes
 	}
-	effects := []string{"redeliverable", "at-most-once"}
+	categoryEffects := []string{"redeliverable", "at-most-once"}
 	var inForce []testCategory
 	for i := range categories {
-		inForce = append(inForce, testCategory{fmt.Sprint("team-", i), effects[0], 10 * second})
+		inForce = append(inForce, testCategory{fmt.Sprint("team-", i), categoryEffects[0], 10 * second})
 	}
 	settings := settingsWith(inForce, 3)
 	r, now, op := New(7, settings), dispatch.Time(second), uint64(0)
@@ -221,7 +221,7 @@
 	change := func(i int) {
 		now += 54_000
 		k, e := i%categories, &inForce[i%categories]
-		if e.effect, e.target = effects[i/categories%2], 10*second+dispatch.Time(i); i%3 == 0 {
+		if e.effect, e.target = categoryEffects[i/categories%2], 10*second+dispatch.Time(i); i%3 == 0 {
 			e.name = fmt.Sprint("team-", k, "-", i)
 		}
 		e.writeTo(settings, k)
@@ -230,11 +230,11 @@
 	submit := func(e testCategory) {
 		t.Helper()
 		op++
-		todo := r.Step(now, OpArrived{
+		effects := r.Step(now, OpArrived{
 			Op: op, ID: fmt.Sprint(op), Category: e.name, TTL: now + 1<<40, Effect: e.effect,
 		})
-		if _, pushed := firstEffect[Push](todo); !pushed {
-			t.Fatalf("an op of %+v is not pushed: %+v", e, todo)
+		if _, pushed := firstEffect[Push](effects); !pushed {
+			t.Fatalf("an op of %+v is not pushed: %+v", e, effects)
 		}
 	}
 	for i := range openOps {
@@ -256,9 +256,9 @@
 			len(r.droppedCategories), len(r.opsByNumber), maxDroppedCategories, openOps)
 	}
 	for i := range openOps { // admitted as redeliverable; their categories' effect changed and changed back
-		todo := r.Step(now, AttemptEnded{Op: uint64(i + 1), Ending: outcome.Reset})
-		if _, retried := firstEffect[Push](todo); !retried {
-			t.Errorf("op %d, open since the start, is not retried after a reset: %+v", i+1, todo)
+		effects := r.Step(now, AttemptEnded{Op: uint64(i + 1), Ending: outcome.Reset})
+		if _, retried := firstEffect[Push](effects); !retried {
+			t.Errorf("op %d, open since the start, is not retried after a reset: %+v", i+1, effects)
 		}
 	}
 }
@@ -284,12 +284,12 @@
 		category string
 		want     Verdict // -1: the op is pushed
 	}{{"look", -1}, {"pay", Nacked}, {"note", -1}, {"never", UnknownCategory}} {
-		todo := successor.Step(5, OpArrived{
+		effects := successor.Step(5, OpArrived{
 			Op: uint64(n), ID: fmt.Sprint(n), Category: c.category, TTL: 5 + second,
 		})
-		a, answered := firstEffect[Respond](todo)
-		if _, pushed := firstEffect[Push](todo); pushed != (c.want < 0) || answered && a.Verdict != c.want {
-			t.Errorf("category %s: %+v", c.category, todo)
+		a, answered := firstEffect[Respond](effects)
+		if _, pushed := firstEffect[Push](effects); pushed != (c.want < 0) || answered && a.Verdict != c.want {
+			t.Errorf("category %s: %+v", c.category, effects)
 		}
 	}
 	many := LearnedState{Dropped: map[string]dispatch.Time{}}
--- a/internal/scheduler/reducer/churn_test.go
+++ b/internal/scheduler/reducer/churn_test.go
@@ -24,8 +24,8 @@
 		var probes, ops []uint64
 		answered := map[uint64]bool{}
 		now, lastOp := dispatch.Time(1), uint64(0)
-		handleEffects := func(todo []Effect) {
-			for _, e := range todo {
+		handleEffects := func(effects []Effect) {
+			for _, e := range effects {
 				switch e := e.(type) {
 				case Push:
 					if !serving[e.Addr] || e.Addr != "addr-"+e.Worker {
@@ -109,10 +109,10 @@
 			r.Step(1, EndpointsChanged{
 				Snapshot: true, Endpoints: []Endpoint{{Worker: "v", Addr: "a:1", Ready: true}},
 			})
-			todo := r.Step(2, OpArrived{Op: 1, ID: "1", Category: "look", TTL: 1000 * second})
-			p, probed := firstEffect[Probe](todo)
-			if _, pushed := firstEffect[Push](todo); pushed == probes || probed != probes {
-				t.Fatalf("%+v", todo)
+			effects := r.Step(2, OpArrived{Op: 1, ID: "1", Category: "look", TTL: 1000 * second})
+			p, probed := firstEffect[Probe](effects)
+			if _, pushed := firstEffect[Push](effects); pushed == probes || probed != probes {
+				t.Fatalf("%+v", effects)
 			}
 			i := r.workersByName["v"]
 			r.Step(3, EndpointsChanged{Endpoints: []Endpoint{{Worker: "v", Removed: true}}})
--- a/internal/scheduler/reducer/decisions.go
+++ b/internal/scheduler/reducer/decisions.go
@@ -7,14 +7,14 @@
 )
 
 // pullDecisions asks the dispatcher for its decisions until there is none, and appends their effects.
-func (r *Reducer) pullDecisions(now dispatch.Time, todo []Effect) []Effect {
+func (r *Reducer) pullDecisions(now dispatch.Time, effects []Effect) []Effect {
 	for {
 		next := r.dispatcher.Next()
 		if next.Kind == dispatch.NoDecision {
-			return todo
+			return effects
 		}
 		if effect := r.applyDecision(now, next); effect != nil {
-			todo = append(todo, effect)
+			effects = append(effects, effect)
 		}
 	}
 }
--- a/internal/scheduler/reducer/endpoints.go
+++ b/internal/scheduler/reducer/endpoints.go
@@ -25,7 +25,7 @@
 
 // updateEndpoints applies an endpoint list. It cancels unsent attempts to workers that are draining, because
 // a dial may outlast the drain grace.
-func (r *Reducer) updateEndpoints(in EndpointsChanged) (todo []Effect) {
+func (r *Reducer) updateEndpoints(in EndpointsChanged) (effects []Effect) {
 	if in.Snapshot {
 		r.dispatcher.BeginSnapshot()
 		for i := range r.workers {
@@ -40,10 +40,10 @@
 	for i := range r.ops {
 		if o := &r.ops[i]; o.inFlight && !r.workers[o.worker].ready {
 			cancel := CancelAttempt{Op: o.number, OnlyIfUnsent: true, Ending: outcome.CancelledUnsent}
-			todo = append(todo, cancel)
+			effects = append(effects, cancel)
 		}
 	}
-	return todo
+	return effects
 }
 
 func (r *Reducer) updateEndpoint(e Endpoint) {
--- a/internal/scheduler/reducer/ends_test.go
+++ b/internal/scheduler/reducer/ends_test.go
@@ -57,8 +57,8 @@
 		}
 	}
 	var apply func(in Input)
-	handleEffects := func(todo []Effect) {
-		for _, e := range todo {
+	handleEffects := func(effects []Effect) {
+		for _, e := range effects {
 			switch e := e.(type) {
 			case Push:
 				o := ops[e.Op]
@@ -80,7 +80,7 @@
 				openProbes[e.Probe] = true
 			}
 		}
-		for _, e := range todo { // cancelled attempts end as their connection would report it
+		for _, e := range effects { // cancelled attempts end as their connection would report it
 			if e, ok := e.(CancelAttempt); ok {
 				o := ops[e.Op]
 				switch {
@@ -219,11 +219,11 @@
 func TestAnOpAdmittedUnderAnotherEffectIsNacked(t *testing.T) {
 	for effect, want := range map[string]Verdict{"": -1, "redeliverable": -1, "at-most-once": Nacked} {
 		r := newTestReducer()
-		todo := r.Step(2, OpArrived{Op: 1, ID: "a", Category: "look", TTL: 2 * second, Effect: effect})
-		a, answered := firstEffect[Respond](todo)
-		if _, pushed := firstEffect[Push](todo); answered != (want == Nacked) || pushed == answered ||
+		effects := r.Step(2, OpArrived{Op: 1, ID: "a", Category: "look", TTL: 2 * second, Effect: effect})
+		a, answered := firstEffect[Respond](effects)
+		if _, pushed := firstEffect[Push](effects); answered != (want == Nacked) || pushed == answered ||
 			answered && a.Verdict != want {
-			t.Errorf("effect %q: %+v", effect, todo)
+			t.Errorf("effect %q: %+v", effect, effects)
 		}
 	}
 }
--- a/internal/scheduler/reducer/ops.go
+++ b/internal/scheduler/reducer/ops.go
@@ -108,15 +108,15 @@
 
 // startShutdown limits the TTLs of all ops to the deadline. At the deadline, attempts in flight time out as
 // at a TTL.
-func (r *Reducer) startShutdown(now, deadline dispatch.Time) (todo []Effect) {
+func (r *Reducer) startShutdown(now, deadline dispatch.Time) (effects []Effect) {
 	r.shutdownDeadline = deadline
 	r.dispatcher.LimitDeadlines(deadline)
 	for i := range r.ops {
 		if o := &r.ops[i]; o.inFlight && now >= deadline {
-			todo = append(todo, CancelAttempt{Op: o.number, Ending: outcome.TimedOut})
+			effects = append(effects, CancelAttempt{Op: o.number, Ending: outcome.TimedOut})
 		}
 	}
-	return todo
+	return effects
 }
 
 // forgetOp frees an op's index. Its ID stays reserved until its TTL.
--- a/internal/scheduler/reducer/reducer.go
+++ b/internal/scheduler/reducer/reducer.go
@@ -78,18 +78,18 @@
 // Step applies an input and returns the effects to carry out.
 func (r *Reducer) Step(now dispatch.Time, in Input) []Effect {
 	r.dispatcher.AdvanceClock(now)
-	var todo []Effect
+	var effects []Effect
 	switch in := in.(type) {
 	case EndpointsChanged:
-		todo = r.updateEndpoints(in)
+		effects = r.updateEndpoints(in)
 	case OpArrived:
-		todo = r.admitOp(now, in)
+		effects = r.admitOp(now, in)
 	case ClientDisconnected:
-		todo = r.disconnectClient(in.Op)
+		effects = r.disconnectClient(in.Op)
 	case AttemptProgressed:
 		r.progressAttempt(in)
 	case AttemptEnded:
-		todo = r.endAttempt(now, in)
+		effects = r.endAttempt(now, in)
 	case ProbeEnded:
 		r.endProbe(now, in)
 	case PeerMessage:
@@ -105,7 +105,7 @@
 	case StateRestored:
 		r.restoreState(in)
 	case ShutdownStarted:
-		todo = r.startShutdown(now, in.Deadline)
+		effects = r.startShutdown(now, in.Deadline)
 	}
-	return r.pullDecisions(now, todo)
+	return r.pullDecisions(now, effects)
 }
--- a/internal/scheduler/reducer/reducer_test.go
+++ b/internal/scheduler/reducer/reducer_test.go
@@ -25,8 +25,8 @@
 }
 
 // firstEffect returns the first effect of type E.
-func firstEffect[E Effect](todo []Effect) (found E, ok bool) {
-	for _, e := range todo {
+func firstEffect[E Effect](effects []Effect) (found E, ok bool) {
+	for _, e := range effects {
 		if found, ok = e.(E); ok {
 			return found, true
 		}
@@ -103,9 +103,9 @@
 func TestAnUnsentAttemptIsCancelledWhenItsWorkerDrains(t *testing.T) {
 	r := newTestReducer()
 	p, _ := firstEffect[Push](submitOp(r, 1, "look"))
-	todo := r.Step(3, EndpointsChanged{Endpoints: []Endpoint{{Worker: p.Worker, Addr: p.Addr}}})
-	if c, ok := firstEffect[CancelAttempt](todo); !ok || !c.OnlyIfUnsent {
-		t.Fatalf("the worker drains, and the attempt may still be written: %+v", todo)
+	effects := r.Step(3, EndpointsChanged{Endpoints: []Endpoint{{Worker: p.Worker, Addr: p.Addr}}})
+	if c, ok := firstEffect[CancelAttempt](effects); !ok || !c.OnlyIfUnsent {
+		t.Fatalf("the worker drains, and the attempt may still be written: %+v", effects)
 	}
 	retry, ok := firstEffect[Push](r.Step(4, AttemptEnded{Op: 1, Ending: outcome.CancelledUnsent}))
 	if !ok || retry.Worker == p.Worker || retry.Attempt != 1 {
@@ -130,11 +130,11 @@
 		r.Step(3, AttemptEnded{Op: n, Ending: outcome.Done})
 	}
 	r.Step(3, AttemptProgressed{Op: 1, Started: true})
-	todo := r.Step(304, TimerFired{})
-	if c, ok := firstEffect[CancelAttempt](todo); !ok || c.OnlyIfUnsent || c.Ending != outcome.Cancelled {
-		t.Fatalf("the attempt is not cancelled: %+v", todo)
+	effects := r.Step(304, TimerFired{})
+	if c, ok := firstEffect[CancelAttempt](effects); !ok || c.OnlyIfUnsent || c.Ending != outcome.Cancelled {
+		t.Fatalf("the attempt is not cancelled: %+v", effects)
 	}
-	if _, ok := firstEffect[Push](todo); ok {
+	if _, ok := firstEffect[Push](effects); ok {
 		t.Fatal("the op is retried before its attempt has ended")
 	}
 	if retry, ok := firstEffect[Push](r.Step(305, AttemptEnded{Op: 1, Ending: outcome.Cancelled})); !ok ||
@@ -149,8 +149,9 @@
 	if c, ok := firstEffect[CancelAttempt](r.Step(3, ClientDisconnected{Op: 1})); !ok || c.OnlyIfUnsent {
 		t.Fatal("the attempt of a disconnected client is not cancelled")
 	}
-	if todo := r.Step(4, AttemptEnded{Op: 1, Ending: outcome.Cancelled}); len(todo) > 0 || len(r.opsByNumber) > 0 {
-		t.Fatalf("%+v, %d ops open", todo, len(r.opsByNumber))
+	if effects := r.Step(4, AttemptEnded{Op: 1, Ending: outcome.Cancelled}); len(effects) > 0 ||
+		len(r.opsByNumber) > 0 {
+		t.Fatalf("%+v, %d ops open", effects, len(r.opsByNumber))
 	}
 }
 
@@ -173,8 +174,8 @@
 	r := newTestReducer()
 	submitOp(r, 1, "pay")
 	deadline := second / 2
-	if todo := r.Step(3, ShutdownStarted{Deadline: deadline}); len(todo) > 0 {
-		t.Fatalf("the attempt is cancelled before the deadline: %+v", todo)
+	if effects := r.Step(3, ShutdownStarted{Deadline: deadline}); len(effects) > 0 {
+		t.Fatalf("the attempt is cancelled before the deadline: %+v", effects)
 	}
 	if _, ok := firstEffect[Push](submitOp(r, 2, "look")); !ok {
 		t.Fatal("an op that arrived after the start of the shutdown is not pushed")
@@ -196,8 +197,8 @@
 		rng, r := rand.New(rand.NewSource(seed)), newTestReducer()
 		inFlight, answers, disconnected := map[uint64]bool{}, map[uint64]int{}, map[uint64]bool{}
 		valid := true
-		handleEffects := func(todo []Effect) {
-			for _, e := range todo {
+		handleEffects := func(effects []Effect) {
+			for _, e := range effects {
 				switch e := e.(type) {
 				case Push:
 					valid = valid && !inFlight[e.Op] && answers[e.Op] == 0 && !disconnected[e.Op]
@@ -265,7 +266,9 @@
 			t.Errorf("enabled: %v, machine kinds: %d", enabled, n)
 		}
 		for i := range 2 * maxMachineKinds {
-			r.Step(1, EndpointsChanged{Endpoints: []Endpoint{{Worker: fmt.Sprint(i), MachineKind: fmt.Sprint(i)}}})
+			r.Step(1, EndpointsChanged{
+				Endpoints: []Endpoint{{Worker: fmt.Sprint(i), MachineKind: fmt.Sprint(i)}},
+			})
 		}
 		if n := len(r.machineKinds); n > maxMachineKinds+1 {
 			t.Errorf("%d machine kinds are distinguished", n)
@@ -290,25 +293,26 @@
 		{"pay", 2, true}, {"pay-2", 2, true}, {"look", 2, true},
 		{"pay", 2 + second, true}, {"pay", 3 + second, false}, {"pay-2", 3 + second, true},
 	} {
-		todo := r.Step(c.at, OpArrived{
+		effects := r.Step(c.at, OpArrived{
 			Op: uint64(number), ID: fmt.Sprint(number), Category: c.category, TTL: c.at + 5*second,
 		})
-		if _, pushed := firstEffect[Push](todo); pushed != c.served {
-			t.Errorf("%s at %d: %v", c.category, c.at, todo)
+		if _, pushed := firstEffect[Push](effects); pushed != c.served {
+			t.Errorf("%s at %d: %v", c.category, c.at, effects)
 		}
 		// A reset attempt may have run: under its old rules pay is never retried, and under the new limit of
 		// one attempt no op is.
-		todo = r.Step(c.at, AttemptEnded{Op: uint64(number), Ending: outcome.Reset})
-		if retry, retried := firstEffect[Push](todo); retried {
+		effects = r.Step(c.at, AttemptEnded{Op: uint64(number), Ending: outcome.Reset})
+		if retry, retried := firstEffect[Push](effects); retried {
 			t.Errorf("an op of %s is retried: %+v", c.category, retry)
 		}
-		if a, _ := firstEffect[Respond](todo); c.served && (a.Verdict == DeadLettered) != (c.category == "pay") {
+		if a, _ := firstEffect[Respond](effects); c.served &&
+			(a.Verdict == DeadLettered) != (c.category == "pay") {
 			t.Errorf("%s: %v", c.category, a.Verdict)
 		}
 	}
 	for category, want := range map[string]Verdict{"pay": Nacked, "never": UnknownCategory} {
-		todo := r.Step(3+second, OpArrived{Op: 99, ID: "99", Category: category, TTL: 9 * second})
-		if a, _ := firstEffect[Respond](todo); a.Verdict != want {
+		effects := r.Step(3+second, OpArrived{Op: 99, ID: "99", Category: category, TTL: 9 * second})
+		if a, _ := firstEffect[Respond](effects); a.Verdict != want {
 			t.Errorf("%s after its retention: %v, want %v", category, a.Verdict, want)
 		}
 	}
