--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -13,14 +13,14 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// Effects of a category, which limit how often an op of it may run.
+// Effects of categories. The effect limits how often an op of the category may run.
 const (
-	redeliverable = "redeliverable" // any number of times
-	deduplicated  = "deduplicated"  // a worker group drops its duplicates within a time window
+	redeliverable = "redeliverable" // an op may run any number of times
+	deduplicated  = "deduplicated"  // a worker group drops duplicates of an op within a time window
 )
 
-// pendingOp is an op without an answer. The loop owns it; goroutines that write to workers use only its
-// client and checkedAt.
+// pendingOp is an op without an answer. Goroutines that write to workers use only Submit, which does not
+// change, and checkedAt. The other fields belong to the loop.
 type pendingOp struct {
 	Submit
 	checkedAt atomic.Pointer[time.Time] // when the client was last found connected
@@ -45,7 +45,8 @@
 	return func() bool { return (end.IsZero() || time.Now().Before(end)) && p.checkClient() }
 }
 
-// logFields adds the op's identity, its number of attempts and its last attempt to a log line.
+// logFields adds the op's identity, its number of attempts and its last attempt to a log line. The log key
+// pushes is the number of attempts, and last_out is true while the last attempt is in flight.
 func (p *pendingOp) logFields(e *zerolog.Event) {
 	e.Uint64("op", p.Op.Op).Str("id", p.Op.ID).Str("category", p.Op.Category).Int("pushes", len(p.attempts))
 	if n := len(p.attempts); n > 0 {
@@ -93,7 +94,8 @@
 	return all[len(all)-2].ending
 }
 
-// retryViolation returns the reason why a rule forbids another attempt in a group, or "" if it allows one.
+// retryViolation returns the reason why a rule forbids another attempt in a group, or "" if the rule allows
+// that attempt.
 func (all attempts) retryViolation(r config.CategoryRule, to reducer.Group, now time.Time) invariant.Reason {
 	first := all.firstMayHaveRun()
 	if first == nil || r.Effect == redeliverable {
@@ -108,22 +110,23 @@
 	return ""
 }
 
-// windowEnd returns the end of the window in which a worker group drops duplicates of the op: no attempt may
-// be written after it. It is zero if no window applies, because no attempt may have run. If several rules
-// may apply, the latest end counts.
-func (p *pendingOp) windowEnd(rules [2]config.CategoryRule, prior time.Time) (end time.Time) {
+// windowEnd returns the end of the window in which a worker group drops duplicates of the op. No attempt may
+// be written after that end. The window starts with the first attempt that may have run, either here or for
+// another scheduler at firstRun. If the windows of the rules differ, the latest end counts. The end is zero,
+// which sets no limit, if no attempt may have run or if a rule's effect has no window.
+func (p *pendingOp) windowEnd(rules [2]config.CategoryRule, firstRun time.Time) (end time.Time) {
 	if first := p.attempts.firstMayHaveRun(); first != nil &&
-		(prior.IsZero() || first.decidedAt.Before(prior)) {
-		prior = first.decidedAt
+		(firstRun.IsZero() || first.decidedAt.Before(firstRun)) {
+		firstRun = first.decidedAt
 	}
-	if prior.IsZero() {
+	if firstRun.IsZero() {
 		return time.Time{}
 	}
 	for _, rule := range rules {
 		if rule.Effect != deduplicated {
-			return time.Time{} // retryViolation decides
+			return time.Time{} // retryViolation checks whether a retry is allowed
 		}
-		if ruleEnd := prior.Add(rule.Window); ruleEnd.After(end) {
+		if ruleEnd := firstRun.Add(rule.Window); ruleEnd.After(end) {
 			end = ruleEnd
 		}
 	}
--- a/internal/scheduler/checks.go
+++ b/internal/scheduler/checks.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	maxClientCheckAge = 100 * time.Millisecond // from the last check of a client's connection to a first byte
-	maxTimeLeftExcess = 150 * time.Millisecond // by which a worker's time left may exceed the client's
+	maxClientCheckAge = 100 * time.Millisecond // from a client's last check to an attempt's first byte
+	maxTimeLeftExcess = 150 * time.Millisecond // of the time left sent to a worker over the client's
 )
 
-// checks compares each attempt and each answer with the rules for the op, using the attempts that were
-// actually made and not the state of the decision module. A violation is counted and logged; nothing is
-// stopped.
+// checks compares each attempt and each answer with the rules for the op. It uses its own record of the
+// attempts that were made, and not the reducer's state. A violation is counted and logged, and the attempt or
+// the answer goes on.
 type checks struct {
 	*invariant.Checker
 	policy  Policy
 	workers *workerStates
-	opsByID map[string]uint64 // numbers of ops with an attempt and without an answer
+	opsByID map[string]uint64 // numbers of the ops that have an attempt and no answer
 }
 
 func newChecks(checker *invariant.Checker, policy Policy, drainGrace time.Duration) *checks {
@@ -34,13 +34,13 @@
 	}
 }
 
-// rules returns the rules that may apply to an op: the one at its arrival and the one in force.
+// rules returns the rules that may apply to an op: its category's rule at its arrival and the rule in force.
 func (c *checks) rules(p *pendingOp) [2]config.CategoryRule {
 	return [2]config.CategoryRule{p.Rule, c.policy.Rule(p.Op.Category)}
 }
 
-// attemptStarting checks and records an attempt when it is decided.
-func (c *checks) attemptStarting(now time.Time, p *pendingOp, e reducer.Push) {
+// addAttempt checks and records an attempt that the reducer has decided on.
+func (c *checks) addAttempt(now time.Time, p *pendingOp, e reducer.Push) {
 	if len(p.attempts) == 0 {
 		c.checkFirstAttempt(p)
 	}
@@ -79,8 +79,8 @@
 	}
 }
 
-// attemptEnded records how the last attempt of an op ended. An op that has its answer already is ignored.
-func (c *checks) attemptEnded(p *pendingOp, in reducer.AttemptEnded) {
+// recordEnding records how the last attempt of an op ended. It ignores an op that has its answer already.
+func (c *checks) recordEnding(p *pendingOp, in reducer.AttemptEnded) {
 	if p == nil || len(p.attempts) == 0 {
 		return
 	}
@@ -96,8 +96,8 @@
 	}
 }
 
-// responding checks an op's answer.
-func (c *checks) responding(now time.Time, p *pendingOp, e reducer.Respond) {
+// checkAnswer checks an op's answer and releases the op's ID.
+func (c *checks) checkAnswer(now time.Time, p *pendingOp, e reducer.Respond) {
 	c.releaseID(p)
 	if e.Verdict != reducer.Nacked {
 		return
@@ -110,8 +110,8 @@
 	c.Violated(invariant.Repeating, invariant.NotHarmless, p.logFields)
 }
 
-// sending checks the first byte of an attempt. The goroutine that writes it calls sending just before.
-func (c *checks) sending(p *pendingOp, worker string, left time.Duration) {
+// checkFirstByte checks an attempt just before its first byte is written, in the goroutine that writes it.
+func (c *checks) checkFirstByte(p *pendingOp, worker string, left time.Duration) {
 	now := time.Now()
 	violated := func(why invariant.Reason) {
 		c.Violated(invariant.Sending, why, func(e *zerolog.Event) {
--- a/internal/scheduler/checks_bench_test.go
+++ b/internal/scheduler/checks_bench_test.go
@@ -30,11 +30,11 @@
 		}}
 		p.checkedAt.Store(&now)
 		pending[1] = p
-		c.attemptStarting(now, p, push)
+		c.addAttempt(now, p, push)
 		p.checkedAt.Store(timePointer(time.Now()))
-		c.sending(p, "w", time.Second)
-		c.attemptEnded(pending[1], reducer.AttemptEnded{Op: 1, Ending: outcome.Done})
-		c.responding(now, p, reducer.Respond{Op: 1, Verdict: reducer.Acked})
+		c.checkFirstByte(p, "w", time.Second)
+		c.recordEnding(pending[1], reducer.AttemptEnded{Op: 1, Ending: outcome.Done})
+		c.checkAnswer(now, p, reducer.Respond{Op: 1, Verdict: reducer.Acked})
 	}
 	if counts := c.Counts(); counts["sending"]+counts["repeating"]+counts["starting"] > 0 {
 		b.Errorf("%v", counts)
--- a/internal/scheduler/checks_test.go
+++ b/internal/scheduler/checks_test.go
@@ -54,8 +54,8 @@
 	return all
 }
 
-// Each check of an attempt reports its violation and nothing else. Each violation has a case, next to a
-// similar case without one.
+// A forbidden attempt counts as a violation of its rule and of no other rule. Each forbidden case stands next
+// to a similar case that is allowed.
 func TestOnlyAForbiddenAttemptIsAViolation(t *testing.T) {
 	inFlight := attempts{{worker: "w", group: eastGroup, decidedAt: time.Now(), inFlight: true}}
 	for name, c := range map[string]struct {
@@ -100,7 +100,7 @@
 		t.Run(name, func(t *testing.T) {
 			checks := newTestChecks(c.rule)
 			p := newPendingOp(c.rule, c.attempts)
-			checks.attemptStarting(time.Now(), p, reducer.Push{Op: 1, Worker: "v", Group: c.to})
+			checks.addAttempt(time.Now(), p, reducer.Push{Op: 1, Worker: "v", Group: c.to})
 			for rule, n := range checks.Counts() {
 				if (rule == c.violated) != (n > 0) {
 					t.Errorf("%s: %d violations", rule, n)
@@ -115,7 +115,7 @@
 	policy := fixedPolicy{rule: atMostOnceRule, maxAttempts: 3, claimRequired: true}
 	checks := newChecks(invariant.New(zerolog.Nop()), policy, time.Second)
 	checks.opsByID["a"] = 7
-	checks.attemptStarting(time.Now(), newPendingOp(atMostOnceRule, nil), reducer.Push{Op: 1})
+	checks.addAttempt(time.Now(), newPendingOp(atMostOnceRule, nil), reducer.Push{Op: 1})
 	if checks.Counts()["starting"] != 2 {
 		t.Errorf("violations: %v, want 2 of starting", checks.Counts())
 	}
@@ -145,7 +145,7 @@
 			checkedAt := time.Now().Add(-c.checkedAgo)
 			p.checkedAt.Store(&checkedAt)
 			before := checks.Counts()["sending"]
-			checks.sending(p, c.worker, c.timeLeft)
+			checks.checkFirstByte(p, c.worker, c.timeLeft)
 			if got := checks.Counts()["sending"] - before; got != c.violations {
 				t.Errorf("%d violations, want %d", got, c.violations)
 			}
@@ -169,7 +169,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			checks := newTestChecks(c.rule)
-			checks.responding(
+			checks.checkAnswer(
 				time.Now(), newPendingOp(c.rule, c.attempts), reducer.Respond{Verdict: reducer.Nacked})
 			if got := checks.Counts()["repeating"]; got != c.violations {
 				t.Errorf("%d violations, want %d", got, c.violations)
@@ -210,6 +210,6 @@
 	accepts("b", 3001, false)
 	w.update(list(true, true, "a"), at(2000).Add(MaxTTL+time.Second))
 	if len(w.drainingSince) != 1 {
-		t.Errorf("known: %v", w.drainingSince)
+		t.Errorf("workers known after MaxTTL: %v, want only a", w.drainingSince)
 	}
 }
--- a/internal/scheduler/loop.go
+++ b/internal/scheduler/loop.go
@@ -73,13 +73,14 @@
 	l.step(s.Op)
 }
 
-// logDivergence logs how often shadow settings would have decided differently since the start.
+// logDivergence logs how often shadow settings would have decided differently since the start. The log keys
+// asked, chosen and spoken count the pairs of workers to probe, the workers pushed to and the peer reports.
 func (l *Loop) logDivergence() {
 	if !l.opts.LogDivergence {
 		return
 	}
-	probed, pushed, reported := l.opts.Reducer.ShadowDivergence()
-	l.opts.Log.Info().Int("asked", probed).Int("chosen", pushed).Int("spoken", reported).
+	pairs, placements, reports := l.opts.Reducer.ShadowDivergence()
+	l.opts.Log.Info().Int("asked", pairs).Int("chosen", placements).Int("spoken", reports).
 		Uint64("ops", l.submitted).Msg("decisions that shadow settings would have changed")
 }
 
@@ -100,11 +101,13 @@
 func (l *Loop) observe(now time.Time, event reducer.Input) {
 	switch in := event.(type) {
 	case reducer.AttemptProgressed:
-		if in.Started { // a worker may return a queued job unstarted, and the retry may go to another group
+		// An acknowledgement is not reported: a worker may return a queued job unstarted, and the retry may
+		// go to another group.
+		if in.Started {
 			l.reportMayHaveRun(in.Op)
 		}
 	case reducer.AttemptEnded:
-		l.checks.attemptEnded(l.pending[in.Op], in)
+		l.checks.recordEnding(l.pending[in.Op], in)
 		delete(l.inFlight, in.Op)
 		if !in.Ending.NeverRan() {
 			l.reportMayHaveRun(in.Op)
@@ -148,8 +151,8 @@
 	}
 }
 
-// probe sends a load probe. No setting bounds its time: it gets one connect timeout for the dial and another
-// for the answer.
+// probe sends a load probe. No setting bounds the time of a probe, so it gets one connect timeout for the
+// dial and another for the answer.
 func (l *Loop) probe(now time.Time, e reducer.Probe) {
 	deadline := now.Add(2 * l.opts.ConnectTimeout)
 	l.opts.Workers.Probe(e.Addr, l.opts.ProbeRequest, deadline, func(end workerconn.End) {
@@ -165,18 +168,19 @@
 		return
 	}
 	delete(l.pending, e.Op)
-	l.checks.responding(now, p, e)
+	l.checks.checkAnswer(now, p, e)
 	l.opts.Log.Debug().Uint64("op", e.Op).Str("id", p.Op.ID).Stringer("verdict", e.Verdict).
 		Stringer("reason", e.Reason).Int("attempts", len(p.attempts)).Msg("answer")
 	p.Reply <- e
 }
 
-// push starts an attempt. The reducer requests none after an op's answer or after its client disconnected.
+// push starts an attempt. The op is pending: the reducer requests no attempt of an op that is answered or
+// whose client has disconnected.
 func (l *Loop) push(now time.Time, e reducer.Push) {
 	p := l.pending[e.Op]
 	p.group = e.Group
 	mayWrite := p.mayWriteUntil(p.windowEnd(l.checks.rules(p), l.priorAttemptStart(now, p)))
-	l.checks.attemptStarting(now, p, e)
+	l.checks.addAttempt(now, p, e)
 	l.opts.Log.Debug().Uint64("op", e.Op).Str("id", p.Op.ID).Str("worker", e.Worker).
 		Int("attempt", e.Attempt).Stringer("previous_ending", p.attempts.previousEnding()).Msg("push")
 	deadline := now.Add(duration(e.Timeout))
@@ -188,7 +192,8 @@
 		e.Addr, p.Op.ID, request, deadline, mayWrite, sent, progressed, ended)
 }
 
-// priorAttemptStart is the time from which on the op may have run for another scheduler, or the zero time.
+// priorAttemptStart returns the time since which the op may have run for another scheduler. It returns the
+// zero time if no other scheduler may have run the op.
 func (l *Loop) priorAttemptStart(now time.Time, p *pendingOp) time.Time {
 	if p.Op.PriorAttempt == nil {
 		return time.Time{}
@@ -196,13 +201,14 @@
 	return now.Add(duration(p.Op.PriorAttempt.StartedAt - dispatch.Time(config.RoundUp(l.opts.Clock.Now()))))
 }
 
-// attemptRequest returns the bytes of an attempt just before its first write, or nil if the decision is too
-// old by then: load reports and endpoint lists that arrived since may not have been read.
+// attemptRequest returns the bytes of an attempt. It is called just before the first write. If the decision
+// is too old by then, it returns nil: load reports and endpoint lists that arrived since may not have been
+// read.
 func (l *Loop) attemptRequest(decidedAt time.Time, p *pendingOp, worker string, left time.Duration) []byte {
 	if time.Since(decidedAt) > l.opts.ConnectTimeout+maxDispatchDelay {
 		return nil
 	}
-	l.checks.sending(p, worker, left)
+	l.checks.checkFirstByte(p, worker, left)
 	return p.Client.Request(left)
 }
 
@@ -212,8 +218,8 @@
 	l.Send(progressInput(op, line))
 }
 
-// progressInput converts a job line to an event. A progress below 0 stands for an acknowledgement; in a
-// worker's own line it has no meaning and is clamped to 0.
+// progressInput converts a job line to an event. Within this process, a progress below 0 stands for the
+// worker's acknowledgement. If a worker itself sends a negative progress in a job line, it is clamped to 0.
 func progressInput(op uint64, line workerconn.JobLine) reducer.AttemptProgressed {
 	fractionDone := line.Progress
 	if line.State != workerconn.StateAcknowledged {
@@ -227,7 +233,8 @@
 	l.opts.Log.Debug().Uint64("op", op).Str("worker", worker).Stringer("ending", end.Ending).
 		Bool("dialed", end.Dialed).Dur("took_ms", time.Since(startedAt)).Msg("attempt ended")
 	if end.Ending == outcome.CancelledUnsent && !p.checkClient() {
-		// Sent before the end, so that the reducer starts no retry for a client that disconnected.
+		// The reducer gets ClientDisconnected before AttemptEnded, so that it starts no retry for a client
+		// that has disconnected.
 		l.Send(reducer.ClientDisconnected{Op: op})
 	}
 	l.Send(reducer.AttemptEnded{Op: op, Ending: end.Ending, Result: end.Result, LoadReport: end.Load})
--- a/internal/scheduler/loop_test.go
+++ b/internal/scheduler/loop_test.go
@@ -151,7 +151,7 @@
 	addr, attempts := startWorker(t)
 	l := newLoop(t, addr)
 	disconnecting := &stubClient{}
-	dropped, noReply := newSubmission(l, 1, disconnecting)
+	dropped, droppedReply := newSubmission(l, 1, disconnecting)
 	op, reply := newSubmission(l, 2, &stubClient{})
 	for _, s := range []Submit{dropped, op} {
 		if err := l.Submit(t.Context(), s); err != nil {
@@ -164,25 +164,25 @@
 	states := make(chan State, 1)
 	l.Inbox() <- Query(func(s State) { states <- s })
 	s := await(t, "the state", states)
-	if s.Submitted != 1 || s.Pending != 0 || len(noReply) > 0 || attempts.Load() != 1 {
+	if s.Submitted != 1 || s.Pending != 0 || len(droppedReply) > 0 || attempts.Load() != 1 {
 		t.Errorf("%d ops accepted, %d pending, %d answers to the disconnected client, %d attempts",
-			s.Submitted, s.Pending, len(noReply), attempts.Load())
+			s.Submitted, s.Pending, len(droppedReply), attempts.Load())
 	}
 }
 
-// Submit does not block on a loop that has ended, and waits for a full inbox only while its client is
-// connected.
-func TestSubmitReturnsOnceTheClientOrTheLoopIsGone(t *testing.T) {
-	disconnected, disconnect := context.WithCancel(t.Context())
-	disconnect()
+// Submit returns an error when the loop has ended. While the inbox is full, it waits only as long as the
+// client is connected.
+func TestSubmitReturnsOnceTheClientDisconnectsOrTheLoopEnds(t *testing.T) {
+	cancelled, cancelClient := context.WithCancel(t.Context())
+	cancelClient()
 	full := newLoop(t, "127.0.0.1:9")
 	for range cap(full.Inbox()) - len(full.Inbox()) {
 		full.Inbox() <- Query(func(State) {})
 	}
-	disconnecting, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
+	expiring, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	ended := newLoop(t, "127.0.0.1:9")
-	ended.Run(disconnected)
+	ended.Run(cancelled)
 	for range cap(ended.Inbox()) - len(ended.Inbox()) {
 		ended.Inbox() <- Query(func(State) {})
 	}
@@ -191,8 +191,8 @@
 		client context.Context
 		want   error
 	}{
-		"the client has disconnected":          {newLoop(t, "127.0.0.1:9"), disconnected, context.Canceled},
-		"the client disconnects":               {full, disconnecting, context.DeadlineExceeded},
+		"the client has disconnected":          {newLoop(t, "127.0.0.1:9"), cancelled, context.Canceled},
+		"the client disconnects":               {full, expiring, context.DeadlineExceeded},
 		"the loop has ended with a full inbox": {ended, t.Context(), ErrStopped},
 	} {
 		op, _ := newSubmission(c.loop, 1, &stubClient{})
@@ -202,8 +202,8 @@
 	}
 }
 
-// If the loop is busy for too long, a successor only loses the learned state: Learned returns ErrBusy and
-// the loop goes on.
+// Learned returns ErrBusy if the loop does not answer within learnedTimeout, and the loop goes on afterwards.
+// Only the learned state is then lost to a successor.
 func TestLearnedTimesOutOnABusyLoop(t *testing.T) {
 	l := newLoop(t, "127.0.0.1:9")
 	start := time.Now()
--- a/internal/scheduler/progress_test.go
+++ b/internal/scheduler/progress_test.go
@@ -7,14 +7,14 @@
 	"woaddyke/internal/workers/workerconn"
 )
 
-// A progress below 0 means an acknowledgement only within this process: in a job line of a worker it counts
-// as 0.
-func TestAShareBelowZeroIsNoAcknowledgement(t *testing.T) {
+// Within this process, a progress below 0 stands for a worker's acknowledgement. If a worker itself sends a
+// negative progress in a job line, it counts as 0 and not as an acknowledgement.
+func TestANegativeProgressInAJobLineIsNoAcknowledgement(t *testing.T) {
 	for name, c := range map[string]struct {
 		line workerconn.JobLine
 		want reducer.AttemptProgressed
 	}{
-		"the head of an answer": {
+		"an acknowledgement": {
 			workerconn.JobLine{State: workerconn.StateAcknowledged, Progress: -1},
 			reducer.AttemptProgressed{Op: 7, FractionDone: -1},
 		},
--- a/internal/scheduler/reducer/attempts.go
+++ b/internal/scheduler/reducer/attempts.go
@@ -25,8 +25,8 @@
 	o.inFlight = false
 	outcome := in.Ending.Outcome()
 	succeeded := outcome == dispatch.Succeeded
-	if succeeded && !o.answered {
-		o.answered = true
+	if succeeded && !o.clientDone {
+		o.clientDone = true
 		effects = append(effects, Respond{Op: in.Op, Verdict: Acked, Result: in.Result})
 	}
 	r.dispatcher.AttemptEnded(i, o.attempts-1, outcome, succeeded)
--- a/internal/scheduler/reducer/bench_test.go
+++ b/internal/scheduler/reducer/bench_test.go
@@ -28,8 +28,8 @@
 	return in
 }
 
-// benchSettings returns settings with the given number of categories. The first one's latency objective
-// depends on the version.
+// benchSettings returns settings with the given number of categories. The latency objective of the first
+// category depends on the version.
 func benchSettings(categories, version int) map[string]any {
 	settings := map[string]any{"bounds.cancel": true, "bounds.maxPushes": 3.0, "step": 50.0}
 	for k := range categories {
@@ -97,8 +97,8 @@
 	}
 }
 
-// BenchmarkLearned measures the learned state for a successor, once each worker has served as many ops as are
-// sampled per worker: its bytes per worker, and the time for which the loop is blocked.
+// BenchmarkLearned measures the learned state for a successor: its bytes per worker, and the time for which
+// the loop is blocked. Before that, each worker has served as many ops as are sampled per worker.
 func BenchmarkLearned(b *testing.B) {
 	for _, workers := range []int{100, 400} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
@@ -126,7 +126,7 @@
 				l = r.Learned()
 			}
 			b.StopTimer()
-			l.IDs = nil // those of the last few seconds
+			l.IDs = nil // excluded: only the IDs of the last few seconds
 			start := time.Now()
 			text, err := json.Marshal(l)
 			if err != nil {
--- a/internal/scheduler/reducer/categories.go
+++ b/internal/scheduler/reducer/categories.go
@@ -10,11 +10,12 @@
 	"woaddyke/internal/config"
 )
 
-// maxDroppedCategories bounds the names of dropped categories; an op of a pruned category is answered as
-// UnknownCategory.
+// maxDroppedCategories bounds the number of dropped categories whose names are stored. An op of a category
+// whose name is no longer stored is answered as UnknownCategory.
 const maxDroppedCategories = 4096
 
-// noIndex stands for the index of a dropped category whose former index may be in use by another category.
+// noIndex is the index of a dropped category that the dispatcher has no rules for. Another category may use
+// its former index.
 const noIndex = -1
 
 // droppedCategory is a category that is no longer in the settings. Its ops are admitted until retainUntil.
--- a/internal/scheduler/reducer/changes_test.go
+++ b/internal/scheduler/reducer/changes_test.go
@@ -15,7 +15,7 @@
 // testCategory is a category that these tests change.
 type testCategory struct {
 	name, effect string
-	target       dispatch.Time
+	objective    dispatch.Time
 }
 
 func (c testCategory) writeTo(settings map[string]any, i int) {
@@ -23,7 +23,7 @@
 		c.name, c.effect
 	settings[config.ItemKey("categories", i, "ttl")], settings[config.ItemKey("categories", i, "benefit")] =
 		50_000.0, 1.0
-	settings[config.ItemKey("categories", i, "targetLatency")] = float64(c.target)
+	settings[config.ItemKey("categories", i, "targetLatency")] = float64(c.objective)
 }
 
 func settingsWith(categories []testCategory, maxAttempts int) map[string]any {
@@ -45,10 +45,10 @@
 }
 
 // Guards against a retry or a dead letter by another category's rules, which happened when a category's index
-// was reused while its ops were open. Ops that stay open across thousands of settings changes (rules, names,
-// attempts, categories that are dropped and return) are pushed and answered by the rules under which they
-// were admitted. New ops of a dropped category are served by its rules while it is retained, and nacked after
-// that. CHANGES_SEED sets the seed.
+// was reused while its ops were open. Ops stay open across thousands of settings changes: of rules, names and
+// the limit on attempts, and of categories that are dropped and return. They are pushed and answered by the
+// rules under which they were admitted. New ops of a dropped category are served by its rules while it is
+// retained, and nacked after that. CHANGES_SEED sets the seed.
 func TestOpsKeepTheirRulesAcrossThousandsOfSettingsChanges(t *testing.T) {
 	firstSeed, endSeed := uint64(0), uint64(6)
 	if seed, err := strconv.ParseUint(os.Getenv("CHANGES_SEED"), 10, 64); err == nil {
@@ -139,7 +139,7 @@
 		before := inForce
 		inForce = append([]testCategory(nil), inForce...)
 		switch k := rng.IntN(len(inForce)); rng.IntN(6) {
-		case 0: // one name replaces another
+		case 0: // another category replaces this one
 			inForce[k] = randomCategory(fmt.Sprint("d", rng.IntN(8)))
 		case 1:
 			if len(inForce) > 2 {
@@ -152,7 +152,7 @@
 		default:
 			inForce[k] = randomCategory(inForce[k].name)
 		}
-		names := map[string]bool{} // of two categories with the same name, only the last one is served
+		names := map[string]bool{} // if two categories have one name, only the last category is served
 		for _, e := range inForce {
 			names[e.name] = true
 		}
@@ -179,7 +179,7 @@
 				}
 			}
 		}
-		for i := lastOp; i > 0 && i+60 > lastOp; i-- { // others stay in flight for hundreds of changes
+		for i := lastOp; i > 0 && i+60 > lastOp; i-- { // older ops stay in flight for hundreds of changes
 			o := openOps[i]
 			if o == nil || !o.inFlight || rng.IntN(10) > 0 {
 				continue
@@ -201,9 +201,10 @@
 
 var settingsChangesPerDay = 16_000
 
-// Guards against a limit on category changes: after a thousand categories, half an hour at the rate of a
-// large site, no further change was applied. All changes of a day, one every 5.4 s, are applied, even with
-// ops that stay open throughout, and the state does not grow. CHANGES=100000 sets another number of changes.
+// Guards against a limit on category changes: no further change was applied after a thousand categories,
+// which a large site reaches in half an hour. The test applies the changes of a day, one every 5.4 s, while
+// some ops stay open. All changes must be applied, and the state must not grow. CHANGES=100000 sets another
+// number of changes.
 func TestADayOfSettingsChangesLeavesBoundedState(t *testing.T) {
 	const categories, openOps = 560, 20
 	n := settingsChangesPerDay
@@ -221,7 +222,7 @@
 	change := func(i int) {
 		now += 54_000
 		k, e := i%categories, &inForce[i%categories]
-		if e.effect, e.target = categoryEffects[i/categories%2], 10*second+dispatch.Time(i); i%3 == 0 {
+		if e.effect, e.objective = categoryEffects[i/categories%2], 10*second+dispatch.Time(i); i%3 == 0 {
 			e.name = fmt.Sprint("team-", k, "-", i)
 		}
 		e.writeTo(settings, k)
@@ -263,8 +264,8 @@
 	}
 }
 
-// Guards against a permanent rejection (400) of an op of a dropped category by a successor that did not know
-// that the category had existed. Clients may go on sending such ops for a while; the successor nacks them.
+// Guards against a successor that permanently rejects (400) the ops of a dropped category, because it does
+// not know that the category existed. Clients may send such ops for a while. The successor must nack them.
 func TestASuccessorNacksOpsOfDroppedCategories(t *testing.T) {
 	settingsOf := func(names ...string) map[string]any {
 		var categories []testCategory
@@ -317,7 +318,7 @@
 				change := func() {
 					now += 54_000
 					e := &inForce[n%categories]
-					e.target = 10*second + dispatch.Time(n)
+					e.objective = 10*second + dispatch.Time(n)
 					e.writeTo(settings, n%categories)
 					r.Step(now, SettingsChanged{Settings: settings, RetainUntil: now + 20*second})
 					n++
--- a/internal/scheduler/reducer/churn_test.go
+++ b/internal/scheduler/reducer/churn_test.go
@@ -11,7 +11,7 @@
 
 // Guards against unbounded state when workers are replaced daily under new names: workers that had left the
 // list were never forgotten, and every op iterated over all of them. An op whose worker leaves the list must
-// still end as that worker's.
+// still be attributed to that worker when it ends.
 func TestWorkersThatLeftAreForgotten(t *testing.T) {
 	const listed, replaced, maxTracked = 20, 12_000, 5_000
 	for seed := range int64(3) {
@@ -75,7 +75,7 @@
 				}))
 				probes = append(probes[:n], probes[n+1:]...)
 			}
-			for range 2 * max(len(ops)-12, 0) { // some stay in flight across thousands of replaced workers
+			for range 2 * max(len(ops)-12, 0) { // some stay in flight while thousands of workers are replaced
 				n := 2 + rng.Intn(len(ops)-2)
 				ending := []outcome.Ending{outcome.Done, outcome.Reset, outcome.CancelledUnsent}[rng.Intn(3)]
 				handleEffects(r.Step(now, AttemptEnded{Op: ops[n], Ending: ending}))
@@ -99,7 +99,7 @@
 }
 
 // An attempt or a probe in flight at a worker that has left the list must never be attributed to another
-// worker: the index is not reused until it has ended.
+// worker. The worker's index is therefore not reused until the attempt or the probe has ended.
 func TestAWorkerWithAnAttemptOrProbeInFlightKeepsItsIndex(t *testing.T) {
 	for name, probes := range map[string]bool{"an attempt": false, "a probe": true} {
 		t.Run(name, func(t *testing.T) {
@@ -121,7 +121,7 @@
 			}
 			next := 0
 			replaceWorkers := func(until func() bool) {
-				for end := next + 6*minForgettableWorkers; next < end && !until(); next++ {
+				for end := next + 6*minForgetWorkersAbove; next < end && !until(); next++ {
 					r.Step(4, EndpointsChanged{Endpoints: []Endpoint{
 						{Worker: fmt.Sprint("w", next-1), Removed: true},
 						{Worker: fmt.Sprint("w", next), Addr: fmt.Sprint("b:", next)},
--- a/internal/scheduler/reducer/decisions.go
+++ b/internal/scheduler/reducer/decisions.go
@@ -58,10 +58,10 @@
 // client has disconnected.
 func (r *Reducer) respond(next dispatch.Decision) Effect {
 	o := &r.ops[next.Op]
-	if o.answered {
+	if o.clientDone {
 		return nil
 	}
-	o.answered = true
+	o.clientDone = true
 	verdict := Nacked
 	if next.Kind == dispatch.DeadLetter {
 		verdict = DeadLettered
--- a/internal/scheduler/reducer/effects.go
+++ b/internal/scheduler/reducer/effects.go
@@ -8,7 +8,7 @@
 // Effect is an action for the host: Push, CancelAttempt, Probe, Respond, SendToPeer or SetTimer.
 type Effect interface{ effect() }
 
-// Push sends an op to a worker and waits for its end until the timeout.
+// Push sends an op to a worker and waits for the end of the attempt until the timeout.
 type Push struct {
 	Op      uint64
 	Attempt int
@@ -18,15 +18,15 @@
 	Group   Group // of the worker
 }
 
-// CancelAttempt ends an op's attempt in flight. With OnlyIfUnsent it leaves an attempt that is already being
-// written.
+// CancelAttempt ends an op's attempt in flight. With OnlyIfUnsent, an attempt that is already being written
+// goes on.
 type CancelAttempt struct {
 	Op           uint64
 	OnlyIfUnsent bool
 	Ending       outcome.Ending // reported for the cancelled attempt
 }
 
-// Probe sends a load probe to a worker.
+// Probe sends a load probe to a worker. The field Probe is the number of the probe.
 type Probe struct {
 	Probe  uint64
 	Worker string
--- a/internal/scheduler/reducer/endpoints.go
+++ b/internal/scheduler/reducer/endpoints.go
@@ -10,9 +10,9 @@
 const (
 	// maxMachineKinds bounds the machine kinds that are distinguished; the dispatcher keeps samples of each.
 	maxMachineKinds = 256
-	// minForgettableWorkers is the number of known workers up to which those that left the list are not
+	// minForgetWorkersAbove is the least number of known workers above which workers that left the list are
 	// forgotten.
-	minForgettableWorkers = 1024
+	minForgetWorkersAbove = 1024
 )
 
 // worker is a worker from an endpoint list. Its index in Reducer.workers is the dispatcher's index for it.
@@ -20,7 +20,7 @@
 	name, addr    string
 	group         Group
 	listed, ready bool
-	free          bool // its index is free
+	free          bool // the index belongs to no worker
 }
 
 // updateEndpoints applies an endpoint list. It cancels unsent attempts to workers that are draining, because
@@ -102,7 +102,7 @@
 // that returns later is treated as new. A worker that an attempt, a probe or an op refers to keeps its index
 // until a later call.
 func (r *Reducer) forgetWorkers() {
-	if len(r.workersByName) <= max(r.forgetWorkersAbove, minForgettableWorkers) {
+	if len(r.workersByName) <= max(r.forgetWorkersAbove, minForgetWorkersAbove) {
 		return
 	}
 	inUse := r.dispatcher.WorkersInUse()
@@ -114,7 +114,7 @@
 			r.forgetWorker(i)
 		}
 	}
-	r.forgetWorkersAbove = 2*len(r.workersByName) + minForgettableWorkers
+	r.forgetWorkersAbove = 2*len(r.workersByName) + minForgetWorkersAbove
 }
 
 func (r *Reducer) forgetWorker(i int) {
--- a/internal/scheduler/reducer/ends_test.go
+++ b/internal/scheduler/reducer/ends_test.go
@@ -22,8 +22,8 @@
 
 // In any order of events (disconnected clients, endpoint lists, drains, settings changes, ends of probes and
 // attempts, a shutdown), each op has one answer or its client has disconnected. No attempt starts after
-// either, none goes to a draining worker, and an at-most-once op is neither retried nor nacked once it may
-// have run. ENDS_SEED sets the seed.
+// either of them, and no attempt goes to a draining worker. Once an at-most-once op may have run, it is
+// neither retried nor nacked. ENDS_SEED sets the seed.
 func TestEachOpHasOneAnswerInAnyOrderOfEvents(t *testing.T) {
 	firstSeed, endSeed := uint64(0), uint64(300)
 	if seed, err := strconv.ParseUint(os.Getenv("ENDS_SEED"), 10, 64); err == nil {
@@ -80,7 +80,7 @@
 				openProbes[e.Probe] = true
 			}
 		}
-		for _, e := range effects { // cancelled attempts end as their connection would report it
+		for _, e := range effects { // each cancelled attempt ends as its connection would report
 			if e, ok := e.(CancelAttempt); ok {
 				o := ops[e.Op]
 				switch {
@@ -204,7 +204,7 @@
 	return violation
 }
 
-// smallestKey returns the smallest key. Its choice must be deterministic, so that a failing seed fails again.
+// smallestKey returns the smallest key. The choice must be deterministic, so that a failing seed fails again.
 func smallestKey(set map[uint64]bool) (n uint64, ok bool) {
 	for k := range set {
 		if !ok || k < n {
@@ -214,8 +214,8 @@
 	return n, ok
 }
 
-// Guards against an op that runs under another effect than the one under which it was admitted: a SIGHUP may
-// change the settings between its admission and its arrival at the reducer.
+// Guards against running an op after a SIGHUP has changed its category's effect, such as at-most-once,
+// between its admission by the frontend and its arrival at the reducer.
 func TestAnOpAdmittedUnderAnotherEffectIsNacked(t *testing.T) {
 	for effect, want := range map[string]Verdict{"": -1, "redeliverable": -1, "at-most-once": Nacked} {
 		r := newTestReducer()
--- a/internal/scheduler/reducer/inputs.go
+++ b/internal/scheduler/reducer/inputs.go
@@ -22,14 +22,15 @@
 	StartedAt    dispatch.Time // when that process started; 0 if long ago
 }
 
-// EndpointsChanged is an endpoint list: a snapshot or a delta. A cached list was received before the start.
+// EndpointsChanged is an endpoint list: a snapshot or a delta. A cached list was received before this process
+// started.
 type EndpointsChanged struct {
 	Snapshot, Cached bool
 	Revision         int64 // discovery's revision; the reducer does not use it
 	Endpoints        []Endpoint
 }
 
-// OpArrived is a new op; the host numbers ops and never uses a number twice.
+// OpArrived is a new op. The host numbers ops and never uses a number twice.
 type OpArrived struct {
 	Op            uint64
 	ID            string // chosen by the client
@@ -39,7 +40,7 @@
 	Work          dispatch.Time // the expected service time
 	AffinityKey   uint64        // hash of the key of data that workers cache; 0 if none
 	PriorAttempt  *PriorAttempt // nil if no other scheduler may have run the op
-	Effect        string        // under which the frontend admitted the op; empty if nothing depended on it
+	Effect        string        // category's effect at the op's admission; empty if nothing used it
 }
 
 // PriorAttempt records where and since when an op may have run for another scheduler.
@@ -57,8 +58,8 @@
 // ClientDisconnected reports that an op's client has disconnected.
 type ClientDisconnected struct{ Op uint64 }
 
-// AttemptProgressed reports the progress of a job; a FractionDone below 0 means that the worker acknowledged
-// the attempt.
+// AttemptProgressed reports the progress of a job. A FractionDone below 0 means that the worker has
+// acknowledged the attempt.
 type AttemptProgressed struct {
 	Op           uint64
 	Started      bool
@@ -86,18 +87,18 @@
 	Text   string
 }
 
-// PeerLost reports that another scheduler is dead: its reports are discarded at once.
+// PeerLost reports that another scheduler is dead. Its peer reports are discarded immediately.
 type PeerLost struct{ Peer int }
 
-// PeerJoined reports that another scheduler is new or has restarted as another process: it is sent all
-// current peer reports.
+// PeerJoined reports that another scheduler is new or has restarted as another process. The reducer sends it
+// all current peer reports.
 type PeerJoined struct{ Peer int }
 
 // TimerFired reports that the delay of the last SetTimer has passed.
 type TimerFired struct{}
 
-// ShutdownStarted reports that all ops must have their answer by the deadline; the host sends it again at
-// the deadline.
+// ShutdownStarted reports that all ops must have their answer by the deadline. The host sends it again at the
+// deadline.
 type ShutdownStarted struct{ Deadline dispatch.Time }
 
 // SettingsChanged carries new settings, of which the categories and the number of attempts are applied.
--- a/internal/scheduler/reducer/learned.go
+++ b/internal/scheduler/reducer/learned.go
@@ -6,7 +6,7 @@
 type LearnedState struct {
 	Module  dispatch.Learned         `json:"module"`
 	Zones   []string                 `json:"zones"`   // names of the zones in Module.Zones, in the same order
-	IDs     map[string]dispatch.Time `json:"ids"`     // when the reservation of each expires
+	IDs     map[string]dispatch.Time `json:"ids"`     // when the reservation of each ID expires
 	Dropped map[string]dispatch.Time `json:"dropped"` // dropped categories, with the end of their retention
 }
 
--- a/internal/scheduler/reducer/learned_test.go
+++ b/internal/scheduler/reducer/learned_test.go
@@ -9,8 +9,9 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// The ID of a predecessor's op that is open, or was answered before its TTL, stays reserved at the successor:
-// a second op with that ID would run as a copy. A zone's verdicts are restored by its name, not its number.
+// The IDs of a predecessor's ops stay reserved at the successor until their TTL, both of open and of answered
+// ops. Otherwise a second op with such an ID would run as a duplicate. A zone's verdicts are restored by the
+// zone's name, as its number may differ.
 func TestASuccessorKeepsReservedIDsAndZoneVerdicts(t *testing.T) {
 	predecessor := newTestReducer()
 	submitOp(predecessor, 1, "look")
@@ -46,20 +47,20 @@
 	}
 	// An empty state, or one of another deployment, must not cause a failure.
 	for _, text := range []string{"{}", `{"zones":["a","b"],"module":{"zones":[[]]},"ids":{"a":-1}}`} {
-		var empty LearnedState
-		if err := json.Unmarshal([]byte(text), &empty); err != nil {
+		var restored LearnedState
+		if err := json.Unmarshal([]byte(text), &restored); err != nil {
 			t.Fatal(err)
 		}
 		r := newTestReducer()
-		r.Step(5, StateRestored{empty})
+		r.Step(5, StateRestored{restored})
 		if _, pushed := firstEffect[Push](submitOp(r, 1, "look")); !pushed {
 			t.Errorf("after the state %s nothing is pushed", text)
 		}
 	}
 }
 
-// Times are readings of a process's own clock: all of them are shifted to the successor's clock, and
-// durations stay the same.
+// The times in a learned state are readings of the process's own clock. Shift converts all of them to the
+// successor's clock and leaves durations as they are.
 func TestLearnedTimesShiftToAnotherClock(t *testing.T) {
 	learnedAt := func(at dispatch.Time) LearnedState {
 		verdicts := func() []dispatch.Verdict { return []dispatch.Verdict{{At: at, OK: true}, {At: at + 1}} }
--- a/internal/scheduler/reducer/op_ids.go
+++ b/internal/scheduler/reducer/op_ids.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// minSweepSize is the number of IDs below which expired ones are not deleted.
+	// minSweepSize is the number of IDs below which expired IDs are not deleted.
 	minSweepSize = 1024
-	// maxIDs bounds the reserved IDs, except those of open ops: clients choose the TTLs, which may be long.
+	// maxIDs bounds the number of reserved IDs, as clients choose the TTLs, which may be long. The IDs of
+	// open ops are never freed, so they may exceed the bound.
 	maxIDs = 1 << 17
-	// maxRetainedIDs is the number of IDs of answered ops that remain after a sweep at the bound.
+	// maxRetainedIDs is the number of IDs of answered ops that remain after a sweep at maxIDs.
 	maxRetainedIDs = maxIDs * 3 / 4
 )
 
@@ -22,8 +23,9 @@
 	releaseNumber uint64        // position in the order in which ops were answered
 }
 
-// idRegistry reserves the IDs, by their keys, of open ops, and of answered ops until their TTL, because the
-// client may wait until then. Beyond maxIDs, the IDs of the ops answered longest ago are freed.
+// idRegistry reserves the IDs of ops, which it stores by their keys. The ID of an answered op stays reserved
+// until the op's TTL, because the client may wait until then. Beyond maxIDs, the IDs of the ops answered
+// longest ago are freed.
 type idRegistry struct {
 	byID     map[string]reservedID
 	released uint64 // number of ops answered so far
@@ -50,7 +52,7 @@
 	}
 }
 
-// sweep deletes expired IDs and, beyond maxIDs, those of the ops answered longest ago.
+// sweep deletes expired IDs and, beyond maxIDs, the IDs of the ops answered longest ago.
 func (x *idRegistry) sweep(now dispatch.Time) {
 	x.deleteReleased(func(r reservedID) bool { return r.expiresAt < now })
 	if len(x.byID) >= maxIDs {
@@ -64,13 +66,14 @@
 	maps.DeleteFunc(x.byID, func(_ string, r reservedID) bool { return r.expiresAt > 0 && match(r) })
 }
 
-// scheduleSweep sets the size that starts the next sweep: twice the current number of IDs, at most maxIDs,
-// but at least minSweepSize more than now.
+// scheduleSweep sets the number of IDs that starts the next sweep: twice the current number but at most
+// maxIDs, and in any case at least minSweepSize more than the current number.
 func (x *idRegistry) scheduleSweep() {
 	x.sweepAt = max(min(2*len(x.byID), maxIDs), len(x.byID)+minSweepSize)
 }
 
-// restore reserves the IDs of a predecessor's ops; its open ops are answered by their TTL.
+// restore reserves the IDs of a predecessor's ops until the given times. The predecessor's open ops are
+// answered by their TTL.
 func (x *idRegistry) restore(until map[string]dispatch.Time) {
 	for key, expiresAt := range until {
 		id := opkey.PeerKey(key)
--- a/internal/scheduler/reducer/op_ids_test.go
+++ b/internal/scheduler/reducer/op_ids_test.go
@@ -10,8 +10,8 @@
 )
 
 // Guards against unbounded memory for the IDs of answered ops: an ID stays reserved until the TTL of its op,
-// which may be a day away. Beyond a bound, the IDs of the ops answered longest ago are freed; the ID of an
-// open op never is.
+// which may be a day away. Beyond a bound, the IDs of the ops answered longest ago are freed. The ID of an
+// open op is never freed.
 func TestTheIDsOfAnsweredOpsAreBounded(t *testing.T) {
 	const maxTracked, ops = 150_000, 400_000
 	r := newTestReducer()
@@ -44,8 +44,8 @@
 	}
 }
 
-// All retained IDs, however long the clients' IDs are, take only a part of the handover message to the
-// successor.
+// All retained IDs together take only a part of the handover message to the successor, even if the clients'
+// IDs are long.
 func TestAllRetainedIDsFitIntoAHandover(t *testing.T) {
 	const maxBytes = 12 << 20
 	r := newTestReducer()
--- a/internal/scheduler/reducer/ops.go
+++ b/internal/scheduler/reducer/ops.go
@@ -6,19 +6,20 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// unknownZone stands for the zone of a prior attempt that is not in this reducer's list of zones.
+// unknownZone is the number of a zone that this reducer does not know, in which a prior attempt may have run.
 const unknownZone = -1
 
-// op is an admitted op that is not forgotten. Its index in Reducer.ops is the dispatcher's index for it.
+// op is an admitted op that is not forgotten. Its index in Reducer.ops is the dispatcher's index for it. The
+// fields worker, sentAt and inFlight describe the last attempt. The field id is the key of the client's ID.
 type op struct {
-	number   uint64
-	id       string
-	ttl      dispatch.Time
-	attempts int
-	worker   int // of the last attempt
-	sentAt   dispatch.Time
-	inFlight bool
-	answered bool // or its client has disconnected
+	number     uint64
+	id         string
+	ttl        dispatch.Time
+	attempts   int
+	worker     int // index of the last attempt's worker
+	sentAt     dispatch.Time
+	inFlight   bool
+	clientDone bool // the client has the answer or has disconnected
 }
 
 // admitOp passes an op to the dispatcher, or answers it immediately.
@@ -28,11 +29,11 @@
 		return rejectOp(in, r.unknownCategoryVerdict(in.Category))
 	}
 	if in.Effect != "" && dispatch.Effect(in.Effect) != r.dispatcher.CategoryEffect(category) {
-		// The settings have changed since the frontend admitted the op: it would run under another effect.
+		// The settings have changed since the frontend admitted the op, which would run under another effect.
 		return rejectOp(in, Nacked)
 	}
-	// A second op with the same ID would run as a copy of the first, even after the first one's answer: the
-	// first may still run.
+	// Two ops with the same ID would run as duplicates. An answer to the first op does not change that: the
+	// first op may still run.
 	id := opkey.FromID(in.ID)
 	if r.ids.isReserved(now, id) {
 		return rejectOp(in, DuplicateID)
@@ -87,15 +88,15 @@
 	return spec
 }
 
-// disconnectClient ends the work for a client that has disconnected. If attempts may not be cancelled, an
-// attempt that is not written yet is still cancelled.
+// disconnectClient ends the work for a client that has disconnected. If the settings forbid cancelling
+// attempts, it cancels only an attempt that is not written yet.
 func (r *Reducer) disconnectClient(number uint64) []Effect {
 	i, ok := r.opsByNumber[number]
 	if !ok {
 		return nil
 	}
 	o := &r.ops[i]
-	o.answered = true
+	o.clientDone = true
 	r.dispatcher.ClientDisconnected(i)
 	switch {
 	case o.inFlight && r.cancelsAttempts:
@@ -106,8 +107,8 @@
 	return nil
 }
 
-// startShutdown limits the TTLs of all ops to the deadline. At the deadline, attempts in flight time out as
-// at a TTL.
+// startShutdown limits the TTLs of all ops to the deadline. When the host calls it again at the deadline, it
+// times out the attempts in flight, as at a TTL.
 func (r *Reducer) startShutdown(now, deadline dispatch.Time) (effects []Effect) {
 	r.shutdownDeadline = deadline
 	r.dispatcher.LimitDeadlines(deadline)
--- a/internal/scheduler/reducer/reducer.go
+++ b/internal/scheduler/reducer/reducer.go
@@ -1,6 +1,6 @@
-// Package reducer holds the ops that a scheduler has admitted and has not forgotten. Its reducer takes an
-// input with its time, passes it to the dispatcher, pulls the decisions and returns them as effects for the
-// host to carry out. It does no I/O, reads no clock and starts no goroutine.
+// Package reducer holds the ops that a scheduler has admitted and has not forgotten. Its reducer passes each
+// input, with the time of the input, to the dispatcher. It then pulls the dispatcher's decisions and returns
+// them as effects, which the host carries out. It does no I/O, reads no clock and starts no goroutine.
 package reducer
 
 import (
@@ -18,16 +18,16 @@
 	cancelsAttempts           bool
 	distinguishesMachineKinds bool // otherwise all machines share their samples
 
-	categories        map[string]int // the dispatcher's indices
+	categories        map[string]int // the dispatcher's indices, by name
 	droppedCategories map[string]droppedCategory
 
 	zones              map[string]int
-	machineKinds       map[string]int // numbers
+	machineKinds       map[string]int // numbers, by name
 	workers            []worker       // by index
 	workersByName      map[string]int
 	workersByTag       map[string]int // indices, by the tags that peer messages carry
 	freeWorkers        []int          // indices
-	forgetWorkersAbove int            // number of workers above which those that left the list are forgotten
+	forgetWorkersAbove int            // number of known workers above which unlisted workers are forgotten
 
 	ops              []op           // by index
 	opsByNumber      map[uint64]int // indices
--- a/internal/scheduler/reducer/reducer_test.go
+++ b/internal/scheduler/reducer/reducer_test.go
@@ -38,7 +38,7 @@
 	return r.Step(2, OpArrived{Op: number, ID: fmt.Sprint(number), Category: category, TTL: 2 * second})
 }
 
-func TestAnUnknownCategoryIsAnsweredAtOnce(t *testing.T) {
+func TestAnOpOfAnUnknownCategoryIsRejectedImmediately(t *testing.T) {
 	r := newTestReducer()
 	if a, ok := firstEffect[Respond](submitOp(r, 1, "none such")); !ok || a.Verdict != UnknownCategory ||
 		len(r.opsByNumber) != 0 {
@@ -46,8 +46,8 @@
 	}
 }
 
-// Guards against a second op under a reserved ID, which ran as a copy: a job line could then belong to either
-// op.
+// An op whose ID is still reserved for an earlier op must be rejected. Otherwise both ops would run under one
+// ID, and a job line could belong to either.
 func TestAReservedIDIsRejected(t *testing.T) {
 	r := newTestReducer()
 	submit := func(now dispatch.Time, number uint64, id string) Verdict {
@@ -124,7 +124,7 @@
 	r.Step(1, EndpointsChanged{Snapshot: true, Endpoints: []Endpoint{{Worker: "w", Addr: "a:1", Ready: true},
 		{Worker: "v", Addr: "a:2", Ready: true}}})
 	p, _ := firstEffect[Push](submitOp(r, 1, "look"))
-	for n := uint64(2); n < 12; n++ { // sample starts, from which the start delay is learned
+	for n := uint64(2); n < 12; n++ { // samples of starts, from which the start delay is learned
 		submitOp(r, n, "look")
 		r.Step(3, AttemptProgressed{Op: n, Started: true})
 		r.Step(3, AttemptEnded{Op: n, Ending: outcome.Done})
@@ -143,7 +143,7 @@
 	}
 }
 
-func TestADisconnectedClientGetsNothingMore(t *testing.T) {
+func TestTheAttemptOfADisconnectedClientIsCancelledWithoutAnAnswer(t *testing.T) {
 	r := newTestReducer()
 	submitOp(r, 1, "look")
 	if c, ok := firstEffect[CancelAttempt](r.Step(3, ClientDisconnected{Op: 1})); !ok || c.OnlyIfUnsent {
@@ -190,8 +190,8 @@
 	}
 }
 
-// In any order of events, an op has one answer, at most one attempt in flight at a time, and no attempt after
-// its answer.
+// In any order of events, an op has one answer unless its client disconnects. It has at most one attempt in
+// flight at a time, and no attempt after its answer.
 func TestEachOpHasOneAnswerAndOneAttemptInFlight(t *testing.T) {
 	holds := func(seed int64) bool {
 		rng, r := rand.New(rand.NewSource(seed)), newTestReducer()
@@ -255,7 +255,8 @@
 	}
 }
 
-// Machine kinds that are not enabled must not change how an existing deployment learns its workers' speeds.
+// In a deployment that has not enabled machine kinds, the kinds in an endpoint list must not change how the
+// workers' speeds are learned.
 func TestMachineKindsAreDistinguishedOnlyWhereEnabled(t *testing.T) {
 	for _, enabled := range []bool{false, true} {
 		r := New(1, map[string]any{"kinds": enabled})
@@ -276,8 +277,9 @@
 	}
 }
 
-// Guards against ops that fail after a settings change: clients use a dropped category until they learn of
-// the change, and a new category was unknown.
+// Guards against ops that fail after a settings change. Clients use a dropped category until they learn of
+// the change, so its ops must still be served. The ops of a new category, which used to be unknown, must be
+// served too.
 func TestADroppedCategoryIsServedDuringItsRetention(t *testing.T) {
 	r := newTestReducer()
 	r.Step(2, SettingsChanged{RetainUntil: 2 + second, Settings: map[string]any{
@@ -299,8 +301,8 @@
 		if _, pushed := firstEffect[Push](effects); pushed != c.served {
 			t.Errorf("%s at %d: %v", c.category, c.at, effects)
 		}
-		// A reset attempt may have run: under its old rules pay is never retried, and under the new limit of
-		// one attempt no op is.
+		// A reset attempt may have run. The old rules of pay forbid a retry, and the new limit of one attempt
+		// forbids a retry of any op.
 		effects = r.Step(c.at, AttemptEnded{Op: uint64(number), Ending: outcome.Reset})
 		if retry, retried := firstEffect[Push](effects); retried {
 			t.Errorf("an op of %s is retried: %+v", c.category, retry)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// MaxTTL is the longest time that a client may wait for an op. A frontend caps longer times at it.
+	// MaxTTL is the longest time that a client may wait for an op. A frontend reduces longer times to MaxTTL.
 	MaxTTL = 24 * time.Hour
 
 	inboxSize = 256 // messages queued for the loop
@@ -53,9 +53,9 @@
 	Op           reducer.OpArrived
 	Client       Client
 	Deadline     time.Time           // when the client stops waiting
-	Rule         config.CategoryRule // of the op's category, at its arrival
-	MaxAttempts  int                 // at its arrival
-	ClaimGranted bool                // the replicas granted the claim to run it
+	Rule         config.CategoryRule // rule of the op's category when the op arrived
+	MaxAttempts  int                 // limit on attempts when the op arrived
+	ClaimGranted bool                // the replicas have granted the claim to run the op
 
 	// Reply receives the one final answer. It must be buffered: the loop sends without waiting.
 	Reply chan<- reducer.Respond
@@ -90,8 +90,8 @@
 	// Request returns the encoded request for a worker, with the time left until the client's deadline.
 	Request(left time.Duration) []byte
 
-	// MayHaveRun records that the last attempt may have run in a worker group. For such an attempt the loop
-	// calls it at least once before it answers the op.
+	// MayHaveRun records that the last attempt may have run in a worker group. The loop calls it at least
+	// once for each such attempt, before it answers the op.
 	MayHaveRun(group reducer.Group)
 }
 
@@ -100,7 +100,7 @@
 type Policy interface {
 	Rule(category string) config.CategoryRule
 	MaxAttempts() int
-	ClaimRequired(category string) bool // before an op of the category runs
+	ClaimRequired(category string) bool // whether an op of the category needs a claim before it runs
 }
 
 // Options configures a Loop.
@@ -130,11 +130,11 @@
 	opts           Options
 	inbox          chan Message
 	done           chan struct{} // closed once Run receives no more messages
-	endpointsReady chan struct{} // closed with the first endpoint list that is not cached
-	unappliedLists atomic.Int64  // endpoint lists sent and not applied
+	endpointsReady chan struct{} // closed when the first endpoint list arrives that is not cached
+	unappliedLists atomic.Int64  // endpoint lists that were sent and are not applied yet
 
 	submitted    uint64
-	listReceived bool // endpointsReady is closed
+	listReceived bool // endpointsReady has been closed
 	pending      map[uint64]*pendingOp
 	inFlight     map[uint64]*workerconn.Exchange // by op
 	timer        *time.Timer
@@ -166,8 +166,9 @@
 	}
 }
 
-// Submit passes an op to the loop. It returns an error when ctx, the context of the op's client, ends: an op
-// whose client has disconnected by then is never accepted.
+// Submit passes an op to the loop. ctx is the context of the op's client. If ctx ends before there is space
+// in the inbox, Submit returns the error of ctx: an op whose client has disconnected by then is never
+// accepted. If the loop ends first, Submit returns ErrStopped.
 func (l *Loop) Submit(ctx context.Context, s Submit) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -182,7 +183,8 @@
 	}
 }
 
-// Inbox is for senders that must not block. Endpoint lists and ops must be sent by Send and Submit.
+// Inbox returns the loop's inbox, for senders that must not block. Endpoint lists and ops must be sent with
+// Send and Submit instead.
 func (l *Loop) Inbox() chan<- Message { return l.inbox }
 
 // Done is closed once the loop receives no more messages.
@@ -194,7 +196,7 @@
 // HasUnappliedLists reports whether an endpoint list was sent that the reducer has not applied yet.
 func (l *Loop) HasUnappliedLists() bool { return l.unappliedLists.Load() > 0 }
 
-// Learned returns the reducer's learned state, or ErrBusy.
+// Learned returns the reducer's learned state, or ErrBusy if the loop does not answer within learnedTimeout.
 func (l *Loop) Learned() (reducer.LearnedState, error) {
 	learned := make(chan reducer.LearnedState, 1)
 	timeout := time.After(learnedTimeout)
--- a/internal/scheduler/window_test.go
+++ b/internal/scheduler/window_test.go
@@ -14,16 +14,16 @@
 	"woaddyke/internal/testsupport/fragmentpeer"
 )
 
-// A retry of a deduplicated op is decided within the deduplication window of its worker group, but its write
-// is delayed: by a dial that takes its whole timeout, an endpoint list that is being read, or a worker whose
-// machine accepts no data. It must not be written after the window.
+// Guards against a retry that is decided within the deduplication window of its worker group but written
+// after the window. The write may be delayed by a dial that takes its full timeout, by an endpoint list that
+// is being read, or by a worker whose machine accepts no data.
 func TestNoRetryIsWrittenAfterTheDeduplicationWindow(t *testing.T) {
 	const (
-		window       = 400 * time.Millisecond
-		resetAfter   = 200 * time.Millisecond // from a request to its reset; the attempt may have run
-		retryHeld    = 460 * time.Millisecond // from the first attempt, until the retry may be written
-		tolerance    = 50 * time.Millisecond  // for delays of the sockets
-		observeAfter = 300 * time.Millisecond // from the answer, for a retry that must not arrive
+		window     = 400 * time.Millisecond
+		resetAfter = 200 * time.Millisecond // from a request to its reset; the attempt may have run
+		retryDelay = 460 * time.Millisecond // from the first attempt until a retry may be written
+		tolerance  = 50 * time.Millisecond  // for delays of the sockets
+		observeFor = 300 * time.Millisecond // after the answer, to see a retry that must not arrive
 	)
 	var mu sync.Mutex
 	var arrivals []time.Time
@@ -50,7 +50,7 @@
 	l.opts.Workers.Stale = func() bool { // delays the retry, but not the first attempt
 		mu.Lock()
 		defer mu.Unlock()
-		return len(arrivals) > 0 && time.Since(arrivals[0]) < retryHeld
+		return len(arrivals) > 0 && time.Since(arrivals[0]) < retryDelay
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -63,7 +63,7 @@
 	if answer := await(t, "the op's answer", reply); answer.Verdict == reducer.Acked {
 		t.Errorf("the op was acked: %+v", answer)
 	}
-	time.Sleep(observeAfter)
+	time.Sleep(observeFor)
 	mu.Lock()
 	defer mu.Unlock()
 	for _, at := range arrivals[1:] {
--- a/internal/scheduler/worker_states.go
+++ b/internal/scheduler/worker_states.go
@@ -7,9 +7,9 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// minSweepSize is the number of workers above twice the count after the last sweep at which a delta starts
-// the next sweep.
-const minSweepSize = 1024
+// A delta starts a sweep once the number of workers reaches twice the number left after the last sweep, plus
+// sweepMargin.
+const sweepMargin = 1024
 
 // workerStates records since when each worker has been draining. The loop updates it, and goroutines that
 // write to workers query it.
@@ -18,15 +18,15 @@
 
 	mu            sync.Mutex
 	drainingSince map[string]time.Time // zero for a worker that is ready
-	sweepSize     int                  // number of workers that starts a sweep
+	sweepAt       int                  // number of workers at which a delta starts a sweep
 }
 
 func newWorkerStates(drainGrace time.Duration) *workerStates {
 	return &workerStates{drainGrace: drainGrace, drainingSince: map[string]time.Time{}}
 }
 
-// update applies an endpoint list. The cost of a delta is proportional to its changes, except for an
-// occasional sweep.
+// update applies an endpoint list. The cost of a delta is proportional to its changes, unless it starts a
+// sweep.
 func (w *workerStates) update(in reducer.EndpointsChanged, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -40,13 +40,13 @@
 			w.drainingSince[e.Worker] = now
 		}
 	}
-	if in.Snapshot || len(w.drainingSince) >= w.sweepSize {
+	if in.Snapshot || len(w.drainingSince) >= w.sweepAt {
 		w.sweep(in.Snapshot, listed, now)
 	}
 }
 
-// sweep marks workers that a snapshot no longer lists as draining, and deletes those that have been draining
-// for longer than MaxTTL: no attempt can be waiting for them.
+// sweep marks a worker as draining if a snapshot no longer lists it. It deletes the workers that have been
+// draining for longer than MaxTTL: no attempt can be waiting for them.
 func (w *workerStates) sweep(snapshot bool, listed map[string]bool, now time.Time) {
 	for worker, since := range w.drainingSince {
 		switch {
@@ -56,10 +56,11 @@
 			delete(w.drainingSince, worker)
 		}
 	}
-	w.sweepSize = 2*len(w.drainingSince) + minSweepSize
+	w.sweepAt = 2*len(w.drainingSince) + sweepMargin
 }
 
-// accepts reports whether a worker accepts attempts, or has been draining for no longer than the grace.
+// accepts reports whether attempts may go to a worker: the worker is not draining, or it has been draining
+// for no longer than the grace.
 func (w *workerStates) accepts(worker string, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
