--- a/internal/scheduler/reducer/ops.go
+++ b/internal/scheduler/reducer/ops.go
@@ -6,38 +6,40 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// unknownZone is the zone of a prior attempt in a zone that is not known here.
+// unknownZone is the number of a zone that this reducer does not know, in which a prior attempt may have run.
 const unknownZone = -1
 
-// op is an op that was admitted and is not forgotten, by the index that the dispatcher knows it by.
+// op is an admitted op that is not forgotten. Its index in Reducer.ops is the dispatcher's index for it. The
+// fields worker, sentAt and inFlight describe the last attempt. The field id is the key of the client's ID.
 type op struct {
-	number   uint64
-	id       string
-	ttl      dispatch.Time
-	attempts int
-	worker   int // of the last attempt
-	sentAt   dispatch.Time
-	inFlight bool
-	answered bool // or its client has disconnected
+	number     uint64
+	id         string
+	ttl        dispatch.Time
+	attempts   int
+	worker     int // index of the last attempt's worker
+	sentAt     dispatch.Time
+	inFlight   bool
+	clientDone bool // the client has the answer or has disconnected
 }
 
-// admitOp gives an op to the dispatcher, or answers it at once.
+// admitOp passes an op to the dispatcher, or answers it immediately.
 func (r *Reducer) admitOp(now dispatch.Time, in OpArrived) []Effect {
-	place, ok := r.categoryPlace(now, in.Category)
+	category, ok := r.categoryIndex(now, in.Category)
 	if !ok {
 		return rejectOp(in, r.unknownCategoryVerdict(in.Category))
 	}
-	if in.Effect != "" && dispatch.Effect(in.Effect) != r.dispatcher.CategoryEffect(place) {
-		// The settings have changed since the frontend read the op: it would run under another effect.
+	if in.Effect != "" && dispatch.Effect(in.Effect) != r.dispatcher.CategoryEffect(category) {
+		// The settings have changed since the frontend admitted the op, which would run under another effect.
 		return rejectOp(in, Nacked)
 	}
-	// A second op of one ID would run twice at its worker, also after the answer: the first may still run.
+	// Two ops with the same ID would run as duplicates. An answer to the first op does not change that: the
+	// first op may still run.
 	id := opkey.FromID(in.ID)
 	if r.ids.isReserved(now, id) {
 		return rejectOp(in, DuplicateID)
 	}
-	i := r.takeOpIndex()
-	if !r.dispatcher.AddOp(i, r.opSpec(place, in)) {
+	i := r.allocateOpIndex()
+	if !r.dispatcher.AddOp(i, r.opSpec(category, in)) {
 		r.freeOps = append(r.freeOps, i)
 		return rejectOp(in, UnknownCategory)
 	}
@@ -54,8 +56,8 @@
 	return []Effect{Respond{Op: in.Op, Verdict: verdict}}
 }
 
-// unknownCategoryVerdict is a nack for a dropped category: the op never ran, and its client made no
-// mistake.
+// unknownCategoryVerdict returns a nack for a dropped category: the op never ran, and the client's request
+// was valid.
 func (r *Reducer) unknownCategoryVerdict(category string) Verdict {
 	if _, dropped := r.droppedCategories[category]; dropped {
 		return Nacked
@@ -63,8 +65,8 @@
 	return UnknownCategory
 }
 
-// takeOpIndex takes a free index, or makes one.
-func (r *Reducer) takeOpIndex() (i int) {
+// allocateOpIndex returns a free index, or appends a new one.
+func (r *Reducer) allocateOpIndex() (i int) {
 	if n := len(r.freeOps); n > 0 {
 		i, r.freeOps = r.freeOps[n-1], r.freeOps[:n-1]
 		return i
@@ -73,8 +75,8 @@
 	return len(r.ops) - 1
 }
 
-func (r *Reducer) opSpec(place int, in OpArrived) dispatch.OpSpec {
-	spec := dispatch.OpSpec{Category: place, TTL: in.TTL, Slots: max(in.Slots, 1), Memory: in.Memory,
+func (r *Reducer) opSpec(category int, in OpArrived) dispatch.OpSpec {
+	spec := dispatch.OpSpec{Category: category, TTL: in.TTL, Slots: max(in.Slots, 1), Memory: in.Memory,
 		Work: in.Work, AffinityKey: in.AffinityKey}
 	if p := in.PriorAttempt; p != nil {
 		zone, ok := r.zones[p.Zone]
@@ -86,15 +88,15 @@
 	return spec
 }
 
-// disconnectClient ends what is done for a client that has gone. Where attempts may not be cancelled, one
-// that is not written yet still need not be.
+// disconnectClient ends the work for a client that has disconnected. If the settings forbid cancelling
+// attempts, it cancels only an attempt that is not written yet.
 func (r *Reducer) disconnectClient(number uint64) []Effect {
 	i, ok := r.opsByNumber[number]
 	if !ok {
 		return nil
 	}
 	o := &r.ops[i]
-	o.answered = true
+	o.clientDone = true
 	r.dispatcher.ClientDisconnected(i)
 	switch {
 	case o.inFlight && r.cancelsAttempts:
@@ -105,17 +107,17 @@
 	return nil
 }
 
-// startShutdown cuts the TTLs of all ops short. At the deadline itself attempts in flight time out, as at
-// a TTL.
-func (r *Reducer) startShutdown(now, deadline dispatch.Time) (todo []Effect) {
+// startShutdown limits the TTLs of all ops to the deadline. When the host calls it again at the deadline, it
+// times out the attempts in flight, as at a TTL.
+func (r *Reducer) startShutdown(now, deadline dispatch.Time) (effects []Effect) {
 	r.shutdownDeadline = deadline
 	r.dispatcher.LimitDeadlines(deadline)
 	for i := range r.ops {
 		if o := &r.ops[i]; o.inFlight && now >= deadline {
-			todo = append(todo, CancelAttempt{Op: o.number, Ending: outcome.TimedOut})
+			effects = append(effects, CancelAttempt{Op: o.number, Ending: outcome.TimedOut})
 		}
 	}
-	return todo
+	return effects
 }
 
 // forgetOp frees an op's index. Its ID stays reserved until its TTL.
