--- a/internal/frontend/clientconn/arrivals.go
+++ b/internal/frontend/clientconn/arrivals.go
@@ -7,56 +7,57 @@
 	"golang.org/x/sys/unix"
 )
 
-// mostArrivals is how many moments of one connection are told apart. Beyond them bytes count as come with the last of these, so that no
-// request seems younger than it is.
-const mostArrivals = 32
+// maxReceiveTimes bounds the receive times that are stored per connection. Beyond the bound, bytes get the
+// time of the last entry, so that a request never seems younger than it is.
+const maxReceiveTimes = 32
 
-// arrival says that so many bytes of a connection, from its first one on, had come at a moment.
-type arrival struct {
-	bytes int64
-	at    time.Time
+// receiveTime records that all bytes of a connection up to an offset had been received at a time.
+type receiveTime struct {
+	upTo int64
+	at   time.Time
 }
 
-// arrivals are when the bytes of a connection came to this machine, as far as this process saw. The client of a request that comes behind
-// another counts its time from then, however long the answer to the other one takes.
-type arrivals struct {
-	seen []arrival // in order; what was served is forgotten
+// receiveTimes records when this process saw the bytes of a connection reach this machine. The age of a
+// pipelined request counts from then, however long the response to the request before it takes.
+type receiveTimes struct {
+	entries []receiveTime // by ascending offset; without those of answered requests
 }
 
-// saw notes that so many bytes have come by now.
-func (a *arrivals) saw(bytes int64, now time.Time) {
-	n := len(a.seen)
+// record notes that all bytes up to an offset have been received by now.
+func (a *receiveTimes) record(upTo int64, now time.Time) {
+	n := len(a.entries)
 	switch {
-	case n > 0 && bytes <= a.seen[n-1].bytes:
-	case n == mostArrivals:
-		a.seen[n-1].bytes = bytes
+	case n > 0 && upTo <= a.entries[n-1].upTo:
+	case n == maxReceiveTimes:
+		a.entries[n-1].upTo = upTo
 	default:
-		a.seen = append(a.seen, arrival{bytes, now})
+		a.entries = append(a.entries, receiveTime{upTo, now})
 	}
 }
 
-// of is when the byte before an offset came; false where nothing tells.
-func (a *arrivals) of(offset int64) (at time.Time, ok bool) {
-	for _, x := range a.seen {
-		if x.bytes >= offset {
+// lookup returns when the byte before an offset was received; ok is false if that is not recorded.
+func (a *receiveTimes) lookup(offset int64) (at time.Time, ok bool) {
+	for _, x := range a.entries {
+		if x.upTo >= offset {
 			return x.at, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// forget lets go of what tells nothing of the bytes behind an offset.
-func (a *arrivals) forget(offset int64) {
+// discard removes the entries that cover no byte beyond an offset.
+func (a *receiveTimes) discard(offset int64) {
 	k := 0
-	for k < len(a.seen) && a.seen[k].bytes <= offset {
+	for k < len(a.entries) && a.entries[k].upTo <= offset {
 		k++
 	}
-	a.seen = append(a.seen[:0], a.seen[k:]...)
+	a.entries = append(a.entries[:0], a.entries[k:]...)
 }
 
-// noteQueued notes how many bytes came while the connection waited to be accepted. They may be as old as the connection: the kernel tells
-// the time since it last sent data, which counts from the handshake while it has sent none.
-func (c *conn) noteQueued() {
+// recordPreAcceptBytes notes how many bytes were received before the connection was accepted. They may be as
+// old as the connection. Its age is the kernel's time since it last sent data, which counts from the
+// handshake until data is sent.
+func (c *conn) recordPreAcceptBytes() {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return
@@ -68,34 +69,35 @@
 		}
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			age := time.Duration(info.Last_data_sent) * time.Millisecond
-			c.queued = arrival{int64(unread), time.Now().Add(-age)}
+			c.preAccept = receiveTime{int64(unread), time.Now().Add(-age)}
 		}
 	})
 }
 
-// sawQueued dates what came before the connection was accepted, with the lock held. It is called once something has come behind
-// a request: one alone is dated by the kernel.
-func (c *conn) sawQueued() {
-	if c.queued.bytes > 0 {
-		c.arrived.saw(c.queued.bytes, c.queued.at)
-		c.queued = arrival{}
+// applyPreAcceptBytes adds the receive time of the bytes from before the accept. It is called, with the lock
+// held, once a further request has been received; for a single request the kernel's time is used.
+func (c *conn) applyPreAcceptBytes() {
+	if c.preAccept.upTo > 0 {
+		c.receiveTimes.record(c.preAccept.upTo, c.preAccept.at)
+		c.preAccept = receiveTime{}
 	}
 }
 
-// sawUnread notes what lies in a socket while a request is served.
-func (c *conn) sawUnread(fd uintptr) {
-	unread := max(unreadBytes(fd), 1) // something lies there
+// recordUnread records the receive time of the bytes that are unread in the socket while a request is served.
+func (c *conn) recordUnread(fd uintptr) {
+	unread := max(unreadBytes(fd), 1) // the caller saw unread data
 	now := time.Now()
-	since := c.of.stands.earliestOf(now, newestBytes(fd, now))
-	c.of.stands.want(now)
+	since := c.pool.stalls.earliestReceiveOf(now, lastReceiveTime(fd, now))
+	c.pool.stalls.watch(now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sawQueued()
-	c.arrived.saw(c.requests.offset+int64(unread), since)
+	c.applyPreAcceptBytes()
+	c.receiveTimes.record(c.parser.offset+int64(unread), since)
 }
 
-// newestBytes is when the newest bytes of a connection came, as the kernel says; now where it does not.
-func newestBytes(fd uintptr, now time.Time) time.Time {
+// lastReceiveTime returns the kernel's time at which a connection last received data, or now if that is not
+// known.
+func lastReceiveTime(fd uintptr, now time.Time) time.Time {
 	info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
 		return now
@@ -103,30 +105,32 @@
 	return now.Add(-time.Duration(info.Last_data_recv) * time.Millisecond)
 }
 
-func (c *conn) newestBytes(now time.Time) (newest time.Time) {
-	newest = now
+func (c *conn) lastReceiveTime(now time.Time) (last time.Time) {
+	last = now
 	raw, err := c.SyscallConn()
 	if err != nil {
-		return newest
+		return last
 	}
-	raw.Control(func(fd uintptr) { newest = newestBytes(fd, now) })
-	return newest
+	raw.Control(func(fd uintptr) { last = lastReceiveTime(fd, now) })
+	return last
 }
 
-// sawRead notes what has just been read, with the lock held. One request alone is dated by the kernel's word of its newest bytes.
-func (c *conn) sawRead(now time.Time) {
+// recordRead records the receive time of what has just been read, with the lock held. For a single request
+// the kernel's time of the last received data is used instead.
+func (c *conn) recordRead(now time.Time) {
 	since := now
-	if c.requests.several() {
-		since = c.of.stands.earliestOf(now, c.newestBytes(now))
-		c.of.stands.want(now)
-		c.sawQueued()
+	if c.parser.pipelined() {
+		since = c.pool.stalls.earliestReceiveOf(now, c.lastReceiveTime(now))
+		c.pool.stalls.watch(now)
+		c.applyPreAcceptBytes()
 	}
-	c.arrived.saw(c.requests.offset, since)
-	c.arrived.forget(c.requests.answeredUpTo())
+	c.receiveTimes.record(c.parser.offset, since)
+	c.receiveTimes.discard(c.parser.answeredOffset())
 }
 
-// HeaderAge is how long ago the head of the request that is served came to this machine, as far as this process saw: it may have lain behind
-// the one before.
+// HeaderAge returns how long ago this process saw the end of the header of the request in service reach this
+// machine: the request may have been received while the one before it was served. It returns 0 if that is not
+// known.
 func HeaderAge(ctx context.Context) time.Duration {
 	c, ok := FromContext(ctx).(*conn)
 	if !ok {
@@ -134,10 +138,10 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.requests.awaited) == 0 {
+	if len(c.parser.pending) == 0 {
 		return 0
 	}
-	at, ok := c.arrived.of(c.requests.awaited[0].headEnd)
+	at, ok := c.receiveTimes.lookup(c.parser.pending[0].headerEnd)
 	if !ok {
 		return 0
 	}
--- a/internal/frontend/clientconn/arrivals_test.go
+++ b/internal/frontend/clientconn/arrivals_test.go
@@ -9,13 +9,15 @@
 	"time"
 )
 
-// A client that writes its head slowly, in more pieces than moments are told apart: its request is as old as its last byte.
-func TestASlowHeadIsAsOldAsItsLastByte(t *testing.T) {
-	waited := make(chan time.Duration, 1)
-	g := listening(t, 9)
-	s := &http.Server{ConnState: g.Track, ConnContext: NewContext, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		waited <- HeaderAge(r.Context())
-	})}
+// A client sends its header in more pieces than there are stored receive times. The age of its request counts
+// from the header's last byte, not from an earlier one.
+func TestASlowHeaderIsAsOldAsItsLastByte(t *testing.T) {
+	headerAge := make(chan time.Duration, 1)
+	g := newListeningPool(t, 9)
+	s := &http.Server{ConnState: g.Track, ConnContext: NewContext,
+		Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+			headerAge <- HeaderAge(r.Context())
+		})}
 	go s.Serve(g)
 	t.Cleanup(func() { s.Close() })
 	c, err := net.Dial("tcp", g.Addr().String())
@@ -25,15 +27,16 @@
 	defer c.Close()
 	answers := bufio.NewReader(c)
 	for k := range 2 {
-		head := fmt.Sprintf("GET /%d HTTP/1.1\r\nHost: x\r\nX-Long: %0100d\r\n\r\n", k, k)
-		began := time.Now()
-		for i := range head {
-			c.Write([]byte{head[i]})
+		header := fmt.Sprintf("GET /%d HTTP/1.1\r\nHost: x\r\nX-Long: %0100d\r\n\r\n", k, k)
+		start := time.Now()
+		for i := range header {
+			c.Write([]byte{header[i]})
 			time.Sleep(3 * time.Millisecond)
 		}
-		took := time.Since(began)
-		if got := <-waited; got > took/3 {
-			t.Errorf("request %d took %v to come, and is taken to be %v old at its end", k, took, got)
+		sendTime := time.Since(start)
+		if got := <-headerAge; got > sendTime/3 {
+			t.Errorf("request %d: header sent in %v, age at its end %v, want at most a third of that",
+				k, sendTime, got)
 		}
 		if _, err := http.ReadResponse(answers, nil); err != nil {
 			t.Fatal(err)
@@ -41,21 +44,23 @@
 	}
 }
 
-// Moments are bounded; beyond them a byte counts as come with the last one that is told apart, never later than it did.
-func TestArrivalsAreBoundedAndNeverYounger(t *testing.T) {
-	var a arrivals
+// The number of receive times is bounded. Beyond the bound a byte gets the time of the last entry, never one
+// after its own.
+func TestReceiveTimesAreBoundedAndNeverTooLate(t *testing.T) {
+	var a receiveTimes
 	start := time.Now()
-	for k := range int64(10 * mostArrivals) {
-		a.saw(k+1, start.Add(time.Duration(k)*time.Millisecond))
-		if at, ok := a.of(k + 1); !ok || at.After(start.Add(time.Duration(k)*time.Millisecond)) {
-			t.Fatalf("byte %d came %v after the first, %v", k, at.Sub(start), ok)
+	for k := range int64(10 * maxReceiveTimes) {
+		a.record(k+1, start.Add(time.Duration(k)*time.Millisecond))
+		if at, ok := a.lookup(k + 1); !ok || at.After(start.Add(time.Duration(k)*time.Millisecond)) {
+			t.Fatalf("byte %d: recorded %v after the first byte, ok %v; want a time not after its own",
+				k, at.Sub(start), ok)
 		}
 	}
-	if len(a.seen) > mostArrivals {
-		t.Errorf("%d moments are kept", len(a.seen))
+	if len(a.entries) > maxReceiveTimes {
+		t.Errorf("%d receive times are stored, want at most maxReceiveTimes", len(a.entries))
 	}
-	a.forget(10 * mostArrivals)
-	if _, ok := a.of(1); ok || len(a.seen) > 0 {
-		t.Errorf("%+v is kept of what was answered", a.seen)
+	a.discard(10 * maxReceiveTimes)
+	if _, ok := a.lookup(1); ok || len(a.entries) > 0 {
+		t.Errorf("%+v is still stored for answered requests", a.entries)
 	}
 }
--- a/internal/frontend/clientconn/clientconn.go
+++ b/internal/frontend/clientconn/clientconn.go
@@ -1,4 +1,4 @@
-// Package clientconn holds the connections that others open to a scheduler, within a bound on their number.
+// Package clientconn accepts and tracks the connections opened to a scheduler, and limits their number.
 package clientconn
 
 import (
@@ -21,252 +21,261 @@
 )
 
 const (
-	look      = 2 * time.Millisecond  // between two looks for room
-	mostLooks = 8                     // at connections that wait, for one on which nothing has come
-	closeTime = 50 * time.Millisecond // for connections whose wait was ended to be closed, before a newcomer is
+	pollInterval          = 2 * time.Millisecond  // between attempts to admit a new connection
+	maxEvictionCandidates = 8                     // waiting connections that are checked for unread data
+	evictionCloseTimeout  = 50 * time.Millisecond // a new connection waits for evicted ones to be closed
 )
 
-// Pool are the connections at one address. They share the descriptors with those to workers: too many of
-// them would leave ops that can't be pushed. Those that were never served give way first, so that a flood
-// takes its room from itself.
+// Pool holds the connections accepted at one address. They share the process's descriptors with the
+// connections to workers: with too many of them, accepted ops could not be pushed. Connections that were
+// never served are evicted first, so that a flood of new ones evicts itself.
 type Pool struct {
 	net.Listener
-	AdmissionTimeout time.Duration // for which a newcomer that finds no room waits, and all behind it, before it is closed
-	HeaderTimeout    time.Duration // from a head's first byte on, or from when it is read, until it has to be whole; 0 for no bound
-	// OnUnanswered is told of each connection that this side closes though a request that was read whole, as far as its head, has no answer and
-	// its client is there; set before use, nil for nobody.
+	AdmissionTimeout time.Duration // for a new connection to get a free slot; those behind it wait too
+	HeaderTimeout    time.Duration // for a header, from its first byte or when reading it starts; 0 for none
+	// OnUnanswered is called when this side closes a connection whose client is still there though a request
+	// with a complete header has no answer. The callbacks are set before use and may be nil.
 	OnUnanswered  func(addr string)
-	OnEnded       func(Reason, string) // told why this side ends a connection or its wait, and whose it is; set before use, nil for nobody
-	OnAcceptError func(error)          // told of each failure of accept that is waited out; set before use, nil for nobody
+	OnEnded       func(Reason, string) // given the address when this side ends a connection, or its wait
+	OnAcceptError func(error)          // called for each accept error after which accepting is retried
 
-	mu         sync.Mutex
-	most, full int // from the first on others give way to a newcomer; at the second it is closed unread
-	open       map[*conn]*entry
-	stands     standstill
-	paused     chan struct{}             // nil while connections are accepted; closed when they are again
-	parted     map[*conn]bool            // told that their wait is over, and not closed yet
-	stopped    atomic.Bool               // no further request is read
-	bodiesBy   atomic.Pointer[time.Time] // by when a body that has begun has to be whole then; nil before
-	closed     chan struct{}             // has one when a connection has been closed since it was emptied
+	mu                   sync.Mutex
+	softLimit, hardLimit int // see New
+	open                 map[*conn]*entry
+	stalls               stallDetector
+	resumed              chan struct{}             // nil unless accepting is paused; closed by Resume
+	closing              map[*conn]bool            // their wait was ended, and they are not closed yet
+	readingStopped       atomic.Bool               // StopReading was called
+	bodyDeadline         atomic.Pointer[time.Time] // for started bodies after StopReading; nil before
+	connClosed           chan struct{}             // signals a closed connection; holds one signal
 }
 
-// Reason is why this side ends a connection, or its wait for a request.
+// Reason says why this side ends a connection, or its wait for a request.
 type Reason string
 
-// The reasons, a closed set.
+// All reasons.
 const (
-	GaveWay   Reason = "it gave way to another"
-	ToLeave   Reason = "its client is sent away"
-	NoRoom    Reason = "there is no room"
-	HeadLate  Reason = "a head that began did not come whole"
-	RestsLong Reason = "it rested for too long"
+	ReasonEvicted       Reason = "evicted for a new connection"
+	ReasonDrained       Reason = "closed for a client drain or a shutdown"
+	ReasonLimitReached  Reason = "connection limit reached"
+	ReasonHeaderTimeout Reason = "header timeout"
+	ReasonIdleTimeout   Reason = "idle timeout"
 )
 
-// ended tells why a connection ends.
-func (g *Pool) ended(why Reason, c net.Conn) {
+// reportEnd calls OnEnded for a connection.
+func (g *Pool) reportEnd(why Reason, c net.Conn) {
 	if g.OnEnded != nil {
 		g.OnEnded(why, c.RemoteAddr().String())
 	}
 }
 
 type entry struct {
-	since  time.Time // as it is now
-	state  http.ConnState
-	served bool // it was given what it came for
+	stateSince time.Time // when the connection entered its state
+	state      http.ConnState
+	served     bool // MarkServed was called
 }
 
-func (x *entry) waits() bool { return x.state == http.StateIdle || x.state == http.StateNew }
+func (x *entry) waiting() bool { return x.state == http.StateIdle || x.state == http.StateNew }
 
-// conn follows what is read of a request: until its head is whole the server says that the connection waits.
+// conn parses the requests that are read from a connection: the server reports it as waiting until a header
+// is complete.
 type conn struct {
 	net.Conn
-	of *Pool
-
-	mu       sync.Mutex
-	requests follower
-	arrived  arrivals
-	queued   arrival   // bytes that had come before the connection was accepted, and since when they may have
-	deadline time.Time // that the server has set for reading; zero for none
-	headBy   time.Time // by when the head that has begun has to be whole; zero while none has, or nobody reads it
-	parted   bool      // its wait is over
-	forfeit  bool      // nobody is owed an answer any more: where its requests begin and end is not known
-	used     bool      // a request was served on it
-	answered bool      // something of an answer to the request that is served has been written
-}
-
-// Read reads, but for the one byte that the standard server asks for, without a deadline, while a request is served: that is its
-// way to see that the client leaves. Once it has such a byte it looks no more, and a client that sent one and left had its op
-// pushed. Here the end alone answers that call; what comes before it stays in the kernel for the next request.
+	pool *Pool
+
+	mu              sync.Mutex
+	parser          requestParser
+	receiveTimes    receiveTimes
+	preAccept       receiveTime // bytes received before the accept, with their earliest possible receive time
+	readDeadline    time.Time   // as set by the server; zero for none
+	headerDeadline  time.Time   // for a started header; zero if there is none, or it is not being read
+	closing         bool        // its wait was ended
+	skipUnanswered  bool        // request boundaries are unknown, so missing answers are not reported
+	servedRequest   bool        // at least one request was served
+	responseStarted bool        // part of the response to the current request was written
+}
+
+// Read reads from the connection, except when the standard server asks for a single byte without a deadline.
+// This is how it watches for a disconnection while a request is served. It stops watching once it gets a
+// byte, so the op of a client that sent one and disconnected was pushed. Here such a call returns only at the
+// end of the stream or on an error; earlier bytes stay in the kernel for the next request.
 func (c *conn) Read(b []byte) (int, error) {
 	c.mu.Lock()
-	watches := len(b) == 1 && c.deadline.IsZero()
+	watchesClose := len(b) == 1 && c.readDeadline.IsZero()
 	c.mu.Unlock()
-	if watches {
-		if known, err := c.awaitEnd(); known {
+	if watchesClose {
+		if known, err := c.awaitPeerClose(); known {
 			return 0, err
 		}
 	}
-	if b = b[:c.readable(len(b))]; len(b) == 0 {
+	if b = b[:c.maxReadable(len(b))]; len(b) == 0 {
 		return 0, io.EOF
 	}
 	n, err := oserror.Read(c.Conn.Read, b)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		n, err = c.last(b, err)
+		n, err = c.finalRead(b, err)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.requests.feed(b[:n])
-	c.sawRead(time.Now())
-	c.bound()
+	c.parser.feed(b[:n])
+	c.recordRead(time.Now())
+	c.applyHeaderDeadline()
 	return n, err
 }
 
-// Write goes on where this machine lacks something for a moment: its client waits for that answer.
+// Write retries when this machine lacks a resource for a moment: the client waits for the answer.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := oserror.Write(c.Conn.Write, b)
 	if n > 0 {
 		c.mu.Lock()
-		c.answered = true
+		c.responseStarted = true
 		c.mu.Unlock()
 	}
 	return n, err
 }
 
-// Close says so where a request has no answer though its client waits for it.
+// Close closes the connection. It calls OnUnanswered if a request has no answer though its client waits for
+// it.
 func (c *conn) Close() error {
 	c.mu.Lock()
-	owed := len(c.requests.awaited)
-	if c.answered {
-		owed--
+	unanswered := len(c.parser.pending)
+	if c.responseStarted {
+		unanswered--
 	}
-	owes := owed > 0 && !c.forfeit
+	report := unanswered > 0 && !c.skipUnanswered
 	c.mu.Unlock()
-	if owes && c.of.OnUnanswered != nil && c.there() {
-		c.of.OnUnanswered(c.RemoteAddr().String())
+	if report && c.pool.OnUnanswered != nil && c.peerOpen() {
+		c.pool.OnUnanswered(c.RemoteAddr().String())
 	}
 	return c.Conn.Close()
 }
 
-// there tells whether the other side has not ended, as far as this machine knows now.
-func (c *conn) there() bool {
+// peerOpen reports whether the peer has not closed the connection, as far as this machine knows now.
+func (c *conn) peerOpen() bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
 	}
-	there := false
+	open := false
 	err = raw.Control(func(fd uintptr) {
-		_, ended := end(fd)
-		there = ended == nil
+		_, closed := peerState(fd)
+		open = closed == nil
 	})
-	return there && err == nil
+	return open && err == nil
 }
 
-// SetReadDeadline is how the server says what it reads for: all but the watch for the client's end has a deadline.
+// SetReadDeadline sets the server's read deadline. The server sets none only while it watches for a
+// disconnection.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.deadline = t; c.parted {
-		return nil // it has one that has passed, until the last look at it
+	if c.readDeadline = t; c.closing {
+		return nil // the expired deadline set by startClosing stays until finalRead
 	}
-	if c.bound() {
+	if c.applyHeaderDeadline() {
 		return nil
 	}
-	return c.Conn.SetReadDeadline(c.limited(t))
+	return c.Conn.SetReadDeadline(c.capDeadline(t))
 }
 
-// bound has a head that has begun be whole within its time, with the lock held; false where that is no earlier than what the server has
-// set. The server itself takes a connection for resting until the fourth byte of a request. A request that is being served has no
-// deadline, and what comes behind it waits for its end.
-func (c *conn) bound() bool {
-	if !c.requests.begun || c.of.HeaderTimeout == 0 {
-		c.headBy = time.Time{}
+// applyHeaderDeadline sets the deadline of a header that has started, with the lock held. It returns false if
+// that is not earlier than the server's deadline. The server itself counts a connection as idle until the
+// fourth byte of a request. While a request is served there is no deadline, and the header of the next one
+// waits for its end.
+func (c *conn) applyHeaderDeadline() bool {
+	if !c.parser.started || c.pool.HeaderTimeout == 0 {
+		c.headerDeadline = time.Time{}
 		return false
 	}
-	if c.deadline.IsZero() {
+	if c.readDeadline.IsZero() {
 		return false
 	}
-	if c.headBy.IsZero() {
-		c.headBy = time.Now().Add(c.of.HeaderTimeout)
+	if c.headerDeadline.IsZero() {
+		c.headerDeadline = time.Now().Add(c.pool.HeaderTimeout)
 	}
-	if c.parted || !c.headBy.Before(c.deadline) {
+	if c.closing || !c.headerDeadline.Before(c.readDeadline) {
 		return false
 	}
-	c.Conn.SetReadDeadline(c.headBy)
+	c.Conn.SetReadDeadline(c.headerDeadline)
 	return true
 }
 
-// part has its reader look once more for a request, and close it where there is none.
-func (c *conn) part() {
+// startClosing makes the reader check once more for a request, and close the connection if there is none.
+func (c *conn) startClosing() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.parted = true
+	c.closing = true
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// last is the last look at a connection whose wait is over, also by the server's own deadline: what came until now is read, and it
-// goes on. Between a look before that and the close a request was lost; now there is only the instant of the close itself.
-func (c *conn) last(b []byte, late error) (n int, err error) {
+// finalRead reads once more after the wait of a connection was ended, or the server's own deadline has
+// expired. If data was received by now the connection is reopened. Without it, a request received between the
+// last check and the close was lost; now one can be lost only in the instant of the close itself.
+func (c *conn) finalRead(b []byte, timeout error) (n int, err error) {
 	c.mu.Lock()
-	looks := c.parted || !c.requests.busy() // one that dribbles its head has had its time
-	why := RestsLong
-	if c.requests.begun {
-		why = HeadLate
+	eligible := c.closing || !c.parser.inRequest() // a header sent slowly has used up its time
+	why := ReasonIdleTimeout
+	if c.parser.started {
+		why = ReasonHeaderTimeout
 	}
-	parted := c.parted
+	closing := c.closing
 	c.mu.Unlock()
 	defer func() {
-		if n == 0 && !parted {
-			c.of.ended(why, c)
+		if n == 0 && !closing {
+			c.pool.reportEnd(why, c)
 		}
 	}()
 	raw, err := c.SyscallConn()
-	b = b[:c.readable(len(b))]
-	if !looks || err != nil || len(b) == 0 {
-		return 0, late
+	b = b[:c.maxReadable(len(b))]
+	if !eligible || err != nil || len(b) == 0 {
+		return 0, timeout
 	}
 	n, err = oserror.Read(func(b []byte) (n int, err error) {
-		var no error
-		err = raw.Control(func(fd uintptr) { n, _, no = syscall.Recvfrom(int(fd), b, syscall.MSG_DONTWAIT) })
-		return max(n, 0), errors.Join(err, no)
+		var errno error
+		err = raw.Control(func(fd uintptr) {
+			n, _, errno = syscall.Recvfrom(int(fd), b, syscall.MSG_DONTWAIT)
+		})
+		return max(n, 0), errors.Join(err, errno)
 	}, b)
 	if err != nil || n == 0 {
-		return 0, late
+		return 0, timeout
 	}
-	c.of.goesOn(c)
+	c.pool.reopen(c)
 	return n, nil
 }
 
-// goesOn lets a connection be read as the server wants it.
-func (c *conn) goesOn() {
+// reopen restores the read deadline after startClosing.
+func (c *conn) reopen() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.parted = false; !c.bound() {
-		c.Conn.SetReadDeadline(c.deadline)
+	if c.closing = false; !c.applyHeaderDeadline() {
+		c.Conn.SetReadDeadline(c.readDeadline)
 	}
 }
 
-// awaitEnd waits until the other side has ended or a deadline is set that passes. It is not known how where there is no socket.
-func (c *conn) awaitEnd() (known bool, err error) {
-	raw, no := c.SyscallConn()
-	if no != nil {
+// awaitPeerClose waits until the peer has closed the connection or a read deadline expires. It returns known
+// as false if the connection has no socket.
+func (c *conn) awaitPeerClose() (known bool, err error) {
+	raw, socketErr := c.SyscallConn()
+	if socketErr != nil {
 		return false, nil
 	}
-	var ended error
+	var closed error
 	if err := raw.Read(func(fd uintptr) bool {
 		var unread bool
-		if unread, ended = end(fd); unread && ended == nil {
-			c.sawUnread(fd)
+		if unread, closed = peerState(fd); unread && closed == nil {
+			c.recordUnread(fd)
 		}
-		return ended != nil
+		return closed != nil
 	}); err != nil {
 		return true, err
 	}
-	return true, ended
+	return true, closed
 }
 
-// end is how the other side has ended, nil where it has not, and whether something of it lies unread. The poller reports each change once,
-// so a look that fails must not pass for one that found nothing.
-func end(fd uintptr) (unread bool, ended error) {
+// peerState returns how the peer has closed the connection, nil if it has not, and whether data of it is
+// unread. The poller reports each change once, so a failed check must not count as one that found nothing.
+func peerState(fd uintptr) (unread bool, closed error) {
 	n, err := workerconn.PeekAt(fd)
 	switch {
 	case errors.Is(err, syscall.EAGAIN):
@@ -278,16 +287,17 @@
 	case err != nil:
 		n = unreadBytes(fd)
 	}
-	// Something lies before the end, if there is one, or this machine can't look: the state of the connection tells.
+	// Data is unread, which would hide a close behind it, or the peek failed on this machine: check the TCP
+	// state, which also shows a reset.
 	info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-	if err == nil && (info.State == unix.BPF_TCP_CLOSE_WAIT || info.State == unix.BPF_TCP_CLOSE) { // it ended, or reset
+	if err == nil && (info.State == unix.BPF_TCP_CLOSE_WAIT || info.State == unix.BPF_TCP_CLOSE) {
 		return n > 0, io.EOF
 	}
 	return n > 0, nil
 }
 
-// hasUnread tells whether something of the other side lies unread.
-func (c *conn) hasUnread() bool {
+// hasUnreadData reports whether the socket holds unread data.
+func (c *conn) hasUnreadData() bool {
 	n, err := workerconn.Peek(c.Conn)
 	if err == nil || errors.Is(err, syscall.EAGAIN) {
 		return n > 0
@@ -300,7 +310,7 @@
 	return n > 0
 }
 
-// unreadBytes is how many bytes lie in a socket; 0 where that is not known.
+// unreadBytes returns how many unread bytes a socket holds, 0 if that is not known.
 func unreadBytes(fd uintptr) int {
 	n, err := unix.IoctlGetInt(int(fd), unix.TIOCINQ)
 	if err != nil {
@@ -309,34 +319,35 @@
 	return n
 }
 
-// Disconnected tells whether the client of a request has ended its connection or its sending, as far as this machine knows now.
+// Disconnected reports whether the client of a request has closed its connection, or its sending side, as far
+// as this machine knows now.
 func Disconnected(ctx context.Context) bool {
 	c, ok := FromContext(ctx).(*conn)
 	if !ok {
 		return false
 	}
-	return !c.there() // or it is closed here
+	return !c.peerOpen() // also true after a close on this side
 }
 
-// begun tells whether the first byte of a request has been read.
-func (c *conn) begun() bool {
+// requestStarted reports whether a request has been read, from its first byte on, and is not answered yet.
+func (c *conn) requestStarted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.requests.busy()
+	return c.parser.inRequest()
 }
 
-// next awaits another request.
-func (c *conn) next() {
+// requestDone prepares the connection for the next request.
+func (c *conn) requestDone() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.requests.served()
-	c.used = true
-	c.arrived.forget(c.requests.answeredUpTo())
-	c.answered = false
-	c.headBy = time.Time{} // what came of the next one meanwhile was not read by anybody
+	c.parser.requestDone()
+	c.servedRequest = true
+	c.receiveTimes.discard(c.parser.answeredOffset())
+	c.responseStarted = false
+	c.headerDeadline = time.Time{} // the next header was not being read until now
 }
 
-// SyscallConn is for those who look at the socket and leave it as it is.
+// SyscallConn gives access to the socket. Callers must not change its state.
 func (c *conn) SyscallConn() (syscall.RawConn, error) {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -345,117 +356,126 @@
 	return s.SyscallConn()
 }
 
-// Heartbeat is a sign of life of the process, by whoever has something to do once a second or more often. What it is needed for costs more
-// without: see standstill.
-func (g *Pool) Heartbeat(now time.Time) { g.stands.sign(now) }
+// Heartbeat notes that the process runs. A loop that runs at least once a second calls it. Stall detection
+// without it would cost more: see stallDetector.
+func (g *Pool) Heartbeat(now time.Time) { g.stalls.heartbeat(now) }
 
-// New makes room for so many connections: from the first bound on others give way to a newcomer, at the second it
-// is closed unread.
-func New(most, full int) *Pool {
-	return &Pool{most: most, full: full, open: map[*conn]*entry{}, parted: map[*conn]bool{}, closed: make(chan struct{}, 1)}
+// New returns a pool with two limits: from the soft limit on, waiting connections are evicted for a new one;
+// at the hard limit a new connection is closed unread.
+func New(softLimit, hardLimit int) *Pool {
+	return &Pool{
+		softLimit:  softLimit,
+		hardLimit:  hardLimit,
+		open:       map[*conn]*entry{},
+		closing:    map[*conn]bool{},
+		connClosed: make(chan struct{}, 1),
+	}
 }
 
-// SoftLimit is the first bound.
+// SoftLimit returns the number of connections from which on waiting ones are evicted.
 func (g *Pool) SoftLimit() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.most
+	return g.softLimit
 }
 
-// SetLimits sets other bounds. Of those that are open as many give way as wait and lie beyond the second one.
-func (g *Pool) SetLimits(most, full int) {
+// SetLimits changes both limits. Waiting connections beyond the hard limit are evicted.
+func (g *Pool) SetLimits(softLimit, hardLimit int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.most, g.full = most, full
-	for len(g.open) > full && g.giveWay() {
+	g.softLimit, g.hardLimit = softLimit, hardLimit
+	for len(g.open) > hardLimit && g.evictOldest() {
 	}
 }
 
-// Count is how many are open.
+// Count returns the number of open connections, without those that are closing.
 func (g *Pool) Count() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.open)
 }
 
-// Sockets is how many are open or about to be closed: their descriptors are taken still.
+// Sockets returns the number of descriptors in use: those of open connections and of closing ones.
 func (g *Pool) Sockets() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.open) + len(g.parted)
+	return len(g.open) + len(g.closing)
 }
 
-// CloseIdle ends the wait of at most so many that have waited for a request for so long, the longest waiting first. One on which a
-// first byte has come is none of them: the rest comes in pieces, and once its last byte is written the request is taken.
-func (g *Pool) CloseIdle(most int, waited time.Duration) {
+// CloseIdle closes at most maxCount connections that have waited for a request for at least minIdle, the
+// longest waiting first. It spares those on which a first byte has been received: the rest may follow in
+// pieces, and once its last byte is written the request has to be served.
+func (g *Pool) CloseIdle(maxCount int, minIdle time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	before := time.Now().Add(-waited)
-	var wait []*conn
+	idleSince := time.Now().Add(-minIdle)
+	var idle []*conn
 	for nc, x := range g.open {
-		if x.waits() && !x.since.After(before) {
-			wait = append(wait, nc)
+		if x.waiting() && !x.stateSince.After(idleSince) {
+			idle = append(idle, nc)
 		}
 	}
-	slices.SortFunc(wait, func(a, b *conn) int { return g.open[a].since.Compare(g.open[b].since) })
-	for _, nc := range wait {
-		if most == 0 {
+	slices.SortFunc(idle, func(a, b *conn) int { return g.open[a].stateSince.Compare(g.open[b].stateSince) })
+	for _, nc := range idle {
+		if maxCount == 0 {
 			return
 		}
-		if !nc.hasUnread() && !nc.begun() {
-			g.ended(ToLeave, nc)
-			g.part(nc)
-			most--
+		if !nc.hasUnreadData() && !nc.requestStarted() {
+			g.reportEnd(ReasonDrained, nc)
+			g.startClosing(nc)
+			maxCount--
 		}
 	}
 }
 
-// Waiting is how many wait for a request.
+// Waiting returns how many connections wait for a request.
 func (g *Pool) Waiting() (n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, x := range g.open {
-		if x.waits() {
+		if x.waiting() {
 			n++
 		}
 	}
 	return n
 }
 
-// Accept takes connections while there is room. What is closed here costs no goroutine and no buffer; the
-// server's own loop would take hundreds before the first of them gives way.
+// Accept returns the next connection that is admitted, and closes those that are not. Closing one here costs
+// no goroutine and no buffer; the server's own loop would accept hundreds before the first of them is
+// evicted.
 func (g *Pool) Accept() (net.Conn, error) {
 	failures := 0 // in a row
 	for {
 		nc, err := g.Listener.Accept()
-		if paused := g.pausing(); paused != nil && errors.Is(err, os.ErrDeadlineExceeded) {
-			<-paused
+		if resumed := g.resumedChan(); resumed != nil && errors.Is(err, os.ErrDeadlineExceeded) {
+			<-resumed
 			continue
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			continue // it was paused, and is no more
+			continue // paused when the deadline expired, resumed since
 		}
 		if err != nil {
 			if oserror.IsPermanent(err) {
 				return nil, err
 			}
 			failures++
-			g.outlast(err, failures)
+			g.waitAfterAcceptError(err, failures)
 			continue
 		}
 		failures = 0
-		if c := (&conn{Conn: nc, of: g}); g.admitSoon(c) {
-			c.noteQueued()
+		if c := (&conn{Conn: nc, pool: g}); g.admitOrWait(c) {
+			c.recordPreAcceptBytes()
 			return c, nil
 		}
-		g.ended(NoRoom, nc)
+		g.reportEnd(ReasonLimitReached, nc)
 		nc.Close()
 	}
 }
 
-// outlast waits after a failure of accept. Where there is no descriptor somebody gives way, but not at the first word of it: that may be
-// a moment's, and it cost a client its place while hundreds were free.
-func (g *Pool) outlast(err error, failures int) {
+// waitAfterAcceptError waits before accept is retried. If descriptors are exhausted it evicts a connection,
+// but not on the first failure: that may be momentary, and a client was evicted for it while hundreds of
+// descriptors were free.
+func (g *Pool) waitAfterAcceptError(err error, failures int) {
 	if g.OnAcceptError != nil {
 		g.OnAcceptError(err)
 	}
@@ -464,71 +484,74 @@
 		return
 	}
 	if failures > 1 {
-		// Whoever holds them, here or elsewhere on the machine: while nobody can be accepted nobody would give way either.
+		// Evict even if another process holds the descriptors: without an accept nothing else would evict.
 		g.mu.Lock()
-		g.giveWay()
+		g.evictOldest()
 		g.mu.Unlock()
 	}
-	g.awaitClose(look)
+	g.awaitClose(pollInterval)
 }
 
-// admitSoon admits a connection once there is room. Those that give way to it hold their descriptors until their readers have seen that
-// their wait is over: accepting faster than that took the descriptors of all else, where the readers had to wait for the processor.
-func (g *Pool) admitSoon(c *conn) bool {
-	began := time.Now()
+// admitOrWait admits a connection once there is a free slot, or returns false after AdmissionTimeout. Evicted
+// connections hold their descriptors until their readers see the end of the wait: while these readers waited
+// for the CPU, accepting faster than that used up the descriptors of everything else.
+func (g *Pool) admitOrWait(c *conn) bool {
+	start := time.Now()
 	for {
-		let, closing := g.admit(c)
-		waited := time.Since(began)
+		admitted, closing := g.tryAdmit(c)
+		waited := time.Since(start)
 		switch {
-		case let:
+		case admitted:
 			return true
-		case closing && waited < max(closeTime, g.AdmissionTimeout):
-			g.awaitClose(closeTime)
+		case closing && waited < max(evictionCloseTimeout, g.AdmissionTimeout):
+			g.awaitClose(evictionCloseTimeout)
 		case waited < g.AdmissionTimeout:
-			time.Sleep(look)
+			time.Sleep(pollInterval)
 		default:
 			return false
 		}
 	}
 }
 
-// awaitClose returns when a connection has been closed, or after so long.
-func (g *Pool) awaitClose(most time.Duration) {
-	late := time.NewTimer(most)
-	defer late.Stop()
+// awaitClose waits until a connection is closed, but no longer than a timeout.
+func (g *Pool) awaitClose(timeout time.Duration) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case <-g.closed:
-	case <-late.C:
+	case <-g.connClosed:
+	case <-timer.C:
 	}
 }
 
-func (g *Pool) pausing() chan struct{} {
+func (g *Pool) resumedChan() chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.paused
+	return g.resumed
 }
 
-// Pause leaves new connections to the process that shares the socket, until Resume. The socket stays open: that process may die.
+// Pause leaves new connections to the process that shares the listening socket, until Resume. The socket
+// stays open, because that process may die.
 func (g *Pool) Pause() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if l, ok := g.Listener.(interface{ SetDeadline(time.Time) error }); ok && g.paused == nil && l.SetDeadline(time.Unix(1, 0)) == nil {
-		g.paused = make(chan struct{})
+	if l, ok := g.Listener.(interface{ SetDeadline(time.Time) error }); ok && g.resumed == nil &&
+		l.SetDeadline(time.Unix(1, 0)) == nil {
+		g.resumed = make(chan struct{})
 	}
 }
 
-// Resume accepts again.
+// Resume continues accepting after Pause.
 func (g *Pool) Resume() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.paused != nil {
+	if g.resumed != nil {
 		g.Listener.(interface{ SetDeadline(time.Time) error }).SetDeadline(time.Time{})
-		close(g.paused)
-		g.paused = nil
+		close(g.resumed)
+		g.resumed = nil
 	}
 }
 
-// Close ends accepting for good. It may be called again.
+// Close stops accepting for good. It may be called more than once.
 func (g *Pool) Close() error {
 	err := g.Listener.Close()
 	g.Resume()
@@ -538,33 +561,35 @@
 	return err
 }
 
-// admit lets a connection in where there is room, of descriptors too: those of connections whose wait was ended are closing.
-func (g *Pool) admit(nc *conn) (let, closing bool) {
+// tryAdmit admits a connection if there is a free slot and a free descriptor, which closing connections still
+// hold. If not, it reports whether there are closing ones.
+func (g *Pool) tryAdmit(nc *conn) (admitted, closing bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for len(g.open) >= g.most && g.giveWay() {
+	for len(g.open) >= g.softLimit && g.evictOldest() {
 	}
-	if len(g.open) >= g.full || len(g.parted) > 0 && len(g.open)+len(g.parted) >= g.full {
-		return false, len(g.parted) > 0
+	if len(g.open) >= g.hardLimit || len(g.closing) > 0 && len(g.open)+len(g.closing) >= g.hardLimit {
+		return false, len(g.closing) > 0
 	}
-	g.open[nc] = &entry{since: time.Now(), state: http.StateNew}
+	g.open[nc] = &entry{stateSince: time.Now(), state: http.StateNew}
 	return true, false
 }
 
-// giveWay ends the wait of the connection that is to give way, with the lock held; false where none waits.
-func (g *Pool) giveWay() bool {
-	old := g.oldest()
+// evictOldest evicts the eviction candidate, with the lock held. It returns false if there is none.
+func (g *Pool) evictOldest() bool {
+	old := g.evictionCandidate()
 	if old != nil {
-		g.ended(GaveWay, old)
-		g.part(old)
+		g.reportEnd(ReasonEvicted, old)
+		g.startClosing(old)
 	}
 	return old != nil
 }
 
-// oldest is the connection that gives way: that which has waited longest among those never served, else among
-// all that wait for a request. One whose request has come but is not read yet is none of them. Those that were served have half of the
-// first bound for themselves: half requests wait for nothing, and a flood of them took the place of one client after another.
-func (g *Pool) oldest() *conn {
+// evictionCandidate returns the connection to evict: the one that has waited longest among those that were
+// never served, else among all that wait for a request. One whose request has been received but not read is
+// not a candidate. Up to half of the soft limit is reserved for connections that were served: partial
+// requests do not count as waiting, and a flood of them evicted one client after another.
+func (g *Pool) evictionCandidate() *conn {
 	var unread []*conn
 	served := 0
 	for _, x := range g.open {
@@ -572,64 +597,65 @@
 			served++
 		}
 	}
-	keep := served <= g.most/2
-	for range mostLooks {
-		var old *conn
-		var o *entry
+	spareServed := served <= g.softLimit/2
+	for range maxEvictionCandidates {
+		var oldest *conn
+		var oldestEntry *entry
 		for nc, x := range g.open {
-			waits := x.waits() && !(x.served && keep) && !slices.Contains(unread, nc)
-			if waits && (o == nil || !x.served && o.served || x.served == o.served && x.since.Before(o.since)) {
-				old, o = nc, x
+			eligible := x.waiting() && !(x.served && spareServed) && !slices.Contains(unread, nc)
+			if eligible && (oldestEntry == nil || !x.served && oldestEntry.served ||
+				x.served == oldestEntry.served && x.stateSince.Before(oldestEntry.stateSince)) {
+				oldest, oldestEntry = nc, x
 			}
 		}
-		if old == nil {
+		if oldest == nil {
 			return nil
 		}
-		if !old.hasUnread() {
-			return old
+		if !oldest.hasUnreadData() {
+			return oldest
 		}
-		unread = append(unread, old)
+		unread = append(unread, oldest)
 	}
 	return nil
 }
 
-// part ends the wait of a connection. It is not closed but told that its wait is over: a request that came a moment ago would be
-// lost with it.
-func (g *Pool) part(nc *conn) {
+// startClosing ends the wait of a connection, with the lock held. Its reader closes it after a final read:
+// closing it here would lose a request that has just been received.
+func (g *Pool) startClosing(nc *conn) {
 	delete(g.open, nc)
-	g.parted[nc] = true
-	nc.part()
+	g.closing[nc] = true
+	nc.startClosing()
 }
 
-// goesOn takes back a connection on which a request came in the last moment.
-func (g *Pool) goesOn(nc *conn) {
+// reopen takes back a closing connection on which the final read found data.
+func (g *Pool) reopen(nc *conn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.takeBack(nc)
+	g.reopenLocked(nc)
 }
 
-// takeBack is goesOn with the lock held.
-func (g *Pool) takeBack(nc *conn) {
-	if g.parted[nc] {
-		delete(g.parted, nc)
-		g.open[nc] = &entry{since: time.Now(), state: http.StateActive}
-		nc.goesOn()
+// reopenLocked is reopen with the lock held.
+func (g *Pool) reopenLocked(nc *conn) {
+	if g.closing[nc] {
+		delete(g.closing, nc)
+		g.open[nc] = &entry{stateSince: time.Now(), state: http.StateActive}
+		nc.reopen()
 	}
 }
 
-// Track is told of each change by the server.
+// Track updates the state of a connection. It is the server's ConnState callback.
 func (g *Pool) Track(nc net.Conn, state http.ConnState) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	c, _ := nc.(*conn)
 	if state == http.StateActive {
-		g.takeBack(c) // its head was read already when its wait was said to be over
+		g.reopenLocked(c) // its header was read just before its wait was ended
 	}
 	x := g.open[c]
 	if state == http.StateClosed || state == http.StateHijacked {
-		delete(g.parted, c)
+		delete(g.closing, c)
 		select {
-		case g.closed <- struct{}{}:
+		case g.connClosed <- struct{}{}:
 		default:
 		}
 	}
@@ -639,31 +665,32 @@
 		delete(g.open, c)
 	default:
 		if state == http.StateIdle {
-			c.next()
+			c.requestDone()
 		}
-		x.state, x.since = state, time.Now()
-		g.endIfIdle(c, state)
+		x.state, x.stateSince = state, time.Now()
+		g.closeIfIdle(c, state)
 	}
 }
 
-// HasPipelinedRequest tells whether something of a further request has come on the connection of one that is served.
+// HasPipelinedRequest reports whether part of a further request has been received behind the one in service.
 func HasPipelinedRequest(ctx context.Context) bool {
 	c, ok := FromContext(ctx).(*conn)
 	if !ok {
 		return false
 	}
 	c.mu.Lock()
-	stopped := c.of.stopped.Load()
-	behind := len(c.requests.awaited) > 1 || c.requests.begun && !stopped
-	between := c.requests.at == inHead && !stopped
+	stopped := c.pool.readingStopped.Load()
+	further := len(c.parser.pending) > 1 || c.parser.started && !stopped
+	bodyRead := c.parser.state == inHeader && !stopped
 	c.mu.Unlock()
-	if behind || !between {
-		return behind
+	if further || !bodyRead {
+		return further
 	}
-	return c.hasUnread()
+	return c.hasUnreadData()
 }
 
-// SkipUnansweredCheck says that the connection of a request is closed though something may have come behind that.
+// SkipUnansweredCheck turns OnUnanswered off for the connection of a request: it is closed with the answer,
+// though further requests may have been received.
 func SkipUnansweredCheck(ctx context.Context) {
 	c, ok := FromContext(ctx).(*conn)
 	if !ok {
@@ -671,23 +698,24 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.forfeit = true
+	c.skipUnanswered = true
 }
 
-type key struct{}
+type contextKey struct{}
 
-// NewContext lets a request's context tell its connection.
+// NewContext returns a context that carries the connection of a request. It is the server's ConnContext
+// callback.
 func NewContext(ctx context.Context, nc net.Conn) context.Context {
-	return context.WithValue(ctx, key{}, nc)
+	return context.WithValue(ctx, contextKey{}, nc)
 }
 
-// FromContext is the connection of a request, nil where its context does not tell.
+// FromContext returns the connection of a request, nil if its context carries none.
 func FromContext(ctx context.Context) net.Conn {
-	nc, _ := ctx.Value(key{}).(net.Conn)
+	nc, _ := ctx.Value(contextKey{}).(net.Conn)
 	return nc
 }
 
-// MarkServed marks the connection of a request whose client has proved to be one of ours.
+// MarkServed marks the connection of a request whose client has proved genuine: its op was acked.
 func (g *Pool) MarkServed(ctx context.Context) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/frontend/clientconn/clientconn_test.go
+++ b/internal/frontend/clientconn/clientconn_test.go
@@ -13,21 +13,22 @@
 	"woaddyke/internal/workers/workerconn"
 )
 
-// listening makes room for so many on a listener of its own.
-func listening(t *testing.T, most int) *Pool {
+// newListeningPool returns a pool with both limits at maxConns and a listener of its own.
+func newListeningPool(t *testing.T, maxConns int) *Pool {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	g := New(most, most)
+	g := New(maxConns, maxConns)
 	g.Listener = l
 	return g
 }
 
-// pair is a connection from a client as the server sees it, and the client's side.
-func pair(t *testing.T, g *Pool) (server, client net.Conn) {
+// connectPair connects a client to the pool, and returns the server's and the client's side of the
+// connection.
+func connectPair(t *testing.T, g *Pool) (server, client net.Conn) {
 	t.Helper()
 	client, err := net.Dial("tcp", g.Addr().String())
 	if err != nil {
@@ -40,51 +41,52 @@
 	return server, client
 }
 
-// A client that writes in pieces lost its request when its connection was taken for one that waits.
-func TestARequestThatHasBegunIsNotParted(t *testing.T) {
-	g := listening(t, 9)
-	quiet, silent := pair(t, g)
-	begun, piece := pair(t, g)
-	idle, _ := pair(t, g)
-	busy, _ := pair(t, g)
-	g.Track(busy, http.StateActive)
+// A client that sends a request in pieces lost it when its connection counted as idle.
+func TestCloseIdleSparesStartedRequests(t *testing.T) {
+	g := newListeningPool(t, 9)
+	silentServer, silentClient := connectPair(t, g)
+	partial, partialClient := connectPair(t, g)
+	idle, _ := connectPair(t, g)
+	active, _ := connectPair(t, g)
+	g.Track(active, http.StateActive)
 	g.Track(idle, http.StateActive)
 	g.Track(idle, http.StateIdle)
-	piece.Write([]byte("PO"))
-	if n, err := begun.Read(make([]byte, 9)); n != 2 {
+	partialClient.Write([]byte("PO"))
+	if n, err := partial.Read(make([]byte, 9)); n != 2 {
 		t.Fatalf("%d, %v", n, err)
 	}
 	g.CloseIdle(9, time.Hour)
 	if g.Count() != 4 {
-		t.Errorf("%d are left of 4 that have not waited for long", g.Count())
+		t.Errorf("%d of 4 connections are open, want 4: none has waited for an hour", g.Count())
 	}
 	if g.CloseIdle(1, 0); g.Count() != 3 || g.Waiting() != 2 {
-		t.Errorf("%d are left, %d wait: one was to go", g.Count(), g.Waiting())
+		t.Errorf("%d connections are open and %d wait, want 3 and 2", g.Count(), g.Waiting())
 	}
 	g.CloseIdle(9, 0)
 	if g.Count() != 2 {
-		t.Errorf("%d are left; the request that has begun and the one that is served were to stay", g.Count())
+		t.Errorf("%d connections are open, want 2: the partial request and the one in service", g.Count())
 	}
-	if _, err := quiet.Read(make([]byte, 9)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the silent one may be read on: %v", err)
+	if _, err := silentServer.Read(make([]byte, 9)); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("the server's read of the silent connection: %v, want its deadline exceeded", err)
 	}
-	quiet.Close() // as the server does that reads so
-	silent.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := silent.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the silent one: %v", err)
+	silentServer.Close() // as the server does after this error
+	silentClient.SetReadDeadline(time.Now().Add(5 * time.Second))
+	if _, err := silentClient.Read(make([]byte, 1)); err != io.EOF {
+		t.Errorf("the silent client: %v, want io.EOF", err)
 	}
 	if _, err := idle.Read(make([]byte, 1)); err == nil {
-		t.Error("the idle one may read on")
+		t.Error("the idle connection can still be read")
 	}
-	g.Track(begun, http.StateActive)
-	g.Track(begun, http.StateIdle)
+	g.Track(partial, http.StateActive)
+	g.Track(partial, http.StateIdle)
 	if g.CloseIdle(9, 0); g.Count() != 1 {
-		t.Errorf("%d are left: after its answer the one in pieces waits like the others", g.Count())
+		t.Errorf("%d connections are open, want 1: the answered one is idle", g.Count())
 	}
 }
 
-// With a flood just before it, a caller of staff was closed unread: what had come on the others was not read yet.
-func TestANewcomerWaitsForRoom(t *testing.T) {
+// A console caller behind a flood of connections was closed unread, because none of those could be evicted:
+// what had been received on them was not read yet.
+func TestANewConnectionWaitsForAFreeSlot(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -92,152 +94,154 @@
 	defer l.Close()
 	g := New(1, 1)
 	g.Listener, g.AdmissionTimeout = l, 20*time.Second
-	half, flood := pair(t, g)
+	partial, flood := connectPair(t, g)
 	flood.Write([]byte("G"))
-	for until := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		if n, _ := workerconn.Peek(half); n == 1 {
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
+		if n, _ := workerconn.Peek(partial); n == 1 {
 			break
 		}
-		if time.Now().After(until) {
-			t.Fatal("the byte does not come")
+		if time.Now().After(deadline) {
+			t.Fatal("the byte is not received within 10 s")
 		}
 	}
-	let := make(chan net.Conn, 1)
+	accepted := make(chan net.Conn, 1)
 	go func() {
 		c, _ := g.Accept()
-		let <- c
+		accepted <- c
 	}()
 	caller, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer caller.Close()
-	caller.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // time to be closed in, if it is to be
+	caller.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // long enough for a wrong close to show
 	if _, err := caller.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the newcomer: %v", err)
+		t.Errorf("the new connection: %v, want it to wait", err)
 	}
-	half.Read(make([]byte, 9)) // the server has it now: half a call, and no reason to keep others out
-	if _, err := half.Read(make([]byte, 9)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("its wait is not over: %v", err)
+	partial.Read(make([]byte, 9)) // the partial request is read now, so the connection can be evicted
+	if _, err := partial.Read(make([]byte, 9)); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("the connection with the partial request was not evicted: %v", err)
 	}
-	if len(let) > 0 {
-		t.Error("let in while the other's descriptor is open still")
+	if len(accepted) > 0 {
+		t.Error("admitted while the descriptor of the evicted connection is still open")
 	}
-	half.Close() // as the server does that reads so
-	g.Track(half, http.StateClosed)
-	if c := <-let; c == nil || c.RemoteAddr().String() != caller.LocalAddr().String() {
-		t.Errorf("let in: %v", c)
+	partial.Close() // as the server does after this error
+	g.Track(partial, http.StateClosed)
+	if c := <-accepted; c == nil || c.RemoteAddr().String() != caller.LocalAddr().String() {
+		t.Errorf("admitted: %v, want the new connection", c)
 	}
 }
 
-// newcomer is a connection that nobody reads, and whether it was let in.
-func newcomer(t *testing.T, g *Pool) (c *conn, let bool) {
+// admitPipe tries to admit a connection that has no reader.
+func admitPipe(t *testing.T, g *Pool) (c *conn, admitted bool) {
 	server, client := net.Pipe()
 	t.Cleanup(func() { server.Close(); client.Close() })
-	c = &conn{Conn: server, of: g}
-	return c, g.admitSoon(c)
+	c = &conn{Conn: server, pool: g}
+	return c, g.admitOrWait(c)
 }
 
-// A flood that came faster than the readers of those that gave way could run took every descriptor: they were counted as gone when
-// their wait was ended, and held their sockets until they were read. Here nobody reads them at all.
-func TestThoseThatGiveWayCountUntilTheyAreClosed(t *testing.T) {
+// A flood that connected faster than the readers of evicted connections could run used up all descriptors:
+// these connections counted as closed when their wait was ended, but held their sockets until they were read.
+// Here they have no reader at all.
+func TestEvictedConnectionsCountUntilClosed(t *testing.T) {
 	g := New(2, 4)
-	var all []*conn
+	var conns []*conn
 	for range 4 {
-		c, let := newcomer(t, g)
-		if !let {
-			t.Fatalf("%d were let in", len(all))
+		c, admitted := admitPipe(t, g)
+		if !admitted {
+			t.Fatalf("%d connections were admitted, want 4", len(conns))
 		}
-		all = append(all, c)
+		conns = append(conns, c)
 	}
-	if _, let := newcomer(t, g); let || g.Sockets() != 4 || g.Count() != 1 {
-		t.Fatalf("a fifth: %v, with %d sockets, of which %d may stay", let, g.Sockets(), g.Count())
+	if _, admitted := admitPipe(t, g); admitted || g.Sockets() != 4 || g.Count() != 1 {
+		t.Fatalf("fifth connection: admitted %v, %d sockets, %d not closing; want false, 4, 1",
+			admitted, g.Sockets(), g.Count())
 	}
-	all[0].Close()
-	g.Track(all[0], http.StateClosed)
-	if _, let := newcomer(t, g); !let || g.Sockets() != 4 {
-		t.Errorf("with one closed: %v, %d sockets", let, g.Sockets())
+	conns[0].Close()
+	g.Track(conns[0], http.StateClosed)
+	if _, admitted := admitPipe(t, g); !admitted || g.Sockets() != 4 {
+		t.Errorf("after one is closed: admitted %v, %d sockets; want true, 4", admitted, g.Sockets())
 	}
 	if g.SetLimits(1, 1); g.Count() != 1 || g.Sockets() != 4 {
-		t.Errorf("%d may stay of the one that there is room for, %d sockets", g.Count(), g.Sockets())
+		t.Errorf("with a limit of 1: %d not closing, %d sockets; want 1, 4", g.Count(), g.Sockets())
 	}
 }
 
-// exhausted is a listener that has no descriptor for the next connection until one has been closed.
-type exhausted struct {
+// exhaustedListener fails to accept for lack of a descriptor until one is available.
+type exhaustedListener struct {
 	net.Listener
-	free func() bool
-	by   error
+	available func() bool
+	errno     error
 }
 
-func (e *exhausted) Accept() (net.Conn, error) {
-	if e.by != nil && !e.free() {
-		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", e.by)}
+func (e *exhaustedListener) Accept() (net.Conn, error) {
+	if e.errno != nil && !e.available() {
+		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", e.errno)}
 	}
 	return e.Listener.Accept()
 }
 
-// With all descriptors taken nobody could be accepted, so nobody gave way: clients that said nothing kept all others out, staff too,
-// for as long as they liked.
-func TestWhereNoDescriptorIsLeftOneThatWaitsGivesWay(t *testing.T) {
-	for _, by := range []error{syscall.EMFILE, syscall.ENFILE} {
-		g := listening(t, 9)
-		waits, client := pair(t, g)
-		busy, _ := pair(t, g)
-		g.Track(busy, http.StateActive)
+// With all descriptors in use no connection could be accepted, so none was evicted: silent clients kept out
+// all others, console callers included, for as long as they liked.
+func TestAnIdleConnectionIsEvictedOnDescriptorExhaustion(t *testing.T) {
+	for _, errno := range []error{syscall.EMFILE, syscall.ENFILE} {
+		g := newListeningPool(t, 9)
+		idle, client := connectPair(t, g)
+		active, _ := connectPair(t, g)
+		g.Track(active, http.StateActive)
 		go func() { // the server's reader
-			waits.Read(make([]byte, 1))
-			waits.Close()
-			g.Track(waits, http.StateClosed)
+			idle.Read(make([]byte, 1))
+			idle.Close()
+			g.Track(idle, http.StateClosed)
 		}()
-		g.Listener = &exhausted{g.Listener, func() bool { return g.Sockets() == 1 }, by}
-		let := make(chan net.Conn, 1)
+		g.Listener = &exhaustedListener{g.Listener, func() bool { return g.Sockets() == 1 }, errno}
+		accepted := make(chan net.Conn, 1)
 		go func() {
 			c, _ := g.Accept()
-			let <- c
+			accepted <- c
 		}()
 		second, err := net.Dial("tcp", g.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer second.Close()
-		if c := <-let; c == nil || c.RemoteAddr().String() != second.LocalAddr().String() {
-			t.Errorf("%v: let in: %v", by, c)
+		if c := <-accepted; c == nil || c.RemoteAddr().String() != second.LocalAddr().String() {
+			t.Errorf("%v: admitted %v, want the second connection", errno, c)
 		}
 		client.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err := client.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("the one that waited: %v", err)
+			t.Errorf("the idle client: %v, want io.EOF", err)
 		}
 	}
 }
 
-// Half requests wait for nothing, so they give way to nobody: a flood of them had those give way that were served before, one after
-// another, until none of our clients had a connection.
-func TestAFloodOfHalfRequestsLeavesTheServedTheirs(t *testing.T) {
+// Connections with a partial request do not count as waiting, so they are not evicted. A flood of them
+// evicted connections that were served before, one after another, until no real client had a connection.
+func TestAFloodOfPartialRequestsDoesNotEvictServedClients(t *testing.T) {
 	g := New(8, 16)
 	served := map[*conn]bool{}
 	for range 4 {
-		c, _ := newcomer(t, g)
+		c, _ := admitPipe(t, g)
 		g.MarkServed(NewContext(t.Context(), c))
 		g.Track(c, http.StateActive)
 		g.Track(c, http.StateIdle)
 		served[c] = true
 	}
 	for range 50 {
-		if c, let := newcomer(t, g); let {
+		if c, admitted := admitPipe(t, g); admitted {
 			g.Track(c, http.StateActive)
 		}
 	}
 	for c := range served {
 		if g.open[c] == nil {
-			t.Error("one that was served gave way")
+			t.Error("a served connection was evicted")
 		}
 	}
 	if g.Count() != 16 || g.Sockets() != 16 {
-		t.Errorf("%d of 16, %d sockets", g.Count(), g.Sockets())
+		t.Errorf("%d connections and %d sockets, want 16 of each", g.Count(), g.Sockets())
 	}
-	more, _ := newcomer(t, g) // one that goes beyond the half
+	more, _ := admitPipe(t, g) // would need a slot of the reserved half
 	if g.open[more] != nil {
-		t.Error("there was no room")
+		t.Error("a connection was admitted though only served ones could be evicted")
 	}
 }
--- a/internal/frontend/clientconn/differ_test.go
+++ b/internal/frontend/clientconn/differ_test.go
@@ -13,15 +13,16 @@
 	"time"
 )
 
-// drawnRequest is a request in one of the forms that the server takes.
-func drawnRequest(r *rand.Rand, id int) string {
-	pick := func(of ...string) string { return of[r.Intn(len(of))] }
+// randomRequest returns a request in one of the forms that the server accepts.
+func randomRequest(r *rand.Rand, id int) string {
+	pick := func(choices ...string) string { return choices[r.Intn(len(choices))] }
 	end := pick("\r\n", "\r\n", "\r\n", "\n")
 	var b strings.Builder
 	b.WriteString(pick("POST", "POST", "POST", "GET", "HEAD") + " /" + fmt.Sprint(id) + " HTTP/1.1" + end)
 	b.WriteString("Host: x" + end)
 	for range r.Intn(3) {
-		b.WriteString(pick("X-A: b", "x-long: "+strings.Repeat("y", 200), "Connection: keep-alive", "X-Folded: a"+end+" b", "Expect: 100-continue",
+		b.WriteString(pick("X-A: b", "x-long: "+strings.Repeat("y", 200), "Connection: keep-alive",
+			"X-Folded: a"+end+" b", "Expect: 100-continue",
 			"X-Content-Length: 9", "Content-Lengthy: 3") + end)
 	}
 	body := strings.Repeat("z", r.Intn(40))
@@ -29,14 +30,18 @@
 	case 0:
 		b.WriteString(end)
 	case 1, 2:
-		b.WriteString(pick("Content-Length: ", "content-length:", "CONTENT-LENGTH:\t", "Content-Length:   ") + fmt.Sprint(len(body)) + pick("", " ") + end + end + body)
+		b.WriteString(pick("Content-Length: ", "content-length:", "CONTENT-LENGTH:\t", "Content-Length:   ") +
+			fmt.Sprint(len(body)) + pick("", " ") + end + end + body)
 	case 3:
-		b.WriteString(fmt.Sprintf("Content-Length: %d%sContent-Length: %d%s%s%s", len(body), end, len(body), end, end, body))
+		b.WriteString(fmt.Sprintf("Content-Length: %d%sContent-Length: %d%s%s%s",
+			len(body), end, len(body), end, end, body))
 	default:
-		b.WriteString(pick("Transfer-Encoding: chunked", "transfer-encoding:chunked", "Transfer-Encoding: Chunked") + end + end)
+		b.WriteString(pick("Transfer-Encoding: chunked", "transfer-encoding:chunked",
+			"Transfer-Encoding: Chunked") + end + end)
 		for len(body) > 0 {
 			k := 1 + r.Intn(len(body))
-			b.WriteString(fmt.Sprintf(pick("%x", "%X", "0%x")+pick("", "", ";a=b", " ")+"\r\n%s\r\n", k, body[:k]))
+			b.WriteString(fmt.Sprintf(pick("%x", "%X", "0%x")+pick("", "", ";a=b", " ")+"\r\n%s\r\n",
+				k, body[:k]))
 			body = body[k:]
 		}
 		b.WriteString("0\r\n" + pick("", "", "X-Trailer: t\r\n") + "\r\n")
@@ -44,43 +49,45 @@
 	return b.String()
 }
 
-// What the server takes for a request the follower takes for the same one: where it begins, and that nothing of it is left once it is
-// answered and the connection rests. Streams of drawn requests come whole, in pieces and many at once.
-func TestTheFollowerSeesTheRequestsThatTheServerSees(t *testing.T) {
+// The parser finds the same requests as the server: each is pending when the server handles it, and none is
+// left once all are answered and the connection is idle. Streams of random requests are sent whole, in pieces
+// and pipelined.
+func TestTheParserAgreesWithTheServer(t *testing.T) {
 	const streams = 400
-	type seen struct {
-		path     string
-		followed bool
+	type handledRequest struct {
+		path    string
+		pending bool
 	}
 	var mu sync.Mutex
-	all := map[string][]seen{}
-	g := listening(t, 9999)
+	handled := map[string][]handledRequest{}
+	g := newListeningPool(t, 9999)
 	unanswered := 0
 	g.OnUnanswered = func(string) {
 		mu.Lock()
 		defer mu.Unlock()
 		unanswered++
 	}
-	s := &http.Server{ConnState: g.Track, ConnContext: NewContext, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c := FromContext(r.Context()).(*conn)
-		c.mu.Lock()
-		x := seen{r.URL.Path, len(c.requests.awaited) > 0}
-		c.mu.Unlock()
-		mu.Lock()
-		all[c.RemoteAddr().String()] = append(all[c.RemoteAddr().String()], x)
-		mu.Unlock()
-		io.Copy(io.Discard, r.Body)
-	})}
+	s := &http.Server{ConnState: g.Track, ConnContext: NewContext,
+		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			c := FromContext(r.Context()).(*conn)
+			c.mu.Lock()
+			x := handledRequest{r.URL.Path, len(c.parser.pending) > 0}
+			c.mu.Unlock()
+			mu.Lock()
+			handled[c.RemoteAddr().String()] = append(handled[c.RemoteAddr().String()], x)
+			mu.Unlock()
+			io.Copy(io.Discard, r.Body)
+		})}
 	go s.Serve(g)
 	t.Cleanup(func() { s.Close() })
-	var plays sync.WaitGroup
+	var clients sync.WaitGroup
 	for seed := range int64(streams) {
-		plays.Go(func() {
+		clients.Go(func() {
 			r := rand.New(rand.NewSource(seed))
 			n := 1 + r.Intn(6)
 			var text strings.Builder
 			for k := range n {
-				text.WriteString(drawnRequest(r, k))
+				text.WriteString(randomRequest(r, k))
 			}
 			nc, err := net.Dial("tcp", g.Addr().String())
 			if err != nil {
@@ -103,31 +110,31 @@
 			}()
 			nc.SetReadDeadline(time.Now().Add(20 * time.Second))
 			reader := bufio.NewReader(nc)
-			for answers := 0; answers < n; {
+			for responses := 0; responses < n; {
 				resp, err := http.ReadResponse(reader, nil)
 				if err != nil {
-					t.Errorf("seed %d: after %d answers: %v: %q", seed, answers, err, text.String())
+					t.Errorf("seed %d: after %d responses: %v: %q", seed, responses, err, text.String())
 					return
 				}
 				if resp.StatusCode != http.StatusContinue {
-					answers++
+					responses++
 				}
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			served := all[nc.LocalAddr().String()]
+			served := handled[nc.LocalAddr().String()]
 			if len(served) != n {
-				t.Errorf("seed %d: %d of %d requests are served: %q", seed, len(served), n, text.String())
+				t.Errorf("seed %d: %d of %d requests were handled: %q", seed, len(served), n, text.String())
 			}
 			for k, x := range served {
-				if !x.followed || x.path != fmt.Sprint("/", k) {
+				if !x.pending || x.path != fmt.Sprint("/", k) {
 					t.Errorf("seed %d: request %d: %+v: %q", seed, k, x, text.String())
 				}
 			}
 		})
 	}
-	plays.Wait()
+	clients.Wait()
 	if unanswered > 0 {
-		t.Errorf("%d connections are said to end with a request unanswered", unanswered)
+		t.Errorf("%d connections are reported as closed with an unanswered request, want 0", unanswered)
 	}
 }
--- a/internal/frontend/clientconn/follow.go
+++ b/internal/frontend/clientconn/follow.go
@@ -7,200 +7,205 @@
 )
 
 const (
-	lengthName  = "content-length:"
-	codingName  = "transfer-encoding:"
-	mostOfLine  = 64 // bytes of a line that are looked at
-	mostAwaited = 64 // heads that came whole and whose requests are not served yet, of one connection
+	contentLengthPrefix    = "content-length:"
+	transferEncodingPrefix = "transfer-encoding:"
+	maxLinePrefix          = 64 // bytes of a line that are stored and parsed
+	maxPendingRequests     = 64 // requests of one connection with a complete header, not served yet
 )
 
-// part is what of a request comes next on a connection.
-type part int
+// parseState is the part of a request that comes next on a connection.
+type parseState int
 
 const (
-	inHead part = iota
+	inHeader parseState = iota
 	inBody
 	inChunkSize
-	inChunk
-	afterChunk
+	inChunkData
+	afterChunkData
 	inTrailer
-	unknown // what comes can't be told apart any more: the server refuses such a request, and closes
+	unparsable // request boundaries are unknown from here on: the server rejects such a request and closes
 )
 
-// framing is what a request's head says of its body.
+// framing is what a request's header says about the length of the body.
 type framing struct {
-	length  int64
-	named   bool // a length stands there
-	chunked bool
-	headEnd int64 // offset in the connection's bytes at which the head has ended
+	contentLength    int64
+	hasContentLength bool // a Content-Length header is present
+	chunked          bool
+	headerEnd        int64 // offset in the connection's bytes at which the header ends
 }
 
-// follower follows the requests on one connection as their bytes are read, so that it is known where one ends and the next begins. The
-// standard server does not tell: it drops a length beside chunks, and takes a connection for resting until the fourth byte of a request.
-type follower struct {
-	at      part
-	line    [mostOfLine]byte // how the line begins, in small letters
-	n       int              // bytes of the line, also those that are not looked at
-	begun   bool             // something of the next head has come, if it is in one
-	inside  bool             // its first line has begun
-	head    framing
-	left    int64 // bytes of the body or the chunk
-	offset  int64 // bytes of the connection that were read
-	awaited []framing
+// requestParser finds the boundaries of the requests on one connection as their bytes are read. The standard
+// server does not expose them: it drops a Content-Length beside chunked encoding, and reports a connection as
+// idle until the fourth byte of a request.
+type requestParser struct {
+	state              parseState
+	line               [maxLinePrefix]byte // start of the current line, in lower case
+	lineLen            int                 // including bytes that are not stored in line
+	started            bool                // in a header: its first byte has been read
+	requestLineStarted bool                // in a header: a byte other than a line break has been read
+	header             framing
+	remaining          int64 // bytes of the body or of the chunk's data
+	offset             int64 // bytes read from the connection
+	pending            []framing
 }
 
-// feed follows bytes as they are read.
-func (f *follower) feed(b []byte) {
+// feed parses bytes as they are read.
+func (f *requestParser) feed(b []byte) {
 	for len(b) > 0 {
-		switch f.at {
-		case unknown:
+		switch f.state {
+		case unparsable:
 			f.offset += int64(len(b))
 			return
-		case inBody, inChunk:
-			k := min(int64(len(b)), f.left)
+		case inBody, inChunkData:
+			k := min(int64(len(b)), f.remaining)
 			f.offset += k
-			if b, f.left = b[k:], f.left-k; f.left == 0 {
-				f.bodyEnded()
+			if b, f.remaining = b[k:], f.remaining-k; f.remaining == 0 {
+				f.endBody()
 			}
 		default:
 			f.offset++
-			f.byte(b[0])
+			f.feedLineByte(b[0])
 			b = b[1:]
 		}
 	}
 }
 
-// bodyEnded goes on after a body, or the data of a chunk.
-func (f *follower) bodyEnded() {
-	if f.at == inChunk {
-		f.at = afterChunk
+// endBody enters the state after a body or after a chunk's data.
+func (f *requestParser) endBody() {
+	if f.state == inChunkData {
+		f.state = afterChunkData
 		return
 	}
-	f.next()
+	f.reset()
 }
 
-// next goes on with another request.
-func (f *follower) next() {
-	*f = follower{awaited: f.awaited, offset: f.offset}
+// reset enters the header of the next request.
+func (f *requestParser) reset() {
+	*f = requestParser{pending: f.pending, offset: f.offset}
 }
 
-// byte follows one byte of what comes in lines.
-func (f *follower) byte(c byte) {
-	if f.at == inHead {
-		f.begun = true
+// feedLineByte parses one byte of a part that consists of lines.
+func (f *requestParser) feedLineByte(c byte) {
+	if f.state == inHeader {
+		f.started = true
 	}
 	switch {
 	case c == '\n':
-		f.lineEnded()
-		f.n = 0
+		f.endLine()
+		f.lineLen = 0
 	case c == '\r':
 	default:
-		if f.n < len(f.line) {
+		if f.lineLen < len(f.line) {
 			if c >= 'A' && c <= 'Z' {
 				c += 'a' - 'A'
 			}
-			f.line[f.n] = c
+			f.line[f.lineLen] = c
 		}
-		f.n++
-		f.inside = f.inside || f.at == inHead
+		f.lineLen++
+		f.requestLineStarted = f.requestLineStarted || f.state == inHeader
 	}
 }
 
-func (f *follower) lineEnded() {
-	line := f.line[:min(f.n, len(f.line))]
-	switch f.at {
-	case inHead:
-		if f.n > 0 {
-			f.headLine(line)
-		} else if f.inside {
-			f.headEnded()
+func (f *requestParser) endLine() {
+	line := f.line[:min(f.lineLen, len(f.line))]
+	switch f.state {
+	case inHeader:
+		if f.lineLen > 0 {
+			f.parseHeaderLine(line)
+		} else if f.requestLineStarted {
+			f.endHeader()
 		}
 	case inChunkSize:
-		f.chunkSize(line)
-	case afterChunk:
-		f.at = inChunkSize
+		f.parseChunkSize(line)
+	case afterChunkData:
+		f.state = inChunkSize
 	case inTrailer:
-		if f.n == 0 {
-			f.next()
+		if f.lineLen == 0 {
+			f.reset()
 		}
 	}
 }
 
-// headLine notes what a line of a head says of the body.
-func (f *follower) headLine(line []byte) {
-	if rest, ok := bytes.CutPrefix(line, []byte(lengthName)); ok {
-		f.head.named = true
+// parseHeaderLine records what a header line says about the body.
+func (f *requestParser) parseHeaderLine(line []byte) {
+	if rest, ok := bytes.CutPrefix(line, []byte(contentLengthPrefix)); ok {
+		f.header.hasContentLength = true
 		length, err := strconv.ParseInt(string(bytes.TrimSpace(rest)), 10, 64)
 		if err != nil || length < 0 {
 			length = -1
 		}
-		f.head.length = length
+		f.header.contentLength = length
 	}
-	if bytes.HasPrefix(line, []byte(codingName)) {
-		f.head.chunked = true
+	if bytes.HasPrefix(line, []byte(transferEncodingPrefix)) {
+		f.header.chunked = true
 	}
 }
 
-func (f *follower) headEnded() {
-	head := f.head
-	head.headEnd = f.offset
-	if len(f.awaited) == mostAwaited {
-		f.at = unknown
+func (f *requestParser) endHeader() {
+	header := f.header
+	header.headerEnd = f.offset
+	if len(f.pending) == maxPendingRequests {
+		f.state = unparsable
 		return
 	}
-	f.awaited = append(f.awaited, head)
-	f.begun, f.inside = false, false
+	f.pending = append(f.pending, header)
+	f.started, f.requestLineStarted = false, false
 	switch {
-	case head.chunked:
-		f.at = inChunkSize
-	case head.length < 0:
-		f.at = unknown
-	case head.length > 0:
-		f.at, f.left = inBody, head.length
+	case header.chunked:
+		f.state = inChunkSize
+	case header.contentLength < 0:
+		f.state = unparsable
+	case header.contentLength > 0:
+		f.state, f.remaining = inBody, header.contentLength
 	default:
-		f.next()
+		f.reset()
 	}
 }
 
-// chunkSize goes on with a chunk's data, or after the last one with the trailer.
-func (f *follower) chunkSize(line []byte) {
+// parseChunkSize enters the chunk's data, or the trailer after the last chunk.
+func (f *requestParser) parseChunkSize(line []byte) {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	size, err := strconv.ParseInt(string(bytes.TrimSpace(digits)), 16, 64)
 	switch {
 	case err != nil || size < 0:
-		f.at = unknown
+		f.state = unparsable
 	case size == 0:
-		f.at = inTrailer
+		f.state = inTrailer
 	default:
-		f.at, f.left = inChunk, size
+		f.state, f.remaining = inChunkData, size
 	}
 }
 
-// served takes note that the request whose head came first is over. Where none has come whole the server has seen another request than
-// this follower, which begins anew.
-func (f *follower) served() {
-	if len(f.awaited) == 0 {
-		*f = follower{offset: f.offset}
+// requestDone removes the oldest pending request. If none is pending, the server has parsed another request
+// than this parser, which starts over.
+func (f *requestParser) requestDone() {
+	if len(f.pending) == 0 {
+		*f = requestParser{offset: f.offset}
 		return
 	}
-	f.awaited = f.awaited[1:]
+	f.pending = f.pending[1:]
 }
 
-// answeredUpTo is an offset below which nothing belongs to a request that waits for its answer, but for the beginning of the first of them.
-func (f *follower) answeredUpTo() int64 {
-	if len(f.awaited) > 0 {
-		return f.awaited[0].headEnd - 1
+// answeredOffset returns an offset below which no byte belongs to an unanswered request, except the start of
+// the first one's header.
+func (f *requestParser) answeredOffset() int64 {
+	if len(f.pending) > 0 {
+		return f.pending[0].headerEnd - 1
 	}
 	return f.offset
 }
 
-// several tells whether something of a further request has come behind one that is not over.
-func (f *follower) several() bool { return len(f.awaited) > 1 || len(f.awaited) == 1 && f.begun }
+// pipelined reports whether part of a further request has been read behind an unanswered one.
+func (f *requestParser) pipelined() bool {
+	return len(f.pending) > 1 || len(f.pending) == 1 && f.started
+}
 
-// busy tells whether there is a request that has begun and is not over.
-func (f *follower) busy() bool { return f.begun || len(f.awaited) > 0 }
+// inRequest reports whether a request has started and is not answered yet.
+func (f *requestParser) inRequest() bool { return f.started || len(f.pending) > 0 }
 
-// OnlyChunked tells of a chunked request that no length stands beside its chunks. The standard server drops that, and then nobody can
-// tell what a proxy before it took for the body. What was not seen whole counts as one that has both.
+// OnlyChunked reports that a chunked request has no Content-Length header beside its chunked encoding. The
+// standard server drops that header, and which of the two a proxy in front of it used for the body is then
+// unknown. A request whose header was not seen completely counts as having both.
 func OnlyChunked(ctx context.Context) bool {
 	c, ok := FromContext(ctx).(*conn)
 	if !ok {
@@ -208,5 +213,5 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.requests.awaited) > 0 && !c.requests.awaited[0].named
+	return len(c.parser.pending) > 0 && !c.parser.pending[0].hasContentLength
 }
--- a/internal/frontend/clientconn/follow_test.go
+++ b/internal/frontend/clientconn/follow_test.go
@@ -7,59 +7,68 @@
 	"testing"
 )
 
-// Requests of all forms, one after another in pieces of any size: after each it is known that none has begun, what their heads said comes
-// out in their order, and a byte more is the next one's.
-func TestRequestsAreFollowedInPieces(t *testing.T) {
+// Requests of all forms are fed one after another, in pieces of any size. After each, no request has started,
+// the framing of its header is pending, and one further byte starts the next request.
+func TestRequestsInFragmentsAreParsed(t *testing.T) {
 	forms := []struct {
-		text           string
-		named, chunked bool
+		text                      string
+		hasContentLength, chunked bool
 	}{
 		{"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nGET /", true, false},
 		{"GET / HTTP/1.1\nhost: x\n\n", false, false},
 		{"\r\nPOST / HTTP/1.1\r\ncontent-LENGTH:0\r\n\r\n", true, false},
-		{"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5;a=b\r\nGET /\r\nA\r\n0123456789\r\n0\r\nT: u\r\n\r\n", false, true},
-		{"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n3\r\nabc\r\n0\r\n\r\n", true, true},
-		{"POST / HTTP/1.1\r\nX: " + strings.Repeat("content-length: 9 ", 50) + "\r\nContent-Length:  7 \r\n\r\n\r\n\r\n\r\n\r", true, false},
+		{"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5;a=b\r\nGET /\r\nA\r\n0123456789\r\n0\r\nT: u\r\n\r\n",
+			false, true},
+		{"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
+			true, true},
+		{"POST / HTTP/1.1\r\nX: " + strings.Repeat("content-length: 9 ", 50) +
+			"\r\nContent-Length:  7 \r\n\r\n\r\n\r\n\r\n\r", true, false},
 	}
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		var f follower
+		var f requestParser
 		for range 20 {
 			form := forms[r.IntN(len(forms))]
 			for text := form.text; len(text) > 0; {
 				k := 1 + r.IntN(len(text))
 				f.feed([]byte(text[:k]))
-				if text = text[k:]; len(text) == 0 && (f.begun || f.at != inHead) {
-					t.Fatalf("seed %d: after %q it is in %d, begun %v", seed, form.text, f.at, f.begun)
+				if text = text[k:]; len(text) == 0 && (f.started || f.state != inHeader) {
+					t.Fatalf("seed %d: after %q: state %d, started %v", seed, form.text, f.state, f.started)
 				}
 			}
-			if len(f.awaited) != 1 || f.awaited[0].named != form.named || f.awaited[0].chunked != form.chunked {
-				t.Fatalf("seed %d: %q gives %+v", seed, form.text, f.awaited)
+			if len(f.pending) != 1 || f.pending[0].hasContentLength != form.hasContentLength ||
+				f.pending[0].chunked != form.chunked {
+				t.Fatalf("seed %d: %q: pending %+v", seed, form.text, f.pending)
 			}
-			f.served()
+			f.requestDone()
 		}
-		if f.feed([]byte("P")); !f.begun {
-			t.Fatalf("seed %d: a first byte is none", seed)
+		if f.feed([]byte("P")); !f.started {
+			t.Fatalf("seed %d: the first byte of a request does not start it", seed)
 		}
 	}
 }
 
-// Many requests at once are told apart, up to a bound; what can't be followed is never taken for resting or for chunks alone.
-func TestWhatCanNotBeFollowedIsTrustedWithNothing(t *testing.T) {
-	var f follower
-	for k := range 3 * mostAwaited {
-		if f.feed([]byte("GET / HTTP/1.1\r\n\r\n")); len(f.awaited) > mostAwaited {
-			t.Fatalf("%d heads are kept after %d", len(f.awaited), k+1)
+// Pending requests are parsed up to a bound. Beyond it, and after invalid framing, the stream is unparsable,
+// so that it never counts as idle or as having only chunked encoding.
+func TestInvalidOrTooManyRequestsBecomeUnparsable(t *testing.T) {
+	var f requestParser
+	for k := range 3 * maxPendingRequests {
+		if f.feed([]byte("GET / HTTP/1.1\r\n\r\n")); len(f.pending) > maxPendingRequests {
+			t.Fatalf("%d requests are pending after %d", len(f.pending), k+1)
 		}
 	}
-	if f.at != unknown {
-		t.Error("a crowd of heads is followed on")
+	if f.state != unparsable {
+		t.Error("more than maxPendingRequests requests are still parsed")
 	}
-	for _, text := range []string{"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", "POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n",
-		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", fmt.Sprintf("POST / HTTP/1.1\r\nContent-Length: %s9\r\n\r\n", strings.Repeat("9", 70))} {
-		var f follower
-		if f.feed([]byte(text)); f.at != unknown {
-			t.Errorf("%q is followed on in %d", text, f.at)
+	for _, text := range []string{
+		"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
+		"POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n",
+		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+		fmt.Sprintf("POST / HTTP/1.1\r\nContent-Length: %s9\r\n\r\n", strings.Repeat("9", 70)),
+	} {
+		var f requestParser
+		if f.feed([]byte(text)); f.state != unparsable {
+			t.Errorf("%q: state %d, want unparsable", text, f.state)
 		}
 	}
 }
--- a/internal/frontend/clientconn/last_test.go
+++ b/internal/frontend/clientconn/last_test.go
@@ -13,43 +13,44 @@
 	"woaddyke/internal/workers/workerconn"
 )
 
-// instant is a listener whose connections call a hook before each read of theirs: what a test does there crosses the read.
-type instant struct {
+// hookListener accepts connections that call a hook before each read, so that a test can act between the
+// server's call and the read.
+type hookListener struct {
 	net.Listener
-	before func(nc net.Conn)
+	beforeRead func(nc net.Conn)
 }
 
-type hooked struct {
+type hookedConn struct {
 	*net.TCPConn
-	before func(nc net.Conn)
+	beforeRead func(nc net.Conn)
 }
 
-func (i *instant) Accept() (net.Conn, error) {
+func (i *hookListener) Accept() (net.Conn, error) {
 	c, err := i.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &hooked{c.(*net.TCPConn), i.before}, nil
+	return &hookedConn{c.(*net.TCPConn), i.beforeRead}, nil
 }
 
-func (h *hooked) Read(b []byte) (int, error) {
-	h.before(h)
+func (h *hookedConn) Read(b []byte) (int, error) {
+	h.beforeRead(h)
 	return h.TCPConn.Read(b)
 }
 
-// serveClients has the standard server answer each request on client connections, with a hook before their reads.
-func serveClients(t *testing.T, before func(net.Conn)) *Pool {
+// serveClients starts a standard server that answers each request, with a hook before its reads.
+func serveClients(t *testing.T, beforeRead func(net.Conn)) *Pool {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	g := New(9, 9)
-	g.Listener = &instant{l, before}
+	g.Listener = &hookListener{l, beforeRead}
 	s := &http.Server{ConnState: g.Track, ReadHeaderTimeout: 20 * time.Second, IdleTimeout: time.Minute,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			b, _ := io.ReadAll(r.Body)
 			if r.Context().Err() != nil {
-				b = append(b, " of a client that has left"...)
+				b = append(b, " of a disconnected client"...)
 			}
 			fmt.Fprintf(w, "got %s", b)
 		})}
@@ -58,10 +59,10 @@
 	return g
 }
 
-func asks(t *testing.T, c net.Conn, answers *bufio.Reader) string {
+func readResponse(t *testing.T, c net.Conn, reader *bufio.Reader) string {
 	t.Helper()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	resp, err := http.ReadResponse(answers, nil)
+	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		return err.Error()
 	}
@@ -69,104 +70,107 @@
 	return string(b)
 }
 
-const request = "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi"
+const postRequest = "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi"
 
-// A request that came in the instant in which its connection's wait was ended was lost: the look had found nothing, and the reader,
-// told that its time was over, closed without another one. Forced here: the request is written after that look, and before the read.
-func TestARequestThatCrossesTheEndOfTheWaitIsServed(t *testing.T) {
+// A request received in the instant in which its connection's wait was ended was lost: the check before had
+// found no data, and the reader closed the connection at the expired deadline without another check. The test
+// forces this: it writes the request after that check and before the read.
+func TestARequestThatArrivesDuringEvictionIsServed(t *testing.T) {
 	for _, name := range []string{"new", "kept"} {
 		t.Run(name, func(t *testing.T) {
-			held, release := make(chan bool), make(chan bool)
-			var of atomic.Pointer[Pool]
-			reads, done := 0, false
-			g := serveClients(t, func(net.Conn) { // the server is held at its first read, or at the one behind an answer
+			blocked, release := make(chan bool), make(chan bool)
+			var pool atomic.Pointer[Pool]
+			reads, hasBlocked := 0, false
+			g := serveClients(t, func(net.Conn) { // blocks the first read, or the one after a response
 				reads++
-				if g := of.Load(); !done && (name == "new" || reads > 1 && g != nil && g.Waiting() > 0) {
-					done = true
-					held <- true
+				if g := pool.Load(); !hasBlocked &&
+					(name == "new" || reads > 1 && g != nil && g.Waiting() > 0) {
+					hasBlocked = true
+					blocked <- true
 					<-release
 				}
 			})
-			of.Store(g)
+			pool.Store(g)
 			c, err := net.Dial("tcp", g.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer c.Close()
-			answers := bufio.NewReader(c)
+			responses := bufio.NewReader(c)
 			if name == "kept" {
-				io.WriteString(c, request)
-				if got := asks(t, c, answers); got != "got hi" {
+				io.WriteString(c, postRequest)
+				if got := readResponse(t, c, responses); got != "got hi" {
 					t.Fatal(got)
 				}
 			}
-			<-held
+			<-blocked
 			g.CloseIdle(9, 0)
 			if g.Sockets() != 1 || g.Count() != 0 {
-				t.Fatalf("%d sockets, %d count", g.Sockets(), g.Count())
+				t.Fatalf("%d sockets, %d open connections; want 1, 0", g.Sockets(), g.Count())
 			}
-			io.WriteString(c, request)
-			for server := range g.parted {
-				for come := 0; come == 0; come, _ = workerconn.Peek(server) {
+			io.WriteString(c, postRequest)
+			for server := range g.closing {
+				for unread := 0; unread == 0; unread, _ = workerconn.Peek(server) {
 					time.Sleep(time.Millisecond)
 				}
 			}
 			close(release)
-			if got := asks(t, c, answers); got != "got hi" {
-				t.Errorf("the request that crossed: %s", got)
+			if got := readResponse(t, c, responses); got != "got hi" {
+				t.Errorf("response to the request during eviction: %s", got)
 			}
 			if g.Count() != 1 || g.Sockets() != 1 {
-				t.Errorf("%d count, %d sockets", g.Count(), g.Sockets())
+				t.Errorf("%d open connections, %d sockets; want 1 of each", g.Count(), g.Sockets())
 			}
 		})
 	}
 }
 
-// A flood evicted a connection whose request's head had been read a moment ago, and was not served yet: the deadline that ends a wait
-// then ended the watch for its client, and with it the request.
-func TestARequestWhoseHeadWasReadIsServedThoughItsWaitWasEnded(t *testing.T) {
+// A flood evicted a connection whose request's header had just been read and that was not served yet. The
+// expired deadline that ends a wait then ended the watch for a disconnection, and so the request.
+func TestARequestWhoseHeaderWasReadBeforeEvictionIsServed(t *testing.T) {
 	g := serveClients(t, func(net.Conn) {})
 	c, err := net.Dial("tcp", g.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	answers := bufio.NewReader(c)
-	io.WriteString(c, request)
-	if got := asks(t, c, answers); got != "got hi" {
+	responses := bufio.NewReader(c)
+	io.WriteString(c, postRequest)
+	if got := readResponse(t, c, responses); got != "got hi" {
 		t.Fatal(got)
 	}
-	for until := time.Now().Add(10 * time.Second); g.Waiting() == 0 && time.Now().Before(until); {
+	for deadline := time.Now().Add(10 * time.Second); g.Waiting() == 0 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	g.mu.Lock() // the server comes no further than the word that it has read a head
+	g.mu.Lock() // the server blocks in Track after it has read a header
 	io.WriteString(c, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n")
 	for nc := range g.open {
-		for !nc.begun() {
+		for !nc.requestStarted() {
 			time.Sleep(time.Millisecond)
 		}
-		g.part(nc)
+		g.startClosing(nc)
 	}
 	g.mu.Unlock()
-	time.Sleep(20 * time.Millisecond) // time to be closed in, if it is to be
+	time.Sleep(20 * time.Millisecond) // long enough for a wrong close to show
 	io.WriteString(c, "hi")
-	if got := asks(t, c, answers); got != "got hi" {
+	if got := readResponse(t, c, responses); got != "got hi" {
 		t.Errorf("%q", got)
 	}
 }
 
-// What is parted and says nothing is closed at once, also where the server sets a deadline of its own in that instant.
-func TestOnePartedIsClosedWhateverDeadlineTheServerSets(t *testing.T) {
-	held, release := make(chan bool), make(chan bool)
-	g := serveClients(t, func(net.Conn) { held <- true; <-release })
+// A closing connection without a request is closed at once, even if the server sets a read deadline of its
+// own in that instant.
+func TestAClosingConnectionIgnoresTheServersDeadline(t *testing.T) {
+	blocked, release := make(chan bool), make(chan bool)
+	g := serveClients(t, func(net.Conn) { blocked <- true; <-release })
 	c, err := net.Dial("tcp", g.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	<-held
+	<-blocked
 	g.CloseIdle(9, 0)
-	for nc := range g.parted {
+	for nc := range g.closing {
 		nc.SetReadDeadline(time.Now().Add(time.Hour))
 	}
 	close(release)
@@ -174,26 +178,26 @@
 	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("%v", err)
 	}
-	for until := time.Now().Add(10 * time.Second); g.Sockets() > 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(until) {
-			t.Fatal("its descriptor is counted still")
+	for deadline := time.Now().Add(10 * time.Second); g.Sockets() > 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("the closed connection still counts after 10 s")
 		}
 	}
 }
 
-// The server's own time for a connection that idles was up in the instant in which a request came. One that dribbles a head is given
-// no more than its time.
-func TestARequestThatCrossesTheServersDeadlineIsRead(t *testing.T) {
-	g := listening(t, 9)
-	server, client := pair(t, g)
+// A request that is received in the instant in which the server's idle deadline expires is read. A header
+// that is sent slowly gets no more time than its deadline.
+func TestARequestThatArrivesAtTheIdleDeadlineIsRead(t *testing.T) {
+	g := newListeningPool(t, 9)
+	server, client := connectPair(t, g)
 	server.SetReadDeadline(time.Unix(1, 0))
 	for k, want := range []int{2, 0} {
 		io.WriteString(client, "PO")
-		for come := 0; come == 0; come, _ = workerconn.Peek(server) {
+		for unread := 0; unread == 0; unread, _ = workerconn.Peek(server) {
 			time.Sleep(time.Millisecond)
 		}
 		if n, err := server.Read(make([]byte, 9)); n != want || (err == nil) != (want > 0) {
-			t.Errorf("read %d: %d, %v", k, n, err)
+			t.Errorf("read %d: %d bytes, %v", k, n, err)
 		}
 	}
 }
--- a/internal/frontend/clientconn/standstill.go
+++ b/internal/frontend/clientconn/standstill.go
@@ -6,107 +6,112 @@
 )
 
 const (
-	beatEvery = 40 * time.Millisecond // while it is wanted
-	beatsFor  = time.Minute           // after it was wanted last
-	// A beat that is later than that tells of a process that stood. What is told to a worker may be too much by 0.15 s.
-	lateBeat = 80 * time.Millisecond
-	// The same before that, when whoever has something to do all the time tells of it: once a second at the least.
-	lateSign = 1200 * time.Millisecond
-	// What came while the process stood is read by then.
-	catchesUp = 250 * time.Millisecond
+	tickInterval  = 40 * time.Millisecond // while stalls are watched
+	watchDuration = time.Minute           // after the last call of watch
+	// A longer gap between two ticks counts as a stall. The remaining time that a worker is given may be up
+	// to 0.15 s too long.
+	tickStallThreshold = 80 * time.Millisecond
+	// The same for heartbeats, which come at least once a second from a loop that always runs.
+	heartbeatStallThreshold = 1200 * time.Millisecond
+	// Bytes that were received during a stall are read within this time after it.
+	catchUpTime = 250 * time.Millisecond
 )
 
-// standstill knows since when the process may have stood, as one does that is stopped or starved. The kernel tells when the newest bytes of a
-// connection came, and no more; what came before them while nobody could look may be as old as the standstill. Until a client first sends a
-// request behind another one, and again a minute after the last, it goes by signs of life that cost nothing, and are up to a second apart.
-type standstill struct {
-	mu       sync.Mutex
-	on       bool
-	until    time.Time // when it ends, if nobody asks
-	last     time.Time // beat, or sign of life
-	from, to time.Time // the last standstill
+// stallDetector finds out when the process did not run, because it was stopped or starved of CPU. The kernel
+// only reports when the newest bytes of a connection were received; older ones that nobody could look at
+// meanwhile may be as old as the stall. Until a client first sends a pipelined request, and again from a
+// minute after the last one, the detector uses heartbeats: they cost nothing extra, but are up to a second
+// apart.
+type stallDetector struct {
+	mu                   sync.Mutex
+	watching             bool
+	watchUntil           time.Time // unless watch is called again
+	lastRun              time.Time // last tick or heartbeat
+	stallStart, stallEnd time.Time // of the last stall
 }
 
-// earliest is since when something may have come that is seen now, and was not a moment ago.
-func (s *standstill) earliest(now time.Time) time.Time {
+// earliestReceive returns the earliest time at which bytes that are first seen now can have been received.
+func (s *stallDetector) earliestReceive(now time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.last.IsZero():
+	case s.lastRun.IsZero():
 		return now
-	case !s.to.IsZero() && now.Sub(s.to) < catchesUp:
-		return s.from
-	case !s.on || now.Sub(s.last) > lateBeat:
-		return s.last
+	case !s.stallEnd.IsZero() && now.Sub(s.stallEnd) < catchUpTime:
+		return s.stallStart
+	case !s.watching || now.Sub(s.lastRun) > tickStallThreshold:
+		return s.lastRun
 	}
 	return now
 }
 
-// earliestOf is earliest for bytes of which the newest came at a moment. Where that lies in the last standstill all of them came in it or before,
-// however late they are read after it.
-func (s *standstill) earliestOf(now, newest time.Time) time.Time {
+// earliestReceiveOf is earliestReceive for bytes of which the newest were received at a known time. If that
+// is within the last stall, all of them were received during the stall or before it, however late they are
+// read.
+func (s *stallDetector) earliestReceiveOf(now, newest time.Time) time.Time {
 	s.mu.Lock()
-	from, to := s.from, s.to
+	start, end := s.stallStart, s.stallEnd
 	s.mu.Unlock()
-	if newest.After(from) && newest.Before(to) {
-		return from
+	if newest.After(start) && newest.Before(end) {
+		return start
 	}
-	return s.earliest(now)
+	return s.earliestReceive(now)
 }
 
-// sign notes that the process runs.
-func (s *standstill) sign(now time.Time) {
+// heartbeat notes that the process runs.
+func (s *stallDetector) heartbeat(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ran(now)
+	s.recordRun(now)
 }
 
-// ran is sign with the lock held.
-func (s *standstill) ran(now time.Time) {
-	late := lateSign
-	if s.on {
-		late = lateBeat
+// recordRun notes that the process runs, and a stall if the gap since the last time is too long. It is called
+// with the lock held.
+func (s *stallDetector) recordRun(now time.Time) {
+	threshold := heartbeatStallThreshold
+	if s.watching {
+		threshold = tickStallThreshold
 	}
-	if !s.last.IsZero() && now.Sub(s.last) > late {
-		s.from, s.to = s.last, now
+	if !s.lastRun.IsZero() && now.Sub(s.lastRun) > threshold {
+		s.stallStart, s.stallEnd = s.lastRun, now
 	}
-	s.last = now
+	s.lastRun = now
 }
 
-// want has the process watched for a while from now on.
-func (s *standstill) want(now time.Time) {
-	if !s.begin(now) {
+// watch has ticks detect stalls for watchDuration from now on.
+func (s *stallDetector) watch(now time.Time) {
+	if !s.startWatching(now) {
 		return
 	}
 	go func() {
-		beats := time.NewTicker(beatEvery)
-		defer beats.Stop()
-		for range beats.C {
-			if !s.beat(time.Now()) {
+		ticker := time.NewTicker(tickInterval)
+		defer ticker.Stop()
+		for range ticker.C {
+			if !s.tick(time.Now()) {
 				return
 			}
 		}
 	}()
 }
 
-// begin begins to watch, or goes on; false where it has begun already.
-func (s *standstill) begin(now time.Time) bool {
+// startWatching starts or extends the watch. It returns false if the watch was already running.
+func (s *stallDetector) startWatching(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.until = now.Add(beatsFor)
-	if s.on {
+	s.watchUntil = now.Add(watchDuration)
+	if s.watching {
 		return false
 	}
-	s.ran(now)
-	s.on = true
+	s.recordRun(now)
+	s.watching = true
 	return true
 }
 
-// beat notes that the process runs; false once nobody has asked for long.
-func (s *standstill) beat(now time.Time) bool {
+// tick notes that the process runs. It returns false once the watch has expired.
+func (s *stallDetector) tick(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ran(now)
-	s.on = now.Before(s.until)
-	return s.on
+	s.recordRun(now)
+	s.watching = now.Before(s.watchUntil)
+	return s.watching
 }
--- a/internal/frontend/clientconn/stop_reading.go
+++ b/internal/frontend/clientconn/stop_reading.go
@@ -5,83 +5,86 @@
 	"time"
 )
 
-// StopReading has no further request be read from a connection on which one was served. What has been read, whole or in part, goes on, a body
-// until a moment; such a connection without that ends. So at the end of a process each request was either read, and has its answer, or lies
-// unread when its connection is closed, which tells its client that it was not taken. A new connection has its first request read still: its
-// client may have nowhere else to go.
-func (g *Pool) StopReading(bodiesBy time.Time) {
+// StopReading ends the reading of further requests from connections on which one was served. A request that
+// has been read, in whole or in part, is still served, its body until a deadline; a connection without one is
+// closed. So at the end of the process every request was either read and answered, or is unread when its
+// connection is closed, which tells its client that it was not processed. The first request on a new
+// connection is still read: its client may have no other scheduler to turn to.
+func (g *Pool) StopReading(bodyDeadline time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.bodiesBy.CompareAndSwap(nil, &bodiesBy) {
+	if !g.bodyDeadline.CompareAndSwap(nil, &bodyDeadline) {
 		return
 	}
-	g.stopped.Store(true)
+	g.readingStopped.Store(true)
 	for nc, x := range g.open {
-		if x.waits() && nc.kept() {
-			g.ended(ToLeave, nc)
-			g.part(nc)
+		if x.waiting() && nc.hasServed() {
+			g.reportEnd(ReasonDrained, nc)
+			g.startClosing(nc)
 		} else {
-			nc.limitReading()
+			nc.capReadDeadline()
 		}
 	}
 }
 
-// StoppedReading tells whether no further request is read.
-func (g *Pool) StoppedReading() bool { return g.stopped.Load() }
+// StoppedReading reports whether StopReading was called.
+func (g *Pool) StoppedReading() bool { return g.readingStopped.Load() }
 
-// kept tells whether a request was served on the connection.
-func (c *conn) kept() bool {
+// hasServed reports whether a request was served on the connection.
+func (c *conn) hasServed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.used
+	return c.servedRequest
 }
 
-// limitReading ends the reading of a body that does not come whole in time.
-func (c *conn) limitReading() {
+// capReadDeadline ends the reading of a body that is not complete at the body deadline.
+func (c *conn) capReadDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if limited := c.limited(c.deadline); limited != c.deadline {
-		c.Conn.SetReadDeadline(limited)
+	if capped := c.capDeadline(c.readDeadline); capped != c.readDeadline {
+		c.Conn.SetReadDeadline(capped)
 	}
 }
 
-// limited is a read deadline as it holds after StopReading, with the lock held: one of a request that has begun, or behind one that was served.
-// None, the zero time, is that of the watch for a client's end.
-func (c *conn) limited(deadline time.Time) time.Time {
-	end := c.of.bodiesBy.Load()
-	if end == nil || !deadline.After(*end) || !c.used && !c.requests.busy() {
+// capDeadline returns a read deadline limited to the body deadline that StopReading sets, with the lock held.
+// The limit applies once a request has started or one was served. No deadline, the zero time, stays: the
+// server sets it while it watches for the client's disconnection.
+func (c *conn) capDeadline(deadline time.Time) time.Time {
+	end := c.pool.bodyDeadline.Load()
+	if end == nil || !deadline.After(*end) || !c.servedRequest && !c.parser.inRequest() {
 		return deadline
 	}
 	return *end
 }
 
-// endIfIdle ends a connection that has become idle since StopReading, with the lock held.
-func (g *Pool) endIfIdle(c *conn, state http.ConnState) {
-	if state == http.StateIdle && g.stopped.Load() && g.open[c] != nil {
-		g.part(c)
+// closeIfIdle closes a connection that has become idle since StopReading, with the lock held.
+func (g *Pool) closeIfIdle(c *conn, state http.ConnState) {
+	if state == http.StateIdle && g.readingStopped.Load() && g.open[c] != nil {
+		g.startClosing(c)
 	}
 }
 
-// readable is how many of so many bytes may be read now: after StopReading none beyond the request that has begun.
-func (c *conn) readable(wanted int) int {
-	if !c.of.stopped.Load() {
+// maxReadable returns how many of the wanted bytes may be read now: after StopReading, none beyond the
+// request that has started.
+func (c *conn) maxReadable(wanted int) int {
+	if !c.pool.readingStopped.Load() {
 		return wanted
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.used && !c.requests.busy() {
+	if !c.servedRequest && !c.parser.inRequest() {
 		return wanted
 	}
-	return int(min(int64(wanted), c.requests.untilNext()))
+	return int(min(int64(wanted), c.parser.minRemaining()))
 }
 
-// untilNext is how many bytes at the least belong to the request that has begun; 0 where none has.
-func (f *follower) untilNext() int64 {
+// minRemaining returns how many further bytes the current request has at the least, 0 if there is none.
+func (f *requestParser) minRemaining() int64 {
 	switch {
-	case !f.busy():
+	case !f.inRequest():
 		return 0
-	case f.at == inBody || f.at == inChunk:
-		return f.left
+	case f.state == inBody || f.state == inChunkData:
+		return f.remaining
 	}
 	return 1 // a line may end with the next byte
 }
--- a/internal/frontend/clientconn/stop_reading_test.go
+++ b/internal/frontend/clientconn/stop_reading_test.go
@@ -9,9 +9,10 @@
 	"woaddyke/internal/workers/workerconn"
 )
 
-// At the end of a process the request that has begun is read whole, and not a byte beyond it: one that is read and not answered is lost.
-func TestNothingIsReadBeyondTheRequestThatHasBegun(t *testing.T) {
-	const head = "POST / HTTP/1.1\r\nHost: x\r\n"
+// After StopReading a request that has started is read completely, and not a byte beyond it: a request that
+// is read and not answered is lost.
+func TestStopReadingReadsNothingBeyondTheCurrentRequest(t *testing.T) {
+	const header = "POST / HTTP/1.1\r\nHost: x\r\n"
 	for name, rest := range map[string]string{
 		"no body":       "\r\n",
 		"a body":        "Content-Length: 5\r\n\r\nhello",
@@ -19,19 +20,19 @@
 		"with trailers": "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX-Sum: 1\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := listening(t, 9)
-			server, client := pair(t, g)
+			g := newListeningPool(t, 9)
+			server, client := connectPair(t, g)
 			server.SetDeadline(time.Now().Add(10 * time.Second))
-			io.WriteString(client, head)
-			read := make([]byte, len(head))
+			io.WriteString(client, header)
+			read := make([]byte, len(header))
 			if _, err := io.ReadFull(server, read); err != nil {
 				t.Fatal(err)
 			}
 			g.StopReading(time.Now().Add(time.Minute))
-			io.WriteString(client, rest+request)
+			io.WriteString(client, rest+postRequest)
 			c := server.(*conn)
 			got, b := "", make([]byte, 4096)
-			for c.requests.untilNext() > 0 && len(c.requests.awaited) == 0 || c.requests.at != inHead {
+			for c.parser.minRemaining() > 0 && len(c.parser.pending) == 0 || c.parser.state != inHeader {
 				n, err := server.Read(b)
 				if err != nil {
 					t.Fatalf("after %q: %v", got, err)
@@ -41,31 +42,32 @@
 			if got != rest {
 				t.Errorf("read %q, want %q", got, rest)
 			}
-			c.next() // it is answered
+			c.requestDone() // as after its response
 			if n, err := server.Read(b); n != 0 || err != io.EOF {
-				t.Errorf("beyond it: %q, %v", b[:n], err)
+				t.Errorf("read beyond the request: %q, %v; want io.EOF", b[:n], err)
 			}
 		})
 	}
 }
 
-// A kept connection that waits for a request ends unread at once, also one whose request comes in that instant; a new one has it read.
-func TestKeptConnectionsEndUnread(t *testing.T) {
-	g := listening(t, 9)
-	fresh, first := pair(t, g)
-	server, client := pair(t, g)
+// StopReading ends an idle keep-alive connection at once and unread, even if a request is received at that
+// instant. The first request on a new connection is still read.
+func TestKeepAliveConnectionsCloseUnreadAfterStopReading(t *testing.T) {
+	g := newListeningPool(t, 9)
+	newServer, newClient := connectPair(t, g)
+	server, client := connectPair(t, g)
 	c := server.(*conn)
-	c.next() // one was served
-	io.WriteString(first, request)
-	io.WriteString(client, request)
-	for come := 0; come == 0; come, _ = workerconn.Peek(server) {
+	c.requestDone() // as after a response
+	io.WriteString(newClient, postRequest)
+	io.WriteString(client, postRequest)
+	for unread := 0; unread == 0; unread, _ = workerconn.Peek(server) {
 		time.Sleep(time.Millisecond)
 	}
 	g.StopReading(time.Now().Add(time.Minute))
 	if n, err := server.Read(make([]byte, 99)); n != 0 || !errors.Is(err, io.EOF) {
-		t.Errorf("kept: %d bytes, %v", n, err)
+		t.Errorf("keep-alive connection: read %d bytes, %v", n, err)
 	}
-	if n, err := fresh.Read(make([]byte, 99)); n != len(request) || err != nil {
-		t.Errorf("new: %d bytes, %v", n, err)
+	if n, err := newServer.Read(make([]byte, 99)); n != len(postRequest) || err != nil {
+		t.Errorf("new connection: read %d bytes, %v", n, err)
 	}
 }
--- a/internal/frontend/clientconn/unanswered_test.go
+++ b/internal/frontend/clientconn/unanswered_test.go
@@ -11,33 +11,36 @@
 	"time"
 )
 
-// The guard on closing sees a connection that this side ends over a request that was read, and none of those that it may end.
-func TestTheGuardOnClosingSeesARequestWithoutAnAnswer(t *testing.T) {
+// Closing reports a connection that this side closes though a request that was read has no answer. It reports
+// none of those that may be closed.
+func TestClosingReportsAnUnansweredRequest(t *testing.T) {
 	const op = "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n"
 	for name, c := range map[string]struct {
-		path   string
-		sends  string
-		leaves bool
-		want   int32
+		path        string
+		data        string
+		disconnects bool
+		reports     int32
 	}{
 		"answered":                        {"/", op + "hi", false, 0},
 		"dropped by its handler":          {"/drop", op + "hi", false, 1},
 		"answered with a close":           {"/close", op + "hi", false, 0},
-		"one read behind such":            {"/close", op + "hi" + op + "hi", false, 1},
-		"dropped after its client's end":  {"/drop", op + "hi", true, 0},
-		"a head that never came whole":    {"/", "POST / HT", false, 0},
-		"whose end is not known by fault": {"/forfeit", op + "hi" + op + "hi", false, 0},
+		"read behind answer with a close": {"/close", op + "hi" + op + "hi", false, 1},
+		"dropped after disconnection":     {"/drop", op + "hi", true, 0},
+		"incomplete header":               {"/", "POST / HT", false, 0},
+		"check skipped by the handler":    {"/forfeit", op + "hi" + op + "hi", false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			var seen atomic.Int32
+			var reported atomic.Int32
 			g := New(9, 9)
-			g.Listener, g.HeaderTimeout, g.OnUnanswered = l, 100*time.Millisecond, func(string) { seen.Add(1) }
+			g.Listener, g.HeaderTimeout, g.OnUnanswered = l, 100*time.Millisecond,
+				func(string) { reported.Add(1) }
 			closed := make(chan bool, 9)
-			s := &http.Server{ConnContext: NewContext, ReadHeaderTimeout: 100 * time.Millisecond, IdleTimeout: 100 * time.Millisecond,
+			s := &http.Server{ConnContext: NewContext, ReadHeaderTimeout: 100 * time.Millisecond,
+				IdleTimeout: 100 * time.Millisecond,
 				ConnState: func(nc net.Conn, state http.ConnState) {
 					if g.Track(nc, state); state == http.StateClosed {
 						closed <- true
@@ -47,7 +50,7 @@
 					io.Copy(io.Discard, r.Body)
 					switch c.path {
 					case "/drop":
-						if c.leaves {
+						if c.disconnects {
 							<-r.Context().Done()
 						}
 						panic(http.ErrAbortHandler)
@@ -65,8 +68,8 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			fmt.Fprint(conn, c.sends)
-			if c.leaves {
+			fmt.Fprint(conn, c.data)
+			if c.disconnects {
 				time.Sleep(20 * time.Millisecond)
 				conn.Close()
 			} else {
@@ -75,10 +78,10 @@
 			select {
 			case <-closed:
 			case <-time.After(10 * time.Second):
-				t.Fatal("it is not closed")
+				t.Fatal("the connection is not closed within 10 s")
 			}
-			if n := seen.Load(); n != c.want {
-				t.Errorf("%d seen, want %d", n, c.want)
+			if n := reported.Load(); n != c.reports {
+				t.Errorf("%d unanswered requests reported, want %d", n, c.reports)
 			}
 		})
 	}
