--- a/internal/frontend/clientconn/clientconn_test.go
+++ b/internal/frontend/clientconn/clientconn_test.go
@@ -53,7 +53,7 @@
 	g.Track(idle, http.StateIdle)
 	partialClient.Write([]byte("PO"))
 	if n, err := partial.Read(make([]byte, 9)); n != 2 {
-		t.Fatalf("%d, %v", n, err)
+		t.Fatalf("read of the partial request: %d bytes, %v; want 2", n, err)
 	}
 	g.CloseIdle(9, time.Hour)
 	if g.Count() != 4 {
@@ -210,7 +210,7 @@
 		}
 		client.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err := client.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("the idle client: %v, want io.EOF", err)
+			t.Errorf("%v: the idle client: %v, want io.EOF", errno, err)
 		}
 	}
 }
--- a/internal/frontend/clientconn/last_test.go
+++ b/internal/frontend/clientconn/last_test.go
@@ -76,7 +76,7 @@
 // found no data, and the reader closed the connection at the expired deadline without another check. The test
 // forces this: it writes the request after that check and before the read.
 func TestARequestThatArrivesDuringEvictionIsServed(t *testing.T) {
-	for _, name := range []string{"new", "kept"} {
+	for _, name := range []string{"new", "keep-alive"} {
 		t.Run(name, func(t *testing.T) {
 			blocked, release := make(chan bool), make(chan bool)
 			var pool atomic.Pointer[Pool]
@@ -97,7 +97,7 @@
 			}
 			defer c.Close()
 			responses := bufio.NewReader(c)
-			if name == "kept" {
+			if name == "keep-alive" {
 				io.WriteString(c, postRequest)
 				if got := readResponse(t, c, responses); got != "got hi" {
 					t.Fatal(got)
@@ -154,7 +154,7 @@
 	time.Sleep(20 * time.Millisecond) // long enough for a wrong close to show
 	io.WriteString(c, "hi")
 	if got := readResponse(t, c, responses); got != "got hi" {
-		t.Errorf("%q", got)
+		t.Errorf("response %q, want %q", got, "got hi")
 	}
 }
 
@@ -176,7 +176,7 @@
 	close(release)
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("%v", err)
+		t.Errorf("read of the closing connection: %v, want io.EOF", err)
 	}
 	for deadline := time.Now().Add(10 * time.Second); g.Sockets() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -197,7 +197,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		if n, err := server.Read(make([]byte, 9)); n != want || (err == nil) != (want > 0) {
-			t.Errorf("read %d: %d bytes, %v", k, n, err)
+			t.Errorf("read %d: %d bytes, %v; want %d bytes", k, n, err, want)
 		}
 	}
 }
--- a/internal/frontend/clientconn/unanswered_test.go
+++ b/internal/frontend/clientconn/unanswered_test.go
@@ -27,7 +27,7 @@
 		"read behind answer with a close": {"/close", op + "hi" + op + "hi", false, 1},
 		"dropped after disconnection":     {"/drop", op + "hi", true, 0},
 		"incomplete header":               {"/", "POST / HT", false, 0},
-		"check skipped by the handler":    {"/forfeit", op + "hi" + op + "hi", false, 0},
+		"check skipped by the handler":    {"/skip-check", op + "hi" + op + "hi", false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,7 +54,7 @@
 							<-r.Context().Done()
 						}
 						panic(http.ErrAbortHandler)
-					case "/forfeit":
+					case "/skip-check":
 						SkipUnansweredCheck(r.Context())
 						w.Header().Set("Connection", "close")
 					case "/close":
