--- a/internal/frontend/clientconn/arrivals.go
+++ b/internal/frontend/clientconn/arrivals.go
@@ -11,7 +11,7 @@
 // time of the last entry, so that a request never seems younger than it is.
 const maxReceiveTimes = 32
 
-// receiveTime records that all bytes of a connection up to an offset had been received at a time.
+// receiveTime records that all bytes of a connection up to an offset had been received by a time.
 type receiveTime struct {
 	upTo int64
 	at   time.Time
@@ -23,15 +23,15 @@
 	entries []receiveTime // by ascending offset; without those of answered requests
 }
 
-// record notes that all bytes up to an offset have been received by now.
-func (a *receiveTimes) record(upTo int64, now time.Time) {
+// record adds that all bytes up to an offset had been received by a time.
+func (a *receiveTimes) record(upTo int64, at time.Time) {
 	n := len(a.entries)
 	switch {
 	case n > 0 && upTo <= a.entries[n-1].upTo:
 	case n == maxReceiveTimes:
 		a.entries[n-1].upTo = upTo
 	default:
-		a.entries = append(a.entries, receiveTime{upTo, now})
+		a.entries = append(a.entries, receiveTime{upTo, at})
 	}
 }
 
@@ -45,7 +45,7 @@
 	return time.Time{}, false
 }
 
-// discard removes the entries that cover no byte beyond an offset.
+// discard removes the entries that end at or before an offset.
 func (a *receiveTimes) discard(offset int64) {
 	k := 0
 	for k < len(a.entries) && a.entries[k].upTo <= offset {
@@ -54,9 +54,9 @@
 	a.entries = append(a.entries[:0], a.entries[k:]...)
 }
 
-// recordPreAcceptBytes notes how many bytes were received before the connection was accepted. They may be as
-// old as the connection. Its age is the kernel's time since it last sent data, which counts from the
-// handshake until data is sent.
+// recordPreAcceptBytes records how many bytes were received before the connection was accepted. They may be
+// as old as the connection. The connection's age is the kernel's time since data was last sent on it: before
+// any data is sent, this time counts from the handshake.
 func (c *conn) recordPreAcceptBytes() {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -74,8 +74,9 @@
 	})
 }
 
-// applyPreAcceptBytes adds the receive time of the bytes from before the accept. It is called, with the lock
-// held, once a further request has been received; for a single request the kernel's time is used.
+// applyPreAcceptBytes adds the receive time of the bytes received before the accept. It is called, with the
+// lock held, once a further request has been received. For a single request the kernel's time of the last
+// received data is used instead.
 func (c *conn) applyPreAcceptBytes() {
 	if c.preAccept.upTo > 0 {
 		c.receiveTimes.record(c.preAccept.upTo, c.preAccept.at)
@@ -85,14 +86,14 @@
 
 // recordUnread records the receive time of the bytes that are unread in the socket while a request is served.
 func (c *conn) recordUnread(fd uintptr) {
-	unread := max(unreadBytes(fd), 1) // the caller saw unread data
+	unread := max(unreadBytes(fd), 1) // at least 1: the caller saw unread data
 	now := time.Now()
-	since := c.pool.stalls.earliestReceiveOf(now, lastReceiveTime(fd, now))
-	c.pool.stalls.watch(now)
+	receivedAt := c.pool.stalls.earliestReceiveOf(now, lastReceiveTime(fd, now))
+	c.pool.stalls.keepTicking(now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.applyPreAcceptBytes()
-	c.receiveTimes.record(c.parser.offset+int64(unread), since)
+	c.receiveTimes.record(c.parser.offset+int64(unread), receivedAt)
 }
 
 // lastReceiveTime returns the kernel's time at which a connection last received data, or now if that is not
@@ -118,19 +119,19 @@
 // recordRead records the receive time of what has just been read, with the lock held. For a single request
 // the kernel's time of the last received data is used instead.
 func (c *conn) recordRead(now time.Time) {
-	since := now
+	receivedAt := now
 	if c.parser.pipelined() {
-		since = c.pool.stalls.earliestReceiveOf(now, c.lastReceiveTime(now))
-		c.pool.stalls.watch(now)
+		receivedAt = c.pool.stalls.earliestReceiveOf(now, c.lastReceiveTime(now))
+		c.pool.stalls.keepTicking(now)
 		c.applyPreAcceptBytes()
 	}
-	c.receiveTimes.record(c.parser.offset, since)
+	c.receiveTimes.record(c.parser.offset, receivedAt)
 	c.receiveTimes.discard(c.parser.answeredOffset())
 }
 
-// HeaderAge returns how long ago this process saw the end of the header of the request in service reach this
-// machine: the request may have been received while the one before it was served. It returns 0 if that is not
-// known.
+// HeaderAge returns the time since the end of the current request's header was received, as far as this
+// process saw. The request may have been received while the request before it was served. HeaderAge returns 0
+// if the time is not known.
 func HeaderAge(ctx context.Context) time.Duration {
 	c, ok := FromContext(ctx).(*conn)
 	if !ok {
--- a/internal/frontend/clientconn/arrivals_test.go
+++ b/internal/frontend/clientconn/arrivals_test.go
@@ -10,7 +10,7 @@
 )
 
 // A client sends its header in more pieces than there are stored receive times. The age of its request counts
-// from the header's last byte, not from an earlier one.
+// from the header's last byte, not from an earlier byte.
 func TestASlowHeaderIsAsOldAsItsLastByte(t *testing.T) {
 	headerAge := make(chan time.Duration, 1)
 	g := newListeningPool(t, 9)
@@ -44,15 +44,15 @@
 	}
 }
 
-// The number of receive times is bounded. Beyond the bound a byte gets the time of the last entry, never one
-// after its own.
+// The number of stored receive times is bounded. Beyond the bound, lookup returns the time of the last entry,
+// which is never later than the time at which the byte was received.
 func TestReceiveTimesAreBoundedAndNeverTooLate(t *testing.T) {
 	var a receiveTimes
 	start := time.Now()
 	for k := range int64(10 * maxReceiveTimes) {
 		a.record(k+1, start.Add(time.Duration(k)*time.Millisecond))
 		if at, ok := a.lookup(k + 1); !ok || at.After(start.Add(time.Duration(k)*time.Millisecond)) {
-			t.Fatalf("byte %d: recorded %v after the first byte, ok %v; want a time not after its own",
+			t.Fatalf("byte %d: recorded %v after the first byte, ok %v; want a time not after its receive time",
 				k, at.Sub(start), ok)
 		}
 	}
--- a/internal/frontend/clientconn/body_test.go
+++ b/internal/frontend/clientconn/body_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// A body is complete just before its deadline, and the process stalls before it clears the deadline, which so
-// expires while the server already watches for a disconnection. A client that waits for its answer must not
-// count as disconnected by that.
+// A body is complete just before its read deadline, and the process stalls before the handler clears the
+// deadline. The deadline expires while the server already watches for a disconnection. The client, which
+// waits for its answer, must not count as disconnected.
 func TestADeadlineThatExpiresAfterTheBodyIsIgnored(t *testing.T) {
 	const bodyTime = 100 * time.Millisecond
 	handlerErr := make(chan error, 1)
@@ -40,7 +40,7 @@
 		}
 		defer c.Close()
 		answers := bufio.NewReader(c)
-		for range 2 { // the next request on the connection has a deadline of its own
+		for range 2 { // the second request gets a new deadline
 			fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: x\r\n%s", parts[0])
 			time.Sleep(bodyTime / 4)
 			io.WriteString(c, parts[1])
--- a/internal/frontend/clientconn/clientconn.go
+++ b/internal/frontend/clientconn/clientconn.go
@@ -31,26 +31,27 @@
 // never served are evicted first, so that a flood of new ones evicts itself.
 type Pool struct {
 	net.Listener
-	AdmissionTimeout time.Duration // for a new connection to get a free slot; those behind it wait too
-	HeaderTimeout    time.Duration // for a header, from its first byte or when reading it starts; 0 for none
-	// OnUnanswered is called when this side closes a connection whose client is still there though a request
-	// with a complete header has no answer. The callbacks are set before use and may be nil.
+	AdmissionTimeout time.Duration // limits a new connection's wait for a slot; accepting stops meanwhile
+	HeaderTimeout    time.Duration // limits the time to read a header: see applyHeaderDeadline; 0 for no limit
+	// OnUnanswered is called when this side closes a connection on which a request with a complete header has
+	// no answer, and the client has not disconnected. All callbacks are optional and must be set before use.
 	OnUnanswered  func(addr string)
-	OnEnded       func(Reason, string) // given the address when this side ends a connection, or its wait
-	OnAcceptError func(error)          // called for each accept error after which accepting is retried
+	OnEnded       func(Reason, string) // gets the address of a connection that this side closes or will close
+	OnAcceptError func(error)          // called for each accept error after which accept is retried
 
 	mu                   sync.Mutex
 	softLimit, hardLimit int // see New
 	open                 map[*conn]*entry
 	stalls               stallDetector
-	resumed              chan struct{}             // nil unless accepting is paused; closed by Resume
-	closing              map[*conn]bool            // their wait was ended, and they are not closed yet
+	resumed              chan struct{}             // not nil while accepting is paused; closed by Resume
+	closePending         map[*conn]bool            // about to be closed, not in open: see requestClose
 	readingStopped       atomic.Bool               // StopReading was called
-	bodyDeadline         atomic.Pointer[time.Time] // for started bodies after StopReading; nil before
-	connClosed           chan struct{}             // signals a closed connection; holds one signal
+	bodyDeadline         atomic.Pointer[time.Time] // set by StopReading for started bodies; nil before
+	connClosed           chan struct{}             // gets a signal for a closed connection; buffers one
 }
 
-// Reason says why this side ends a connection, or its wait for a request.
+// Reason says why this side closes a connection or decides to. If a request is received before the close, the
+// connection stays open.
 type Reason string
 
 // All reasons.
@@ -62,13 +63,14 @@
 	ReasonIdleTimeout   Reason = "idle timeout"
 )
 
-// reportEnd calls OnEnded for a connection.
+// reportEnd calls OnEnded, if set, for a connection.
 func (g *Pool) reportEnd(why Reason, c net.Conn) {
 	if g.OnEnded != nil {
 		g.OnEnded(why, c.RemoteAddr().String())
 	}
 }
 
+// entry is the state of an open connection.
 type entry struct {
 	stateSince time.Time // when the connection entered its state
 	state      http.ConnState
@@ -77,8 +79,8 @@
 
 func (x *entry) waiting() bool { return x.state == http.StateIdle || x.state == http.StateNew }
 
-// conn parses the requests that are read from a connection: the server reports it as waiting until a header
-// is complete.
+// conn is an accepted connection. It parses the requests that are read from it, because the server reports
+// the connection as waiting until a header is complete.
 type conn struct {
 	net.Conn
 	pool *Pool
@@ -88,22 +90,22 @@
 	receiveTimes    receiveTimes
 	preAccept       receiveTime // bytes received before the accept, with their earliest possible receive time
 	readDeadline    time.Time   // as set by the server; zero for none
-	headerDeadline  time.Time   // for a started header; zero if there is none, or it is not being read
-	closing         bool        // its wait was ended
+	headerDeadline  time.Time   // for the header that is being read; zero if there is none
+	closePending    bool        // requestClose was called and not cancelled
 	skipUnanswered  bool        // request boundaries are unknown, so missing answers are not reported
 	servedRequest   bool        // at least one request was served
 	responseStarted bool        // part of the response to the current request was written
 }
 
-// Read reads from the connection, except when the standard server asks for a single byte without a deadline.
-// This is how it watches for a disconnection while a request is served. It stops watching once it gets a
-// byte, so the op of a client that sent one and disconnected was pushed. Here such a call returns only at the
-// end of the stream or on an error; earlier bytes stay in the kernel for the next request.
+// Read reads from the connection. While the standard server serves a request, it watches for a disconnection
+// by reading a single byte without a deadline. Here such a read returns only at the end of the stream or on
+// an error, and the bytes received before stay in the kernel for the next request. If the read returned a
+// byte, the server would stop watching: the op of a client that sent a byte and then disconnected was pushed.
 func (c *conn) Read(b []byte) (int, error) {
 	c.mu.Lock()
-	watchesClose := len(b) == 1 && c.readDeadline.IsZero()
+	awaitsClose := len(b) == 1 && c.readDeadline.IsZero()
 	c.mu.Unlock()
-	if watchesClose {
+	if awaitsClose {
 		if known, err := c.awaitPeerClose(); known {
 			return 0, err
 		}
@@ -123,7 +125,7 @@
 	return n, err
 }
 
-// Write retries when this machine lacks a resource for a moment: the client waits for the answer.
+// Write retries if a local resource is exhausted for a moment, because the client waits for the answer.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := oserror.Write(c.Conn.Write, b)
 	if n > 0 {
@@ -134,8 +136,8 @@
 	return n, err
 }
 
-// Close closes the connection. It calls OnUnanswered if a request has no answer though its client waits for
-// it.
+// Close closes the connection. It calls OnUnanswered if a request has no answer and the client has not
+// disconnected.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	unanswered := len(c.parser.pending)
@@ -164,13 +166,13 @@
 	return open && err == nil
 }
 
-// SetReadDeadline sets the server's read deadline. The server sets none only while it watches for a
+// SetReadDeadline sets the server's read deadline. The server clears it (the zero time) only to watch for a
 // disconnection.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.readDeadline = t; c.closing {
-		return nil // the expired deadline set by startClosing stays until finalRead
+	if c.readDeadline = t; c.closePending {
+		return nil // the expired deadline set by requestClose stays until finalRead
 	}
 	if c.applyHeaderDeadline() {
 		return nil
@@ -178,10 +180,11 @@
 	return c.Conn.SetReadDeadline(c.capDeadline(t))
 }
 
-// applyHeaderDeadline sets the deadline of a header that has started, with the lock held. It returns false if
-// that is not earlier than the server's deadline. The server itself counts a connection as idle until the
-// fourth byte of a request. While a request is served there is no deadline, and the header of the next one
-// waits for its end.
+// applyHeaderDeadline sets the deadline of a header that has started, with the lock held. The server alone
+// would apply its idle deadline until the fourth byte of a request. applyHeaderDeadline returns false if it
+// sets no deadline, for example because the server's is not later. HeaderTimeout counts from the first byte
+// of the header. While a request is served there is no deadline: for the header of the next request,
+// HeaderTimeout counts from the end of the request in service.
 func (c *conn) applyHeaderDeadline() bool {
 	if !c.parser.started || c.pool.HeaderTimeout == 0 {
 		c.headerDeadline = time.Time{}
@@ -193,35 +196,36 @@
 	if c.headerDeadline.IsZero() {
 		c.headerDeadline = time.Now().Add(c.pool.HeaderTimeout)
 	}
-	if c.closing || !c.headerDeadline.Before(c.readDeadline) {
+	if c.closePending || !c.headerDeadline.Before(c.readDeadline) {
 		return false
 	}
 	c.Conn.SetReadDeadline(c.headerDeadline)
 	return true
 }
 
-// startClosing makes the reader check once more for a request, and close the connection if there is none.
-func (c *conn) startClosing() {
+// requestClose makes the reader do a final read, and close the connection if this finds no data.
+func (c *conn) requestClose() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closing = true
+	c.closePending = true
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// finalRead reads once more after the wait of a connection was ended, or the server's own deadline has
-// expired. If data was received by now the connection is reopened. Without it, a request received between the
-// last check and the close was lost; now one can be lost only in the instant of the close itself.
+// finalRead reads once more, without waiting, after requestClose or after the server's own deadline has
+// expired. If it finds data, the connection stays open. Without this read, a request that was received
+// between the last check for data and the close was lost. With it, a request can be lost only in the instant
+// of the close.
 func (c *conn) finalRead(b []byte, timeout error) (n int, err error) {
 	c.mu.Lock()
-	eligible := c.closing || !c.parser.inRequest() // a header sent slowly has used up its time
+	eligible := c.closePending || !c.parser.inRequest() // a started header gets no more time
 	why := ReasonIdleTimeout
 	if c.parser.started {
 		why = ReasonHeaderTimeout
 	}
-	closing := c.closing
+	closePending := c.closePending
 	c.mu.Unlock()
 	defer func() {
-		if n == 0 && !closing {
+		if n == 0 && !closePending {
 			c.pool.reportEnd(why, c)
 		}
 	}()
@@ -240,21 +244,21 @@
 	if err != nil || n == 0 {
 		return 0, timeout
 	}
-	c.pool.reopen(c)
+	c.pool.cancelClose(c)
 	return n, nil
 }
 
-// reopen restores the read deadline after startClosing.
-func (c *conn) reopen() {
+// cancelClose restores the server's read deadline after requestClose.
+func (c *conn) cancelClose() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing = false; !c.applyHeaderDeadline() {
+	if c.closePending = false; !c.applyHeaderDeadline() {
 		c.Conn.SetReadDeadline(c.readDeadline)
 	}
 }
 
 // awaitPeerClose waits until the peer has closed the connection or a read deadline expires. It returns known
-// as false if the connection has no socket.
+// false if the connection has no socket.
 func (c *conn) awaitPeerClose() (known bool, err error) {
 	raw, socketErr := c.SyscallConn()
 	if socketErr != nil {
@@ -273,8 +277,9 @@
 	return true, closed
 }
 
-// peerState returns how the peer has closed the connection, nil if it has not, and whether data of it is
-// unread. The poller reports each change once, so a failed check must not count as one that found nothing.
+// peerState reports whether data is unread, and how the peer has closed the connection: closed is nil if the
+// peer has not. The poller reports each change only once, so if the peek fails, the close has to be detected
+// in another way.
 func peerState(fd uintptr) (unread bool, closed error) {
 	n, err := workerconn.PeekAt(fd)
 	switch {
@@ -287,8 +292,8 @@
 	case err != nil:
 		n = unreadBytes(fd)
 	}
-	// Data is unread, which would hide a close behind it, or the peek failed on this machine: check the TCP
-	// state, which also shows a reset.
+	// Either data is unread, and the peek cannot show a close after it, or the peek failed for a local
+	// reason. In both cases the TCP state shows a close; it shows a reset too.
 	info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err == nil && (info.State == unix.BPF_TCP_CLOSE_WAIT || info.State == unix.BPF_TCP_CLOSE) {
 		return n > 0, io.EOF
@@ -310,7 +315,7 @@
 	return n > 0
 }
 
-// unreadBytes returns how many unread bytes a socket holds, 0 if that is not known.
+// unreadBytes returns the number of unread bytes in a socket, 0 if it is not known.
 func unreadBytes(fd uintptr) int {
 	n, err := unix.IoctlGetInt(int(fd), unix.TIOCINQ)
 	if err != nil {
@@ -329,7 +334,7 @@
 	return !c.peerOpen() // also true after a close on this side
 }
 
-// requestStarted reports whether a request has been read, from its first byte on, and is not answered yet.
+// requestStarted reports whether at least the first byte of an unanswered request has been read.
 func (c *conn) requestStarted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -344,7 +349,7 @@
 	c.servedRequest = true
 	c.receiveTimes.discard(c.parser.answeredOffset())
 	c.responseStarted = false
-	c.headerDeadline = time.Time{} // the next header was not being read until now
+	c.headerDeadline = time.Time{} // the next header gets its full time from now on
 }
 
 // SyscallConn gives access to the socket. Callers must not change its state.
@@ -356,19 +361,19 @@
 	return s.SyscallConn()
 }
 
-// Heartbeat notes that the process runs. A loop that runs at least once a second calls it. Stall detection
-// without it would cost more: see stallDetector.
+// Heartbeat records that the process runs. A loop that runs at least once a second calls it. Heartbeats cost
+// less than the ticks of stall detection: see stallDetector.
 func (g *Pool) Heartbeat(now time.Time) { g.stalls.heartbeat(now) }
 
-// New returns a pool with two limits: from the soft limit on, waiting connections are evicted for a new one;
-// at the hard limit a new connection is closed unread.
+// New returns a pool with two limits. From the soft limit on, waiting connections are evicted for a new one.
+// At the hard limit, a new connection that gets no free slot within AdmissionTimeout is closed unread.
 func New(softLimit, hardLimit int) *Pool {
 	return &Pool{
-		softLimit:  softLimit,
-		hardLimit:  hardLimit,
-		open:       map[*conn]*entry{},
-		closing:    map[*conn]bool{},
-		connClosed: make(chan struct{}, 1),
+		softLimit:    softLimit,
+		hardLimit:    hardLimit,
+		open:         map[*conn]*entry{},
+		closePending: map[*conn]bool{},
+		connClosed:   make(chan struct{}, 1),
 	}
 }
 
@@ -388,23 +393,23 @@
 	}
 }
 
-// Count returns the number of open connections, without those that are closing.
+// Count returns the number of open connections, without those that are about to be closed.
 func (g *Pool) Count() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.open)
 }
 
-// Sockets returns the number of descriptors in use: those of open connections and of closing ones.
+// Sockets returns the number of descriptors in use, including those of connections about to be closed.
 func (g *Pool) Sockets() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.open) + len(g.closing)
+	return len(g.open) + len(g.closePending)
 }
 
 // CloseIdle closes at most maxCount connections that have waited for a request for at least minIdle, the
-// longest waiting first. It spares those on which a first byte has been received: the rest may follow in
-// pieces, and once its last byte is written the request has to be served.
+// longest waiting first. It spares a connection on which the first byte of a request has been received: the
+// rest may follow in pieces, and the request must be served once the client has written its last byte.
 func (g *Pool) CloseIdle(maxCount int, minIdle time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -422,7 +427,7 @@
 		}
 		if !nc.hasUnreadData() && !nc.requestStarted() {
 			g.reportEnd(ReasonDrained, nc)
-			g.startClosing(nc)
+			g.requestClose(nc)
 			maxCount--
 		}
 	}
@@ -440,11 +445,11 @@
 	return n
 }
 
-// Accept returns the next connection that is admitted, and closes those that are not. Closing one here costs
-// no goroutine and no buffer; the server's own loop would accept hundreds before the first of them is
-// evicted.
+// Accept returns the next admitted connection, and closes each connection that is not admitted. A close here
+// costs no goroutine and no buffer. The server's own loop would accept hundreds of connections before the
+// first of them is evicted.
 func (g *Pool) Accept() (net.Conn, error) {
-	failures := 0 // in a row
+	failures := 0 // consecutive accept errors
 	for {
 		nc, err := g.Listener.Accept()
 		if resumed := g.resumedChan(); resumed != nil && errors.Is(err, os.ErrDeadlineExceeded) {
@@ -452,7 +457,7 @@
 			continue
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			continue // paused when the deadline expired, resumed since
+			continue // accepting was paused when the deadline expired, and has been resumed since
 		}
 		if err != nil {
 			if oserror.IsPermanent(err) {
@@ -472,9 +477,9 @@
 	}
 }
 
-// waitAfterAcceptError waits before accept is retried. If descriptors are exhausted it evicts a connection,
-// but not on the first failure: that may be momentary, and a client was evicted for it while hundreds of
-// descriptors were free.
+// waitAfterAcceptError waits before accept is retried. If descriptors are exhausted, it evicts a connection
+// from the second consecutive failure on. The first failure may be momentary: a client was evicted for such a
+// failure while hundreds of descriptors were free.
 func (g *Pool) waitAfterAcceptError(err error, failures int) {
 	if g.OnAcceptError != nil {
 		g.OnAcceptError(err)
@@ -492,18 +497,18 @@
 	g.awaitClose(pollInterval)
 }
 
-// admitOrWait admits a connection once there is a free slot, or returns false after AdmissionTimeout. Evicted
-// connections hold their descriptors until their readers see the end of the wait: while these readers waited
-// for the CPU, accepting faster than that used up the descriptors of everything else.
+// admitOrWait admits a connection once there is a free slot, or returns false after AdmissionTimeout. It also
+// waits for evicted connections, which hold their descriptors until their readers close them. When
+// connections were accepted faster than these readers got CPU time, the process ran out of descriptors.
 func (g *Pool) admitOrWait(c *conn) bool {
 	start := time.Now()
 	for {
-		admitted, closing := g.tryAdmit(c)
+		admitted, closePending := g.tryAdmit(c)
 		waited := time.Since(start)
 		switch {
 		case admitted:
 			return true
-		case closing && waited < max(evictionCloseTimeout, g.AdmissionTimeout):
+		case closePending && waited < max(evictionCloseTimeout, g.AdmissionTimeout):
 			g.awaitClose(evictionCloseTimeout)
 		case waited < g.AdmissionTimeout:
 			time.Sleep(pollInterval)
@@ -561,15 +566,16 @@
 	return err
 }
 
-// tryAdmit admits a connection if there is a free slot and a free descriptor, which closing connections still
-// hold. If not, it reports whether there are closing ones.
-func (g *Pool) tryAdmit(nc *conn) (admitted, closing bool) {
+// tryAdmit admits a connection if a slot and a descriptor are free. Connections that are about to be closed
+// still hold descriptors. If the connection is not admitted, closePending reports whether there are such
+// connections.
+func (g *Pool) tryAdmit(nc *conn) (admitted, closePending bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for len(g.open) >= g.softLimit && g.evictOldest() {
 	}
-	if len(g.open) >= g.hardLimit || len(g.closing) > 0 && len(g.open)+len(g.closing) >= g.hardLimit {
-		return false, len(g.closing) > 0
+	if len(g.open) >= g.hardLimit || len(g.closePending) > 0 && len(g.open)+len(g.closePending) >= g.hardLimit {
+		return false, len(g.closePending) > 0
 	}
 	g.open[nc] = &entry{stateSince: time.Now(), state: http.StateNew}
 	return true, false
@@ -580,15 +586,16 @@
 	old := g.evictionCandidate()
 	if old != nil {
 		g.reportEnd(ReasonEvicted, old)
-		g.startClosing(old)
+		g.requestClose(old)
 	}
 	return old != nil
 }
 
-// evictionCandidate returns the connection to evict: the one that has waited longest among those that were
-// never served, else among all that wait for a request. One whose request has been received but not read is
-// not a candidate. Up to half of the soft limit is reserved for connections that were served: partial
-// requests do not count as waiting, and a flood of them evicted one client after another.
+// evictionCandidate returns the connection to evict, nil if there is none. It chooses the connection that has
+// waited longest for a request among those that were never served. If there is none, it chooses among the
+// served ones, but only if these exceed half of the soft limit. This half is reserved because connections
+// with a partial request do not count as waiting, so that a flood of them evicted one served client after
+// another. A connection with unread data is not a candidate.
 func (g *Pool) evictionCandidate() *conn {
 	var unread []*conn
 	served := 0
@@ -619,27 +626,27 @@
 	return nil
 }
 
-// startClosing ends the wait of a connection, with the lock held. Its reader closes it after a final read:
-// closing it here would lose a request that has just been received.
-func (g *Pool) startClosing(nc *conn) {
+// requestClose has a connection closed by its reader after a final read, with the lock held. A close without
+// this read would lose a request that has just been received.
+func (g *Pool) requestClose(nc *conn) {
 	delete(g.open, nc)
-	g.closing[nc] = true
-	nc.startClosing()
+	g.closePending[nc] = true
+	nc.requestClose()
 }
 
-// reopen takes back a closing connection on which the final read found data.
-func (g *Pool) reopen(nc *conn) {
+// cancelClose reverses requestClose for a connection on which the final read found data.
+func (g *Pool) cancelClose(nc *conn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.reopenLocked(nc)
+	g.cancelCloseLocked(nc)
 }
 
-// reopenLocked is reopen with the lock held.
-func (g *Pool) reopenLocked(nc *conn) {
-	if g.closing[nc] {
-		delete(g.closing, nc)
+// cancelCloseLocked is cancelClose with the lock held.
+func (g *Pool) cancelCloseLocked(nc *conn) {
+	if g.closePending[nc] {
+		delete(g.closePending, nc)
 		g.open[nc] = &entry{stateSince: time.Now(), state: http.StateActive}
-		nc.reopen()
+		nc.cancelClose()
 	}
 }
 
@@ -649,11 +656,11 @@
 	defer g.mu.Unlock()
 	c, _ := nc.(*conn)
 	if state == http.StateActive {
-		g.reopenLocked(c) // its header was read just before its wait was ended
+		g.cancelCloseLocked(c) // the header was read just before requestClose
 	}
 	x := g.open[c]
 	if state == http.StateClosed || state == http.StateHijacked {
-		delete(g.closing, c)
+		delete(g.closePending, c)
 		select {
 		case g.connClosed <- struct{}{}:
 		default:
@@ -672,7 +679,8 @@
 	}
 }
 
-// HasPipelinedRequest reports whether part of a further request has been received behind the one in service.
+// HasPipelinedRequest reports whether at least part of a further request has been received behind the current
+// request.
 func HasPipelinedRequest(ctx context.Context) bool {
 	c, ok := FromContext(ctx).(*conn)
 	if !ok {
@@ -689,8 +697,8 @@
 	return c.hasUnreadData()
 }
 
-// SkipUnansweredCheck turns OnUnanswered off for the connection of a request: it is closed with the answer,
-// though further requests may have been received.
+// SkipUnansweredCheck turns OnUnanswered off for the connection of a request whose end is not known. What was
+// received behind this request cannot be parsed, and the connection is closed after the answer.
 func SkipUnansweredCheck(ctx context.Context) {
 	c, ok := FromContext(ctx).(*conn)
 	if !ok {
@@ -715,7 +723,8 @@
 	return nc
 }
 
-// MarkServed marks the connection of a request whose client has proved genuine: its op was acked.
+// MarkServed marks the connection of a request whose op was acked. Such a client is genuine, and its
+// connection is evicted after those of unproved clients.
 func (g *Pool) MarkServed(ctx context.Context) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/frontend/clientconn/clientconn_test.go
+++ b/internal/frontend/clientconn/clientconn_test.go
@@ -41,7 +41,8 @@
 	return server, client
 }
 
-// A client that sends a request in pieces lost it when its connection counted as idle.
+// CloseIdle spares a connection on which part of a request was read. Such a connection once counted as idle,
+// and the request of a client that sent it in pieces was lost.
 func TestCloseIdleSparesStartedRequests(t *testing.T) {
 	g := newListeningPool(t, 9)
 	silentServer, silentClient := connectPair(t, g)
@@ -84,8 +85,8 @@
 	}
 }
 
-// A console caller behind a flood of connections was closed unread, because none of those could be evicted:
-// what had been received on them was not read yet.
+// If all open connections have unread data, none can be evicted, and a new connection waits for a free slot.
+// It must not be closed unread, as happened to console callers during a flood of connections.
 func TestANewConnectionWaitsForAFreeSlot(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -94,8 +95,8 @@
 	defer l.Close()
 	g := New(1, 1)
 	g.Listener, g.AdmissionTimeout = l, 20*time.Second
-	partial, flood := connectPair(t, g)
-	flood.Write([]byte("G"))
+	partial, partialClient := connectPair(t, g)
+	partialClient.Write([]byte("G"))
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		if n, _ := workerconn.Peek(partial); n == 1 {
 			break
@@ -140,9 +141,9 @@
 	return c, g.admitOrWait(c)
 }
 
-// A flood that connected faster than the readers of evicted connections could run used up all descriptors:
-// these connections counted as closed when their wait was ended, but held their sockets until they were read.
-// Here they have no reader at all.
+// An evicted connection counts until it is closed, because it holds its socket until then. When evicted
+// connections did not count, a flood that connected faster than their readers could run used up all
+// descriptors. Here the connections have no reader at all.
 func TestEvictedConnectionsCountUntilClosed(t *testing.T) {
 	g := New(2, 4)
 	var conns []*conn
@@ -154,7 +155,7 @@
 		conns = append(conns, c)
 	}
 	if _, admitted := admitPipe(t, g); admitted || g.Sockets() != 4 || g.Count() != 1 {
-		t.Fatalf("fifth connection: admitted %v, %d sockets, %d not closing; want false, 4, 1",
+		t.Fatalf("fifth connection: admitted %v, %d sockets, %d open; want false, 4, 1",
 			admitted, g.Sockets(), g.Count())
 	}
 	conns[0].Close()
@@ -163,11 +164,11 @@
 		t.Errorf("after one is closed: admitted %v, %d sockets; want true, 4", admitted, g.Sockets())
 	}
 	if g.SetLimits(1, 1); g.Count() != 1 || g.Sockets() != 4 {
-		t.Errorf("with a limit of 1: %d not closing, %d sockets; want 1, 4", g.Count(), g.Sockets())
+		t.Errorf("with a limit of 1: %d open, %d sockets; want 1, 4", g.Count(), g.Sockets())
 	}
 }
 
-// exhaustedListener fails to accept for lack of a descriptor until one is available.
+// exhaustedListener fails to accept with errno until a descriptor is available.
 type exhaustedListener struct {
 	net.Listener
 	available func() bool
@@ -181,8 +182,8 @@
 	return e.Listener.Accept()
 }
 
-// With all descriptors in use no connection could be accepted, so none was evicted: silent clients kept out
-// all others, console callers included, for as long as they liked.
+// If accept fails because all descriptors are in use, an idle connection is evicted. Without an eviction,
+// silent clients keep out all others, console callers included, for as long as they like.
 func TestAnIdleConnectionIsEvictedOnDescriptorExhaustion(t *testing.T) {
 	for _, errno := range []error{syscall.EMFILE, syscall.ENFILE} {
 		g := newListeningPool(t, 9)
@@ -215,8 +216,8 @@
 	}
 }
 
-// Connections with a partial request do not count as waiting, so they are not evicted. A flood of them
-// evicted connections that were served before, one after another, until no real client had a connection.
+// Connections with a partial request do not count as waiting, so they are not evicted. A flood of them must
+// not evict the served connections one after another, until no real client has a connection.
 func TestAFloodOfPartialRequestsDoesNotEvictServedClients(t *testing.T) {
 	g := New(8, 16)
 	served := map[*conn]bool{}
@@ -240,8 +241,8 @@
 	if g.Count() != 16 || g.Sockets() != 16 {
 		t.Errorf("%d connections and %d sockets, want 16 of each", g.Count(), g.Sockets())
 	}
-	more, _ := admitPipe(t, g) // would need a slot of the reserved half
-	if g.open[more] != nil {
+	further, _ := admitPipe(t, g) // would need a slot of the reserved half
+	if g.open[further] != nil {
 		t.Error("a connection was admitted though only served ones could be evicted")
 	}
 }
--- a/internal/frontend/clientconn/follow.go
+++ b/internal/frontend/clientconn/follow.go
@@ -10,10 +10,12 @@
 	contentLengthPrefix    = "content-length:"
 	transferEncodingPrefix = "transfer-encoding:"
 	maxLinePrefix          = 64 // bytes of a line that are stored and parsed
-	maxPendingRequests     = 64 // requests of one connection with a complete header, not served yet
+	maxPendingRequests     = 64 // requests of one connection with a complete header and no answer
 )
 
-// parseState is the part of a request that comes next on a connection.
+// parseState is the part of a request that comes next on a connection. A connection becomes unparsable if too
+// many requests are pending, or if the framing is invalid: the server rejects such a request and closes the
+// connection.
 type parseState int
 
 const (
@@ -23,7 +25,7 @@
 	inChunkData
 	afterChunkData
 	inTrailer
-	unparsable // request boundaries are unknown from here on: the server rejects such a request and closes
+	unparsable // request boundaries are unknown from here on
 )
 
 // framing is what a request's header says about the length of the body.
@@ -35,8 +37,9 @@
 }
 
 // requestParser finds the boundaries of the requests on one connection as their bytes are read. The standard
-// server does not expose them: it drops a Content-Length beside chunked encoding, and reports a connection as
-// idle until the fourth byte of a request.
+// server does not expose them. It also drops a Content-Length header beside chunked encoding, and reports a
+// connection as idle until the fourth byte of a request. The pending requests are those with a complete
+// header and no answer, oldest first.
 type requestParser struct {
 	state              parseState
 	line               [maxLinePrefix]byte // start of the current line, in lower case
@@ -44,7 +47,7 @@
 	started            bool                // in a header: its first byte has been read
 	requestLineStarted bool                // in a header: a byte other than a line break has been read
 	header             framing
-	remaining          int64 // bytes of the body or of the chunk's data
+	remaining          int64 // unread bytes of the body or of the chunk's data
 	offset             int64 // bytes read from the connection
 	pending            []framing
 }
@@ -79,12 +82,12 @@
 	f.reset()
 }
 
-// reset enters the header of the next request.
+// reset enters the header of the next request. Pending requests stay.
 func (f *requestParser) reset() {
 	*f = requestParser{pending: f.pending, offset: f.offset}
 }
 
-// feedLineByte parses one byte of a part that consists of lines.
+// feedLineByte parses one byte of a header, a chunk size, a trailer or the line break after a chunk's data.
 func (f *requestParser) feedLineByte(c byte) {
 	if f.state == inHeader {
 		f.started = true
@@ -176,8 +179,8 @@
 	}
 }
 
-// requestDone removes the oldest pending request. If none is pending, the server has parsed another request
-// than this parser, which starts over.
+// requestDone removes the oldest pending request. If none is pending, the server has found a request that
+// this parser has not, and the parser starts over.
 func (f *requestParser) requestDone() {
 	if len(f.pending) == 0 {
 		*f = requestParser{offset: f.offset}
@@ -186,8 +189,8 @@
 	f.pending = f.pending[1:]
 }
 
-// answeredOffset returns an offset below which no byte belongs to an unanswered request, except the start of
-// the first one's header.
+// answeredOffset returns the offset below which receive times are no longer needed. It is the offset of the
+// last byte in the header of the oldest pending request, or of the next byte to be read if none is pending.
 func (f *requestParser) answeredOffset() int64 {
 	if len(f.pending) > 0 {
 		return f.pending[0].headerEnd - 1
@@ -203,9 +206,9 @@
 // inRequest reports whether a request has started and is not answered yet.
 func (f *requestParser) inRequest() bool { return f.started || len(f.pending) > 0 }
 
-// OnlyChunked reports that a chunked request has no Content-Length header beside its chunked encoding. The
-// standard server drops that header, and which of the two a proxy in front of it used for the body is then
-// unknown. A request whose header was not seen completely counts as having both.
+// OnlyChunked reports whether a chunked request has no Content-Length header. With both, a proxy in front of
+// this server may have used either of them to find the end of the body, and the standard server drops the
+// Content-Length header. A request whose header was not parsed completely counts as having both.
 func OnlyChunked(ctx context.Context) bool {
 	c, ok := FromContext(ctx).(*conn)
 	if !ok {
--- a/internal/frontend/clientconn/follow_test.go
+++ b/internal/frontend/clientconn/follow_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Requests of all forms are fed one after another, in pieces of any size. After each, no request has started,
-// the framing of its header is pending, and one further byte starts the next request.
+// Requests of all forms are fed one after another, in pieces of any size. After each request, its framing is
+// pending, the parser waits for the next header, and no header has started. A further byte starts one.
 func TestRequestsInFragmentsAreParsed(t *testing.T) {
 	forms := []struct {
 		text                      string
@@ -48,8 +48,8 @@
 	}
 }
 
-// Pending requests are parsed up to a bound. Beyond it, and after invalid framing, the stream is unparsable,
-// so that it never counts as idle or as having only chunked encoding.
+// Requests are parsed until maxPendingRequests are pending. With more requests, or after invalid framing, the
+// stream is unparsable, so that it never counts as idle or as having only chunked encoding.
 func TestInvalidOrTooManyRequestsBecomeUnparsable(t *testing.T) {
 	var f requestParser
 	for k := range 3 * maxPendingRequests {
--- a/internal/frontend/clientconn/last_test.go
+++ b/internal/frontend/clientconn/last_test.go
@@ -72,9 +72,9 @@
 
 const postRequest = "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi"
 
-// A request received in the instant in which its connection's wait was ended was lost: the check before had
-// found no data, and the reader closed the connection at the expired deadline without another check. The test
-// forces this: it writes the request after that check and before the read.
+// A request that is received just after its connection was evicted is served. The eviction found no unread
+// data and set an expired read deadline. Without a final read at this deadline, the connection was closed and
+// the request was lost. The test writes the request after the eviction and before the read.
 func TestARequestThatArrivesDuringEvictionIsServed(t *testing.T) {
 	for _, name := range []string{"new", "keep-alive"} {
 		t.Run(name, func(t *testing.T) {
@@ -109,7 +109,7 @@
 				t.Fatalf("%d sockets, %d open connections; want 1, 0", g.Sockets(), g.Count())
 			}
 			io.WriteString(c, postRequest)
-			for server := range g.closing {
+			for server := range g.closePending {
 				for unread := 0; unread == 0; unread, _ = workerconn.Peek(server) {
 					time.Sleep(time.Millisecond)
 				}
@@ -125,8 +125,9 @@
 	}
 }
 
-// A flood evicted a connection whose request's header had just been read and that was not served yet. The
-// expired deadline that ends a wait then ended the watch for a disconnection, and so the request.
+// A connection is evicted when a request's header has been read and the server has not reported it yet. The
+// request is still served. The expired read deadline that an eviction sets must not reach the server's watch
+// for a disconnection, because that ended the request.
 func TestARequestWhoseHeaderWasReadBeforeEvictionIsServed(t *testing.T) {
 	g := serveClients(t, func(net.Conn) {})
 	c, err := net.Dial("tcp", g.Addr().String())
@@ -148,7 +149,7 @@
 		for !nc.requestStarted() {
 			time.Sleep(time.Millisecond)
 		}
-		g.startClosing(nc)
+		g.requestClose(nc)
 	}
 	g.mu.Unlock()
 	time.Sleep(20 * time.Millisecond) // long enough for a wrong close to show
@@ -158,8 +159,8 @@
 	}
 }
 
-// A closing connection without a request is closed at once, even if the server sets a read deadline of its
-// own in that instant.
+// After requestClose, a connection without a request is closed immediately, even if the server sets a later
+// read deadline meanwhile.
 func TestAClosingConnectionIgnoresTheServersDeadline(t *testing.T) {
 	blocked, release := make(chan bool), make(chan bool)
 	g := serveClients(t, func(net.Conn) { blocked <- true; <-release })
@@ -170,7 +171,7 @@
 	defer c.Close()
 	<-blocked
 	g.CloseIdle(9, 0)
-	for nc := range g.closing {
+	for nc := range g.closePending {
 		nc.SetReadDeadline(time.Now().Add(time.Hour))
 	}
 	close(release)
@@ -186,7 +187,7 @@
 }
 
 // A request that is received in the instant in which the server's idle deadline expires is read. A header
-// that is sent slowly gets no more time than its deadline.
+// that has started gets no time beyond its deadline.
 func TestARequestThatArrivesAtTheIdleDeadlineIsRead(t *testing.T) {
 	g := newListeningPool(t, 9)
 	server, client := connectPair(t, g)
--- a/internal/frontend/clientconn/queued_test.go
+++ b/internal/frontend/clientconn/queued_test.go
@@ -10,8 +10,8 @@
 )
 
 // Pipelined requests are received while their connection waits to be accepted, as at the start of a process.
-// The kernel only reports when the newest bytes were received, so a worker would get the first request with
-// more remaining time than its client has.
+// The age of the first request includes this wait. The kernel only reports when the newest bytes were
+// received: with this time alone, a worker would be given more remaining time than the client has.
 func TestTimeInTheAcceptQueueCountsAsRequestAge(t *testing.T) {
 	const queueTime, gap, tolerance = 600 * time.Millisecond, 300 * time.Millisecond, 150 * time.Millisecond
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,8 +47,7 @@
 	}
 }
 
-// Requests on a connection that was open and idle for a while are new: the age of the connection does not
-// count.
+// The age of a request does not include the time for which its connection was open and idle.
 func TestTheAgeOfAConnectionIsNotTheAgeOfItsRequest(t *testing.T) {
 	headerAge := make(chan time.Duration, 1)
 	g := newListeningPool(t, 9)
--- a/internal/frontend/clientconn/standstill.go
+++ b/internal/frontend/clientconn/standstill.go
@@ -6,27 +6,29 @@
 )
 
 const (
-	tickInterval  = 40 * time.Millisecond // while stalls are watched
-	watchDuration = time.Minute           // after the last call of watch
-	// A longer gap between two ticks counts as a stall. The remaining time that a worker is given may be up
-	// to 0.15 s too long.
+	tickInterval = 40 * time.Millisecond // while the detector uses ticks
+	tickDuration = time.Minute           // ticks run for this long after the last call of keepTicking
+	// A longer gap between two ticks counts as a stall. With this threshold, the remaining time that is
+	// passed to a worker may be up to 0.15 s too long.
 	tickStallThreshold = 80 * time.Millisecond
-	// The same for heartbeats, which come at least once a second from a loop that always runs.
+	// A longer gap between two heartbeats counts as a stall. A loop that always runs sends heartbeats at
+	// least once a second.
 	heartbeatStallThreshold = 1200 * time.Millisecond
-	// Bytes that were received during a stall are read within this time after it.
+	// Bytes that were received during a stall are assumed to be read within this time after the stall.
 	catchUpTime = 250 * time.Millisecond
 )
 
-// stallDetector finds out when the process did not run, because it was stopped or starved of CPU. The kernel
-// only reports when the newest bytes of a connection were received; older ones that nobody could look at
-// meanwhile may be as old as the stall. Until a client first sends a pipelined request, and again from a
-// minute after the last one, the detector uses heartbeats: they cost nothing extra, but are up to a second
-// apart.
+// stallDetector detects when the process did not run, because it was stopped or starved of CPU. The kernel
+// only reports when the newest bytes of a connection were received. Older unread bytes may have been received
+// at any time since the start of the stall.
+//
+// The detector uses ticks from a pipelined request on, until a minute after the last such request; ticking is
+// true meanwhile. At other times it uses heartbeats. These cost nothing extra, but are up to a second apart.
 type stallDetector struct {
 	mu                   sync.Mutex
-	watching             bool
-	watchUntil           time.Time // unless watch is called again
-	lastRun              time.Time // last tick or heartbeat
+	ticking              bool
+	tickUntil            time.Time // end of the ticks; each call of keepTicking extends it
+	lastRun              time.Time // time of the last tick or heartbeat
 	stallStart, stallEnd time.Time // of the last stall
 }
 
@@ -39,14 +41,14 @@
 		return now
 	case !s.stallEnd.IsZero() && now.Sub(s.stallEnd) < catchUpTime:
 		return s.stallStart
-	case !s.watching || now.Sub(s.lastRun) > tickStallThreshold:
+	case !s.ticking || now.Sub(s.lastRun) > tickStallThreshold:
 		return s.lastRun
 	}
 	return now
 }
 
-// earliestReceiveOf is earliestReceive for bytes of which the newest were received at a known time. If that
-// is within the last stall, all of them were received during the stall or before it, however late they are
+// earliestReceiveOf is earliestReceive for bytes of which the newest were received at a known time. If this
+// time is within the last stall, earliestReceiveOf returns the start of the stall, however late the bytes are
 // read.
 func (s *stallDetector) earliestReceiveOf(now, newest time.Time) time.Time {
 	s.mu.Lock()
@@ -58,18 +60,18 @@
 	return s.earliestReceive(now)
 }
 
-// heartbeat notes that the process runs.
+// heartbeat records that the process runs.
 func (s *stallDetector) heartbeat(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.recordRun(now)
 }
 
-// recordRun notes that the process runs, and a stall if the gap since the last time is too long. It is called
+// recordRun records that the process runs, and a stall if the gap since lastRun is too long. It is called
 // with the lock held.
 func (s *stallDetector) recordRun(now time.Time) {
 	threshold := heartbeatStallThreshold
-	if s.watching {
+	if s.ticking {
 		threshold = tickStallThreshold
 	}
 	if !s.lastRun.IsZero() && now.Sub(s.lastRun) > threshold {
@@ -78,9 +80,9 @@
 	s.lastRun = now
 }
 
-// watch has ticks detect stalls for watchDuration from now on.
-func (s *stallDetector) watch(now time.Time) {
-	if !s.startWatching(now) {
+// keepTicking makes ticks run until tickDuration from now, and starts them if necessary.
+func (s *stallDetector) keepTicking(now time.Time) {
+	if !s.extendTicks(now) {
 		return
 	}
 	go func() {
@@ -94,24 +96,24 @@
 	}()
 }
 
-// startWatching starts or extends the watch. It returns false if the watch was already running.
-func (s *stallDetector) startWatching(now time.Time) bool {
+// extendTicks makes ticks run until tickDuration from now. It returns false if they were already running.
+func (s *stallDetector) extendTicks(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watchUntil = now.Add(watchDuration)
-	if s.watching {
+	s.tickUntil = now.Add(tickDuration)
+	if s.ticking {
 		return false
 	}
 	s.recordRun(now)
-	s.watching = true
+	s.ticking = true
 	return true
 }
 
-// tick notes that the process runs. It returns false once the watch has expired.
+// tick records that the process runs. It returns false once the ticks have to end.
 func (s *stallDetector) tick(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.recordRun(now)
-	s.watching = now.Before(s.watchUntil)
-	return s.watching
+	s.ticking = now.Before(s.tickUntil)
+	return s.ticking
 }
--- a/internal/frontend/clientconn/standstill_test.go
+++ b/internal/frontend/clientconn/standstill_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Bytes that are first seen after a stall may have been received at any time since the process was last known
-// to run, whether the ticker or the reader of the bytes runs first after it.
+// Bytes that are first seen after a stall are dated to the last time at which the process was known to run.
+// This holds whether the ticker or the reader of the bytes runs first after the stall.
 func TestAStallIsDetectedWhicheverGoroutineRunsFirst(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -14,7 +14,7 @@
 	if got := s.earliestReceive(at(0)); !got.Equal(at(0)) {
 		t.Error("a stall is reported before the first tick or heartbeat")
 	}
-	s.startWatching(at(0))
+	s.extendTicks(at(0))
 	for ms := 0; ms <= 400; ms += 40 {
 		s.tick(at(ms))
 	}
@@ -23,7 +23,7 @@
 			t.Errorf("after a tick at 400 ms, at %d ms: got %v, want %d ms", c.now, got.Sub(start), c.want)
 		}
 	}
-	s.tick(at(1500)) // runs before the reader
+	s.tick(at(1500)) // the ticker runs before the reader
 	ms := 1500
 	for _, c := range []struct{ now, want int }{{1501, 400}, {1550, 400}, {1900, 1900}} {
 		for ; ms <= c.now; ms += 40 {
@@ -33,12 +33,12 @@
 			t.Errorf("stall until 1,500 ms, at %d ms: got %v, want %d ms", c.now, got.Sub(start), c.want)
 		}
 	}
-	if s.tick(at(int(watchDuration.Milliseconds()))); s.watching {
-		t.Error("the watch does not expire after watchDuration")
+	if s.tick(at(int(tickDuration.Milliseconds()))); s.ticking {
+		t.Error("the ticks do not end after tickDuration")
 	}
 }
 
-// Before the first pipelined request there are no ticks: bytes may be as old as the last heartbeat, and a
+// Before the first pipelined request there are no ticks. Bytes may be as old as the last heartbeat, and a
 // long gap between two heartbeats is a stall.
 func TestAHeartbeatGapIsAStall(t *testing.T) {
 	start := time.Now()
@@ -50,7 +50,7 @@
 	if got := s.earliestReceive(at(1900)); !got.Equal(at(1100)) {
 		t.Errorf("between two heartbeats: got %v, want 1,100 ms", got.Sub(start))
 	}
-	s.heartbeat(at(3000)) // runs before the reader
+	s.heartbeat(at(3000)) // the heartbeat runs before the reader
 	for _, c := range []struct{ now, want int }{{3001, 1100}, {3249, 1100}, {3300, 3000}} {
 		if got := s.earliestReceive(at(c.now)); !got.Equal(at(c.want)) {
 			t.Errorf("stall until 3,000 ms, at %d ms: got %v, want %d ms", c.now, got.Sub(start), c.want)
@@ -64,7 +64,7 @@
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	var s stallDetector
-	s.startWatching(at(0))
+	s.extendTicks(at(0))
 	for ms := 0; ms <= 400; ms += 40 {
 		s.tick(at(ms))
 	}
--- a/internal/frontend/clientconn/stop_reading.go
+++ b/internal/frontend/clientconn/stop_reading.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// StopReading ends the reading of further requests from connections on which one was served. A request that
-// has been read, in whole or in part, is still served, its body until a deadline; a connection without one is
-// closed. So at the end of the process every request was either read and answered, or is unread when its
-// connection is closed, which tells its client that it was not processed. The first request on a new
-// connection is still read: its client may have no other scheduler to turn to.
+// StopReading stops reading further requests from connections on which a request was served. A request that
+// has been read, in whole or in part, is still served; its body must be complete by bodyDeadline. A served
+// connection without such a request is closed. When the process ends, each request has either been read and
+// answered, or is unread when its connection is closed. In the second case the close tells the client that
+// the request was not processed. The first request on a new connection is still read, because its client may
+// have no other scheduler to turn to.
 func (g *Pool) StopReading(bodyDeadline time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -20,7 +21,7 @@
 	for nc, x := range g.open {
 		if x.waiting() && nc.hasServed() {
 			g.reportEnd(ReasonDrained, nc)
-			g.startClosing(nc)
+			g.requestClose(nc)
 		} else {
 			nc.capReadDeadline()
 		}
@@ -37,7 +38,7 @@
 	return c.servedRequest
 }
 
-// capReadDeadline ends the reading of a body that is not complete at the body deadline.
+// capReadDeadline limits the current read deadline to the body deadline: see capDeadline.
 func (c *conn) capReadDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,8 +48,8 @@
 }
 
 // capDeadline returns a read deadline limited to the body deadline that StopReading sets, with the lock held.
-// The limit applies once a request has started or one was served. No deadline, the zero time, stays: the
-// server sets it while it watches for the client's disconnection.
+// The limit applies once a request has started or was served. The zero time (no deadline) is returned
+// unchanged: the server sets it to watch for the client's disconnection.
 func (c *conn) capDeadline(deadline time.Time) time.Time {
 	end := c.pool.bodyDeadline.Load()
 	if end == nil || !deadline.After(*end) || !c.servedRequest && !c.parser.inRequest() {
@@ -60,12 +61,12 @@
 // closeIfIdle closes a connection that has become idle since StopReading, with the lock held.
 func (g *Pool) closeIfIdle(c *conn, state http.ConnState) {
 	if state == http.StateIdle && g.readingStopped.Load() && g.open[c] != nil {
-		g.startClosing(c)
+		g.requestClose(c)
 	}
 }
 
-// maxReadable returns how many of the wanted bytes may be read now: after StopReading, none beyond the
-// request that has started.
+// maxReadable returns how many of the wanted bytes may be read now. After StopReading, no byte beyond the
+// current request is read, except on a new connection.
 func (c *conn) maxReadable(wanted int) int {
 	if !c.pool.readingStopped.Load() {
 		return wanted
@@ -78,7 +79,8 @@
 	return int(min(int64(wanted), c.parser.minRemaining()))
 }
 
-// minRemaining returns how many further bytes the current request has at the least, 0 if there is none.
+// minRemaining returns the least number of bytes that are still to be read of the current request, 0 if there
+// is no current request.
 func (f *requestParser) minRemaining() int64 {
 	switch {
 	case !f.inRequest():
--- a/internal/frontend/clientconn/stop_reading_test.go
+++ b/internal/frontend/clientconn/stop_reading_test.go
@@ -9,8 +9,8 @@
 	"woaddyke/internal/workers/workerconn"
 )
 
-// After StopReading a request that has started is read completely, and not a byte beyond it: a request that
-// is read and not answered is lost.
+// After StopReading, a request that has started is read completely, and no byte beyond it is read: a further
+// request would be lost if it were read and not answered.
 func TestStopReadingReadsNothingBeyondTheCurrentRequest(t *testing.T) {
 	const header = "POST / HTTP/1.1\r\nHost: x\r\n"
 	for name, rest := range map[string]string{
@@ -50,8 +50,8 @@
 	}
 }
 
-// StopReading ends an idle keep-alive connection at once and unread, even if a request is received at that
-// instant. The first request on a new connection is still read.
+// StopReading closes an idle keep-alive connection immediately and unread, even if a request has just been
+// received on it. The first request on a new connection is still read.
 func TestKeepAliveConnectionsCloseUnreadAfterStopReading(t *testing.T) {
 	g := newListeningPool(t, 9)
 	newServer, newClient := connectPair(t, g)
--- a/internal/frontend/clientconn/unanswered_test.go
+++ b/internal/frontend/clientconn/unanswered_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// Closing reports a connection that this side closes though a request that was read has no answer. It reports
-// none of those that may be closed.
+// OnUnanswered is called when this side closes a connection on which a request has no answer. It is not
+// called if all requests were answered, the client disconnected, the header is incomplete or the check is
+// skipped.
 func TestClosingReportsAnUnansweredRequest(t *testing.T) {
 	const op = "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n"
 	for name, c := range map[string]struct {
@@ -24,7 +25,7 @@
 		"answered":                        {"/", op + "hi", false, 0},
 		"dropped by its handler":          {"/drop", op + "hi", false, 1},
 		"answered with a close":           {"/close", op + "hi", false, 0},
-		"read behind answer with a close": {"/close", op + "hi" + op + "hi", false, 1},
+		"request behind a closing answer": {"/close", op + "hi" + op + "hi", false, 1},
 		"dropped after disconnection":     {"/drop", op + "hi", true, 0},
 		"incomplete header":               {"/", "POST / HT", false, 0},
 		"check skipped by the handler":    {"/skip-check", op + "hi" + op + "hi", false, 0},
