--- a/dispatch/affinity_test.go
+++ b/dispatch/affinity_test.go
@@ -5,68 +5,70 @@
 	"testing"
 )
 
-// Keys that every worker fetched anew filled the store until all jobs stalled: a key's ops must meet few workers, and
-// schedulers that number the workers differently must mean the same ones.
+// When every worker fetched each key, the store was overloaded until all jobs stalled. The ops of a key
+// must go to few workers, and schedulers that number the workers differently must choose the same ones.
 func TestOpsOfAKeyPreferTheSameWorkers(t *testing.T) {
-	met := func(turn int) map[uint64]bool {
-		d := fleet(40, func(s *Settings) { s.AffinityKeys = true })
+	probedHashes := func(rotation int) map[uint64]bool {
+		d := testDispatcher(40, func(s *Settings) { s.AffinityKeys = true })
 		for i := range 40 {
-			identify(d, i, uint64((i+turn)%40)*0x51ed2701_9b3c1d77+1, 0)
+			setIdentity(d, i, uint64((i+rotation)%40)*0x51ed2701_9b3c1d77+1, 0)
 		}
-		marks := map[uint64]bool{}
+		hashes := map[uint64]bool{}
 		for k := range 30 {
-			// Ten keys: each may have its two workers and a tenth of the fleet, half as much again.
+			// There are ten keys. Each may have two workers, and 1.5 times a tenth of the fleet.
 			d.AddOp(k, OpSpec{TTL: d.now + 50_000, Slots: 1, AffinityKey: uint64(1 + k%10)})
-			for _, a := range decisions(d) {
+			for _, a := range pullDecisions(d) {
 				if a.Kind == Probe && k%10 == 3 {
-					marks[d.fleet.workers[a.Worker].identityHash] = true
+					hashes[d.fleet.workers[a.Worker].identityHash] = true
 				}
 			}
 		}
-		return marks
+		return hashes
 	}
-	for _, turn := range []int{0, 13} {
-		if n := len(met(turn)); n > 8 {
-			t.Errorf("turn %d: %d workers met by one key", turn, n)
+	for _, rotation := range []int{0, 13} {
+		if n := len(probedHashes(rotation)); n > 8 {
+			t.Errorf("rotation %d: %d workers probed for one key, want at most 8", rotation, n)
 		}
 	}
-	all := met(0)
-	for m := range met(13) {
-		all[m] = true
+	all := probedHashes(0)
+	for hash := range probedHashes(13) {
+		all[hash] = true
 	}
 	if len(all) > 8 {
-		t.Errorf("two schedulers mean %d workers by one key", len(all))
+		t.Errorf("two schedulers probed %d workers for one key, want at most 8", len(all))
 	}
 }
 
-// Each of hundreds of quiet schedulers kept a connection to half the fleet: there a scheduler meets a few of its own.
+// Hundreds of schedulers under low load each kept a connection to half of the fleet. If connections have a
+// price, a scheduler must probe only a few workers of its own.
 func TestPricedConnectionsLimitTheWorkersProbed(t *testing.T) {
-	met := func(number int, price float64) map[int]bool {
-		d := fleet(40, func(s *Settings) { s.Scheduler, s.ConnectionPrice = number, price })
+	probedWorkers := func(scheduler int, price float64) map[int]bool {
+		d := testDispatcher(40, func(s *Settings) { s.Scheduler, s.ConnectionPrice = scheduler, price })
 		for i := range 40 {
-			identify(d, i, uint64(i+1)*0x51ed2701_9b3c1d77, 0)
+			setIdentity(d, i, uint64(i+1)*0x51ed2701_9b3c1d77, 0)
 		}
 		workers := map[int]bool{}
 		for range 60 {
-			x, y := probed(t, d, 0, 0)
+			x, y := admitAndProbe(t, d, 0, 0)
 			workers[x], workers[y] = true, true
-			pushed(t, d, x, jobs(0), y, jobs(0))
+			answerAndPush(t, d, x, loadWithJobs(0), y, loadWithJobs(0))
 			d.AdvanceClock(d.now + 50)
 			d.AttemptEnded(0, 0, Succeeded, true)
-			decisions(d)
+			pullDecisions(d)
 		}
 		return workers
 	}
-	if n := len(met(1, 0)); n < 30 {
-		t.Errorf("connections are free and %d workers met", n)
+	if n := len(probedWorkers(1, 0)); n < 30 {
+		t.Errorf("%d workers probed though connections have no price, want at least 30", n)
 	}
-	one, two := met(1, 0.05), met(2, 0.05)
-	if len(one) > subscribersPerWorker || len(two) > subscribersPerWorker || maps.Equal(one, two) {
-		t.Errorf("one scheduler meets %v, another %v", one, two)
+	one, two := probedWorkers(1, 0.05), probedWorkers(2, 0.05)
+	if len(one) > workersPerSubscriber || len(two) > workersPerSubscriber || maps.Equal(one, two) {
+		t.Errorf("scheduler 1 probes %v, scheduler 2 probes %v, want different sets within workersPerSubscriber",
+			one, two)
 	}
 }
 
-// Clients choose the keys: counting all of them would fill the memory.
+// Clients choose the keys, so counting all of them would exhaust the memory.
 func TestCountedKeysAreBoundedAndForgotten(t *testing.T) {
 	k := affinityKeys{counts: map[uint64]float64{}}
 	for range 3 {
@@ -75,14 +77,14 @@
 		}
 	}
 	if len(k.counts) > maxCountedKeys {
-		t.Errorf("%d keys are counted", len(k.counts))
+		t.Errorf("%d keys are counted, more than maxCountedKeys", len(k.counts))
 	}
 	if f := k.fraction(1); f != 3/float64(6*maxCountedKeys) {
-		t.Errorf("key 1 has %g of the ops", f)
+		t.Errorf("key 1 has a fraction %g of the ops", f)
 	}
 	k.halve()
 	if k.fraction(1) == 0 {
-		t.Error("the last period does not count")
+		t.Error("a key of the previous period does not count")
 	}
 	k.halve()
 	if k.fraction(1) != 0 {
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// loaded is a scheduler with so many ops at its workers, each of them started.
-func loaded(held, workers int) (*Dispatcher, Time) {
+// dispatcherWithStartedOps creates a dispatcher with so many ops in flight, all of them started.
+func dispatcherWithStartedOps(inFlight, workers int) (*Dispatcher, Time) {
 	d := New(7, testSettings(func(s *Settings) { s.Probes, s.ProgressInterval = false, 10_000 }))
 	now := Time(1_000_000)
 	d.AdvanceClock(now)
@@ -15,18 +15,18 @@
 		d.UpsertWorker(i, WorkerEntry{Zone: 1, Group: 1, Ready: true})
 	}
 	d.EndUpdate()
-	for i := range held {
+	for i := range inFlight {
 		now++
 		d.AdvanceClock(now)
 		d.AddOp(i, OpSpec{TTL: now + 1<<40, Slots: 1})
-		pull(d)
+		discardDecisions(d)
 		d.AttemptProgress(i, 0, Progress{Started: true})
 	}
-	pull(d)
+	discardDecisions(d)
 	return d, now
 }
 
-func pull(d *Dispatcher) {
+func discardDecisions(d *Dispatcher) {
 	for {
 		if d.Next().Kind == NoDecision {
 			return
@@ -34,12 +34,12 @@
 	}
 }
 
-// BenchmarkInput is the progress of one attempt among many in flight: the most frequent input of a busy
-// scheduler.
-func BenchmarkInput(b *testing.B) {
-	for _, held := range []int{10, 100, 1_000, 10_000, 100_000} {
-		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) {
-			d, now := loaded(held, 100)
+// BenchmarkAttemptProgress measures the progress of one attempt among many in flight, the most frequent
+// input of a scheduler under load.
+func BenchmarkAttemptProgress(b *testing.B) {
+	for _, inFlight := range []int{10, 100, 1_000, 10_000, 100_000} {
+		b.Run(fmt.Sprintf("held=%d", inFlight), func(b *testing.B) {
+			d, now := dispatcherWithStartedOps(inFlight, 100)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for n := range b.N {
@@ -47,18 +47,18 @@
 					now++
 				}
 				d.AdvanceClock(now)
-				d.AttemptProgress(n%held, 0, Progress{})
-				pull(d)
+				d.AttemptProgress(n%inFlight, 0, Progress{})
+				discardDecisions(d)
 			}
 		})
 	}
 }
 
-// BenchmarkOp is an op from its arrival to its end, beside many in flight.
+// BenchmarkOp measures an op from its admission to its end, with many others in flight.
 func BenchmarkOp(b *testing.B) {
-	for _, held := range []int{10, 100, 1_000, 10_000} {
-		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) {
-			d, now := loaded(held, 100)
+	for _, inFlight := range []int{10, 100, 1_000, 10_000} {
+		b.Run(fmt.Sprintf("held=%d", inFlight), func(b *testing.B) {
+			d, now := dispatcherWithStartedOps(inFlight, 100)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for n := range b.N {
@@ -66,49 +66,49 @@
 					now++
 				}
 				d.AdvanceClock(now)
-				d.AddOp(held, OpSpec{TTL: now + 1<<40, Slots: 1})
-				pull(d)
+				d.AddOp(inFlight, OpSpec{TTL: now + 1<<40, Slots: 1})
+				discardDecisions(d)
 				d.AdvanceClock(now)
-				d.AttemptEnded(held, 0, Succeeded, true)
-				pull(d)
+				d.AttemptEnded(inFlight, 0, Succeeded, true)
+				discardDecisions(d)
 			}
 		})
 	}
 }
 
-// atSize is a scheduler with workers in 14 zones that holds so many started ops, spread evenly.
-func atSize(workers, held int, more func(*Settings)) (*Dispatcher, Time) {
-	d, now := New(7, testSettings(more)), Time(1_000_000)
+// dispatcherOfSize creates a dispatcher with workers in 14 zones and so many started ops, spread evenly.
+func dispatcherOfSize(workers, inFlight int, change func(*Settings)) (*Dispatcher, Time) {
+	d, now := New(7, testSettings(change)), Time(1_000_000)
 	d.AdvanceClock(now)
-	listed(d, workers)
-	for i := range held {
+	listWorkers(d, workers)
+	for i := range inFlight {
 		now++
 		d.AdvanceClock(now)
 		d.AddOp(i, OpSpec{TTL: now + 1<<40, Slots: 1})
-		served(d, i, now, false)
+		serveOp(d, i, now, false)
 	}
 	return d, now
 }
 
-func listed(d *Dispatcher, workers int) {
+func listWorkers(d *Dispatcher, workers int) {
 	d.BeginSnapshot()
 	for i := range workers {
 		d.UpsertWorker(i, WorkerEntry{Zone: i % 14, Group: i % 100, Ready: true})
-		identify(d, i, schedulerKey(i), 0)
+		setIdentity(d, i, schedulerKey(i), 0)
 	}
 	d.EndUpdate()
 }
 
-// served carries an op's decisions out: each probe is answered by an idle worker, the attempt starts, and
-// it succeeds where it ends.
-func served(d *Dispatcher, i int, now Time, ends bool) {
+// serveOp carries out an op's decisions: each probe is answered by an idle worker, and the attempt starts.
+// If ends is set, it also succeeds.
+func serveOp(d *Dispatcher, i int, now Time, ends bool) {
 	for {
 		next := d.Next()
 		switch next.Kind {
 		case NoDecision:
 			if ends {
 				d.AttemptEnded(i, 0, Succeeded, true)
-				pull(d)
+				discardDecisions(d)
 			}
 			return
 		case Probe:
@@ -119,11 +119,11 @@
 	}
 }
 
-// BenchmarkDecision is an op from its arrival to its end, beside 100 in flight, by the number of workers:
-// where probes are allowed and where not, and where an affinity key or the scheduler has its own order of
-// the workers.
+// BenchmarkDecision measures an op from its admission to its end, with 100 others in flight, by the number
+// of workers: with probes and without, and with workers in the order of an affinity key or of the
+// scheduler.
 func BenchmarkDecision(b *testing.B) {
-	for _, shape := range []struct {
+	for _, variant := range []struct {
 		name string
 		key  uint64
 		more func(*Settings)
@@ -134,36 +134,36 @@
 		{"regulars", 0, func(s *Settings) { s.ProgressInterval, s.ConnectionPrice = 10_000, 1 }},
 	} {
 		for _, workers := range []int{100, 400, 1_600, 6_300} {
-			b.Run(fmt.Sprintf("%s/workers=%d", shape.name, workers), func(b *testing.B) {
-				d, now := atSize(workers, 100, shape.more)
+			b.Run(fmt.Sprintf("%s/workers=%d", variant.name, workers), func(b *testing.B) {
+				d, now := dispatcherOfSize(workers, 100, variant.more)
 				b.ReportAllocs()
 				b.ResetTimer()
 				for n := range b.N {
 					now++
 					d.AdvanceClock(now)
 					spec := OpSpec{TTL: now + 1<<40, Slots: 1}
-					if shape.key > 0 {
+					if variant.key > 0 {
 						spec.AffinityKey = schedulerKey(n % 500)
 					}
 					d.AddOp(100, spec)
-					served(d, 100, now, true)
+					serveOp(d, 100, now, true)
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkSubscribers is an endpoint list where connections are priced and peer messages allowed: it
-// assigns the subscribers of each worker.
+// BenchmarkSubscribers measures a delta of the endpoint list that assigns the subscribers of each worker,
+// as connections have a price and peer messages are allowed.
 func BenchmarkSubscribers(b *testing.B) {
 	for _, schedulers := range []int{10, 30, 300} {
 		for _, workers := range []int{400, 6_300} {
 			b.Run(fmt.Sprintf("schedulers=%d/workers=%d", schedulers, workers), func(b *testing.B) {
-				d, now := atSize(workers, 0, func(s *Settings) {
+				d, now := dispatcherOfSize(workers, 0, func(s *Settings) {
 					s.ConnectionPrice, s.PeerMessages, s.Schedulers, s.Scheduler = 1, true, schedulers, 0
 				})
 				if !d.settings.PeerMessages {
-					b.Fatal("no words are allowed")
+					b.Fatal("peer messages are not allowed")
 				}
 				b.ReportAllocs()
 				b.ResetTimer()
@@ -178,28 +178,28 @@
 	}
 }
 
-// BenchmarkWaiting is any input to a scheduler with 6,300 workers while ops are pending: their probes are
-// not answered yet, or no worker is ready.
-func BenchmarkWaiting(b *testing.B) {
+// BenchmarkPendingOps measures an input to a scheduler with 6,300 workers while ops are pending, because
+// their probes are not answered yet or no worker is ready.
+func BenchmarkPendingOps(b *testing.B) {
 	for _, ready := range []bool{true, false} {
-		for _, held := range []int{1, 10, 100, 1_000} {
-			b.Run(fmt.Sprintf("ready=%v/held=%d", ready, held), func(b *testing.B) {
+		for _, pending := range []int{1, 10, 100, 1_000} {
+			b.Run(fmt.Sprintf("ready=%v/held=%d", ready, pending), func(b *testing.B) {
 				d, now := New(7, testSettings(nil)), Time(1_000_000)
 				d.AdvanceClock(now)
-				listed(d, 6_300)
+				listWorkers(d, 6_300)
 				for i := range 6_300 {
 					d.UpsertWorker(i, WorkerEntry{Zone: i % 14, Group: i % 100, Ready: ready})
 				}
 				d.EndUpdate()
-				for i := range held {
+				for i := range pending {
 					d.AddOp(i, OpSpec{TTL: now + 1<<40, Slots: 1})
 				}
-				pull(d)
+				discardDecisions(d)
 				b.ReportAllocs()
 				b.ResetTimer()
 				for range b.N {
 					d.AdvanceClock(now)
-					pull(d)
+					discardDecisions(d)
 				}
 			})
 		}
--- a/dispatch/categories.go
+++ b/dispatch/categories.go
@@ -7,26 +7,26 @@
 	"woaddyke/internal/base/stats"
 )
 
-// category is the rules at a place, which ops refer to, and what was learned of its ops.
+// category holds the rules of a category and what was learned from its ops. Ops refer to it by its index.
 type category struct {
 	CategoryRules
-	longestTTL        Time   // the longest that a client was seen to give
-	serviceTimes      []Time // the last few
+	longestTTL        Time   // longest TTL seen from a client
+	serviceTimes      []Time // the most recent
 	medianServiceTime Time
 	meanServiceTime   Time
-	inForce           bool // the present settings name it
-	wasInForce        bool // those before them did
-	retained          bool // the present settings don't name it, and the host still gives ops of it
-	openOps           int  // that are not forgotten
+	inForce           bool // in the current settings
+	wasInForce        bool // in the previous settings
+	retained          bool // not in the current settings, but the host still submits ops of it
+	openOps           int  // ops that have not been forgotten
 }
 
-// acceptsOps reports whether there may be new ops of it.
+// acceptsOps reports whether new ops may refer to the category.
 func (c *category) acceptsOps() bool { return c.inForce || c.retained }
 
-// free reports whether nothing refers to its place.
+// free reports whether nothing refers to the category, so that its index may be reused.
 func (c *category) free() bool { return !c.acceptsOps() && c.openOps == 0 }
 
-// setServiceTimes takes over service times, and works out what decisions read of them.
+// setServiceTimes replaces the service times and updates their median and mean.
 func (c *category) setServiceTimes(all []Time) {
 	c.serviceTimes = all
 	if len(all) > 0 {
@@ -34,8 +34,8 @@
 	}
 }
 
-// weight is the priority weight: what an op of the category earns for its work. It is not known before
-// the first service time, unless the benefit is that of the work already.
+// weight returns the priority weight: the benefit of an op per unit of its work. It is unknown before the
+// first service time, unless the benefit is already per unit of work.
 func (c *category) weight(benefitPerWork bool) (weight float64, known bool) {
 	if benefitPerWork {
 		return c.Benefit, true
@@ -43,33 +43,33 @@
 	return c.Benefit / float64(max(c.meanServiceTime, 1)), len(c.serviceTimes) > 0
 }
 
-// highestWeight caches the highest priority weight of the categories in force: a walk over hundreds of
-// them for each decision cost more than the decision.
+// highestWeight caches the highest priority weight of the categories in force: scanning hundreds of them
+// for each decision cost more than the decision itself.
 type highestWeight struct {
 	weight         float64
-	known          bool // of all categories in force
+	known          bool // the weights of all categories in force are known
 	valid          bool
-	benefitPerWork bool // the setting under which it holds
+	benefitPerWork bool // the setting for which the cached values hold
 }
 
-// categoryTable holds the categories by their places.
+// categoryTable holds the categories by their indices.
 type categoryTable struct {
 	all          []category
-	inForce      []int // places, in the order of the settings
-	minObjective Time  // the least latency objective in force
+	inForce      []int // indices, in the order of the settings
+	minObjective Time  // lowest latency objective in force
 	highest      highestWeight
 }
 
-// acceptingAt returns the category at a place, nil if there is none that accepts ops.
-func (t *categoryTable) acceptingAt(place int) *category {
-	if place < 0 || place >= len(t.all) || !t.all[place].acceptsOps() {
+// acceptingCategory returns the category at an index, or nil if there is none that accepts ops.
+func (t *categoryTable) acceptingCategory(index int) *category {
+	if index < 0 || index >= len(t.all) || !t.all[index].acceptsOps() {
 		return nil
 	}
-	return &t.all[place]
+	return &t.all[index]
 }
 
-// highestWeight returns the highest priority weight, and whether those of all categories in force are
-// known.
+// highestWeight returns the highest priority weight in force, and whether the weights of all categories in
+// force are known.
 func (t *categoryTable) highestWeight(benefitPerWork bool) (weight float64, known bool) {
 	x := &t.highest
 	if x.valid && x.benefitPerWork == benefitPerWork {
@@ -85,59 +85,60 @@
 	return x.weight, x.known
 }
 
-// addServiceTime adds how long an op of a category ran. The highest weight is found anew where it may
-// change.
-func (t *categoryTable) addServiceTime(place int, ran Time, benefitPerWork bool) {
-	c := &t.all[place]
+// addServiceTime adds a service time to those of a category. It invalidates the cached highest weight if
+// that may change.
+func (t *categoryTable) addServiceTime(index int, serviceTime Time, benefitPerWork bool) {
+	c := &t.all[index]
 	before, knownBefore := c.weight(benefitPerWork)
-	c.setServiceTimes(stats.AppendRecent(c.serviceTimes, ran))
+	c.setServiceTimes(stats.AppendRecent(c.serviceTimes, serviceTime))
 	after, _ := c.weight(benefitPerWork)
 	if c.inForce && (!knownBefore || after != before && max(after, before) >= t.highest.weight) {
 		t.highest.valid = false
 	}
 }
 
-// SetCategories takes up the categories and the number of attempts of other settings. It returns each
-// category's place, in their order. One whose place is known with the same rules keeps it, and with it
-// what was learned of it; what was learned of one of the same name goes along to its new place. Ops keep
-// the place and the number of attempts that they came with. The host names in retained the places that it
-// goes on giving ops of; any other place that no category in force and no open op refers to is given to
-// the next category that needs one, so that the number of places is bounded by those in use at a time.
-func (d *Dispatcher) SetCategories(settings Settings, retained ...int) (places []int) {
+// SetCategories replaces the categories and the number of attempts per op by those of new settings. It
+// returns each category's index, in the order of the settings. A category that is known with the same rules
+// keeps its index and what was learned from it. Any other one gets a new index and what was learned from
+// the category of the same name. Ops keep the index and the number of attempts of their admission. retained
+// lists the indices for which the host still submits ops. Any other index that neither a category in force
+// nor an open op refers to is given to the next category that needs one, so that the number of indices is
+// bounded by those in use at a time.
+func (d *Dispatcher) SetCategories(settings Settings, retained ...int) (indices []int) {
 	d.settings.MaxAttempts = settings.MaxAttempts
-	d.digest.valid = false
+	d.summary.valid = false
 	return slices.Clone(d.categories.replace(settings.Categories, retained))
 }
 
-// replace puts other categories in force and returns their places.
+// replace puts other categories in force and returns their indices.
 func (t *categoryTable) replace(rules []CategoryRules, retained []int) []int {
 	t.beginReplace(retained)
-	places := make([]int, len(rules))
-	var byName *nameIndex // built at the first category that has changed: most are as they were
+	indices := make([]int, len(rules))
+	var byName *nameIndex // built at the first changed category, as most are unchanged
 	var changed []category
 	for i := range rules {
 		t.minObjective = min(t.minObjective, rules[i].LatencyObjective)
 		if i < len(t.inForce) && t.hasRules(t.inForce[i], &rules[i]) {
-			places[i] = t.inForce[i]
-			t.all[places[i]].inForce = true
+			indices[i] = t.inForce[i]
+			t.all[indices[i]].inForce = true
 			continue
 		}
 		if byName == nil {
 			byName = t.indexByName()
 		}
-		places[i] = byName.find(rules[i].Name, func(k int) bool { return t.hasRules(k, &rules[i]) })
-		if places[i] >= 0 {
-			t.all[places[i]].inForce = true
+		indices[i] = byName.find(rules[i].Name, func(k int) bool { return t.hasRules(k, &rules[i]) })
+		if indices[i] >= 0 {
+			t.all[indices[i]].inForce = true
 			continue
 		}
 		changed = append(changed, t.withNewRules(rules[i], byName))
 	}
-	t.assignFreePlaces(places, changed)
-	t.inForce = places
-	return places
+	t.assignFreeIndices(indices, changed)
+	t.inForce = indices
+	return indices
 }
 
-// beginReplace takes all categories out of force, but for the host's retained ones.
+// beginReplace takes all categories out of force and marks those that the host retains.
 func (t *categoryTable) beginReplace(retained []int) {
 	for k := range t.all {
 		c := &t.all[k]
@@ -149,8 +150,9 @@
 	t.minObjective, t.highest.valid = math.MaxInt64, false
 }
 
-// withNewRules is a category of these rules, with what was learned of the one of its name. Service times
-// do not depend on the rules, and while one is unknown all ops have the highest priority.
+// withNewRules returns a category with these rules and with what was learned from the category of the same
+// name. Service times do not depend on the rules, and while those of one category are unknown, all ops have
+// the highest priority.
 func (t *categoryTable) withNewRules(rules CategoryRules, byName *nameIndex) category {
 	c := category{CategoryRules: rules, inForce: true}
 	if rules.Name == "" {
@@ -168,11 +170,11 @@
 	return c
 }
 
-// assignFreePlaces gives the changed categories places, in order, where the list of places has -1.
-func (t *categoryTable) assignFreePlaces(places []int, changed []category) {
+// assignFreeIndices gives the changed categories, in order, free indices where the list of indices has -1.
+func (t *categoryTable) assignFreeIndices(indices []int, changed []category) {
 	k := 0
-	for i := range places {
-		if places[i] >= 0 {
+	for i := range indices {
+		if indices[i] >= 0 {
 			continue
 		}
 		for k < len(t.all) && !t.all[k].free() {
@@ -181,19 +183,20 @@
 		if k == len(t.all) {
 			t.all = append(t.all, category{})
 		}
-		places[i], t.all[k], changed = k, changed[0], changed[1:]
+		indices[i], t.all[k], changed = k, changed[0], changed[1:]
 	}
 }
 
-// hasRules reports whether a place has these rules and is not taken by a category of the new settings yet.
-func (t *categoryTable) hasRules(place int, rules *CategoryRules) bool {
-	return !t.all[place].inForce && t.all[place].CategoryRules == *rules
+// hasRules reports whether the category at an index has these rules and is not in use by the new settings
+// yet.
+func (t *categoryTable) hasRules(index int, rules *CategoryRules) bool {
+	return !t.all[index].inForce && t.all[index].CategoryRules == *rules
 }
 
-// nameIndex finds places by the name of their category.
+// nameIndex finds the indices of categories by name.
 type nameIndex struct {
-	first map[string]int // the first place of a name, plus 1, so that no name reads as none
-	next  []int          // the next place of the same name, -1 behind the last
+	first map[string]int // the first index with a name, plus 1, so that 0 means none
+	next  []int          // the next index with the same name, -1 after the last
 }
 
 func (t *categoryTable) indexByName() *nameIndex {
@@ -207,8 +210,8 @@
 	return x
 }
 
-// find returns the first place of a name that suits, -1 if there is none.
-func (x *nameIndex) find(name string, suits func(place int) bool) int {
+// find returns the first index with this name for which suits returns true, or -1 if there is none.
+func (x *nameIndex) find(name string, suits func(index int) bool) int {
 	for k := x.first[name] - 1; k >= 0; k = x.next[k] {
 		if suits(k) {
 			return k
--- a/dispatch/categories_bench_test.go
+++ b/dispatch/categories_bench_test.go
@@ -5,22 +5,22 @@
 	"testing"
 )
 
-// manyCategories are the settings of so many categories.
-func manyCategories(entries int) Settings {
+// manyCategories returns settings with so many categories.
+func manyCategories(count int) Settings {
 	var all []CategoryRules
-	for i := range entries {
-		all = append(all, CategoryRules{Name: fmt.Sprintf("team-%d", i), Effect: Deduplicated, DedupScope: DedupInZone,
-			TTL: 50_000, LatencyObjective: 5_000, DedupWindow: 20_000, Benefit: 2})
+	for i := range count {
+		all = append(all, CategoryRules{Name: fmt.Sprintf("team-%d", i), Effect: Deduplicated,
+			DedupScope: DedupInZone, TTL: 50_000, LatencyObjective: 5_000, DedupWindow: 20_000, Benefit: 2})
 	}
-	return settingsOf(all, 3)
+	return settingsWithCategories(all, 3)
 }
 
-// change gives one of the categories rules that it never had.
-func change(settings Settings, n int) {
+// changeOneCategory gives one of the categories rules that it never had.
+func changeOneCategory(settings Settings, n int) {
 	settings.Categories[n%len(settings.Categories)].LatencyObjective = Time(5_001 + n)
 }
 
-// BenchmarkSetCategories is one category's change among so many, after so many before it.
+// BenchmarkSetCategories measures the change of one category among many, after many earlier changes.
 func BenchmarkSetCategories(b *testing.B) {
 	for _, entries := range []int{3, 560} {
 		for _, before := range []int{0, 16_000, 100_000} {
@@ -29,12 +29,12 @@
 				d := New(7, settings)
 				n := 0
 				for ; n < before; n++ {
-					change(settings, n)
+					changeOneCategory(settings, n)
 					d.SetCategories(settings)
 				}
 				b.ReportAllocs()
 				for b.Loop() {
-					change(settings, n)
+					changeOneCategory(settings, n)
 					d.SetCategories(settings)
 					n++
 				}
@@ -44,9 +44,9 @@
 	}
 }
 
-// BenchmarkOpAmong is an op from its arrival to its end, with service times known of so many categories
-// whose ops come by turns.
-func BenchmarkOpAmong(b *testing.B) {
+// BenchmarkOpWithManyCategories measures an op from its admission to its end, with known service times of
+// many categories whose ops arrive in turn.
+func BenchmarkOpWithManyCategories(b *testing.B) {
 	for _, entries := range []int{3, 560} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			d := New(7, manyCategories(entries))
@@ -62,14 +62,14 @@
 				now++
 				d.AdvanceClock(now)
 				d.AddOp(0, OpSpec{Category: n % entries, TTL: now + 50_000, Slots: 1})
-				pull(d)
+				discardDecisions(d)
 				d.AdvanceClock(now)
 				d.AttemptProgress(0, 0, Progress{Started: true})
-				pull(d)
+				discardDecisions(d)
 				now += Time(5 + n%7)
 				d.AdvanceClock(now)
 				d.AttemptEnded(0, 0, Succeeded, true)
-				pull(d)
+				discardDecisions(d)
 			}
 			n := 0
 			for ; n < 20*entries; n++ {
--- a/dispatch/choice.go
+++ b/dispatch/choice.go
@@ -7,22 +7,22 @@
 	"woaddyke/internal/base/stats"
 )
 
-// Which of the workers that were probed an op is pushed to.
+// This file chooses the worker that an op is pushed to, from those that were probed.
 
 const (
-	// finishNoiseRatio is the ratio up to which two predicted finishes count as equal.
+	// finishNoiseRatio is the ratio up to which two predicted finish times count as equal.
 	finishNoiseRatio = 1.3
-	// reportLag is how old an attempt may be that a load report does not show yet.
-	reportLag = second / 10
-	// noWorker is the index of none.
+	// maxReportLag is the greatest age of an attempt that a load report may not include yet.
+	maxReportLag = second / 10
+	// noWorker stands for no worker.
 	noWorker = -1
-	// unknownThreshold makes no worker Low.
+	// unknownThreshold is a threshold by which no worker is Low.
 	unknownThreshold = -1
 )
 
-// chooseWorker places the op as the design does: Low before High, a random one of two Low, else the one
-// with fewer jobs; the one that answered, if one did; else a random ready one. It returns noWorker where
-// there is none.
+// chooseWorker chooses the worker for an op as docs/design.md describes: Low before High, a random one of
+// two Low, else the one with fewer jobs. If only one of the pair answered, it is chosen; if none did, a
+// random ready worker. It returns noWorker if there is none.
 func (d *Dispatcher) chooseWorker(o *op) int {
 	var eligible []int
 	for k, i := range o.probes.pair {
@@ -39,15 +39,15 @@
 	return d.chooseOfTwo(o, eligible[0], eligible[1])
 }
 
-// safeWhileWarmingUp reports whether a worker has its full capacity, or its last report shows capacity for
-// the op.
+// safeWhileWarmingUp reports whether a worker is warm, or its last load report shows capacity for the op.
 func (d *Dispatcher) safeWhileWarmingUp(o *op, i int) bool {
 	w := &d.fleet.workers[i]
 	return !d.warmingUp(w) || w.lastReading() != nil && d.hasCapacity(o, i)
 }
 
-// chooseUnprobed draws among all ready workers, without those that are warming up. Where probes are not
-// allowed one of these is asked once, or twice as in a pair where all are warming up.
+// chooseUnprobed draws one of the ready workers that are warm. Where probes are not allowed, it first draws
+// one of all ready workers, and returns it unless slow start excludes it. If all are warming up, that one
+// counts as drawn twice, as in a pair.
 func (d *Dispatcher) chooseUnprobed(o *op) int {
 	from := d.candidates(o)
 	warm := d.withoutWarmingUp(slices.Clone(from))
@@ -68,18 +68,18 @@
 	return slices.DeleteFunc(from, func(i int) bool { return d.warmingUp(&d.fleet.workers[i]) })
 }
 
-// chooseOfTwo compares the two workers of a pair.
+// chooseOfTwo chooses one of the two workers of a pair.
 func (d *Dispatcher) chooseOfTwo(o *op, x, y int) int {
 	pick := func(second bool) int { return [2]int{x, y}[stats.Bit(second)] }
 	threshold := float64(d.threshold())
-	if _, _, ok := d.peerTally(x); d.currentDigest().reportsStale && !ok {
+	if _, _, ok := d.peerReportedLoad(x); d.currentSummary().reportsStale && !ok {
 		threshold = unknownThreshold
 	}
 	jobsX, jobsY := d.jobCount(x), d.jobCount(y)
 	lowX := jobsX <= threshold && d.hasCapacity(o, x)
 	lowY := jobsY <= threshold && d.hasCapacity(o, y)
 	if lowX == lowY {
-		// A slow worker with a short queue still counts as Low, and what it takes finishes late.
+		// A slow worker with a short queue counts as Low, but its jobs finish late.
 		finishX, finishY := d.predictFinish(o, x), d.predictFinish(o, y)
 		if float64(max(finishX, finishY)) > finishNoiseRatio*float64(min(finishX, finishY)) {
 			return pick(finishY < finishX)
@@ -88,22 +88,22 @@
 	nearX, nearY := d.inOwnZone(x), d.inOwnZone(y)
 	switch {
 	case lowX && lowY && nearX != nearY:
-		return pick(nearY) // crossing is paid for, and gains nothing while both are Low
+		return pick(nearY) // crossing zones has a price, and gains nothing while both are Low
 	case lowX && lowY || lowX == lowY && jobsX == jobsY:
 		return pick(d.random.IntN(2) == 1)
 	}
 	return pick(lowY || !lowX && jobsY < jobsX)
 }
 
-// predictFinish is when the op would end on a worker, from now.
+// predictFinish returns the time until the op would end on a worker.
 func (d *Dispatcher) predictFinish(o *op, i int) Time {
 	return d.predictWait(o, i) + Time(d.fleet.serviceTimeRatio(i)*float64(d.expectedServiceTime(o)))
 }
 
-// hasCapacity reports whether the op would start at once. It guards against Low workers on which a wide op
-// must wait for slots while others wait behind it.
+// hasCapacity reports whether a worker would start the op at once. A Low worker may lack slots for a wide
+// op, which would wait there and block the ops queued behind it.
 func (d *Dispatcher) hasCapacity(o *op, i int) bool {
-	if jobs, slots, ok := d.peerTally(i); ok {
+	if jobs, slots, ok := d.peerReportedLoad(i); ok {
 		return jobs+o.slots < slots+0.5
 	}
 	r := d.fleet.workers[i].lastReading()
@@ -112,7 +112,7 @@
 	}
 	pushed := d.pushedSince(i, r.sentAt)
 	if len(pushed) == 0 && r.load.RunningJobs >= 0 && r.load.RunningJobs < 0.5 {
-		return true // reported free slots are noisy; a worker without jobs has all of them
+		return true // reported free slots are noisy; a worker without jobs has all its slots free
 	}
 	slots, memory := r.load.FreeSlots, r.load.FreeMemory
 	for _, p := range pushed {
@@ -124,21 +124,22 @@
 	return enoughSlots && enoughMemory && r.load.QueuedJobs < 0.5
 }
 
-// pushedSince are this scheduler's attempts at a worker that a report whose probe was sent then need not
-// show.
+// pushedSince returns this scheduler's attempts at a worker that a load report need not include, if its
+// probe was sent at probeSentAt.
 func (d *Dispatcher) pushedSince(i int, probeSentAt Time) (pushed []*op) {
 	for _, o := range d.fleet.workers[i].inFlight {
-		if o.last.sentAt >= probeSentAt-reportLag {
+		if o.lastAttempt.sentAt >= probeSentAt-maxReportLag {
 			pushed = append(pushed, o)
 		}
 	}
 	return pushed
 }
 
-// jobCount is a worker's jobs: those of its last report and this scheduler's own attempts since.
+// jobCount returns a worker's number of jobs: those in its last load report, and this scheduler's own
+// attempts since.
 func (d *Dispatcher) jobCount(i int) float64 {
 	w := &d.fleet.workers[i]
-	if n, _, ok := d.peerTally(i); ok || d.currentDigest().reportsStale {
+	if n, _, ok := d.peerReportedLoad(i); ok || d.currentSummary().reportsStale {
 		return n
 	}
 	r := w.lastReading()
@@ -148,7 +149,7 @@
 	return math.Round(r.load.RunningJobs) + float64(len(d.pushedSince(i, r.sentAt)))
 }
 
-// inOwnZone reports whether a worker is reached without a crossing that is paid for.
+// inOwnZone reports whether a worker is in the scheduler's own zone, or crossing zones has no price.
 func (d *Dispatcher) inOwnZone(i int) bool {
 	return d.settings.CrossZonePrice == 0 || d.fleet.workers[i].zone == d.settings.Zone
 }
--- a/dispatch/decision.go
+++ b/dispatch/decision.go
@@ -1,36 +1,37 @@
 package dispatch
 
-// DecisionKind is what the host has to do.
+// DecisionKind is the kind of action that the host has to take.
 type DecisionKind int
 
 const (
-	// NoDecision says that nothing is to be done until the next input.
+	// NoDecision means that there is nothing to do until the next input.
 	NoDecision DecisionKind = iota
 	// Push sends the op to a worker; Duration is the attempt's timeout.
 	Push
-	// Probe asks a worker for its load.
+	// Probe sends a load probe to a worker.
 	Probe
-	// CancelAttempt ends the attempt in flight. Its outcome is Cancelled, or what came just before.
+	// CancelAttempt cancels the attempt in flight. Its outcome is Cancelled, or an outcome that arrived
+	// just before.
 	CancelAttempt
 	// Nack answers that the op failed and that a retry is harmless; Duration is the Retry-After.
 	Nack
-	// DeadLetter answers that the op failed and that nothing is promised.
+	// DeadLetter answers that the op failed, without a promise that a retry is harmless.
 	DeadLetter
-	// SetTimer asks for a further call after Duration, in place of what was asked for before.
+	// SetTimer asks the host to call again after Duration. It replaces the previous timer.
 	SetTimer
 	// Forget frees the op's index.
 	Forget
-	// ReportToPeer notifies another scheduler of this one's attempts in flight at a worker.
+	// ReportToPeer reports the number of attempts in flight at a worker to another scheduler.
 	ReportToPeer
 )
 
-// Decision is one thing for the host to do. Fields that its kind does not name are zero.
+// Decision is one action for the host. Fields that its kind does not use are zero.
 type Decision struct {
 	Kind     DecisionKind
 	Op       int             // of every kind but SetTimer and ReportToPeer
 	Worker   int             // of Push, Probe and ReportToPeer
-	Peer     int             // the number of the scheduler that a ReportToPeer is for
-	InFlight int             // attempts at the worker that a ReportToPeer says
+	Peer     int             // of ReportToPeer: the number of the scheduler that receives the report
+	InFlight int             // of ReportToPeer: this scheduler's attempts in flight at the worker
 	Duration Time            // of Push, Nack and SetTimer
 	Reason   RejectionReason // of Nack and DeadLetter
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -1,12 +1,13 @@
-// Package dispatch holds every decision of a scheduler: which worker an op is pushed to, when it is
-// pushed again, and how it ends. It does no input or output and reads no clock.
+// Package dispatch makes every decision of a scheduler: which worker an op is pushed to, when it is
+// retried, and how it ends. It does no I/O and reads no clock.
 //
-// New makes the dispatcher of one scheduler. The inputs (AdvanceClock, UpsertWorker, AddOp,
-// ProbeAnswered, AttemptEnded and the others) only update what is known. After them the host pulls
-// decisions with Next, one by one, until there is none. Workers and ops are small indices that the host
-// gives out; an op's index is free again after Forget. Times are tenths of a millisecond.
+// New creates the dispatcher of one scheduler. The inputs (AdvanceClock, UpsertWorker, AddOp,
+// ProbeAnswered, AttemptEnded and the others) only update its state. After them the host calls Next until
+// it returns NoDecision. Workers and ops are identified by small indices that the host assigns; the index
+// of an op may be reused after Forget. Times are in tenths of a millisecond.
 //
-// docs/design.md says what is kept of the paper's mechanism and when each departure from it acts.
+// docs/design.md describes which parts of the paper's mechanism are used, and when each departure from it
+// applies.
 package dispatch
 
 import (
@@ -15,57 +16,58 @@
 	"woaddyke/internal/base/stats"
 )
 
-// Dispatcher is one scheduler's decisions and the state that they rest on.
+// Dispatcher makes the decisions of one scheduler and holds the state that they depend on.
 type Dispatcher struct {
-	settings           Settings // but for the categories
+	settings           Settings // Categories is nil; see categories
 	random             stats.Random
 	now                Time
-	timerAt            Time // the moment of the last SetTimer
+	timerAt            Time // when the last SetTimer expires
 	categories         categoryTable
 	fleet              workerTable
 	ops                opTable
 	pendingPeerReports []peerReport
-	workersAcknowledge bool // workers report at once that they have an attempt
+	workersAcknowledge bool // workers acknowledge attempts on receipt
 
 	estimator    thresholdEstimator
 	keys         affinityKeys
-	halvedAt     Time // the counters of the estimator and of keys were halved up to then
+	halvedAt     Time // time up to which the counters of estimator and keys have been halved
 	samples      loadSamples
-	placements   sprt.Test[Time] // whether ops find a place
+	placements   sprt.Test[Time] // whether ops can be placed
 	demandCounts demandCounts
-	digest       digest
+	summary      sampleSummary
 	shadow       shadow
 }
 
-// New starts a scheduler's dispatcher from its seed and its settings.
+// New creates a scheduler's dispatcher from a random seed and its settings.
 func New(seed uint64, settings Settings) *Dispatcher {
 	d := &Dispatcher{
 		settings:   settings,
 		random:     stats.NewRandom(seed),
 		fleet:      workerTable{kinds: make([]machineKind, 1)},
 		keys:       affinityKeys{counts: map[uint64]float64{}},
-		placements: sprt.New(placementOrdinaryFailure, placementShortFailure, maxPlacementAge),
+		placements: sprt.New(placementNormalFailureRate, placementShortageFailureRate, maxPlacementVerdictAge),
 	}
 	d.settings.Categories = nil // they change while the dispatcher runs; d.categories holds those in force
 	d.SetCategories(settings)
 	for k := range d.ops.inFlight {
-		event := awaited(k)
+		event := awaitedEvent(k)
 		d.ops.inFlight[k] = deadlines.New(func(o *op) (base, limit Time, counts bool) {
-			counts = o.last.inFlight && !o.finished && !o.last.silenceCounted && d.awaited(o) == event
-			return d.silenceSince(o, event), o.ttl, counts
+			counts = o.lastAttempt.inFlight && !o.finished && !o.lastAttempt.silenceCounted &&
+				d.awaitedEvent(o) == event
+			return d.silenceStart(o, event), o.ttl, counts
 		})
 	}
 	return d
 }
 
-// AdvanceClock sets the time, which never goes back.
+// AdvanceClock sets the current time. A time before the current one is ignored.
 func (d *Dispatcher) AdvanceClock(now Time) {
 	d.now = max(d.now, now)
 	d.ops.beginRound()
-	d.digest.valid = false
+	d.summary.valid = false
 }
 
-// Next returns one decision; the host calls it until its kind is NoDecision.
+// Next returns one decision. The host calls it until the kind is NoDecision.
 func (d *Dispatcher) Next() Decision {
 	if !d.ops.overdueCollected {
 		d.collectOverdue()
@@ -73,7 +75,7 @@
 	for o := d.ops.nextUndecided(); o != nil; o = d.ops.nextUndecided() {
 		if next := d.decide(o); next.Kind != NoDecision {
 			next.Op = o.index
-			d.carryOut(o, next.Kind)
+			d.applyDecision(o, next.Kind)
 			return next
 		}
 		d.ops.nextNumber = o.number + 1
@@ -89,7 +91,7 @@
 	return Decision{}
 }
 
-// nextPeerReport takes the first report that is pending.
+// nextPeerReport removes and returns the first pending peer report.
 func (d *Dispatcher) nextPeerReport() Decision {
 	report := d.pendingPeerReports[0]
 	d.pendingPeerReports = d.pendingPeerReports[1:]
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -2,12 +2,14 @@
 
 import "testing"
 
-// testSettings are a small deployment's, with a category of each effect and scope; change may be nil.
+// testSettings are the settings of a small deployment, with a category of each effect and scope. change may
+// be nil.
 func testSettings(change func(*Settings)) Settings {
 	s := Settings{
-		MaxAttempts: 4, Scheduler: 1, Schedulers: 3, TickInterval: 50, AcknowledgeTimeout: second, MaxRetryAfter: 20_000,
-		Probes: true, CancelsAttempts: true, ReportsStarts: true,
-		SlowStart: SlowStartSettings{WarmAfter: 80_000, InitialCapacity: 0.3, OverloadFactor: 2.5, OverloadWindow: 15_000},
+		MaxAttempts: 4, Scheduler: 1, Schedulers: 3, TickInterval: 50, AcknowledgeTimeout: second,
+		MaxRetryAfter: 20_000, Probes: true, CancelsAttempts: true, ReportsStarts: true,
+		SlowStart: SlowStartSettings{WarmAfter: 80_000, InitialCapacity: 0.3, OverloadFactor: 2.5,
+			OverloadWindow: 15_000},
 	}
 	for _, rules := range []CategoryRules{{Effect: Idempotent, DedupScope: DedupEverywhere},
 		{Effect: Deduplicated, DedupScope: DedupEverywhere}, {Effect: Deduplicated, DedupScope: DedupInZone},
@@ -21,8 +23,8 @@
 	return s
 }
 
-// fleet makes a dispatcher that knows n warm workers, in two zones and four cells.
-func fleet(n int, change func(*Settings)) *Dispatcher {
+// testDispatcher creates a dispatcher with n warm workers in two zones and four worker groups.
+func testDispatcher(n int, change func(*Settings)) *Dispatcher {
 	d := New(7, testSettings(change))
 	d.AdvanceClock(1_000_000)
 	d.BeginSnapshot()
@@ -33,8 +35,8 @@
 	return d
 }
 
-// decisions pulls all decisions but for timers.
-func decisions(d *Dispatcher) (all []Decision) {
+// pullDecisions returns all decisions that are due, except for timers.
+func pullDecisions(d *Dispatcher) (all []Decision) {
 	for {
 		next := d.Next()
 		if next.Kind == NoDecision {
@@ -46,44 +48,45 @@
 	}
 }
 
-// identify gives a listed worker its name's hash and its kind of machine.
-func identify(d *Dispatcher, i int, hash uint64, kind int) {
+// setIdentity sets the identity hash and the machine kind of a listed worker.
+func setIdentity(d *Dispatcher, i int, hash uint64, kind int) {
 	w := &d.fleet.workers[i]
 	d.UpsertWorker(i, WorkerEntry{Zone: w.zone, Group: w.group, Ready: w.ready, StartedAt: w.startedAt,
 		IdentityHash: hash, MachineKind: kind})
 }
 
-// probed gives an op to the dispatcher and returns the two workers that it asks.
-func probed(t *testing.T, d *Dispatcher, op, cat int) (x, y int) {
+// admitAndProbe admits an op and returns the two workers that are probed for it.
+func admitAndProbe(t *testing.T, d *Dispatcher, op, category int) (x, y int) {
 	t.Helper()
-	d.AddOp(op, OpSpec{Category: cat, TTL: d.now + 50_000, Slots: 1})
-	all := decisions(d)
+	d.AddOp(op, OpSpec{Category: category, TTL: d.now + 50_000, Slots: 1})
+	all := pullDecisions(d)
 	if len(all) != 2 || all[0].Kind != Probe || all[1].Kind != Probe || all[0].Worker == all[1].Worker {
-		t.Fatalf("a new op must probe two workers, got %v", all)
+		t.Fatalf("decisions for a new op: %v, want probes of two workers", all)
 	}
 	return all[0].Worker, all[1].Worker
 }
 
-// pushed answers probes with the given loads and returns the worker pushed to.
-func pushed(t *testing.T, d *Dispatcher, x int, lx LoadReport, y int, ly LoadReport) int {
+// answerAndPush answers the probes of two workers with the given load reports and returns the worker pushed
+// to.
+func answerAndPush(t *testing.T, d *Dispatcher, x int, loadX LoadReport, y int, loadY LoadReport) int {
 	t.Helper()
 	d.AdvanceClock(d.now + 50)
-	d.ProbeAnswered(x, 50, lx)
-	d.ProbeAnswered(y, 50, ly)
-	return push(t, d)
+	d.ProbeAnswered(x, 50, loadX)
+	d.ProbeAnswered(y, 50, loadY)
+	return expectPush(t, d)
 }
 
-func push(t *testing.T, d *Dispatcher) int {
+func expectPush(t *testing.T, d *Dispatcher) int {
 	t.Helper()
-	for _, a := range decisions(d) {
+	for _, a := range pullDecisions(d) {
 		if a.Kind == Push {
 			return a.Worker
 		}
 	}
-	t.Fatal("no push")
+	t.Fatal("no op was pushed")
 	return -1
 }
 
-func jobs(n float64) LoadReport {
+func loadWithJobs(n float64) LoadReport {
 	return LoadReport{RunningJobs: n, QueuedJobs: max(n-4, 0), FreeSlots: max(4-n, 0), FreeMemory: -1}
 }
--- a/dispatch/inputs.go
+++ b/dispatch/inputs.go
@@ -1,45 +1,45 @@
 package dispatch
 
-// OpSpec is what a client asks for.
+// OpSpec describes a new op.
 type OpSpec struct {
-	Category      int           // its place, as SetCategories returned it
-	TTL           Time          // the moment at which the client gives up
-	Slots, Memory float64       // what the job takes at a worker
-	Work          Time          // the expected service time; 0 where unknown
-	AffinityKey   uint64        // of data that workers keep or must fetch, hashed; 0 without
-	PriorAttempt  *PriorAttempt // nil where no other scheduler may have run the op
+	Category      int           // index returned by SetCategories
+	TTL           Time          // time at which the client gives up
+	Slots, Memory float64       // resources that the job takes at a worker
+	Work          Time          // expected service time; 0 if unknown
+	AffinityKey   uint64        // hash of the key of data that workers keep or must fetch; 0 if none
+	PriorAttempt  *PriorAttempt // nil if no other scheduler may have run the op
 }
 
-// PriorAttempt is an attempt of another scheduler that may have run.
+// PriorAttempt is another scheduler's attempt that may have run.
 type PriorAttempt struct {
-	Zone, Group int // where it ran; -1 where that is not known here
+	Zone, Group int // of its worker; -1 if unknown here
 	StartedAt   Time
 }
 
 // WorkerEntry is one worker in an endpoint list.
 type WorkerEntry struct {
-	Zone, Group  int // Group is the worker group; none spans two zones
+	Zone, Group  int // Group is the worker group, which lies within one zone
 	Ready        bool
-	StartedAt    Time   // when its process started; 0 where that is long ago
-	IdentityHash uint64 // of its name; schedulers must hash names alike
+	StartedAt    Time   // when its process started; 0 if long ago
+	IdentityHash uint64 // hash of its name, which must be the same at every scheduler
 	MachineKind  int
 }
 
-// LoadReport is a worker's report of its load; a value below 0 was not reported.
+// LoadReport is a worker's report of its load. A value below 0 was not reported.
 type LoadReport struct{ RunningJobs, QueuedJobs, FreeSlots, FreeMemory float64 }
 
-// Progress is what a worker reports of an attempt in flight. The zero value says that the job is running
-// on.
+// Progress is a worker's report on an attempt in flight. The zero value means that the job is still
+// running.
 type Progress struct {
-	Acknowledged bool // the worker has the attempt, and nothing is said of its job
+	Acknowledged bool // the worker has received the attempt; this says nothing about its job
 	Started      bool // the job has started
 }
 
-// Outcome is how an attempt ended.
+// Outcome is how an attempt or a probe ended.
 type Outcome int
 
-// Rejected, Unreachable, NotSent and LocalExhaustion prove that the attempt never ran; after the others
-// it may have.
+// Rejected, Unreachable, NotSent and LocalExhaustion prove that the attempt never ran. After any other
+// outcome it may have run.
 const (
 	Succeeded Outcome = iota
 	Failed
@@ -49,17 +49,16 @@
 	ConnectionLost
 	Cancelled
 	NotSent
-	LocalExhaustion // not sent, as this machine lacked a descriptor, a port or memory
-	InvalidRequest  // the worker says that the op itself is at fault
+	LocalExhaustion // not sent because this machine lacked a file descriptor, a port or memory
+	InvalidRequest  // the worker reports that the op itself is invalid
 )
 
-// heardFromWorker reports whether an outcome shows that the worker said something.
+// heardFromWorker reports whether an outcome counts as a message from the worker.
 func (o Outcome) heardFromWorker() bool {
 	return o != TimedOut && o != Cancelled && o != NotSent && o != LocalExhaustion
 }
 
-// neverRan reports whether an outcome proves that the worker did not run the attempt. Succeeded is no
-// question.
+// neverRan reports whether an outcome proves that the worker did not run the attempt.
 func (o Outcome) neverRan() bool {
 	return o == Rejected || o == NotSent || o == Unreachable || o == LocalExhaustion
 }
--- a/dispatch/learned.go
+++ b/dispatch/learned.go
@@ -7,16 +7,17 @@
 	"woaddyke/internal/base/stats"
 )
 
-// Verdict is one on a worker, on the way to a zone, or on whether an op found a place.
+// Verdict is an observation of a worker, of the connection to a zone, or of whether an op could be placed.
 type Verdict = sprt.Verdict[Time]
 
-// Learned is what a dispatcher has learned, for the one of its process's successor on the same machine.
+// Learned is what a dispatcher has learned, for the dispatcher of its process's successor on the same
+// machine.
 type Learned struct {
 	ThresholdCounts    [2][maxState + 1]float64   `json:"counts"` // a_l and b_l of the paper
 	HalvedAt           Time                       `json:"halved"`
 	StartDelays        []Time                     `json:"taus"`
 	ProbeRTTs          []Time                     `json:"trips"`
-	StartSamples       [][2]Time                  `json:"starts"` // when, and how long after the push
+	StartSamples       [][2]Time                  `json:"starts"` // time of the start, and delay after the push
 	PlacementVerdicts  []Verdict                  `json:"room"`
 	Zones              [][]Verdict                `json:"zones"`
 	Categories         map[string]LearnedCategory `json:"categories"` // by name
@@ -24,22 +25,22 @@
 	WorkersAcknowledge bool                       `json:"takes"`
 }
 
-// LearnedCategory is what was learned of a category's ops.
+// LearnedCategory is what was learned from a category's ops.
 type LearnedCategory struct {
 	LongestTTL   Time   `json:"longest"`
 	ServiceTimes []Time `json:"runs"`
 }
 
-// LearnedWorker is what was learned of a worker since its last start.
+// LearnedWorker is what was learned about a worker since its last start.
 type LearnedWorker struct {
 	StartedAt         Time         `json:"since"`
-	MaxFreeSlots      float64      `json:"slots"` // that were reported free at one of its kind
+	MaxFreeSlots      float64      `json:"slots"` // most free slots that a worker of its kind reported
 	ServiceTimeRatios []float64    `json:"strides"`
-	QueueSamples      [][2]float64 `json:"places"` // the position in its queue, and the wait
+	QueueSamples      [][2]float64 `json:"places"` // position in its queue, and wait
 	Health            []Verdict    `json:"health"`
 }
 
-// Learned returns what this dispatcher has learned. The lists in it may be read while the dispatcher goes
+// Learned returns what this dispatcher has learned. The slices in it may be read while the dispatcher goes
 // on: they only grow at their ends.
 func (d *Dispatcher) Learned() Learned {
 	l := Learned{
@@ -80,36 +81,36 @@
 	return l
 }
 
-// Shift moves all moments by a span, to the clock of another dispatcher.
-func (l *Learned) Shift(by Time) {
-	l.HalvedAt += by
+// Shift moves all times by an offset, to the clock of another dispatcher.
+func (l *Learned) Shift(offset Time) {
+	l.HalvedAt += offset
 	for i := range l.StartSamples {
-		l.StartSamples[i][0] += by
+		l.StartSamples[i][0] += offset
 	}
-	shift(l.PlacementVerdicts, by)
+	shiftVerdicts(l.PlacementVerdicts, offset)
 	for _, verdicts := range l.Zones {
-		shift(verdicts, by)
+		shiftVerdicts(verdicts, offset)
 	}
 	for _, w := range l.Workers {
 		if w == nil {
 			continue
 		}
 		if w.StartedAt > 0 {
-			w.StartedAt += by
+			w.StartedAt += offset
 		}
-		shift(w.Health, by)
+		shiftVerdicts(w.Health, offset)
 	}
 }
 
-func shift(verdicts []Verdict, by Time) {
+func shiftVerdicts(verdicts []Verdict, offset Time) {
 	for i := range verdicts {
-		verdicts[i].At += by
+		verdicts[i].At += offset
 	}
 }
 
-// RestoreLearned starts from what another process's dispatcher had learned, once the workers are listed.
-// What is impossible, such as a negative span or a moment to come, is left out: the other build may have
-// a fault that this one has not.
+// RestoreLearned restores what another process's dispatcher had learned. It is called once the workers are
+// listed. Impossible values, such as a negative duration or a time in the future, are left out: the other
+// build may have a fault that this one has not.
 func (d *Dispatcher) RestoreLearned(l Learned) {
 	d.estimator.restore(&l)
 	d.halvedAt = min(max(l.HalvedAt, 0), d.now)
@@ -124,11 +125,11 @@
 		w := &d.fleet.workers[i]
 		known := l.Workers[w.identityHash]
 		if known == nil || known.StartedAt != w.startedAt || len(w.serviceTimeRatios) > 0 {
-			continue // unknown there, restarted since, or better known here
+			continue // unknown there, restarted since, or with samples of its own here
 		}
 		d.restoreWorker(w, known)
 	}
-	d.digest.valid = false
+	d.summary.valid = false
 }
 
 func (e *thresholdEstimator) restore(l *Learned) {
@@ -137,14 +138,14 @@
 			e.observed[state], e.idleAfter[state] = a, b
 		}
 	}
-	e.startDelays = usableSpans(l.StartDelays)
+	e.startDelays = usableDurations(l.StartDelays)
 }
 
 func (s *loadSamples) restore(l *Learned, now Time) {
-	s.probeRTTs = usableSpans(l.ProbeRTTs)
+	s.probeRTTs = usableDurations(l.ProbeRTTs)
 	for _, sample := range l.StartSamples {
 		at, delay := sample[0], sample[1]
-		if at > 0 && at <= now && usableSpan(delay) {
+		if at > 0 && at <= now && usableDuration(delay) {
 			s.addStart(startSample{at, delay})
 		}
 	}
@@ -154,8 +155,8 @@
 	for k := range t.all {
 		c := &t.all[k]
 		if learned, ok := known[c.Name]; ok {
-			c.longestTTL = min(max(learned.LongestTTL, 0), never)
-			c.setServiceTimes(usableSpans(learned.ServiceTimes))
+			c.longestTTL = min(max(learned.LongestTTL, 0), unlimitedDuration)
+			c.setServiceTimes(usableDurations(learned.ServiceTimes))
 		}
 	}
 	t.highest.valid = false
@@ -179,7 +180,7 @@
 	restoreVerdicts(&w.health, known.Health, d.now)
 }
 
-// restoreVerdicts adds the last verdicts that are not of a time to come.
+// restoreVerdicts adds the most recent verdicts that are not in the future.
 func restoreVerdicts(t *sprt.Test[Time], verdicts []Verdict, now Time) {
 	for _, v := range verdicts[max(0, len(verdicts)-stats.MaxRecent):] {
 		if v.At > 0 && v.At <= now {
@@ -190,11 +191,11 @@
 
 func usable(x float64) bool { return x >= 0 && x < math.MaxInt32 }
 
-func usableSpan(t Time) bool { return t >= 0 && t < never }
+func usableDuration(t Time) bool { return t >= 0 && t < unlimitedDuration }
 
-func usableSpans(all []Time) (usable []Time) {
+func usableDurations(all []Time) (usable []Time) {
 	for _, t := range all {
-		if usableSpan(t) {
+		if usableDuration(t) {
 			usable = stats.AppendRecent(usable, t)
 		}
 	}
--- a/dispatch/learned_test.go
+++ b/dispatch/learned_test.go
@@ -10,90 +10,100 @@
 	"woaddyke/internal/base/stats"
 )
 
-// dispatcherWithSamples is a dispatcher that has seen worker 0 fail, and both serve.
+// dispatcherWithSamples creates a dispatcher that has seen worker 0 fail most ops, and worker 1 succeed.
 func dispatcherWithSamples(t *testing.T) *Dispatcher {
-	d := fleet(2, func(s *Settings) { s.Categories[0].Name = "look" })
+	d := testDispatcher(2, func(s *Settings) { s.Categories[0].Name = "look" })
 	for i := range 2 {
-		identify(d, i, uint64(i+1), 0)
+		setIdentity(d, i, uint64(i+1), 0)
 	}
 	for i := range 80 {
 		d.AddOp(i, OpSpec{TTL: d.now + 50_000, Slots: 1})
-		decisions(d)
+		pullDecisions(d)
 		d.AdvanceClock(d.now + d.probeTimeout())
-		d.ProbeAnswered(0, 3, jobs(float64(i%3)))
-		bad := push(t, d) == 0 && i%5 > 0
+		d.ProbeAnswered(0, 3, loadWithJobs(float64(i%3)))
+		failed := expectPush(t, d) == 0 && i%5 > 0
 		d.AdvanceClock(d.now + 10)
 		d.AttemptProgress(i, 0, Progress{Started: true})
 		d.AdvanceClock(d.now + 200)
-		how := Outcome(stats.Bit(bad) * int(Failed))
-		d.AttemptEnded(i, 0, how, how == Succeeded)
-		decisions(d)
+		outcome := Outcome(stats.Bit(failed) * int(Failed))
+		d.AttemptEnded(i, 0, outcome, outcome == Succeeded)
+		pullDecisions(d)
 	}
 	return d
 }
 
-// The process that took over met every bad worker anew, and had T at 0.
-func TestLearnedSurvivesARoundTrip(t *testing.T) {
-	was := dispatcherWithSamples(t)
-	text, err := json.Marshal(was.Learned())
+// The successor process had to find every failing worker again, and started with T = 0.
+func TestLearnedStateSurvivesARoundTrip(t *testing.T) {
+	source := dispatcherWithSamples(t)
+	text, err := json.Marshal(source.Learned())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var l Learned
-	if err := json.Unmarshal(text, &l); err != nil {
+	var learned Learned
+	if err := json.Unmarshal(text, &learned); err != nil {
 		t.Fatal(err)
 	}
-	is := fleet(2, func(s *Settings) { s.Categories[0].Name = "look" })
+	restored := testDispatcher(2, func(s *Settings) { s.Categories[0].Name = "look" })
 	for i := range 2 {
-		identify(is, i, uint64(i+1), 0)
+		setIdentity(restored, i, uint64(i+1), 0)
 	}
-	is.AdvanceClock(was.now + 5)
-	is.RestoreLearned(l)
-	if !is.Suspected(0, is.now) || is.Suspected(1, is.now) || is.threshold() != was.threshold() || is.estimator.observed != was.estimator.observed {
-		t.Errorf("doubts %v and %v, T %d for %d", is.Suspected(0, is.now), is.Suspected(1, is.now), is.threshold(), was.threshold())
+	restored.AdvanceClock(source.now + 5)
+	restored.RestoreLearned(learned)
+	if !restored.Suspected(0, restored.now) || restored.Suspected(1, restored.now) ||
+		restored.threshold() != source.threshold() || restored.estimator.observed != source.estimator.observed {
+		t.Errorf("suspected: %v and %v, want true and false; T = %d, want %d", restored.Suspected(0, restored.now),
+			restored.Suspected(1, restored.now), restored.threshold(), source.threshold())
 	}
-	was.AdvanceClock(is.now)
+	source.AdvanceClock(restored.now)
 	o := &op{maxAttempts: 1}
 	for i := range 2 {
-		if is.predictFinish(o, i) != was.predictFinish(o, i) || is.probeTimeout() != was.probeTimeout() {
-			t.Errorf("worker %d: foretold %d for %d, probes awaited for %d", i, is.predictFinish(o, i), was.predictFinish(o, i), is.probeTimeout())
+		if restored.predictFinish(o, i) != source.predictFinish(o, i) ||
+			restored.probeTimeout() != source.probeTimeout() {
+			t.Errorf("worker %d: predicted finish %d, want %d; probe timeout %d", i, restored.predictFinish(o, i),
+				source.predictFinish(o, i), restored.probeTimeout())
 		}
 	}
-	if again := is.Learned(); !reflect.DeepEqual(again.Workers, l.Workers) || !reflect.DeepEqual(again.Categories, l.Categories) {
-		t.Error("handed on it is another")
+	if again := restored.Learned(); !reflect.DeepEqual(again.Workers, learned.Workers) ||
+		!reflect.DeepEqual(again.Categories, learned.Categories) {
+		t.Error("what the restored dispatcher has learned differs")
 	}
 }
 
-// A worker that has restarted is another under the same name, and what can't be must not reach a decision.
+// What was learned about a worker's previous process must not be applied to its present one, and impossible
+// values must not reach a decision.
 func TestImpossibleLearnedValuesAreLeftOut(t *testing.T) {
 	l := dispatcherWithSamples(t).Learned()
-	d := fleet(2, func(s *Settings) { s.Categories[0].Name = "look" })
+	d := testDispatcher(2, func(s *Settings) { s.Categories[0].Name = "look" })
 	d.AdvanceClock(1 << 40)
 	d.UpsertWorker(0, WorkerEntry{Ready: true, StartedAt: 1<<40 - 5})
 	for i := range 2 {
-		identify(d, i, uint64(i+1), 0)
+		setIdentity(d, i, uint64(i+1), 0)
 	}
 	l.ThresholdCounts[0][0], l.ThresholdCounts[1][0], l.ThresholdCounts[1][1] = -5, 3, math.MaxFloat64
 	l.HalvedAt, l.StartDelays, l.ProbeRTTs = 1<<50, []Time{-4, math.MaxInt64, 30}, make([]Time, 9000)
 	l.StartSamples = [][2]Time{{1 << 60, 3}, {4, -1}}
 	l.Zones = append(l.Zones, make([]sprt.Verdict[Time], 70))
-	l.Categories = map[string]LearnedCategory{"look": {LongestTTL: math.MaxInt64, ServiceTimes: []Time{-1, 5}}, "gone": {}}
+	l.Categories = map[string]LearnedCategory{"look": {LongestTTL: math.MaxInt64, ServiceTimes: []Time{-1, 5}},
+		"gone": {}}
 	l.Workers[2].ServiceTimeRatios = []float64{-1, math.Inf(1), 2}
 	l.Workers[2].QueueSamples = [][2]float64{{-1, 5}, {1, math.Inf(1)}, {1, 5}}
 	l.Workers[2].Health = append(l.Workers[2].Health, sprt.Verdict[Time]{At: 1 << 60})
 	d.RestoreLearned(l)
 	if len(d.fleet.workers[0].serviceTimeRatios) > 0 || d.Suspected(0, d.now) {
-		t.Error("the worker that has restarted is judged by its past")
+		t.Error("what was learned before the restart is applied to the worker")
 	}
 	for _, v := range d.fleet.workers[1].health.Verdicts() {
 		if v.At > d.now {
-			t.Error("a verdict of a time to come is kept")
+			t.Error("a verdict in the future was restored")
 		}
 	}
-	if w := d.fleet.workers[1]; len(w.serviceTimeRatios) != 1 || len(w.queueSamples) != 1 || len(d.estimator.startDelays) != 1 || len(d.samples.probeRTTs) > stats.MaxRecent ||
-		len(d.samples.startSamples) > 0 || d.estimator.observed[0] != 0 || d.estimator.idleAfter[1] > d.estimator.observed[1] || d.halvedAt > d.now {
-		t.Errorf("%+v, taus %v, %d trips, %d starts, a %v, b %v", w, d.estimator.startDelays, len(d.samples.probeRTTs), len(d.samples.startSamples), d.estimator.observed, d.estimator.idleAfter)
+	if w := d.fleet.workers[1]; len(w.serviceTimeRatios) != 1 || len(w.queueSamples) != 1 ||
+		len(d.estimator.startDelays) != 1 || len(d.samples.probeRTTs) > stats.MaxRecent ||
+		len(d.samples.startSamples) > 0 || d.estimator.observed[0] != 0 ||
+		d.estimator.idleAfter[1] > d.estimator.observed[1] || d.halvedAt > d.now {
+		t.Errorf("%+v, start delays %v, %d round trips, %d starts, a %v, b %v", w, d.estimator.startDelays,
+			len(d.samples.probeRTTs), len(d.samples.startSamples), d.estimator.observed, d.estimator.idleAfter)
 	}
 	d.AddOp(0, OpSpec{TTL: d.now + 50_000, Slots: 1})
-	decisions(d) // it must not panic on any of it
+	pullDecisions(d) // must not panic on any of the values
 }
--- a/dispatch/local_exhaustion.go
+++ b/dispatch/local_exhaustion.go
@@ -2,37 +2,38 @@
 
 import "slices"
 
-// What this machine lacked a descriptor, a port or memory for: no worker saw it, so it proves nothing of
-// one, and the op is owed as many attempts and probe rounds as before.
+// This file handles local exhaustion: this machine lacked a file descriptor, a port or memory for an
+// attempt or a probe. No worker saw it, so it says nothing about a worker and uses up none of the op's
+// attempts and probe rounds.
 
 const (
-	minExhaustionBackoff  = second / 100
-	maxExhaustionBackoff  = second / 10
-	maxExhaustionDoubling = 8
+	minExhaustionBackoff   = second / 100
+	maxExhaustionBackoff   = second / 10
+	maxExhaustionDoublings = 8
 )
 
-// refundAttempt takes back an attempt that this machine lacked the means for.
+// refundAttempt gives an op another attempt for one that ended in local exhaustion.
 func (d *Dispatcher) refundAttempt(o *op) {
-	o.maxAttempts++ // the one that was counted reached no worker
-	o.backOff(d.now)
+	o.maxAttempts++ // the counted attempt reached no worker
+	o.startBackoff(d.now)
 }
 
-// backOff holds an op before it is tried again, longer each time: the shortage would otherwise become a
-// spin.
-func (o *op) backOff(now Time) {
-	o.probes.notBefore = now + min(minExhaustionBackoff<<o.exhaustions, maxExhaustionBackoff)
-	o.exhaustions = min(o.exhaustions+1, maxExhaustionDoubling)
+// startBackoff delays an op's next pair, longer each time: during a shortage the op would otherwise be
+// retried in a busy loop.
+func (o *op) startBackoff(now Time) {
+	o.probes.notBefore = now + min(minExhaustionBackoff<<o.localExhaustions, maxExhaustionBackoff)
+	o.localExhaustions = min(o.localExhaustions+1, maxExhaustionDoublings)
 }
 
-// dropProbed takes a worker out of an op's pair whose probe has no answer: waiting on would only hold the
-// op. Of a pair of which no worker could be probed another one is drawn.
-func (d *Dispatcher) dropProbed(o *op, k int, how Outcome) {
+// dropFromPair removes a worker whose probe failed from an op's pair, so that the op does not wait for it.
+// If local exhaustion leaves no worker in the pair, another pair is drawn after a backoff.
+func (d *Dispatcher) dropFromPair(o *op, k int, outcome Outcome) {
 	p := &o.probes
 	p.pair = slices.Delete(p.pair, k, k+1)
 	p.answered = slices.Delete(p.answered, k, k+1)
 	p.sent--
-	if how == LocalExhaustion && len(p.pair) == 0 {
+	if outcome == LocalExhaustion && len(p.pair) == 0 {
 		o.discardPair()
-		o.backOff(d.now)
+		o.startBackoff(d.now)
 	}
 }
--- a/dispatch/op.go
+++ b/dispatch/op.go
@@ -6,77 +6,77 @@
 	"woaddyke/internal/base/deadlines"
 )
 
-// op is one request of a client, from its admission until the host may use its index anew.
+// op is a request of a client, from its admission until its index may be reused.
 type op struct {
-	index           int
-	number          int // in order of arrival
-	category        int // its place
-	maxAttempts     int // as of its arrival
-	attempts        int
-	ttl, work       Time
-	arrivedAt       Time // when the client first asked, as far as its TTL shows it
-	slots, memory   float64
-	affinityKey     uint64
-	probes          opProbes
-	last            attempt
-	run             firstRun
-	calledInvalidBy []int // the workers that called the op itself invalid
-	exhaustions     int   // attempts and probes for which this machine lacked the means
-	finished        bool  // answered, or its client has disconnected
+	index             int
+	number            int // in order of admission
+	category          int // index into categoryTable.all
+	maxAttempts       int // as set at its admission, plus refunded attempts
+	attempts          int
+	ttl, work         Time
+	arrivedAt         Time // when the client first sent the request, estimated from the TTL
+	slots, memory     float64
+	affinityKey       uint64
+	probes            opProbes
+	lastAttempt       attempt
+	firstRun          firstRun
+	reportedInvalidBy []int // workers that reported the op itself as invalid
+	localExhaustions  int   // attempts and probe rounds that ended in local exhaustion
+	finished          bool  // answered, or its client has disconnected
 }
 
-// opProbes is how far the search for a worker is.
+// opProbes is the state of an op's search for a worker.
 type opProbes struct {
-	pair      []int // the workers to probe, nil before they are drawn
+	pair      []int // workers to probe, nil before they are drawn
 	answered  []bool
 	sent      int
-	sentAt    Time // when the pair was drawn
-	rounds    int  // pairs probed in vain since the last attempt
-	notBefore Time // no pair is drawn until then
+	drawnAt   Time // when the pair was drawn
+	rounds    int  // pairs probed without a push since the last attempt
+	notBefore Time // no pair is drawn before this time
 }
 
-// attempt is the last attempt of an op.
+// attempt is the state of an op's last attempt.
 type attempt struct {
 	inFlight       bool
 	worker         int
 	sentAt         Time
-	startedAt      Time // when the job was said to start; 0 before
-	heardAt        Time // when the worker last said anything of it
+	startedAt      Time // when the start of the job was reported; 0 before that
+	lastHeardAt    Time // when the worker last reported on it; sentAt before the first report
 	queuePosition  float64
 	predictedWait  Time
-	reportedIdle   bool // by the worker's last report the job starts at once
-	silenceCounted bool // its silence was counted against the worker
+	reportedIdle   bool // the worker's last load report showed capacity to start the job at once
+	silenceCounted bool // silence about it was counted against the worker
 }
 
-// firstRun is the first attempt that may have run. It fixes the worker group and the window of further
-// ones.
+// firstRun is the first attempt that may have run. It determines the worker group and the deduplication
+// window of later attempts.
 type firstRun struct {
 	possible    bool
 	sentAt      Time
 	zone, group int
 }
 
-// discardPair lets the next pair be drawn.
+// discardPair clears the pair, so that the next one is drawn.
 func (o *op) discardPair() { o.probes.pair, o.probes.answered, o.probes.sent = nil, nil, 0 }
 
-// firstLook reports whether the op has neither been probed for in vain nor attempted.
-func (o *op) firstLook() bool { return o.attempts+o.probes.rounds == 0 }
+// inFirstRound reports whether the op has had neither an unsuccessful probe round nor an attempt.
+func (o *op) inFirstRound() bool { return o.attempts+o.probes.rounds == 0 }
 
-// opTable holds the ops that are not forgotten.
+// opTable holds the ops that have not been forgotten.
 type opTable struct {
 	byIndex []*op
-	pending []*op // without an attempt in flight, in order of arrival
+	pending []*op // ops without an attempt in flight, in order of admission
 
-	// inFlight are the attempts in flight, by what is awaited of them.
-	inFlight [awaitedEvents]*deadlines.Queue[*op, Time]
+	// inFlight holds the ops with an attempt in flight, by the event that the attempt waits for.
+	inFlight [awaitedEventCount]*deadlines.Queue[*op, Time]
 
-	overdue          []*op // of this round, in order of arrival
+	overdue          []*op // ops whose attempts are overdue in this round, in order of admission
 	overdueCollected bool
-	nextNumber       int // from which Next goes on in this round
-	admitted         int // ops so far
+	nextNumber       int // op number at which Next continues in this round
+	admitted         int // number of ops so far
 }
 
-// at returns the op of an index, nil if there is none.
+// at returns the op at an index, or nil if there is none.
 func (t *opTable) at(i int) *op {
 	if i < 0 || i >= len(t.byIndex) {
 		return nil
@@ -84,16 +84,16 @@
 	return t.byIndex[i]
 }
 
-// attemptAt returns the op of an index if the attempt of that number is in flight, else nil.
+// attemptAt returns the op at an index if the attempt with that number is in flight, else nil.
 func (t *opTable) attemptAt(i, number int) *op {
 	o := t.at(i)
-	if o == nil || !o.last.inFlight || number != o.attempts-1 {
+	if o == nil || !o.lastAttempt.inFlight || number != o.attempts-1 {
 		return nil
 	}
 	return o
 }
 
-// add numbers a new op, which is pending at first.
+// add numbers a new op and adds it to the pending ones.
 func (t *opTable) add(o *op) {
 	for len(t.byIndex) <= o.index {
 		t.byIndex = append(t.byIndex, nil)
@@ -104,7 +104,7 @@
 	t.pending = append(t.pending, o)
 }
 
-// pendingFrom returns where the pending ops of this number and later ones begin.
+// pendingFrom returns the position of the first pending op with this number or a later one.
 func (t *opTable) pendingFrom(number int) int {
 	k, _ := slices.BinarySearchFunc(t.pending, number, func(o *op, n int) int { return o.number - n })
 	return k
@@ -119,17 +119,17 @@
 	t.pending = slices.Delete(t.pending, k, k+1)
 }
 
-// beginRound has all ops looked at again.
+// beginRound makes Next consider all ops again.
 func (t *opTable) beginRound() { t.nextNumber, t.overdue, t.overdueCollected = 0, t.overdue[:0], false }
 
 func (t *opTable) sortOverdue() {
 	slices.SortFunc(t.overdue, func(a, b *op) int { return a.number - b.number })
 }
 
-// nextUndecided returns the next op of this round for which there may be a decision: one without an
-// attempt in flight, or with an overdue one.
+// nextUndecided returns the next op of this round that may need a decision: one that is pending, or whose
+// attempt is overdue.
 func (t *opTable) nextUndecided() *op {
-	for len(t.overdue) > 0 && (t.overdue[0].number < t.nextNumber || !t.overdue[0].last.inFlight) {
+	for len(t.overdue) > 0 && (t.overdue[0].number < t.nextNumber || !t.overdue[0].lastAttempt.inFlight) {
 		t.overdue = t.overdue[1:]
 	}
 	k := t.pendingFrom(t.nextNumber)
@@ -142,14 +142,15 @@
 	return t.overdue[0]
 }
 
-// ClientDisconnected notes that an op's client has gone; nothing is owed to it.
+// ClientDisconnected records that an op's client has disconnected, so that the op gets no further attempt
+// and no answer.
 func (d *Dispatcher) ClientDisconnected(i int) {
 	if o := d.ops.at(i); o != nil {
 		o.finished = true
 	}
 }
 
-// LimitDeadlines cuts every TTL short: an op that outlived its scheduler's process would have no answer.
+// LimitDeadlines limits the TTL of every op: an op that outlives its scheduler's process gets no answer.
 func (d *Dispatcher) LimitDeadlines(deadline Time) {
 	for _, o := range d.ops.byIndex {
 		if o != nil {
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// subscribersPerWorker is the number of workers, the first of a scheduler's own order, of whose
-	// attempts the others notify that scheduler.
-	subscribersPerWorker = 4
-	// maxPeerReportAge bounds the peer reports that count.
+	// workersPerSubscriber is the number of workers, the first in a scheduler's own order, whose attempts
+	// the other schedulers report to it.
+	workersPerSubscriber = 4
+	// maxPeerReportAge is the age up to which a peer report counts.
 	maxPeerReportAge = 10 * second
 )
 
-// peerReport is a report that Next has not returned yet.
+// peerReport is a report to a peer that Next has not returned yet.
 type peerReport struct{ peer, worker int }
 
-// assignSubscribers works out which schedulers are notified of which worker's attempts.
+// assignSubscribers determines the schedulers that are notified of each worker's attempts.
 func (d *Dispatcher) assignSubscribers() {
 	var ready []int
 	for i := range d.fleet.workers {
@@ -29,27 +29,27 @@
 	}
 	for s := range d.settings.Schedulers {
 		stats.RendezvousOrder(schedulerKey(s), ready, d.fleet.identityHash)
-		for _, i := range ready[:min(subscribersPerWorker, len(ready))] {
+		for _, i := range ready[:min(workersPerSubscriber, len(ready))] {
 			w := &d.fleet.workers[i]
 			w.subscribers = append(w.subscribers, s)
 		}
 	}
 }
 
-// reportToPeers notifies the other subscribers of a worker that its attempts have changed.
+// reportToPeers queues reports to the other subscribers of a worker whose attempts in flight have changed.
 func (d *Dispatcher) reportToPeers(i int) {
 	for _, s := range d.fleet.workers[i].subscribers {
 		switch {
 		case s == d.settings.Scheduler:
 		case d.settings.PeerMessages:
 			d.pendingPeerReports = append(d.pendingPeerReports, peerReport{s, i})
-		default: // there are subscribers, so the shadow settings would have reported
+		default: // subscribers exist for the shadow settings only, which would have reported
 			d.shadow.divergence[ShadowedReport]++
 		}
 	}
 }
 
-// PeerReport is another scheduler's report of how many attempts it has in flight at a worker.
+// PeerReport handles another scheduler's report of how many attempts it has in flight at a worker.
 func (d *Dispatcher) PeerReport(peer, i, inFlight int) {
 	if peer < 0 || peer >= d.settings.Schedulers || peer == d.settings.Scheduler || inFlight < 0 {
 		return
@@ -57,14 +57,15 @@
 	d.fleet.workers[i].peerReports.Set(peer, inFlight, d.now)
 }
 
-// PeerLost voids the reports of a scheduler that is dead: its attempts are void too.
+// PeerLost drops the reports of a dead scheduler, whose attempts no longer count.
 func (d *Dispatcher) PeerLost(peer int) {
 	for i := range d.fleet.workers {
 		d.fleet.workers[i].peerReports.Remove(peer)
 	}
 }
 
-// PeerJoined reports to a scheduler that is new all that it would have been notified of.
+// PeerJoined queues reports to a new scheduler for all workers that it subscribes to and that have attempts
+// in flight.
 func (d *Dispatcher) PeerJoined(peer int) {
 	if !d.settings.PeerMessages || peer == d.settings.Scheduler {
 		return
@@ -76,9 +77,9 @@
 	}
 }
 
-// peerTally is a worker's jobs as the sum of all schedulers' attempts, and its slots. It returns false
-// where this scheduler is not notified of the worker's attempts, or must not rely on them.
-func (d *Dispatcher) peerTally(i int) (jobs, slots float64, ok bool) {
+// peerReportedLoad returns a worker's jobs, as the sum of all schedulers' attempts in flight, and its
+// slots. ok is false if this scheduler does not subscribe to the worker, or must not rely on peer reports.
+func (d *Dispatcher) peerReportedLoad(i int) (jobs, slots float64, ok bool) {
 	w := &d.fleet.workers[i]
 	_, subscribed := slices.BinarySearch(w.subscribers, d.settings.Scheduler)
 	jobs = float64(w.peerReports.Sum(d.now, maxPeerReportAge) + len(w.inFlight))
--- a/dispatch/probing.go
+++ b/dispatch/probing.go
@@ -7,22 +7,22 @@
 	"woaddyke/internal/base/stats"
 )
 
-// Which workers an op probes, and what their answers bring.
+// This file chooses the workers that an op probes and handles their answers.
 
 // pairSize is the number of workers probed in a round.
 const pairSize = 2
 
-// ProbeAnswered takes a load report: the answer to a probe, or one that came with an attempt's end.
+// ProbeAnswered handles a load report: the answer to a probe, or one that came with the end of an attempt.
 func (d *Dispatcher) ProbeAnswered(i int, elapsed Time, load LoadReport) {
 	d.samples.probeRTTs = stats.AppendRecent(d.samples.probeRTTs, elapsed)
-	d.digest.valid = false
+	d.summary.valid = false
 	d.endProbe(i, elapsed, Succeeded)
 	w := &d.fleet.workers[i]
 	d.fleet.zones[w.zone].Add(d.now, true)
 	kind := &d.fleet.kinds[w.kind]
 	kind.maxFreeSlots = max(kind.maxFreeSlots, math.Round(load.FreeSlots))
 	if load.RunningJobs < 0 && load.FreeSlots >= 0 && load.QueuedJobs >= 0 {
-		// Without a count each reading would be one of no jobs, T would stay 0 and all would be Low.
+		// Without a job count each reading would show no jobs, T would stay 0 and all workers would be Low.
 		load.RunningJobs = load.QueuedJobs + max(kind.maxFreeSlots-load.FreeSlots, 0)
 	}
 	r := reading{load: load, answeredAt: d.now, sentAt: d.now - elapsed}
@@ -30,35 +30,36 @@
 	w.readings = stats.AppendRecent(w.readings, r)
 }
 
-// ProbeFailed is a probe without a report. An unreachable zone shows in probes first: over many workers
-// each scheduler has too few outcomes of any one to notice. A rejected probe has reached its worker.
-func (d *Dispatcher) ProbeFailed(i int, elapsed Time, how Outcome) {
-	if how != LocalExhaustion {
-		d.fleet.zones[d.fleet.workers[i].zone].Add(d.now, how == Rejected)
+// ProbeFailed handles a probe that ended without a load report. An unreachable zone shows in probes first:
+// with many workers, a scheduler sees too few outcomes of each one to notice. A rejected probe has reached
+// its worker.
+func (d *Dispatcher) ProbeFailed(i int, elapsed Time, outcome Outcome) {
+	if outcome != LocalExhaustion {
+		d.fleet.zones[d.fleet.workers[i].zone].Add(d.now, outcome == Rejected)
 	}
-	d.endProbe(i, elapsed, how)
+	d.endProbe(i, elapsed, outcome)
 }
 
-// endProbe notes the end of a probe for each op that waits for one of this worker.
-func (d *Dispatcher) endProbe(i int, elapsed Time, how Outcome) {
+// endProbe records the end of a probe in each op that waits for one of this worker.
+func (d *Dispatcher) endProbe(i int, elapsed Time, outcome Outcome) {
 	for _, o := range d.ops.pending {
 		k := slices.Index(o.probes.pair, i)
-		if o.finished || k < 0 || d.now-elapsed < o.probes.sentAt {
+		if o.finished || k < 0 || d.now-elapsed < o.probes.drawnAt {
 			continue
 		}
-		if o.probes.answered[k] = how == Succeeded; how != Succeeded {
-			d.dropProbed(o, k, how)
+		if o.probes.answered[k] = outcome == Succeeded; outcome != Succeeded {
+			d.dropFromPair(o, k, outcome)
 		}
 	}
 }
 
-// candidates are the workers that the op may be pushed to. Of suspected workers and zones only some, by
-// chance; all of them where no other is left.
+// candidates returns the workers that the op may be pushed to. Suspected workers, and workers in suspected
+// zones, are included at random; all of them are if no other worker is left.
 func (d *Dispatcher) candidates(o *op) []int {
 	var eligible, admitted []int
-	open := make([]bool, len(d.fleet.zones))
-	for z := range open {
-		open[z] = d.fleet.zones[z].Admitted(d.now, &d.random)
+	zoneAdmitted := make([]bool, len(d.fleet.zones))
+	for z := range zoneAdmitted {
+		zoneAdmitted[z] = d.fleet.zones[z].Admitted(d.now, &d.random)
 	}
 	for i := range d.fleet.workers {
 		if !d.mayPush(o, i) {
@@ -66,7 +67,7 @@
 		}
 		eligible = append(eligible, i)
 		w := &d.fleet.workers[i]
-		if (o.attempts == 0 || i != o.last.worker) && open[w.zone] && d.admits(w) {
+		if (o.attempts == 0 || i != o.lastAttempt.worker) && zoneAdmitted[w.zone] && d.admits(w) {
 			admitted = append(admitted, i)
 		}
 	}
@@ -76,22 +77,23 @@
 	return eligible
 }
 
-// samplePair draws the workers to probe from some of all candidates. Where crossing zones is paid for,
-// one of them comes from the own zone: else most ops of a small zone would meet only workers of other
-// zones.
-func (d *Dispatcher) samplePair(o *op, from []int, all int) (pair []int) {
+// samplePair draws the workers to probe from the preferred ones of all candidates. If crossing zones has a
+// price, one of them is in the own zone: otherwise most ops of a small zone would probe workers of other
+// zones only.
+func (d *Dispatcher) samplePair(o *op, from []int, candidateCount int) (pair []int) {
 	inZone, total := d.partitionByZone(from), len(from)
 	for len(pair) < pairSize && len(from) > 0 {
-		k, n := d.random.IntN(len(from)), all
+		k, n := d.random.IntN(len(from)), candidateCount
 		if inZone > 0 && len(from) == total {
-			// A small zone's workers are probed more than others, so each one's part of the ops is larger.
-			k, n = d.random.IntN(inZone), min(all, inZone*len(d.fleet.zones))
+			// The workers of a small zone are probed more often than others, so each one gets a larger part
+			// of the ops.
+			k, n = d.random.IntN(inZone), min(candidateCount, inZone*len(d.fleet.zones))
 		}
 		i := from[k]
 		from = slices.Delete(from, k, k+1)
 		if d.excludedBySlowStart(o, &d.fleet.workers[i], n) {
-			// Another one that is warming up, in its place, would be probed more than its probability
-			// says.
+			// Another warming worker, drawn in its place, would be probed more often than its admission
+			// probability allows.
 			from = d.withoutWarmingUp(from)
 			continue
 		}
@@ -100,9 +102,10 @@
 	return pair
 }
 
-// partitionByZone moves the workers of the own zone to the front and returns their number. It is 0 where
-// crossing costs nothing, where all are in the own zone, and where that is clearly busier than the
-// others: a zone with more than its part of the schedulers would do all their work.
+// partitionByZone moves the workers of the own zone to the front and returns their number. It returns 0 if
+// crossing zones has no price, if all workers are in the own zone, or if that zone is clearly busier than
+// the others: the workers of a zone with more than its part of the schedulers would otherwise do all the
+// work of these.
 func (d *Dispatcher) partitionByZone(from []int) (inZone int) {
 	if d.settings.CrossZonePrice <= 0 {
 		return 0
@@ -125,20 +128,21 @@
 	return inZone
 }
 
-// probeTimeout is how long an op waits for its probes: twice the median round trip, and a step.
+// probeTimeout returns how long an op waits for its probes: twice the median round-trip time, and a tick
+// interval.
 func (d *Dispatcher) probeTimeout() Time {
 	if len(d.samples.probeRTTs) == 0 {
 		return d.categories.minObjective / 4
 	}
-	return min(2*d.currentDigest().probeRTT+d.settings.TickInterval, d.categories.minObjective/2)
+	return min(2*d.currentSummary().probeRTT+d.settings.TickInterval, d.categories.minObjective/2)
 }
 
-// queueTooLong reports whether a worker was read too lately for its queue to be short enough for the op by
-// now.
+// queueTooLong reports whether a worker's last load report is so recent that its queue must still be too
+// long for the op.
 func (d *Dispatcher) queueTooLong(o *op, i int) bool {
-	if _, _, ok := d.peerTally(i); ok {
-		return d.predictWait(o, i) > d.patience(o)
+	if _, _, ok := d.peerReportedLoad(i); ok {
+		return d.predictWait(o, i) > d.maxWait(o)
 	}
 	r := d.fleet.workers[i].lastReading()
-	return r != nil && d.now < r.answeredAt+d.predictWait(o, i)-d.patience(o)
+	return r != nil && d.now < r.answeredAt+d.predictWait(o, i)-d.maxWait(o)
 }
--- a/dispatch/queries.go
+++ b/dispatch/queries.go
@@ -1,11 +1,11 @@
 package dispatch
 
-// Suspected reports to operators whether a listed worker, or the way to its zone, is suspected: it gets
-// ops by chance only. Nothing is decided by this.
+// Suspected reports whether a listed worker, or the connection to its zone, is suspected, so that the
+// worker gets ops at random only. It is for operators; no decision depends on it.
 func (d *Dispatcher) Suspected(i int, now Time) bool {
 	w := &d.fleet.workers[i]
 	return w.health.Suspected(now) || d.fleet.zones[w.zone].Suspected(now)
 }
 
-// CategoryEffect is how often ops of the category at a place may run.
-func (d *Dispatcher) CategoryEffect(place int) Effect { return d.categories.all[place].Effect }
+// CategoryEffect returns the effect of the category at an index.
+func (d *Dispatcher) CategoryEffect(index int) Effect { return d.categories.all[index].Effect }
--- a/dispatch/reference_model_test.go
+++ b/dispatch/reference_model_test.go
@@ -1,14 +1,14 @@
 package dispatch
 
-// referenceModel is a slow implementation of the rules: it keeps all that happened and works out afresh what is
-// allowed.
+// referenceModel is a simple and slow implementation of the rules. It records all events and derives from
+// them what is allowed.
 type referenceModel struct {
 	ready      map[int]bool
 	groupOf    map[int][2]int // zone and worker group
 	startedAt  map[int]Time
 	ops        map[int]*referenceOp
-	freeSlots  map[int]float64 // by the last report
-	reportedAt map[int]Time    // when that came in
+	freeSlots  map[int]float64 // by the last load report
+	reportedAt map[int]Time    // when that report arrived
 }
 
 func newReferenceModel() *referenceModel {
@@ -39,19 +39,20 @@
 }
 
 func (p referenceAttempt) mayHaveRun() bool {
-	return !p.ended || p.outcome != Rejected && p.outcome != Unreachable && p.outcome != NotSent && p.outcome != LocalExhaustion
+	return !p.ended || p.outcome != Rejected && p.outcome != Unreachable && p.outcome != NotSent &&
+		p.outcome != LocalExhaustion
 }
 
 func (m *referenceModel) mayPush(s Settings, op, worker int, now Time) bool {
 	o := m.ops[op]
 	c := s.Categories[o.category]
-	sent := 0
+	counted := 0
 	for _, p := range o.attempts {
-		if !p.ended || p.outcome != LocalExhaustion { // that one reached no worker
-			sent++
+		if !p.ended || p.outcome != LocalExhaustion { // it reached no worker
+			counted++
 		}
 	}
-	if o.answered || !m.ready[worker] || sent >= s.MaxAttempts {
+	if o.answered || !m.ready[worker] || counted >= s.MaxAttempts {
 		return false
 	}
 	for _, p := range o.attempts {
@@ -71,7 +72,7 @@
 			c.DedupScope == DedupInGroup && m.groupOf[worker] != p.group:
 			return false
 		}
-		break // the first that may have run fixes group and window
+		break // the first attempt that may have run determines the worker group and the window
 	}
 	return true
 }
@@ -80,27 +81,28 @@
 	o := m.ops[op]
 	c := s.Categories[o.category]
 	for _, p := range o.attempts {
-		past := now >= p.sentAt+c.DedupWindow
+		expired := now >= p.sentAt+c.DedupWindow
 		if p.mayHaveRun() && c.Effect != Idempotent &&
-			(c.Effect == AtMostOnce || c.DedupScope != DedupEverywhere || past) {
+			(c.Effect == AtMostOnce || c.DedupScope != DedupEverywhere || expired) {
 			return false
 		}
 	}
 	return true
 }
 
-// hadCapacity reports whether a warming worker has a slot for its attempts, by its last report and later attempts.
+// hadCapacity reports whether a warming worker has slots for its attempts, by its last load report and the
+// attempts since.
 func (m *referenceModel) hadCapacity(worker int, now Time) bool {
-	if since := m.startedAt[worker]; since == 0 || now >= since+80_000 {
+	if startedAt := m.startedAt[worker]; startedAt == 0 || now >= startedAt+80_000 {
 		return true
 	}
-	room := m.freeSlots[worker]
+	freeSlots := m.freeSlots[worker]
 	for _, o := range m.ops {
 		for _, p := range o.attempts {
 			if p.worker == worker && !p.ended && p.sentAt >= m.reportedAt[worker] {
-				room -= p.slots
+				freeSlots -= p.slots
 			}
 		}
 	}
-	return room >= 0
+	return freeSlots >= 0
 }
--- a/dispatch/rejection.go
+++ b/dispatch/rejection.go
@@ -1,21 +1,21 @@
 package dispatch
 
-// RejectionReason is the reason for which an op was given up.
+// RejectionReason is the reason why an op was rejected.
 type RejectionReason int
 
-// The reasons, a closed set: logs and figures name them.
+// The reasons are a closed set: logs and metrics name them.
 const (
 	NotRejected       RejectionReason = iota
 	DeadlineExceeded                  // its TTL leaves time for the answer only
 	AttemptsExhausted                 // no further attempt is allowed
-	CapacityShort                     // ops like it find no place in the fleet now
-	QueuesTooLong                     // at each worker that it may go to, the queue is known to be too long
-	NoEligibleWorker                  // there is no worker to probe, and its objective has passed
-	StartTooLate                      // at the workers that it probed it would start too late
-	rejectionReasons
+	CapacityShort                     // shed while the fleet's capacity is short
+	QueuesTooLong                     // the queue of every eligible worker is known to be too long
+	NoEligibleWorker                  // there is no worker to probe, and its latency objective has passed
+	StartTooLate                      // it would start too late at the probed workers
+	rejectionReasonCount
 )
 
-var rejectionNames = [rejectionReasons]string{
+var rejectionNames = [rejectionReasonCount]string{
 	NotRejected:       "not rejected",
 	DeadlineExceeded:  "deadline exceeded",
 	AttemptsExhausted: "attempts exhausted",
@@ -26,7 +26,7 @@
 }
 
 func (r RejectionReason) String() string {
-	if r < 0 || r >= rejectionReasons {
+	if r < 0 || r >= rejectionReasonCount {
 		r = NotRejected
 	}
 	return rejectionNames[r]
--- a/dispatch/retries.go
+++ b/dispatch/retries.go
@@ -1,46 +1,49 @@
 package dispatch
 
-// What may be pushed again, where, and when a nack keeps its promise.
+// This file decides whether and where an op may be pushed again, and when a nack may promise that a retry
+// is harmless.
 
-// mayPush keeps rules 2 and 3: may this op be pushed to this worker now? Rule 4 is kept by
-// excludedBySlowStart and chooseWorker.
+// mayPush reports whether the op may be pushed to a worker now. It enforces rules 2 and 3;
+// excludedBySlowStart and chooseWorker enforce rule 4.
 func (d *Dispatcher) mayPush(o *op, i int) bool {
 	w := &d.fleet.workers[i]
-	if !w.ready || o.last.inFlight || o.finished || !d.mayAttempt(o) {
+	if !w.ready || o.lastAttempt.inFlight || o.finished || !d.mayAttempt(o) {
 		return false
 	}
 	c := &d.categories.all[o.category]
-	if !o.run.possible || c.Effect != Deduplicated || c.DedupScope == DedupEverywhere {
+	if !o.firstRun.possible || c.Effect != Deduplicated || c.DedupScope == DedupEverywhere {
 		return true
 	}
-	if c.DedupScope == DedupInZone && w.zone == o.run.zone {
+	if c.DedupScope == DedupInZone && w.zone == o.firstRun.zone {
 		return true
 	}
-	return w.group == o.run.group // no two zones share a group
+	return w.group == o.firstRun.group // a group lies within one zone
 }
 
-// mayAttempt reports whether a further attempt is allowed at all; a dial must not outlast the window. An
-// op that two workers call invalid is: each of its attempts would count against a sound worker.
+// mayAttempt reports whether a further attempt is allowed. Its dial must not outlast the deduplication
+// window. None is allowed for an op that two workers reported as invalid: each one would count against a
+// healthy worker.
 func (d *Dispatcher) mayAttempt(o *op) bool {
 	c := &d.categories.all[o.category]
-	if o.attempts >= o.maxAttempts || len(o.calledInvalidBy) > 1 {
+	if o.attempts >= o.maxAttempts || len(o.reportedInvalidBy) > 1 {
 		return false
 	}
-	if !o.run.possible && !o.last.inFlight || c.Effect == Idempotent {
+	if !o.firstRun.possible && !o.lastAttempt.inFlight || c.Effect == Idempotent {
 		return true
 	}
-	firstSentAt := o.last.sentAt // the attempt in flight may be the first that runs
-	if o.run.possible {
-		firstSentAt = o.run.sentAt
+	firstSentAt := o.lastAttempt.sentAt // the attempt in flight may be the first that runs
+	if o.firstRun.possible {
+		firstSentAt = o.firstRun.sentAt
 	}
 	return c.Effect == Deduplicated && d.now+d.settings.DialTimeout < firstSentAt+c.DedupWindow
 }
 
-// retryIsHarmless reports whether a nack keeps its promise.
+// retryIsHarmless reports whether a nack may promise that a retry does not make the op run more often than
+// its effect allows.
 func (d *Dispatcher) retryIsHarmless(o *op) bool {
 	c := &d.categories.all[o.category]
-	if !o.run.possible || c.Effect == Idempotent {
+	if !o.firstRun.possible || c.Effect == Idempotent {
 		return true
 	}
-	return c.Effect == Deduplicated && c.DedupScope == DedupEverywhere && d.now < o.run.sentAt+c.DedupWindow
+	return c.Effect == Deduplicated && c.DedupScope == DedupEverywhere && d.now < o.firstRun.sentAt+c.DedupWindow
 }
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -8,28 +8,28 @@
 	"testing/quick"
 )
 
-func TestRulesAgreeWithPlainModel(t *testing.T) {
+func TestRandomFaultsKeepTheRulesOfTheReferenceModel(t *testing.T) {
 	if err := quick.Check(func(seed int64) bool { return newFaultRun(t, seed).run() },
 		&quick.Config{MaxCount: 150, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// faultRun drives a dispatcher through random faults and checks each decision against the reference model.
+// faultRun exposes a dispatcher to random faults and checks each decision against the reference model.
 type faultRun struct {
 	t        *testing.T
 	random   *rand.Rand
 	settings Settings
 	d        *Dispatcher
 	model    *referenceModel
-	numbers  []int // the model's op by the dispatcher's index, 0 where that is free
+	numbers  []int // the model's op number by the dispatcher's op index; 0 if the index is free
 	lastOp   int
 	now      Time
 }
 
 const (
 	faultRunSteps    = 400
-	faultRunArrivals = 300 // steps in which ops arrive; after them all have to get their answers
+	faultRunArrivals = 300 // steps in which ops are admitted; later steps are for their answers
 )
 
 func newFaultRun(t *testing.T, seed int64) *faultRun {
@@ -69,20 +69,20 @@
 	}
 	for number, o := range r.model.ops {
 		if !o.answered {
-			return r.fault("op %d of category %d never answered", number, o.category)
+			return r.failf("op %d of category %d got no answer", number, o.category)
 		}
 	}
 	return true
 }
 
-// fault logs what was found and returns false.
-func (r *faultRun) fault(format string, args ...any) bool {
+// failf logs a failure and returns false.
+func (r *faultRun) failf(format string, args ...any) bool {
 	r.t.Helper()
 	r.t.Logf(format, args...)
 	return false
 }
 
-// updateEndpoints gives the dispatcher a snapshot, a delta or, most often, nothing.
+// updateEndpoints sends the dispatcher a snapshot, a delta or, in most steps, nothing.
 func (r *faultRun) updateEndpoints(first bool) {
 	switch {
 	case first || r.random.Intn(60) == 0:
@@ -101,8 +101,8 @@
 	r.d.EndUpdate()
 }
 
-// updateWorker changes whether a worker is ready, and sometimes restarts it: reports of its last process say
-// nothing of the new one.
+// updateWorker changes whether a worker is ready, and sometimes restarts it. Load reports of the previous
+// process do not apply to the new one.
 func (r *faultRun) updateWorker(i int) {
 	m := r.model
 	if m.groupOf[i] == [2]int{} {
@@ -130,7 +130,7 @@
 	r.d.AddOp(index, spec)
 }
 
-// continueAttempt ends the last attempt of an op in any way, has it progress, or leaves it.
+// continueAttempt ends the last attempt of an op with a random outcome, reports progress, or does nothing.
 func (r *faultRun) continueAttempt(index int, o *referenceOp) {
 	number := len(o.attempts) - 1
 	a := &o.attempts[number]
@@ -149,7 +149,7 @@
 	r.d.AttemptEnded(index, number, a.outcome, o.answered)
 }
 
-// checkDecisions pulls all decisions, carries them out and checks them.
+// checkDecisions pulls all decisions, checks them and carries them out.
 func (r *faultRun) checkDecisions() bool {
 	for {
 		if !r.mayPushAgrees() {
@@ -157,7 +157,7 @@
 		}
 		next := r.d.Next()
 		if next.Kind == NoDecision {
-			return r.nobodyOutlivedItsTTL() && deadlinesAgree(r.t, r.d)
+			return r.noOpOutlivedItsTTL() && deadlinesMatchAFullScan(r.t, r.d)
 		}
 		if !r.checkDecision(next) {
 			return false
@@ -165,7 +165,7 @@
 	}
 }
 
-// mayPushAgrees compares what the dispatcher and the model allow, for each op and worker.
+// mayPushAgrees compares what the dispatcher and the model allow for each op and worker.
 func (r *faultRun) mayPushAgrees() bool {
 	for index, number := range r.numbers {
 		o := r.d.ops.at(index)
@@ -174,17 +174,17 @@
 		}
 		for w := range r.d.fleet.workers {
 			if want := r.model.mayPush(r.settings, number, w, r.now); r.d.mayPush(o, w) != want {
-				return r.fault("op of category %d, worker %d: dispatcher %v, model %v", o.category, w, !want, want)
+				return r.failf("op of category %d, worker %d: dispatcher %v, model %v", o.category, w, !want, want)
 			}
 		}
 	}
 	return true
 }
 
-func (r *faultRun) nobodyOutlivedItsTTL() bool {
+func (r *faultRun) noOpOutlivedItsTTL() bool {
 	for _, o := range r.model.ops {
 		if !o.answered && r.now > o.ttl+100 && !o.inFlight() {
-			return r.fault("an op of category %d outlived its TTL", o.category)
+			return r.failf("an op of category %d outlived its TTL", o.category)
 		}
 	}
 	return true
@@ -198,22 +198,22 @@
 		return r.checkPush(next)
 	case CancelAttempt:
 		if !o.inFlight() || !r.settings.CancelsAttempts {
-			return r.fault("cancelled against the rules: category %d", o.category)
+			return r.failf("an attempt was cancelled against the rules: category %d", o.category)
 		}
 		a := &o.attempts[len(o.attempts)-1]
 		a.ended, a.outcome = true, Cancelled
 		r.d.AttemptEnded(next.Op, len(o.attempts)-1, Cancelled, false)
 	case Nack, DeadLetter:
 		if o.answered || next.Kind == Nack && !m.mayNack(r.settings, number, r.now) || o.inFlight() {
-			return r.fault("decision %v against the rules: category %d", next.Kind, o.category)
+			return r.failf("decision %v against the rules: category %d", next.Kind, o.category)
 		}
 		o.answered = true
 	case Probe:
 		if !m.ready[next.Worker] {
-			return r.fault("probe of a worker that is not ready")
+			return r.failf("a worker that is not ready was probed")
 		}
 		if r.random.Intn(4) > 0 {
-			load := jobs(float64(r.random.Intn(7)))
+			load := loadWithJobs(float64(r.random.Intn(7)))
 			r.d.ProbeAnswered(next.Worker, 0, load)
 			m.freeSlots[next.Worker], m.reportedAt[next.Worker] = load.FreeSlots, r.now
 		}
@@ -228,27 +228,27 @@
 	o := m.ops[number]
 	tooLong := r.now+timeout >= o.ttl && timeout > 1
 	if !m.mayPush(r.settings, number, next.Worker, r.now) || tooLong || r.now >= o.ttl {
-		return r.fault("push against the rules: category %d worker %d", o.category, next.Worker)
+		return r.failf("push against the rules: category %d worker %d", o.category, next.Worker)
 	}
 	o.attempts = append(o.attempts, referenceAttempt{group: m.groupOf[next.Worker], sentAt: r.now,
 		timeoutAt: r.now + timeout, worker: next.Worker, slots: r.d.ops.byIndex[next.Op].slots})
 	if r.settings.Probes && !m.hadCapacity(next.Worker, r.now) {
-		return r.fault("a push to warming worker %d without capacity", next.Worker)
+		return r.failf("push to warming worker %d without capacity", next.Worker)
 	}
 	return true
 }
 
-// deadlinesAgree compares the queues of deadlines with a scan of all attempts in flight: one that they lose
-// is never found silent.
-func deadlinesAgree(t *testing.T, d *Dispatcher) bool {
+// deadlinesMatchAFullScan compares the deadline queues with a scan of all attempts in flight. An attempt
+// missing from the queues would never be found overdue.
+func deadlinesMatchAFullScan(t *testing.T, d *Dispatcher) bool {
 	want, got := Time(math.MaxInt64), Time(math.MaxInt64)
 	for _, o := range d.ops.byIndex {
-		if o == nil || !o.last.inFlight || o.finished || o.last.silenceCounted {
+		if o == nil || !o.lastAttempt.inFlight || o.finished || o.lastAttempt.silenceCounted {
 			continue
 		}
-		limit := d.silenceLimit(o)
+		limit := d.silenceDeadline(o)
 		if d.now >= limit {
-			t.Logf("op %d is overdue and was not looked at", o.index)
+			t.Logf("op %d is overdue and was not considered", o.index)
 			return false
 		}
 		if limit < o.ttl {
@@ -256,12 +256,12 @@
 		}
 	}
 	for k, a := range d.ops.inFlight {
-		if at, ok := a.Next(d.silenceAllowance(awaited(k))); ok {
+		if at, ok := a.Next(d.silenceTimeout(awaitedEvent(k))); ok {
 			got = min(got, at)
 		}
 	}
 	if got != want {
-		t.Logf("the queues of deadlines wake at %d, a walk at %d", got, want)
+		t.Logf("next deadline: %d by the queues, %d by the scan", got, want)
 	}
 	return got == want
 }
--- a/dispatch/samples.go
+++ b/dispatch/samples.go
@@ -3,28 +3,28 @@
 import "woaddyke/internal/base/stats"
 
 const (
-	// minStartSamples are needed before anything is concluded from start samples.
+	// minStartSamples is the number of start samples from which on they are used.
 	minStartSamples = stats.MaxRecent / 4
-	// maxStartSampleAge bounds the start samples that tell whether reports are stale: old staleness must
-	// not keep reports out.
+	// maxStartSampleAge is the age up to which start samples show whether load reports are stale: reports
+	// that were stale before must not be ignored for good.
 	maxStartSampleAge = maxVerdictAge / 3
 )
 
-// loadSamples are the latest measurements of the whole fleet.
+// loadSamples holds the latest measurements of the whole fleet.
 type loadSamples struct {
-	probeRTTs    []Time        // the last few
-	startSamples []startSample // the last few, of jobs that by a report were to start at once
-	queue        queueTotals   // of all workers' queue samples
+	probeRTTs    []Time        // the most recent
+	startSamples []startSample // the most recent, of jobs that a load report showed capacity to start at once
+	queue        queueTotals   // the sum of all workers' queue samples
 }
 
 func (s *loadSamples) addStart(sample startSample) {
 	s.startSamples = stats.AppendRecent(s.startSamples, sample)
 }
 
-// startSample is when a job started, and how long after its push.
+// startSample is when a job started, and its delay after the push.
 type startSample struct{ at, delay Time }
 
-// queueTotals sums queue samples up.
+// queueTotals is a sum of queue samples.
 type queueTotals struct {
 	positions float64
 	waits     Time
@@ -40,20 +40,20 @@
 	q.waits -= s.wait
 }
 
-// digest caches what is worked out of the samples: over a large fleet, working it out for each worker of
-// each op took more CPU time than a scheduler has.
-type digest struct {
+// sampleSummary caches what is computed from the samples: over a large fleet, computing it for each worker
+// of each op took more CPU time than a scheduler has.
+type sampleSummary struct {
 	valid          bool
 	probeRTT       Time    // the median
-	maxStartDelay  Time    // the longest of the start samples
-	reportsStale   bool    // load reports come late
-	reportAccuracy float64 // the fraction of the jobs reported to start at once that did
-	capacityShort  bool    // ops that were given all probe rounds find no place
+	maxStartDelay  Time    // longest delay of the start samples
+	reportsStale   bool    // load reports are too old to be used
+	reportAccuracy float64 // fraction of the start samples that were prompt
+	capacityShort  bool    // narrow ops cannot be placed in all their probe rounds
 }
 
-// currentDigest works the digest out where inputs have come since.
-func (d *Dispatcher) currentDigest() *digest {
-	g := &d.digest
+// currentSummary returns the summary. It is recomputed if inputs have come since.
+func (d *Dispatcher) currentSummary() *sampleSummary {
+	g := &d.summary
 	if g.valid {
 		return g
 	}
@@ -72,7 +72,7 @@
 			n++
 		}
 	}
-	// Reports that are seconds old send all schedulers to the workers that look idle.
+	// Reports that are seconds old make all schedulers push to the workers that look idle.
 	g.reportsStale = len(d.samples.probeRTTs) > 0 && n >= minStartSamples && 3*late > n
 	g.reportAccuracy = float64(n-late) / float64(n+1)
 	return g
--- a/dispatch/shadow.go
+++ b/dispatch/shadow.go
@@ -14,13 +14,13 @@
 	ShadowedPair ShadowedDecision = iota
 	ShadowedPlacement
 	ShadowedReport
-	shadowedDecisions
+	shadowedDecisionCount
 )
 
 // shadow repeats decisions under other settings and counts those that differ.
 type shadow struct {
-	settings   *Settings // nil where nothing is repeated
-	divergence [shadowedDecisions]int
+	settings   *Settings // nil if no decision is repeated
+	divergence [shadowedDecisionCount]int
 }
 
 // exchangesPeerReports reports whether schedulers would report to each other under the shadow settings.
@@ -28,14 +28,16 @@
 	return s.settings != nil && s.settings.exchangesPeerReports()
 }
 
-// SetShadowSettings has this dispatcher count how often other settings would have had it decide otherwise.
+// SetShadowSettings makes this dispatcher count its decisions that would differ under other settings.
 func (d *Dispatcher) SetShadowSettings(settings Settings) { d.shadow.settings = &settings }
 
-// ShadowDivergence returns the number of decisions of each kind that shadow settings would have changed.
-func (d *Dispatcher) ShadowDivergence() [shadowedDecisions]int { return d.shadow.divergence }
+// ShadowDivergence returns the number of decisions of each kind that would differ under the shadow
+// settings.
+func (d *Dispatcher) ShadowDivergence() [shadowedDecisionCount]int { return d.shadow.divergence }
 
-// withShadow decides, where there are shadow settings first under these, with the same random numbers.
-// Peer reports are never received under them, so they decide as if there were none.
+// withShadow makes a decision. With shadow settings, it first makes it under these, with the same random
+// numbers, and counts a difference. Peer reports are never received under shadow settings, so the decision
+// is made there as if there were none.
 func (d *Dispatcher) withShadow(kind ShadowedDecision, decide func() []int) []int {
 	if d.shadow.settings == nil {
 		return decide()
--- a/dispatch/slow_start.go
+++ b/dispatch/slow_start.go
@@ -6,17 +6,18 @@
 	"woaddyke/internal/base/stats"
 )
 
-// How much a worker that is warming up is sent by this scheduler alone, without knowledge of what the
-// others send. docs/design.md has the sum of what all send, and how far it is spread.
+// This file limits what this scheduler sends to a worker that is warming up, without knowledge of what the
+// others send. docs/design.md describes the sum over all schedulers and its dispersion.
 
 const (
-	// demandHeadroom is by how much arrivals may grow before it shows in the ratio of ops that succeed.
+	// demandHeadroom is the factor by which arrivals may grow before the ratio of ops that succeed shows
+	// it.
 	demandHeadroom = 1.5
-	// maxCountedOps bounds the ops in the demand's ratio, so that it follows the present demand.
+	// maxCountedOps limits the ops in the ratio of the demand, so that it follows the present demand.
 	maxCountedOps = 2 * stats.MaxRecent
 )
 
-// demandCounts counts ops for which a worker was drawn, and those that succeeded.
+// demandCounts counts the ops for which a worker was drawn, and those that succeeded.
 type demandCounts struct{ drawn, succeeded float64 }
 
 func (c *demandCounts) addDrawn() {
@@ -29,12 +30,12 @@
 
 func (c *demandCounts) addSucceeded() { c.succeeded++ }
 
-// warmingUp reports whether a worker's process has started too lately to have its full capacity.
+// warmingUp reports whether a worker's process has started too recently to have its full capacity.
 func (d *Dispatcher) warmingUp(w *worker) bool {
 	return w.startedAt > 0 && d.now < w.startedAt+d.settings.SlowStart.WarmAfter
 }
 
-// capacityReached is the fraction of its capacity that a worker has for sure.
+// capacityReached returns the fraction of its full capacity that a worker is certain to have.
 func (d *Dispatcher) capacityReached(w *worker) float64 {
 	if !d.warmingUp(w) {
 		return 1
@@ -43,9 +44,9 @@
 	return s.InitialCapacity + (1-s.InitialCapacity)*float64(d.now-w.startedAt)/float64(s.WarmAfter)
 }
 
-// slowStartBudget is how many ops like this one the settings allow all schedulers together to send to a
-// worker within the overload window: the stated multiple of what it can do by now. Its capacity is
-// reported nowhere; it is taken as the most slots that its kind has shown, each busy with one such op
+// slowStartBudget returns how many ops like this one the settings allow all schedulers together to send to
+// a worker within the overload window: OverloadFactor times what it can do by now. Workers do not report
+// their capacity; it is taken as the most slots seen at a worker of its kind, each busy with one such op
 // after the other.
 func (d *Dispatcher) slowStartBudget(o *op, w *worker) float64 {
 	s := &d.settings.SlowStart
@@ -54,18 +55,18 @@
 	return s.OverloadFactor * d.capacityReached(w) * slots * float64(s.OverloadWindow) / serviceTime
 }
 
-// meanWithinBudget is the fraction of a budget of n that the mean may be, so that chance does not pass n
-// + 2 sqrt(n) + 2, at which a worker fails. That is about (sqrt(n) + 1)^2, and a Poisson sum's deviation
-// is a half on the scale of square roots, whatever its mean.
+// meanWithinBudget returns the fraction of a budget of n ops that their mean number may be, so that random
+// variation does not exceed n + 2 sqrt(n) + 2, above which a worker fails. That is about (sqrt(n) + 1)^2,
+// and the standard deviation of the square root of a Poisson variable is about a half, whatever its mean.
 func meanWithinBudget(n float64) float64 {
 	root := math.Sqrt(n)
 	return root / (root + 1) * root / (root + 1)
 }
 
-// demand is the ops that arrive over what the fleet can do, 1 at least. A scheduler that sees a part of
-// them sees their ratio: ops for each one that succeeds, times the fraction of their capacity that the
-// ready workers have reached. Ops for which no worker was drawn don't count: a fleet that is all warming
-// up would show ever more demand, and be sent ever less.
+// demand returns the ratio of the arriving ops to what the fleet can do, at least 1. A scheduler that sees
+// only a part of the ops sees the ratio: the ops per op that succeeds, times the fraction of their capacity
+// that the ready workers have reached. Ops for which no worker was drawn are not counted: otherwise a fleet
+// whose workers are all warming up would show ever more demand, and get ever fewer ops.
 func (d *Dispatcher) demand() float64 {
 	reached := 0.0
 	for i := range d.fleet.workers {
@@ -77,21 +78,22 @@
 	return max(ratio*reached/float64(max(d.fleet.ready, 1)), 1)
 }
 
-// admissionProbability is the chance with which a worker that is warming up takes part in a pair drawn
-// from so many workers. Equal parts of the budget for all schedulers would be under one op a window among
-// hundreds of them, most of which are quiet, and new workers would lie idle. But all ops ask a worker for
-// twice what a fleet at full load can do there, whichever scheduler has them: a probability for each op
-// keeps their sum to the part of the budget that leaves room for chance, and for demandHeadroom; to all
-// of it where reports prove accurate, as most ops that probe then find no capacity reported. Later pairs
-// of an op, more ops than the fleet can do, and fewer workers to draw from, ask more.
+// admissionProbability returns the probability with which a warming worker is admitted to a pair that is
+// drawn from so many workers. With hundreds of schedulers, most of them nearly idle, an equal part of the
+// budget for each would be under one op per window, and new workers would be idle. But at full load all ops
+// together draw a worker for twice the ops that it can do, whichever scheduler they come from. A
+// probability per op therefore limits their sum to the part of the budget that leaves a margin for random
+// variation and for demandHeadroom. Where reports prove accurate it limits the sum to the whole budget, as
+// most ops that probe then find no capacity reported. Later pairs of an op, more ops than the fleet can do,
+// and fewer workers to draw from mean more draws, and so a lower probability.
 func (d *Dispatcher) admissionProbability(o *op, w *worker, from int) float64 {
-	accurate := min(4*d.currentDigest().reportAccuracy-2.8, 1) // 1 from 19 starts in 20 on, none below 14
-	part := max(meanWithinBudget(d.slowStartBudget(o, w))/(demandHeadroom*d.demand()), accurate)
-	asking := float64(max(d.fleet.ready, 1) * (1 + o.probes.rounds + o.attempts))
-	return d.settings.SlowStart.OverloadFactor / 2 * d.capacityReached(w) * part * float64(from) / asking
+	accurate := min(4*d.currentSummary().reportAccuracy-2.8, 1) // 1 from 19 prompt starts in 20 on, 0 at 14
+	budgetPart := max(meanWithinBudget(d.slowStartBudget(o, w))/(demandHeadroom*d.demand()), accurate)
+	draws := float64(max(d.fleet.ready, 1) * (1 + o.probes.rounds + o.attempts))
+	return d.settings.SlowStart.OverloadFactor / 2 * d.capacityReached(w) * budgetPart * float64(from) / draws
 }
 
-// excludedBySlowStart draws whether a worker is kept out of an op's pair, as it is warming up.
+// excludedBySlowStart draws whether a worker is excluded from an op's pair because it is warming up.
 func (d *Dispatcher) excludedBySlowStart(o *op, w *worker, from int) bool {
 	return d.warmingUp(w) && d.random.Float64() >= d.admissionProbability(o, w, from)
 }
--- a/dispatch/slow_start_simulation_test.go
+++ b/dispatch/slow_start_simulation_test.go
@@ -8,33 +8,33 @@
 	"woaddyke/internal/base/stats"
 )
 
-// slowStartDay describes a fleet of which a part has just started, and the schedulers that use it. Each worker has
-// simulatedSlots; service times are exponential.
-type slowStartDay struct {
+// slowStartScenario describes a fleet of which some workers have just started, and the schedulers that use
+// it. Each worker has simulatedSlots; service times are exponential.
+type slowStartScenario struct {
 	schedulers, workers, zones int
-	warming                    int             // workers that restart a second into the day
-	ownZoneWorkers             int             // workers of zone 0; an equal part where it is 0
-	ownZoneSchedulers          float64         // fraction of the schedulers in zone 0; an equal part where it is 0
-	firstSchedulerLoad         float64         // fraction of the arrivals at scheduler 0; an equal part where it is 0
-	load                       float64         // arrivals over what the warm fleet can do
-	burst                      float64         // the same from 1 to 3 s after the restart; 0 for no burst
-	serviceTime                Time            // the mean at a warm worker
+	warming                    int             // workers that restart after one second
+	ownZoneWorkers             int             // number of workers in zone 0; an equal part if 0
+	ownZoneSchedulers          float64         // fraction of the schedulers in zone 0; an equal part if 0
+	firstSchedulerLoad         float64         // fraction of the arrivals at scheduler 0; an equal part if 0
+	load                       float64         // arrivals relative to the capacity of the warm fleet
+	burst                      float64         // load from 1 to 3 s after the restart; 0 for no burst
+	serviceTime                Time            // mean at a warm worker
 	reportAge                  Time            // of load reports
-	reportsIdle                bool            // a warming worker's reports say that it is idle
-	reportsIdleAfter           Time            // from this long after the restart on
-	clientRetries              int             // of a client after a nack
-	length                     Time            // of arrivals after the restart
+	reportsIdle                bool            // load reports of warming workers show them as idle
+	reportsIdleAfter           Time            // delay after the restart from which they do so
+	clientRetries              int             // number of retries of a client after nacks
+	length                     Time            // duration of arrivals after the restart
 	change                     func(*Settings) // may be nil
 }
 
-// slowStartFigures are measured at a day's warming workers.
-type slowStartFigures struct {
-	overloaded  int     // workers that got more than overloadBound in some overload window
-	worstLoad   float64 // the most that one got in a window, over that bound
-	meanLoad    float64 // got in a window, over the budget, of all of them
-	dispersion  float64 // the variance of what one gets in a window, over its mean
-	utilization float64 // the fraction of their capacity that was used
-	succeeded   float64 // the fraction of the fleet's ops that succeeded
+// slowStartResult holds the measurements at the warming workers of a simulation.
+type slowStartResult struct {
+	overloaded  int     // workers whose load exceeded overloadBound in any overload window
+	worstLoad   float64 // highest load of a worker in a window, relative to overloadBound
+	meanLoad    float64 // load of a worker in a window, relative to the budget
+	dispersion  float64 // variance of a worker's load in a window, relative to its mean
+	utilization float64 // fraction of their capacity that was used
+	succeeded   float64 // fraction of the fleet's ops that succeeded
 }
 
 const (
@@ -47,8 +47,8 @@
 
 func capacityAtAge(age Time) float64 { return min(1, 0.3+0.7*float64(max(age, 0))/warmAfter) }
 
-// budget is how many jobs the settings allow a worker of this age in an overload window.
-func (p *slowStartDay) budget(age Time) float64 {
+// budget returns how many jobs the settings allow for a worker of this age in an overload window.
+func (p *slowStartScenario) budget(age Time) float64 {
 	return 2.5 * capacityAtAge(age) * simulatedSlots * overloadWindow / float64(p.serviceTime)
 }
 
@@ -89,7 +89,7 @@
 	waiting          []simulatedJob
 	readings         []simulatedReading
 	arrivals         []Time
-	usedWhileWarming float64 // slot time at its warm speed, while it was warming up
+	usedWhileWarming float64 // slot time used while it was warming up, scaled to the speed of a warm worker
 }
 
 type simulatedOp struct{ clientTries, attempts int }
@@ -102,7 +102,7 @@
 }
 
 type slowStartSimulation struct {
-	slowStartDay
+	slowStartScenario
 	random             *rand.Rand
 	events             eventQueue
 	eventCount         int
@@ -112,9 +112,9 @@
 	arrived, succeeded int
 }
 
-func (p *slowStartSimulation) after(span Time, do func()) {
+func (p *slowStartSimulation) after(delay Time, run func()) {
 	p.eventCount++
-	heap.Push(&p.events, simulatedEvent{p.now + max(span, 1), p.eventCount, do})
+	heap.Push(&p.events, simulatedEvent{p.now + max(delay, 1), p.eventCount, run})
 }
 
 func (p *slowStartSimulation) zoneOf(i int) int {
@@ -127,28 +127,29 @@
 	return 1 + (i-p.ownZoneWorkers)%(p.zones-1)
 }
 
-func simulateSlowStart(day slowStartDay, seed int64) slowStartFigures {
-	p := &slowStartSimulation{slowStartDay: day, random: rand.New(rand.NewSource(seed)), now: simulationStart}
+func simulateSlowStart(scenario slowStartScenario, seed int64) slowStartResult {
+	p := &slowStartSimulation{slowStartScenario: scenario, random: rand.New(rand.NewSource(seed)),
+		now: simulationStart}
 	p.zones = max(p.zones, 1)
-	for range day.workers {
+	for range scenario.workers {
 		p.workers = append(p.workers, &simulatedWorker{})
 	}
-	for s := range day.schedulers {
-		at := s % p.zones
-		if day.ownZoneSchedulers > 0 {
-			if at = 0; float64(s) >= day.ownZoneSchedulers*float64(day.schedulers) {
-				at = 1 + s%(p.zones-1)
+	for s := range scenario.schedulers {
+		zone := s % p.zones
+		if scenario.ownZoneSchedulers > 0 {
+			if zone = 0; float64(s) >= scenario.ownZoneSchedulers*float64(scenario.schedulers) {
+				zone = 1 + s%(p.zones-1)
 			}
 		}
-		settings := testSettings(day.change)
-		settings.Schedulers, settings.Scheduler, settings.Zone = day.schedulers, s, at
-		x := &simulatedScheduler{d: New(p.random.Uint64(), settings), ops: map[int]*simulatedOp{}}
-		x.d.AdvanceClock(p.now)
-		p.schedulers = append(p.schedulers, x)
+		settings := testSettings(scenario.change)
+		settings.Schedulers, settings.Scheduler, settings.Zone = scenario.schedulers, s, zone
+		scheduler := &simulatedScheduler{d: New(p.random.Uint64(), settings), ops: map[int]*simulatedOp{}}
+		scheduler.d.AdvanceClock(p.now)
+		p.schedulers = append(p.schedulers, scheduler)
 	}
 	for i, w := range p.workers {
 		p.recordReading(i)
-		if i < day.warming {
+		if i < scenario.warming {
 			w.startedAt = restartAt
 		}
 	}
@@ -160,7 +161,7 @@
 		p.now = e.at
 		e.run()
 	}
-	return p.figures()
+	return p.result()
 }
 
 func (p *slowStartSimulation) updateEndpoints() {
@@ -169,19 +170,20 @@
 		s.d.BeginSnapshot()
 		for i, w := range p.workers {
 			if w.startedAt <= p.now {
-				s.d.UpsertWorker(i, WorkerEntry{Zone: p.zoneOf(i), Group: p.zoneOf(i)*100 + i%7, Ready: true, StartedAt: w.startedAt})
-				identify(s.d, i, uint64(i+1)*0x9e3779b97f4a7c15, 0)
+				s.d.UpsertWorker(i, WorkerEntry{Zone: p.zoneOf(i), Group: p.zoneOf(i)*100 + i%7, Ready: true,
+					StartedAt: w.startedAt})
+				setIdentity(s.d, i, uint64(i+1)*0x9e3779b97f4a7c15, 0)
 			}
 		}
 		s.d.EndUpdate()
 	}
 }
 
-// scheduleArrivals schedules the next op; arrivals are a Poisson process at the day's rate.
+// scheduleArrivals schedules the next op. Arrivals are a Poisson process at the rate of the scenario.
 func (p *slowStartSimulation) scheduleArrivals() {
 	load := p.load
 	if p.now < restartAt {
-		load *= 1 - float64(p.warming)/float64(len(p.workers)) // of those that are there
+		load *= 1 - float64(p.warming)/float64(len(p.workers)) // of the workers that have started
 	}
 	if age := p.now - restartAt; p.burst > 0 && age >= second && age < 3*second {
 		load = p.burst
@@ -190,7 +192,8 @@
 		p.after(restartAt-p.now, p.scheduleArrivals)
 		return
 	}
-	p.after(Time(p.random.ExpFloat64()*float64(p.serviceTime)/(simulatedSlots*float64(len(p.workers))*load)), func() {
+	p.after(Time(p.random.ExpFloat64()*
+		float64(p.serviceTime)/(simulatedSlots*float64(len(p.workers))*load)), func() {
 		if p.now >= restartAt+p.length {
 			return
 		}
@@ -221,11 +224,11 @@
 	p.carryOutDecisions(s)
 }
 
-// oneWayTrip is a message's time on the network.
-const oneWayTrip = 5
+// oneWayDelay is the network delay of a message.
+const oneWayDelay = 5
 
 func (p *slowStartSimulation) carryOutDecisions(s *simulatedScheduler) {
-	for _, a := range allDecisions(s.d) {
+	for _, a := range pullAllDecisions(s.d) {
 		o := s.ops[a.Op]
 		switch a.Kind {
 		case SetTimer:
@@ -234,19 +237,19 @@
 				p.carryOutDecisions(s)
 			})
 		case Probe:
-			asked := p.now
-			p.after(oneWayTrip, func() {
+			probedAt := p.now
+			p.after(oneWayDelay, func() {
 				load := p.reportedLoad(a.Worker)
-				p.after(oneWayTrip, func() {
+				p.after(oneWayDelay, func() {
 					s.d.AdvanceClock(p.now)
-					s.d.ProbeAnswered(a.Worker, p.now-asked, load)
+					s.d.ProbeAnswered(a.Worker, p.now-probedAt, load)
 					p.carryOutDecisions(s)
 				})
 			})
 		case Push:
-			j := simulatedJob{s, a.Op, o.attempts}
+			job := simulatedJob{s, a.Op, o.attempts}
 			o.attempts++
-			p.after(oneWayTrip, func() { p.enqueue(a.Worker, j) })
+			p.after(oneWayDelay, func() { p.enqueue(a.Worker, job) })
 		case Nack, DeadLetter:
 			if o.clientTries < p.clientRetries {
 				p.after(a.Duration+Time(p.random.Intn(2_000)), func() { p.admitOp(s, o.clientTries+1) })
@@ -258,7 +261,7 @@
 	}
 }
 
-func allDecisions(d *Dispatcher) (all []Decision) {
+func pullAllDecisions(d *Dispatcher) (all []Decision) {
 	for {
 		next := d.Next()
 		if next.Kind == NoDecision {
@@ -271,7 +274,7 @@
 func (p *slowStartSimulation) reportedLoad(i int) LoadReport {
 	w := p.workers[i]
 	if p.reportsIdle && w.startedAt > 0 && p.now >= restartAt+p.reportsIdleAfter {
-		return jobs(0)
+		return loadWithJobs(0)
 	}
 	for k := len(w.readings) - 1; k > 0; k-- {
 		if w.readings[k].at <= p.now-p.reportAge {
@@ -283,65 +286,66 @@
 
 func (p *slowStartSimulation) recordReading(i int) {
 	w := p.workers[i]
-	w.readings = append(w.readings, simulatedReading{p.now, LoadReport{RunningJobs: float64(w.running + len(w.waiting)),
-		QueuedJobs: float64(len(w.waiting)), FreeSlots: float64(simulatedSlots - w.running), FreeMemory: -1}})
+	w.readings = append(w.readings, simulatedReading{p.now,
+		LoadReport{RunningJobs: float64(w.running + len(w.waiting)),
+			QueuedJobs: float64(len(w.waiting)), FreeSlots: float64(simulatedSlots - w.running), FreeMemory: -1}})
 }
 
-func (p *slowStartSimulation) enqueue(i int, j simulatedJob) {
+func (p *slowStartSimulation) enqueue(i int, job simulatedJob) {
 	w := p.workers[i]
 	if w.startedAt > 0 {
 		w.arrivals = append(w.arrivals, p.now)
 	}
 	if len(w.waiting) >= 7*simulatedSlots {
-		p.endJob(j, Rejected)
+		p.endJob(job, Rejected)
 		return
 	}
-	w.waiting = append(w.waiting, j)
+	w.waiting = append(w.waiting, job)
 	p.startJobs(i)
 }
 
 func (p *slowStartSimulation) startJobs(i int) {
 	w := p.workers[i]
 	for len(w.waiting) > 0 && w.running < simulatedSlots {
-		j := w.waiting[0]
+		job := w.waiting[0]
 		w.waiting = w.waiting[1:]
 		w.running++
 		speed := 1.0
 		if w.startedAt > 0 {
 			speed = capacityAtAge(p.now - w.startedAt)
 		}
-		run := Time(p.random.ExpFloat64()*float64(p.serviceTime)/speed) + 1
+		serviceTime := Time(p.random.ExpFloat64()*float64(p.serviceTime)/speed) + 1
 		if end := restartAt + min(warmAfter, p.length); w.startedAt > 0 && p.now < end {
-			w.usedWhileWarming += float64(min(run, end-p.now)) * speed
+			w.usedWhileWarming += float64(min(serviceTime, end-p.now)) * speed
 		}
-		p.after(oneWayTrip, func() {
-			j.owner.d.AdvanceClock(p.now)
-			j.owner.d.AttemptProgress(j.op, j.attempt, Progress{Started: true})
-			p.carryOutDecisions(j.owner)
+		p.after(oneWayDelay, func() {
+			job.owner.d.AdvanceClock(p.now)
+			job.owner.d.AttemptProgress(job.op, job.attempt, Progress{Started: true})
+			p.carryOutDecisions(job.owner)
 		})
-		p.after(oneWayTrip+run, func() {
+		p.after(oneWayDelay+serviceTime, func() {
 			w.running--
 			p.startJobs(i)
 			p.recordReading(i)
-			p.endJob(j, Succeeded)
+			p.endJob(job, Succeeded)
 		})
 	}
 	p.recordReading(i)
 }
 
-func (p *slowStartSimulation) endJob(j simulatedJob, how Outcome) {
-	p.after(oneWayTrip, func() {
-		if how == Succeeded && p.now >= restartAt {
+func (p *slowStartSimulation) endJob(j simulatedJob, outcome Outcome) {
+	p.after(oneWayDelay, func() {
+		if outcome == Succeeded && p.now >= restartAt {
 			p.succeeded++
 		}
 		j.owner.d.AdvanceClock(p.now)
-		j.owner.d.AttemptEnded(j.op, j.attempt, how, how == Succeeded)
+		j.owner.d.AttemptEnded(j.op, j.attempt, outcome, outcome == Succeeded)
 		p.carryOutDecisions(j.owner)
 	})
 }
 
-func (p *slowStartSimulation) figures() (f slowStartFigures) {
-	spans, all, can, used := 0, 0.0, 0.0, 0.0
+func (p *slowStartSimulation) result() (f slowStartResult) {
+	windows, loadSum, capacity, used := 0, 0.0, 0.0, 0.0
 	var x, xx float64
 	for i := range p.warming {
 		w := p.workers[i]
@@ -355,33 +359,35 @@
 				n += float64(stats.Bit(t > restartAt+from && t <= restartAt+from+overloadWindow))
 			}
 			allows := p.budget(from + overloadWindow)
-			spans, all = spans+1, all+n/allows
+			windows, loadSum = windows+1, loadSum+n/allows
 			if from == 0 {
 				x, xx = x+n, xx+n*n
 			}
 		}
 		for at := Time(0); at < min(warmAfter, p.length); at += 100 {
-			can += simulatedSlots * 100 * capacityAtAge(at)
+			capacity += simulatedSlots * 100 * capacityAtAge(at)
 		}
 		used += w.usedWhileWarming
 	}
 	n := float64(p.warming)
-	f.meanLoad, f.utilization, f.succeeded = all/float64(spans), used/can, float64(p.succeeded)/float64(p.arrived)
+	f.meanLoad, f.utilization, f.succeeded = loadSum/float64(windows), used/capacity,
+		float64(p.succeeded)/float64(p.arrived)
 	if x > 0 {
 		f.dispersion = (xx/n - x/n*x/n) / (x / n)
 	}
 	return f
 }
 
-// worstOverload is the most that a warming worker got in an overload window, over the bound at the window's end.
-func (p *slowStartSimulation) worstOverload(got []Time) (worst float64) {
+// worstOverload returns the highest load of a warming worker in an overload window, relative to the bound
+// at the end of the window.
+func (p *slowStartSimulation) worstOverload(arrivals []Time) (worst float64) {
 	from := 0
-	for k, t := range got {
+	for k, t := range arrivals {
 		age := t - restartAt
 		if age >= warmAfter {
 			break
 		}
-		for got[from] <= t-overloadWindow {
+		for arrivals[from] <= t-overloadWindow {
 			from++
 		}
 		worst = max(worst, float64(k-from+1)/overloadBound(p.budget(age)))
@@ -389,6 +395,6 @@
 	return worst
 }
 
-// overloadBound is the load above which a worker fails whose budget is n: the budget and twice the deviation of a
-// Poisson sum.
+// overloadBound returns the load above which a worker with a budget of n fails: the budget plus about twice
+// the standard deviation of a Poisson variable.
 func overloadBound(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
--- a/dispatch/threshold.go
+++ b/dispatch/threshold.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// maxState is the paper's T_m: longer queues count as this long.
+	// maxState is the paper's T_m: higher job counts count as this one.
 	maxState = 15
-	// counterHalfLife is the period after which the counters halve.
+	// counterHalfLife is the period after which the counters are halved.
 	counterHalfLife = 10 * second
-	// maxHalvings is how many periods are made up for: what is older than that is nothing.
+	// maxHalvings limits the periods that are made up for: after so many, older counts are negligible.
 	maxHalvings = 99
-	// entropyTolerance keeps rounding from preferring a later cut of the same entropy.
+	// entropyTolerance prevents rounding errors from preferring a later cut with the same entropy.
 	entropyTolerance = 1e-12
 )
 
@@ -21,11 +21,11 @@
 // a number of jobs at a worker was followed, one start delay later, by an idle worker.
 type thresholdEstimator struct {
 	observed    [maxState + 1]float64 // a_l: readings in state l
-	idleAfter   [maxState + 1]float64 // b_l: those of them that were followed by idleness
-	startDelays []Time                // from a probe to the start of its job, the last few; their mean is tau
+	idleAfter   [maxState + 1]float64 // b_l: those of them that were followed by an idle worker
+	startDelays []Time                // recent delays from a probe to the start of its job; their mean is tau
 }
 
-// pairReadings counts each earlier reading with the next one that comes 0.5 tau to 2 tau later.
+// pairReadings counts each earlier reading with the next one, if that comes 0.5 tau to 2 tau later.
 func (e *thresholdEstimator) pairReadings(earlier []reading, next reading) {
 	tau := stats.Mean(e.startDelays)
 	for k := range earlier {
@@ -48,10 +48,10 @@
 	}
 }
 
-// threshold is T: the state at which the partition of the readings has the least conditional entropy
-// H(X|Y = l). The paper leaves T open where all cuts have nearly the same entropy. A cut is no threshold
-// if the states right of it mostly lead to idleness too: a quiet fleet would have T = 0, and idle workers
-// would be High.
+// threshold returns T: the state at which the partition of the readings has the least conditional entropy
+// H(X|Y = l). The paper does not define T if all cuts have nearly the same entropy. A cut is not used if
+// the states right of it mostly lead to idleness too: otherwise a fleet under low load would have T = 0,
+// and idle workers would be High.
 func (e *thresholdEstimator) threshold() (t int) {
 	var all, allIdle float64 // A(L) + A(R), B(L) + B(R)
 	for l := range e.observed {
@@ -75,7 +75,8 @@
 	return t
 }
 
-// isIdle extends the paper's "holds no jobs" to workers of several slots, which hardly ever hold none.
+// isIdle extends the paper's "holds no jobs" to workers with several slots, which are hardly ever without a
+// job.
 func isIdle(l LoadReport) bool {
 	if l.FreeSlots < 0 {
 		return l.RunningJobs < 0.5
@@ -83,10 +84,10 @@
 	return l.FreeSlots >= 0.5 && l.QueuedJobs < 0.5
 }
 
-// stateOf is the paper's state l, the number of jobs.
+// stateOf returns the paper's state l, the number of jobs.
 func stateOf(l LoadReport) int { return min(max(int(math.Round(l.RunningJobs)), 0), maxState) }
 
-// halveCounters halves the threshold's counters and those of affinity keys for each period that has
+// halveCounters halves the counters of the threshold and of the affinity keys once for each period that has
 // passed.
 func (d *Dispatcher) halveCounters() {
 	d.halvedAt = max(d.halvedAt, d.now-maxHalvings*counterHalfLife)
@@ -109,7 +110,7 @@
 	d.estimator.startDelays = stats.AppendRecent(d.estimator.startDelays, delay)
 }
 
-// threshold is T as of now.
+// threshold returns the current T.
 func (d *Dispatcher) threshold() int {
 	d.halveCounters()
 	return d.estimator.threshold()
--- a/dispatch/threshold_test.go
+++ b/dispatch/threshold_test.go
@@ -2,19 +2,19 @@
 
 import "testing"
 
-func TestThresholdByHand(t *testing.T) {
+func TestThresholdOfKnownCounters(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		a, b []float64
 		want int
 	}{
-		{"nothing seen", nil, nil, 0},
+		{"no readings", nil, nil, 0},
 		{"0 and 1 always idle, 2 and 3 never", []float64{4, 4, 4, 4}, []float64{4, 4, 0, 0}, 1},
 		{"only 0 idle", []float64{5, 5, 5}, []float64{5, 0, 0}, 0},
 		{"mostly idle up to 2", []float64{10, 10, 10, 10}, []float64{10, 9, 8, 1}, 2},
-		{"all the same: the lowest", []float64{3, 3, 3}, []float64{0, 0, 0}, 0},
-		// A quiet fleet, where every count led to idleness, had T = 0 and called its idle workers High.
-		{"quiet: all that was seen is Low", []float64{5, 5, 5, 5}, []float64{5, 5, 5, 5}, 3},
+		{"equal entropy: the lowest state", []float64{3, 3, 3}, []float64{0, 0, 0}, 0},
+		// In a fleet under low load every state led to idleness. T was 0, and idle workers were High.
+		{"low load: all observed states are Low", []float64{5, 5, 5, 5}, []float64{5, 5, 5, 5}, 3},
 		{"one side empty", []float64{0, 0, 6}, []float64{0, 0, 2}, 0},
 	} {
 		var e thresholdEstimator
@@ -26,45 +26,47 @@
 	}
 }
 
-func TestPairingWindowEnds(t *testing.T) {
+func TestReadingsArePairedFromHalfToTwiceTheStartDelay(t *testing.T) {
 	for gap, want := range map[Time]float64{49: 0, 50: 1, 200: 1, 201: 0} {
-		d := fleet(2, nil)
+		d := testDispatcher(2, nil)
 		d.halvedAt, d.estimator.startDelays = d.now, []Time{100}
-		d.ProbeAnswered(0, 0, jobs(3))
+		d.ProbeAnswered(0, 0, loadWithJobs(3))
 		d.AdvanceClock(d.now + gap)
-		d.ProbeAnswered(0, 0, jobs(1))
+		d.ProbeAnswered(0, 0, loadWithJobs(1))
 		if d.estimator.observed[3] != want || d.estimator.idleAfter[3] != want {
 			t.Errorf("gap %d: a = %v, b = %v, want %v", gap, d.estimator.observed[3], d.estimator.idleAfter[3], want)
 		}
 	}
-	d := fleet(2, nil)
+	d := testDispatcher(2, nil)
 	d.halvedAt, d.estimator.startDelays = d.now, []Time{100}
-	d.ProbeAnswered(0, 0, jobs(3))
+	d.ProbeAnswered(0, 0, loadWithJobs(3))
 	d.AdvanceClock(d.now + 100)
-	d.ProbeAnswered(0, 0, jobs(5))
+	d.ProbeAnswered(0, 0, loadWithJobs(5))
 	if d.estimator.observed[3] != 1 || d.estimator.idleAfter[3] != 0 {
-		t.Errorf("a queue is no idleness: a = %v, b = %v", d.estimator.observed[3], d.estimator.idleAfter[3])
+		t.Errorf("a reading with a queue counted as idle: a = %v, b = %v", d.estimator.observed[3],
+			d.estimator.idleAfter[3])
 	}
 }
 
-func TestCountersHalve(t *testing.T) {
-	d := fleet(2, nil)
+func TestThresholdCountersHalveAfterEachHalfLife(t *testing.T) {
+	d := testDispatcher(2, nil)
 	d.halvedAt, d.estimator.observed[2], d.estimator.idleAfter[2] = d.now, 8, 4
 	d.AdvanceClock(d.now + 2*counterHalfLife)
 	if d.halveCounters(); d.estimator.observed[2] != 2 || d.estimator.idleAfter[2] != 1 {
-		t.Errorf("after two spans a = %v, b = %v, want 2 and 1", d.estimator.observed[2], d.estimator.idleAfter[2])
+		t.Errorf("after two half-lives a = %v, b = %v, want 2 and 1", d.estimator.observed[2],
+			d.estimator.idleAfter[2])
 	}
 }
 
-// Reports without a job count all counted as no jobs: T stayed at 0 and every worker was Low.
+// Every report without a job count was read as no jobs, so that T stayed at 0 and every worker was Low.
 func TestReportWithoutJobCountIsCompleted(t *testing.T) {
-	d := fleet(3, nil)
+	d := testDispatcher(3, nil)
 	d.ProbeAnswered(0, 50, LoadReport{RunningJobs: -1, QueuedJobs: 0, FreeSlots: 4, FreeMemory: -1})
 	d.ProbeAnswered(1, 50, LoadReport{RunningJobs: -1, QueuedJobs: 0, FreeSlots: 1, FreeMemory: -1})
 	d.ProbeAnswered(2, 50, LoadReport{RunningJobs: -1, QueuedJobs: 3, FreeSlots: 0, FreeMemory: -1})
 	for i, want := range []float64{0, 3, 7} {
 		if got := d.jobCount(i); got != want {
-			t.Errorf("worker %d counts %g, want %g", i, got, want)
+			t.Errorf("worker %d: job count %g, want %g", i, got, want)
 		}
 	}
 }
--- a/dispatch/timeouts.go
+++ b/dispatch/timeouts.go
@@ -1,80 +1,81 @@
 package dispatch
 
-// What is awaited of an attempt in flight, and when silence about it counts against its worker.
+// This file defines the event that an attempt in flight waits for, and when silence about it counts against
+// its worker.
 
-// awaited is the event that an attempt in flight waits for.
-type awaited int
+// awaitedEvent is the event that an attempt in flight waits for.
+type awaitedEvent int
 
 const (
-	awaitingAcknowledgement awaited = iota // the worker reports that it has the attempt
-	awaitingStart                          // the job starts
-	awaitingProgress                       // the running job reports its progress or its end
-	awaitedEvents
+	awaitingAcknowledgement awaitedEvent = iota // the worker acknowledges the attempt
+	awaitingStart                               // the job starts
+	awaitingProgress                            // the running job reports its progress or its end
+	awaitedEventCount
 )
 
-func (d *Dispatcher) awaited(o *op) awaited {
+func (d *Dispatcher) awaitedEvent(o *op) awaitedEvent {
 	switch {
 	case d.unacknowledged(o):
 		return awaitingAcknowledgement
-	case o.last.startedAt == 0:
+	case o.lastAttempt.startedAt == 0:
 		return awaitingStart
 	}
 	return awaitingProgress
 }
 
-// unacknowledged reports whether the worker has not acknowledged an attempt, where workers do.
+// unacknowledged reports whether workers acknowledge attempts and this one has not been acknowledged.
 func (d *Dispatcher) unacknowledged(o *op) bool {
-	return d.workersAcknowledge && o.last.heardAt == o.last.sentAt
+	return d.workersAcknowledge && o.lastAttempt.lastHeardAt == o.lastAttempt.sentAt
 }
 
-// track adds an attempt to those of which the same event is awaited.
-func (d *Dispatcher) track(o *op) { d.ops.inFlight[d.awaited(o)].Add(o) }
+// trackDeadline adds an op to the deadline queue of the event that its attempt waits for.
+func (d *Dispatcher) trackDeadline(o *op) { d.ops.inFlight[d.awaitedEvent(o)].Add(o) }
 
-// silenceSince is the moment from which silence about an attempt is measured.
-func (d *Dispatcher) silenceSince(o *op, event awaited) Time {
+// silenceStart returns the time from which silence about an attempt is measured.
+func (d *Dispatcher) silenceStart(o *op, event awaitedEvent) Time {
 	if event == awaitingStart {
-		heardAt := d.fleet.workers[o.last.worker].heardAt
-		return max(o.last.sentAt, heardAt) + 2*o.last.predictedWait
+		heardAt := d.fleet.workers[o.lastAttempt.worker].lastHeardAt
+		return max(o.lastAttempt.sentAt, heardAt) + 2*o.lastAttempt.predictedWait
 	}
-	return o.last.heardAt // reports of other attempts say nothing of this one's connection
+	return o.lastAttempt.lastHeardAt // reports on other attempts say nothing about this one's connection
 }
 
-// silenceAllowance is how much silence about an attempt is allowed. For a start it is measured by the
-// longest ones of late, so that a pause or slowness of the whole fleet does not count as many failed
-// workers.
-func (d *Dispatcher) silenceAllowance(event awaited) Time {
+// silenceTimeout returns how long a worker may be silent about an attempt. For a start, it follows the
+// longest recent start delay, so that a pause or slowdown of the whole fleet does not count as the failure
+// of many workers.
+func (d *Dispatcher) silenceTimeout(event awaitedEvent) Time {
 	interval := d.settings.ProgressInterval
 	switch event {
 	case awaitingAcknowledgement:
 		return 2 * d.settings.AcknowledgeTimeout
 	case awaitingStart:
-		if !d.startsAreKnown() {
-			return never
+		if !d.hasStartSamples() {
+			return unlimitedDuration
 		}
-		return 2*d.currentDigest().maxStartDelay + second/10 + interval
+		return 2*d.currentSummary().maxStartDelay + second/10 + interval
 	}
-	if !d.startsAreKnown() || interval <= 0 {
-		return never
+	if !d.hasStartSamples() || interval <= 0 {
+		return unlimitedDuration
 	}
 	return 3 * interval
 }
 
-// startsAreKnown reports whether workers report starts, and enough of them were seen.
-func (d *Dispatcher) startsAreKnown() bool {
+// hasStartSamples reports whether workers report starts, and enough of them have been seen.
+func (d *Dispatcher) hasStartSamples() bool {
 	return d.settings.ReportsStarts && len(d.samples.startSamples) >= minStartSamples
 }
 
-// silenceLimit is the moment from which silence about an attempt in flight counts against the worker.
-func (d *Dispatcher) silenceLimit(o *op) Time {
-	event := d.awaited(o)
-	return d.silenceSince(o, event) + d.silenceAllowance(event)
+// silenceDeadline returns the time from which silence about an attempt in flight counts against its worker.
+func (d *Dispatcher) silenceDeadline(o *op) Time {
+	event := d.awaitedEvent(o)
+	return d.silenceStart(o, event) + d.silenceTimeout(event)
 }
 
-// collectOverdue finds this round's attempts that are overdue.
+// collectOverdue collects the ops whose attempts are overdue in this round.
 func (d *Dispatcher) collectOverdue() {
 	d.ops.overdueCollected = true
 	for event, attempts := range d.ops.inFlight {
-		overdue := attempts.Overdue(d.now, d.silenceAllowance(awaited(event)))
+		overdue := attempts.Overdue(d.now, d.silenceTimeout(awaitedEvent(event)))
 		d.ops.overdue = append(d.ops.overdue, overdue...)
 	}
 	d.ops.sortOverdue()
--- a/dispatch/timeouts_test.go
+++ b/dispatch/timeouts_test.go
@@ -6,104 +6,106 @@
 	"woaddyke/internal/base/stats"
 )
 
-// suspectedAfterSilence pushes n ops to worker 0, which never answers, and reports whether it is suspected
-// well past any start.
-func suspectedAfterSilence(t *testing.T, n int, speaks bool) bool {
+// workerSuspectedAfterSilence pushes n ops to worker 0, which never answers or, if reports is set, reports
+// one start repeatedly. It returns whether the worker is suspected long after any start was due.
+func workerSuspectedAfterSilence(t *testing.T, n int, reports bool) bool {
 	t.Helper()
-	d := fleet(2, nil)
+	d := testDispatcher(2, nil)
 	for range stats.MaxRecent {
 		d.samples.startSamples = append(d.samples.startSamples, startSample{d.now, 100})
 	}
 	for i := range n {
 		d.AddOp(i, OpSpec{TTL: d.now + 50_000, Slots: 1})
-		decisions(d)
+		pullDecisions(d)
 		d.AdvanceClock(d.now + d.probeTimeout())
-		d.ProbeAnswered(0, 0, jobs(float64(i)/4)) // worker 1 does not answer the probe
-		if push(t, d) != 0 {
-			t.Fatal("set-up: not pushed to worker 0")
+		d.ProbeAnswered(0, 0, loadWithJobs(float64(i)/4)) // worker 1 does not answer the probe
+		if expectPush(t, d) != 0 {
+			t.Fatal("setup: not pushed to worker 0")
 		}
 	}
 	for range 40 {
 		d.AdvanceClock(d.now + 100)
-		if speaks {
+		if reports {
 			d.AttemptProgress(0, 0, Progress{Started: true})
 		}
-		decisions(d)
+		pullDecisions(d)
 	}
 	return d.fleet.workers[0].health.Suspected(d.now)
 }
 
-// A hung worker went on getting ops; a worker behind a wide job was suspected as a hung one.
+// A hung worker still got ops, while a worker behind a wide job was suspected of hanging.
 func TestSilentWorkerIsSuspectedBusyOneIsNot(t *testing.T) {
-	if !suspectedAfterSilence(t, 3, false) {
-		t.Error("a worker silent on three pushes is not doubted")
+	if !workerSuspectedAfterSilence(t, 3, false) {
+		t.Error("a worker silent about three attempts is not suspected")
 	}
-	if suspectedAfterSilence(t, 3, true) {
-		t.Error("a worker that still speaks is doubted")
+	if workerSuspectedAfterSilence(t, 3, true) {
+		t.Error("a worker that still reports is suspected")
 	}
-	if suspectedAfterSilence(t, 1, false) {
-		t.Error("one silent push is no verdict")
+	if workerSuspectedAfterSilence(t, 1, false) {
+		t.Error("a worker silent about one attempt is suspected")
 	}
 }
 
-// Jobs ended and their answers were lost: each such op was in flight until its TTL, and its client had no
-// time left.
+// Answers of ended jobs were lost. Each such op was in flight until its TTL, and its client had no time
+// left for a retry.
 func TestSilentStartedAttemptIsCancelled(t *testing.T) {
-	for cat, want := range []bool{true, true, true, true, false} { // an at-most-once op can't be pushed again
-		d := fleet(8, func(s *Settings) { s.ProgressInterval = 10_000 })
-		d.categories.all[cat].DedupWindow = 50_000
+	// an at-most-once op can't be pushed again
+	for category, want := range []bool{true, true, true, true, false} {
+		d := testDispatcher(8, func(s *Settings) { s.ProgressInterval = 10_000 })
+		d.categories.all[category].DedupWindow = 50_000
 		for range stats.MaxRecent {
 			d.samples.startSamples = append(d.samples.startSamples, startSample{d.now, 100})
 		}
-		x, y := probed(t, d, 0, cat)
-		first := pushed(t, d, x, jobs(0), y, jobs(0))
+		x, y := admitAndProbe(t, d, 0, category)
+		first := answerAndPush(t, d, x, loadWithJobs(0), y, loadWithJobs(0))
 		d.AdvanceClock(d.now + 100)
 		d.AttemptProgress(0, 0, Progress{Started: true})
 		for range 29 {
-			if d.AdvanceClock(d.now + 1_000); len(decisions(d)) > 0 {
-				t.Fatal("called off within three intervals of progress")
+			if d.AdvanceClock(d.now + 1_000); len(pullDecisions(d)) > 0 {
+				t.Fatal("cancelled within three progress intervals")
 			}
 		}
 		d.AdvanceClock(d.now + 1_000)
-		all := decisions(d)
-		if called := len(all) > 0 && all[0].Kind == CancelAttempt; called != want {
-			t.Fatalf("category %d: %v", cat, all)
+		all := pullDecisions(d)
+		if cancelled := len(all) > 0 && all[0].Kind == CancelAttempt; cancelled != want {
+			t.Fatalf("category %d: %v", category, all)
 		}
 		if !want {
 			continue
 		}
 		if !d.fleet.workers[first].health.Failed() {
-			t.Error("no verdict on the worker")
+			t.Error("the worker got no failure verdict")
 		}
 		d.AttemptEnded(0, 0, Cancelled, false)
 		d.AdvanceClock(d.now + 10)
-		if all = decisions(d); len(all) == 0 || all[0].Kind != Probe || all[0].Worker == first {
-			t.Errorf("category %d is not tried elsewhere: %v", cat, all)
+		if all = pullDecisions(d); len(all) == 0 || all[0].Kind != Probe || all[0].Worker == first {
+			t.Errorf("category %d: decisions %v, want a probe of another worker", category, all)
 		}
 	}
 }
 
-// A silent connection held its op until the TTL, though workers acknowledge attempts at once.
+// A silent connection blocked its op until the TTL, though workers acknowledge attempts on receipt.
 func TestUnacknowledgedAttemptIsCancelled(t *testing.T) {
-	for cat, want := range []bool{true, true, true, true, false} {
-		d := fleet(8, func(s *Settings) { s.DialTimeout, s.AcknowledgeTimeout = 2_000, 2_000 })
-		x, y := probed(t, d, 0, cat)
-		pushed(t, d, x, jobs(0), y, jobs(0))
+	for category, want := range []bool{true, true, true, true, false} {
+		d := testDispatcher(8, func(s *Settings) { s.DialTimeout, s.AcknowledgeTimeout = 2_000, 2_000 })
+		x, y := admitAndProbe(t, d, 0, category)
+		answerAndPush(t, d, x, loadWithJobs(0), y, loadWithJobs(0))
 		d.AdvanceClock(d.now + 5_000)
-		if all := decisions(d); len(all) > 0 {
-			t.Fatalf("called off though nobody was seen to say so: %v", all)
+		if all := pullDecisions(d); len(all) > 0 {
+			t.Fatalf("cancelled before any acknowledgement was seen: %v", all)
 		}
 		d.AttemptProgress(0, 0, Progress{Acknowledged: true})
-		x, y = probed(t, d, 1, cat)
-		pushed(t, d, x, jobs(0), y, jobs(0))
+		x, y = admitAndProbe(t, d, 1, category)
+		answerAndPush(t, d, x, loadWithJobs(0), y, loadWithJobs(0))
 		d.AdvanceClock(d.now + 3_900)
-		if all := decisions(d); len(all) > 0 {
-			t.Fatalf("called off before a dial and as long again: %v", all)
+		if all := pullDecisions(d); len(all) > 0 {
+			t.Fatalf("cancelled before twice the acknowledge timeout: %v", all)
 		}
 		d.AdvanceClock(d.now + 100)
-		all := decisions(d)
-		if called := len(all) > 0 && all[0].Kind == CancelAttempt && all[0].Op == 1; called != want || len(all) > 1 {
-			t.Errorf("category %d: %v", cat, all)
+		all := pullDecisions(d)
+		if cancelled := len(all) > 0 && all[0].Kind == CancelAttempt &&
+			all[0].Op == 1; cancelled != want || len(all) > 1 {
+			t.Errorf("category %d: %v", category, all)
 		}
 	}
 }
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -8,39 +8,39 @@
 	"woaddyke/internal/cluster/peerload"
 )
 
-// worker is what is known of a worker's present process.
+// worker is the state of a worker's current process.
 type worker struct {
 	known, listed, ready bool
 	zone, group          int
-	kind                 int    // of machine
-	identityHash         uint64 // of its name: the same at every scheduler
-	startedAt            Time   // 0 where that is long ago
+	kind                 int    // machine kind, an index into workerTable.kinds
+	identityHash         uint64 // hash of its name, the same at every scheduler
+	startedAt            Time   // 0 if it started long ago
 
-	readings          []reading     // the last few, the newest last
-	queueSamples      []queueSample // the last few
-	serviceTimeRatios stats.Recent  // service times over the expected ones, the last few
+	readings          []reading     // the most recent, newest last
+	queueSamples      []queueSample // the most recent
+	serviceTimeRatios stats.Recent  // recent ratios of actual to expected service time
 	health            sprt.Test[Time]
-	heardAt           Time // when it last said anything of an attempt
+	lastHeardAt       Time // when it last reported on any attempt
 
-	inFlight    []*op                  // whose attempts this scheduler has at it
-	peerReports peerload.Reports[Time] // how many attempts other schedulers have at it
-	subscribers []int                  // schedulers that are notified of the attempts at it, in order
+	inFlight    []*op                  // ops that this scheduler has in flight at it
+	peerReports peerload.Reports[Time] // other schedulers' attempts in flight at it
+	subscribers []int                  // schedulers notified of the attempts at it, in ascending order
 }
 
-// reading is a load report with its times.
+// reading is a load report and the time at which it was obtained.
 type reading struct {
 	load               LoadReport
 	sentAt, answeredAt Time // of the probe
-	paired             bool // counted in the threshold's counters
+	paired             bool // already counted by the threshold estimator
 }
 
-// queueSample is the position at which an attempt was queued, and how long it took to start.
+// queueSample is an attempt's position in a worker's queue and the time that it took to start.
 type queueSample struct {
 	position float64
 	wait     Time
 }
 
-// lastReading returns a worker's newest reading, nil before there is one.
+// lastReading returns the newest reading of a worker, or nil if there is none.
 func (w *worker) lastReading() *reading {
 	if len(w.readings) == 0 {
 		return nil
@@ -48,34 +48,35 @@
 	return &w.readings[len(w.readings)-1]
 }
 
-// machineKind is what is learned of all workers of a kind: a scheduler that meets a worker once a minute
-// learns little of that one.
+// machineKind is what is learned from all workers of a kind. A scheduler that uses a worker once a minute
+// learns too little from that worker alone.
 type machineKind struct {
 	serviceTimeRatios stats.Pool
-	maxFreeSlots      float64 // that were reported free at one
+	maxFreeSlots      float64 // most free slots that one worker reported
 }
 
-// workerTable holds the workers by the indices that the host gives them.
+// workerTable holds the workers by the indices that the host assigns.
 type workerTable struct {
 	workers []worker
 	ready   int
-	zones   []sprt.Test[Time] // whether workers of a zone can be reached from here
+	zones   []sprt.Test[Time] // whether this scheduler can reach the workers of a zone
 	kinds   []machineKind
 }
 
 func (t *workerTable) identityHash(i int) uint64 { return t.workers[i].identityHash }
 
-// slots is the number of slots that workers of its kind have, as far as it was seen.
+// slots returns the number of slots of a worker: the most free slots that a worker of its kind has
+// reported.
 func (t *workerTable) slots(w *worker) float64 { return t.kinds[w.kind].maxFreeSlots }
 
-// serviceTimeRatio is how much longer than expected jobs run on a worker; while samples are few, its
-// kind's weigh in.
+// serviceTimeRatio returns the ratio of actual to expected service time on a worker. While the worker has
+// few samples, those of its kind are included.
 func (t *workerTable) serviceTimeRatio(i int) float64 {
 	w := &t.workers[i]
 	return t.kinds[w.kind].serviceTimeRatios.Median(w.serviceTimeRatios)
 }
 
-// grow makes room for an entry's index, zone and kind.
+// grow extends the tables to the index, zone and machine kind of an entry.
 func (t *workerTable) grow(i int, entry WorkerEntry) {
 	for len(t.workers) <= i {
 		t.workers = append(t.workers, worker{})
@@ -88,14 +89,14 @@
 	}
 }
 
-// BeginSnapshot begins a complete list: a worker that it does not name has left.
+// BeginSnapshot starts a snapshot of the endpoint list. A worker that is not in it has left.
 func (d *Dispatcher) BeginSnapshot() {
 	for i := range d.fleet.workers {
 		d.fleet.workers[i].listed = false
 	}
 }
 
-// UpsertWorker takes up one entry of an endpoint list.
+// UpsertWorker applies one entry of a snapshot or a delta of the endpoint list.
 func (d *Dispatcher) UpsertWorker(i int, entry WorkerEntry) {
 	d.fleet.grow(i, entry)
 	w := &d.fleet.workers[i]
@@ -103,22 +104,22 @@
 		d.replaceProcess(w, entry.StartedAt)
 	}
 	w.zone, w.group, w.ready, w.listed = entry.Zone, entry.Group, entry.Ready, true
-	if len(w.serviceTimeRatios) == 0 { // they count in its kind's pool too, so the kind must stay
+	if len(w.serviceTimeRatios) == 0 { // they are also in the pool of its kind, so the kind must stay
 		w.identityHash, w.kind = entry.IdentityHash, entry.MachineKind
 	}
 }
 
-// replaceProcess discards what was learned of a worker: a restarted process is another worker under the
-// same name. Its silence about attempts of before is measured anew.
+// replaceProcess resets a worker's state: a restarted process is a different worker under the same name.
+// The silence deadlines of the attempts in flight at it are recomputed.
 func (d *Dispatcher) replaceProcess(w *worker, startedAt Time) {
 	d.discardSamples(w)
 	*w = worker{known: true, startedAt: startedAt, inFlight: w.inFlight, health: newWorkerTest()}
 	for _, o := range w.inFlight {
-		d.track(o)
+		d.trackDeadline(o)
 	}
 }
 
-// EndUpdate ends a list.
+// EndUpdate ends a snapshot or a delta of the endpoint list.
 func (d *Dispatcher) EndUpdate() {
 	d.fleet.ready = 0
 	for i := range d.fleet.workers {
@@ -131,9 +132,9 @@
 	}
 }
 
-// WorkersInUse returns the workers that an op or a message refers to. Such a worker must keep its index
-// though it has left the list. The other indices are the host's to give out anew: a fleet that is
-// replaced day by day names ever new workers, and each decision walks over all that are known.
+// WorkersInUse returns the workers that an op or a pending peer report refers to. They keep their indices
+// even after they have left the endpoint list. The host reuses all other indices: each decision scans all
+// known workers, and a fleet that is replaced daily adds new ones all the time.
 func (d *Dispatcher) WorkersInUse() map[int]bool {
 	inUse := map[int]bool{}
 	for _, o := range d.ops.byIndex {
@@ -141,9 +142,9 @@
 			continue
 		}
 		if o.attempts > 0 {
-			inUse[o.last.worker] = true
+			inUse[o.lastAttempt.worker] = true
 		}
-		for _, i := range slices.Concat(o.probes.pair, o.calledInvalidBy) {
+		for _, i := range slices.Concat(o.probes.pair, o.reportedInvalidBy) {
 			inUse[i] = true
 		}
 	}
@@ -153,15 +154,15 @@
 	return inUse
 }
 
-// ForgetWorker frees the index of a worker that has left the list and is not in use.
+// ForgetWorker frees the index of a worker that has left the endpoint list and is not in use.
 func (d *Dispatcher) ForgetWorker(i int) {
 	w := &d.fleet.workers[i]
 	d.discardSamples(w)
 	*w = worker{}
-	d.digest.valid = false
+	d.summary.valid = false
 }
 
-// discardSamples takes a worker's samples out of those of all workers.
+// discardSamples removes a worker's samples from the totals of the fleet and of its machine kind.
 func (d *Dispatcher) discardSamples(w *worker) {
 	for _, s := range w.queueSamples {
 		d.samples.queue.remove(s)
@@ -169,7 +170,7 @@
 	w.serviceTimeRatios.RemoveFrom(&d.fleet.kinds[w.kind].serviceTimeRatios)
 }
 
-// addQueueSample adds a sample to a worker's and to those of all workers.
+// addQueueSample adds a sample to a worker's samples and to the totals of the fleet.
 func (d *Dispatcher) addQueueSample(w *worker, s queueSample) {
 	if len(w.queueSamples) == stats.MaxRecent {
 		d.samples.queue.remove(w.queueSamples[0])
