--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -79,7 +79,7 @@
 	}
 	for _, a := range pullDecisions(d) {
 		if a.Kind != Forget {
-			t.Errorf("%+v", a)
+			t.Errorf("decision %+v, want Forget only", a)
 		}
 	}
 }
--- a/dispatch/shadow_test.go
+++ b/dispatch/shadow_test.go
@@ -37,9 +37,9 @@
 		changeShadow            func(*Settings)
 		pair, report, placement bool
 	}{
-		"equal settings": {changeShadow: func(*Settings) {}},
-		"keys":           {changeShadow: func(s *Settings) { s.AffinityKeys = true }, pair: true},
-		"connections":    {changeShadow: func(s *Settings) { s.ConnectionPrice = 0.05 }, pair: true},
+		"equal settings":   {changeShadow: func(*Settings) {}},
+		"affinity keys":    {changeShadow: func(s *Settings) { s.AffinityKeys = true }, pair: true},
+		"connection price": {changeShadow: func(s *Settings) { s.ConnectionPrice = 0.05 }, pair: true},
 		"connection price, peer messages": {changeShadow: func(s *Settings) {
 			s.ConnectionPrice, s.PeerMessages = 0.05, true
 		}, pair: true, report: true},
--- a/dispatch/slow_start_test.go
+++ b/dispatch/slow_start_test.go
@@ -31,7 +31,7 @@
 		scenario       slowStartScenario
 	}{
 		// With accurate reports, the admission probability must not leave the warming workers idle.
-		"thirty":                   {0.6, scenario(func(d *slowStartScenario) {})},
+		"30 schedulers":            {0.6, scenario(func(d *slowStartScenario) {})},
 		"30 schedulers, full load": {0.65, scenario(func(d *slowStartScenario) { d.load = 1 })},
 		"30 schedulers, burst": {0.7, scenario(func(d *slowStartScenario) {
 			d.load, d.burst, d.clientRetries = 1, 1.5, 2
@@ -144,7 +144,7 @@
 				all.utilization, all.succeeded = all.utilization+f.utilization/float64(seeds),
 					all.succeeded+f.succeeded/float64(seeds)
 			}
-			t.Logf("%d of %d overloaded; worst %.2f of bound; mean %.2f of budget; dispersion %.2f; used %.2f; success %.3f",
+			t.Logf("%d/%d overloaded; worst %.2f of bound; mean %.2f of budget; dispersion %.2f; used %.2f; served %.3f",
 				all.overloaded, seeds*c.scenario.warming, all.worstLoad, all.meanLoad, all.dispersion, all.utilization,
 				all.succeeded)
 			if all.overloaded > 0 {
