--- a/dispatch/op_test.go
+++ b/dispatch/op_test.go
@@ -85,7 +85,7 @@
 }
 
 // A rejected op comes with the reason, by which metrics and logs are grouped.
-func TestGivenUpOpNamesItsReason(t *testing.T) {
+func TestARejectedOpNamesItsReason(t *testing.T) {
 	rejection := func(d *Dispatcher) Decision {
 		t.Helper()
 		for _, next := range pullDecisions(d) {
--- a/dispatch/slow_start_test.go
+++ b/dispatch/slow_start_test.go
@@ -144,7 +144,7 @@
 				all.utilization, all.succeeded = all.utilization+f.utilization/float64(seeds),
 					all.succeeded+f.succeeded/float64(seeds)
 			}
-			t.Logf("%d/%d overloaded; worst %.2f of bound; mean %.2f of budget; dispersion %.2f; used %.2f; served %.3f",
+			t.Logf("%d/%d overloaded; worst %.2f of bound; mean %.2f of budget; dispersion %.2f; used %.2f; done %.3f",
 				all.overloaded, seeds*c.scenario.warming, all.worstLoad, all.meanLoad, all.dispersion, all.utilization,
 				all.succeeded)
 			if all.overloaded > 0 {
