--- a/cmd/woaddyke/bench_test.go
+++ b/cmd/woaddyke/bench_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/lab/several"
+	"woaddyke/internal/lab/cluster"
 )
 
 // BenchmarkGuardedOp is what an at-most-once op costs from its client's side, with copies at three keepers and without.
@@ -23,7 +23,7 @@
 			if on {
 				offer += "[copies]\nkeepers = [\"n1\", \"n2\", \"n3\"]\nhold_off = \"5s\"\n"
 			}
-			c := several.New(b, 4, offer, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
+			c := cluster.New(b, 4, offer, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
 				worker.Listener.Addr()), thisProgram)
 			for _, p := range c.Places {
 				c.Start(p)
--- a/cmd/woaddyke/claimers_test.go
+++ b/cmd/woaddyke/claimers_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/lab/several"
+	"woaddyke/internal/lab/cluster"
 )
 
 const (
@@ -17,7 +17,7 @@
 )
 
 // startOpenOps sends ops to a place that its worker does not finish, and returns their ids.
-func startOpenOps(t *testing.T, p *several.Place, b *bench) (ids []string) {
+func startOpenOps(t *testing.T, p *cluster.Place, b *bench) (ids []string) {
 	t.Helper()
 	for k := range openOps {
 		id := fmt.Sprint("hold-", k)
@@ -29,7 +29,7 @@
 }
 
 // startSuccessor has a second process take the place of one, with a console of its own, and waits until it serves.
-func startSuccessor(t *testing.T, c *several.Cluster, p *several.Place) {
+func startSuccessor(t *testing.T, c *cluster.Cluster, p *cluster.Place) {
 	t.Helper()
 	p.Console = freeAddr(t)
 	c.Start(p)
@@ -37,7 +37,7 @@
 }
 
 // awaitRepeats waits until each repeat at each of some places has a status, and fails the test for one that was granted.
-func awaitRepeats(t *testing.T, c *several.Cluster, b *bench, ids []string, want int, places ...*several.Place) {
+func awaitRepeats(t *testing.T, c *cluster.Cluster, b *bench, ids []string, want int, places ...*cluster.Place) {
 	t.Helper()
 	for _, p := range places {
 		for _, id := range ids {
@@ -80,7 +80,7 @@
 	ids := startOpenOps(t, p, b)
 	predecessor, ended := p.Running()
 	startSuccessor(t, c, p)
-	for _, at := range []*several.Place{c.Places[1], p} {
+	for _, at := range []*cluster.Place{c.Places[1], p} {
 		if status, text := post(at, "pay", ids[0], "x"); status != http.StatusServiceUnavailable {
 			t.Errorf("while the predecessor runs, at %s: %d %q", at.Name, status, text)
 		}
--- a/cmd/woaddyke/copies_test.go
+++ b/cmd/woaddyke/copies_test.go
@@ -17,8 +17,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"woaddyke/internal/lab/between"
-	"woaddyke/internal/lab/several"
+	"woaddyke/internal/lab/cluster"
+	"woaddyke/internal/lab/faultproxy"
 )
 
 // keepersTable is the table of the first three schedulers as keepers. A claim waits so long for a majority.
@@ -78,13 +78,13 @@
 }
 
 // guarded starts schedulers beside one worker; the first three are keepers unless copies are off.
-func guarded(t *testing.T, n int, on bool, more ...string) (*several.Cluster, *bench) {
+func guarded(t *testing.T, n int, on bool, more ...string) (*cluster.Cluster, *bench) {
 	t.Helper()
 	return guardedBy(t, n, on, thisProgram, more...)
 }
 
 // guardedBy starts schedulers of another build.
-func guardedBy(t *testing.T, n int, on bool, program func(args ...string) *exec.Cmd, more ...string) (*several.Cluster, *bench) {
+func guardedBy(t *testing.T, n int, on bool, program func(args ...string) *exec.Cmd, more ...string) (*cluster.Cluster, *bench) {
 	t.Helper()
 	offer := quick
 	if on {
@@ -96,18 +96,18 @@
 }
 
 // besideOneWorker is a cluster beside one worker, not started yet.
-func besideOneWorker(t *testing.T, n int, operator string, program func(args ...string) *exec.Cmd) (*several.Cluster, *bench) {
+func besideOneWorker(t *testing.T, n int, operator string, program func(args ...string) *exec.Cmd) (*cluster.Cluster, *bench) {
 	t.Helper()
 	b := &bench{runs: map[string]int{}, go_: make(chan struct{}), began: make(chan string, 99)}
 	worker := httptest.NewServer(b)
 	t.Cleanup(worker.Close)
 	t.Cleanup(worker.CloseClientConnections)
 	list := fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`, worker.Listener.Addr())
-	return several.New(t, n, operator, list, program), b
+	return cluster.New(t, n, operator, list, program), b
 }
 
 // startAll starts all schedulers and waits until they serve and, where they keep copies, have their votes.
-func startAll(c *several.Cluster, copies bool) {
+func startAll(c *cluster.Cluster, copies bool) {
 	for _, p := range c.Places {
 		c.Start(p)
 	}
@@ -118,13 +118,13 @@
 }
 
 // votes tells whether a process has its vote, if it is a keeper.
-func votes(p *several.Place) bool {
+func votes(p *cluster.Place) bool {
 	var s struct{ Keeper, Voting bool }
 	return p.Get("/api/copies", &s) && s.Keeper == s.Voting
 }
 
 // post sends an op and returns its answer; status 0 for a connection that broke.
-func post(p *several.Place, category, id, body string) (int, string) {
+func post(p *cluster.Place, category, id, body string) (int, string) {
 	r, _ := http.NewRequest(http.MethodPost, "http://"+p.Listen+"/", strings.NewReader(body))
 	r.Header = http.Header{"X-Correlation-Id": {id}, "X-Service-Class": {category}, "X-Time-Left-Ms": {"4500"}}
 	client := http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -138,7 +138,7 @@
 }
 
 // awaitTold waits until all know what became of each op.
-func awaitTold(c *several.Cluster) {
+func awaitTold(c *cluster.Cluster) {
 	c.Await("what became of the claims is told", func() bool {
 		for _, p := range c.Places {
 			var s struct{ Asking, Mine, Telling int }
@@ -155,7 +155,7 @@
 
 // repeat sends an op whose id was answered at another scheduler. While the word of its end is on its way to the keepers it is told to come
 // back, by that one answer and for a bounded time; the first other answer is returned.
-func repeat(t *testing.T, p *several.Place, category, id string) (int, string) {
+func repeat(t *testing.T, p *cluster.Place, category, id string) (int, string) {
 	t.Helper()
 	for until := time.Now().Add(endKnownWithin); ; time.Sleep(time.Millisecond) {
 		status, text := post(p, category, id, "x")
@@ -236,7 +236,7 @@
 		return w
 	}
 	east, west := worker("east"), worker("west")
-	c := several.New(t, 4, quick+keepersTable(usualWait)+"deduplicated = true\n",
+	c := cluster.New(t, 4, quick+keepersTable(usualWait)+"deduplicated = true\n",
 		fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"e","endpoint":%q,"az":"east","pod_group":1,"state":"SERVING"},`+
 			`{"uid":"w","endpoint":%q,"az":"west","pod_group":2,"state":"SERVING"}]}`, east.Listener.Addr(), west.Listener.Addr()), thisProgram)
 	c.Places[3].ConnectTimeout = 5 * time.Second // it must not give the silent worker up, and know by that where the op may have run
@@ -454,7 +454,7 @@
 		}
 		return true
 	})
-	staff := func(p *several.Place, names ...string) string {
+	staff := func(p *cluster.Place, names ...string) string {
 		var out bytes.Buffer
 		cmd := command()
 		cmd.SetOut(&out)
@@ -617,8 +617,8 @@
 	}()
 	b.awaitBegan(t)
 	for i := range 3 {
-		c.Net.Cut(3, i, between.Silent)
-		c.Net.Cut(i, 3, between.Silent)
+		c.Net.Cut(3, i, faultproxy.Silent)
+		c.Net.Cut(i, 3, faultproxy.Silent)
 	}
 	c.AwaitState("n4", "gone", c.Places[:3]...)
 	if status, text := post(c.Places[0], "pay", "hold-1", "x"); status != http.StatusBadGateway {
@@ -632,8 +632,8 @@
 		t.Errorf("the first client: %d", status)
 	}
 	for i := range 3 {
-		c.Net.Cut(3, i, between.Open)
-		c.Net.Cut(i, 3, between.Open)
+		c.Net.Cut(3, i, faultproxy.Open)
+		c.Net.Cut(i, 3, faultproxy.Open)
 	}
 	c.Await("its end is known", func() bool {
 		status, text := post(c.Places[1], "pay", "hold-1", "x")
--- a/cmd/woaddyke/descriptors_test.go
+++ b/cmd/woaddyke/descriptors_test.go
@@ -20,7 +20,7 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/lab/several"
+	"woaddyke/internal/lab/cluster"
 	"woaddyke/internal/observe/metrics"
 )
 
@@ -379,7 +379,7 @@
 	const limit = 160
 	pushed, list := two(t)
 	o := newOutage(t, list(1, "SERVING"))
-	c := several.New(t, 3, quick+keepersTable(usualWait)+"path = \"{dir}/copies.db\"\n",
+	c := cluster.New(t, 3, quick+keepersTable(usualWait)+"path = \"{dir}/copies.db\"\n",
 		noWorkers, within(limit))
 	for _, p := range c.Places {
 		p.Discovery = o.addr
--- a/cmd/woaddyke/disk_test.go
+++ b/cmd/woaddyke/disk_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/lab/between"
-	"woaddyke/internal/lab/several"
+	"woaddyke/internal/lab/cluster"
+	"woaddyke/internal/lab/faultproxy"
 	"woaddyke/internal/lab/syscallfault"
 )
 
@@ -31,7 +31,7 @@
 }
 
 // begin starts a process whose writes and syncs of its keeper's file go by its disk.
-func (d *disks) begin(p *several.Place, cmd *exec.Cmd) error {
+func (d *disks) begin(p *cluster.Place, cmd *exec.Cmd) error {
 	_, err := syscallfault.Start(cmd, os.Args[0], func(c syscallfault.Call) syscall.Errno {
 		if !strings.HasSuffix(c.Target(), "copies.db") {
 			return 0
@@ -45,7 +45,7 @@
 
 // diskCluster is a cluster of keepers whose disks may fail.
 type diskCluster struct {
-	*several.Cluster
+	*cluster.Cluster
 	disks *disks
 }
 
@@ -119,13 +119,13 @@
 			t.Parallel()
 			c, b := guardedDisks(t, "")
 			asks, apart, grants := c.Places[0], c.Places[1], c.Places[2]
-			link := func(state between.Cut) {
+			link := func(state faultproxy.Cut) {
 				for _, i := range []int{0, 2} {
 					c.Net.Cut(1, i, state)
 					c.Net.Cut(i, 1, state)
 				}
 			}
-			link(between.Silent)
+			link(faultproxy.Silent)
 			c.disks.set(errno, asks.Name)
 			if status, text := post(asks, "pay", "a", "x"); status != http.StatusServiceUnavailable || b.ran("a") != 0 {
 				t.Errorf("while the disk fails: %d %q, ran %d times", status, text, b.ran("a"))
@@ -133,7 +133,7 @@
 			c.disks.set(0, asks.Name)
 			grants.Kill()
 			asks.Kill()
-			link(between.Open)
+			link(faultproxy.Open)
 			c.Start(asks)
 			c.Await("the keeper that comes back has its vote", func() bool { return votes(asks) })
 			c.Await("an op is served again", func() bool { status, _ := post(apart, "pay", "b", "x"); return status == http.StatusOK })
--- a/cmd/woaddyke/members_test.go
+++ b/cmd/woaddyke/members_test.go
@@ -12,8 +12,8 @@
 	"syscall"
 	"testing"
 
-	"woaddyke/internal/lab/between"
-	"woaddyke/internal/lab/several"
+	"woaddyke/internal/lab/cluster"
+	"woaddyke/internal/lab/faultproxy"
 )
 
 // thisProgram is the command itself, as a process of its own.
@@ -28,8 +28,8 @@
 // quick are shorter spans than an operator would set, so that ends are found in a second.
 const quick = "probe = \"50ms\"\ndoubt = \"600ms\"\nlongest_doubt = \"1s\"\nseek = \"200ms\"\nexchange = \"1s\"\n"
 
-func cluster(t *testing.T, n int) *several.Cluster {
-	c := several.New(t, n, quick, noWorkers, thisProgram)
+func startCluster(t *testing.T, n int) *cluster.Cluster {
+	c := cluster.New(t, n, quick, noWorkers, thisProgram)
 	for _, p := range c.Places {
 		c.Start(p)
 	}
@@ -40,7 +40,7 @@
 // A scheduler that died was nobody's business: now all others know, and know that the next process of its name is another one.
 func TestAKilledProcessIsGoneAndComesBackAsAnother(t *testing.T) {
 	t.Parallel()
-	c := cluster(t, 4)
+	c := startCluster(t, 4)
 	p := c.Places[3]
 	p.Kill()
 	c.AwaitState("n4", "gone", c.Places[:3]...)
@@ -62,7 +62,7 @@
 // A process that stood still for longer than a doubt lasts has been given up; awake again it accuses nobody and is back.
 func TestAStoppedProcessAccusesNobodyWhenItWakes(t *testing.T) {
 	t.Parallel()
-	c := cluster(t, 4)
+	c := startCluster(t, 4)
 	p := c.Places[2]
 	p.Signal(syscall.SIGSTOP)
 	c.AwaitState("n3", "gone", c.Places...)
@@ -81,8 +81,8 @@
 // Two groups that can't talk go on apart, and are one again by themselves. A pair that is cut one way stays as it is.
 func TestPartedGroupsAreOneAgain(t *testing.T) {
 	t.Parallel()
-	c := cluster(t, 5)
-	part := func(how between.Cut) {
+	c := startCluster(t, 5)
+	part := func(how faultproxy.Cut) {
 		for i := range 2 {
 			for j := 2; j < 5; j++ {
 				c.Net.Cut(i, j, how)
@@ -90,15 +90,15 @@
 			}
 		}
 	}
-	part(between.Silent)
+	part(faultproxy.Silent)
 	c.AwaitState("n5", "gone", c.Places[:2]...)
 	c.AwaitState("n1", "gone", c.Places[2:]...)
 	if s := c.Places[0].View().State("n2"); s != "here" {
 		t.Errorf("on its own side n2 is %s", s)
 	}
-	part(between.Open)
+	part(faultproxy.Open)
 	c.AwaitWhole(c.Places...)
-	c.Net.Cut(0, 1, between.Silent)
+	c.Net.Cut(0, 1, faultproxy.Silent)
 	c.Await("one can't reach the other directly", func() bool {
 		for _, m := range c.Places[0].View().Members {
 			if m.Name == "n2" {
@@ -112,7 +112,7 @@
 // A second process with the name of a stopped one: the first one wakes up, learns that it is superseded, and stands by.
 func TestASupersededProcessStandsBy(t *testing.T) {
 	t.Parallel()
-	c := several.New(t, 4, quick, noWorkers, thisProgram)
+	c := cluster.New(t, 4, quick, noWorkers, thisProgram)
 	c.Places[3].Name = "n1" // the name is used twice
 	for _, p := range c.Places[:3] {
 		c.Start(p)
@@ -132,11 +132,11 @@
 // Another process takes the place of one: for the others nothing has changed.
 func TestATakeoverChangesNoView(t *testing.T) {
 	t.Parallel()
-	c := cluster(t, 3)
+	c := startCluster(t, 3)
 	p := c.Places[1]
 	c.Takeover(p)
 	c.AwaitWhole(c.Places...)
-	for _, o := range []*several.Place{c.Places[0], c.Places[2]} {
+	for _, o := range []*cluster.Place{c.Places[0], c.Places[2]} {
 		for _, m := range o.View().Members {
 			if m.Name == "n2" && m.Incarnation != 1 {
 				t.Errorf("%s holds n2 with incarnation %d", o.Name, m.Incarnation)
@@ -149,7 +149,7 @@
 func TestStrangersAreNoMembers(t *testing.T) {
 	t.Parallel()
 	strange := false
-	c := several.New(t, 3, quick, noWorkers, func(args ...string) *exec.Cmd {
+	c := cluster.New(t, 3, quick, noWorkers, func(args ...string) *exec.Cmd {
 		if strange {
 			text, err := os.ReadFile(args[4])
 			if err != nil {
@@ -191,7 +191,7 @@
 // lost is heard of all the same.
 func TestOtherSettingsAreTold(t *testing.T) {
 	t.Parallel()
-	c := several.New(t, 3, quick, noWorkers, thisProgram)
+	c := cluster.New(t, 3, quick, noWorkers, thisProgram)
 	c.Places[2].Categories = `{"name":"pay","effect":"fragile","ttlNs":4e9,"targetLatencyNs":4e9}`
 	for _, p := range c.Places {
 		c.Start(p)
--- a/cmd/woaddyke/ready_test.go
+++ b/cmd/woaddyke/ready_test.go
@@ -14,8 +14,8 @@
 
 	"woaddyke/internal/cluster/replication"
 	"woaddyke/internal/cluster/store"
-	"woaddyke/internal/lab/between"
-	"woaddyke/internal/lab/several"
+	"woaddyke/internal/lab/cluster"
+	"woaddyke/internal/lab/faultproxy"
 	"woaddyke/internal/lifecycle/boottime"
 )
 
@@ -52,7 +52,7 @@
 }
 
 // soonest waits for each place in turn for something to be so, all at once, and tells how long each took since it was started.
-func soonest(c *several.Cluster, places []*several.Place, since []time.Time, is func(*several.Place) bool) *later {
+func soonest(c *cluster.Cluster, places []*cluster.Place, since []time.Time, is func(*cluster.Place) bool) *later {
 	l := &later{spans: make([]time.Duration, len(places))}
 	var all sync.WaitGroup
 	for i, p := range places {
@@ -118,7 +118,7 @@
 				offer += "path = \"{dir}/copies.db\"\n"
 			}
 			o := newOutage(t, x.list)
-			c := several.New(t, n, offer, noWorkers, thisProgram)
+			c := cluster.New(t, n, offer, noWorkers, thisProgram)
 			keepers := c.Places[:3]
 			for i, p := range c.Places {
 				if p.Discovery = o.addr; x.settings != "" {
@@ -126,7 +126,7 @@
 				}
 				c.Start(p)
 			}
-			ready := func(p *several.Place) bool { return p.Get("/api/ready", nil) }
+			ready := func(p *cluster.Place) bool { return p.Get("/api/ready", nil) }
 			for _, p := range c.Places {
 				c.Await("all are ready, and keepers have their votes", func() bool { return ready(p) && (x.keeps == alone || votes(p)) })
 			}
@@ -147,7 +147,7 @@
 			for i, p := range c.Places {
 				if x.takeover {
 					before, ended := p.Running()
-					at, err := between.Free(c.Bound(i))
+					at, err := faultproxy.Free(c.Bound(i))
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -181,7 +181,7 @@
 				t.Errorf("nine in ten are not ready within %v", readyTime)
 			}
 			if x.keeps != alone && all {
-				t.Logf("keepers have their votes: %v", soonest(c, keepers, since[:3], func(p *several.Place) bool { return votes(p) }))
+				t.Logf("keepers have their votes: %v", soonest(c, keepers, since[:3], func(p *cluster.Place) bool { return votes(p) }))
 			}
 		})
 	}
--- a/cmd/woaddyke/size_test.go
+++ b/cmd/woaddyke/size_test.go
@@ -21,7 +21,7 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/lab/several"
+	"woaddyke/internal/lab/cluster"
 )
 
 // hosted is a process of the program among so many workers, which are one listener at as many addresses.
@@ -416,13 +416,13 @@
 					if keepers {
 						offer = "[copies]\nkeepers = [\"n1\", \"n2\", \"n3\"]\n"
 					}
-					c := several.New(b, n, offer, noWorkers, thisProgram)
+					c := cluster.New(b, n, offer, noWorkers, thisProgram)
 					for _, p := range c.Places {
 						c.Start(p)
 					}
 					c.AwaitWhole(c.Places...)
 					time.Sleep(2 * time.Second)
-					sum := func(places []*several.Place) (total time.Duration) {
+					sum := func(places []*cluster.Place) (total time.Duration) {
 						for _, p := range places {
 							cmd, _ := p.Running()
 							total += spent(b, cmd)
--- a/cmd/woaddyke/workers_test.go
+++ b/cmd/woaddyke/workers_test.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"testing"
 
-	"woaddyke/internal/lab/several"
+	"woaddyke/internal/lab/cluster"
 )
 
 // A scheduler whose discovery has fallen silent pushed to a worker for as long as it lived, though its neighbour had been told that it
@@ -50,14 +50,14 @@
 			}))
 			t.Cleanup(told.Close)
 			t.Cleanup(told.CloseClientConnections)
-			c := several.New(t, 2, fmt.Sprintf("%sworkers = %v\n", quick, on), whole, thisProgram) // its discovery tells no more
+			c := cluster.New(t, 2, fmt.Sprintf("%sworkers = %v\n", quick, on), whole, thisProgram) // its discovery tells no more
 			c.Places[0].Discovery = told.Listener.Addr().String()
 			for _, p := range c.Places {
 				c.Start(p)
 			}
 			c.AwaitWhole(c.Places...)
 			ops := 0
-			send := func(p *several.Place, n int) {
+			send := func(p *cluster.Place, n int) {
 				for range n {
 					ops++
 					if status, text := post(p, "look", fmt.Sprint("x", ops), ""); status != http.StatusOK {
@@ -70,7 +70,7 @@
 				return pushes[0].Load() > 0 && pushes[1].Load() > 0
 			})
 			close(drain)
-			quiet := func(p *several.Place) bool {
+			quiet := func(p *cluster.Place) bool {
 				before := pushes[0].Load()
 				send(p, 30)
 				return pushes[0].Load() == before
