--- a/internal/workers/discovery/backoff.go
+++ b/internal/workers/discovery/backoff.go
@@ -5,20 +5,19 @@
 // maxDoublings bounds the exponent of a backoff.
 const maxDoublings = 10
 
-// call is how one call for a watch went.
+// call is the result of one call for a watch.
 type call struct {
-	alive    bool          // something came that shows that discovery works
-	rejected bool          // discovery had no time for it
-	idle     bool          // it ended by the idle timeout
-	duration time.Duration // from its beginning to its end
-	backoff  time.Duration // before it
+	alive    bool          // a complete object or a heartbeat was received
+	rejected bool          // discovery was overloaded
+	idle     bool          // ended by the idle timeout
+	duration time.Duration // from its start to its end
+	backoff  time.Duration // before the call
 }
 
-// callHistory is what the next backoff depends on: the calls since the last one that showed that
-// discovery works.
+// callHistory summarizes the calls since the last one that was alive. It determines the next backoff.
 type callHistory struct {
-	failures   int // calls that failed; 0 after one that did not, and before the first call
-	rejections int // of the failures, those from the first rejected call on
+	failures   int // failed calls; 0 before the first call and after a successful one
+	rejections int // failures from the first rejected call on
 
 	// Of the last call.
 	idle     bool
@@ -44,31 +43,32 @@
 	}
 }
 
-// nextBackoff returns the time to wait before the next call. random is from 0 to 1. A discovery that is
-// silent or can't be reached may be back any moment; one that rejects calls is called as rarely as the
-// changes that it may have allow.
+// nextBackoff returns the time to wait before the next call; random is from 0 to 1. A discovery service that
+// is silent or unreachable may return at any moment. One that rejects calls is called as rarely as the
+// deadline for applying its changes allows.
 //
-// A backoff counts from the beginning of the failed call: a call that hung has used it up. It doubles up
-// to a quarter of the upper bound, the next ones are drawn from the rest, and those after them are the
-// bound itself. So schedulers that failed together are spread over the bound, and few call more often
-// than they must: a discovery that goes on working for calls that have failed can't bear many draws.
+// The backoff is measured from the start of the failed call, so a call that hung has used it up. It doubles
+// up to a quarter of the upper bound, is then randomized between that and the bound, and finally equals
+// the bound. This spreads schedulers that failed together over the bound, and few of them call more often
+// than necessary: a service that keeps working on calls that have already failed can't serve many
+// randomized calls, as they come before the bound.
 func (t Timeouts) nextBackoff(h callHistory, random float64) time.Duration {
 	if h.failures == 0 {
 		return t.backoffAfterWatch(h.idle, random)
 	}
 	bounds := t.backoffBounds(h)
 	base := max(bounds.base, h.duration)
-	period := bounds.upper // from the beginning of the failed call
+	period := bounds.upper // from the start of the failed call
 	switch {
 	case base < bounds.upper/4:
 		period = time.Duration((1 + random) / 2 * float64(base))
-	case base < bounds.drawnBelow, h.rejections%redrawEvery == redrawEvery-1:
+	case base < bounds.randomizedBelow, h.rejections%rerandomizeEvery == rerandomizeEvery-1:
 		period = time.Duration((1 + 3*random) / 4 * float64(bounds.upper))
 	}
 	return max(period-h.duration, 0)
 }
 
-// backoffAfterWatch is the backoff where no call has failed since the last watch, or since the start.
+// backoffAfterWatch returns the backoff if no call has failed since the last watch or since the start.
 func (t Timeouts) backoffAfterWatch(idle bool, random float64) time.Duration {
 	if idle {
 		return time.Duration(random * float64(t.SpreadAfterIdle))
@@ -76,28 +76,28 @@
 	return time.Duration(random * float64(t.Spread))
 }
 
-// backoffBounds are the terms of one backoff.
+// backoffBounds are the parameters of one backoff.
 type backoffBounds struct {
-	base       time.Duration // doubled with each failure
-	upper      time.Duration
-	drawnBelow time.Duration // a base below it is drawn; one at or above it takes the upper bound
+	base            time.Duration // doubles with each failure
+	upper           time.Duration
+	randomizedBelow time.Duration // a base below it is randomized; otherwise the upper bound applies
 }
 
 func (t Timeouts) backoffBounds(h callHistory) backoffBounds {
 	if h.rejections == 0 {
 		return backoffBounds{
-			base:       t.Spread << min(h.failures-1, maxDoublings),
-			upper:      t.MaxBackoff,
-			drawnBelow: 2 * t.MaxBackoff,
+			base:            t.Spread << min(h.failures-1, maxDoublings),
+			upper:           t.MaxBackoff,
+			randomizedBelow: 2 * t.MaxBackoff,
 		}
 	}
 	bounds := backoffBounds{
-		base:       t.MaxBackoff / 4 << min(h.rejections-1, maxDoublings),
-		upper:      t.MaxBackoffRejected,
-		drawnBelow: t.MaxBackoffRejected / 2,
+		base:            t.MaxBackoff / 4 << min(h.rejections-1, maxDoublings),
+		upper:           t.MaxBackoffRejected,
+		randomizedBelow: t.MaxBackoffRejected / 2,
 	}
 	if h.failures == 1 {
-		bounds.upper -= h.backoff // changes since the watch ended are waiting already
+		bounds.upper -= h.backoff // changes may be pending since the watch ended
 	}
 	return bounds
 }
--- a/internal/workers/discovery/discovery.go
+++ b/internal/workers/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery reads the list of workers: it watches the list's changes, reports them, and opens the
-// watch again when it breaks.
+// Package discovery is the client of the discovery service: it watches the endpoint list of the workers,
+// reports each change and reopens the watch when it breaks.
 package discovery
 
 import (
@@ -19,28 +19,28 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// Client watches the endpoint list of the discovery at one address.
+// Client watches the endpoint list of the discovery service at one address.
 type Client struct {
 	notify     func(reducer.Input) // reports each message of the watch
 	httpClient http.Client
 	log        zerolog.Logger
 	timeouts   Timeouts
 	startTimes *StartTimes
-	random     *rand.Rand // of Run alone
+	random     *rand.Rand // used by Run only
 
-	addressChanged chan struct{}             // wakes Run
-	watching       sync.Mutex                // held by the open watch
-	watchedConn    atomic.Pointer[watchConn] // of the open watch, nil without one
+	addressChanged chan struct{}             // signals Run
+	watchMu        sync.Mutex                // locked while a watch is open
+	watchedConn    atomic.Pointer[watchConn] // connection of the open watch, nil if none
 
 	mu          sync.Mutex
 	addr        string
-	cancelWatch context.CancelFunc // ends the open watch
+	cancelWatch context.CancelFunc // cancels the open watch
 	revision    int64              // of workers
 	workers     map[string]target  // by UID
 }
 
-// NewClient returns a client that starts from a list that is known already. The moments of its calls are
-// drawn from the seed, over a span that it shares with the other schedulers.
+// NewClient returns a client that starts from a known endpoint list. The seed determines the jitter that
+// spreads its calls over the same period as those of the other schedulers.
 func NewClient(
 	addr string,
 	known EndpointList,
@@ -70,9 +70,9 @@
 	return c
 }
 
-// apply takes a message into the list. It does nothing and returns false where the watch that the message
-// came by has been ended: a late message of the former discovery must not overwrite what the present one
-// says.
+// apply applies a message to the list. It does nothing and returns false if the watch that received the
+// message has been cancelled: a late message of the previous discovery service must not overwrite the list
+// of the current one.
 func (c *Client) apply(watch context.Context, m *EndpointList) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +94,7 @@
 	return true
 }
 
-// Snapshot returns the complete list in discovery's form.
+// Snapshot returns the complete list in the JSON format of discovery.
 func (c *Client) Snapshot() ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,13 +105,13 @@
 	return json.Marshal(m)
 }
 
-// SetAddress ends the open watch and opens the next one at once, at this address. Nothing that the former
-// discovery sends counts any more.
+// SetAddress cancels the open watch and opens the next one immediately, at this address. Messages of the
+// previous discovery service are ignored from then on.
 func (c *Client) SetAddress(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.addr != addr {
-		c.revision = 0 // versions of another discovery are not comparable: it has to send its complete list
+		c.revision = 0 // revisions of two services are not comparable: the new one must send a snapshot
 	}
 	c.addr = addr
 	c.cancelWatch()
@@ -121,10 +121,10 @@
 	}
 }
 
-// Run watches until the context ends, and opens the watch again whenever it breaks.
+// Run watches until ctx ends and reopens the watch whenever it breaks.
 func (c *Client) Run(ctx context.Context) {
 	var history callHistory
-	backoff := c.nextBackoff(history) // the known list serves meanwhile
+	backoff := c.nextBackoff(history) // the known list is used in the meantime
 	for {
 		select {
 		case <-ctx.Done():
@@ -147,7 +147,7 @@
 			backoff:  backoff,
 		})
 		backoff = c.nextBackoff(history)
-		if !errors.Is(err, context.Canceled) { // SetAddress is no failure
+		if !errors.Is(err, context.Canceled) { // cancellation by SetAddress is not a failure
 			c.log.Warn().Err(err).Dur("again_in_ms", backoff).Msg("watch broke")
 		}
 	}
@@ -157,7 +157,7 @@
 	return c.timeouts.nextBackoff(history, c.random.Float64())
 }
 
-// replaceWatch ends the open watch and returns the context of the next one.
+// replaceWatch cancels the open watch and returns the context for the next one.
 func (c *Client) replaceWatch(ctx context.Context) context.Context {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/workers/discovery/idle_timer.go
+++ b/internal/workers/discovery/idle_timer.go
@@ -6,33 +6,33 @@
 )
 
 const (
-	// maxTimerLateness is how late a timer may fire. One that is later shows that this process did not
-	// run, and proves nothing of discovery.
+	// maxTimerLateness is how late a timer may fire. A larger delay shows that this process was not
+	// running, and proves nothing about discovery.
 	maxTimerLateness = 100 * time.Millisecond
-	// unreadGrace is the longest time for what came meanwhile to be read. At most a quarter of the
-	// timeout is given.
+	// unreadGrace is the extra time for reading data that arrived in the meantime, limited to a quarter
+	// of the timeout.
 	unreadGrace = 500 * time.Millisecond
-	// maxLateTimers is how often in a row the grace is given: a process that never gets enough of the
-	// processor has to call again some time. In all it is less than a third of a drain's grace where
-	// lists are pushed, of which a call has two fifths.
+	// maxLateTimers is how often in a row unreadGrace is granted: a process that is permanently starved of
+	// CPU time must eventually call again. If lists are pushed, the total is less than a third of the drain
+	// grace, of which a call has two fifths.
 	maxLateTimers = 3
 )
 
-// idleTimer ends a watch on which nothing came in time. A process that was stopped or starved meanwhile
-// may have unread data, perhaps a drain that is already in force: it reads that first, in place of a new
-// call.
+// idleTimer ends a watch on which no data arrives within the timeout. A process that was stopped or starved
+// in the meantime may have unread data, such as a drain that is already in force: it reads that data first
+// instead of making a new call.
 type idleTimer struct {
-	hasUnread func() bool // data has arrived that nobody has read
+	hasUnread func() bool // reports whether data has arrived that is unread
 	onIdle    func()
 
 	mu         sync.Mutex
 	timer      *time.Timer
-	timeout    time.Duration // within which something has to come
+	timeout    time.Duration // within which data must arrive
 	deadline   time.Time
-	lateTimers int // since something came
+	lateTimers int // since data last arrived
 }
 
-// newIdleTimer returns a running timer. onIdle is called when it expires; reset puts that off.
+// newIdleTimer returns a running timer, which calls onIdle when it expires. reset restarts it.
 func newIdleTimer(timeout time.Duration, hasUnread func() bool, onIdle func()) *idleTimer {
 	t := &idleTimer{
 		hasUnread: hasUnread,
@@ -46,7 +46,7 @@
 	return t
 }
 
-// reset notes that something came. The next thing has to come within the timeout.
+// reset records that data arrived. The next data must arrive within the timeout.
 func (t *idleTimer) reset(timeout time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,13 +62,13 @@
 	t.timer.Stop()
 }
 
-// expired is called by the timer. It may find a deadline to come, if something came in this instant.
+// expired is called by the timer. The deadline may be in the future, if data arrived just as it fired.
 func (t *idleTimer) expired() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	remaining := time.Until(t.deadline)
 	if remaining <= 0 {
-		if t.idle(-remaining) {
+		if t.isIdle(-remaining) {
 			t.onIdle()
 			return
 		}
@@ -79,8 +79,9 @@
 	t.timer.Reset(remaining)
 }
 
-// idle tells whether a timer that is late by so much proves that nothing has come, with the lock held.
-func (t *idleTimer) idle(lateness time.Duration) bool {
+// isIdle reports whether a timer that fired with this delay proves that no data arrived. The caller holds
+// the lock.
+func (t *idleTimer) isIdle(lateness time.Duration) bool {
 	if t.lateTimers == maxLateTimers {
 		return true
 	}
--- a/internal/workers/discovery/message.go
+++ b/internal/workers/discovery/message.go
@@ -6,31 +6,31 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// States of a worker in a message of discovery.
+// States of a worker in a discovery message.
 const (
 	stateServing = "SERVING"
-	stateDeleted = "DELETED" // the worker has left the endpoint list; among changes only
+	stateDeleted = "DELETED" // the worker has left the endpoint list; in deltas only
 )
 
-// errIncompleteObject ends a watch: what such an object changes can't be known.
-var errIncompleteObject = errors.New("an object lacks its version, or a complete list its workers")
+// errIncompleteObject ends a watch, as the changes in such an object can't be determined.
+var errIncompleteObject = errors.New(`object without "rev", or snapshot without "targets"`)
 
-// EndpointList is an endpoint list in discovery's form: a snapshot, or the changes since the one before.
+// EndpointList is an endpoint list in discovery's format: a snapshot, or the delta since the previous list.
 type EndpointList struct {
-	Rev     int64    `json:"rev"` // the version of the list
+	Rev     int64    `json:"rev"` // revision of the list
 	All     bool     `json:"all"` // a snapshot
 	Targets []target `json:"targets"`
 }
 
-// target is one worker's entry.
+// target is the entry of one worker.
 type target struct {
 	UID      string `json:"uid"`
 	Endpoint string `json:"endpoint"` // host:port
 	AZ       string `json:"az"`
 	PodGroup int    `json:"pod_group"`
-	Model    string `json:"model"` // the kind of machine
+	Model    string `json:"model"` // machine kind
 	State    string `json:"state"`
-	BootMS   int64  `json:"boot_ms"` // Unix milliseconds at which the process started; 0 for unknown
+	BootMS   int64  `json:"boot_ms"` // start of the process in Unix milliseconds; 0 if unknown
 }
 
 // EndpointsChanged converts the message to the reducer's input.
@@ -39,7 +39,7 @@
 	for i := range m.Targets {
 		t := &m.Targets[i]
 		if t.UID == "" {
-			continue // no later message could say that it has left
+			continue // without a name, no later message could remove it
 		}
 		input.Endpoints = append(input.Endpoints, reducer.Endpoint{
 			Worker:      t.UID,
@@ -56,15 +56,15 @@
 	return input
 }
 
-// watchEvent is one object of a watch, in which a missing key differs from an empty value.
+// watchEvent is one object of a watch. Its pointers distinguish a missing key from an empty value.
 type watchEvent struct {
 	Rev     *int64    `json:"rev"`
 	All     bool      `json:"all"`
 	Targets *[]target `json:"targets"`
 }
 
-// message returns the event as a list. A snapshot without entries is an error: it would remove all
-// workers.
+// message converts the event to a list. A snapshot without the key "targets" is an error, as it would remove
+// all workers.
 func (e *watchEvent) message() (*EndpointList, error) {
 	if e.Rev == nil || e.All && e.Targets == nil {
 		return nil, errIncompleteObject
--- a/internal/workers/discovery/object_reader.go
+++ b/internal/workers/discovery/object_reader.go
@@ -9,21 +9,21 @@
 // maxObjectBytes bounds the memory of one object.
 const maxObjectBytes = 8 << 20
 
-var errObjectTooLarge = fmt.Errorf("an object is longer than %d bytes", maxObjectBytes)
+var errObjectTooLarge = fmt.Errorf("object exceeds %d bytes", maxObjectBytes)
 
-// objectReader reads objects with empty lines between them. Between objects each byte is a sign of life.
-// An object that has begun must be complete within the timeout that one byte sets, and within
-// maxObjectBytes: half an object that stops counts as silence, also where empty lines follow it.
+// objectReader reads objects that are separated by empty lines, which are heartbeats. Between objects, each
+// byte resets the idle timer. A started object must be complete within the idle timeout after its first
+// byte, and within maxObjectBytes: a partial object counts as silence, even if empty lines follow it.
 type objectReader struct {
 	source      io.Reader
-	remaining   int    // bytes that the object may still have
-	inObject    bool   // an object has begun and is not complete
-	alive       bool   // an empty line or a complete object has come
-	onActivity  func() // called for each sign of life
+	remaining   int    // bytes that the object may still take
+	inObject    bool   // an object has started and is not complete
+	alive       bool   // an empty line or a complete object was received
+	onActivity  func() // called when the idle timer must be reset
 	onHeartbeat func() // called for each empty line
 }
 
-// Read leaves out the blank between objects: the decoder would keep it until the next object.
+// Read skips the whitespace between objects, which the decoder would buffer until the next object.
 func (r *objectReader) Read(b []byte) (int, error) {
 	for {
 		if r.remaining <= 0 {
@@ -43,7 +43,7 @@
 	}
 }
 
-// consume accounts for bytes that were read.
+// consume updates the state for bytes that were read.
 func (r *objectReader) consume(b []byte) {
 	if !r.inObject {
 		r.onActivity()
@@ -57,7 +57,7 @@
 	r.remaining -= len(b)
 }
 
-// objectComplete ends an object. rest is what the decoder has read beyond it.
+// objectComplete ends an object. rest is the data that the decoder has read beyond it.
 func (r *objectReader) objectComplete(rest io.Reader) {
 	r.inObject = false
 	r.remaining = maxObjectBytes
--- a/internal/workers/discovery/start_times.go
+++ b/internal/workers/discovery/start_times.go
@@ -10,76 +10,76 @@
 	"woaddyke/internal/lifecycle/clock"
 )
 
-// Discovery sends a worker's start in Unix time. This file alone compares it with this machine's wall
-// clock, which is read once, at the start of this process, and may be wrong by then. Two things are
-// certain: nothing has started in the future, and a worker that is new on a watch that was heard a moment
-// ago has not been there for long. Where discovery dates its answers, its clock is a second opinion: of the
-// two the one counts by which a worker is younger.
+// Discovery sends a worker's start time in Unix time. Only this file compares it with the wall clock of this
+// machine, which is read once, at the start of this process, and may be wrong. Two facts bound the skew: no
+// worker starts in the future, and a worker that appears on a watch with a recent heartbeat started
+// recently. If discovery's responses have a Date, its clock is a second source: of the two clocks, the one
+// by which a worker is younger applies.
 
 const (
-	// maxListingDelay is the longest time from a worker's start until it is on a live watch: its entry is
-	// in force for everybody by then.
+	// maxListingDelay is the longest time from a worker's start until its entry arrives on a live watch:
+	// the entry is in force for all schedulers by then.
 	maxListingDelay = changeDeadline
 
-	// samplesPerEstimate is how many workers that are new on a live watch make one estimate of the clock
-	// skew. At least one of so many is listed within usualListingDelay, late lists included.
+	// samplesPerEstimate is how many workers that appear on a live watch make one estimate of the clock
+	// skew. At least one of them is listed within usualListingDelay, even if some lists are late.
 	samplesPerEstimate = 4
 
-	// usualListingDelay is how old the youngest of samplesPerEstimate workers may seem. If it seems
-	// older, the wall clock is ahead. A step of fewer seconds can't be told from one late list.
+	// usualListingDelay is the maximum apparent age of the youngest of samplesPerEstimate workers. If it
+	// is older, the wall clock is ahead. A smaller skew can't be distinguished from a late list.
 	usualListingDelay = 2 * time.Second
 
-	// maxHeartbeatAge is how old the last heartbeat of a live watch may be.
+	// maxHeartbeatAge is the maximum age of the last heartbeat of a live watch.
 	maxHeartbeatAge = 3 * heartbeatInterval / 2
 
-	// maxClockSkew bounds the skew of a clock that was stepped, a day and two hours. A worker that
-	// suggests more has a wrong start time.
+	// maxClockSkew bounds the skew of a wall clock that was stepped: a day and two hours. A worker whose
+	// start implies a larger skew has a wrong start time.
 	maxClockSkew = 26 * time.Hour
 
-	// dateResolution is that of the Date of an HTTP answer (RFC 9110, 5.6.7).
+	// dateResolution is the resolution of the Date header of an HTTP response (RFC 9110, 5.6.7).
 	dateResolution = time.Second
 
-	// maxRemovedWorkers is how many workers that have left the list are retained beside those in it: they
-	// may come back.
+	// maxRemovedWorkers is how many workers that have left the list are retained in addition to the listed
+	// ones, as they may return.
 	maxRemovedWorkers = 1024
 
-	// maxAgeMS bounds the age of a worker, ten years, so that sums don't overflow.
+	// maxAgeMS bounds the age of a worker to ten years, so that sums don't overflow.
 	maxAgeMS = int64(10 * 365 * 24 * time.Hour / time.Millisecond)
 )
 
-// WorkerStart is when a worker's present process started.
+// WorkerStart is the start time of a worker's current process.
 type WorkerStart struct {
-	BootMS int64         `json:"boot_ms"` // as discovery sends it; it tells a worker's processes apart
-	At     dispatch.Time `json:"at"`      // by the clock of the process that says so
+	BootMS int64         `json:"boot_ms"` // as discovery sends it; identifies the worker's process
+	At     dispatch.Time `json:"at"`      // by the clock of the scheduler process that reports it
 }
 
-// StartTimes converts the start times of workers to this process's own clock.
+// StartTimes converts the start times of workers to the clock of this process.
 type StartTimes struct {
 	clock       clock.Clock
-	wallStartMS int64 // Unix milliseconds of the wall clock at the clock's start
+	wallStartMS int64 // wall clock in Unix milliseconds at the start of clock
 
-	mu        sync.Mutex
-	lastHeard time.Duration          // since the clock's start; negative before the first heartbeat
-	processes map[string]WorkerStart // by worker
-	clockSkew time.Duration          // of the wall clock, as far as known; above 0 where it is ahead
+	mu            sync.Mutex
+	lastHeartbeat time.Duration          // of the last heartbeat, since the start of clock; -1 before the first
+	starts        map[string]WorkerStart // by worker
+	clockSkew     time.Duration          // estimated skew of the wall clock; above 0 if it is ahead
 
-	// Of the estimate that is being made.
-	samples  int           // workers that were new on a live watch
-	youngest time.Duration // age of the youngest of them
+	// Of the estimate in progress.
+	samples     int           // workers that appeared on a live watch
+	youngestAge time.Duration // lowest age among them
 }
 
-// NewStartTimes returns start times that begin with those of the predecessor, converted to this clock;
-// nil for none.
+// NewStartTimes returns start times that begin with those of the predecessor, already converted to this
+// clock; nil if there is no predecessor.
 func NewStartTimes(c clock.Clock, predecessor map[string]WorkerStart) *StartTimes {
 	s := &StartTimes{
-		clock:       c,
-		wallStartMS: time.Now().UnixMilli() - c.Elapsed().Milliseconds(),
-		lastHeard:   -1,
-		processes:   map[string]WorkerStart{},
+		clock:         c,
+		wallStartMS:   time.Now().UnixMilli() - c.Elapsed().Milliseconds(),
+		lastHeartbeat: -1,
+		starts:        map[string]WorkerStart{},
 	}
 	if predecessor != nil {
-		s.lastHeard = c.Elapsed()
-		maps.Copy(s.processes, predecessor)
+		s.lastHeartbeat = c.Elapsed()
+		maps.Copy(s.starts, predecessor)
 	}
 	return s
 }
@@ -88,20 +88,20 @@
 func (s *StartTimes) Snapshot() map[string]WorkerStart {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return maps.Clone(s.processes)
+	return maps.Clone(s.starts)
 }
 
-// noteHeartbeat notes that discovery is alive.
-func (s *StartTimes) noteHeartbeat() {
+// recordHeartbeat records that discovery is alive.
+func (s *StartTimes) recordHeartbeat() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lastHeard = s.clock.Elapsed()
+	s.lastHeartbeat = s.clock.Elapsed()
 }
 
-// noteDate takes the date of an answer of discovery to a call that was made at a moment. The answer was dated
-// after the call, so where the call's moment lies behind the date by the wall clock, that one is ahead by
-// the difference at the least.
-func (s *StartTimes) noteDate(date, calledAt time.Time) {
+// recordDate uses the Date of discovery's response to a call made at calledAt. The response is dated after
+// the call. So if calledAt is later than the date by the wall clock, the wall clock is ahead by at least the
+// difference.
+func (s *StartTimes) recordDate(date, calledAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	calledMS := s.wallStartMS + (s.clock.Elapsed() - time.Since(calledAt)).Milliseconds()
@@ -112,75 +112,75 @@
 	}
 }
 
-// startedAt returns when a worker that is listed now started; 0 for long ago. It is the same for each
-// entry of one process.
+// startedAt returns the start time of a worker that is listed now; 0 if unknown, which counts as long ago.
+// It is the same for every entry of one process.
 func (s *StartTimes) startedAt(t *target) dispatch.Time {
 	if t.BootMS <= 0 {
 		return 0
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	former, known := s.processes[t.UID]
+	former, known := s.starts[t.UID]
 	if known && former.BootMS == t.BootMS {
 		return former.At
 	}
 	at := config.RoundUp(s.clock.Now() - int64(s.age(t.BootMS)))
 	if known && t.BootMS > former.BootMS {
-		at = max(at, former.At+1) // a later process of the same worker
+		at = max(at, former.At+1) // a later process of the same worker starts later
 	}
 	at = max(at, 1)
-	s.processes[t.UID] = WorkerStart{BootMS: t.BootMS, At: at}
+	s.starts[t.UID] = WorkerStart{BootMS: t.BootMS, At: at}
 	return at
 }
 
-// age returns how long ago a process started that is new here. The caller holds the lock.
+// age returns the age of a process that is seen for the first time. The caller holds the lock.
 func (s *StartTimes) age(bootMS int64) time.Duration {
 	elapsed := s.clock.Elapsed()
 	claimedMS := s.wallStartMS + elapsed.Milliseconds() - bootMS
 	claimed := time.Duration(min(max(claimedMS, -maxAgeMS), maxAgeMS)) * time.Millisecond
 	age := claimed - s.clockSkew
-	sinceHeard := elapsed - s.lastHeard // the worker may have been listed at any time since then
+	sinceHeartbeat := elapsed - s.lastHeartbeat // the worker may have been listed at any time in it
 	switch {
-	case age < 0, s.lastHeard >= 0 && age > sinceHeard+maxListingDelay:
-		// It has just started, as far as can be known, so all of the claimed age is skew.
+	case age < 0, s.lastHeartbeat >= 0 && age > sinceHeartbeat+maxListingDelay:
+		// As far as is known the process has just started, so the claimed age is entirely skew.
 		if claimed.Abs() <= maxClockSkew {
 			s.clockSkew = claimed
 			s.samples = 0
 		}
 		return 0
-	case s.lastHeard < 0 || sinceHeard > maxHeartbeatAge:
-		return age // nothing contradicts it
+	case s.lastHeartbeat < 0 || sinceHeartbeat > maxHeartbeatAge:
+		return age // no heartbeat is recent enough to contradict it
 	}
 	return s.addSample(age)
 }
 
-// addSample takes the age of a worker that is new on a live watch. It returns the age by the latest
-// estimate of the clock skew. The caller holds the lock.
+// addSample adds the age of a worker that appeared on a live watch. It returns the age corrected by the
+// latest estimate of the clock skew. The caller holds the lock.
 func (s *StartTimes) addSample(age time.Duration) time.Duration {
 	if s.samples == 0 {
-		s.youngest = age
+		s.youngestAge = age
 	}
 	s.samples++
-	s.youngest = min(s.youngest, age)
+	s.youngestAge = min(s.youngestAge, age)
 	if s.samples < samplesPerEstimate {
 		return age
 	}
 	s.samples = 0
-	if s.youngest <= usualListingDelay {
+	if s.youngestAge <= usualListingDelay {
 		return age
 	}
-	s.clockSkew += s.youngest
-	return age - s.youngest
+	s.clockSkew += s.youngestAge
+	return age - s.youngestAge
 }
 
-// prune deletes workers that are not in the list any more, once there are more than maxRemovedWorkers.
+// prune deletes the workers that have left the list once there are more than maxRemovedWorkers of them.
 func (s *StartTimes) prune(list map[string]target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.processes) <= len(list)+maxRemovedWorkers {
+	if len(s.starts) <= len(list)+maxRemovedWorkers {
 		return
 	}
-	maps.DeleteFunc(s.processes, func(uid string, _ WorkerStart) bool {
+	maps.DeleteFunc(s.starts, func(uid string, _ WorkerStart) bool {
 		_, listed := list[uid]
 		return !listed
 	})
--- a/internal/workers/discovery/start_times_test.go
+++ b/internal/workers/discovery/start_times_test.go
@@ -37,7 +37,7 @@
 				s := unknown()
 				old := seenAt("old", 10*time.Hour, off)
 				was := s.startedAt(old)
-				s.noteHeartbeat()
+				s.recordHeartbeat()
 				time.Sleep(time.Second)
 				most := 200 * time.Millisecond
 				for k := range 3 * samplesPerEstimate {
@@ -50,7 +50,7 @@
 					if age := s.ageOf(x); age < 0 || age > most+2*time.Millisecond {
 						t.Errorf("worker %d: %v old", k, age)
 					}
-					s.noteHeartbeat()
+					s.recordHeartbeat()
 					time.Sleep(500 * time.Millisecond)
 					if first, again := s.startedAt(x), s.startedAt(x); first != again {
 						t.Errorf("one start is at %v and at %v", first, again)
@@ -72,7 +72,7 @@
 		if age := s.ageOf(seenAt("first", 90*time.Second, 0)); !near(age, 90*time.Second) {
 			t.Errorf("of the first list: %v", age)
 		}
-		s.noteHeartbeat()
+		s.recordHeartbeat()
 		time.Sleep(20 * time.Second)
 		if age := s.ageOf(seenAt("silence", 15*time.Second, 0)); !near(age, 15*time.Second) {
 			t.Errorf("in a silence of 20 s: %v", age)
@@ -80,7 +80,7 @@
 		if at := s.startedAt(&target{UID: "ever"}); at != 0 {
 			t.Errorf("long ago is %v", at)
 		}
-		s.noteHeartbeat()
+		s.recordHeartbeat()
 		if age := s.ageOf(seenAt("forgotten", 80*time.Hour, 0)); !near(age, 0) {
 			t.Errorf("one that nobody had told of: %v", age)
 		}
@@ -117,7 +117,7 @@
 				t.Errorf("%v after %v", at, last)
 			}
 			last, boot = at, boot+1
-			s.noteHeartbeat()
+			s.recordHeartbeat()
 		}
 	})
 }
@@ -127,7 +127,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		was := unknown()
 		x := seenAt("w", 3*time.Second, time.Hour)
-		was.noteHeartbeat()
+		was.recordHeartbeat()
 		at := was.startedAt(x)
 		time.Sleep(2 * time.Second)
 		is := clock.New()
@@ -156,12 +156,12 @@
 		if k%100 == 0 {
 			list[x.UID] = x
 		}
-		if s.prune(list); len(s.processes) > len(list)+maxRemovedWorkers {
-			t.Fatalf("%d are known with %d in the list", len(s.processes), len(list))
+		if s.prune(list); len(s.starts) > len(list)+maxRemovedWorkers {
+			t.Fatalf("%d are known with %d in the list", len(s.starts), len(list))
 		}
 	}
 	for uid := range list {
-		if _, known := s.processes[uid]; !known {
+		if _, known := s.starts[uid]; !known {
 			t.Errorf("%s is forgotten", uid)
 		}
 	}
@@ -189,7 +189,7 @@
 				calledAt := time.Now()
 				date := time.Now().Add(-c.off).Truncate(time.Second)
 				time.Sleep(c.dateLate)
-				s.noteDate(date, calledAt)
+				s.recordDate(date, calledAt)
 				if age := s.ageOf(seenAt("first", c.ago, c.off)); age < c.least-2*time.Millisecond || age > c.most+2*time.Millisecond {
 					t.Errorf("%v old, want from %v to %v", age, c.least, c.most)
 				}
--- a/internal/workers/discovery/timeouts.go
+++ b/internal/workers/discovery/timeouts.go
@@ -2,96 +2,97 @@
 
 import "time"
 
-// Times of one call.
+// Timeouts of one call.
 const (
-	// dialTimeout: a connection on this machine or in this zone that takes longer to come up never will.
+	// dialTimeout limits a dial. A connection on this machine or within this zone that takes longer is
+	// never established.
 	dialTimeout = time.Second
 
-	// heartbeatInterval is how often discovery sends an empty line while nothing changes.
+	// heartbeatInterval is the interval at which discovery sends an empty line while nothing changes.
 	heartbeatInterval = 2 * time.Second
 
-	// idleTimeout is the longest time without a byte, or without the rest of an object.
+	// idleTimeout is the longest time without a byte, or until a started object is complete.
 	idleTimeout = 3 * heartbeatInterval / 2
 
-	// responseTimeout is for the head of a response. A busy discovery finishes the work for a call that
-	// was cut, so a shorter timeout wastes its work. One without news may send the head with the first
-	// heartbeat.
+	// responseTimeout limits the wait for a response head. A busy discovery service finishes the work for
+	// a call that was cancelled, so a shorter timeout wastes its work. If there are no changes, it may
+	// send the head with the first heartbeat.
 	responseTimeout = 5 * heartbeatInterval / 4
 
-	// minResponseTimeout bounds the response timeout from below: a process that is starved for a moment
-	// must not cut its own calls.
+	// minResponseTimeout is the lower bound of the response timeout: a process that is briefly starved
+	// must not cancel its own calls.
 	minResponseTimeout = 100 * time.Millisecond
 
-	// applyTime is for a list to be applied, from its last byte on.
+	// applyTime is the time to apply a list after its last byte.
 	applyTime = 100 * time.Millisecond
 )
 
-// Times by which a change must be applied.
+// Deadlines for applying a change.
 const (
-	// changeDeadline is the time from a change, or from when discovery can be reached again, to the
-	// moment at which the change is in force for everybody, however the calls in between ended.
+	// changeDeadline is the time from a change, or from when discovery is reachable again, until the
+	// change is in force for all schedulers, however the calls in between ended.
 	changeDeadline = 6 * time.Second
 
-	// usualResponseTime: a response that takes no longer is applied within changeDeadline; a later one
-	// within a drain's grace more.
+	// usualResponseTime is the response time up to which a list is applied within changeDeadline. A slower
+	// response may take the drain grace in addition.
 	usualResponseTime = 3 * time.Second / 2
 
-	// graceFraction of a drain's grace is for a call and its response: what discovery has counts as in
-	// force for a scheduler that could have called.
+	// graceFraction of the drain grace is reserved for a call and its response: a change counts as in
+	// force for every scheduler that could have called.
 	graceFraction = 0.8
 )
 
 // Times between calls.
 const (
-	// minBackoff is the first backoff of a scheduler that calls alone. Each failed call doubles it.
+	// minBackoff is the first backoff of a single scheduler. Each failed call doubles it.
 	minBackoff = 20 * time.Millisecond
 
-	// maxBackoffAlone is the longest backoff of a scheduler that calls alone.
+	// maxBackoffAlone is the longest backoff of a single scheduler.
 	maxBackoffAlone = 16 * minBackoff
 
-	// callsPerSecond is the rate of calls of all schedulers together. They lose their watches together
-	// and start together. A discovery that answers them in turn fails each call that has waited too long,
-	// though it has done the work; called by all at once and again, it may never answer any.
+	// callsPerSecond is the total call rate of all schedulers, which may lose their watches or start at the
+	// same time. A discovery service that serves calls in sequence does the work for each call, but fails
+	// those that have waited too long; if all schedulers retry simultaneously, it may never serve any.
 	callsPerSecond = 20
 
-	// maxSpread bounds the time over which all schedulers call again after a break, so that a rejected
-	// call can be repeated in time.
+	// maxSpread bounds the time over which all schedulers call again after their watches break, so that
+	// there is time to retry a rejected call.
 	maxSpread = heartbeatInterval
 
-	// redrawEvery is after how many rejected calls a backoff is drawn anew.
-	redrawEvery = 3
+	// rerandomizeEvery is after how many rejected calls a backoff is randomized again.
+	rerandomizeEvery = 3
 )
 
-// A discovery that pushes its list has an agent on this machine, which answers at once. What the agent
-// has is in force also while nobody reads it. So a call that hangs and the backoff after it take three
-// fifths of a drain's grace at most, and the rest is for the call that is answered.
+// A discovery service that pushes its list has an agent on this machine, which responds immediately. The
+// agent's list is in force even before it is read. So a call that hangs and the backoff after it take at most
+// three fifths of the drain grace, and the rest is for the call that succeeds.
 const (
 	responseGraceFraction = 0.4
 	backoffGraceFraction  = 0.2
 )
 
-// Timeouts are the times of a watch and of the calls for it.
+// Timeouts are the timeouts of a watch and the backoffs between the calls for it.
 type Timeouts struct {
-	Idle     time.Duration // longest time without a byte, or without the rest of an object
+	Idle     time.Duration // longest time without a byte, or until a started object is complete
 	Response time.Duration // for the head of a response
 
-	Spread             time.Duration // over which all schedulers call again after a watch has ended
-	SpreadAfterIdle    time.Duration // the same after an idle timeout
-	MaxBackoff         time.Duration // from the beginning of a failed call to that of the next one
-	MaxBackoffRejected time.Duration // the same while calls are rejected
+	Spread             time.Duration // period over which all schedulers call again after a watch ends
+	SpreadAfterIdle    time.Duration // same, after an idle timeout
+	MaxBackoff         time.Duration // from the start of a failed call to the start of the next
+	MaxBackoffRejected time.Duration // same, while calls are rejected
 }
 
-// TimeoutsFor returns the timeouts for a discovery that pushes its list or is polled by so many
-// schedulers, and for the grace of a drain: the time from the statement that a worker drains to its end.
-// docs/design.md has the sums that they must keep, and tests add them up.
+// TimeoutsFor returns the timeouts for a discovery service that pushes its list or is polled by this many
+// schedulers. grace is the time from the announcement of a worker's drain until the worker ends.
+// docs/design.md lists the sums that the timeouts must satisfy; tests verify them.
 func TimeoutsFor(pushes bool, schedulers int, grace time.Duration) Timeouts {
 	if pushes {
-		return timeoutsOfPushes(grace)
+		return pushTimeouts(grace)
 	}
-	return timeoutsOfPolls(schedulers, grace)
+	return pollTimeouts(schedulers, grace)
 }
 
-func timeoutsOfPushes(grace time.Duration) Timeouts {
+func pushTimeouts(grace time.Duration) Timeouts {
 	response := time.Duration(responseGraceFraction * float64(grace))
 	maxBackoff := min(maxBackoffAlone, time.Duration(backoffGraceFraction*float64(grace)))
 	spread := min(minBackoff, maxBackoff)
@@ -105,8 +106,8 @@
 	}
 }
 
-func timeoutsOfPolls(schedulers int, grace time.Duration) Timeouts {
-	all := time.Duration(schedulers) * time.Second / callsPerSecond // for one call of each
+func pollTimeouts(schedulers int, grace time.Duration) Timeouts {
+	all := time.Duration(schedulers) * time.Second / callsPerSecond // time for one call of each scheduler
 	withinGrace := time.Duration(graceFraction * float64(grace))
 	spread := max(min(all, withinGrace, maxSpread), minBackoff)
 	period := changeDeadline - applyTime - max(usualResponseTime, responseTimeout-withinGrace)
--- a/internal/workers/discovery/unread_data.go
+++ b/internal/workers/discovery/unread_data.go
@@ -14,21 +14,20 @@
 	"woaddyke/internal/workers/workerconn"
 )
 
-// watchConn is the connection of a watch. It tells whether data has arrived on it that is not processed
-// yet.
+// watchConn is the connection of a watch. It detects data that has arrived but is not processed yet.
 type watchConn struct {
 	net.Conn
 	raw syscall.RawConn
 
-	// mu is held while bytes go from the socket to the reader, so that hasUnread finds them in one of the
-	// two.
+	// mu is locked while bytes move from the socket to the reader, so that hasUnread finds them in one of
+	// the two.
 	mu       sync.Mutex
-	decoding bool // the bytes that were read last are being processed
+	decoding bool // the bytes of the last read are being processed
 }
 
-// Read is called again only when all that was read before has been decoded and reported.
+// Read is called again only after all previously read data has been decoded and reported.
 func (c *watchConn) Read(b []byte) (n int, err error) {
-	c.setDecoded()
+	c.markDecoded()
 	var readErr error
 	err = c.raw.Read(func(fd uintptr) bool {
 		n, readErr = c.readAvailable(fd, b)
@@ -60,13 +59,13 @@
 	return n, err
 }
 
-func (c *watchConn) setDecoded() {
+func (c *watchConn) markDecoded() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.decoding = false
 }
 
-// hasUnread tells whether data is unread or being processed. The end of the connection counts as unread
+// hasUnread reports whether data is unread or being processed. The end of the connection counts as unread
 // data until it has been read.
 func (c *watchConn) hasUnread() bool {
 	c.mu.Lock()
@@ -79,7 +78,7 @@
 	return err == nil && !errors.Is(peekErr, syscall.EAGAIN)
 }
 
-// dialWatch returns a dialer of connections for watches.
+// dialWatch returns a dial function for watch connections.
 func dialWatch(timeout time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -100,7 +99,7 @@
 	}
 }
 
-// withConnTrace stores a watch's connection in watchedConn as soon as the watch has it.
+// withConnTrace stores the connection of a watch in watchedConn as soon as it is established.
 func (c *Client) withConnTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) {
 		if conn, ok := got.Conn.(*watchConn); ok {
@@ -109,9 +108,9 @@
 	}})
 }
 
-// HasUnreadData tells whether data of discovery has arrived and is not processed: its changes are in
-// force, though this process does not know them yet. A process that was stopped has all of that at once,
-// beside the ops that came meanwhile.
+// HasUnreadData reports whether data of discovery has arrived but is not processed: its changes are already
+// in force, though this process does not know them yet. A process that resumes after a stop finds such data
+// together with the ops that arrived in the meantime.
 func (c *Client) HasUnreadData() bool {
 	conn := c.watchedConn.Load()
 	return conn != nil && conn.hasUnread()
--- a/internal/workers/discovery/watch.go
+++ b/internal/workers/discovery/watch.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// Errors that end a watch and that Run tells apart from others.
+// Errors that end a watch and that Run handles separately.
 var (
-	errRejected    = errors.New("call rejected")        // discovery had no time for it
-	errIdleTimeout = errors.New("nothing came in time") // within the timeout of the step
+	errRejected    = errors.New("call rejected")                       // discovery is overloaded
+	errIdleTimeout = errors.New("no data received within the timeout") // Timeouts.Response or Timeouts.Idle
 )
 
-// errEnded is the end of a watch that discovery closed in good order.
+// errEnded reports that discovery closed the watch cleanly.
 var errEnded = errors.New("ended")
 
-// watch reads one watch until it breaks. alive tells whether anything came that shows that discovery
-// works.
+// watch opens one watch and reads it until it breaks. alive reports whether it received a complete object or
+// a heartbeat, which shows that discovery works.
 func (c *Client) watch(ctx context.Context) (alive bool, err error) {
-	c.watching.Lock()
-	defer c.watching.Unlock()
+	c.watchMu.Lock()
+	defer c.watchMu.Unlock()
 	callCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	alive, err = c.readWatch(ctx, callCtx, cancel)
-	// A call that the idle timer has cut reports that it was cancelled.
+	// A call that the idle timer cancelled returns context.Canceled; return the timer's cause instead.
 	if cause := context.Cause(callCtx); err != nil && ctx.Err() == nil && cause != nil {
 		err = cause
 	}
@@ -37,15 +37,15 @@
 	return alive, err
 }
 
-// readWatch makes the call, with callCtx, and reads its objects until ctx ends. A discovery that is lost
-// sends nothing, not even an end; so an idle timer runs beside.
+// readWatch makes the call with callCtx and reads objects until ctx ends. A discovery service that is
+// unreachable does not even close the connection, so an idle timer runs in parallel.
 func (c *Client) readWatch(
 	ctx, callCtx context.Context,
 	cancel context.CancelCauseFunc,
 ) (alive bool, err error) {
 	idle := newIdleTimer(c.timeouts.Response, c.HasUnreadData, func() { cancel(errIdleTimeout) })
 	defer idle.stop()
-	defer c.watchedConn.Store(nil) // before the next watch begins
+	defer c.watchedConn.Store(nil) // before the next watch starts
 	body, err := c.openWatch(callCtx)
 	if err != nil {
 		return false, err
@@ -56,13 +56,13 @@
 		source:      body,
 		remaining:   maxObjectBytes,
 		onActivity:  func() { idle.reset(c.timeouts.Idle) },
-		onHeartbeat: c.startTimes.noteHeartbeat,
+		onHeartbeat: c.startTimes.recordHeartbeat,
 	}
 	err = c.readObjects(ctx, reader)
 	return reader.alive, err
 }
 
-// openWatch calls discovery for the changes since the present version of the list.
+// openWatch requests the changes since the current revision of the list.
 func (c *Client) openWatch(ctx context.Context) (io.ReadCloser, error) {
 	c.mu.Lock()
 	addr, revision := c.addr, c.revision
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	if date, err := http.ParseTime(response.Header.Get("Date")); err == nil {
-		c.startTimes.noteDate(date, calledAt)
+		c.startTimes.recordDate(date, calledAt)
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
@@ -92,8 +92,7 @@
 	return nil, err
 }
 
-// readObjects applies and reports one object after another until the watch breaks. An object may stand on
-// several lines.
+// readObjects applies and reports each object until the watch breaks. An object may span several lines.
 func (c *Client) readObjects(ctx context.Context, reader *objectReader) error {
 	decoder := json.NewDecoder(reader)
 	for {
@@ -113,7 +112,7 @@
 		}
 		c.logMessage(message)
 		c.notify(message.EndpointsChanged(c.startTimes))
-		c.startTimes.noteHeartbeat()
+		c.startTimes.recordHeartbeat()
 	}
 }
 
--- a/internal/workers/loadreport/loadreport.go
+++ b/internal/workers/loadreport/loadreport.go
@@ -1,5 +1,5 @@
-// Package loadreport reads the load reports of workers: rows of values, or JSON objects, whose fields a
-// deployment's settings name.
+// Package loadreport decodes the load reports of workers: rows of values or JSON objects, whose fields are
+// defined in the settings of the deployment.
 package loadreport
 
 import (
@@ -9,32 +9,31 @@
 	"woaddyke/dispatch"
 )
 
-// unreported is the value of a field that a report does not have; 0 would mean no jobs or no free slots.
+// unreported is the value of a missing field; 0 would mean no jobs or no free slots.
 const unreported = -1
 
-// What a field of a report may mean, as settings call it. Fields with another meaning are read and
-// ignored.
+// Meanings of fields, as named in the settings. Fields with any other meaning are ignored.
 const (
-	meansRunningJobs = "busy_reqs"
-	meansQueuedJobs  = "pending"
-	meansFreeSlots   = "free slots"
-	meansFreeMemory  = "free memory"
+	meaningRunningJobs = "busy_reqs"
+	meaningQueuedJobs  = "pending"
+	meaningFreeSlots   = "free slots"
+	meaningFreeMemory  = "free memory"
 )
 
-// Field is one field of a report.
+// Field is one field of a load report.
 type Field struct {
 	Name    string // its key in a JSON object
 	Meaning string
 }
 
-// Format is the fields of a deployment's reports, in their order within a row.
+// Format lists the fields of a deployment's load reports, in their order in a row.
 type Format struct{ fields []Field }
 
-// NewFormat returns the format of reports with these fields.
+// NewFormat returns the format of load reports with these fields.
 func NewFormat(fields []Field) Format { return Format{fields} }
 
-// FromRow reads a report that is a row of values in the order of the fields. A row may be shorter or
-// longer.
+// FromRow decodes a report that is a row of values in the order of the fields. The row may be shorter or
+// longer than the list of fields.
 func (f Format) FromRow(row []float64) dispatch.LoadReport {
 	report := dispatch.LoadReport{
 		RunningJobs: unreported,
@@ -44,21 +43,21 @@
 	}
 	for i, field := range f.fields[:min(len(f.fields), len(row))] {
 		switch field.Meaning {
-		case meansRunningJobs:
+		case meaningRunningJobs:
 			report.RunningJobs = row[i]
-		case meansQueuedJobs:
+		case meaningQueuedJobs:
 			report.QueuedJobs = row[i]
-		case meansFreeSlots:
+		case meaningFreeSlots:
 			report.FreeSlots = row[i]
-		case meansFreeMemory:
+		case meaningFreeMemory:
 			report.FreeMemory = row[i]
 		}
 	}
 	return report
 }
 
-// FromJSON reads a report that is an object with the fields' names as keys; other keys are ignored. An
-// empty text is a report without fields.
+// FromJSON decodes a report that is an object with the field names as keys; other keys are ignored. An empty
+// object text is a report without fields.
 func (f Format) FromJSON(object []byte) (dispatch.LoadReport, error) {
 	values := map[string]json.Number{}
 	if len(object) > 0 {
--- a/internal/workers/outcome/outcome.go
+++ b/internal/workers/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome names every way in which an attempt or a load probe can end on a connection, and says
-// in one place what each of them proves to the decisions.
+// Package outcome defines every way in which an attempt or a load probe can end on its connection, and maps
+// each ending to the outcome that it proves.
 package outcome
 
 import "woaddyke/dispatch"
@@ -7,32 +7,32 @@
 // Ending is how an attempt or a load probe ended on its connection.
 type Ending int
 
-// The endings. Unknown, the zero value, proves nothing.
+// Endings of attempts and load probes. Unknown, the zero value, proves nothing.
 const (
 	Unknown         Ending = iota
-	Done                   // the last line was "done", or a probe was answered
+	Done                   // the last line was "done", or the probe was answered
 	Failed                 // the last line was "failed"
 	JobKilled              // the last line was "lost": the job was killed
 	Returned               // the last line was "returned": the job was not started
-	Shed                   // a 503 or 504 that says the op was not processed, or a probe's 503
-	Rejected               // a status that says the request is at fault
+	Shed                   // a 503 or 504 that marks the op as unprocessed, or a probe's 503
+	Rejected               // a status that reports an invalid request
 	ServerError            // any other status
-	NoDescriptor           // no descriptor was left for a connection
-	NoResource             // this machine lacked something else for one, such as a local port or memory
+	NoDescriptor           // no file descriptor was left for a connection
+	NoResource             // this machine lacked another resource, such as a local port or memory
 	ConnRefused            // the worker's machine refused the connection
-	DialTimedOut           // the connection did not come up in time
-	DialFailed             // it failed to come up in any other way
+	DialTimedOut           // the connection was not established in time
+	DialFailed             // the dial failed for any other reason
 	PartiallySent          // the connection broke before the last byte was written
-	Reset                  // it broke after that
-	EndedEarly             // it ended before the last line
-	Malformed              // the response is malformed, or is another op's
-	TimedOut               // nothing more came within the timeout
+	Reset                  // the connection broke after the last byte was written
+	EndedEarly             // the response ended before the last line
+	Malformed              // the response is malformed or belongs to another op
+	TimedOut               // no further data arrived within the timeout
 	Cancelled              // this side closed the connection
-	CancelledUnsent        // this side closed it before a byte was written
+	CancelledUnsent        // this side closed the connection before the request was completely written
 	numEndings
 )
 
-// endingNames are the names in log lines.
+// endingNames are the names in log messages.
 var endingNames = [numEndings]string{
 	Unknown:         "unknown",
 	Done:            "done",
@@ -63,7 +63,7 @@
 	return endingNames[e]
 }
 
-// NeverRan tells whether an ending proves that its attempt ran nowhere.
+// NeverRan reports whether the ending proves that the attempt did not run.
 func (e Ending) NeverRan() bool {
 	switch e.Outcome() {
 	case dispatch.Rejected, dispatch.Unreachable, dispatch.NotSent, dispatch.LocalExhaustion:
@@ -72,7 +72,7 @@
 	return false
 }
 
-// Outcome returns what an ending proves. An attempt of which nothing is known may have run.
+// Outcome returns the outcome that the ending proves. If nothing is proved, the attempt may have run.
 func (e Ending) Outcome() dispatch.Outcome {
 	switch e {
 	case Done:
--- a/internal/workers/workerconn/begin_test.go
+++ b/internal/workers/workerconn/begin_test.go
@@ -108,7 +108,7 @@
 	p := pool(4)
 	p.Connect = narrow(t, false)
 	ends := make(chan End, 1)
-	p.Push(addr, "a1", as(large), time.Now().Add(20*time.Second), always, func() { t.Error("it is told as written") }, func(JobLine) {},
+	p.Push(addr, "a1", as(large), time.Now().Add(20*time.Second), alwaysWanted, func() { t.Error("it is told as written") }, func(JobLine) {},
 		func(e End) { ends <- e })
 	if e := <-ends; !e.Ending.NeverRan() {
 		t.Errorf("%v", e.Ending)
--- a/internal/workers/workerconn/ends_test.go
+++ b/internal/workers/workerconn/ends_test.go
@@ -181,7 +181,7 @@
 			runtime.ReadMemStats(&before)
 			ends, notes := make(chan End, 1), 0
 			began := time.Now()
-			pool(1).Push(addr, "a1", as(request), began.Add(20*time.Second), always, func() {}, func(JobLine) { notes++ },
+			pool(1).Push(addr, "a1", as(request), began.Add(20*time.Second), alwaysWanted, func() {}, func(JobLine) { notes++ },
 				func(e End) { ends <- e })
 			e := <-ends
 			runtime.ReadMemStats(&after)
@@ -278,7 +278,7 @@
 	} {
 		addr := fragmentpeer.Serve(t, x.serve)
 		ends := make(chan End, 1)
-		pool(1).Push(addr, "a1", as(x.request), time.Now().Add(20*time.Second), always, func() {}, func(JobLine) {}, func(e End) { ends <- e })
+		pool(1).Push(addr, "a1", as(x.request), time.Now().Add(20*time.Second), alwaysWanted, func() {}, func(JobLine) {}, func(e End) { ends <- e })
 		if e := <-ends; !x.may[e.Ending] {
 			t.Errorf("%s: %v", name, e.Ending)
 		}
@@ -313,7 +313,7 @@
 				id := fmt.Sprint(k, "-", n)
 				ends := make(chan End, 1)
 				x := p.Push(addr, id, as([]byte("POST / HTTP/1.1\r\nHost: w\r\nX-Id: "+id+"\r\nContent-Length: 0\r\n\r\n")), time.Now().Add(20*time.Second),
-					always, func() {}, func(JobLine) {}, func(e End) { ends <- e })
+					alwaysWanted, func() {}, func(JobLine) {}, func(e End) { ends <- e })
 				switch chance.IntN(6) {
 				case 0:
 					x.Close(false, outcome.Cancelled)
--- a/internal/workers/workerconn/exchange.go
+++ b/internal/workers/workerconn/exchange.go
@@ -20,29 +20,29 @@
 )
 
 const (
-	maxLineBytes      = 512 << 10             // 64 KiB as a JSON string, all escaped
-	finalBytesTimeout = 50 * time.Millisecond // for the last bytes of an answer that is complete without them
+	maxLineBytes      = 512 << 10             // a string of 64 KiB as JSON, every byte escaped
+	finalBytesTimeout = 50 * time.Millisecond // for the bytes of a response after its last job line
 
-	// maxClientCheckAge is the most time from the look at an attempt's client to the write. An older look
-	// is repeated.
+	// maxClientCheckAge is the maximum time from the check of an attempt's client to the write. An older
+	// check is repeated.
 	maxClientCheckAge = 10 * time.Millisecond
 
-	// maxWriteTime is the most time from a request's first part, which names the time left, to its last
-	// byte. The time that a worker is told may be too long by 0.15 s.
+	// maxWriteTime is the maximum time from the first part of a request, which has the remaining time, to
+	// its last byte. The remaining time sent to a worker may be too long by 0.15 s.
 	maxWriteTime = 100 * time.Millisecond
 
-	// sendBufferBytes of a request that the kernel didn't take at once go into the socket's buffer: the
-	// window of a far worker would stretch the write beyond maxWriteTime.
+	// sendBufferBytes is the size of the socket buffer for a request that the kernel does not accept in one
+	// write: waiting for the window of a distant worker would extend the write beyond maxWriteTime.
 	sendBufferBytes = 128 << 10
 
-	stalePollInterval = time.Millisecond       // between two looks at whether an attempt may begin
-	staleTimeout      = 300 * time.Millisecond // after which an attempt that may not begin is cancelled
+	stalePollInterval = time.Millisecond       // between two checks of whether an attempt may start
+	staleTimeout      = 300 * time.Millisecond // after which an attempt that may not start is cancelled
 
-	writeBackoff     = 2 * time.Millisecond // after a write that failed for a shortage of this machine
-	maxWriteFailures = 25                   // of such, in a row
+	writeBackoff     = 2 * time.Millisecond // after a write that failed for lack of local resources
+	maxWriteFailures = 25                   // consecutive failures of this kind
 )
 
-// StateAcknowledged is the state of the line that stands for an answer's head: the worker has the job.
+// StateAcknowledged is the state of the line that represents a response head: the worker has the job.
 const StateAcknowledged = "taken"
 
 // JobLine is one job line of a worker.
@@ -54,7 +54,7 @@
 	Load     json.RawMessage `json:"load"`
 }
 
-// End is how an exchange ended and what came with it.
+// End describes how an exchange ended and what the worker returned.
 type End struct {
 	Ending outcome.Ending
 	Result []byte
@@ -64,242 +64,244 @@
 
 // Exchange is one attempt or probe in flight.
 type Exchange struct {
-	pool      *Pool
-	stop      context.CancelFunc
-	isAttempt bool        // not a load probe
-	wanted    func() bool // asked before each write
-	mu        sync.Mutex
-	conn      *conn
-	written   bool           // completely
-	closedAs  outcome.Ending // by this side, if it did
+	pool        *Pool
+	cancel      context.CancelFunc
+	isAttempt   bool        // false for a load probe
+	wanted      func() bool // called before each write
+	mu          sync.Mutex
+	conn        *conn
+	written     bool           // the request is completely written
+	localEnding outcome.Ending // if this side closed the exchange; else Unknown
 }
 
-// Close ends an exchange from this side. A request whose last byte is not written yet is never complete
-// then, and never runs.
-func (x *Exchange) Close(onlyUnwritten bool, how outcome.Ending) {
-	if c := x.close(onlyUnwritten, how); c != nil {
-		c.Close() // without the lock: it waits for a write that is in the kernel, which waits for the lock
+// Close ends an exchange from this side. A request whose last byte has not been written by then is never
+// completed, and never runs.
+func (x *Exchange) Close(onlyUnwritten bool, ending outcome.Ending) {
+	if c := x.close(onlyUnwritten, ending); c != nil {
+		c.Close() // without the lock: it waits for a write in progress, which waits for the lock
 	}
 }
 
-// close returns the connection to close, nil for none.
-func (x *Exchange) close(onlyUnwritten bool, how outcome.Ending) *conn {
+// close returns the connection to close, nil if there is none.
+func (x *Exchange) close(onlyUnwritten bool, ending outcome.Ending) *conn {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.written && onlyUnwritten || x.closedAs != outcome.Unknown {
+	if x.written && onlyUnwritten || x.localEnding != outcome.Unknown {
 		return nil
 	}
-	if x.closedAs = how; !x.written {
-		x.closedAs = outcome.CancelledUnsent
+	if x.localEnding = ending; !x.written {
+		x.localEnding = outcome.CancelledUnsent
 	}
-	x.stop()
+	x.cancel()
 	return x.conn
 }
 
 // Push writes a request and reads job lines until the last one. It calls, in this order:
 //
-//   - wanted, just before each write. An attempt that is not wanted ends as CancelledUnsent: a dial, or
-//     the write to a worker that reads slowly, may have outlasted the client's wait.
-//   - request, for the time that is left at the first byte. It returns nil if too much time has passed.
-//   - written, once the request is written completely.
-//   - note, for an answer's head and for each job line before the last one.
+//   - wanted, just before each write. An attempt that is not wanted ends as CancelledUnsent: the client may
+//     have stopped waiting during a dial, or during the write to a worker that reads slowly.
+//   - request, with the time remaining at the first byte. It returns nil if too much time has passed.
+//   - written, once the request is completely written.
+//   - progressed, for the response head and for job lines before the last one.
 //   - end, once, when the connection is closed or the worker has sent the last line.
 func (p *Pool) Push(
-	addr, id string, request func(left time.Duration) []byte, limit time.Time,
-	wanted func() bool, written func(), note func(JobLine), end func(End),
+	addr, id string, request func(remaining time.Duration) []byte, deadline time.Time,
+	wanted func() bool, written func(), progressed func(JobLine), end func(End),
 ) *Exchange {
-	return p.start(true, addr, request, limit, wanted, func(c *conn, e End) (*http.Response, End) {
+	return p.startExchange(true, addr, request, deadline, wanted, func(c *conn, e End) (*http.Response, End) {
 		written()
-		return readJobLines(c, id, note, e)
+		return readJobLines(c, id, progressed, e)
 	}, end)
 }
 
-// Probe asks a worker for its load report.
-func (p *Pool) Probe(addr string, request []byte, limit time.Time, end func(End)) {
-	p.start(false, addr, func(time.Duration) []byte { return request }, limit, always, readLoadReport, end)
+// Probe requests the load report of a worker.
+func (p *Pool) Probe(addr string, request []byte, deadline time.Time, end func(End)) {
+	p.startExchange(
+		false, addr, func(time.Duration) []byte { return request }, deadline, alwaysWanted, readLoadReport, end,
+	)
 }
 
-func always() bool { return true }
+func alwaysWanted() bool { return true }
 
-// answerReader reads an answer, and returns how the exchange ended by it.
-type answerReader func(*conn, End) (*http.Response, End)
+// responseReader reads a response and returns how the exchange ended.
+type responseReader func(*conn, End) (*http.Response, End)
 
-// start runs an exchange in a goroutine of its own, which ends with it.
-func (p *Pool) start(
-	push bool, addr string, request func(time.Duration) []byte, limit time.Time,
-	wanted func() bool, read answerReader, end func(End),
+// startExchange runs an exchange in a separate goroutine, which ends with the exchange.
+func (p *Pool) startExchange(
+	isAttempt bool, addr string, request func(time.Duration) []byte, deadline time.Time,
+	wanted func() bool, read responseReader, end func(End),
 ) *Exchange {
-	x, ctx := p.newExchange(limit)
-	x.isAttempt, x.wanted = push, wanted
+	x, ctx := p.newExchange(deadline)
+	x.isAttempt, x.wanted = isAttempt, wanted
 	go func() {
-		defer x.stop()
-		c, e := x.send(ctx, addr, request, limit)
+		defer x.cancel()
+		c, e := x.send(ctx, addr, request, deadline)
 		if c == nil {
 			end(e)
 			return
 		}
 		resp, e := read(c, e)
 		if e.Ending == outcome.Done {
-			end(e) // without waiting for the worker's last bytes
-			x.finish(c, resp, e)
+			end(e) // without waiting for the last bytes of the response
+			x.release(c, resp, e)
 			return
 		}
-		x.finish(c, resp, e)
-		e.Ending = x.ownEndingFirst(e.Ending)
+		x.release(c, resp, e)
+		e.Ending = x.preferLocalEnding(e.Ending)
 		end(e)
 	}()
 	return x
 }
 
-// newExchange returns an exchange that ends at the limit, and its context.
-func (p *Pool) newExchange(limit time.Time) (*Exchange, context.Context) {
-	ctx, stop := context.WithDeadline(context.Background(), limit)
-	return &Exchange{pool: p, stop: stop, wanted: always}, ctx
+// newExchange returns an exchange that ends at the deadline, and its context.
+func (p *Pool) newExchange(deadline time.Time) (*Exchange, context.Context) {
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
+	return &Exchange{pool: p, cancel: cancel, wanted: alwaysWanted}, ctx
 }
 
 // connect takes an idle connection or dials one.
-func (x *Exchange) connect(ctx context.Context, addr string, limit time.Time) (*conn, End) {
+func (x *Exchange) connect(ctx context.Context, addr string, deadline time.Time) (*conn, End) {
 	var e End
-	c := x.pool.take(addr, x.isAttempt)
+	c := x.pool.takeIdle(addr, x.isAttempt)
 	if c == nil {
 		e.Dialed = true
 		if c, e.Ending = x.pool.dial(ctx, addr); c == nil {
-			e.Ending = x.ownEndingFirst(e.Ending)
+			e.Ending = x.preferLocalEnding(e.Ending)
 			return nil, e
 		}
 	}
 	x.mu.Lock()
-	if x.closedAs != outcome.Unknown {
+	if x.localEnding != outcome.Unknown {
 		x.mu.Unlock()
-		x.pool.drop(c)
-		e.Ending = x.closedAs
+		x.pool.discard(c)
+		e.Ending = x.localEnding
 		return nil, e
 	}
 	x.conn = c
 	x.mu.Unlock()
-	c.SetDeadline(limit)
+	c.SetDeadline(deadline)
 	c.limited.reset()
 	return c, e
 }
 
-// ownEndingFirst returns how this side closed the exchange, if it did, rather than what the connection
-// reports of that.
-func (x *Exchange) ownEndingFirst(how outcome.Ending) outcome.Ending {
+// preferLocalEnding returns how this side closed the exchange, if it did, instead of the ending derived from
+// the resulting connection error. A response that proves the op was not processed takes precedence.
+func (x *Exchange) preferLocalEnding(ending outcome.Ending) outcome.Ending {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.closedAs != outcome.Unknown && how != outcome.Returned && how != outcome.Shed {
-		return x.closedAs
+	if x.localEnding != outcome.Unknown && ending != outcome.Returned && ending != outcome.Shed {
+		return x.localEnding
 	}
-	return how
+	return ending
 }
 
-// send writes a complete request, or returns no connection.
+// send writes a complete request. It returns a nil connection if it fails to.
 func (x *Exchange) send(
-	ctx context.Context, addr string, request func(time.Duration) []byte, limit time.Time,
+	ctx context.Context, addr string, request func(time.Duration) []byte, deadline time.Time,
 ) (*conn, End) {
-	c, e := x.connect(ctx, addr, limit)
+	c, e := x.connect(ctx, addr, deadline)
 	if c == nil {
 		return nil, e
 	}
-	n, heldBack, err := x.write(c, request, limit)
+	n, unwanted, err := x.write(c, request, deadline)
 	if x.written {
 		return c, e
 	}
 	e.Ending = outcome.PartiallySent
 	x.mu.Lock()
-	if x.conn = nil; x.closedAs != outcome.Unknown {
-		e.Ending = outcome.CancelledUnsent // by this side: it proves nothing of the worker
+	if x.conn = nil; x.localEnding != outcome.Unknown {
+		e.Ending = outcome.CancelledUnsent // by this side, which proves nothing about the worker
 	}
 	x.mu.Unlock()
-	if heldBack && n == 0 && err == nil && c.SetDeadline(time.Time{}) == nil {
-		x.pool.putBack(c) // nothing was written: it can be reused
+	if unwanted && n == 0 && err == nil && c.SetDeadline(time.Time{}) == nil {
+		x.pool.putUnused(c) // nothing was written, so it can be reused
 	} else {
-		x.pool.drop(c)
+		x.pool.discard(c)
 	}
 	return nil, e
 }
 
-// write hands a request to the kernel. It returns how many bytes the kernel took, and whether the rest
-// was held back as the attempt is not wanted any more. A worker starts a request at its last byte, so
-// wanted is asked before each part: a client may disconnect while the worker's kernel takes nothing.
-// Close comes before or after a part, never between the question and the write.
+// write writes a request to the socket. It returns how many bytes the kernel accepted, and whether the rest
+// was not written because the attempt is no longer wanted. A worker starts a request when it has the last
+// byte, so wanted is called before each part: the client may disconnect while the worker's kernel accepts
+// nothing. Close takes effect before or after a part, never between the check and the write.
 func (x *Exchange) write(
-	c *conn, makeRequest func(left time.Duration) []byte, limit time.Time,
-) (n int, heldBack bool, err error) {
-	s, ok := c.Conn.(syscall.Conn)
+	c *conn, makeRequest func(remaining time.Duration) []byte, deadline time.Time,
+) (n int, unwanted bool, err error) {
+	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return 0, false, errors.ErrUnsupported
 	}
-	raw, err := s.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return 0, false, err
 	}
 	var writeErr error
 	var request []byte
 	var madeAt time.Time // when the request was made
-	failures := 0        // in a row, for a shortage of this machine
+	failures := 0        // consecutive, for lack of local resources
 	stale := false
 	writePart := func(fd uintptr) bool {
 		x.mu.Lock()
 		defer x.mu.Unlock()
 		stale = false
-		for !x.written && x.closedAs == outcome.Unknown {
-			if stale = n == 0 && x.stale(); stale {
+		for !x.written && x.localEnding == outcome.Unknown {
+			if stale = n == 0 && x.isStale(); stale {
 				return true
 			}
-			// The look at the client comes last: the one at the endpoint list takes time of its own.
-			if heldBack = !x.clientWaits(limit) || n > 0 && time.Since(madeAt) > maxWriteTime; heldBack {
-				x.closedAs = outcome.CancelledUnsent
+			// The client is checked last, because the check for a stale endpoint list takes time.
+			if unwanted = !x.isClientWaiting(deadline) || n > 0 && time.Since(madeAt) > maxWriteTime; unwanted {
+				x.localEnding = outcome.CancelledUnsent
 				return true
 			}
 			if n == 0 {
 				madeAt = time.Now()
-				request = makeRequest(limit.Sub(madeAt))
-				if heldBack = request == nil; heldBack {
-					x.closedAs = outcome.CancelledUnsent
+				request = makeRequest(deadline.Sub(madeAt))
+				if unwanted = request == nil; unwanted {
+					x.localEnding = outcome.CancelledUnsent
 					return true
 				}
 			}
-			k, err := syscall.Write(int(fd), request[n:])
+			accepted, err := syscall.Write(int(fd), request[n:])
 			switch {
 			case err == syscall.EAGAIN:
 				return false
 			case oserror.IsLocal(err) && failures < maxWriteFailures:
 				failures++
-				time.Sleep(writeBackoff) // the lock is held: Close waits for it
+				time.Sleep(writeBackoff) // with the lock held, so Close waits
 				continue
 			case err != nil && err != syscall.EINTR:
 				writeErr = err
 				return true
 			}
-			if n == 0 && k < len(request) {
+			if n == 0 && accepted < len(request) {
 				syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, sendBufferBytes)
 			}
-			n, failures = n+max(k, 0), 0
+			n, failures = n+max(accepted, 0), 0
 			x.written = n == len(request)
 		}
 		return true
 	}
 	for err = raw.Write(writePart); err == nil && stale; err = raw.Write(writePart) {
-		if heldBack = !x.awaitFresh(limit); heldBack {
+		if unwanted = !x.awaitFresh(deadline); unwanted {
 			break
 		}
 	}
-	return n, heldBack, errors.Join(err, writeErr)
+	return n, unwanted, errors.Join(err, writeErr)
 }
 
-// stale tells whether an attempt must not begin now.
-func (x *Exchange) stale() bool { return x.isAttempt && x.pool.Stale != nil && x.pool.Stale() }
+// isStale reports whether the exchange is an attempt that must not start now.
+func (x *Exchange) isStale() bool { return x.isAttempt && x.pool.Stale != nil && x.pool.Stale() }
 
-// awaitFresh waits until an attempt may begin. It holds no lock: whoever applies the update that it waits
-// for may close the attempt. It returns false for an attempt that may not begin in time, which ends as
+// awaitFresh waits until an attempt may start. It holds no lock, because applying the awaited list update may
+// close the attempt. It returns false if the attempt may not start in time; the attempt then ends as
 // CancelledUnsent.
-func (x *Exchange) awaitFresh(limit time.Time) bool {
+func (x *Exchange) awaitFresh(deadline time.Time) bool {
 	until := time.Now().Add(staleTimeout)
-	if limit.Before(until) {
-		until = limit
+	if deadline.Before(until) {
+		until = deadline
 	}
-	for x.stale() {
+	for x.isStale() {
 		if time.Now().After(until) {
 			x.Close(true, outcome.CancelledUnsent)
 			return false
@@ -309,22 +311,23 @@
 	return true
 }
 
-// clientWaits asks whether an attempt is wanted, until the answer is at most maxClientCheckAge old: the
-// process may be stopped between the two. What remains is the time from the clock into the kernel.
-func (x *Exchange) clientWaits(limit time.Time) bool {
-	for began := time.Now(); began.Before(limit); began = time.Now() {
+// isClientWaiting checks whether an attempt is wanted. It repeats a check that is older than
+// maxClientCheckAge when it returns, as the process may have been stopped in between. Only the time from
+// reading the clock to the system call is not covered.
+func (x *Exchange) isClientWaiting(deadline time.Time) bool {
+	for checkedAt := time.Now(); checkedAt.Before(deadline); checkedAt = time.Now() {
 		if !x.wanted() {
 			return false
 		}
-		if time.Since(began) <= maxClientCheckAge {
+		if time.Since(checkedAt) <= maxClientCheckAge {
 			return true
 		}
 	}
 	return false
 }
 
-// readAnswerHead reads the head of an answer, and skips interim ones.
-func readAnswerHead(c *conn) (*http.Response, error) {
+// readResponseHead reads the head of the final response and skips interim responses.
+func readResponseHead(c *conn) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.reader, nil)
 		if err != nil {
@@ -336,11 +339,11 @@
 	}
 }
 
-// readLoadReport reads the answer to a probe.
+// readLoadReport reads the response to a probe.
 func readLoadReport(c *conn, e End) (*http.Response, End) {
-	resp, err := readAnswerHead(c)
+	resp, err := readResponseHead(c)
 	if err == nil {
-		c.limited.allow(maxHeadBytes + maxReportBytes)
+		c.limited.setLimit(maxHeadBytes + maxReportBytes)
 		e.Load, err = io.ReadAll(resp.Body)
 	}
 	switch {
@@ -356,9 +359,9 @@
 	return resp, e
 }
 
-// readJobLines reads an answer to an attempt.
-func readJobLines(c *conn, id string, note func(JobLine), e End) (*http.Response, End) {
-	resp, err := readAnswerHead(c)
+// readJobLines reads the response to an attempt.
+func readJobLines(c *conn, id string, progressed func(JobLine), e End) (*http.Response, End) {
+	resp, err := readResponseHead(c)
 	if err != nil {
 		e.Ending = readErrorEnding(err)
 		return nil, e
@@ -368,19 +371,19 @@
 		e.Ending = rejectionEnding(resp)
 		return resp, e
 	}
-	c.limited.allow(maxAnswerBytes)
-	note(JobLine{State: StateAcknowledged, Progress: -1})
-	started, noted := false, time.Time{}
-	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(make([]byte, 0, 1024), maxLineBytes)
-	for lines.Scan() {
-		text := bytes.TrimSpace(lines.Bytes())
+	c.limited.setLimit(maxResponseBytes)
+	progressed(JobLine{State: StateAcknowledged, Progress: -1})
+	started, reportedAt := false, time.Time{}
+	scanner := bufio.NewScanner(resp.Body)
+	scanner.Buffer(make([]byte, 0, 1024), maxLineBytes)
+	for scanner.Scan() {
+		text := bytes.TrimSpace(scanner.Bytes())
 		if len(text) == 0 {
 			continue
 		}
 		var l JobLine
 		if err := json.Unmarshal(text, &l); err != nil || l.ID != id {
-			e.Ending = outcome.Malformed // a line of another op proves nothing of this one
+			e.Ending = outcome.Malformed // a line of another op proves nothing about this one
 			return resp, e
 		}
 		switch l.State {
@@ -393,32 +396,32 @@
 		case "lost":
 			e.Ending = outcome.JobKilled
 		default:
-			first := l.State == "started" && !started
-			if now := time.Now(); first || now.Sub(noted) >= progressInterval {
-				started, noted = started || first, now
-				note(l)
+			firstStart := l.State == "started" && !started
+			if now := time.Now(); firstStart || now.Sub(reportedAt) >= progressInterval {
+				started, reportedAt = started || firstStart, now
+				progressed(l)
 			}
 			continue
 		}
 		e.Result = l.Result
-		var said string
-		if json.Unmarshal(l.Result, &said) == nil {
-			e.Result = []byte(said)
+		var resultText string
+		if json.Unmarshal(l.Result, &resultText) == nil {
+			e.Result = []byte(resultText)
 		}
 		if len(l.Load) > 0 {
 			e.Load = l.Load
 		}
 		return resp, e
 	}
-	if e.Ending = outcome.EndedEarly; lines.Err() != nil {
-		if e.Ending = readErrorEnding(lines.Err()); errors.Is(lines.Err(), bufio.ErrTooLong) {
+	if e.Ending = outcome.EndedEarly; scanner.Err() != nil {
+		if e.Ending = readErrorEnding(scanner.Err()); errors.Is(scanner.Err(), bufio.ErrTooLong) {
 			e.Ending = outcome.Malformed
 		}
 	}
 	return resp, e
 }
 
-// rejectionEnding is the ending for a status with which a worker takes no job.
+// rejectionEnding returns the ending for a status other than 200, with which a worker accepts no job.
 func rejectionEnding(resp *http.Response) outcome.Ending {
 	switch resp.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -426,7 +429,7 @@
 			return outcome.Shed
 		}
 	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests:
-		// They are about the moment, not the request.
+		// These statuses report a temporary condition, not an invalid request.
 	default:
 		if resp.StatusCode/100 == 4 {
 			return outcome.Rejected
@@ -435,32 +438,32 @@
 	return outcome.ServerError
 }
 
-// finish keeps a connection whose answer is complete for reuse, and closes any other.
-func (x *Exchange) finish(c *conn, resp *http.Response, e End) {
+// release returns a connection with a complete response to the pool, and closes any other.
+func (x *Exchange) release(c *conn, resp *http.Response, e End) {
 	switch e.Ending {
 	case outcome.Done, outcome.Failed, outcome.Returned, outcome.JobKilled, outcome.Shed, outcome.Rejected,
 		outcome.ServerError:
 		c.SetDeadline(time.Now().Add(finalBytesTimeout))
-		c.limited.allow(c.limited.read + maxLineBytes + 1)
+		c.limited.setLimit(c.limited.bytesRead + maxLineBytes + 1)
 		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxLineBytes))
 		x.mu.Lock()
-		whole := err == nil && n < maxLineBytes && !resp.Close && x.closedAs == outcome.Unknown &&
-			resp.StatusCode != http.StatusSwitchingProtocols // what comes behind that is no HTTP
-		x.conn = nil // from here on it may be another exchange's
+		reusable := err == nil && n < maxLineBytes && !resp.Close && x.localEnding == outcome.Unknown &&
+			resp.StatusCode != http.StatusSwitchingProtocols // what follows it is not HTTP
+		x.conn = nil // from here on, another exchange may use the connection
 		x.mu.Unlock()
-		if whole {
+		if reusable {
 			c.SetDeadline(time.Time{})
 			if x.isAttempt {
 				c.attemptEndedAt = time.Now()
 			}
-			x.pool.put(c)
+			x.pool.putUsed(c)
 			return
 		}
 	}
-	x.pool.drop(c)
+	x.pool.discard(c)
 }
 
-// readErrorEnding is the ending for an error on a connection over which the complete request was written.
+// readErrorEnding returns the ending for a read error after the request was completely written.
 func readErrorEnding(err error) outcome.Ending {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -473,15 +476,15 @@
 	return outcome.Malformed
 }
 
-// Request is the head of a request without the time left, and its body.
+// Request is the head of a request without the remaining time, and its body.
 type Request struct{ Head, Body []byte }
 
-// Bytes returns the request for a worker that has so much time left.
-func (r *Request) Bytes(wait time.Duration) []byte {
+// Bytes returns the request with the remaining time that the worker has.
+func (r *Request) Bytes(remaining time.Duration) []byte {
 	b := make([]byte, 0, len(r.Head)+len(r.Body)+40)
 	b = append(b, r.Head...)
 	b = append(b, "X-Time-Left-Ms: "...)
-	b = strconv.AppendInt(b, max(wait.Milliseconds(), 1), 10)
+	b = strconv.AppendInt(b, max(remaining.Milliseconds(), 1), 10)
 	b = append(b, "\r\n\r\n"...)
 	return append(b, r.Body...)
 }
--- a/internal/workers/workerconn/limited_reader.go
+++ b/internal/workers/workerconn/limited_reader.go
@@ -8,44 +8,44 @@
 	"woaddyke/internal/base/oserror"
 )
 
-// What a worker may send in one exchange. http.ReadResponse bounds neither heads nor interim answers: one
-// that never ends would fill the memory within the time of an attempt.
+// Limits on what a worker may send in one exchange. http.ReadResponse limits neither heads nor interim
+// responses: an endless one would exhaust the memory within the duration of an attempt.
 const (
-	maxHeadBytes   = 64 << 10 // of heads, with those of interim answers
-	maxReportBytes = 64 << 10 // of a probe's load report
+	maxHeadBytes   = 64 << 10 // of the heads, including interim responses
+	maxReportBytes = 64 << 10 // of the load report of a probe
 
-	// maxAnswerBytes is for a complete answer at its start. A job reports progress as long as it runs, so
-	// that answerBytesPerSecond are added.
-	maxAnswerBytes       = maxLineBytes + maxHeadBytes + 64<<10
-	answerBytesPerSecond = 16 << 10
+	// maxResponseBytes limits a response. A job reports progress for as long as it runs, so
+	// responseBytesPerSecond raises the limit over time.
+	maxResponseBytes       = maxLineBytes + maxHeadBytes + 64<<10
+	responseBytesPerSecond = 16 << 10
 
-	// progressInterval is the least time between two job lines that are passed on. A start is always
-	// passed on.
+	// progressInterval is the minimum time between two reported job lines. The first "started" line is
+	// always reported.
 	progressInterval = 10 * time.Millisecond
 )
 
-var errAnswerTooLong = errors.New("an answer that does not end")
+var errResponseTooLong = errors.New("response exceeds its byte limit")
 
-// limitedReader reads from a worker as much as an exchange may bring.
+// limitedReader reads from a worker up to the byte limit of an exchange.
 type limitedReader struct {
-	from      io.Reader
+	source    io.Reader
 	startedAt time.Time
-	read      int // bytes, since then
-	limit     int // of them, without those that time adds
+	bytesRead int // bytes read since startedAt
+	limit     int // bytes, without the increase over time
 }
 
-// reset starts an exchange, whose answer begins with a head.
-func (g *limitedReader) reset() { g.startedAt, g.read, g.limit = time.Now(), 0, maxHeadBytes }
+// reset starts an exchange, whose response begins with a head.
+func (r *limitedReader) reset() { r.startedAt, r.bytesRead, r.limit = time.Now(), 0, maxHeadBytes }
 
-// allow sets the limit.
-func (g *limitedReader) allow(limit int) { g.limit = limit }
+// setLimit sets the limit in bytes.
+func (r *limitedReader) setLimit(limit int) { r.limit = limit }
 
-func (g *limitedReader) Read(b []byte) (int, error) {
-	left := g.limit + int(time.Since(g.startedAt).Seconds()*answerBytesPerSecond) - g.read
-	if left <= 0 {
-		return 0, errAnswerTooLong
+func (r *limitedReader) Read(b []byte) (int, error) {
+	remaining := r.limit + int(time.Since(r.startedAt).Seconds()*responseBytesPerSecond) - r.bytesRead
+	if remaining <= 0 {
+		return 0, errResponseTooLong
 	}
-	n, err := oserror.Read(g.from.Read, b[:min(len(b), left)])
-	g.read += n
+	n, err := oserror.Read(r.source.Read, b[:min(len(b), remaining)])
+	r.bytesRead += n
 	return n, err
 }
--- a/internal/workers/workerconn/pieces_test.go
+++ b/internal/workers/workerconn/pieces_test.go
@@ -29,7 +29,7 @@
 	addr := fragmentpeer.Answer(t, func() fragmentpeer.Way { return way })
 	push := func() End {
 		ends := make(chan End, 1)
-		pool(1).Push(addr, "a1", as([]byte("POST / HTTP/1.1\r\n\r\n")), time.Now().Add(20*time.Second), always, func() {}, func(JobLine) {},
+		pool(1).Push(addr, "a1", as([]byte("POST / HTTP/1.1\r\n\r\n")), time.Now().Add(20*time.Second), alwaysWanted, func() {}, func(JobLine) {},
 			func(e End) { ends <- e })
 		return <-ends
 	}
--- a/internal/workers/workerconn/stale_test.go
+++ b/internal/workers/workerconn/stale_test.go
@@ -37,7 +37,7 @@
 				return stale.Load()
 			}
 			ends := make(chan End, 1)
-			e := p.Push(addr, "a1", as(request), time.Now().Add(20*time.Second), always, func() {}, func(JobLine) {}, func(e End) { ends <- e })
+			e := p.Push(addr, "a1", as(request), time.Now().Add(20*time.Second), alwaysWanted, func() {}, func(JobLine) {}, func(e End) { ends <- e })
 			for range 3 {
 				<-looks
 			}
--- a/internal/workers/workerconn/workerconn.go
+++ b/internal/workers/workerconn/workerconn.go
@@ -1,5 +1,5 @@
-// Package workerconn has the connections to workers: it dials them, reuses idle ones, writes attempts and
-// load probes, and reads job lines until an exchange has ended.
+// Package workerconn manages the connections to workers: it dials them, reuses idle ones, writes attempts and
+// load probes, and reads job lines until an exchange ends.
 package workerconn
 
 import (
@@ -16,69 +16,70 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// Bounds are the limits that settings and the machine set.
+// Bounds are the limits given by the settings and the machine.
 type Bounds struct {
-	MaxOpen     int           // connections at once
-	DialTimeout time.Duration // for a connection to come up
-	IdleTimeout time.Duration // after which a worker closes an idle connection
+	MaxOpen     int           // connections, including those being dialled
+	DialTimeout time.Duration // for establishing a connection
+	IdleTimeout time.Duration // after which the worker closes an idle connection
 }
 
-// reuseDelay is the least time from an attempt's answer to the next attempt on the same connection. A
-// worker that answers twice does so some milliseconds later, and a bare status names no op: read as the
-// answer to the next attempt, a late 503 would prove falsely that this one never ran. A connection on
-// which something arrives within this time is closed. There is no delay after a load probe: its answer
-// proves nothing of an attempt, and the attempt that follows it reuses the connection.
+// reuseDelay is the minimum time from the response to an attempt until the next attempt on the same
+// connection. A worker that responds twice does so some milliseconds later, and a status without job lines
+// names no op: if a late 503 were read as the response to the next attempt, it would falsely prove that this
+// one never ran. A connection on which data arrives within the delay is closed. There is no delay after a
+// load probe: its response proves nothing about an attempt, and the attempt that follows the probe reuses
+// the connection.
 const reuseDelay = 50 * time.Millisecond
 
 type conn struct {
 	net.Conn
 	reader         *bufio.Reader
-	limited        *limitedReader // below reader
+	limited        *limitedReader // source of reader
 	addr           string
 	idleSince      time.Time
 	attemptEndedAt time.Time // zero before the first
 }
 
-// maxDialDelay is the most time between a connection's coming up and its use. Decisions assume that an
-// attempt's first byte is sent one connect timeout later at most: a worker group drops repeats only
-// within its window.
+// maxDialDelay is the maximum time from when a connection is established until it is used. Decisions assume
+// that the first byte of an attempt is sent at most one connect timeout later, as a worker group drops
+// duplicates only within its window.
 const maxDialDelay = 100 * time.Millisecond
 
-// Pool has all connections to workers.
+// Pool holds all connections to workers.
 type Pool struct {
-	// Connect dials a worker; set before use, nil for net.Dialer.
+	// Connect dials a worker; nil for net.Dialer. It must be set before the pool is used.
 	Connect func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	// Stale tells whether no attempt may begin now, as its decision may be outdated; set before use, nil
-	// for never.
+	// Stale reports whether no attempt may start now, because its decision may be outdated; nil for never.
+	// It must be set before the pool is used.
 	Stale      func() bool
 	bounds     Bounds
 	reuseDelay time.Duration
 	mu         sync.Mutex
-	idle       map[string][]*conn // by address, the last used at the end
-	open       int                // with those that are being dialled
+	idle       map[string][]*conn // by address, the most recently used last
+	open       int                // including those being dialled
 	dialed     int
 }
 
 // New returns a pool without connections.
 func New(b Bounds) *Pool { return &Pool{bounds: b, reuseDelay: reuseDelay, idle: map[string][]*conn{}} }
 
-// SetMaxOpen sets the bound on open connections. Idle ones beyond it are closed.
+// SetMaxOpen sets the limit on open connections. Idle connections beyond it are closed.
 func (p *Pool) SetMaxOpen(open int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.bounds.MaxOpen = open
-	for p.open > open && p.evict() {
+	for p.open > open && p.evictOldest() {
 	}
 }
 
-// evict closes the connection that has been idle longest, with the lock held. It returns false where none
-// is idle.
-func (p *Pool) evict() bool {
+// evictOldest closes the connection that has been idle longest. It returns false if none is idle. The caller
+// holds the lock.
+func (p *Pool) evictOldest() bool {
 	var oldest *conn
-	for _, few := range p.idle {
-		if len(few) > 0 && (oldest == nil || few[0].idleSince.Before(oldest.idleSince)) {
-			oldest = few[0]
+	for _, conns := range p.idle {
+		if len(conns) > 0 && (oldest == nil || conns[0].idleSince.Before(oldest.idleSince)) {
+			oldest = conns[0]
 		}
 	}
 	if oldest == nil {
@@ -90,97 +91,98 @@
 	return true
 }
 
-// Counts returns how many connections are open, and how many were dialled.
+// Counts returns how many connections are open, and how many have been dialled.
 func (p *Pool) Counts() (open, dialed int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open, p.dialed
 }
 
-// usable tells whether an idle connection may be written to. At the worker's own idle limit a write may
-// meet a reset.
-func (p *Pool) usable(c *conn, now time.Time) bool {
-	return now.Sub(c.idleSince) <= p.bounds.IdleTimeout*3/4 && c.isUntouched()
+// isReusable reports whether an idle connection may be written to. Close to the worker's idle timeout, a
+// write may be answered by a reset.
+func (p *Pool) isReusable(c *conn, now time.Time) bool {
+	return now.Sub(c.idleSince) <= p.bounds.IdleTimeout*3/4 && c.hasNoInput()
 }
 
 // Sweep closes idle connections that are too old or that the worker has closed.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
-	var old []*conn
-	for addr, few := range p.idle {
-		kept := few[:0]
-		for _, c := range few {
-			if p.usable(c, now) {
-				kept = append(kept, c)
+	var unusable []*conn
+	for addr, conns := range p.idle {
+		usable := conns[:0]
+		for _, c := range conns {
+			if p.isReusable(c, now) {
+				usable = append(usable, c)
 			} else {
-				old = append(old, c)
+				unusable = append(unusable, c)
 			}
 		}
-		if p.idle[addr] = kept; len(kept) == 0 {
+		if p.idle[addr] = usable; len(usable) == 0 {
 			delete(p.idle, addr)
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
-		p.drop(c)
+	for _, c := range unusable {
+		p.discard(c)
 	}
 }
 
-// take returns an idle connection that may be written to, nil for none; for an attempt, one whose reuse
-// delay is over.
-func (p *Pool) take(addr string, push bool) *conn {
+// takeIdle returns an idle connection that may be written to, nil if there is none. For an attempt, the reuse
+// delay of the connection must be over.
+func (p *Pool) takeIdle(addr string, isAttempt bool) *conn {
 	now := time.Now()
 	for {
 		p.mu.Lock()
-		few := p.idle[addr]
-		k := len(few) - 1
-		for k >= 0 && push && now.Sub(few[k].attemptEndedAt) < p.reuseDelay {
-			k--
+		conns := p.idle[addr]
+		i := len(conns) - 1
+		for i >= 0 && isAttempt && now.Sub(conns[i].attemptEndedAt) < p.reuseDelay {
+			i--
 		}
-		if k < 0 {
+		if i < 0 {
 			p.mu.Unlock()
 			return nil
 		}
-		c := few[k]
-		p.idle[addr] = slices.Delete(few, k, k+1)
+		c := conns[i]
+		p.idle[addr] = slices.Delete(conns, i, i+1)
 		p.mu.Unlock()
-		if p.usable(c, now) {
+		if p.isReusable(c, now) {
 			return c
 		}
-		p.drop(c)
+		p.discard(c)
 	}
 }
 
-func (p *Pool) put(c *conn) {
+func (p *Pool) putUsed(c *conn) {
 	c.idleSince = time.Now()
-	p.putBack(c)
+	p.putUnused(c)
 }
 
-// putBack returns a connection that was not used, with its idle time: for the worker it was idle all the
-// while.
-func (p *Pool) putBack(c *conn) {
+// putUnused returns an unused connection to the pool and keeps its idleSince: for the worker it has been idle
+// the entire time.
+func (p *Pool) putUnused(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	few := p.idle[c.addr]
-	k := len(few)
-	for k > 0 && few[k-1].idleSince.After(c.idleSince) {
-		k--
+	conns := p.idle[c.addr]
+	i := len(conns)
+	for i > 0 && conns[i-1].idleSince.After(c.idleSince) {
+		i--
 	}
-	p.idle[c.addr] = slices.Insert(few, k, c)
+	p.idle[c.addr] = slices.Insert(conns, i, c)
 }
 
-func (p *Pool) drop(c *conn) {
+func (p *Pool) discard(c *conn) {
 	c.Close()
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// reserve counts a new connection, and if need be closes the one that has been idle longest for it.
+// reserve counts a new connection. At the limit it first closes the connection that has been idle longest; it
+// returns false if there is none.
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open >= p.bounds.MaxOpen && !p.evict() {
+	if p.open >= p.bounds.MaxOpen && !p.evictOldest() {
 		return false
 	}
 	p.open++
@@ -188,14 +190,14 @@
 	return true
 }
 
-// newConn returns a connection that came up just now.
+// newConn wraps a connection that was just established.
 func newConn(c net.Conn, addr string) *conn {
-	limited := &limitedReader{from: c}
+	limited := &limitedReader{source: c}
 	reader := bufio.NewReaderSize(limited, 4096)
 	return &conn{Conn: c, reader: reader, limited: limited, addr: addr, idleSince: time.Now()}
 }
 
-// dial opens a connection within the bounds; the ending says why there is none.
+// dial opens a connection within the bounds. If it returns nil, the ending gives the reason.
 func (p *Pool) dial(ctx context.Context, addr string) (*conn, outcome.Ending) {
 	if !p.reserve() {
 		return nil, outcome.NoDescriptor
@@ -204,9 +206,9 @@
 	if connect == nil {
 		connect = (&net.Dialer{Timeout: p.bounds.DialTimeout, KeepAlive: -1}).DialContext
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	nc, err := connect(ctx, "tcp", addr)
-	if err == nil && time.Since(began) <= p.bounds.DialTimeout+maxDialDelay {
+	if err == nil && time.Since(startedAt) <= p.bounds.DialTimeout+maxDialDelay {
 		return newConn(nc, addr), outcome.Unknown
 	}
 	if err == nil {
@@ -215,26 +217,26 @@
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
-	var late net.Error
+	var netErr net.Error
 	switch {
 	case err == nil:
-		return nil, outcome.CancelledUnsent // this side was late: it proves nothing of the worker
+		return nil, outcome.CancelledUnsent // this process was late, which proves nothing about the worker
 	case oserror.Classify(err) == oserror.DescriptorsExhausted:
 		return nil, outcome.NoDescriptor
 	case oserror.Classify(err) == oserror.ResourceExhausted, errors.Is(err, syscall.EAGAIN):
-		// Connect fails with EAGAIN where no local port is left.
+		// connect(2) fails with EAGAIN if no local port is left.
 		return nil, outcome.NoResource
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return nil, outcome.ConnRefused
-	case errors.As(err, &late) && late.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		return nil, outcome.DialTimedOut
 	}
 	return nil, outcome.DialFailed
 }
 
-// isUntouched tells whether nothing has arrived on an idle connection: one that the worker has closed, or
-// written to unasked, must not be used.
-func (c *conn) isUntouched() bool {
+// hasNoInput reports whether nothing has arrived on an idle connection. A connection that the worker has
+// closed, or on which it has sent unsolicited data, must not be used.
+func (c *conn) hasNoInput() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -242,23 +244,23 @@
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// Peek returns how many bytes have arrived on a connection, up to one, and leaves them there. The error
-// is EAGAIN where nothing has arrived yet, and nil where the other side has closed.
+// Peek returns how many bytes have arrived on a connection, at most one, without consuming them. The error is
+// EAGAIN if nothing has arrived yet, and nil if the peer has closed the connection.
 func Peek(c net.Conn) (n int, err error) {
-	s, ok := c.(syscall.Conn)
+	socket, ok := c.(syscall.Conn)
 	if !ok {
 		return 0, errors.ErrUnsupported
 	}
-	raw, err := s.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	var peeked error
-	err = raw.Control(func(fd uintptr) { n, peeked = PeekAt(fd) })
-	return n, errors.Join(err, peeked)
+	var peekErr error
+	err = raw.Control(func(fd uintptr) { n, peekErr = PeekAt(fd) })
+	return n, errors.Join(err, peekErr)
 }
 
-// PeekAt is Peek for a descriptor.
+// PeekAt is Peek for a file descriptor.
 func PeekAt(fd uintptr) (n int, err error) {
 	var b [1]byte
 	n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/workers/workerconn/workerconn_test.go
+++ b/internal/workers/workerconn/workerconn_test.go
@@ -27,7 +27,7 @@
 // push pushes once and waits for the end.
 func push(p *Pool, addr string, wait time.Duration) End {
 	ends := make(chan End, 1)
-	p.Push(addr, "a1", as(request), time.Now().Add(wait), always, func() {}, func(JobLine) {}, func(e End) { ends <- e })
+	p.Push(addr, "a1", as(request), time.Now().Add(wait), alwaysWanted, func() {}, func(JobLine) {}, func(e End) { ends <- e })
 	return <-ends
 }
 
@@ -156,7 +156,7 @@
 	addr := worker(t, func(net.Conn) { <-hold })
 	p := pool(1)
 	ends := make(chan End, 1)
-	x := p.Push(addr, "a1", as(request), time.Now().Add(time.Minute), always, func() {}, func(JobLine) {}, func(e End) { ends <- e })
+	x := p.Push(addr, "a1", as(request), time.Now().Add(time.Minute), alwaysWanted, func() {}, func(JobLine) {}, func(e End) { ends <- e })
 	for open, _ := p.Counts(); open == 0; open, _ = p.Counts() {
 		time.Sleep(time.Millisecond)
 	}
@@ -188,7 +188,7 @@
 		time.Sleep(time.Minute)
 	})
 	told := make(chan JobLine, 9)
-	x := pool(1).Push(addr, "a1", as(request), time.Now().Add(time.Minute), always, func() {}, func(l JobLine) { told <- l }, func(End) {})
+	x := pool(1).Push(addr, "a1", as(request), time.Now().Add(time.Minute), alwaysWanted, func() {}, func(l JobLine) { told <- l }, func(End) {})
 	defer x.Close(false, outcome.Cancelled)
 	select {
 	case l := <-told:
