--- a/internal/workers/discovery/bench_test.go
+++ b/internal/workers/discovery/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkMessage is a whole list from discovery's words to what the reducer takes.
+// BenchmarkMessage decodes a snapshot and converts it to the reducer's input.
 func BenchmarkMessage(b *testing.B) {
 	for _, workers := range []int{100, 1_600, 6_300} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
@@ -26,7 +26,7 @@
 				if err := json.Unmarshal(text, &m); err != nil {
 					b.Fatal(err)
 				}
-				if in := m.EndpointsChanged(unknown()); len(in.Endpoints) != workers {
+				if in := m.EndpointsChanged(newEmptyStartTimes()); len(in.Endpoints) != workers {
 					b.Fatal(len(in.Endpoints))
 				}
 			}
--- a/internal/workers/discovery/crowd_test.go
+++ b/internal/workers/discovery/crowd_test.go
@@ -19,133 +19,133 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// caller is a scheduler of a crowd, by its spans alone.
-type caller struct {
-	chance *rand.Rand
-	b      callHistory
-	wait   time.Duration
-	at     time.Duration // of its next call
+// simulatedScheduler is one of many schedulers, simulated only by its backoffs and timeouts.
+type simulatedScheduler struct {
+	random     *rand.Rand
+	history    callHistory
+	backoff    time.Duration
+	nextCallAt time.Duration // time of its next call
 }
 
-type callers []*caller
+type callQueue []*simulatedScheduler
 
-func (c callers) Len() int           { return len(c) }
-func (c callers) Less(i, j int) bool { return c[i].at < c[j].at }
-func (c callers) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
-func (c *callers) Push(x any)        { *c = append(*c, x.(*caller)) }
-func (c *callers) Pop() any {
+func (c callQueue) Len() int           { return len(c) }
+func (c callQueue) Less(i, j int) bool { return c[i].nextCallAt < c[j].nextCallAt }
+func (c callQueue) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
+func (c *callQueue) Push(x any)        { *c = append(*c, x.(*simulatedScheduler)) }
+func (c *callQueue) Pop() any {
 	last := (*c)[len(*c)-1]
 	*c = (*c)[:len(*c)-1]
 	return last
 }
 
-// returns is a play: the watches of all schedulers end at 0, discovery can't be reached until it is
-// back, and from then on takes so many calls a second and turns the others away at once.
-type returns struct {
+// recovery is a simulation: the watches of all schedulers end at 0 and discovery is unreachable until upAt.
+// From then on it serves callRate calls per second and rejects the others immediately.
+type recovery struct {
 	schedulers int
 	grace      time.Duration
-	back       time.Duration
-	down       way // what becomes of calls until then
-	rate       float64
-	seed       uint64 // of the first, the others' follow
+	upAt       time.Duration
+	whileDown  behavior // of calls before upAt
+	callRate   float64
+	seed       uint64 // from which the seed of each scheduler is derived
 }
 
-type returned struct {
-	told  []time.Duration // after the return, in order
-	calls map[int]int     // by second after the return
-	away  int             // calls turned away after the return
+type recoveryResult struct {
+	servedAfter   []time.Duration // times after upAt at which schedulers are served, sorted
+	callsBySecond map[int]int     // number of calls by second after upAt
+	rejected      int             // calls rejected after upAt
 }
 
-func (r returns) play() (out returned) {
+func (r recovery) simulate() (out recoveryResult) {
 	s := TimeoutsFor(false, r.schedulers, r.grace)
-	var all callers
+	var all callQueue
 	for i := range r.schedulers {
-		c := &caller{chance: rand.New(rand.NewPCG(r.seed<<32+uint64(i), 0))}
-		c.wait = s.nextBackoff(c.b, c.chance.Float64())
-		c.at = c.wait
+		c := &simulatedScheduler{random: rand.New(rand.NewPCG(r.seed<<32+uint64(i), 0))}
+		c.backoff = s.nextBackoff(c.history, c.random.Float64())
+		c.nextCallAt = c.backoff
 		all = append(all, c)
 	}
 	heap.Init(&all)
-	out.calls = map[int]int{}
-	each := time.Duration(float64(time.Second) / r.rate)
-	var busy time.Duration // until then it has work
+	out.callsBySecond = map[int]int{}
+	callDuration := time.Duration(float64(time.Second) / r.callRate)
+	var busyUntil time.Duration // when all accepted calls are served
 	for len(all) > 0 {
 		c := all[0]
-		now := c.at
-		out.calls[int(math.Floor((now-r.back).Seconds()))]++
-		busy = max(busy, now)
-		if now >= r.back && busy-now <= room {
-			busy += each
-			out.told = append(out.told, busy-r.back)
+		now := c.nextCallAt
+		out.callsBySecond[int(math.Floor((now-r.upAt).Seconds()))]++
+		busyUntil = max(busyUntil, now)
+		if now >= r.upAt && busyUntil-now <= maxQueueTime {
+			busyUntil += callDuration
+			out.servedAfter = append(out.servedAfter, busyUntil-r.upAt)
 			heap.Pop(&all)
 			continue
 		}
-		c.b.addFailure(now >= r.back || r.down == turned)
-		c.b.backoff, c.b.duration = c.wait, 0
-		if now >= r.back {
-			out.away++
-		} else if r.down == hangs {
-			c.b.duration = s.Response
+		c.history.addFailure(now >= r.upAt || r.whileDown == reject503)
+		c.history.backoff, c.history.duration = c.backoff, 0
+		if now >= r.upAt {
+			out.rejected++
+		} else if r.whileDown == hang {
+			c.history.duration = s.Response
 		}
-		c.wait = s.nextBackoff(c.b, c.chance.Float64())
-		c.at += c.b.duration + c.wait
+		c.backoff = s.nextBackoff(c.history, c.random.Float64())
+		c.nextCallAt += c.history.duration + c.backoff
 		heap.Fix(&all, 0)
 	}
-	slices.Sort(out.told)
+	slices.Sort(out.servedAfter)
 	return out
 }
 
-const room = 500 * time.Millisecond // of calls that the stand-in lets wait
+const maxQueueTime = 500 * time.Millisecond // the simulated service rejects a call that would wait longer
 
-// rates says how many calls there are in a second of the last ten while discovery is down, and the most
-// in one from then on.
-func (o returned) rates() (down float64, most int) {
-	for s, n := range o.calls {
+// callRates returns the mean calls per second in the last ten seconds before discovery's return, and the
+// maximum in any second after it.
+func (o recoveryResult) callRates() (meanBefore float64, maxAfter int) {
+	for s, n := range o.callsBySecond {
 		if s >= 0 {
-			most = max(most, n)
+			maxAfter = max(maxAfter, n)
 		} else if s >= -10 {
-			down += float64(n) / 10
+			meanBefore += float64(n) / 10
 		}
 	}
-	return down, most
+	return meanBefore, maxAfter
 }
 
-// Thousands come back at once to a discovery that turns calls away. They all have its list within 6 s
-// of its return where it takes a third of their number a second and ten; at half the rate that one call
-// of each in a period needs, it serves them as fast as it can all the same. While it is down, each
-// calls once in a period.
-func TestACrowdHasItsListsWithinSixSecondsAtABoundedRate(t *testing.T) {
+// Thousands of schedulers return simultaneously to a discovery service that rejects calls. They all have its
+// list within 6 s of its return if it serves a third of their number plus ten calls per second. At half the
+// rate needed for one call of each scheduler per period, it still serves them as fast as it can. While it is
+// down, each scheduler calls once per period.
+func TestAllSchedulersHaveTheListWithinSixSecondsAtABoundedCallRate(t *testing.T) {
 	for _, schedulers := range []int{1, 20, 80, 300, 1000, 6300} {
 		for _, grace := range []time.Duration{250 * time.Millisecond, 2500 * time.Millisecond, 10 * time.Second} {
-			for name, r := range map[string]returns{
+			for name, r := range map[string]recovery{
 				"ends":           {},
-				"refused 8 s":    {back: 8 * time.Second, down: refused},
-				"503 for 8 s":    {back: 8 * time.Second, down: turned},
-				"503 for 20 s":   {back: 20 * time.Second, down: turned},
-				"hangs for 8 s":  {back: 8 * time.Second, down: hangs},
-				"hangs for 20 s": {back: 20 * time.Second, down: hangs},
-				"503 for 2 min":  {back: 2 * time.Minute, down: turned},
+				"refused 8 s":    {upAt: 8 * time.Second, whileDown: refuseDial},
+				"503 for 8 s":    {upAt: 8 * time.Second, whileDown: reject503},
+				"503 for 20 s":   {upAt: 20 * time.Second, whileDown: reject503},
+				"hangs for 8 s":  {upAt: 8 * time.Second, whileDown: hang},
+				"hangs for 20 s": {upAt: 20 * time.Second, whileDown: hang},
+				"503 for 2 min":  {upAt: 2 * time.Minute, whileDown: reject503},
 			} {
 				for r.seed = range uint64(3) {
 					period := TimeoutsFor(false, schedulers, grace).MaxBackoffRejected
-					r.schedulers, r.grace, r.rate = schedulers, grace, float64(schedulers)/3+10
-					out := r.play()
-					down, most := out.rates()
-					last := out.told[schedulers-1]
+					r.schedulers, r.grace, r.callRate = schedulers, grace, float64(schedulers)/3+10
+					out := r.simulate()
+					meanBefore, maxAfter := out.callRates()
+					last := out.servedAfter[schedulers-1]
 					if r.seed == 0 {
-						t.Logf("%d schedulers, grace %v, %s, %.0f calls a second: %.0f a second before the return, %d in the busiest second after it, %d turned away, all told %.1f s after it",
-							schedulers, grace, name, r.rate, down, most, out.away, last.Seconds())
+						t.Logf("%d schedulers, grace %v, %s, %.0f calls per second: %.0f per second before the return, at most %d per second after it, %d rejected, all served %.1f s after it",
+							schedulers, grace, name, r.callRate, meanBefore, maxAfter, out.rejected, last.Seconds())
 					}
 					if last > changeDeadline-applyTime {
-						t.Errorf("%d schedulers, grace %v, %s, seed %d: the last is told %v after the return", schedulers, grace, name, r.seed, last)
+						t.Errorf("%d schedulers, grace %v, %s, seed %d: the last is served %v after the return", schedulers, grace, name, r.seed, last)
 					}
-					if need := float64(schedulers) / period.Seconds(); r.back >= 20*time.Second && r.down == turned && down > 1.2*need+3 {
-						t.Errorf("%d schedulers, grace %v, %s, seed %d: %.0f calls a second, where %.0f would do", schedulers, grace, name, r.seed, down, need)
+					if needed := float64(schedulers) / period.Seconds(); r.upAt >= 20*time.Second && r.whileDown == reject503 && meanBefore > 1.2*needed+3 {
+						t.Errorf("%d schedulers, grace %v, %s, seed %d: %.0f calls per second, but only %.0f are needed", schedulers, grace, name, r.seed, meanBefore, needed)
 					}
-					r.rate = float64(schedulers) / period.Seconds() / 2
-					all := time.Duration(float64(schedulers)/r.rate*float64(time.Second)) + 2*period
-					if last := r.play().told[schedulers-1]; last > all {
-						t.Errorf("%d schedulers, grace %v, %s, seed %d: at %.0f calls a second the last is told %v after the return", schedulers, grace, name, r.seed, r.rate, last)
+					r.callRate = float64(schedulers) / period.Seconds() / 2
+					limit := time.Duration(float64(schedulers)/r.callRate*float64(time.Second)) + 2*period
+					if last := r.simulate().servedAfter[schedulers-1]; last > limit {
+						t.Errorf("%d schedulers, grace %v, %s, seed %d: at %.0f calls per second the last is served %v after the return", schedulers, grace, name, r.seed, r.callRate, last)
 					}
 					if schedulers > 1000 {
 						break
@@ -156,8 +156,8 @@
 	}
 }
 
-// What goes over the wire for a call: its head, and a list as discovery words it. The figures are
-// logged; that a call stays small, whatever it asks, is the verdict.
+// Logs the size of a call and of the list that discovery sends. The request must stay small, whatever the
+// size of the list.
 func TestACallIsSmall(t *testing.T) {
 	for _, entries := range []int{0, 1, 100, 6300} {
 		list := EndpointList{Rev: 1_000_000_042, All: true, Targets: []target{}}
@@ -169,7 +169,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		asked := make(chan string, 1)
+		requests := make(chan string, 1)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -180,28 +180,30 @@
 				return
 			}
 			defer c.Close()
-			head := bufio.NewReader(c)
-			all := ""
-			for !strings.HasSuffix(all, "\r\n\r\n") {
-				line, err := head.ReadString('\n')
-				if all += line; err != nil {
+			reader := bufio.NewReader(c)
+			head := ""
+			for !strings.HasSuffix(head, "\r\n\r\n") {
+				line, err := reader.ReadString('\n')
+				if head += line; err != nil {
 					break
 				}
 			}
-			asked <- all
+			requests <- head
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n0\r\n\r\n", len(text)+1, text)
 		}()
-		began, took, told := time.Now(), time.Duration(0), 0
-		r := NewClient(l.Addr().String(), EndpointList{Rev: 999_999_999}, lone, 7, unknown(), func(in reducer.Input) { took, told = time.Since(began), len(in.(reducer.EndpointsChanged).Endpoints) }, zerolog.Nop())
-		r.watch(context.Background())
+		startedAt, duration, received := time.Now(), time.Duration(0), 0
+		client := NewClient(l.Addr().String(), EndpointList{Rev: 999_999_999}, singleSchedulerTimeouts, 7, newEmptyStartTimes(), func(in reducer.Input) {
+			duration, received = time.Since(startedAt), len(in.(reducer.EndpointsChanged).Endpoints)
+		}, zerolog.Nop())
+		client.watch(context.Background())
 		l.Close()
-		if head := <-asked; len(head) > 200 {
+		if head := <-requests; len(head) > 200 {
 			t.Errorf("a call takes %d bytes: %q", len(head), head)
 		} else {
-			t.Logf("a call of %d bytes, a list of %d entries of %d bytes, told %.1f ms after the call began", len(head), entries, len(text), float64(took)/1e6)
+			t.Logf("a call of %d bytes, a list of %d entries of %d bytes, received %.1f ms after the call started", len(head), entries, len(text), float64(duration)/1e6)
 		}
-		if told != entries {
-			t.Errorf("told of %d entries of %d", told, entries)
+		if received != entries {
+			t.Errorf("received %d entries, want %d", received, entries)
 		}
 	}
 }
--- a/internal/workers/discovery/discovery_test.go
+++ b/internal/workers/discovery/discovery_test.go
@@ -16,34 +16,34 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// lone are the spans of a scheduler that asks alone.
-var lone = TimeoutsFor(false, 1, time.Second)
+// singleSchedulerTimeouts are the timeouts of a single scheduler.
+var singleSchedulerTimeouts = TimeoutsFor(false, 1, time.Second)
 
-// discovery answers each call with the next lines, and then closes it, or keeps it open where none are
-// left.
-func discovery(t *testing.T, answers ...string) (addr string, calls chan string) {
+// serveDiscovery responds to each call with the next of the responses and then closes it. It keeps the call
+// open if none is left.
+func serveDiscovery(t *testing.T, responses ...string) (addr string, calls chan string) {
 	calls = make(chan string, 9)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.RawQuery
-		if len(answers) == 0 {
+		if len(responses) == 0 {
 			<-r.Context().Done()
 			return
 		}
-		fmt.Fprint(w, answers[0])
-		answers = answers[1:]
+		fmt.Fprint(w, responses[0])
+		responses = responses[1:]
 	}))
 	t.Cleanup(s.Close)
 	return s.Listener.Addr().String(), calls
 }
 
-func TestABrokenWatchGoesOnFromItsVersion(t *testing.T) {
-	addr, calls := discovery(t,
+func TestABrokenWatchResumesFromItsRevision(t *testing.T) {
+	addr, calls := serveDiscovery(t,
 		`{"rev":43,"all":false,"targets":[{"uid":"w","endpoint":"a:1","az":"z","pod_group":3,"state":"DRAINING",`+
 			`"boot_ms":5},{"endpoint":"no name"}]}`+"\n\n")
-	told := make(chan reducer.Input, 9)
+	received := make(chan reducer.Input, 9)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go NewClient(addr, EndpointList{Rev: 41}, lone, 7, unknown(), func(in reducer.Input) { told <- in }, zerolog.Nop()).Run(ctx)
+	go NewClient(addr, EndpointList{Rev: 41}, singleSchedulerTimeouts, 7, newEmptyStartTimes(), func(in reducer.Input) { received <- in }, zerolog.Nop()).Run(ctx)
 	for _, want := range []string{"stream=1&index=41", "stream=1&index=43"} {
 		select {
 		case got := <-calls:
@@ -54,7 +54,7 @@
 			t.Fatal("not called again")
 		}
 	}
-	in, ok := (<-told).(reducer.EndpointsChanged)
+	in, ok := (<-received).(reducer.EndpointsChanged)
 	if !ok || in.Snapshot || len(in.Endpoints) != 1 {
 		t.Fatalf("%+v", in)
 	}
@@ -64,9 +64,9 @@
 	}
 }
 
-// After a move what discovery tells counts as told 4 s later: an agent that takes the call and says
-// nothing held the watch for 6 s.
-func TestASilentAgentIsSoonCalledAgain(t *testing.T) {
+// After an address change, the list of the new address is in force 4 s later. Guards against an agent that
+// accepts the call and stays silent, which blocked the watch for 6 s.
+func TestASilentAgentIsCalledAgainAfterTheResponseTimeout(t *testing.T) {
 	calls := make(chan bool, 9)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- true
@@ -75,96 +75,96 @@
 	defer s.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	r := NewClient("127.0.0.1:1", EndpointList{Rev: 1}, lone, 7, unknown(), func(reducer.Input) {}, zerolog.Nop())
-	go r.Run(ctx)
-	r.SetAddress(s.Listener.Addr().String())
+	client := NewClient("127.0.0.1:1", EndpointList{Rev: 1}, singleSchedulerTimeouts, 7, newEmptyStartTimes(), func(reducer.Input) {}, zerolog.Nop())
+	go client.Run(ctx)
+	client.SetAddress(s.Listener.Addr().String())
 	for range 2 {
 		select {
 		case <-calls:
-		case <-time.After(lone.Response + time.Second):
+		case <-time.After(singleSchedulerTimeouts.Response + time.Second):
 			t.Fatal("not called")
 		}
 	}
 }
 
-// pipes is a listener without a network, for a clock that the test owns.
-type pipes struct {
-	conns chan net.Conn
-	ended chan struct{}
+// pipeListener is an in-memory listener, for tests with a fake clock.
+type pipeListener struct {
+	conns  chan net.Conn
+	closed chan struct{}
 }
 
-func (p *pipes) dial(context.Context, string, string) (net.Conn, error) {
-	here, there := net.Pipe()
+func (p *pipeListener) dial(context.Context, string, string) (net.Conn, error) {
+	client, server := net.Pipe()
 	select {
-	case p.conns <- there:
-		return here, nil
-	case <-p.ended:
+	case p.conns <- server:
+		return client, nil
+	case <-p.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
-	case <-p.ended:
+	case <-p.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (p *pipes) Close() error   { return nil }
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Close() error   { return nil }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Eighty schedulers started together and asked a discovery that does thirteen calls a second, in turn,
-// and fails what has waited for 2 s though it does the work. They came back within 320 ms, so its time
-// went to calls that had failed by then: a fifth of them had a list again, the others never. One that
-// does four a second can't be had by spreading alone: its eighty schedulers waited for up to 24 s
-// between two calls, and by then what it has counts as told for long. So of such a discovery it is
-// asked what it can bear, two dozen; and of one that turns away at once what it has no time for, that
-// it serves all eighty as fast as it can. Each roster here has its own seed and nothing else.
-func TestADiscoveryThatIsAskedByAllAnswersMost(t *testing.T) {
-	for name, x := range map[string]crowd{
-		"80, 13 a second, in turn":      {80, time.Second / 13, 4 * time.Second, 20 * time.Second},
-		"24, 4 a second, in turn":       {24, time.Second / 4, 4 * time.Second, time.Minute},
-		"80, 4 a second, or not at all": {80, time.Second / 4, time.Second / 2, 25 * time.Second},
+// Eighty schedulers start together and call a discovery service that serves thirteen calls per second in
+// sequence, and fails calls that have waited for 2 s although it does their work. When they retried within
+// 320 ms, its time went to calls that had already failed: a fifth of them got a list again, the others never.
+// Spreading the calls is not enough for a service with four calls per second: its eighty schedulers waited
+// up to 24 s between two calls, long after its changes were in force. Such a service is therefore tested
+// with two dozen schedulers. One that immediately rejects calls it has no time for must serve all eighty as
+// fast as it can. Each client differs only in its seed.
+func TestAnOverloadedDiscoveryServesMostSchedulers(t *testing.T) {
+	for name, x := range map[string]overload{
+		"80, 13 per second, in sequence":    {80, time.Second / 13, 4 * time.Second, 20 * time.Second},
+		"24, 4 per second, in sequence":     {24, time.Second / 4, 4 * time.Second, time.Minute},
+		"80, 4 per second, others rejected": {80, time.Second / 4, time.Second / 2, 25 * time.Second},
 	} {
-		t.Run(name, x.ask)
+		t.Run(name, x.run)
 	}
 }
 
-// crowd is some schedulers that ask at once.
-type crowd struct {
-	schedulers int
-	each       time.Duration // a call takes so long
-	most       time.Duration // what would wait for longer is turned away at once
-	within     time.Duration // nine in ten are to be served
+// overload describes schedulers that call a slow discovery service simultaneously.
+type overload struct {
+	schedulers   int
+	callDuration time.Duration // duration of one call
+	maxQueueTime time.Duration // a call that would wait longer is rejected immediately
+	deadline     time.Duration // by which nine in ten schedulers must be served
 }
 
-func (c crowd) ask(t *testing.T) {
-	const wait = 2 * time.Second
-	schedulers, each, most, within := c.schedulers, c.each, c.most, c.within
+func (c overload) run(t *testing.T) {
+	const maxWait = 2 * time.Second
+	schedulers, callDuration, maxQueueTime, deadline := c.schedulers, c.callDuration, c.maxQueueTime, c.deadline
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		p := &pipes{make(chan net.Conn), make(chan struct{})}
+		p := &pipeListener{make(chan net.Conn), make(chan struct{})}
 		var mu sync.Mutex
-		var busy time.Time // until then it has work
-		begin, calls, served := time.Now(), map[int]int{}, 0
+		var busyUntil time.Time // when all accepted calls are served
+		startedAt, calls, served := time.Now(), map[int]int{}, 0
 		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			mu.Lock()
 			now := time.Now()
-			calls[int(now.Sub(begin)/time.Second)]++
-			if busy.Before(now) {
-				busy = now
+			calls[int(now.Sub(startedAt)/time.Second)]++
+			if busyUntil.Before(now) {
+				busyUntil = now
 			}
-			if busy.Sub(now) > most {
+			if busyUntil.Sub(now) > maxQueueTime {
 				mu.Unlock()
 				w.WriteHeader(http.StatusServiceUnavailable)
 				return
 			}
-			busy = busy.Add(each)
-			left := busy.Sub(now)
+			busyUntil = busyUntil.Add(callDuration)
+			wait := busyUntil.Sub(now)
 			mu.Unlock()
-			if time.Sleep(min(left, wait)); left > wait {
+			if time.Sleep(min(wait, maxWait)); wait > maxWait {
 				w.WriteHeader(http.StatusServiceUnavailable)
 				return
 			}
@@ -179,29 +179,29 @@
 		})}
 		go s.Serve(p)
 		for i := range schedulers {
-			r := NewClient("discovery", EndpointList{}, TimeoutsFor(false, schedulers, 2500*time.Millisecond), uint64(i), unknown(), func(reducer.Input) {}, zerolog.Nop())
-			r.httpClient.Transport.(*http.Transport).DialContext = p.dial
-			go r.Run(ctx)
+			client := NewClient("discovery", EndpointList{}, TimeoutsFor(false, schedulers, 2500*time.Millisecond), uint64(i), newEmptyStartTimes(), func(reducer.Input) {}, zerolog.Nop())
+			client.httpClient.Transport.(*http.Transport).DialContext = p.dial
+			go client.Run(ctx)
 		}
-		time.Sleep(within)
+		time.Sleep(deadline)
 		mu.Lock()
 		if served < schedulers*9/10 {
-			t.Errorf("%d of %d schedulers watch after %v; calls by second: %v", served, schedulers, within, calls)
+			t.Errorf("%d of %d schedulers watch after %v; calls by second: %v", served, schedulers, deadline, calls)
 		}
 		for s, n := range calls {
 			if n > 3*callsPerSecond {
 				t.Errorf("%d calls in second %d", n, s)
 			}
 		}
-		// A scheduler that asked 4 s after its start pushed to workers that had gone, 2.55 s after it
-		// counted as told.
+		// A scheduler that first called 4 s after its start pushed to workers that had left, 2.55 s after
+		// the change was in force.
 		if first := calls[0] + calls[1]; first < schedulers {
-			t.Errorf("%d of %d have asked within the grace of a drain", first, schedulers)
+			t.Errorf("%d of %d schedulers have called within the drain grace", first, schedulers)
 		}
 		mu.Unlock()
 		stop()
-		close(p.ended)
+		close(p.closed)
 		s.Close()
-		time.Sleep(time.Minute) // all ends
+		time.Sleep(time.Minute) // until all goroutines have ended
 	})
 }
--- a/internal/workers/discovery/golden_test.go
+++ b/internal/workers/discovery/golden_test.go
@@ -9,21 +9,21 @@
 	"woaddyke/internal/testsupport/golden"
 )
 
-// Guards the JSON of discovery's list, which discovery sends, configurations hold and a handover
-// carries between builds.
-func TestMessageKeepsItsForm(t *testing.T) {
+// Guards the JSON format of the endpoint list, which discovery sends, configurations contain and a hot
+// restart passes between builds.
+func TestTheJSONOfAMessageIsUnchanged(t *testing.T) {
 	filled.CompareJSON(t, "testdata/message.json.golden", filled.Value[EndpointList](t))
 }
 
-// Guards the bytes of the known workers, in order of their names, that a handover carries between
+// Guards the bytes of the snapshot of the known workers, sorted by name, which a hot restart passes between
 // builds.
-func TestKnownKeepsItsForm(t *testing.T) {
+func TestTheJSONOfASnapshotIsUnchanged(t *testing.T) {
 	message := filled.Value[EndpointList](t)
-	r := Client{revision: message.Rev, workers: map[string]target{}}
+	client := Client{revision: message.Rev, workers: map[string]target{}}
 	for _, worker := range message.Targets {
-		r.workers[worker.UID] = worker
+		client.workers[worker.UID] = worker
 	}
-	text, err := r.Snapshot()
+	text, err := client.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,8 +35,8 @@
 	filled.RequireSet(t, read)
 }
 
-// Guards the JSON of the workers' starts, by their names, that a handover carries between builds.
-func TestStartsKeepTheirForm(t *testing.T) {
+// Guards the JSON format of the workers' start times by name, which a hot restart passes between builds.
+func TestTheJSONOfStartTimesIsUnchanged(t *testing.T) {
 	starts := NewStartTimes(clock.Clock{}, filled.Value[map[string]WorkerStart](t))
 	filled.CompareJSON(t, "testdata/starts.json.golden", starts.Snapshot())
 }
--- a/internal/workers/discovery/pieces_test.go
+++ b/internal/workers/discovery/pieces_test.go
@@ -12,48 +12,48 @@
 	"woaddyke/internal/testsupport/fragmentpeer"
 )
 
-// Half a line of a list told of workers that were not there, and a list in pieces of none.
-func TestListsInPiecesSayTheSame(t *testing.T) {
+// Guards against partial lines that report nonexistent workers, and against fragmented lists that are lost.
+func TestFragmentedListsAreReadCorrectly(t *testing.T) {
 	lines := []string{`{"rev":41,"all":true,"targets":[{"uid":"w","endpoint":"a:1","state":"SERVING"}]}`, "",
 		`{"rev":43,"all":false,"targets":[{"uid":"w","endpoint":"a:1","state":"DRAINING"}]}`}
-	whole := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	var ends []int // where each line that tells something is whole
+	response := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	var ends []int // offsets at which each object is complete
 	for _, l := range lines {
-		whole += fmt.Sprintf("%x\r\n%s", len(l)+1, l)
+		response += fmt.Sprintf("%x\r\n%s", len(l)+1, l)
 		if l != "" {
-			ends = append(ends, len(whole))
+			ends = append(ends, len(response))
 		}
-		whole += "\n\r\n"
+		response += "\n\r\n"
 	}
-	whole += "0\r\n\r\n"
+	response += "0\r\n\r\n"
 	var way fragmentpeer.Way
 	addr := fragmentpeer.Answer(t, func() fragmentpeer.Way { return way })
-	watch := func() (told []reducer.Input, rev int64) {
-		r := NewClient(addr, EndpointList{Rev: 40}, lone, 7, unknown(), func(in reducer.Input) { told = append(told, in) }, zerolog.Nop())
-		if _, err := r.watch(context.Background()); err == nil {
-			t.Errorf("%s: a watch that ends is broken", way.Name)
+	watch := func() (received []reducer.Input, rev int64) {
+		client := NewClient(addr, EndpointList{Rev: 40}, singleSchedulerTimeouts, 7, newEmptyStartTimes(), func(in reducer.Input) { received = append(received, in) }, zerolog.Nop())
+		if _, err := client.watch(context.Background()); err == nil {
+			t.Errorf("%s: no error from a watch that ended", way.Name)
 		}
-		return told, r.revision
+		return received, client.revision
 	}
-	way = fragmentpeer.Whole(whole)[0]
+	way = fragmentpeer.Whole(response)[0]
 	want, _ := watch()
 	if len(want) != 2 {
-		t.Fatalf("told %v", want)
+		t.Fatalf("received %v", want)
 	}
-	for _, way = range fragmentpeer.Whole(whole) {
+	for _, way = range fragmentpeer.Whole(response) {
 		if got, rev := watch(); !reflect.DeepEqual(got, want) || rev != 43 {
-			t.Errorf("%s: told %v, version %d", way.Name, got, rev)
+			t.Errorf("%s: received %v, revision %d", way.Name, got, rev)
 		}
 	}
-	for _, way = range fragmentpeer.Cuts(whole) {
-		n, version := 0, int64(40)
+	for _, way = range fragmentpeer.Cuts(response) {
+		n, revision := 0, int64(40)
 		for k, end := range ends {
 			if len(way.Text()) >= end {
-				n, version = k+1, []int64{41, 43}[k]
+				n, revision = k+1, []int64{41, 43}[k]
 			}
 		}
-		if got, rev := watch(); len(got) != n || rev != version || n > 0 && !reflect.DeepEqual(got, want[:n]) {
-			t.Errorf("%s: told %v, version %d", way.Name, got, rev)
+		if got, rev := watch(); len(got) != n || rev != revision || n > 0 && !reflect.DeepEqual(got, want[:n]) {
+			t.Errorf("%s: received %v, revision %d", way.Name, got, rev)
 		}
 	}
 }
--- a/internal/workers/discovery/start_times_test.go
+++ b/internal/workers/discovery/start_times_test.go
@@ -11,110 +11,110 @@
 	"woaddyke/internal/lifecycle/clock"
 )
 
-// unknown are the starts of a process that knows of none.
-func unknown() *StartTimes { return NewStartTimes(clock.New(), nil) }
+// newEmptyStartTimes returns the start times of a process without a predecessor.
+func newEmptyStartTimes() *StartTimes { return NewStartTimes(clock.New(), nil) }
 
-// seenAt is a worker's entry as discovery tells it, by a clock that is behind this process's by so
-// much.
-func seenAt(uid string, ago, behind time.Duration) *target {
+// targetStarted returns the entry of a worker that started some time ago, as sent by a discovery service
+// whose clock is behind the clock of this process.
+func targetStarted(uid string, ago, behind time.Duration) *target {
 	return &target{UID: uid, BootMS: time.Now().Add(-ago - behind).UnixMilli()}
 }
 
-// ageOf is how old a worker is to the module.
+// ageOf returns the age of a worker by its converted start time.
 func (s *StartTimes) ageOf(t *target) time.Duration {
 	return time.Duration(s.clock.Now()) - time.Duration(s.startedAt(t))*config.Tenth
 }
 
-func near(got, want time.Duration) bool { return (got - want).Abs() <= 2*time.Millisecond }
+func approxEqual(got, want time.Duration) bool { return (got - want).Abs() <= 2*time.Millisecond }
 
-// Whatever a wall clock is off by, a worker that turns up on a live watch is as old as it may be since
-// the watch was last heard, those after it are as old as they are, and what was known before stays as
-// it was.
-func TestAWorkerThatTurnsUpOnALiveWatchIsYoung(t *testing.T) {
-	for _, off := range []time.Duration{0, time.Second, 5 * time.Second, -time.Second, 30 * time.Second, time.Hour, -time.Hour, 25 * time.Hour} {
-		t.Run(fmt.Sprint(off), func(t *testing.T) {
+// Whatever the skew of the wall clock, a worker that appears on a live watch is not older than the time since
+// the last heartbeat allows, the workers after it have their true age, and start times that were known before
+// don't change.
+func TestAWorkerThatAppearsOnALiveWatchIsYoung(t *testing.T) {
+	for _, skew := range []time.Duration{0, time.Second, 5 * time.Second, -time.Second, 30 * time.Second, time.Hour, -time.Hour, 25 * time.Hour} {
+		t.Run(fmt.Sprint(skew), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := unknown()
-				old := seenAt("old", 10*time.Hour, off)
-				was := s.startedAt(old)
+				s := newEmptyStartTimes()
+				old := targetStarted("old", 10*time.Hour, skew)
+				oldStart := s.startedAt(old)
 				s.recordHeartbeat()
 				time.Sleep(time.Second)
-				most := 200 * time.Millisecond
+				maxAge := 200 * time.Millisecond
 				for k := range 3 * samplesPerEstimate {
 					if k == samplesPerEstimate-1 {
-						most = 200*time.Millisecond + usualListingDelay
-					} else if k < samplesPerEstimate && off > 0 && off <= maxListingDelay {
-						most = 200*time.Millisecond + off // so little may be the way to here, until a few have turned up
+						maxAge = 200*time.Millisecond + usualListingDelay
+					} else if k < samplesPerEstimate && skew > 0 && skew <= maxListingDelay {
+						maxAge = 200*time.Millisecond + skew // may be a listing delay, until there are enough samples
 					}
-					x := seenAt(fmt.Sprint("new", k), 200*time.Millisecond, off)
-					if age := s.ageOf(x); age < 0 || age > most+2*time.Millisecond {
-						t.Errorf("worker %d: %v old", k, age)
+					x := targetStarted(fmt.Sprint("new", k), 200*time.Millisecond, skew)
+					if age := s.ageOf(x); age < 0 || age > maxAge+2*time.Millisecond {
+						t.Errorf("worker %d: age %v", k, age)
 					}
 					s.recordHeartbeat()
 					time.Sleep(500 * time.Millisecond)
 					if first, again := s.startedAt(x), s.startedAt(x); first != again {
-						t.Errorf("one start is at %v and at %v", first, again)
+						t.Errorf("start times of one process differ: %v and %v", first, again)
 					}
 				}
-				if s.startedAt(old) != was {
-					t.Error("a worker that has not started again has another start")
+				if s.startedAt(old) != oldStart {
+					t.Error("the start time of a worker changed without a restart")
 				}
 			})
 		})
 	}
 }
 
-// A clock that is right is believed: an entry of the first list, one that turned up in a silence, and
-// one of long ago.
-func TestAClockThatIsRightIsBelieved(t *testing.T) {
+// With a correct clock, the start times sent by discovery apply: for an entry of the first list, one that
+// appeared during a silence, and one without a start time. An old worker that appears on a live watch counts
+// as new.
+func TestACorrectClockIsTrusted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := unknown()
-		if age := s.ageOf(seenAt("first", 90*time.Second, 0)); !near(age, 90*time.Second) {
-			t.Errorf("of the first list: %v", age)
+		s := newEmptyStartTimes()
+		if age := s.ageOf(targetStarted("first", 90*time.Second, 0)); !approxEqual(age, 90*time.Second) {
+			t.Errorf("first list: age %v", age)
 		}
 		s.recordHeartbeat()
 		time.Sleep(20 * time.Second)
-		if age := s.ageOf(seenAt("silence", 15*time.Second, 0)); !near(age, 15*time.Second) {
-			t.Errorf("in a silence of 20 s: %v", age)
+		if age := s.ageOf(targetStarted("silence", 15*time.Second, 0)); !approxEqual(age, 15*time.Second) {
+			t.Errorf("during a silence of 20 s: age %v", age)
 		}
 		if at := s.startedAt(&target{UID: "ever"}); at != 0 {
-			t.Errorf("long ago is %v", at)
+			t.Errorf("without a start time: started at %v, want 0", at)
 		}
 		s.recordHeartbeat()
-		if age := s.ageOf(seenAt("forgotten", 80*time.Hour, 0)); !near(age, 0) {
-			t.Errorf("one that nobody had told of: %v", age)
+		if age := s.ageOf(targetStarted("forgotten", 80*time.Hour, 0)); !approxEqual(age, 0) {
+			t.Errorf("old worker on a live watch: age %v", age)
 		}
-		if age := s.ageOf(seenAt("next", time.Second, 0)); !near(age, time.Second) {
-			t.Errorf("and one after it: %v", age)
+		if age := s.ageOf(targetStarted("next", time.Second, 0)); !approxEqual(age, time.Second) {
+			t.Errorf("next worker: age %v", age)
 		}
 	})
 }
 
-// With the clock behind, starts of the first list lie in the future: the last of them is now, the
-// others as long before it as they are.
-func TestStartsOfTheFutureMoveTogether(t *testing.T) {
+// If the wall clock is behind, the start times in the first list are in the future. The latest becomes now,
+// and the others keep their distance from it.
+func TestStartTimesInTheFutureAreShiftedTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := unknown()
+		s := newEmptyStartTimes()
 		for _, c := range []struct{ ago, want time.Duration }{{10 * time.Second, 0}, {4 * time.Second, 0}, {7 * time.Second, 3 * time.Second},
 			{20 * time.Second, 16 * time.Second}} {
-			if age := s.ageOf(seenAt(c.ago.String(), c.ago, -time.Hour)); !near(age, c.want) {
-				t.Errorf("%v ago: %v old, want %v", c.ago, age, c.want)
+			if age := s.ageOf(targetStarted(c.ago.String(), c.ago, -time.Hour)); !approxEqual(age, c.want) {
+				t.Errorf("started %v ago: age %v, want %v", c.ago, age, c.want)
 			}
 		}
 	})
 }
 
-// A worker that starts again is another one, however discovery's clock went meanwhile as long as it
-// went on.
+// A restarted worker has a later start time, however far discovery's clock advanced in the meantime.
 func TestALaterProcessOfAWorkerStartsLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := unknown()
+		s := newEmptyStartTimes()
 		boot := time.Now().UnixMilli()
 		last := dispatch.Time(0)
 		for range 5 {
 			at := s.startedAt(&target{UID: "w", BootMS: boot})
 			if at <= last {
-				t.Errorf("%v after %v", at, last)
+				t.Errorf("start time %v is not after %v", at, last)
 			}
 			last, boot = at, boot+1
 			s.recordHeartbeat()
@@ -122,33 +122,34 @@
 	})
 }
 
-// What one process knew another goes on from, by its own clock.
-func TestStartsAreHandedOver(t *testing.T) {
+// A successor continues with the start times and the heartbeat of its predecessor, converted to its own
+// clock.
+func TestStartTimesAreInheritedByASuccessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		was := unknown()
-		x := seenAt("w", 3*time.Second, time.Hour)
-		was.recordHeartbeat()
-		at := was.startedAt(x)
+		predecessor := newEmptyStartTimes()
+		x := targetStarted("w", 3*time.Second, time.Hour)
+		predecessor.recordHeartbeat()
+		at := predecessor.startedAt(x)
 		time.Sleep(2 * time.Second)
-		is := clock.New()
-		shift := dispatch.Time(is.Now()-was.clock.Now()) / dispatch.Time(100_000)
-		before := was.Snapshot()
-		for uid, s := range before {
-			before[uid] = WorkerStart{s.BootMS, s.At + shift}
+		successorClock := clock.New()
+		shift := dispatch.Time(successorClock.Now()-predecessor.clock.Now()) / dispatch.Time(100_000)
+		inherited := predecessor.Snapshot()
+		for uid, s := range inherited {
+			inherited[uid] = WorkerStart{s.BootMS, s.At + shift}
 		}
-		heir := NewStartTimes(is, before)
-		if got := heir.startedAt(x); got != at+shift {
-			t.Errorf("%v, want %v", got, at+shift)
+		successor := NewStartTimes(successorClock, inherited)
+		if got := successor.startedAt(x); got != at+shift {
+			t.Errorf("started at %v, want %v", got, at+shift)
 		}
-		if age := heir.ageOf(seenAt("fresh", 0, time.Hour)); !near(age, 0) {
-			t.Errorf("one that turns up at once: %v", age)
+		if age := successor.ageOf(targetStarted("fresh", 0, time.Hour)); !approxEqual(age, 0) {
+			t.Errorf("worker that appears immediately: age %v", age)
 		}
 	})
 }
 
-// Workers that left the list are forgotten once there are many, and those in it never.
-func TestStartsAreBounded(t *testing.T) {
-	s := unknown()
+// Workers that have left the list are deleted once there are too many; listed workers are never deleted.
+func TestTheNumberOfStartTimesIsBounded(t *testing.T) {
+	s := newEmptyStartTimes()
 	list := map[string]target{}
 	for k := range 3 * maxRemovedWorkers {
 		x := target{UID: fmt.Sprint(k), BootMS: int64(k + 1)}
@@ -157,41 +158,42 @@
 			list[x.UID] = x
 		}
 		if s.prune(list); len(s.starts) > len(list)+maxRemovedWorkers {
-			t.Fatalf("%d are known with %d in the list", len(s.starts), len(list))
+			t.Fatalf("%d start times with %d workers in the list", len(s.starts), len(list))
 		}
 	}
 	for uid := range list {
 		if _, known := s.starts[uid]; !known {
-			t.Errorf("%s is forgotten", uid)
+			t.Errorf("the start time of listed worker %s was deleted", uid)
 		}
 	}
 }
 
-// With the clock ahead at a start, a worker of the first list that has just started looks old. Discovery's own clock, where its answers are
-// dated, tells; a date that is late or coarse does not make a worker younger than it is by more than that, and one that is ahead says nothing.
-func TestTheDateOfAnAnswerShowsThatTheClockIsAhead(t *testing.T) {
+// If the wall clock is ahead at the start, a new worker of the first list seems old. The Date of discovery's
+// response reveals this. A late response, or the resolution of the date, makes a worker seem younger by at
+// most that much; a date that is ahead proves nothing.
+func TestAResponseDateRevealsAClockThatIsAhead(t *testing.T) {
 	for _, c := range []struct {
-		name             string
-		off              time.Duration // of this clock
-		dateLate         time.Duration // the answer is dated so long before it is read
-		least, most, ago time.Duration // of the age that counts
+		name                string
+		skew                time.Duration // of the wall clock
+		readDelay           time.Duration // from the date of the response until it is read
+		minAge, maxAge, ago time.Duration // minAge and maxAge bound the resulting age
 	}{
 		{"right", 0, 0, 5 * time.Second, 5 * time.Second, 5 * time.Second},
-		{"right, answer read late", 0, 3 * time.Second, 5 * time.Second, 5 * time.Second, 5 * time.Second},
+		{"right, response read late", 0, 3 * time.Second, 5 * time.Second, 5 * time.Second, 5 * time.Second},
 		{"an hour ahead", time.Hour, 0, 5 * time.Second, 7 * time.Second, 5 * time.Second},
-		{"an hour ahead, answer read late", time.Hour, 3 * time.Second, 5 * time.Second, 7 * time.Second, 5 * time.Second},
+		{"an hour ahead, response read late", time.Hour, 3 * time.Second, 5 * time.Second, 7 * time.Second, 5 * time.Second},
 		{"an hour behind", -time.Hour, 0, 0, 0, 5 * time.Second},
-		{"a month ahead: not believed", 30 * 24 * time.Hour, 0, 30 * 24 * time.Hour, 31 * 24 * time.Hour, 5 * time.Second},
+		{"a month ahead, ignored", 30 * 24 * time.Hour, 0, 30 * 24 * time.Hour, 31 * 24 * time.Hour, 5 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := unknown()
+				s := newEmptyStartTimes()
 				calledAt := time.Now()
-				date := time.Now().Add(-c.off).Truncate(time.Second)
-				time.Sleep(c.dateLate)
+				date := time.Now().Add(-c.skew).Truncate(time.Second)
+				time.Sleep(c.readDelay)
 				s.recordDate(date, calledAt)
-				if age := s.ageOf(seenAt("first", c.ago, c.off)); age < c.least-2*time.Millisecond || age > c.most+2*time.Millisecond {
-					t.Errorf("%v old, want from %v to %v", age, c.least, c.most)
+				if age := s.ageOf(targetStarted("first", c.ago, c.skew)); age < c.minAge-2*time.Millisecond || age > c.maxAge+2*time.Millisecond {
+					t.Errorf("age %v, want %v to %v", age, c.minAge, c.maxAge)
 				}
 			})
 		})
--- a/internal/workers/discovery/starved_test.go
+++ b/internal/workers/discovery/starved_test.go
@@ -17,11 +17,11 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// A timer that is late tells of this process: what came meanwhile lies unread. A few times it waits for
-// that; a timer that is in time, or late for too often with nothing read, ends the watch.
-func TestALateTimerIsNoSilence(t *testing.T) {
-	ended, lies := 0, false // something unread
-	s := newIdleTimer(time.Hour, func() bool { return lies }, func() { ended++ })
+// A late timer shows that this process was not running, so data may be unread. The timer waits for that data
+// up to maxLateTimers times. A timer that is on time, or late too often without data, ends the watch.
+func TestALateTimerDoesNotEndTheWatch(t *testing.T) {
+	ended, unread := 0, false
+	s := newIdleTimer(time.Hour, func() bool { return unread }, func() { ended++ })
 	defer s.stop()
 	due := func(late time.Duration) {
 		s.mu.Lock()
@@ -33,10 +33,10 @@
 		t.Fatalf("ended %d times by a late timer, due in %v", ended, time.Until(s.deadline))
 	}
 	if s.reset(time.Hour); s.lateTimers != 0 || time.Until(s.deadline) < time.Minute {
-		t.Error("what came afterwards was not taken for a sign of life")
+		t.Error("data that arrived afterwards did not reset the timer")
 	}
-	if s.expired(); ended != 0 { // a timer that had fired in that instant
-		t.Error("ended though something had come")
+	if s.expired(); ended != 0 { // a timer that fired just as data arrived
+		t.Error("ended though data had arrived")
 	}
 	for range maxLateTimers {
 		due(3 * time.Second)
@@ -49,34 +49,34 @@
 	}
 	s.reset(time.Hour)
 	if due(maxTimerLateness / 2); ended != 2 {
-		t.Errorf("ended %d times, the second by a timer that was in time", ended)
+		t.Errorf("ended %d times, want 2: the last timer was on time", ended)
 	}
 	s.reset(time.Hour)
-	lies = true
+	unread = true
 	if due(maxTimerLateness / 2); ended != 2 {
-		t.Error("ended though something lies unread: thrown away with the watch it would be told by the next one alone")
+		t.Error("ended though data is unread: it is lost with the watch until the next one delivers it")
 	}
 }
 
-// child makes this test's program a scheduler's watch in a process of its own; what it is told it
-// prints.
-const child = "ROSTER_TEST_CHILD"
+// childAddrEnv is the environment variable that turns the test binary into a child process, which watches
+// the endpoint list at this address and prints the revision of the first message.
+const childAddrEnv = "ROSTER_TEST_CHILD"
 
 func TestMain(m *testing.M) {
-	if addr := os.Getenv(child); addr != "" {
-		r := NewClient(addr, EndpointList{Rev: 7}, Timeouts{Idle: time.Second, Response: time.Second, Spread: 1, SpreadAfterIdle: 1, MaxBackoff: 1, MaxBackoffRejected: 1}, 7, unknown(), func(in reducer.Input) {
+	if addr := os.Getenv(childAddrEnv); addr != "" {
+		client := NewClient(addr, EndpointList{Rev: 7}, Timeouts{Idle: time.Second, Response: time.Second, Spread: 1, SpreadAfterIdle: 1, MaxBackoff: 1, MaxBackoffRejected: 1}, 7, newEmptyStartTimes(), func(in reducer.Input) {
 			fmt.Println("told", in.(reducer.EndpointsChanged).Revision)
 			os.Exit(0)
 		}, zerolog.Nop())
-		r.Run(context.Background())
+		client.Run(context.Background())
 	}
 	os.Exit(m.Run())
 }
 
-// A process that is stopped over the end of a call, while discovery's answer comes, reads that answer
-// when it goes on. Its timer was first, so it threw the list away and called anew, as all the
-// schedulers of a starved machine did.
-func TestWhatCameWhileTheProcessWasStoppedIsRead(t *testing.T) {
+// A process is stopped past the timeout of a call while discovery's response arrives. When it resumes, it
+// must read that response. Guards against a timer that fires first: the list was dropped and the call
+// repeated, by all schedulers of a starved machine.
+func TestDataThatArrivesWhileTheProcessIsStoppedIsRead(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -84,7 +84,7 @@
 	}
 	defer l.Close()
 	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), child+"="+l.Addr().String())
+	c.Env = append(os.Environ(), childAddrEnv+"="+l.Addr().String())
 	out, err := c.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -109,13 +109,13 @@
 			}
 			if rev++; rev == 8 {
 				c.Process.Signal(syscall.SIGSTOP)
-				time.Sleep(3 * time.Second / 2) // over the call's end
+				time.Sleep(3 * time.Second / 2) // past the timeout of the call
 			}
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n\r\n{\"rev\":%d,\"all\":true,\"targets\":[]}\n", rev)
 			c.Process.Signal(syscall.SIGCONT)
 		}
 	}()
-	if told, err := bufio.NewReader(out).ReadString('\n'); strings.TrimSpace(told) != "told 8" {
-		t.Errorf("%q, %v: the first call's list was not taken", told, err)
+	if received, err := bufio.NewReader(out).ReadString('\n'); strings.TrimSpace(received) != "told 8" {
+		t.Errorf("%q, %v: the list of the first call was not applied", received, err)
 	}
 }
--- a/internal/workers/discovery/told_test.go
+++ b/internal/workers/discovery/told_test.go
@@ -25,203 +25,203 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// outage is a discovery that can't be reached for a while, under a clock of the test's. It has a list
-// before, and another after.
-type outage struct {
-	pipes
-	from      time.Time
-	cut, back time.Duration // it can't be reached between them
-	open      way           // what becomes of an open watch when it is cut: reset or hangs
-	how       []way         // of the calls in between, in turn
-	slow      time.Duration // an answer takes so long after that
-	then      string        // the entries of its list by then
-	*tally
+// fakeOutage simulates a discovery service that is unreachable for a while, on the test's clock. It has one
+// list before and another after.
+type fakeOutage struct {
+	pipeListener
+	startedAt     time.Time
+	downAt, upAt  time.Duration // it is unreachable between them
+	openWatch     behavior      // of a watch that is open at downAt: resetConn or hang
+	behaviors     []behavior    // of the calls while it is unreachable, in rotation
+	responseDelay time.Duration // of responses from upAt on
+	entriesAfter  string        // targets of its list from upAt on
+	*callCounter
 }
 
-// tally is the calls while discovery can't be reached.
-type tally struct {
-	mu    sync.Mutex
-	calls int
-	last  time.Duration // of them
+// callCounter counts the calls while discovery is unreachable.
+type callCounter struct {
+	mu       sync.Mutex
+	calls    int
+	lastCall time.Duration // time of the last call
 }
 
-func (c *tally) add(at time.Duration) {
+func (c *callCounter) add(at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.calls, c.last = c.calls+1, at
+	c.calls, c.lastCall = c.calls+1, at
 }
 
-func (c *tally) sum() (calls int, last time.Duration) {
+func (c *callCounter) totals() (calls int, last time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.calls, c.last
+	return c.calls, c.lastCall
 }
 
 const (
-	refused way = 100 + iota // no connection
-	dialing                  // one that never comes up
-	enough                   // a 429
+	refuseDial behavior = 100 + iota // refuses the connection
+	hangDial                         // never establishes the connection
+	reject429                        // responds with 429
 )
 
-func (o *outage) is() (w way, down bool) {
-	since := time.Since(o.from)
-	if since < o.cut || since >= o.back {
-		return answers, false
+func (o *fakeOutage) currentBehavior() (w behavior, down bool) {
+	since := time.Since(o.startedAt)
+	if since < o.downAt || since >= o.upAt {
+		return respond, false
 	}
-	calls, _ := o.sum()
-	return o.how[calls%len(o.how)], true
+	calls, _ := o.totals()
+	return o.behaviors[calls%len(o.behaviors)], true
 }
 
-func (o *outage) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	switch w, _ := o.is(); w {
-	case refused:
-		o.add(time.Since(o.from))
+func (o *fakeOutage) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+	switch w, _ := o.currentBehavior(); w {
+	case refuseDial:
+		o.add(time.Since(o.startedAt))
 		return nil, errors.New("refused")
-	case dialing:
-		o.add(time.Since(o.from))
+	case hangDial:
+		o.add(time.Since(o.startedAt))
 		ctx, stop := context.WithTimeout(ctx, dialTimeout)
 		defer stop()
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return o.pipes.dial(ctx, network, addr)
+	return o.pipeListener.dial(ctx, network, addr)
 }
 
-func (o *outage) serve() {
+func (o *fakeOutage) serve() {
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		how, down := o.is()
-		say := func(text string) {
+		current, down := o.currentBehavior()
+		send := func(text string) {
 			io.WriteString(w, text)
 			w.(http.Flusher).Flush()
 		}
-		beats := func(until time.Duration) {
-			for r.Context().Err() == nil && time.Since(o.from) < until {
-				time.Sleep(min(heartbeatInterval, until-time.Since(o.from)))
-				say("\n")
+		sendHeartbeats := func(until time.Duration) {
+			for r.Context().Err() == nil && time.Since(o.startedAt) < until {
+				time.Sleep(min(heartbeatInterval, until-time.Since(o.startedAt)))
+				send("\n")
 			}
 		}
 		if down {
-			o.add(time.Since(o.from))
+			o.add(time.Since(o.startedAt))
 		}
-		switch how {
-		case answers:
-			if time.Since(o.from) < o.cut {
-				say(`{"rev":8,"all":true,"targets":[]}` + "\n")
-				if beats(o.cut); o.open == reset {
+		switch current {
+		case respond:
+			if time.Since(o.startedAt) < o.downAt {
+				send(`{"rev":8,"all":true,"targets":[]}` + "\n")
+				if sendHeartbeats(o.downAt); o.openWatch == resetConn {
 					panic(http.ErrAbortHandler)
 				}
 				break
 			}
-			time.Sleep(o.slow)
-			say(`{"rev":9,"all":true,"targets":[` + o.then + "]}\n")
-			beats(time.Hour)
-		case headed:
-			say("")
-		case halved:
-			say(`{"rev":9,"all":true,`)
-			beats(time.Hour)
-		case reset:
+			time.Sleep(o.responseDelay)
+			send(`{"rev":9,"all":true,"targets":[` + o.entriesAfter + "]}\n")
+			sendHeartbeats(time.Hour)
+		case headOnly:
+			send("")
+		case partialObject:
+			send(`{"rev":9,"all":true,`)
+			sendHeartbeats(time.Hour)
+		case resetConn:
 			panic(http.ErrAbortHandler)
-		case turned:
+		case reject503:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
-		case enough:
+		case reject429:
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
 		}
 		<-r.Context().Done()
 	})}
-	s.Serve(&o.pipes)
+	s.Serve(&o.pipeListener)
 }
 
-// late is how long after discovery's return its list was applied; a move to another address comes in
-// between where one is given.
-func (o *outage) late(t *testing.T, seed uint64, spans Timeouts, move time.Duration) (after time.Duration) {
+// measureDelay returns how long after discovery's return its list was applied. If move is positive, the
+// address changes at that time.
+func (o *fakeOutage) measureDelay(t *testing.T, seed uint64, timeouts Timeouts, move time.Duration) (after time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		o.pipes, o.from, o.tally = pipes{make(chan net.Conn), make(chan struct{})}, time.Now(), &tally{}
+		o.pipeListener, o.startedAt, o.callCounter = pipeListener{make(chan net.Conn), make(chan struct{})}, time.Now(), &callCounter{}
 		go o.serve()
 		at := make(chan time.Time, 99)
-		r := NewClient("discovery", EndpointList{}, spans, seed, unknown(), func(in reducer.Input) {
+		client := NewClient("discovery", EndpointList{}, timeouts, seed, newEmptyStartTimes(), func(in reducer.Input) {
 			if in.(reducer.EndpointsChanged).Revision == 9 {
 				at <- time.Now()
 			}
 		}, zerolog.Nop())
-		r.httpClient.Transport.(*http.Transport).DialContext = o.dial
-		go r.Run(ctx)
+		client.httpClient.Transport.(*http.Transport).DialContext = o.dial
+		go client.Run(ctx)
 		if move > 0 {
 			time.Sleep(move)
-			r.SetAddress("another")
+			client.SetAddress("another")
 		}
-		after = (<-at).Sub(o.from) - o.back
+		after = (<-at).Sub(o.startedAt) - o.upAt
 		stop()
-		close(o.ended)
-		time.Sleep(time.Minute) // all ends
+		close(o.closed)
+		time.Sleep(time.Minute) // until all goroutines have ended
 	})
 	return after
 }
 
-// A change counts as told 6 s after discovery had it and could be reached. A scheduler that asks alone
-// and whose calls were turned away for 20 s applied it 17.7 s after that, one of three hundred 18.7 s:
-// waits doubled, up to 16 s and a half more, started from the number of schedulers, and came on top of
-// calls that hung.
-func TestWhatDiscoveryHasIsAppliedWithinSixSecondsOfItsReturn(t *testing.T) {
+// A change is in force 6 s after discovery has it and is reachable. After calls were rejected for 20 s, a
+// single scheduler applied the change 17.7 s later, and one of three hundred 18.7 s later: the backoff
+// doubled up to 16 s plus half of that, started from the number of schedulers, and was added to the duration
+// of calls that hung.
+func TestAChangeIsAppliedWithinSixSecondsOfDiscoverysReturn(t *testing.T) {
 	for name, x := range map[string]struct {
-		outage
+		fakeOutage
 		move time.Duration
 	}{
-		"down at the start":        {outage: outage{back: 4 * time.Second, how: []way{refused}}},
-		"silent at the start":      {outage: outage{back: 7 * time.Second, how: []way{hangs}}},
-		"turned away at the start": {outage: outage{back: 11 * time.Second, how: []way{turned}}},
-		"a silent watch":           {outage: outage{cut: 9 * time.Second, back: 9 * time.Second, open: hangs}},
-		"a reset watch":            {outage: outage{cut: 9 * time.Second, back: 9 * time.Second, open: reset}},
-		"refused":                  {outage: outage{cut: 9 * time.Second, back: 25 * time.Second, open: reset, how: []way{refused}}},
-		"reset":                    {outage: outage{cut: 9 * time.Second, back: 25 * time.Second, open: reset, how: []way{reset}}},
-		"dials that hang":          {outage: outage{cut: 9 * time.Second, back: 25 * time.Second, open: hangs, how: []way{dialing}}},
-		"hangs":                    {outage: outage{cut: 9 * time.Second, back: 25 * time.Second, open: hangs, how: []way{hangs}}},
-		"hangs behind its head":    {outage: outage{cut: 9 * time.Second, back: 25 * time.Second, open: hangs, how: []way{headed}}},
-		"hangs in an object":       {outage: outage{cut: 9 * time.Second, back: 25 * time.Second, open: hangs, how: []way{halved}}},
-		"503":                      {outage: outage{cut: 9 * time.Second, back: 29 * time.Second, open: reset, how: []way{turned}}},
-		"503 for minutes":          {outage: outage{cut: 9 * time.Second, back: 150 * time.Second, open: reset, how: []way{turned}}},
-		"429":                      {outage: outage{cut: 9 * time.Second, back: 12 * time.Second, open: reset, how: []way{enough}}},
-		"429 for minutes":          {outage: outage{cut: 9 * time.Second, back: 100 * time.Second, open: hangs, how: []way{enough}}},
-		"one and the other":        {outage: outage{cut: 9 * time.Second, back: 40 * time.Second, open: reset, how: []way{turned, hangs, refused, headed, reset, halved, dialing}}},
-		"503 across a SIGHUP":      {outage{cut: 9 * time.Second, back: 25 * time.Second, open: reset, how: []way{turned}}, 24500 * time.Millisecond},
-		"hangs across a SIGHUP":    {outage{cut: 9 * time.Second, back: 25 * time.Second, open: hangs, how: []way{hangs}}, 24500 * time.Millisecond},
+		"down at the start":     {fakeOutage: fakeOutage{upAt: 4 * time.Second, behaviors: []behavior{refuseDial}}},
+		"hangs at the start":    {fakeOutage: fakeOutage{upAt: 7 * time.Second, behaviors: []behavior{hang}}},
+		"503 at the start":      {fakeOutage: fakeOutage{upAt: 11 * time.Second, behaviors: []behavior{reject503}}},
+		"a silent watch":        {fakeOutage: fakeOutage{downAt: 9 * time.Second, upAt: 9 * time.Second, openWatch: hang}},
+		"a reset watch":         {fakeOutage: fakeOutage{downAt: 9 * time.Second, upAt: 9 * time.Second, openWatch: resetConn}},
+		"refused":               {fakeOutage: fakeOutage{downAt: 9 * time.Second, upAt: 25 * time.Second, openWatch: resetConn, behaviors: []behavior{refuseDial}}},
+		"reset":                 {fakeOutage: fakeOutage{downAt: 9 * time.Second, upAt: 25 * time.Second, openWatch: resetConn, behaviors: []behavior{resetConn}}},
+		"dials hang":            {fakeOutage: fakeOutage{downAt: 9 * time.Second, upAt: 25 * time.Second, openWatch: hang, behaviors: []behavior{hangDial}}},
+		"hangs":                 {fakeOutage: fakeOutage{downAt: 9 * time.Second, upAt: 25 * time.Second, openWatch: hang, behaviors: []behavior{hang}}},
+		"hangs after the head":  {fakeOutage: fakeOutage{downAt: 9 * time.Second, upAt: 25 * time.Second, openWatch: hang, behaviors: []behavior{headOnly}}},
+		"hangs in an object":    {fakeOutage: fakeOutage{downAt: 9 * time.Second, upAt: 25 * time.Second, openWatch: hang, behaviors: []behavior{partialObject}}},
+		"503":                   {fakeOutage: fakeOutage{downAt: 9 * time.Second, upAt: 29 * time.Second, openWatch: resetConn, behaviors: []behavior{reject503}}},
+		"503 for minutes":       {fakeOutage: fakeOutage{downAt: 9 * time.Second, upAt: 150 * time.Second, openWatch: resetConn, behaviors: []behavior{reject503}}},
+		"429":                   {fakeOutage: fakeOutage{downAt: 9 * time.Second, upAt: 12 * time.Second, openWatch: resetConn, behaviors: []behavior{reject429}}},
+		"429 for minutes":       {fakeOutage: fakeOutage{downAt: 9 * time.Second, upAt: 100 * time.Second, openWatch: hang, behaviors: []behavior{reject429}}},
+		"all in rotation":       {fakeOutage: fakeOutage{downAt: 9 * time.Second, upAt: 40 * time.Second, openWatch: resetConn, behaviors: []behavior{reject503, hang, refuseDial, headOnly, resetConn, partialObject, hangDial}}},
+		"503 across a SIGHUP":   {fakeOutage{downAt: 9 * time.Second, upAt: 25 * time.Second, openWatch: resetConn, behaviors: []behavior{reject503}}, 24500 * time.Millisecond},
+		"hangs across a SIGHUP": {fakeOutage{downAt: 9 * time.Second, upAt: 25 * time.Second, openWatch: hang, behaviors: []behavior{hang}}, 24500 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, pushes := range []bool{true, false} {
-				for _, schedulers := range []int{1, 300} { // for more, the spans are the same
+				for _, schedulers := range []int{1, 300} { // for more, the timeouts are the same
 					if pushes && schedulers > 1 {
-						continue // an agent has one scheduler
+						continue // an agent serves one scheduler
 					}
 					for _, grace := range []time.Duration{250 * time.Millisecond, 10 * time.Second} {
-						for _, slow := range []time.Duration{0, usualResponseTime, responseTimeout - slack} {
+						for _, slow := range []time.Duration{0, usualResponseTime, responseTimeout - timingSlack} {
 							if slow > 0 && pushes {
-								continue // an agent answers at once
+								continue // an agent responds immediately
 							}
-							spans, worst, seed := TimeoutsFor(pushes, schedulers, grace), time.Duration(0), uint64(0)
-							plays := uint64(3)
-							if x.back > time.Minute {
-								plays = 1
+							timeouts, worst, seed := TimeoutsFor(pushes, schedulers, grace), time.Duration(0), uint64(0)
+							runs := uint64(3)
+							if x.upAt > time.Minute {
+								runs = 1
 							}
-							for k := range plays {
-								o := x.outage
-								if o.slow = slow; o.back > o.cut {
-									o.back += time.Duration(k) * 970 * time.Millisecond // anywhere between two calls
+							for k := range runs {
+								o := x.fakeOutage
+								if o.responseDelay = slow; o.upAt > o.downAt {
+									o.upAt += time.Duration(k) * 970 * time.Millisecond // varies the position between two calls
 								}
-								if late := o.late(t, k, spans, x.move); late > worst {
-									worst, seed = late, k
+								if delay := o.measureDelay(t, k, timeouts, x.move); delay > worst {
+									worst, seed = delay, k
 								}
 							}
-							most := changeDeadline - applyTime
+							limit := changeDeadline - applyTime
 							if slow > usualResponseTime {
-								most += min(grace*9/10, slow-usualResponseTime)
+								limit += min(grace*9/10, slow-usualResponseTime)
 							}
-							if worst > most {
-								t.Errorf("pushes %t, %d schedulers, grace %v, answers in %v, seed %d: applied %v after the return", pushes, schedulers, grace, slow, seed, worst)
+							if worst > limit {
+								t.Errorf("pushes %t, %d schedulers, grace %v, responses in %v, seed %d: applied %v after the return", pushes, schedulers, grace, slow, seed, worst)
 							}
 						}
 					}
@@ -231,57 +231,57 @@
 	}
 }
 
-// From discovery to the pushes: a worker that drains at discovery's return gets nothing new from 6 s
-// and the grace on. After 20 s of 503s it had its last one 17.6 s after that (seed 0).
-func TestNothingIsPushedLateAfterDiscoveryTurnedCallsAway(t *testing.T) {
+// Tests from discovery to the pushes: a worker that is draining at discovery's return gets no new push later
+// than 6 s plus the drain grace after it. After 20 s of 503s, it got its last push 17.6 s later (seed 0).
+func TestADrainingWorkerGetsNoLatePushAfterRejectedCalls(t *testing.T) {
 	const old, other = `{"uid":"old","endpoint":"a:1","state":"SERVING"}`, `{"uid":"other","endpoint":"a:2","state":"SERVING"}`
 	for _, schedulers := range []int{1, 300} {
 		for _, grace := range []time.Duration{250 * time.Millisecond, 2500 * time.Millisecond} {
-			for _, how := range [][]way{{turned}, {turned, hangs, refused}} {
+			for _, behaviors := range [][]behavior{{reject503}, {reject503, hang, refuseDial}} {
 				for seed := range uint64(8) {
 					synctest.Test(t, func(t *testing.T) {
-						o := outage{tally: &tally{}, pipes: pipes{make(chan net.Conn), make(chan struct{})}, from: time.Now(), how: how, slow: usualResponseTime,
-							back: 20*time.Second + time.Duration(seed)*1100*time.Millisecond, then: strings.Replace(old, "SERVING", "DRAINING", 1) + "," + other}
+						o := fakeOutage{callCounter: &callCounter{}, pipeListener: pipeListener{make(chan net.Conn), make(chan struct{})}, startedAt: time.Now(), behaviors: behaviors, responseDelay: usualResponseTime,
+							upAt: 20*time.Second + time.Duration(seed)*1100*time.Millisecond, entriesAfter: strings.Replace(old, "SERVING", "DRAINING", 1) + "," + other}
 						go o.serve()
 						var known EndpointList
 						if err := json.Unmarshal([]byte("{\"targets\":["+old+","+other+"]}"), &known); err != nil {
 							t.Fatal(err)
 						}
-						decisions, inputs := reducer.New(seed, map[string]any{"bounds.maxPushes": 1.0, "step": 10.0, "categories.0.name": "look",
+						scheduling, inputs := reducer.New(seed, map[string]any{"bounds.maxPushes": 1.0, "step": 10.0, "categories.0.name": "look",
 							"categories.0.ttl": 5.0, "categories.0.effect": "redeliverable", "categories.0.targetLatency": 10_000.0}), make(chan reducer.Input, 9)
-						at := func() dispatch.Time { return config.RoundUp(time.Since(o.from).Nanoseconds()) + 1 }
-						list := known.EndpointsChanged(unknown())
+						at := func() dispatch.Time { return config.RoundUp(time.Since(o.startedAt).Nanoseconds()) + 1 }
+						list := known.EndpointsChanged(newEmptyStartTimes())
 						list.Snapshot, list.Cached = true, true
-						decisions.Step(at(), list)
-						r := NewClient("discovery", known, TimeoutsFor(false, schedulers, grace), seed, unknown(), func(in reducer.Input) { inputs <- in }, zerolog.Nop())
-						r.httpClient.Transport.(*http.Transport).DialContext = o.dial
+						scheduling.Step(at(), list)
+						client := NewClient("discovery", known, TimeoutsFor(false, schedulers, grace), seed, newEmptyStartTimes(), func(in reducer.Input) { inputs <- in }, zerolog.Nop())
+						client.httpClient.Transport.(*http.Transport).DialContext = o.dial
 						ctx, stop := context.WithCancel(context.Background())
-						go r.Run(ctx)
+						go client.Run(ctx)
 						last, pushes := map[string]time.Duration{}, map[string]int{}
-						for n := uint64(1); time.Since(o.from) < o.back+25*time.Second; n++ {
-							var todo []reducer.Effect
+						for n := uint64(1); time.Since(o.startedAt) < o.upAt+25*time.Second; n++ {
+							var effects []reducer.Effect
 							select {
 							case in := <-inputs:
-								todo = decisions.Step(at(), in)
+								effects = scheduling.Step(at(), in)
 							case <-time.After(50 * time.Millisecond):
-								todo = decisions.Step(at(), reducer.OpArrived{Op: n, ID: fmt.Sprint(n), Category: "look", TTL: at() + 20_000})
+								effects = scheduling.Step(at(), reducer.OpArrived{Op: n, ID: fmt.Sprint(n), Category: "look", TTL: at() + 20_000})
 							}
-							for _, e := range todo {
+							for _, e := range effects {
 								if p, ok := e.(reducer.Push); ok {
-									last[p.Worker], pushes[p.Worker] = time.Since(o.from)-o.back, pushes[p.Worker]+1
-									decisions.Step(at(), reducer.AttemptEnded{Op: p.Op, Ending: outcome.Done})
+									last[p.Worker], pushes[p.Worker] = time.Since(o.startedAt)-o.upAt, pushes[p.Worker]+1
+									scheduling.Step(at(), reducer.AttemptEnded{Op: p.Op, Ending: outcome.Done})
 								}
 							}
 						}
-						if late := last["old"]; late > changeDeadline+grace || late < 0 {
-							t.Errorf("%d schedulers, grace %v, seed %d: the last push to a worker that drains %v after discovery's return", schedulers, grace, seed, late)
+						if lastOld := last["old"]; lastOld > changeDeadline+grace || lastOld < 0 {
+							t.Errorf("%d schedulers, grace %v, seed %d: last push to a draining worker %v after discovery's return", schedulers, grace, seed, lastOld)
 						}
 						if last["other"] < 24*time.Second || pushes["old"] < 50 {
-							t.Errorf("pushes: %v, the last of them at %v", pushes, last)
+							t.Errorf("pushes: %v, the last at %v", pushes, last)
 						}
 						stop()
-						close(o.ended)
-						time.Sleep(time.Minute) // all ends
+						close(o.closed)
+						time.Sleep(time.Minute) // until all goroutines have ended
 					})
 				}
 			}
@@ -289,49 +289,49 @@
 	}
 }
 
-// A move calls at once, and once: what it broke off was no wait that the new address has to make up
-// for.
-func TestAnAddressThatTurnsAwayIsCalledOnceAtAMove(t *testing.T) {
+// An address change causes one immediate call. The backoff that it interrupts must not shorten the next one
+// to the new address.
+func TestARejectingAddressIsCalledOnceAfterAnAddressChange(t *testing.T) {
 	for seed := range uint64(8) {
 		synctest.Test(t, func(t *testing.T) {
-			o := outage{tally: &tally{}, pipes: pipes{make(chan net.Conn), make(chan struct{})}, from: time.Now(), how: []way{turned}, back: time.Hour}
+			o := fakeOutage{callCounter: &callCounter{}, pipeListener: pipeListener{make(chan net.Conn), make(chan struct{})}, startedAt: time.Now(), behaviors: []behavior{reject503}, upAt: time.Hour}
 			go o.serve()
-			r := NewClient("discovery", EndpointList{}, TimeoutsFor(false, 300, 2500*time.Millisecond), seed, unknown(), func(reducer.Input) {}, zerolog.Nop())
-			r.httpClient.Transport.(*http.Transport).DialContext = o.dial
+			client := NewClient("discovery", EndpointList{}, TimeoutsFor(false, 300, 2500*time.Millisecond), seed, newEmptyStartTimes(), func(reducer.Input) {}, zerolog.Nop())
+			client.httpClient.Transport.(*http.Transport).DialContext = o.dial
 			ctx, stop := context.WithCancel(context.Background())
-			go r.Run(ctx)
+			go client.Run(ctx)
 			time.Sleep(time.Minute)
-			before, _ := o.sum()
-			now := time.Since(o.from)
-			r.SetAddress("another")
+			before, _ := o.totals()
+			now := time.Since(o.startedAt)
+			client.SetAddress("another")
 			time.Sleep(time.Second)
-			if calls, last := o.sum(); calls != before+1 || last != now {
-				t.Errorf("seed %d: %d calls in the second after the move, the last %v after it", seed, calls-before, last-now)
+			if calls, last := o.totals(); calls != before+1 || last != now {
+				t.Errorf("seed %d: %d calls in the second after the address change, the last %v after it", seed, calls-before, last-now)
 			}
 			stop()
-			close(o.ended)
-			time.Sleep(time.Minute) // all ends
+			close(o.closed)
+			time.Sleep(time.Minute) // until all goroutines have ended
 		})
 	}
 }
 
-// The same over real sockets, for a scheduler that asks alone: it is turned away, refused a head, cut
-// in an object, and then told.
-func TestAListComesThroughRealSocketsAfterFailedCalls(t *testing.T) {
+// The same over real sockets, for a single scheduler: its calls are rejected, reset before the head, or get a
+// partial object, until one gets a list.
+func TestAListIsReceivedOverRealSocketsAfterFailedCalls(t *testing.T) {
 	t.Parallel()
-	ways := []way{turned, enough, reset, halved, turned, answers}
-	var asked atomic.Int64
+	behaviors := []behavior{reject503, reject429, resetConn, partialObject, reject503, respond}
+	var calls atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		switch ways[min(int(asked.Add(1)), len(ways))-1] {
-		case turned:
+		switch behaviors[min(int(calls.Add(1)), len(behaviors))-1] {
+		case reject503:
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case enough:
+		case reject429:
 			w.WriteHeader(http.StatusTooManyRequests)
-		case reset:
+		case resetConn:
 			panic(http.ErrAbortHandler)
-		case halved:
+		case partialObject:
 			io.WriteString(w, `{"rev":8,"all":true,`)
-		case answers:
+		case respond:
 			io.WriteString(w, `{"rev":9,"all":true,"targets":[]}`+"\n")
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
@@ -339,56 +339,57 @@
 	}))
 	s.Config.ErrorLog = log.New(io.Discard, "", 0)
 	defer s.Close()
-	heard := make(chan int64, 9)
+	revisions := make(chan int64, 9)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go NewClient(s.Listener.Addr().String(), EndpointList{Rev: 7}, lone, 7, unknown(), func(in reducer.Input) { heard <- in.(reducer.EndpointsChanged).Revision }, zerolog.Nop()).Run(ctx)
+	go NewClient(s.Listener.Addr().String(), EndpointList{Rev: 7}, singleSchedulerTimeouts, 7, newEmptyStartTimes(), func(in reducer.Input) { revisions <- in.(reducer.EndpointsChanged).Revision }, zerolog.Nop()).Run(ctx)
 	select {
-	case rev := <-heard:
-		if rev != 9 || asked.Load() != int64(len(ways)) {
-			t.Errorf("told version %d by call %d of %d", rev, asked.Load(), len(ways))
+	case rev := <-revisions:
+		if rev != 9 || calls.Load() != int64(len(behaviors)) {
+			t.Errorf("received revision %d by call %d of %d", rev, calls.Load(), len(behaviors))
 		}
 	case <-time.After(time.Minute):
-		t.Errorf("not told after %d calls", asked.Load())
+		t.Errorf("no list after %d calls", calls.Load())
 	}
 }
 
-// The same as sums, for every number of schedulers and every grace, with the worst draws of chance.
-func TestTheSpansOfAWatchFitIntoSixSeconds(t *testing.T) {
+// Verifies the sums of timeouts and backoffs for many numbers of schedulers and graces, with the extreme
+// random values.
+func TestTheTimeoutsOfAWatchFitIntoSixSeconds(t *testing.T) {
 	for _, pushes := range []bool{true, false} {
 		for _, schedulers := range []int{1, 2, 20, 68, 88, 300, 1000, 4096, 6300, 20000} {
 			for _, grace := range []time.Duration{time.Millisecond, 100 * time.Millisecond, 250 * time.Millisecond, time.Second,
 				1250 * time.Millisecond, 2500 * time.Millisecond, 10 * time.Second, time.Minute} {
 				t.Run(fmt.Sprint(pushes, " ", schedulers, " ", grace), func(t *testing.T) {
 					s := TimeoutsFor(pushes, schedulers, grace)
-					over := time.Duration(0) // of the grace, where an answer takes as long as is waited for
+					extra := time.Duration(0) // part of the grace that is allowed if a response takes its full timeout
 					if !pushes {
-						over = time.Duration(graceFraction * float64(grace))
+						extra = time.Duration(graceFraction * float64(grace))
 					}
-					for _, answer := range []struct{ takes, over time.Duration }{{min(usualResponseTime, s.Response), 0}, {s.Response, over}} {
-						sum := func(name string, from time.Duration) {
-							if sum := from + answer.takes + applyTime; sum > changeDeadline+answer.over {
-								t.Errorf("%s: %v, with an answer in %v", name, sum, answer.takes)
+					for _, response := range []struct{ duration, extra time.Duration }{{min(usualResponseTime, s.Response), 0}, {s.Response, extra}} {
+						checkSum := func(name string, beforeCall time.Duration) {
+							if sum := beforeCall + response.duration + applyTime; sum > changeDeadline+response.extra {
+								t.Errorf("%s: %v, with a response in %v", name, sum, response.duration)
 							}
 						}
-						sum("the start, or a watch that ended", s.nextBackoff(callHistory{}, 1))
-						sum("a silent watch", s.Idle+s.nextBackoff(callHistory{idle: true}, 1))
-						for fails := 1; fails < 70; fails++ {
-							for _, luck := range []float64{0, 0.5, 1} {
-								for _, away := range []int{0, 1, fails/2 + 1, fails} {
-									for _, took := range []time.Duration{0, dialTimeout, s.Response} {
-										b := callHistory{failures: fails, rejections: min(away, fails), duration: took}
-										sum(fmt.Sprint(b, luck), took+s.nextBackoff(b, luck))
-										if b.backoff = s.nextBackoff(callHistory{}, luck); fails == 1 && away == 1 && took == 0 {
-											sum("turned away at the start or after a break", b.backoff+s.nextBackoff(b, 1))
+						checkSum("the start, or a watch that ended", s.nextBackoff(callHistory{}, 1))
+						checkSum("a silent watch", s.Idle+s.nextBackoff(callHistory{idle: true}, 1))
+						for failures := 1; failures < 70; failures++ {
+							for _, random := range []float64{0, 0.5, 1} {
+								for _, rejections := range []int{0, 1, failures/2 + 1, failures} {
+									for _, duration := range []time.Duration{0, dialTimeout, s.Response} {
+										h := callHistory{failures: failures, rejections: min(rejections, failures), duration: duration}
+										checkSum(fmt.Sprint(h, random), duration+s.nextBackoff(h, random))
+										if h.backoff = s.nextBackoff(callHistory{}, random); failures == 1 && rejections == 1 && duration == 0 {
+											checkSum("rejected at the start or after a break", h.backoff+s.nextBackoff(h, 1))
 										}
 									}
 								}
 							}
 						}
-						// A call that is silent behind its head, or in an object, was reached at that
+						// A call that is silent after its head, or in an object, reached discovery at that
 						// moment.
-						sum("a call without a body", s.Idle+s.nextBackoff(callHistory{failures: 9, rejections: 9, idle: true, duration: s.Idle}, 1))
+						checkSum("a call without a complete body", s.Idle+s.nextBackoff(callHistory{failures: 9, rejections: 9, idle: true, duration: s.Idle}, 1))
 					}
 				})
 			}
--- a/internal/workers/loadreport/loadreport_test.go
+++ b/internal/workers/loadreport/loadreport_test.go
@@ -6,7 +6,7 @@
 	"woaddyke/dispatch"
 )
 
-// A value that a report lacks, and one that is no number, must not be taken for no jobs or no free slots.
+// A missing value, or one that is not a number, must not be read as no jobs or no free slots.
 func TestMissingFieldsAreUnreported(t *testing.T) {
 	format := NewFormat([]Field{{"pending", "pending"}, {"busy_reqs", "busy_reqs"}, {"x0", "free memory"}, {"x1", "free slots"}, {"age", "age"}})
 	none := dispatch.LoadReport{RunningJobs: -1, QueuedJobs: -1, FreeSlots: -1, FreeMemory: -1}
@@ -19,12 +19,12 @@
 		"some":       {`{"busy_reqs":0,"other":7}`, dispatch.LoadReport{RunningJobs: 0, QueuedJobs: -1, FreeSlots: -1, FreeMemory: -1}, false},
 		"null":       {`{"busy_reqs":null}`, none, false},
 		"empty text": {"", none, false},
-		"a row":      {"[1]", none, true},
+		"an array":   {"[1]", none, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := format.FromJSON([]byte(c.object))
 			if got != c.want || (err != nil) != c.fails {
-				t.Errorf("%+v, error %v; want %+v, an error: %v", got, err, c.want, c.fails)
+				t.Errorf("got %+v, error %v; want %+v, error %v", got, err, c.want, c.fails)
 			}
 		})
 	}
@@ -34,7 +34,7 @@
 		6: {RunningJobs: 8, QueuedJobs: 9, FreeSlots: 6, FreeMemory: 7},
 	} {
 		if got := format.FromRow([]float64{9, 8, 7, 6, 5, 4}[:length]); got != want {
-			t.Errorf("a row of %d values: %+v, want %+v", length, got, want)
+			t.Errorf("row of %d values: %+v, want %+v", length, got, want)
 		}
 	}
 }
--- a/internal/workers/workerconn/ends_test.go
+++ b/internal/workers/workerconn/ends_test.go
@@ -21,8 +21,8 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// head reads one request's head.
-func head(c net.Conn) bool {
+// readHead reads the head of one request.
+func readHead(c net.Conn) bool {
 	text, b := "", make([]byte, 1)
 	for !strings.HasSuffix(text, "\r\n\r\n") {
 		if _, err := c.Read(b); err != nil {
@@ -33,70 +33,70 @@
 	return true
 }
 
-const full = "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
+const unprocessedResponse = "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 
-// A worker's second answer, some milliseconds late, was read as that to the next push on the connection: a 503 that says unprocessed
-// proved falsely that this one never ran, and it ran twice. Forced: the late answer comes once the next push has reached the worker,
-// on whichever connection.
-func TestALateSecondAnswerIsNotTheNextPushs(t *testing.T) {
-	began := make(chan bool)
-	var n atomic.Int64 // connections: the second is accepted long after the first
+// Guards against a second response of a worker, some milliseconds late, that is read as the response to the
+// next push on the connection: a 503 with X-Unprocessed falsely proved that this push never ran, and it ran
+// twice. Here the late response is sent once the next push has reached the worker on any connection.
+func TestALateSecondResponseIsNotReadByTheNextPush(t *testing.T) {
+	secondConnUsed := make(chan bool)
+	var conns atomic.Int64 // the second is accepted long after the first
 	addr := fragmentpeer.Serve(t, func(c *net.TCPConn) {
-		mine := n.Add(1)
-		if !head(c) {
+		number := conns.Add(1)
+		if !readHead(c) {
 			return
 		}
-		if mine > 1 {
-			close(began)
-			io.WriteString(c, stream(`{"id":"a1","state":"done","result":"x"}`))
+		if number > 1 {
+			close(secondConnUsed)
+			io.WriteString(c, chunkedResponse(`{"id":"a1","state":"done","result":"x"}`))
 			return
 		}
-		io.WriteString(c, stream(`{"id":"a1","state":"done","result":"x"}`))
-		next := make(chan bool)
+		io.WriteString(c, chunkedResponse(`{"id":"a1","state":"done","result":"x"}`))
+		firstConnReused := make(chan bool)
 		go func() {
-			if head(c) {
-				close(next)
+			if readHead(c) {
+				close(firstConnReused)
 			}
 		}()
 		select {
-		case <-next:
-		case <-began:
+		case <-firstConnReused:
+		case <-secondConnUsed:
 		}
-		io.WriteString(c, full)
+		io.WriteString(c, unprocessedResponse)
 		io.Copy(io.Discard, c)
 	})
-	p := pool(4)
-	p.reuseDelay = time.Hour // however slow this machine is
-	if e := push(p, addr, 20*time.Second); e.Ending != outcome.Done {
+	p := newTestPool(4)
+	p.reuseDelay = time.Hour // longer than the test, however slow the machine is
+	if e := pushAndWait(p, addr, 20*time.Second); e.Ending != outcome.Done {
 		t.Fatal(e.Ending)
 	}
-	for len(p.idleAt(addr)) == 0 {
-		time.Sleep(time.Millisecond) // the last bytes are read after the end is told
+	for len(p.idleConns(addr)) == 0 {
+		time.Sleep(time.Millisecond) // the last bytes are read after the end is reported
 	}
-	if e := push(p, addr, 20*time.Second); e.Ending != outcome.Done || !e.Dialed {
-		t.Errorf("the next push: %v, dialed %v", e.Ending, e.Dialed)
+	if e := pushAndWait(p, addr, 20*time.Second); e.Ending != outcome.Done || !e.Dialed {
+		t.Errorf("next push: %v, dialed %v", e.Ending, e.Dialed)
 	}
 	for until := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		if few := p.idleAt(addr); len(few) > 0 {
-			if k, _ := Peek(few[0].Conn); k > 0 {
+		if idle := p.idleConns(addr); len(idle) > 0 {
+			if n, _ := Peek(idle[0].Conn); n > 0 {
 				break
 			}
 		}
 		if time.Now().After(until) {
-			t.Fatal("the late answer has not come")
+			t.Fatal("the late response has not arrived")
 		}
 	}
 	p.Sweep(time.Now())
-	for _, c := range p.idleAt(addr) {
-		if k, _ := Peek(c.Conn); k > 0 {
-			t.Error("a connection that has said something unasked is kept")
+	for _, c := range p.idleConns(addr) {
+		if n, _ := Peek(c.Conn); n > 0 {
+			t.Error("a connection with unsolicited data is still idle in the pool")
 		}
 	}
 }
 
-// A push goes over the connection of the probe that it follows, also where that one was used for a push a moment before the probe, but
-// not over one whose last push ended a moment ago.
-func TestAPushFollowsItsProbeAndNotAnotherPush(t *testing.T) {
+// A push reuses the connection of the probe that it follows, even if that connection served a push just
+// before the probe. It does not reuse a connection on which a push just ended.
+func TestAPushReusesTheConnectionOfItsProbeButNotOfARecentPush(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			io.WriteString(w, "{}")
@@ -105,13 +105,13 @@
 		io.WriteString(w, `{"id":"a1","state":"done"}`+"\n")
 	}))
 	defer s.Close()
-	addr, p := s.Listener.Addr().String(), pool(4)
+	addr, p := s.Listener.Addr().String(), newTestPool(4)
 	p.reuseDelay = time.Hour
-	idle := func(n int) {
+	waitForIdle := func(n int) {
 		t.Helper()
-		for until := time.Now().Add(10 * time.Second); len(p.idleAt(addr)) != n; time.Sleep(time.Millisecond) {
+		for until := time.Now().Add(10 * time.Second); len(p.idleConns(addr)) != n; time.Sleep(time.Millisecond) {
 			if time.Now().After(until) {
-				t.Fatalf("%d idle, not %d", len(p.idleAt(addr)), n)
+				t.Fatalf("%d idle connections, want %d", len(p.idleConns(addr)), n)
 			}
 		}
 	}
@@ -130,7 +130,7 @@
 	}{{false, true, 1}, {true, false, 1}, {false, false, 1}, {true, true, 2}} {
 		dialed := false
 		if x.push {
-			e := push(p, addr, 20*time.Second)
+			e := pushAndWait(p, addr, 20*time.Second)
 			if dialed = e.Dialed; e.Ending != outcome.Done {
 				t.Fatal(e.Ending)
 			}
@@ -140,48 +140,49 @@
 		if dialed != x.dials {
 			t.Errorf("step %d: dialed %v", step, dialed)
 		}
-		idle(x.idle)
+		waitForIdle(x.idle)
 	}
 }
 
-// forever writes a text again and again.
-func forever(c io.Writer, text string) {
-	many := []byte(strings.Repeat(text, max(1, 32<<10/len(text))))
+// writeForever writes a text repeatedly until the write fails.
+func writeForever(c io.Writer, text string) {
+	repeated := []byte(strings.Repeat(text, max(1, 32<<10/len(text))))
 	for {
-		if _, err := c.Write(many); err != nil {
+		if _, err := c.Write(repeated); err != nil {
 			return
 		}
 	}
 }
 
-// An answer that never ends took memory as fast as loopback brings it: a scheduler of 64 MB was killed within a push's time. Each
-// has a bound in bytes, proves nothing, and ends long before its time does.
-func TestAnAnswerWithoutAnEndIsBounded(t *testing.T) {
+// Guards against an endless response that takes memory as fast as loopback delivers it: a scheduler with
+// 64 MB was killed within the duration of a push. Each kind of endless response is limited in bytes, proves
+// nothing, and ends long before its deadline.
+func TestAnEndlessResponseIsBounded(t *testing.T) {
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	started := `{"id":"a1","state":"started"}` + "\n"
 	for name, x := range map[string][2]string{
-		"a status line":    {"HTTP/1.1 200 ", "O"},
-		"a head's line":    {"HTTP/1.1 200 OK\r\nX-Backend-Load: ", "x"},
-		"a head":           {"HTTP/1.1 200 OK\r\n", "X-More: and more\r\n"},
-		"interim answers":  {"", "HTTP/1.1 100 Continue\r\n\r\n"},
-		"early hints":      {"", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"},
-		"a chunk's length": {chunked, "0"},
-		"an extension":     {chunked + "5;", "x"},
-		"empty lines":      {"HTTP/1.1 200 OK\r\n\r\n", "\n"},
-		"one line":         {"HTTP/1.1 200 OK\r\n\r\n", "x"},
-		"starts":           {"HTTP/1.1 200 OK\r\n\r\n", started},
-		"trailers":         {chunked + fmt.Sprintf("%x\r\n%s\r\n0\r\n", len(started), started), "X-More: and more\r\n"},
+		"a status line":   {"HTTP/1.1 200 ", "O"},
+		"a header line":   {"HTTP/1.1 200 OK\r\nX-Backend-Load: ", "x"},
+		"header lines":    {"HTTP/1.1 200 OK\r\n", "X-More: and more\r\n"},
+		"100 responses":   {"", "HTTP/1.1 100 Continue\r\n\r\n"},
+		"103 responses":   {"", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"},
+		"a chunk size":    {chunked, "0"},
+		"chunk extension": {chunked + "5;", "x"},
+		"empty lines":     {"HTTP/1.1 200 OK\r\n\r\n", "\n"},
+		"one line":        {"HTTP/1.1 200 OK\r\n\r\n", "x"},
+		"starts":          {"HTTP/1.1 200 OK\r\n\r\n", started},
+		"trailers":        {chunked + fmt.Sprintf("%x\r\n%s\r\n0\r\n", len(started), started), "X-More: and more\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr := worker(t, func(c net.Conn) {
+			addr := serveWorker(t, func(c net.Conn) {
 				io.WriteString(c, x[0])
-				forever(c, x[1])
+				writeForever(c, x[1])
 			})
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
-			ends, notes := make(chan End, 1), 0
-			began := time.Now()
-			pool(1).Push(addr, "a1", as(request), began.Add(20*time.Second), alwaysWanted, func() {}, func(JobLine) { notes++ },
+			ends, reported := make(chan End, 1), 0
+			startedAt := time.Now()
+			newTestPool(1).Push(addr, "a1", fixedRequest(request), startedAt.Add(20*time.Second), alwaysWanted, func() {}, func(JobLine) { reported++ },
 				func(e End) { ends <- e })
 			e := <-ends
 			runtime.ReadMemStats(&after)
@@ -189,31 +190,31 @@
 				t.Errorf("%v", e.Ending)
 			}
 			if mb := (after.TotalAlloc - before.TotalAlloc) >> 20; mb > 32 {
-				t.Errorf("%d MB were taken", mb)
+				t.Errorf("%d MB were allocated", mb)
 			}
-			if notes > 2+int(time.Since(began)/progressInterval) {
-				t.Errorf("%d notes were passed on", notes)
+			if reported > 2+int(time.Since(startedAt)/progressInterval) {
+				t.Errorf("%d job lines were reported", reported)
 			}
 		})
 	}
-	for name, text := range map[string]string{"a load": "HTTP/1.1 200 OK\r\n\r\n", "a load's head": "HTTP/1.1 200 OK\r\nX: "} {
-		addr := worker(t, func(c net.Conn) {
+	for name, text := range map[string]string{"a load report": "HTTP/1.1 200 OK\r\n\r\n", "the head of a load report": "HTTP/1.1 200 OK\r\nX: "} {
+		addr := serveWorker(t, func(c net.Conn) {
 			io.WriteString(c, text)
-			forever(c, "7")
+			writeForever(c, "7")
 		})
 		ends := make(chan End, 1)
-		pool(1).Probe(addr, request, time.Now().Add(20*time.Second), func(e End) { ends <- e })
+		newTestPool(1).Probe(addr, request, time.Now().Add(20*time.Second), func(e End) { ends <- e })
 		if e := <-ends; e.Ending != outcome.Malformed || len(e.Load) > 0 && e.Ending == outcome.Done {
 			t.Errorf("%s: %v", name, e.Ending)
 		}
 	}
-	// A body behind the last line, and more behind that, are the worker's own affair: the op is done, the connection is not kept.
-	addr := worker(t, func(c net.Conn) {
+	// Data after the last job line is ignored: the op is done, and the connection is closed.
+	addr := serveWorker(t, func(c net.Conn) {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+`{"id":"a1","state":"done","result":"x"}`+"\n")
-		forever(c, "7")
+		writeForever(c, "7")
 	})
-	p := pool(1)
-	if e := push(p, addr, 20*time.Second); e.Ending != outcome.Done || string(e.Result) != "x" {
+	p := newTestPool(1)
+	if e := pushAndWait(p, addr, 20*time.Second); e.Ending != outcome.Done || string(e.Result) != "x" {
 		t.Errorf("%v", e.Ending)
 	}
 	for until := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -221,36 +222,36 @@
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatal("it is kept")
+			t.Fatal("the connection is still open")
 		}
 	}
 }
 
-// A push whose dial came up later than the bound, as in a process that is starved, was written after its group had ceased to drop
-// repeats: what decided on it reckoned with a dial.
-func TestADialThatCameUpLateIsNotWrittenTo(t *testing.T) {
-	wrote := make(chan int, 1)
+// Guards against a dial that takes longer than its limit, as in a starved process: the push was written after
+// its worker group had stopped dropping duplicates, as the decision had assumed a dial within the limit.
+func TestALateDialIsNotWrittenTo(t *testing.T) {
+	received := make(chan int, 1)
 	addr := fragmentpeer.Serve(t, func(c *net.TCPConn) {
 		n, _ := c.Read(make([]byte, 1))
-		wrote <- n
+		received <- n
 	})
 	p := New(Bounds{MaxOpen: 4, DialTimeout: time.Millisecond, IdleTimeout: 10 * time.Second})
 	p.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		time.Sleep(maxDialDelay + 10*time.Millisecond)
 		return net.Dial(network, addr)
 	}
-	if e := push(p, addr, 20*time.Second); e.Ending != outcome.CancelledUnsent {
+	if e := pushAndWait(p, addr, 20*time.Second); e.Ending != outcome.CancelledUnsent {
 		t.Errorf("%v", e.Ending)
 	}
-	if open, _ := p.Counts(); open != 0 || <-wrote > 0 {
-		t.Errorf("%d open, or something was written", open)
+	if open, _ := p.Counts(); open != 0 || <-received > 0 {
+		t.Errorf("%d connections open, or data was written", open)
 	}
 }
 
-// A worker that closes at an instant of its own choosing: before a byte of the request is read, in the middle of it, after the last.
-// What broke before the last byte was written never ran; all else may have.
-func TestACloseAtEachInstantProvesNoMoreThanItCan(t *testing.T) {
-	large := append(append([]byte(nil), request...), make([]byte, 8<<20)...) // more than the kernel takes: the write is still on
+// A worker closes the connection before it reads the request, in the middle of it, or after its last byte. If
+// the connection broke before the last byte was written, the push never ran; otherwise it may have run.
+func TestAWorkersCloseProvesThatAPushNeverRanOnlyBeforeTheLastByte(t *testing.T) {
+	large := append(append([]byte(nil), request...), make([]byte, 8<<20)...) // too large for the kernel to accept in one write
 	for name, x := range map[string]struct {
 		request []byte
 		serve   func(*net.TCPConn)
@@ -260,34 +261,34 @@
 			io.ReadFull(c, make([]byte, 1<<10))
 			c.SetLinger(0)
 		}, map[outcome.Ending]bool{outcome.PartiallySent: true}},
-		"at the last byte, with a reset": {request, func(c *net.TCPConn) {
-			head(c)
+		"after the last byte, with a reset": {request, func(c *net.TCPConn) {
+			readHead(c)
 			c.SetLinger(0)
 		}, map[outcome.Ending]bool{outcome.Reset: true}},
-		"at the last byte": {request, func(c *net.TCPConn) { head(c) }, map[outcome.Ending]bool{outcome.EndedEarly: true}},
+		"after the last byte": {request, func(c *net.TCPConn) { readHead(c) }, map[outcome.Ending]bool{outcome.EndedEarly: true}},
 		"unread": {request, func(c *net.TCPConn) {
 			for n := 0; n == 0; n, _ = Peek(c) {
 				time.Sleep(time.Millisecond)
 			}
-		}, map[outcome.Ending]bool{outcome.Reset: true, outcome.EndedEarly: true}}, // it is in the worker's machine
-		"with an answer, and the request unread": {large, func(c *net.TCPConn) {
+		}, map[outcome.Ending]bool{outcome.Reset: true, outcome.EndedEarly: true}}, // the request has reached the worker's machine
+		"with a response, in the middle of the request": {large, func(c *net.TCPConn) {
 			io.ReadFull(c, make([]byte, 1<<10))
-			io.WriteString(c, full)
+			io.WriteString(c, unprocessedResponse)
 			c.SetLinger(0)
 		}, map[outcome.Ending]bool{outcome.PartiallySent: true}},
 	} {
 		addr := fragmentpeer.Serve(t, x.serve)
 		ends := make(chan End, 1)
-		pool(1).Push(addr, "a1", as(x.request), time.Now().Add(20*time.Second), alwaysWanted, func() {}, func(JobLine) {}, func(e End) { ends <- e })
+		newTestPool(1).Push(addr, "a1", fixedRequest(x.request), time.Now().Add(20*time.Second), alwaysWanted, func() {}, func(JobLine) {}, func(e End) { ends <- e })
 		if e := <-ends; !x.may[e.Ending] {
 			t.Errorf("%s: %v", name, e.Ending)
 		}
 	}
 }
 
-// Pushes, sweeps, evictions and closes at once: a connection is never one exchange's and another's, and what a push is told is its
-// own answer. The seed is CONNS_SEED.
-func TestAConnectionIsOneExchangesAtATime(t *testing.T) {
+// Runs pushes, sweeps, evictions and closes concurrently: no connection serves two exchanges at a time, and
+// each push gets its own response. The seed is CONNS_SEED.
+func TestAConnectionServesOneExchangeAtATime(t *testing.T) {
 	seed, err := strconv.ParseUint(os.Getenv("CONNS_SEED"), 10, 64)
 	if err != nil {
 		seed = 7
@@ -304,26 +305,26 @@
 		fmt.Fprintf(w, `{"id":%q,"state":"done","result":%q}`+"\n", id, id)
 	}))
 	defer s.Close()
-	addr, p := s.Listener.Addr().String(), pool(12)
+	addr, p := s.Listener.Addr().String(), newTestPool(12)
 	var all sync.WaitGroup
 	for k := range 8 {
 		all.Go(func() {
-			chance := rand.New(rand.NewPCG(seed, uint64(k)))
+			random := rand.New(rand.NewPCG(seed, uint64(k)))
 			for n := range 60 {
 				id := fmt.Sprint(k, "-", n)
 				ends := make(chan End, 1)
-				x := p.Push(addr, id, as([]byte("POST / HTTP/1.1\r\nHost: w\r\nX-Id: "+id+"\r\nContent-Length: 0\r\n\r\n")), time.Now().Add(20*time.Second),
+				x := p.Push(addr, id, fixedRequest([]byte("POST / HTTP/1.1\r\nHost: w\r\nX-Id: "+id+"\r\nContent-Length: 0\r\n\r\n")), time.Now().Add(20*time.Second),
 					alwaysWanted, func() {}, func(JobLine) {}, func(e End) { ends <- e })
-				switch chance.IntN(6) {
+				switch random.IntN(6) {
 				case 0:
 					x.Close(false, outcome.Cancelled)
 				case 1:
-					p.Sweep(time.Now().Add(time.Duration(chance.IntN(10)) * time.Second))
+					p.Sweep(time.Now().Add(time.Duration(random.IntN(10)) * time.Second))
 				case 2:
-					p.SetMaxOpen(4 + chance.IntN(8))
+					p.SetMaxOpen(4 + random.IntN(8))
 				}
 				e := <-ends
-				x.Close(false, outcome.Cancelled) // it has ended: the connection may be another's by now
+				x.Close(false, outcome.Cancelled) // it has ended, so another exchange may use the connection
 				mu.Lock()
 				ran := runs[id]
 				mu.Unlock()
@@ -331,7 +332,7 @@
 				case e.Ending == outcome.Done && (string(e.Result) != id || ran != 1):
 					t.Errorf("%s got %q and ran %d times", id, e.Result, ran)
 				case e.Ending.NeverRan() && ran > 0:
-					t.Errorf("%s: %v, and it ran", id, e.Ending)
+					t.Errorf("%s: %v, but it ran", id, e.Ending)
 				case e.Ending != outcome.Done && e.Ending != outcome.Cancelled && !e.Ending.NeverRan():
 					t.Errorf("%s: %v", id, e.Ending)
 				}
@@ -347,7 +348,7 @@
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatalf("%d are counted as open", open)
+			t.Fatalf("%d connections are counted as open", open)
 		}
 	}
 }
--- a/internal/workers/workerconn/pieces_test.go
+++ b/internal/workers/workerconn/pieces_test.go
@@ -11,8 +11,8 @@
 	"woaddyke/internal/workers/outcome"
 )
 
-// stream is a worker's answer with these lines, each a chunk.
-func stream(lines ...string) (text string) {
+// chunkedResponse returns a response with these job lines, one per chunk.
+func chunkedResponse(lines ...string) (text string) {
 	text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, l := range lines {
 		text += fmt.Sprintf("%x\r\n%s\n\r\n", len(l)+1, l)
@@ -20,38 +20,38 @@
 	return text + "0\r\n\r\n"
 }
 
-// A worker writes as its own buffers have it, and may leave at any byte. What it said in pieces was taken for garbled, or half
-// of an answer for a whole one.
-func TestWorkersThatWriteInPiecesSayTheSame(t *testing.T) {
+// A worker may split its response anywhere, and may close the connection after any byte. Guards against
+// fragmented responses that are read as malformed, and against partial responses that are read as complete.
+func TestFragmentedResponsesAreReadCorrectly(t *testing.T) {
 	const started, done = `{"id":"a1","state":"started"}`, `{"id":"a1","state":"done","result":"x y"}`
-	whole := stream(started, done)
+	complete := chunkedResponse(started, done)
 	var way fragmentpeer.Way
 	addr := fragmentpeer.Answer(t, func() fragmentpeer.Way { return way })
 	push := func() End {
 		ends := make(chan End, 1)
-		pool(1).Push(addr, "a1", as([]byte("POST / HTTP/1.1\r\n\r\n")), time.Now().Add(20*time.Second), alwaysWanted, func() {}, func(JobLine) {},
+		newTestPool(1).Push(addr, "a1", fixedRequest([]byte("POST / HTTP/1.1\r\n\r\n")), time.Now().Add(20*time.Second), alwaysWanted, func() {}, func(JobLine) {},
 			func(e End) { ends <- e })
 		return <-ends
 	}
-	for _, way = range fragmentpeer.Whole(whole) {
+	for _, way = range fragmentpeer.Whole(complete) {
 		if e := push(); e.Ending != outcome.Done || string(e.Result) != "x y" {
 			t.Errorf("%s: %v, %q", way.Name, e.Ending, e.Result)
 		}
 	}
-	said := strings.Index(whole, done) + len(done)
-	for _, way = range fragmentpeer.Cuts(whole) {
+	lastLineEnd := strings.Index(complete, done) + len(done)
+	for _, way = range fragmentpeer.Cuts(complete) {
 		switch e := push(); {
-		case len(way.Text()) >= said:
+		case len(way.Text()) >= lastLineEnd:
 			if e.Ending != outcome.Done || string(e.Result) != "x y" {
-				t.Errorf("%s, after the last word: %v, %q", way.Name, e.Ending, e.Result)
+				t.Errorf("%s, after the last job line: %v, %q", way.Name, e.Ending, e.Result)
 			}
 		case e.Ending.Outcome() == dispatch.Succeeded || e.Ending.Outcome() == dispatch.Rejected ||
 			e.Ending.Outcome() == dispatch.Unreachable || e.Ending.Outcome() == dispatch.NotSent || e.Result != nil:
-			t.Errorf("%s: %v, %q; the op may have run, and there is no result", way.Name, e.Ending, e.Result)
+			t.Errorf("%s: %v, %q; but the op may have run, and has no result", way.Name, e.Ending, e.Result)
 		}
 	}
 	for text, want := range map[string]outcome.Ending{
-		stream(`{"id":"a1","state":"returned"}`):                                    outcome.Returned,
+		chunkedResponse(`{"id":"a1","state":"returned"}`):                           outcome.Returned,
 		"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 4\r\n\r\nbusy":    outcome.Shed,
 		"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n":                              outcome.ServerError,
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n": outcome.Rejected,
@@ -64,23 +64,23 @@
 	}
 }
 
-// A probe's report that came in pieces, or was cut, told of other load than the worker had.
-func TestProbesInPiecesSayTheSame(t *testing.T) {
+// Guards against a fragmented or truncated load report that is read as a different load.
+func TestFragmentedLoadReportsAreReadCorrectly(t *testing.T) {
 	const report = `{"pending":12,"busy_reqs":3}`
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(report), report)
+	complete := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(report), report)
 	var way fragmentpeer.Way
 	addr := fragmentpeer.Answer(t, func() fragmentpeer.Way { return way })
 	probe := func() End {
 		ends := make(chan End, 1)
-		pool(1).Probe(addr, []byte("GET /load HTTP/1.1\r\n\r\n"), time.Now().Add(20*time.Second), func(e End) { ends <- e })
+		newTestPool(1).Probe(addr, []byte("GET /load HTTP/1.1\r\n\r\n"), time.Now().Add(20*time.Second), func(e End) { ends <- e })
 		return <-ends
 	}
-	for _, way = range fragmentpeer.Whole(whole) {
+	for _, way = range fragmentpeer.Whole(complete) {
 		if e := probe(); e.Ending != outcome.Done || string(e.Load) != report {
 			t.Errorf("%s: %v, %q", way.Name, e.Ending, e.Load)
 		}
 	}
-	for _, way = range fragmentpeer.Cuts(whole) {
+	for _, way = range fragmentpeer.Cuts(complete) {
 		if e := probe(); e.Ending == outcome.Done {
 			t.Errorf("%s: %v, %q", way.Name, e.Ending, e.Load)
 		}
