--- a/internal/workers/discovery/start_times_test.go
+++ b/internal/workers/discovery/start_times_test.go
@@ -48,7 +48,7 @@
 					}
 					x := targetStarted(fmt.Sprint("new", k), 200*time.Millisecond, skew)
 					if age := s.ageOf(x); age < 0 || age > maxAge+2*time.Millisecond {
-						t.Errorf("worker %d: age %v", k, age)
+						t.Errorf("worker %d: age %v, want 0 to %v", k, age, maxAge)
 					}
 					s.recordHeartbeat()
 					time.Sleep(500 * time.Millisecond)
--- a/internal/workers/outcome/outcome_test.go
+++ b/internal/workers/outcome/outcome_test.go
@@ -15,7 +15,7 @@
 		switch e.Outcome() {
 		case dispatch.Rejected, dispatch.Unreachable, dispatch.NotSent, dispatch.LocalExhaustion:
 			if !never[e] {
-				t.Errorf("%v falsely proves that a push never ran", e)
+				t.Errorf("%v has outcome %v, which proves that a push never ran", e, e.Outcome())
 			}
 		case dispatch.Succeeded:
 			if e != Done {
@@ -23,7 +23,7 @@
 			}
 		default:
 			if never[e] || e.String() == "" {
-				t.Errorf("%v does not prove that a push never ran, or has no name", e)
+				t.Errorf("%v has outcome %v, which does not prove that a push never ran, or has no name", e, e.Outcome())
 			}
 		}
 	}
--- a/internal/workers/workerconn/ends_test.go
+++ b/internal/workers/workerconn/ends_test.go
@@ -138,7 +138,7 @@
 			dialed = probe()
 		}
 		if dialed != x.dials {
-			t.Errorf("step %d: dialed %v", step, dialed)
+			t.Errorf("step %d: dialed %v, want %v", step, dialed, x.dials)
 		}
 		waitForIdle(x.idle)
 	}
