--- a/internal/workers/discovery/backoff.go
+++ b/internal/workers/discovery/backoff.go
@@ -5,21 +5,21 @@
 // maxDoublings bounds the exponent of a backoff.
 const maxDoublings = 10
 
-// call is the result of one call for a watch.
+// call describes a call that opened a watch or failed to, after its end.
 type call struct {
 	alive    bool          // a complete object or a heartbeat was received
 	rejected bool          // discovery was overloaded
 	idle     bool          // ended by the idle timeout
 	duration time.Duration // from its start to its end
-	backoff  time.Duration // before the call
+	backoff  time.Duration // waited before the call
 }
 
-// callHistory summarizes the calls since the last one that was alive. It determines the next backoff.
+// callHistory summarizes the calls since the last call with call.alive set. It determines the next backoff.
 type callHistory struct {
 	failures   int // failed calls; 0 before the first call and after a successful one
 	rejections int // failures from the first rejected call on
 
-	// Of the last call.
+	// Values of the last call.
 	idle     bool
 	duration time.Duration
 	backoff  time.Duration
@@ -44,14 +44,14 @@
 }
 
 // nextBackoff returns the time to wait before the next call; random is from 0 to 1. A discovery service that
-// is silent or unreachable may return at any moment. One that rejects calls is called as rarely as the
+// is silent or unreachable may return at any moment. A service that rejects calls is called as rarely as the
 // deadline for applying its changes allows.
 //
-// The backoff is measured from the start of the failed call, so a call that hung has used it up. It doubles
-// up to a quarter of the upper bound, is then randomized between that and the bound, and finally equals
-// the bound. This spreads schedulers that failed together over the bound, and few of them call more often
-// than necessary: a service that keeps working on calls that have already failed can't serve many
-// randomized calls, as they come before the bound.
+// The backoff counts from the start of the failed call, so the duration of a call that hung is subtracted
+// from it. It doubles up to a quarter of the upper bound. Then it is random, between that quarter and the
+// bound, which spreads schedulers that failed simultaneously. Finally it equals the bound, so that few
+// schedulers call more often than necessary: random backoffs are shorter than the bound, and a service that
+// keeps working on calls that have already failed can't serve many calls that come early.
 func (t Timeouts) nextBackoff(h callHistory, random float64) time.Duration {
 	if h.failures == 0 {
 		return t.backoffAfterWatch(h.idle, random)
@@ -76,11 +76,11 @@
 	return time.Duration(random * float64(t.Spread))
 }
 
-// backoffBounds are the parameters of one backoff.
+// backoffBounds are the parameters of one backoff, which counts from the start of the failed call.
 type backoffBounds struct {
 	base            time.Duration // doubles with each failure
 	upper           time.Duration
-	randomizedBelow time.Duration // a base below it is randomized; otherwise the upper bound applies
+	randomizedBelow time.Duration // if base is below it, the backoff is random; otherwise it equals upper
 }
 
 func (t Timeouts) backoffBounds(h callHistory) backoffBounds {
@@ -97,7 +97,7 @@
 		randomizedBelow: t.MaxBackoffRejected / 2,
 	}
 	if h.failures == 1 {
-		bounds.upper -= h.backoff // changes may be pending since the watch ended
+		bounds.upper -= h.backoff // a change may date from the end of the watch, before this backoff
 	}
 	return bounds
 }
--- a/internal/workers/discovery/crowd_test.go
+++ b/internal/workers/discovery/crowd_test.go
@@ -24,7 +24,7 @@
 	random     *rand.Rand
 	history    callHistory
 	backoff    time.Duration
-	nextCallAt time.Duration // time of its next call
+	nextCallAt time.Duration // from the start of the simulation
 }
 
 type callQueue []*simulatedScheduler
@@ -39,8 +39,8 @@
 	return last
 }
 
-// recovery is a simulation: the watches of all schedulers end at 0 and discovery is unreachable until upAt.
-// From then on it serves callRate calls per second and rejects the others immediately.
+// recovery is a simulation: the watches of all schedulers end at time 0, and discovery is unreachable until
+// upAt. From then on it serves callRate calls per second and rejects the others immediately.
 type recovery struct {
 	schedulers int
 	grace      time.Duration
@@ -110,10 +110,10 @@
 	return meanBefore, maxAfter
 }
 
-// Thousands of schedulers return simultaneously to a discovery service that rejects calls. They all have its
-// list within 6 s of its return if it serves a third of their number plus ten calls per second. At half the
-// rate needed for one call of each scheduler per period, it still serves them as fast as it can. While it is
-// down, each scheduler calls once per period.
+// Thousands of schedulers call a discovery service that has just returned and rejects the calls beyond its
+// call rate. They all have its list within 6 s of its return if that rate per second is a third of their
+// number plus ten. At half the rate needed for one call of each scheduler per period, the service still
+// serves them as fast as it can. While it is down, each scheduler calls once per period.
 func TestAllSchedulersHaveTheListWithinSixSecondsAtABoundedCallRate(t *testing.T) {
 	for _, schedulers := range []int{1, 20, 80, 300, 1000, 6300} {
 		for _, grace := range []time.Duration{250 * time.Millisecond, 2500 * time.Millisecond, 10 * time.Second} {
--- a/internal/workers/discovery/discovery.go
+++ b/internal/workers/discovery/discovery.go
@@ -21,7 +21,7 @@
 
 // Client watches the endpoint list of the discovery service at one address.
 type Client struct {
-	notify     func(reducer.Input) // reports each message of the watch
+	notify     func(reducer.Input) // called for each list that a watch receives
 	httpClient http.Client
 	log        zerolog.Logger
 	timeouts   Timeouts
@@ -35,12 +35,12 @@
 	mu          sync.Mutex
 	addr        string
 	cancelWatch context.CancelFunc // cancels the open watch
-	revision    int64              // of workers
+	revision    int64              // revision of the list in workers
 	workers     map[string]target  // by UID
 }
 
-// NewClient returns a client that starts from a known endpoint list. The seed determines the jitter that
-// spreads its calls over the same period as those of the other schedulers.
+// NewClient returns a client that starts from a known endpoint list. The seed determines the jitter, which
+// differs between schedulers and so spreads their calls over a period.
 func NewClient(
 	addr string,
 	known EndpointList,
@@ -70,20 +70,20 @@
 	return c
 }
 
-// apply applies a message to the list. It does nothing and returns false if the watch that received the
-// message has been cancelled: a late message of the previous discovery service must not overwrite the list
-// of the current one.
-func (c *Client) apply(watch context.Context, m *EndpointList) bool {
+// apply applies a received snapshot or delta to the current list. It does nothing and returns false if the
+// watch that received it has been cancelled: late data of the previous discovery service must not overwrite
+// the list of the current service.
+func (c *Client) apply(watchCtx context.Context, received *EndpointList) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if watch.Err() != nil {
+	if watchCtx.Err() != nil {
 		return false
 	}
-	c.revision = m.Rev
-	if m.All {
+	c.revision = received.Rev
+	if received.All {
 		c.workers = map[string]target{}
 	}
-	for _, t := range m.Targets {
+	for _, t := range received.Targets {
 		if t.State == stateDeleted {
 			delete(c.workers, t.UID)
 		} else {
@@ -105,7 +105,7 @@
 	return json.Marshal(m)
 }
 
-// SetAddress cancels the open watch and opens the next one immediately, at this address. Messages of the
+// SetAddress cancels the open watch and opens the next watch immediately, at this address. Lists of the
 // previous discovery service are ignored from then on.
 func (c *Client) SetAddress(addr string) {
 	c.mu.Lock()
--- a/internal/workers/discovery/discovery_test.go
+++ b/internal/workers/discovery/discovery_test.go
@@ -19,8 +19,8 @@
 // singleSchedulerTimeouts are the timeouts of a single scheduler.
 var singleSchedulerTimeouts = TimeoutsFor(false, 1, time.Second)
 
-// serveDiscovery responds to each call with the next of the responses and then closes it. It keeps the call
-// open if none is left.
+// serveDiscovery responds to each call with the next response and then closes the call. Once no response is
+// left, it keeps calls open.
 func serveDiscovery(t *testing.T, responses ...string) (addr string, calls chan string) {
 	calls = make(chan string, 9)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// After an address change, the list of the new address is in force 4 s later. Guards against an agent that
-// accepts the call and stays silent, which blocked the watch for 6 s.
+// The list of a new address is in force 4 s after the address change. Guards against a wait that is too long:
+// an agent that accepted the call and stayed silent blocked the watch for 6 s.
 func TestASilentAgentIsCalledAgainAfterTheResponseTimeout(t *testing.T) {
 	calls := make(chan bool, 9)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -115,13 +115,17 @@
 func (p *pipeListener) Close() error   { return nil }
 func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Eighty schedulers start together and call a discovery service that serves thirteen calls per second in
-// sequence, and fails calls that have waited for 2 s although it does their work. When they retried within
-// 320 ms, its time went to calls that had already failed: a fifth of them got a list again, the others never.
-// Spreading the calls is not enough for a service with four calls per second: its eighty schedulers waited
-// up to 24 s between two calls, long after its changes were in force. Such a service is therefore tested
-// with two dozen schedulers. One that immediately rejects calls it has no time for must serve all eighty as
-// fast as it can. Each client differs only in its seed.
+// Schedulers that differ only in their seed start together and call an overloaded discovery service:
+//
+//   - The service serves 13 calls per second in sequence. A call that has waited for 2 s fails, but the
+//     service still does the work for it. The calls of 80 schedulers must be spread. With retries within
+//     320 ms, the service worked on calls that had already failed, and only a fifth of the schedulers ever
+//     got a list again.
+//   - The service serves 4 calls per second in sequence. Spreading the calls is not enough for 80 schedulers:
+//     they waited up to 24 s between two calls, but a change is in force much earlier. So this case has only
+//     24 schedulers.
+//   - The service serves 4 calls per second and immediately rejects those that it has no time for. It must
+//     serve 80 schedulers as fast as it can.
 func TestAnOverloadedDiscoveryServesMostSchedulers(t *testing.T) {
 	for name, x := range map[string]overload{
 		"80, 13 per second, in sequence":    {80, time.Second / 13, 4 * time.Second, 20 * time.Second},
--- a/internal/workers/discovery/ends_test.go
+++ b/internal/workers/discovery/ends_test.go
@@ -28,7 +28,7 @@
 )
 
 // fakeAgent simulates the agent of the discovery service on the test's clock. It sends its list on every call
-// that it responds to.
+// that it responds to. behave gets the number of the call, from 1, and the time since startedAt.
 type fakeAgent struct {
 	pipeListener
 	startedAt time.Time
@@ -93,15 +93,15 @@
 	s.Serve(&a.pipeListener)
 }
 
-// The time from when a change is in force until it is applied must stay within the drain grace, as the worst
-// of many seeds, for each reason why a list can be late, for one scheduler and hundreds, and for short and
-// long graces. Guards against constants that don't add up: a scheduler waited up to three seconds between
-// two calls to the agent on its own machine.
+// A change must be applied within the drain grace after it is in force. The test takes the worst of many
+// seeds for each reason why a list can be late, for one scheduler and for hundreds, and for short and long
+// graces. Guards against timeouts and backoffs that together exceed the grace: a scheduler waited up to three
+// seconds between two calls to the agent on its own machine.
 func TestAChangeIsAppliedWithinTheDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{300 * time.Millisecond, 2500 * time.Millisecond} {
 		for _, schedulers := range []int{1, 300} {
 			for name, x := range map[string]struct {
-				inForceAt time.Duration // when the change is in force, after the first call
+				inForceAt time.Duration // when the change is in force; counted as by measureApplyTime
 				behave    func(call int, since time.Duration) behavior
 			}{
 				"at the start":          {0, func(int, time.Duration) behavior { return respond }},
@@ -141,8 +141,9 @@
 	}
 }
 
-// measureApplyTime returns the time until the list was applied: since the first call, or since the start if
-// the first call got no 200 response or was the only one.
+// measureApplyTime returns the time until the list was applied. If the first call opened a watch (status
+// 200) that then fell silent, the time counts from that call, as a change may be missed from then on.
+// Otherwise it counts from the start.
 func measureApplyTime(t *testing.T, seed uint64, timeouts Timeouts, behave func(int, time.Duration) behavior) (after time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -167,7 +168,7 @@
 }
 
 // Lists may be indented. Guards against a watch that reads line by line, takes the first brace for a
-// malformed list and never receives one.
+// malformed list and never receives a list.
 func TestAnIndentedListIsReadCompletely(t *testing.T) {
 	addr, _ := serveDiscovery(t, "\n{\n  \"rev\": 44,\n\n  \"all\": true,\n  \"targets\": [\n    {\"uid\": \"w\",\n     \"endpoint\": \"a:1\",\n"+
 		"     \"state\": \"SERVING\"}\n  ]\n}\n\n{\"rev\":45,\n\"all\":false,\n\"targets\":[\n]}{\"rev\":46,\"all\":false,\"targets\":[]}\n")
@@ -225,7 +226,7 @@
 	}
 }
 
-// Guards against an endless object that exhausts the memory. An object that was only slow passed.
+// Guards against an endless object that exhausts the memory. A finite object that arrived slowly was read.
 func TestAnEndlessObjectIsRejected(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, `{"rev":50,"all":true,"targets":[`)
@@ -273,8 +274,9 @@
 	}
 }
 
-// After an address change, the last line of the old discovery service, already read, must not overwrite the
-// list of the new one. The new one has revisions of its own, so it is asked for a snapshot.
+// An object of the old discovery service that is incomplete at an address change, or complete but not yet
+// applied, must not overwrite the list of the new service. The revisions of the two services are not
+// comparable, so the new service is asked for a snapshot.
 func TestAnAddressChangeDuringAnObjectDropsTheOldList(t *testing.T) {
 	half, rest := make(chan bool), make(chan bool)
 	old := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -301,7 +303,7 @@
 	if l := <-received; l.Revision != 3 || l.Endpoints[0].Worker != "new" {
 		t.Errorf("received %+v", l)
 	}
-	// A line that was read completely before the address change and is applied after it.
+	// An object that was read completely before the address change and is applied after it.
 	cancelled, cancel := context.WithCancel(ctx)
 	cancel()
 	if client.apply(cancelled, &EndpointList{Rev: 91, All: true}) || len(client.workers) != 1 {
--- a/internal/workers/discovery/golden_test.go
+++ b/internal/workers/discovery/golden_test.go
@@ -11,16 +11,16 @@
 
 // Guards the JSON format of the endpoint list, which discovery sends, configurations contain and a hot
 // restart passes between builds.
-func TestTheJSONOfAMessageIsUnchanged(t *testing.T) {
+func TestTheJSONOfAnEndpointListIsUnchanged(t *testing.T) {
 	filled.CompareJSON(t, "testdata/message.json.golden", filled.Value[EndpointList](t))
 }
 
 // Guards the bytes of the snapshot of the known workers, sorted by name, which a hot restart passes between
 // builds.
 func TestTheJSONOfASnapshotIsUnchanged(t *testing.T) {
-	message := filled.Value[EndpointList](t)
-	client := Client{revision: message.Rev, workers: map[string]target{}}
-	for _, worker := range message.Targets {
+	list := filled.Value[EndpointList](t)
+	client := Client{revision: list.Rev, workers: map[string]target{}}
+	for _, worker := range list.Targets {
 		client.workers[worker.UID] = worker
 	}
 	text, err := client.Snapshot()
--- a/internal/workers/discovery/idle_timer.go
+++ b/internal/workers/discovery/idle_timer.go
@@ -9,12 +9,12 @@
 	// maxTimerLateness is how late a timer may fire. A larger delay shows that this process was not
 	// running, and proves nothing about discovery.
 	maxTimerLateness = 100 * time.Millisecond
-	// unreadGrace is the extra time for reading data that arrived in the meantime, limited to a quarter
-	// of the timeout.
+	// unreadGrace is the extra time for reading data that arrived while the process was not running, limited
+	// to a quarter of the timeout.
 	unreadGrace = 500 * time.Millisecond
 	// maxLateTimers is how often in a row unreadGrace is granted: a process that is permanently starved of
-	// CPU time must eventually call again. If lists are pushed, the total is less than a third of the drain
-	// grace, of which a call has two fifths.
+	// CPU time must eventually call again. If lists are pushed, a call may take two fifths of the drain
+	// grace, and the extra times together less than a third.
 	maxLateTimers = 3
 )
 
@@ -22,14 +22,14 @@
 // in the meantime may have unread data, such as a drain that is already in force: it reads that data first
 // instead of making a new call.
 type idleTimer struct {
-	hasUnread func() bool // reports whether data has arrived that is unread
+	hasUnread func() bool // reports whether data has arrived but is not processed
 	onIdle    func()
 
 	mu         sync.Mutex
 	timer      *time.Timer
 	timeout    time.Duration // within which data must arrive
 	deadline   time.Time
-	lateTimers int // since data last arrived
+	lateTimers int // how often unreadGrace was granted since data last arrived
 }
 
 // newIdleTimer returns a running timer, which calls onIdle when it expires. reset restarts it.
@@ -62,7 +62,7 @@
 	t.timer.Stop()
 }
 
-// expired is called by the timer. The deadline may be in the future, if data arrived just as it fired.
+// expired is called by the timer. The deadline may be in the future, if data arrived just as the timer fired.
 func (t *idleTimer) expired() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -79,8 +79,8 @@
 	t.timer.Reset(remaining)
 }
 
-// isIdle reports whether a timer that fired with this delay proves that no data arrived. The caller holds
-// the lock.
+// isIdle reports whether the watch counts as idle when the timer fires this late: the timer is on time and no
+// data is unread, or unreadGrace has been granted maxLateTimers times. The caller holds the lock.
 func (t *idleTimer) isIdle(lateness time.Duration) bool {
 	if t.lateTimers == maxLateTimers {
 		return true
--- a/internal/workers/discovery/message.go
+++ b/internal/workers/discovery/message.go
@@ -6,7 +6,7 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// States of a worker in a discovery message.
+// States of a worker in an endpoint list.
 const (
 	stateServing = "SERVING"
 	stateDeleted = "DELETED" // the worker has left the endpoint list; in deltas only
@@ -33,13 +33,13 @@
 	BootMS   int64  `json:"boot_ms"` // start of the process in Unix milliseconds; 0 if unknown
 }
 
-// EndpointsChanged converts the message to the reducer's input.
+// EndpointsChanged converts the list to the reducer's input.
 func (m *EndpointList) EndpointsChanged(starts *StartTimes) reducer.EndpointsChanged {
 	input := reducer.EndpointsChanged{Snapshot: m.All, Revision: m.Rev}
 	for i := range m.Targets {
 		t := &m.Targets[i]
 		if t.UID == "" {
-			continue // without a name, no later message could remove it
+			continue // without a UID, no later delta could remove it
 		}
 		input.Endpoints = append(input.Endpoints, reducer.Endpoint{
 			Worker:      t.UID,
@@ -63,9 +63,9 @@
 	Targets *[]target `json:"targets"`
 }
 
-// message converts the event to a list. A snapshot without the key "targets" is an error, as it would remove
-// all workers.
-func (e *watchEvent) message() (*EndpointList, error) {
+// endpointList returns the list that the object contains. A snapshot without the key "targets" is an error,
+// as it would remove all workers.
+func (e *watchEvent) endpointList() (*EndpointList, error) {
 	if e.Rev == nil || e.All && e.Targets == nil {
 		return nil, errIncompleteObject
 	}
--- a/internal/workers/discovery/object_reader.go
+++ b/internal/workers/discovery/object_reader.go
@@ -11,9 +11,9 @@
 
 var errObjectTooLarge = fmt.Errorf("object exceeds %d bytes", maxObjectBytes)
 
-// objectReader reads objects that are separated by empty lines, which are heartbeats. Between objects, each
-// byte resets the idle timer. A started object must be complete within the idle timeout after its first
-// byte, and within maxObjectBytes: a partial object counts as silence, even if empty lines follow it.
+// objectReader reads JSON objects, with empty lines between them as heartbeats. Between objects, each byte
+// resets the idle timer. A started object must be complete within the idle timeout after its first byte, and
+// within maxObjectBytes: a partial object counts as silence, even if empty lines follow it.
 type objectReader struct {
 	source      io.Reader
 	remaining   int    // bytes that the object may still take
@@ -43,7 +43,7 @@
 	}
 }
 
-// consume updates the state for bytes that were read.
+// consume updates the reader's state for the bytes that were read.
 func (r *objectReader) consume(b []byte) {
 	if !r.inObject {
 		r.onActivity()
@@ -57,8 +57,8 @@
 	r.remaining -= len(b)
 }
 
-// objectComplete ends an object. rest is the data that the decoder has read beyond it.
-func (r *objectReader) objectComplete(rest io.Reader) {
+// endObject records that an object is complete. rest is the data that the decoder has read beyond it.
+func (r *objectReader) endObject(rest io.Reader) {
 	r.inObject = false
 	r.remaining = maxObjectBytes
 	r.alive = true
--- a/internal/workers/discovery/start_times.go
+++ b/internal/workers/discovery/start_times.go
@@ -21,12 +21,12 @@
 	// the entry is in force for all schedulers by then.
 	maxListingDelay = changeDeadline
 
-	// samplesPerEstimate is how many workers that appear on a live watch make one estimate of the clock
-	// skew. At least one of them is listed within usualListingDelay, even if some lists are late.
+	// samplesPerEstimate is the number of workers that must appear on a live watch for one estimate of the
+	// clock skew. At least one of them is listed within usualListingDelay, even if some lists are late.
 	samplesPerEstimate = 4
 
-	// usualListingDelay is the maximum apparent age of the youngest of samplesPerEstimate workers. If it
-	// is older, the wall clock is ahead. A smaller skew can't be distinguished from a late list.
+	// usualListingDelay is the maximum apparent age of the youngest of samplesPerEstimate workers. If that
+	// worker appears older, the wall clock is ahead. A smaller skew can't be distinguished from a late list.
 	usualListingDelay = 2 * time.Second
 
 	// maxHeartbeatAge is the maximum age of the last heartbeat of a live watch.
@@ -59,17 +59,17 @@
 	wallStartMS int64 // wall clock in Unix milliseconds at the start of clock
 
 	mu            sync.Mutex
-	lastHeartbeat time.Duration          // of the last heartbeat, since the start of clock; -1 before the first
+	lastHeartbeat time.Duration          // time of the last heartbeat, by clock; -1 before the first
 	starts        map[string]WorkerStart // by worker
 	clockSkew     time.Duration          // estimated skew of the wall clock; above 0 if it is ahead
 
-	// Of the estimate in progress.
+	// State of the estimate in progress.
 	samples     int           // workers that appeared on a live watch
 	youngestAge time.Duration // lowest age among them
 }
 
-// NewStartTimes returns start times that begin with those of the predecessor, already converted to this
-// clock; nil if there is no predecessor.
+// NewStartTimes returns start times that begin with the predecessor's start times, which must already be
+// converted to this clock. The map is nil if there is no predecessor.
 func NewStartTimes(c clock.Clock, predecessor map[string]WorkerStart) *StartTimes {
 	s := &StartTimes{
 		clock:         c,
@@ -113,7 +113,7 @@
 }
 
 // startedAt returns the start time of a worker that is listed now; 0 if unknown, which counts as long ago.
-// It is the same for every entry of one process.
+// All entries of the same process get the same start time.
 func (s *StartTimes) startedAt(t *target) dispatch.Time {
 	if t.BootMS <= 0 {
 		return 0
@@ -139,17 +139,17 @@
 	claimedMS := s.wallStartMS + elapsed.Milliseconds() - bootMS
 	claimed := time.Duration(min(max(claimedMS, -maxAgeMS), maxAgeMS)) * time.Millisecond
 	age := claimed - s.clockSkew
-	sinceHeartbeat := elapsed - s.lastHeartbeat // the worker may have been listed at any time in it
+	sinceHeartbeat := elapsed - s.lastHeartbeat // the worker may have been listed at any time since
 	switch {
 	case age < 0, s.lastHeartbeat >= 0 && age > sinceHeartbeat+maxListingDelay:
-		// As far as is known the process has just started, so the claimed age is entirely skew.
+		// This age is impossible. The process counts as just started, and its claimed age as clock skew.
 		if claimed.Abs() <= maxClockSkew {
 			s.clockSkew = claimed
 			s.samples = 0
 		}
 		return 0
 	case s.lastHeartbeat < 0 || sinceHeartbeat > maxHeartbeatAge:
-		return age // no heartbeat is recent enough to contradict it
+		return age // no heartbeat is recent enough to contradict this age
 	}
 	return s.addSample(age)
 }
--- a/internal/workers/discovery/start_times_test.go
+++ b/internal/workers/discovery/start_times_test.go
@@ -27,9 +27,9 @@
 
 func approxEqual(got, want time.Duration) bool { return (got - want).Abs() <= 2*time.Millisecond }
 
-// Whatever the skew of the wall clock, a worker that appears on a live watch is not older than the time since
-// the last heartbeat allows, the workers after it have their true age, and start times that were known before
-// don't change.
+// For any skew of the wall clock: a worker that appears on a live watch is not older than the time since the
+// last heartbeat allows. The workers after it have their true age. Start times that were known before don't
+// change.
 func TestAWorkerThatAppearsOnALiveWatchIsYoung(t *testing.T) {
 	for _, skew := range []time.Duration{0, time.Second, 5 * time.Second, -time.Second, 30 * time.Second, time.Hour, -time.Hour, 25 * time.Hour} {
 		t.Run(fmt.Sprint(skew), func(t *testing.T) {
@@ -64,9 +64,9 @@
 	}
 }
 
-// With a correct clock, the start times sent by discovery apply: for an entry of the first list, one that
-// appeared during a silence, and one without a start time. An old worker that appears on a live watch counts
-// as new.
+// With a correct clock, the start times sent by discovery apply, both to an entry of the first list and to an
+// entry that appeared during a silence. An entry without a start time gets 0. An old worker that appears on a
+// live watch counts as new.
 func TestACorrectClockIsTrusted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newEmptyStartTimes()
@@ -169,14 +169,14 @@
 }
 
 // If the wall clock is ahead at the start, a new worker of the first list seems old. The Date of discovery's
-// response reveals this. A late response, or the resolution of the date, makes a worker seem younger by at
-// most that much; a date that is ahead proves nothing.
+// response reveals this. If the response is late, a worker may seem younger by at most its delay, and by at
+// most the resolution of the date. A date that is ahead proves nothing.
 func TestAResponseDateRevealsAClockThatIsAhead(t *testing.T) {
 	for _, c := range []struct {
 		name                string
 		skew                time.Duration // of the wall clock
 		readDelay           time.Duration // from the date of the response until it is read
-		minAge, maxAge, ago time.Duration // minAge and maxAge bound the resulting age
+		minAge, maxAge, ago time.Duration // minAge and maxAge bound the resulting age; ago is the true age
 	}{
 		{"right", 0, 0, 5 * time.Second, 5 * time.Second, 5 * time.Second},
 		{"right, response read late", 0, 3 * time.Second, 5 * time.Second, 5 * time.Second, 5 * time.Second},
--- a/internal/workers/discovery/starved_test.go
+++ b/internal/workers/discovery/starved_test.go
@@ -18,18 +18,19 @@
 )
 
 // A late timer shows that this process was not running, so data may be unread. The timer waits for that data
-// up to maxLateTimers times. A timer that is on time, or late too often without data, ends the watch.
+// up to maxLateTimers times in a row. After that, or if it is on time and no data is unread, it ends the
+// watch.
 func TestALateTimerDoesNotEndTheWatch(t *testing.T) {
 	ended, unread := 0, false
 	s := newIdleTimer(time.Hour, func() bool { return unread }, func() { ended++ })
 	defer s.stop()
-	due := func(late time.Duration) {
+	fire := func(late time.Duration) {
 		s.mu.Lock()
 		s.deadline = time.Now().Add(-late)
 		s.mu.Unlock()
 		s.expired()
 	}
-	if due(3 * time.Second); ended != 0 || time.Until(s.deadline) > unreadGrace {
+	if fire(3 * time.Second); ended != 0 || time.Until(s.deadline) > unreadGrace {
 		t.Fatalf("ended %d times by a late timer, due in %v", ended, time.Until(s.deadline))
 	}
 	if s.reset(time.Hour); s.lateTimers != 0 || time.Until(s.deadline) < time.Minute {
@@ -39,27 +40,27 @@
 		t.Error("ended though data had arrived")
 	}
 	for range maxLateTimers {
-		due(3 * time.Second)
+		fire(3 * time.Second)
 	}
 	if ended != 0 {
 		t.Errorf("ended %d times by %d late timers", ended, maxLateTimers)
 	}
-	if due(3 * time.Second); ended != 1 {
+	if fire(3 * time.Second); ended != 1 {
 		t.Errorf("ended %d times by %d late timers", ended, maxLateTimers+1)
 	}
 	s.reset(time.Hour)
-	if due(maxTimerLateness / 2); ended != 2 {
+	if fire(maxTimerLateness / 2); ended != 2 {
 		t.Errorf("ended %d times, want 2: the last timer was on time", ended)
 	}
 	s.reset(time.Hour)
 	unread = true
-	if due(maxTimerLateness / 2); ended != 2 {
-		t.Error("ended though data is unread: it is lost with the watch until the next one delivers it")
+	if fire(maxTimerLateness / 2); ended != 2 {
+		t.Error("ended though data is unread: the data is lost until the next watch delivers it")
 	}
 }
 
 // childAddrEnv is the environment variable that turns the test binary into a child process, which watches
-// the endpoint list at this address and prints the revision of the first message.
+// the endpoint list at this address and prints the revision of the first list.
 const childAddrEnv = "ROSTER_TEST_CHILD"
 
 func TestMain(m *testing.M) {
--- a/internal/workers/discovery/timeouts.go
+++ b/internal/workers/discovery/timeouts.go
@@ -4,14 +4,15 @@
 
 // Timeouts of one call.
 const (
-	// dialTimeout limits a dial. A connection on this machine or within this zone that takes longer is
-	// never established.
+	// dialTimeout limits a dial. Within this machine or zone, a connection that is not established by then
+	// never will be.
 	dialTimeout = time.Second
 
 	// heartbeatInterval is the interval at which discovery sends an empty line while nothing changes.
 	heartbeatInterval = 2 * time.Second
 
-	// idleTimeout is the longest time without a byte, or until a started object is complete.
+	// idleTimeout limits the time without a byte between objects, and the time from the first byte of an
+	// object until it is complete.
 	idleTimeout = 3 * heartbeatInterval / 2
 
 	// responseTimeout limits the wait for a response head. A busy discovery service finishes the work for
@@ -37,8 +38,8 @@
 	// response may take the drain grace in addition.
 	usualResponseTime = 3 * time.Second / 2
 
-	// graceFraction of the drain grace is reserved for a call and its response: a change counts as in
-	// force for every scheduler that could have called.
+	// graceFraction is the fraction of the drain grace that is reserved for a call and its response. A change
+	// counts as in force for each scheduler once that scheduler could have called.
 	graceFraction = 0.8
 )
 
@@ -59,7 +60,7 @@
 	// there is time to retry a rejected call.
 	maxSpread = heartbeatInterval
 
-	// rerandomizeEvery is after how many rejected calls a backoff is randomized again.
+	// rerandomizeEvery is the number of rejected calls after which a backoff is random again.
 	rerandomizeEvery = 3
 )
 
@@ -73,13 +74,13 @@
 
 // Timeouts are the timeouts of a watch and the backoffs between the calls for it.
 type Timeouts struct {
-	Idle     time.Duration // longest time without a byte, or until a started object is complete
-	Response time.Duration // for the head of a response
+	Idle     time.Duration // without a byte between objects, or from the first byte of an object to its end
+	Response time.Duration // from the start of a call to the response head
 
 	Spread             time.Duration // period over which all schedulers call again after a watch ends
-	SpreadAfterIdle    time.Duration // same, after an idle timeout
+	SpreadAfterIdle    time.Duration // replaces Spread after an idle timeout
 	MaxBackoff         time.Duration // from the start of a failed call to the start of the next
-	MaxBackoffRejected time.Duration // same, while calls are rejected
+	MaxBackoffRejected time.Duration // replaces MaxBackoff while calls are rejected
 }
 
 // TimeoutsFor returns the timeouts for a discovery service that pushes its list or is polled by this many
--- a/internal/workers/discovery/told_test.go
+++ b/internal/workers/discovery/told_test.go
@@ -164,8 +164,8 @@
 
 // A change is in force 6 s after discovery has it and is reachable. After calls were rejected for 20 s, a
 // single scheduler applied the change 17.7 s later, and one of three hundred 18.7 s later: the backoff
-// doubled up to 16 s plus half of that, started from the number of schedulers, and was added to the duration
-// of calls that hung.
+// doubled up to 16 s plus half of that, its first value grew with the number of schedulers, and it was added
+// to the duration of calls that hung.
 func TestAChangeIsAppliedWithinSixSecondsOfDiscoverysReturn(t *testing.T) {
 	for name, x := range map[string]struct {
 		fakeOutage
@@ -193,7 +193,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, pushes := range []bool{true, false} {
-				for _, schedulers := range []int{1, 300} { // for more, the timeouts are the same
+				for _, schedulers := range []int{1, 300} { // for more than 300, the timeouts are the same
 					if pushes && schedulers > 1 {
 						continue // an agent serves one scheduler
 					}
@@ -231,20 +231,22 @@
 	}
 }
 
-// Tests from discovery to the pushes: a worker that is draining at discovery's return gets no new push later
-// than 6 s plus the drain grace after it. After 20 s of 503s, it got its last push 17.6 s later (seed 0).
+// Covers the path from discovery to the pushes: a worker that is draining when discovery returns gets no push
+// later than 6 s plus the drain grace after the return. After 20 s of 503s, such a worker got its last push
+// 17.6 s after the return (seed 0). In this test it is the worker "old", which is serving in the known list
+// and draining in the list after the return.
 func TestADrainingWorkerGetsNoLatePushAfterRejectedCalls(t *testing.T) {
-	const old, other = `{"uid":"old","endpoint":"a:1","state":"SERVING"}`, `{"uid":"other","endpoint":"a:2","state":"SERVING"}`
+	const drainingEntry, otherEntry = `{"uid":"old","endpoint":"a:1","state":"SERVING"}`, `{"uid":"other","endpoint":"a:2","state":"SERVING"}`
 	for _, schedulers := range []int{1, 300} {
 		for _, grace := range []time.Duration{250 * time.Millisecond, 2500 * time.Millisecond} {
 			for _, behaviors := range [][]behavior{{reject503}, {reject503, hang, refuseDial}} {
 				for seed := range uint64(8) {
 					synctest.Test(t, func(t *testing.T) {
 						o := fakeOutage{callCounter: &callCounter{}, pipeListener: pipeListener{make(chan net.Conn), make(chan struct{})}, startedAt: time.Now(), behaviors: behaviors, responseDelay: usualResponseTime,
-							upAt: 20*time.Second + time.Duration(seed)*1100*time.Millisecond, entriesAfter: strings.Replace(old, "SERVING", "DRAINING", 1) + "," + other}
+							upAt: 20*time.Second + time.Duration(seed)*1100*time.Millisecond, entriesAfter: strings.Replace(drainingEntry, "SERVING", "DRAINING", 1) + "," + otherEntry}
 						go o.serve()
 						var known EndpointList
-						if err := json.Unmarshal([]byte("{\"targets\":["+old+","+other+"]}"), &known); err != nil {
+						if err := json.Unmarshal([]byte("{\"targets\":["+drainingEntry+","+otherEntry+"]}"), &known); err != nil {
 							t.Fatal(err)
 						}
 						scheduling, inputs := reducer.New(seed, map[string]any{"bounds.maxPushes": 1.0, "step": 10.0, "categories.0.name": "look",
@@ -273,8 +275,8 @@
 								}
 							}
 						}
-						if lastOld := last["old"]; lastOld > changeDeadline+grace || lastOld < 0 {
-							t.Errorf("%d schedulers, grace %v, seed %d: last push to a draining worker %v after discovery's return", schedulers, grace, seed, lastOld)
+						if lastPush := last["old"]; lastPush > changeDeadline+grace || lastPush < 0 {
+							t.Errorf("%d schedulers, grace %v, seed %d: last push to a draining worker %v after discovery's return", schedulers, grace, seed, lastPush)
 						}
 						if last["other"] < 24*time.Second || pushes["old"] < 50 {
 							t.Errorf("pushes: %v, the last at %v", pushes, last)
@@ -289,8 +291,8 @@
 	}
 }
 
-// An address change causes one immediate call. The backoff that it interrupts must not shorten the next one
-// to the new address.
+// An address change interrupts a backoff and causes one immediate call. The interrupted backoff must not
+// shorten the backoff after that call.
 func TestARejectingAddressIsCalledOnceAfterAnAddressChange(t *testing.T) {
 	for seed := range uint64(8) {
 		synctest.Test(t, func(t *testing.T) {
@@ -315,8 +317,8 @@
 	}
 }
 
-// The same over real sockets, for a single scheduler: its calls are rejected, reset before the head, or get a
-// partial object, until one gets a list.
+// A single scheduler calls over real sockets. Its calls are rejected, reset before the head, or get a partial
+// object; it must call again until a call gets a list.
 func TestAListIsReceivedOverRealSocketsAfterFailedCalls(t *testing.T) {
 	t.Parallel()
 	behaviors := []behavior{reject503, reject429, resetConn, partialObject, reject503, respond}
@@ -387,8 +389,8 @@
 								}
 							}
 						}
-						// A call that is silent after its head, or in an object, reached discovery at that
-						// moment.
+						// Discovery is reachable until a call falls silent after its head or in an object. So
+						// the sum counts from that moment.
 						checkSum("a call without a complete body", s.Idle+s.nextBackoff(callHistory{failures: 9, rejections: 9, idle: true, duration: s.Idle}, 1))
 					}
 				})
--- a/internal/workers/discovery/unread_data.go
+++ b/internal/workers/discovery/unread_data.go
@@ -19,8 +19,8 @@
 	net.Conn
 	raw syscall.RawConn
 
-	// mu is locked while bytes move from the socket to the reader, so that hasUnread finds them in one of
-	// the two.
+	// mu is locked while bytes move from the socket to the reader, so that hasUnread finds them either in the
+	// socket or marked by decoding.
 	mu       sync.Mutex
 	decoding bool // the bytes of the last read are being processed
 }
@@ -99,7 +99,8 @@
 	}
 }
 
-// withConnTrace stores the connection of a watch in watchedConn as soon as it is established.
+// withConnTrace returns a context for a call. The call's connection is stored in watchedConn once
+// established.
 func (c *Client) withConnTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) {
 		if conn, ok := got.Conn.(*watchConn); ok {
--- a/internal/workers/discovery/watch.go
+++ b/internal/workers/discovery/watch.go
@@ -12,8 +12,8 @@
 
 // Errors that end a watch and that Run handles separately.
 var (
-	errRejected    = errors.New("call rejected")                       // discovery is overloaded
-	errIdleTimeout = errors.New("no data received within the timeout") // Timeouts.Response or Timeouts.Idle
+	errRejected    = errors.New("call rejected")                                 // discovery is overloaded
+	errIdleTimeout = errors.New("no head, heartbeat or complete object in time") // Timeouts.Response or Idle
 )
 
 // errEnded reports that discovery closed the watch cleanly.
@@ -37,8 +37,8 @@
 	return alive, err
 }
 
-// readWatch makes the call with callCtx and reads objects until ctx ends. A discovery service that is
-// unreachable does not even close the connection, so an idle timer runs in parallel.
+// readWatch makes the call with callCtx and applies objects until the watch breaks or ctx ends. If discovery
+// becomes unreachable, the connection stays open, so an idle timer cancels callCtx.
 func (c *Client) readWatch(
 	ctx, callCtx context.Context,
 	cancel context.CancelCauseFunc,
@@ -102,23 +102,23 @@
 		} else if err != nil {
 			return err
 		}
-		message, err := event.message()
+		list, err := event.endpointList()
 		if err != nil {
 			return err
 		}
-		reader.objectComplete(decoder.Buffered())
-		if !c.apply(ctx, message) {
+		reader.endObject(decoder.Buffered())
+		if !c.apply(ctx, list) {
 			return ctx.Err()
 		}
-		c.logMessage(message)
-		c.notify(message.EndpointsChanged(c.startTimes))
+		c.logList(list)
+		c.notify(list.EndpointsChanged(c.startTimes))
 		c.startTimes.recordHeartbeat()
 	}
 }
 
-func (c *Client) logMessage(m *EndpointList) {
-	c.log.Debug().Int64("rev", m.Rev).Bool("whole", m.All).Int("entries", len(m.Targets)).Msg("list")
-	for _, t := range m.Targets {
+func (c *Client) logList(list *EndpointList) {
+	c.log.Debug().Int64("rev", list.Rev).Bool("whole", list.All).Int("entries", len(list.Targets)).Msg("list")
+	for _, t := range list.Targets {
 		entry := c.log.Debug().Str("worker", t.UID).Str("state", t.State).Str("zone", t.AZ)
 		entry.Int64("boot_ms", t.BootMS).Msg("listed")
 	}
--- a/internal/workers/outcome/outcome.go
+++ b/internal/workers/outcome/outcome.go
@@ -1,5 +1,5 @@
 // Package outcome defines every way in which an attempt or a load probe can end on its connection, and maps
-// each ending to the outcome that it proves.
+// each ending to an outcome.
 package outcome
 
 import "woaddyke/dispatch"
@@ -72,7 +72,8 @@
 	return false
 }
 
-// Outcome returns the outcome that the ending proves. If nothing is proved, the attempt may have run.
+// Outcome returns the outcome for the ending. It is dispatch.Failed for the ending Failed, and for Unknown
+// and ServerError, after which the attempt may have run.
 func (e Ending) Outcome() dispatch.Outcome {
 	switch e {
 	case Done:
--- a/internal/workers/workerconn/begin_test.go
+++ b/internal/workers/workerconn/begin_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// Guards against a write that blocks because the worker reads slowly, and continues once it reads again, long
-// after the client disconnected. A worker starts a request when it has the last byte, so a push that is
-// aborted before that never ran.
+// Guards against a write that blocks because the worker reads slowly, and that continues once the worker
+// reads again, long after the client disconnected. A worker starts a request when it has the last byte, so a
+// push that is aborted before that never ran.
 func TestAWriteIsAbortedAfterItsClientDisconnects(t *testing.T) {
 	large := append([]byte("POST /x HTTP/1.1\r\nHost: w\r\nContent-Length: 8388608\r\n\r\n"), make([]byte, 8<<20)...)
 	for name, x := range map[string]struct {
@@ -95,8 +95,9 @@
 	}
 }
 
-// The head, which is written first, has the remaining time. If the worker reads the rest much later, that
-// time is longer than its client has by then. Such a request is aborted before its last byte, and never ran.
+// The head states the remaining time and is written first. If the worker reads the rest much later, the
+// stated time is longer than the client still waits. Such a request is aborted before its last byte, so it
+// never runs.
 func TestASlowWriteIsAbortedBeforeItsLastByte(t *testing.T) {
 	const head = "POST /x HTTP/1.1\r\nHost: w\r\nContent-Length: 8388608\r\n\r\n"
 	large := append([]byte(head), make([]byte, 8<<20)...)
--- a/internal/workers/workerconn/ends_test.go
+++ b/internal/workers/workerconn/ends_test.go
@@ -36,8 +36,9 @@
 const unprocessedResponse = "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 
 // Guards against a second response of a worker, some milliseconds late, that is read as the response to the
-// next push on the connection: a 503 with X-Unprocessed falsely proved that this push never ran, and it ran
-// twice. Here the late response is sent once the next push has reached the worker on any connection.
+// next push on the connection: a 503 with X-Unprocessed falsely proved that the next push never ran, so its
+// op was pushed again and ran twice. Here the late response is sent once the worker has received the next
+// push.
 func TestALateSecondResponseIsNotReadByTheNextPush(t *testing.T) {
 	secondConnUsed := make(chan bool)
 	var conns atomic.Int64 // the second is accepted long after the first
@@ -94,8 +95,8 @@
 	}
 }
 
-// A push reuses the connection of the probe that it follows, even if that connection served a push just
-// before the probe. It does not reuse a connection on which a push just ended.
+// A push reuses the connection of the probe before it, even if that connection served another push just
+// before the probe. A push does not reuse a connection on which another push just ended.
 func TestAPushReusesTheConnectionOfItsProbeButNotOfARecentPush(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
@@ -126,7 +127,7 @@
 	}
 	for step, x := range []struct {
 		push, dials bool
-		idle        int
+		idleAfter   int
 	}{{false, true, 1}, {true, false, 1}, {false, false, 1}, {true, true, 2}} {
 		dialed := false
 		if x.push {
@@ -140,7 +141,7 @@
 		if dialed != x.dials {
 			t.Errorf("step %d: dialed %v, want %v", step, dialed, x.dials)
 		}
-		waitForIdle(x.idle)
+		waitForIdle(x.idleAfter)
 	}
 }
 
@@ -255,7 +256,7 @@
 	for name, x := range map[string]struct {
 		request []byte
 		serve   func(*net.TCPConn)
-		may     map[outcome.Ending]bool
+		allowed map[outcome.Ending]bool
 	}{
 		"in the middle of the request": {large, func(c *net.TCPConn) {
 			io.ReadFull(c, make([]byte, 1<<10))
@@ -280,7 +281,7 @@
 		addr := fragmentpeer.Serve(t, x.serve)
 		ends := make(chan End, 1)
 		newTestPool(1).Push(addr, "a1", fixedRequest(x.request), time.Now().Add(20*time.Second), alwaysWanted, func() {}, func(JobLine) {}, func(e End) { ends <- e })
-		if e := <-ends; !x.may[e.Ending] {
+		if e := <-ends; !x.allowed[e.Ending] {
 			t.Errorf("%s: %v", name, e.Ending)
 		}
 	}
@@ -324,7 +325,7 @@
 					p.SetMaxOpen(4 + random.IntN(8))
 				}
 				e := <-ends
-				x.Close(false, outcome.Cancelled) // it has ended, so another exchange may use the connection
+				x.Close(false, outcome.Cancelled) // the exchange has ended, so another exchange may use the connection
 				mu.Lock()
 				ran := runs[id]
 				mu.Unlock()
--- a/internal/workers/workerconn/exchange.go
+++ b/internal/workers/workerconn/exchange.go
@@ -23,26 +23,26 @@
 	maxLineBytes      = 512 << 10             // a string of 64 KiB as JSON, every byte escaped
 	finalBytesTimeout = 50 * time.Millisecond // for the bytes of a response after its last job line
 
-	// maxClientCheckAge is the maximum time from the check of an attempt's client to the write. An older
-	// check is repeated.
+	// maxClientCheckAge is the maximum time from checking that an attempt's client still waits until the
+	// write. An older check is repeated.
 	maxClientCheckAge = 10 * time.Millisecond
 
-	// maxWriteTime is the maximum time from the first part of a request, which has the remaining time, to
-	// its last byte. The remaining time sent to a worker may be too long by 0.15 s.
+	// maxWriteTime is the maximum time from writing the first part of a request to writing its last byte. The
+	// first part states the remaining time, which may be too long by at most 0.15 s at the last byte.
 	maxWriteTime = 100 * time.Millisecond
 
 	// sendBufferBytes is the size of the socket buffer for a request that the kernel does not accept in one
-	// write: waiting for the window of a distant worker would extend the write beyond maxWriteTime.
+	// write: waiting for the TCP window of a distant worker would extend the write beyond maxWriteTime.
 	sendBufferBytes = 128 << 10
 
-	stalePollInterval = time.Millisecond       // between two checks of whether an attempt may start
-	staleTimeout      = 300 * time.Millisecond // after which an attempt that may not start is cancelled
+	stalePollInterval = time.Millisecond       // between two calls of Pool.Stale while an attempt waits
+	staleTimeout      = 300 * time.Millisecond // an attempt is cancelled if Pool.Stale blocks it longer
 
 	writeBackoff     = 2 * time.Millisecond // after a write that failed for lack of local resources
 	maxWriteFailures = 25                   // consecutive failures of this kind
 )
 
-// StateAcknowledged is the state of the line that represents a response head: the worker has the job.
+// StateAcknowledged is the state of the JobLine that is reported for a response head: the worker has the job.
 const StateAcknowledged = "taken"
 
 // JobLine is one job line of a worker.
@@ -71,14 +71,14 @@
 	mu          sync.Mutex
 	conn        *conn
 	written     bool           // the request is completely written
-	localEnding outcome.Ending // if this side closed the exchange; else Unknown
+	localEnding outcome.Ending // how this side closed the exchange; Unknown if it did not
 }
 
 // Close ends an exchange from this side. A request whose last byte has not been written by then is never
-// completed, and never runs.
+// completed, and never runs. With onlyUnwritten, Close does nothing if the request is completely written.
 func (x *Exchange) Close(onlyUnwritten bool, ending outcome.Ending) {
 	if c := x.close(onlyUnwritten, ending); c != nil {
-		c.Close() // without the lock: it waits for a write in progress, which waits for the lock
+		c.Close() // without the lock: Close waits for a write in progress, which waits for the lock
 	}
 }
 
@@ -195,7 +195,7 @@
 	return ending
 }
 
-// send writes a complete request. It returns a nil connection if it fails to.
+// send writes a complete request. If that fails, it returns a nil connection.
 func (x *Exchange) send(
 	ctx context.Context, addr string, request func(time.Duration) []byte, deadline time.Time,
 ) (*conn, End) {
@@ -290,12 +290,12 @@
 	return n, unwanted, errors.Join(err, writeErr)
 }
 
-// isStale reports whether the exchange is an attempt that must not start now.
+// isStale reports whether the exchange is an attempt that must not start now because of Pool.Stale.
 func (x *Exchange) isStale() bool { return x.isAttempt && x.pool.Stale != nil && x.pool.Stale() }
 
 // awaitFresh waits until an attempt may start. It holds no lock, because applying the awaited list update may
-// close the attempt. It returns false if the attempt may not start in time; the attempt then ends as
-// CancelledUnsent.
+// close the attempt. It returns false if the wait exceeds staleTimeout or the deadline; the attempt then ends
+// as CancelledUnsent.
 func (x *Exchange) awaitFresh(deadline time.Time) bool {
 	until := time.Now().Add(staleTimeout)
 	if deadline.Before(until) {
@@ -311,9 +311,9 @@
 	return true
 }
 
-// isClientWaiting checks whether an attempt is wanted. It repeats a check that is older than
-// maxClientCheckAge when it returns, as the process may have been stopped in between. Only the time from
-// reading the clock to the system call is not covered.
+// isClientWaiting checks whether an attempt is wanted. A check that took longer than maxClientCheckAge is
+// repeated, as the process may have been stopped in the meantime. A stop between the last reading of the
+// clock and the system call is not detected.
 func (x *Exchange) isClientWaiting(deadline time.Time) bool {
 	for checkedAt := time.Now(); checkedAt.Before(deadline); checkedAt = time.Now() {
 		if !x.wanted() {
@@ -421,7 +421,7 @@
 	return resp, e
 }
 
-// rejectionEnding returns the ending for a status other than 200, with which a worker accepts no job.
+// rejectionEnding returns the ending for a status other than 200, the only status that accepts a job.
 func rejectionEnding(resp *http.Response) outcome.Ending {
 	switch resp.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
--- a/internal/workers/workerconn/limited_reader.go
+++ b/internal/workers/workerconn/limited_reader.go
@@ -34,7 +34,7 @@
 	limit     int // bytes, without the increase over time
 }
 
-// reset starts an exchange, whose response begins with a head.
+// reset prepares for a new exchange, whose limit is that of a response head until setLimit is called.
 func (r *limitedReader) reset() { r.startedAt, r.bytesRead, r.limit = time.Now(), 0, maxHeadBytes }
 
 // setLimit sets the limit in bytes.
--- a/internal/workers/workerconn/stale_test.go
+++ b/internal/workers/workerconn/stale_test.go
@@ -12,7 +12,7 @@
 )
 
 // A push whose decision may be based on an outdated list waits until the new list is applied. It may be
-// closed in the meantime, and is cancelled if that takes too long. A probe does not wait.
+// closed during the wait, and is cancelled if the wait takes too long. A probe does not wait.
 func TestAPushWaitsForAnUnreadList(t *testing.T) {
 	for name, x := range map[string]struct {
 		applied, closed bool // the event while the push waits
@@ -66,8 +66,8 @@
 	}
 }
 
-// The client is checked last before a request is written. Guards against a slow check of the endpoint list
-// that makes the check of the client outdated.
+// The last check before a request is written is whether the client still waits. Guards against a slow check
+// of the endpoint list after it, which makes the check of the client outdated.
 func TestTheClientIsCheckedAfterTheEndpointList(t *testing.T) {
 	const listCheckTime = 150 * time.Millisecond // duration of one call of Stale
 	addr := fragmentpeer.Serve(t, func(c *net.TCPConn) {
--- a/internal/workers/workerconn/workerconn.go
+++ b/internal/workers/workerconn/workerconn.go
@@ -25,10 +25,10 @@
 
 // reuseDelay is the minimum time from the response to an attempt until the next attempt on the same
 // connection. A worker that responds twice does so some milliseconds later, and a status without job lines
-// names no op: if a late 503 were read as the response to the next attempt, it would falsely prove that this
-// one never ran. A connection on which data arrives within the delay is closed. There is no delay after a
-// load probe: its response proves nothing about an attempt, and the attempt that follows the probe reuses
-// the connection.
+// names no op: if a late 503 were read as the response to the next attempt, it would falsely prove that the
+// next attempt never ran. A connection on which data arrives within the delay is closed. There is no delay
+// after a load probe: its response proves nothing about an attempt, and the attempt that follows the probe
+// reuses the connection.
 const reuseDelay = 50 * time.Millisecond
 
 type conn struct {
@@ -37,12 +37,12 @@
 	limited        *limitedReader // source of reader
 	addr           string
 	idleSince      time.Time
-	attemptEndedAt time.Time // zero before the first
+	attemptEndedAt time.Time // end of the last attempt on it; zero if none
 }
 
-// maxDialDelay is the maximum time from when a connection is established until it is used. Decisions assume
-// that the first byte of an attempt is sent at most one connect timeout later, as a worker group drops
-// duplicates only within its window.
+// maxDialDelay is the maximum time by which a dial may exceed its timeout, as in a process that is starved of
+// CPU time. Decisions assume that the first byte of an attempt is sent at most one dial timeout after the
+// decision, because a worker group drops duplicates only within its window.
 const maxDialDelay = 100 * time.Millisecond
 
 // Pool holds all connections to workers.
@@ -50,8 +50,8 @@
 	// Connect dials a worker; nil for net.Dialer. It must be set before the pool is used.
 	Connect func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	// Stale reports whether no attempt may start now, because its decision may be outdated; nil for never.
-	// It must be set before the pool is used.
+	// Stale reports whether an update of the endpoint list is not applied yet. Decisions may then be
+	// outdated, so no attempt may start. Nil means never. It must be set before the pool is used.
 	Stale      func() bool
 	bounds     Bounds
 	reuseDelay time.Duration
@@ -220,7 +220,7 @@
 	var netErr net.Error
 	switch {
 	case err == nil:
-		return nil, outcome.CancelledUnsent // this process was late, which proves nothing about the worker
+		return nil, outcome.CancelledUnsent // only this process was late; proves nothing about the worker
 	case oserror.Classify(err) == oserror.DescriptorsExhausted:
 		return nil, outcome.NoDescriptor
 	case oserror.Classify(err) == oserror.ResourceExhausted, errors.Is(err, syscall.EAGAIN):
@@ -245,7 +245,7 @@
 }
 
 // Peek returns how many bytes have arrived on a connection, at most one, without consuming them. The error is
-// EAGAIN if nothing has arrived yet, and nil if the peer has closed the connection.
+// EAGAIN if nothing has arrived yet. If the peer has closed the connection, n is 0 and the error nil.
 func Peek(c net.Conn) (n int, err error) {
 	socket, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/workers/workerconn/workerconn_test.go
+++ b/internal/workers/workerconn/workerconn_test.go
@@ -39,13 +39,14 @@
 	})
 }
 
-// Each response of a worker has one ending: a wrong one loses an op or runs it twice.
+// Each response of a worker has one ending. A wrong ending loses an op or runs it twice.
 func TestEachResponseHasItsEnding(t *testing.T) {
 	const job = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	line := func(s string) string { return fmt.Sprintf("%s%x\r\n%s\n\r\n0\r\n\r\n", job, len(s)+1, s) }
 	for response, want := range map[string]outcome.Ending{
 		line(`{"id":"a1","state":"done","result":"x"}`): outcome.Done,
-		// An invalid request must not count as a server error: it was sent to as many workers as allowed.
+		// An invalid request must not count as a server error: it was then retried on as many workers as
+		// allowed.
 		"HTTP/1.1 400 x\r\nContent-Length: 0\r\n\r\n":   outcome.Rejected,
 		"HTTP/1.1 429 x\r\nContent-Length: 0\r\n\r\n":   outcome.ServerError,
 		line(`{"id":"a1","state":"failed"}`):            outcome.Failed,
@@ -72,8 +73,8 @@
 	}
 }
 
-// After a worker switched protocols, requested by a forwarded client header, it no longer speaks HTTP on that
-// connection.
+// A forwarded client header may make a worker switch protocols. After that, the worker no longer speaks HTTP
+// on the connection.
 func TestAConnectionWithASwitchedProtocolIsNotReused(t *testing.T) {
 	p := newTestPool(4)
 	addr := serveWorker(t, func(c net.Conn) {
@@ -88,8 +89,8 @@
 	}
 }
 
-// A silent worker must not block an op, and the next push of the op may start only after the connection of
-// this one is closed.
+// A silent worker must not block an op. The next push of the op may start only after the connection of the
+// silent push is closed.
 func TestASilentWorkersConnectionIsClosedBeforeTheEndIsReported(t *testing.T) {
 	closed := make(chan error, 1)
 	p := newTestPool(4)
@@ -105,19 +106,20 @@
 	}
 }
 
-// A write to a connection that the worker has closed ends as a reset, and the push may have run.
+// Guards against a push on a connection that the worker has closed: it ends as Reset, which does not prove
+// that the push never ran.
 func TestAConnectionThatTheWorkerClosedIsNotReused(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, `{"id":"a1","state":"done"}`+"\n")
 	}))
 	defer s.Close()
 	addr, p := s.Listener.Addr().String(), newTestPool(4)
-	for i, want := range []bool{true, false, true} {
+	for i, wantDialed := range []bool{true, false, true} {
 		if i == 2 {
 			s.CloseClientConnections()
 			time.Sleep(20 * time.Millisecond)
 		}
-		if e := pushAndWait(p, addr, 10*time.Second); e.Ending != outcome.Done || e.Dialed != want {
+		if e := pushAndWait(p, addr, 10*time.Second); e.Ending != outcome.Done || e.Dialed != wantDialed {
 			t.Fatalf("push %d: %v, dialed %v", i, e.Ending, e.Dialed)
 		}
 		for n := 0; n < 100 && len(p.idleConns(addr)) == 0; n++ {
@@ -183,8 +185,8 @@
 	}
 }
 
-// The response head acknowledges that the worker has the op. Without it, silence proves nothing before the
-// TTL.
+// The response head acknowledges that the worker has the op. Without the head, a worker's silence proves
+// nothing before the TTL.
 func TestTheResponseHeadIsReported(t *testing.T) {
 	addr := serveWorker(t, func(c net.Conn) {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
