--- a/internal/frontend/bench_test.go
+++ b/internal/frontend/bench_test.go
@@ -20,14 +20,14 @@
 	"woaddyke/internal/workers/workerconn"
 )
 
-// segment is what IPv4, and TCP with time stamps, put before the bytes of a segment.
-const segment = 20 + 32
+// segmentHeaderBytes is the number of header bytes of a segment: IPv4, and TCP with timestamps.
+const segmentHeaderBytes = 20 + 32
 
-// countingConn counts what the connections of a pool send and receive on the wire: bytes and segments, as
-// the kernel counts them when a connection is closed.
+// countingConn adds up the bytes and segments that the connections of a pool send and receive on the wire,
+// as the kernel has counted them when a connection is closed.
 type countingConn struct {
 	net.Conn
-	to *traffic
+	counts *traffic
 }
 
 type traffic struct {
@@ -40,28 +40,28 @@
 	raw, err := w.Conn.(*net.TCPConn).SyscallConn()
 	if err == nil {
 		raw.Control(func(fd uintptr) {
-			if x, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-				w.to.mu.Lock()
-				w.to.out += int64(x.Bytes_sent) + segment*int64(x.Segs_out)
-				w.to.in += int64(x.Bytes_received) + segment*int64(x.Segs_in)
-				w.to.segments += int64(x.Segs_out) + int64(x.Segs_in)
-				w.to.conns++
-				w.to.mu.Unlock()
+			if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
+				w.counts.mu.Lock()
+				w.counts.out += int64(info.Bytes_sent) + segmentHeaderBytes*int64(info.Segs_out)
+				w.counts.in += int64(info.Bytes_received) + segmentHeaderBytes*int64(info.Segs_in)
+				w.counts.segments += int64(info.Segs_out) + int64(info.Segs_in)
+				w.counts.conns++
+				w.counts.mu.Unlock()
 			}
 		})
 	}
 	return w.Conn.Close()
 }
 
-// SyscallConn is for the look at a connection before it is used.
+// SyscallConn lets the pool check the socket before it reuses a connection.
 func (w countingConn) SyscallConn() (syscall.RawConn, error) {
 	return w.Conn.(*net.TCPConn).SyscallConn()
 }
 
-const load = `{"pending":0,"busy_reqs":2,"x0":2,"x1":8.5}`
+const benchLoadReport = `{"pending":0,"busy_reqs":2,"x0":2,"x1":8.5}`
 
-// newBenchWorker is a worker that answers each probe with a load report and each push with two job lines,
-// in the form of the lab's.
+// newBenchWorker starts a worker that answers each probe with a load report and each push with two job
+// lines, in the form of the lab's workers.
 func newBenchWorker(b *testing.B) string {
 	return fragmentpeer.Serve(b, func(c *net.TCPConn) {
 		for in := bufio.NewReader(c); ; {
@@ -71,7 +71,7 @@
 			}
 			io.Copy(io.Discard, r.Body)
 			if r.URL.Path == "/load" {
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(load), load)
+				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(benchLoadReport), benchLoadReport)
 				continue
 			}
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -84,27 +84,27 @@
 	})
 }
 
-// newCountingPool is a pool that counts.
+// newCountingPool returns a pool whose connections count their traffic.
 func newCountingPool() (*workerconn.Pool, *traffic) {
-	to := &traffic{}
+	counts := &traffic{}
 	p := workerconn.New(workerconn.Bounds{MaxOpen: 100, DialTimeout: time.Second, IdleTimeout: 10 * time.Second})
 	p.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return countingConn{c, to}, nil
+		return countingConn{c, counts}, nil
 	}
-	return p, to
+	return p, counts
 }
 
-// BenchmarkProbe is one probe on the wire, with all heads, both ways: over a connection of its own, as
-// almost every one is among thousands of workers, and over one that is kept.
+// BenchmarkProbe measures one probe on the wire, with all headers, in both directions: over a new
+// connection, as almost every probe is with thousands of workers, and over a reused one.
 func BenchmarkProbe(b *testing.B) {
 	addr := newBenchWorker(b)
-	for _, kept := range []bool{false, true} {
-		b.Run(fmt.Sprint("kept=", kept), func(b *testing.B) {
-			p, to := newCountingPool()
+	for _, reused := range []bool{false, true} {
+		b.Run(fmt.Sprint("kept=", reused), func(b *testing.B) {
+			p, counts := newCountingPool()
 			b.ReportAllocs()
 			for range b.N {
 				ends := make(chan workerconn.End, 1)
@@ -112,31 +112,31 @@
 				if e := <-ends; e.Ending != outcome.Done {
 					b.Fatal(e.Ending)
 				}
-				for open, _ := p.Counts(); !kept && open > 0; open, _ = p.Counts() {
-					p.Sweep(time.Now().Add(time.Minute)) // the last bytes are read after the end is told
+				for open, _ := p.Counts(); !reused && open > 0; open, _ = p.Counts() {
+					p.Sweep(time.Now().Add(time.Minute)) // the last bytes are read after the end is reported
 				}
 			}
 			b.StopTimer()
 			for open, _ := p.Counts(); open > 0; open, _ = p.Counts() {
 				p.Sweep(time.Now().Add(time.Minute))
 			}
-			b.ReportMetric(float64(to.out)/float64(b.N), "B-out/probe")
-			b.ReportMetric(float64(to.in)/float64(b.N), "B-in/probe")
-			b.ReportMetric(float64(to.segments)/float64(b.N), "segments/probe")
-			b.ReportMetric(float64(to.conns)/float64(b.N), "dials/probe")
+			b.ReportMetric(float64(counts.out)/float64(b.N), "B-out/probe")
+			b.ReportMetric(float64(counts.in)/float64(b.N), "B-in/probe")
+			b.ReportMetric(float64(counts.segments)/float64(b.N), "segments/probe")
+			b.ReportMetric(float64(counts.conns)/float64(b.N), "dials/probe")
 		})
 	}
 }
 
-// BenchmarkPush is a push on the wire, without its body and its result: what its heads and job lines take.
+// BenchmarkPush measures a push on the wire without its body and its result: its headers and job lines.
 func BenchmarkPush(b *testing.B) {
 	addr := newBenchWorker(b)
-	p, to := newCountingPool()
+	p, counts := newCountingPool()
 	for n := range b.N {
-		h := &pendingOp{requestTarget: "/api"}
+		op := &pendingOp{requestTarget: "/api"}
 		r, _ := http.NewRequest(http.MethodPost, "http://scheduler:9000/api", strings.NewReader(""))
 		r.Header = http.Header{idHeader: {fmt.Sprintf("%016x", n)}, categoryHeader: {"render"}, workHeader: {"50000"}, factsHeader: {"slots=4,memory=2.5"}}
-		request := workerconn.Request{Head: requestHead(r, h)}
+		request := workerconn.Request{Head: requestHead(r, op)}
 		ends := make(chan workerconn.End, 1)
 		p.Push(addr, r.Header.Get(idHeader), request.Bytes, time.Now().Add(time.Second), func() bool { return true }, func() {}, func(workerconn.JobLine) {},
 			func(e workerconn.End) { ends <- e })
@@ -147,6 +147,6 @@
 			p.Sweep(time.Now().Add(time.Minute))
 		}
 	}
-	b.ReportMetric(float64(to.out)/float64(b.N), "B-out/push")
-	b.ReportMetric(float64(to.in)/float64(b.N), "B-in/push")
+	b.ReportMetric(float64(counts.out)/float64(b.N), "B-out/push")
+	b.ReportMetric(float64(counts.in)/float64(b.N), "B-in/push")
 }
--- a/internal/frontend/claims.go
+++ b/internal/frontend/claims.go
@@ -16,25 +16,25 @@
 
 // ClaimRegistry grants the right to run an op to one scheduler of the cluster.
 type ClaimRegistry interface {
-	// Claim waits for whether this scheduler may run an op, at most for the time given.
+	// Claim requests the right to run an op, and waits at most for the time within for the decision.
 	Claim(
 		ctx context.Context, category, id string, request []byte, within, window time.Duration,
 	) replication.ClaimDecided
-	// MayHaveRun reports that the op may have run in a group of workers that drops its repeats.
+	// MayHaveRun reports that the op may have run in a group of workers that drops its duplicates.
 	MayHaveRun(claimID uint64, group string)
 	// Finish reports the outcome of the op.
 	Finish(claimID uint64, neverRan bool, status int, answer []byte)
-	// Abandon reports that the op has no further attempt, may have run, and may be repeated in its group.
+	// Abandon reports that the op gets no further attempt, may have run, and may be retried in its group.
 	Abandon(claimID uint64)
 }
 
-// claimRetryAfter is for an op that another scheduler is running, or for which no majority of replicas
-// answered.
+// claimRetryAfter is the Retry-After for an op that another scheduler is running, or for whose claim no
+// majority of replicas answered.
 const claimRetryAfter = 200 * time.Millisecond
 
-// claimGate knows which ops need a claim.
+// claimGate decides which ops need a claim.
 type claimGate struct {
-	registry   ClaimRegistry // nil: this scheduler alone knows its ops
+	registry   ClaimRegistry // nil if no other scheduler shares claims with this one
 	isRequired func(category string) bool
 }
 
@@ -42,27 +42,28 @@
 	return g.isRequired != nil && g.isRequired(category)
 }
 
-// RequireClaims lets ops of some categories run only with a claim. It is called before Serve.
+// RequireClaims lets ops of the categories that isRequired selects run only with a claim. Call it before
+// Serve.
 func (s *Server) RequireClaims(registry ClaimRegistry, isRequired func(category string) bool) {
 	s.transport.claims = claimGate{registry, isRequired}
 }
 
-// grantedClaim is an op's claim. The zero value is that of an op that needs none.
+// grantedClaim is an op's claim. The zero value stands for an op that needs none.
 type grantedClaim struct {
 	registry      ClaimRegistry
 	id            uint64
-	scope         string // of the worker group that drops the op's repeats; empty for none
-	groupReported bool   // the replicas know in which group it may have run
+	scope         string // in which workers drop the op's duplicates (zone, cell, all); empty for none
+	groupReported bool   // the group in which the op may have run was reported to the replicas
 }
 
 func (c *grantedClaim) granted() bool { return c.id != 0 }
 
-// claim asks for an op's claim. It returns the answer to the client where the claim is not granted.
+// claim requests an op's claim. If it is not granted, claim returns the response to the client.
 func (t *opTransport) claim(r *http.Request, op *pendingOp) (denied *http.Response) {
-	left := time.Duration(op.TTL)*config.Tenth - time.Duration(t.clock.Now())
+	timeLeft := time.Duration(op.TTL)*config.Tenth - time.Duration(t.clock.Now())
 	rule := t.settings.Load().rule(op.Category)
 	request := append(append([]byte(op.requestTarget), 0), op.request.Body...)
-	decided := t.claims.registry.Claim(r.Context(), op.Category, op.ID, request, left, rule.Window)
+	decided := t.claims.registry.Claim(r.Context(), op.Category, op.ID, request, timeLeft, rule.Window)
 	t.log.Debug().Str("id", op.ID).Stringer("result", decided.Result).Stringer("reason", decided.Reason).
 		Msg("claim decided")
 	if decided.Result != replication.Granted {
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// deniedResponse is the answer to an op whose claim was not granted.
+// deniedResponse returns the response to an op whose claim was not granted.
 func deniedResponse(r *http.Request, decided replication.ClaimDecided) *http.Response {
 	final := func(status int, text string) *http.Response { return textResponse(r, status, []byte(text), 0) }
 	nack := func(text string) *http.Response {
@@ -102,8 +103,8 @@
 	return nack("nacked: no majority of keepers answered\n")
 }
 
-// MayHaveRun has the replicas know in which group an op may have run, the first time that it may. Only
-// the loop calls it, before it answers the op.
+// MayHaveRun reports to the replicas the group in which an op may have run, the first time that it may
+// have. Only the loop calls it, before it answers the op.
 func (op *pendingOp) MayHaveRun(group reducer.Group) {
 	if !op.claim.granted() || op.claim.scope == "" || op.claim.groupReported {
 		return
@@ -112,7 +113,7 @@
 	op.claim.registry.MayHaveRun(op.claim.id, groupName(op.claim.scope, group))
 }
 
-// runState is what is known of an op that got no answer from a worker.
+// runState tells whether an op may have run that got no answer from a worker.
 type runState bool
 
 const (
@@ -127,14 +128,14 @@
 	}
 }
 
-// reportOutcome reports the answer to an op that has a claim.
+// reportOutcome reports the outcome of an op that has a claim, as its answer gives it.
 func (op *pendingOp) reportOutcome(answer reducer.Respond) {
 	switch answer.Verdict {
 	case reducer.Acked:
 		op.finishClaim(mayHaveRun, http.StatusOK, answer.Result)
 	case reducer.Nacked:
 		if op.claim.granted() && op.claim.groupReported {
-			// It may have run: its group alone drops a repeat, and for a while.
+			// The op may have run: only its group drops a duplicate, and only for a limited time.
 			op.claim.registry.Abandon(op.claim.id)
 			return
 		}
@@ -146,7 +147,7 @@
 	}
 }
 
-// groupName names the group of an attempt by the scope within which its repeats are dropped.
+// groupName encodes the group of an attempt by the scope within which its duplicates are dropped.
 func groupName(scope string, g reducer.Group) string {
 	switch scope {
 	case "zone":
@@ -157,7 +158,7 @@
 	return "all"
 }
 
-// parseGroup is the inverse of groupName. What the name doesn't say matches no worker.
+// parseGroup is the inverse of groupName. A field that the name doesn't give matches no worker.
 func parseGroup(name string) reducer.Group {
 	g := reducer.Group{WorkerGroup: -1}
 	kind, value, _ := strings.Cut(name, " ")
--- a/internal/frontend/client_drain.go
+++ b/internal/frontend/client_drain.go
@@ -8,7 +8,7 @@
 	"woaddyke/internal/lifecycle/clientdrain"
 )
 
-// clientDrainer carries out a client drain: it closes idle connections as the drain's state says.
+// clientDrainer carries out a client drain: it closes idle connections as the drain's state requires.
 type clientDrainer struct {
 	clients *clientconn.Pool
 	mu      sync.Mutex
@@ -22,7 +22,7 @@
 	return d.state.Draining()
 }
 
-// admits tells whether an op that comes now is admitted.
+// admits tells whether an op that arrives now is admitted.
 func (d *clientDrainer) admits(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -57,7 +57,7 @@
 	}
 }
 
-// next is how many connections to close now, of those that have been idle for so long.
+// next returns how many connections to close now, and for how long these must have been idle.
 func (d *clientDrainer) next() (count int, minIdle time.Duration, ended bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -69,7 +69,7 @@
 	return count, minIdle, false
 }
 
-// DrainClients sends clients to other schedulers until ReadmitClients. Ops that were taken go on.
+// DrainClients sends clients to other schedulers until ReadmitClients. Admitted ops continue.
 func (s *Server) DrainClients() {
 	s.drain.start()
 	s.log.Info().Msg("client drain started")
--- a/internal/frontend/descriptors.go
+++ b/internal/frontend/descriptors.go
@@ -1,19 +1,18 @@
 package frontend
 
 const (
-	// descriptorsReserved are kept for the runtime, the listener, discovery, a file, the console and a
-	// hot restart.
+	// descriptorsReserved is the number of descriptors for the runtime, the listener, discovery, a file,
+	// the console and a hot restart.
 	descriptorsReserved = 36
 
-	// Fractions of the other descriptors. Beyond the soft one clients' idle connections are closed for
-	// new ones.
+	// Fractions of the other descriptors. Above the soft client limit, idle client connections are closed
+	// to make room for new ones.
 	softClientFraction = 0.3
 	maxClientFraction  = 0.55
 	workerFraction     = 0.45
 )
 
-// ReserveDescriptors keeps so many descriptors for what runs beside the scheduler in its process. It is called
-// before Serve.
+// ReserveDescriptors reserves further descriptors for other parts of the process. Call it before Serve.
 func (s *Server) ReserveDescriptors(descriptors int) {
 	s.reservedDescriptors += descriptors
 	s.SetDescriptorLimit(s.bootstrap.Limits.Sockets)
@@ -22,8 +21,8 @@
 // SetDescriptorLimit sets how many descriptors this process may use.
 func (s *Server) SetDescriptorLimit(descriptors int) { s.setLimits(descriptors, 0) }
 
-// setLimits leaves descriptors for at least so many connections to workers, at clients' cost: ops that
-// can't be pushed only wait.
+// setLimits divides descriptors between clients and workers. At least minWorkers connections to workers
+// stay possible, at the cost of clients: ops that can't be pushed only wait.
 func (s *Server) setLimits(descriptors, minWorkers int) {
 	limits := splitDescriptors(descriptors-descriptorsReserved-s.reservedDescriptors, minWorkers)
 	s.clients.SetLimits(limits.softClients, limits.maxClients)
--- a/internal/frontend/descriptors_test.go
+++ b/internal/frontend/descriptors_test.go
@@ -2,25 +2,26 @@
 
 import "testing"
 
-// Whatever a process may hold, its clients, its connections to workers and what it keeps for the rest
-// hold no more: what a crowd of clients leaves must be there for the watch, for staff and for a member's
-// streams, also in the part that an heir gets.
-func TestDescriptorsAddUp(t *testing.T) {
-	for _, beside := range []int{0, 36} { // for the operator's file
-		for sockets := 64 + beside; sockets <= 4096; sockets++ {
-			all := sockets - descriptorsReserved - beside
-			for _, keep := range []int{0, all / 2, all} {
-				limits := splitDescriptors(all, keep)
-				some, most, workers := limits.softClients, limits.maxClients, limits.workers
-				if some < 1 || some > most || workers < 1 || most+workers > all {
-					t.Fatalf("%d descriptors, %d beside, %d kept: %d and %d clients, %d for workers", sockets, beside, keep, some, most, workers)
+// For any number of descriptors, the limits of clients and of connections to workers and the reserved
+// descriptors must not add up to more. Many clients must not use up the descriptors of discovery's watch, the
+// console and the streams of members, also with the part that a successor gets.
+func TestDescriptorLimitsNeverExceedTheTotal(t *testing.T) {
+	for _, reserved := range []int{0, 36} { // 36 for the operator's file
+		for sockets := 64 + reserved; sockets <= 4096; sockets++ {
+			total := sockets - descriptorsReserved - reserved
+			for _, minWorkers := range []int{0, total / 2, total} {
+				limits := splitDescriptors(total, minWorkers)
+				soft, maximum, workers := limits.softClients, limits.maxClients, limits.workers
+				if soft < 1 || soft > maximum || workers < 1 || maximum+workers > total {
+					t.Fatalf("%d descriptors, %d reserved, at least %d for workers: limits of %d and %d clients, %d workers",
+						sockets, reserved, minWorkers, soft, maximum, workers)
 				}
 			}
 		}
 	}
-	for all := -100; all < 2; all++ { // an heir that got next to nothing
-		if limits := splitDescriptors(all, 0); limits != (descriptorLimits{1, 1, 1}) {
-			t.Fatalf("%d: %+v", all, limits)
+	for total := -100; total < 2; total++ { // a successor that got almost no descriptors
+		if limits := splitDescriptors(total, 0); limits != (descriptorLimits{1, 1, 1}) {
+			t.Fatalf("%d: %+v", total, limits)
 		}
 	}
 }
--- a/internal/frontend/endpoints.go
+++ b/internal/frontend/endpoints.go
@@ -12,28 +12,28 @@
 	"woaddyke/internal/workers/discovery"
 )
 
-// endpointFeed brings discovery's endpoint lists to the loop.
+// endpointFeed forwards discovery's endpoint lists to the loop.
 type endpointFeed struct {
 	client       *discovery.Client
 	workerStarts *discovery.StartTimes
 	loop         *scheduler.Loop
-	cached       reducer.EndpointsChanged // at the start
-	peerDrains   *peerDrains              // nil: only the own discovery counts
+	cached       reducer.EndpointsChanged // endpoint list at the start
+	peerDrains   *peerDrains              // nil if peers' drain records are not used
 }
 
-// decodeCachedEndpoints returns the workers that the configuration names, as discovery last sent them.
+// decodeCachedEndpoints returns the endpoint list cached in the configuration, as discovery last sent it.
 func decodeCachedEndpoints(bootstrap *config.Bootstrap) (discovery.EndpointList, error) {
 	var cached discovery.EndpointList
 	if len(bootstrap.KnownWorkers) == 0 {
 		return cached, nil
 	}
 	if err := json.Unmarshal(bootstrap.KnownWorkers, &cached); err != nil {
-		return cached, fmt.Errorf("known workers: %w", err)
+		return cached, fmt.Errorf("known: cached endpoint list: %w", err)
 	}
 	return cached, nil
 }
 
-// newEndpointFeed sends the loop the cached list, and makes discovery's client.
+// newEndpointFeed sends the loop the cached list, and creates the discovery client.
 func newEndpointFeed(
 	bootstrap *config.Bootstrap,
 	cached discovery.EndpointList,
@@ -48,12 +48,12 @@
 	watches := bootstrap.Settings["discovery"] != "on_request"
 	timeouts := discovery.TimeoutsFor(watches, bootstrap.Schedulers(), drainGrace(bootstrap))
 	feed.client = discovery.NewClient(
-		bootstrap.Discovery, cached, timeouts, bootstrap.SeedValue, starts, feed.changed, log)
+		bootstrap.Discovery, cached, timeouts, bootstrap.SeedValue, starts, feed.receive, log)
 	return feed
 }
 
-// changed takes what discovery sends.
-func (e *endpointFeed) changed(in reducer.Input) {
+// receive forwards an input from discovery to the loop. Lists pass through peerDrains if it is set.
+func (e *endpointFeed) receive(in reducer.Input) {
 	list, ok := in.(reducer.EndpointsChanged)
 	if ok && e.peerDrains != nil {
 		e.peerDrains.forward(list)
@@ -62,9 +62,9 @@
 	e.loop.Send(in)
 }
 
-// hasUnread tells whether discovery has sent something that the loop hasn't applied: an attempt may have
-// been decided on what holds no more. It asks in the order in which a list passes, so that none is missed
-// between the two.
-func (e *endpointFeed) hasUnread() bool {
+// hasUnappliedUpdates tells whether discovery has sent data that the loop hasn't applied: an attempt may
+// have been decided on outdated endpoints. The client is checked before the loop, in the order in which a
+// list passes them, so that no list is missed between the two checks.
+func (e *endpointFeed) hasUnappliedUpdates() bool {
 	return e.client.HasUnreadData() || e.loop.HasUnappliedLists()
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,5 +1,5 @@
-// Package frontend serves clients: it takes ops over HTTP, submits each to the scheduler's loop, and
-// answers when the op has its one final answer.
+// Package frontend serves clients: it reads ops from HTTP requests, submits each to the scheduler's loop,
+// and responds when the op has its one final answer.
 package frontend
 
 import (
@@ -21,7 +21,7 @@
 )
 
 const (
-	// Of connections to workers.
+	// Timeouts of connections to workers.
 	defaultConnectTimeout   = time.Second
 	defaultKeepAliveTimeout = 10 * time.Second // while one is idle
 
@@ -32,7 +32,7 @@
 // probeRequest asks a worker for its load.
 const probeRequest = "GET /load HTTP/1.1\r\nHost: worker\r\n\r\n"
 
-// Server is one scheduler on sockets.
+// Server is one scheduler: it serves clients over HTTP and pushes their ops to workers.
 type Server struct {
 	bootstrap *config.Bootstrap
 	log       zerolog.Logger
@@ -52,21 +52,21 @@
 	drain     *clientDrainer
 	lifecycle lifecycle
 
-	reservedDescriptors int // for what runs beside the scheduler in its process
+	reservedDescriptors int // for other parts of the process
 	external            externalCounts
-	acceptErrorLoggedAt atomic.Pointer[time.Time] // last
+	acceptErrorLoggedAt atomic.Pointer[time.Time] // last time
 }
 
-// lifecycle is how far the end of this process has come.
+// lifecycle is the state of this process between its start and its end.
 type lifecycle struct {
 	ready     chan struct{} // closed once this process can serve
-	successor atomic.Bool   // another process takes this one's place
+	successor atomic.Bool   // another process is replacing this one
 	stopping  atomic.Bool   // shutting down without a successor
-	closing   atomic.Bool   // each answer ends its connection
+	closing   atomic.Bool   // each response closes its connection
 }
 
-// healthy tells whether clients should be sent here. With a successor they should: it accepts on the same
-// socket.
+// healthy tells whether clients should be sent to this address. With a successor they should: it accepts
+// on the same socket.
 func (l *lifecycle) healthy() bool {
 	if l.stopping.Load() {
 		return false
@@ -79,14 +79,14 @@
 	return NewSuccessor(bootstrap, nil, log)
 }
 
-// NewSuccessor returns a scheduler that takes the place of another process, from the state that this one
-// handed over and its workers in the configuration. The state is nil for a scheduler that takes nobody's
-// place.
+// NewSuccessor returns a scheduler that replaces another process. It starts from the state that the
+// predecessor handed over, and from the predecessor's workers in the configuration. The state is nil for a
+// scheduler without a predecessor.
 func NewSuccessor(
 	bootstrap *config.Bootstrap, predecessor *hotrestart.State, log zerolog.Logger,
 ) (*Server, error) {
-	now := clock.New()
-	starts, err := inheritedStarts(predecessor, now)
+	ownClock := clock.New()
+	starts, err := inheritedStarts(predecessor, ownClock)
 	if err != nil {
 		return nil, err
 	}
@@ -97,7 +97,7 @@
 	s := &Server{
 		bootstrap: bootstrap,
 		log:       log,
-		clock:     now,
+		clock:     ownClock,
 		metrics:   metrics.New(bootstrap.Categories()),
 		checker:   invariant.New(log),
 		lifecycle: lifecycle{ready: make(chan struct{})},
@@ -112,7 +112,7 @@
 	s.peers = newPeerMessages(s.loop, log)
 	s.SetDescriptorLimit(bootstrap.Limits.Sockets)
 	s.endpoints = newEndpointFeed(bootstrap, cached, starts, s.loop, log)
-	s.workers.Stale = s.endpoints.hasUnread
+	s.workers.Stale = s.endpoints.hasUnappliedUpdates
 	s.proxy = s.newProxy()
 	return s, nil
 }
@@ -121,8 +121,8 @@
 	clients := clientconn.New(0, 0) // setLimits sets both bounds
 	clients.HeaderTimeout = headerTimeout
 	clients.OnAcceptError = s.acceptFailed
-	clients.OnEnded = func(why clientconn.Reason, addr string) {
-		s.log.Debug().Str("why", string(why)).Str("client", addr).Msg("client connection ended")
+	clients.OnEnded = func(reason clientconn.Reason, addr string) {
+		s.log.Debug().Str("why", string(reason)).Str("client", addr).Msg("client connection ended")
 	}
 	clients.OnUnanswered = func(addr string) {
 		withClient := func(e *zerolog.Event) { e.Str("client", addr) }
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -21,14 +21,14 @@
 	"woaddyke/internal/config"
 )
 
-// startScheduler starts a scheduler with one worker, and returns its address and what stops it as SIGTERM
-// does.
+// startScheduler starts a scheduler with one worker. It returns its address, a function that stops it as
+// SIGTERM does, and a channel that gets the result of Serve.
 func startScheduler(t *testing.T, work http.HandlerFunc) (addr string, stop func(), ended chan error) {
 	return startSchedulerBehind(t, work, func(l net.Listener) net.Listener { return l })
 }
 
-// testBootstrap is a sheet without settings, beside a stand-in discovery that tells of the workers known
-// and then no more.
+// testBootstrap returns a bootstrap configuration without settings, and starts a discovery emulator that
+// sends the given endpoint list and nothing after it.
 func testBootstrap(t *testing.T, known string) *config.Bootstrap {
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintln(w, known)
@@ -43,27 +43,27 @@
 		Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 256}}
 }
 
-// oneWorkerList is discovery's complete list of one worker.
+// oneWorkerList returns a snapshot of discovery with one worker.
 func oneWorkerList(addr string) string {
 	return fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`, addr)
 }
 
-// category is a category as the settings have it; its times are in ns.
+// category returns a category in the form of the settings; its times are in ns.
 func category(name, effect string, ttl, targetLatency float64) map[string]any {
 	return map[string]any{"name": name, "effect": effect, "ttlNs": ttl, "targetLatencyNs": targetLatency}
 }
 
-// startSchedulerBehind puts something before the scheduler's listener.
+// startSchedulerBehind is startScheduler with a wrapper around the scheduler's listener.
 func startSchedulerBehind(
-	t *testing.T, work http.HandlerFunc, before func(net.Listener) net.Listener,
+	t *testing.T, work http.HandlerFunc, wrap func(net.Listener) net.Listener,
 ) (addr string, stop func(), ended chan error) {
 	worker := httptest.NewServer(work)
 	t.Cleanup(worker.Close)
 	known := oneWorkerList(worker.Listener.Addr().String())
-	sheet := testBootstrap(t, known)
-	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "cancel": true},
+	bootstrap := testBootstrap(t, known)
+	bootstrap.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "cancel": true},
 		"categories": []any{category("look", "fragile", 3e8, 2e8)}})
-	f, err := New(sheet, zerolog.Nop())
+	server, err := New(bootstrap, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,24 +73,24 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended = make(chan error, 1)
-	go func() { ended <- f.Serve(ctx, before(l), time.Second) }()
+	go func() { ended <- server.Serve(ctx, wrap(l), time.Second) }()
 	t.Cleanup(stop)
 	return l.Addr().String(), stop, ended
 }
 
-// serveUntil serves at an address until it is told to stop.
-func serveUntil(t *testing.T, f *Server) (addr string, stop func()) {
+// serveUntil runs a scheduler until stop is called, and returns its address.
+func serveUntil(t *testing.T, server *Server) (addr string, stop func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	go f.Serve(ctx, l, time.Second)
+	go server.Serve(ctx, l, time.Second)
 	t.Cleanup(stop)
 	return l.Addr().String(), stop
 }
 
-// post sends an op; headers given as "name: value" stand over the usual ones.
+// post sends an op; headers given as "name: value" override the default ones.
 func post(t *testing.T, url, body string, headers ...string) (*http.Response, string) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://"+url, strings.NewReader(body))
@@ -118,13 +118,14 @@
 	fmt.Fprintf(w, `{"id":%q,"state":"done","result":"made for %s"}`+"\n", id, id)
 }
 
-// The proxy drops parameters that it can't parse, and the standard transport sends a keyed request again when
-// its connection breaks.
-func TestAnOpGoesToTheWorkerOnceAndAsItCame(t *testing.T) {
-	seen := make(chan string, 9)
+// A worker must receive an op once, and with its request target and headers unchanged. httputil.ReverseProxy
+// drops query parameters that it can't parse, and http.Transport resends a request with an Idempotency-Key
+// when its connection breaks.
+func TestAnOpIsPushedOnceAndUnchanged(t *testing.T) {
+	received := make(chan string, 9)
 	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
-		seen <- r.RequestURI + " " + r.Header.Get("Idempotency-Key") + " " + r.Header.Get(idHeader) + " " +
+		received <- r.RequestURI + " " + r.Header.Get("Idempotency-Key") + " " + r.Header.Get(idHeader) + " " +
 			string(b)
 		if r.Header.Get(idHeader) == "a2" {
 			panic(http.ErrAbortHandler)
@@ -139,13 +140,13 @@
 	if resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("an at-most-once op whose connection broke: %s", resp.Status)
 	}
-	if got := <-seen; got != "/api/%41?sid=a;b&x=%zz k a1 the body" || len(seen) != 1 {
-		t.Errorf("the worker saw %q, and %d more", got, len(seen))
+	if got := <-received; got != "/api/%41?sid=a;b&x=%zz k a1 the body" || len(received) != 1 {
+		t.Errorf("the worker received %q, and %d more", got, len(received))
 	}
 }
 
-func TestWhatIsNoOpIsAnsweredPlainly(t *testing.T) {
-	addr, _, _ := startScheduler(t, func(http.ResponseWriter, *http.Request) { t.Error("it went to the worker") })
+func TestAnInvalidRequestIsRejectedWithItsStatus(t *testing.T) {
+	addr, _, _ := startScheduler(t, func(http.ResponseWriter, *http.Request) { t.Error("the worker got a request") })
 	for header, want := range map[string]int{
 		idHeader + ": ": 400, categoryHeader + ": ": 400, categoryHeader + ": other": 400,
 		timeLeftHeader + ": ": 400, timeLeftHeader + ": 1e3": 400, timeLeftHeader + ": 0": 503,
@@ -164,10 +165,11 @@
 	}
 }
 
-// A request with both framings went on to a worker, and so did another that stood in its body.
-func TestNothingIsReadBehindARequestOfDoubtfulLength(t *testing.T) {
+// Request smuggling: a request with both framings was pushed to a worker, and so was another request
+// hidden in its body. After such a request the connection must be closed.
+func TestNothingIsReadAfterARequestWithAmbiguousFraming(t *testing.T) {
 	addr, _, _ := startScheduler(t, func(_ http.ResponseWriter, r *http.Request) {
-		t.Errorf("%s went to the worker", r.Header.Get(idHeader))
+		t.Errorf("%s was pushed to the worker", r.Header.Get(idHeader))
 	})
 	head := "POST / HTTP/1.1\r\nHost: x\r\n" + categoryHeader + ": look\r\n" + timeLeftHeader + ": 9000\r\n"
 	hidden := head + idHeader + ": hidden\r\nContent-Length: 0\r\n\r\n"
@@ -186,16 +188,16 @@
 		fmt.Fprint(c, head+idHeader+": outer\r\n"+framing+hidden)
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		text, err := io.ReadAll(c)
-		refused := strings.Count(string(text), "HTTP/1.1 4") + strings.Count(string(text), "HTTP/1.1 501")
-		if err != nil || refused != 1 || strings.Count(string(text), "HTTP/1.1 ") != 1 || !strings.Contains(string(text), "close") {
+		rejected := strings.Count(string(text), "HTTP/1.1 4") + strings.Count(string(text), "HTTP/1.1 501")
+		if err != nil || rejected != 1 || strings.Count(string(text), "HTTP/1.1 ") != 1 || !strings.Contains(string(text), "close") {
 			t.Errorf("%q: %q, %v", framing, text, err)
 		}
 	}
 }
 
-// Clients that write in pieces were told 411, and a second request whose head came with the first one's
-// body can't be vouched for.
-func TestAnOpInChunksIsServed(t *testing.T) {
+// Ops in chunks were rejected with 411. They must be served, also when they are pipelined, while one that
+// has a Content-Length too is rejected with 411 and ends its connection.
+func TestAChunkedOpIsServed(t *testing.T) {
 	bodies := make(chan string, 9)
 	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
@@ -210,7 +212,7 @@
 	head := "POST / HTTP/1.1\r\nHost: x\r\nContent-LengthX: 3\r\n" + categoryHeader + ": look\r\n" + timeLeftHeader +
 		": 9000\r\nTransfer-Encoding: chunked\r\n" + idHeader + ": "
 	answers := bufio.NewReader(c)
-	answered := func(want int) {
+	expectStatus := func(want int) {
 		t.Helper()
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		resp, err := http.ReadResponse(answers, nil)
@@ -223,26 +225,26 @@
 		for _, b := range []byte(head + id + "\r\n\r\n5\r\nthe b\r\n3\r\nody\r\n0\r\n\r\n") {
 			c.Write([]byte{b})
 		}
-		if answered(200); <-bodies != "8the body" {
-			t.Errorf("op %d came otherwise", k)
+		if expectStatus(200); <-bodies != "8the body" {
+			t.Errorf("the worker received op %d with another body", k)
 		}
 	}
 	both := strings.Replace(head, "Content-LengthX", "Content-Length", 1)
 	fmt.Fprint(c, head+"p3\r\n\r\n0\r\n\r\n"+head+"p4\r\n\r\n1\r\nb\r\n0\r\n\r\n"+both+"p5\r\n\r\n0\r\n\r\n"+head+"p6\r\n\r\n0\r\n\r\n")
-	answered(200)
-	answered(200)
-	answered(411)
+	expectStatus(200)
+	expectStatus(200)
+	expectStatus(411)
 	if <-bodies != "0" || <-bodies != "1b" || len(bodies) > 0 {
-		t.Error("a request that has a length beside its chunks went on, or what came behind it")
+		t.Error("a request with a length and chunks was pushed, or the one after it")
 	}
 }
 
-// A push for a client that has gone holds a descriptor for nothing.
-func TestAClientThatLeavesEndsItsPush(t *testing.T) {
-	began, ended := make(chan bool, 1), make(chan bool, 1)
+// A push for a client that has disconnected occupies a descriptor for nothing, so it must be cancelled.
+func TestAPushIsCancelledWhenItsClientDisconnects(t *testing.T) {
+	started, ended := make(chan bool, 1), make(chan bool, 1)
 	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		began <- true
+		started <- true
 		<-r.Context().Done()
 		ended <- true
 	})
@@ -252,21 +254,22 @@
 	}
 	fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n%s: a\r\n%s: look\r\n%s: 9000\r\n\r\n",
 		idHeader, categoryHeader, timeLeftHeader)
-	<-began
+	<-started
 	c.Close()
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the push is still out")
+		t.Fatal("the push is still in flight")
 	}
 }
 
-// A process that ends with ops unanswered has lost them, and one that lingers is killed with them.
-func TestAStopAnswersAllAndEnds(t *testing.T) {
-	began := make(chan bool, 1)
+// A process that ends with ops unanswered has lost them, and so has one that is killed because it takes too
+// long to end.
+func TestAShutdownAnswersEveryOpAndEnds(t *testing.T) {
+	started := make(chan bool, 1)
 	addr, stop, ended := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		if io.Copy(io.Discard, r.Body); r.Header.Get(idHeader) == "silent" {
-			began <- true
+			started <- true
 			<-r.Context().Done()
 			return
 		}
@@ -277,24 +280,24 @@
 		resp, _ := post(t, addr+"/api", "", idHeader+": silent")
 		status <- resp.StatusCode
 	}()
-	<-began
-	from := time.Now()
+	<-started
+	stoppedAt := time.Now()
 	stop()
 	time.Sleep(100 * time.Millisecond)
-	// The others may be down still: clients that found their connections closed had no scheduler at all.
+	// The other schedulers may still be down: clients whose connections were closed had no scheduler at all.
 	if resp, text := post(t, addr+"/api", ""); resp.StatusCode != 200 || resp.Close || text != "made for a1" {
-		t.Errorf("soon after the word to stop: %s, close %v", resp.Status, resp.Close)
+		t.Errorf("soon after the stop: %s, close %v", resp.Status, resp.Close)
 	}
 	if got := <-status; got != http.StatusBadGateway {
-		t.Errorf("the op that a worker was silent on: %d", got)
+		t.Errorf("the op that the worker did not answer: %d", got)
 	}
-	if err := <-ended; err != nil || time.Since(from) > 10*time.Second {
-		t.Errorf("ended after %v: %v", time.Since(from), err)
+	if err := <-ended; err != nil || time.Since(stoppedAt) > 10*time.Second {
+		t.Errorf("ended after %v: %v", time.Since(stoppedAt), err)
 	}
 }
 
-// A worker that says nothing must not cost the op its answer.
-func TestASilentWorkerDoesNotOutlastTheTTL(t *testing.T) {
+// An op must be answered by its TTL even if its worker never answers.
+func TestAnOpIsAnsweredByItsTTLWhenItsWorkerIsSilent(t *testing.T) {
 	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
@@ -304,17 +307,18 @@
 	}
 }
 
-// A flood of connections that say nothing had ops of usual clients turned away, and 10 s for a head let
-// it stay.
-func TestAFloodTakesItsRoomFromItself(t *testing.T) {
+// A flood of connections that send nothing had the ops of other clients rejected, and a header timeout of
+// 10 s let it stay. Connections that have served must stay open, and silent ones must be closed soon.
+func TestAFloodOfSilentConnectionsDisplacesNoClientInUse(t *testing.T) {
 	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) { writeDone(w, r.Header.Get(idHeader)) })
-	usual := http.Client{}
+	client := http.Client{}
+	// ask sends an op and returns the local address of the connection that it used.
 	ask := func(id string) string {
 		r, _ := http.NewRequest(http.MethodPost, "http://"+addr, strings.NewReader("x"))
 		r.Header = http.Header{idHeader: {id}, categoryHeader: {"look"}, timeLeftHeader: {"9000"}}
 		local := ""
 		trace := &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { local = i.Conn.LocalAddr().String() }}
-		resp, err := usual.Do(r.WithContext(httptrace.WithClientTrace(context.Background(), trace)))
+		resp, err := client.Do(r.WithContext(httptrace.WithClientTrace(context.Background(), trace)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -324,7 +328,7 @@
 		}
 		return local
 	}
-	first, came := ask("before"), time.Now()
+	first, floodedAt := ask("before"), time.Now()
 	var silent []net.Conn
 	for range 300 {
 		c, err := net.Dial("tcp", addr)
@@ -335,7 +339,7 @@
 		silent = append(silent, c)
 	}
 	if ask("kept") != first {
-		t.Error("the flood took a connection that had served")
+		t.Error("the flood displaced a connection that had served")
 	}
 	open := 0
 	for _, c := range silent {
@@ -344,22 +348,23 @@
 			open++
 		}
 	}
-	if open > 256/3 { // clients open no more than a third of the descriptors: those with ops had none left
-		t.Errorf("%d of the flood may stay", open)
+	if open > 256/3 { // more than a third of the descriptors would leave none for clients with ops
+		t.Errorf("%d connections of the flood are still open", open)
 	}
-	usual.CloseIdleConnections()
+	client.CloseIdleConnections()
 	ask("new")
 	for _, c := range silent {
-		c.SetReadDeadline(came.Add(3 * time.Second))
+		c.SetReadDeadline(floodedAt.Add(3 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatal("a silent connection is still open")
 		}
 	}
 }
 
-// A body that was claimed and never came held its client as long as the client liked.
-func TestHalfARequestIsAnsweredSoon(t *testing.T) {
-	addr, _, _ := startScheduler(t, func(http.ResponseWriter, *http.Request) { t.Error("it went to the worker") })
+// A request whose head or body was announced and never completed kept its connection open for as long as the
+// client liked.
+func TestAnIncompleteRequestTimesOut(t *testing.T) {
+	addr, _, _ := startScheduler(t, func(http.ResponseWriter, *http.Request) { t.Error("the worker got a request") })
 	for _, half := range []string{"POST / HT", "POST / HTTP/1.1\r\nHost: x\r\n" + idHeader + ": a\r\n" + categoryHeader +
 		": look\r\n" + timeLeftHeader + ": 60000\r\nContent-Length: 60\r\n\r\nx"} {
 		c, err := net.Dial("tcp", addr)
--- a/internal/frontend/gone_test.go
+++ b/internal/frontend/gone_test.go
@@ -17,21 +17,21 @@
 	"woaddyke/internal/scheduler"
 )
 
-// unwatchedListener are the accepted connections of a scheduler whose watches for its clients' ends never
-// hear of one, as where the goroutines that watch get no turn: what a look at the socket does not keep
-// back is sent on.
-type unwatchedListener struct {
+// unnotifiedListener accepts connections whose disconnects no goroutine of the scheduler detects, as in a
+// process whose watching goroutines do not get to run. Only a check of the socket can then prevent an
+// attempt.
+type unnotifiedListener struct {
 	net.Listener
-	accepts <-chan bool // nil: at once
-	reads   <-chan bool // waited for before each read but a connection's first; nil: at once
+	acceptGate <-chan bool // received from before each Accept; nil for no wait
+	readGate   <-chan bool // received from before each read but a connection's first; nil for no wait
 
 	mu       sync.Mutex
 	accepted []*net.TCPConn
 }
 
-func (d *unwatchedListener) Accept() (net.Conn, error) {
-	if d.accepts != nil {
-		<-d.accepts
+func (d *unnotifiedListener) Accept() (net.Conn, error) {
+	if d.acceptGate != nil {
+		<-d.acceptGate
 	}
 	nc, err := d.Listener.Accept()
 	if err != nil {
@@ -40,11 +40,11 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.accepted = append(d.accepted, nc.(*net.TCPConn))
-	return &unwatchedConn{TCPConn: nc.(*net.TCPConn), listener: d}, nil
+	return &unnotifiedConn{TCPConn: nc.(*net.TCPConn), listener: d}, nil
 }
 
-// closedByPeer is how many of the connections that came this machine knows the end of.
-func (d *unwatchedListener) closedByPeer(t *testing.T) (n int) {
+// closedByPeer returns how many of the accepted connections the kernel knows to be closed.
+func (d *unnotifiedListener) closedByPeer(t *testing.T) (n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.accepted {
@@ -62,7 +62,7 @@
 	return n
 }
 
-func (d *unwatchedListener) close() {
+func (d *unnotifiedListener) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.accepted {
@@ -70,198 +70,197 @@
 	}
 }
 
-type unwatchedConn struct {
+type unnotifiedConn struct {
 	*net.TCPConn
-	listener *unwatchedListener
-	read     bool
+	listener *unnotifiedListener
+	hasRead  bool
 }
 
-func (u *unwatchedConn) Read(b []byte) (int, error) {
-	if u.read && u.listener.reads != nil {
-		<-u.listener.reads
+func (u *unnotifiedConn) Read(b []byte) (int, error) {
+	if u.hasRead && u.listener.readGate != nil {
+		<-u.listener.readGate
 	}
-	u.read = true
+	u.hasRead = true
 	return u.TCPConn.Read(b)
 }
 
-func (u *unwatchedConn) SyscallConn() (syscall.RawConn, error) {
+func (u *unnotifiedConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := u.TCPConn.SyscallConn()
-	return unwatchedRaw{raw}, err
+	return unnotifiedRawConn{raw}, err
 }
 
-// unwatchedRaw is a connection that can be looked at, but that nobody hears from who waits for something
-// to come.
-type unwatchedRaw struct{ syscall.RawConn }
+// unnotifiedRawConn is a connection whose socket can be checked, but that never reports that it is readable.
+type unnotifiedRawConn struct{ syscall.RawConn }
 
-func (n unwatchedRaw) Read(func(uintptr) bool) error {
-	return n.RawConn.Read(func(uintptr) bool { return false })
+func (u unnotifiedRawConn) Read(func(uintptr) bool) error {
+	return u.RawConn.Read(func(uintptr) bool { return false })
 }
 
-// ignoredOutcomes is the part of a registry that hears of ops with a claim. It does nothing.
+// ignoredOutcomes is the part of a registry to which outcomes are reported. It ignores them.
 type ignoredOutcomes struct{}
 
 func (ignoredOutcomes) MayHaveRun(uint64, string)        {}
 func (ignoredOutcomes) Finish(uint64, bool, int, []byte) {}
 func (ignoredOutcomes) Abandon(uint64)                   {}
 
-// heldClaims is a registry that grants an op when it is let.
-type heldClaims struct {
+// blockedClaims is a registry that grants a claim only once grant allows it.
+type blockedClaims struct {
 	ignoredOutcomes
-	asks, grant chan bool
+	requested, grant chan bool
 }
 
-func (c *heldClaims) Claim(
+func (c *blockedClaims) Claim(
 	context.Context, string, string, []byte, time.Duration, time.Duration,
 ) replication.ClaimDecided {
-	c.asks <- true
+	c.requested <- true
 	<-c.grant
 	return replication.ClaimDecided{Result: replication.Granted, RequestID: 7}
 }
 
-// In a process whose goroutines get their turns late, the watches among them, a client's close is known
-// to the machine and to nobody in the process. Each way in which an attempt can begin is held in its last
-// moment, the client leaves, and the way is opened: the attempt is decided on and kept back by the look
-// at the socket alone, and that look is where the op ends.
-func TestALookAloneKeepsBackEachAttempt(t *testing.T) {
+// In a process whose goroutines run late, the kernel knows that a client has disconnected while the
+// process has not detected it. Each case blocks one way to an attempt just before its end, lets the
+// client disconnect, and unblocks it: the attempt is decided on, and the check of the socket alone must
+// prevent it and end the op.
+func TestASocketCheckAlonePreventsEachAttemptOfADisconnectedClient(t *testing.T) {
 	const empty = "Content-Length: 0\r\n\r\n"
-	type way struct {
+	type blockedStep struct {
 		name     string
 		probes   bool
 		category string
 		id, text string
-		pushes   int // attempts before the client leaves
-		// hold has the op wait in the moment before an attempt, and tells how to let it go on.
-		before func(d *unwatchedListener) (open func())
-		prime  func(t *testing.T, g *gatedScheduler)
-		stay   int   // ops of clients that stay, before
-		more   []any // categories
-		alone  bool  // beside no other test
-		hold   func(t *testing.T, g *gatedScheduler) (open func())
+		pushes   int // attempts before the client disconnects
+		// blockListener and block hold the op up, at the listener or just before an attempt, until unblock.
+		blockListener   func(d *unnotifiedListener) (unblock func())
+		prepare         func(t *testing.T, g *gatedScheduler)
+		earlierOps      int   // ops of other clients, served by prepare and block
+		extraCategories []any // beside those of the gatedScheduler
+		sequential      bool  // not run in parallel with other tests
+		block           func(t *testing.T, g *gatedScheduler) (unblock func())
 	}
-	ways := []way{{
+	steps := []blockedStep{{
 		name: "it waits for probes", probes: true,
-		hold: func(_ *testing.T, g *gatedScheduler) func() {
+		block: func(_ *testing.T, g *gatedScheduler) func() {
 			<-g.probed
 			return func() { g.releaseProbe <- true }
 		},
 	}, {
-		name: "it looks again", probes: true, category: "soon",
-		stay: 2, alone: true, // it has a second from one look to the next, and half of one for the first
-		more: []any{category("soon", "fragile", 300e9, 4e9)},
-		prime: func(t *testing.T, g *gatedScheduler) {
-			g.busy.Store(1)
-			g.serveOne(t, "slow", 300*time.Millisecond) // by which other probes are waited for
-			g.busy.Store(10000)                         // a queue that outlasts any op
+		name: "it probes again", probes: true, category: "soon",
+		earlierOps: 2, sequential: true, // timing: one second between two rounds of probes, half of one for the first
+		extraCategories: []any{category("soon", "fragile", 300e9, 4e9)},
+		prepare: func(t *testing.T, g *gatedScheduler) {
+			g.reportedLoad.Store(1)
+			g.serveOne(t, "slow", 300*time.Millisecond) // sets how long the scheduler waits for other probes
+			g.reportedLoad.Store(10000)                 // a queue that outlasts any op
 		},
-		hold: func(t *testing.T, g *gatedScheduler) func() {
+		block: func(t *testing.T, g *gatedScheduler) func() {
 			<-g.probed
 			g.releaseProbe <- true
-			g.await(t, "its look is over", func() bool {
+			g.await(t, "its first probe has ended", func() bool {
 				g.server.workers.Sweep(time.Now().Add(time.Hour))
 				open, _ := g.server.workers.Counts()
 				return open == 0
 			})
-			loopCounts(g) // has taken in what it saw
-			g.busy.Store(0)
-			g.serveOne(t, "stays", 0) // what is seen for it makes the worker worth another look
-			free := blockLoop(g, 0)
+			submittedAndPending(g) // the loop has applied the load report
+			g.reportedLoad.Store(0)
+			g.serveOne(t, "stays", 0) // its probe's load report makes another probe of the worker worthwhile
+			release := blockLoop(g, 0)
 			return func() {
-				close(free)
-				await(t, "it looks again", g.probed)
+				close(release)
+				await(t, "it probes again", g.probed)
 				g.releaseProbe <- true
 			}
 		},
 	}, {
-		name: "it is tried again after an ending", id: "refused", pushes: 1,
-		hold: func(_ *testing.T, g *gatedScheduler) func() {
+		name: "it is retried after a rejected attempt", id: "refused", pushes: 1,
+		block: func(_ *testing.T, g *gatedScheduler) func() {
 			<-g.pushed
 			return func() { close(g.releaseRejected) }
 		},
 	}, {
 		name: "its push dials",
-		hold: func(_ *testing.T, g *gatedScheduler) func() {
-			up := make(chan bool)
+		block: func(_ *testing.T, g *gatedScheduler) func() {
+			connected := make(chan bool)
 			g.server.workers.Connect = func(_ context.Context, network, addr string) (net.Conn, error) {
-				<-up
+				<-connected
 				return net.Dial(network, addr)
 			}
-			return func() { close(up) }
+			return func() { close(connected) }
 		},
 	}, {
-		name: "it lies before a busy loop",
-		hold: func(t *testing.T, g *gatedScheduler) func() {
-			free := blockLoop(g, 0)
+		name: "it is in the inbox of a busy loop",
+		block: func(t *testing.T, g *gatedScheduler) func() {
+			release := blockLoop(g, 0)
 			return func() {
-				g.await(t, "the op lies before the loop", func() bool { return len(g.server.loop.Inbox()) == 1 })
-				close(free)
+				g.await(t, "the op is in the inbox", func() bool { return len(g.server.loop.Inbox()) == 1 })
+				close(release)
 			}
 		},
 	}, {
-		name: "the loop has a full cap(g.front.loop.Inbox())",
-		hold: func(_ *testing.T, g *gatedScheduler) func() {
-			free := blockLoop(g, cap(g.server.loop.Inbox()))
-			return func() { close(free) }
+		name: "the loop's inbox is full",
+		block: func(_ *testing.T, g *gatedScheduler) func() {
+			release := blockLoop(g, cap(g.server.loop.Inbox()))
+			return func() { close(release) }
 		},
 	}, {
-		name: "it is granted", category: "asked",
-		hold: func(_ *testing.T, g *gatedScheduler) func() {
-			by := &heldClaims{asks: make(chan bool, 1), grant: make(chan bool)}
-			g.server.RequireClaims(by, func(category string) bool { return category == "asked" })
-			return func() { <-by.asks; close(by.grant) }
+		name: "its claim is granted", category: "asked",
+		block: func(_ *testing.T, g *gatedScheduler) func() {
+			registry := &blockedClaims{requested: make(chan bool, 1), grant: make(chan bool)}
+			g.server.RequireClaims(registry, func(category string) bool { return category == "asked" })
+			return func() { <-registry.requested; close(registry.grant) }
 		},
 	}, {
 		name: "its connection is not accepted yet",
-		before: func(d *unwatchedListener) func() {
+		blockListener: func(d *unnotifiedListener) func() {
 			accepts := make(chan bool)
-			d.accepts = accepts
+			d.acceptGate = accepts
 			return func() { close(accepts) }
 		},
 	}, {
 		name: "its body is not read yet", text: "Content-Length: 9000\r\n\r\n" + string(make([]byte, 9000)),
-		before: func(d *unwatchedListener) func() {
+		blockListener: func(d *unnotifiedListener) func() {
 			reads := make(chan bool)
-			d.reads = reads
+			d.readGate = reads
 			return func() { close(reads) }
 		},
 	}}
-	for _, x := range ways {
-		for how, leave := range map[string]func(*net.TCPConn){
-			"closes":                     func(c *net.TCPConn) { c.Close() },
-			"ends its sending":           func(c *net.TCPConn) { c.CloseWrite() },
-			"resets":                     func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
-			"closes behind a further op": func(c *net.TCPConn) { io.WriteString(c, opText("next", empty)); c.Close() },
+	for _, step := range steps {
+		for how, disconnect := range map[string]func(*net.TCPConn){
+			"closes":                  func(c *net.TCPConn) { c.Close() },
+			"shuts its sending down":  func(c *net.TCPConn) { c.CloseWrite() },
+			"resets":                  func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+			"closes after another op": func(c *net.TCPConn) { io.WriteString(c, opText("next", empty)); c.Close() },
 		} {
-			if x.alone && how != "closes" {
+			if step.sequential && how != "closes" {
 				continue
 			}
-			t.Run(x.name+", and its client "+how, func(t *testing.T) {
-				if !x.alone {
+			t.Run(step.name+", and its client "+how, func(t *testing.T) {
+				if !step.sequential {
 					t.Parallel()
 				}
-				d := &unwatchedListener{}
-				open := func() {}
-				if x.before != nil {
-					open = x.before(d)
+				d := &unnotifiedListener{}
+				unblock := func() {}
+				if step.blockListener != nil {
+					unblock = step.blockListener(d)
 				}
-				g := newGatedSchedulerBehind(t, false, x.probes, func(l net.Listener) net.Listener {
+				g := newGatedSchedulerBehind(t, false, step.probes, func(l net.Listener) net.Listener {
 					d.Listener = l
 					return d
-				}, x.more...)
+				}, step.extraCategories...)
 				t.Cleanup(d.close)
 				await(t, "ready", g.server.Ready())
-				if x.prime != nil {
-					x.prime(t, g)
+				if step.prepare != nil {
+					step.prepare(t, g)
 				}
-				held := x.hold != nil && (x.probes || x.pushes > 0) // only once the op is there
-				if x.hold != nil && !held {
-					open = x.hold(t, g)
+				blockAfterSend := step.block != nil && (step.probes || step.pushes > 0) // only once the op has arrived
+				if step.block != nil && !blockAfterSend {
+					unblock = step.block(t, g)
 				}
 				nc, err := net.Dial("tcp", g.addr)
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer nc.Close()
-				text, id := x.text, x.id
+				text, id := step.text, step.id
 				if text == "" {
 					text = empty
 				}
@@ -269,40 +268,41 @@
 					id = "left"
 				}
 				category := "look"
-				if x.category != "" {
-					category = x.category
+				if step.category != "" {
+					category = step.category
 				}
 				fmt.Fprintf(nc, "POST / HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %s\r\n%s: 250000\r\n%s", idHeader, id, categoryHeader, category,
 					timeLeftHeader, text)
-				if held {
-					open = x.hold(t, g)
+				if blockAfterSend {
+					unblock = step.block(t, g)
 				}
-				leave(nc.(*net.TCPConn))
-				if d.accepts == nil {
-					g.await(t, "the machine knows", func() bool { return d.closedByPeer(t) > 0 })
+				disconnect(nc.(*net.TCPConn))
+				if d.acceptGate == nil {
+					g.await(t, "the kernel knows the disconnect", func() bool { return d.closedByPeer(t) > 0 })
 				}
-				open()
-				g.await(t, "decided on, and at its end", func() bool {
-					taken, waits := loopCounts(g)
-					return taken == uint64(x.stay+1) && waits == 0
+				unblock()
+				g.await(t, "the op is decided on and has ended", func() bool {
+					submitted, pending := submittedAndPending(g)
+					return submitted == uint64(step.earlierOps+1) && pending == 0
 				})
 				if n := len(g.pushed); n != 0 {
-					t.Errorf("it was sent on: %q", <-g.pushed)
+					t.Errorf("it was pushed: %q", <-g.pushed)
 				}
-				if f := g.server.Metrics(); f.Attempts != x.stay+x.pushes {
-					t.Errorf("%d attempts, not %d", f.Attempts, x.stay+x.pushes)
+				if m := g.server.Metrics(); m.Attempts != step.earlierOps+step.pushes {
+					t.Errorf("%d attempts, want %d", m.Attempts, step.earlierOps+step.pushes)
 				}
 			})
 		}
 	}
 }
 
-// serveOne has an op of a client that stays probe and go; the probe is answered after a while.
-func (g *gatedScheduler) serveOne(t *testing.T, id string, answers time.Duration) {
+// serveOne sends an op of a client that stays connected, and expects its probe, which is answered after
+// probeDelay, and its push.
+func (g *gatedScheduler) serveOne(t *testing.T, id string, probeDelay time.Duration) {
 	t.Helper()
 	go func() {
 		<-g.probed
-		time.Sleep(answers)
+		time.Sleep(probeDelay)
 		g.releaseProbe <- true
 	}()
 	if resp, _ := post(t, g.addr, "", idHeader+": "+id); resp.StatusCode != http.StatusOK || <-g.pushed != id {
@@ -310,43 +310,43 @@
 	}
 }
 
-func await[T any](t *testing.T, what string, comes <-chan T) {
+func await[T any](t *testing.T, what string, event <-chan T) {
 	t.Helper()
 	select {
-	case <-comes:
+	case <-event:
 	case <-time.After(10 * time.Second):
-		t.Fatalf("%s: never", what)
+		t.Fatalf("%s: not within 10 s", what)
 	}
 }
 
-// blockLoop keeps a scheduler's loop from working until it is freed, with so many inputs before it.
-func blockLoop(g *gatedScheduler, inputs int) (free chan bool) {
-	busy, free := make(chan bool), make(chan bool)
-	g.server.loop.Inbox() <- scheduler.Query(func(scheduler.State) { busy <- true; <-free })
+// blockLoop blocks a scheduler's loop until release is closed, with the given number of inputs in its inbox.
+func blockLoop(g *gatedScheduler, inputs int) (release chan bool) {
+	busy, release := make(chan bool), make(chan bool)
+	g.server.loop.Inbox() <- scheduler.Query(func(scheduler.State) { busy <- true; <-release })
 	<-busy
 	for range inputs {
 		g.server.loop.Inbox() <- scheduler.Query(func(scheduler.State) {})
 	}
-	return free
+	return release
 }
 
-// loopCounts asks a scheduler's loop how many ops it has taken, and how many of these wait still.
-func loopCounts(g *gatedScheduler) (taken uint64, waits int) {
+// submittedAndPending returns how many ops were submitted to a scheduler's loop, and how many of them are
+// pending.
+func submittedAndPending(g *gatedScheduler) (submitted uint64, pending int) {
 	done := make(chan bool)
 	g.server.loop.Inbox() <- scheduler.Query(func(s scheduler.State) {
-		taken, waits = s.Submitted, s.Pending
+		submitted, pending = s.Submitted, s.Pending
 		close(done)
 	})
 	<-done
-	return taken, waits
+	return submitted, pending
 }
 
-// A thousand clients whose ops wait before a loop that is held, for one reason or another, and that leave
-// all at once: the watches for their ends are slower than the loop, which has 256 ops before it and as
-// many again behind each that it takes.
-func TestAThousandClientsThatLeaveAtOnce(t *testing.T) {
+// A thousand clients, whose ops wait for a blocked loop, disconnect together. The loop, whose inbox holds 256
+// ops and fills again as it takes them, is then faster than the goroutines that detect the disconnects.
+func TestNoOpIsPushedWhenAThousandClientsDisconnectTogether(t *testing.T) {
 	const clients = 1000
-	d := &unwatchedListener{}
+	d := &unnotifiedListener{}
 	g := newGatedSchedulerBehind(t, false, false, func(l net.Listener) net.Listener {
 		d.Listener = l
 		return d
@@ -354,7 +354,7 @@
 	defer d.close()
 	await(t, "ready", g.server.Ready())
 	g.server.SetDescriptorLimit(4 * clients)
-	free := blockLoop(g, 0)
+	release := blockLoop(g, 0)
 	var open []net.Conn
 	for k := range clients {
 		c, err := net.Dial("tcp", g.addr)
@@ -364,20 +364,20 @@
 		io.WriteString(c, opText(fmt.Sprint("left", k), "Content-Length: 0\r\n\r\n"))
 		open = append(open, c)
 	}
-	g.await(t, "all are there", func() bool { return g.server.Metrics().OpsInFlight == clients })
+	g.await(t, "all ops are in flight", func() bool { return g.server.Metrics().OpsInFlight == clients })
 	for _, c := range open {
 		c.Close()
 	}
-	g.await(t, "the machine knows", func() bool { return d.closedByPeer(t) == clients })
-	close(free)
-	g.await(t, "all are at their end", func() bool {
-		taken, waits := loopCounts(g)
-		return taken == clients && waits == 0
+	g.await(t, "the kernel knows all disconnects", func() bool { return d.closedByPeer(t) == clients })
+	close(release)
+	g.await(t, "all ops have ended", func() bool {
+		submitted, pending := submittedAndPending(g)
+		return submitted == clients && pending == 0
 	})
-	if f := g.server.Metrics(); f.Attempts != 0 || len(g.pushed) != 0 {
-		t.Errorf("%d attempts, %d came", f.Attempts, len(g.pushed))
+	if m := g.server.Metrics(); m.Attempts != 0 || len(g.pushed) != 0 {
+		t.Errorf("%d attempts, the worker received %d", m.Attempts, len(g.pushed))
 	}
 	if resp, _ := post(t, g.addr, "", idHeader+": stays"); resp.StatusCode != http.StatusOK || <-g.pushed != "stays" {
-		t.Errorf("an op of a client that stays: %s", resp.Status)
+		t.Errorf("an op of a client that stays connected: %s", resp.Status)
 	}
 }
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -18,14 +18,14 @@
 	proxyBufferBytes = 4 << 10
 )
 
-// ServeHTTP answers health checks, takes ops and rejects all else.
+// ServeHTTP serves health checks and ops, and rejects all other requests.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrivedAt := time.Now()
 	limitTimes(w, r, arrivedAt)
 	if len(r.TransferEncoding) > 0 && !clientconn.OnlyChunked(r.Context()) {
-		// net/http has dropped a Content-Length beside it. A peer that went by that one would take what
-		// follows the last chunk for body, so nothing more may be read from this connection (RFC 9112,
-		// 6.1).
+		// The request also had a Content-Length, which net/http has dropped. A peer that used it would
+		// treat what follows the last chunk as part of the body, so nothing more may be read from this
+		// connection (RFC 9112, 6.1).
 		s.answer(w, r, nil, &Rejection{
 			Status:     http.StatusLengthRequired,
 			Text:       "an op comes with a Content-Length or in chunks, not with both",
@@ -39,28 +39,28 @@
 	}
 	op, err := s.readOp(w, r, arrivedAt)
 	if err == nil && !s.drain.admits(time.Now()) {
-		w.Header().Set("Retry-After", "0") // to another scheduler, at once
+		w.Header().Set("Retry-After", "0") // the client may retry at another scheduler immediately
 		err = &Rejection{Status: http.StatusServiceUnavailable, Text: "clients are sent away"}
 	}
 	s.answer(w, r, op, err)
 }
 
-// limitTimes bounds the time for a request's body and for its answer. A request without a body has no
-// read deadline: net/http is already watching for the end of its connection.
+// limitTimes sets deadlines for reading a request's body and for writing its response. A request without a
+// body has no read deadline: net/http is already watching for the end of its connection.
 func limitTimes(w http.ResponseWriter, r *http.Request, arrivedAt time.Time) {
 	control := http.NewResponseController(w)
 	control.SetWriteDeadline(arrivedAt.Add(answerReadTimeout))
 	if r.ContentLength != 0 {
-		// Without it net/http would wait for the rest of a request that is rejected.
+		// Without a deadline, net/http would wait for the rest of a rejected request.
 		control.SetReadDeadline(arrivedAt.Add(bodyTimeout))
 	}
 }
 
-// answer answers a request, which is an op or has an error, and counts it.
+// answer responds to a request, which is either an op or has an error, and counts it.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, op *pendingOp, err error) {
 	s.metrics.RequestStarted()
 	response := &recordedResponse{ResponseWriter: w}
-	end := metrics.Disconnected // as it stays where the proxy panics to have the server drop the connection
+	end := metrics.Disconnected // stays if the proxy panics to make the server close the connection
 	defer func() { s.metrics.RequestEnded(r.Header.Get(categoryHeader), end) }()
 	if err != nil {
 		s.reject(response, r, asRejection(err))
@@ -71,7 +71,7 @@
 	end = response.finish(r.Context())
 }
 
-// recordedResponse records the status of an answer.
+// recordedResponse records the status of a response.
 type recordedResponse struct {
 	http.ResponseWriter
 	status int
@@ -85,9 +85,9 @@
 // Unwrap is for http.ResponseController.
 func (r *recordedResponse) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
-// finish writes what is left of an answer and returns how the request ended for its client.
+// finish flushes the response and returns how the request ended for its client.
 func (r *recordedResponse) finish(client context.Context) metrics.RequestEnd {
-	disconnected := client.Err() != nil // a client that disconnects later has had its answer
+	disconnected := client.Err() != nil // a client that disconnects later has received its response
 	if err := http.NewResponseController(r).Flush(); err != nil || disconnected {
 		return metrics.Disconnected
 	}
@@ -110,17 +110,19 @@
 	w.WriteHeader(status)
 }
 
-// closeAfter ends a client's connection with an answer if the request was at fault, as what follows it
-// may be, or if clients are being drained: a connection that is closed between requests may lose the next
-// one. Requests that were already read from the connection are answered first.
+// closeAfter closes a client's connection with a response if the request was invalid, as later ones may
+// be, or if clients are to leave this process. Closing it between two requests could lose the next one.
+// Requests that were already read from the connection are answered first.
 func (s *Server) closeAfter(client context.Context, h http.Header, status int) {
 	badRequest := status/100 == 4
-	if (badRequest || s.lifecycle.closing.Load() || s.drain.draining()) && !clientconn.HasPipelinedRequest(client) {
+	if (badRequest || s.lifecycle.closing.Load() || s.drain.draining()) &&
+		!clientconn.HasPipelinedRequest(client) {
 		h.Set("Connection", "close")
 	}
 }
 
-// newProxy returns the handler of ops. It sends each to the scheduler, in place of another server.
+// newProxy returns the handler of ops: a reverse proxy that submits each op to the scheduler instead of
+// forwarding it to another server.
 func (s *Server) newProxy() *httputil.ReverseProxy {
 	return &httputil.ReverseProxy{
 		Transport:  s.transport,
@@ -139,7 +141,7 @@
 	}
 }
 
-// bufferPool spares the proxy a new buffer for each answer.
+// bufferPool reuses the buffers with which the proxy copies responses.
 type bufferPool struct{ pool sync.Pool }
 
 func (b *bufferPool) Get() []byte {
--- a/internal/frontend/hot_restart.go
+++ b/internal/frontend/hot_restart.go
@@ -16,14 +16,14 @@
 )
 
 var (
-	errListenerNotShared = errors.New("handover: the listening socket can't be shared")
-	errNothingLearned    = errors.New("its loop was busy")
+	errListenerNotShared = errors.New("handover: the listener does not expose its socket")
+	errNoLearnedState    = errors.New("the predecessor's loop was too busy to hand over learned state")
 )
 
-// HandOver returns what a successor needs: a state, and the sockets that this process listens on. The
-// functions in more add what other parts of the process hand over. From here on this process uses only
-// its part of the descriptors.
-func (s *Server) HandOver(more ...func(*hotrestart.State) []syscall.Conn) (
+// HandOver returns what a successor needs: an encoded state, and the sockets that this process listens on.
+// The functions in addParts add what other parts of the process hand over. From then on this process uses
+// only its part of the descriptors.
+func (s *Server) HandOver(addParts ...func(*hotrestart.State) []syscall.Conn) (
 	text []byte, sockets []syscall.Conn, err error,
 ) {
 	listener, ok := s.clients.Listener.(syscall.Conn)
@@ -39,9 +39,9 @@
 		return nil, nil, err
 	}
 	workers, _ := s.workers.Counts()
-	own, successors := s.splitWithSuccessor(workers)
+	own, successor := s.splitWithSuccessor(workers)
 	state := hotrestart.State{
-		Sockets:        successors,
+		Sockets:        successor,
 		ClockOffset:    s.clock.Offset(),
 		KnownWorkers:   known,
 		ClientsDrained: s.drain.draining(),
@@ -49,7 +49,7 @@
 	if err := s.addLearned(&state); err != nil {
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
-	for _, add := range more {
+	for _, add := range addParts {
 		sockets = append(sockets, add(&state)...)
 	}
 	if text, err = state.Encode(); err != nil {
@@ -60,13 +60,13 @@
 }
 
 // splitWithSuccessor splits the descriptors between this process and its successor.
-func (s *Server) splitWithSuccessor(workers int) (own, successors int) {
+func (s *Server) splitWithSuccessor(workers int) (own, successor int) {
 	inUse := s.clients.Sockets() + workers
 	reserved := descriptorsReserved + s.reservedDescriptors
 	return hotrestart.SplitDescriptors(s.bootstrap.Limits.Sockets, inUse, reserved)
 }
 
-// addLearned adds what this process has learned of workers. What the loop is too busy to return is left out.
+// addLearned adds the start times of workers, and the learned state if the loop is not too busy to return it.
 func (s *Server) addLearned(state *hotrestart.State) (err error) {
 	if state.WorkerStarts, err = json.Marshal(s.endpoints.workerStarts.Snapshot()); err != nil {
 		return err
@@ -80,31 +80,31 @@
 	return err
 }
 
-// clockShift is the span from a moment of the predecessor's clock to the same moment of this process's.
+// clockShift is added to a time of the predecessor's clock to convert it to this process's clock.
 func clockShift(c clock.Clock, state hotrestart.State) dispatch.Time {
 	return config.RoundUp(int64(c.Offset() - state.ClockOffset))
 }
 
-// inheritedStarts are the start times of workers as far as a predecessor knew them.
-func inheritedStarts(predecessor *hotrestart.State, now clock.Clock) (*discovery.StartTimes, error) {
+// inheritedStarts returns the start times of workers that the predecessor, if any, knew.
+func inheritedStarts(predecessor *hotrestart.State, c clock.Clock) (*discovery.StartTimes, error) {
 	if predecessor == nil {
-		return discovery.NewStartTimes(now, nil), nil
+		return discovery.NewStartTimes(c, nil), nil
 	}
 	known := map[string]discovery.WorkerStart{}
 	if len(predecessor.WorkerStarts) > 0 {
 		if err := json.Unmarshal(predecessor.WorkerStarts, &known); err != nil {
-			return nil, fmt.Errorf("handover: starts of workers: %w", err)
+			return nil, fmt.Errorf("handover: start times of workers: %w", err)
 		}
 	}
-	shift := clockShift(now, *predecessor)
+	shift := clockShift(c, *predecessor)
 	for worker, start := range known {
 		known[worker] = discovery.WorkerStart{BootMS: start.BootMS, At: max(start.At+shift, 1)}
 	}
-	return discovery.NewStartTimes(now, known), nil
+	return discovery.NewStartTimes(c, known), nil
 }
 
-// RestoreState continues from a predecessor's state, with its socket for peers if it had one. It is
-// called before Serve.
+// RestoreState takes over a predecessor's state, and its socket for peers if it had one. Call it before
+// Serve.
 func (s *Server) RestoreState(state hotrestart.State, peers *net.UDPConn) {
 	s.peers.inherited = peers
 	s.SetDescriptorLimit(state.Sockets)
@@ -119,23 +119,23 @@
 	}
 }
 
-// inheritedLearned is what a predecessor has learned.
+// inheritedLearned decodes the learned state of a predecessor.
 func inheritedLearned(state hotrestart.State) (learned reducer.LearnedState, err error) {
 	if len(state.Learned) == 0 || string(state.Learned) == "null" {
-		return reducer.LearnedState{}, errNothingLearned
+		return reducer.LearnedState{}, errNoLearnedState
 	}
 	err = json.Unmarshal(state.Learned, &learned)
 	return learned, err
 }
 
-// HasSuccessor tells whether another process is taking this one's place.
+// HasSuccessor tells whether another process is replacing this one.
 func (s *Server) HasSuccessor() bool { return s.lifecycle.successor.Load() }
 
-// SetSuccessor says that another process is taking this one's place, or that it has ended and this one
-// goes on alone.
-func (s *Server) SetSuccessor(there bool) {
-	s.lifecycle.successor.Store(there)
-	if !there {
+// SetSuccessor records that another process is replacing this one, or that it has ended and this one
+// continues alone.
+func (s *Server) SetSuccessor(running bool) {
+	s.lifecycle.successor.Store(running)
+	if !running {
 		s.SetDescriptorLimit(s.bootstrap.Limits.Sockets)
 		s.clients.Resume()
 	}
--- a/internal/frontend/isolation_test.go
+++ b/internal/frontend/isolation_test.go
@@ -18,40 +18,40 @@
 	"woaddyke/internal/config"
 )
 
-// Buffers, header maps and connections are used again: nothing of one client's op may be seen in
-// another's, at the worker or in an answer. Half of the clients send in chunks, some answers are
-// refusals.
-func TestNothingOfOneOpIsSeenInAnothers(t *testing.T) {
+// Buffers, header maps and connections are reused: no data of one client's op may appear in another's,
+// neither at the worker nor in an answer. Half of the clients send chunks, and some answers are
+// rejections.
+func TestConcurrentOpsLeakNoDataIntoEachOther(t *testing.T) {
 	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
-		var others []string
+		var only []string
 		for name, values := range r.Header {
 			if strings.HasPrefix(name, "X-Only-") {
-				others = append(others, name+"="+strings.Join(values, ","))
+				only = append(only, name+"="+strings.Join(values, ","))
 			}
 		}
-		slices.Sort(others)
+		slices.Sort(only)
 		id := r.Header.Get(idHeader)
 		if strings.HasSuffix(id, "7") {
 			w.Header().Set("X-Unprocessed", "1")
 			http.Error(w, "full for "+id, http.StatusServiceUnavailable)
 			return
 		}
-		fmt.Fprintf(w, `{"id":%q,"state":"done","result":%q}`+"\n", id, fmt.Sprint(r.RequestURI, " ", others, " ", len(b), " ", string(b)))
+		fmt.Fprintf(w, `{"id":%q,"state":"done","result":%q}`+"\n", id, fmt.Sprint(r.RequestURI, " ", only, " ", len(b), " ", string(b)))
 	})
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	for k := range 8 {
-		all.Go(func() {
+		clients.Go(func() {
 			c := &http.Client{Transport: &http.Transport{}}
 			defer c.CloseIdleConnections()
 			for n := range 40 {
 				id, path := fmt.Sprintf("%d-%d", k, n), fmt.Sprintf("/of-%d?n=%d", k, n)
 				body := strings.Repeat(fmt.Sprint(k), 1+(n*977)%9000)
-				var from io.Reader = strings.NewReader(body)
+				var reader io.Reader = strings.NewReader(body)
 				if k%2 == 0 {
-					from = io.MultiReader(from) // of a length that is not told
+					reader = io.MultiReader(reader) // hides the length, so that the client sends chunks
 				}
-				r, _ := http.NewRequest(http.MethodPost, "http://"+addr+path, from)
+				r, _ := http.NewRequest(http.MethodPost, "http://"+addr+path, reader)
 				only := fmt.Sprintf("X-Only-%d", k*100+n)
 				r.Header = http.Header{idHeader: {id}, categoryHeader: {"look"}, timeLeftHeader: {"20000"}, only: {id}}
 				resp, err := c.Do(r)
@@ -73,22 +73,22 @@
 			}
 		})
 	}
-	all.Wait()
+	clients.Wait()
 }
 
-// Told to end before discovery has said a word, a scheduler answers by the list that it remembers, and
-// does not wait for one.
-func TestAStopBeforeTheFirstListAnswersAll(t *testing.T) {
+// A scheduler that is stopped before discovery has sent a list must answer ops by its cached list, and
+// must not wait for discovery.
+func TestAShutdownBeforeTheFirstListAnswersByTheCachedList(t *testing.T) {
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	t.Cleanup(silent.Close)
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { writeDone(w, r.Header.Get(idHeader)) }))
 	t.Cleanup(worker.Close)
 	known := oneWorkerList(worker.Listener.Addr().String())
-	sheet := testBootstrap(t, known)
-	sheet.Discovery = silent.Listener.Addr().String()
-	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 1.0},
+	bootstrap := testBootstrap(t, known)
+	bootstrap.Discovery = silent.Listener.Addr().String()
+	bootstrap.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 1.0},
 		"categories": []any{category("look", "fragile", 1e9, 1e9)}})
-	f, err := New(sheet, zerolog.Nop())
+	server, err := New(bootstrap, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
 	ended := make(chan error, 1)
-	go func() { ended <- f.Serve(ctx, l, time.Second) }()
+	go func() { ended <- server.Serve(ctx, l, time.Second) }()
 	if resp, text := post(t, l.Addr().String(), ""); resp.StatusCode != http.StatusOK || text != "made for a1" {
 		t.Errorf("%s %q", resp.Status, text)
 	}
--- a/internal/frontend/metrics.go
+++ b/internal/frontend/metrics.go
@@ -7,15 +7,16 @@
 	"woaddyke/internal/observe/metrics"
 )
 
-const acceptErrorLogInterval = time.Second // between two log lines about failures of accept
+const acceptErrorLogInterval = time.Second // between two log lines about accept errors
 
-// externalCounts are metrics that other parts of the process count; nil where nobody does.
+// externalCounts are functions that return metrics counted by other parts of the process, nil without such
+// a part.
 type externalCounts struct {
 	members      func() *metrics.MemberCounts
 	lostLogLines func() uint64
 }
 
-// Metrics returns what the console shows. It waits for nothing.
+// Metrics returns the metrics that the console shows. It does not block.
 func (s *Server) Metrics() metrics.Metrics {
 	m := s.metrics.Snapshot()
 	if s.external.members != nil {
@@ -29,13 +30,13 @@
 	return m
 }
 
-// SetMemberCounts adds counts of the other schedulers to the metrics. It is called before Serve.
+// SetMemberCounts adds counts of the other schedulers to the metrics. Call it before Serve.
 func (s *Server) SetMemberCounts(count func() *metrics.MemberCounts) { s.external.members = count }
 
-// SetLostLogLines adds the number of lost log lines to the metrics. It is called before Serve.
+// SetLostLogLines adds the number of lost log lines to the metrics. Call it before Serve.
 func (s *Server) SetLostLogLines(count func() uint64) { s.external.lostLogLines = count }
 
-// acceptFailed counts a failure of accept after which accepting goes on, and logs it at a bounded rate.
+// acceptFailed counts an accept error after which accepting continues, and logs at a bounded rate.
 func (s *Server) acceptFailed(err error) {
 	failures := s.metrics.AcceptFailed()
 	now := time.Now()
--- a/internal/frontend/op_transport.go
+++ b/internal/frontend/op_transport.go
@@ -19,10 +19,10 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// errNoOp says that a request came to the transport by another way than the handler's.
-var errNoOp = errors.New("the request carries no op")
+// errNoOp is returned for a request that reached the transport without passing the handler.
+var errNoOp = errors.New("the request's context carries no op")
 
-// opScheduler is what an op needs of the scheduler's loop.
+// opScheduler is the part of the scheduler's loop that the transport uses.
 type opScheduler interface {
 	Submit(ctx context.Context, op scheduler.Submit) error
 	Send(event reducer.Input)
@@ -30,8 +30,8 @@
 }
 
 // opTransport is the reverse proxy's transport: it submits the op of a request to the scheduler, and
-// waits for its one answer. http.Transport would repeat an op with an Idempotency-Key by itself, and dial
-// connections for nobody.
+// waits for its one answer. http.Transport would retry an op with an Idempotency-Key by itself, and dial
+// connections that no request needs.
 type opTransport struct {
 	loop     opScheduler
 	settings *atomic.Pointer[settings]
@@ -39,7 +39,7 @@
 	clients  *clientconn.Pool
 	clock    clock.Clock
 	log      zerolog.Logger
-	lastOp   atomic.Uint64 // number
+	lastOp   atomic.Uint64 // number of the newest op
 }
 
 func (s *Server) newTransport() *opTransport {
@@ -60,7 +60,7 @@
 		return nil, errNoOp
 	}
 	if t.claims.registry != nil {
-		op.Effect = t.settings.Load().rule(op.Category).Effect // by which it needs a claim, or none
+		op.Effect = t.settings.Load().rule(op.Category).Effect // decides whether the op needs a claim
 		if t.claims.required(op.Category) {
 			if denied := t.claim(r, op); denied != nil {
 				return denied, nil
@@ -77,7 +77,7 @@
 }
 
 // await waits for the answer to an op that was submitted, until the client disconnects or the loop ends.
-// An answer that came in the same instant counts.
+// An answer that arrived at the same time counts.
 func (t *opTransport) await(r *http.Request, op *pendingOp) (*http.Response, error) {
 	select {
 	case answer := <-op.reply:
@@ -98,7 +98,7 @@
 	return nil, scheduler.ErrStopped
 }
 
-// finalResponse is the answer to an op as it goes to its client.
+// finalResponse reports an op's outcome and returns the response to its client.
 func (t *opTransport) finalResponse(r *http.Request, op *pendingOp, answer reducer.Respond) *http.Response {
 	if answer.Verdict == reducer.Acked {
 		t.clients.MarkServed(r.Context())
@@ -123,7 +123,7 @@
 	return textResponse(r, http.StatusBadGateway, []byte("dead-lettered\n"), 0)
 }
 
-// textResponse is an answer with a text, and with a Retry-After where it is above 0.
+// textResponse returns a response with a text, and with a Retry-After header if retryAfter is above 0.
 func textResponse(r *http.Request, status int, text []byte, retryAfter time.Duration) *http.Response {
 	resp := &http.Response{
 		StatusCode:    status,
--- a/internal/frontend/peer_drains.go
+++ b/internal/frontend/peer_drains.go
@@ -11,7 +11,7 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// DrainPeers are the other schedulers, as far as drain records are shared with them.
+// DrainPeers gives access to the other schedulers with which drain records are exchanged.
 type DrainPeers interface {
 	Names() []string
 	SendDrains(to string, records []drainstate.DrainRecord)
@@ -22,12 +22,12 @@
 	// drainExchangeInterval is the time between two exchanges of drain records.
 	drainExchangeInterval = 100 * time.Millisecond
 
-	// tenthsPerMS converts boot IDs: discovery has them in ms, drain records in tenths of a ms.
+	// tenthsPerMS converts boot IDs from ms, as in discovery, to tenths of a ms, as in drain records.
 	tenthsPerMS = 10
 )
 
-// peerDrains excludes the workers of which another scheduler's discovery said that they are draining,
-// before the own discovery says so.
+// peerDrains excludes workers that are draining according to another scheduler's discovery, before the own
+// discovery reports it.
 type peerDrains struct {
 	order sync.Mutex // held from a decision until the loop has been sent its list; taken before mu
 
@@ -36,10 +36,11 @@
 	peers     DrainPeers
 	send      func(reducer.Input) // to the loop
 	endpoints map[string]reducer.Endpoint
-	excluded  map[string]bool // workers that are ready by the own list, and excluded at the loop
+	excluded  map[string]bool // workers that are ready in the own list, but excluded at the loop
 }
 
-// ShareDrains excludes workers that another scheduler knows to be draining. It is called before Serve.
+// ShareDrains exchanges drain records with the other schedulers, and excludes workers that one of them
+// knows to be draining. Call it before Serve.
 func (s *Server) ShareDrains(peers DrainPeers, seed uint64) {
 	drains := &peerDrains{
 		core:      drainstate.New(seed),
@@ -52,7 +53,7 @@
 	s.endpoints.peerDrains = drains
 }
 
-// ReceiveDrainRecords takes the drain records that another scheduler sent.
+// ReceiveDrainRecords handles drain records that another scheduler sent.
 func (s *Server) ReceiveDrainRecords(records []drainstate.DrainRecord) {
 	if drains := s.endpoints.peerDrains; drains != nil {
 		drains.mu.Lock()
@@ -61,7 +62,7 @@
 	}
 }
 
-// forward takes a list of the own discovery, and sends it to the loop without the excluded workers.
+// forward sends the loop a list of the own discovery, with the excluded workers as not ready.
 func (d *peerDrains) forward(list reducer.EndpointsChanged) {
 	d.order.Lock()
 	defer d.order.Unlock()
@@ -127,7 +128,7 @@
 	return list
 }
 
-// record stores a list, with the lock held, and returns it as the core takes it.
+// record stores a list and returns it in the core's form. The caller holds mu.
 func (d *peerDrains) record(list reducer.EndpointsChanged) drainstate.EndpointsChanged {
 	if list.Snapshot {
 		d.endpoints = map[string]reducer.Endpoint{}
@@ -149,7 +150,7 @@
 	return changed
 }
 
-// step gives the core an input, with the lock held, and carries out its effects.
+// step passes an input to the core and carries out its effects. The caller holds mu.
 func (d *peerDrains) step(in drainstate.Input) {
 	for _, e := range d.core.Step(d.peers.Now(), in) {
 		switch e := e.(type) {
@@ -157,7 +158,7 @@
 			d.peers.SendDrains(e.To, e.Records)
 		case drainstate.WorkerExcluded:
 			d.excluded[e.Worker] = true
-			go d.exclude(e.Worker) // the lock is held, and the loop may be busy
+			go d.exclude(e.Worker) // mu is locked here, and the loop may be busy
 		}
 	}
 }
--- a/internal/frontend/peer_drains_test.go
+++ b/internal/frontend/peer_drains_test.go
@@ -18,37 +18,37 @@
 func (noPeers) SendDrains(string, []drainstate.DrainRecord) {}
 func (noPeers) Now() membership.Time                        { return 1 }
 
-// A worker that a neighbour's word had bound is let go of in the instant in which the own discovery tells
-// that it drains: the word of its going back into service came to the loop behind that of its drain, and
-// it was given new work until the next list.
-func TestADrainIsNotOvertakenByALettingGo(t *testing.T) {
-	const heldUp = 100 * time.Millisecond
-	f, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":"127.0.0.1:9","state":"SERVING"}]}`), zerolog.Nop())
+// The drain record of a peer expires, and its worker is readmitted, at the moment at which the own
+// discovery reports that the worker drains. The readmission reached the loop after the drain, so that the
+// worker got new attempts until the next list.
+func TestAReadmissionDoesNotOverrideALaterDrain(t *testing.T) {
+	const sendDelay = 100 * time.Millisecond
+	server, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":"127.0.0.1:9","state":"SERVING"}]}`), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.ShareDrains(noPeers{}, 7)
-	f.endpoints.peerDrains.excluded["w"] = true
-	freed := make(chan bool, 1)
-	told := make(chan reducer.Input, 9)
-	f.endpoints.peerDrains.send = func(in reducer.Input) { // the process is held up between what it found and its telling
-		freed <- true
-		time.Sleep(heldUp)
-		told <- in
+	server.ShareDrains(noPeers{}, 7)
+	server.endpoints.peerDrains.excluded["w"] = true
+	sending := make(chan bool, 1)
+	sent := make(chan reducer.Input, 9)
+	server.endpoints.peerDrains.send = func(in reducer.Input) { // delays each list
+		sending <- true
+		time.Sleep(sendDelay)
+		sent <- in
 	}
-	go f.endpoints.peerDrains.run(t.Context())
-	<-freed
-	f.endpoints.changed(reducer.EndpointsChanged{Revision: 2, Endpoints: []reducer.Endpoint{{Worker: "w", Addr: "127.0.0.1:9"}}})
+	go server.endpoints.peerDrains.run(t.Context())
+	<-sending
+	server.endpoints.receive(reducer.EndpointsChanged{Revision: 2, Endpoints: []reducer.Endpoint{{Worker: "w", Addr: "127.0.0.1:9"}}})
 	var last reducer.Endpoint
 	for k := range 2 {
 		select {
-		case in := <-told:
+		case in := <-sent:
 			last = in.(reducer.EndpointsChanged).Endpoints[0]
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%d lists came", k)
+			t.Fatalf("the loop got %d lists, want 2", k)
 		}
 	}
 	if last.Ready {
-		t.Error("the last that the loop is told of it is that it serves")
+		t.Error("the last list that the loop got has the worker as ready")
 	}
 }
--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -18,24 +18,24 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-const maxPeerMessage = 64 // bytes of a datagram; one that is cut off decodes to no message
+const maxPeerMessage = 64 // bytes of a datagram; a longer one is truncated and fails to decode
 
-// peerMessages brings messages from and to the other schedulers.
+// peerMessages sends messages to other schedulers, and passes theirs to the loop.
 type peerMessages struct {
-	loop      *scheduler.Loop
-	changes   *spillqueue.Queue[scheduler.Message] // of members, to the loop
-	sender    func(to int, text string)            // in place of the transport; nil without members
-	inherited *net.UDPConn                         // a predecessor's socket, nil without one
-	transport *peerTransport                       // nil without addresses in the configuration
-	lost      atomic.Uint64                        // messages that found no space in the loop's inbox
-	log       zerolog.Logger
+	loop          *scheduler.Loop
+	memberChanges *spillqueue.Queue[scheduler.Message] // to the loop
+	sender        func(to int, text string)            // replaces the transport; nil without membership
+	inherited     *net.UDPConn                         // a predecessor's socket, nil without one
+	transport     *peerTransport                       // nil without addresses in the configuration
+	lost          atomic.Uint64                        // messages dropped because the loop's inbox was full
+	log           zerolog.Logger
 }
 
 func newPeerMessages(loop *scheduler.Loop, log zerolog.Logger) *peerMessages {
-	return &peerMessages{loop: loop, changes: spillqueue.New(loop.Inbox(), loop.Done()), log: log}
+	return &peerMessages{loop: loop, memberChanges: spillqueue.New(loop.Inbox(), loop.Done()), log: log}
 }
 
-// open starts the transport where the configuration has addresses of peers.
+// open starts the transport if the configuration has addresses of peers.
 func (p *peerMessages) open(peers *config.Peers) (err error) {
 	if peers == nil {
 		return nil
@@ -53,7 +53,7 @@
 	}
 }
 
-// conn is the transport's socket, nil without a transport.
+// conn returns the transport's socket, or nil without a transport.
 func (p *peerMessages) conn() *net.UDPConn {
 	if p.transport == nil {
 		return nil
@@ -61,7 +61,7 @@
 	return p.transport.conn
 }
 
-// stopReceiving leaves messages to the process that shares the socket.
+// stopReceiving ends reading, so that messages go to the process that shares the socket.
 func (p *peerMessages) stopReceiving() {
 	if conn := p.conn(); conn != nil {
 		conn.SetReadDeadline(time.Unix(1, 0))
@@ -77,16 +77,16 @@
 	}
 }
 
-// SetPeerSender sends messages to other schedulers another way than to the configuration's addresses. It
-// is called before Serve.
+// SetPeerSender sends messages to other schedulers through send instead of to the configuration's
+// addresses. Call it before Serve.
 func (s *Server) SetPeerSender(send func(to int, text string)) { s.peers.sender = send }
 
-// ReceivePeerInput takes what other parts of the process learn of other schedulers: a message, a loss, a join.
-// It never waits for the loop: a message that finds no space is lost, as a datagram is.
+// ReceivePeerInput passes the loop an input about another scheduler: a message, a loss or a join. It never
+// waits for the loop: a message is dropped if the inbox is full, as a datagram may be lost.
 func (s *Server) ReceivePeerInput(event reducer.Input) {
-	if _, message := event.(reducer.PeerMessage); !message {
-		// Changes of members are few, and must be neither lost nor reordered.
-		s.peers.changes.Put(scheduler.Input{Event: event})
+	if _, isMessage := event.(reducer.PeerMessage); !isMessage {
+		// Member changes are rare, and must be neither lost nor reordered.
+		s.peers.memberChanges.Put(scheduler.Input{Event: event})
 		return
 	}
 	select {
@@ -96,8 +96,8 @@
 	}
 }
 
-// peerTransport sends and receives datagrams. One that is lost, late or duplicated does no harm: a
-// message says how many attempts are in flight, not what has changed.
+// peerTransport sends and receives datagrams. A lost, late or duplicate datagram does no harm: a message
+// gives the number of attempts in flight, not a change of that number.
 type peerTransport struct {
 	conn    *net.UDPConn
 	addrs   map[int]netip.AddrPort
@@ -105,7 +105,7 @@
 	log     zerolog.Logger
 }
 
-// newPeerTransport uses the socket given, or else opens one.
+// newPeerTransport returns a transport on the given socket, or opens one if it is nil.
 func newPeerTransport(p *config.Peers, conn *net.UDPConn, log zerolog.Logger) (*peerTransport, error) {
 	if conn == nil {
 		var err error
@@ -127,13 +127,13 @@
 // are dropped.
 func (t *peerTransport) receive(send func(reducer.Input)) {
 	var buffer [maxPeerMessage]byte
-	failures := 0 // in a row
+	failures := 0 // consecutive
 	for {
 		n, from, err := t.conn.ReadFromUDPAddrPort(buffer[:])
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
-		if err != nil { // of one datagram, or a passing shortage of this machine
+		if err != nil { // affects one datagram, or is a transient shortage of resources
 			failures++
 			time.Sleep(oserror.Backoff(failures))
 			continue
--- a/internal/frontend/peers_lost_test.go
+++ b/internal/frontend/peers_lost_test.go
@@ -11,18 +11,18 @@
 
 // A load report that finds the loop's inbox full is lost, as a datagram is, and counted.
 func TestALostLoadReportIsCounted(t *testing.T) {
-	f, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[]}`), zerolog.Nop())
+	server, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[]}`), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range cap(f.loop.Inbox()) - len(f.loop.Inbox()) { // nobody takes them: the loop does not run
-		f.loop.Inbox() <- scheduler.Query(func(scheduler.State) {})
+	for range cap(server.loop.Inbox()) - len(server.loop.Inbox()) { // the loop does not run
+		server.loop.Inbox() <- scheduler.Query(func(scheduler.State) {})
 	}
 	const reports = 3
 	for range reports {
-		f.ReceivePeerInput(reducer.PeerMessage{Sender: 1, Text: "x"})
+		server.ReceivePeerInput(reducer.PeerMessage{Sender: 1, Text: "x"})
 	}
-	if got := f.peers.lost.Load(); got != reports {
-		t.Errorf("%d lost reports are counted, want %d", got, reports)
+	if got := server.peers.lost.Load(); got != reports {
+		t.Errorf("%d lost reports counted, want %d", got, reports)
 	}
 }
--- a/internal/frontend/peers_test.go
+++ b/internal/frontend/peers_test.go
@@ -20,18 +20,18 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-type safeBuffer struct {
+type lockedBuffer struct {
 	sync.Mutex
 	bytes.Buffer
 }
 
-func (b *safeBuffer) Write(p []byte) (int, error) {
+func (b *lockedBuffer) Write(p []byte) (int, error) {
 	b.Lock()
 	defer b.Unlock()
 	return b.Buffer.Write(p)
 }
 
-// listenUDP opens a stand-in's socket.
+// listenUDP opens the socket of a simulated peer.
 func listenUDP(t *testing.T) (*net.UDPConn, netip.AddrPort) {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -42,8 +42,8 @@
 	return conn, conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// runScheduler starts a scheduler beside four stand-in workers with the given parts of a new shape, sends
-// ops and stops it.
+// runScheduler starts a scheduler with four emulated workers and a changed configuration, sends n ops, stops
+// the scheduler and returns its log.
 func runScheduler(t *testing.T, change func(*config.Bootstrap, map[string]any), n int) (log string) {
 	t.Helper()
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -58,12 +58,12 @@
 			worker.Listener.Addr(), i%2))
 	}
 	known := `{"rev":1,"all":true,"targets":[` + strings.Join(targets, ",") + `]}`
-	sheet := testBootstrap(t, known)
-	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0}, "instances": 2.0, "myNumber": 0.0,
+	bootstrap := testBootstrap(t, known)
+	bootstrap.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0}, "instances": 2.0, "myNumber": 0.0,
 		"categories": []any{category("look", "retryable", 3e9, 2e9)}})
-	change(sheet, sheet.Settings)
-	var out safeBuffer
-	f, err := New(sheet, zerolog.New(&out))
+	change(bootstrap, bootstrap.Settings)
+	var out lockedBuffer
+	server, err := New(bootstrap, zerolog.New(&out))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- f.Serve(ctx, l, 200*time.Millisecond) }()
+	go func() { ended <- server.Serve(ctx, l, 200*time.Millisecond) }()
 	for i := range n {
 		r, _ := http.NewRequest(http.MethodPost, "http://"+l.Addr().String()+"/", strings.NewReader("x"))
 		r.Header = http.Header{idHeader: {fmt.Sprint("op-", i)}, categoryHeader: {"look"}, timeLeftHeader: {"2500"},
@@ -91,96 +91,96 @@
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
-	out.Lock() // the process ends right after Serve: what is not logged by then never is
+	out.Lock() // the process ends right after Serve, so everything must be logged by then
 	defer out.Unlock()
 	return out.String()
 }
 
-// Operators want to see what the new settings would change before they switch: the counts must come from
-// real ops.
-func TestAWatchOnSocketsCountsByKind(t *testing.T) {
-	watch := func(other map[string]any) string {
-		return runScheduler(t, func(s *config.Bootstrap, site map[string]any) {
-			s.AffinityFact, s.ShadowSettings = "routeKey", map[string]any{}
-			for k, v := range site {
-				s.ShadowSettings[k] = v
+// Shadow settings show operators what new settings would change before they are put in force: the divergent
+// decisions of real ops must be counted by kind.
+func TestShadowSettingsCountDivergentDecisionsByKind(t *testing.T) {
+	logWithShadow := func(changed map[string]any) string {
+		return runScheduler(t, func(bootstrap *config.Bootstrap, settings map[string]any) {
+			bootstrap.AffinityFact, bootstrap.ShadowSettings = "routeKey", map[string]any{}
+			for k, v := range settings {
+				bootstrap.ShadowSettings[k] = v
 			}
-			for k, v := range other {
-				s.ShadowSettings[k] = v
+			for k, v := range changed {
+				bootstrap.ShadowSettings[k] = v
 			}
 		}, 20)
 	}
-	if log := watch(nil); !strings.Contains(log, `"asked":0,"chosen":0,"spoken":0,"ops":20`) {
-		t.Errorf("the same settings decide otherwise: %s", log)
+	if log := logWithShadow(nil); !strings.Contains(log, `"asked":0,"chosen":0,"spoken":0,"ops":20`) {
+		t.Errorf("equal shadow settings diverge: %s", log)
 	}
-	log := watch(map[string]any{"keys": true, "prices.connection": 0.05, "bounds.peerMessages": true})
+	log := logWithShadow(map[string]any{"keys": true, "prices.connection": 0.05, "bounds.peerMessages": true})
 	if !strings.Contains(log, `"ops":20`) || strings.Contains(log, `"asked":0`) || strings.Contains(log, `"spoken":0`) {
-		t.Errorf("counted nothing: %s", log)
+		t.Errorf("divergent decisions were not counted: %s", log)
 	}
 }
 
-// Each push is told to the scheduler that meets the worker too; one that is not configured is not heard.
-func TestPushesAreToldToTheOthers(t *testing.T) {
-	other, at := listenUDP(t)
-	runScheduler(t, func(s *config.Bootstrap, site map[string]any) {
-		site["prices.connection"], site["bounds.peerMessages"] = 0.05, true
-		s.Peers = &config.Peers{ListenAddr: netip.MustParseAddrPort("127.0.0.1:0"),
-			ByNumber: map[int]netip.AddrPort{1: at}}
+// The start and the end of each push must be reported to the other schedulers.
+func TestPushesAreReportedToPeers(t *testing.T) {
+	peer, peerAddr := listenUDP(t)
+	runScheduler(t, func(bootstrap *config.Bootstrap, settings map[string]any) {
+		settings["prices.connection"], settings["bounds.peerMessages"] = 0.05, true
+		bootstrap.Peers = &config.Peers{ListenAddr: netip.MustParseAddrPort("127.0.0.1:0"),
+			ByNumber: map[int]netip.AddrPort{1: peerAddr}}
 	}, 1)
 	tags := map[string]int{}
 	for i := range 4 {
 		tags[config.WorkerTag(fmt.Sprint("w", i))] = i
 	}
-	other.SetReadDeadline(time.Now().Add(2 * time.Second))
-	var room [maxPeerMessage]byte
-	for _, want := range []int{1, 0} { // out, and ended
-		n, _, err := other.ReadFromUDP(room[:])
+	peer.SetReadDeadline(time.Now().Add(2 * time.Second))
+	var buffer [maxPeerMessage]byte
+	for _, want := range []int{1, 0} { // in flight, then ended
+		n, _, err := peer.ReadFromUDP(buffer[:])
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, out, ok := config.DecodePeerReport(string(room[:n]), tags); !ok || out != want {
-			t.Errorf("told %q, want one of %d pushes out", room[:n], want)
+		if _, inFlight, ok := config.DecodePeerReport(string(buffer[:n]), tags); !ok || inFlight != want {
+			t.Errorf("peer report %q, want one of %d pushes in flight", buffer[:n], want)
 		}
 	}
 }
 
-func TestOnlyConfiguredSchedulersAreHeard(t *testing.T) {
-	friend, at := listenUDP(t)
-	stranger, _ := listenUDP(t)
-	s, err := newPeerTransport(&config.Peers{ListenAddr: netip.MustParseAddrPort("127.0.0.1:0"),
-		ByNumber: map[int]netip.AddrPort{7: at}}, nil, zerolog.Nop())
+func TestMessagesFromUnknownAddressesAreDropped(t *testing.T) {
+	peer, peerAddr := listenUDP(t)
+	unknown, _ := listenUDP(t)
+	transport, err := newPeerTransport(&config.Peers{ListenAddr: netip.MustParseAddrPort("127.0.0.1:0"),
+		ByNumber: map[int]netip.AddrPort{7: peerAddr}}, nil, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.conn.Close()
-	heard := make(chan reducer.Input, 9)
-	go s.receive(func(in reducer.Input) { heard <- in })
-	to := s.conn.LocalAddr().(*net.UDPAddr).AddrPort()
-	stranger.WriteToUDPAddrPort([]byte("abc9"), to)
-	friend.WriteToUDPAddrPort([]byte("abc1"), to)
-	if got := <-heard; got != (reducer.PeerMessage{Sender: 7, Text: "abc1"}) {
-		t.Errorf("heard %+v", got)
+	defer transport.conn.Close()
+	received := make(chan reducer.Input, 9)
+	go transport.receive(func(in reducer.Input) { received <- in })
+	to := transport.conn.LocalAddr().(*net.UDPAddr).AddrPort()
+	unknown.WriteToUDPAddrPort([]byte("abc9"), to)
+	peer.WriteToUDPAddrPort([]byte("abc1"), to)
+	if got := <-received; got != (reducer.PeerMessage{Sender: 7, Text: "abc1"}) {
+		t.Errorf("received %+v", got)
 	}
 }
 
-// An address that another process has must end the start with a plain error, not leave it waiting for its
-// own loop.
-func TestAnAddressThatIsTakenEndsTheStart(t *testing.T) {
-	_, at := listenUDP(t)
-	sheet := &config.Bootstrap{Discovery: "127.0.0.1:1", Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
-		Settings: map[string]any{}, Peers: &config.Peers{ListenAddr: at}}
-	f, err := New(sheet, zerolog.Nop())
+// If another process uses the peer address, Serve must return an error that says so, and must not wait
+// for its own loop, which has not started.
+func TestServeFailsIfThePeerAddressIsInUse(t *testing.T) {
+	_, usedAddr := listenUDP(t)
+	bootstrap := &config.Bootstrap{Discovery: "127.0.0.1:1", Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
+		Settings: map[string]any{}, Peers: &config.Peers{ListenAddr: usedAddr}}
+	server, err := New(bootstrap, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- f.Serve(context.Background(), nil, time.Second) }()
+	go func() { ended <- server.Serve(context.Background(), nil, time.Second) }()
 	select {
 	case err := <-ended:
 		if err == nil || !strings.Contains(err.Error(), "peers") {
-			t.Errorf("ended with %v", err)
+			t.Errorf("Serve returned %v, want an error about peers", err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("still waiting")
+		t.Fatal("Serve did not return within 5 s")
 	}
 }
--- a/internal/frontend/pieces_test.go
+++ b/internal/frontend/pieces_test.go
@@ -11,13 +11,14 @@
 	"woaddyke/internal/testsupport/fragmentpeer"
 )
 
-// Clients write as their own buffers have it, end their sending and leave. An op cut off in the middle
-// must never go on, and one in pieces is the op that it is at once.
-func TestOpsInPiecesAreTheSame(t *testing.T) {
-	seen := make(chan string, 9)
+// Clients write requests in fragments of any size, and may shut their sending down or disconnect in the
+// middle. A fragmented op must be served like one in a single write, and a truncated op must never be
+// pushed.
+func TestFragmentedOpsAreServedAndTruncatedOnesRejected(t *testing.T) {
+	received := make(chan string, 9)
 	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
-		seen <- r.RequestURI + " " + string(b)
+		received <- r.RequestURI + " " + string(b)
 		writeDone(w, r.Header.Get(idHeader))
 	})
 	send := func(way fragmentpeer.Way) (status int) {
@@ -34,7 +35,7 @@
 	}
 	ids := 0
 	for _, framing := range []string{"Content-Length: 5\r\n\r\nthe b", "Transfer-Encoding: chunked\r\n\r\n3\r\nthe\r\n2\r\n b\r\n0\r\n\r\n"} {
-		text := func() string { // with an id of its own, of one length
+		text := func() string { // has a unique ID of constant length
 			ids++
 			return fmt.Sprintf("POST /api?sid=1 HTTP/1.1\r\nHost: x\r\n%s: %09d\r\n%s: look\r\n%s: 60000\r\n%s", idHeader, ids,
 				categoryHeader, timeLeftHeader, framing)
@@ -44,8 +45,8 @@
 			if status := send(way); status != 200 {
 				t.Fatalf("%s: %d", way.Name, status)
 			}
-			if got := <-seen; got != "/api?sid=1 the b" {
-				t.Errorf("%s: the worker saw %q", way.Name, got)
+			if got := <-received; got != "/api?sid=1 the b" {
+				t.Errorf("%s: the worker received %q", way.Name, got)
 			}
 		}
 		for k := range fragmentpeer.Cuts(text()) {
@@ -55,7 +56,7 @@
 			}
 		}
 	}
-	if len(seen) > 0 {
-		t.Errorf("%q went on to the worker, and was never whole", <-seen)
+	if len(received) > 0 {
+		t.Errorf("%q was pushed to the worker, but was never complete", <-received)
 	}
 }
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -8,11 +8,11 @@
 	"woaddyke/internal/frontend/clientconn"
 )
 
-// Rejection is the error for a request that is no op, or that is not admitted.
+// Rejection is the error for a request that is not a valid op, or that is not admitted.
 type Rejection struct {
 	Status     int
 	Text       string // for the client
-	RestUnread bool   // the end of the request is not known: nothing that follows it can be read
+	RestUnread bool   // the end of the request is unknown, so that nothing after it can be read
 }
 
 func (r *Rejection) Error() string { return r.Text }
@@ -30,7 +30,7 @@
 	return &Rejection{Status: http.StatusBadRequest, Text: fmt.Sprintf(format, args...)}
 }
 
-// reject answers a request that is no op.
+// reject responds to a request that is rejected.
 func (s *Server) reject(w http.ResponseWriter, r *http.Request, rejection *Rejection) {
 	s.log.Debug().Str("error", rejection.Text).Int("status", rejection.Status).Msg("request rejected")
 	if rejection.RestUnread {
--- a/internal/frontend/reload_log_test.go
+++ b/internal/frontend/reload_log_test.go
@@ -10,19 +10,19 @@
 	"github.com/rs/zerolog"
 )
 
-// Whoever reads that a configuration was kept looks for its file: a process may have been given any.
-func TestAKeptConfigurationIsNamedByItsFile(t *testing.T) {
-	missing, torn := filepath.Join(t.TempDir(), "missing.json"), filepath.Join(t.TempDir(), "torn.json")
-	if err := os.WriteFile(torn, []byte(`{"name":`), 0o600); err != nil {
+// The log line about a rejected configuration must name its file, since a process can be given any path.
+func TestARejectedReloadLogsItsPath(t *testing.T) {
+	missing, truncated := filepath.Join(t.TempDir(), "missing.json"), filepath.Join(t.TempDir(), "torn.json")
+	if err := os.WriteFile(truncated, []byte(`{"name":`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, path := range []string{missing, torn} {
+	for _, path := range []string{missing, truncated} {
 		var log bytes.Buffer
-		f, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[]}`), zerolog.New(&log))
+		server, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[]}`), zerolog.New(&log))
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.ReloadConfig(path)
+		server.ReloadConfig(path)
 		if !strings.Contains(log.String(), `"path":"`+path+`"`) {
 			t.Errorf("%s", log.String())
 		}
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -28,29 +28,29 @@
 	workHeader     = "X-Weight-Hint"
 	factsHeader    = "X-Facts"
 
-	maxBodyBytes = 64 << 10
-	maxNumber    = 1e12 // in a header
+	maxBodyBytes    = 64 << 10
+	maxHeaderNumber = 1e12 // upper limit of the numbers in headers
 
-	// responseTravelTime is taken off the time left: the client counts the way to here and back too.
+	// responseTravelTime is subtracted from the time left: the client also counts the network time.
 	responseTravelTime = 10 * time.Millisecond
 )
 
-// pendingOp is an op that a client waits for.
+// pendingOp is an op whose client waits for the answer.
 type pendingOp struct {
 	reducer.OpArrived
 	requestTarget string               // as the client wrote it
 	request       workerconn.Request   // to workers
-	reply         chan reducer.Respond // has space for the one answer
-	client        context.Context      // of the request: it ends when the client is seen to disconnect
+	reply         chan reducer.Respond // buffered for the one answer
+	client        context.Context      // of the request; it ends when the server detects a disconnect
 
-	deadline    time.Time           // its client gives up
+	deadline    time.Time           // at which its client gives up
 	rule        config.CategoryRule // of its category, at its arrival
 	maxAttempts int                 // at its arrival
 
 	claim grantedClaim
 }
 
-// submission is an op as the scheduler takes it.
+// submission returns an op in the scheduler's form.
 func (op *pendingOp) submission() scheduler.Submit {
 	return scheduler.Submit{
 		Op:           op.OpArrived,
@@ -63,20 +63,20 @@
 	}
 }
 
-// Disconnected tells whether the server has noticed that the client is gone.
+// Disconnected tells whether the server has detected that the client disconnected.
 func (op *pendingOp) Disconnected() bool { return op.client.Err() != nil }
 
-// CheckConnected tells whether the client is still there. The server may notice a closed connection a moment
-// late, so the connection itself is looked at too.
+// CheckConnected tells whether the client is still connected. The server may detect a closed connection a
+// moment late, so the socket is checked too.
 func (op *pendingOp) CheckConnected() bool {
 	return !op.Disconnected() && !clientconn.Disconnected(op.client)
 }
 
-// Request returns the request for a worker that has so much time left.
+// Request returns the request for a worker, with the time left for its answer.
 func (op *pendingOp) Request(left time.Duration) []byte { return op.request.Bytes(left) }
 
-// readOp reads an op from a request: the fields that decisions need, and the rest as it came. An error is
-// a Rejection.
+// readOp reads an op from a request: it parses the fields that decisions need, and keeps the rest
+// unchanged. An error is a Rejection.
 func (s *Server) readOp(w http.ResponseWriter, r *http.Request, arrivedAt time.Time) (*pendingOp, error) {
 	if r.Method != http.MethodPost {
 		return nil, &Rejection{Status: http.StatusMethodNotAllowed, Text: "ops come by POST"}
@@ -89,9 +89,9 @@
 	if err != nil {
 		return nil, err
 	}
-	inForce := s.settings.Load()
-	op.rule = inForce.rule(op.Category)
-	op.maxAttempts = inForce.maxAttempts()
+	current := s.settings.Load()
+	op.rule = current.rule(op.Category)
+	op.maxAttempts = current.maxAttempts()
 	if err := s.readFacts(op, r.Header); err != nil {
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 	}
 	control := http.NewResponseController(w)
 	control.SetReadDeadline(time.Time{})
-	// An answer that is not read holds a descriptor.
+	// A client that does not read its answer occupies a descriptor.
 	control.SetWriteDeadline(arrivedAt.Add(timeLeft + answerReadTimeout))
 	return op, nil
 }
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// readDeadline reads the time that the client waits, and sets the op's deadline from it.
+// readDeadline reads how long the client waits, and sets the op's TTL and deadline from it.
 func (s *Server) readDeadline(op *pendingOp, r *http.Request, arrivedAt time.Time) (time.Duration, error) {
 	ms, err := strconv.ParseInt(r.Header.Get(timeLeftHeader), 10, 64)
 	if err != nil {
@@ -135,7 +135,7 @@
 	return timeLeft, nil
 }
 
-// readFacts reads the numbers that help decisions. They may be missing.
+// readFacts reads the optional numbers that decisions use.
 func (s *Server) readFacts(op *pendingOp, h http.Header) error {
 	if hint := h.Get(workHeader); hint != "" {
 		us, err := parseNumber(hint)
@@ -165,22 +165,22 @@
 
 func parseNumber(text string) (float64, error) {
 	v, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-	if err != nil || math.IsNaN(v) || v < 0 || v > maxNumber {
+	if err != nil || math.IsNaN(v) || v < 0 || v > maxHeaderNumber {
 		return 0, fmt.Errorf("%q is no figure", text)
 	}
 	return v, nil
 }
 
-// readBody reads a complete body. Memory grows with what arrives: many clients could announce 64 KiB and
-// send none.
+// readBody reads a complete body. Memory grows with the bytes that arrive: many clients could announce
+// 64 KiB and send nothing.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	if r.ContentLength > maxBodyBytes {
 		return nil, bodyTooLarge()
 	}
 	var body bytes.Buffer
 	if _, err := io.Copy(&body, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
-		var large *http.MaxBytesError
-		if errors.As(err, &large) {
+		var tooLarge *http.MaxBytesError
+		if errors.As(err, &tooLarge) {
 			return nil, bodyTooLarge()
 		}
 		return nil, &Rejection{http.StatusBadRequest, "the body did not come whole", true}
@@ -188,8 +188,8 @@
 	return body.Bytes(), nil
 }
 
-// bodyRejection is the rejection of a request whose body was not read. At the end of this process that is no
-// fault of its client, who may try again.
+// bodyRejection returns the rejection of a request whose body was not read completely. During a shutdown
+// that is not the fault of its client, which may retry.
 func (s *Server) bodyRejection(err error) error {
 	rejection := asRejection(err)
 	if rejection.Status == http.StatusBadRequest && s.clients.StoppedReading() {
--- a/internal/frontend/request_age.go
+++ b/internal/frontend/request_age.go
@@ -10,14 +10,15 @@
 	"woaddyke/internal/frontend/clientconn"
 )
 
-// requestAge is how long ago a request came to this machine. Its first bytes may lie behind the request
-// before it on the connection, and its newest ones in the kernel while the process is stopped or starved;
-// a request that counted as new then could be pushed after its client's TTL.
+// requestAge returns how long ago a request arrived at this machine. Its first bytes may wait behind the
+// previous request on the connection, and its newest ones in the kernel while the process is stopped or
+// starved. If it counted as new, it could be pushed after its client's TTL.
 func requestAge(client context.Context) time.Duration {
 	return max(newestBytesAge(client), clientconn.HeaderAge(client))
 }
 
-// newestBytesAge is how long ago the newest bytes on a request's connection came, as the kernel says.
+// newestBytesAge returns how long ago the newest bytes arrived on a request's connection, as the kernel
+// reports it.
 func newestBytesAge(client context.Context) time.Duration {
 	c, ok := clientconn.FromContext(client).(syscall.Conn)
 	if !ok {
--- a/internal/frontend/serve.go
+++ b/internal/frontend/serve.go
@@ -14,35 +14,36 @@
 )
 
 const (
-	headerTimeout    = 1500 * time.Millisecond // for a head, and for a connection's first byte
+	headerTimeout    = 1500 * time.Millisecond // for a request's head, and for a connection's first byte
 	idleTimeout      = 5 * time.Minute         // of a client's connection between two requests
 	maxHeaderBytes   = 16 << 10
 	firstListTimeout = 3 * time.Second // for discovery's first list; after it the cached one is used
 
-	// killGrace is the time after the longest TTL at which a process that stops may be killed.
+	// killGrace is the time from the longest TTL until a process that shuts down may be killed.
 	killGrace = 600 * time.Millisecond
 
-	// shutdownMargin is added for the answers at the deadline, and again for their connections.
+	// shutdownMargin is the extra time for the answers at the deadline, and again for their connections.
 	shutdownMargin = killGrace / 3
 
-	// bodyMargin is for the answer to a request whose body did not come whole before the end.
+	// bodyMargin is the time for answering a request whose body is incomplete at the end of the shutdown.
 	bodyMargin = shutdownMargin / 2
 
-	// lastAnswersMargin is for the connections that were accepted in the last moment.
+	// lastAnswersMargin is the time for connections that were accepted at the last moment.
 	lastAnswersMargin = shutdownMargin / 2
 	lastPollInterval  = 2 * time.Millisecond
 
-	// keepAliveFraction is the part of its last time for which this process keeps idle connections open:
-	// their clients may have no other scheduler.
+	// keepAliveFraction is the fraction of the shutdown time for which idle connections stay open: their
+	// clients may have no other scheduler.
 	keepAliveFraction = 0.6
 
-	// newConnectionGrace keeps a connection open that is new or was just answered: a request may be coming.
+	// newConnectionGrace is how long a connection stays open that is new or was just answered: a request
+	// may be on its way.
 	newConnectionGrace = 60 * time.Millisecond
 
-	connectionPollInterval = 20 * time.Millisecond // while the last connections end
+	connectionPollInterval = 20 * time.Millisecond // between two checks while connections are closed
 )
 
-// Serve takes ops until the context ends, and then answers what it has taken within the time given.
+// Serve admits ops until the context ends, and then answers the admitted ones within the given time.
 func (s *Server) Serve(ctx context.Context, l net.Listener, within time.Duration) error {
 	watching, stopWatching := context.WithCancel(context.Background())
 	defer stopWatching()
@@ -63,8 +64,8 @@
 	return err
 }
 
-// startLoop starts the scheduler's loop and what sends to it as long as it runs. The function that it
-// returns ends them, and waits until the loop has logged its last counts.
+// startLoop starts the scheduler's loop and the exchange of drain records. The function that it returns
+// ends both, and waits until the loop has logged its last counts.
 func (s *Server) startLoop() (stop func()) {
 	running, cancel := context.WithCancel(context.Background())
 	go s.loop.Run(running)
@@ -89,8 +90,8 @@
 	}
 }
 
-// startAccepting accepts clients until the server is shut down. The channel gets the error with which
-// that ends.
+// startAccepting accepts clients until the server is shut down. The channel receives the error with which
+// accepting ends.
 func (s *Server) startAccepting(server *http.Server, l net.Listener) (failed <-chan error) {
 	ended := make(chan error, 1)
 	s.clients.Listener = l
@@ -107,8 +108,8 @@
 	close(s.lifecycle.ready)
 }
 
-// awaitEnd waits until this process is to stop, or until it can't accept clients any more: then the ops
-// that it has are still owed their answers.
+// awaitEnd waits until the context ends, or until accepting clients fails. Ops that were admitted before a
+// failure must still be answered.
 func (s *Server) awaitEnd(ctx context.Context, failed <-chan error) error {
 	select {
 	case err := <-failed:
@@ -119,14 +120,14 @@
 	}
 }
 
-// Ready is closed when this process can serve: it takes clients, and discovery has sent the workers. If
-// discovery doesn't answer, it serves by the cached list.
+// Ready is closed when this process can serve: it accepts clients, and discovery has sent its first list.
+// If discovery doesn't answer, the cached list is used.
 func (s *Server) Ready() <-chan struct{} { return s.lifecycle.ready }
 
-// stop answers all ops that were taken, and closes all connections. Connections go on being accepted and
-// used for a while: what a client wrote to one that the kernel had accepted counts as taken, and the
-// scheduler that the client would turn to may still be down. A successor accepts from the same socket, so
-// with one this process accepts nothing more, and no client has to go elsewhere.
+// stop answers all admitted ops, and closes all connections. Connections are still accepted and used for a
+// while: requests on connections that the kernel had accepted must be answered too, and the scheduler that
+// a client would use instead may still be down. A successor accepts from the same socket, so with one this
+// process accepts nothing more, and no client has to go elsewhere.
 func (s *Server) stop(server *http.Server, within time.Duration) {
 	within = min(within, s.settings.Load().LongestTTL()) + shutdownMargin
 	deadline := time.Now().Add(within)
@@ -140,13 +141,14 @@
 	end := deadline.Add(shutdownMargin)
 	s.drainConnections(closeFrom, deadline, end)
 	s.endLastConnections(end.Add(lastAnswersMargin))
-	// Only now: http.Server drops requests that it has just read, and closes connections on which one has
-	// begun.
+	// This must come last: http.Server drops requests that it has just read, and closes connections on
+	// which one has begun.
 	s.shutDownHTTP(server, end.Add(lastAnswersMargin))
 	s.logStopped()
 }
 
-// beginStop sets what health checks and answers say from now on. It tells whether there is a successor.
+// beginStop sets the state that health checks and responses use from now on. It returns whether there is a
+// successor.
 func (s *Server) beginStop(deadline time.Time) (successor bool) {
 	successor = s.lifecycle.successor.Load()
 	s.lifecycle.stopping.Store(!successor)
@@ -155,20 +157,19 @@
 	return successor
 }
 
-// announceShutdown sends the reducer the moment at which all ops must have their answers, now and at that
-// moment.
+// announceShutdown sends the reducer the deadline for the answers to all ops, now and at the deadline.
 func (s *Server) announceShutdown(deadline time.Time) *time.Timer {
 	shutdown := reducer.ShutdownStarted{Deadline: config.RoundDown(s.clock.FromTime(deadline))}
 	s.loop.Send(shutdown)
 	return time.AfterFunc(time.Until(deadline), func() { s.loop.Send(shutdown) })
 }
 
-// drainConnections returns when no connection is open, or at the deadline. From closeFrom on each answer
-// ends its connection, and idle ones are closed; from answersBy on, when each op has its answer, no further
-// request is read: a client that always has one behind what is served would go on to the end. Without a
-// successor this process accepts clients to the end, as it must when a successor dies meanwhile.
+// drainConnections returns when no connection is open, or at the deadline. From closeFrom on, each response
+// closes its connection, and idle ones are closed. From answersBy on, when each op has its answer, no
+// further request is read: a client that always pipelines another one would continue to the end. Without a
+// successor this process accepts clients to the end, as it must if a successor dies in the meantime.
 func (s *Server) drainConnections(closeFrom, answersBy, deadline time.Time) {
-	emptyPolls := 0 // in a row; a connection that was accepted between two polls is seen at the second
+	emptyPolls := 0 // consecutive; a connection that was accepted between two polls is seen at the second
 	for emptyPolls < 2 && time.Now().Before(deadline) {
 		if time.Now().After(closeFrom) {
 			s.lifecycle.closing.Store(true)
@@ -186,8 +187,8 @@
 	}
 }
 
-// endLastConnections accepts nothing more, and returns when what was accepted up to now has its answers, or at
-// the deadline.
+// endLastConnections stops accepting, and returns when the connections accepted so far are closed, or at the
+// deadline.
 func (s *Server) endLastConnections(deadline time.Time) {
 	s.clients.StopReading(deadline.Add(-bodyMargin))
 	s.clients.Close()
@@ -197,8 +198,8 @@
 	}
 }
 
-// shutDownHTTP ends the HTTP server. What is still open at the deadline is closed here, so that the last counts
-// of this process include it.
+// shutDownHTTP ends the HTTP server. Connections that are still open at the deadline are closed here, so that
+// the last counts of this process include them.
 func (s *Server) shutDownHTTP(server *http.Server, deadline time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
--- a/internal/frontend/settings.go
+++ b/internal/frontend/settings.go
@@ -11,20 +11,21 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// maxDroppedCategories bounds the categories that a configuration has dropped and whose rules are still
-// retained. The reducer has the same bound, and deletes the same ones first.
+// maxDroppedCategories bounds the number of dropped categories whose rules are still retained. The reducer
+// has the same bound, and deletes the same ones first.
 const maxDroppedCategories = 4096
 
-// settings are a configuration with what each op needs of it.
+// settings are a configuration with the values derived from it that each op needs.
 type settings struct {
 	*config.Bootstrap
 	hash func() uint64
 
-	// rules are by category. A search among hundreds in the configuration costs more than the rest of an op.
+	// rules has the rule of each category by name: searching hundreds of them in the configuration costs
+	// more than the rest of an op.
 	rules map[string]categoryRule
 }
 
-// categoryRule is the rule of a category; of one that was dropped, until its retention ends.
+// categoryRule is the rule of a category. That of a dropped category is kept until its retention ends.
 type categoryRule struct {
 	config.CategoryRule
 	retainedUntil time.Time // zero for a category that is served
@@ -34,9 +35,9 @@
 	return !r.retainedUntil.IsZero() && now.After(r.retainedUntil)
 }
 
-// newSettings retains the rules of categories that the settings before, if any, served and the new ones
-// don't.
-func newSettings(bootstrap *config.Bootstrap, before *settings, now, retainUntil time.Time) *settings {
+// newSettings returns the settings of a configuration. It retains the rules of categories that the previous
+// settings, if any, served and the new ones don't.
+func newSettings(bootstrap *config.Bootstrap, previous *settings, now, retainUntil time.Time) *settings {
 	s := &settings{
 		Bootstrap: bootstrap,
 		rules:     map[string]categoryRule{},
@@ -45,15 +46,15 @@
 	for name, rule := range bootstrap.CategoryRules() {
 		s.rules[name] = categoryRule{CategoryRule: rule}
 	}
-	if before != nil {
-		s.limitDropped(s.retainDropped(before, now, retainUntil))
+	if previous != nil {
+		s.limitDropped(s.retainDropped(previous, now, retainUntil))
 	}
 	return s
 }
 
-// retainDropped returns the names of the categories that it retained.
-func (s *settings) retainDropped(before *settings, now, until time.Time) (dropped []string) {
-	for name, rule := range before.rules {
+// retainDropped retains the rules of dropped categories and returns the names of these.
+func (s *settings) retainDropped(previous *settings, now, until time.Time) (dropped []string) {
+	for name, rule := range previous.rules {
 		if _, served := s.rules[name]; served || rule.expired(now) {
 			continue
 		}
@@ -66,7 +67,7 @@
 	return dropped
 }
 
-// limitDropped deletes the categories that were dropped first, if there are too many.
+// limitDropped deletes the rules of the categories that were dropped first, if too many are retained.
 func (s *settings) limitDropped(dropped []string) {
 	excess := len(dropped) - maxDroppedCategories
 	if excess <= 0 {
@@ -80,7 +81,7 @@
 	}
 }
 
-// rule is the rule of a category, or the zero rule if it isn't served.
+// rule returns the rule of a category, or the zero rule if it isn't served.
 func (s *settings) rule(category string) config.CategoryRule {
 	r := s.rules[category]
 	if r.expired(time.Now()) {
@@ -89,7 +90,7 @@
 	return r.CategoryRule
 }
 
-// maxAttempts is how many attempts an op may have.
+// maxAttempts returns how many attempts an op may have.
 func (s *settings) maxAttempts() int {
 	n, ok := s.Settings["bounds.maxPushes"].(float64)
 	if !ok {
@@ -98,7 +99,7 @@
 	return int(n)
 }
 
-// schedulerPolicy is what the scheduler's checks compare attempts with.
+// schedulerPolicy gives the scheduler the rules against which it checks attempts.
 type schedulerPolicy struct {
 	settings *atomic.Pointer[settings]
 	claims   *claimGate
@@ -110,57 +111,57 @@
 func (p schedulerPolicy) MaxAttempts() int                   { return p.settings.Load().maxAttempts() }
 func (p schedulerPolicy) ClaimRequired(category string) bool { return p.claims.required(category) }
 
-// CategoryEffect is how often an op of a category may run, by the settings in force.
+// CategoryEffect returns how often an op of a category may run, by the settings in force.
 func (s *Server) CategoryEffect(category string) string {
 	return s.settings.Load().rule(category).Effect
 }
 
-// DiscoveryAddr is discovery's address, by the configuration in force.
+// DiscoveryAddr returns discovery's address in the configuration in force.
 func (s *Server) DiscoveryAddr() string { return s.settings.Load().Discovery }
 
-// SettingsHash identifies the settings in force, without those that differ between schedulers.
+// SettingsHash returns a hash of the settings in force, without those that differ between schedulers.
 func (s *Server) SettingsHash() uint64 { return s.settings.Load().hash() }
 
 // ReloadConfig applies a configuration file that was replaced: discovery's address, the categories and
-// the number of attempts. All else stays as it is until a restart. A file with a fault changes nothing.
+// the number of attempts. All other changes need a restart. An invalid file changes nothing.
 func (s *Server) ReloadConfig(path string) {
-	before := s.settings.Load()
-	bootstrap, err := readReload(path, before.Bootstrap)
+	previous := s.settings.Load()
+	bootstrap, err := readReload(path, previous.Bootstrap)
 	if err != nil {
 		s.metrics.ConfigReloaded(false)
 		s.log.Error().Str("path", path).Err(err).Msg("configuration kept")
 		return
 	}
-	settingsChanged, othersChanged := bootstrap.CompareSettings(before.Bootstrap)
+	settingsChanged, othersChanged := bootstrap.CompareSettings(previous.Bootstrap)
 	if othersChanged {
-		s.log.Warn().Msg("all but discovery, categories and pushes changes with a restart only")
+		s.log.Warn().Msg("changes other than to discovery, categories and bounds.maxPushes need a restart")
 	}
-	s.applySettings(bootstrap, before, settingsChanged)
-	// SetAddress opens discovery's watch anew. With changed settings alone, which all schedulers of a
-	// deployment get, it would be a call of each for nothing.
-	if bootstrap.Discovery != before.Discovery || !settingsChanged {
+	s.applySettings(bootstrap, previous, settingsChanged)
+	// SetAddress reopens discovery's watch. After a change of settings alone, which all schedulers of a
+	// deployment get, each of them would send discovery a needless request.
+	if bootstrap.Discovery != previous.Discovery || !settingsChanged {
 		s.endpoints.client.SetAddress(bootstrap.Discovery)
 	}
-	s.metrics.ConfigReloaded(true) // last: who reads of it goes by what is in force
+	s.metrics.ConfigReloaded(true) // last: whoever reads the count relies on the settings being in force
 	s.log.Info().Str("discovery", bootstrap.Discovery).Bool("settings", settingsChanged).
-		Msg("configuration reread")
+		Msg("configuration reloaded")
 }
 
-// readReload reads a configuration that is to replace another one.
-func readReload(path string, before *config.Bootstrap) (*config.Bootstrap, error) {
+// readReload reads a configuration and checks that it can replace the previous one.
+func readReload(path string, previous *config.Bootstrap) (*config.Bootstrap, error) {
 	read := func() (*config.Bootstrap, error) { return config.ReadBootstrap(path) }
 	bootstrap, err := oserror.RetryTransient(read)
 	if err != nil {
 		return nil, err
 	}
-	return bootstrap, bootstrap.CheckReload(before)
+	return bootstrap, bootstrap.CheckReload(previous)
 }
 
-// applySettings puts settings in force. Ops that still come for a dropped category were sent before their
-// clients knew, or are retries of such ops.
-func (s *Server) applySettings(bootstrap *config.Bootstrap, before *settings, changed bool) {
+// applySettings puts settings in force. Rules of dropped categories are retained for the longest TTL: ops
+// that still arrive for them were sent before their clients knew, or are retries of such ops.
+func (s *Server) applySettings(bootstrap *config.Bootstrap, previous *settings, changed bool) {
 	now := time.Now()
-	retainUntil := now.Add(before.LongestTTL())
+	retainUntil := now.Add(previous.LongestTTL())
 	if changed {
 		s.metrics.SetCategories(bootstrap.Categories())
 		s.loop.Send(reducer.SettingsChanged{
@@ -168,5 +169,5 @@
 			RetainUntil: config.RoundDown(s.clock.FromTime(retainUntil)),
 		})
 	}
-	s.settings.Store(newSettings(bootstrap, before, now, retainUntil))
+	s.settings.Store(newSettings(bootstrap, previous, now, retainUntil))
 }
--- a/internal/frontend/stop_test.go
+++ b/internal/frontend/stop_test.go
@@ -13,21 +13,21 @@
 	"woaddyke/internal/base/stats"
 )
 
-// stoppableScheduler is a scheduler whose worker holds the op named "held" until told, and what its
-// clients need.
+// stoppableScheduler is a scheduler whose worker answers ops with an ID that begins with "held" only when
+// released.
 type stoppableScheduler struct {
-	addr    string
-	stop    func()
-	ended   chan error
-	held    chan bool // the op is at its worker
-	release chan bool // lets it be done
+	addr     string
+	stop     func()
+	ended    chan error
+	atWorker chan bool // such an op has arrived at the worker
+	release  chan bool // lets the worker answer it
 }
 
 func newStoppableScheduler(t *testing.T) *stoppableScheduler {
-	s := &stoppableScheduler{held: make(chan bool, 9), release: make(chan bool)}
+	s := &stoppableScheduler{atWorker: make(chan bool, 9), release: make(chan bool)}
 	s.addr, s.stop, s.ended = startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		if io.Copy(io.Discard, r.Body); strings.HasPrefix(r.Header.Get(idHeader), "held") {
-			s.held <- true
+			s.atWorker <- true
 			<-s.release
 		}
 		writeDone(w, r.Header.Get(idHeader))
@@ -45,7 +45,8 @@
 	return c, bufio.NewReader(c)
 }
 
-// readAnswer is the status of the next answer, and whether it ends the connection; 0 where none comes.
+// readAnswer returns the status of the next response, or 0 if there is none, and whether it closes the
+// connection.
 func readAnswer(r *bufio.Reader) (status int, ends bool) {
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
@@ -55,93 +56,92 @@
 	return resp.StatusCode, resp.Close
 }
 
-// From the word to stop up to the last moment, what is written whole to a connection that the machine
-// accepted is answered: on kept connections and on new ones, at once and in pieces, with others that lie
-// idle, begun or held at a worker just then. The standard server's own end drops a request that it has
-// read in that instant, and closes connections on which one has begun.
-func TestWhatComesUpToTheLastMomentOfAStopIsAnswered(t *testing.T) {
+// From the start of a shutdown until the listener closes, every complete request on a connection that the
+// kernel accepted must be answered: on reused and on new connections, in one write and in fragments,
+// while other connections are idle, have a partial request or an op at a worker. http.Server.Shutdown
+// alone drops a request that it has just read, and closes connections on which a request has begun.
+func TestRequestsAreAnsweredUntilAShutdownClosesTheListener(t *testing.T) {
 	s := newStoppableScheduler(t)
-	const whole = "Content-Length: 2\r\n\r\nhi"
-	idle, idles := s.dial(t)
-	fmt.Fprint(idle, opText("idle", whole))
-	if status, _ := readAnswer(idles); status != http.StatusOK {
+	const body = "Content-Length: 2\r\n\r\nhi"
+	idle, idleReader := s.dial(t)
+	fmt.Fprint(idle, opText("idle", body))
+	if status, _ := readAnswer(idleReader); status != http.StatusOK {
 		t.Fatal(status)
 	}
-	atWorker, held := s.dial(t)
-	fmt.Fprint(atWorker, opText("held", whole))
-	<-s.held
-	begun, pieces := s.dial(t)
-	text := opText("pieces", whole)
-	fmt.Fprint(begun, text[:30])
+	atWorker, atWorkerReader := s.dial(t)
+	fmt.Fprint(atWorker, opText("held", body))
+	<-s.atWorker
+	partial, partialReader := s.dial(t)
+	text := opText("pieces", body)
+	fmt.Fprint(partial, text[:30])
 	s.stop()
-	// Clients that come again at once with each answer, for as long as anybody listens.
+	// Sends the next op as soon as one is answered, until the listener is closed.
 	answered, lost := 0, 0
-	var kept net.Conn
-	var keeps *bufio.Reader
+	var reused net.Conn
+	var reusedReader *bufio.Reader
 	for n := 0; ; n++ {
-		fresh := kept == nil
-		if fresh {
+		isNew := reused == nil
+		if isNew {
 			c, err := net.Dial("tcp", s.addr)
 			if err != nil {
-				break // nobody accepts any more
+				break // the listener is closed
 			}
 			c.SetDeadline(time.Now().Add(20 * time.Second))
-			kept, keeps = c, bufio.NewReader(c)
+			reused, reusedReader = c, bufio.NewReader(c)
 		}
-		fmt.Fprint(kept, opText(fmt.Sprint("on", n), whole))
-		status, ends := readAnswer(keeps)
-		if status == 0 && fresh {
+		fmt.Fprint(reused, opText(fmt.Sprint("on", n), body))
+		status, ends := readAnswer(reusedReader)
+		if status == 0 && isNew {
 			lost++
 		}
 		if answered += stats.Bit(status != 0); ends {
-			kept.Close()
-			kept = nil
+			reused.Close()
+			reused = nil
 		}
 		if n == 3 {
-			fmt.Fprint(begun, text[30:])
-			if status, _ := readAnswer(pieces); status != http.StatusOK {
-				t.Errorf("the one in pieces: %d", status)
+			fmt.Fprint(partial, text[30:])
+			if status, _ := readAnswer(partialReader); status != http.StatusOK {
+				t.Errorf("the op in fragments: %d", status)
 			}
 			close(s.release)
-			if status, _ := readAnswer(held); status != http.StatusOK {
-				t.Errorf("the one at its worker: %d", status)
+			if status, _ := readAnswer(atWorkerReader); status != http.StatusOK {
+				t.Errorf("the op at its worker: %d", status)
 			}
 		}
 	}
-	if lost > 1 { // the last may have been accepted by the machine and by nobody else, as its listener closed
+	if lost > 1 { // the kernel alone may have accepted the last connection as the listener closed
 		t.Errorf("%d of %d had no answer on a new connection", lost, answered+lost)
 	}
 	if answered < 10 {
-		t.Errorf("%d answers: this test proves nothing", answered)
+		t.Errorf("%d answers, want at least 10 for a meaningful test", answered)
 	}
-	if status, _ := readAnswer(idles); status != 0 {
-		t.Errorf("the idle one got %d", status)
+	if status, _ := readAnswer(idleReader); status != 0 {
+		t.Errorf("the idle connection got status %d", status)
 	}
 	if err := <-s.ended; err != nil {
 		t.Error(err)
 	}
 }
 
-// A request that has begun and whose rest comes only while its scheduler leaves is served, and its
-// connection ends with it.
-func TestARequestInPiecesAcrossTheEndOfAStopIsServed(t *testing.T) {
+// A request that has begun before a stopping scheduler closes idle connections, and is completed after
+// that, is served, and its response closes the connection.
+func TestARequestSplitAcrossTheCloseOfIdleConnectionsIsServed(t *testing.T) {
 	for _, cut := range []int{1, 40, len(opText("pieces", "Content-Length: 2\r\n\r\n")), len(opText("pieces", "Content-Length: 2\r\n\r\nh"))} {
 		t.Run(fmt.Sprint(cut), func(t *testing.T) {
 			t.Parallel()
 			s := newStoppableScheduler(t)
 			c, r := s.dial(t)
-			watch, watched := s.dial(t)
+			idle, idleReader := s.dial(t)
 			text := opText("pieces", "Content-Length: 2\r\n\r\nhi")
-			fmt.Fprint(watch, opText("watch", "Content-Length: 0\r\n\r\n"))
-			if status, _ := readAnswer(watched); status != http.StatusOK {
+			fmt.Fprint(idle, opText("watch", "Content-Length: 0\r\n\r\n"))
+			if status, _ := readAnswer(idleReader); status != http.StatusOK {
 				t.Fatal(status)
 			}
 			s.stop()
-			// The idle one is closed when its scheduler leaves; a request begins before that, and ends
-			// after it.
+			// The request begins before the scheduler closes the idle connection, and is completed after it.
 			closed := make(chan bool)
 			go func() {
-				io.Copy(io.Discard, watch)
+				io.Copy(io.Discard, idle)
 				close(closed)
 			}()
 			fmt.Fprint(c, text[:cut])
--- a/internal/frontend/told_test.go
+++ b/internal/frontend/told_test.go
@@ -16,57 +16,57 @@
 	"woaddyke/internal/config"
 )
 
-// toldSlack is by how much the time that a worker is told may be more than what its client has left.
-const toldSlack = 150 * time.Millisecond
+// timeLeftTolerance is by how much the time left in a push may exceed what its client has left.
+const timeLeftTolerance = 150 * time.Millisecond
 
-// A worker is told how long its answer is waited for, at most what the client has left when the request
-// is written: it was what was left when the push was decided on, before the connection came up, or before
-// the worker's machine took the first byte.
-func TestAWorkerIsToldWhatIsLeftWhenItIsWrittenTo(t *testing.T) {
-	const left, holdUp = 3 * time.Second, 600 * time.Millisecond
+// The time left that a push carries must be at most what the client has left when the request is written. It
+// was what was left when the push was decided on: before the connection was up, or before the socket accepted
+// the first byte.
+func TestAPushCarriesTheTimeLeftWhenItIsWritten(t *testing.T) {
+	const left, delay = 3 * time.Second, 600 * time.Millisecond
 	for name, connect := range map[string]func(context.Context, string, string) (net.Conn, error){
-		"a connection that comes up late": func(ctx context.Context, network, addr string) (net.Conn, error) {
-			time.Sleep(holdUp)
+		"a slow dial": func(ctx context.Context, network, addr string) (net.Conn, error) {
+			time.Sleep(delay)
 			return (&net.Dialer{}).DialContext(ctx, network, addr)
 		},
-		"a socket that takes nothing at first": func(ctx context.Context, network, addr string) (net.Conn, error) {
+		"a socket buffer that is full at first": func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 			if err != nil {
 				return nil, err
 			}
-			return &fullSocketConn{TCPConn: c.(*net.TCPConn), until: time.Now().Add(holdUp)}, nil
+			return &fullSocketConn{TCPConn: c.(*net.TCPConn), until: time.Now().Add(delay)}, nil
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			came := make(chan [2]time.Duration, 1) // after the client's sending, and what it was told
+			pushed := make(chan [2]time.Duration, 1) // time since the client sent the op, and the push's time left
 			var sent time.Time
-			sheet := testBootstrap(t, oneWorkerList(newWorker(t, func(w http.ResponseWriter, r *http.Request) {
+			bootstrap := testBootstrap(t, oneWorkerList(newWorker(t, func(w http.ResponseWriter, r *http.Request) {
 				ms, _ := strconv.Atoi(r.Header.Get(timeLeftHeader))
-				came <- [2]time.Duration{time.Since(sent), time.Duration(ms) * time.Millisecond}
+				pushed <- [2]time.Duration{time.Since(sent), time.Duration(ms) * time.Millisecond}
 				writeDone(w, r.Header.Get(idHeader))
 			})))
-			sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "connectTimeoutNs": 2e9},
+			bootstrap.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "connectTimeoutNs": 2e9},
 				"categories": []any{category("look", "fragile", 5e9, 4e9)}})
-			f, err := New(sheet, zerolog.Nop())
+			server, err := New(bootstrap, zerolog.Nop())
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.workers.Connect = connect
-			addr, _ := serveUntil(t, f)
-			<-f.Ready()
+			server.workers.Connect = connect
+			addr, _ := serveUntil(t, server)
+			<-server.Ready()
 			sent = time.Now()
 			if resp, text := post(t, addr, "x", timeLeftHeader+": "+strconv.Itoa(int(left.Milliseconds()))); resp.StatusCode != http.StatusOK {
 				t.Fatalf("%s: %s", resp.Status, text)
 			}
-			x := <-came
-			if most := left - x[0] + toldSlack; x[0] < holdUp || x[1] > most {
-				t.Errorf("%v after it was sent its worker was told %v, at most %v may be", x[0], x[1], most)
+			push := <-pushed
+			if limit := left - push[0] + timeLeftTolerance; push[0] < delay || push[1] > limit {
+				t.Errorf("%v after the op was sent, its push had %v left, want at most %v", push[0], push[1], limit)
 			}
 		})
 	}
 }
 
-// newWorker is the address of a worker.
+// newWorker starts a worker and returns its address.
 func newWorker(t *testing.T, work http.HandlerFunc) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -78,8 +78,8 @@
 	return l.Addr().String()
 }
 
-// fullSocketConn is a connection whose socket takes nothing until a moment: the one that is written to
-// until then is full.
+// fullSocketConn is a connection whose socket buffer appears full until a given time: until then, writes
+// go to a full pipe.
 type fullSocketConn struct {
 	*net.TCPConn
 	until time.Time
@@ -95,7 +95,7 @@
 	until time.Time
 }
 
-// Write calls as the network's own does, first at once and again when the socket takes something.
+// Write calls try as the network's own connection does: immediately, and again once the socket is writable.
 func (b *fullSocketRaw) Write(try func(fd uintptr) bool) error {
 	if time.Now().Before(b.until) {
 		r, w, err := fullPipe()
@@ -112,7 +112,7 @@
 	return b.RawConn.Write(try)
 }
 
-// fullPipe is a pipe that takes nothing.
+// fullPipe returns a pipe whose buffer is full.
 func fullPipe() (r, w int, err error) {
 	var fds [2]int
 	if err := syscall.Pipe2(fds[:], syscall.O_NONBLOCK|syscall.O_CLOEXEC); err != nil {
@@ -125,48 +125,48 @@
 	}
 }
 
-// A push that was decided on long before its first byte is decided on anew: what was told of its worker
-// meanwhile may lie unread, as in a process that stood. The dial is bounded by itself; a socket that
-// takes nothing is not.
-func TestAPushThatHasBecomeOldIsDecidedOnAnew(t *testing.T) {
-	const holdUp = 1500 * time.Millisecond
+// A push whose first byte is written long after its decision must be decided again: updates about its
+// worker may be unread since then, as in a process that was stopped. The dial has its own timeout, but
+// the wait for a full socket buffer has none.
+func TestAPushHeldUpBeforeItsWriteIsDecidedAgain(t *testing.T) {
+	const delay = 1500 * time.Millisecond
 	var dials, pushes atomic.Int32
-	decided := &lineCount{of: `"message":"push"`}
-	sheet := testBootstrap(t, oneWorkerList(newWorker(t, func(w http.ResponseWriter, r *http.Request) {
+	decided := &lineCounter{text: `"message":"push"`}
+	bootstrap := testBootstrap(t, oneWorkerList(newWorker(t, func(w http.ResponseWriter, r *http.Request) {
 		pushes.Add(1)
 		writeDone(w, r.Header.Get(idHeader))
 	})))
-	sheet.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "connectTimeoutNs": 2e8},
+	bootstrap.Settings = config.Flatten(map[string]any{"bounds": map[string]any{"maxPushes": 3.0, "connectTimeoutNs": 2e8},
 		"categories": []any{category("look", "fragile", 9e9, 8e9)}})
-	f, err := New(sheet, zerolog.New(decided))
+	server, err := New(bootstrap, zerolog.New(decided))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.workers.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	server.workers.Connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 		if err != nil || dials.Add(1) > 1 {
 			return c, err
 		}
-		return &fullSocketConn{TCPConn: c.(*net.TCPConn), until: time.Now().Add(holdUp)}, nil
+		return &fullSocketConn{TCPConn: c.(*net.TCPConn), until: time.Now().Add(delay)}, nil
 	}
-	addr, _ := serveUntil(t, f)
-	<-f.Ready()
+	addr, _ := serveUntil(t, server)
+	<-server.Ready()
 	if resp, text := post(t, addr, "x", timeLeftHeader+": 8000"); resp.StatusCode != http.StatusOK {
 		t.Fatalf("%s: %s", resp.Status, text)
 	}
 	if decided.n.Load() != 2 || pushes.Load() != 1 {
-		t.Errorf("%d pushes were decided on and %d came: the old decision was carried out", decided.n.Load(), pushes.Load())
+		t.Errorf("%d pushes decided and %d received, want 2 and 1", decided.n.Load(), pushes.Load())
 	}
 }
 
-// lineCount is a log that counts the lines with some text.
-type lineCount struct {
-	of string
-	n  atomic.Int32
+// lineCounter is a log writer that counts the lines that contain a text.
+type lineCounter struct {
+	text string
+	n    atomic.Int32
 }
 
-func (c *lineCount) Write(line []byte) (int, error) {
-	if strings.Contains(string(line), c.of) {
+func (c *lineCounter) Write(line []byte) (int, error) {
+	if strings.Contains(string(line), c.text) {
 		c.n.Add(1)
 	}
 	return len(line), nil
