--- a/internal/frontend/reload_log_test.go
+++ b/internal/frontend/reload_log_test.go
@@ -24,7 +24,7 @@
 		}
 		server.ReloadConfig(path)
 		if !strings.Contains(log.String(), `"path":"`+path+`"`) {
-			t.Errorf("%s", log.String())
+			t.Errorf("the log does not name %s: %s", path, log.String())
 		}
 	}
 }
--- a/internal/frontend/settings_test.go
+++ b/internal/frontend/settings_test.go
@@ -115,14 +115,14 @@
 	}
 	for step, want := range map[int]bool{steps - 2: true, steps - 3: true, 0: false, 1: false} {
 		if _, retained := s.rules[fmt.Sprint(step, "-", perStep-1)]; retained != want {
-			t.Errorf("a rule that was dropped at step %d is retained: %v", step, retained)
+			t.Errorf("a rule of step %d: retained %v, want %v", step, retained, want)
 		}
 	}
 	if len(s.rules) != maxDroppedCategories+perStep {
-		t.Errorf("%d rules", len(s.rules))
+		t.Errorf("%d rules, want %d", len(s.rules), maxDroppedCategories+perStep)
 	}
 	later := now.Add(2 * time.Hour)
 	if s = newSettings(bootstrapAt(0), s, later, later.Add(time.Second)); len(s.rules) != 2*perStep {
-		t.Errorf("%d rules after the retention", len(s.rules))
+		t.Errorf("%d rules after the retention, want %d", len(s.rules), 2*perStep)
 	}
 }
