--- a/internal/frontend/bench_test.go
+++ b/internal/frontend/bench_test.go
@@ -60,8 +60,8 @@
 
 const benchLoadReport = `{"pending":0,"busy_reqs":2,"x0":2,"x1":8.5}`
 
-// newBenchWorker starts a worker that answers each probe with a load report and each push with two job
-// lines, in the form of the lab's workers.
+// newBenchWorker starts a worker that answers each probe with a load report, and each push with two job lines
+// (JSON objects with the states started and done).
 func newBenchWorker(b *testing.B) string {
 	return fragmentpeer.Serve(b, func(c *net.TCPConn) {
 		for in := bufio.NewReader(c); ; {
@@ -98,8 +98,8 @@
 	return p, counts
 }
 
-// BenchmarkProbe measures one probe on the wire, with all headers, in both directions: over a new
-// connection, as almost every probe is with thousands of workers, and over a reused one.
+// BenchmarkProbe measures the traffic of one probe in both directions, with all headers. It uses a new
+// connection, as almost every probe does with thousands of workers, and then a reused connection.
 func BenchmarkProbe(b *testing.B) {
 	addr := newBenchWorker(b)
 	for _, reused := range []bool{false, true} {
@@ -128,7 +128,7 @@
 	}
 }
 
-// BenchmarkPush measures a push on the wire without its body and its result: its headers and job lines.
+// BenchmarkPush measures the traffic of a push without a body and a result: its headers and job lines.
 func BenchmarkPush(b *testing.B) {
 	addr := newBenchWorker(b)
 	p, counts := newCountingPool()
--- a/internal/frontend/claims.go
+++ b/internal/frontend/claims.go
@@ -16,7 +16,8 @@
 
 // ClaimRegistry grants the right to run an op to one scheduler of the cluster.
 type ClaimRegistry interface {
-	// Claim requests the right to run an op, and waits at most for the time within for the decision.
+	// Claim requests the right to run an op, and waits for the decision for at most the time within.
+	// Workers drop duplicates of the op for the time window, which is 0 if they drop none.
 	Claim(
 		ctx context.Context, category, id string, request []byte, within, window time.Duration,
 	) replication.ClaimDecided
@@ -24,7 +25,8 @@
 	MayHaveRun(claimID uint64, group string)
 	// Finish reports the outcome of the op.
 	Finish(claimID uint64, neverRan bool, status int, answer []byte)
-	// Abandon reports that the op gets no further attempt, may have run, and may be retried in its group.
+	// Abandon reports that the op may have run and gets no further attempt. Its client may retry it, in
+	// the group that was reported.
 	Abandon(claimID uint64)
 }
 
@@ -34,7 +36,7 @@
 
 // claimGate decides which ops need a claim.
 type claimGate struct {
-	registry   ClaimRegistry // nil if no other scheduler shares claims with this one
+	registry   ClaimRegistry // nil unless RequireClaims was called
 	isRequired func(category string) bool
 }
 
@@ -53,7 +55,7 @@
 	registry      ClaimRegistry
 	id            uint64
 	scope         string // in which workers drop the op's duplicates (zone, cell, all); empty for none
-	groupReported bool   // the group in which the op may have run was reported to the replicas
+	groupReported bool   // the registry knows the group in which the op may have run
 }
 
 func (c *grantedClaim) granted() bool { return c.id != 0 }
@@ -103,8 +105,8 @@
 	return nack("nacked: no majority of keepers answered\n")
 }
 
-// MayHaveRun reports to the replicas the group in which an op may have run, the first time that it may
-// have. Only the loop calls it, before it answers the op.
+// MayHaveRun reports to the registry the group in which an op may have run, unless the registry
+// knows one already. Only the loop calls it, before it answers the op.
 func (op *pendingOp) MayHaveRun(group reducer.Group) {
 	if !op.claim.granted() || op.claim.scope == "" || op.claim.groupReported {
 		return
@@ -113,7 +115,7 @@
 	op.claim.registry.MayHaveRun(op.claim.id, groupName(op.claim.scope, group))
 }
 
-// runState tells whether an op may have run that got no answer from a worker.
+// runState tells whether an op may have run. Its value is the argument neverRan of ClaimRegistry.Finish.
 type runState bool
 
 const (
@@ -122,13 +124,13 @@
 )
 
 // finishClaim reports the outcome of an op that has a claim.
-func (op *pendingOp) finishClaim(ran runState, status int, answer []byte) {
+func (op *pendingOp) finishClaim(state runState, status int, answer []byte) {
 	if op.claim.granted() {
-		op.claim.registry.Finish(op.claim.id, bool(ran), status, answer)
+		op.claim.registry.Finish(op.claim.id, bool(state), status, answer)
 	}
 }
 
-// reportOutcome reports the outcome of an op that has a claim, as its answer gives it.
+// reportOutcome reports the outcome of an op that has a claim. The answer determines the outcome.
 func (op *pendingOp) reportOutcome(answer reducer.Respond) {
 	switch answer.Verdict {
 	case reducer.Acked:
@@ -147,7 +149,8 @@
 	}
 }
 
-// groupName encodes the group of an attempt by the scope within which its duplicates are dropped.
+// groupName encodes the group of workers that drop the duplicates of an attempt. The scope selects the field
+// of g that defines the group.
 func groupName(scope string, g reducer.Group) string {
 	switch scope {
 	case "zone":
@@ -158,7 +161,8 @@
 	return "all"
 }
 
-// parseGroup is the inverse of groupName. A field that the name doesn't give matches no worker.
+// parseGroup is the inverse of groupName. A field that is not in the name gets a value that matches no
+// worker.
 func parseGroup(name string) reducer.Group {
 	g := reducer.Group{WorkerGroup: -1}
 	kind, value, _ := strings.Cut(name, " ")
--- a/internal/frontend/client_drain.go
+++ b/internal/frontend/client_drain.go
@@ -13,7 +13,7 @@
 	clients *clientconn.Pool
 	mu      sync.Mutex
 	state   clientdrain.State
-	running bool // a goroutine closes connections
+	running bool // a goroutine executes run
 }
 
 func (d *clientDrainer) draining() bool {
@@ -57,7 +57,8 @@
 	}
 }
 
-// next returns how many connections to close now, and for how long these must have been idle.
+// next returns how many connections to close now, and for how long these must have been idle. If the drain
+// was cancelled, ended is true.
 func (d *clientDrainer) next() (count int, minIdle time.Duration, ended bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/frontend/client_drain_test.go
+++ b/internal/frontend/client_drain_test.go
@@ -19,7 +19,7 @@
 
 // roundTrip sends a request on a connection. It returns the response's status and whether the response
 // closes the connection.
-func roundTrip(t *testing.T, c net.Conn, request string) (status int, ends bool) {
+func roundTrip(t *testing.T, c net.Conn, request string) (status int, closes bool) {
 	t.Helper()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	fmt.Fprint(c, request)
@@ -32,8 +32,8 @@
 }
 
 // A client drain must fail health checks, close connections without losing a request, and reject late ops
-// with a status that allows a retry. Without it, load balancers continue to send clients to a scheduler that
-// is being drained.
+// with a status that allows a retry. Otherwise load balancers continue to send clients to a scheduler that is
+// being drained.
 func TestAClientDrainClosesConnectionsUntilClientsAreReadmitted(t *testing.T) {
 	server, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[]}`), zerolog.Nop())
 	if err != nil {
@@ -52,41 +52,43 @@
 	const healthCheck = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 	used, idle := dial(), dial()
 	for _, c := range []net.Conn{used, idle} {
-		if status, ends := roundTrip(t, c, healthCheck); status != 200 || ends {
-			t.Fatalf("before: %d, ends %v", status, ends)
+		if status, closes := roundTrip(t, c, healthCheck); status != 200 || closes {
+			t.Fatalf("before: %d, closes %v", status, closes)
 		}
 	}
 	server.DrainClients()
-	if status, ends := roundTrip(t, used, healthCheck); status != 503 || !ends {
-		t.Errorf("on a connection in use: %d, ends %v", status, ends)
+	if status, closes := roundTrip(t, used, healthCheck); status != 503 || !closes {
+		t.Errorf("on a connection in use: %d, closes %v", status, closes)
 	}
-	if status, ends := roundTrip(t, dial(), "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"); status != 400 || !ends {
-		t.Errorf("on a new connection: %d, ends %v; want an answer that closes it", status, ends)
+	if status, closes := roundTrip(t, dial(), "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"); status != 400 || !closes {
+		t.Errorf("on a new connection: %d, closes %v; want an answer that closes it", status, closes)
 	}
 	drainedAt := time.Now()
 	idle.SetReadDeadline(drainedAt.Add(10 * time.Second))
 	if n, err := idle.Read(make([]byte, 1)); n != 0 || err == nil {
 		t.Error("the idle connection must be closed without a response")
 	}
-	// The drain allows two seconds for the last op that may arrive; the bound is lower for slow machines.
+	// The drain admits ops for about two seconds, and closes the first idle connection half a second after its
+	// start. The minimum here is lower: drainedAt is taken two requests later, which is long on a slow machine.
 	if waited := time.Since(drainedAt); waited < 300*time.Millisecond {
-		t.Errorf("it was closed after %v, before the load balancer can have noticed the drain", waited)
+		t.Errorf("it was closed after %v, before a load balancer can have detected the drain", waited)
 	}
-	// An op that arrives late would still be in flight when no op may be; its client may retry elsewhere.
+	// An op that arrives long after the drain's start must be rejected, since it could still be in flight at
+	// the drain's end. Its client may retry at another scheduler.
 	server.drain.mu.Lock()
 	server.drain.state = clientdrain.State{}
 	server.drain.state.Start(time.Now().Add(-3 * time.Second))
 	server.drain.mu.Unlock()
 	op := fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\n%s: a\r\n%s: look\r\n%s: 9000\r\nContent-Length: 0\r\n\r\n", idHeader,
 		categoryHeader, timeLeftHeader)
-	if status, ends := roundTrip(t, dial(), op); status != 503 || !ends {
-		t.Errorf("an op three seconds after the drain's start: %d, ends %v", status, ends)
+	if status, closes := roundTrip(t, dial(), op); status != 503 || !closes {
+		t.Errorf("an op three seconds after the drain's start: %d, closes %v", status, closes)
 	}
 	server.ReadmitClients()
 	readmitted := dial()
 	for range 2 {
-		if status, ends := roundTrip(t, readmitted, healthCheck); status != 200 || ends {
-			t.Errorf("after the drain: %d, ends %v", status, ends)
+		if status, closes := roundTrip(t, readmitted, healthCheck); status != 200 || closes {
+			t.Errorf("after the drain: %d, closes %v", status, closes)
 		}
 	}
 }
@@ -121,8 +123,8 @@
 	// With a successor, health checks succeed during the shutdown unless operators have drained clients.
 	predecessor.SetSuccessor(true)
 	stop()
-	if recorder := httptest.NewRecorder(); !predecessor.lifecycle.closing.Load() {
-		for until := time.Now().Add(10 * time.Second); !predecessor.lifecycle.closing.Load() && time.Now().Before(until); {
+	if recorder := httptest.NewRecorder(); !predecessor.lifecycle.closeAfterResponse.Load() {
+		for until := time.Now().Add(10 * time.Second); !predecessor.lifecycle.closeAfterResponse.Load() && time.Now().Before(until); {
 			time.Sleep(time.Millisecond)
 		}
 		if predecessor.health(recorder, httptest.NewRequest(http.MethodGet, "/healthz", nil)); recorder.Code != 503 {
--- a/internal/frontend/descriptors.go
+++ b/internal/frontend/descriptors.go
@@ -1,11 +1,11 @@
 package frontend
 
 const (
-	// descriptorsReserved is the number of descriptors for the runtime, the listener, discovery, a file,
-	// the console and a hot restart.
-	descriptorsReserved = 36
+	// baseDescriptors is the number of descriptors that every scheduler reserves: for the runtime, the
+	// listener, discovery, a file, the console and a hot restart.
+	baseDescriptors = 36
 
-	// Fractions of the other descriptors. Above the soft client limit, idle client connections are closed
+	// Fractions of the unreserved descriptors. Above the soft client limit, idle client connections are closed
 	// to make room for new ones.
 	softClientFraction = 0.3
 	maxClientFraction  = 0.55
@@ -14,17 +14,17 @@
 
 // ReserveDescriptors reserves further descriptors for other parts of the process. Call it before Serve.
 func (s *Server) ReserveDescriptors(descriptors int) {
-	s.reservedDescriptors += descriptors
+	s.extraDescriptors += descriptors
 	s.SetDescriptorLimit(s.bootstrap.Limits.Sockets)
 }
 
-// SetDescriptorLimit sets how many descriptors this process may use.
+// SetDescriptorLimit sets how many descriptors this process may use, with the reserved ones.
 func (s *Server) SetDescriptorLimit(descriptors int) { s.setLimits(descriptors, 0) }
 
 // setLimits divides descriptors between clients and workers. At least minWorkers connections to workers
-// stay possible, at the cost of clients: ops that can't be pushed only wait.
+// stay possible, at the cost of clients: without connections to workers, admitted ops could only wait.
 func (s *Server) setLimits(descriptors, minWorkers int) {
-	limits := splitDescriptors(descriptors-descriptorsReserved-s.reservedDescriptors, minWorkers)
+	limits := splitDescriptors(descriptors-baseDescriptors-s.extraDescriptors, minWorkers)
 	s.clients.SetLimits(limits.softClients, limits.maxClients)
 	s.workers.SetMaxOpen(limits.workers)
 }
@@ -32,7 +32,7 @@
 // descriptorLimits are numbers of connections, each at least 1.
 type descriptorLimits struct{ softClients, maxClients, workers int }
 
-// splitDescriptors splits descriptors between clients and connections to workers.
+// splitDescriptors splits the unreserved descriptors between client connections and worker connections.
 func splitDescriptors(total, minWorkers int) descriptorLimits {
 	fraction := func(f float64) int { return max(int(f*float64(total)), 1) }
 	soft := fraction(softClientFraction)
--- a/internal/frontend/descriptors_test.go
+++ b/internal/frontend/descriptors_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// For any number of descriptors, the limits of clients and of connections to workers and the reserved
-// descriptors must not add up to more. Many clients must not use up the descriptors of discovery's watch, the
-// console and the streams of members, also with the part that a successor gets.
+// For any number of descriptors, also the small number that a successor may get, the reserved descriptors and
+// the limits of client and worker connections must not add up to more. Otherwise many clients could use up
+// the descriptors of discovery's watch, the console and the streams between members.
 func TestDescriptorLimitsNeverExceedTheTotal(t *testing.T) {
-	for _, reserved := range []int{0, 36} { // 36 for the operator's file
+	for _, reserved := range []int{0, 36} { // 36 are mesh.Descriptors and store.Descriptors
 		for sockets := 64 + reserved; sockets <= 4096; sockets++ {
-			total := sockets - descriptorsReserved - reserved
+			total := sockets - baseDescriptors - reserved
 			for _, minWorkers := range []int{0, total / 2, total} {
 				limits := splitDescriptors(total, minWorkers)
 				soft, maximum, workers := limits.softClients, limits.maxClients, limits.workers
--- a/internal/frontend/endpoints.go
+++ b/internal/frontend/endpoints.go
@@ -17,11 +17,11 @@
 	client       *discovery.Client
 	workerStarts *discovery.StartTimes
 	loop         *scheduler.Loop
-	cached       reducer.EndpointsChanged // endpoint list at the start
+	cached       reducer.EndpointsChanged // the endpoint list used until discovery sends one
 	peerDrains   *peerDrains              // nil if peers' drain records are not used
 }
 
-// decodeCachedEndpoints returns the endpoint list cached in the configuration, as discovery last sent it.
+// decodeCachedEndpoints returns the endpoint list that is cached in the configuration, or an empty one.
 func decodeCachedEndpoints(bootstrap *config.Bootstrap) (discovery.EndpointList, error) {
 	var cached discovery.EndpointList
 	if len(bootstrap.KnownWorkers) == 0 {
@@ -63,8 +63,8 @@
 }
 
 // hasUnappliedUpdates tells whether discovery has sent data that the loop hasn't applied: an attempt may
-// have been decided on outdated endpoints. The client is checked before the loop, in the order in which a
-// list passes them, so that no list is missed between the two checks.
+// have been decided on outdated endpoints. A list passes the discovery client before the loop. They are
+// checked in this order, so that no list is missed between the two checks.
 func (e *endpointFeed) hasUnappliedUpdates() bool {
 	return e.client.HasUnreadData() || e.loop.HasUnappliedLists()
 }
--- a/internal/frontend/figures_test.go
+++ b/internal/frontend/figures_test.go
@@ -21,9 +21,10 @@
 // expectedCounts are the outcomes of the requests of one category, as the test itself has counted them.
 type expectedCounts struct{ succeeded, rejected, failed, disconnected, inFlight int }
 
-// Metrics must count every request that was read exactly once, under the outcome that its client saw. Two
-// kinds were in no count: requests that the HTTP handler rejected, and clients that disconnected while their
-// op was in flight. The test compares after each of its random steps. The seed is FIGURES_SEED.
+// Metrics must count every request that was read exactly once, under the outcome that its client saw.
+// Formerly they did not count requests that the HTTP handler rejected, and clients that disconnected while
+// their op was in flight. The test takes random steps and compares the counts after each. The seed is
+// FIGURES_SEED.
 func TestMetricsCountEveryOpOnceWhateverItsOutcome(t *testing.T) {
 	seed, err := strconv.ParseUint(os.Getenv("FIGURES_SEED"), 10, 64)
 	if err != nil {
@@ -59,7 +60,7 @@
 	var look, other expectedCounts
 	pushed := 0
 	sum := func(o metrics.OpCounts) int { return o.Succeeded + o.Rejected + o.Failed + o.Disconnected }
-	// awaitCounts waits until the metrics equal the expected counts: an answer is counted just after it ends.
+	// awaitCounts waits until the metrics equal the expected counts: a request is counted just after its answer.
 	awaitCounts := func(step string) {
 		t.Helper()
 		for until := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -23,7 +23,7 @@
 const (
 	// Timeouts of connections to workers.
 	defaultConnectTimeout   = time.Second
-	defaultKeepAliveTimeout = 10 * time.Second // while one is idle
+	defaultKeepAliveTimeout = 10 * time.Second // of an idle connection
 
 	// defaultDrainGrace is the time for which a worker may get attempts after its drain was announced.
 	defaultDrainGrace = time.Second
@@ -40,7 +40,7 @@
 	metrics   *metrics.Recorder
 	checker   *invariant.Checker
 
-	settings  atomic.Pointer[settings] // in force
+	settings  atomic.Pointer[settings] // the current settings
 	loop      *scheduler.Loop
 	workers   *workerconn.Pool
 	endpoints *endpointFeed
@@ -52,26 +52,26 @@
 	drain     *clientDrainer
 	lifecycle lifecycle
 
-	reservedDescriptors int // for other parts of the process
+	extraDescriptors    int // for other parts of the process
 	external            externalCounts
-	acceptErrorLoggedAt atomic.Pointer[time.Time] // last time
+	acceptErrorLoggedAt atomic.Pointer[time.Time] // time of the last log line about an accept error
 }
 
 // lifecycle is the state of this process between its start and its end.
 type lifecycle struct {
-	ready     chan struct{} // closed once this process can serve
-	successor atomic.Bool   // another process is replacing this one
-	stopping  atomic.Bool   // shutting down without a successor
-	closing   atomic.Bool   // each response closes its connection
+	ready              chan struct{} // closed once this process can serve
+	hasSuccessor       atomic.Bool   // another process is replacing this one
+	stopping           atomic.Bool   // shutting down without a successor
+	closeAfterResponse atomic.Bool   // each response closes its connection
 }
 
-// healthy tells whether clients should be sent to this address. With a successor they should: it accepts
-// on the same socket.
+// healthy tells whether load balancers should send clients to this address. They should if there is a
+// successor, which accepts on the same socket.
 func (l *lifecycle) healthy() bool {
 	if l.stopping.Load() {
 		return false
 	}
-	return !l.closing.Load() || l.successor.Load()
+	return !l.closeAfterResponse.Load() || l.hasSuccessor.Load()
 }
 
 // New returns a scheduler with the given configuration.
@@ -79,9 +79,9 @@
 	return NewSuccessor(bootstrap, nil, log)
 }
 
-// NewSuccessor returns a scheduler that replaces another process. It starts from the state that the
-// predecessor handed over, and from the predecessor's workers in the configuration. The state is nil for a
-// scheduler without a predecessor.
+// NewSuccessor returns a scheduler that replaces another process. It takes the start times of workers from
+// the predecessor's state; RestoreState restores the rest. The endpoint list comes from
+// bootstrap.KnownWorkers, which the caller sets from the state. predecessor is nil if there is none.
 func NewSuccessor(
 	bootstrap *config.Bootstrap, predecessor *hotrestart.State, log zerolog.Logger,
 ) (*Server, error) {
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -165,8 +165,9 @@
 	}
 }
 
-// Request smuggling: a request with both framings was pushed to a worker, and so was another request
-// hidden in its body. After such a request the connection must be closed.
+// After a request whose end is ambiguous, the connection must be closed and neither the request nor what
+// follows may be pushed. Formerly a request with a Content-Length and chunks was pushed to a worker, and so
+// was another request hidden in its body (request smuggling).
 func TestNothingIsReadAfterARequestWithAmbiguousFraming(t *testing.T) {
 	addr, _, _ := startScheduler(t, func(_ http.ResponseWriter, r *http.Request) {
 		t.Errorf("%s was pushed to the worker", r.Header.Get(idHeader))
@@ -195,8 +196,8 @@
 	}
 }
 
-// Ops in chunks were rejected with 411. They must be served, also when they are pipelined, while one that
-// has a Content-Length too is rejected with 411 and ends its connection.
+// Ops in chunks must be served, also when they are pipelined. An op that has a Content-Length too must be
+// rejected with 411, and its connection must be closed. Formerly all ops in chunks were rejected with 411.
 func TestAChunkedOpIsServed(t *testing.T) {
 	bodies := make(chan string, 9)
 	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
@@ -235,7 +236,7 @@
 	expectStatus(200)
 	expectStatus(411)
 	if <-bodies != "0" || <-bodies != "1b" || len(bodies) > 0 {
-		t.Error("a request with a length and chunks was pushed, or the one after it")
+		t.Error("a request with a Content-Length and chunks was pushed, or the request after it")
 	}
 }
 
@@ -263,8 +264,8 @@
 	}
 }
 
-// A process that ends with ops unanswered has lost them, and so has one that is killed because it takes too
-// long to end.
+// A scheduler that is stopped must answer every admitted op, and must then end in time. If it ends earlier,
+// or is killed because it takes too long, ops are lost.
 func TestAShutdownAnswersEveryOpAndEnds(t *testing.T) {
 	started := make(chan bool, 1)
 	addr, stop, ended := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
@@ -284,7 +285,8 @@
 	stoppedAt := time.Now()
 	stop()
 	time.Sleep(100 * time.Millisecond)
-	// The other schedulers may still be down: clients whose connections were closed had no scheduler at all.
+	// Connections must stay open at first: the other schedulers may still be down, and the clients would then
+	// have no scheduler.
 	if resp, text := post(t, addr+"/api", ""); resp.StatusCode != 200 || resp.Close || text != "made for a1" {
 		t.Errorf("soon after the stop: %s, close %v", resp.Status, resp.Close)
 	}
@@ -307,8 +309,9 @@
 	}
 }
 
-// A flood of connections that send nothing had the ops of other clients rejected, and a header timeout of
-// 10 s let it stay. Connections that have served must stay open, and silent ones must be closed soon.
+// During a flood of connections that send nothing, connections that have served ops must stay open, and
+// silent connections must be closed soon. Formerly ops of other clients were rejected, and with a header
+// timeout of 10 s the flood lasted.
 func TestAFloodOfSilentConnectionsDisplacesNoClientInUse(t *testing.T) {
 	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) { writeDone(w, r.Header.Get(idHeader)) })
 	client := http.Client{}
@@ -348,7 +351,9 @@
 			open++
 		}
 	}
-	if open > 256/3 { // more than a third of the descriptors would leave none for clients with ops
+	// Silent connections are closed above the soft client limit, which is about 30% of the unreserved
+	// descriptors. A third of all 256 descriptors leaves a margin.
+	if open > 256/3 {
 		t.Errorf("%d connections of the flood are still open", open)
 	}
 	client.CloseIdleConnections()
@@ -361,8 +366,8 @@
 	}
 }
 
-// A request whose head or body was announced and never completed kept its connection open for as long as the
-// client liked.
+// The connection of a request whose head or body is never completed must be closed after a timeout. Formerly
+// such a request kept its connection open without limit.
 func TestAnIncompleteRequestTimesOut(t *testing.T) {
 	addr, _, _ := startScheduler(t, func(http.ResponseWriter, *http.Request) { t.Error("the worker got a request") })
 	for _, half := range []string{"POST / HT", "POST / HTTP/1.1\r\nHost: x\r\n" + idHeader + ": a\r\n" + categoryHeader +
--- a/internal/frontend/gone_test.go
+++ b/internal/frontend/gone_test.go
@@ -17,13 +17,13 @@
 	"woaddyke/internal/scheduler"
 )
 
-// unnotifiedListener accepts connections whose disconnects no goroutine of the scheduler detects, as in a
-// process whose watching goroutines do not get to run. Only a check of the socket can then prevent an
-// attempt.
+// unnotifiedListener accepts connections whose disconnects no goroutine of the scheduler detects. In a busy
+// process the goroutines that read from the connections may not get to run either. Only a check of the socket
+// can then prevent an attempt.
 type unnotifiedListener struct {
 	net.Listener
 	acceptGate <-chan bool // received from before each Accept; nil for no wait
-	readGate   <-chan bool // received from before each read but a connection's first; nil for no wait
+	readGate   <-chan bool // received from before each read except a connection's first; nil for no wait
 
 	mu       sync.Mutex
 	accepted []*net.TCPConn
@@ -118,8 +118,8 @@
 }
 
 // In a process whose goroutines run late, the kernel knows that a client has disconnected while the
-// process has not detected it. Each case blocks one way to an attempt just before its end, lets the
-// client disconnect, and unblocks it: the attempt is decided on, and the check of the socket alone must
+// process has not detected it. Each case blocks an op at one step before an attempt, lets the client
+// disconnect, and unblocks the step. The attempt is then decided on. The check of the socket alone must
 // prevent it and end the op.
 func TestASocketCheckAlonePreventsEachAttemptOfADisconnectedClient(t *testing.T) {
 	const empty = "Content-Length: 0\r\n\r\n"
@@ -129,11 +129,11 @@
 		category string
 		id, text string
 		pushes   int // attempts before the client disconnects
-		// blockListener and block hold the op up, at the listener or just before an attempt, until unblock.
+		// blockListener blocks the op at the listener, and block just before an attempt, until unblock.
 		blockListener   func(d *unnotifiedListener) (unblock func())
 		prepare         func(t *testing.T, g *gatedScheduler)
 		earlierOps      int   // ops of other clients, served by prepare and block
-		extraCategories []any // beside those of the gatedScheduler
+		extraCategories []any // in addition to those of gatedScheduler
 		sequential      bool  // not run in parallel with other tests
 		block           func(t *testing.T, g *gatedScheduler) (unblock func())
 	}
@@ -145,11 +145,11 @@
 		},
 	}, {
 		name: "it probes again", probes: true, category: "soon",
-		earlierOps: 2, sequential: true, // timing: one second between two rounds of probes, half of one for the first
+		earlierOps: 2, sequential: true, // depends on timing: probe rounds are 1 s apart, 0.5 s at first
 		extraCategories: []any{category("soon", "fragile", 300e9, 4e9)},
 		prepare: func(t *testing.T, g *gatedScheduler) {
 			g.reportedLoad.Store(1)
-			g.serveOne(t, "slow", 300*time.Millisecond) // sets how long the scheduler waits for other probes
+			g.serveOne(t, "slow", 300*time.Millisecond) // from this the scheduler learns how long to wait for probes
 			g.reportedLoad.Store(10000)                 // a queue that outlasts any op
 		},
 		block: func(t *testing.T, g *gatedScheduler) func() {
@@ -251,7 +251,7 @@
 				if step.prepare != nil {
 					step.prepare(t, g)
 				}
-				blockAfterSend := step.block != nil && (step.probes || step.pushes > 0) // only once the op has arrived
+				blockAfterSend := step.block != nil && (step.probes || step.pushes > 0) // block needs the op to arrive
 				if step.block != nil && !blockAfterSend {
 					unblock = step.block(t, g)
 				}
@@ -296,8 +296,8 @@
 	}
 }
 
-// serveOne sends an op of a client that stays connected, and expects its probe, which is answered after
-// probeDelay, and its push.
+// serveOne sends an op of a client that stays connected. It expects a probe, which is answered after
+// probeDelay, and then a push.
 func (g *gatedScheduler) serveOne(t *testing.T, id string, probeDelay time.Duration) {
 	t.Helper()
 	go func() {
@@ -342,8 +342,9 @@
 	return submitted, pending
 }
 
-// A thousand clients, whose ops wait for a blocked loop, disconnect together. The loop, whose inbox holds 256
-// ops and fills again as it takes them, is then faster than the goroutines that detect the disconnects.
+// A thousand clients, whose ops wait for a blocked loop, disconnect together. None of their ops may be pushed
+// once the loop continues. Its inbox holds 256 ops and fills again as it takes them, and it is faster than
+// the goroutines that detect the disconnects.
 func TestNoOpIsPushedWhenAThousandClientsDisconnectTogether(t *testing.T) {
 	const clients = 1000
 	d := &unnotifiedListener{}
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	bodyTimeout       = time.Second      // for a body, after its head
+	bodyTimeout       = time.Second      // for the arrival of a body, after its head
 	answerReadTimeout = 10 * time.Second // for a client to read its answer
 
 	proxyBufferBytes = 4 << 10
@@ -46,7 +46,7 @@
 }
 
 // limitTimes sets deadlines for reading a request's body and for writing its response. A request without a
-// body has no read deadline: net/http is already watching for the end of its connection.
+// body gets no read deadline: net/http is already reading from its connection to detect a disconnect.
 func limitTimes(w http.ResponseWriter, r *http.Request, arrivedAt time.Time) {
 	control := http.NewResponseController(w)
 	control.SetWriteDeadline(arrivedAt.Add(answerReadTimeout))
@@ -56,7 +56,7 @@
 	}
 }
 
-// answer responds to a request, which is either an op or has an error, and counts it.
+// answer responds to a request and counts it. err is nil if the request is an op.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, op *pendingOp, err error) {
 	s.metrics.RequestStarted()
 	response := &recordedResponse{ResponseWriter: w}
@@ -87,7 +87,7 @@
 
 // finish flushes the response and returns how the request ended for its client.
 func (r *recordedResponse) finish(client context.Context) metrics.RequestEnd {
-	disconnected := client.Err() != nil // a client that disconnects later has received its response
+	disconnected := client.Err() != nil // read first: a client that disconnects later has its response
 	if err := http.NewResponseController(r).Flush(); err != nil || disconnected {
 		return metrics.Disconnected
 	}
@@ -106,16 +106,16 @@
 	if !s.lifecycle.healthy() || s.drain.draining() {
 		status = http.StatusServiceUnavailable
 	}
-	s.closeAfter(r.Context(), w.Header(), status)
+	s.setConnectionClose(r.Context(), w.Header(), status)
 	w.WriteHeader(status)
 }
 
-// closeAfter closes a client's connection with a response if the request was invalid, as later ones may
-// be, or if clients are to leave this process. Closing it between two requests could lose the next one.
-// Requests that were already read from the connection are answered first.
-func (s *Server) closeAfter(client context.Context, h http.Header, status int) {
+// setConnectionClose makes a response close its connection if the request was invalid, as later requests may
+// be, or if clients are to leave this process. A close without a response could lose the client's next
+// request. If another request was already read from the connection, this response doesn't close it.
+func (s *Server) setConnectionClose(client context.Context, h http.Header, status int) {
 	badRequest := status/100 == 4
-	if (badRequest || s.lifecycle.closing.Load() || s.drain.draining()) &&
+	if (badRequest || s.lifecycle.closeAfterResponse.Load() || s.drain.draining()) &&
 		!clientconn.HasPipelinedRequest(client) {
 		h.Set("Connection", "close")
 	}
@@ -129,7 +129,7 @@
 		Rewrite:    func(r *httputil.ProxyRequest) { r.Out.URL.RawQuery = r.In.URL.RawQuery },
 		BufferPool: &bufferPool{},
 		ModifyResponse: func(r *http.Response) error {
-			s.closeAfter(r.Request.Context(), r.Header, r.StatusCode)
+			s.setConnectionClose(r.Request.Context(), r.Header, r.StatusCode)
 			return nil
 		},
 		ErrorHandler: func(w http.ResponseWriter, r *http.Request, err error) {
--- a/internal/frontend/hot_restart.go
+++ b/internal/frontend/hot_restart.go
@@ -21,8 +21,8 @@
 )
 
 // HandOver returns what a successor needs: an encoded state, and the sockets that this process listens on.
-// The functions in addParts add what other parts of the process hand over. From then on this process uses
-// only its part of the descriptors.
+// The functions in addParts add the state and sockets of other parts of the process. HandOver lowers the
+// descriptor limit of this process to its part: the successor gets the rest.
 func (s *Server) HandOver(addParts ...func(*hotrestart.State) []syscall.Conn) (
 	text []byte, sockets []syscall.Conn, err error,
 ) {
@@ -62,11 +62,12 @@
 // splitWithSuccessor splits the descriptors between this process and its successor.
 func (s *Server) splitWithSuccessor(workers int) (own, successor int) {
 	inUse := s.clients.Sockets() + workers
-	reserved := descriptorsReserved + s.reservedDescriptors
+	reserved := baseDescriptors + s.extraDescriptors
 	return hotrestart.SplitDescriptors(s.bootstrap.Limits.Sockets, inUse, reserved)
 }
 
-// addLearned adds the start times of workers, and the learned state if the loop is not too busy to return it.
+// addLearned adds the start times of workers. It adds the learned state too, unless the loop is too busy to
+// return it.
 func (s *Server) addLearned(state *hotrestart.State) (err error) {
 	if state.WorkerStarts, err = json.Marshal(s.endpoints.workerStarts.Snapshot()); err != nil {
 		return err
@@ -103,8 +104,8 @@
 	return discovery.NewStartTimes(c, known), nil
 }
 
-// RestoreState takes over a predecessor's state, and its socket for peers if it had one. Call it before
-// Serve.
+// RestoreState takes over a predecessor's state, and its socket for peer messages, which is nil if it had
+// none. Call it before Serve.
 func (s *Server) RestoreState(state hotrestart.State, peers *net.UDPConn) {
 	s.peers.inherited = peers
 	s.SetDescriptorLimit(state.Sockets)
@@ -129,12 +130,12 @@
 }
 
 // HasSuccessor tells whether another process is replacing this one.
-func (s *Server) HasSuccessor() bool { return s.lifecycle.successor.Load() }
+func (s *Server) HasSuccessor() bool { return s.lifecycle.hasSuccessor.Load() }
 
-// SetSuccessor records that another process is replacing this one, or that it has ended and this one
-// continues alone.
+// SetSuccessor records whether another process is replacing this one. If that process has ended, this one
+// continues alone, and accepts clients again.
 func (s *Server) SetSuccessor(running bool) {
-	s.lifecycle.successor.Store(running)
+	s.lifecycle.hasSuccessor.Store(running)
 	if !running {
 		s.SetDescriptorLimit(s.bootstrap.Limits.Sockets)
 		s.clients.Resume()
--- a/internal/frontend/isolation_test.go
+++ b/internal/frontend/isolation_test.go
@@ -18,9 +18,8 @@
 	"woaddyke/internal/config"
 )
 
-// Buffers, header maps and connections are reused: no data of one client's op may appear in another's,
-// neither at the worker nor in an answer. Half of the clients send chunks, and some answers are
-// rejections.
+// Buffers, header maps and connections are reused. No data of one client's op may appear in the op of another
+// client, neither at the worker nor in an answer. Half of the clients send chunks, and some ops are rejected.
 func TestConcurrentOpsLeakNoDataIntoEachOther(t *testing.T) {
 	addr, _, _ := startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
--- a/internal/frontend/leave_test.go
+++ b/internal/frontend/leave_test.go
@@ -26,13 +26,13 @@
 	addr            string
 	probed          chan bool    // a probe has arrived
 	releaseProbe    chan bool    // lets the worker answer one probe
-	reportedLoad    atomic.Int64 // pending and running requests in load reports, as of the probe
+	reportedLoad    atomic.Int64 // pending and running requests in the load report; read when a probe arrives
 	pushed          chan string  // the IDs of ops that the worker received
 	releaseRejected chan bool    // lets the worker reject an op with the ID "refused"
 }
 
-// newGatedScheduler starts a gatedScheduler. No op is decided on before a probe is released, since probes may
-// take a minute.
+// newGatedScheduler starts a gatedScheduler. With probes, no op is decided on before a probe is released,
+// since probes may take a minute.
 func newGatedScheduler(t *testing.T, cancel, probes bool) *gatedScheduler {
 	return newGatedSchedulerBehind(t, cancel, probes, func(l net.Listener) net.Listener { return l })
 }
@@ -66,7 +66,7 @@
 			return
 		}
 		if r.Header.Get(idHeader) == "slow" {
-			time.Sleep(20 * time.Millisecond) // the start delay by which a queue is judged
+			time.Sleep(20 * time.Millisecond) // the start delay by which the scheduler judges a queue
 			fmt.Fprintln(w, `{"id":"slow","state":"started"}`)
 		}
 		writeDone(w, r.Header.Get(idHeader))
@@ -98,7 +98,7 @@
 }
 
 // expectOnlyLaterOps releases all probes and sends three further ops of connected clients. It fails if the
-// worker receives any other op: an earlier one would arrive before them.
+// worker receives any other op: an earlier op would arrive before these.
 func (g *gatedScheduler) expectOnlyLaterOps(t *testing.T, step string) {
 	t.Helper()
 	go func() {
@@ -136,8 +136,8 @@
 }
 
 // However a client disconnects while its op waits for probes, the disconnect must be detected and
-// counted, and the op must not be pushed. The disconnect of a client that had sent a byte of another
-// request was not detected: http.Server stops watching the connection once it has read that byte.
+// counted, and the op must not be pushed. Formerly the disconnect of a client that had sent a byte of another
+// request was not detected: http.Server stops reading from the connection once it has that byte.
 func TestNoOpIsPushedAfterItsClientDisconnected(t *testing.T) {
 	const empty, chunked = "Content-Length: 0\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 	for name, test := range map[string]struct {
@@ -173,12 +173,13 @@
 				m := g.server.Metrics()
 				return m.OpsInFlight == 0 && m.Requests["look"].Disconnected >= 1 && m.Requests["look"].Failed+m.Requests["look"].Rejected == 0
 			})
-			g.expectOnlyLaterOps(t, "behind ")
+			g.expectOnlyLaterOps(t, "later ")
 		})
 	}
 }
 
-// A pipelined request, which arrives before the answer to the first one, must be served unchanged after it.
+// A pipelined request, which arrives before the answer to the previous request, must be served unchanged
+// after that answer.
 func TestAPipelinedRequestIsServedAfterTheOneBeforeIt(t *testing.T) {
 	g := newGatedScheduler(t, true, true)
 	c, err := net.Dial("tcp", g.addr)
@@ -200,8 +201,8 @@
 	}
 }
 
-// An op in the inbox of a busy loop, with its client's disconnect after it in the inbox, was pushed as
-// soon as the loop took it if no probe had to be awaited.
+// An op in the inbox of a busy loop, with its client's disconnect after it in the inbox, must not be pushed.
+// Formerly the loop pushed it immediately if no probe had to be awaited, before it took the disconnect.
 func TestAnOpInTheInboxIsNotPushedAfterItsClientDisconnected(t *testing.T) {
 	g := newGatedScheduler(t, false, false)
 	busy, release := make(chan bool), make(chan bool)
@@ -218,7 +219,7 @@
 		g.await(t, "its disconnect is in the inbox", func() bool { return len(g.server.loop.Inbox()) > 2*k+1 })
 	}
 	close(release)
-	g.expectOnlyLaterOps(t, "behind ")
+	g.expectOnlyLaterOps(t, "later ")
 }
 
 // If a client disconnects while its op waits for space in the loop's full inbox, its handler must stop
@@ -243,11 +244,11 @@
 		return m.OpsInFlight == 0 && m.Requests["look"].Disconnected == 1
 	})
 	close(release)
-	g.expectOnlyLaterOps(t, "behind ")
+	g.expectOnlyLaterOps(t, "later ")
 }
 
-// A push that was still dialing when its client disconnected was written once the connection was up if the
-// settings forbid cancelling. Not writing it cancels nothing, so it must not be written with either setting.
+// A push that is still dialing when its client disconnects must not be written. Formerly it was written if
+// the settings forbid cancelling. They don't apply here: not writing a push cancels nothing.
 func TestNoPushIsWrittenAfterItsClientDisconnectedDuringTheDial(t *testing.T) {
 	for _, cancel := range []bool{false, true} {
 		t.Run(fmt.Sprint("cancel ", cancel), func(t *testing.T) {
@@ -271,7 +272,7 @@
 			c.Close()
 			g.await(t, "the disconnect is detected", func() bool { return g.server.Metrics().Requests["look"].Disconnected == 1 })
 			close(connected)
-			g.expectOnlyLaterOps(t, "behind ")
+			g.expectOnlyLaterOps(t, "later ")
 			if m := g.server.Metrics(); m.Attempts != 3 {
 				t.Errorf("%d pushes are counted as written, want 3", m.Attempts)
 			}
@@ -292,20 +293,20 @@
 ) replication.ClaimDecided {
 	c.requested <- true
 	<-ctx.Done()
-	return replication.ClaimDecided{Result: replication.Granted, RequestID: 7} // crosses the disconnect
+	return replication.ClaimDecided{Result: replication.Granted, RequestID: 7} // granted although the client has disconnected
 }
 
 func (c *claimsAfterDisconnect) Finish(_ uint64, neverRan bool, _ int, _ []byte) {
 	c.neverRan <- neverRan
 }
 
-// A claim that was granted as the client disconnected was used for an op without a client, and the op was
-// reported as one that may have run.
+// If a claim is granted as its client disconnects, the op must not be pushed, and must be reported as never
+// run. Formerly the op was submitted without a client, and reported as one that may have run.
 func TestAClaimGrantedAfterADisconnectFinishesAsNeverRan(t *testing.T) {
 	g := newGatedScheduler(t, false, false)
 	registry := &claimsAfterDisconnect{requested: make(chan bool, 1), neverRan: make(chan bool, 1)}
 	g.server.RequireClaims(registry, func(category string) bool { return category == "asked" })
-	for k := range 12 { // the inbox has space too: without a check before it, half of the ops would be submitted
+	for k := range 12 { // the inbox has space: without a check of the client first, half of the ops would be submitted
 		c, err := net.Dial("tcp", g.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -318,10 +319,10 @@
 			t.Error("the op was reported as one that may have run")
 		}
 	}
-	g.expectOnlyLaterOps(t, "behind ")
+	g.expectOnlyLaterOps(t, "later ")
 }
 
-// A handler that blocked on a loop that has ended would keep its process from ending.
+// Sending to a loop that has ended must not block: a blocked handler would keep its process from ending.
 func TestNothingBlocksOnALoopThatHasEnded(t *testing.T) {
 	server, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[]}`), zerolog.Nop())
 	if err != nil {
@@ -362,7 +363,8 @@
 func (brokenWriter) Write([]byte) (int, error) { return 0, net.ErrClosed }
 func (brokenWriter) WriteHeader(int)           {}
 
-// The proxy panics if an answer can't be written, and the metrics then counted the op as in flight forever.
+// The proxy panics if an answer can't be written. The metrics must then count the op as disconnected.
+// Formerly they counted it as in flight forever.
 func TestAnAnswerThatCannotBeWrittenCountsAsDisconnected(t *testing.T) {
 	server, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[]}`), zerolog.Nop())
 	if err != nil {
@@ -387,8 +389,8 @@
 }
 
 // If an op's answer arrives together with its client's disconnect or with the loop's end, the answer
-// counts, and its outcome is reported to the registry. In half of such cases the registry was sent the
-// outcome "may have run", and a retry with the same ID was dead-lettered.
+// counts, and its outcome is reported to the registry. Formerly the registry got the outcome "may have run"
+// in half of such cases, and a retry with the same ID was dead-lettered.
 func TestAnAnswerThatCoincidesWithADisconnectOrTheLoopsEndCounts(t *testing.T) {
 	for _, loopEnds := range []bool{false, true} {
 		for range 60 {
@@ -426,11 +428,11 @@
 // blockedContext is a context whose Done blocks until both the answer and the other event have happened.
 type blockedContext struct {
 	context.Context
-	ready chan struct{}
+	unblocked chan struct{}
 }
 
 func (c blockedContext) Done() <-chan struct{} {
-	<-c.ready
+	<-c.unblocked
 	return c.Context.Done()
 }
 
--- a/internal/frontend/metrics.go
+++ b/internal/frontend/metrics.go
@@ -9,8 +9,8 @@
 
 const acceptErrorLogInterval = time.Second // between two log lines about accept errors
 
-// externalCounts are functions that return metrics counted by other parts of the process, nil without such
-// a part.
+// externalCounts are functions that return metrics counted by other parts of the process. A function is nil
+// if its part is not in use.
 type externalCounts struct {
 	members      func() *metrics.MemberCounts
 	lostLogLines func() uint64
@@ -36,7 +36,8 @@
 // SetLostLogLines adds the number of lost log lines to the metrics. Call it before Serve.
 func (s *Server) SetLostLogLines(count func() uint64) { s.external.lostLogLines = count }
 
-// acceptFailed counts an accept error after which accepting continues, and logs at a bounded rate.
+// acceptFailed counts an accept error after which accepting continues. It logs the error, but no more than
+// once per acceptErrorLogInterval.
 func (s *Server) acceptFailed(err error) {
 	failures := s.metrics.AcceptFailed()
 	now := time.Now()
--- a/internal/frontend/op_transport.go
+++ b/internal/frontend/op_transport.go
@@ -30,8 +30,8 @@
 }
 
 // opTransport is the reverse proxy's transport: it submits the op of a request to the scheduler, and
-// waits for its one answer. http.Transport would retry an op with an Idempotency-Key by itself, and dial
-// connections that no request needs.
+// waits for its one answer. http.Transport is not used: it would retry an op with an Idempotency-Key by
+// itself, and dial connections that no request needs.
 type opTransport struct {
 	loop     opScheduler
 	settings *atomic.Pointer[settings]
@@ -60,7 +60,8 @@
 		return nil, errNoOp
 	}
 	if t.claims.registry != nil {
-		op.Effect = t.settings.Load().rule(op.Category).Effect // decides whether the op needs a claim
+		// The effect decides whether the op needs a claim. The reducer nacks the op if it is another by then.
+		op.Effect = t.settings.Load().rule(op.Category).Effect
 		if t.claims.required(op.Category) {
 			if denied := t.claim(r, op); denied != nil {
 				return denied, nil
@@ -77,7 +78,7 @@
 }
 
 // await waits for the answer to an op that was submitted, until the client disconnects or the loop ends.
-// An answer that arrived at the same time counts.
+// An answer that has arrived by then is returned.
 func (t *opTransport) await(r *http.Request, op *pendingOp) (*http.Response, error) {
 	select {
 	case answer := <-op.reply:
--- a/internal/frontend/peer_drains.go
+++ b/internal/frontend/peer_drains.go
@@ -26,17 +26,17 @@
 	tenthsPerMS = 10
 )
 
-// peerDrains excludes workers that are draining according to another scheduler's discovery, before the own
-// discovery reports it.
+// peerDrains excludes workers that are draining according to another scheduler's discovery, before this
+// scheduler's discovery reports it.
 type peerDrains struct {
-	order sync.Mutex // held from a decision until the loop has been sent its list; taken before mu
+	sendMu sync.Mutex // locked while a list is made and sent, so that lists arrive in order; locked before mu
 
 	mu        sync.Mutex
 	core      *drainstate.Core
 	peers     DrainPeers
 	send      func(reducer.Input) // to the loop
 	endpoints map[string]reducer.Endpoint
-	excluded  map[string]bool // workers that are ready in the own list, but excluded at the loop
+	excluded  map[string]bool // workers that the loop was sent as not ready because of a drain record
 }
 
 // ShareDrains exchanges drain records with the other schedulers, and excludes workers that one of them
@@ -62,17 +62,17 @@
 	}
 }
 
-// forward sends the loop a list of the own discovery, with the excluded workers as not ready.
+// forward sends the loop a list from discovery, with the excluded workers as not ready.
 func (d *peerDrains) forward(list reducer.EndpointsChanged) {
-	d.order.Lock()
-	defer d.order.Unlock()
+	d.sendMu.Lock()
+	defer d.sendMu.Unlock()
 	d.send(d.apply(list))
 }
 
 // exclude sends the loop a worker as not ready, if it is still excluded.
 func (d *peerDrains) exclude(worker string) {
-	d.order.Lock()
-	defer d.order.Unlock()
+	d.sendMu.Lock()
+	defer d.sendMu.Unlock()
 	if entry, excluded := d.excludedEntry(worker); excluded {
 		d.send(reducer.EndpointsChanged{Endpoints: []reducer.Endpoint{entry}})
 	}
@@ -88,15 +88,15 @@
 
 // readmitExpired sends the loop the workers whose drain records have expired.
 func (d *peerDrains) readmitExpired() {
-	d.order.Lock()
-	defer d.order.Unlock()
-	if expired := d.expired(); len(expired) > 0 {
+	d.sendMu.Lock()
+	defer d.sendMu.Unlock()
+	if expired := d.removeExpired(); len(expired) > 0 {
 		d.send(reducer.EndpointsChanged{Endpoints: expired})
 	}
 }
 
-// expired returns the workers that are no longer excluded.
-func (d *peerDrains) expired() (expired []reducer.Endpoint) {
+// removeExpired deletes the workers that are no longer excluded from d.excluded, and returns them.
+func (d *peerDrains) removeExpired() (expired []reducer.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.step(drainstate.PeersChanged{Names: d.peers.Names()})
@@ -112,7 +112,7 @@
 	return expired
 }
 
-// apply records a list of the own discovery, and returns it with the excluded workers as not ready.
+// apply records a list from discovery, and returns it with the excluded workers as not ready.
 func (d *peerDrains) apply(list reducer.EndpointsChanged) reducer.EndpointsChanged {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -158,7 +158,7 @@
 			d.peers.SendDrains(e.To, e.Records)
 		case drainstate.WorkerExcluded:
 			d.excluded[e.Worker] = true
-			go d.exclude(e.Worker) // mu is locked here, and the loop may be busy
+			go d.exclude(e.Worker) // not called here: it locks mu, and waits for the loop if that is busy
 		}
 	}
 }
--- a/internal/frontend/peer_drains_test.go
+++ b/internal/frontend/peer_drains_test.go
@@ -18,9 +18,9 @@
 func (noPeers) SendDrains(string, []drainstate.DrainRecord) {}
 func (noPeers) Now() membership.Time                        { return 1 }
 
-// The drain record of a peer expires, and its worker is readmitted, at the moment at which the own
-// discovery reports that the worker drains. The readmission reached the loop after the drain, so that the
-// worker got new attempts until the next list.
+// The drain record of a peer expires, and its worker is readmitted, at the moment at which this scheduler's
+// discovery reports that the worker drains. The drain must reach the loop last. Formerly the readmission
+// reached it after the drain, and the worker got new attempts until the next list.
 func TestAReadmissionDoesNotOverrideALaterDrain(t *testing.T) {
 	const sendDelay = 100 * time.Millisecond
 	server, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":"127.0.0.1:9","state":"SERVING"}]}`), zerolog.Nop())
--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -23,10 +23,10 @@
 // peerMessages sends messages to other schedulers, and passes theirs to the loop.
 type peerMessages struct {
 	loop          *scheduler.Loop
-	memberChanges *spillqueue.Queue[scheduler.Message] // to the loop
-	sender        func(to int, text string)            // replaces the transport; nil without membership
+	memberChanges *spillqueue.Queue[scheduler.Message] // unbounded, to the loop
+	sender        func(to int, text string)            // used instead of the transport unless it is nil
 	inherited     *net.UDPConn                         // a predecessor's socket, nil without one
-	transport     *peerTransport                       // nil without addresses in the configuration
+	transport     *peerTransport                       // nil if the configuration has no addresses of peers
 	lost          atomic.Uint64                        // messages dropped because the loop's inbox was full
 	log           zerolog.Logger
 }
@@ -61,7 +61,7 @@
 	return p.transport.conn
 }
 
-// stopReceiving ends reading, so that messages go to the process that shares the socket.
+// stopReceiving ends receive, so that the process that shares the socket gets all messages.
 func (p *peerMessages) stopReceiving() {
 	if conn := p.conn(); conn != nil {
 		conn.SetReadDeadline(time.Unix(1, 0))
@@ -81,8 +81,9 @@
 // addresses. Call it before Serve.
 func (s *Server) SetPeerSender(send func(to int, text string)) { s.peers.sender = send }
 
-// ReceivePeerInput passes the loop an input about another scheduler: a message, a loss or a join. It never
-// waits for the loop: a message is dropped if the inbox is full, as a datagram may be lost.
+// ReceivePeerInput passes the loop an input about another scheduler: a message, or the loss or join of a
+// member. It never waits for the loop. A message may be lost as a datagram may: it is dropped if the inbox
+// is full.
 func (s *Server) ReceivePeerInput(event reducer.Input) {
 	if _, isMessage := event.(reducer.PeerMessage); !isMessage {
 		// Member changes are rare, and must be neither lost nor reordered.
@@ -96,8 +97,8 @@
 	}
 }
 
-// peerTransport sends and receives datagrams. A lost, late or duplicate datagram does no harm: a message
-// gives the number of attempts in flight, not a change of that number.
+// peerTransport sends and receives messages as datagrams. A lost, late or duplicate datagram does no harm: a
+// message gives the number of attempts in flight, not a change of that number.
 type peerTransport struct {
 	conn    *net.UDPConn
 	addrs   map[int]netip.AddrPort
@@ -123,8 +124,8 @@
 	return t, nil
 }
 
-// receive reads until the socket is closed. Datagrams from addresses that the configuration doesn't name
-// are dropped.
+// receive reads until the socket is closed or stopReceiving is called. It drops datagrams from addresses that
+// are not in the configuration.
 func (t *peerTransport) receive(send func(reducer.Input)) {
 	var buffer [maxPeerMessage]byte
 	failures := 0 // consecutive
@@ -133,7 +134,7 @@
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
-		if err != nil { // affects one datagram, or is a transient shortage of resources
+		if err != nil { // concerns one datagram, or a transient shortage of resources
 			failures++
 			time.Sleep(oserror.Backoff(failures))
 			continue
--- a/internal/frontend/peers_lost_test.go
+++ b/internal/frontend/peers_lost_test.go
@@ -9,7 +9,7 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// A load report that finds the loop's inbox full is lost, as a datagram is, and counted.
+// A peer message that arrives while the loop's inbox is full is lost, as a datagram may be, and is counted.
 func TestALostLoadReportIsCounted(t *testing.T) {
 	server, err := New(testBootstrap(t, `{"rev":1,"all":true,"targets":[]}`), zerolog.Nop())
 	if err != nil {
--- a/internal/frontend/peers_test.go
+++ b/internal/frontend/peers_test.go
@@ -20,6 +20,7 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
+// lockedBuffer is a log writer for concurrent use.
 type lockedBuffer struct {
 	sync.Mutex
 	bytes.Buffer
--- a/internal/frontend/pieces_test.go
+++ b/internal/frontend/pieces_test.go
@@ -12,7 +12,7 @@
 )
 
 // Clients write requests in fragments of any size, and may shut their sending down or disconnect in the
-// middle. A fragmented op must be served like one in a single write, and a truncated op must never be
+// middle. A fragmented op must be served like an op in a single write, and a truncated op must never be
 // pushed.
 func TestFragmentedOpsAreServedAndTruncatedOnesRejected(t *testing.T) {
 	received := make(chan string, 9)
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -12,7 +12,7 @@
 type Rejection struct {
 	Status     int
 	Text       string // for the client
-	RestUnread bool   // the end of the request is unknown, so that nothing after it can be read
+	RestUnread bool   // the end of the request was not found, so nothing more can be read from its connection
 }
 
 func (r *Rejection) Error() string { return r.Text }
@@ -30,13 +30,13 @@
 	return &Rejection{Status: http.StatusBadRequest, Text: fmt.Sprintf(format, args...)}
 }
 
-// reject responds to a request that is rejected.
+// reject sends the response for a rejection, and logs it.
 func (s *Server) reject(w http.ResponseWriter, r *http.Request, rejection *Rejection) {
 	s.log.Debug().Str("error", rejection.Text).Int("status", rejection.Status).Msg("request rejected")
 	if rejection.RestUnread {
 		clientconn.SkipUnansweredCheck(r.Context())
 		w.Header().Set("Connection", "close")
 	}
-	s.closeAfter(r.Context(), w.Header(), rejection.Status)
+	s.setConnectionClose(r.Context(), w.Header(), rejection.Status)
 	http.Error(w, rejection.Text, rejection.Status)
 }
--- a/internal/frontend/reload_log_test.go
+++ b/internal/frontend/reload_log_test.go
@@ -10,9 +10,9 @@
 	"github.com/rs/zerolog"
 )
 
-// The log line about a rejected configuration must name its file, since a process can be given any path.
+// The log line about a rejected configuration must contain its path, since the file may lie anywhere.
 func TestARejectedReloadLogsItsPath(t *testing.T) {
-	missing, truncated := filepath.Join(t.TempDir(), "missing.json"), filepath.Join(t.TempDir(), "torn.json")
+	missing, truncated := filepath.Join(t.TempDir(), "missing.json"), filepath.Join(t.TempDir(), "truncated.json")
 	if err := os.WriteFile(truncated, []byte(`{"name":`), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -31,7 +31,8 @@
 	maxBodyBytes    = 64 << 10
 	maxHeaderNumber = 1e12 // upper limit of the numbers in headers
 
-	// responseTravelTime is subtracted from the time left: the client also counts the network time.
+	// responseTravelTime is subtracted from the time left, since the client's time also runs while the
+	// response is on the network.
 	responseTravelTime = 10 * time.Millisecond
 )
 
@@ -39,13 +40,13 @@
 type pendingOp struct {
 	reducer.OpArrived
 	requestTarget string               // as the client wrote it
-	request       workerconn.Request   // to workers
+	request       workerconn.Request   // sent to workers
 	reply         chan reducer.Respond // buffered for the one answer
-	client        context.Context      // of the request; it ends when the server detects a disconnect
+	client        context.Context      // the request's; it ends when the server detects a disconnect
 
-	deadline    time.Time           // at which its client gives up
-	rule        config.CategoryRule // of its category, at its arrival
-	maxAttempts int                 // at its arrival
+	deadline    time.Time           // when the client gives up
+	rule        config.CategoryRule // rule of the op's category when the op arrived
+	maxAttempts int                 // limit of attempts when the op arrived
 
 	claim grantedClaim
 }
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// readDeadline reads how long the client waits, and sets the op's TTL and deadline from it.
+// readDeadline reads how long the client waits, sets the op's TTL and deadline from it, and returns it.
 func (s *Server) readDeadline(op *pendingOp, r *http.Request, arrivedAt time.Time) (time.Duration, error) {
 	ms, err := strconv.ParseInt(r.Header.Get(timeLeftHeader), 10, 64)
 	if err != nil {
@@ -135,7 +136,7 @@
 	return timeLeft, nil
 }
 
-// readFacts reads the optional numbers that decisions use.
+// readFacts reads the optional headers that decisions use: numbers, and the affinity key.
 func (s *Server) readFacts(op *pendingOp, h http.Header) error {
 	if hint := h.Get(workHeader); hint != "" {
 		us, err := parseNumber(hint)
@@ -189,7 +190,7 @@
 }
 
 // bodyRejection returns the rejection of a request whose body was not read completely. During a shutdown
-// that is not the fault of its client, which may retry.
+// the scheduler itself may have stopped reading it, so the client may retry.
 func (s *Server) bodyRejection(err error) error {
 	rejection := asRejection(err)
 	if rejection.Status == http.StatusBadRequest && s.clients.StoppedReading() {
--- a/internal/frontend/request_age.go
+++ b/internal/frontend/request_age.go
@@ -11,8 +11,8 @@
 )
 
 // requestAge returns how long ago a request arrived at this machine. Its first bytes may wait behind the
-// previous request on the connection, and its newest ones in the kernel while the process is stopped or
-// starved. If it counted as new, it could be pushed after its client's TTL.
+// previous request on the connection, and its newest bytes in the kernel while the process is stopped or
+// starved. A request that counted as new after such a wait could be pushed after its client's TTL.
 func requestAge(client context.Context) time.Duration {
 	return max(newestBytesAge(client), clientconn.HeaderAge(client))
 }
--- a/internal/frontend/serve.go
+++ b/internal/frontend/serve.go
@@ -17,18 +17,20 @@
 	headerTimeout    = 1500 * time.Millisecond // for a request's head, and for a connection's first byte
 	idleTimeout      = 5 * time.Minute         // of a client's connection between two requests
 	maxHeaderBytes   = 16 << 10
-	firstListTimeout = 3 * time.Second // for discovery's first list; after it the cached one is used
+	firstListTimeout = 3 * time.Second // for discovery's first list; then the cached list is used
 
 	// killGrace is the time from the longest TTL until a process that shuts down may be killed.
 	killGrace = 600 * time.Millisecond
 
-	// shutdownMargin is the extra time for the answers at the deadline, and again for their connections.
+	// shutdownMargin is added to the shutdown time twice: for the last answers, and then for closing the
+	// connections on which they are sent.
 	shutdownMargin = killGrace / 3
 
 	// bodyMargin is the time for answering a request whose body is incomplete at the end of the shutdown.
 	bodyMargin = shutdownMargin / 2
 
-	// lastAnswersMargin is the time for connections that were accepted at the last moment.
+	// lastAnswersMargin is the time for requests on connections that were accepted at the last moment. These
+	// connections are checked every lastPollInterval.
 	lastAnswersMargin = shutdownMargin / 2
 	lastPollInterval  = 2 * time.Millisecond
 
@@ -36,8 +38,8 @@
 	// clients may have no other scheduler.
 	keepAliveFraction = 0.6
 
-	// newConnectionGrace is how long a connection stays open that is new or was just answered: a request
-	// may be on its way.
+	// newConnectionGrace is how long a connection stays open after it was accepted or its last request was
+	// answered: another request may be on its way.
 	newConnectionGrace = 60 * time.Millisecond
 
 	connectionPollInterval = 20 * time.Millisecond // between two checks while connections are closed
@@ -45,13 +47,13 @@
 
 // Serve admits ops until the context ends, and then answers the admitted ones within the given time.
 func (s *Server) Serve(ctx context.Context, l net.Listener, within time.Duration) error {
-	watching, stopWatching := context.WithCancel(context.Background())
-	defer stopWatching()
+	discoveryCtx, stopDiscovery := context.WithCancel(context.Background())
+	defer stopDiscovery()
 	if err := s.peers.open(s.bootstrap.Peers); err != nil {
 		return err
 	}
 	defer s.peers.close()
-	go s.endpoints.client.Run(watching)
+	go s.endpoints.client.Run(discoveryCtx)
 	stopLoop := s.startLoop()
 	defer stopLoop()
 	server := s.newHTTPServer()
@@ -67,10 +69,10 @@
 // startLoop starts the scheduler's loop and the exchange of drain records. The function that it returns
 // ends both, and waits until the loop has logged its last counts.
 func (s *Server) startLoop() (stop func()) {
-	running, cancel := context.WithCancel(context.Background())
-	go s.loop.Run(running)
+	ctx, cancel := context.WithCancel(context.Background())
+	go s.loop.Run(ctx)
 	if drains := s.endpoints.peerDrains; drains != nil {
-		go drains.run(running)
+		go drains.run(ctx)
 	}
 	return func() {
 		cancel()
@@ -90,8 +92,8 @@
 	}
 }
 
-// startAccepting accepts clients until the server is shut down. The channel receives the error with which
-// accepting ends.
+// startAccepting starts to accept clients, until the server is shut down. The channel that it returns
+// receives the error with which accepting ends.
 func (s *Server) startAccepting(server *http.Server, l net.Listener) (failed <-chan error) {
 	ended := make(chan error, 1)
 	s.clients.Listener = l
@@ -108,8 +110,8 @@
 	close(s.lifecycle.ready)
 }
 
-// awaitEnd waits until the context ends, or until accepting clients fails. Ops that were admitted before a
-// failure must still be answered.
+// awaitEnd waits until the context ends, or until accepting clients fails. The caller must then answer
+// the ops that were admitted before.
 func (s *Server) awaitEnd(ctx context.Context, failed <-chan error) error {
 	select {
 	case err := <-failed:
@@ -121,13 +123,13 @@
 }
 
 // Ready is closed when this process can serve: it accepts clients, and discovery has sent its first list.
-// If discovery doesn't answer, the cached list is used.
+// If discovery sends none within firstListTimeout, the cached list is used.
 func (s *Server) Ready() <-chan struct{} { return s.lifecycle.ready }
 
 // stop answers all admitted ops, and closes all connections. Connections are still accepted and used for a
 // while: requests on connections that the kernel had accepted must be answered too, and the scheduler that
-// a client would use instead may still be down. A successor accepts from the same socket, so with one this
-// process accepts nothing more, and no client has to go elsewhere.
+// a client would use instead may still be down. If there is a successor, it accepts from the same socket.
+// This process then accepts nothing more, and no client needs another address.
 func (s *Server) stop(server *http.Server, within time.Duration) {
 	within = min(within, s.settings.Load().LongestTTL()) + shutdownMargin
 	deadline := time.Now().Add(within)
@@ -141,8 +143,8 @@
 	end := deadline.Add(shutdownMargin)
 	s.drainConnections(closeFrom, deadline, end)
 	s.endLastConnections(end.Add(lastAnswersMargin))
-	// This must come last: http.Server drops requests that it has just read, and closes connections on
-	// which one has begun.
+	// This must come last: http.Server.Shutdown drops requests that it has just read, and closes connections
+	// on which a request has begun.
 	s.shutDownHTTP(server, end.Add(lastAnswersMargin))
 	s.logStopped()
 }
@@ -150,14 +152,15 @@
 // beginStop sets the state that health checks and responses use from now on. It returns whether there is a
 // successor.
 func (s *Server) beginStop(deadline time.Time) (successor bool) {
-	successor = s.lifecycle.successor.Load()
+	successor = s.lifecycle.hasSuccessor.Load()
 	s.lifecycle.stopping.Store(!successor)
-	s.lifecycle.closing.Store(successor)
+	s.lifecycle.closeAfterResponse.Store(successor)
 	s.log.Info().Time("by", deadline).Bool("successor", successor).Msg("stopping")
 	return successor
 }
 
-// announceShutdown sends the reducer the deadline for the answers to all ops, now and at the deadline.
+// announceShutdown sends the reducer the deadline by which all ops must be answered, and sends it again at
+// the deadline. Stopping the returned timer prevents the second message.
 func (s *Server) announceShutdown(deadline time.Time) *time.Timer {
 	shutdown := reducer.ShutdownStarted{Deadline: config.RoundDown(s.clock.FromTime(deadline))}
 	s.loop.Send(shutdown)
@@ -165,20 +168,20 @@
 }
 
 // drainConnections returns when no connection is open, or at the deadline. From closeFrom on, each response
-// closes its connection, and idle ones are closed. From answersBy on, when each op has its answer, no
-// further request is read: a client that always pipelines another one would continue to the end. Without a
-// successor this process accepts clients to the end, as it must if a successor dies in the meantime.
+// closes its connection, and idle connections are closed. Each op has its answer by answersBy. From then on
+// no further request is read: a client that always pipelines another request would keep its connection open.
+// Without a successor, also after a successor has died, this process accepts clients until the deadline.
 func (s *Server) drainConnections(closeFrom, answersBy, deadline time.Time) {
-	emptyPolls := 0 // consecutive; a connection that was accepted between two polls is seen at the second
+	emptyPolls := 0 // consecutive polls without a connection; the second sees one accepted after the first
 	for emptyPolls < 2 && time.Now().Before(deadline) {
 		if time.Now().After(closeFrom) {
-			s.lifecycle.closing.Store(true)
+			s.lifecycle.closeAfterResponse.Store(true)
 			s.clients.CloseIdle(s.clients.Count(), newConnectionGrace)
 		}
 		if time.Now().After(answersBy) {
 			s.clients.StopReading(deadline.Add(-bodyMargin))
 		}
-		if (s.lifecycle.successor.Load() || time.Now().After(closeFrom)) && s.clients.Sockets() == 0 {
+		if (s.lifecycle.hasSuccessor.Load() || time.Now().After(closeFrom)) && s.clients.Sockets() == 0 {
 			emptyPolls++
 		} else {
 			emptyPolls = 0
@@ -198,8 +201,8 @@
 	}
 }
 
-// shutDownHTTP ends the HTTP server. Connections that are still open at the deadline are closed here, so that
-// the last counts of this process include them.
+// shutDownHTTP ends the HTTP server. It closes connections that are still open at the deadline, so that the
+// last counts of this process include them.
 func (s *Server) shutDownHTTP(server *http.Server, deadline time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
--- a/internal/frontend/settings.go
+++ b/internal/frontend/settings.go
@@ -12,10 +12,10 @@
 )
 
 // maxDroppedCategories bounds the number of dropped categories whose rules are still retained. The reducer
-// has the same bound, and deletes the same ones first.
+// has the same bound, and deletes the same categories first.
 const maxDroppedCategories = 4096
 
-// settings are a configuration with the values derived from it that each op needs.
+// settings holds a configuration, and values derived from it that each op needs.
 type settings struct {
 	*config.Bootstrap
 	hash func() uint64
@@ -25,7 +25,7 @@
 	rules map[string]categoryRule
 }
 
-// categoryRule is the rule of a category. That of a dropped category is kept until its retention ends.
+// categoryRule is the rule of a category. The rule of a dropped category is retained for a limited time.
 type categoryRule struct {
 	config.CategoryRule
 	retainedUntil time.Time // zero for a category that is served
@@ -111,7 +111,7 @@
 func (p schedulerPolicy) MaxAttempts() int                   { return p.settings.Load().maxAttempts() }
 func (p schedulerPolicy) ClaimRequired(category string) bool { return p.claims.required(category) }
 
-// CategoryEffect returns how often an op of a category may run, by the settings in force.
+// CategoryEffect returns the effect of a category in the settings in force: how often its ops may run.
 func (s *Server) CategoryEffect(category string) string {
 	return s.settings.Load().rule(category).Effect
 }
@@ -122,8 +122,8 @@
 // SettingsHash returns a hash of the settings in force, without those that differ between schedulers.
 func (s *Server) SettingsHash() uint64 { return s.settings.Load().hash() }
 
-// ReloadConfig applies a configuration file that was replaced: discovery's address, the categories and
-// the number of attempts. All other changes need a restart. An invalid file changes nothing.
+// ReloadConfig reads a configuration file again. It applies changes to discovery's address, the categories
+// and the number of attempts. All other changes need a restart. An invalid file changes nothing.
 func (s *Server) ReloadConfig(path string) {
 	previous := s.settings.Load()
 	bootstrap, err := readReload(path, previous.Bootstrap)
@@ -134,15 +134,15 @@
 	}
 	settingsChanged, othersChanged := bootstrap.CompareSettings(previous.Bootstrap)
 	if othersChanged {
-		s.log.Warn().Msg("changes other than to discovery, categories and bounds.maxPushes need a restart")
+		s.log.Warn().Msg("ignored until a restart: changes beyond discovery, categories and bounds.maxPushes")
 	}
 	s.applySettings(bootstrap, previous, settingsChanged)
-	// SetAddress reopens discovery's watch. After a change of settings alone, which all schedulers of a
-	// deployment get, each of them would send discovery a needless request.
+	// SetAddress reopens discovery's watch. A change of settings alone doesn't need that: it reaches all
+	// schedulers of a deployment, and each of them would send discovery a needless request.
 	if bootstrap.Discovery != previous.Discovery || !settingsChanged {
 		s.endpoints.client.SetAddress(bootstrap.Discovery)
 	}
-	s.metrics.ConfigReloaded(true) // last: whoever reads the count relies on the settings being in force
+	s.metrics.ConfigReloaded(true) // last: the settings must be in force when a reader sees the count
 	s.log.Info().Str("discovery", bootstrap.Discovery).Bool("settings", settingsChanged).
 		Msg("configuration reloaded")
 }
@@ -157,8 +157,8 @@
 	return bootstrap, bootstrap.CheckReload(previous)
 }
 
-// applySettings puts settings in force. Rules of dropped categories are retained for the longest TTL: ops
-// that still arrive for them were sent before their clients knew, or are retries of such ops.
+// applySettings puts settings in force. Rules of dropped categories are retained for the longest TTL: clients
+// that don't know of the change yet still send ops of these categories, and retries of such ops arrive later.
 func (s *Server) applySettings(bootstrap *config.Bootstrap, previous *settings, changed bool) {
 	now := time.Now()
 	retainUntil := now.Add(previous.LongestTTL())
--- a/internal/frontend/settings_test.go
+++ b/internal/frontend/settings_test.go
@@ -32,8 +32,8 @@
 	return replication.ClaimDecided{Result: replication.Granted, RequestID: 7}
 }
 
-// An op of a dropped category is served by its old rules until their retention ends, but no claim was
-// requested for it any more: an at-most-once op could run at two schedulers.
+// An op of a dropped category is served by its old rules until their retention ends, and must need a claim by
+// these rules. Formerly no claim was requested for it, and an at-most-once op could run at two schedulers.
 func TestAnOpOfADroppedCategoryStillNeedsAClaim(t *testing.T) {
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
--- a/internal/frontend/stop_test.go
+++ b/internal/frontend/stop_test.go
@@ -19,8 +19,8 @@
 	addr     string
 	stop     func()
 	ended    chan error
-	atWorker chan bool // such an op has arrived at the worker
-	release  chan bool // lets the worker answer it
+	atWorker chan bool // an op with such an ID has arrived at the worker
+	release  chan bool // lets the worker answer one such op
 }
 
 func newStoppableScheduler(t *testing.T) *stoppableScheduler {
@@ -47,7 +47,7 @@
 
 // readAnswer returns the status of the next response, or 0 if there is none, and whether it closes the
 // connection.
-func readAnswer(r *bufio.Reader) (status int, ends bool) {
+func readAnswer(r *bufio.Reader) (status int, closes bool) {
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
 		return 0, true
@@ -57,9 +57,10 @@
 }
 
 // From the start of a shutdown until the listener closes, every complete request on a connection that the
-// kernel accepted must be answered: on reused and on new connections, in one write and in fragments,
-// while other connections are idle, have a partial request or an op at a worker. http.Server.Shutdown
-// alone drops a request that it has just read, and closes connections on which a request has begun.
+// kernel accepted must be answered: on reused and on new connections, in one write and in fragments.
+// Meanwhile another connection is idle, one has a partial request, and one has an op at a worker.
+// http.Server.Shutdown alone drops a request that it has just read, and closes connections on which a request
+// has begun.
 func TestRequestsAreAnsweredUntilAShutdownClosesTheListener(t *testing.T) {
 	s := newStoppableScheduler(t)
 	const body = "Content-Length: 2\r\n\r\nhi"
@@ -75,7 +76,7 @@
 	text := opText("pieces", body)
 	fmt.Fprint(partial, text[:30])
 	s.stop()
-	// Sends the next op as soon as one is answered, until the listener is closed.
+	// Sends each op as soon as the op before it is answered, until the listener is closed.
 	answered, lost := 0, 0
 	var reused net.Conn
 	var reusedReader *bufio.Reader
@@ -90,11 +91,11 @@
 			reused, reusedReader = c, bufio.NewReader(c)
 		}
 		fmt.Fprint(reused, opText(fmt.Sprint("on", n), body))
-		status, ends := readAnswer(reusedReader)
+		status, closes := readAnswer(reusedReader)
 		if status == 0 && isNew {
 			lost++
 		}
-		if answered += stats.Bit(status != 0); ends {
+		if answered += stats.Bit(status != 0); closes {
 			reused.Close()
 			reused = nil
 		}
@@ -123,8 +124,8 @@
 	}
 }
 
-// A request that has begun before a stopping scheduler closes idle connections, and is completed after
-// that, is served, and its response closes the connection.
+// A request that begins before a stopping scheduler closes idle connections, and is completed afterwards,
+// must be served. Its response must close the connection.
 func TestARequestSplitAcrossTheCloseOfIdleConnectionsIsServed(t *testing.T) {
 	for _, cut := range []int{1, 40, len(opText("pieces", "Content-Length: 2\r\n\r\n")), len(opText("pieces", "Content-Length: 2\r\n\r\nh"))} {
 		t.Run(fmt.Sprint(cut), func(t *testing.T) {
@@ -147,8 +148,8 @@
 			fmt.Fprint(c, text[:cut])
 			<-closed
 			fmt.Fprint(c, text[cut:])
-			if status, ends := readAnswer(r); status != http.StatusOK || !ends {
-				t.Errorf("%d, ends %v", status, ends)
+			if status, closes := readAnswer(r); status != http.StatusOK || !closes {
+				t.Errorf("%d, closes %v", status, closes)
 			}
 			if err := <-s.ended; err != nil {
 				t.Error(err)
--- a/internal/frontend/told_test.go
+++ b/internal/frontend/told_test.go
@@ -19,9 +19,8 @@
 // timeLeftTolerance is by how much the time left in a push may exceed what its client has left.
 const timeLeftTolerance = 150 * time.Millisecond
 
-// The time left that a push carries must be at most what the client has left when the request is written. It
-// was what was left when the push was decided on: before the connection was up, or before the socket accepted
-// the first byte.
+// The time left in a push must be at most what its client has left when the push is written. Formerly it was
+// the time left at the decision, before the connection was up or the socket accepted the first byte.
 func TestAPushCarriesTheTimeLeftWhenItIsWritten(t *testing.T) {
 	const left, delay = 3 * time.Second, 600 * time.Millisecond
 	for name, connect := range map[string]func(context.Context, string, string) (net.Conn, error){
@@ -125,9 +124,9 @@
 	}
 }
 
-// A push whose first byte is written long after its decision must be decided again: updates about its
-// worker may be unread since then, as in a process that was stopped. The dial has its own timeout, but
-// the wait for a full socket buffer has none.
+// A push whose first byte could only be written long after its decision must be decided again: updates about
+// its worker may have arrived since and be unread, as in a process that was stopped. The dial has a timeout,
+// but the wait for a full socket buffer has none.
 func TestAPushHeldUpBeforeItsWriteIsDecidedAgain(t *testing.T) {
 	const delay = 1500 * time.Millisecond
 	var dials, pushes atomic.Int32
--- a/internal/frontend/unread_test.go
+++ b/internal/frontend/unread_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// A request that had waited unread in the kernel counted as new, and was pushed after its client's TTL.
+// The age of a request must include the time for which it was unread in the kernel. Formerly such a request
+// counted as new, and was pushed after its client's TTL.
 func TestRequestAgeIncludesTheTimeUnreadInTheKernel(t *testing.T) {
 	pushed := make(chan string, 9)
 	addr, _, _ := startSchedulerBehind(t, func(w http.ResponseWriter, r *http.Request) {
@@ -36,9 +37,9 @@
 	}
 }
 
-// A pipelined request waits for the answer to the one before it, while its client's time runs. Its age was
-// measured from the newest bytes on its connection, so that a third request after it, or part of one, made it
-// count as new.
+// A pipelined request waits for the answer to the request before it, while its client's time runs. Its age
+// must start at its own arrival. Formerly it started at the arrival of the newest bytes on the connection, so
+// that a third request, even a partial one, made the second count as new.
 func TestRequestAgeOfAPipelinedRequestStartsAtItsArrival(t *testing.T) {
 	const firstDuration = 500 * time.Millisecond
 	for name, gap := range map[string]time.Duration{"in one write": 0, "soon after": 50 * time.Millisecond} {
