--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -30,16 +30,16 @@
 type Config struct {
 	Cluster string
 	Name    string
-	Addr    string // where other members reach this one
-	Number  int    // among the schedulers of the settings; -1 for none
+	Addr    string // address at which other members reach this one
+	Number  int    // scheduler number in the settings; -1 for none
 	Seeds   []string
-	Nonce   uint64 // of this process alone; it must not come from the seed, which the next process may share
-	Seed    uint64 // of all random draws
+	Nonce   uint64 // unique to this process; not derived from Seed, which the next process may share
+	Seed    uint64 // of the random number generator
 
 	ProbeInterval       Time // between two pings
-	ProbeTimeout        Time // for an answer, direct or through others
-	MinSuspicion        Time // from a suspicion to a death, with all confirmations
-	MaxSuspicion        Time // the same, with none
+	ProbeTimeout        Time // for an ack, direct or through an indirect ping
+	MinSuspicion        Time // from suspect to dead, with all confirmations
+	MaxSuspicion        Time // from suspect to dead, with no confirmation
 	PushPullInterval    Time // mean, between push-pulls
 	JoinInterval        Time // mean, between attempts to reach seeds and dead members
 	DeadRetention       Time // of members that are dead or have left
@@ -47,7 +47,7 @@
 	StandByWhenReplaced bool // a replaced process waits until its name is free
 }
 
-// Defaults returns the default configuration. It lacks what identifies a member.
+// Defaults returns the default configuration. The caller sets the fields that identify a member.
 func Defaults() Config {
 	return Config{
 		Number:              -1,
@@ -65,26 +65,26 @@
 
 // Failure detection.
 const (
-	indirectProbes     = 3           // members that are asked to ping one that has not answered
-	maxConfirmations   = 3           // further reporters that shorten a suspicion to MinSuspicion
-	maxTimerLateness   = 60 * ms     // a timer that is later means that this process was stopped
-	finalProbeLead     = 250 * ms    // before a deadline a suspect is probed once more
-	secondHandDelay    = 500 * ms    // by which a suspicion lasts longer where it is only reported
-	maxUnansweredPings = 4           // direct pings in a row, from which on a member counts as not reachable
-	maxIndirectPings   = 256         // open pings for others
-	maxProbes          = 64          // open pings of this process's own
-	lossSamples        = 32          // over which the loss of direct pings is averaged
-	maxExtension       = 2 * second  // of suspicions, for own lateness
-	extensionDecay     = 10 * second // in which the extension goes back to 0
+	indirectProbes         = 3           // members that are asked to ping a target that has not answered
+	maxConfirmations       = 3           // further reporters that shorten a suspicion to MinSuspicion
+	maxTimerLateness       = 60 * ms     // a timer that is later means that this process was stopped
+	finalProbeLead         = 250 * ms    // before its deadline a suspect is probed once more
+	reportedSuspicionDelay = 500 * ms    // added to a suspicion that only other members report
+	maxUnansweredPings     = 4           // direct pings in a row, after which a member counts as not reachable
+	maxIndirectPings       = 256         // pings for other members that wait for an ack
+	maxProbes              = 64          // probes of this process that wait for an ack
+	lossSamples            = 32          // direct pings over which the loss is averaged
+	maxSuspicionExtension  = 2 * second  // limit of what suspicions are extended by when own timers are late
+	extensionDecay         = 10 * second // time in which the extension decays to 0
 )
 
 // Dissemination.
 const (
-	gossipFanout         = 3 // members of a gossip round
+	gossipFanout         = 3 // members that receive a gossip round
 	gossipInterval       = 100 * ms
-	transmitFactor       = 1.5     // transmissions of a record, over the binary logarithm of the members
-	maxQueuedRecords     = 1 << 14 // beyond them records are left to push-pull
-	maxRecordBytes       = 1100    // for records in a datagram, by estimate
+	transmitFactor       = 1.5     // transmissions of a record, per binary logarithm of the members
+	maxQueuedRecords     = 1 << 14 // further records spread by push-pull alone
+	maxRecordBytes       = 1100    // of the records in a datagram, estimated
 	digestBuckets        = 64
 	minPushPullInterval  = second / 2 // between push-pulls with new members
 	pruningsPerRetention = 50         // how often ended members are pruned within DeadRetention
@@ -93,13 +93,13 @@
 // Joining, leaving and name conflicts.
 const (
 	queryInterval       = 100 * ms // between queries for the own record
-	queryTimeout        = second   // after which a process goes on without an answer
-	queryFanout         = 5        // live members, dead members and seeds that are queried at once, of each
+	queryTimeout        = second   // after which a process continues without a reply
+	queryFanout         = 5        // of live members, dead members and seeds each, in one round of queries
 	conflictTimeout     = second   // for another process of this name to answer
 	maxLeaveNotices     = 5
 	leaveNoticeInterval = 40 * ms
-	leaveFanout         = 8       // members of a round of leave notices
-	handoverSeqGap      = 1 << 32 // by which a successor's sequence numbers begin beyond its predecessor's
+	leaveFanout         = 8       // members that receive a round of leave notices
+	handoverSeqGap      = 1 << 32 // added to the predecessor's sequence number to get the successor's first
 	maxNameBytes        = 255     // of a name or an address
 	maxSeeds            = 256
 )
--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -7,33 +7,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// viewDigest sums the records of a view, this process's own among them, by buckets of names. Two views with
-// equal digests hold the same incarnation, refutations and state of each name.
+// viewDigest holds a checksum of a view's records, this process's own included, for each bucket of
+// names. Two views with equal digests have the same incarnation, refutations and state of each name.
 type viewDigest struct {
 	buckets [digestBuckets]uint64
-	self    MemberRecord // this process's own record as the sums have it
+	self    MemberRecord // this process's own record as included in the checksums
 }
 
 func bucketOf(name string) int { return int(xxhash.Sum64String(name) % digestBuckets) }
 
-// recordHash covers what two views must agree on, which excludes reporter and age.
+// recordHash hashes the fields that must be equal in two views. Reporter, address, number and age may
+// differ.
 func recordHash(r MemberRecord) uint64 {
-	text := make([]byte, 0, 96)
-	text = append(text, r.Name...)
-	for _, number := range []uint64{r.Generation, r.Nonce, r.Refutations, uint64(r.State)} {
-		text = binary.LittleEndian.AppendUint64(text, number)
+	encoded := make([]byte, 0, 96)
+	encoded = append(encoded, r.Name...)
+	for _, field := range []uint64{r.Generation, r.Nonce, r.Refutations, uint64(r.State)} {
+		encoded = binary.LittleEndian.AppendUint64(encoded, field)
 	}
-	return xxhash.Sum64(text)
+	return xxhash.Sum64(encoded)
 }
 
-// add puts a record into the sums. They are exclusive ors, so that adding a record twice removes it.
+// add includes a record in the checksums. They are XORs, so adding a record twice removes it.
 func (d *viewDigest) add(r MemberRecord) { d.buckets[bucketOf(r.Name)] ^= recordHash(r) }
 
-// remove takes a record out of the sums.
+// remove removes a record from the checksums.
 func (d *viewDigest) remove(r MemberRecord) { d.add(r) }
 
-// setSelf puts this process's own record into the sums in place of the one before. A replaced process has
-// none: its name is another's.
+// setSelf replaces this process's own record in the checksums. A replaced process has none, because
+// another process has its name.
 func (d *viewDigest) setSelf(self MemberRecord) {
 	if d.self.Generation > 0 {
 		d.remove(d.self)
@@ -54,8 +55,8 @@
 	return sum
 }
 
-// differingBuckets returns the buckets in which the sums of another view differ. The lists have the same
-// length.
+// differingBuckets returns the buckets whose checksums differ from those of another view. Both lists
+// have digestBuckets entries.
 func (d *viewDigest) differingBuckets(other []uint64) (differing []int) {
 	for i, bucket := range other {
 		if bucket != d.buckets[i] {
@@ -67,6 +68,6 @@
 
 func (n *Node) updateSelfDigest() { n.gossip.digest.setSelf(n.self) }
 
-// Digest returns a number that is the same for two views that hold the same of all members, this process
+// Digest returns a number that is equal for two views with the same records of all members, this process
 // included.
 func (n *Node) Digest() uint64 { return n.gossip.digest.sum() }
--- a/internal/cluster/membership/digest_test.go
+++ b/internal/cluster/membership/digest_test.go
@@ -7,32 +7,33 @@
 	"pgregory.net/rapid"
 )
 
-// Push-pull sends the buckets that differ alone: records that differ must never have equal sums, and the
-// order in which they came must make no difference.
-func TestDigestTellsViewsApart(t *testing.T) {
+// Push-pull sends only the buckets that differ. Records that differ must not have equal checksums, and
+// the order in which records are added must make no difference.
+func TestDigestDistinguishesUnequalViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawRecord(t, "a"), drawRecord(t, "b")
 		other := MemberRecord{Name: "y", Incarnation: Incarnation{1, 1}, State: Alive}
-		var one, two viewDigest
-		one.add(a)
-		one.add(other)
-		two.add(other)
-		two.add(b)
-		differ := one.differingBuckets(two.buckets[:])
+		var first, second viewDigest
+		first.add(a)
+		first.add(other)
+		second.add(other)
+		second.add(b)
+		differ := first.differingBuckets(second.buckets[:])
 		if compareState(a, b) == 0 {
-			if len(differ) > 0 || one.sum() != two.sum() {
+			if len(differ) > 0 || first.sum() != second.sum() {
 				t.Fatalf("%+v and %+v differ", a, b)
 			}
 			return
 		}
-		if !slices.Equal(differ, []int{bucketOf("x")}) || one.sum() == two.sum() {
+		if !slices.Equal(differ, []int{bucketOf("x")}) || first.sum() == second.sum() {
 			t.Fatalf("%+v and %+v: buckets %v differ", a, b, differ)
 		}
 	})
 }
 
-// The digest of a process that was replaced has its name as another's.
-func TestDigestOfAReplacedProcess(t *testing.T) {
+// A replaced process must exclude its own record from its digest, because its name belongs to another
+// process.
+func TestDigestOfAReplacedProcessExcludesItsRecord(t *testing.T) {
 	var d, empty viewDigest
 	self := MemberRecord{Name: "a", Incarnation: Incarnation{1, 1}, State: Alive}
 	d.setSelf(self)
--- a/internal/cluster/membership/failure_detector.go
+++ b/internal/cluster/membership/failure_detector.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// failureDetector pings one member after another. A member that does not answer in time is pinged by others
-// and on a stream as well; one that answers nobody becomes suspect.
+// failureDetector pings one member after another. A member that does not answer in time is also pinged
+// by others and on a stream; one that still does not answer becomes suspect.
 type failureDetector struct {
 	health        localHealth
-	order         []*member // whom to probe in the present round; the last is next
-	probes        []probe   // that are not answered yet
+	probeOrder    []*member // members still to be probed in this round; the last is next
+	probes        []probe   // that wait for an ack
 	indirectPings map[uint64]indirectPing
 	nextProbe     Time
-	lastHeard     Time // when any member was heard last
-	isolated      bool // a probe failed, and nobody at all was heard since it was sent
+	lastHeard     Time // when the latest message of any member arrived
+	isolated      bool // a probe failed, and no message of any member has arrived since it was sent
 	loss          float64
 }
 
-// probe is a ping of this process's own that is not answered yet.
+// probe is a ping of this process that waits for an ack.
 type probe struct {
 	nonce        uint64
 	target       *member
@@ -27,9 +27,9 @@
 	resent       bool // the target was pinged again
 }
 
-// indirectPing is a ping for another member that is not answered yet.
+// indirectPing is a ping on behalf of another member that waits for an ack.
 type indirectPing struct {
-	requester    string // its address
+	requester    string // address
 	sentAt       Time
 	requestNonce uint64
 	target       string
@@ -40,23 +40,24 @@
 	clear(d.indirectPings)
 }
 
-// schedule puts a member at a random place of the present round, so that different processes probe it at
-// different times.
+// schedule inserts a member at a random position of the present round, so that different processes probe
+// it at different times.
 func (d *failureDetector) schedule(m *member, random *rand.Rand) {
-	d.order = append(d.order, m)
-	last := len(d.order) - 1
-	i := random.IntN(len(d.order))
-	d.order[i], d.order[last] = d.order[last], d.order[i]
+	d.probeOrder = append(d.probeOrder, m)
+	last := len(d.probeOrder) - 1
+	i := random.IntN(len(d.probeOrder))
+	d.probeOrder[i], d.probeOrder[last] = d.probeOrder[last], d.probeOrder[i]
 }
 
-// unschedule takes a member out of the present round.
+// unschedule removes a member from the present round.
 func (d *failureDetector) unschedule(m *member) {
-	if i := slices.Index(d.order, m); i >= 0 {
-		d.order = slices.Delete(d.order, i, i+1)
+	if i := slices.Index(d.probeOrder, m); i >= 0 {
+		d.probeOrder = slices.Delete(d.probeOrder, i, i+1)
 	}
 }
 
-// updateLoss takes whether a direct ping of a live member, or its answer, was lost into the moving average.
+// updateLoss adds one sample to the moving average of the loss: whether a direct ping of a live member,
+// or its ack, was lost.
 func (d *failureDetector) updateLoss(lost bool) {
 	sample := 0.0
 	if lost {
@@ -65,11 +66,11 @@
 	d.loss += (sample - d.loss) / lossSamples
 }
 
-// lossFactor is by how much lost messages lengthen suspicions and probes, and multiply what is sent: 1 to
-// 2.
+// lossFactor returns the factor, from 1 to 2, by which message loss lengthens suspicions and probes and
+// increases the number of transmissions.
 func (d *failureDetector) lossFactor() float64 { return 1 + min(2*d.loss, 1) }
 
-// removeProbe removes the probe that an ack answers.
+// removeProbe removes and returns the probe that an ack answers.
 func (d *failureDetector) removeProbe(ack Message, from *member) (probe, bool) {
 	i := slices.IndexFunc(d.probes, func(p probe) bool {
 		return p.nonce == ack.Nonce && (p.target == from || p.target.record.Name == ack.Target)
@@ -82,7 +83,7 @@
 	return answered, true
 }
 
-// expireIndirectPings drops pings for others that nobody awaits any more.
+// expireIndirectPings drops indirect pings whose requester no longer waits for an ack.
 func (d *failureDetector) expireIndirectPings(sentBefore Time) {
 	for nonce, ping := range d.indirectPings {
 		if ping.sentAt <= sentBefore {
@@ -91,34 +92,35 @@
 	}
 }
 
-// probeTimeout is for how long a probe waits for an answer, direct or through others.
+// probeTimeout returns how long a probe waits for an ack, direct or through an indirect ping.
 func (n *Node) probeTimeout() Time {
 	return Time(float64(n.config.ProbeTimeout) * n.detector.lossFactor())
 }
 
-// directTimeout is for how long a direct answer may take before others are asked.
+// directTimeout returns how long a direct ack may take before other members are asked to ping.
 func (n *Node) directTimeout(m *member) Time { return m.rtt.timeout(n.config.ProbeTimeout) }
 
-// probeNext pings the next member of the round, and begins a new round after the last one.
+// probeNext pings the next member of the round, and starts a new round after the last one.
 func (n *Node) probeNext() {
 	d := &n.detector
-	if len(d.order) == 0 {
-		d.order = append(d.order, n.members.live...)
-		n.rand.Shuffle(len(d.order), func(i, j int) { d.order[i], d.order[j] = d.order[j], d.order[i] })
+	if len(d.probeOrder) == 0 {
+		d.probeOrder = append(d.probeOrder, n.members.live...)
+		n.rand.Shuffle(len(d.probeOrder), func(i, j int) {
+			d.probeOrder[i], d.probeOrder[j] = d.probeOrder[j], d.probeOrder[i]
+		})
 	}
-	if len(d.order) == 0 || len(d.probes) >= maxProbes {
+	if len(d.probeOrder) == 0 || len(d.probes) >= maxProbes {
 		return
 	}
-	last := len(d.order) - 1
-	m := d.order[last]
-	d.order = d.order[:last]
+	last := len(d.probeOrder) - 1
+	m := d.probeOrder[last]
+	d.probeOrder = d.probeOrder[:last]
 	nonce := n.rand.Uint64()
 	d.probes = append(d.probes, probe{nonce: nonce, target: m, sentAt: n.now})
 	n.send(m.record.Addr, Message{Kind: Ping, Nonce: nonce, Records: n.takeRecords(n.recordToRefute(m)...)})
 }
 
-// checkProbes asks others to ping those that have not answered in time, and gives up the probes whose time
-// is over.
+// checkProbes escalates the probes that were not answered in time, and fails those that have timed out.
 func (n *Node) checkProbes() {
 	var waiting []probe
 	var failed []*member
@@ -138,8 +140,8 @@
 	}
 }
 
-// escalate tries further ways to reach a member that has not answered yet: first through others and on a
-// stream, then directly again.
+// escalate tries further ways to reach a member that has not answered yet: first through other members
+// and on a stream, then directly again.
 func (n *Node) escalate(p *probe) {
 	m := p.target
 	waited := n.now - p.sentAt
@@ -155,7 +157,7 @@
 	}
 }
 
-// sendIndirectPings asks some others to ping a member.
+// sendIndirectPings asks up to indirectProbes random members to ping a member.
 func (n *Node) sendIndirectPings(m *member, nonce uint64) {
 	for _, helper := range n.randomMembers(indirectProbes, m) {
 		n.send(helper.record.Addr, Message{
@@ -167,7 +169,7 @@
 	}
 }
 
-// replyToPing answers on the way on which the ping came.
+// replyToPing sends an ack, on the stream of the ping if it came on one.
 func (n *Node) replyToPing(in MessageReceived, from *member) {
 	ack := Message{Kind: Ack, Nonce: in.Nonce, Records: n.takeRecords(n.recordToRefute(from)...)}
 	if in.Stream != 0 {
@@ -177,8 +179,8 @@
 	n.send(from.record.Addr, ack)
 }
 
-// pingForAnother pings a member for the sender of a request.
-func (n *Node) pingForAnother(request Message, from *member) {
+// relayPing pings the target of an IndirectPing on behalf of its sender.
+func (n *Node) relayPing(request Message, from *member) {
 	target := n.members.byName[request.Target]
 	if target == nil || len(n.detector.indirectPings) >= maxIndirectPings {
 		n.count(countNotRelayed)
@@ -195,7 +197,8 @@
 	n.send(target.record.Addr, ping)
 }
 
-// receiveAck takes an answer to a ping: one for another member is passed on, one to an own probe ends that.
+// receiveAck handles an ack. It forwards the ack of an indirect ping to the requester, and ends the
+// probe that the ack answers.
 func (n *Node) receiveAck(ack Message, from *member, onStream bool) {
 	if ping, ok := n.detector.indirectPings[ack.Nonce]; ok && ping.target == from.record.Name {
 		delete(n.detector.indirectPings, ack.Nonce)
@@ -224,8 +227,7 @@
 	}
 }
 
-// checkIsolation finds this process isolated where a probe failed and nobody at all was heard since it was
-// sent.
+// checkIsolation marks this process as isolated if no message has arrived since a failed probe was sent.
 func (n *Node) checkIsolation(failed probe) {
 	if !n.detector.isolated && n.detector.lastHeard <= failed.sentAt {
 		n.detector.isolated = true
@@ -233,8 +235,9 @@
 	}
 }
 
-// noteHeard records that a member was heard. The end of an isolation voids what was found in it.
-func (n *Node) noteHeard() {
+// markHeard records that a message of a member arrived. When an isolation ends, it discards the states
+// that were found during it.
+func (n *Node) markHeard() {
 	n.detector.lastHeard = n.now
 	if !n.detector.isolated {
 		return
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -6,9 +6,9 @@
 	"woaddyke/internal/testsupport/filled"
 )
 
-// Guards the words for the states of members that tools of the staff read at /api/members.
-func TestStatesKeepTheirWords(t *testing.T) {
-	words := map[State]string{
+// Operators' tools read the names of member states at /api/members: a changed name breaks them.
+func TestStateNamesAreStable(t *testing.T) {
+	names := map[State]string{
 		Joining:  "joining",
 		Alive:    "here",
 		Suspect:  "doubted",
@@ -16,26 +16,26 @@
 		Left:     "left",
 		Replaced: "superseded",
 	}
-	if len(words) != len(stateNames) {
-		t.Fatalf("%d states are guarded, there are %d", len(words), len(stateNames))
+	if len(names) != len(stateNames) {
+		t.Fatalf("%d states are checked, there are %d", len(names), len(stateNames))
 	}
-	for state, word := range words {
-		if text, err := state.MarshalText(); err != nil || string(text) != word {
-			t.Errorf("state %d is written as %q, %v, want %q", uint8(state), text, err, word)
+	for state, name := range names {
+		if text, err := state.MarshalText(); err != nil || string(text) != name {
+			t.Errorf("state %d is written as %q, %v, want %q", uint8(state), text, err, name)
 		}
 	}
 }
 
-// Guards the JSON keys of a process's own entry that tools of the staff read at /api/members.
-func TestOwnKeepsItsForm(t *testing.T) {
-	own := filled.Value[LocalStatus](t)
-	own.State = Alive
-	filled.CompareWritten(t, "testdata/own.json.golden", own)
+// Operators' tools read a process's own entry at /api/members: a changed JSON key breaks them.
+func TestLocalStatusJSONIsStable(t *testing.T) {
+	status := filled.Value[LocalStatus](t)
+	status.State = Alive
+	filled.CompareWritten(t, "testdata/own.json.golden", status)
 }
 
-// Guards the JSON keys of another member's entry that tools of the staff read at /api/members.
-func TestSeenKeepsItsForm(t *testing.T) {
-	seen := filled.Value[MemberView](t)
-	seen.State = Suspect
-	filled.CompareWritten(t, "testdata/seen.json.golden", seen)
+// Operators' tools read the other members' entries at /api/members: a changed JSON key breaks them.
+func TestMemberViewJSONIsStable(t *testing.T) {
+	view := filled.Value[MemberView](t)
+	view.State = Suspect
+	filled.CompareWritten(t, "testdata/seen.json.golden", view)
 }
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// dissemination is what this process spreads: records by gossip, and complete views by push-pull.
+// dissemination is the state of spreading records by gossip, and complete views by push-pull.
 type dissemination struct {
-	queue        []queuedRecord // by how often they were sent
+	queue        []queuedRecord // the least sent first
 	digest       viewDigest
 	nextRound    Time // of gossip
 	nextPushPull Time
-	lastPushPull Time // when this process last started one
+	lastPushPull Time // when this process last opened one
 }
 
-// queuedRecord is a record that is being spread.
+// queuedRecord is a record that is queued for gossip.
 type queuedRecord struct {
 	record    MemberRecord
 	transmits int // how often it was sent
 }
 
-// enqueue has a record sent to others. A record that the full queue drops reaches them by push-pull.
+// enqueue queues a record for gossip. If the queue is full, the record spreads by push-pull alone.
 func (n *Node) enqueue(record MemberRecord) {
 	if len(n.gossip.queue) >= maxQueuedRecords {
 		n.count(countQueueFull)
@@ -29,29 +29,30 @@
 	n.gossip.queue = slices.Insert(n.gossip.queue, 0, queuedRecord{record: record})
 }
 
-// estimatedSize is about how many bytes a record takes in a message.
+// estimatedSize estimates the bytes that a record takes in a message.
 func estimatedSize(r MemberRecord) int { return len(r.Name) + len(r.Addr) + len(r.ReportedBy) + 32 }
 
-// maxTransmits is how often each record is sent: it grows with the logarithm of the cluster and with the
-// loss of messages.
+// maxTransmits returns how often each record is sent. It grows with the logarithm of the cluster's size
+// and with the message loss.
 func (n *Node) maxTransmits() int {
 	log := math.Log2(float64(len(n.members.live) + 2))
 	return int(math.Ceil(transmitFactor * log * n.detector.lossFactor()))
 }
 
-// takeRecords returns the given records and those of the queue that fit a datagram beside them, the least
-// sent first. Outdated records are dropped from the queue, and so are those that were sent often enough.
-func (n *Node) takeRecords(first ...MemberRecord) (records []MemberRecord) {
+// takeRecords returns the given records and the queued ones that fit into a datagram with them, the
+// least sent first. It drops outdated records from the queue, and those that were sent maxTransmits
+// times.
+func (n *Node) takeRecords(required ...MemberRecord) (records []MemberRecord) {
 	remaining := maxRecordBytes
-	for _, record := range first {
+	for _, record := range required {
 		records = append(records, record)
 		remaining -= estimatedSize(record)
 	}
 	maxTransmits := n.maxTransmits()
-	taken := 0
-	var again []queuedRecord
-	for ; taken < len(n.gossip.queue) && remaining > 0; taken++ {
-		queued := n.gossip.queue[taken]
+	scanned := 0
+	var requeued []queuedRecord
+	for ; scanned < len(n.gossip.queue) && remaining > 0; scanned++ {
+		queued := n.gossip.queue[scanned]
 		if n.outdated(queued.record) {
 			continue
 		}
@@ -62,15 +63,15 @@
 		records = append(records, queued.record)
 		queued.transmits++
 		if queued.transmits < maxTransmits {
-			again = append(again, queued)
+			requeued = append(requeued, queued)
 		}
 	}
-	rest := n.gossip.queue[taken:len(n.gossip.queue):len(n.gossip.queue)]
-	n.gossip.queue = append(rest, again...)
+	rest := n.gossip.queue[scanned:len(n.gossip.queue):len(n.gossip.queue)]
+	n.gossip.queue = append(rest, requeued...)
 	return records
 }
 
-// outdated tells whether a greater record of the same name is known, or the name was forgotten.
+// outdated reports whether a greater record of the same name is known, or the name was pruned.
 func (n *Node) outdated(record MemberRecord) bool {
 	current, known := n.recordOf(record.Name)
 	return !known || compareState(record, current) < 0
@@ -88,8 +89,8 @@
 	return m.record, true
 }
 
-// recordWithAge returns a member's record as it is sent: the age of an ended one goes with it, so that all
-// forget it at one time.
+// recordWithAge returns a member's record as it is sent. The record of an ended member includes its age,
+// so that all members prune it at the same time.
 func (n *Node) recordWithAge(m *member) MemberRecord {
 	record := m.record
 	if record.State.Ended() {
@@ -98,8 +99,8 @@
 	return record
 }
 
-// recordToRefute returns the record of a member that is reported suspect or dead. It goes with whatever is
-// sent to that member.
+// recordToRefute returns the record of a member that is reported suspect or dead. It is added to each
+// message to that member, so that the member can refute it.
 func (n *Node) recordToRefute(m *member) []MemberRecord {
 	if m.record.State == Suspect || m.record.State == Dead {
 		return []MemberRecord{n.recordWithAge(m)}
@@ -107,8 +108,8 @@
 	return nil
 }
 
-// sendCorrection sends a process what is reported of it: it alone can refute that, or it learns that
-// another has its name.
+// sendCorrection sends a process the record of its name. The process refutes it, or learns that another
+// process has replaced it.
 func (n *Node) sendCorrection(m *member, addr string) {
 	if n.now-m.correctedAt < queryInterval || n.phase != serving {
 		return
@@ -117,7 +118,7 @@
 	n.send(addr, Message{Kind: Gossip, Records: []MemberRecord{n.recordWithAge(m)}})
 }
 
-// runGossipRound sends queued records to some members.
+// runGossipRound sends queued records to gossipFanout random members.
 func (n *Node) runGossipRound() {
 	n.gossip.nextRound = n.now + gossipInterval
 	for _, m := range n.randomMembers(gossipFanout, nil) {
--- a/internal/cluster/membership/join.go
+++ b/internal/cluster/membership/join.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// joinState is the progress of a process that queries others for its own record, and its attempts to reach
-// processes that are no members now.
+// joinState is the state of this process's queries for its own record, and of its attempts to reach dead
+// members and seeds.
 type joinState struct {
 	queryNonce    uint64
 	nextQuery     Time
-	queryDeadline Time         // the process goes on alone where nobody that knows has answered by then
-	reportedSelf  MemberRecord // the greatest record that was reported of this name
+	queryDeadline Time         // after it the process continues without an authoritative reply
+	reportedSelf  MemberRecord // the greatest record of this process's name that was reported
 	nextAttempt   Time         // to reach a dead member and a seed
-	lastSeed      int          // that was tried, in Config.Seeds
+	lastSeedIndex int          // index in Config.Seeds of the seed that was tried last
 }
 
-// startQuery begins to query others for this process's record.
+// startQuery starts to query other processes for this process's record.
 func (n *Node) startQuery() {
 	n.join.queryNonce = n.rand.Uint64()
 	n.join.reportedSelf = MemberRecord{}
@@ -24,8 +24,8 @@
 	n.join.queryDeadline = n.now + queryTimeout
 }
 
-// runQuery sends the next queries, and goes on without an answer after the deadline. If that turns out to
-// be wrong, whoever this process meets later reports it.
+// runQuery sends the next queries, and continues without a reply after the deadline. If that is wrong,
+// members that this process reaches later correct it.
 func (n *Node) runQuery() {
 	if n.now < n.join.nextQuery {
 		return
@@ -45,7 +45,8 @@
 	}
 }
 
-// queryAddrs draws the addresses of some live members, dead members and seeds, in order.
+// queryAddrs returns, sorted, the addresses of up to queryFanout live members, dead members and seeds
+// each.
 func (n *Node) queryAddrs() []string {
 	addrs := map[string]bool{}
 	for _, m := range n.randomMembers(queryFanout, nil) {
@@ -62,7 +63,7 @@
 	return slices.Sorted(maps.Keys(addrs))
 }
 
-// replyToQuery answers what is known of the sender's name.
+// replyToQuery sends the record that is known of the sender's name, if any.
 func (n *Node) replyToQuery(query Message) {
 	isMember := n.phase == serving || n.phase == leaving
 	reply := Message{Kind: RecordReply, Nonce: query.Nonce, SenderCatchingUp: !isMember}
@@ -76,7 +77,7 @@
 	n.send(query.From.Addr, reply)
 }
 
-// receiveRecordReply takes what another knows of this process's name.
+// receiveRecordReply handles a reply with the record of this process's name.
 func (n *Node) receiveRecordReply(reply Message) {
 	if reply.Nonce != n.join.queryNonce {
 		n.count(countStaleReply)
@@ -84,10 +85,10 @@
 	}
 	for _, record := range reply.Records {
 		if record.Name == n.self.Name && validRecord(record) {
-			n.join.reportedSelf = Join(n.join.reportedSelf, record)
+			n.join.reportedSelf = JoinRecords(n.join.reportedSelf, record)
 		}
 	}
-	// Any other sender knows no more than this process.
+	// A sender that is no member itself knows no more than this process.
 	authoritative := !reply.SenderCatchingUp && reply.From.Generation > 0
 	if authoritative && validRecord(reply.From) {
 		n.merge(reply.From)
@@ -95,15 +96,15 @@
 	n.concludeQuery(authoritative)
 }
 
-// concludeQuery decides how this process goes on after a reply.
+// concludeQuery decides how this process continues after a reply.
 func (n *Node) concludeQuery(authoritative bool) {
 	reported := n.join.reportedSelf
-	another := reported.Generation > 0 && reported.Incarnation != n.self.Incarnation
-	nameTaken := another && !reported.State.Ended()
+	otherProcess := reported.Generation > 0 && reported.Incarnation != n.self.Incarnation
+	nameTaken := otherProcess && !reported.State.Ended()
 	switch {
 	case n.phase == catchingUp && nameTaken:
-		// The process that runs goes before the one that was stopped, whichever is older: the others have
-		// gone on with it.
+		// The running process takes precedence over the one that was stopped, whichever is older: the
+		// other members already use it.
 		n.markReplaced(reported)
 	case !authoritative:
 	case n.phase == joining:
@@ -118,7 +119,7 @@
 	}
 }
 
-// queryWhetherNameIsFree has a replaced process ask a member whether its name is in use.
+// queryWhetherNameIsFree asks a random member whether the name of this replaced process is in use.
 func (n *Node) queryWhetherNameIsFree() {
 	if n.now < n.join.nextAttempt {
 		return
@@ -131,8 +132,8 @@
 	}
 }
 
-// pingDeadMemberAndSeed tries to reach a dead member and a seed that is no live member, so that the sides
-// of a network partition find each other when it ends.
+// pingDeadMemberAndSeed pings a dead member and a seed that is no live member, so that the sides of a
+// network partition find each other when it ends.
 func (n *Node) pingDeadMemberAndSeed() {
 	if dead := n.members.dead; len(dead) > 0 {
 		m := dead[n.rand.IntN(len(dead))]
@@ -140,8 +141,8 @@
 	}
 	seeds := n.config.Seeds
 	for range seeds {
-		n.join.lastSeed = (n.join.lastSeed + 1) % len(seeds)
-		seed := seeds[n.join.lastSeed]
+		n.join.lastSeedIndex = (n.join.lastSeedIndex + 1) % len(seeds)
+		seed := seeds[n.join.lastSeedIndex]
 		if seed != n.self.Addr && !n.members.hasLiveAddress(seed) {
 			n.send(seed, Message{Kind: Ping, Nonce: n.rand.Uint64()})
 			return
--- a/internal/cluster/membership/leave.go
+++ b/internal/cluster/membership/leave.go
@@ -1,12 +1,13 @@
 package membership
 
-// leaveState is the progress of a process that leaves.
+// leaveState is the state of a process that leaves.
 type leaveState struct {
-	noticesLeft int // rounds of notices that are still to be sent
+	noticesLeft int // rounds of leave notices that are still to be sent
 	nextNotice  Time
 }
 
-// startLeaving begins to notify others that this process leaves. A process that is no member stops at once.
+// startLeaving starts to notify other members that this process leaves. A process that is no member
+// stops at once.
 func (n *Node) startLeaving() {
 	if n.phase != serving {
 		n.stop()
@@ -18,7 +19,7 @@
 	n.updateSelfDigest()
 }
 
-// sendLeaveNotices sends the next round of notices, and stops the process after the last one.
+// sendLeaveNotices sends the next round of leave notices, and stops the process after the last one.
 func (n *Node) sendLeaveNotices() {
 	if n.now < n.leave.nextNotice {
 		return
--- a/internal/cluster/membership/local_health.go
+++ b/internal/cluster/membership/local_health.go
@@ -1,38 +1,38 @@
 package membership
 
-// localHealth is how late this process's own timers were. As in Lifeguard, a process that was late trusts
-// its own findings less: each suspicion lasts longer, by an extension that decays linearly to 0 over
-// extensionDecay.
+// localHealth records how late this process's timers were. As in Lifeguard, a process that was late
+// relies less on its own failure detection: it extends each suspicion, by a time that decays linearly to
+// 0 over extensionDecay.
 type localHealth struct {
-	extension   Time // of suspicions, at extendedAt
+	extension   Time // added to suspicions, as of extendedAt
 	extendedAt  Time
 	lateness    Time // of the latest late tick
 	maxLateness Time
 }
 
-// noteLate records a tick that was late.
-func (h *localHealth) noteLate(now, late Time) {
-	h.extension = min(h.suspicionExtension(now)+late, maxExtension)
+// recordLateTick records a late tick.
+func (h *localHealth) recordLateTick(now, late Time) {
+	h.extension = min(h.suspicionExtension(now)+late, maxSuspicionExtension)
 	h.extendedAt = now
 	h.lateness = late
 	h.maxLateness = max(h.maxLateness, late)
 }
 
-// suspicionExtension returns by how much suspicions last longer at a moment.
+// suspicionExtension returns the time that is added to suspicions at a moment.
 func (h *localHealth) suspicionExtension(now Time) Time {
 	remaining := 1 - float64(now-h.extendedAt)/float64(extensionDecay)
 	return Time(float64(h.extension) * max(remaining, 0))
 }
 
-// noteLateness finds out by how much this process is late. Answers that it missed while it did not run are
-// no evidence against others, so probes are dropped and suspicions are extended.
-func (n *Node) noteLateness() {
+// checkLateness checks by how much this process is late. Acks that it missed while it did not run are no
+// evidence against other members, so probes are cancelled and suspicions are extended.
+func (n *Node) checkLateness() {
 	late := n.now - n.due
 	if n.due == 0 || late <= maxTimerLateness || n.phase == stopped {
 		return
 	}
-	n.count(countLate)
-	n.detector.health.noteLate(n.now, late)
+	n.count(countLateTick)
+	n.detector.health.recordLateTick(n.now, late)
 	n.detector.cancelProbes()
 	n.detector.lastHeard += late
 	n.detector.nextProbe = n.now
@@ -44,18 +44,19 @@
 	if n.conflict.open != nil {
 		n.conflict.open.deadline += late
 	}
-	n.reconsiderSelf(late)
+	n.recoverFromPause(late)
 }
 
-// reconsiderSelf allows for what others may have concluded while this process did not run.
-func (n *Node) reconsiderSelf(late Time) {
+// recoverFromPause handles what other members may have concluded while this process did not run: they
+// may suspect it or have declared it dead.
+func (n *Node) recoverFromPause(late Time) {
 	switch n.phase {
 	case serving:
 		if late >= n.config.MinSuspicion {
 			n.emit(Event{"was stopped for longer than a suspicion lasts", late.Duration().String()})
 			n.startCatchingUp()
 		} else if late >= n.config.ProbeTimeout {
-			n.self.Refutations++ // others may suspect it already
+			n.self.Refutations++ // other members may suspect this process already
 			n.announceSelf()
 		}
 	case joining, catchingUp:
--- a/internal/cluster/membership/local_health_test.go
+++ b/internal/cluster/membership/local_health_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// A process that was late itself must give others more time.
+// A process whose own timers were late may have missed acks, so its suspicions must last longer.
 func TestOwnLatenessExtendsSuspicions(t *testing.T) {
 	var health localHealth
-	health.noteLate(10*second, second)
+	health.recordLateTick(10*second, second)
 	for _, c := range []struct {
 		name      string
 		now, want Time
@@ -16,15 +16,16 @@
 		{"long after", 10*second + 2*extensionDecay, 0},
 	} {
 		if got := health.suspicionExtension(c.now); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got.Duration(), c.want.Duration())
+			t.Errorf("%s: the extension is %v, want %v", c.name, got.Duration(), c.want.Duration())
 		}
 	}
-	health.noteLate(10*second, 60*second)
-	health.noteLate(10*second, 100*ms)
-	if got := health.suspicionExtension(10 * second); got != maxExtension {
-		t.Errorf("the extension is %v, at most %v", got.Duration(), maxExtension.Duration())
+	health.recordLateTick(10*second, 60*second)
+	health.recordLateTick(10*second, 100*ms)
+	if got := health.suspicionExtension(10 * second); got != maxSuspicionExtension {
+		t.Errorf("the extension is %v, want at most %v", got.Duration(), maxSuspicionExtension.Duration())
 	}
 	if health.lateness != 100*ms || health.maxLateness != 60*second {
-		t.Errorf("late by %v, at most %v", health.lateness.Duration(), health.maxLateness.Duration())
+		t.Errorf("lateness %v, want 100ms; maximum %v, want 1m0s",
+			health.lateness.Duration(), health.maxLateness.Duration())
 	}
 }
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -1,24 +1,24 @@
 package membership
 
-// member is what this process knows of another member.
+// member holds what this process knows of another member.
 type member struct {
-	record    MemberRecord // the greatest that anybody has reported
-	state     State        // what this process holds it to be; see applyDeath for how it lags behind record
-	changedAt Time         // when state changed last
-	endedAt   Time         // when it was first held to have ended, by this process or by another
+	record    MemberRecord // the greatest that was reported
+	state     State        // in this process's view; see applyDeath for how it lags behind record
+	changedAt Time         // when state last changed
+	endedAt   Time         // when this process or another one first found that the member had ended
 	index     int          // in memberTable.live or memberTable.dead; notListed for a new one
-	private   bool         // state was found while this process was isolated, and is not reported to others
+	private   bool         // state was found while this process was isolated, and is not reported
 
 	suspicion       suspicion // while state is Suspect
 	rtt             rttEstimate
 	unansweredPings int  // direct pings in a row without an answer
-	correctedAt     Time // when it was last sent what is reported of it
+	correctedAt     Time // when sendCorrection last sent it its record
 	replay          replayWindow
 }
 
 const notListed = -1
 
-// reachable tells whether the member answers this process directly.
+// reachable reports whether the member answers this process directly.
 func (m *member) reachable() bool {
 	return !m.state.Ended() && m.unansweredPings < maxUnansweredPings
 }
@@ -29,7 +29,7 @@
 	deviation Time
 }
 
-// add takes a measured round trip into the estimate.
+// add updates the estimate with a measured round trip.
 func (r *rttEstimate) add(measured Time) {
 	if r.mean == 0 {
 		r.mean = measured
@@ -41,8 +41,7 @@
 	r.mean += (measured - r.mean) / 8
 }
 
-// timeout returns for how long to wait for an answer, within the bounds that the timeout of a whole probe
-// gives.
+// timeout returns how long to wait for a direct ack: from an eighth to a half of the probe timeout.
 func (r *rttEstimate) timeout(probeTimeout Time) Time {
 	longest := probeTimeout / 2
 	if r.mean == 0 {
--- a/internal/cluster/membership/member_state.go
+++ b/internal/cluster/membership/member_state.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// stateTransitions are the states that may follow each state of one incarnation of a member. A new
-// incarnation begins in any of them.
+// stateTransitions lists the states that may follow each state of one incarnation of a member. A new
+// incarnation may begin in any state.
 //
 //	from     to       by
-//	Alive    Suspect  markSuspect: a probe failed, or somebody reports it suspect or dead
+//	Alive    Suspect  markSuspect: a probe failed, or another member reports it suspect or dead
 //	Alive    Left     markLeft
 //	Suspect  Alive    refute: the member itself, with more refutations
 //	Suspect  Dead     markDead: it did not refute in time
 //	Suspect  Left     markLeft
 //	Dead     Alive    resurrect: the member itself, with more refutations
-//	Dead     Suspect  markSuspect: somebody reports a later suspicion
+//	Dead     Suspect  markSuspect: another member reports a later suspicion
 //	Dead     Left     markLeft
 //	Left     Alive    resurrect: a hot restart failed after the successor had left
-//	Left     Suspect  markSuspect: somebody reports a later suspicion
+//	Left     Suspect  markSuspect: another member reports a later suspicion
 //
-// What this process found while it was isolated is private: discardPrivateState goes back to the state that
-// is reported.
+// States that this process found while it was isolated are private: discardPrivateState restores the
+// reported state.
 var stateTransitions = [...][]State{
 	Alive:   {Suspect, Left},
 	Suspect: {Alive, Dead, Left},
@@ -26,16 +26,16 @@
 	Left:    {Alive, Suspect},
 }
 
-// markSuspect begins a suspicion, or begins it anew. The member has until suspicionDeadline to refute it.
+// markSuspect starts a suspicion, or restarts it. The member has until suspicionDeadline to refute it.
 func (n *Node) markSuspect(m *member, reporter string, foundHere bool) {
 	n.setState(m, Suspect)
-	m.suspicion = suspicion{startedAt: n.now, confirmations: []string{reporter}, foundHere: foundHere}
+	m.suspicion = suspicion{startedAt: n.now, confirmations: []string{reporter}, foundLocally: foundHere}
 }
 
 // refute ends a suspicion: the member has shown that it is alive.
 func (n *Node) refute(m *member) { n.setState(m, Alive) }
 
-// resurrect takes back that a member has ended: it has shown that it is alive.
+// resurrect makes an ended member alive again: the member has shown that it is alive.
 func (n *Node) resurrect(m *member) { n.setState(m, Alive) }
 
 // markDead ends a suspicion that was not refuted.
@@ -44,7 +44,8 @@
 // markLeft records that a member has left by its own decision.
 func (n *Node) markLeft(m *member) { n.setState(m, Left) }
 
-// discardPrivateState takes back what this process found while it was isolated.
+// discardPrivateState restores the reported state of a member whose state was found while this process
+// was isolated.
 func (n *Node) discardPrivateState(m *member) {
 	m.private = false
 	n.setState(m, m.record.State)
@@ -53,7 +54,7 @@
 	}
 }
 
-// startIncarnation takes the state that is reported of a process that was not known before.
+// startIncarnation adopts the reported state of an incarnation that was not known before.
 func (n *Node) startIncarnation(m *member) {
 	n.changeState(m, m.record.State, true)
 	if m.state == Suspect {
@@ -96,7 +97,7 @@
 	n.emit(MemberChanged{MemberView: n.viewOf(m), Before: before, New: newIncarnation})
 }
 
-// endedAt is when a process ended by the age of its record.
+// endedAt returns when a process ended, by the age of its record.
 func (n *Node) endedAt(record MemberRecord) Time {
 	return n.now - Time(min(record.Age, n.retentionSeconds()))*second
 }
--- a/internal/cluster/membership/member_state_test.go
+++ b/internal/cluster/membership/member_state_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// peerIn returns a process that knows one member, in a state, and that member.
-func peerIn(t *testing.T, state State) (*Node, *member) {
+// newPeerInState returns a process that knows one other member, and that member in a state.
+func newPeerInState(t *testing.T, state State) (*Node, *member) {
 	t.Helper()
 	n, _ := newMemberWithPeer(t)
 	m := n.members.byName["b"]
@@ -21,7 +21,7 @@
 	return n, m
 }
 
-// reportPeer merges a record of a member, with further refutations.
+// reportPeer merges a record of a member with a state and additional refutations.
 func reportPeer(n *Node, m *member, state State, refutations uint64) {
 	record := m.record
 	record.State, record.ReportedBy = state, "c"
@@ -29,9 +29,10 @@
 	n.merge(record)
 }
 
-// A member whose state can change in a way that stateTransitions does not list is a mistake in one or the
-// other. Most of all, no report alone makes a live member dead: it has time to refute.
-func TestStateTransitions(t *testing.T) {
+// A state change that stateTransitions does not list, or a listed one that cannot happen, is an error in
+// the table or in the code. In particular, a report alone must not make a live member dead, because the
+// member needs time to refute it.
+func TestStateTransitionsListsAllStateChanges(t *testing.T) {
 	report := func(state State, refutations uint64) func(*Node, *member) {
 		return func(n *Node, m *member) { reportPeer(n, m, state, refutations) }
 	}
@@ -53,16 +54,16 @@
 		{"the suspicion expires", Suspect, Dead, func(n *Node, m *member) { n.expireSuspicion(m) }},
 		{"leaves while suspect", Suspect, Left, report(Left, 0)},
 		{"resurrects", Dead, Alive, report(Alive, 1)},
-		{"a later suspicion of a dead one", Dead, Suspect, report(Suspect, 1)},
-		{"a later death of a dead one", Dead, Dead, report(Dead, 1)},
+		{"a later suspicion of a dead member", Dead, Suspect, report(Suspect, 1)},
+		{"a later death of a dead member", Dead, Dead, report(Dead, 1)},
 		{"leaves while dead", Dead, Left, report(Left, 0)},
 		{"returns after it left", Left, Alive, report(Alive, 1)},
-		{"a later suspicion of one that left", Left, Suspect, report(Suspect, 1)},
-		{"a later death of one that left", Left, Suspect, report(Dead, 1)},
-		{"a probe of an ended one fails", Left, Left, probeFails},
+		{"a later suspicion of a member that left", Left, Suspect, report(Suspect, 1)},
+		{"a later death of a member that left", Left, Suspect, report(Dead, 1)},
+		{"a probe of a member that left fails", Left, Left, probeFails},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n, m := peerIn(t, c.from)
+			n, m := newPeerInState(t, c.from)
 			c.input(n, m)
 			if m.state != c.to {
 				t.Errorf("the member is %v, want %v", m.state, c.to)
@@ -82,10 +83,10 @@
 	}
 }
 
-// A suspicion that ends early leaves a member no time to refute; one that never ends keeps a dead member in
-// the view.
+// A suspicion that ends before its deadline leaves a member too little time to refute; one that never
+// ends leaves a dead member in the view.
 func TestSuspicionEndsAtItsDeadline(t *testing.T) {
-	n, m := peerIn(t, Suspect)
+	n, m := newPeerInState(t, Suspect)
 	for n.now < 60*second && m.state == Suspect {
 		deadline := n.suspicionDeadline(m)
 		n.Step(n.due, Tick{})
@@ -98,27 +99,27 @@
 	}
 }
 
-// Each process of a member begins anew, whatever was known of the one before.
+// A new incarnation begins in the state that is reported of it, whatever the state of the one before.
 func TestNewIncarnationBeginsInItsReportedState(t *testing.T) {
 	states := []State{Alive, Suspect, Dead, Left}
 	for _, before := range states {
 		for _, state := range states {
-			n, m := peerIn(t, before)
+			n, m := newPeerInState(t, before)
 			record := m.record
 			record.Generation++
 			record.State = state
 			n.merge(record)
 			if m.state != state || n.counters[countInvalidState] > 0 {
-				t.Errorf("after %v the next incarnation is %v, want %v; %v", before, m.state, state, n.counters)
+				t.Errorf("after %v the next incarnation is %v, want %v; counters %v", before, m.state, state, n.counters)
 			}
 		}
 	}
 }
 
-// What a process found while it heard nobody is its own fault: it must be taken back once somebody is
-// heard.
+// A process that receives no messages may itself be the faulty one, so the states that it finds while
+// isolated must not be reported, and are discarded once a message arrives.
 func TestPrivateStateIsDiscarded(t *testing.T) {
-	n, m := peerIn(t, Alive)
+	n, m := newPeerInState(t, Alive)
 	n.detector.isolated = true
 	n.probeFailed(m)
 	if m.state != Suspect || !m.private || m.record.State != Alive {
@@ -128,8 +129,8 @@
 	if m.state != Dead || m.record.State != Alive {
 		t.Fatalf("the member is %v, reported %v", m.state, m.record.State)
 	}
-	n.noteHeard()
+	n.markHeard()
 	if m.state != Alive || m.private || n.counters[countInvalidState] > 0 {
-		t.Errorf("the member is %v, private %v, %v", m.state, m.private, n.counters)
+		t.Errorf("the member is %v, private %v; counters %v", m.state, m.private, n.counters)
 	}
 }
--- a/internal/cluster/membership/member_table.go
+++ b/internal/cluster/membership/member_table.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// memberTable holds the other members: all by name, and by state those that are alive, suspect or dead. A
-// member whose state changes is removed before the change and inserted after it. The order of the lists
-// decides what random draws choose.
+// memberTable indexes the other members: all by name, and by state those that are alive, suspect or
+// dead. A member is removed before its state changes and inserted after it. Random draws depend on the
+// order of the lists.
 type memberTable struct {
 	byName    map[string]*member
 	live      []*member // alive or suspect
-	dead      []*member // without those that have left
+	dead      []*member // without members that have left
 	suspects  []*member
 	nextPrune Time
 }
@@ -20,7 +20,7 @@
 // sortedNames returns the names of all members.
 func (t *memberTable) sortedNames() []string { return slices.Sorted(maps.Keys(t.byName)) }
 
-// insert lists a member by its state.
+// insert adds a member to the lists of its state.
 func (t *memberTable) insert(m *member) {
 	switch {
 	case !m.state.Ended():
@@ -35,38 +35,38 @@
 	}
 }
 
-// remove takes a member off the lists of its state.
+// remove removes a member from the lists of its state.
 func (t *memberTable) remove(m *member) {
 	switch {
 	case m.index == notListed:
 	case !m.state.Ended():
-		t.live = removeAt(t.live, m.index)
+		t.live = swapRemove(t.live, m.index)
 		if m.state == Suspect {
 			t.suspects = slices.DeleteFunc(t.suspects, func(other *member) bool { return other == m })
 		}
 	case m.state == Dead:
-		t.dead = removeAt(t.dead, m.index)
+		t.dead = swapRemove(t.dead, m.index)
 	}
 }
 
-// removeAt puts the last member in the place of another.
-func removeAt(list []*member, index int) []*member {
+// swapRemove removes a member and moves the last one to its position.
+func swapRemove(list []*member, index int) []*member {
 	last := len(list) - 1
 	list[index] = list[last]
 	list[index].index = index
 	return list[:last]
 }
 
-// hasLiveAddress tells whether a member at an address is alive or suspect.
+// hasLiveAddress reports whether a member at an address is alive or suspect.
 func (t *memberTable) hasLiveAddress(addr string) bool {
 	return slices.ContainsFunc(t.live, func(m *member) bool { return m.record.Addr == addr })
 }
 
-// randomLive draws up to count members that are alive or suspect, without one.
-func (t *memberTable) randomLive(random *rand.Rand, count int, without *member) (drawn []*member) {
+// randomLive returns up to count random members that are alive or suspect, except one.
+func (t *memberTable) randomLive(random *rand.Rand, count int, except *member) (drawn []*member) {
 	if len(t.live) <= count+1 {
 		for _, m := range t.live {
-			if m != without {
+			if m != except {
 				drawn = append(drawn, m)
 			}
 		}
@@ -75,18 +75,18 @@
 	}
 	for len(drawn) < count {
 		m := t.live[random.IntN(len(t.live))]
-		if m != without && !slices.Contains(drawn, m) {
+		if m != except && !slices.Contains(drawn, m) {
 			drawn = append(drawn, m)
 		}
 	}
 	return drawn
 }
 
-func (n *Node) randomMembers(count int, without *member) []*member {
-	return n.members.randomLive(n.rand, count, without)
+func (n *Node) randomMembers(count int, except *member) []*member {
+	return n.members.randomLive(n.rand, count, except)
 }
 
-// pruneEnded forgets members that ended DeadRetention ago.
+// pruneEnded removes members that ended DeadRetention ago.
 func (n *Node) pruneEnded() {
 	for _, name := range n.members.sortedNames() {
 		m := n.members.byName[name]
--- a/internal/cluster/membership/member_table_test.go
+++ b/internal/cluster/membership/member_table_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// A member that stands on a list of another state, or twice, would be pinged for ever or never.
+// A member on a list of another state, or twice on one, would be pinged for ever or never.
 func TestMemberTableListsMembersByState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := memberTable{byName: map[string]*member{}}
@@ -26,16 +26,17 @@
 			table.insert(m)
 		}
 		for _, m := range all {
-			listed := []int{count(table.live, m), count(table.dead, m), count(table.suspects, m)}
+			got := []int{occurrences(table.live, m), occurrences(table.dead, m), occurrences(table.suspects, m)}
 			want := map[State][]int{Alive: {1, 0, 0}, Suspect: {1, 0, 1}, Dead: {0, 1, 0}, Left: {0, 0, 0}}[m.state]
-			if !slices.Equal(listed, want) {
-				t.Fatalf("a member that is %v stands %v times on the lists, want %v", m.state, listed, want)
+			if !slices.Equal(got, want) {
+				t.Fatalf("a member that is %v is %v times on the live, dead and suspect lists, want %v",
+					m.state, got, want)
 			}
 		}
 	})
 }
 
-func count(list []*member, wanted *member) (times int) {
+func occurrences(list []*member, wanted *member) (times int) {
 	for _, m := range list {
 		if m == wanted {
 			times++
@@ -44,7 +45,7 @@
 	return times
 }
 
-// The members that are drawn differ from one another, and the one that is left out is not among them.
+// The members that are drawn must differ from one another, and must not include the excluded one.
 func TestRandomLiveDrawsDistinctMembers(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for size := range 10 {
@@ -52,17 +53,17 @@
 		for range size {
 			table.insert(&member{state: Alive, index: notListed})
 		}
-		var without *member
+		var except *member
 		if size > 0 {
-			without = table.live[size/2]
+			except = table.live[size/2]
 		}
-		for wanted := range 5 {
-			drawn := table.randomLive(random, wanted, without)
-			if len(drawn) != max(0, min(wanted, size-1)) || slices.Contains(drawn, without) {
-				t.Errorf("of %d members %d are drawn, %d are wanted", size, len(drawn), wanted)
+		for requested := range 5 {
+			drawn := table.randomLive(random, requested, except)
+			if len(drawn) != max(0, min(requested, size-1)) || slices.Contains(drawn, except) {
+				t.Errorf("of %d members %d are drawn, %d were requested", size, len(drawn), requested)
 			}
 			for _, m := range drawn {
-				if count(drawn, m) != 1 {
+				if occurrences(drawn, m) != 1 {
 					t.Errorf("a member is drawn twice")
 				}
 			}
--- a/internal/cluster/membership/member_test.go
+++ b/internal/cluster/membership/member_test.go
@@ -2,24 +2,24 @@
 
 import "testing"
 
-// A probe that waits shorter than a member takes to answer would suspect it; one that waits too long finds
-// its death late.
+// A timeout shorter than a member's round trip causes false suspicions; one that is too long delays the
+// detection of its death.
 func TestRTTEstimateBoundsTheTimeout(t *testing.T) {
 	const probeTimeout = 250 * ms
 	var r rttEstimate
 	if got := r.timeout(probeTimeout); got != probeTimeout/2 {
-		t.Errorf("without a measurement it is %v", got.Duration())
+		t.Errorf("without a measurement the timeout is %v, want half the probe timeout", got.Duration())
 	}
 	for range 100 {
 		r.add(2 * ms)
 	}
 	if got := r.timeout(probeTimeout); got != probeTimeout/8 {
-		t.Errorf("after short round trips it is %v", got.Duration())
+		t.Errorf("after round trips of 2 ms the timeout is %v, want an eighth of the probe timeout", got.Duration())
 	}
 	for range 100 {
 		r.add(50 * ms)
 	}
 	if got := r.timeout(probeTimeout); got < 50*ms || got > probeTimeout/2 {
-		t.Errorf("after round trips of 50 ms it is %v", got.Duration())
+		t.Errorf("after round trips of 50 ms the timeout is %v", got.Duration())
 	}
 }
--- a/internal/cluster/membership/merge.go
+++ b/internal/cluster/membership/merge.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// validRecord tells whether a member can have sent a record.
+// validRecord reports whether a member can have sent a record.
 func validRecord(r MemberRecord) bool {
 	return r.Name != "" && len(r.Name) <= maxNameBytes &&
 		r.Addr != "" && len(r.Addr) <= maxNameBytes &&
@@ -13,12 +13,12 @@
 		r.Number >= -1
 }
 
-// merge takes a record that was received.
+// merge merges a received record into the view.
 func (n *Node) merge(record MemberRecord) {
 	m := n.members.byName[record.Name]
 	switch {
 	case !validRecord(record):
-		n.count(countGarbled)
+		n.count(countInvalid)
 	case record.Name == n.self.Name:
 		n.mergeSelfRecord(record)
 	case m == nil:
@@ -26,7 +26,7 @@
 	default:
 		switch order := compareState(record, m.record); {
 		case order == 0:
-			n.applySame(m, record)
+			n.applyEqual(m, record)
 		case order > 0:
 			n.applyNewer(m, record)
 		}
@@ -35,10 +35,10 @@
 
 func (n *Node) addMember(record MemberRecord) {
 	if record.State.Ended() && record.Age >= n.retentionSeconds() {
-		return // others are about to forget it
+		return // other members are about to prune it
 	}
 	if len(n.members.byName) >= n.config.MaxMembers-1 {
-		n.count(countNoRoom)
+		n.count(countViewFull)
 		n.emit(Event{"view is full, member not added", record.Name})
 		return
 	}
@@ -49,18 +49,19 @@
 	n.startIncarnation(m)
 }
 
-// applySame takes a record that differs from the known one only in its reporter, address, number or age.
-func (n *Node) applySame(m *member, record MemberRecord) {
+// applyEqual applies a record that differs from the known one only in its reporter, address, number or
+// age.
+func (n *Node) applyEqual(m *member, record MemberRecord) {
 	if record.State == Suspect {
 		n.confirmSuspicion(m, record.ReportedBy)
 	}
 	if record.Age > 0 && m.state.Ended() {
 		m.endedAt = min(m.endedAt, n.endedAt(record))
 	}
-	m.record = Join(m.record, record)
+	m.record = JoinRecords(m.record, record)
 }
 
-// applyNewer takes a record that is greater than the known one.
+// applyNewer applies a record that is greater than the known one.
 func (n *Node) applyNewer(m *member, record MemberRecord) {
 	newIncarnation := record.Incarnation != m.record.Incarnation
 	newRefutations := record.Refutations != m.record.Refutations
@@ -86,8 +87,8 @@
 	}
 }
 
-// applySuspicion takes another's suspicion. It confirms one that is found here and reported of the same
-// refutations.
+// applySuspicion applies a suspicion that another member reports. If the member is suspect already, with
+// the same refutations, the report confirms that suspicion.
 func (n *Node) applySuspicion(m *member, reporter string, newRefutations bool) {
 	if m.state == Suspect && !newRefutations {
 		n.confirmSuspicion(m, reporter)
@@ -96,8 +97,8 @@
 	n.markSuspect(m, reporter, false)
 }
 
-// applyDeath takes another's report that a member is dead. The other may be on another side of a network
-// partition, so the member has time to refute this to this process as well.
+// applyDeath applies a report that a member is dead. The reporter may be on the other side of a network
+// partition, so the member becomes suspect first and has time to refute the report.
 func (n *Node) applyDeath(m *member, reporter string, newRefutations bool) {
 	if m.state == Dead {
 		return
@@ -108,7 +109,7 @@
 	m.suspicion.reportedDead = true
 }
 
-// replaceRecord replaces what is reported of a member.
+// replaceRecord replaces the record of a member.
 func (n *Node) replaceRecord(m *member, record MemberRecord) {
 	if record.Incarnation != m.record.Incarnation {
 		m.replay = replayWindow{}
@@ -118,7 +119,7 @@
 	m.record = record
 }
 
-// reportState spreads what this process itself has found of a member.
+// reportState updates and gossips the record of a member whose state this process has found itself.
 func (n *Node) reportState(m *member, state State) {
 	record := m.record
 	record.State = state
@@ -127,8 +128,8 @@
 	n.enqueue(record)
 }
 
-// mergeSelfRecord refutes what is reported of this process, or finds out that another process uses its
-// name.
+// mergeSelfRecord handles a record of this process's own name: it refutes the record, or detects that
+// another process uses the name.
 func (n *Node) mergeSelfRecord(record MemberRecord) {
 	if n.phase != serving {
 		return
@@ -138,7 +139,8 @@
 	case order > 0 && !record.State.Ended():
 		n.startNameConflict(record)
 	case order > 0, order < 0 && record.Generation == n.self.Generation:
-		// This generation was chosen without knowledge of that process; a generation is one process's alone.
+		// This process chose its generation without knowledge of that process, and each process needs a
+		// generation of its own.
 		n.startIncarnationAfter(record.Generation)
 	case order < 0: // an earlier incarnation
 	case record.State == Left: // the successor had left, and this process resumed
--- a/internal/cluster/membership/messages.go
+++ b/internal/cluster/membership/messages.go
@@ -7,55 +7,55 @@
 const (
 	Ping            Kind = iota + 1 // answered by an Ack with the same nonce
 	Ack                             // answers a Ping, or an IndirectPing that the sender carried out
-	IndirectPing                    // asks the receiver to ping Target, and to pass on its Ack
+	IndirectPing                    // asks the receiver to ping Target and to forward its Ack
 	Gossip                          // carries records alone
-	RecordQuery                     // from a process that joins or catches up: asks for its own record
+	RecordQuery                     // from a process that is no member or catches up: asks for its record
 	RecordReply                     // answers a RecordQuery or a NameConflict
-	NameConflict                    // asks another process of the sender's own name whether it lives
-	UserMessage                     // carries Text, which is not of membership
+	NameConflict                    // asks another process with the sender's name whether it is alive
+	UserMessage                     // carries Text for the application
 	Digests                         // on a stream: opens a push-pull with the digests of the sender's view
 	DigestDiff                      // on a stream: the buckets that differ, and the sender's records of them
 	DigestDiffReply                 // on a stream: the opener's records of these buckets
 )
 
-// Message is what one member sends another.
+// Message is sent by one member to another.
 type Message struct {
 	Kind             Kind
 	Cluster          string
 	From             MemberRecord // the sender's own record
-	Seq              uint64       // grows with each message of an incarnation; the receiver drops repeats
-	Nonce            uint64       // of what is asked or answered
-	Target           string       // who is pinged: of an IndirectPing, and of an Ack that is passed on
+	Seq              uint64       // grows with each message of an incarnation; the receiver drops duplicates
+	Nonce            uint64       // matches an answer to its request
+	Target           string       // name of the pinged member, in an IndirectPing and in a forwarded Ack
 	Addr             string       // not used
 	Records          []MemberRecord
 	Digests          []uint64
 	Buckets          []int
-	SenderCatchingUp bool // of a RecordReply: the sender joins or catches up itself
+	SenderCatchingUp bool // in a RecordReply: the sender is no member, or catches up
 	Text             string
 }
 
 // Input is one of MessageReceived, Tick, LeaveRequested, SendUserMessage and Resumed.
 type Input interface{ input() }
 
-// MessageReceived is a message that came in a datagram, or on a stream.
+// MessageReceived is a message that arrived in a datagram or on a stream.
 type MessageReceived struct {
 	Message
 	Stream uint64 // on which to reply; 0 for a datagram
 }
 
-// Tick reports that the moment of NextTick has come.
+// Tick reports that the time returned by NextTick has come.
 type Tick struct{}
 
-// LeaveRequested has this process notify the others and stop.
+// LeaveRequested makes this process notify the other members and stop.
 type LeaveRequested struct{}
 
-// SendUserMessage has a text sent to the member with a number.
+// SendUserMessage sends a text to the member with a scheduler number.
 type SendUserMessage struct {
 	Number int
 	Text   string
 }
 
-// Resumed reports that the successor has ended, and that this process goes on as the member.
+// Resumed reports that the successor has ended, and that this process continues as the member.
 type Resumed struct{}
 
 func (MessageReceived) input() {}
@@ -74,21 +74,21 @@
 	Message
 }
 
-// OpenStream opens a stream and sends a message on it. What comes back is a MessageReceived with a stream
+// OpenStream opens a stream and sends a message on it. The answer is a MessageReceived with the stream
 // to reply on.
 type OpenStream struct {
 	To string
 	Message
 }
 
-// StreamReply sends a message on a stream, which is closed after the last one.
+// StreamReply sends a message on a stream, and closes the stream after the last message.
 type StreamReply struct {
 	Stream uint64
 	Message
 	Last bool
 }
 
-// MemberChanged reports that this process holds another member to be in a new state.
+// MemberChanged reports that another member has a new state in this process's view.
 type MemberChanged struct {
 	MemberView
 	Before State
@@ -101,14 +101,14 @@
 	Text   string
 }
 
-// Event is something that concerns this process itself, to be logged. Subject is the process that it
-// involves, how long it lasted, or empty.
+// Event is an event of this process to be logged. Subject is the name or address of the process that it
+// involves, a duration, or empty.
 type Event struct{ Description, Subject string }
 
 // Joined reports that this process is a member from now on.
 type Joined struct{}
 
-// Stopped reports that this process is no member any more: another process has its name, or it has left.
+// Stopped reports that this process is no longer a member: another process has its name, or it has left.
 type Stopped struct{ Replaced bool }
 
 func (Send) effect()                {}
--- a/internal/cluster/membership/name_conflict.go
+++ b/internal/cluster/membership/name_conflict.go
@@ -1,28 +1,28 @@
 package membership
 
-// conflictState is what this process knows of others that use its name.
+// conflictState is what this process knows of other processes that use its name.
 type conflictState struct {
-	open       *nameConflict // nil: none
+	open       *nameConflict // nil if there is none
 	lastNotice Time          // when another process was last notified that this one has replaced it
 }
 
-// nameConflict is the question whether a later process of this name lives. Until it answers, this process
-// remains a member.
+// nameConflict is a check whether a later process of this name is alive. Until that process answers,
+// this one remains a member.
 type nameConflict struct {
 	rival     MemberRecord
 	nonce     uint64
 	nextQuery Time
-	deadline  Time // the rival is held to have ended if it has not answered by then
+	deadline  Time // the rival is assumed to have ended if it has not answered by then
 }
 
-// startNameConflict asks a later process of this name whether it lives. A record alone proves nothing: it
-// may be all that is left of a process that ended before a restart of the whole cluster.
+// startNameConflict starts to ask a later process of this name whether it is alive. A record alone is no
+// proof: its process may have ended before a restart of the complete cluster.
 func (n *Node) startNameConflict(rival MemberRecord) {
 	if open := n.conflict.open; open != nil && open.rival.Incarnation.compare(rival.Incarnation) >= 0 {
 		return
 	}
 	if rival.Addr == n.self.Addr {
-		n.startIncarnationAfter(rival.Generation) // nobody else can be at this address
+		n.startIncarnationAfter(rival.Generation) // no other process can use this address
 		return
 	}
 	n.conflict.open = &nameConflict{
@@ -33,7 +33,8 @@
 	}
 }
 
-// continueNameConflict asks the rival again, or goes beyond its incarnation after the deadline.
+// continueNameConflict asks the rival again. After the deadline it takes a later incarnation than the
+// rival's.
 func (n *Node) continueNameConflict() {
 	conflict := n.conflict.open
 	if n.now < conflict.deadline {
@@ -47,30 +48,31 @@
 	}
 }
 
-// receiveFromNamesake takes a message of a process that uses this name.
-func (n *Node) receiveFromNamesake(in MessageReceived) {
+// receiveFromSameName handles a message of a process that uses this process's name.
+func (n *Node) receiveFromSameName(in MessageReceived) {
 	message := in.Message
 	rival := message.From
-	another := rival.Incarnation != n.self.Incarnation
+	otherProcess := rival.Incarnation != n.self.Incarnation
 	alive := validRecord(rival) && !rival.State.Ended()
 	switch {
-	case n.phase == catchingUp && another && alive:
+	case n.phase == catchingUp && otherProcess && alive:
 		n.markReplaced(rival)
-	case n.phase != serving || !another:
-		n.count(countOwnMessage)
+	case n.phase != serving || !otherProcess:
+		n.count(countOwnName)
 	case message.Kind == RecordQuery:
 		n.replyToQuery(message)
 	case !alive:
-		n.count(countGarbled)
+		n.count(countInvalid)
 	case message.Kind == RecordReply && n.conflict.open != nil && message.Nonce == n.conflict.open.nonce:
-		n.endNameConflict(rival)
+		n.resolveNameConflict(rival)
 	default:
 		n.assertName(message)
 	}
 }
 
-// endNameConflict gives way to a rival that has proved that it lives, if it is the later process.
-func (n *Node) endNameConflict(rival MemberRecord) {
+// resolveNameConflict ends the conflict with a rival that has proved that it is alive: the later process
+// keeps the name.
+func (n *Node) resolveNameConflict(rival MemberRecord) {
 	if rival.Incarnation.compare(n.self.Incarnation) > 0 {
 		n.markReplaced(rival)
 	} else {
@@ -78,8 +80,8 @@
 	}
 }
 
-// assertName answers a rival: it asks a later one whether it lives, and notifies an earlier one that it is
-// replaced.
+// assertName answers a rival: it asks a later one whether it is alive, and notifies an earlier one that
+// it is replaced.
 func (n *Node) assertName(message Message) {
 	rival := message.From
 	if message.Kind == NameConflict {
--- a/internal/cluster/membership/node.go
+++ b/internal/cluster/membership/node.go
@@ -1,20 +1,21 @@
 // Package membership implements SWIM with Lifeguard's extensions: it decides which other schedulers of a
 // cluster exist, and which of them are alive, suspect, dead or have left. A Node takes an input with its
 // time and returns effects: what to send, and what has changed. It does no I/O, reads no clock, and draws
-// random numbers from its seed alone. docs/members.md states what it promises.
+// random numbers from its seed alone. docs/members.md specifies its guarantees.
 package membership
 
 import "math/rand/v2"
 
-// Node is one process's view of a cluster, and its own part in it. It is not safe for concurrent use.
+// Node is one process's view of a cluster and its own state as a member. It is not safe for concurrent
+// use.
 type Node struct {
 	config   Config
 	rand     *rand.Rand
 	self     MemberRecord
 	phase    phase
-	seq      uint64 // of the message that was sent last
+	seq      uint64 // of the latest message that was sent
 	now      Time   // of the latest input; it never decreases
-	due      Time   // the moment that NextTick reports
+	due      Time   // returned by NextTick
 	effects  []Effect
 	counters counters
 
@@ -40,15 +41,15 @@
 	return n
 }
 
-// HandoverState is what a process hands to its successor in a hot restart. Both are the same member, of one
-// incarnation.
+// HandoverState is the state that a process passes to its successor in a hot restart. Both are the same
+// member, with one incarnation.
 type HandoverState struct {
 	Self    MemberRecord
 	Seq     uint64
 	Records []MemberRecord
 }
 
-// Restore returns the successor of the process that returned the state.
+// Restore returns the node of a successor, from its predecessor's HandoverState.
 func Restore(config Config, state HandoverState, now Time) *Node {
 	n := newNode(config, now)
 	n.phase = serving
@@ -86,8 +87,8 @@
 	}
 }
 
-// HandoverState returns what a successor needs. It reports false unless this process is a member. After it
-// the caller feeds no input but Resumed.
+// HandoverState returns the state for a successor. It reports false unless this process is a member.
+// After it, Resumed is the only valid input.
 func (n *Node) HandoverState() (HandoverState, bool) {
 	if n.phase != serving {
 		return HandoverState{}, false
@@ -99,12 +100,12 @@
 	return state, true
 }
 
-// Step takes an input and returns the effects that the caller carries out, in order. A time before the
-// latest one counts as that one.
+// Step processes an input and returns the effects that the caller must carry out, in order. A time
+// before the latest one counts as the latest one.
 func (n *Node) Step(now Time, in Input) []Effect {
 	n.now = max(now, n.now)
 	n.effects = nil
-	n.noteLateness()
+	n.checkLateness()
 	switch in := in.(type) {
 	case MessageReceived:
 		n.receive(in)
@@ -120,7 +121,7 @@
 	return n.effects
 }
 
-// NextTick returns the moment at which a Tick is due.
+// NextTick returns the time at which a Tick is due.
 func (n *Node) NextTick() Time { return n.due }
 
 func (n *Node) emit(effect Effect) { n.effects = append(n.effects, effect) }
@@ -128,7 +129,7 @@
 // jitter returns a random span of half to one and a half times the mean.
 func (n *Node) jitter(mean Time) Time { return mean/2 + Time(n.rand.Int64N(int64(mean)+1)) }
 
-// announceSelf spreads this process's record after it has changed.
+// announceSelf gossips this process's record after it has changed.
 func (n *Node) announceSelf() {
 	n.updateSelfDigest()
 	n.gossipSelf()
@@ -139,8 +140,8 @@
 	n.gossip.nextRound = n.now
 }
 
-// startIncarnationAfter makes this process a later incarnation than the one with the generation, which has
-// ended.
+// startIncarnationAfter gives this process a new incarnation, with the generation after the given one,
+// which belongs to another process.
 func (n *Node) startIncarnationAfter(generation uint64) {
 	n.self.Incarnation = Incarnation{Generation: generation + 1, Nonce: n.config.Nonce}
 	n.self.Refutations = 0
@@ -148,8 +149,9 @@
 	n.announceSelf()
 }
 
-// resumeAfterHandover goes on as a member whose successor has ended. The successor's latest record stands,
-// so this process's sequence number and refutations go beyond all that the successor can have used.
+// resumeAfterHandover continues as the member after the successor has ended. Other members have the
+// successor's latest record, so the sequence number and refutations go beyond all that the successor can
+// have used.
 func (n *Node) resumeAfterHandover() {
 	if n.phase != serving && n.phase != catchingUp {
 		return
@@ -172,15 +174,15 @@
 	n.count(countNoReceiver)
 }
 
-// send sends a datagram, unless to this process itself.
+// send sends a datagram, unless it is addressed to this process itself.
 func (n *Node) send(to string, message Message) {
 	if to != n.self.Addr && to != "" {
 		n.emit(Send{to, n.stamped(message)})
 	}
 }
 
-// stamped completes a message with its cluster, sequence number and sender. A process that does not yet
-// know the generation that its incarnation will have sends generation 0.
+// stamped fills in the cluster, sequence number and sender of a message. A process that has not chosen
+// its generation yet sends generation 0.
 func (n *Node) stamped(message Message) Message {
 	n.seq++
 	message.Cluster = n.config.Cluster
--- a/internal/cluster/membership/node_test.go
+++ b/internal/cluster/membership/node_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// aliveRecord is a record by which a member reports itself.
+// aliveRecord returns a record in which a member reports itself alive.
 func aliveRecord(name string, nonce uint64) MemberRecord {
 	return MemberRecord{
 		Name:        name,
@@ -25,28 +25,29 @@
 	return config
 }
 
-// newMemberWithPeer returns a process that has joined alone, and the record of one other that it knows.
+// newMemberWithPeer returns a process that has joined alone and then received a message of one other
+// member, and that member's record.
 func newMemberWithPeer(t *testing.T) (*Node, MemberRecord) {
 	t.Helper()
-	m := New(testConfig("a"), 0)
-	m.Step(1, Tick{})
-	if m.phase != serving {
-		t.Fatal("it did not join")
+	n := New(testConfig("a"), 0)
+	n.Step(1, Tick{})
+	if n.phase != serving {
+		t.Fatal("the process did not join")
 	}
-	other := aliveRecord("b", 5)
-	m.Step(2, MessageReceived{Message: Message{Kind: Gossip, Cluster: "c", From: other, Seq: 1}})
-	return m, other
+	peer := aliveRecord("b", 5)
+	n.Step(2, MessageReceived{Message: Message{Kind: Gossip, Cluster: "c", From: peer, Seq: 1}})
+	return n, peer
 }
 
-func (m *Node) stateOf(name string) State {
-	if e := m.members.byName[name]; e != nil {
-		return e.state
+func (n *Node) stateOf(name string) State {
+	if m := n.members.byName[name]; m != nil {
+		return m.state
 	}
 	return Joining
 }
 
-// All that others may send: none of it makes a member, moves a view or ends the process, and each kind is
-// counted.
+// Invalid, replayed or outdated messages must not change the view or the member's state, and each kind
+// must be counted.
 func TestBadInputIsDroppedAndCounted(t *testing.T) {
 	stranger := aliveRecord("z", 1)
 	withInvalidState, withoutName, withoutIncarnation := stranger, stranger, stranger
@@ -65,11 +66,11 @@
 			m.Seq = 1
 			m.Records = []MemberRecord{stranger}
 		}},
-		{countReplaced, func(m *Message) {
+		{countEarlierIncarnation, func(m *Message) {
 			m.From.Incarnation = Incarnation{1, 4}
 			m.Records = []MemberRecord{stranger}
 		}},
-		{countGarbled, func(m *Message) {
+		{countInvalid, func(m *Message) {
 			m.Records = []MemberRecord{withInvalidState, withoutName, withoutIncarnation}
 		}},
 	} {
@@ -83,7 +84,7 @@
 	}
 }
 
-// A view that strangers' names could fill would take the memory of the process.
+// Names from unknown senders would fill a view without a bound and use all memory of the process.
 func TestViewIsBounded(t *testing.T) {
 	n, peer := newMemberWithPeer(t)
 	n.config.MaxMembers = 10
@@ -96,91 +97,95 @@
 			Records: []MemberRecord{aliveRecord(fmt.Sprint("x", i), 1)},
 		}})
 	}
-	if len(n.members.byName) != 9 || n.counters[countNoRoom] != 42 {
-		t.Errorf("%d names, %v", len(n.members.byName), n.counters)
+	if len(n.members.byName) != 9 || n.counters[countViewFull] != 42 {
+		t.Errorf("the view has %d names, want 9; counters %v, want 42 rejected", len(n.members.byName), n.counters)
 	}
 }
 
-// A process that was stopped for longer than a suspicion lasts sends nothing as a member before it has
-// queried: it may not be one any more.
-func TestLateProcessQueriesBeforeItSpeaks(t *testing.T) {
-	m, _ := newMemberWithPeer(t)
-	asked := false
-	for _, e := range m.Step(m.due+5*second, Tick{}) {
+// A process that was stopped for longer than a suspicion lasts may no longer be a member, so it must
+// send only queries until it has a reply.
+func TestAStoppedProcessSendsOnlyQueriesWhenItResumes(t *testing.T) {
+	n, _ := newMemberWithPeer(t)
+	queried := false
+	for _, e := range n.Step(n.due+5*second, Tick{}) {
 		switch e := e.(type) {
 		case Send:
-			if asked = true; e.Kind != RecordQuery {
-				t.Errorf("it sends %+v", e.Message)
+			if queried = true; e.Kind != RecordQuery {
+				t.Errorf("it sends %+v, want only queries", e.Message)
 			}
 		case OpenStream:
-			t.Errorf("it opens a stream: %+v", e.Message)
+			t.Errorf("it opens a stream, want only queries: %+v", e.Message)
 		}
 	}
-	if !asked {
-		t.Error("it does not ask")
+	if !queried {
+		t.Error("it sends no query")
 	}
 }
 
-// Where datagrams are lost and streams come through, a member stays alive.
-func TestAckOnStreamKeepsMemberAlive(t *testing.T) {
-	m, other := newMemberWithPeer(t)
+// If datagrams are lost but streams work, a member must stay alive.
+func TestAnAckOnAStreamKeepsAMemberAlive(t *testing.T) {
+	n, peer := newMemberWithPeer(t)
 	seq := uint64(100)
-	for m.now < 60*second {
-		for _, e := range m.Step(m.due, Tick{}) {
+	for n.now < 60*second {
+		for _, e := range n.Step(n.due, Tick{}) {
 			if o, ok := e.(OpenStream); ok && o.Kind == Ping {
 				seq++
-				m.Step(m.now, MessageReceived{Message{Kind: Ack, Cluster: "c", From: other, Seq: seq, Nonce: o.Nonce}, 7})
+				n.Step(n.now, MessageReceived{Message{Kind: Ack, Cluster: "c", From: peer, Seq: seq, Nonce: o.Nonce}, 7})
 			}
 		}
-		if got := m.stateOf("b"); got != Alive {
-			t.Fatalf("at %d it is %v", m.now, got)
+		if got := n.stateOf("b"); got != Alive {
+			t.Fatalf("at %d the member is %v, want alive", n.now, got)
 		}
 	}
 }
 
-// The wall clock is no part of this; an input with an earlier time than the last must not turn anything
-// back.
+// An input with an earlier time than the previous one must not move the node's time or its timers back.
 func TestEarlierTimeChangesNothing(t *testing.T) {
-	m, _ := newMemberWithPeer(t)
-	m.Step(50_000, Tick{})
-	now, due := m.now, m.due
-	m.Step(10, Tick{})
-	if m.now != now || m.due < due-second {
-		t.Errorf("at %d, due %d after an earlier time; %d, %d before", m.now, m.due, now, due)
+	n, _ := newMemberWithPeer(t)
+	n.Step(50_000, Tick{})
+	now, due := n.now, n.due
+	n.Step(10, Tick{})
+	if n.now != now || n.due < due-second {
+		t.Errorf("time %d, next tick %d after an earlier time; before it %d, %d", n.now, n.due, now, due)
 	}
 }
 
-// A successor is the same member: its messages are accepted as new, and the others' view of it does not change.
+// A successor after a hot restart is the same member: its messages must count as new, and must not
+// change the state of the member in other views.
 func TestSuccessorIsTheSameMember(t *testing.T) {
-	m, other := newMemberWithPeer(t)
-	b := New(testConfig("b"), 0)
-	b.Step(1, Tick{})
-	b.Step(2, MessageReceived{Message: Message{Kind: Gossip, Cluster: "c", From: m.self, Seq: m.seq}})
-	state, ok := m.HandoverState()
-	if !ok || len(state.Records) != 1 || state.Records[0].Name != other.Name {
-		t.Fatalf("handed over: %+v", state)
+	predecessor, peer := newMemberWithPeer(t)
+	observer := New(testConfig("b"), 0)
+	observer.Step(1, Tick{})
+	observer.Step(2, MessageReceived{
+		Message: Message{Kind: Gossip, Cluster: "c", From: predecessor.self, Seq: predecessor.seq},
+	})
+	state, ok := predecessor.HandoverState()
+	if !ok || len(state.Records) != 1 || state.Records[0].Name != peer.Name {
+		t.Fatalf("the handover state is %+v, want one record, of b", state)
 	}
 	successor := Restore(testConfig("a"), state, 1000)
 	for _, e := range successor.Step(1001, Tick{}) {
 		if s, ok := e.(Send); ok && s.To == "addr-b" {
-			for _, e := range b.Step(1002, MessageReceived{Message: s.Message}) {
+			for _, e := range observer.Step(1002, MessageReceived{Message: s.Message}) {
 				if c, ok := e.(MemberChanged); ok {
-					t.Errorf("the view of a changed: %+v", c)
+					t.Errorf("the state of a changed in the view of b: %+v", c)
 				}
 			}
 		}
 	}
-	if b.stateOf("a") != Alive || b.counters["replayed"] > 0 || successor.self.Incarnation != m.self.Incarnation {
-		t.Errorf("held %v, %v, %v and %v", b.stateOf("a"), b.counters, successor.self.Incarnation, m.self.Incarnation)
+	if observer.stateOf("a") != Alive || observer.counters["replayed"] > 0 ||
+		successor.self.Incarnation != predecessor.self.Incarnation {
+		t.Errorf("b reports a %v, counters %v; incarnations %v and %v",
+			observer.stateOf("a"), observer.counters, successor.self.Incarnation, predecessor.self.Incarnation)
 	}
 }
 
-// threeMembers are three processes, the messages between them and their time.
+// threeMembers simulates three processes, the messages between them and their time.
 type threeMembers struct {
-	nodes   [3]*Node
-	mail    []delivery
-	streams [][2]int // who opened it, and to whom
-	now     Time
+	nodes       [3]*Node
+	undelivered []delivery
+	streams     [][2]int // opener and acceptor of each stream
+	now         Time
 }
 
 type delivery struct {
@@ -192,7 +197,7 @@
 
 func indexOfAddr(addr string) int { return slices.Index(threeNames, addr[len("addr-"):]) }
 
-// newThreeMembers starts three processes of which the first is the seed.
+// newThreeMembers starts three processes, of which the first is the seed.
 func newThreeMembers() *threeMembers {
 	w := &threeMembers{}
 	for i, name := range threeNames {
@@ -204,20 +209,20 @@
 	return w
 }
 
-// apply puts what a process sends into the mail.
+// apply queues the messages that a process sends.
 func (w *threeMembers) apply(sender int, effects []Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case Send:
-			w.mail = append(w.mail, delivery{indexOfAddr(e.To), MessageReceived{Message: e.Message}})
+			w.undelivered = append(w.undelivered, delivery{indexOfAddr(e.To), MessageReceived{Message: e.Message}})
 		case OpenStream:
 			w.streams = append(w.streams, [2]int{sender, indexOfAddr(e.To)})
 			input := MessageReceived{e.Message, uint64(len(w.streams))}
-			w.mail = append(w.mail, delivery{indexOfAddr(e.To), input})
+			w.undelivered = append(w.undelivered, delivery{indexOfAddr(e.To), input})
 		case StreamReply:
 			ends := w.streams[e.Stream-1]
 			other := ends[0] + ends[1] - sender
-			w.mail = append(w.mail, delivery{other, MessageReceived{e.Message, e.Stream}})
+			w.undelivered = append(w.undelivered, delivery{other, MessageReceived{e.Message, e.Stream}})
 		}
 	}
 }
@@ -225,19 +230,19 @@
 func (w *threeMembers) deliver(d delivery) { w.apply(d.to, w.nodes[d.to].Step(w.now, d.input)) }
 
 func (w *threeMembers) takeOldest() delivery {
-	oldest := w.mail[0]
-	w.mail = w.mail[1:]
+	oldest := w.undelivered[0]
+	w.undelivered = w.undelivered[1:]
 	return oldest
 }
 
 func (w *threeMembers) takeNewest() delivery {
-	last := len(w.mail) - 1
-	newest := w.mail[last]
-	w.mail = w.mail[:last]
+	last := len(w.undelivered) - 1
+	newest := w.undelivered[last]
+	w.undelivered = w.undelivered[:last]
 	return newest
 }
 
-// The events of an interleaving: the first three run the timers of a process.
+// The events of an interleaving. Events 0 to 2 run the timers of one process.
 const (
 	deliverOldest = 3
 	deliverNewest = 4
@@ -245,14 +250,14 @@
 	eventKinds    = 6
 )
 
-// step lets one event happen, 30 ms after the one before.
+// step runs one event, 30 ms after the previous one.
 func (w *threeMembers) step(event int) {
 	w.now += 30 * ms
 	switch {
 	case event < len(w.nodes):
 		n := w.nodes[event]
 		w.apply(event, n.Step(max(w.now, n.due), Tick{}))
-	case len(w.mail) == 0:
+	case len(w.undelivered) == 0:
 	case event == deliverOldest:
 		w.deliver(w.takeOldest())
 	case event == deliverNewest:
@@ -262,58 +267,59 @@
 	}
 }
 
-// converge lets all messages arrive for a while.
+// converge delivers all messages while the timers of all processes run 200 times.
 func (w *threeMembers) converge() {
 	for range 200 {
 		for i := range w.nodes {
 			w.step(i)
 		}
-		for len(w.mail) > 0 {
+		for len(w.undelivered) > 0 {
 			w.deliver(w.takeOldest())
 		}
 	}
 }
 
-// requireAgreement fails the test unless all three hold all others to be alive and have equal digests.
-func (w *threeMembers) requireAgreement(t *testing.T, order []int) {
+// requireAgreement fails the test unless each of the three processes regards the others as alive, and
+// all digests are equal.
+func (w *threeMembers) requireAgreement(t *testing.T, events []int) {
 	t.Helper()
 	for i, n := range w.nodes {
 		for j, name := range threeNames {
 			if i != j && n.stateOf(name) != Alive {
-				t.Fatalf("order %v: %s holds %s %v", order, threeNames[i], name, n.stateOf(name))
+				t.Fatalf("order %v: %s reports %s %v", events, threeNames[i], name, n.stateOf(name))
 			}
 		}
 		if invalid := n.counters[countInvalidPhase] + n.counters[countInvalidState]; invalid > 0 {
-			t.Fatalf("order %v: %s made %d changes that are not listed", order, threeNames[i], invalid)
+			t.Fatalf("order %v: %s made %d changes that no table lists", events, threeNames[i], invalid)
 		}
 		if n.Digest() != w.nodes[0].Digest() {
-			t.Fatalf("order %v: the digests differ", order)
+			t.Fatalf("order %v: the digests differ", events)
 		}
 	}
 }
 
-// Three members, every order of a few events between them: whatever the interleaving, no state goes back
-// within a refutation, and once messages arrive again all three hold the same. ORDERS=all runs each of the
-// orders, not each 23rd.
+// Whatever the order in which messages are delivered or lost and timers run, no member's state may go
+// back without a refutation, and the views of three members must converge once messages arrive again.
+// ORDERS=all runs all 46656 orders instead of each 23rd.
 func TestEveryInterleavingOfThree(t *testing.T) {
 	const depth = 6
-	const orders = 46656 // eventKinds to the depth
-	stride := 23         // shares no factor with eventKinds
+	const orders = 46656 // eventKinds to the power of depth
+	stride := 23         // has no common factor with eventKinds
 	if os.Getenv("ORDERS") == "all" {
 		stride = 1
 	}
-	order := make([]int, depth)
+	events := make([]int, depth)
 	for number := 0; number < orders; number += stride {
-		rest := number
-		for i := range order {
-			order[i] = rest % eventKinds
-			rest /= eventKinds
+		remainder := number
+		for i := range events {
+			events[i] = remainder % eventKinds
+			remainder /= eventKinds
 		}
 		w := newThreeMembers()
-		for _, event := range order {
+		for _, event := range events {
 			w.step(event)
 		}
 		w.converge()
-		w.requireAgreement(t, order)
+		w.requireAgreement(t, events)
 	}
 }
--- a/internal/cluster/membership/phase.go
+++ b/internal/cluster/membership/phase.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// phase is where this process itself stands as a member.
+// phase is the phase of this process's own membership.
 type phase int
 
 const (
-	joining    phase = iota // it queries what others know of its name, to choose its incarnation
-	serving                 // it is a member
-	catchingUp              // others may have declared it dead while it was stopped; it sends queries alone
-	leaving                 // it notifies others that it leaves
-	standingBy              // another process has replaced it; it queries whether its name is free again
-	stopped                 // it has left, or was replaced and does not stand by
+	joining    phase = iota // queries other processes for the record of its name, to choose its incarnation
+	serving                 // is a member
+	catchingUp              // was stopped, so others may have declared it dead; sends queries alone
+	leaving                 // notifies other members that it leaves
+	standingBy              // was replaced by another process; queries whether its name is free again
+	stopped                 // has left, or was replaced and does not stand by
 )
 
-// phaseTransitions are the phases that may follow each phase.
+// phaseTransitions lists the phases that may follow each phase.
 //
 //	from        to          by
-//	joining     serving     startServing: a member answered, or nobody did in time
+//	joining     serving     startServing: a member answered, or none did in time
 //	joining     stopped     startLeaving
-//	serving     catchingUp  noteLateness: the process was stopped for MinSuspicion or longer
+//	serving     catchingUp  checkLateness: the process was stopped for MinSuspicion or longer
 //	serving     leaving     startLeaving
 //	serving     standingBy  markReplaced, if the process stands by
 //	serving     stopped     markReplaced, if it does not
@@ -47,7 +47,7 @@
 	n.phase = next
 }
 
-// startServing makes this process a member, with a later incarnation than any that was reported of its
+// startServing makes this process a member, with a later incarnation than any that was reported for its
 // name.
 func (n *Node) startServing() {
 	n.enter(serving)
@@ -70,7 +70,8 @@
 	n.completeJoin()
 }
 
-// completeJoin spreads the record of a process that has just become a member, and fetches what others know.
+// completeJoin gossips the record of this process after it has become a member, and fetches other
+// records by push-pull.
 func (n *Node) completeJoin() {
 	n.detector.lastHeard = n.now
 	n.announceSelf()
@@ -78,13 +79,13 @@
 	n.pushPullWithRandomMember()
 }
 
-// startCatchingUp has this process query what others report of it before it sends anything else.
+// startCatchingUp makes this process query others for its own record before it sends anything else.
 func (n *Node) startCatchingUp() {
 	n.enter(catchingUp)
 	n.startQuery()
 }
 
-// markReplaced ends this process as a member: another process has its name.
+// markReplaced ends this process's membership because another process has its name.
 func (n *Node) markReplaced(by MemberRecord) {
 	n.emit(Event{"replaced by another process of this name", by.Addr})
 	n.self.State = Replaced
@@ -102,7 +103,7 @@
 	n.emit(Stopped{Replaced: true})
 }
 
-// stop ends this process as a member by its own decision.
+// stop ends this process's membership by its own decision.
 func (n *Node) stop() {
 	n.enter(stopped)
 	n.emit(Stopped{})
--- a/internal/cluster/membership/phase_test.go
+++ b/internal/cluster/membership/phase_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// nodeIn returns a process in a phase, which it has reached by inputs alone.
-func nodeIn(t *testing.T, want phase) *Node {
+// newNodeInPhase returns a process in a phase that it has reached through inputs alone.
+func newNodeInPhase(t *testing.T, want phase) *Node {
 	t.Helper()
 	var n *Node
 	switch want {
@@ -15,16 +15,16 @@
 	case serving:
 		n, _ = newMemberWithPeer(t)
 	case catchingUp:
-		n = nodeIn(t, serving)
+		n = newNodeInPhase(t, serving)
 		n.Step(n.due+5*second, Tick{})
 	case leaving:
-		n = nodeIn(t, serving)
+		n = newNodeInPhase(t, serving)
 		n.Step(n.now, LeaveRequested{})
 	case standingBy:
-		n = nodeIn(t, catchingUp)
-		replyToQuery(n, rivalOf(n))
+		n = newNodeInPhase(t, catchingUp)
+		replyToQuery(n, rivalRecord(n))
 	case stopped:
-		n = nodeIn(t, joining)
+		n = newNodeInPhase(t, joining)
 		n.Step(n.now, LeaveRequested{})
 	}
 	if n.phase != want {
@@ -33,14 +33,14 @@
 	return n
 }
 
-// rivalOf is the record of a later process of the same name.
-func rivalOf(n *Node) MemberRecord {
+// rivalRecord returns the record of a later process of the same name.
+func rivalRecord(n *Node) MemberRecord {
 	rival := n.self
 	rival.Addr, rival.State, rival.Incarnation = "addr-rival", Alive, Incarnation{n.self.Generation + 1, 99}
 	return rival
 }
 
-// replyToQuery has a member reply to the open query of a process.
+// replyToQuery sends a process the reply of a member to its open query.
 func replyToQuery(n *Node, records ...MemberRecord) {
 	peer := aliveRecord("b", 5)
 	seq := uint64(1)
@@ -52,15 +52,16 @@
 	n.Step(n.now, MessageReceived{Message: reply})
 }
 
-// advance has the timers run for a time, without any answer.
+// advance runs the timers for a time without any messages.
 func advance(n *Node, span Time) {
 	for until := n.now + span; n.now < until; {
 		n.Step(n.due, Tick{})
 	}
 }
 
-// A phase that can be left in a way that phaseTransitions does not list is a mistake in one or the other.
-func TestPhaseTransitions(t *testing.T) {
+// A phase change that phaseTransitions does not list, or a listed one that cannot happen, is an error in
+// the table or in the code.
+func TestPhaseTransitionsListsAllPhaseChanges(t *testing.T) {
 	leave := func(n *Node) { n.Step(n.now, LeaveRequested{}) }
 	withoutStandBy := func(input func(*Node)) func(*Node) {
 		return func(n *Node) {
@@ -68,9 +69,9 @@
 			input(n)
 		}
 	}
-	replyWithRival := func(n *Node) { replyToQuery(n, rivalOf(n)) }
+	replyWithRival := func(n *Node) { replyToQuery(n, rivalRecord(n)) }
 	rivalAnswers := func(n *Node) {
-		rival := rivalOf(n)
+		rival := rivalRecord(n)
 		n.Step(n.now, MessageReceived{Message: Message{Kind: Gossip, Cluster: "c", From: rival, Seq: 1}})
 		reply := Message{Kind: RecordReply, Cluster: "c", From: rival, Seq: 2, Nonce: n.conflict.open.nonce}
 		n.Step(n.now, MessageReceived{Message: reply})
@@ -93,7 +94,7 @@
 		{"a reply ends catching up", catchingUp, serving, func(n *Node) { replyToQuery(n, n.self) }},
 		{"no reply ends catching up", catchingUp, serving, func(n *Node) { advance(n, 2*queryTimeout) }},
 		{"a later incarnation has ended", catchingUp, serving, func(n *Node) {
-			ended := rivalOf(n)
+			ended := rivalRecord(n)
 			ended.State = Dead
 			replyToQuery(n, ended)
 		}},
@@ -108,7 +109,7 @@
 		{"leave after the end", stopped, stopped, leave},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n := nodeIn(t, c.from)
+			n := newNodeInPhase(t, c.from)
 			c.input(n)
 			if n.phase != c.to {
 				t.Errorf("the process is in phase %d, want %d", n.phase, c.to)
--- a/internal/cluster/membership/push_pull.go
+++ b/internal/cluster/membership/push_pull.go
@@ -1,8 +1,8 @@
 package membership
 
-// A push-pull is an exchange of complete views over a stream. The opener sends the digests of its view; the
-// other one answers with the buckets that differ and its records of them; the opener answers with its own
-// records of these buckets.
+// A push-pull is an exchange of complete views over a stream. The opener sends the digests of its view.
+// The other member replies with the buckets that differ and its records in them. The opener replies with
+// its own records in these buckets.
 
 // startPushPull opens a push-pull with a member.
 func (n *Node) startPushPull(m *member) {
@@ -10,8 +10,8 @@
 	n.emit(OpenStream{m.record.Addr, n.stamped(Message{Kind: Digests, Digests: n.gossip.digest.buckets[:]})})
 }
 
-// pushPullWithNewMember opens a push-pull with a member that is new or back, unless another one was opened
-// a moment ago.
+// pushPullWithNewMember opens a push-pull with a member that is new or back, unless one was opened
+// within minPushPullInterval.
 func (n *Node) pushPullWithNewMember(m *member) {
 	if n.phase == serving && n.now-n.gossip.lastPushPull >= minPushPullInterval {
 		n.startPushPull(m)
@@ -24,10 +24,10 @@
 	}
 }
 
-// replyToDigests answers the digests of another view with the records of the buckets that differ.
+// replyToDigests replies to the digests of another view with the records in the buckets that differ.
 func (n *Node) replyToDigests(in MessageReceived) {
 	if len(in.Digests) != digestBuckets || in.Stream == 0 {
-		n.count(countGarbled)
+		n.count(countInvalid)
 		return
 	}
 	differing := n.gossip.digest.differingBuckets(in.Digests)
@@ -35,8 +35,8 @@
 	n.emit(StreamReply{Stream: in.Stream, Message: n.stamped(reply), Last: len(differing) == 0})
 }
 
-// replyToDigestDiff answers the records of the buckets that differ with this process's own. The next
-// push-pull follows soon, until the views are found to be equal.
+// replyToDigestDiff replies with this process's records in the buckets that differ. It schedules another
+// push-pull soon, until the views are equal.
 func (n *Node) replyToDigestDiff(in MessageReceived) {
 	if len(in.Buckets) == 0 || in.Stream == 0 {
 		return
@@ -46,7 +46,7 @@
 	n.emit(StreamReply{Stream: in.Stream, Message: n.stamped(reply), Last: true})
 }
 
-// recordsInBuckets returns the records of some buckets, this process's own among them.
+// recordsInBuckets returns the records in some buckets, this process's own included.
 func (n *Node) recordsInBuckets(wanted []int) (records []MemberRecord) {
 	var included [digestBuckets]bool
 	for _, bucket := range wanted {
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -1,6 +1,6 @@
 package membership
 
-// receive takes a message. What is dropped is counted by its cause.
+// receive handles a message. Dropped messages are counted by cause.
 func (n *Node) receive(in MessageReceived) {
 	message := in.Message
 	from := message.From
@@ -11,10 +11,10 @@
 		n.count(countWrongCluster)
 		return
 	case from.Name == "" || len(from.Name) > maxNameBytes || from.Addr == "":
-		n.count(countGarbled)
+		n.count(countInvalid)
 		return
 	case from.Name == n.self.Name:
-		n.receiveFromNamesake(in)
+		n.receiveFromSameName(in)
 		return
 	}
 	sender := n.members.byName[from.Name]
@@ -22,30 +22,30 @@
 		return
 	}
 	if n.phase == joining || n.phase == catchingUp || n.phase == standingBy {
-		n.receiveWhileNoMember(message)
+		n.receiveWhileNotMember(message)
 		return
 	}
-	n.noteHeard()
+	n.markHeard()
 	switch {
-	case from.Generation == 0: // it is no member yet
+	case from.Generation == 0: // the sender is no member yet
 		if message.Kind == RecordQuery {
 			n.replyToQuery(message)
 		}
 	case !validRecord(from):
-		n.count(countGarbled)
+		n.count(countInvalid)
 	default:
 		n.receiveFromMember(in, sender)
 	}
 }
 
-// acceptMessage tells whether a message of a known name is new, and of its latest incarnation.
+// acceptMessage reports whether a message of a known name is new and not from an earlier incarnation.
 func (n *Node) acceptMessage(sender *member, message Message) bool {
 	if message.From.Generation == 0 {
 		return true
 	}
 	order := message.From.Incarnation.compare(sender.record.Incarnation)
 	if order < 0 {
-		n.count(countReplaced)
+		n.count(countEarlierIncarnation)
 		n.sendCorrection(sender, message.From.Addr)
 		return false
 	}
@@ -56,9 +56,9 @@
 	return true
 }
 
-// receiveWhileNoMember takes a message before this process is a member, or while it does not know whether
-// it still is one.
-func (n *Node) receiveWhileNoMember(message Message) {
+// receiveWhileNotMember handles a message before this process is a member, or while it does not know
+// whether it still is one.
+func (n *Node) receiveWhileNotMember(message Message) {
 	switch message.Kind {
 	case RecordQuery:
 		n.replyToQuery(message)
@@ -76,7 +76,7 @@
 	n.merge(from)
 	sender = n.members.byName[from.Name]
 	if sender == nil {
-		return // the view has no room for it
+		return // the view is full
 	}
 	if newIncarnation {
 		sender.replay.accept(in.Seq)
@@ -101,7 +101,7 @@
 	case Ack:
 		n.receiveAck(in.Message, from, in.Stream != 0)
 	case IndirectPing:
-		n.pingForAnother(in.Message, from)
+		n.relayPing(in.Message, from)
 	case RecordQuery:
 		n.replyToQuery(in.Message)
 	case UserMessage:
--- a/internal/cluster/membership/record.go
+++ b/internal/cluster/membership/record.go
@@ -11,11 +11,11 @@
 // The states. Of two records of the same incarnation and refutations, the one with the later state is the
 // greater.
 const (
-	Joining  State = iota // it does not know yet which incarnation it will be
+	Joining  State = iota // it has not chosen its incarnation yet
 	Alive                 // it answers
-	Suspect               // somebody got no answer from it; it alone can refute that
-	Dead                  // nobody got an answer until the suspicion's deadline
-	Left                  // it has notified others that it leaves
+	Suspect               // a probe of it failed; only the member itself can refute that
+	Dead                  // it did not refute the suspicion before the deadline
+	Left                  // it has notified other members that it leaves
 	Replaced              // another process has its name
 )
 
@@ -32,11 +32,12 @@
 // MarshalText returns the state as the console shows it.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// Ended tells whether a process in this state is held to have ended.
+// Ended reports whether a process in this state has ended, as far as is known.
 func (s State) Ended() bool { return s >= Dead }
 
-// Incarnation identifies one process of a member, or a process and its successors by hot restart. A later
-// one has a greater generation; the nonce tells apart two processes that chose the same one at once.
+// Incarnation identifies one process of a member, or a process and its successors by hot restart. A
+// later one has a greater generation. The nonce distinguishes two processes that chose the same
+// generation concurrently.
 type Incarnation struct {
 	Generation uint64 `json:"incarnation"`
 	Nonce      uint64 `json:"-"`
@@ -49,22 +50,22 @@
 	)
 }
 
-// MemberRecord is what somebody reports of a member.
+// MemberRecord is the state of a member as another member, or the member itself, reports it.
 type MemberRecord struct {
 	Name   string
-	Addr   string // where it receives datagrams and streams
-	Number int    // among the schedulers of the settings; -1 for none
+	Addr   string // at which it receives datagrams and streams
+	Number int    // scheduler number in the settings; -1 for none
 	Incarnation
-	Refutations uint64 // of the present incarnation; the member alone may raise it
+	Refutations uint64 // of the present incarnation; only the member itself may increase it
 	State       State
 	ReportedBy  string
-	Age         uint64 // seconds since the process ended; records are compared without it
+	Age         uint64 // seconds since the process ended; not compared
 }
 
-// Compare orders the records of one name. The greater one is newer, or reports a worse state of the same
-// incarnation and refutations; the other fields make the order total, so that equal views are equal in
-// every field.
-func Compare(a, b MemberRecord) int {
+// CompareRecords orders the records of one name. The greater one is newer, or reports a worse state of
+// the same incarnation and refutations. The other fields make the order total, so that equal views are
+// equal in every field.
+func CompareRecords(a, b MemberRecord) int {
 	return cmp.Or(
 		compareState(a, b),
 		cmp.Compare(a.ReportedBy, b.ReportedBy),
@@ -73,7 +74,7 @@
 	)
 }
 
-// compareState compares what two views must agree on.
+// compareState compares the fields that two views must agree on.
 func compareState(a, b MemberRecord) int {
 	return cmp.Or(
 		a.Incarnation.compare(b.Incarnation),
@@ -82,11 +83,11 @@
 	)
 }
 
-// Join returns the greater of two records of one name, or of equal ones the one with the greater age. It is
-// commutative, associative and idempotent, so that views that have received the same records in any order
-// are equal.
-func Join(a, b MemberRecord) MemberRecord {
-	switch order := Compare(a, b); {
+// JoinRecords returns the greater of two records of one name, or of equal ones the one with the greater
+// age. It is commutative, associative and idempotent, so that views that have received the same records
+// in any order are equal.
+func JoinRecords(a, b MemberRecord) MemberRecord {
+	switch order := CompareRecords(a, b); {
 	case order < 0:
 		return b
 	case order == 0:
--- a/internal/cluster/membership/record_test.go
+++ b/internal/cluster/membership/record_test.go
@@ -22,18 +22,18 @@
 	}
 }
 
-// Views become equal after a network partition only if the order in which records arrive makes no
-// difference.
-func TestJoinIsAJoin(t *testing.T) {
+// Views converge after a network partition only if the order in which records arrive, and how often,
+// makes no difference.
+func TestJoinRecordsIsCommutativeAssociativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawRecord(t, "a"), drawRecord(t, "b"), drawRecord(t, "c")
-		if Join(a, b) != Join(b, a) {
+		if JoinRecords(a, b) != JoinRecords(b, a) {
 			t.Fatal("not commutative")
 		}
-		if Join(a, a) != a {
+		if JoinRecords(a, a) != a {
 			t.Fatal("not idempotent")
 		}
-		if Join(Join(a, b), c) != Join(a, Join(b, c)) {
+		if JoinRecords(JoinRecords(a, b), c) != JoinRecords(a, JoinRecords(b, c)) {
 			t.Fatal("not associative")
 		}
 	})
--- a/internal/cluster/membership/replay_window.go
+++ b/internal/cluster/membership/replay_window.go
@@ -2,14 +2,14 @@
 
 const replayWindowSize = 256 // sequence numbers, a multiple of 64
 
-// replayWindow remembers the latest sequence numbers of a process, to drop messages that come twice or too
-// late.
+// replayWindow records the latest sequence numbers of a process, to drop messages that arrive twice or
+// too late.
 type replayWindow struct {
 	highest uint64
-	seen    [replayWindowSize / 64]uint64 // one bit for each number, modulo the size
+	seen    [replayWindowSize / 64]uint64 // one bit for each number, modulo replayWindowSize
 }
 
-// accept tells whether a number is new, and remembers it. A number below the window counts as seen.
+// accept reports whether a number is new, and records it. A number below the window counts as seen.
 func (w *replayWindow) accept(seq uint64) bool {
 	if seq > w.highest {
 		w.advance(seq)
@@ -24,7 +24,7 @@
 	return true
 }
 
-// advance moves the window up to a number, and clears what it holds of the numbers between.
+// advance moves the window up to a number, and clears the bits of the numbers in between.
 func (w *replayWindow) advance(seq uint64) {
 	for i := range min(seq-w.highest, replayWindowSize) {
 		position := (w.highest + 1 + i) % replayWindowSize
--- a/internal/cluster/membership/replay_window_test.go
+++ b/internal/cluster/membership/replay_window_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A message that comes twice or too late must not be taken for a new one.
+// A message that arrives twice, or too late, must not be accepted as new.
 func TestReplayWindowRejectsRepeats(t *testing.T) {
 	var w replayWindow
 	for _, x := range []struct {
@@ -13,7 +13,7 @@
 		{1 << 40, true}, {300, false},
 	} {
 		if got := w.accept(x.n); got != x.want {
-			t.Errorf("%d: %v", x.n, got)
+			t.Errorf("sequence number %d: accepted is %v, want the opposite", x.n, got)
 		}
 	}
 }
--- a/internal/cluster/membership/simulation/checks.go
+++ b/internal/cluster/membership/simulation/checks.go
@@ -6,15 +6,15 @@
 	"woaddyke/internal/cluster/membership"
 )
 
-// Grace is for how long two places must have reached each other before a report that the other is dead is
-// false: an earlier report may have been true, and the longest way from a report to a death is a suspicion
-// of the greatest length.
-const Grace = 15 * Second
+// DeathReportGrace is how long two hosts must have been able to reach each other before a report that
+// one of them is dead counts as false: an earlier report may have been true, and it becomes a death only
+// after a suspicion of up to MaxSuspicion.
+const DeathReportGrace = 15 * Second
 
-const maxViolations = 20 // that are kept
+const maxViolations = 20 // that are recorded
 
-// belief is what a process holds of a name.
-type belief struct {
+// observedState is the state of a name in a process's view.
+type observedState struct {
 	state       membership.State
 	incarnation membership.Incarnation
 	refutations uint64
@@ -30,17 +30,17 @@
 	}
 }
 
-// checkChange checks what a process holds of another one against what is true.
-func (c *Cluster) checkChange(p *process, e membership.MemberChanged) {
+// checkChange checks a new state in a process's view against the real state.
+func (c *Cluster) checkChange(h *host, e membership.MemberChanged) {
 	if c.OnChange != nil {
-		c.OnChange(c.Now(), p.name, e.Name, e.State)
+		c.OnChange(c.Now(), h.name, e.Name, e.State)
 	}
-	before, known := p.beliefs[e.Name]
-	now := belief{e.State, e.Incarnation, e.Refutations, e.Private}
-	p.beliefs[e.Name] = now
+	before, known := h.observed[e.Name]
+	now := observedState{e.State, e.Incarnation, e.Refutations, e.Private}
+	h.observed[e.Name] = now
 	unchanged := before.incarnation == now.incarnation && before.refutations == now.refutations
 	if known && !before.private && unchanged && before.state > now.state {
-		c.violation("%s holds %s %v after %v in the same turn", p.name, e.Name, now.state, before.state)
+		c.violation("%s reports %s %v after %v with the same refutations", h.name, e.Name, now.state, before.state)
 	}
 	for _, other := range c.byName[e.Name] {
 		if other.nonce != e.Nonce {
@@ -48,33 +48,33 @@
 		}
 		c.recordReachability()
 		if e.State == membership.Dead {
-			c.checkDeath(p, other, e)
+			c.checkDeath(h, other, e)
 		}
 	}
 }
 
 // checkDeath checks a report that a process is dead.
-func (c *Cluster) checkDeath(by, of *process, e membership.MemberChanged) {
+func (c *Cluster) checkDeath(by, of *host, e membership.MemberChanged) {
 	if c.checksReachability() && c.responsive(of.index) {
-		unreachableAt := c.truth.unreachableAt[by.index][of.index]
-		if c.Now()-max(unreachableAt, of.startedAt, by.startedAt) > Grace {
-			c.violation("%s calls %s gone, by %s, and could reach it since %.3f s",
+		unreachableAt := c.reachability.unreachableAt[by.index][of.index]
+		if c.Now()-max(unreachableAt, of.startedAt, by.startedAt) > DeathReportGrace {
+			c.violation("%s declares %s dead, as %s reports, but could reach it since %.3f s",
 				by.name, e.Name, e.ReportedBy, seconds(unreachableAt))
 		}
 	}
 	if !of.running {
-		c.Detected = append(c.Detected, c.Now()-of.endedAt)
+		c.DetectionTimes = append(c.DetectionTimes, c.Now()-of.endedAt)
 	}
 }
 
-// Disagreements returns in which ways the views of live processes that reach each other differ from one
-// another, or from what is true.
+// Disagreements returns the differences between the views of live processes that reach each other, and
+// between these views and the real states.
 func (c *Cluster) Disagreements() (found []string) {
-	for _, by := range c.processes {
+	for _, by := range c.hosts {
 		if !by.live() {
 			continue
 		}
-		for _, of := range c.processes {
+		for _, of := range c.hosts {
 			if by != of && !c.nameTaken(of) {
 				found = append(found, c.disagreementsOf(by, of)...)
 			}
@@ -83,16 +83,16 @@
 	return found
 }
 
-func (c *Cluster) disagreementsOf(by, of *process) (found []string) {
-	held := by.beliefs[of.name]
+func (c *Cluster) disagreementsOf(by, of *host) (found []string) {
+	observed := by.observed[of.name]
 	reachable := c.mutuallyReachable(by.index, of.index)
-	heldAlive := held.state == membership.Alive && held.incarnation.Nonce == of.nonce
-	heldLive := held.state != membership.Joining && !held.state.Ended()
+	observedAlive := observed.state == membership.Alive && observed.incarnation.Nonce == of.nonce
+	observedLive := observed.state != membership.Joining && !observed.state.Ended()
 	switch {
-	case of.live() && reachable && !heldAlive:
-		found = append(found, fmt.Sprintf("%s holds %s %v, which is here", by.name, of.name, held.state))
-	case !of.running && of.node != nil && heldLive:
-		found = append(found, fmt.Sprintf("%s holds %s %v, which is no more", by.name, of.name, held.state))
+	case of.live() && reachable && !observedAlive:
+		found = append(found, fmt.Sprintf("%s reports %s %v, but it is alive", by.name, of.name, observed.state))
+	case !of.running && of.node != nil && observedLive:
+		found = append(found, fmt.Sprintf("%s reports %s %v, but it has ended", by.name, of.name, observed.state))
 	}
 	if by.index < of.index && reachable && by.node.Digest() != of.node.Digest() {
 		found = append(found, fmt.Sprintf("the digests of %s and %s differ", by.name, of.name))
@@ -100,13 +100,13 @@
 	return found
 }
 
-// nameTaken tells whether a later process of the same name runs at another place.
-func (c *Cluster) nameTaken(p *process) bool {
-	for _, other := range c.byName[p.name] {
-		if other == p || !other.running || other.stopped {
+// nameTaken reports whether a later process of the same name runs at another host.
+func (c *Cluster) nameTaken(h *host) bool {
+	for _, other := range c.byName[h.name] {
+		if other == h || !other.running || other.stopped {
 			continue
 		}
-		if other.startedAt > p.startedAt || p.stopped || !p.running {
+		if other.startedAt > h.startedAt || h.stopped || !h.running {
 			return true
 		}
 	}
--- a/internal/cluster/membership/simulation/figures_test.go
+++ b/internal/cluster/membership/simulation/figures_test.go
@@ -8,23 +8,23 @@
 	"testing"
 )
 
-func quantile(all []Time, q float64) float64 {
-	if len(all) == 0 {
+func quantile(values []Time, q float64) float64 {
+	if len(values) == 0 {
 		return 0
 	}
-	slices.Sort(all)
-	return float64(all[min(int(q*float64(len(all))), len(all)-1)]) / float64(Second)
+	slices.Sort(values)
+	return float64(values[min(int(q*float64(len(values))), len(values)-1)]) / float64(Second)
 }
 
-// figures are what some runs of one size have measured.
-type figures struct {
-	detected  []Time  // how long after a death it was reported, for each view
-	recovered []Time  // how long after a partition the views were equal
-	rate      float64 // sum over the runs of bytes a second and member at rest
+// measurements are the results of several runs of one size.
+type measurements struct {
+	detectionTimes []Time  // from each death to its report, for each view
+	recoveryTimes  []Time  // from the end of each partition to equal views
+	byteRate       float64 // bytes per second and member at rest, summed over the runs
 }
 
-// TestFigures measures detection, recovery and traffic at several sizes: SIZES=5,20,100 for these; 5,000
-// take over 16 GB. It is no part of CI.
+// TestFigures measures detection, recovery and traffic at the sizes in SIZES, for example
+// SIZES=5,20,100. 5,000 members take over 16 GB. It is not part of CI.
 func TestFigures(t *testing.T) {
 	var sizes []int
 	for _, text := range strings.Split(os.Getenv("SIZES"), ",") {
@@ -37,20 +37,22 @@
 	}
 	for _, size := range sizes {
 		runs := max(1, min(20, 2000/size))
-		var f figures
+		var f measurements
 		for run := range runs {
 			f.measure(size, uint64(run+1))
 		}
 		t.Logf("%d members, %d runs", size, runs)
 		t.Logf("a death is reported after p50 %.2f, p99 %.2f, worst %.2f s (%d reports)",
-			quantile(f.detected, 0.5), quantile(f.detected, 0.99), quantile(f.detected, 1), len(f.detected))
-		t.Logf("views are equal after p50 %.1f, p99 %.1f s", quantile(f.recovered, 0.5), quantile(f.recovered, 0.99))
-		t.Logf("%.0f bytes/s a member", f.rate/float64(runs))
+			quantile(f.detectionTimes, 0.5), quantile(f.detectionTimes, 0.99),
+			quantile(f.detectionTimes, 1), len(f.detectionTimes))
+		t.Logf("views are equal after p50 %.1f, p99 %.1f s",
+			quantile(f.recoveryTimes, 0.5), quantile(f.recoveryTimes, 0.99))
+		t.Logf("%.0f bytes/s per member", f.byteRate/float64(runs))
 	}
 }
 
 // measure runs one cluster: at rest, with a death, and with partitions.
-func (f *figures) measure(size int, seed uint64) {
+func (f *measurements) measure(size int, seed uint64) {
 	c := New(size, seed)
 	c.Config.MaxMembers = 2 * size
 	c.Conditions = LinkConditions{Delay: 5, Jitter: 10}
@@ -58,23 +60,23 @@
 		c.At(Time(c.rand.IntN(20_000)), func() { c.Start(i) })
 	}
 	c.Run(20 * Second)
-	bytes := c.Bytes
+	bytesBefore := c.Bytes
 	c.Run(30 * Second)
-	f.rate += float64(c.Bytes-bytes) / float64(size) / 10
+	f.byteRate += float64(c.Bytes-bytesBefore) / float64(size) / 10
 	c.Kill(size - 1)
 	c.Run(c.Now() + 10*Second)
-	f.detected = append(f.detected, c.Detected...)
+	f.detectionTimes = append(f.detectionTimes, c.DetectionTimes...)
 	if size > 300 {
 		return
 	}
-	f.recovered = append(f.recovered, recoveryTime(c, 10*Second))
+	f.recoveryTimes = append(f.recoveryTimes, recoveryTime(c, 10*Second))
 	if size <= 20 {
-		f.recovered = append(f.recovered, recoveryTime(c, 600*Second))
+		f.recoveryTimes = append(f.recoveryTimes, recoveryTime(c, 600*Second))
 	}
 }
 
-// recoveryTime partitions the processes but for the last one by halves, and returns how long after it the
-// views were equal.
+// recoveryTime partitions all processes but the last into two halves, and returns the time from the end
+// of the partition to equal views.
 func recoveryTime(c *Cluster, partition Time) Time {
 	var even, odd []int
 	for i := range c.Size() - 1 {
--- a/internal/cluster/membership/simulation/network.go
+++ b/internal/cluster/membership/simulation/network.go
@@ -4,33 +4,33 @@
 
 const (
 	streamLifetime   = 10 * Second
-	streamRetransmit = 200 * Millisecond // by which a lost part delays a message on a stream
+	streamRetransmit = 200 * Millisecond // delay of a message on a stream for each part that is lost
 	maxStreamDelay   = 5 * Second        // after which a message on a stream is lost
 )
 
-// LinkConditions are the same for all links.
+// LinkConditions are the conditions of all links.
 type LinkConditions struct {
 	Loss          float64 // probability that a datagram is lost
-	Dup           float64 // probability that a datagram comes twice
-	Delay, Jitter Time    // a datagram takes Delay, and up to Jitter more
+	Dup           float64 // probability that a datagram is delivered twice
+	Delay, Jitter Time    // a datagram takes Delay and up to Jitter
 }
 
-// Traffic counts what was sent.
+// Traffic counts the messages that were sent.
 type Traffic struct {
 	Sent  int64 // datagrams and messages on streams
-	Bytes int64 // of them, by an estimate
+	Bytes int64 // of these messages, estimated
 	Kinds map[membership.Kind]int64
 }
 
-// link is a direction between two places.
+// link is one direction between two hosts, given by their indices.
 type link struct{ from, to int }
 
-type streamEnds struct{ opener, acceptor *process }
+type streamEndpoints struct{ opener, acceptor *host }
 
-// network is which links are cut, and the open streams.
+// network is the state of the network: the links that are cut, and the open streams.
 type network struct {
 	cut          map[link]bool
-	streams      map[uint64]streamEnds
+	streams      map[uint64]streamEndpoints
 	lastStreamID uint64
 }
 
@@ -38,10 +38,10 @@
 
 func (n *network) openBothWays(a, b int) bool { return n.open(a, b) && n.open(b, a) }
 
-// Cut cuts the link from one place to another, or opens it.
-func (c *Cluster) Cut(from, to int, on bool) {
+// Cut cuts the link from one host to another, or restores it if cut is false.
+func (c *Cluster) Cut(from, to int, cut bool) {
 	c.recordReachability()
-	if on {
+	if cut {
 		c.network.cut[link{from, to}] = true
 	} else {
 		delete(c.network.cut, link{from, to})
@@ -49,19 +49,19 @@
 	c.recordReachability()
 }
 
-// Partition cuts all links between two groups, or opens them.
-func (c *Cluster) Partition(a, b []int, on bool) {
+// Partition cuts all links between two groups of hosts, or restores them if cut is false.
+func (c *Cluster) Partition(a, b []int, cut bool) {
 	for _, i := range a {
 		for _, j := range b {
 			if i != j {
-				c.Cut(i, j, on)
-				c.Cut(j, i, on)
+				c.Cut(i, j, cut)
+				c.Cut(j, i, cut)
 			}
 		}
 	}
 }
 
-// estimatedSize is about how many bytes a message takes.
+// estimatedSize estimates the bytes that a message takes.
 func estimatedSize(m membership.Message) int64 {
 	size := 60 + len(m.From.Name) + len(m.From.Addr) + len(m.Target) + len(m.Text)
 	size += 9*len(m.Digests) + 2*len(m.Buckets)
@@ -80,10 +80,10 @@
 	}
 }
 
-func (c *Cluster) sendDatagram(from *process, send membership.Send) {
+func (c *Cluster) sendDatagram(from *host, send membership.Send) {
 	c.countSent(send.Message)
 	lost := c.rand.Float64() < c.Conditions.Loss
-	twice := c.rand.Float64() < c.Conditions.Dup
+	duplicated := c.rand.Float64() < c.Conditions.Dup
 	delay := c.Conditions.Delay + Time(float64(c.Conditions.Jitter)*c.rand.Float64())
 	to := c.byAddr[send.To]
 	if to == nil || lost || !c.network.open(from.index, to.index) {
@@ -95,24 +95,24 @@
 		}
 	}
 	c.At(c.Now()+delay, deliver)
-	if twice {
+	if duplicated {
 		c.At(c.Now()+2*delay+Millisecond, deliver)
 	}
 }
 
-func (c *Cluster) openStream(from *process, open membership.OpenStream) {
+func (c *Cluster) openStream(from *host, open membership.OpenStream) {
 	to := c.byAddr[open.To]
 	if to == nil {
 		return
 	}
 	c.network.lastStreamID++
 	id := c.network.lastStreamID
-	c.network.streams[id] = streamEnds{from, to}
+	c.network.streams[id] = streamEndpoints{from, to}
 	c.At(c.Now()+streamLifetime, func() { delete(c.network.streams, id) })
 	c.sendOnStream(from, to, id, open.Message)
 }
 
-func (c *Cluster) replyOnStream(from *process, reply membership.StreamReply) {
+func (c *Cluster) replyOnStream(from *host, reply membership.StreamReply) {
 	ends, ok := c.network.streams[reply.Stream]
 	if !ok {
 		return
@@ -124,9 +124,9 @@
 	c.sendOnStream(from, to, reply.Stream, reply.Message)
 }
 
-// sendOnStream delivers a message complete, later than a datagram and later still for what was lost of it,
-// or not at all.
-func (c *Cluster) sendOnStream(from, to *process, id uint64, message membership.Message) {
+// sendOnStream delivers a complete message or nothing. The message takes longer than a datagram, and
+// longer still for each part that is lost and retransmitted.
+func (c *Cluster) sendOnStream(from, to *host, id uint64, message membership.Message) {
 	c.countSent(message)
 	delay := 3*c.Conditions.Delay + Time(float64(3*c.Conditions.Jitter)*c.rand.Float64())
 	for c.rand.Float64() < c.Conditions.Loss {
--- a/internal/cluster/membership/simulation/reachability.go
+++ b/internal/cluster/membership/simulation/reachability.go
@@ -2,20 +2,20 @@
 
 import "math"
 
-// maxCheckedPlaces is up to how many places reachability is recorded: the work grows with the square of
-// them. Larger clusters are checked for the detection of deaths alone.
-const maxCheckedPlaces = 64
+// maxCheckedHosts is the greatest number of hosts for which reachability is recorded, because the work
+// grows with the square of that number. Larger clusters are checked for the detection of deaths alone.
+const maxCheckedHosts = 64
 
 const longAgo = math.MinInt32
 
-// reachability is, for each pair of places, when they last could not reach each other both ways, directly
-// or through one other.
+// reachability records for each pair of hosts when they last could not reach each other both ways,
+// directly or through one other host.
 type reachability struct {
 	unreachableAt [][]Time
 }
 
-// grow adds a place.
-func (r *reachability) grow() {
+// addHost adds a host.
+func (r *reachability) addHost() {
 	for i := range r.unreachableAt {
 		r.unreachableAt[i] = append(r.unreachableAt[i], longAgo)
 	}
@@ -31,24 +31,25 @@
 	r.unreachableAt[j][i] = now
 }
 
-// markUnreachable records that nobody could count on a place until now.
-func (r *reachability) markUnreachable(place int, now Time) {
+// markUnreachable records that a host was not reachable from any other until now.
+func (r *reachability) markUnreachable(index int, now Time) {
 	for other := range r.unreachableAt {
-		r.mark(place, other, now)
+		r.mark(index, other, now)
 	}
 }
 
-func (c *Cluster) checksReachability() bool { return len(c.processes) <= maxCheckedPlaces }
+func (c *Cluster) checksReachability() bool { return len(c.hosts) <= maxCheckedHosts }
 
-// responsive tells whether a process answers, by what members promise: a pause up to MaxPause counts as
-// none.
+// responsive reports whether the process of a host counts as answering. A pause up to MaxPause is
+// ignored, as members promise not to report it as a death.
 func (c *Cluster) responsive(index int) bool {
-	p := c.processes[index]
-	pausedTooLong := p.paused && c.Now()-p.pausedAt > c.MaxPause
-	return p.running && !p.stopped && !pausedTooLong
+	h := c.hosts[index]
+	pausedTooLong := h.paused && c.Now()-h.pausedAt > c.MaxPause
+	return h.running && !h.stopped && !pausedTooLong
 }
 
-// mutuallyReachable tells whether two places can reach each other both ways, directly or through one other.
+// mutuallyReachable reports whether two hosts can reach each other both ways, directly or through one
+// other host.
 func (c *Cluster) mutuallyReachable(i, j int) bool {
 	if !c.responsive(i) || !c.responsive(j) {
 		return false
@@ -56,7 +57,7 @@
 	if c.network.openBothWays(i, j) {
 		return true
 	}
-	for k := range c.processes {
+	for k := range c.hosts {
 		connects := c.network.openBothWays(i, k) && c.network.openBothWays(k, j)
 		if k != i && k != j && connects && c.responsive(k) {
 			return true
@@ -65,16 +66,16 @@
 	return false
 }
 
-// recordReachability records which pairs can't reach each other now. It must be called before and after
-// each change of what is true.
+// recordReachability records which pairs of hosts can't reach each other now. It must be called before
+// and after each change of a link or of a process's state.
 func (c *Cluster) recordReachability() {
 	if !c.checksReachability() {
 		return
 	}
-	for i := range c.processes {
+	for i := range c.hosts {
 		for j := range i {
 			if !c.mutuallyReachable(i, j) {
-				c.truth.mark(i, j, c.Now())
+				c.reachability.mark(i, j, c.Now())
 			}
 		}
 	}
--- a/internal/cluster/membership/simulation/simulation.go
+++ b/internal/cluster/membership/simulation/simulation.go
@@ -1,6 +1,6 @@
-// Package simulation runs a whole cluster of membership nodes under one seed in virtual time: links with
-// loss, delay and cuts in either direction, and processes that pause, crash, leave and come back. It knows
-// what is true at each moment and checks every view against it.
+// Package simulation runs a complete cluster of membership nodes under one seed in virtual time: links
+// with loss, delay and cuts in either direction, and processes that pause, crash, leave and restart. It
+// knows the real state at each moment and checks every view against it.
 package simulation
 
 import (
@@ -11,10 +11,10 @@
 	"woaddyke/internal/testsupport/simclock"
 )
 
-// Time is the time of the nodes.
+// Time is the unit of the nodes' time.
 type Time = membership.Time
 
-// Spans in the unit of Time.
+// Durations in the unit of Time.
 const (
 	Millisecond Time = 10
 	Second      Time = 10_000
@@ -22,15 +22,15 @@
 
 const (
 	clusterName     = "swarm"
-	randomStream    = 0x737761726d // tells these draws from others of the same seed
-	maxQueuedInputs = 400          // what a socket holds for a process that is paused
+	randomStream    = 0x737761726d // separates these random draws from others with the same seed
+	maxQueuedInputs = 400          // that a socket buffers for a paused process
 )
 
 // Hooks are called while a cluster runs. The zero value calls nothing.
 type Hooks struct {
-	OnChange   func(at Time, by, of string, state membership.State) // by holds of to be in a new state
+	OnChange   func(at Time, by, of string, state membership.State) // in the view of by, of has a new state
 	OnSend     func(membership.Message)
-	AroundStep func(step func()) // must call step, in which a node takes an input
+	AroundStep func(step func()) // must call step, which passes an input to a node
 }
 
 // Cluster is a cluster in virtual time.
@@ -38,45 +38,45 @@
 	simclock.Clock[Time]
 	Hooks
 	Traffic
-	Config     membership.Config // of all processes, but for what tells them apart
+	Config     membership.Config // of all processes, without the fields that identify one
 	Conditions LinkConditions
 	Seeds      []string
-	MaxPause   Time // a pause up to this long must not be taken for an end
+	MaxPause   Time // a pause up to this long must not be reported as a death
 
-	Violations []string // of what members promise
-	Detected   []Time   // for each report of a death that is true, how long after it
+	Violations     []string // of the guarantees of membership
+	DetectionTimes []Time   // of each true report of a death, the time since the death
 
-	rand      *rand.Rand
-	processes []*process
-	byAddr    map[string]*process
-	byName    map[string][]*process
-	network   network
-	truth     reachability
+	rand         *rand.Rand
+	hosts        []*host
+	byAddr       map[string]*host
+	byName       map[string][]*host
+	network      network
+	reachability reachability
 }
 
-// process is a place at which processes of one name run, one after the other. Other places may have the
+// host is an address at which processes of one name run, one after the other. Other hosts may have the
 // same name.
-type process struct {
-	name, addr   string
-	index        int
-	node         *membership.Node // nil before the first start
-	nonce        uint64           // of the present incarnation
-	running      bool
-	startedAt    Time
-	endedAt      Time
-	paused       bool
-	pausedAt     Time
-	queuedInputs []membership.Input // that came while it was paused
-	nextTick     Time               // the newest tick that is planned; 0 for none
-	joined       bool               // as it reported itself
-	stopped      bool               // as it reported itself: replaced, or it has left
-	beliefs      map[string]belief  // what it holds of each name
+type host struct {
+	name, addr    string
+	index         int
+	node          *membership.Node // nil before the first start
+	nonce         uint64           // of the present incarnation
+	running       bool
+	startedAt     Time
+	endedAt       Time
+	paused        bool
+	pausedAt      Time
+	queuedInputs  []membership.Input       // that arrived while it was paused
+	scheduledTick Time                     // time of the latest scheduled tick; 0 for none
+	joined        bool                     // the node has reported Joined
+	stopped       bool                     // the node has reported Stopped: it was replaced, or it has left
+	observed      map[string]observedState // the state of each name in its view
 }
 
-// live tells whether a process runs and is not paused, and has not stopped by itself.
-func (p *process) live() bool { return p.running && !p.stopped && !p.paused }
+// live reports whether a process runs, is not paused, and has not stopped by itself.
+func (h *host) live() bool { return h.running && !h.stopped && !h.paused }
 
-// New returns a cluster of count names, none of which runs.
+// New returns a cluster of count hosts with different names. No process runs yet.
 func New(count int, seed uint64) *Cluster {
 	c := &Cluster{
 		Config:     membership.Defaults(),
@@ -84,119 +84,119 @@
 		MaxPause:   2 * Second,
 		Traffic:    Traffic{Kinds: map[membership.Kind]int64{}},
 		rand:       rand.New(rand.NewPCG(seed, randomStream)),
-		byAddr:     map[string]*process{},
-		byName:     map[string][]*process{},
+		byAddr:     map[string]*host{},
+		byName:     map[string][]*host{},
 		network: network{
 			cut:     map[link]bool{},
-			streams: map[uint64]streamEnds{},
+			streams: map[uint64]streamEndpoints{},
 		},
 	}
 	for i := range count {
-		c.AddProcess(fmt.Sprintf("n%03d", i))
+		c.AddHost(fmt.Sprintf("n%03d", i))
 	}
-	c.Seeds = []string{c.processes[0].addr, c.processes[min(1, count-1)].addr}
+	c.Seeds = []string{c.hosts[0].addr, c.hosts[min(1, count-1)].addr}
 	return c
 }
 
-// AddProcess adds a place where processes of a name can run, and returns its index.
-func (c *Cluster) AddProcess(name string) int {
-	index := len(c.processes)
-	p := &process{name: name, index: index, addr: fmt.Sprintf("a%d", index), beliefs: map[string]belief{}}
-	c.processes = append(c.processes, p)
-	c.byAddr[p.addr] = p
-	c.byName[name] = append(c.byName[name], p)
-	c.truth.grow()
+// AddHost adds a host for processes of a name, and returns its index.
+func (c *Cluster) AddHost(name string) int {
+	index := len(c.hosts)
+	h := &host{name: name, index: index, addr: fmt.Sprintf("a%d", index), observed: map[string]observedState{}}
+	c.hosts = append(c.hosts, h)
+	c.byAddr[h.addr] = h
+	c.byName[name] = append(c.byName[name], h)
+	c.reachability.addHost()
 	return index
 }
 
-// Start starts a new process at a place.
+// Start starts a new process on a host.
 func (c *Cluster) Start(index int) {
-	p := c.processes[index]
+	h := c.hosts[index]
 	config := c.Config
 	config.Cluster = clusterName
-	config.Name = p.name
-	config.Addr = p.addr
+	config.Name = h.name
+	config.Addr = h.addr
 	config.Number = index
 	config.Seeds = c.Seeds
 	config.Nonce = c.rand.Uint64()
 	config.Seed = c.rand.Uint64()
-	p.reset(config, c.Now())
+	h.reset(config, c.Now())
 	c.recordReachability()
-	c.feed(p, membership.Tick{})
+	c.feed(h, membership.Tick{})
 }
 
-// reset puts a new process in the place of the one before.
-func (p *process) reset(config membership.Config, now Time) {
-	p.node = membership.New(config, now)
-	p.nonce = config.Nonce
-	p.running = true
-	p.startedAt = now
-	p.paused = false
-	p.queuedInputs = nil
-	p.nextTick = 0
-	p.joined = false
-	p.stopped = false
-	p.beliefs = map[string]belief{}
+// reset replaces the host's process by a new one.
+func (h *host) reset(config membership.Config, now Time) {
+	h.node = membership.New(config, now)
+	h.nonce = config.Nonce
+	h.running = true
+	h.startedAt = now
+	h.paused = false
+	h.queuedInputs = nil
+	h.scheduledTick = 0
+	h.joined = false
+	h.stopped = false
+	h.observed = map[string]observedState{}
 }
 
-// Kill ends a process at once.
+// Kill ends a process without notice.
 func (c *Cluster) Kill(index int) {
 	c.recordReachability()
-	c.end(c.processes[index])
+	c.end(c.hosts[index])
 	c.recordReachability()
 }
 
-func (c *Cluster) end(p *process) {
-	p.running = false
-	p.endedAt = c.Now()
-	p.queuedInputs = nil
+func (c *Cluster) end(h *host) {
+	h.running = false
+	h.endedAt = c.Now()
+	h.queuedInputs = nil
 }
 
-// Leave has a process notify the others that it leaves, and end.
-func (c *Cluster) Leave(index int) { c.feed(c.processes[index], membership.LeaveRequested{}) }
+// Leave makes a process notify the other members that it leaves, and end.
+func (c *Cluster) Leave(index int) { c.feed(c.hosts[index], membership.LeaveRequested{}) }
 
-// Pause stops a process without its knowledge.
+// Pause stops a process, which does not notice it, until Resume.
 func (c *Cluster) Pause(index int) {
-	p := c.processes[index]
-	p.paused = true
-	p.pausedAt = c.Now()
+	h := c.hosts[index]
+	h.paused = true
+	h.pausedAt = c.Now()
 }
 
-// Resume lets a paused process go on with what came meanwhile.
+// Resume resumes a paused process. It then receives the inputs that arrived meanwhile.
 func (c *Cluster) Resume(index int) {
-	p := c.processes[index]
-	if !p.paused {
+	h := c.hosts[index]
+	if !h.paused {
 		return
 	}
 	c.recordReachability()
-	p.paused = false
-	if c.Now()-p.pausedAt > c.MaxPause {
-		c.truth.markUnreachable(index, c.Now())
+	h.paused = false
+	if c.Now()-h.pausedAt > c.MaxPause {
+		c.reachability.markUnreachable(index, c.Now())
 	}
-	inputs := p.queuedInputs
-	p.queuedInputs = nil
-	c.feed(p, membership.Tick{})
+	inputs := h.queuedInputs
+	h.queuedInputs = nil
+	c.feed(h, membership.Tick{})
 	for _, input := range inputs {
-		c.feed(p, input)
+		c.feed(h, input)
 	}
 }
 
-// feed gives a process an input, and carries out the effects.
-func (c *Cluster) feed(p *process, input membership.Input) {
+// feed passes an input to a process, and carries out the effects.
+func (c *Cluster) feed(h *host, input membership.Input) {
 	switch {
-	case !p.running:
+	case !h.running:
 		return
-	case p.paused:
-		if len(p.queuedInputs) < maxQueuedInputs {
-			p.queuedInputs = append(p.queuedInputs, input)
+	case h.paused:
+		if len(h.queuedInputs) < maxQueuedInputs {
+			h.queuedInputs = append(h.queuedInputs, input)
 		}
 		return
 	}
-	node := p.node
+	node := h.node
 	for _, effect := range c.step(node, input) {
-		c.apply(p, effect)
+		c.apply(h, effect)
 	}
-	c.planTick(p, node)
+	c.scheduleTick(h, node)
 }
 
 func (c *Cluster) step(node *membership.Node, input membership.Input) (effects []membership.Effect) {
@@ -209,65 +209,66 @@
 	return effects
 }
 
-// planTick plans the next tick of a node, unless an earlier one is planned, which then plans the next.
-func (c *Cluster) planTick(p *process, node *membership.Node) {
+// scheduleTick schedules the next tick of a node. If an earlier one is scheduled already, that one
+// schedules the next.
+func (c *Cluster) scheduleTick(h *host, node *membership.Node) {
 	at := node.NextTick()
-	if p.nextTick > c.Now() && p.nextTick <= at {
+	if h.scheduledTick > c.Now() && h.scheduledTick <= at {
 		return
 	}
-	p.nextTick = at
+	h.scheduledTick = at
 	c.At(at, func() {
-		if p.node != node || !p.running || p.nextTick != at {
+		if h.node != node || !h.running || h.scheduledTick != at {
 			return
 		}
-		p.nextTick = 0
-		if !p.paused { // else Resume feeds a tick
-			c.feed(p, membership.Tick{})
+		h.scheduledTick = 0
+		if !h.paused { // else Resume feeds a tick
+			c.feed(h, membership.Tick{})
 		}
 	})
 }
 
 // apply carries out an effect of a process.
-func (c *Cluster) apply(p *process, effect membership.Effect) {
+func (c *Cluster) apply(h *host, effect membership.Effect) {
 	switch e := effect.(type) {
 	case membership.Send:
-		c.sendDatagram(p, e)
+		c.sendDatagram(h, e)
 	case membership.OpenStream:
-		c.openStream(p, e)
+		c.openStream(h, e)
 	case membership.StreamReply:
-		c.replyOnStream(p, e)
+		c.replyOnStream(h, e)
 	case membership.MemberChanged:
-		c.checkChange(p, e)
+		c.checkChange(h, e)
 	case membership.Joined:
-		p.joined = true
-		p.stopped = false
+		h.joined = true
+		h.stopped = false
 		c.recordReachability()
 	case membership.Stopped:
-		p.stopped = true
+		h.stopped = true
 		c.recordReachability()
 		if !e.Replaced {
-			p.running = false
-			p.endedAt = c.Now()
+			h.running = false
+			h.endedAt = c.Now()
 		}
 	}
 }
 
-// Member returns the node at a place.
-func (c *Cluster) Member(index int) *membership.Node { return c.processes[index].node }
+// Member returns the node on a host.
+func (c *Cluster) Member(index int) *membership.Node { return c.hosts[index].node }
 
-// Running tells whether a process runs at a place, and whether it has reported that it is a member.
+// Running reports whether a process runs on a host, and whether it has reported that it is a member.
 func (c *Cluster) Running(index int) (running, member bool) {
-	p := c.processes[index]
-	return p.running, p.running && p.joined && !p.stopped
+	h := c.hosts[index]
+	return h.running, h.running && h.joined && !h.stopped
 }
 
-// StateOf returns what a place holds of a name.
+// StateOf returns the state of a name in the view of a host's process.
 func (c *Cluster) StateOf(index int, name string) membership.State {
-	return c.processes[index].beliefs[name].state
+	return c.hosts[index].observed[name].state
 }
 
-// Rand returns the source of random draws, for faults.
+// Rand returns the source of random numbers, for faults.
 func (c *Cluster) Rand() *rand.Rand { return c.rand }
 
-// Size returns the number of places.
-func (c *Cluster) Size() int { return len(c.processes) }
+// Size returns the number of hosts.
+func (c *Cluster) Size() int { return len(c.hosts) }
--- a/internal/cluster/membership/simulation/simulation_test.go
+++ b/internal/cluster/membership/simulation/simulation_test.go
@@ -12,7 +12,8 @@
 
 const maxReported = 5 // disagreements of one run
 
-// seedList returns the seeds 1 to count; SEED in the environment repeats one that failed.
+// seedList returns the seeds 1 to count, or only the one in the environment variable SEED, to repeat a
+// failed run.
 func seedList(count int) (seeds []uint64) {
 	if seed, err := strconv.ParseUint(os.Getenv("SEED"), 10, 64); err == nil {
 		return []uint64{seed}
@@ -23,17 +24,17 @@
 	return seeds
 }
 
-// runScenario runs a scenario with some seeds. The first seed that fails the test is the last.
-func runScenario(t *testing.T, places, seeds int, scenario func(c *Cluster)) {
+// runScenario runs a scenario with several seeds, and stops after the first seed that fails the test.
+func runScenario(t *testing.T, hosts, seeds int, scenario func(c *Cluster)) {
 	t.Helper()
 	for _, seed := range seedList(seeds) {
-		c := startedCluster(places, seed)
+		c := startedCluster(hosts, seed)
 		if found := c.Disagreements(); len(found) > 0 {
-			t.Fatalf("seed %d: after the start: %v", seed, found[:min(len(found), maxReported)])
+			t.Fatalf("seed %d, after the start: %v", seed, found[:min(len(found), maxReported)])
 		}
 		scenario(c)
 		for _, violation := range c.Violations {
-			t.Errorf("seed %d: %s", seed, violation)
+			t.Errorf("seed %d, %s", seed, violation)
 		}
 		if found := c.Disagreements(); len(found) > 0 {
 			t.Errorf("seed %d, at the end: %v", seed, found[:min(len(found), maxReported)])
@@ -44,20 +45,20 @@
 	}
 }
 
-// startedCluster returns a cluster of which all processes have had the time to join.
-func startedCluster(places int, seed uint64) *Cluster {
-	c := New(places, seed)
-	for i := range places {
+// startedCluster returns a cluster whose processes have all had time to join.
+func startedCluster(hosts int, seed uint64) *Cluster {
+	c := New(hosts, seed)
+	for i := range hosts {
 		c.Start(i)
 	}
 	c.Run(3 * Second)
-	if places > maxCheckedPlaces {
+	if hosts > maxCheckedHosts {
 		c.Run(8 * Second)
 	}
 	return c
 }
 
-func TestKilledMemberIsDeadInAllViews(t *testing.T) {
+func TestAKilledMemberIsDeadInAllViews(t *testing.T) {
 	for _, n := range []int{2, 3, 5, 20} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			runScenario(t, n, 20, func(c *Cluster) {
@@ -65,7 +66,7 @@
 				c.Run(c.Now() + 5*Second)
 				for i := range n - 1 {
 					if got := c.StateOf(i, name(n-1)); got != membership.Dead {
-						t.Errorf("%d holds it %v after 5 s", i, got)
+						t.Errorf("host %d reports it %v after 5 s, want dead", i, got)
 					}
 				}
 			})
@@ -75,65 +76,65 @@
 
 func name(i int) string { return fmt.Sprintf("n%03d", i) }
 
-// requireState fails the test unless a place holds a name to be in a state.
+// requireState fails the test unless a name has a state in the view of a host's process.
 func requireState(t *testing.T, c *Cluster, i int, of string, want membership.State) {
 	t.Helper()
 	if got := c.StateOf(i, of); got != want {
-		t.Errorf("at %.1f s place %d holds %s %v, not %v", float64(c.Now())/float64(Second), i, of, got, want)
+		t.Errorf("at %.1f s host %d reports %s %v, want %v", float64(c.Now())/float64(Second), i, of, got, want)
 	}
 }
 
-// countDead counts from now on how often anybody is declared dead.
+// countDead returns a counter of the deaths that are declared from now on, in all views.
 func countDead(c *Cluster) *int {
-	n := 0
+	deaths := 0
 	c.OnChange = func(_ Time, _, _ string, state membership.State) {
 		if state == membership.Dead {
-			n++
+			deaths++
 		}
 	}
-	return &n
+	return &deaths
 }
 
-// A pause up to MaxPause is no death; a longer one is, and the process that resumes learns that it was
-// declared dead before it sends anything else.
-func TestPauses(t *testing.T) {
+// A pause up to MaxPause must not be reported as a death; a longer one must be. The process that resumes
+// learns that it was declared dead before it sends anything else, so it must not suspect others.
+func TestOnlyAPauseLongerThanMaxPauseIsADeath(t *testing.T) {
 	for _, x := range []struct {
 		ms   Time
-		gone bool
+		dead bool
 	}{{500, false}, {2000, false}, {5000, true}, {30_000, true}} {
 		t.Run(fmt.Sprint(x.ms), func(t *testing.T) {
 			runScenario(t, 3, 40, func(c *Cluster) {
-				n := countDead(c)
+				deaths := countDead(c)
 				c.Pause(2)
 				c.Run(c.Now() + x.ms*Millisecond)
-				if (*n > 0) != x.gone {
-					t.Errorf("declared dead %d times", *n)
+				if (*deaths > 0) != x.dead {
+					t.Errorf("declared dead %d times, want some only after a pause beyond MaxPause", *deaths)
 				}
-				*n = 0
-				accused := 0
+				*deaths = 0
+				suspicions := 0
 				c.OnChange = func(_ Time, _, of string, state membership.State) {
 					if state == membership.Dead || state == membership.Suspect && of != name(2) {
-						accused++
+						suspicions++
 					}
 				}
 				c.Resume(2)
 				c.Run(c.Now() + 4*Second)
-				if accused > 0 {
-					t.Errorf("after its return it suspected others %d times", accused)
+				if suspicions > 0 {
+					t.Errorf("after it resumed, %d suspicions of others or deaths are reported", suspicions)
 				}
-				if *n > 0 {
-					t.Errorf("after its return %d are declared dead", *n)
+				if *deaths > 0 {
+					t.Errorf("after it resumed, %d are declared dead", *deaths)
 				}
 			})
 		})
 	}
 }
 
-// A machine that sleeps stops all processes at once: none may suspect another, and none may wait for
-// another for ever.
-func TestAllPausedAtOnce(t *testing.T) {
+// A machine that sleeps pauses all its processes together. When they resume, none may declare another
+// dead or wait for another for ever.
+func TestPausingAllMembersDeclaresNobodyDead(t *testing.T) {
 	runScenario(t, 5, 40, func(c *Cluster) {
-		n := countDead(c)
+		deaths := countDead(c)
 		for i := range 5 {
 			c.Pause(i)
 		}
@@ -142,13 +143,13 @@
 			c.Resume(i)
 		}
 		c.Run(c.Now() + 5*Second)
-		if *n > 0 {
-			t.Errorf("%d are declared dead", *n)
+		if *deaths > 0 {
+			t.Errorf("%d are declared dead", *deaths)
 		}
 	})
 }
 
-func TestTwoOfThreePaused(t *testing.T) {
+func TestTwoOfThreeMembersReturnAfterAPause(t *testing.T) {
 	runScenario(t, 3, 40, func(c *Cluster) {
 		c.Pause(1)
 		c.Pause(2)
@@ -162,8 +163,8 @@
 	})
 }
 
-// A process that resumes, refutes and is paused again before its refutation is sent must not be held alive.
-func TestPausedInTheMiddleOfRefuting(t *testing.T) {
+// A process that resumes and is paused again before its refutation is sent must be declared dead.
+func TestAMemberPausedWhileItRefutesIsDead(t *testing.T) {
 	runScenario(t, 4, 40, func(c *Cluster) {
 		c.Pause(3)
 		c.Run(c.Now() + 1500*Millisecond)
@@ -176,41 +177,41 @@
 	})
 }
 
-// At 30% loss each way nobody is declared dead, and the number of messages stays bounded.
-func TestLossForMinutes(t *testing.T) {
+// At 30% loss each way no member may be declared dead, and the number of messages must stay bounded.
+func TestMessageLossDeclaresNobodyDead(t *testing.T) {
 	runScenario(t, 8, 3, func(c *Cluster) {
 		before := c.Sent
 		c.Run(c.Now() + 60*Second)
-		calm := c.Sent - before
-		n := countDead(c)
+		withoutLoss := c.Sent - before
+		deaths := countDead(c)
 		c.Conditions = LinkConditions{Loss: 0.3, Dup: 0.02, Delay: 10 * Millisecond, Jitter: 50 * Millisecond}
 		before = c.Sent
 		c.Run(c.Now() + 180*Second)
-		if lossy := (c.Sent - before) / 3; lossy > 5*calm {
-			t.Errorf("%d messages a minute, %d without loss", lossy, calm)
+		if withLoss := (c.Sent - before) / 3; withLoss > 5*withoutLoss {
+			t.Errorf("%d messages a minute with loss, %d without", withLoss, withoutLoss)
 			t.Log(c.Kinds)
 		}
-		if *n > 0 {
-			t.Errorf("%d are declared dead", *n)
+		if *deaths > 0 {
+			t.Errorf("%d are declared dead", *deaths)
 		}
 		c.Conditions = LinkConditions{Delay: 2}
 		c.Run(c.Now() + 30*Second)
 	})
 }
 
-// Two members whose link is cut in one direction reach each other through a third: both stay alive in all
-// views.
-func TestOneSidedCutOfAPair(t *testing.T) {
+// Two members whose link is cut in one direction reach each other through a third, so both must stay
+// alive in all views.
+func TestAOneWayCutBetweenTwoMembersDeclaresNobodyDead(t *testing.T) {
 	runScenario(t, 3, 40, func(c *Cluster) {
-		n := countDead(c)
+		deaths := countDead(c)
 		c.Cut(0, 1, true)
 		c.Run(c.Now() + 60*Second)
-		if *n > 0 {
-			t.Errorf("%d are declared dead", *n)
+		if *deaths > 0 {
+			t.Errorf("%d are declared dead", *deaths)
 		}
 		for _, v := range c.Member(0).View() {
 			if v.Name == name(1) && v.Reachable {
-				t.Error("a member whose answers can't come is said to be reachable from here")
+				t.Error("a member whose acks can't arrive is reported as directly reachable")
 			}
 		}
 		c.Cut(0, 1, false)
@@ -218,18 +219,18 @@
 	})
 }
 
-func TestOneSidedCutFromAllButOne(t *testing.T) {
-	for _, mute := range []bool{true, false} {
-		t.Run(fmt.Sprint("mute ", mute), func(t *testing.T) {
+func TestAMemberReachedThroughOneOtherStaysAlive(t *testing.T) {
+	for _, outbound := range []bool{true, false} {
+		t.Run(fmt.Sprint("outbound cut ", outbound), func(t *testing.T) {
 			runScenario(t, 5, 20, func(c *Cluster) {
-				n := countDead(c)
+				deaths := countDead(c)
 				for i := range 3 {
-					c.Cut(4, i, mute)
-					c.Cut(i, 4, !mute)
+					c.Cut(4, i, outbound)
+					c.Cut(i, 4, !outbound)
 				}
 				c.Run(c.Now() + 60*Second)
-				if *n > 0 {
-					t.Errorf("%d are declared dead", *n)
+				if *deaths > 0 {
+					t.Errorf("%d are declared dead", *deaths)
 				}
 				for i := range 3 {
 					c.Cut(4, i, false)
@@ -241,33 +242,33 @@
 	}
 }
 
-// A member that nobody hears, and one that hears nobody, are dead for the others while that lasts, and
-// views do not flap.
-func TestUnheardAndIsolatedMembers(t *testing.T) {
-	for _, mute := range []bool{true, false} {
-		t.Run(fmt.Sprint("mute ", mute), func(t *testing.T) {
+// A member whose messages are lost in one direction or the other must be dead in all other views while
+// the cut lasts, and the views must not flap.
+func TestUnheardAndIsolatedMembersStayDead(t *testing.T) {
+	for _, outbound := range []bool{true, false} {
+		t.Run(fmt.Sprint("outbound cut ", outbound), func(t *testing.T) {
 			runScenario(t, 5, 20, func(c *Cluster) {
-				said := map[string]int{}
-				c.OnChange = func(_ Time, by, of string, state membership.State) { said[fmt.Sprint(by, of, state)]++ }
+				changes := map[string]int{}
+				c.OnChange = func(_ Time, by, of string, state membership.State) { changes[fmt.Sprint(by, of, state)]++ }
 				for i := range 4 {
-					if c.Cut(4, i, mute); !mute {
+					if c.Cut(4, i, outbound); !outbound {
 						c.Cut(i, 4, true)
 					}
 				}
 				c.Run(c.Now() + 20*Second)
 				for i := range 4 {
 					for j := range 4 {
-						if k := said[fmt.Sprint(name(i), name(j), membership.Suspect)]; k > 0 {
-							t.Errorf("place %d suspected %d %d times, which has no part in this", i, j, k)
+						if k := changes[fmt.Sprint(name(i), name(j), membership.Suspect)]; k > 0 {
+							t.Errorf("host %d suspected host %d, which is not cut off, %d times", i, j, k)
 						}
 					}
 				}
-				clear(said) // by then it has found out that it hears nobody
+				clear(changes) // by now the cut-off member is isolated
 				c.Run(c.Now() + 40*Second)
 				for i := range 4 {
 					requireState(t, c, i, name(4), membership.Dead)
-					if len(said) > 0 {
-						t.Errorf("views still change after 20 s: %v", said)
+					if len(changes) > 0 {
+						t.Errorf("views change 20 s after the cut: %v", changes)
 					}
 					c.Cut(4, i, false)
 					c.Cut(i, 4, false)
@@ -278,21 +279,21 @@
 	}
 }
 
-// Two members that reach a third but not each other both stay alive.
-func TestPairConnectedByAThird(t *testing.T) {
+// Two members that reach a third but not each other must both stay alive.
+func TestAPairConnectedByAThirdStaysAlive(t *testing.T) {
 	runScenario(t, 3, 40, func(c *Cluster) {
-		n := countDead(c)
+		deaths := countDead(c)
 		c.Partition([]int{0}, []int{1}, true)
 		c.Run(c.Now() + 60*Second)
-		if *n > 0 {
-			t.Errorf("%d are declared dead", *n)
+		if *deaths > 0 {
+			t.Errorf("%d are declared dead", *deaths)
 		}
 		c.Partition([]int{0}, []int{1}, false)
 		c.Run(c.Now() + 15*Second)
 	})
 }
 
-func TestPartitionsThatOverlap(t *testing.T) {
+func TestViewsConvergeAfterOverlappingPartitions(t *testing.T) {
 	runScenario(t, 9, 20, func(c *Cluster) {
 		left, middle, right := []int{0, 1, 2}, []int{3, 4, 5}, []int{6, 7, 8}
 		c.Partition(left, append(middle, right...), true)
@@ -309,9 +310,9 @@
 	})
 }
 
-// After a partition of ten minutes views become equal without help, and a member that left meanwhile does
-// not come back.
-func TestALongCutEndsByItself(t *testing.T) {
+// After a partition of ten minutes the views must become equal without intervention, and a member that
+// left meanwhile must not return.
+func TestViewsConvergeAfterALongPartition(t *testing.T) {
 	runScenario(t, 8, 6, func(c *Cluster) {
 		a, b := []int{0, 1, 2, 3}, []int{4, 5, 6, 7}
 		c.Partition(a, b, true)
@@ -324,83 +325,85 @@
 	})
 }
 
-// A partition that comes and goes faster than a suspicion lasts has nobody declared dead.
-func TestFlappingPartition(t *testing.T) {
+// A partition that comes and goes faster than a suspicion lasts must not cause a death.
+func TestAFlappingPartitionDeclaresNobodyDead(t *testing.T) {
 	runScenario(t, 4, 20, func(c *Cluster) {
-		n := countDead(c)
+		deaths := countDead(c)
 		for range 40 {
 			c.Partition([]int{3}, []int{0, 1, 2}, true)
 			c.Run(c.Now() + 700*Millisecond)
 			c.Partition([]int{3}, []int{0, 1, 2}, false)
 			c.Run(c.Now() + 700*Millisecond)
 		}
-		if *n > 0 {
-			t.Errorf("%d are declared dead", *n)
+		if *deaths > 0 {
+			t.Errorf("%d are declared dead", *deaths)
 		}
 		c.Run(c.Now() + 5*Second)
 	})
 }
 
-// A process that is killed and started before anybody noticed is a new incarnation in all views.
-func TestKilledAndBackAtOnce(t *testing.T) {
+// A process that is killed and restarted before any member noticed must be a new incarnation in all
+// views.
+func TestAQuickRestartIsANewIncarnation(t *testing.T) {
 	runScenario(t, 5, 20, func(c *Cluster) {
-		n := countDead(c)
+		deaths := countDead(c)
 		c.Kill(2)
 		c.Run(c.Now() + 200*Millisecond)
 		c.Start(2)
 		c.Run(c.Now() + 3*Second)
-		if own := c.Member(2).Status(); own.Generation != 2 || *n > 0 {
-			t.Errorf("incarnation %d, %d declared dead", own.Generation, *n)
+		if status := c.Member(2).Status(); status.Generation != 2 || *deaths > 0 {
+			t.Errorf("incarnation %d, want 2; %d declared dead, want none", status.Generation, *deaths)
 		}
 	})
 }
 
-// A process of the same name starts at another address while the first one is paused: the first one is
-// replaced when it resumes.
-func TestASuccessorWhileTheFirstIsStopped(t *testing.T) {
+// If a process of the same name starts at another address while the first one is paused, the first one
+// must be replaced when it resumes.
+func TestAPausedProcessIsReplacedByALaterOne(t *testing.T) {
 	for _, after := range []Time{300 * Millisecond, 10 * Second} {
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
 			runScenario(t, 4, 20, func(c *Cluster) {
 				c.Pause(3)
 				c.Run(c.Now() + after)
-				heir := c.AddProcess(name(3))
-				c.Start(heir)
+				replacement := c.AddHost(name(3))
+				c.Start(replacement)
 				c.Run(c.Now() + 5*Second)
 				c.Resume(3)
 				c.Run(c.Now() + 5*Second)
-				if own := c.Member(3).Status(); own.State != membership.Replaced {
-					t.Errorf("the first is %v", own.State)
+				if status := c.Member(3).Status(); status.State != membership.Replaced {
+					t.Errorf("the first is %v", status.State)
 				}
-				if own := c.Member(heir).Status(); own.State != membership.Alive || own.Generation != 2 {
-					t.Errorf("the successor is %v, incarnation %d", own.State, own.Generation)
+				if status := c.Member(replacement).Status(); status.State != membership.Alive || status.Generation != 2 {
+					t.Errorf("the later process is %v, incarnation %d", status.State, status.Generation)
 				}
 			})
 		})
 	}
 }
 
-// Of two processes that use one name the later one stays, and the first comes back when that one has left.
-func TestANameUsedTwice(t *testing.T) {
+// Of two processes that use one name the later one must keep it, and the first must return when the
+// later one has left.
+func TestTheLaterOfTwoProcessesKeepsTheName(t *testing.T) {
 	runScenario(t, 4, 20, func(c *Cluster) {
-		heir := c.AddProcess(name(3))
-		c.Start(heir)
+		later := c.AddHost(name(3))
+		c.Start(later)
 		c.Run(c.Now() + 3*Second)
-		if own := c.Member(3).Status(); own.State != membership.Replaced {
-			t.Errorf("the first is %v", own.State)
+		if status := c.Member(3).Status(); status.State != membership.Replaced {
+			t.Errorf("the first is %v", status.State)
 		}
-		c.Leave(heir)
+		c.Leave(later)
 		c.Run(c.Now() + 8*Second)
-		if own := c.Member(3).Status(); own.State != membership.Alive || own.Generation != 3 {
-			t.Errorf("the first is %v, incarnation %d", own.State, own.Generation)
+		if status := c.Member(3).Status(); status.State != membership.Alive || status.Generation != 3 {
+			t.Errorf("the first is %v, incarnation %d", status.State, status.Generation)
 		}
 	})
 }
 
-// After a restart of all nobody knows the earlier incarnations; a paused process of before is replaced when
-// it resumes.
-func TestRestartOfAll(t *testing.T) {
+// After a restart of the complete cluster no member knows the earlier incarnations. A process that was
+// paused before the restart must be replaced when it resumes, although its incarnation is greater.
+func TestAPausedProcessIsReplacedAfterAClusterRestart(t *testing.T) {
 	runScenario(t, 4, 20, func(c *Cluster) {
-		for range 3 { // so that the one that sleeps has the greater incarnation
+		for range 3 { // so that the paused process has the greater incarnation
 			c.Kill(3)
 			c.Run(c.Now() + Second)
 			c.Start(3)
@@ -412,8 +415,8 @@
 			c.Kill(i)
 		}
 		c.Run(c.Now() + 5*Second)
-		heir := c.AddProcess(name(3))
-		for _, i := range []int{0, 1, heir} {
+		replacement := c.AddHost(name(3))
+		for _, i := range []int{0, 1, replacement} {
 			c.Start(i)
 		}
 		c.Run(c.Now() + 5*Second)
@@ -421,16 +424,16 @@
 		c.Run(c.Now() + 3*Second)
 		c.Resume(3)
 		c.Run(c.Now() + 8*Second)
-		if own := c.Member(3).Status(); own.State != membership.Replaced {
-			t.Errorf("the one from before is %v", own.State)
+		if status := c.Member(3).Status(); status.State != membership.Replaced {
+			t.Errorf("the process from before the restart is %v", status.State)
 		}
-		if own := c.Member(heir).Status(); own.State != membership.Alive {
-			t.Errorf("the new one is %v", own.State)
+		if status := c.Member(replacement).Status(); status.State != membership.Alive {
+			t.Errorf("the new process is %v", status.State)
 		}
 	})
 }
 
-func TestHalfKilledAtOneMoment(t *testing.T) {
+func TestViewsConvergeAfterHalfTheMembersAreKilled(t *testing.T) {
 	runScenario(t, 20, 10, func(c *Cluster) {
 		for i := 10; i < 20; i++ {
 			c.Kill(i)
@@ -439,9 +442,9 @@
 	})
 }
 
-// A leave whose messages are lost ends in a death, and one that is received is known to all within a
-// second.
-func TestLeave(t *testing.T) {
+// A leave that is received must be known to all members within a second; one whose messages are lost
+// must end in a death.
+func TestALeaveReachesAllOrEndsInADeath(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		t.Run(fmt.Sprint("lost ", lost), func(t *testing.T) {
 			runScenario(t, 12, 10, func(c *Cluster) {
@@ -462,25 +465,26 @@
 	}
 }
 
-// Dead seeds harm nobody who has joined, and seeds that start last are found.
-func TestSeedsGoneAndSeedsLast(t *testing.T) {
+// Dead seeds must not harm members that have joined. A process that starts while all seeds are dead must
+// find the cluster once they start.
+func TestMembersFindSeedsThatStartLast(t *testing.T) {
 	runScenario(t, 6, 10, func(c *Cluster) {
 		c.Kill(0)
 		c.Kill(1)
 		c.Run(c.Now() + 6*Second)
-		late := c.AddProcess("late")
-		c.Start(late)
-		c.Run(c.Now() + 5*Second) // it finds nobody
+		joiner := c.AddHost("late")
+		c.Start(joiner)
+		c.Run(c.Now() + 5*Second) // it finds no live seed
 		c.Start(1)
 		c.Run(c.Now() + 6*Second)
-		requireState(t, c, late, name(4), membership.Alive)
+		requireState(t, c, joiner, name(4), membership.Alive)
 		c.Start(0)
 		c.Run(c.Now() + 6*Second)
 	})
 }
 
-// Without a live seed, the groups of a partition find each other by pinging dead members.
-func TestACutWithoutSeeds(t *testing.T) {
+// Without a live seed, the sides of a partition must find each other by pinging dead members.
+func TestAPartitionWithoutSeedsHeals(t *testing.T) {
 	runScenario(t, 6, 10, func(c *Cluster) {
 		c.Kill(0)
 		c.Kill(1)
@@ -493,8 +497,8 @@
 	})
 }
 
-// 300 members of which 60 restart at once are one cluster again.
-func TestManyRestartAtOnce(t *testing.T) {
+// 300 members of which 60 restart together must become one cluster again.
+func TestViewsConvergeAfterManyRestarts(t *testing.T) {
 	runScenario(t, 300, 1, func(c *Cluster) {
 		for i := range 60 {
 			c.Kill(5 * i)
@@ -507,57 +511,57 @@
 	})
 }
 
-// Random faults, one after another and at once. The cluster itself checks what must hold. PLAYS sets how
-// many seeds are run.
+// Under random faults, in sequence and together, the cluster checks the guarantees of membership. PLAYS
+// sets the number of seeds.
 func TestRandomFaults(t *testing.T) {
-	times := 60
+	runs := 60
 	if v, err := strconv.Atoi(os.Getenv("PLAYS")); err == nil {
-		times = v
+		runs = v
 	}
-	for _, seed := range seedList(times) {
+	for _, seed := range seedList(runs) {
 		if randomFaults(t.Errorf, seed); t.Failed() {
 			t.Fatalf("seed %d: SEED=%d repeats it", seed, seed)
 		}
 	}
 }
 
-const faultsEnd = 60 * Second // in a run of random faults
+const faultsEnd = 60 * Second // end of the faults in a run of random faults
 
-// randomFaults runs one seed's faults and reports what was wrong.
-func randomFaults(wrong func(string, ...any), seed uint64) {
+// randomFaults runs the faults of one seed and reports each violation and disagreement.
+func randomFaults(report func(string, ...any), seed uint64) {
 	random := New(1, seed).Rand()
-	places := 3 + random.IntN(9)
-	c := New(places, seed)
+	hosts := 3 + random.IntN(9)
+	c := New(hosts, seed)
 	c.Conditions = LinkConditions{
 		Loss:   []float64{0, 0.05, 0.2}[random.IntN(3)],
 		Dup:    0.01,
 		Delay:  Time(random.IntN(100)),
 		Jitter: Time(random.IntN(300)),
 	}
-	for i := range places {
+	for i := range hosts {
 		c.At(Time(random.IntN(20_000)), func() { c.Start(i) })
 	}
-	busyUntil := make([]Time, places)
+	busyUntil := make([]Time, hosts)
 	for at := 4 * Second; at < faultsEnd; at += Time(random.IntN(40_000)) {
-		planRandomFault(c, random, at, busyUntil)
+		scheduleRandomFault(c, random, at, busyUntil)
 	}
 	c.Run(faultsEnd + 10*Second)
 	openAllLinks(c)
 	c.Run(faultsEnd + 30*Second)
-	c.Conditions = LinkConditions{Delay: 2} // at any moment of a lossy link somebody is suspect
+	c.Conditions = LinkConditions{Delay: 2} // with loss, some member is suspect at any time
 	c.Run(faultsEnd + 45*Second)
 	for _, violation := range c.Violations {
-		wrong("%s", violation)
+		report("%s", violation)
 	}
 	found := c.Disagreements()
 	for _, disagreement := range found[:min(len(found), maxReported)] {
-		wrong("at the end: %s", disagreement)
+		report("at the end: %s", disagreement)
 	}
 }
 
-// planRandomFault plans a fault of a process, of a link or of the network, and its end. A process has one
-// fault of its own at a time.
-func planRandomFault(c *Cluster, random *rand.Rand, at Time, busyUntil []Time) {
+// scheduleRandomFault schedules a fault of a process, of a link or of the network, and its end. A
+// process has at most one fault of its own at a time.
+func scheduleRandomFault(c *Cluster, random *rand.Rand, at Time, busyUntil []Time) {
 	i, j := random.IntN(c.Size()), random.IntN(c.Size())
 	end := at + Time(1000+random.IntN(80_000))
 	kind := random.IntN(6)
@@ -587,8 +591,8 @@
 	}
 }
 
-func randomGroups(random *rand.Rand, places int) (a, b []int) {
-	for i := range places {
+func randomGroups(random *rand.Rand, hosts int) (a, b []int) {
+	for i := range hosts {
 		if random.IntN(2) == 0 {
 			a = append(a, i)
 		} else {
--- a/internal/cluster/membership/status.go
+++ b/internal/cluster/membership/status.go
@@ -1,6 +1,6 @@
 package membership
 
-// MemberView is one member as this process sees it.
+// MemberView is another member in this process's view.
 type MemberView struct {
 	Name   string `json:"name"`
 	Addr   string `json:"address"`
@@ -9,13 +9,13 @@
 	Incarnation
 	Refutations uint64 `json:"turn"`
 	ReportedBy  string `json:"by"`        // the member that reported the state
-	Since       Time   `json:"-"`         // when this process took up the state
-	RTT         Time   `json:"-"`         // 0: not known
+	Since       Time   `json:"-"`         // when the state began in this process's view
+	RTT         Time   `json:"-"`         // 0 if not known
 	Reachable   bool   `json:"reachable"` // from this process, directly
-	Private     bool   `json:"private"`   // found while this process was isolated, and not reported to others
+	Private     bool   `json:"private"`   // found while this process was isolated, and not reported
 }
 
-// LocalStatus is what a process reports of itself.
+// LocalStatus is the status of a process itself.
 type LocalStatus struct {
 	Name  string `json:"name"`
 	Addr  string `json:"address"`
@@ -23,7 +23,7 @@
 	Incarnation
 	Refutations uint64            `json:"turn"`
 	Live        int               `json:"live"` // other members that are alive or suspect
-	Isolated    bool              `json:"deaf"` // a probe failed, and nobody was heard since it was sent
+	Isolated    bool              `json:"deaf"` // a probe failed, and no message has arrived since it was sent
 	CatchingUp  bool              `json:"asks"` // it was stopped, and does not know yet what it missed
 	Loss        float64           `json:"loss"` // fraction of direct pings of live members that were lost
 	Lateness    Time              `json:"-"`    // of the latest late tick
@@ -45,7 +45,7 @@
 		Reachable:   m.reachable(),
 		Private:     m.private,
 	}
-	suspectedHere := m.state == Suspect && m.suspicion.foundHere && m.record.State < Suspect
+	suspectedHere := m.state == Suspect && m.suspicion.foundLocally && m.record.State < Suspect
 	if m.private || suspectedHere {
 		view.ReportedBy = n.self.Name
 	}
@@ -64,10 +64,10 @@
 // Self returns this process's own record.
 func (n *Node) Self() MemberRecord { return n.self }
 
-// CatchingUp tells whether this process was stopped for long, and does not know yet what it missed.
+// CatchingUp reports whether this process was stopped for long, and does not know yet what it missed.
 func (n *Node) CatchingUp() bool { return n.phase == catchingUp }
 
-// Status returns how this process itself is.
+// Status returns the status of this process itself.
 func (n *Node) Status() LocalStatus {
 	counts := make(map[string]uint64, len(n.counters))
 	for name, count := range n.counters {
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// suspicion is the span in which a suspect member can refute. The more members confirm it, the shorter it
-// is (Lifeguard).
+// suspicion is the time in which a suspect member can refute. Confirmations of other members shorten it,
+// as in Lifeguard.
 type suspicion struct {
 	startedAt      Time
-	confirmations  []string // the members that reported it, the first of them included
-	foundHere      bool     // by an own probe, not only from a report
-	reportedDead   bool     // somebody reports the member dead
+	confirmations  []string // names of the members that reported it, the first of them included
+	foundLocally   bool     // by a probe of this process, not only by a report
+	reportedDead   bool     // another member reports the member dead
 	finalProbeSent bool
 }
 
@@ -19,13 +19,14 @@
 func (n *Node) suspicionDeadline(m *member) Time {
 	span := Time(n.suspicionSpan(&m.suspicion) * n.detector.lossFactor())
 	deadline := m.suspicion.startedAt + span + n.detector.health.suspicionExtension(n.now)
-	if !m.suspicion.foundHere && !m.suspicion.reportedDead {
-		deadline += secondHandDelay
+	if !m.suspicion.foundLocally && !m.suspicion.reportedDead {
+		deadline += reportedSuspicionDelay
 	}
 	return deadline
 }
 
-// suspicionSpan shrinks from MaxSuspicion to MinSuspicion with the logarithm of the confirmations.
+// suspicionSpan returns how long a suspicion lasts. It falls from MaxSuspicion to MinSuspicion with the
+// logarithm of the confirmations.
 func (n *Node) suspicionSpan(s *suspicion) float64 {
 	shortest, longest := float64(n.config.MinSuspicion), float64(n.config.MaxSuspicion)
 	possible := min(maxConfirmations, len(n.members.live)-2) // without the suspect and its first reporter
@@ -37,7 +38,7 @@
 	return longest - fraction*(longest-shortest)
 }
 
-// confirmSuspicion counts a member that got no answer from a suspect either.
+// confirmSuspicion counts a further member that reports the suspicion.
 func (n *Node) confirmSuspicion(m *member, reporter string) {
 	if m.state != Suspect || len(m.suspicion.confirmations) > maxConfirmations ||
 		slices.Contains(m.suspicion.confirmations, reporter) {
@@ -50,15 +51,15 @@
 	n.enqueue(record)
 }
 
-// checkSuspects declares those dead whose deadline has passed, and probes those once more whose deadline is
-// near.
+// checkSuspects declares the suspects dead whose deadline has passed, and probes those once more whose
+// deadline is near.
 func (n *Node) checkSuspects() {
 	for _, m := range slices.Clone(n.members.suspects) {
 		deadline := n.suspicionDeadline(m)
 		switch {
 		case n.now >= deadline:
 			n.expireSuspicion(m)
-		case m.suspicion.foundHere && !m.suspicion.finalProbeSent && n.now >= deadline-finalProbeLead:
+		case m.suspicion.foundLocally && !m.suspicion.finalProbeSent && n.now >= deadline-finalProbeLead:
 			m.suspicion.finalProbeSent = true
 			nonce := n.rand.Uint64()
 			n.send(m.record.Addr, Message{Kind: Ping, Nonce: nonce, Records: n.recordToRefute(m)})
@@ -67,7 +68,7 @@
 	}
 }
 
-// expireSuspicion declares a suspect dead, in private while this process is isolated.
+// expireSuspicion declares a suspect dead. While this process is isolated, the new state is private.
 func (n *Node) expireSuspicion(m *member) {
 	if n.detector.isolated || m.private {
 		m.private = true
@@ -78,8 +79,7 @@
 	n.markDead(m)
 }
 
-// probeFailed takes a probe that neither the member nor anybody who pinged it for this process has
-// answered.
+// probeFailed handles a probe without an ack, direct or through an indirect ping.
 func (n *Node) probeFailed(m *member) {
 	m.unansweredPings++
 	switch {
@@ -90,7 +90,7 @@
 			n.markSuspect(m, n.self.Name, true)
 		}
 	case m.state == Suspect:
-		m.suspicion.foundHere = true
+		m.suspicion.foundLocally = true
 		n.confirmSuspicion(m, n.self.Name)
 	default:
 		n.reportState(m, Suspect)
--- a/internal/cluster/membership/suspicion_test.go
+++ b/internal/cluster/membership/suspicion_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// A suspicion that others confirm ends earlier; one that nobody confirms leaves the member the longest time
-// to refute.
+// A suspicion that other members confirm must end earlier; without confirmations the member must have
+// MaxSuspicion to refute it.
 func TestConfirmationsShortenASuspicion(t *testing.T) {
-	n, m := peerIn(t, Alive)
+	n, m := newPeerInState(t, Alive)
 	for _, name := range []string{"c", "d", "e", "f"} {
 		n.merge(aliveRecord(name, 1))
 	}
@@ -28,6 +28,6 @@
 	n.confirmSuspicion(m, "e")
 	n.confirmSuspicion(m, "f")
 	if len(m.suspicion.confirmations) != 1+maxConfirmations {
-		t.Errorf("confirmations of %v are counted", m.suspicion.confirmations)
+		t.Errorf("confirmations of %v are counted, want at most 1 + maxConfirmations", m.suspicion.confirmations)
 	}
 }
--- a/internal/cluster/membership/timers.go
+++ b/internal/cluster/membership/timers.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// runTimers does what is due in the present phase.
+// runTimers runs the timers of the present phase that are due.
 func (n *Node) runTimers() {
 	switch n.phase {
 	case joining, catchingUp:
@@ -17,7 +17,7 @@
 	}
 }
 
-// runMemberTimers does what is due while this process is a member.
+// runMemberTimers runs the timers that are due while this process is a member.
 func (n *Node) runMemberTimers() {
 	n.checkProbes()
 	n.checkSuspects()
@@ -46,7 +46,7 @@
 	}
 }
 
-// nextDue returns the moment at which something is due in the present phase, in the future.
+// nextDue returns when the next timer of the present phase is due, which is later than now.
 func (n *Node) nextDue() Time {
 	due := n.now + second
 	switch n.phase {
@@ -96,7 +96,7 @@
 	due := Time(math.MaxInt64)
 	for _, m := range n.members.suspects {
 		deadline := n.suspicionDeadline(m)
-		if m.suspicion.foundHere && !m.suspicion.finalProbeSent {
+		if m.suspicion.foundLocally && !m.suspicion.finalProbeSent {
 			deadline -= finalProbeLead
 		}
 		due = min(due, deadline)
