--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -7,8 +7,8 @@
 	"woaddyke/internal/config/configerror"
 )
 
-// Time is a moment or a span in tenths of a millisecond, on a monotonic clock that also counts while the
-// process is stopped.
+// Time is a moment or a span in tenths of a millisecond. Its clock is monotonic, and also counts while the
+// machine is suspended.
 type Time int64
 
 // Tenth is the unit of Time.
@@ -20,10 +20,10 @@
 	hour   Time = 3600 * second
 )
 
-// TimeOf converts a duration.
+// TimeOf converts a duration to a Time.
 func TimeOf(d time.Duration) Time { return Time(d / Tenth) }
 
-// Duration converts a span.
+// Duration converts a span to a time.Duration.
 func (t Time) Duration() time.Duration { return time.Duration(t) * Tenth }
 
 // Config configures a member.
@@ -33,18 +33,18 @@
 	Addr    string // address at which other members reach this one
 	Number  int    // scheduler number in the settings; -1 for none
 	Seeds   []string
-	Nonce   uint64 // unique to this process; not derived from Seed, which the next process may share
-	Seed    uint64 // of the random number generator
+	Nonce   uint64 // unique to this process; not derived from Seed, which a later process may share
+	Seed    uint64 // seed of the random number generator
 
-	ProbeInterval       Time // between two pings
-	ProbeTimeout        Time // for an ack, direct or through an indirect ping
+	ProbeInterval       Time // mean, between the probes of two members
+	ProbeTimeout        Time // how long a probe waits for an ack, direct or through an indirect ping
 	MinSuspicion        Time // from suspect to dead, with all confirmations
 	MaxSuspicion        Time // from suspect to dead, with no confirmation
 	PushPullInterval    Time // mean, between push-pulls
 	JoinInterval        Time // mean, between attempts to reach seeds and dead members
-	DeadRetention       Time // of members that are dead or have left
-	MaxMembers          int  // in the view, this process included
-	StandByWhenReplaced bool // a replaced process waits until its name is free
+	DeadRetention       Time // how long members that are dead or have left stay in the view
+	MaxMembers          int  // limit of members in the view, this process included
+	StandByWhenReplaced bool // a replaced process waits until its name is free, and joins again
 }
 
 // Defaults returns the default configuration. The caller sets the fields that identify a member.
@@ -67,40 +67,40 @@
 const (
 	indirectProbes         = 3           // members that are asked to ping a target that has not answered
 	maxConfirmations       = 3           // further reporters that shorten a suspicion to MinSuspicion
-	maxTimerLateness       = 60 * ms     // a timer that is later means that this process was stopped
-	finalProbeLead         = 250 * ms    // before its deadline a suspect is probed once more
-	reportedSuspicionDelay = 500 * ms    // added to a suspicion that only other members report
-	maxUnansweredPings     = 4           // direct pings in a row, after which a member counts as not reachable
+	maxTimerLateness       = 60 * ms     // a timer that is later shows that this process was paused
+	finalProbeLead         = 250 * ms    // a suspect is probed once more this long before its deadline
+	reportedSuspicionDelay = 500 * ms    // added to a deadline if only other members report the suspicion
+	maxUnansweredPings     = 4           // in a row, after which a member counts as not directly reachable
 	maxIndirectPings       = 256         // pings for other members that wait for an ack
 	maxProbes              = 64          // probes of this process that wait for an ack
 	lossSamples            = 32          // direct pings over which the loss is averaged
-	maxSuspicionExtension  = 2 * second  // limit of what suspicions are extended by when own timers are late
-	extensionDecay         = 10 * second // time in which the extension decays to 0
+	maxSuspicionExtension  = 2 * second  // longest extension of suspicions after late timers of this process
+	extensionDecay         = 10 * second // time in which that extension decays to 0
 )
 
 // Dissemination.
 const (
 	gossipFanout         = 3 // members that receive a gossip round
 	gossipInterval       = 100 * ms
-	transmitFactor       = 1.5     // transmissions of a record, per binary logarithm of the members
-	maxQueuedRecords     = 1 << 14 // further records spread by push-pull alone
-	maxRecordBytes       = 1100    // of the records in a datagram, estimated
+	transmitFactor       = 1.5     // times log2 of the number of members: transmissions of a record
+	maxQueuedRecords     = 1 << 14 // limit of the gossip queue; further records spread by push-pull alone
+	maxRecordBytes       = 1100    // estimated size of the records in a datagram
 	digestBuckets        = 64
-	minPushPullInterval  = second / 2 // between push-pulls with new members
+	minPushPullInterval  = second / 2 // shortest time between push-pulls with new members
 	pruningsPerRetention = 50         // how often ended members are pruned within DeadRetention
 )
 
 // Joining, leaving and name conflicts.
 const (
-	queryInterval       = 100 * ms // between queries for the own record
+	queryInterval       = 100 * ms // between queries for this process's record
 	queryTimeout        = second   // after which a process continues without a reply
-	queryFanout         = 5        // of live members, dead members and seeds each, in one round of queries
+	queryFanout         = 5        // live members, dead members and seeds in a round, of each kind
 	conflictTimeout     = second   // for another process of this name to answer
 	maxLeaveNotices     = 5
 	leaveNoticeInterval = 40 * ms
 	leaveFanout         = 8       // members that receive a round of leave notices
 	handoverSeqGap      = 1 << 32 // added to the predecessor's sequence number to get the successor's first
-	maxNameBytes        = 255     // of a name or an address
+	maxNameBytes        = 255     // length of a name or an address
 	maxSeeds            = 256
 )
 
--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -7,8 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// viewDigest holds a checksum of a view's records, this process's own included, for each bucket of
-// names. Two views with equal digests have the same incarnation, refutations and state of each name.
+// viewDigest divides the names of a view into buckets, and holds a checksum of the records in each bucket.
+// This process's own record is included. Two views with equal digests have the same incarnation,
+// refutations and state of each name.
 type viewDigest struct {
 	buckets [digestBuckets]uint64
 	self    MemberRecord // this process's own record as included in the checksums
@@ -33,8 +34,8 @@
 // remove removes a record from the checksums.
 func (d *viewDigest) remove(r MemberRecord) { d.add(r) }
 
-// setSelf replaces this process's own record in the checksums. A replaced process has none, because
-// another process has its name.
+// setSelf replaces this process's own record in the checksums. The record of a replaced process is left
+// out, because another process has its name.
 func (d *viewDigest) setSelf(self MemberRecord) {
 	if d.self.Generation > 0 {
 		d.remove(d.self)
@@ -55,8 +56,8 @@
 	return sum
 }
 
-// differingBuckets returns the buckets whose checksums differ from those of another view. Both lists
-// have digestBuckets entries.
+// differingBuckets returns the buckets whose checksums differ from those of another view. The other view's
+// list must have digestBuckets entries.
 func (d *viewDigest) differingBuckets(other []uint64) (differing []int) {
 	for i, bucket := range other {
 		if bucket != d.buckets[i] {
--- a/internal/cluster/membership/failure_detector.go
+++ b/internal/cluster/membership/failure_detector.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// failureDetector pings one member after another. A member that does not answer in time is also pinged
-// by others and on a stream; one that still does not answer becomes suspect.
+// failureDetector pings one member after another. If a member does not answer in time, this process pings
+// it on a stream, and other members ping it too. If the member still does not answer, it becomes suspect.
 type failureDetector struct {
 	health        localHealth
 	probeOrder    []*member // members still to be probed in this round; the last is next
-	probes        []probe   // that wait for an ack
+	probes        []probe   // probes that wait for an ack
 	indirectPings map[uint64]indirectPing
 	nextProbe     Time
 	lastHeard     Time // when the latest message of any member arrived
-	isolated      bool // a probe failed, and no message of any member has arrived since it was sent
+	isolated      bool // no message of any member has arrived since a failed probe was sent
 	loss          float64
 }
 
@@ -29,7 +29,7 @@
 
 // indirectPing is a ping on behalf of another member that waits for an ack.
 type indirectPing struct {
-	requester    string // address
+	requester    string // address of the member that asked for the ping
 	sentAt       Time
 	requestNonce uint64
 	target       string
@@ -41,7 +41,7 @@
 }
 
 // schedule inserts a member at a random position of the present round, so that different processes probe
-// it at different times.
+// the member at different times.
 func (d *failureDetector) schedule(m *member, random *rand.Rand) {
 	d.probeOrder = append(d.probeOrder, m)
 	last := len(d.probeOrder) - 1
@@ -56,8 +56,8 @@
 	}
 }
 
-// updateLoss adds one sample to the moving average of the loss: whether a direct ping of a live member,
-// or its ack, was lost.
+// updateLoss adds a sample to the moving average of the message loss. A sample is lost if a direct ping of
+// a live member, or the ack of that ping, was lost.
 func (d *failureDetector) updateLoss(lost bool) {
 	sample := 0.0
 	if lost {
@@ -97,7 +97,7 @@
 	return Time(float64(n.config.ProbeTimeout) * n.detector.lossFactor())
 }
 
-// directTimeout returns how long a direct ack may take before other members are asked to ping.
+// directTimeout returns how long a direct ack may take before other members are asked to ping the member.
 func (n *Node) directTimeout(m *member) Time { return m.rtt.timeout(n.config.ProbeTimeout) }
 
 // probeNext pings the next member of the round, and starts a new round after the last one.
@@ -120,7 +120,7 @@
 	n.send(m.record.Addr, Message{Kind: Ping, Nonce: nonce, Records: n.takeRecords(n.recordToRefute(m)...)})
 }
 
-// checkProbes escalates the probes that were not answered in time, and fails those that have timed out.
+// checkProbes escalates the probes whose ack is late, and treats those that have timed out as failed.
 func (n *Node) checkProbes() {
 	var waiting []probe
 	var failed []*member
@@ -227,7 +227,8 @@
 	}
 }
 
-// checkIsolation marks this process as isolated if no message has arrived since a failed probe was sent.
+// checkIsolation marks this process as isolated if no message of any member has arrived since a failed
+// probe was sent.
 func (n *Node) checkIsolation(failed probe) {
 	if !n.detector.isolated && n.detector.lastHeard <= failed.sentAt {
 		n.detector.isolated = true
@@ -235,8 +236,8 @@
 	}
 }
 
-// markHeard records that a message of a member arrived. When an isolation ends, it discards the states
-// that were found during it.
+// markHeard records that a message of a member arrived. If this process was isolated, the isolation ends,
+// and the states that were found during it are discarded.
 func (n *Node) markHeard() {
 	n.detector.lastHeard = n.now
 	if !n.detector.isolated {
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -5,19 +5,20 @@
 	"slices"
 )
 
-// dissemination is the state of spreading records by gossip, and complete views by push-pull.
+// dissemination is the state of gossip, which spreads changed records, and of push-pull, which compares
+// complete views.
 type dissemination struct {
-	queue        []queuedRecord // the least sent first
+	queue        []queuedRecord // in order of transmits, the fewest first
 	digest       viewDigest
-	nextRound    Time // of gossip
+	nextRound    Time // when the next gossip round is due
 	nextPushPull Time
-	lastPushPull Time // when this process last opened one
+	lastPushPull Time // when this process last opened a push-pull
 }
 
 // queuedRecord is a record that is queued for gossip.
 type queuedRecord struct {
 	record    MemberRecord
-	transmits int // how often it was sent
+	transmits int // how often the record was sent
 }
 
 // enqueue queues a record for gossip. If the queue is full, the record spreads by push-pull alone.
@@ -39,9 +40,9 @@
 	return int(math.Ceil(transmitFactor * log * n.detector.lossFactor()))
 }
 
-// takeRecords returns the given records and the queued ones that fit into a datagram with them, the
-// least sent first. It drops outdated records from the queue, and those that were sent maxTransmits
-// times.
+// takeRecords returns the required records, and as many queued records as fit into a datagram with them.
+// It takes the records that were sent least often first. It drops a queued record that is outdated or was
+// sent maxTransmits times.
 func (n *Node) takeRecords(required ...MemberRecord) (records []MemberRecord) {
 	remaining := maxRecordBytes
 	for _, record := range required {
@@ -99,8 +100,8 @@
 	return record
 }
 
-// recordToRefute returns the record of a member that is reported suspect or dead. It is added to each
-// message to that member, so that the member can refute it.
+// recordToRefute returns a member's record if it reports the member suspect or dead, and nothing
+// otherwise. Messages to the member include the record, so that the member can refute it.
 func (n *Node) recordToRefute(m *member) []MemberRecord {
 	if m.record.State == Suspect || m.record.State == Dead {
 		return []MemberRecord{n.recordWithAge(m)}
@@ -108,8 +109,8 @@
 	return nil
 }
 
-// sendCorrection sends a process the record of its name. The process refutes it, or learns that another
-// process has replaced it.
+// sendCorrection sends a process the record of its name. The process refutes the record, or learns from it
+// that another process has the name.
 func (n *Node) sendCorrection(m *member, addr string) {
 	if n.now-m.correctedAt < queryInterval || n.phase != serving {
 		return
--- a/internal/cluster/membership/join.go
+++ b/internal/cluster/membership/join.go
@@ -10,9 +10,9 @@
 type joinState struct {
 	queryNonce    uint64
 	nextQuery     Time
-	queryDeadline Time         // after it the process continues without an authoritative reply
+	queryDeadline Time         // when the process continues without an authoritative reply
 	reportedSelf  MemberRecord // the greatest record of this process's name that was reported
-	nextAttempt   Time         // to reach a dead member and a seed
+	nextAttempt   Time         // when to try next to reach a dead member and a seed
 	lastSeedIndex int          // index in Config.Seeds of the seed that was tried last
 }
 
@@ -24,8 +24,8 @@
 	n.join.queryDeadline = n.now + queryTimeout
 }
 
-// runQuery sends the next queries, and continues without a reply after the deadline. If that is wrong,
-// members that this process reaches later correct it.
+// runQuery sends the next queries. After the deadline, this process becomes a member without a reply. If
+// another process has its name, or it was declared dead, members that it reaches later notify it.
 func (n *Node) runQuery() {
 	if n.now < n.join.nextQuery {
 		return
@@ -45,8 +45,8 @@
 	}
 }
 
-// queryAddrs returns, sorted, the addresses of up to queryFanout live members, dead members and seeds
-// each.
+// queryAddrs returns the sorted addresses of up to queryFanout live members, as many dead members and as
+// many seeds.
 func (n *Node) queryAddrs() []string {
 	addrs := map[string]bool{}
 	for _, m := range n.randomMembers(queryFanout, nil) {
@@ -63,7 +63,7 @@
 	return slices.Sorted(maps.Keys(addrs))
 }
 
-// replyToQuery sends the record that is known of the sender's name, if any.
+// replyToQuery replies to a query with the record of the sender's name, if one is known.
 func (n *Node) replyToQuery(query Message) {
 	isMember := n.phase == serving || n.phase == leaving
 	reply := Message{Kind: RecordReply, Nonce: query.Nonce, SenderCatchingUp: !isMember}
@@ -85,7 +85,7 @@
 	}
 	for _, record := range reply.Records {
 		if record.Name == n.self.Name && validRecord(record) {
-			n.join.reportedSelf = JoinRecords(n.join.reportedSelf, record)
+			n.join.reportedSelf = GreaterRecord(n.join.reportedSelf, record)
 		}
 	}
 	// A sender that is no member itself knows no more than this process.
@@ -103,8 +103,8 @@
 	nameTaken := otherProcess && !reported.State.Ended()
 	switch {
 	case n.phase == catchingUp && nameTaken:
-		// The running process takes precedence over the one that was stopped, whichever is older: the
-		// other members already use it.
+		// The running process takes precedence over this one, which was paused, whichever is older: the
+		// other members already use the running process.
 		n.markReplaced(reported)
 	case !authoritative:
 	case n.phase == joining:
--- a/internal/cluster/membership/leave.go
+++ b/internal/cluster/membership/leave.go
@@ -6,8 +6,8 @@
 	nextNotice  Time
 }
 
-// startLeaving starts to notify other members that this process leaves. A process that is no member
-// stops at once.
+// startLeaving starts to notify other members that this process leaves. If this process is not a member,
+// it stops immediately.
 func (n *Node) startLeaving() {
 	if n.phase != serving {
 		n.stop()
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -2,17 +2,17 @@
 
 // member holds what this process knows of another member.
 type member struct {
-	record    MemberRecord // the greatest that was reported
-	state     State        // in this process's view; see applyDeath for how it lags behind record
+	record    MemberRecord // the greatest record that was reported
+	state     State        // in this process's view; it may lag behind record, see applyDeath
 	changedAt Time         // when state last changed
 	endedAt   Time         // when this process or another one first found that the member had ended
 	index     int          // in memberTable.live or memberTable.dead; notListed for a new one
-	private   bool         // state was found while this process was isolated, and is not reported
+	private   bool         // state was found while this process was isolated, and is not reported to others
 
 	suspicion       suspicion // while state is Suspect
 	rtt             rttEstimate
 	unansweredPings int  // direct pings in a row without an answer
-	correctedAt     Time // when sendCorrection last sent it its record
+	correctedAt     Time // when sendCorrection last sent a correction to the member
 	replay          replayWindow
 }
 
@@ -25,7 +25,7 @@
 
 // rttEstimate is a smoothed round-trip time and its mean deviation, as in RFC 6298.
 type rttEstimate struct {
-	mean      Time // 0: not measured
+	mean      Time // 0 if not measured yet
 	deviation Time
 }
 
--- a/internal/cluster/membership/member_state.go
+++ b/internal/cluster/membership/member_state.go
@@ -6,16 +6,16 @@
 // incarnation may begin in any state.
 //
 //	from     to       by
-//	Alive    Suspect  markSuspect: a probe failed, or another member reports it suspect or dead
+//	Alive    Suspect  markSuspect: a probe failed, or another member reports the member suspect or dead
 //	Alive    Left     markLeft
-//	Suspect  Alive    refute: the member itself, with more refutations
-//	Suspect  Dead     markDead: it did not refute in time
+//	Suspect  Alive    refute: the member reports itself alive, with more refutations
+//	Suspect  Dead     markDead: the member did not refute in time
 //	Suspect  Left     markLeft
-//	Dead     Alive    resurrect: the member itself, with more refutations
-//	Dead     Suspect  markSuspect: another member reports a later suspicion
+//	Dead     Alive    resurrect: the member reports itself alive, with more refutations
+//	Dead     Suspect  markSuspect: another member reports a suspicion with more refutations
 //	Dead     Left     markLeft
 //	Left     Alive    resurrect: a hot restart failed after the successor had left
-//	Left     Suspect  markSuspect: another member reports a later suspicion
+//	Left     Suspect  markSuspect: another member reports a suspicion with more refutations
 //
 // States that this process found while it was isolated are private: discardPrivateState restores the
 // reported state.
@@ -97,7 +97,7 @@
 	n.emit(MemberChanged{MemberView: n.viewOf(m), Before: before, New: newIncarnation})
 }
 
-// endedAt returns when a process ended, by the age of its record.
+// endedAt returns when a process ended, computed from the age of its record.
 func (n *Node) endedAt(record MemberRecord) Time {
 	return n.now - Time(min(record.Age, n.retentionSeconds()))*second
 }
--- a/internal/cluster/membership/member_state_test.go
+++ b/internal/cluster/membership/member_state_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// newPeerInState returns a process that knows one other member, and that member in a state.
+// newPeerInState returns a process, and the one other member that it knows, in the given state.
 func newPeerInState(t *testing.T, state State) (*Node, *member) {
 	t.Helper()
 	n, _ := newMemberWithPeer(t)
@@ -21,7 +21,7 @@
 	return n, m
 }
 
-// reportPeer merges a record of a member with a state and additional refutations.
+// reportPeer merges a report of a member's state. It adds refutations to the member's present ones.
 func reportPeer(n *Node, m *member, state State, refutations uint64) {
 	record := m.record
 	record.State, record.ReportedBy = state, "c"
@@ -29,9 +29,8 @@
 	n.merge(record)
 }
 
-// A state change that stateTransitions does not list, or a listed one that cannot happen, is an error in
-// the table or in the code. In particular, a report alone must not make a live member dead, because the
-// member needs time to refute it.
+// stateTransitions must list each state change that can happen, and no other. In particular, a report
+// alone must not make a live member dead, because the member needs time to refute the report.
 func TestStateTransitionsListsAllStateChanges(t *testing.T) {
 	report := func(state State, refutations uint64) func(*Node, *member) {
 		return func(n *Node, m *member) { reportPeer(n, m, state, refutations) }
@@ -54,12 +53,12 @@
 		{"the suspicion expires", Suspect, Dead, func(n *Node, m *member) { n.expireSuspicion(m) }},
 		{"leaves while suspect", Suspect, Left, report(Left, 0)},
 		{"resurrects", Dead, Alive, report(Alive, 1)},
-		{"a later suspicion of a dead member", Dead, Suspect, report(Suspect, 1)},
-		{"a later death of a dead member", Dead, Dead, report(Dead, 1)},
+		{"a dead member is reported suspect with more refutations", Dead, Suspect, report(Suspect, 1)},
+		{"a dead member is reported dead with more refutations", Dead, Dead, report(Dead, 1)},
 		{"leaves while dead", Dead, Left, report(Left, 0)},
 		{"returns after it left", Left, Alive, report(Alive, 1)},
-		{"a later suspicion of a member that left", Left, Suspect, report(Suspect, 1)},
-		{"a later death of a member that left", Left, Suspect, report(Dead, 1)},
+		{"a member that left is reported suspect with more refutations", Left, Suspect, report(Suspect, 1)},
+		{"a member that left is reported dead with more refutations", Left, Suspect, report(Dead, 1)},
 		{"a probe of a member that left fails", Left, Left, probeFails},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -83,8 +82,8 @@
 	}
 }
 
-// A suspicion that ends before its deadline leaves a member too little time to refute; one that never
-// ends leaves a dead member in the view.
+// A suspicion must end at its deadline. If it ends earlier, the member has too little time to refute. If it
+// never ends, a dead member stays in the view as suspect.
 func TestSuspicionEndsAtItsDeadline(t *testing.T) {
 	n, m := newPeerInState(t, Suspect)
 	for n.now < 60*second && m.state == Suspect {
@@ -99,7 +98,7 @@
 	}
 }
 
-// A new incarnation begins in the state that is reported of it, whatever the state of the one before.
+// A new incarnation must begin in its reported state, whatever the state of the previous incarnation.
 func TestNewIncarnationBeginsInItsReportedState(t *testing.T) {
 	states := []State{Alive, Suspect, Dead, Left}
 	for _, before := range states {
--- a/internal/cluster/membership/member_table.go
+++ b/internal/cluster/membership/member_table.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// memberTable indexes the other members: all by name, and by state those that are alive, suspect or
-// dead. A member is removed before its state changes and inserted after it. Random draws depend on the
-// order of the lists.
+// memberTable indexes all other members by name, and lists the alive, suspect and dead ones by state. The
+// caller removes a member before it changes the member's state, and inserts the member again afterwards.
+// Random draws depend on the order of the lists.
 type memberTable struct {
 	byName    map[string]*member
 	live      []*member // alive or suspect
-	dead      []*member // without members that have left
+	dead      []*member // members that have left are not listed
 	suspects  []*member
 	nextPrune Time
 }
@@ -62,7 +62,7 @@
 	return slices.ContainsFunc(t.live, func(m *member) bool { return m.record.Addr == addr })
 }
 
-// randomLive returns up to count random members that are alive or suspect, except one.
+// randomLive returns up to count random members that are alive or suspect. except is never returned.
 func (t *memberTable) randomLive(random *rand.Rand, count int, except *member) (drawn []*member) {
 	if len(t.live) <= count+1 {
 		for _, m := range t.live {
--- a/internal/cluster/membership/member_table_test.go
+++ b/internal/cluster/membership/member_table_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// A member on a list of another state, or twice on one, would be pinged for ever or never.
+// Each member must be once on the lists of its state and on no other list. Otherwise it would never be
+// pinged, or would still be pinged after it was removed from a list.
 func TestMemberTableListsMembersByState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := memberTable{byName: map[string]*member{}}
--- a/internal/cluster/membership/member_test.go
+++ b/internal/cluster/membership/member_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A timeout shorter than a member's round trip causes false suspicions; one that is too long delays the
-// detection of its death.
+// A timeout shorter than a member's round trip causes false suspicions. A timeout that is too long delays
+// the detection of the member's death.
 func TestRTTEstimateBoundsTheTimeout(t *testing.T) {
 	const probeTimeout = 250 * ms
 	var r rttEstimate
--- a/internal/cluster/membership/merge.go
+++ b/internal/cluster/membership/merge.go
@@ -58,7 +58,7 @@
 	if record.Age > 0 && m.state.Ended() {
 		m.endedAt = min(m.endedAt, n.endedAt(record))
 	}
-	m.record = JoinRecords(m.record, record)
+	m.record = GreaterRecord(m.record, record)
 }
 
 // applyNewer applies a record that is greater than the known one.
@@ -139,15 +139,15 @@
 	case order > 0 && !record.State.Ended():
 		n.startNameConflict(record)
 	case order > 0, order < 0 && record.Generation == n.self.Generation:
-		// This process chose its generation without knowledge of that process, and each process needs a
-		// generation of its own.
+		// This process chose its generation without knowledge of the reported process, and two processes
+		// must not have the same generation.
 		n.startIncarnationAfter(record.Generation)
 	case order < 0: // an earlier incarnation
-	case record.State == Left: // the successor had left, and this process resumed
+	case record.State == Left: // the successor has left, and this process has resumed
 		n.startIncarnationAfter(record.Generation)
 	case record.State >= Suspect && record.Refutations >= n.self.Refutations:
 		n.count(countRefuted)
-		n.emit(Event{"refuted a report that it is " + record.State.String(), record.ReportedBy})
+		n.emit(Event{"refuted the subject's report of this process as " + record.State.String(), record.ReportedBy})
 		n.self.Refutations = record.Refutations + 1
 		n.announceSelf()
 	case record.Refutations > n.self.Refutations:
--- a/internal/cluster/membership/messages.go
+++ b/internal/cluster/membership/messages.go
@@ -7,15 +7,15 @@
 const (
 	Ping            Kind = iota + 1 // answered by an Ack with the same nonce
 	Ack                             // answers a Ping, or an IndirectPing that the sender carried out
-	IndirectPing                    // asks the receiver to ping Target and to forward its Ack
+	IndirectPing                    // asks the receiver to ping Target and to forward the Ack
 	Gossip                          // carries records alone
-	RecordQuery                     // from a process that is no member or catches up: asks for its record
+	RecordQuery                     // asks for the record of the sender, which is no member or catches up
 	RecordReply                     // answers a RecordQuery or a NameConflict
 	NameConflict                    // asks another process with the sender's name whether it is alive
 	UserMessage                     // carries Text for the application
 	Digests                         // on a stream: opens a push-pull with the digests of the sender's view
-	DigestDiff                      // on a stream: the buckets that differ, and the sender's records of them
-	DigestDiffReply                 // on a stream: the opener's records of these buckets
+	DigestDiff                      // on a stream: the buckets that differ, and the sender's records in them
+	DigestDiffReply                 // on a stream: the opener's records in these buckets
 )
 
 // Message is sent by one member to another.
@@ -92,7 +92,7 @@
 type MemberChanged struct {
 	MemberView
 	Before State
-	New    bool // it is an incarnation that was not known before
+	New    bool // the incarnation was not known before
 }
 
 // UserMessageReceived is a text from another member.
@@ -101,8 +101,8 @@
 	Text   string
 }
 
-// Event is an event of this process to be logged. Subject is the name or address of the process that it
-// involves, a duration, or empty.
+// Event is an event of this process to be logged. Subject is the name or address of the other process
+// involved, a duration, or empty.
 type Event struct{ Description, Subject string }
 
 // Joined reports that this process is a member from now on.
--- a/internal/cluster/membership/name_conflict.go
+++ b/internal/cluster/membership/name_conflict.go
@@ -2,12 +2,12 @@
 
 // conflictState is what this process knows of other processes that use its name.
 type conflictState struct {
-	open       *nameConflict // nil if there is none
+	open       *nameConflict // nil if no conflict is open
 	lastNotice Time          // when another process was last notified that this one has replaced it
 }
 
-// nameConflict is a check whether a later process of this name is alive. Until that process answers,
-// this one remains a member.
+// nameConflict is a check whether a later process of this name, the rival, is alive. This process remains
+// a member until the rival answers.
 type nameConflict struct {
 	rival     MemberRecord
 	nonce     uint64
@@ -16,7 +16,7 @@
 }
 
 // startNameConflict starts to ask a later process of this name whether it is alive. A record alone is no
-// proof: its process may have ended before a restart of the complete cluster.
+// proof: the process may have ended before a restart of the complete cluster.
 func (n *Node) startNameConflict(rival MemberRecord) {
 	if open := n.conflict.open; open != nil && open.rival.Incarnation.compare(rival.Incarnation) >= 0 {
 		return
@@ -33,8 +33,8 @@
 	}
 }
 
-// continueNameConflict asks the rival again. After the deadline it takes a later incarnation than the
-// rival's.
+// continueNameConflict asks the rival again. After the deadline, this process takes a later incarnation
+// than the rival's.
 func (n *Node) continueNameConflict() {
 	conflict := n.conflict.open
 	if n.now < conflict.deadline {
@@ -80,8 +80,8 @@
 	}
 }
 
-// assertName answers a rival: it asks a later one whether it is alive, and notifies an earlier one that
-// it is replaced.
+// assertName answers another process of this name. It asks a later process whether that process is alive,
+// and notifies an earlier process that it is replaced.
 func (n *Node) assertName(message Message) {
 	rival := message.From
 	if message.Kind == NameConflict {
@@ -94,7 +94,7 @@
 	}
 	if n.now-n.conflict.lastNotice >= queryInterval {
 		n.conflict.lastNotice = n.now
-		n.emit(Event{"another process uses this name, notified that it is replaced", rival.Addr})
+		n.emit(Event{"notified another process of this name that it is replaced", rival.Addr})
 		n.send(rival.Addr, Message{Kind: Gossip, Records: []MemberRecord{n.self}})
 	}
 }
--- a/internal/cluster/membership/node.go
+++ b/internal/cluster/membership/node.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// HandoverState returns the state for a successor. It reports false unless this process is a member.
-// After it, Resumed is the only valid input.
+// HandoverState returns the state for a successor, or false if this process is not a member. After a
+// handover, Resumed is the only valid input.
 func (n *Node) HandoverState() (HandoverState, bool) {
 	if n.phase != serving {
 		return HandoverState{}, false
@@ -100,8 +100,8 @@
 	return state, true
 }
 
-// Step processes an input and returns the effects that the caller must carry out, in order. A time
-// before the latest one counts as the latest one.
+// Step processes an input and returns the effects that the caller must carry out, in order. If now is
+// earlier than the time of a previous input, the input is processed at the time of that one.
 func (n *Node) Step(now Time, in Input) []Effect {
 	n.now = max(now, n.now)
 	n.effects = nil
@@ -150,8 +150,8 @@
 }
 
 // resumeAfterHandover continues as the member after the successor has ended. Other members have the
-// successor's latest record, so the sequence number and refutations go beyond all that the successor can
-// have used.
+// successor's latest record, so the sequence number and refutations must exceed those that the successor
+// can have used.
 func (n *Node) resumeAfterHandover() {
 	if n.phase != serving && n.phase != catchingUp {
 		return
--- a/internal/cluster/membership/node_test.go
+++ b/internal/cluster/membership/node_test.go
@@ -46,8 +46,8 @@
 	return Joining
 }
 
-// Invalid, replayed or outdated messages must not change the view or the member's state, and each kind
-// must be counted.
+// Invalid, replayed or outdated messages must not change the view or the peer's state, and each kind must
+// be counted.
 func TestBadInputIsDroppedAndCounted(t *testing.T) {
 	stranger := aliveRecord("z", 1)
 	withInvalidState, withoutName, withoutIncarnation := stranger, stranger, stranger
@@ -84,7 +84,7 @@
 	}
 }
 
-// Names from unknown senders would fill a view without a bound and use all memory of the process.
+// Without a limit on the members of a view, received records could use all memory of the process.
 func TestViewIsBounded(t *testing.T) {
 	n, peer := newMemberWithPeer(t)
 	n.config.MaxMembers = 10
@@ -102,9 +102,9 @@
 	}
 }
 
-// A process that was stopped for longer than a suspicion lasts may no longer be a member, so it must
-// send only queries until it has a reply.
-func TestAStoppedProcessSendsOnlyQueriesWhenItResumes(t *testing.T) {
+// A process that was paused for longer than a suspicion lasts may no longer be a member, so it must send
+// only queries until it has a reply.
+func TestAPausedProcessSendsOnlyQueriesWhenItResumes(t *testing.T) {
 	n, _ := newMemberWithPeer(t)
 	queried := false
 	for _, e := range n.Step(n.due+5*second, Tick{}) {
@@ -150,8 +150,8 @@
 	}
 }
 
-// A successor after a hot restart is the same member: its messages must count as new, and must not
-// change the state of the member in other views.
+// A successor after a hot restart is the same member. Other members must accept its messages as new, and
+// must not change the state of the member.
 func TestSuccessorIsTheSameMember(t *testing.T) {
 	predecessor, peer := newMemberWithPeer(t)
 	observer := New(testConfig("b"), 0)
@@ -242,7 +242,7 @@
 	return newest
 }
 
-// The events of an interleaving. Events 0 to 2 run the timers of one process.
+// The events of an interleaving. Events 0 to 2 run the timers of the process with that index.
 const (
 	deliverOldest = 3
 	deliverNewest = 4
@@ -298,9 +298,9 @@
 	}
 }
 
-// Whatever the order in which messages are delivered or lost and timers run, no member's state may go
-// back without a refutation, and the views of three members must converge once messages arrive again.
-// ORDERS=all runs all 46656 orders instead of each 23rd.
+// In whatever order messages are delivered or lost and timers run, no member's state may go back without
+// a refutation, and the views of three members must converge once messages arrive again. The test runs
+// every 23rd of the 46656 orders; with ORDERS=all it runs all of them.
 func TestEveryInterleavingOfThree(t *testing.T) {
 	const depth = 6
 	const orders = 46656 // eventKinds to the power of depth
--- a/internal/cluster/membership/phase.go
+++ b/internal/cluster/membership/phase.go
@@ -8,7 +8,7 @@
 const (
 	joining    phase = iota // queries other processes for the record of its name, to choose its incarnation
 	serving                 // is a member
-	catchingUp              // was stopped, so others may have declared it dead; sends queries alone
+	catchingUp              // was paused, so others may have declared it dead; sends only queries
 	leaving                 // notifies other members that it leaves
 	standingBy              // was replaced by another process; queries whether its name is free again
 	stopped                 // has left, or was replaced and does not stand by
@@ -17,16 +17,16 @@
 // phaseTransitions lists the phases that may follow each phase.
 //
 //	from        to          by
-//	joining     serving     startServing: a member answered, or none did in time
+//	joining     serving     startServing: a member answered, or no member answered in time
 //	joining     stopped     startLeaving
-//	serving     catchingUp  checkLateness: the process was stopped for MinSuspicion or longer
+//	serving     catchingUp  checkLateness: the process was paused for MinSuspicion or longer
 //	serving     leaving     startLeaving
 //	serving     standingBy  markReplaced, if the process stands by
-//	serving     stopped     markReplaced, if it does not
+//	serving     stopped     markReplaced, if the process does not stand by
 //	catchingUp  serving     resumeServing; startServing, if a later incarnation has ended
 //	catchingUp  standingBy  markReplaced, if the process stands by
-//	catchingUp  stopped     markReplaced, if it does not; startLeaving
-//	leaving     stopped     sendLeaveNotices: all are sent; startLeaving, if it is requested again
+//	catchingUp  stopped     markReplaced, if the process does not stand by; startLeaving
+//	leaving     stopped     sendLeaveNotices: all notices are sent; startLeaving, if called again
 //	standingBy  serving     startServing: the name is free
 //	standingBy  stopped     startLeaving
 //	stopped     stopped     startLeaving
@@ -47,7 +47,7 @@
 	n.phase = next
 }
 
-// startServing makes this process a member, with a later incarnation than any that was reported for its
+// startServing makes this process a member. Its incarnation is later than any that was reported for its
 // name.
 func (n *Node) startServing() {
 	n.enter(serving)
@@ -61,7 +61,7 @@
 func (n *Node) resumeServing() {
 	reported := n.join.reportedSelf
 	if reported.Incarnation == n.self.Incarnation && reported.State >= Suspect {
-		description := "was reported " + reported.State.String() + " while it was stopped"
+		description := "the subject reported this process " + reported.State.String() + " while it was paused"
 		n.emit(Event{description, reported.ReportedBy})
 		n.self.Refutations = max(n.self.Refutations, reported.Refutations)
 	}
--- a/internal/cluster/membership/phase_test.go
+++ b/internal/cluster/membership/phase_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// newNodeInPhase returns a process in a phase that it has reached through inputs alone.
+// newNodeInPhase returns a process that inputs alone have brought into the given phase.
 func newNodeInPhase(t *testing.T, want phase) *Node {
 	t.Helper()
 	var n *Node
@@ -52,15 +52,14 @@
 	n.Step(n.now, MessageReceived{Message: reply})
 }
 
-// advance runs the timers for a time without any messages.
+// advance runs the timers for the given time. No messages arrive.
 func advance(n *Node, span Time) {
 	for until := n.now + span; n.now < until; {
 		n.Step(n.due, Tick{})
 	}
 }
 
-// A phase change that phaseTransitions does not list, or a listed one that cannot happen, is an error in
-// the table or in the code.
+// phaseTransitions must list each phase change that can happen, and no other.
 func TestPhaseTransitionsListsAllPhaseChanges(t *testing.T) {
 	leave := func(n *Node) { n.Step(n.now, LeaveRequested{}) }
 	withoutStandBy := func(input func(*Node)) func(*Node) {
@@ -83,16 +82,16 @@
 		from, to phase
 		input    func(*Node)
 	}{
-		{"a reply ends the join", joining, serving, func(n *Node) { replyToQuery(n) }},
-		{"no reply ends the join", joining, serving, func(n *Node) { advance(n, 2*queryTimeout) }},
+		{"a reply while joining", joining, serving, func(n *Node) { replyToQuery(n) }},
+		{"no reply while joining", joining, serving, func(n *Node) { advance(n, 2*queryTimeout) }},
 		{"leave while joining", joining, stopped, leave},
-		{"stopped for long", serving, catchingUp, func(n *Node) { n.Step(n.due+n.config.MinSuspicion, Tick{}) }},
-		{"stopped for a moment", serving, serving, func(n *Node) { n.Step(n.due+n.config.MinSuspicion-1, Tick{}) }},
+		{"paused for long", serving, catchingUp, func(n *Node) { n.Step(n.due+n.config.MinSuspicion, Tick{}) }},
+		{"paused briefly", serving, serving, func(n *Node) { n.Step(n.due+n.config.MinSuspicion-1, Tick{}) }},
 		{"leave", serving, leaving, leave},
 		{"replaced", serving, standingBy, rivalAnswers},
 		{"replaced, without standing by", serving, stopped, withoutStandBy(rivalAnswers)},
-		{"a reply ends catching up", catchingUp, serving, func(n *Node) { replyToQuery(n, n.self) }},
-		{"no reply ends catching up", catchingUp, serving, func(n *Node) { advance(n, 2*queryTimeout) }},
+		{"a reply while catching up", catchingUp, serving, func(n *Node) { replyToQuery(n, n.self) }},
+		{"no reply while catching up", catchingUp, serving, func(n *Node) { advance(n, 2*queryTimeout) }},
 		{"a later incarnation has ended", catchingUp, serving, func(n *Node) {
 			ended := rivalRecord(n)
 			ended.State = Dead
@@ -106,7 +105,7 @@
 		{"the name is free", standingBy, serving, func(n *Node) { replyToQuery(n) }},
 		{"the name is in use", standingBy, standingBy, replyWithRival},
 		{"leave while standing by", standingBy, stopped, leave},
-		{"leave after the end", stopped, stopped, leave},
+		{"leave when stopped already", stopped, stopped, leave},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := newNodeInPhase(t, c.from)
--- a/internal/cluster/membership/push_pull.go
+++ b/internal/cluster/membership/push_pull.go
@@ -10,8 +10,8 @@
 	n.emit(OpenStream{m.record.Addr, n.stamped(Message{Kind: Digests, Digests: n.gossip.digest.buckets[:]})})
 }
 
-// pushPullWithNewMember opens a push-pull with a member that is new or back, unless one was opened
-// within minPushPullInterval.
+// pushPullWithNewMember opens a push-pull with a member that has joined or returned, unless the latest
+// push-pull was opened less than minPushPullInterval ago.
 func (n *Node) pushPullWithNewMember(m *member) {
 	if n.phase == serving && n.now-n.gossip.lastPushPull >= minPushPullInterval {
 		n.startPushPull(m)
@@ -35,8 +35,8 @@
 	n.emit(StreamReply{Stream: in.Stream, Message: n.stamped(reply), Last: len(differing) == 0})
 }
 
-// replyToDigestDiff replies with this process's records in the buckets that differ. It schedules another
-// push-pull soon, until the views are equal.
+// replyToDigestDiff replies with this process's records in the buckets that differ. It also schedules the
+// next push-pull soon. This repeats until the views are equal.
 func (n *Node) replyToDigestDiff(in MessageReceived) {
 	if len(in.Buckets) == 0 || in.Stream == 0 {
 		return
@@ -46,7 +46,7 @@
 	n.emit(StreamReply{Stream: in.Stream, Message: n.stamped(reply), Last: true})
 }
 
-// recordsInBuckets returns the records in some buckets, this process's own included.
+// recordsInBuckets returns the records in the wanted buckets. This process's own record is included.
 func (n *Node) recordsInBuckets(wanted []int) (records []MemberRecord) {
 	var included [digestBuckets]bool
 	for _, bucket := range wanted {
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// receiveFromMember merges the records of a message and does what the message asks for. The sender is nil
-// if it was not known.
+// receiveFromMember merges the records of a message and does what the message asks for. sender is nil if
+// the view did not contain the sender before this message.
 func (n *Node) receiveFromMember(in MessageReceived, sender *member) {
 	from := in.From
 	wasLive := sender != nil && !sender.state.Ended()
--- a/internal/cluster/membership/record.go
+++ b/internal/cluster/membership/record.go
@@ -11,12 +11,12 @@
 // The states. Of two records of the same incarnation and refutations, the one with the later state is the
 // greater.
 const (
-	Joining  State = iota // it has not chosen its incarnation yet
-	Alive                 // it answers
-	Suspect               // a probe of it failed; only the member itself can refute that
-	Dead                  // it did not refute the suspicion before the deadline
-	Left                  // it has notified other members that it leaves
-	Replaced              // another process has its name
+	Joining  State = iota // the process has not chosen its incarnation yet
+	Alive                 // the process answers
+	Suspect               // a probe of the process failed; only the process itself can refute the suspicion
+	Dead                  // the process did not refute the suspicion before the deadline
+	Left                  // the process has notified other members that it leaves
+	Replaced              // another process has this process's name
 )
 
 // stateNames are the states as the console shows them.
@@ -36,7 +36,7 @@
 func (s State) Ended() bool { return s >= Dead }
 
 // Incarnation identifies one process of a member, or a process and its successors by hot restart. A
-// later one has a greater generation. The nonce distinguishes two processes that chose the same
+// later incarnation has a greater generation. The nonce distinguishes two processes that chose the same
 // generation concurrently.
 type Incarnation struct {
 	Generation uint64 `json:"incarnation"`
@@ -53,18 +53,18 @@
 // MemberRecord is the state of a member as another member, or the member itself, reports it.
 type MemberRecord struct {
 	Name   string
-	Addr   string // at which it receives datagrams and streams
+	Addr   string // at which the member receives datagrams and streams
 	Number int    // scheduler number in the settings; -1 for none
 	Incarnation
 	Refutations uint64 // of the present incarnation; only the member itself may increase it
 	State       State
 	ReportedBy  string
-	Age         uint64 // seconds since the process ended; not compared
+	Age         uint64 // seconds since the process ended; CompareRecords ignores it
 }
 
-// CompareRecords orders the records of one name. The greater one is newer, or reports a worse state of
-// the same incarnation and refutations. The other fields make the order total, so that equal views are
-// equal in every field.
+// CompareRecords orders the records of one name. The greater record is newer, or reports a later state of
+// the same incarnation and refutations. ReportedBy, Addr and Number make the order total, so that equal
+// views are equal in every field.
 func CompareRecords(a, b MemberRecord) int {
 	return cmp.Or(
 		compareState(a, b),
@@ -83,10 +83,10 @@
 	)
 }
 
-// JoinRecords returns the greater of two records of one name, or of equal ones the one with the greater
-// age. It is commutative, associative and idempotent, so that views that have received the same records
-// in any order are equal.
-func JoinRecords(a, b MemberRecord) MemberRecord {
+// GreaterRecord returns the greater of two records of one name. If they are equal, the result has the
+// greater age. The function is commutative, associative and idempotent, so views that have received the
+// same records are equal, whatever the order.
+func GreaterRecord(a, b MemberRecord) MemberRecord {
 	switch order := CompareRecords(a, b); {
 	case order < 0:
 		return b
--- a/internal/cluster/membership/record_test.go
+++ b/internal/cluster/membership/record_test.go
@@ -22,18 +22,18 @@
 	}
 }
 
-// Views converge after a network partition only if the order in which records arrive, and how often,
-// makes no difference.
-func TestJoinRecordsIsCommutativeAssociativeAndIdempotent(t *testing.T) {
+// Views converge after a network partition only if neither the order nor the repetition of records makes a
+// difference.
+func TestGreaterRecordIsCommutativeAssociativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawRecord(t, "a"), drawRecord(t, "b"), drawRecord(t, "c")
-		if JoinRecords(a, b) != JoinRecords(b, a) {
+		if GreaterRecord(a, b) != GreaterRecord(b, a) {
 			t.Fatal("not commutative")
 		}
-		if JoinRecords(a, a) != a {
+		if GreaterRecord(a, a) != a {
 			t.Fatal("not idempotent")
 		}
-		if JoinRecords(JoinRecords(a, b), c) != JoinRecords(a, JoinRecords(b, c)) {
+		if GreaterRecord(GreaterRecord(a, b), c) != GreaterRecord(a, GreaterRecord(b, c)) {
 			t.Fatal("not associative")
 		}
 	})
--- a/internal/cluster/membership/replay_window_test.go
+++ b/internal/cluster/membership/replay_window_test.go
@@ -13,7 +13,7 @@
 		{1 << 40, true}, {300, false},
 	} {
 		if got := w.accept(x.n); got != x.want {
-			t.Errorf("sequence number %d: accepted is %v, want the opposite", x.n, got)
+			t.Errorf("sequence number %d: accept returned %v, want the opposite", x.n, got)
 		}
 	}
 }
--- a/internal/cluster/membership/simulation/checks.go
+++ b/internal/cluster/membership/simulation/checks.go
@@ -7,11 +7,11 @@
 )
 
 // DeathReportGrace is how long two hosts must have been able to reach each other before a report that
-// one of them is dead counts as false: an earlier report may have been true, and it becomes a death only
-// after a suspicion of up to MaxSuspicion.
+// one of them is dead counts as false. A suspicion may have begun while they could not reach each other,
+// and it becomes a death only after up to MaxSuspicion.
 const DeathReportGrace = 15 * Second
 
-const maxViolations = 20 // that are recorded
+const maxViolations = 20 // violations that are recorded at most
 
 // observedState is the state of a name in a process's view.
 type observedState struct {
@@ -53,54 +53,55 @@
 	}
 }
 
-// checkDeath checks a report that a process is dead.
-func (c *Cluster) checkDeath(by, of *host, e membership.MemberChanged) {
-	if c.checksReachability() && c.responsive(of.index) {
-		unreachableAt := c.reachability.unreachableAt[by.index][of.index]
-		if c.Now()-max(unreachableAt, of.startedAt, by.startedAt) > DeathReportGrace {
-			c.violation("%s declares %s dead, as %s reports, but could reach it since %.3f s",
-				by.name, e.Name, e.ReportedBy, seconds(unreachableAt))
+// checkDeath checks the observer's report that a process, the subject, is dead.
+func (c *Cluster) checkDeath(observer, subject *host, e membership.MemberChanged) {
+	if c.checksReachability() && c.responsive(subject.index) {
+		unreachableAt := c.reachability.unreachableAt[observer.index][subject.index]
+		if c.Now()-max(unreachableAt, subject.startedAt, observer.startedAt) > DeathReportGrace {
+			c.violation("%s declares %s dead, as %s reports, but was last unable to reach it at %.3f s",
+				observer.name, e.Name, e.ReportedBy, seconds(unreachableAt))
 		}
 	}
-	if !of.running {
-		c.DetectionTimes = append(c.DetectionTimes, c.Now()-of.endedAt)
+	if !subject.running {
+		c.DetectionTimes = append(c.DetectionTimes, c.Now()-subject.endedAt)
 	}
 }
 
-// Disagreements returns the differences between the views of live processes that reach each other, and
-// between these views and the real states.
+// Disagreements returns the differences between the views of live processes that can reach each other, and
+// the differences between these views and the real states.
 func (c *Cluster) Disagreements() (found []string) {
-	for _, by := range c.hosts {
-		if !by.live() {
+	for _, observer := range c.hosts {
+		if !observer.live() {
 			continue
 		}
-		for _, of := range c.hosts {
-			if by != of && !c.nameTaken(of) {
-				found = append(found, c.disagreementsOf(by, of)...)
+		for _, subject := range c.hosts {
+			if observer != subject && !c.nameTaken(subject) {
+				found = append(found, c.disagreementsOf(observer, subject)...)
 			}
 		}
 	}
 	return found
 }
 
-func (c *Cluster) disagreementsOf(by, of *host) (found []string) {
-	observed := by.observed[of.name]
-	reachable := c.mutuallyReachable(by.index, of.index)
-	observedAlive := observed.state == membership.Alive && observed.incarnation.Nonce == of.nonce
+func (c *Cluster) disagreementsOf(observer, subject *host) (found []string) {
+	observed := observer.observed[subject.name]
+	reachable := c.mutuallyReachable(observer.index, subject.index)
+	observedAlive := observed.state == membership.Alive && observed.incarnation.Nonce == subject.nonce
 	observedLive := observed.state != membership.Joining && !observed.state.Ended()
 	switch {
-	case of.live() && reachable && !observedAlive:
-		found = append(found, fmt.Sprintf("%s reports %s %v, but it is alive", by.name, of.name, observed.state))
-	case !of.running && of.node != nil && observedLive:
-		found = append(found, fmt.Sprintf("%s reports %s %v, but it has ended", by.name, of.name, observed.state))
+	case subject.live() && reachable && !observedAlive:
+		found = append(found, fmt.Sprintf("%s reports %s %v, but it is alive", observer.name, subject.name, observed.state))
+	case !subject.running && subject.node != nil && observedLive:
+		found = append(found, fmt.Sprintf("%s reports %s %v, but it has ended", observer.name, subject.name, observed.state))
 	}
-	if by.index < of.index && reachable && by.node.Digest() != of.node.Digest() {
-		found = append(found, fmt.Sprintf("the digests of %s and %s differ", by.name, of.name))
+	if observer.index < subject.index && reachable && observer.node.Digest() != subject.node.Digest() {
+		found = append(found, fmt.Sprintf("the digests of %s and %s differ", observer.name, subject.name))
 	}
 	return found
 }
 
-// nameTaken reports whether a later process of the same name runs at another host.
+// nameTaken reports whether another host has the name of h: a process of that name runs there, and it
+// started later than the process of h, or h runs no member.
 func (c *Cluster) nameTaken(h *host) bool {
 	for _, other := range c.byName[h.name] {
 		if other == h || !other.running || other.stopped {
--- a/internal/cluster/membership/simulation/figures_test.go
+++ b/internal/cluster/membership/simulation/figures_test.go
@@ -16,7 +16,7 @@
 	return float64(values[min(int(q*float64(len(values))), len(values)-1)]) / float64(Second)
 }
 
-// measurements are the results of several runs of one size.
+// measurements are the results of several runs of one cluster size.
 type measurements struct {
 	detectionTimes []Time  // from each death to its report, for each view
 	recoveryTimes  []Time  // from the end of each partition to equal views
--- a/internal/cluster/membership/simulation/network.go
+++ b/internal/cluster/membership/simulation/network.go
@@ -12,13 +12,13 @@
 type LinkConditions struct {
 	Loss          float64 // probability that a datagram is lost
 	Dup           float64 // probability that a datagram is delivered twice
-	Delay, Jitter Time    // a datagram takes Delay and up to Jitter
+	Delay, Jitter Time    // a datagram takes from Delay to Delay + Jitter
 }
 
 // Traffic counts the messages that were sent.
 type Traffic struct {
 	Sent  int64 // datagrams and messages on streams
-	Bytes int64 // of these messages, estimated
+	Bytes int64 // estimated size of these messages
 	Kinds map[membership.Kind]int64
 }
 
@@ -124,8 +124,8 @@
 	c.sendOnStream(from, to, reply.Stream, reply.Message)
 }
 
-// sendOnStream delivers a complete message or nothing. The message takes longer than a datagram, and
-// longer still for each part that is lost and retransmitted.
+// sendOnStream delivers a complete message or nothing. A message takes longer than a datagram, and each
+// part that is lost and retransmitted adds streamRetransmit.
 func (c *Cluster) sendOnStream(from, to *host, id uint64, message membership.Message) {
 	c.countSent(message)
 	delay := 3*c.Conditions.Delay + Time(float64(3*c.Conditions.Jitter)*c.rand.Float64())
--- a/internal/cluster/membership/simulation/reachability.go
+++ b/internal/cluster/membership/simulation/reachability.go
@@ -3,7 +3,8 @@
 import "math"
 
 // maxCheckedHosts is the greatest number of hosts for which reachability is recorded, because the work
-// grows with the square of that number. Larger clusters are checked for the detection of deaths alone.
+// grows with the square of that number. In larger clusters, reports of deaths are not checked for being
+// false.
 const maxCheckedHosts = 64
 
 const longAgo = math.MinInt32
@@ -14,7 +15,7 @@
 	unreachableAt [][]Time
 }
 
-// addHost adds a host.
+// addHost adds a host that every other host could always reach.
 func (r *reachability) addHost() {
 	for i := range r.unreachableAt {
 		r.unreachableAt[i] = append(r.unreachableAt[i], longAgo)
@@ -31,7 +32,7 @@
 	r.unreachableAt[j][i] = now
 }
 
-// markUnreachable records that a host was not reachable from any other until now.
+// markUnreachable records that no other host could reach a host until now.
 func (r *reachability) markUnreachable(index int, now Time) {
 	for other := range r.unreachableAt {
 		r.mark(index, other, now)
@@ -41,7 +42,7 @@
 func (c *Cluster) checksReachability() bool { return len(c.hosts) <= maxCheckedHosts }
 
 // responsive reports whether the process of a host counts as answering. A pause up to MaxPause is
-// ignored, as members promise not to report it as a death.
+// ignored, because members must not report a death after such a pause.
 func (c *Cluster) responsive(index int) bool {
 	h := c.hosts[index]
 	pausedTooLong := h.paused && c.Now()-h.pausedAt > c.MaxPause
--- a/internal/cluster/membership/simulation/simulation.go
+++ b/internal/cluster/membership/simulation/simulation.go
@@ -1,6 +1,6 @@
 // Package simulation runs a complete cluster of membership nodes under one seed in virtual time: links
-// with loss, delay and cuts in either direction, and processes that pause, crash, leave and restart. It
-// knows the real state at each moment and checks every view against it.
+// with loss, delay and cuts in either direction, and processes that pause, crash, leave and restart. The
+// simulation knows the real state of each process, and checks every view against these states.
 package simulation
 
 import (
@@ -23,12 +23,12 @@
 const (
 	clusterName     = "swarm"
 	randomStream    = 0x737761726d // separates these random draws from others with the same seed
-	maxQueuedInputs = 400          // that a socket buffers for a paused process
+	maxQueuedInputs = 400          // inputs that a socket buffers for a paused process
 )
 
 // Hooks are called while a cluster runs. The zero value calls nothing.
 type Hooks struct {
-	OnChange   func(at Time, by, of string, state membership.State) // in the view of by, of has a new state
+	OnChange   func(at Time, observer, subject string, state membership.State) // in the observer's view
 	OnSend     func(membership.Message)
 	AroundStep func(step func()) // must call step, which passes an input to a node
 }
@@ -38,13 +38,13 @@
 	simclock.Clock[Time]
 	Hooks
 	Traffic
-	Config     membership.Config // of all processes, without the fields that identify one
+	Config     membership.Config // of all processes; the fields that identify a process are not set
 	Conditions LinkConditions
 	Seeds      []string
 	MaxPause   Time // a pause up to this long must not be reported as a death
 
 	Violations     []string // of the guarantees of membership
-	DetectionTimes []Time   // of each true report of a death, the time since the death
+	DetectionTimes []Time   // times from a death to each report of it
 
 	rand         *rand.Rand
 	hosts        []*host
@@ -66,14 +66,14 @@
 	endedAt       Time
 	paused        bool
 	pausedAt      Time
-	queuedInputs  []membership.Input       // that arrived while it was paused
+	queuedInputs  []membership.Input       // inputs that arrived while the process was paused
 	scheduledTick Time                     // time of the latest scheduled tick; 0 for none
 	joined        bool                     // the node has reported Joined
 	stopped       bool                     // the node has reported Stopped: it was replaced, or it has left
 	observed      map[string]observedState // the state of each name in its view
 }
 
-// live reports whether a process runs, is not paused, and has not stopped by itself.
+// live reports whether a process runs, is not paused, and has not reported Stopped.
 func (h *host) live() bool { return h.running && !h.stopped && !h.paused }
 
 // New returns a cluster of count hosts with different names. No process runs yet.
@@ -155,7 +155,7 @@
 // Leave makes a process notify the other members that it leaves, and end.
 func (c *Cluster) Leave(index int) { c.feed(c.hosts[index], membership.LeaveRequested{}) }
 
-// Pause stops a process, which does not notice it, until Resume.
+// Pause suspends a process until Resume. The process is not notified.
 func (c *Cluster) Pause(index int) {
 	h := c.hosts[index]
 	h.paused = true
@@ -209,8 +209,8 @@
 	return effects
 }
 
-// scheduleTick schedules the next tick of a node. If an earlier one is scheduled already, that one
-// schedules the next.
+// scheduleTick schedules the next tick of a node. If an earlier tick is scheduled already, that tick
+// schedules the next one.
 func (c *Cluster) scheduleTick(h *host, node *membership.Node) {
 	at := node.NextTick()
 	if h.scheduledTick > c.Now() && h.scheduledTick <= at {
@@ -267,7 +267,7 @@
 	return c.hosts[index].observed[name].state
 }
 
-// Rand returns the source of random numbers, for faults.
+// Rand returns the cluster's source of random numbers, from which callers draw faults.
 func (c *Cluster) Rand() *rand.Rand { return c.rand }
 
 // Size returns the number of hosts.
--- a/internal/cluster/membership/simulation/simulation_test.go
+++ b/internal/cluster/membership/simulation/simulation_test.go
@@ -10,7 +10,7 @@
 	"woaddyke/internal/cluster/membership"
 )
 
-const maxReported = 5 // disagreements of one run
+const maxReported = 5 // disagreements that are printed for one run
 
 // seedList returns the seeds 1 to count, or only the one in the environment variable SEED, to repeat a
 // failed run.
@@ -66,7 +66,7 @@
 				c.Run(c.Now() + 5*Second)
 				for i := range n - 1 {
 					if got := c.StateOf(i, name(n-1)); got != membership.Dead {
-						t.Errorf("host %d reports it %v after 5 s, want dead", i, got)
+						t.Errorf("host %d reports the killed member %v after 5 s, want dead", i, got)
 					}
 				}
 			})
@@ -77,10 +77,10 @@
 func name(i int) string { return fmt.Sprintf("n%03d", i) }
 
 // requireState fails the test unless a name has a state in the view of a host's process.
-func requireState(t *testing.T, c *Cluster, i int, of string, want membership.State) {
+func requireState(t *testing.T, c *Cluster, i int, subject string, want membership.State) {
 	t.Helper()
-	if got := c.StateOf(i, of); got != want {
-		t.Errorf("at %.1f s host %d reports %s %v, want %v", float64(c.Now())/float64(Second), i, of, got, want)
+	if got := c.StateOf(i, subject); got != want {
+		t.Errorf("at %.1f s host %d reports %s %v, want %v", float64(c.Now())/float64(Second), i, subject, got, want)
 	}
 }
 
@@ -95,8 +95,8 @@
 	return &deaths
 }
 
-// A pause up to MaxPause must not be reported as a death; a longer one must be. The process that resumes
-// learns that it was declared dead before it sends anything else, so it must not suspect others.
+// A pause up to MaxPause must not be reported as a death; a longer pause must be. The process that resumes
+// learns that it was declared dead before it sends anything else, so it must not suspect other members.
 func TestOnlyAPauseLongerThanMaxPauseIsADeath(t *testing.T) {
 	for _, x := range []struct {
 		ms   Time
@@ -108,30 +108,30 @@
 				c.Pause(2)
 				c.Run(c.Now() + x.ms*Millisecond)
 				if (*deaths > 0) != x.dead {
-					t.Errorf("declared dead %d times, want some only after a pause beyond MaxPause", *deaths)
+					t.Errorf("%d deaths are declared, want some only after a pause longer than MaxPause", *deaths)
 				}
 				*deaths = 0
 				suspicions := 0
-				c.OnChange = func(_ Time, _, of string, state membership.State) {
-					if state == membership.Dead || state == membership.Suspect && of != name(2) {
+				c.OnChange = func(_ Time, _, subject string, state membership.State) {
+					if state == membership.Dead || state == membership.Suspect && subject != name(2) {
 						suspicions++
 					}
 				}
 				c.Resume(2)
 				c.Run(c.Now() + 4*Second)
 				if suspicions > 0 {
-					t.Errorf("after it resumed, %d suspicions of others or deaths are reported", suspicions)
+					t.Errorf("after it resumed, %d suspicions of other members or deaths are reported", suspicions)
 				}
 				if *deaths > 0 {
-					t.Errorf("after it resumed, %d are declared dead", *deaths)
+					t.Errorf("after it resumed, %d deaths are declared", *deaths)
 				}
 			})
 		})
 	}
 }
 
-// A machine that sleeps pauses all its processes together. When they resume, none may declare another
-// dead or wait for another for ever.
+// A machine that is suspended pauses all its processes together. When they resume, no process may declare
+// another one dead or wait for another one for ever.
 func TestPausingAllMembersDeclaresNobodyDead(t *testing.T) {
 	runScenario(t, 5, 40, func(c *Cluster) {
 		deaths := countDead(c)
@@ -144,7 +144,7 @@
 		}
 		c.Run(c.Now() + 5*Second)
 		if *deaths > 0 {
-			t.Errorf("%d are declared dead", *deaths)
+			t.Errorf("%d deaths are declared", *deaths)
 		}
 	})
 }
@@ -192,7 +192,7 @@
 			t.Log(c.Kinds)
 		}
 		if *deaths > 0 {
-			t.Errorf("%d are declared dead", *deaths)
+			t.Errorf("%d deaths are declared", *deaths)
 		}
 		c.Conditions = LinkConditions{Delay: 2}
 		c.Run(c.Now() + 30*Second)
@@ -207,7 +207,7 @@
 		c.Cut(0, 1, true)
 		c.Run(c.Now() + 60*Second)
 		if *deaths > 0 {
-			t.Errorf("%d are declared dead", *deaths)
+			t.Errorf("%d deaths are declared", *deaths)
 		}
 		for _, v := range c.Member(0).View() {
 			if v.Name == name(1) && v.Reachable {
@@ -230,7 +230,7 @@
 				}
 				c.Run(c.Now() + 60*Second)
 				if *deaths > 0 {
-					t.Errorf("%d are declared dead", *deaths)
+					t.Errorf("%d deaths are declared", *deaths)
 				}
 				for i := range 3 {
 					c.Cut(4, i, false)
@@ -249,7 +249,9 @@
 		t.Run(fmt.Sprint("outbound cut ", outbound), func(t *testing.T) {
 			runScenario(t, 5, 20, func(c *Cluster) {
 				changes := map[string]int{}
-				c.OnChange = func(_ Time, by, of string, state membership.State) { changes[fmt.Sprint(by, of, state)]++ }
+				c.OnChange = func(_ Time, observer, subject string, state membership.State) {
+					changes[fmt.Sprint(observer, subject, state)]++
+				}
 				for i := range 4 {
 					if c.Cut(4, i, outbound); !outbound {
 						c.Cut(i, 4, true)
@@ -286,7 +288,7 @@
 		c.Partition([]int{0}, []int{1}, true)
 		c.Run(c.Now() + 60*Second)
 		if *deaths > 0 {
-			t.Errorf("%d are declared dead", *deaths)
+			t.Errorf("%d deaths are declared", *deaths)
 		}
 		c.Partition([]int{0}, []int{1}, false)
 		c.Run(c.Now() + 15*Second)
@@ -336,7 +338,7 @@
 			c.Run(c.Now() + 700*Millisecond)
 		}
 		if *deaths > 0 {
-			t.Errorf("%d are declared dead", *deaths)
+			t.Errorf("%d deaths are declared", *deaths)
 		}
 		c.Run(c.Now() + 5*Second)
 	})
@@ -371,7 +373,7 @@
 				c.Resume(3)
 				c.Run(c.Now() + 5*Second)
 				if status := c.Member(3).Status(); status.State != membership.Replaced {
-					t.Errorf("the first is %v", status.State)
+					t.Errorf("the first process is %v", status.State)
 				}
 				if status := c.Member(replacement).Status(); status.State != membership.Alive || status.Generation != 2 {
 					t.Errorf("the later process is %v, incarnation %d", status.State, status.Generation)
@@ -381,7 +383,7 @@
 	}
 }
 
-// Of two processes that use one name the later one must keep it, and the first must return when the
+// If two processes use one name, the later process must keep the name. The first must return when the
 // later one has left.
 func TestTheLaterOfTwoProcessesKeepsTheName(t *testing.T) {
 	runScenario(t, 4, 20, func(c *Cluster) {
@@ -389,21 +391,22 @@
 		c.Start(later)
 		c.Run(c.Now() + 3*Second)
 		if status := c.Member(3).Status(); status.State != membership.Replaced {
-			t.Errorf("the first is %v", status.State)
+			t.Errorf("the first process is %v", status.State)
 		}
 		c.Leave(later)
 		c.Run(c.Now() + 8*Second)
 		if status := c.Member(3).Status(); status.State != membership.Alive || status.Generation != 3 {
-			t.Errorf("the first is %v, incarnation %d", status.State, status.Generation)
+			t.Errorf("the first process is %v, incarnation %d", status.State, status.Generation)
 		}
 	})
 }
 
-// After a restart of the complete cluster no member knows the earlier incarnations. A process that was
-// paused before the restart must be replaced when it resumes, although its incarnation is greater.
+// After a restart of the complete cluster the new processes do not know the earlier incarnations. A process
+// that was paused during the restart must be replaced by the new process of its name when it resumes,
+// although its incarnation is greater than that of the new process.
 func TestAPausedProcessIsReplacedAfterAClusterRestart(t *testing.T) {
 	runScenario(t, 4, 20, func(c *Cluster) {
-		for range 3 { // so that the paused process has the greater incarnation
+		for range 3 { // so that the paused process has a greater incarnation than the new one
 			c.Kill(3)
 			c.Run(c.Now() + Second)
 			c.Start(3)
@@ -420,7 +423,7 @@
 			c.Start(i)
 		}
 		c.Run(c.Now() + 5*Second)
-		c.Resume(2) // it remembers the old incarnation
+		c.Resume(2) // process 2 still knows the earlier incarnation of process 3
 		c.Run(c.Now() + 3*Second)
 		c.Resume(3)
 		c.Run(c.Now() + 8*Second)
@@ -442,8 +445,8 @@
 	})
 }
 
-// A leave that is received must be known to all members within a second; one whose messages are lost
-// must end in a death.
+// If leave notices arrive, all members must know of the leave within a second. If they are lost, the member
+// must be declared dead.
 func TestALeaveReachesAllOrEndsInADeath(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		t.Run(fmt.Sprint("lost ", lost), func(t *testing.T) {
@@ -474,7 +477,7 @@
 		c.Run(c.Now() + 6*Second)
 		joiner := c.AddHost("late")
 		c.Start(joiner)
-		c.Run(c.Now() + 5*Second) // it finds no live seed
+		c.Run(c.Now() + 5*Second) // the joiner finds no live seed
 		c.Start(1)
 		c.Run(c.Now() + 6*Second)
 		requireState(t, c, joiner, name(4), membership.Alive)
@@ -511,8 +514,8 @@
 	})
 }
 
-// Under random faults, in sequence and together, the cluster checks the guarantees of membership. PLAYS
-// sets the number of seeds.
+// The guarantees of membership must hold under random faults, which happen in sequence and at the same
+// time. PLAYS sets the number of seeds.
 func TestRandomFaults(t *testing.T) {
 	runs := 60
 	if v, err := strconv.Atoi(os.Getenv("PLAYS")); err == nil {
--- a/internal/cluster/membership/status.go
+++ b/internal/cluster/membership/status.go
@@ -10,9 +10,9 @@
 	Refutations uint64 `json:"turn"`
 	ReportedBy  string `json:"by"`        // the member that reported the state
 	Since       Time   `json:"-"`         // when the state began in this process's view
-	RTT         Time   `json:"-"`         // 0 if not known
-	Reachable   bool   `json:"reachable"` // from this process, directly
-	Private     bool   `json:"private"`   // found while this process was isolated, and not reported
+	RTT         Time   `json:"-"`         // round-trip time; 0 if not known
+	Reachable   bool   `json:"reachable"` // the member answers this process directly
+	Private     bool   `json:"private"`   // found by this process while isolated, and not reported to others
 }
 
 // LocalStatus is the status of a process itself.
@@ -23,8 +23,8 @@
 	Incarnation
 	Refutations uint64            `json:"turn"`
 	Live        int               `json:"live"` // other members that are alive or suspect
-	Isolated    bool              `json:"deaf"` // a probe failed, and no message has arrived since it was sent
-	CatchingUp  bool              `json:"asks"` // it was stopped, and does not know yet what it missed
+	Isolated    bool              `json:"deaf"` // no message has arrived since a failed probe was sent
+	CatchingUp  bool              `json:"asks"` // it was paused, and does not know yet what it missed
 	Loss        float64           `json:"loss"` // fraction of direct pings of live members that were lost
 	Lateness    Time              `json:"-"`    // of the latest late tick
 	MaxLateness Time              `json:"-"`
@@ -64,7 +64,7 @@
 // Self returns this process's own record.
 func (n *Node) Self() MemberRecord { return n.self }
 
-// CatchingUp reports whether this process was stopped for long, and does not know yet what it missed.
+// CatchingUp reports whether this process was paused for long, and does not know yet what it missed.
 func (n *Node) CatchingUp() bool { return n.phase == catchingUp }
 
 // Status returns the status of this process itself.
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// suspicion is the time in which a suspect member can refute. Confirmations of other members shorten it,
-// as in Lifeguard.
+// suspicion is the state of a suspicion. The suspect has a limited time to refute it. As in Lifeguard,
+// confirmations of other members shorten that time.
 type suspicion struct {
 	startedAt      Time
-	confirmations  []string // names of the members that reported it, the first of them included
+	confirmations  []string // names of the members that reported the suspicion, its first reporter included
 	foundLocally   bool     // by a probe of this process, not only by a report
 	reportedDead   bool     // another member reports the member dead
 	finalProbeSent bool
@@ -25,8 +25,8 @@
 	return deadline
 }
 
-// suspicionSpan returns how long a suspicion lasts. It falls from MaxSuspicion to MinSuspicion with the
-// logarithm of the confirmations.
+// suspicionSpan returns how long a suspicion lasts. The time falls from MaxSuspicion to MinSuspicion with
+// the logarithm of the number of confirmations.
 func (n *Node) suspicionSpan(s *suspicion) float64 {
 	shortest, longest := float64(n.config.MinSuspicion), float64(n.config.MaxSuspicion)
 	possible := min(maxConfirmations, len(n.members.live)-2) // without the suspect and its first reporter
@@ -38,7 +38,7 @@
 	return longest - fraction*(longest-shortest)
 }
 
-// confirmSuspicion counts a further member that reports the suspicion.
+// confirmSuspicion adds a member that also reports the suspicion, and gossips its report.
 func (n *Node) confirmSuspicion(m *member, reporter string) {
 	if m.state != Suspect || len(m.suspicion.confirmations) > maxConfirmations ||
 		slices.Contains(m.suspicion.confirmations, reporter) {
@@ -51,8 +51,8 @@
 	n.enqueue(record)
 }
 
-// checkSuspects declares the suspects dead whose deadline has passed, and probes those once more whose
-// deadline is near.
+// checkSuspects declares a suspect dead when its deadline has passed. If this process has found the
+// suspicion itself, it probes the suspect once more before the deadline.
 func (n *Node) checkSuspects() {
 	for _, m := range slices.Clone(n.members.suspects) {
 		deadline := n.suspicionDeadline(m)
@@ -79,7 +79,7 @@
 	n.markDead(m)
 }
 
-// probeFailed handles a probe without an ack, direct or through an indirect ping.
+// probeFailed handles a probe that received no ack, neither directly nor through an indirect ping.
 func (n *Node) probeFailed(m *member) {
 	m.unansweredPings++
 	switch {
--- a/internal/cluster/membership/suspicion_test.go
+++ b/internal/cluster/membership/suspicion_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A suspicion that other members confirm must end earlier; without confirmations the member must have
-// MaxSuspicion to refute it.
+// Each confirmation by another member must shorten a suspicion. Without confirmations the suspect must
+// have MaxSuspicion to refute it.
 func TestConfirmationsShortenASuspicion(t *testing.T) {
 	n, m := newPeerInState(t, Alive)
 	for _, name := range []string{"c", "d", "e", "f"} {
@@ -12,18 +12,18 @@
 	n.probeFailed(m)
 	span := func() Time { return n.suspicionDeadline(m) - m.suspicion.startedAt }
 	if got := span(); got != n.config.MaxSuspicion {
-		t.Errorf("without a confirmation it lasts %v, want %v", got.Duration(), n.config.MaxSuspicion.Duration())
+		t.Errorf("without a confirmation the span is %v, want %v", got.Duration(), n.config.MaxSuspicion.Duration())
 	}
 	before := span()
 	for _, reporter := range []string{"c", "d", "e"} {
 		n.confirmSuspicion(m, reporter)
 		if got := span(); got >= before {
-			t.Errorf("with %s's confirmation it lasts %v, before %v", reporter, got.Duration(), before.Duration())
+			t.Errorf("with %s's confirmation the span is %v, before %v", reporter, got.Duration(), before.Duration())
 		}
 		before = span()
 	}
 	if before != n.config.MinSuspicion {
-		t.Errorf("with all of them it lasts %v, want %v", before.Duration(), n.config.MinSuspicion.Duration())
+		t.Errorf("with all confirmations the span is %v, want %v", before.Duration(), n.config.MinSuspicion.Duration())
 	}
 	n.confirmSuspicion(m, "e")
 	n.confirmSuspicion(m, "f")
--- a/internal/cluster/membership/timers.go
+++ b/internal/cluster/membership/timers.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// nextDue returns when the next timer of the present phase is due, which is later than now.
+// nextDue returns when the next timer of the present phase is due. The result is later than now.
 func (n *Node) nextDue() Time {
 	due := n.now + second
 	switch n.phase {
@@ -74,7 +74,7 @@
 	return min(due, n.nextProbeTimer(), n.nextSuspicionTimer())
 }
 
-// nextProbeTimer returns when an open probe is due to be escalated or given up.
+// nextProbeTimer returns when the next open probe must be escalated or times out.
 func (n *Node) nextProbeTimer() Time {
 	due := Time(math.MaxInt64)
 	for _, p := range n.detector.probes {
@@ -91,7 +91,7 @@
 	return due
 }
 
-// nextSuspicionTimer returns when a suspicion ends or a final probe is due.
+// nextSuspicionTimer returns when the next suspicion ends or the next final probe is due.
 func (n *Node) nextSuspicionTimer() Time {
 	due := Time(math.MaxInt64)
 	for _, m := range n.members.suspects {
