--- a/internal/cluster/mesh/bench_test.go
+++ b/internal/cluster/mesh/bench_test.go
@@ -16,20 +16,20 @@
 	"woaddyke/internal/cluster/operatorstate"
 )
 
-// ipUDPHeaderBytes are what IP and UDP put before a datagram.
+// ipUDPHeaderBytes is the size of the IP and UDP headers of a datagram.
 const ipUDPHeaderBytes = 20 + 8
 
-// wireBytes is what a message takes on the wire, as this package words it. A play's addresses are shorter
-// than real ones.
+// wireBytes returns the size of a message on the wire. It replaces the short names and addresses of the
+// simulation by names and addresses of realistic length.
 func wireBytes(b *testing.B, x membership.Message) int64 {
-	text, err := encode(withRealisticNames(x))
+	text, err := encode(withDeploymentNames(x))
 	if err != nil {
 		b.Fatal(err)
 	}
 	return int64(len(text) + ipUDPHeaderBytes)
 }
 
-// seedFromEnv is what a cluster is drawn from: SEED, or 1.
+// seedFromEnv returns the seed of a simulated cluster: SEED, or 1.
 func seedFromEnv() uint64 {
 	if v, err := strconv.ParseUint(os.Getenv("SEED"), 10, 64); err == nil {
 		return v
@@ -37,13 +37,13 @@
 	return 1
 }
 
-const realAddr = "10.101.102.103:7946"
+const deploymentAddr = "10.101.102.103:7946"
 
-// realRecord is a record as of a real deployment.
-func realRecord() membership.MemberRecord {
+// deploymentRecord returns a record with the names and numbers of a real deployment.
+func deploymentRecord() membership.MemberRecord {
 	return membership.MemberRecord{
 		Name:        "scheduler-0001",
-		Addr:        realAddr,
+		Addr:        deploymentAddr,
 		Number:      1,
 		Incarnation: membership.Incarnation{Generation: 3, Nonce: 1 << 60},
 		State:       membership.Alive,
@@ -51,32 +51,31 @@
 	}
 }
 
-// withRealisticNames is a message as of a real deployment, with names and addresses as long as they are
-// there.
-func withRealisticNames(x membership.Message) membership.Message {
-	one := func(c membership.MemberRecord) membership.MemberRecord {
-		c.Name, c.Addr = "scheduler-"+c.Name, realAddr
-		if c.ReportedBy != "" {
-			c.ReportedBy = "scheduler-" + c.ReportedBy
+// withDeploymentNames returns a message with names and addresses as long as in a real deployment.
+func withDeploymentNames(x membership.Message) membership.Message {
+	lengthen := func(record membership.MemberRecord) membership.MemberRecord {
+		record.Name, record.Addr = "scheduler-"+record.Name, deploymentAddr
+		if record.ReportedBy != "" {
+			record.ReportedBy = "scheduler-" + record.ReportedBy
 		}
-		return c
+		return record
 	}
-	x.From = one(x.From)
+	x.From = lengthen(x.From)
 	if x.Target != "" {
 		x.Target = "scheduler-" + x.Target
 	}
-	claims := x.Records
+	records := x.Records
 	x.Records = nil
-	for _, c := range claims {
-		x.Records = append(x.Records, one(c))
+	for _, record := range records {
+		x.Records = append(x.Records, lengthen(record))
 	}
 	return x
 }
 
-// BenchmarkMember is what a member costs while nothing happens, for each virtual second: bytes sent as they
-// are on the wire, messages, and the time its core takes. One member sends as many as it hears, in the
-// mean.
-func BenchmarkMember(b *testing.B) {
+// BenchmarkIdleMember measures a member of a cluster without events, per virtual second: bytes sent on the
+// wire, messages sent, and the time that the membership core takes. On average, a member receives as many
+// messages as it sends.
+func BenchmarkIdleMember(b *testing.B) {
 	for _, n := range []int{5, 20, 100, 300, 1_000, 2_000} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			for range b.N {
@@ -84,24 +83,24 @@
 				var bytes, messages int64
 				var core time.Duration
 				s.OnSend = func(x membership.Message) { bytes, messages = bytes+wireBytes(b, x), messages+1 }
-				s.AroundStep = func(take func()) {
-					from := time.Now()
-					take()
-					core += time.Since(from)
+				s.AroundStep = func(step func()) {
+					start := time.Now()
+					step()
+					core += time.Since(start)
 				}
 				const span = 3
 				s.Run(s.Now() + span*simulation.Second)
 				runtime.KeepAlive(s)
-				each := float64(n * span)
-				b.ReportMetric(float64(bytes)/each, "B/member-s")
-				b.ReportMetric(float64(messages)/each, "messages/member-s")
-				b.ReportMetric(float64(core.Microseconds())/each, "core-us/member-s")
+				memberSeconds := float64(n * span)
+				b.ReportMetric(float64(bytes)/memberSeconds, "B/member-s")
+				b.ReportMetric(float64(messages)/memberSeconds, "messages/member-s")
+				b.ReportMetric(float64(core.Microseconds())/memberSeconds, "core-us/member-s")
 			}
 		})
 	}
 }
 
-// settledCluster is a swarm of so many members that have been here for a while.
+// settledCluster returns a simulated cluster of n members that have run for 20 s.
 func settledCluster(n int) *simulation.Cluster {
 	s := simulation.New(n, seedFromEnv())
 	for i := range n {
@@ -111,8 +110,8 @@
 	return s
 }
 
-// BenchmarkRestart is what the restart of a part of the members costs those that stay: bytes sent by one of
-// them, by each restart.
+// BenchmarkRestart measures the restart of one in 14 members: the additional bytes that a member sends per
+// restarted member.
 func BenchmarkRestart(b *testing.B) {
 	for _, n := range []int{100, 300, 1_000} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
@@ -122,32 +121,32 @@
 				s.OnSend = func(x membership.Message) { bytes += wireBytes(b, x) }
 				const span = 20
 				s.Run(s.Now() + span*simulation.Second)
-				calm := bytes
+				idleBytes := bytes
 				bytes = 0
-				gone := n / 14 // a zone's
-				for i := range gone {
+				restarted := n / 14 // members of a zone
+				for i := range restarted {
 					s.Kill(n - 1 - i)
 				}
 				s.At(s.Now()+simulation.Second/2, func() {
-					for i := range gone {
+					for i := range restarted {
 						s.Start(n - 1 - i)
 					}
 				})
 				s.Run(s.Now() + span*simulation.Second)
-				b.ReportMetric(float64(bytes-calm)/float64(n)/float64(gone), "B/member-restart")
+				b.ReportMetric(float64(bytes-idleBytes)/float64(n)/float64(restarted), "B/member-restart")
 				b.ReportMetric(float64(bytes)/float64(n)/span, "B/member-s")
-				if wrong := s.Disagreements(); len(wrong) > 0 {
-					b.Log("not settled: ", len(wrong))
+				if disagreements := s.Disagreements(); len(disagreements) > 0 {
+					b.Log("disagreements after the run: ", len(disagreements))
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkParted is what it costs a member that a region of a quarter of them is cut off for five minutes,
-// and is back: bytes sent while they are parted and in the minute after, over what goes on at rest, by each
-// that was lost and found again.
-func BenchmarkParted(b *testing.B) {
+// BenchmarkPartition cuts a quarter of the members off for five minutes. It measures the bytes per second
+// that a member sends before the partition, in the first 20 s of the partition, in the rest of it and in the
+// minute after it. It also measures the time from the end of the partition until all views agree.
+func BenchmarkPartition(b *testing.B) {
 	for _, n := range []int{40, 100, 200} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			for range b.N {
@@ -155,33 +154,33 @@
 				var bytes int64
 				s.OnSend = func(x membership.Message) { bytes += wireBytes(b, x) }
 				s.Run(s.Now() + 20*simulation.Second)
-				calm := float64(bytes) / float64(n) / 20
-				var few, others []int
+				idleRate := float64(bytes) / float64(n) / 20
+				var minority, majority []int
 				for i := range n {
 					if i%4 == 3 {
-						few = append(few, i)
+						minority = append(minority, i)
 					} else {
-						others = append(others, i)
+						majority = append(majority, i)
 					}
 				}
-				s.Partition(few, others, true)
+				s.Partition(minority, majority, true)
 				bytes = 0
 				s.Run(s.Now() + 20*simulation.Second)
-				found := float64(bytes) / float64(n) / 20
+				detectionRate := float64(bytes) / float64(n) / 20
 				bytes = 0
 				s.Run(s.Now() + 280*simulation.Second)
-				parted := float64(bytes) / float64(n) / 280
-				s.Partition(few, others, false)
+				partitionRate := float64(bytes) / float64(n) / 280
+				s.Partition(minority, majority, false)
 				bytes = 0
-				at, settled := s.Now(), simulation.Time(0)
-				for s.Now()-at < 60*simulation.Second {
+				healedAt, settled := s.Now(), simulation.Time(0)
+				for s.Now()-healedAt < 60*simulation.Second {
 					if s.Run(s.Now() + simulation.Second); settled == 0 && len(s.Disagreements()) == 0 {
-						settled = s.Now() - at
+						settled = s.Now() - healedAt
 					}
 				}
-				b.ReportMetric(calm, "calm-B/member-s")
-				b.ReportMetric(found, "first-20s-B/member-s")
-				b.ReportMetric(parted, "parted-B/member-s")
+				b.ReportMetric(idleRate, "calm-B/member-s")
+				b.ReportMetric(detectionRate, "first-20s-B/member-s")
+				b.ReportMetric(partitionRate, "parted-B/member-s")
 				b.ReportMetric(float64(bytes)/float64(n)/60, "60s-after-B/member-s")
 				b.ReportMetric(float64(settled)/float64(simulation.Second), "s-to-one-view")
 			}
@@ -189,11 +188,13 @@
 	}
 }
 
-// BenchmarkView is what a member keeps of the others, and what its core takes to have them all from one.
+// BenchmarkView measures the memory that a member needs for its view, and the time that its core takes to
+// learn all members from one message. It also measures the size of the view on the wire and in the console's
+// JSON.
 func BenchmarkView(b *testing.B) {
 	for _, n := range []int{300, 1_000, 6_300} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			live := func() uint64 {
+			heapBytes := func() uint64 {
 				runtime.GC()
 				runtime.GC()
 				var m runtime.MemStats
@@ -216,46 +217,52 @@
 			config.Nonce, config.MaxMembers = 7, 2*n
 			for range b.N {
 				b.StopTimer()
-				before := live()
+				before := heapBytes()
 				b.StartTimer()
-				m := membership.New(config, 1)
-				m.Step(1, membership.Tick{})
-				m.Step(60_000, membership.Tick{})
+				node := membership.New(config, 1)
+				node.Step(1, membership.Tick{})
+				node.Step(60_000, membership.Tick{})
 				x := membership.Message{Kind: membership.DigestDiffReply, Cluster: "c", From: recordOf(0), Seq: 1}
 				for i := range n {
 					x.Records = append(x.Records, recordOf(i))
 				}
-				m.Step(60_001, membership.MessageReceived{Message: x})
+				node.Step(60_001, membership.MessageReceived{Message: x})
 				b.StopTimer()
-				if got := len(m.View()); got < n {
-					b.Fatalf("%d of %d are in the view", got, n)
+				if got := len(node.View()); got < n {
+					b.Fatalf("%d of %d members are in the view", got, n)
 				}
 				text, err := encode(x)
 				if err != nil {
 					b.Fatal(err)
 				}
-				wire := float64(len(text)) / float64(n)
-				shown, err := json.Marshal(m.View())
+				wireBytesPerMember := float64(len(text)) / float64(n)
+				viewJSON, err := json.Marshal(node.View())
 				if err != nil {
 					b.Fatal(err)
 				}
-				b.ReportMetric(float64(len(shown))/float64(n), "shown-B/member")
-				x, text, shown = membership.Message{}, nil, nil
-				b.ReportMetric(float64(live()-before)/float64(n), "live-B/member")
-				b.ReportMetric(wire, "wire-B/member")
-				runtime.KeepAlive(m)
+				b.ReportMetric(float64(len(viewJSON))/float64(n), "shown-B/member")
+				x, text, viewJSON = membership.Message{}, nil, nil
+				b.ReportMetric(float64(heapBytes()-before)/float64(n), "live-B/member")
+				b.ReportMetric(wireBytesPerMember, "wire-B/member")
+				runtime.KeepAlive(node)
 				b.StartTimer()
 			}
 		})
 	}
 }
 
-// BenchmarkCodec is a ping as it is written and read.
+// BenchmarkCodec measures the encoding and decoding of a ping.
 func BenchmarkCodec(b *testing.B) {
-	x := membership.Message{Kind: membership.Ping, Cluster: "cluster", From: realRecord(), Seq: 1 << 20, Nonce: 1 << 60}
+	ping := membership.Message{
+		Kind:    membership.Ping,
+		Cluster: "cluster",
+		From:    deploymentRecord(),
+		Seq:     1 << 20,
+		Nonce:   1 << 60,
+	}
 	b.ReportAllocs()
 	for range b.N {
-		text, err := encode(x)
+		text, err := encode(ping)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -265,18 +272,17 @@
 	}
 }
 
-// BenchmarkOther is what the messages between schedulers that are not of membership take on the wire: what
-// staff decided, which goes to one member a second and at each change to all of them, and words of workers
-// that drain.
-func BenchmarkOther(b *testing.B) {
-	from := recordToWire(realRecord())
+// BenchmarkServiceMessages measures the size and the codec time of service messages: the operator state,
+// which is sent to one member per second and to all members at each change, and drain records of workers.
+func BenchmarkServiceMessages(b *testing.B) {
+	from := recordToWire(deploymentRecord())
 	var drains []drainstate.DrainRecord
 	for i := range 30 {
 		name := fmt.Sprintf("worker-%05d", i)
 		drains = append(drains, drainstate.DrainRecord{Worker: name, BootID: 1_700_000_000_000, Revision: 1 << 30})
 	}
 	state := operatorstate.State{Settings: 1 << 60, Sequence: uint64(1_700_000_000_000_000_000)}
-	for name, w := range map[string]serviceMessage{
+	for name, message := range map[string]serviceMessage{
 		"staff":          {Cluster: "cluster", From: from, OperatorState: &state},
 		"one worker":     {Cluster: "cluster", From: from, Drains: drains[:1]},
 		"thirty workers": {Cluster: "cluster", From: from, Drains: drains},
@@ -284,7 +290,7 @@
 		b.Run(name, func(b *testing.B) {
 			size := 0
 			for range b.N {
-				text, err := encodeService(w)
+				text, err := encodeService(message)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/cluster/mesh/config.go
+++ b/internal/cluster/mesh/config.go
@@ -35,10 +35,10 @@
 	ShareDrains       bool              `toml:"workers"`       // drains that others report are followed
 	CarryPeerMessages bool              `toml:"words"`         // peers are reached as members
 
-	networks []netip.Prefix
+	allowedPrefixes []netip.Prefix
 }
 
-// Defaults returns the table as it is where the file leaves keys out.
+// Defaults returns the values of keys that the features file omits.
 func Defaults() *Config {
 	d := membership.Defaults()
 	return &Config{
@@ -71,7 +71,7 @@
 		return err
 	}
 	if c.WhenReplaced != standByWhenReplaced && c.WhenReplaced != endWhenReplaced {
-		return invalid("superseded", fmt.Errorf("%q is neither \"stand-by\" nor \"end\"", c.WhenReplaced))
+		return invalid("superseded", fmt.Errorf("must be \"stand-by\" or \"end\", got %q", c.WhenReplaced))
 	}
 	node := c.membershipConfig("a name", "an address", -1)
 	if err := node.Validate(); err != nil {
@@ -85,20 +85,20 @@
 }
 
 func (c *Config) parseNetworks() error {
-	c.networks = nil
+	c.allowedPrefixes = nil
 	for _, text := range c.Networks {
 		network, err := netip.ParsePrefix(text)
 		if err != nil {
 			return invalid("networks", err)
 		}
-		c.networks = append(c.networks, network)
+		c.allowedPrefixes = append(c.allowedPrefixes, network)
 	}
 	return nil
 }
 
 func (c *Config) validateAddresses() error {
 	if c.Listen == "" {
-		return invalid("listen", errors.New("an address is wanted"))
+		return invalid("listen", errors.New("must be an address with a port"))
 	}
 	if err := c.validateAddress("listen", c.Listen); err != nil {
 		return err
@@ -121,17 +121,17 @@
 	switch {
 	case err != nil:
 		return invalid(key, err)
-	case !c.allowed(addr.Addr()):
-		return invalid(key, fmt.Errorf("%s lies outside the networks", text))
+	case !c.isAllowed(addr.Addr()):
+		return invalid(key, fmt.Errorf("%s is not in members.networks", text))
 	case addr.Port() == 0 && key != "listen":
-		return invalid(key, fmt.Errorf("%s has no port", text))
+		return invalid(key, fmt.Errorf("%s must have a port above 0", text))
 	}
 	return nil
 }
 
-// allowed tells whether messages from an address are read, and sent to it.
-func (c *Config) allowed(addr netip.Addr) bool {
-	for _, network := range c.networks {
+// isAllowed reports whether members exchange messages with an address.
+func (c *Config) isAllowed(addr netip.Addr) bool {
+	for _, network := range c.allowedPrefixes {
 		if network.Contains(addr.Unmap()) {
 			return true
 		}
@@ -139,7 +139,7 @@
 	return false
 }
 
-// membershipConfig returns the configuration of a node. It lacks nonce and seed.
+// membershipConfig returns the configuration of a node without its nonce and seed.
 func (c *Config) membershipConfig(name, addr string, number int) membership.Config {
 	return membership.Config{
 		Cluster:             c.Cluster,
--- a/internal/cluster/mesh/datagrams.go
+++ b/internal/cluster/mesh/datagrams.go
@@ -8,17 +8,17 @@
 	"woaddyke/internal/cluster/membership"
 )
 
-// readDatagrams reads until the sockets are interrupted or closed.
+// readDatagrams handles datagrams until the sockets are interrupted or closed.
 func (m *Mesh) readDatagrams() {
 	buffer := make([]byte, maxServiceBytes+1)
-	failures := 0 // in a row
+	failures := 0 // consecutive
 	for {
 		n, from, err := m.sockets.udp.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			if readsEnded(err) {
 				return
 			}
-			failures++ // of one datagram, such as a port that was unreachable, or of this machine
+			failures++ // an error of one datagram, such as an unreachable port, or of this machine
 			time.Sleep(oserror.Backoff(failures))
 			continue
 		}
@@ -27,12 +27,12 @@
 	}
 }
 
-func (m *Mesh) receiveDatagram(text []byte, from netip.Addr) {
-	if isService(text) {
-		m.receiveService(text, from)
+func (m *Mesh) receiveDatagram(data []byte, from netip.Addr) {
+	if isServiceMessage(data) {
+		m.receiveService(data, from)
 		return
 	}
-	message, err := m.decodeDatagram(text, from)
+	message, err := m.decodeDatagram(data, from)
 	if err != nil {
 		m.dropped.add(err)
 		return
@@ -40,30 +40,31 @@
 	m.enqueue(membership.MessageReceived{Message: message})
 }
 
-func (m *Mesh) decodeDatagram(text []byte, from netip.Addr) (membership.Message, error) {
-	if !m.config.allowed(from) {
-		return membership.Message{}, errOutside
+func (m *Mesh) decodeDatagram(data []byte, from netip.Addr) (membership.Message, error) {
+	if !m.config.isAllowed(from) {
+		return membership.Message{}, errOutsideNetworks
 	}
-	if len(text) > maxDatagramBytes {
+	if len(data) > maxDatagramBytes {
 		return membership.Message{}, errTooLong
 	}
-	return decode(text, m.config.allowed)
+	return decode(data, m.config.isAllowed)
 }
 
-// sendDatagram sends a membership message. Records that do not fit are left to push-pull.
+// sendDatagram sends a membership message. If the message is too long, it is sent without its records, which
+// then spread by push-pull.
 func (m *Mesh) sendDatagram(to string, message membership.Message) {
 	addr, err := netip.ParseAddrPort(to)
-	if err != nil || !m.config.allowed(addr.Addr()) {
-		m.dropped.add(errOutside)
+	if err != nil || !m.config.isAllowed(addr.Addr()) {
+		m.dropped.add(errOutsideNetworks)
 		return
 	}
-	text, err := encode(message)
-	if err == nil && len(text) > maxDatagramBytes {
+	data, err := encode(message)
+	if err == nil && len(data) > maxDatagramBytes {
 		message.Records = nil
-		text, err = encode(message)
+		data, err = encode(message)
 	}
-	if err == nil && len(text) <= maxDatagramBytes {
-		_, err = m.sockets.udp.WriteToUDPAddrPort(text, addr)
+	if err == nil && len(data) <= maxDatagramBytes {
+		_, err = m.sockets.udp.WriteToUDPAddrPort(data, addr)
 	}
 	if err != nil {
 		m.log.Debug().Err(err).Str("to", to).Msg("message lost")
--- a/internal/cluster/mesh/dropped.go
+++ b/internal/cluster/mesh/dropped.go
@@ -8,25 +8,25 @@
 	"github.com/rs/zerolog"
 )
 
-// dropCause is why a message or a stream was dropped. The console shows the causes as JSON keys.
+// dropCause is the reason for which a message or a stream was dropped. The console uses it as a JSON key.
 type dropCause string
 
 const (
-	errTooLong        dropCause = "too long"
-	errVersion        dropCause = "wrong version"
-	errGarbled        dropCause = "garbled"
-	errOutside        dropCause = "outside the networks"
-	errWrongCluster   dropCause = "wrong cluster"
-	errNotEnabled     dropCause = "switched off here"             // a service that is not enabled
-	errUnknownSender  dropCause = "not the process that is known" // under the sender's name
-	errQueueFull      dropCause = "no room"                       // in the queue of the loop
-	errTooManyStreams dropCause = "too many streams"              // that others opened
-	errTooManyOpened  dropCause = "no room to open a stream"
+	errTooLong         dropCause = "too long"
+	errWrongVersion    dropCause = "wrong version"
+	errMalformed       dropCause = "garbled"
+	errOutsideNetworks dropCause = "outside the networks"
+	errWrongCluster    dropCause = "wrong cluster"
+	errServiceDisabled dropCause = "switched off here"             // the host has no callback for the service
+	errUnknownSender   dropCause = "not the process that is known" // under the sender's name
+	errQueueFull       dropCause = "no room"                       // the queue of the loop is full
+	errTooManyAccepted dropCause = "too many streams"              // maxAcceptedStreams is reached
+	errTooManyOpened   dropCause = "no room to open a stream"
 )
 
 func (c dropCause) Error() string { return string(c) }
 
-// dropCounter counts what is dropped by its cause, and logs that at most once in dropLogInterval.
+// dropCounter counts dropped messages and streams by cause. It logs at most one line per dropLogInterval.
 type dropCounter struct {
 	log      zerolog.Logger
 	mu       sync.Mutex
@@ -38,9 +38,9 @@
 	return &dropCounter{log: log, counts: map[dropCause]uint64{}}
 }
 
-// add counts an error that is a dropCause or wraps one.
+// add counts a dropped message or stream. The error is a dropCause or wraps one.
 func (d *dropCounter) add(err error) {
-	cause := errGarbled
+	cause := errMalformed
 	errors.As(err, &cause)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,7 +55,7 @@
 	}
 }
 
-// byCause returns the counts as the console shows them.
+// byCause returns the counts, keyed by the text of the cause.
 func (d *dropCounter) byCause() map[string]uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/cluster/mesh/golden_messages_test.go
+++ b/internal/cluster/mesh/golden_messages_test.go
@@ -18,7 +18,7 @@
 
 const goldenFolder = "testdata/golden"
 
-// goldenAddress is an address that a member may have.
+// goldenAddress returns an allowed address of a member.
 func goldenAddress(number int) string { return fmt.Sprintf("127.0.0.1:%d", 7000+number) }
 
 // goldenMessage returns a membership message with every field set.
@@ -33,7 +33,8 @@
 	return message
 }
 
-// requireGoldenDatagram fails the test unless a message is encoded as the file has it, and the file decodes to the message.
+// requireGoldenDatagram fails the test unless the message encodes to the contents of the file and the file
+// decodes to the message.
 func requireGoldenDatagram(t *testing.T, path string, message membership.Message) {
 	t.Helper()
 	text, err := encode(message)
@@ -41,13 +42,13 @@
 		t.Fatal(err)
 	}
 	golden.Compare(t, path, text)
-	got, err := decode(golden.Read(t, path), table(t).allowed)
+	got, err := decode(golden.Read(t, path), testConfig(t).isAllowed)
 	if err != nil || !reflect.DeepEqual(got, message) {
 		t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
 	}
 }
 
-// The datagram of each kind of membership message keeps its bytes and decodes to the same value.
+// The datagram of each kind of membership message keeps its bytes and decodes to the message.
 func TestGoldenDatagrams(t *testing.T) {
 	for name, kind := range map[string]membership.Kind{
 		"ping":    membership.Ping,
@@ -67,8 +68,7 @@
 	}
 }
 
-// The frame and the message of each kind that is sent on a stream keep their bytes and decode to the same
-// value.
+// The frame of each kind of message that is sent on a stream keeps its bytes and decodes to the message.
 func TestGoldenStreamMessages(t *testing.T) {
 	for name, kind := range map[string]membership.Kind{
 		"digests": membership.Digests,
@@ -92,7 +92,7 @@
 			if err != nil || rest.Len() != 0 {
 				t.Fatalf("%d bytes are left after the frame, %v", rest.Len(), err)
 			}
-			got, err := decode(text, table(t).allowed)
+			got, err := decode(text, testConfig(t).isAllowed)
 			if err != nil || !reflect.DeepEqual(got, message) {
 				t.Fatalf("got %+v, %v\nwant %+v", got, err, message)
 			}
@@ -100,7 +100,7 @@
 	}
 }
 
-// The state that a process hands to its successor keeps its bytes and decodes to the same value.
+// The state that a process hands over to its successor keeps its bytes and decodes to the same value.
 func TestGoldenHandover(t *testing.T) {
 	path := filepath.Join(goldenFolder, "legacy.cbor")
 	handover := filled.Numbered[membership.HandoverState](t)
@@ -115,8 +115,8 @@
 	}
 }
 
-// requireGoldenService compares a message of another service, sent by a sender with every field set, with
-// its file in both directions.
+// requireGoldenService fails the test unless a service message encodes to the contents of its file and the
+// file decodes to the message. The sender of the message has every field set.
 func requireGoldenService(t *testing.T, name string, message serviceMessage) {
 	t.Helper()
 	path := filepath.Join(goldenFolder, "other_"+name+".bin")
@@ -133,8 +133,7 @@
 	}
 }
 
-// The message of each kind that schedulers and replicas exchange about outcomes keeps its bytes and decodes
-// to the same value.
+// Each kind of replication message keeps its bytes and decodes to the same value.
 func TestGoldenReplicationMessages(t *testing.T) {
 	for name, kind := range map[string]replication.Kind{
 		"grab":       replication.ClaimRequested,
@@ -159,8 +158,7 @@
 	}
 }
 
-// The numbers of the reasons for which a replica refuses and of the stages of a claim keep their bytes in a
-// message.
+// The numbers of the refusal reasons and of the stages of a claim keep their bytes in a message.
 func TestGoldenReasonsAndStages(t *testing.T) {
 	reasons := map[string]replication.RefusalReason{
 		"taken":    replication.AlreadyClaimed,
@@ -169,9 +167,9 @@
 		"full":     replication.CapacityReached,
 		"stale":    replication.ClaimReleased,
 	}
-	for name, why := range reasons {
+	for name, reason := range reasons {
 		t.Run(name, func(t *testing.T) {
-			message := replication.Message{Kind: replication.ClaimRefused, Reason: why}
+			message := replication.Message{Kind: replication.ClaimRefused, Reason: reason}
 			requireGoldenService(t, "reason_"+name, serviceMessage{Replication: &message})
 		})
 	}
@@ -190,8 +188,7 @@
 	}
 }
 
-// The message of each kind that members exchange about the replica set keeps its bytes and decodes to
-// the same value.
+// Each kind of replica set message keeps its bytes and decodes to the same value.
 func TestGoldenReplicaSetMessages(t *testing.T) {
 	for name, kind := range map[string]replicaset.Kind{
 		"seat_asked": replicaset.VoterQuery,
@@ -211,13 +208,13 @@
 	}
 }
 
-// The message that says which workers drain or have left keeps its bytes, with the names of its fields,
-// and decodes to the same value.
+// The message with drain records keeps its bytes, including the names of its fields, and decodes to the same
+// value.
 func TestGoldenDrains(t *testing.T) {
 	requireGoldenService(t, "workers", serviceMessage{Drains: filled.Numbered[[]drainstate.DrainRecord](t)})
 }
 
-// The message with what operators decided for a scheduler keeps its bytes and decodes to the same value.
+// The message with the operator state of a scheduler keeps its bytes and decodes to the same value.
 func TestGoldenOperatorState(t *testing.T) {
 	state := filled.Numbered[operatorstate.State](t)
 	requireGoldenService(t, "staff", serviceMessage{OperatorState: &state})
@@ -242,8 +239,8 @@
 	}
 }
 
-// Each boolean field of a message keeps its key when it alone is set, which tells it from the other
-// booleans.
+// Each boolean field of a message keeps its own key. Each message has only one of them set, since two fields
+// that exchange their keys would not show in a message with all of them set.
 func TestGoldenFlags(t *testing.T) {
 	withOutcome := func(outcome replication.Outcome) *replication.Message {
 		record := replication.Record{Key: "key", Outcomes: []replication.Outcome{outcome}}
--- a/internal/cluster/mesh/golden_test.go
+++ b/internal/cluster/mesh/golden_test.go
@@ -12,23 +12,23 @@
 	"woaddyke/internal/testsupport/golden"
 )
 
-// Guards the JSON keys that tools of the staff read at /api/members.
-func TestShownKeepsItsForm(t *testing.T) {
-	shown := filled.Value[Status](t)
-	shown.Self.State = membership.Alive
-	shown.Members[0].State, shown.Members[1].State = membership.Suspect, membership.Dead
-	filled.CompareWritten(t, "testdata/shown.json.golden", shown)
+// Guards the JSON keys that tools of the operators read at /api/members.
+func TestStatusKeepsItsJSONKeys(t *testing.T) {
+	status := filled.Value[Status](t)
+	status.Self.State = membership.Alive
+	status.Members[0].State, status.Members[1].State = membership.Suspect, membership.Dead
+	filled.CompareWritten(t, "testdata/shown.json.golden", status)
 }
 
-// Guards the TOML keys of the table members in the operator's file.
-func TestTableKeepsItsKeys(t *testing.T) {
+// Guards the TOML keys of the table "members" of the features file.
+func TestConfigKeepsItsTOMLKeys(t *testing.T) {
 	const path = "testdata/table.toml.golden"
 	type file struct {
 		Members *Config `toml:"members"`
 	}
-	table := filled.Value[Config](t)
-	filled.RequireDiffers(t, table, *Defaults())
-	text, err := toml.Marshal(file{&table})
+	config := filled.Value[Config](t)
+	filled.RequireDiffers(t, config, *Defaults())
+	text, err := toml.Marshal(file{&config})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 	if err := features.Read(path, &read, func() error { return nil }); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(*read.Members, table) {
-		t.Errorf("read %+v, want %+v", *read.Members, table)
+	if !reflect.DeepEqual(*read.Members, config) {
+		t.Errorf("read %+v, want %+v", *read.Members, config)
 	}
 }
--- a/internal/cluster/mesh/loop.go
+++ b/internal/cluster/mesh/loop.go
@@ -6,12 +6,12 @@
 	"woaddyke/internal/cluster/membership"
 )
 
-// loop is the goroutine that owns the node: its queue and its end.
+// loop holds the channels of the goroutine that owns the node.
 type loop struct {
 	inputs chan membership.Input
-	calls  chan func() // run between two inputs
+	calls  chan func() // functions to run between two inputs
 	quit   chan struct{}
-	done   chan struct{} // closed when it has ended
+	done   chan struct{} // closed when the goroutine has ended
 }
 
 func newLoop() loop {
@@ -23,13 +23,13 @@
 	}
 }
 
-// servingState is what the host was last notified of. The loop owns it.
+// servingState is the state that the host was last notified of. Only the loop uses it.
 type servingState struct {
 	incarnation membership.Incarnation
 	catchingUp  bool
 }
 
-// run feeds the node and carries out its effects until the mesh is closed.
+// run passes inputs to the node and applies its effects until the mesh is closed.
 func (m *Mesh) run() {
 	defer close(m.loop.done)
 	tick := time.NewTimer(0)
@@ -58,7 +58,7 @@
 	}
 }
 
-// enqueue passes an input to the loop, or drops it if the queue is full.
+// enqueue queues an input for the loop, or drops it if the queue is full.
 func (m *Mesh) enqueue(input membership.Input) {
 	select {
 	case m.loop.inputs <- input:
@@ -67,8 +67,8 @@
 	}
 }
 
-// call runs a function in the loop and waits for it. It does nothing once the loop has ended.
-func (m *Mesh) call(f func()) {
+// callInLoop runs a function in the loop and waits for it. It does nothing once the loop has ended.
+func (m *Mesh) callInLoop(f func()) {
 	returned := make(chan struct{})
 	select {
 	case m.loop.calls <- func() { f(); close(returned) }:
@@ -89,7 +89,7 @@
 		case membership.MemberChanged, membership.Stopped:
 			viewChanged = true
 		}
-		m.apply(effect)
+		m.applyEffect(effect)
 	}
 	if viewChanged || m.node.Self() != m.known.Load().self {
 		m.updateSnapshot()
@@ -97,8 +97,8 @@
 	m.reportServing(joined)
 }
 
-// apply carries out an effect of the node.
-func (m *Mesh) apply(effect membership.Effect) {
+// applyEffect applies an effect of the node.
+func (m *Mesh) applyEffect(effect membership.Effect) {
 	switch e := effect.(type) {
 	case membership.Send:
 		m.sendDatagram(e.To, e.Message)
@@ -107,7 +107,7 @@
 	case membership.StreamReply:
 		m.streams.reply(e)
 	case membership.MemberChanged:
-		m.memberChanged(e)
+		m.handleMemberChanged(e)
 	case membership.UserMessageReceived:
 		if m.host.UserMessage != nil {
 			m.host.UserMessage(e.Number, e.Text)
@@ -118,11 +118,11 @@
 		self := m.node.Status()
 		m.log.Info().Uint64("incarnation", self.Generation).Int("live", self.Live).Msg("joined the cluster")
 	case membership.Stopped:
-		m.stopped(e)
+		m.handleStopped(e)
 	}
 }
 
-func (m *Mesh) memberChanged(e membership.MemberChanged) {
+func (m *Mesh) handleMemberChanged(e membership.MemberChanged) {
 	m.log.Info().
 		Str("member", e.Name).
 		Stringer("state", e.State).
@@ -137,7 +137,7 @@
 	}
 }
 
-func (m *Mesh) stopped(e membership.Stopped) {
+func (m *Mesh) handleStopped(e membership.Stopped) {
 	if m.host.Serving != nil {
 		m.host.Serving(false, membership.Incarnation{})
 	}
@@ -147,18 +147,18 @@
 	}
 }
 
-// reportServing notifies the host when this process has become a member, when it begins or ends to catch
-// up, and when its incarnation has grown: it may have chosen one without knowledge of another process of
-// its name.
+// reportServing notifies the host when this process joins, when it starts or stops catching up, and when its
+// incarnation grows. The incarnation grows if the process chose it without knowing of another process of
+// the same name.
 func (m *Mesh) reportServing(joined bool) {
 	if m.host.Serving == nil {
 		return
 	}
 	self := m.node.Self()
 	now := servingState{incarnation: self.Incarnation, catchingUp: m.node.CatchingUp()}
-	newIncarnation := now.incarnation != m.reported.incarnation && self.State == membership.Alive
-	if joined || newIncarnation || now.catchingUp != m.reported.catchingUp {
-		m.reported = now
+	newIncarnation := now.incarnation != m.lastReported.incarnation && self.State == membership.Alive
+	if joined || newIncarnation || now.catchingUp != m.lastReported.catchingUp {
+		m.lastReported = now
 		m.host.Serving(!now.catchingUp, now.incarnation)
 	}
 }
--- a/internal/cluster/mesh/mesh.go
+++ b/internal/cluster/mesh/mesh.go
@@ -1,6 +1,7 @@
 // Package mesh connects the schedulers of a cluster by datagrams and streams. It owns the sockets, the
 // encoding and the clock of a membership.Node, and carries the messages of other services between members.
-// It is the only package that reads what another scheduler sent; internal/cluster/membership decides.
+// Only this package decodes messages of other members. Package internal/cluster/membership decides what
+// follows from them.
 package mesh
 
 import (
@@ -24,35 +25,36 @@
 	"woaddyke/internal/lifecycle/boottime"
 )
 
-// Bounds, each of something that others could make grow.
+// Limits on the resources that other members can make this process use.
 const (
-	maxQueuedInputs    = 1024 // messages that were read and wait for the loop
-	maxAcceptedStreams = 16   // that others opened
-	maxOpenedStreams   = 16   // that this process opened
+	maxQueuedInputs    = 1024 // inputs that wait for the loop
+	maxAcceptedStreams = 16   // open streams from other members
+	maxOpenedStreams   = 16   // open streams to other members
 	streamTimeout      = 5 * time.Second
 	dialTimeout        = time.Second
-	replyTimeout       = 2 * time.Second // for the loop to reply on a stream
+	replyTimeout       = 2 * time.Second // for the loop's reply on a stream
 	snapshotInterval   = 250 * time.Millisecond
-	dropLogInterval    = time.Minute // between two log lines about dropped messages
-	receiveBufferBytes = 1 << 20     // that the kernel keeps for a process that is stopped
+	dropLogInterval    = time.Minute // minimum time between two log lines about dropped messages
+	receiveBufferBytes = 1 << 20     // socket buffer for datagrams that arrive while the process is stopped
 )
 
-// Descriptors is the largest number of file descriptors that a mesh uses: two sockets, its streams, and one
-// that is rejected.
+// Descriptors is the largest number of file descriptors that a mesh uses: two sockets, its streams, and a
+// stream that is accepted only to be rejected.
 const Descriptors = 2 + maxAcceptedStreams + maxOpenedStreams + 1
 
-// Host is notified by the mesh. Its functions must not wait for the mesh. The loop calls the first four,
-// the reader of datagrams the others. Nil functions are not called; messages of a service without one are
-// dropped.
+// Host holds the callbacks of a mesh. They must not wait for the mesh. The loop calls the callbacks about
+// membership. Before the loop starts, Restore calls MembersRestored and reports the incarnation of the
+// predecessor. The datagram reader calls the callbacks of the services: Drains, Replication, ReplicaSet and
+// OperatorState. A nil callback is not called, and messages of a service with a nil callback are dropped.
 type Host struct {
 	MemberChanged func(membership.MemberChanged)
 	UserMessage   func(number int, text string)
-	Stopped       func(replaced bool) // this process is no member any more
+	Stopped       func(replaced bool) // this process is no longer a member
 
-	// MembersRestored gets the members that a predecessor handed over. It is called before the loop runs.
+	// MembersRestored receives the members that a predecessor handed over, before the loop starts.
 	MembersRestored func([]membership.MemberView)
 
-	// Serving reports whether this process is a member, and as which incarnation.
+	// This callback reports whether this process serves as a member, and its incarnation.
 	Serving func(on bool, incarnation membership.Incarnation)
 
 	Drains        func(from string, records []drainstate.DrainRecord)
@@ -61,66 +63,66 @@
 	OperatorState func(from string, incarnation uint64, state operatorstate.State)
 }
 
-// Identity is who a process is among the schedulers.
+// Identity identifies this process among the schedulers.
 type Identity struct {
 	Name   string
-	Number int // among the schedulers of the settings; -1 for none
+	Number int // index in the scheduler list of the settings; -1 if it is not listed
 	Seed   uint64
 }
 
-// Mesh is one process's part in a cluster. Its methods may be called from any goroutine.
+// Mesh connects one process to its cluster. Its methods may be called from any goroutine.
 type Mesh struct {
-	config     *Config
-	host       Host
-	log        zerolog.Logger
-	sockets    sockets
-	node       *membership.Node // the loop's alone
-	loop       loop
-	streams    streamTable
-	dropped    *dropCounter
-	readers    sync.WaitGroup
-	closeOnce  sync.Once
-	handedOver atomic.Bool // a successor is the member: this process sends nothing
-	reported   servingState
+	config       *Config
+	host         Host
+	log          zerolog.Logger
+	sockets      sockets
+	node         *membership.Node // only the loop uses it
+	loop         loop
+	streams      streamTable
+	dropped      *dropCounter
+	readers      sync.WaitGroup
+	closeOnce    sync.Once
+	handedOver   atomic.Bool // a successor has taken over the membership
+	lastReported servingState
 
 	status atomic.Pointer[Status]
 	known  atomic.Pointer[knownMembers]
 }
 
-// Start joins a cluster, on new sockets.
-func Start(config *Config, who Identity, host Host, log zerolog.Logger) (*Mesh, error) {
+// Start joins a cluster on new sockets.
+func Start(config *Config, identity Identity, host Host, log zerolog.Logger) (*Mesh, error) {
 	s, err := listen(config.Listen)
 	if err != nil {
 		return nil, startError(err)
 	}
-	return startOrClose(config, who, host, log, s, nil)
+	return startClosingOnError(config, identity, host, log, s, nil)
 }
 
-// Restore goes on as the member that a predecessor was, with its state and its sockets: that of datagrams,
-// then that of streams.
+// Restore continues the membership of a predecessor from its state and its sockets. The files are the
+// datagram socket and the stream listener, in this order.
 func Restore(
-	config *Config, who Identity, host Host, log zerolog.Logger, state []byte, files []*os.File,
+	config *Config, identity Identity, host Host, log zerolog.Logger, state []byte, files []*os.File,
 ) (*Mesh, error) {
 	predecessor, err := decodeHandover(state)
 	if err != nil {
 		return nil, err
 	}
-	if predecessor.Self.Name != who.Name || len(files) != 2 {
-		return nil, startError(errors.New("what was handed over is another's"))
+	if predecessor.Self.Name != identity.Name || len(files) != 2 {
+		return nil, startError(errors.New("the state is another member's, or the number of sockets isn't 2"))
 	}
 	s, err := socketsFrom(files)
 	if err != nil {
 		return nil, startError(err)
 	}
-	return startOrClose(config, who, host, log, s, &predecessor)
+	return startClosingOnError(config, identity, host, log, s, &predecessor)
 }
 
-// startOrClose is start, and closes the sockets where that fails.
-func startOrClose(
-	config *Config, who Identity, host Host, log zerolog.Logger,
+// startClosingOnError calls start and closes the sockets if it fails.
+func startClosingOnError(
+	config *Config, identity Identity, host Host, log zerolog.Logger,
 	s sockets, predecessor *membership.HandoverState,
 ) (*Mesh, error) {
-	m, err := start(config, who, host, log, s, predecessor)
+	m, err := start(config, identity, host, log, s, predecessor)
 	if err != nil {
 		s.close()
 		return nil, err
@@ -128,9 +130,9 @@
 	return m, nil
 }
 
-// start runs a node on sockets. The predecessor is nil for a process that joins.
+// start runs a node on the sockets. If predecessor is nil, the process joins as a new member.
 func start(
-	config *Config, who Identity, host Host, log zerolog.Logger,
+	config *Config, identity Identity, host Host, log zerolog.Logger,
 	s sockets, predecessor *membership.HandoverState,
 ) (*Mesh, error) {
 	s.udp.SetReadBuffer(receiveBufferBytes)
@@ -138,8 +140,8 @@
 	if addr == "" {
 		addr = s.addr().String()
 	}
-	nodeConfig := config.membershipConfig(who.Name, addr, who.Number)
-	nodeConfig.Seed = who.Seed
+	nodeConfig := config.membershipConfig(identity.Name, addr, identity.Number)
+	nodeConfig.Seed = identity.Seed
 	if err := setNonce(&nodeConfig, predecessor); err != nil {
 		return nil, startError(err)
 	}
@@ -161,7 +163,7 @@
 		m.node = membership.New(nodeConfig, Now())
 	}
 	m.log.Info().
-		Str("member", who.Name).
+		Str("member", identity.Name).
 		Str("listen", s.addr().String()).
 		Str("address", addr).
 		Msg("joining the cluster")
@@ -177,8 +179,8 @@
 	return m, nil
 }
 
-// setNonce sets the predecessor's nonce, or a random one. The seed cannot give it, as the next process of
-// this name may have the same.
+// setNonce sets the predecessor's nonce or, without a predecessor, a random nonce. The nonce isn't derived
+// from the seed, because the next process of this name may have the same seed.
 func setNonce(config *membership.Config, predecessor *membership.HandoverState) error {
 	if predecessor != nil {
 		config.Nonce = predecessor.Self.Nonce
@@ -198,14 +200,14 @@
 	m.readers.Go(m.acceptStreams)
 }
 
-// Now returns the time of the clock of which all members' times are: the machine's time since its start. It
-// goes on while a process is stopped and while the machine sleeps, and cannot be set.
+// Now returns the time since the machine's boot, in the unit of membership. This clock advances while the
+// process is stopped and while the machine sleeps, and it cannot be set.
 func Now() membership.Time { return membership.Time(boottime.Since() / membership.Tenth) }
 
 // Now returns the time of the mesh's clock.
 func (m *Mesh) Now() membership.Time { return Now() }
 
-// Names returns the names of the other members that are alive or suspect, in order.
+// Names returns the sorted names of the other members that are alive or suspect.
 func (m *Mesh) Names() (names []string) {
 	for name, member := range m.known.Load().byName {
 		if !member.State.Ended() {
@@ -216,19 +218,19 @@
 	return names
 }
 
-// SendUserMessage sends a text to the member with a number. It does not wait.
+// SendUserMessage sends a text to the member with the given number. It does not wait.
 func (m *Mesh) SendUserMessage(number int, text string) {
 	m.enqueue(membership.SendUserMessage{Number: number, Text: text})
 }
 
-// Leave has this process notify the others that it leaves. It does not wait.
+// Leave starts to notify the other members that this process leaves. It does not wait.
 func (m *Mesh) Leave() { m.enqueue(membership.LeaveRequested{}) }
 
-// HandOver returns what a successor needs to Restore. From here on this process sends nothing, until
-// Resume.
+// HandOver returns the state and the sockets that a successor passes to Restore. Until Resume, this process
+// sends no membership messages, and only outcomes of the service messages.
 func (m *Mesh) HandOver() (state []byte, conns []syscall.Conn, err error) {
-	err = startError(errors.New("not a member just now"))
-	m.call(func() {
+	err = startError(errors.New("cannot hand over: this process is not a member"))
+	m.callInLoop(func() {
 		handover, ok := m.node.HandoverState()
 		if !ok {
 			return
@@ -243,13 +245,13 @@
 	}
 	m.sockets.interruptReads()
 	m.readers.Wait()
-	return state, m.sockets.conns(), nil
+	return state, m.sockets.rawConns(), nil
 }
 
-// Resume goes on as a member after the successor has ended.
+// Resume continues the membership of this process after its successor has ended.
 func (m *Mesh) Resume() {
 	resumed := false
-	m.call(func() {
+	m.callInLoop(func() {
 		resumed = m.handedOver.CompareAndSwap(true, false)
 		if resumed {
 			m.startReaders()
@@ -264,7 +266,8 @@
 	}
 }
 
-// Close ends the mesh at once. A process that leaves is given time to notify the others before.
+// Close ends the mesh without notifying the other members. To leave the cluster, call Leave first and give it
+// time.
 func (m *Mesh) Close() {
 	m.closeOnce.Do(func() {
 		close(m.loop.quit)
--- a/internal/cluster/mesh/mesh_test.go
+++ b/internal/cluster/mesh/mesh_test.go
@@ -20,7 +20,7 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-func table(t *testing.T) *Config {
+func testConfig(t *testing.T) *Config {
 	t.Helper()
 	x := Defaults()
 	x.Cluster, x.Listen = "c", "127.0.0.1:0"
@@ -66,9 +66,10 @@
 	}
 }
 
-// What another build or a bad cable sends must never be read as something else, nor end the process.
+// A message decodes to the value that was encoded. A message that is truncated or has a changed byte is
+// rejected, and random bytes do not make the decoder panic.
 func TestMessagesDecodeAsEncoded(t *testing.T) {
-	allowed := table(t).allowed
+	allowed := testConfig(t).isAllowed
 	rapid.Check(t, func(t *rapid.T) {
 		message := drawMessage(t)
 		text, err := encode(message)
@@ -80,17 +81,17 @@
 		}
 		at := rapid.IntRange(0, len(text)-1).Draw(t, "at")
 		if _, err := decode(text[:at], allowed); err == nil {
-			t.Fatal("half a message was read")
+			t.Fatal("a truncated message was decoded")
 		}
 		text[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
 		if _, err := decode(text, allowed); err == nil {
-			t.Fatal("a garbled message was read")
+			t.Fatal("a message with a changed byte was decoded")
 		}
 		decode(rapid.SliceOf(rapid.Byte()).Draw(t, "noise"), allowed)
 	})
 }
 
-// A message of a service must come as it was sent, whoever its sender is.
+// A service message decodes to the value that was encoded, for any sender.
 func TestServiceMessagesDecodeAsEncoded(t *testing.T) {
 	outcome := replication.Outcome{
 		Claim:          replication.Claim{Scheduler: "n", Nonce: 9},
@@ -119,7 +120,8 @@
 	})
 }
 
-// An address in a message may be anybody's: one outside the networks must not be taken up.
+// A message with a record whose address is outside the networks is rejected, because a member would send
+// messages to this address.
 func TestAddressesOutsideNetworksAreRejected(t *testing.T) {
 	message := membership.Message{
 		Kind:    membership.Ping,
@@ -131,10 +133,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := decode(text, table(t).allowed); err != errOutside {
+	if _, err := decode(text, testConfig(t).isAllowed); err != errOutsideNetworks {
 		t.Errorf("%v", err)
 	}
-	if table(t).allowed(netip.MustParseAddr("10.1.2.3")) {
+	if testConfig(t).isAllowed(netip.MustParseAddr("10.1.2.3")) {
 		t.Error("10.1.2.3 lies inside 127.0.0.0/8")
 	}
 }
@@ -142,7 +144,7 @@
 // startMesh starts a member on a free port of the loopback address.
 func startMesh(t *testing.T, name string, number int, host Host, seeds ...string) *Mesh {
 	t.Helper()
-	config := table(t)
+	config := testConfig(t)
 	config.Seeds = seeds
 	m, err := Start(config, Identity{name, number, 1}, host, zerolog.Nop())
 	if err != nil {
@@ -152,7 +154,7 @@
 	return m
 }
 
-// awaitAlive waits until a member holds another one to be alive.
+// awaitAlive waits until the first other member in the view is alive.
 func awaitAlive(t *testing.T, m *Mesh) {
 	t.Helper()
 	until := time.Now().Add(20 * time.Second)
@@ -162,11 +164,11 @@
 			return
 		}
 	}
-	t.Fatal("they never met")
+	t.Fatal("no other member became alive within 20 s")
 }
 
-// filesOf duplicates the sockets as a successor gets them.
-func filesOf(t *testing.T, conns []syscall.Conn) (files []*os.File) {
+// duplicateFiles duplicates the sockets into files, as a successor receives them.
+func duplicateFiles(t *testing.T, conns []syscall.Conn) (files []*os.File) {
 	t.Helper()
 	for _, conn := range conns {
 		f, err := conn.(interface{ File() (*os.File, error) }).File()
@@ -178,19 +180,19 @@
 	return files
 }
 
-// The clock counts while the process is stopped and can't be set back; a process that has ended leaves
-// nothing running.
-func TestStartHandoverAndClose(t *testing.T) {
+// A successor has the incarnation of its predecessor, and a process of another name can't take over. The
+// clock advances meanwhile. A mesh that is closed leaves no goroutine running.
+func TestASuccessorKeepsTheIncarnationOfItsPredecessor(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	before := Now()
 	a := startMesh(t, "a", 0, Host{})
 	b := startMesh(t, "b", 1, Host{}, a.sockets.addr().String())
 	awaitAlive(t, a)
-	state, conns, err := b.HandOver()
+	state, conns, err := b.HandOver() // b is the predecessor
 	if err != nil || len(conns) != 2 {
 		t.Fatalf("%d sockets, %v", len(conns), err)
 	}
-	files := filesOf(t, conns)
+	files := duplicateFiles(t, conns)
 	successor, err := Restore(b.config, Identity{"b", 1, 1}, Host{}, zerolog.Nop(), state, files)
 	if err != nil {
 		t.Fatal(err)
@@ -213,9 +215,10 @@
 	}
 }
 
-// A process that chose its incarnation without knowledge of an earlier one goes beyond it later. Its host
-// must be notified: a replica that had registered under the lower one got no answer any more.
-func TestHostIsNotifiedOfLaterIncarnation(t *testing.T) {
+// The host is notified when the incarnation of its process grows. This happens if the process chose an
+// incarnation before it learned of a higher one under its name. Guards against a replica that stays
+// registered with the lower incarnation and gets no answers.
+func TestTheHostIsNotifiedWhenTheIncarnationGrows(t *testing.T) {
 	generations := make(chan uint64, 9)
 	serving := func(_ bool, incarnation membership.Incarnation) { generations <- incarnation.Generation }
 	a := startMesh(t, "a", 0, Host{Serving: serving})
@@ -239,14 +242,14 @@
 	}
 	defer b.Close()
 	addr := b.LocalAddr().String()
-	earlier := testRecord("a", addr)
-	earlier.Generation, earlier.State, earlier.ReportedBy = 5, membership.Dead, "b"
+	previous := testRecord("a", addr)
+	previous.Generation, previous.State, previous.ReportedBy = 5, membership.Dead, "b"
 	text, err := encode(membership.Message{
 		Kind:    membership.Gossip,
 		Cluster: "c",
 		Seq:     1,
 		From:    testRecord("b", addr),
-		Records: []membership.MemberRecord{earlier},
+		Records: []membership.MemberRecord{previous},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -255,8 +258,8 @@
 	await(6)
 }
 
-// Drain records of workers whose names are as long as one may be fit a datagram, in as many as are sent at
-// a time; a name that is longer costs the others nothing.
+// A datagram fits as many drain records as are sent together, even if all workers have the longest allowed
+// name. A worker with a longer name does not prevent the records of the other workers from being sent.
 func TestLongestDrainRecordsFitADatagram(t *testing.T) {
 	const records = 100
 	from := longestRecord()
@@ -283,7 +286,7 @@
 	}
 }
 
-// longestRecord is a member record of which each field takes as many bytes as it may.
+// longestRecord returns a member record whose fields have their longest encodings.
 func longestRecord() membership.MemberRecord {
 	return membership.MemberRecord{
 		Name:        strings.Repeat("n", 255),
@@ -297,7 +300,8 @@
 	}
 }
 
-// longNamedEndpoints are workers with the longest names, and one with a longer name than any may have.
+// longNamedEndpoints returns count workers with names of the longest allowed length, and one with a name that
+// is too long.
 func longNamedEndpoints(count int) []drainstate.Endpoint {
 	endpoints := []drainstate.Endpoint{{Worker: strings.Repeat("w", 9000), BootID: 1 << 60}}
 	for i := range count {
--- a/internal/cluster/mesh/services.go
+++ b/internal/cluster/mesh/services.go
@@ -10,10 +10,10 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// receiveService passes a service message to the host, if it comes from the process that is known under its
-// sender's name. It is dropped while this process is no member.
-func (m *Mesh) receiveService(text []byte, from netip.Addr) {
-	message, err := m.decodeServiceDatagram(text, from)
+// receiveService passes a service message to the host if its sender is the process that is known under the
+// sender's name. While this process is not a member, it ignores the message.
+func (m *Mesh) receiveService(data []byte, from netip.Addr) {
+	message, err := m.decodeServiceDatagram(data, from)
 	if err == nil {
 		err = m.checkService(message)
 	}
@@ -37,23 +37,23 @@
 	}
 }
 
-func (m *Mesh) decodeServiceDatagram(text []byte, from netip.Addr) (serviceMessage, error) {
-	if !m.config.allowed(from) {
-		return serviceMessage{}, errOutside
+func (m *Mesh) decodeServiceDatagram(data []byte, from netip.Addr) (serviceMessage, error) {
+	if !m.config.isAllowed(from) {
+		return serviceMessage{}, errOutsideNetworks
 	}
-	if len(text) > maxServiceBytes {
+	if len(data) > maxServiceBytes {
 		return serviceMessage{}, errTooLong
 	}
-	return decodeService(text)
+	return decodeService(data)
 }
 
-// checkService returns the cause for which a message is dropped, or nil.
+// checkService returns the dropCause of a message that must be dropped, or nil.
 func (m *Mesh) checkService(message serviceMessage) error {
 	if message.Cluster != m.config.Cluster {
 		return errWrongCluster
 	}
-	if !m.enabled(message) {
-		return errNotEnabled
+	if !m.serviceEnabled(message) {
+		return errServiceDisabled
 	}
 	sender, known := m.known.Load().byName[message.From.Name]
 	if !known || sender.Incarnation != message.From.incarnation() {
@@ -62,37 +62,37 @@
 	return nil
 }
 
-// enabled tells whether the host takes the messages of the service.
-func (m *Mesh) enabled(message serviceMessage) bool {
+// serviceEnabled reports whether the host has a callback for the service of a message.
+func (m *Mesh) serviceEnabled(message serviceMessage) bool {
 	return (message.Replication == nil || m.host.Replication != nil) &&
 		(message.ReplicaSet == nil || m.host.ReplicaSet != nil) &&
 		(message.Drains == nil || m.host.Drains != nil) &&
 		(message.OperatorState == nil || m.host.OperatorState != nil)
 }
 
-// SendReplication sends a message of replication to a member. It is lost where that member is not known.
-// After HandOver only outcomes are sent: the successor votes.
+// SendReplication sends a replication message to a member. If the member is not known, the message is lost.
+// After HandOver, only outcomes are sent, because the successor votes.
 func (m *Mesh) SendReplication(to string, message replication.Message) {
 	if !m.handedOver.Load() || message.Kind == replication.OutcomeReported {
 		m.sendService(to, serviceMessage{Replication: &message})
 	}
 }
 
-// SendReplicaSet sends a message of the replica set to a member.
+// SendReplicaSet sends a replica set message to a member, except after HandOver.
 func (m *Mesh) SendReplicaSet(to string, message replicaset.Message) {
 	if !m.handedOver.Load() {
 		m.sendService(to, serviceMessage{ReplicaSet: &message})
 	}
 }
 
-// BroadcastOperatorState sends a member what operators decided for this process.
+// BroadcastOperatorState sends the operator state of this process to one member, except after HandOver.
 func (m *Mesh) BroadcastOperatorState(to string, state operatorstate.State) {
 	if !m.handedOver.Load() {
 		m.sendService(to, serviceMessage{OperatorState: &state})
 	}
 }
 
-// SendDrains sends drain records to a member.
+// SendDrains sends drain records to a member, except after HandOver.
 func (m *Mesh) SendDrains(to string, records []drainstate.DrainRecord) {
 	if !m.handedOver.Load() {
 		m.sendService(to, serviceMessage{Drains: records})
@@ -106,7 +106,7 @@
 		return
 	}
 	addr, err := netip.ParseAddrPort(receiver.Addr)
-	if err != nil || !m.config.allowed(addr.Addr()) {
+	if err != nil || !m.config.isAllowed(addr.Addr()) {
 		return
 	}
 	message.Cluster = m.config.Cluster
@@ -117,14 +117,14 @@
 }
 
 func (m *Mesh) writeService(to netip.AddrPort, message serviceMessage) error {
-	text, err := encodeService(message)
+	data, err := encodeService(message)
 	if err != nil {
 		return err
 	}
-	if len(text) > maxServiceBytes {
+	if len(data) > maxServiceBytes {
 		m.dropped.add(errTooLong)
 		return errTooLong
 	}
-	_, err = m.sockets.udp.WriteToUDPAddrPort(text, to)
+	_, err = m.sockets.udp.WriteToUDPAddrPort(data, to)
 	return err
 }
--- a/internal/cluster/mesh/services_test.go
+++ b/internal/cluster/mesh/services_test.go
@@ -14,10 +14,10 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// meshWithView returns a mesh without sockets and loop, which knows one member.
+// meshWithView returns a mesh without sockets and loop whose view has one other member.
 func meshWithView(t *testing.T, host Host, self, other membership.MemberRecord) *Mesh {
 	t.Helper()
-	m := &Mesh{config: table(t), host: host, dropped: newDropCounter(zerolog.Nop())}
+	m := &Mesh{config: testConfig(t), host: host, dropped: newDropCounter(zerolog.Nop())}
 	view := membership.MemberView{
 		Name:        other.Name,
 		Addr:        other.Addr,
@@ -28,9 +28,9 @@
 	return m
 }
 
-// A service must get messages of the process alone that is known under the sender's name, and only where it
-// is enabled. What else comes is counted by its cause.
-func TestServiceMessagesAreChecked(t *testing.T) {
+// A service receives a message only if the service is enabled and the sender is the process that is known
+// under its name. All other messages are dropped and counted by cause.
+func TestServiceMessagesOfOtherSendersAreDropped(t *testing.T) {
 	inside, outside := netip.MustParseAddr("127.0.0.1"), netip.MustParseAddr("10.1.2.3")
 	encoded := func(change func(*serviceMessage)) []byte {
 		message := serviceMessage{
@@ -52,20 +52,20 @@
 		name string
 		text []byte
 		from netip.Addr
-		want dropCause // empty: it is delivered
+		want dropCause // empty if the message is delivered
 	}{
-		{"as it should be", encoded(unchanged), inside, ""},
-		{"from another network", encoded(unchanged), outside, errOutside},
-		{"longer than any", make([]byte, maxServiceBytes+1), inside, errTooLong},
-		{"of another version", otherVersion, inside, errVersion},
-		{"cut off", encoded(unchanged)[:20], inside, errGarbled},
+		{"from a known member", encoded(unchanged), inside, ""},
+		{"from another network", encoded(unchanged), outside, errOutsideNetworks},
+		{"too long", make([]byte, maxServiceBytes+1), inside, errTooLong},
+		{"of another version", otherVersion, inside, errWrongVersion},
+		{"cut off after 20 bytes", encoded(unchanged)[:20], inside, errMalformed},
 		{"of another cluster", encoded(func(m *serviceMessage) { m.Cluster = "d" }), inside, errWrongCluster},
-		{"of a stranger", encoded(func(m *serviceMessage) { m.From.Name = "x" }), inside, errUnknownSender},
-		{"of a later one", encoded(func(m *serviceMessage) { m.From.Incarnation++ }), inside, errUnknownSender},
+		{"of an unknown member", encoded(func(m *serviceMessage) { m.From.Name = "x" }), inside, errUnknownSender},
+		{"of a later process", encoded(func(m *serviceMessage) { m.From.Incarnation++ }), inside, errUnknownSender},
 		{"of another process", encoded(func(m *serviceMessage) { m.From.Nonce++ }), inside, errUnknownSender},
-		{"of a service that is off", encoded(func(m *serviceMessage) {
+		{"of a disabled service", encoded(func(m *serviceMessage) {
 			m.Drains = []drainstate.DrainRecord{{Worker: "w"}}
-		}), inside, errNotEnabled},
+		}), inside, errServiceDisabled},
 	} {
 		delivered := 0
 		host := Host{OperatorState: func(from string, incarnation uint64, state operatorstate.State) {
@@ -86,8 +86,8 @@
 	}
 }
 
-// Each service gets its own messages, and none while this process is no member.
-func TestServiceMessagesReachTheirService(t *testing.T) {
+// Each service receives its own messages. While this process is not a member, no service receives messages.
+func TestServiceMessagesReachTheirServiceOnlyWhileAMember(t *testing.T) {
 	for _, state := range []membership.State{membership.Alive, membership.Replaced} {
 		got := map[string]int{}
 		host := Host{
--- a/internal/cluster/mesh/sockets.go
+++ b/internal/cluster/mesh/sockets.go
@@ -12,22 +12,22 @@
 	"woaddyke/internal/base/oserror"
 )
 
-const portTries = 20 // to find a port that is free for datagrams and streams
+const maxPortAttempts = 20 // ports tried until one is free for both datagrams and streams
 
-// sockets are the two sockets of a member, on the same address.
+// sockets holds the datagram socket and the stream listener of a member, on the same address and port.
 type sockets struct {
 	udp *net.UDPConn
 	tcp *net.TCPListener
 }
 
-// listen opens both sockets. With port 0 it tries several ports, as one that is free for datagrams may be
-// taken for streams.
+// listen opens both sockets. With port 0 it tries several ports, because a port that is free for datagrams
+// may be in use for streams.
 func listen(text string) (s sockets, err error) {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
 		return s, err
 	}
-	for range portTries {
+	for range maxPortAttempts {
 		s.udp, err = oserror.RetryTransient(func() (*net.UDPConn, error) {
 			return net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 		})
@@ -49,7 +49,8 @@
 	return s, err
 }
 
-// socketsFrom takes over the sockets of a predecessor: that of datagrams, then that of streams.
+// socketsFrom takes over the sockets of a predecessor. The files are the datagram socket and the stream
+// listener, in this order.
 func socketsFrom(files []*os.File) (s sockets, err error) {
 	conn, err := oserror.RetryTransient(func() (net.PacketConn, error) {
 		return net.FilePacketConn(files[0])
@@ -69,38 +70,38 @@
 	if !isUDP || !isTCP {
 		conn.Close()
 		listener.Close()
-		return s, errors.New("what was handed over are no sockets of a member")
+		return s, errors.New("the files handed over are not a UDP socket and a TCP listener")
 	}
 	return sockets{udp, tcp}, nil
 }
 
 func (s sockets) addr() *net.UDPAddr { return s.udp.LocalAddr().(*net.UDPAddr) }
 
-// allowReads ends an interruption of the readers.
+// allowReads makes reads possible again after interruptReads.
 func (s sockets) allowReads() {
 	s.udp.SetReadDeadline(time.Time{})
 	s.tcp.SetDeadline(time.Time{})
 }
 
-// interruptReads has all reads fail with os.ErrDeadlineExceeded.
+// interruptReads makes all reads fail with os.ErrDeadlineExceeded.
 func (s sockets) interruptReads() {
 	past := time.Unix(1, 0)
 	s.udp.SetReadDeadline(past)
 	s.tcp.SetDeadline(past)
 }
 
-// conns returns the sockets in the order in which socketsFrom takes them.
-func (s sockets) conns() []syscall.Conn { return []syscall.Conn{s.udp, s.tcp} }
+// rawConns returns the sockets in the order that socketsFrom expects.
+func (s sockets) rawConns() []syscall.Conn { return []syscall.Conn{s.udp, s.tcp} }
 
 func (s sockets) close() {
 	s.udp.Close()
 	s.tcp.Close()
 }
 
-// readsEnded tells whether an error of a read means that the sockets were interrupted or closed.
+// readsEnded reports whether a read failed because the sockets were interrupted or closed.
 func readsEnded(err error) bool {
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed)
 }
 
-// startError is an error that keeps a process from being a member.
+// startError wraps an error of Start, Restore or HandOver.
 func startError(err error) error { return fmt.Errorf("members: %w", err) }
--- a/internal/cluster/mesh/start_test.go
+++ b/internal/cluster/mesh/start_test.go
@@ -8,9 +8,9 @@
 	"github.com/rs/zerolog"
 )
 
-// A start that fails must leave its sockets to the next one: both are bound to the configured address.
+// A start that fails closes its sockets, so that the next start can bind to the same configured address.
 func TestAStartThatFailsClosesItsSockets(t *testing.T) {
-	config := table(t)
+	config := testConfig(t)
 	free, err := listen(config.Listen)
 	if err != nil {
 		t.Fatal(err)
@@ -28,8 +28,9 @@
 	m.Close()
 }
 
-// What was handed over and is no member's is closed: it would go on being sent what nobody reads.
-func TestSocketsThatAreNoMembersAreClosed(t *testing.T) {
+// Handed over files that are not a UDP socket and a TCP listener are closed. If a socket stayed open, it
+// would keep receiving data that nobody reads.
+func TestHandedOverFilesOfTheWrongTypeAreClosed(t *testing.T) {
 	first, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -57,10 +58,10 @@
 	}
 	before := descriptors()
 	if _, err := socketsFrom([]*os.File{udp, unix}); err == nil {
-		t.Fatal("they are taken for a member's")
+		t.Fatal("a Unix socket was accepted as the stream listener")
 	}
 	if after := descriptors(); after > before {
-		t.Errorf("%d descriptors, %d before", after, before)
+		t.Errorf("%d open descriptors, %d before", after, before)
 	}
 	udp.Close()
 	unix.Close()
--- a/internal/cluster/mesh/status.go
+++ b/internal/cluster/mesh/status.go
@@ -6,24 +6,24 @@
 	"woaddyke/internal/cluster/membership"
 )
 
-// Status is the view as the console shows it.
+// Status is the view of the cluster that the console shows.
 type Status struct {
 	Self    membership.LocalStatus `json:"self"`
-	LateMS  float64                `json:"late_ms"`       // by how much the latest late timer was late
-	WorstMS float64                `json:"worst_late_ms"` // the most that any was
-	Dropped map[string]uint64      `json:"dropped"`       // messages and streams, by cause
+	LateMS  float64                `json:"late_ms"`       // delay of the latest late timer, in ms
+	WorstMS float64                `json:"worst_late_ms"` // longest delay of a timer, in ms
+	Dropped map[string]uint64      `json:"dropped"`       // number of dropped messages and streams by cause
 	Members []MemberStatus         `json:"members"`
 	Digest  string                 `json:"digest"` // equal for equal views
 }
 
-// MemberStatus is one other member in it.
+// MemberStatus is the state of another member in the view.
 type MemberStatus struct {
 	membership.MemberView
-	ForS  float64 `json:"for_s"` // how long it has been in its state, as seen here
+	ForS  float64 `json:"for_s"` // seconds since this process saw the member enter its state
 	RTTms float64 `json:"rtt_ms"`
 }
 
-// knownMembers is the view for callers that do not wait for the loop.
+// knownMembers is a copy of the view for goroutines other than the loop.
 type knownMembers struct {
 	self   membership.MemberRecord
 	byName map[string]membership.MemberView
@@ -31,7 +31,8 @@
 
 func milliseconds(t membership.Time) float64 { return float64(t) / 10 }
 
-// updateSnapshot stores the present view for Status and for services. The loop calls it.
+// updateSnapshot stores the current view for Status and for the services. Once the loop runs, only the loop
+// calls it.
 func (m *Mesh) updateSnapshot() {
 	now := Now()
 	self := m.node.Status()
@@ -60,5 +61,5 @@
 	m.known.Store(known)
 }
 
-// Status returns the view as it was a moment ago. It does not wait.
+// Status returns the latest snapshot of the view. It does not wait.
 func (m *Mesh) Status() *Status { return m.status.Load() }
--- a/internal/cluster/mesh/streams.go
+++ b/internal/cluster/mesh/streams.go
@@ -12,7 +12,7 @@
 	"woaddyke/internal/cluster/membership"
 )
 
-// streamTable holds the open streams, which the node knows by their numbers.
+// streamTable holds the open streams by ID. The node refers to a stream by its ID.
 type streamTable struct {
 	accepted slots
 	opened   slots
@@ -22,13 +22,13 @@
 	lastID uint64
 }
 
-// stream is one connection to another member.
+// stream is a connection to another member.
 type stream struct {
 	conn    net.Conn
 	replies chan membership.StreamReply
 }
 
-// slots bounds how many streams are open at once.
+// slots bounds the number of open streams.
 type slots chan struct{}
 
 func (s slots) acquire() bool {
@@ -59,7 +59,7 @@
 	return t.lastID, s
 }
 
-// close closes a stream and forgets it.
+// close closes a stream and removes it from the table.
 func (t *streamTable) close(id uint64, s *stream) {
 	t.mu.Lock()
 	delete(t.byID, id)
@@ -75,7 +75,7 @@
 	}
 }
 
-// reply passes a reply to its stream. It is lost if the stream has ended.
+// reply passes a reply to its stream. If the stream has ended, the reply is lost.
 func (t *streamTable) reply(reply membership.StreamReply) {
 	t.mu.Lock()
 	s := t.byID[reply.Stream]
@@ -89,19 +89,19 @@
 	}
 }
 
-// maxFrameBytes is the size of a message with the records of a full view.
+// maxFrameBytes returns the largest size of a message with the records of a full view.
 func (m *Mesh) maxFrameBytes() int { return baseFrameBytes + maxRecordBytes*m.config.MaxMembers }
 
 // acceptStreams accepts streams until the sockets are interrupted or closed.
 func (m *Mesh) acceptStreams() {
-	failures := 0 // in a row
+	failures := 0 // consecutive
 	for {
 		conn, err := m.sockets.tcp.Accept()
 		if err != nil {
 			if readsEnded(err) {
 				return
 			}
-			failures++ // such as a lack of descriptors, which may end
+			failures++ // may be temporary, such as a lack of file descriptors
 			time.Sleep(oserror.Backoff(failures))
 			continue
 		}
@@ -113,14 +113,14 @@
 	}
 }
 
-// acceptStream serves a stream that another member opened. The error is a dropCause.
+// acceptStream starts to serve a stream that another member opened. The error is a dropCause.
 func (m *Mesh) acceptStream(conn net.Conn) error {
 	from, err := netip.ParseAddrPort(conn.RemoteAddr().String())
-	if err != nil || !m.config.allowed(from.Addr()) {
-		return errOutside
+	if err != nil || !m.config.isAllowed(from.Addr()) {
+		return errOutsideNetworks
 	}
 	if !m.streams.accepted.acquire() {
-		return errTooManyStreams
+		return errTooManyAccepted
 	}
 	go func() {
 		defer m.streams.accepted.release()
@@ -129,12 +129,12 @@
 	return nil
 }
 
-// openStream opens a stream and sends a message on it. It does not wait.
+// openStream opens a stream and sends a message on it, in a new goroutine.
 func (m *Mesh) openStream(to string, message membership.Message) {
 	addr, err := netip.ParseAddrPort(to)
-	text, encodeErr := encode(message)
-	if err != nil || encodeErr != nil || !m.config.allowed(addr.Addr()) {
-		m.dropped.add(errOutside)
+	data, encodeErr := encode(message)
+	if err != nil || encodeErr != nil || !m.config.isAllowed(addr.Addr()) {
+		m.dropped.add(errOutsideNetworks)
 		return
 	}
 	if !m.streams.opened.acquire() {
@@ -148,11 +148,12 @@
 			m.log.Debug().Err(err).Str("to", to).Msg("stream not opened")
 			return
 		}
-		m.serveStream(conn, text)
+		m.serveStream(conn, data)
 	}()
 }
 
-// dial connects from the address of the sockets, by which others tell members from strangers.
+// dial connects from the address of the sockets, because other members accept streams only from allowed
+// addresses.
 func (m *Mesh) dial(to string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: m.sockets.addr().IP}}
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
@@ -160,7 +161,8 @@
 	return dialer.DialContext(ctx, "tcp", to)
 }
 
-// serveStream carries the messages of one stream, after the first one if this process opened it.
+// serveStream exchanges messages on a stream until it ends. If this process opened the stream, it sends the
+// first message; otherwise first is nil.
 func (m *Mesh) serveStream(conn net.Conn, first []byte) {
 	conn.SetDeadline(time.Now().Add(streamTimeout))
 	id, s := m.streams.add(conn)
@@ -180,16 +182,16 @@
 	}
 }
 
-// readStream reads the next message. It reports false if there is none, or one that is dropped.
+// readStream reads the next message. It returns false if the read fails or the message is dropped.
 func (m *Mesh) readStream(conn net.Conn) (membership.Message, bool) {
-	text, err := readFrame(conn, m.maxFrameBytes())
+	data, err := readFrame(conn, m.maxFrameBytes())
 	if err != nil {
 		if errors.Is(err, errTooLong) {
 			m.dropped.add(err)
 		}
 		return membership.Message{}, false
 	}
-	message, err := decode(text, m.config.allowed)
+	message, err := decode(data, m.config.isAllowed)
 	if err != nil {
 		m.dropped.add(err)
 		return membership.Message{}, false
@@ -197,7 +199,7 @@
 	return message, true
 }
 
-// endsStream tells whether a message has no reply.
+// endsStream reports whether a message has no reply, so that its stream ends.
 func endsStream(message membership.Message) bool {
 	switch message.Kind {
 	case membership.Ack, membership.DigestDiffReply:
@@ -208,14 +210,15 @@
 	return false
 }
 
-// writeReply waits for the loop's reply and writes it. It reports whether the stream goes on after it.
+// writeReply waits for the loop's reply and writes it. It reports whether the stream continues after the
+// reply.
 func (m *Mesh) writeReply(s *stream) bool {
 	timeout := time.NewTimer(replyTimeout)
 	defer timeout.Stop()
 	select {
 	case reply := <-s.replies:
-		text, err := encode(reply.Message)
-		return err == nil && writeFrame(s.conn, text) == nil && !reply.Last
+		data, err := encode(reply.Message)
+		return err == nil && writeFrame(s.conn, data) == nil && !reply.Last
 	case <-timeout.C:
 		return false
 	case <-m.loop.quit:
--- a/internal/cluster/mesh/streams_test.go
+++ b/internal/cluster/mesh/streams_test.go
@@ -7,8 +7,9 @@
 	"woaddyke/internal/cluster/membership"
 )
 
-// Streams that others open must not take all descriptors of the process.
-func TestSlotsAreBounded(t *testing.T) {
+// No more slots than the limit can be acquired. Otherwise streams that other members open could use up the
+// file descriptors of the process.
+func TestSlotsAboveTheLimitAreNotAcquired(t *testing.T) {
 	s := make(slots, 2)
 	for i, want := range []bool{true, true, false} {
 		if got := s.acquire(); got != want {
@@ -17,16 +18,16 @@
 	}
 	s.release()
 	if !s.acquire() {
-		t.Error("a slot that was released is not free")
+		t.Error("a released slot was not acquired")
 	}
 }
 
-// A reply to a stream that has ended, or to one that nobody reads, must not hold up the loop.
-func TestReplyNeverWaits(t *testing.T) {
+// A reply to a stream that has ended, or whose replies nobody reads, does not block the loop.
+func TestAReplyThatNobodyReadsDoesNotBlock(t *testing.T) {
 	table := newStreamTable()
-	ours, theirs := net.Pipe()
-	defer theirs.Close()
-	id, s := table.add(ours)
+	local, remote := net.Pipe()
+	defer remote.Close()
+	id, s := table.add(local)
 	for range 3 {
 		table.reply(membership.StreamReply{Stream: id, Last: true})
 	}
@@ -40,7 +41,7 @@
 	}
 }
 
-// A stream ends with the message that has no reply, so that its slot is free at once.
+// A stream ends with the message that has no reply, so that its slot is released without a timeout.
 func TestMessagesThatEndAStream(t *testing.T) {
 	differs := membership.Message{Kind: membership.DigestDiff, Buckets: []int{1}}
 	for _, c := range []struct {
--- a/internal/cluster/mesh/wide_record_test.go
+++ b/internal/cluster/mesh/wide_record_test.go
@@ -8,14 +8,17 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// A record of as many claims as replicas may merge must fit a message between them, whatever the names of the schedulers: one that does not is
-// never caught up with.
+// A record with as many claims as replicas may merge fits a message, even if the names of the schedulers have
+// the longest allowed length. A replica that catches up never gets a record that is longer than a message.
 func TestTheWidestRecordFitsAMessage(t *testing.T) {
 	const claims, nameBytes = 64, 255
 	record := replication.Record{Key: "pay\x00key", Fingerprint: 1}
-	for k := range claims {
+	for i := range claims {
 		record.Outcomes = append(record.Outcomes, replication.Outcome{
-			Claim: replication.Claim{Scheduler: fmt.Sprintf("%03d", k) + strings.Repeat("n", nameBytes-3), Nonce: 1 << 63},
+			Claim: replication.Claim{
+				Scheduler: fmt.Sprintf("%03d", i) + strings.Repeat("n", nameBytes-3),
+				Nonce:     1 << 63,
+			},
 			Stage: replication.Released,
 		})
 	}
@@ -28,6 +31,6 @@
 		t.Fatal(err)
 	}
 	if len(text) > maxServiceBytes {
-		t.Errorf("%d bytes, a message has %d at most", len(text), maxServiceBytes)
+		t.Errorf("the message has %d bytes, the limit is %d", len(text), maxServiceBytes)
 	}
 }
--- a/internal/cluster/mesh/wire.go
+++ b/internal/cluster/mesh/wire.go
@@ -16,27 +16,27 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// This file is the only one that knows the forms in which schedulers write messages. A message is a header
-// and a body in CBOR (RFC 8949). The header is the letter 'w', a letter for the kind of the body, the
-// version of the protocol and the xxHash64 of the body. On a stream the length of the message, in 4 bytes,
-// goes before it. All numbers of the header are big-endian.
+// Only this file knows the wire format. A message is a header and a body in CBOR (RFC 8949). The header is
+// the letter 'w', a letter for the kind of the body, the version of the protocol and the xxHash64 of the
+// body. On a stream, the length of the message in 4 bytes precedes it. All numbers of the header are
+// big-endian.
 const (
-	firstByte        = 'w'
-	membershipMark   = 'm'
-	serviceMark      = 'o'
+	magicByte        = 'w'
+	membershipKind   = 'm'
+	serviceKind      = 'o'
 	version          = 1
 	headerSize       = 2 + 1 + 8
-	maxDatagramBytes = 1900     // of a membership message
-	maxServiceBytes  = 8 << 10  // of a service message, which IP may fragment
-	maxRecordBytes   = 640      // of a member record in a message on a stream
-	baseFrameBytes   = 64 << 10 // of a message on a stream without its records
-	maxArrayElements = 1 << 16  // in a body
-	maxMapPairs      = 20       // in a body
-	maxNesting       = 10       // of a body
+	maxDatagramBytes = 1900     // size of a membership message in a datagram
+	maxServiceBytes  = 8 << 10  // size of a service message, which IP may fragment
+	maxRecordBytes   = 640      // size of a member record in a message on a stream
+	baseFrameBytes   = 64 << 10 // size of a message on a stream without its records
+	maxArrayElements = 1 << 16  // elements of an array in a body
+	maxMapPairs      = 20       // pairs of a map in a body
+	maxNesting       = 10       // nested levels of a body
 )
 
-// wireRecord is a member record, an array in the order of the fields. The protocol calls it a claim,
-// Refutations turn and ReportedBy by.
+// wireRecord is a member record, encoded as an array in the order of the fields. The protocol calls the
+// record "claim", Refutations "turn" and ReportedBy "by".
 type wireRecord struct {
 	_           struct{} `cbor:",toarray"`
 	Name, Addr  string
@@ -49,7 +49,7 @@
 	Age         uint64
 }
 
-// wireMessage is a membership message.
+// wireMessage is a membership message as it is encoded.
 type wireMessage struct {
 	Kind             uint8        `cbor:"1,keyasint"`
 	Cluster          string       `cbor:"2,keyasint"`
@@ -65,28 +65,29 @@
 	Text             string       `cbor:"12,keyasint,omitempty"`
 }
 
-// wireHandover is what a process hands to its successor.
+// wireHandover is the encoded state that a process hands over to its successor.
 type wireHandover struct {
 	Self    wireRecord   `cbor:"1,keyasint"`
 	Seq     uint64       `cbor:"2,keyasint"`
 	Records []wireRecord `cbor:"3,keyasint"`
 }
 
-// serviceMessage is a message of one of the services that use the mesh, with its sender. The services' own
-// types have keys of their own.
+// serviceMessage is a message of a service that uses the mesh, with its sender. The types of the services
+// define their own CBOR keys.
 type serviceMessage struct {
 	Cluster string     `cbor:"1,keyasint"`
 	From    wireRecord `cbor:"2,keyasint"`
 
-	// One of these is set.
+	// Exactly one of these fields is set.
 	Replication   *replication.Message     `cbor:"3,keyasint,omitempty"`
 	Drains        []drainstate.DrainRecord `cbor:"4,keyasint,omitempty"`
 	ReplicaSet    *replicaset.Message      `cbor:"5,keyasint,omitempty"`
 	OperatorState *operatorstate.State     `cbor:"6,keyasint,omitempty"`
 }
 
-// strict rejects what no scheduler writes, and bounds what a message can make the decoder allocate.
-var strict = func() cbor.DecMode {
+// strictDecoding rejects CBOR that the encoder never produces, and bounds the memory that a message makes the
+// decoder allocate.
+var strictDecoding = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 		MaxNestedLevels:   maxNesting,
@@ -133,7 +134,7 @@
 	return membership.Incarnation{Generation: w.Incarnation, Nonce: w.Nonce}
 }
 
-// recordsToWire returns nil for no records, so that their key is left out.
+// recordsToWire returns nil if there are no records, so that the encoder omits the key.
 func recordsToWire(records []membership.MemberRecord) (wire []wireRecord) {
 	for _, record := range records {
 		wire = append(wire, recordToWire(record))
@@ -182,38 +183,38 @@
 	}
 }
 
-// encode returns a membership message as it is sent.
+// encode returns the encoded membership message with its header.
 func encode(message membership.Message) ([]byte, error) {
 	body, err := cbor.Marshal(messageToWire(message))
 	if err != nil {
 		return nil, fmt.Errorf("mesh: %w", err)
 	}
-	return withHeader(membershipMark, body), nil
+	return withHeader(membershipKind, body), nil
 }
 
-// decode reads a membership message. One with any address that is not allowed is rejected as a whole: a
-// member that merged its records would send there. The error is a dropCause.
-func decode(text []byte, allowed func(netip.Addr) bool) (membership.Message, error) {
-	body, err := checkedBody(membershipMark, text)
+// decode decodes a membership message. A message with an address that is not allowed is rejected with all its
+// records, because a member that merged them would send messages to that address. The error is a dropCause.
+func decode(data []byte, allowed func(netip.Addr) bool) (membership.Message, error) {
+	body, err := checkedBody(membershipKind, data)
 	if err != nil {
 		return membership.Message{}, err
 	}
 	var w wireMessage
-	if strict.Unmarshal(body, &w) != nil {
-		return membership.Message{}, errGarbled
+	if strictDecoding.Unmarshal(body, &w) != nil {
+		return membership.Message{}, errMalformed
 	}
-	if !usableAddr(w.From.Addr, allowed) {
-		return membership.Message{}, errOutside
+	if !isUsableAddr(w.From.Addr, allowed) {
+		return membership.Message{}, errOutsideNetworks
 	}
 	for _, record := range w.Records {
-		if !usableAddr(record.Addr, allowed) {
-			return membership.Message{}, errOutside
+		if !isUsableAddr(record.Addr, allowed) {
+			return membership.Message{}, errOutsideNetworks
 		}
 	}
 	return messageFromWire(w), nil
 }
 
-func usableAddr(text string, allowed func(netip.Addr) bool) bool {
+func isUsableAddr(text string, allowed func(netip.Addr) bool) bool {
 	addr, err := netip.ParseAddrPort(text)
 	return err == nil && allowed(addr.Addr()) && addr.Port() != 0
 }
@@ -226,9 +227,9 @@
 	})
 }
 
-func decodeHandover(text []byte) (membership.HandoverState, error) {
+func decodeHandover(data []byte) (membership.HandoverState, error) {
 	var w wireHandover
-	if err := strict.Unmarshal(text, &w); err != nil {
+	if err := strictDecoding.Unmarshal(data, &w); err != nil {
 		return membership.HandoverState{}, fmt.Errorf("members: %w", err)
 	}
 	return membership.HandoverState{
@@ -243,54 +244,54 @@
 	if err != nil {
 		return nil, fmt.Errorf("mesh: %w", err)
 	}
-	return withHeader(serviceMark, body), nil
+	return withHeader(serviceKind, body), nil
 }
 
-// decodeService reads a service message. The error is a dropCause.
-func decodeService(text []byte) (message serviceMessage, err error) {
-	body, err := checkedBody(serviceMark, text)
+// decodeService decodes a service message. The error is a dropCause.
+func decodeService(data []byte) (message serviceMessage, err error) {
+	body, err := checkedBody(serviceKind, data)
 	if err != nil {
 		return message, err
 	}
-	if strict.Unmarshal(body, &message) != nil {
-		return message, errGarbled
+	if strictDecoding.Unmarshal(body, &message) != nil {
+		return message, errMalformed
 	}
 	return message, nil
 }
 
-// isService tells by its header whether a datagram is a service message.
-func isService(text []byte) bool { return len(text) > 1 && text[1] == serviceMark }
+// isServiceMessage reports whether the header of a datagram is that of a service message.
+func isServiceMessage(data []byte) bool { return len(data) > 1 && data[1] == serviceKind }
 
 func withHeader(mark byte, body []byte) []byte {
-	text := make([]byte, 0, headerSize+len(body))
-	text = append(text, firstByte, mark, version)
-	text = binary.BigEndian.AppendUint64(text, xxhash.Sum64(body))
-	return append(text, body...)
+	data := make([]byte, 0, headerSize+len(body))
+	data = append(data, magicByte, mark, version)
+	data = binary.BigEndian.AppendUint64(data, xxhash.Sum64(body))
+	return append(data, body...)
 }
 
-// checkedBody checks the header and returns what follows it. The error is a dropCause.
-func checkedBody(mark byte, text []byte) ([]byte, error) {
-	if len(text) < headerSize || text[0] != firstByte || text[1] != mark {
-		return nil, errGarbled
+// checkedBody checks the header and returns the body. The error is a dropCause.
+func checkedBody(mark byte, data []byte) ([]byte, error) {
+	if len(data) < headerSize || data[0] != magicByte || data[1] != mark {
+		return nil, errMalformed
 	}
-	if text[2] != version {
-		return nil, errVersion
+	if data[2] != version {
+		return nil, errWrongVersion
 	}
-	body := text[headerSize:]
-	if xxhash.Sum64(body) != binary.BigEndian.Uint64(text[3:]) {
-		return nil, errGarbled
+	body := data[headerSize:]
+	if xxhash.Sum64(body) != binary.BigEndian.Uint64(data[3:]) {
+		return nil, errMalformed
 	}
 	return body, nil
 }
 
-// writeFrame writes a message with its length to a stream.
-func writeFrame(w io.Writer, text []byte) error {
-	frame := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(text)), uint32(len(text)))
-	_, err := w.Write(append(frame, text...))
+// writeFrame writes the length of a message and the message to a stream.
+func writeFrame(w io.Writer, data []byte) error {
+	frame := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(data)), uint32(len(data)))
+	_, err := w.Write(append(frame, data...))
 	return err
 }
 
-// readFrame reads a message from a stream. The error is errTooLong for one that is longer than the limit.
+// readFrame reads a message from a stream. It returns errTooLong for a message longer than limit bytes.
 func readFrame(r io.Reader, limit int) ([]byte, error) {
 	var length [4]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
@@ -300,9 +301,9 @@
 	if int64(size) > int64(limit) {
 		return nil, errTooLong
 	}
-	text := make([]byte, size)
-	if _, err := io.ReadFull(r, text); err != nil {
+	data := make([]byte, size)
+	if _, err := io.ReadFull(r, data); err != nil {
 		return nil, err
 	}
-	return text, nil
+	return data, nil
 }
--- a/internal/cluster/replica/backlog_test.go
+++ b/internal/cluster/replica/backlog_test.go
@@ -11,22 +11,26 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// A loop that takes up a whole round of queued inputs must handle each of them: one that is read from the queue and not handled may be a
-// claim, whose client then waits for its whole timeout, or the end of an op.
-func TestNoInputIsLostInABacklog(t *testing.T) {
-	table := Defaults()
-	table.Replicas = []string{"a", "b", "c"} // nobody answers: a claim that was handled is pending
-	transport := alone{time.Now()}
-	r, err := New(table, "a", 1, 0, transport.Now(), zerolog.Nop())
+// The loop handles every input of a backlog that takes several rounds. Guards against an input that is read
+// from the queue when the round is full and is then not handled. Such an input may be a claim, whose client
+// then waits for its whole timeout, or the end of an op.
+func TestABacklogOfSeveralRoundsLosesNoInput(t *testing.T) {
+	config := Defaults()
+	config.Replicas = []string{"a", "b", "c"} // b and c do not answer: a claim that was handled stays pending
+	transport := isolatedTransport{time.Now()}
+	r, err := New(config, "a", 1, 0, transport.Now(), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	const claims = 3 * maxInputsPerRound
+	const claims = 3 * maxExtraInputsPerRound
 	r.transport = transport
-	r.step(replication.Membership{Serving: true, Generation: 1})
-	for k := range claims {
-		r.queue.put(input{replication: replication.ClaimRequest{RequestID: uint64(k + 1), Key: fmt.Sprint("pay/", k),
-			Timeout: membership.TimeOf(time.Minute)}})
+	r.stepReplication(replication.Membership{Serving: true, Generation: 1})
+	for i := range claims {
+		r.queue.put(input{replication: replication.ClaimRequest{
+			RequestID: uint64(i + 1),
+			Key:       fmt.Sprint("pay/", i),
+			Timeout:   membership.TimeOf(time.Minute),
+		}})
 	}
 	for len(r.queue.inputs) > 0 {
 		r.handleInputs(<-r.queue.inputs)
--- a/internal/cluster/replica/changes.go
+++ b/internal/cluster/replica/changes.go
@@ -8,10 +8,10 @@
 
 const (
 	maxPendingChanges = 8
-	changeTimeout     = 1800 * time.Millisecond // below the 2 s that a call of the console may take
+	changeTimeout     = 1800 * time.Millisecond // below the 2 s that a console call may take
 )
 
-// ChangeReplicas asks for other replicas than those of an epoch, and waits for the result.
+// ChangeReplicas requests that the given replicas replace those of an epoch, and waits for the result.
 func (r *Replica) ChangeReplicas(epoch uint64, names []string) replicaset.ChangeResult {
 	if !r.config.DynamicReplicas {
 		const text = "keepers do not change by agreement here: copies.agreed is not set"
@@ -25,7 +25,7 @@
 	if !ok {
 		return replicaset.ChangeResult{Message: "too many ask at once", Retryable: true}
 	}
-	defer r.changes.take(id)
+	defer r.changes.remove(id)
 	request := replicaset.ChangeRequest{RequestID: id, Epoch: epoch, Replicas: names}
 	r.queue.put(input{replicaSet: request})
 	deadline := time.NewTimer(changeTimeout)
--- a/internal/cluster/replica/claims.go
+++ b/internal/cluster/replica/claims.go
@@ -12,49 +12,51 @@
 )
 
 const (
-	maxFirstClaimID = 1 << 60 // below the flags of IDs on the wire, with space to count
+	maxFirstClaimID = 1 << 60 // below the flag bits of IDs on the wire, with space to count up
 	maxJoinedClaims = 1024
-	joinInterval    = 50 * time.Millisecond // between two claims of an op that another scheduler has
-	loopGrace       = time.Second           // beyond QuorumTimeout, for a loop that is late
+	joinInterval    = 50 * time.Millisecond // between two claims of an op in progress at another scheduler
+	decisionGrace   = time.Second           // added to QuorumTimeout, as the loop may run late
 )
 
-// pendingClaims are the claims that callers wait for.
+// pendingClaims holds the claims whose callers wait for a decision.
 type pendingClaims struct {
 	*waiters[replication.ClaimDecided]
-	lastID atomic.Uint64
-	joined atomic.Int64 // that wait for ops of other schedulers
+	lastID      atomic.Uint64
+	joinedCount atomic.Int64 // claims that wait for ops in progress at other schedulers
 }
 
 func newPendingClaims() pendingClaims {
 	return pendingClaims{waiters: newWaiters[replication.ClaimDecided]()}
 }
 
-// numberFrom has the claims numbered from a random ID on: answers to the process before may arrive here.
-func (p *pendingClaims) numberFrom(random uint64) { p.lastID.Store(random % maxFirstClaimID) }
+// startIDsAt derives the first claim ID from a random number. Answers to claims of the previous process may
+// arrive here and must not match a claim of this process.
+func (p *pendingClaims) startIDsAt(random uint64) { p.lastID.Store(random % maxFirstClaimID) }
 
-// claimOp is what a claim is for.
+// claimOp is the op that a claim is for.
 type claimOp struct {
 	key         string
 	fingerprint uint64
-	window      time.Duration
+	dedupWindow time.Duration
 }
 
-// Claim asks whether an op may be pushed, and waits for the decision, QuorumTimeout at the longest. An op
-// whose worker group drops repeats for a window may be granted though it ran for a scheduler that is dead:
-// the outcome names the group. An op that another scheduler has is claimed again until it has ended, for
-// JoinTimeout at the longest: its client gets that answer.
+// Claim asks the replicas whether an op may be pushed, and waits at most QuorumTimeout and decisionGrace for
+// their decision. If the worker group drops duplicates within a window, the claim may be granted although the
+// op may have run for a scheduler that is dead. The outcome then names the group. If the op is in progress at
+// another scheduler, Claim repeats the claim until the op has ended, so that the client gets that answer. It
+// repeats the claim for at most JoinTimeout.
 func (r *Replica) Claim(
 	ctx context.Context, category, id string, request []byte, timeout, window time.Duration,
 ) replication.ClaimDecided {
-	op := claimOp{keyOf(category, id), xxhash.Sum64(request), window}
+	op := claimOp{recordKey(category, id), xxhash.Sum64(request), window}
 	startedAt := time.Now()
 	decided := r.claimOnce(ctx, op, timeout)
 	joinTimeout := min(time.Duration(r.config.JoinTimeout), timeout-joinInterval)
 	if decided.Result != replication.InProgress || joinTimeout <= 0 {
 		return decided
 	}
-	defer r.claims.joined.Add(-1)
-	if r.claims.joined.Add(1) > maxJoinedClaims {
+	defer r.claims.joinedCount.Add(-1)
+	if r.claims.joinedCount.Add(1) > maxJoinedClaims {
 		return decided
 	}
 	ticker := time.NewTicker(joinInterval)
@@ -72,23 +74,23 @@
 	return decided
 }
 
-// claimOnce asks once, and waits for the decision.
+// claimOnce sends one claim and waits for the decision.
 func (r *Replica) claimOnce(ctx context.Context, op claimOp, timeout time.Duration) replication.ClaimDecided {
 	id := r.claims.lastID.Add(1)
-	result, _ := r.claims.add(id, 0) // bounded by the frontend's open ops
+	result, _ := r.claims.add(id, 0) // no limit: the frontend bounds its open ops
 	noQuorum := replication.ClaimDecided{RequestID: id, Result: replication.NoQuorum}
 	request := replication.ClaimRequest{
 		RequestID:   id,
 		Key:         op.key,
 		Fingerprint: op.fingerprint,
 		Timeout:     membership.TimeOf(timeout),
-		Window:      membership.TimeOf(op.window),
+		Window:      membership.TimeOf(op.dedupWindow),
 	}
 	if !r.queue.offer(input{replication: request}) {
-		r.claims.take(id)
+		r.claims.remove(id)
 		return noQuorum
 	}
-	deadline := time.NewTimer(time.Duration(r.config.QuorumTimeout) + loopGrace)
+	deadline := time.NewTimer(time.Duration(r.config.QuorumTimeout) + decisionGrace)
 	defer deadline.Stop()
 	select {
 	case decided := <-result:
@@ -97,14 +99,15 @@
 	case <-deadline.C:
 	case <-r.ended:
 	}
-	r.giveUpClaim(id, result)
+	r.withdrawClaim(id, result)
 	return noQuorum
 }
 
-// giveUpClaim ends the wait for a decision. A grant is given back: by the loop where it comes later, and
-// here where the loop has taken this waiter already and is about to deliver it.
-func (r *Replica) giveUpClaim(id uint64, result <-chan replication.ClaimDecided) {
-	if r.claims.take(id) != nil {
+// withdrawClaim ends the wait for a decision. If the claim is granted nevertheless, the grant is released. If
+// withdrawClaim removes the waiter first, the loop releases the grant. If the loop has already removed the
+// waiter, it is about to deliver the decision, and withdrawClaim releases the grant.
+func (r *Replica) withdrawClaim(id uint64, result <-chan replication.ClaimDecided) {
+	if r.claims.remove(id) != nil {
 		return
 	}
 	if decided := <-result; decided.Result == replication.Granted {
@@ -112,18 +115,18 @@
 	}
 }
 
-// MayHaveRun says that a granted op may have run in a worker group that drops repeats.
+// MayHaveRun records that a granted op may have run in a worker group that drops duplicates.
 func (r *Replica) MayHaveRun(id uint64, group string) {
 	r.queue.stateChanges.Put(input{replication: replication.MayHaveRun{RequestID: id, Group: group}})
 }
 
-// Abandon says that a granted op that may have run is pushed no more, and that its client was answered that a
-// repeat is harmless.
+// Abandon records that a granted op that may have run is not pushed again, and that its client was answered
+// that a repeat is harmless.
 func (r *Replica) Abandon(id uint64) {
 	r.queue.put(input{replication: replication.OpEnded{RequestID: id, Abandoned: true}})
 }
 
-// Finish says what became of a granted op. An answer longer than MaxResultBytes is not retained.
+// Finish records the outcome of a granted op. An answer longer than MaxResultBytes is not retained.
 func (r *Replica) Finish(id uint64, neverRan bool, status int, answer []byte) {
 	ended := replication.OpEnded{RequestID: id, NeverRan: neverRan, Verdict: uint16(status)}
 	if !neverRan && status != 0 && len(answer) <= r.config.MaxResultBytes {
--- a/internal/cluster/replica/config.go
+++ b/internal/cluster/replica/config.go
@@ -32,10 +32,10 @@
 	Sync            bool              `toml:"sync"`         // a grant waits until the disk has it
 }
 
-// maxResultBytes is such that a message with a result fits a datagram of the mesh.
+// maxResultBytes limits a result so that a message with the result fits a datagram of the mesh.
 const maxResultBytes = 2 << 10
 
-// Defaults returns the table as it is where the file leaves keys out.
+// Defaults returns the values of keys that the features file omits.
 func Defaults() *Config {
 	d := replication.Defaults()
 	return &Config{
@@ -58,58 +58,59 @@
 
 func timeOf(d features.Duration) replication.Time { return membership.TimeOf(time.Duration(d)) }
 
-// Validate returns what is wrong. AmnesiaHoldOff must not be below the longest time to live: replicas
-// without memory must not vote while an op that they granted may still be in flight.
-func (t *Config) Validate(maxTTL time.Duration) error {
-	fault := func(key string, err error) error {
+// Validate returns a features.ConfigError for the first key that is invalid. AmnesiaHoldOff must be at least
+// maxTTL, the longest TTL: replicas that lost their records must not vote while an op that they granted may
+// still be in flight.
+func (c *Config) Validate(maxTTL time.Duration) error {
+	invalid := func(key string, err error) error {
 		return &features.ConfigError{Table: "copies", Key: key, Err: err}
 	}
-	replicationConfig := t.replicationConfig("n", 1, 1)
+	replicationConfig := c.replicationConfig("n", 1, 1)
 	if err := replicationConfig.Validate(); err != nil {
 		return features.WrapCheckError("copies", err)
 	}
-	replicaSetConfig := t.replicaSetConfig("n", 1)
+	replicaSetConfig := c.replicaSetConfig("n", 1)
 	if err := replicaSetConfig.Validate(); err != nil {
 		return features.WrapCheckError("copies", err)
 	}
 	switch {
-	case !t.DynamicReplicas && (t.ReplaceAfter != 0 || len(t.Spares) > 0):
-		return fault("agreed", errors.New("it is needed for replace_after and spares"))
-	case t.RetryInterval <= 0 || t.RetryInterval > t.QuorumTimeout:
-		return fault("again", errors.New("from above 0 to wait"))
-	case t.JoinTimeout < 0 || time.Duration(t.JoinTimeout) > time.Minute:
-		return fault("join", errors.New("from 0 to 1m"))
-	case time.Duration(t.PullInterval) < 10*time.Millisecond:
-		return fault("pull", errors.New("10ms at least"))
-	case time.Duration(t.AmnesiaHoldOff) < maxTTL:
-		return fault("hold_off", fmt.Errorf("shorter than the longest time to live, %v", maxTTL))
-	case t.MaxResultBytes < 0 || t.MaxResultBytes > maxResultBytes:
-		return fault("result_bytes", fmt.Errorf("from 0 to %d", maxResultBytes))
+	case !c.DynamicReplicas && (c.ReplaceAfter != 0 || len(c.Spares) > 0):
+		return invalid("agreed", errors.New("must be true if replace_after or spares is set"))
+	case c.RetryInterval <= 0 || c.RetryInterval > c.QuorumTimeout:
+		return invalid("again", errors.New("must be above 0 and at most wait"))
+	case c.JoinTimeout < 0 || time.Duration(c.JoinTimeout) > time.Minute:
+		return invalid("join", errors.New("must be from 0 to 1m"))
+	case time.Duration(c.PullInterval) < 10*time.Millisecond:
+		return invalid("pull", errors.New("must be at least 10ms"))
+	case time.Duration(c.AmnesiaHoldOff) < maxTTL:
+		return invalid("hold_off", fmt.Errorf("must be at least the longest TTL, %v", maxTTL))
+	case c.MaxResultBytes < 0 || c.MaxResultBytes > maxResultBytes:
+		return invalid("result_bytes", fmt.Errorf("must be from 0 to %d", maxResultBytes))
 	}
 	return nil
 }
 
-func (t *Config) replicationConfig(name string, seed, nonce uint64) replication.Config {
+func (c *Config) replicationConfig(name string, seed, nonce uint64) replication.Config {
 	return replication.Config{
 		Name:            name,
-		Replicas:        t.Replicas,
-		DynamicReplicas: t.DynamicReplicas,
+		Replicas:        c.Replicas,
+		DynamicReplicas: c.DynamicReplicas,
 		Seed:            seed,
 		Nonce:           nonce,
-		QuorumTimeout:   timeOf(t.QuorumTimeout),
-		RetryInterval:   timeOf(t.RetryInterval),
-		PullInterval:    timeOf(t.PullInterval),
-		Retention:       timeOf(t.Retention),
-		AmnesiaHoldOff:  timeOf(t.AmnesiaHoldOff),
-		CatchUpRate:     t.CatchUpRate,
-		MaxRecords:      t.MaxRecords,
-		MaxBytes:        t.MaxBytes,
+		QuorumTimeout:   timeOf(c.QuorumTimeout),
+		RetryInterval:   timeOf(c.RetryInterval),
+		PullInterval:    timeOf(c.PullInterval),
+		Retention:       timeOf(c.Retention),
+		AmnesiaHoldOff:  timeOf(c.AmnesiaHoldOff),
+		CatchUpRate:     c.CatchUpRate,
+		MaxRecords:      c.MaxRecords,
+		MaxBytes:        c.MaxBytes,
 	}
 }
 
-func (t *Config) replicaSetConfig(name string, seed uint64) replicaset.Config {
-	c := replicaset.Defaults()
-	c.Name, c.Replicas, c.Seed = name, t.Replicas, seed
-	c.ReplaceAfter, c.Spares = timeOf(t.ReplaceAfter), t.Spares
-	return c
+func (c *Config) replicaSetConfig(name string, seed uint64) replicaset.Config {
+	config := replicaset.Defaults()
+	config.Name, config.Replicas, config.Seed = name, c.Replicas, seed
+	config.ReplaceAfter, config.Spares = timeOf(c.ReplaceAfter), c.Spares
+	return config
 }
--- a/internal/cluster/replica/delivery_test.go
+++ b/internal/cluster/replica/delivery_test.go
@@ -13,146 +13,146 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// replica is one by itself, with a disk, that has its vote.
-func keeper(t *testing.T) *Replica {
+// startReplica starts a replica set of one replica with a store, and waits until the replica votes.
+func startReplica(t *testing.T) *Replica {
 	t.Helper()
-	table := Defaults()
-	table.Replicas, table.Path = []string{"a"}, filepath.Join(t.TempDir(), "copies.db")
-	table.AmnesiaHoldOff, table.Sync = 0, false
-	if err := table.Validate(0); err != nil {
+	config := Defaults()
+	config.Replicas, config.Path = []string{"a"}, filepath.Join(t.TempDir(), "copies.db")
+	config.AmnesiaHoldOff, config.Sync = 0, false
+	if err := config.Validate(0); err != nil {
 		t.Fatal(err)
 	}
-	w := alone{time.Now()}
-	f, err := New(table, "a", 1, 0, w.Now(), zerolog.Nop())
+	transport := isolatedTransport{time.Now()}
+	r, err := New(config, "a", 1, 0, transport.Now(), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(f.Close)
-	f.Start(w)
-	f.SetMembership(true, membership.Incarnation{Generation: 7})
-	f.await(t, "it has its vote", func() bool { return f.Status().Voting })
-	return f
+	t.Cleanup(r.Close)
+	r.Start(transport)
+	r.SetMembership(true, membership.Incarnation{Generation: 7})
+	r.await(t, "the replica votes", func() bool { return r.Status().Voting })
+	return r
 }
 
-func (f *Replica) await(t *testing.T, what string, holds func() bool) {
+func (r *Replica) await(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for until := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
-		if time.Now().After(until) {
-			t.Fatalf("never: %s", what)
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("not true within 20 s: %s", description)
 		}
 	}
 }
 
-// payOp is an op of the category pay with an empty request.
+// payOp returns an op of the category "pay" with an empty request.
 func payOp(id string) claimOp {
-	return claimOp{key: keyOf("pay", id), fingerprint: xxhash.Sum64(nil)}
+	return claimOp{key: recordKey("pay", id), fingerprint: xxhash.Sum64(nil)}
 }
 
-// A client that leaves just as its op is granted: whoever asked for it had looked in vain, and the grant
-// came behind that look. The claim stood for as long as ids are remembered, and the op could run nowhere.
-func TestAGrantThatCrossesItsClientsLeavingIsGivenBack(t *testing.T) {
+// A grant is released if the client disconnects after the loop has removed its waiter and before the loop
+// delivers the grant. Otherwise the claim would stand until its retention ends, and the op could not run
+// anywhere.
+func TestAGrantAfterTheClientDisconnectedIsReleased(t *testing.T) {
 	ended := make(chan struct{})
-	f := &Replica{
+	r := &Replica{
 		queue:  newInputQueue(ended),
 		ended:  ended,
 		claims: newPendingClaims(),
 		config: Defaults(),
 	}
-	ctx, leave := context.WithCancel(context.Background())
-	answered := make(chan replication.ClaimDecided, 1)
-	go func() { answered <- f.claimOnce(ctx, payOp("a"), time.Second) }()
-	want := (<-f.queue.inputs).replication.(replication.ClaimRequest)
-	to := f.claims.take(want.RequestID) // the loop takes the asker for its outcome
-	leave()
-	time.Sleep(50 * time.Millisecond) // the asker has seen that by then
-	to <- replication.ClaimDecided{RequestID: want.RequestID, Result: replication.Granted}
-	if d := <-answered; d.Result == replication.Granted {
-		return // it came first
+	ctx, disconnect := context.WithCancel(context.Background())
+	decided := make(chan replication.ClaimDecided, 1)
+	go func() { decided <- r.claimOnce(ctx, payOp("a"), time.Second) }()
+	request := (<-r.queue.inputs).replication.(replication.ClaimRequest)
+	result := r.claims.remove(request.RequestID) // as the loop does before it delivers a decision
+	disconnect()
+	time.Sleep(50 * time.Millisecond) // time for claimOnce to notice that the client disconnected
+	result <- replication.ClaimDecided{RequestID: request.RequestID, Result: replication.Granted}
+	if d := <-decided; d.Result == replication.Granted {
+		return // the grant was delivered before claimOnce noticed
 	}
 	select {
-	case in := <-f.queue.inputs:
+	case in := <-r.queue.inputs:
 		end, ok := in.replication.(replication.OpEnded)
-		if !ok || end.RequestID != want.RequestID || !end.NeverRan {
+		if !ok || end.RequestID != request.RequestID || !end.NeverRan {
 			t.Errorf("%+v", in.replication)
 		}
 	case <-time.After(time.Second):
-		t.Error("the grant is not given back")
+		t.Error("the grant was not released")
 	}
 }
 
-// What a replica must do when its disk fails, and when a grant finds nobody, was put at the end of its own
-// queue, and lost where that was full: it went on voting with records that do not last, and the claim
-// stood for good.
-func TestWhatAKeeperOwesItselfIsNotLostWithAFullQueue(t *testing.T) {
-	full := func(f *Replica) {
-		for len(f.queue.inputs) < cap(f.queue.inputs) {
-			f.queue.inputs <- input{replication: replication.Tick{}}
+// A replica with a full queue stops voting when its disk fails, and releases a grant that no caller waits
+// for. Guards against a follow-up input that is queued and lost because the queue is full. The replica would
+// then continue to vote with records that do not last, and the claim would stand forever.
+func TestFollowUpInputsAreNotLostInAFullQueue(t *testing.T) {
+	fillQueue := func(r *Replica) {
+		for len(r.queue.inputs) < cap(r.queue.inputs) {
+			r.queue.inputs <- input{replication: replication.Tick{}}
 		}
 	}
-	t.Run("a disk that fails", func(t *testing.T) {
-		f := keeper(t)
-		f.call(func() {
-			f.storage.store.Close()
-			full(f)
-			f.step(replication.ClaimRequest{RequestID: 1 << 40, Key: "pay\x00a", Timeout: 10_000})
+	t.Run("the disk fails", func(t *testing.T) {
+		r := startReplica(t)
+		r.callInLoop(func() {
+			r.storage.store.Close()
+			fillQueue(r)
+			r.stepReplication(replication.ClaimRequest{RequestID: 1 << 40, Key: "pay\x00a", Timeout: 10_000})
 		})
-		f.await(t, "all is taken", func() bool { return len(f.queue.inputs) == 0 })
-		if f.Status().Voting {
-			t.Error("it votes though its records do not last")
+		r.await(t, "the queue is empty", func() bool { return len(r.queue.inputs) == 0 })
+		if r.Status().Voting {
+			t.Error("the replica votes although its disk has failed")
 		}
 	})
-	t.Run("a grant that finds nobody", func(t *testing.T) {
-		f := keeper(t)
-		f.call(func() {
-			full(f)
-			f.step(replication.ClaimRequest{RequestID: 1 << 40, Key: "pay\x00a", Timeout: 10_000})
+	t.Run("no caller waits for a grant", func(t *testing.T) {
+		r := startReplica(t)
+		r.callInLoop(func() {
+			fillQueue(r)
+			r.stepReplication(replication.ClaimRequest{RequestID: 1 << 40, Key: "pay\x00a", Timeout: 10_000})
 		})
-		f.await(t, "all is taken", func() bool { return len(f.queue.inputs) == 0 })
-		if rows := f.Lookup("pay", "a"); len(rows) != 1 || rows[0].Stage == replication.Claimed.String() {
-			t.Errorf("the claim stands: %+v", rows)
+		r.await(t, "the queue is empty", func() bool { return len(r.queue.inputs) == 0 })
+		if rows := r.Lookup("pay", "a"); len(rows) != 1 || rows[0].Stage == replication.Claimed.String() {
+			t.Errorf("the claim was not released: %+v", rows)
 		}
 	})
 }
 
-// A replica whose disk fails in the very round in which an op is decided gives it to nobody.
-func TestAGrantThatIsOnNoDiskIsGivenToNobody(t *testing.T) {
-	f := keeper(t)
-	if d := f.claimOnce(t.Context(), payOp("before"), time.Second); d.Result != replication.Granted {
-		t.Fatalf("before: %v: this test proves nothing", d.Result)
+// If the disk fails in the round in which a claim is granted, the caller does not get the grant.
+func TestAGrantThatIsNotPersistedIsNotDelivered(t *testing.T) {
+	r := startReplica(t)
+	if d := r.claimOnce(t.Context(), payOp("before"), time.Second); d.Result != replication.Granted {
+		t.Fatalf("with a disk that works: got %v, want a grant", d.Result)
 	}
-	f.call(func() { f.storage.store.Close() })
-	if d := f.claimOnce(t.Context(), payOp("a"), time.Second); d.Result != replication.NoQuorum {
+	r.callInLoop(func() { r.storage.store.Close() })
+	if d := r.claimOnce(t.Context(), payOp("a"), time.Second); d.Result != replication.NoQuorum {
 		t.Errorf("%v", d.Result)
 	}
 }
 
-// Who is here and whether this process is a member comes in the order in which it happened, however full
-// the queue is: told the other way round, a process that another had taken the place of went on as a
-// member, and one that was gone counted as here.
-func TestChangesOfMembersKeepTheirOrderInAFullQueue(t *testing.T) {
+// Changes of membership are handled in the order in which they happen, even if the queue is full. In the
+// wrong order, a replaced process would continue as a member, and a dead peer would count as alive.
+func TestMemberChangesKeepTheirOrderInAFullQueue(t *testing.T) {
 	const changes = 40
 	ended := make(chan struct{})
-	f := &Replica{queue: newInputQueue(ended), ended: ended, config: Defaults()}
-	for len(f.queue.inputs) < cap(f.queue.inputs) {
-		f.queue.inputs <- input{replication: replication.Tick{}}
+	r := &Replica{queue: newInputQueue(ended), ended: ended, config: Defaults()}
+	for len(r.queue.inputs) < cap(r.queue.inputs) {
+		r.queue.inputs <- input{replication: replication.Tick{}}
 	}
-	for k := range changes {
-		f.SetPeerDead("a", k%2 == 0)
+	for i := range changes {
+		r.SetPeerDead("a", i%2 == 0)
 	}
 	var got []bool
-	for late := time.After(10 * time.Second); len(got) < changes; {
+	for timeout := time.After(10 * time.Second); len(got) < changes; {
 		select {
-		case in := <-f.queue.inputs:
-			if x, ok := in.replication.(replication.PeerStatus); ok {
-				got = append(got, x.Dead)
+		case in := <-r.queue.inputs:
+			if status, ok := in.replication.(replication.PeerStatus); ok {
+				got = append(got, status.Dead)
 			}
-		case <-late:
-			t.Fatalf("%d of %d changes came", len(got), changes)
+		case <-timeout:
+			t.Fatalf("%d of %d changes arrived within 10 s", len(got), changes)
 		}
 	}
-	for k, gone := range got {
-		if gone != (k%2 == 0) {
-			t.Fatalf("change %d came out of its order: %v", k, got)
+	for i, dead := range got {
+		if dead != (i%2 == 0) {
+			t.Fatalf("change %d arrived out of order: %v", i, got)
 		}
 	}
 }
--- a/internal/cluster/replica/effects.go
+++ b/internal/cluster/replica/effects.go
@@ -7,15 +7,16 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// step feeds the replication core and carries out its effects.
-func (r *Replica) step(in replication.Input) {
-	r.carryOut(r.core.Step(r.transport.Now(), in))
+// stepReplication passes an input to the replication core and applies its effects.
+func (r *Replica) stepReplication(in replication.Input) {
+	r.applyEffects(r.core.Step(r.transport.Now(), in))
 }
 
-// carryOut carries out the effects of the replication core. What must be persisted is, before anything is
-// sent; an adopted set is, before another member can conclude that this replica refuses claims under the
-// set before. Inputs that follow are fed at once: the queue may be full, and none of them may be lost.
-func (r *Replica) carryOut(effects []replication.Effect) {
+// applyEffects applies the effects of the replication core. It persists records before it sends messages. It
+// also persists an adopted set first, since a message lets another member conclude that this replica refuses
+// claims under the previous set. Follow-up inputs bypass the queue, because the queue may be full and none of
+// them may be lost.
+func (r *Replica) applyEffects(effects []replication.Effect) {
 	persisted := r.persist(effects)
 	var followUps []replication.Input
 	if !persisted {
@@ -25,7 +26,7 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case replication.Send:
-			r.send(e, persisted)
+			r.sendIfDurable(e, persisted)
 		case replication.ReplicasReady:
 			if persisted {
 				r.stepReplicaSet(replicaset.ReplicasReady{Epoch: e.Epoch})
@@ -40,11 +41,11 @@
 		}
 	}
 	for _, in := range followUps {
-		r.step(in)
+		r.stepReplication(in)
 	}
 }
 
-// persistAdoptedSets has the replica set core persist the sets that were adopted; false where that failed.
+// persistAdoptedSets makes the replica set core persist the adopted sets. It returns false if that fails.
 func (r *Replica) persistAdoptedSets(effects []replication.Effect) (ok bool) {
 	ok = true
 	for _, e := range effects {
@@ -55,18 +56,18 @@
 	return ok
 }
 
-// send sends a message, unless it states what should have been persisted and was not.
-func (r *Replica) send(e replication.Send, persisted bool) {
+// sendIfDurable sends a message, unless the message requires a state on disk that was not persisted.
+func (r *Replica) sendIfDurable(e replication.Send, persisted bool) {
 	if persisted || !e.RequiresDurability() {
 		r.transport.SendReplication(e.To, e.Message)
 	}
 }
 
-// deliverClaim gives a decision to the caller that waits for it. It reports whether a caller got it: not
-// where nobody waits any more, nor a grant in a round that was not persisted, since this replica's own
-// vote may be part of it.
+// deliverClaim delivers a decision to the caller that waits for it, and reports whether the caller got the
+// decision. It returns false if no caller waits. It also returns false for a grant in a round that was not
+// persisted, because the grant may count this replica's own vote. The caller then gets NoQuorum.
 func (r *Replica) deliverClaim(e replication.ClaimDecided, persisted bool) bool {
-	result := r.claims.take(e.RequestID)
+	result := r.claims.remove(e.RequestID)
 	if result == nil {
 		return false
 	}
@@ -78,8 +79,8 @@
 	return true
 }
 
-// stepReplicaSet feeds the replica set core and carries out its effects, once its state is persisted; false
-// where that failed.
+// stepReplicaSet passes an input to the replica set core, persists the state of the core and then applies its
+// effects. It returns false if the state could not be persisted.
 func (r *Replica) stepReplicaSet(in replicaset.Input) bool {
 	if r.replicaSet == nil {
 		return true
@@ -93,9 +94,9 @@
 		case replicaset.Send:
 			r.transport.SendReplicaSet(e.To, e.Message)
 		case replicaset.SetAgreed:
-			r.step(replication.AdoptSet{Set: e.Set})
+			r.stepReplication(replication.AdoptSet{Set: e.Set})
 		case replicaset.ChangeResult:
-			if result := r.changes.take(e.RequestID); result != nil {
+			if result := r.changes.remove(e.RequestID); result != nil {
 				result <- e
 			}
 		case replicaset.Event:
@@ -106,7 +107,7 @@
 	return true
 }
 
-// logEvent begins a log line for an event.
+// logEvent starts a log line for an event.
 func (r *Replica) logEvent(warning bool) *zerolog.Event {
 	if warning {
 		return r.log.Warn()
--- a/internal/cluster/replica/golden_test.go
+++ b/internal/cluster/replica/golden_test.go
@@ -12,25 +12,25 @@
 )
 
 // Guards the JSON keys that tools of the operators read at /api/copies.
-func TestShownKeepsItsForm(t *testing.T) {
+func TestStatusKeepsItsJSONKeys(t *testing.T) {
 	filled.CompareJSON(t, "testdata/shown.json.golden", filled.Value[Status](t))
 }
 
-// Guards the JSON keys of one claim that tools of the operators read at /api/copies/records.
-func TestRowKeepsItsForm(t *testing.T) {
+// Guards the JSON keys of a claim that tools of the operators read at /api/copies/records.
+func TestRecordRowKeepsItsJSONKeys(t *testing.T) {
 	filled.CompareJSON(t, "testdata/row.json.golden", filled.Value[RecordRow](t))
 }
 
-// Guards the TOML keys of the table copies in the operator's file.
-func TestTableKeepsItsKeys(t *testing.T) {
+// Guards the TOML keys of the table "copies" of the features file.
+func TestConfigKeepsItsTOMLKeys(t *testing.T) {
 	const path = "testdata/table.toml.golden"
 	type file struct {
 		Copies *Config `toml:"copies"`
 	}
-	table := filled.Value[Config](t)
-	table.Sync = false // by default it is true
-	filled.RequireDiffers(t, table, *Defaults())
-	text, err := toml.Marshal(file{&table})
+	config := filled.Value[Config](t)
+	config.Sync = false // differs from the default, which is true
+	filled.RequireDiffers(t, config, *Defaults())
+	text, err := toml.Marshal(file{&config})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 	if err := features.Read(path, &read, func() error { return nil }); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(*read.Copies, table) {
-		t.Errorf("read %+v, want %+v", *read.Copies, table)
+	if !reflect.DeepEqual(*read.Copies, config) {
+		t.Errorf("read %+v, want %+v", *read.Copies, config)
 	}
 }
--- a/internal/cluster/replica/membership.go
+++ b/internal/cluster/replica/membership.go
@@ -11,47 +11,50 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// generationShift leaves the low bits of a generation to the successions within one incarnation.
+// generationShift reserves the low bits of a replication generation for the number of successions within one
+// incarnation of the member.
 const generationShift = 16
 
-// maxEndedProcesses is how many processes that have ended are handed to a successor.
+// maxEndedProcesses limits the ended processes that are handed over to a successor.
 const maxEndedProcesses = 16
 
-// identity is as whom this process registers with the other replicas.
+// identity identifies this process to the other replicas.
 type identity struct {
-	mu          sync.Mutex
-	successions uint64 // hot restarts before this process, and those that were called off
-	incarnation membership.Incarnation
-	serving     bool
-	ended       []replication.Incarnation // other processes of this scheduler that have ended
+	mu             sync.Mutex
+	successions    uint64 // hot restarts before this process, plus two for each successor that ended early
+	incarnation    membership.Incarnation
+	serving        bool
+	endedProcesses []replication.Incarnation // other processes of this scheduler that have ended
 }
 
-// processOf is the process of an incarnation that came after a number of hot restarts.
-func processOf(incarnation membership.Incarnation, successions uint64) replication.Incarnation {
+// processIncarnation returns the replication incarnation of a process. It combines the member's incarnation
+// with the number of successions before the process.
+func processIncarnation(incarnation membership.Incarnation, successions uint64) replication.Incarnation {
 	return replication.Incarnation{
 		Generation: incarnation.Generation<<generationShift + successions,
 		Nonce:      incarnation.Nonce,
 	}
 }
 
-// markEnded records that another process of this scheduler has ended.
+// markEnded adds a process of this scheduler to the ended ones and retains the last maxEndedProcesses.
 func (i *identity) markEnded(process replication.Incarnation) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.ended = append(i.ended, process)
-	i.ended = slices.Clone(i.ended[max(0, len(i.ended)-maxEndedProcesses):])
+	i.endedProcesses = append(i.endedProcesses, process)
+	i.endedProcesses = slices.Clone(i.endedProcesses[max(0, len(i.endedProcesses)-maxEndedProcesses):])
 }
 
-// predecessor is the process before this one in a hot restart.
+// predecessor returns the incarnation of the previous process in a hot restart.
 func (i *identity) predecessor() replication.Incarnation {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return processOf(i.incarnation, i.successions-1)
+	return processIncarnation(i.incarnation, i.successions-1)
 }
 
-// update records a change of membership and returns it as the replication core takes it. A successor, and a
-// process whose successor has ended, is another voter than the one before: it does not know what that one
-// granted. The members' own nonce tells two processes of one incarnation apart.
+// update records a change of membership and returns it as an input for the replication core. A successor is a
+// different voter than its predecessor, because it does not know what the predecessor granted. The same holds
+// for a process that resumes after its successor has ended. The member's nonce distinguishes two processes of
+// one generation.
 func (i *identity) update(serving bool, incarnation membership.Incarnation) replication.Membership {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -59,19 +62,19 @@
 	if serving {
 		i.incarnation = incarnation
 	}
-	own := processOf(i.incarnation, i.successions)
+	own := processIncarnation(i.incarnation, i.successions)
 	return replication.Membership{Serving: serving, Generation: own.Generation, Nonce: own.Nonce}
 }
 
-// successor is the process after this one in a hot restart.
+// successor returns the incarnation of the next process in a hot restart.
 func (i *identity) successor() replication.Incarnation {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return processOf(i.incarnation, i.successions+1)
+	return processIncarnation(i.incarnation, i.successions+1)
 }
 
-// resume counts the successor that has ended and this process as further successions, and returns the
-// membership to state again.
+// resume adds two successions: one for the successor that has ended, one for this process as it resumes. It
+// returns the membership for the next update.
 func (i *identity) resume() (serving bool, incarnation membership.Incarnation) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -79,24 +82,24 @@
 	return i.serving, i.incarnation
 }
 
-// Receive takes a replication message of another member. It does not wait.
-func (r *Replica) Receive(from string, x replication.Message) {
-	r.queue.offer(input{replication: replication.MessageReceived{From: from, Message: x}})
+// Receive queues a replication message of another member. It does not wait.
+func (r *Replica) Receive(from string, message replication.Message) {
+	r.queue.offer(input{replication: replication.MessageReceived{From: from, Message: message}})
 }
 
-// ReceiveReplicaSet takes a replica set message of another member. It does not wait.
-func (r *Replica) ReceiveReplicaSet(from string, x replicaset.Message) {
-	r.queue.offer(input{replicaSet: replicaset.MessageReceived{From: from, Message: x}})
+// ReceiveReplicaSet queues a replica set message of another member. It does not wait.
+func (r *Replica) ReceiveReplicaSet(from string, message replicaset.Message) {
+	r.queue.offer(input{replicaSet: replicaset.MessageReceived{From: from, Message: message}})
 }
 
-// SetMembership says whether this process is a member, and as which incarnation.
+// SetMembership sets whether this process serves as a member, and its incarnation.
 func (r *Replica) SetMembership(serving bool, incarnation membership.Incarnation) {
 	state := r.identity.update(serving, incarnation)
 	r.queue.stateChanges.Put(input{replication: state})
 	r.queue.stateChanges.Put(input{replicaSet: replicaset.Membership{Serving: serving}})
 }
 
-// ResumeAfterSuccessor says that the successor has ended and this process goes on.
+// ResumeAfterSuccessor resumes this process after its successor has ended.
 func (r *Replica) ResumeAfterSuccessor() {
 	if err := r.reopenStorage(); err != nil {
 		r.log.Error().Err(err).Msg("reopening the replication store failed")
@@ -106,18 +109,17 @@
 	r.processEnded(successor)
 }
 
-// HandOverProcesses returns, for RestoreProcesses of a successor, which other processes of this scheduler have
-// ended.
+// HandOverProcesses encodes the other processes of this scheduler that have ended, for its successor.
 func (r *Replica) HandOverProcesses() ([]byte, error) {
 	r.identity.mu.Lock()
 	defer r.identity.mu.Unlock()
-	if len(r.identity.ended) == 0 {
+	if len(r.identity.endedProcesses) == 0 {
 		return nil, nil
 	}
-	return json.Marshal(r.identity.ended)
+	return json.Marshal(r.identity.endedProcesses)
 }
 
-// RestoreProcesses takes what a predecessor handed over. It is called before Start.
+// RestoreProcesses restores the ended processes that a predecessor handed over. It is called before Start.
 func (r *Replica) RestoreProcesses(state []byte) error {
 	if len(state) == 0 {
 		return nil
@@ -132,7 +134,7 @@
 	return nil
 }
 
-// PredecessorEnded says that the process before this one in a hot restart has ended.
+// PredecessorEnded records that the predecessor of this process has ended.
 func (r *Replica) PredecessorEnded() { r.processEnded(r.identity.predecessor()) }
 
 func (r *Replica) processEnded(process replication.Incarnation) {
@@ -140,20 +142,20 @@
 	r.queue.stateChanges.Put(input{replication: replication.ProcessEnded{Process: process}})
 }
 
-// Successions is the number of hot restarts before the next process.
+// Successions returns the number of successions that a successor passes to New.
 func (r *Replica) Successions() uint64 {
 	r.identity.mu.Lock()
 	defer r.identity.mu.Unlock()
 	return r.identity.successions + 1
 }
 
-// SetPeerIncarnation says as which incarnation the members know another one.
+// SetPeerIncarnation sets the incarnation under which another member is known.
 func (r *Replica) SetPeerIncarnation(name string, incarnation membership.Incarnation) {
-	known := replication.PeerProcess{Name: name, Process: processOf(incarnation, 0)}
+	known := replication.PeerProcess{Name: name, Process: processIncarnation(incarnation, 0)}
 	r.queue.stateChanges.Put(input{replication: known})
 }
 
-// SetPeerDead says whether another member is dead.
+// SetPeerDead sets whether another member is dead.
 func (r *Replica) SetPeerDead(name string, dead bool) {
 	r.queue.stateChanges.Put(input{replication: replication.PeerStatus{Name: name, Dead: dead}})
 	r.queue.stateChanges.Put(input{replicaSet: replicaset.PeerStatus{Name: name, Alive: !dead}})
--- a/internal/cluster/replica/queue.go
+++ b/internal/cluster/replica/queue.go
@@ -8,19 +8,19 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// maxQueuedInputs is how many inputs may wait for the loop. Messages beyond them are lost, as datagrams are.
+// maxQueuedInputs limits the inputs that wait for the loop. Further messages are lost, like lost datagrams.
 const maxQueuedInputs = 4096
 
-// input is one for either of the two cores.
+// input is an input for the replication core or for the replica set core. The other field is nil.
 type input struct {
 	replication replication.Input
 	replicaSet  replicaset.Input
 }
 
-// inputQueue is what waits for the loop.
+// inputQueue holds the inputs that wait for the loop.
 type inputQueue struct {
 	inputs       chan input
-	stateChanges *spillqueue.Queue[input] // into inputs, for what must not be lost and is not waited for
+	stateChanges *spillqueue.Queue[input] // feeds inputs; its Put loses nothing and does not wait
 	ended        <-chan struct{}          // closed when the loop has ended
 	dropped      atomic.Uint64
 }
@@ -30,7 +30,7 @@
 	return &inputQueue{inputs: inputs, stateChanges: spillqueue.New(inputs, ended), ended: ended}
 }
 
-// offer queues an input without waiting; false where the queue is full and the input is dropped.
+// offer queues an input without waiting. It returns false if the queue is full and the input is dropped.
 func (q *inputQueue) offer(in input) bool {
 	select {
 	case q.inputs <- in:
@@ -41,7 +41,7 @@
 	}
 }
 
-// put queues an input, and waits while the queue is full.
+// put queues an input. It waits while the queue is full, until the loop has ended.
 func (q *inputQueue) put(in input) {
 	select {
 	case q.inputs <- in:
--- a/internal/cluster/replica/replica.go
+++ b/internal/cluster/replica/replica.go
@@ -1,6 +1,6 @@
-// Package replica runs the replication of outcomes on real time: it feeds the cores of
-// internal/cluster/replication and internal/cluster/replicaset, carries out their effects over the mesh and
-// on the disk, and answers the frontend's claims. It decides nothing.
+// Package replica runs the replication of outcomes in real time. It passes inputs to the cores of
+// internal/cluster/replication and internal/cluster/replicaset, applies their effects to the mesh and to the
+// disk, and answers the frontend's claims. All decisions are made by the cores.
 package replica
 
 import (
@@ -19,29 +19,29 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// maxInputsPerRound is how many inputs beside the first share one write to the disk.
-const maxInputsPerRound = 64
+// maxExtraInputsPerRound limits the inputs after the first that share one write to the disk.
+const maxExtraInputsPerRound = 64
 
-// Transport sends a message to a member.
+// Transport sends messages to members and provides the clock.
 type Transport interface {
-	SendReplication(to string, x replication.Message)
-	SendReplicaSet(to string, x replicaset.Message)
+	SendReplication(to string, message replication.Message)
+	SendReplicaSet(to string, message replicaset.Message)
 	Now() membership.Time
 }
 
-// Replica is the part of one process.
+// Replica runs the replication of one process. It votes only if the process is in the replica set.
 type Replica struct {
 	config    *Config
 	log       zerolog.Logger
 	transport Transport
 
-	// Of the loop, once it runs.
+	// Only the loop uses these fields once it runs.
 	core       *replication.Core
-	replicaSet *replicaset.Core // nil where the set does not change by agreement
+	replicaSet *replicaset.Core // nil unless the set changes by agreement
 	storage    storage
 
 	queue    *inputQueue
-	calls    chan func() // run by the loop
+	calls    chan func() // functions that the loop runs
 	quit     chan struct{}
 	ended    chan struct{}
 	quitOnce sync.Once
@@ -51,8 +51,9 @@
 	identity identity
 }
 
-// New makes a process's part at a moment of the transport's clock; it does nothing before Start. Successions
-// is the number of hot restarts before this process, as its predecessor's Successions returned it.
+// New creates a replica, which is inactive until Start. The parameter now is a time of the transport's clock.
+// The parameter successions is the number of hot restarts before this process, as its predecessor handed it
+// over.
 func New(
 	config *Config, name string, seed, successions uint64, now membership.Time, log zerolog.Logger,
 ) (*Replica, error) {
@@ -77,10 +78,10 @@
 		changes:  newWaiters[replicaset.ChangeResult](),
 		identity: identity{successions: successions},
 	}
-	r.claims.numberFrom(firstClaim)
+	r.claims.startIDsAt(firstClaim)
 	isReplica := slices.Contains(config.Replicas, name)
 	if config.DynamicReplicas && isReplica && config.Path == "" {
-		return nil, errors.New("copies: agreed: a keeper has to have a path for what must last")
+		return nil, errors.New("copies: path: must be set for a replica if copies.agreed is true")
 	}
 	if config.Path != "" && (isReplica || config.DynamicReplicas) {
 		if err := r.openStorage(name, seed, now); err != nil {
@@ -94,8 +95,9 @@
 	return r, nil
 }
 
-// randomID draws a number that no other process draws, independent of the seed. It is odd and below 1<<63:
-// 0 and the numbers that the raft library reserves do not occur.
+// randomID returns a random number that does not depend on the seed, so that two processes practically never
+// get the same number. It is odd and below 1<<63, which excludes 0 and the numbers that the raft library
+// reserves.
 func randomID() (uint64, error) {
 	var buffer [8]byte
 	if _, err := crand.Read(buffer[:]); err != nil {
@@ -104,7 +106,7 @@
 	return binary.BigEndian.Uint64(buffer[:])>>1 | 1, nil
 }
 
-// Start runs the replica over a transport.
+// Start starts the loop, which uses the transport.
 func (r *Replica) Start(transport Transport) {
 	r.transport = transport
 	go r.loop()
@@ -137,18 +139,18 @@
 	}
 }
 
-// call runs a function in the loop and waits for it; not at all where the loop has ended.
-func (r *Replica) call(do func()) {
+// callInLoop runs a function in the loop and waits for it. It does nothing once the loop has ended.
+func (r *Replica) callInLoop(f func()) {
 	done := make(chan struct{})
 	select {
-	case r.calls <- func() { do(); close(done) }:
+	case r.calls <- func() { f(); close(done) }:
 		<-done
 	case <-r.ended:
 	}
 }
 
 func (r *Replica) tick() {
-	r.step(replication.Tick{})
+	r.stepReplication(replication.Tick{})
 	if r.replicaSet != nil && r.replicaSet.NextTick() <= r.transport.Now() {
 		r.stepReplicaSet(replicaset.Tick{})
 	}
@@ -162,26 +164,26 @@
 	return max(time.Duration(next-r.transport.Now())*membership.Tenth, 0)
 }
 
-// handleInputs handles an input, and those that wait already behind it in the same round: their records
-// share one write to the disk. An input is taken from the queue only where the round has space for it.
+// handleInputs handles an input and, in the same round, the inputs that already wait behind it. Their records
+// share one write to the disk. It reads an input from the queue only if the round has space for it.
 func (r *Replica) handleInputs(in input) {
 	effects := r.handleInput(in, nil)
-	for range maxInputsPerRound {
+	for range maxExtraInputsPerRound {
 		select {
 		case in := <-r.queue.inputs:
 			effects = r.handleInput(in, effects)
 		default:
-			r.carryOut(effects)
+			r.applyEffects(effects)
 			return
 		}
 	}
-	r.carryOut(effects)
+	r.applyEffects(effects)
 }
 
-// handleInput feeds an input, and returns the effects of the round that are still to be carried out.
+// handleInput passes an input to its core and returns the effects of the round that are not applied yet.
 func (r *Replica) handleInput(in input, effects []replication.Effect) []replication.Effect {
 	if in.replicaSet != nil {
-		r.carryOut(effects)
+		r.applyEffects(effects)
 		r.stepReplicaSet(in.replicaSet)
 		return nil
 	}
--- a/internal/cluster/replica/replica_test.go
+++ b/internal/cluster/replica/replica_test.go
@@ -14,53 +14,54 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// alone is a way to nobody, whose clock began long ago.
-type alone struct{ start time.Time }
+// isolatedTransport drops all messages. Its clock started long before the test.
+type isolatedTransport struct{ start time.Time }
 
-func (alone) SendReplication(string, replication.Message) {}
-func (alone) SendReplicaSet(string, replicaset.Message)   {}
+func (isolatedTransport) SendReplication(string, replication.Message) {}
+func (isolatedTransport) SendReplicaSet(string, replicaset.Message)   {}
 
-func (a alone) Now() membership.Time {
-	return longAgo + membership.TimeOf(time.Since(a.start))
+func (a isolatedTransport) Now() membership.Time {
+	return clockOffset + membership.TimeOf(time.Since(a.start))
 }
 
-const longAgo membership.Time = 40 * 24 * 3600 * 10_000 // more than any id is remembered
+const clockOffset membership.Time = 40 * 24 * 3600 * 10_000 // 40 days, longer than the retention
 
-// One replica by itself: what it granted must be there after a restart, however long the machine has been
-// up. Ids of before were forgotten at the first tick, as their ages counted from the clock's start.
-func TestAKeepersOwnRecordsLast(t *testing.T) {
+// The only replica of a set has its records after a restart, even if the machine was started longer ago than
+// the retention. Guards against ages that are counted from the start of the clock. The records would then
+// expire at the first tick.
+func TestRecordsOfASingleReplicaSurviveARestart(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	table := Defaults()
-	table.Replicas, table.Path = []string{"a"}, filepath.Join(t.TempDir(), "copies.db")
-	table.AmnesiaHoldOff, table.Sync = 0, false
-	if err := table.Validate(0); err != nil {
+	config := Defaults()
+	config.Replicas, config.Path = []string{"a"}, filepath.Join(t.TempDir(), "copies.db")
+	config.AmnesiaHoldOff, config.Sync = 0, false
+	if err := config.Validate(0); err != nil {
 		t.Fatal(err)
 	}
-	ask := func(id string, end bool) replication.ClaimResult {
+	restartAndClaim := func(id string, finish bool) replication.ClaimResult {
 		t.Helper()
-		w := alone{time.Now()}
-		f, err := New(table, "a", 1, 0, w.Now(), zerolog.Nop())
+		transport := isolatedTransport{time.Now()}
+		r, err := New(config, "a", 1, 0, transport.Now(), zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer f.Close()
-		f.Start(w)
-		f.SetMembership(true, membership.Incarnation{Generation: uint64(time.Now().UnixNano() >> 16)})
-		f.await(t, "it has its vote", func() bool { return f.Status().Voting })
-		d := f.Claim(context.Background(), "pay", id, []byte("x"), time.Second, 0)
-		if end && d.Result == replication.Granted {
-			f.Finish(d.RequestID, false, 200, []byte("done"))
-			f.await(t, "its end is known", func() bool {
-				rows := f.Lookup("pay", id)
+		defer r.Close()
+		r.Start(transport)
+		r.SetMembership(true, membership.Incarnation{Generation: uint64(time.Now().UnixNano() >> 16)})
+		r.await(t, "the replica votes", func() bool { return r.Status().Voting })
+		d := r.Claim(context.Background(), "pay", id, []byte("x"), time.Second, 0)
+		if finish && d.Result == replication.Granted {
+			r.Finish(d.RequestID, false, 200, []byte("done"))
+			r.await(t, "the op has ended", func() bool {
+				rows := r.Lookup("pay", id)
 				return len(rows) > 0 && rows[0].Stage == "ended"
 			})
 		}
 		return d.Result
 	}
-	for _, x := range []struct {
-		id   string
-		end  bool
-		want replication.ClaimResult
+	for _, c := range []struct {
+		id     string
+		finish bool
+		want   replication.ClaimResult
 	}{
 		{"a", true, replication.Granted},
 		{"a", false, replication.AlreadyAnswered},
@@ -68,45 +69,46 @@
 		{"b", false, replication.OutcomeUnknown}, // the process that claimed it has ended
 		{"a", false, replication.AlreadyAnswered},
 	} {
-		if got := ask(x.id, x.end); got != x.want {
-			t.Errorf("%s: %v, not %v", x.id, got, x.want)
+		if got := restartAndClaim(c.id, c.finish); got != c.want {
+			t.Errorf("%s: got %v, want %v", c.id, got, c.want)
 		}
 	}
 }
 
-// heard keeps what is sent.
-type heard struct {
-	alone
+// recordingTransport passes the sent replication messages to the channel sent.
+type recordingTransport struct {
+	isolatedTransport
 	sent chan replication.Message
 }
 
-func (h heard) SendReplication(_ string, x replication.Message) { h.sent <- x }
+func (r recordingTransport) SendReplication(_ string, message replication.Message) { r.sent <- message }
 
-// Two replicas that lost their memory met each other first, so that one had the incarnation of the process
-// before it. It registered with a nonce of its own that happened to be the smaller one, and its
-// registration was taken for the earlier process's: no vote, for good.
-func TestAKeeperRegistersAsTheLifeThatMembersKnow(t *testing.T) {
-	table := Defaults()
-	table.Replicas = []string{"a", "b", "c"}
-	w := heard{alone{time.Now()}, make(chan replication.Message, 99)}
-	f, err := New(table, "a", 1, 2, w.Now(), zerolog.Nop())
+// A replica registers with the generation and the nonce that the members know. Guards against a registration
+// with a random nonce. If two replicas that lost their records meet each other first, one of them has the
+// generation of its previous process. With a smaller random nonce, its registration would be taken for one
+// of the previous process, and the replica would never vote.
+func TestAReplicaRegistersWithTheNonceThatMembersKnow(t *testing.T) {
+	config := Defaults()
+	config.Replicas = []string{"a", "b", "c"}
+	transport := recordingTransport{isolatedTransport{time.Now()}, make(chan replication.Message, 99)}
+	r, err := New(config, "a", 1, 2, transport.Now(), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	f.Start(w)
-	f.SetMembership(true, membership.Incarnation{Generation: 1, Nonce: 7})
-	for late := time.After(20 * time.Second); ; {
+	defer r.Close()
+	r.Start(transport)
+	r.SetMembership(true, membership.Incarnation{Generation: 1, Nonce: 7})
+	for timeout := time.After(20 * time.Second); ; {
 		select {
-		case x := <-w.sent:
-			if x.Kind == replication.Register {
-				if (x.Incarnation != replication.Incarnation{Generation: 1<<16 + 2, Nonce: 7}) {
-					t.Errorf("registered as %v", x.Incarnation)
+		case message := <-transport.sent:
+			if message.Kind == replication.Register {
+				if (message.Incarnation != replication.Incarnation{Generation: 1<<16 + 2, Nonce: 7}) {
+					t.Errorf("registered as %v", message.Incarnation)
 				}
 				return
 			}
-		case <-late:
-			t.Fatal("it does not register")
+		case <-timeout:
+			t.Fatal("the replica did not register within 20 s")
 		}
 	}
 }
--- a/internal/cluster/replica/request_ids_test.go
+++ b/internal/cluster/replica/request_ids_test.go
@@ -11,13 +11,14 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// claimant is a process that only claims: its messages are heard, and nobody answers.
-func claimant(t *testing.T) (*Replica, <-chan replication.Message) {
+// startClaimant starts a process that is not in the replica set. The returned channel receives the messages
+// that the process sends. Nobody answers them.
+func startClaimant(t *testing.T) (*Replica, <-chan replication.Message) {
 	t.Helper()
-	table := Defaults()
-	table.Replicas = []string{"a", "b", "c"}
-	transport := heard{alone{time.Now()}, make(chan replication.Message, 99)}
-	r, err := New(table, "x", 1, 0, transport.Now(), zerolog.Nop())
+	config := Defaults()
+	config.Replicas = []string{"a", "b", "c"}
+	transport := recordingTransport{isolatedTransport{time.Now()}, make(chan replication.Message, 99)}
+	r, err := New(config, "x", 1, 0, transport.Now(), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,23 +28,28 @@
 	return r, transport.sent
 }
 
-// A successor reads the socket of its predecessor, and with it the grants that this one had asked for. They must not count for a
-// claim of the successor's own: an op would run that no replica knows of.
-func TestAGrantToAPredecessorIsNoneToItsSuccessor(t *testing.T) {
-	predecessor, sentBefore := claimant(t)
+// A successor reads the socket of its predecessor and may receive grants of claims of the predecessor. The
+// successor does not count them for its own claims. Otherwise an op could run without a record at any
+// replica.
+func TestAGrantToAPredecessorIsIgnoredByItsSuccessor(t *testing.T) {
+	predecessor, sentBefore := startClaimant(t)
 	go predecessor.Claim(context.Background(), "pay", "a", nil, time.Second, 0)
-	granted := <-sentBefore
+	claim := <-sentBefore
 
-	successor, sent := claimant(t)
+	successor, sent := startClaimant(t)
 	decided := make(chan replication.ClaimDecided, 1)
 	go func() { decided <- successor.Claim(context.Background(), "pay", "b", nil, time.Second, 0) }()
-	<-sent // it asks
+	<-sent // the successor has sent its claim
 	for _, from := range []string{"a", "b", "c"} {
-		answer := replication.Message{Kind: replication.ClaimGranted, SetID: granted.SetID, RequestID: granted.RequestID}
+		answer := replication.Message{
+			Kind:      replication.ClaimGranted,
+			SetID:     claim.SetID,
+			RequestID: claim.RequestID,
+		}
 		answer.Incarnation = replication.Incarnation{Generation: 1, Nonce: 1}
 		successor.Receive(from, answer)
 	}
 	if got := <-decided; got.Result == replication.Granted {
-		t.Errorf("it counts grants to its predecessor: %v", got.Result)
+		t.Errorf("the successor counts grants to its predecessor: %v", got.Result)
 	}
 }
--- a/internal/cluster/replica/status.go
+++ b/internal/cluster/replica/status.go
@@ -8,19 +8,19 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// recordsPerPage is how many records operators read at once.
+// recordsPerPage is the number of records in a full page.
 const recordsPerPage = 500
 
-// Status is the state that operators see.
+// Status is the state that the console shows to operators.
 type Status struct {
 	replication.Status
-	Agreement string `json:"agreement"`   // the role in changes of the replica set; empty without
-	Lost      uint64 `json:"inputs_lost"` // since the queue was full
+	Agreement string `json:"agreement"`   // role in the agreement on changes; empty if disabled
+	Lost      uint64 `json:"inputs_lost"` // inputs dropped because the queue was full
 }
 
-// Status returns the present state; a zero one where the loop has ended.
+// Status returns the current state, or a zero Status once the loop has ended.
 func (r *Replica) Status() (s Status) {
-	r.call(func() {
+	r.callInLoop(func() {
 		s = Status{Status: r.core.Status(), Lost: r.queue.dropped.Load()}
 		if r.replicaSet != nil {
 			s.Agreement = r.replicaSet.Status()
@@ -29,7 +29,7 @@
 	return s
 }
 
-// RecordRow is one claim of an op, for operators.
+// RecordRow is a claim of an op, as operators see it.
 type RecordRow struct {
 	Category       string `json:"category"`
 	ID             string `json:"id"`
@@ -38,16 +38,16 @@
 	Stage          string `json:"stage"`
 	Status         int    `json:"status,omitempty"`
 	ResultRetained bool   `json:"held,omitempty"`
-	Group          string `json:"where,omitempty"` // the worker group in which it may have run
+	Group          string `json:"where,omitempty"` // worker group in which the op may have run
 }
 
-// Page returns some of the records in the order of their keys, after a key, and the key to go on after;
-// empty where there are no more.
+// Page returns the rows of up to recordsPerPage records, in the order of their keys. The first record is the
+// one behind the key after. The result next is the key to pass for the next page, or empty on the last page.
 func (r *Replica) Page(after string) (rows []RecordRow, next string) {
-	r.call(func() {
+	r.callInLoop(func() {
 		page := r.core.Page(after, recordsPerPage)
 		for _, record := range page {
-			rows = append(rows, rowsOf(record)...)
+			rows = append(rows, recordRows(record)...)
 		}
 		if len(page) == recordsPerPage {
 			next = page[len(page)-1].Key
@@ -56,22 +56,22 @@
 	return rows, next
 }
 
-// Lookup returns the rows of one id.
+// Lookup returns the rows of an id.
 func (r *Replica) Lookup(category, id string) (rows []RecordRow) {
-	r.call(func() {
-		if record, known := r.core.Lookup(keyOf(category, id)); known {
-			rows = rowsOf(record)
+	r.callInLoop(func() {
+		if record, known := r.core.Lookup(recordKey(category, id)); known {
+			rows = recordRows(record)
 		}
 	})
 	return rows
 }
 
-// keySeparator stands between the category and the key of the id in a record's key.
+// keySeparator separates the category from the key of the id in the key of a record.
 const keySeparator = "\x00"
 
-func keyOf(category, id string) string { return category + keySeparator + opkey.FromID(id) }
+func recordKey(category, id string) string { return category + keySeparator + opkey.FromID(id) }
 
-func rowsOf(record replication.Record) (rows []RecordRow) {
+func recordRows(record replication.Record) (rows []RecordRow) {
 	category, id, _ := strings.Cut(record.Key, keySeparator)
 	for _, o := range record.Outcomes {
 		rows = append(rows, RecordRow{
--- a/internal/cluster/replica/storage.go
+++ b/internal/cluster/replica/storage.go
@@ -12,10 +12,10 @@
 	"woaddyke/internal/lifecycle/boottime"
 )
 
-// storage is where a replica persists its state.
+// storage holds the store in which a replica persists its state.
 type storage struct {
-	store      *store.Store // nil: memory alone
-	handedOver bool         // the store was closed for a successor
+	store      *store.Store // nil: records are in memory only
+	handedOver bool         // the store was closed so that a successor can open it
 }
 
 func (s *storage) close() {
@@ -24,14 +24,15 @@
 	}
 }
 
-// persistedState is what a store held when it was opened.
+// persistedState is the contents of a store when it was opened.
 type persistedState struct {
 	records    replication.StateReloaded
-	setID      uint64           // under which the records were persisted
-	replicaSet replicaset.State // zero where the set does not change by agreement
+	setID      uint64           // replica set under which the records were persisted
+	replicaSet replicaset.State // zero unless the set changes by agreement
 }
 
-// recordsFor returns the records, which are complete for no incarnation under another set.
+// recordsFor returns the records for a replica set. If they were persisted under another set, they are not
+// complete for any incarnation, and the incarnation is cleared.
 func (p *persistedState) recordsFor(setID uint64) replication.StateReloaded {
 	records := p.records
 	if p.setID != setID {
@@ -40,8 +41,9 @@
 	return records
 }
 
-// openStorage opens the store at the start. A transient failure of the disk is retried. A store that can't
-// be read ends the start: a replica may forget what it granted only where an operator removes the file.
+// openStorage opens the store when the process starts. It retries after a transient failure of the disk. It
+// fails if the store can't be read: only an operator may make a replica forget its grants, by removing the
+// file.
 func (r *Replica) openStorage(name string, seed uint64, now membership.Time) error {
 	persisted, err := oserror.RetryTransient(func() (persistedState, error) {
 		s, err := store.Open(r.config.Path, r.config.Sync)
@@ -64,8 +66,7 @@
 	return nil
 }
 
-// readStore reads a store, and closes it where that fails. A new store gets a voter ID where newVoter says
-// so.
+// readStore reads a store, and closes it if that fails. If newVoter is true, a new store gets a voter ID.
 func (r *Replica) readStore(s *store.Store, newVoter bool) (persisted persistedState, err error) {
 	if r.config.DynamicReplicas {
 		persisted.replicaSet, err = readReplicaSet(s, newVoter)
@@ -114,10 +115,10 @@
 	return nil
 }
 
-// reopenStorage goes on with the store that was closed for a successor which has ended.
+// reopenStorage reopens the store that was closed for a successor, after this successor has ended.
 func (r *Replica) reopenStorage() error {
 	handedOver := false
-	r.call(func() { handedOver = r.storage.handedOver })
+	r.callInLoop(func() { handedOver = r.storage.handedOver })
 	if !handedOver {
 		return nil
 	}
@@ -132,7 +133,7 @@
 		return err
 	}
 	resumed := false
-	r.call(func() {
+	r.callInLoop(func() {
 		resumed = true
 		r.resumeWith(s, persisted)
 	})
@@ -142,19 +143,19 @@
 	return nil
 }
 
-// resumeWith feeds both cores with what a reopened store holds.
+// resumeWith passes the contents of a reopened store to both cores.
 func (r *Replica) resumeWith(s *store.Store, persisted persistedState) {
 	r.storage = storage{store: s}
 	if r.replicaSet != nil {
 		r.stepReplicaSet(replicaset.StateReloaded{State: persisted.replicaSet})
-		r.step(replication.AdoptSet{Set: r.replicaSet.Set()})
+		r.stepReplication(replication.AdoptSet{Set: r.replicaSet.Set()})
 	}
-	r.step(persisted.recordsFor(r.core.SetID()))
+	r.stepReplication(persisted.recordsFor(r.core.SetID()))
 }
 
-// ReleaseStore closes the store for a successor. From then on this process has no vote.
+// ReleaseStore closes the store so that a successor can open it. From then on, this process has no vote.
 func (r *Replica) ReleaseStore() {
-	r.call(func() {
+	r.callInLoop(func() {
 		if r.storage.store == nil {
 			return
 		}
@@ -167,8 +168,8 @@
 	})
 }
 
-// persist writes what a round of effects asks for; false where that failed. An incarnation and the cursors
-// are written after the records that they cover.
+// persist writes the records, incarnations and cursors of a round of effects. It returns false if that fails.
+// Incarnations and cursors are written after the records that they cover.
 func (r *Replica) persist(effects []replication.Effect) bool {
 	if r.storage.store == nil {
 		return true
@@ -229,8 +230,8 @@
 	return r.storage.store.SaveCursors(cursors)
 }
 
-// persistReplicaSet writes the latest state of the replica set core, which includes those before it; false
-// where that failed: neither core has a vote then.
+// persistReplicaSet writes the latest state of the replica set core, which includes the earlier states. If
+// that fails, it returns false and neither core has a vote.
 func (r *Replica) persistReplicaSet(effects []replicaset.Effect) bool {
 	state, changed := latestState(effects)
 	if !changed || r.storage.store == nil {
--- a/internal/cluster/replica/waiters.go
+++ b/internal/cluster/replica/waiters.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// waiters are the callers that wait for results, by request ID.
+// waiters holds the callers that wait for results, by request ID.
 type waiters[T any] struct {
 	mu      sync.Mutex
 	results map[uint64]chan T
@@ -12,8 +12,8 @@
 	return &waiters[T]{results: map[uint64]chan T{}}
 }
 
-// add registers a caller and returns where its result will be; false where limit callers wait already; a
-// limit of 0 is none.
+// add registers a caller and returns the channel for its result. It returns false if limit callers already
+// wait. A limit of 0 means no limit.
 func (w *waiters[T]) add(id uint64, limit int) (result chan T, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -25,8 +25,8 @@
 	return result, true
 }
 
-// take removes a waiter, and returns where its result is to be put; nil where nobody waits.
-func (w *waiters[T]) take(id uint64) chan T {
+// remove removes a caller and returns the channel for its result, or nil if no caller waits under the ID.
+func (w *waiters[T]) remove(id uint64) chan T {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	result := w.results[id]
--- a/internal/cluster/replica/waiters_test.go
+++ b/internal/cluster/replica/waiters_test.go
@@ -7,36 +7,36 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// A result is delivered once, to whoever waits for it, and there are no more waiters than the limit.
-func TestWaiters(t *testing.T) {
+// The channel of a waiter is returned once, and no more waiters than the limit are added.
+func TestEachResultIsDeliveredOnceWithinTheLimit(t *testing.T) {
 	w := newWaiters[int]()
 	first, ok := w.add(1, 2)
-	if _, more := w.add(2, 2); !ok || !more {
-		t.Fatal("fewer than the limit")
+	if _, added := w.add(2, 2); !ok || !added {
+		t.Fatal("fewer waiters than the limit were added")
 	}
-	if _, more := w.add(3, 2); more {
-		t.Error("more than the limit")
+	if _, added := w.add(3, 2); added {
+		t.Error("more waiters than the limit were added")
 	}
-	if w.take(3) != nil {
-		t.Error("one that was refused waits")
+	if w.remove(3) != nil {
+		t.Error("a rejected waiter was registered")
 	}
-	if result := w.take(1); result != first {
-		t.Error("the first one's result goes elsewhere")
+	if result := w.remove(1); result != first {
+		t.Error("the first waiter has another channel than add returned")
 	}
-	if w.take(1) != nil {
-		t.Error("a result is delivered twice")
+	if w.remove(1) != nil {
+		t.Error("a waiter was returned twice")
 	}
-	if _, more := w.add(3, 2); !more {
-		t.Error("the place of one that was served is not free")
+	if _, added := w.add(3, 2); !added {
+		t.Error("a removed waiter still counts towards the limit")
 	}
-	if _, more := w.add(4, 0); !more {
-		t.Error("0 is a limit")
+	if _, added := w.add(4, 0); !added {
+		t.Error("a limit of 0 rejected a waiter")
 	}
 }
 
-// A process that goes on after its successor has ended must be a later voter than both, and keeps the
-// incarnation that members know while it is none.
-func TestIdentityAfterAnEndedSuccessor(t *testing.T) {
+// A process that resumes after its successor has ended has a higher generation as a voter than both processes
+// had. While the process is not a member, it keeps its last known incarnation.
+func TestAProcessResumedAfterItsSuccessorIsALaterVoter(t *testing.T) {
 	i := identity{successions: 3}
 	incarnation := membership.Incarnation{Generation: 7, Nonce: 5}
 	want := replication.Membership{Serving: true, Generation: 7<<generationShift + 3, Nonce: 5}
@@ -54,8 +54,8 @@
 	}
 }
 
-// Records of another replica set than the present one are complete for no incarnation.
-func TestRecordsOfAnotherSetAreNotComplete(t *testing.T) {
+// Records that were persisted under another replica set are not complete for any incarnation.
+func TestRecordsOfAnotherReplicaSetAreIncomplete(t *testing.T) {
 	incarnation := replication.Incarnation{Generation: 1, Nonce: 2}
 	p := persistedState{records: replication.StateReloaded{Incarnation: incarnation}, setID: 7}
 	if got := p.recordsFor(7).Incarnation; got != incarnation {
