--- a/internal/cluster/mesh/config.go
+++ b/internal/cluster/mesh/config.go
@@ -18,23 +18,40 @@
 
 // Config is the table members of the features file.
 type Config struct {
-	Cluster           string            `toml:"cluster"`       // messages of another cluster are dropped
-	Listen            string            `toml:"listen"`        // for datagrams and streams
-	Advertise         string            `toml:"advertise"`     // where others reach this one; empty: Listen
-	Seeds             []string          `toml:"seeds"`         // members that are tried first
-	Networks          []string          `toml:"networks"`      // nothing is received from or sent to others
-	ProbeInterval     features.Duration `toml:"probe"`         // between two pings
-	ProbeTimeout      features.Duration `toml:"window"`        // for an answer, direct or through others
-	MinSuspicion      features.Duration `toml:"doubt"`         // from suspicion to death, if it is confirmed
-	MaxSuspicion      features.Duration `toml:"longest_doubt"` // the same, if nobody confirms it
-	PushPullInterval  features.Duration `toml:"exchange"`      // mean, between push-pulls
-	JoinInterval      features.Duration `toml:"seek"`          // mean, between attempts to reach dead members
-	DeadRetention     features.Duration `toml:"memory"`        // of members that are dead or have left
-	MaxMembers        int               `toml:"most"`          // in the view
-	WhenReplaced      string            `toml:"superseded"`    // what a process does whose name another has
-	ShareDrains       bool              `toml:"workers"`       // drains that others report are followed
-	CarryPeerMessages bool              `toml:"words"`         // peers are reached as members
+	// Cluster is the name of the cluster. Messages of another cluster are dropped.
+	Cluster string `toml:"cluster"`
+	// Listen is the address for datagrams and streams.
+	Listen string `toml:"listen"`
+	// Advertise is the address that other members use. If it is empty, they use Listen.
+	Advertise string `toml:"advertise"`
+	// Seeds are addresses of members that this process contacts first.
+	Seeds []string `toml:"seeds"`
+	// Networks are the address prefixes of members. Messages from and to other addresses are dropped.
+	Networks []string `toml:"networks"`
+	// ProbeInterval is the time between two pings.
+	ProbeInterval features.Duration `toml:"probe"`
+	// ProbeTimeout is the time for the ack of a ping, direct or indirect.
+	ProbeTimeout features.Duration `toml:"window"`
+	// MinSuspicion is the time from suspect to dead if others confirm the suspicion.
+	MinSuspicion features.Duration `toml:"doubt"`
+	// MaxSuspicion is the time from suspect to dead if nobody confirms the suspicion.
+	MaxSuspicion features.Duration `toml:"longest_doubt"`
+	// PushPullInterval is the mean time between two push-pulls.
+	PushPullInterval features.Duration `toml:"exchange"`
+	// JoinInterval is the mean time between two attempts to reach dead members.
+	JoinInterval features.Duration `toml:"seek"`
+	// DeadRetention is how long members that are dead or have left are retained.
+	DeadRetention features.Duration `toml:"memory"`
+	// MaxMembers limits the members in the view.
+	MaxMembers int `toml:"most"`
+	// WhenReplaced is "stand-by" or "end": what a process does when another process takes its name.
+	WhenReplaced string `toml:"superseded"`
+	// ShareDrains applies the drains that other schedulers report.
+	ShareDrains bool `toml:"workers"`
+	// CarryPeerMessages sends peer messages as messages between members.
+	CarryPeerMessages bool `toml:"words"`
 
+	// allowedPrefixes are the parsed Networks, which Validate sets.
 	allowedPrefixes []netip.Prefix
 }
 
--- a/internal/cluster/mesh/dropped.go
+++ b/internal/cluster/mesh/dropped.go
@@ -21,7 +21,7 @@
 	errUnknownSender   dropCause = "not the process that is known" // under the sender's name
 	errQueueFull       dropCause = "no room"                       // the queue of the loop is full
 	errTooManyAccepted dropCause = "too many streams"              // maxAcceptedStreams is reached
-	errTooManyOpened   dropCause = "no room to open a stream"
+	errTooManyOpened   dropCause = "no room to open a stream"      // maxOpenedStreams is reached
 )
 
 func (c dropCause) Error() string { return string(c) }
--- a/internal/cluster/mesh/mesh.go
+++ b/internal/cluster/mesh/mesh.go
@@ -66,8 +66,8 @@
 // Identity identifies this process among the schedulers.
 type Identity struct {
 	Name   string
-	Number int // index in the scheduler list of the settings; -1 if it is not listed
-	Seed   uint64
+	Number int    // index in the scheduler list of the settings; -1 if it is not listed
+	Seed   uint64 // of the random numbers of the node
 }
 
 // Mesh connects one process to its cluster. Its methods may be called from any goroutine.
--- a/internal/cluster/mesh/status.go
+++ b/internal/cluster/mesh/status.go
@@ -19,8 +19,8 @@
 // MemberStatus is the state of another member in the view.
 type MemberStatus struct {
 	membership.MemberView
-	ForS  float64 `json:"for_s"` // seconds since this process saw the member enter its state
-	RTTms float64 `json:"rtt_ms"`
+	ForS  float64 `json:"for_s"`  // seconds since this process saw the member enter its state
+	RTTms float64 `json:"rtt_ms"` // round-trip time
 }
 
 // knownMembers is a copy of the view for goroutines other than the loop.
--- a/internal/cluster/replica/config.go
+++ b/internal/cluster/replica/config.go
@@ -13,23 +13,40 @@
 
 // Config is the table "copies" of the features file.
 type Config struct {
-	Replicas        []string          `toml:"keepers"`       // an odd number, the same at all members
-	DynamicReplicas bool              `toml:"agreed"`        // the set changes by agreement
-	ReplaceAfter    features.Duration `toml:"replace_after"` // by a spare, once dead for so long; 0: never
-	Spares          []string          `toml:"spares"`        // that replace it, in order of preference
-	Deduplicated    bool              `toml:"deduplicated"`  // ops of deduplicated categories are claimed too
-	QuorumTimeout   features.Duration `toml:"wait"`          // for a majority, before an op is nacked
-	JoinTimeout     features.Duration `toml:"join"`          // for an op that another scheduler has
-	RetryInterval   features.Duration `toml:"again"`         // to a replica that has not answered
-	PullInterval    features.Duration `toml:"pull"`          // between two pulls of another replica's changes
-	Retention       features.Duration `toml:"remember"`      // of an id, from when it first came
-	AmnesiaHoldOff  features.Duration `toml:"hold_off"`      // without a vote, if all lost their memory
-	CatchUpRate     int               `toml:"catch_up"`      // bytes a second from each replica
-	MaxRecords      int               `toml:"most"`
-	MaxBytes        int               `toml:"most_bytes"`
-	MaxResultBytes  int               `toml:"result_bytes"` // longer answers are not retained
-	Path            string            `toml:"path"`         // of the store; empty: memory alone
-	Sync            bool              `toml:"sync"`         // a grant waits until the disk has it
+	// Replicas are the members of the replica set: an odd number of names, the same at all members.
+	Replicas []string `toml:"keepers"`
+	// DynamicReplicas allows changes of the replica set, on which the members agree.
+	DynamicReplicas bool `toml:"agreed"`
+	// ReplaceAfter is how long a replica must be dead before a spare replaces it; 0 means never.
+	ReplaceAfter features.Duration `toml:"replace_after"`
+	// Spares replace dead replicas, in order of preference.
+	Spares []string `toml:"spares"`
+	// Deduplicated extends claims to the ops of deduplicated categories.
+	Deduplicated bool `toml:"deduplicated"`
+	// QuorumTimeout is how long a claim waits for a majority before the op is nacked.
+	QuorumTimeout features.Duration `toml:"wait"`
+	// JoinTimeout is how long a claim waits for an op that is in progress at another scheduler.
+	JoinTimeout features.Duration `toml:"join"`
+	// RetryInterval is the time between two requests to a replica that does not answer.
+	RetryInterval features.Duration `toml:"again"`
+	// PullInterval is the time between two pulls of another replica's changes.
+	PullInterval features.Duration `toml:"pull"`
+	// Retention is how long an id is remembered, counted from its first arrival.
+	Retention features.Duration `toml:"remember"`
+	// AmnesiaHoldOff is how long the replicas do not vote after all of them lost their records.
+	AmnesiaHoldOff features.Duration `toml:"hold_off"`
+	// CatchUpRate limits catching up, in bytes per second from each replica.
+	CatchUpRate int `toml:"catch_up"`
+	// MaxRecords limits the number of records.
+	MaxRecords int `toml:"most"`
+	// MaxBytes limits the estimated size of all records.
+	MaxBytes int `toml:"most_bytes"`
+	// MaxResultBytes limits the result in a record. Longer answers are not retained.
+	MaxResultBytes int `toml:"result_bytes"`
+	// Path is the file of the store. If it is empty, records are in memory only.
+	Path string `toml:"path"`
+	// Sync delays a grant until its record is synced to disk.
+	Sync bool `toml:"sync"`
 }
 
 // maxResultBytes limits a result so that a message with the result fits a datagram of the mesh.
@@ -77,7 +94,7 @@
 	case !c.DynamicReplicas && (c.ReplaceAfter != 0 || len(c.Spares) > 0):
 		return invalid("agreed", errors.New("must be true if replace_after or spares is set"))
 	case c.RetryInterval <= 0 || c.RetryInterval > c.QuorumTimeout:
-		return invalid("again", errors.New("must be above 0 and at most wait"))
+		return invalid("again", errors.New("must be above 0 and at most copies.wait"))
 	case c.JoinTimeout < 0 || time.Duration(c.JoinTimeout) > time.Minute:
 		return invalid("join", errors.New("must be from 0 to 1m"))
 	case time.Duration(c.PullInterval) < 10*time.Millisecond:
--- a/internal/cluster/replica/delivery_test.go
+++ b/internal/cluster/replica/delivery_test.go
@@ -74,7 +74,7 @@
 	case in := <-r.queue.inputs:
 		end, ok := in.replication.(replication.OpEnded)
 		if !ok || end.RequestID != request.RequestID || !end.NeverRan {
-			t.Errorf("%+v", in.replication)
+			t.Errorf("got input %+v, want the end of the claimed op, which never ran", in.replication)
 		}
 	case <-time.After(time.Second):
 		t.Error("the grant was not released")
@@ -123,7 +123,7 @@
 	}
 	r.callInLoop(func() { r.storage.store.Close() })
 	if d := r.claimOnce(t.Context(), payOp("a"), time.Second); d.Result != replication.NoQuorum {
-		t.Errorf("%v", d.Result)
+		t.Errorf("with a disk that fails: got %v, want NoQuorum", d.Result)
 	}
 }
 
