--- a/internal/cluster/mesh/bench_test.go
+++ b/internal/cluster/mesh/bench_test.go
@@ -123,7 +123,7 @@
 				s.Run(s.Now() + span*simulation.Second)
 				idleBytes := bytes
 				bytes = 0
-				restarted := n / 14 // members of a zone
+				restarted := n / 14 // as many as one of 14 zones has
 				for i := range restarted {
 					s.Kill(n - 1 - i)
 				}
--- a/internal/cluster/mesh/config.go
+++ b/internal/cluster/mesh/config.go
@@ -16,7 +16,7 @@
 	endWhenReplaced     = "end"
 )
 
-// Config is the table members of the features file.
+// Config is the table "members" of the features file.
 type Config struct {
 	// Cluster is the name of the cluster. Messages of another cluster are dropped.
 	Cluster string `toml:"cluster"`
@@ -30,7 +30,7 @@
 	Networks []string `toml:"networks"`
 	// ProbeInterval is the time between two pings.
 	ProbeInterval features.Duration `toml:"probe"`
-	// ProbeTimeout is the time for the ack of a ping, direct or indirect.
+	// ProbeTimeout is how long a prober waits for the ack of a direct or an indirect ping.
 	ProbeTimeout features.Duration `toml:"window"`
 	// MinSuspicion is the time from suspect to dead if others confirm the suspicion.
 	MinSuspicion features.Duration `toml:"doubt"`
@@ -51,7 +51,7 @@
 	// CarryPeerMessages sends peer messages as messages between members.
 	CarryPeerMessages bool `toml:"words"`
 
-	// allowedPrefixes are the parsed Networks, which Validate sets.
+	// allowedPrefixes holds the parsed Networks. Validate sets it.
 	allowedPrefixes []netip.Prefix
 }
 
@@ -79,7 +79,7 @@
 func timeOf(d features.Duration) membership.Time { return membership.TimeOf(time.Duration(d)) }
 
 // Validate returns a features.ConfigError for the first key that is invalid. It must be called before the
-// table is used.
+// table is used, because it parses Networks.
 func (c *Config) Validate() error {
 	if err := c.parseNetworks(); err != nil {
 		return err
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// isAllowed reports whether members exchange messages with an address.
+// isAllowed reports whether an address is in Networks. Members exchange messages only with such addresses.
 func (c *Config) isAllowed(addr netip.Addr) bool {
 	for _, network := range c.allowedPrefixes {
 		if network.Contains(addr.Unmap()) {
--- a/internal/cluster/mesh/datagrams.go
+++ b/internal/cluster/mesh/datagrams.go
@@ -18,7 +18,7 @@
 			if readsEnded(err) {
 				return
 			}
-			failures++ // an error of one datagram, such as an unreachable port, or of this machine
+			failures++ // the error is of one datagram, such as an unreachable port, or of this machine
 			time.Sleep(oserror.Backoff(failures))
 			continue
 		}
--- a/internal/cluster/mesh/dropped.go
+++ b/internal/cluster/mesh/dropped.go
@@ -18,8 +18,8 @@
 	errOutsideNetworks dropCause = "outside the networks"
 	errWrongCluster    dropCause = "wrong cluster"
 	errServiceDisabled dropCause = "switched off here"             // the host has no callback for the service
-	errUnknownSender   dropCause = "not the process that is known" // under the sender's name
-	errQueueFull       dropCause = "no room"                       // the queue of the loop is full
+	errUnknownSender   dropCause = "not the process that is known" // sender's name or incarnation is unknown
+	errQueueFull       dropCause = "no room"                       // the input queue of the loop is full
 	errTooManyAccepted dropCause = "too many streams"              // maxAcceptedStreams is reached
 	errTooManyOpened   dropCause = "no room to open a stream"      // maxOpenedStreams is reached
 )
@@ -38,7 +38,8 @@
 	return &dropCounter{log: log, counts: map[dropCause]uint64{}}
 }
 
-// add counts a dropped message or stream. The error is a dropCause or wraps one.
+// add counts a dropped message or stream. The error is a dropCause or wraps one. Any other error
+// counts as errMalformed.
 func (d *dropCounter) add(err error) {
 	cause := errMalformed
 	errors.As(err, &cause)
--- a/internal/cluster/mesh/golden_messages_test.go
+++ b/internal/cluster/mesh/golden_messages_test.go
@@ -88,7 +88,7 @@
 			}
 			golden.Compare(t, path, frame.Bytes())
 			rest := bytes.NewReader(golden.Read(t, path))
-			text, err = readFrame(rest, baseFrameBytes)
+			text, err = readFrame(rest, maxFrameBytesWithoutRecords)
 			if err != nil || rest.Len() != 0 {
 				t.Fatalf("%d bytes are left after the frame, %v", rest.Len(), err)
 			}
@@ -239,8 +239,8 @@
 	}
 }
 
-// Each boolean field of a message keeps its own key. Each message has only one of them set, since two fields
-// that exchange their keys would not show in a message with all of them set.
+// Each boolean field of a message keeps its own key. Each message sets only one boolean field. If all were
+// set, the test would not notice that two fields have exchanged their keys.
 func TestGoldenFlags(t *testing.T) {
 	withOutcome := func(outcome replication.Outcome) *replication.Message {
 		record := replication.Record{Key: "key", Outcomes: []replication.Outcome{outcome}}
--- a/internal/cluster/mesh/loop.go
+++ b/internal/cluster/mesh/loop.go
@@ -155,10 +155,10 @@
 		return
 	}
 	self := m.node.Self()
-	now := servingState{incarnation: self.Incarnation, catchingUp: m.node.CatchingUp()}
-	newIncarnation := now.incarnation != m.lastReported.incarnation && self.State == membership.Alive
-	if joined || newIncarnation || now.catchingUp != m.lastReported.catchingUp {
-		m.lastReported = now
-		m.host.Serving(!now.catchingUp, now.incarnation)
+	current := servingState{incarnation: self.Incarnation, catchingUp: m.node.CatchingUp()}
+	newIncarnation := current.incarnation != m.lastReported.incarnation && self.State == membership.Alive
+	if joined || newIncarnation || current.catchingUp != m.lastReported.catchingUp {
+		m.lastReported = current
+		m.host.Serving(!current.catchingUp, current.incarnation)
 	}
 }
--- a/internal/cluster/mesh/mesh.go
+++ b/internal/cluster/mesh/mesh.go
@@ -32,7 +32,7 @@
 	maxOpenedStreams   = 16   // open streams to other members
 	streamTimeout      = 5 * time.Second
 	dialTimeout        = time.Second
-	replyTimeout       = 2 * time.Second // for the loop's reply on a stream
+	replyTimeout       = 2 * time.Second // longest wait for the loop's reply on a stream
 	snapshotInterval   = 250 * time.Millisecond
 	dropLogInterval    = time.Minute // minimum time between two log lines about dropped messages
 	receiveBufferBytes = 1 << 20     // socket buffer for datagrams that arrive while the process is stopped
@@ -42,19 +42,20 @@
 // stream that is accepted only to be rejected.
 const Descriptors = 2 + maxAcceptedStreams + maxOpenedStreams + 1
 
-// Host holds the callbacks of a mesh. They must not wait for the mesh. The loop calls the callbacks about
-// membership. Before the loop starts, Restore calls MembersRestored and reports the incarnation of the
-// predecessor. The datagram reader calls the callbacks of the services: Drains, Replication, ReplicaSet and
-// OperatorState. A nil callback is not called, and messages of a service with a nil callback are dropped.
+// Host holds the callbacks of a mesh. The mesh waits for each callback, so a callback must not wait for the
+// mesh. The loop calls the callbacks about membership. Before the loop starts, Restore calls MembersRestored,
+// and Serving with the incarnation of the predecessor. The datagram reader calls the callbacks of the
+// services: Drains, Replication, ReplicaSet and OperatorState. A nil callback is not called, and messages of
+// a service with a nil callback are dropped.
 type Host struct {
 	MemberChanged func(membership.MemberChanged)
 	UserMessage   func(number int, text string)
-	Stopped       func(replaced bool) // this process is no longer a member
+	Stopped       func(replaced bool) // called when this process is no longer a member
 
 	// MembersRestored receives the members that a predecessor handed over, before the loop starts.
 	MembersRestored func([]membership.MemberView)
 
-	// This callback reports whether this process serves as a member, and its incarnation.
+	// Serving receives whether this process serves as a member, and its incarnation.
 	Serving func(on bool, incarnation membership.Incarnation)
 
 	Drains        func(from string, records []drainstate.DrainRecord)
@@ -67,7 +68,7 @@
 type Identity struct {
 	Name   string
 	Number int    // index in the scheduler list of the settings; -1 if it is not listed
-	Seed   uint64 // of the random numbers of the node
+	Seed   uint64 // seed of the node's random numbers
 }
 
 // Mesh connects one process to its cluster. Its methods may be called from any goroutine.
@@ -76,13 +77,13 @@
 	host         Host
 	log          zerolog.Logger
 	sockets      sockets
-	node         *membership.Node // only the loop uses it
+	node         *membership.Node // used only by the loop once the loop runs
 	loop         loop
 	streams      streamTable
 	dropped      *dropCounter
 	readers      sync.WaitGroup
 	closeOnce    sync.Once
-	handedOver   atomic.Bool // a successor has taken over the membership
+	handedOver   atomic.Bool // set by HandOver and cleared by Resume
 	lastReported servingState
 
 	status atomic.Pointer[Status]
@@ -108,7 +109,8 @@
 		return nil, err
 	}
 	if predecessor.Self.Name != identity.Name || len(files) != 2 {
-		return nil, startError(errors.New("the state is another member's, or the number of sockets isn't 2"))
+		return nil, startError(errors.New(
+			"the state handed over is of another member, or the number of files handed over is not 2"))
 	}
 	s, err := socketsFrom(files)
 	if err != nil {
@@ -200,8 +202,8 @@
 	m.readers.Go(m.acceptStreams)
 }
 
-// Now returns the time since the machine's boot, in the unit of membership. This clock advances while the
-// process is stopped and while the machine sleeps, and it cannot be set.
+// Now returns the time since the machine's boot, in tenths of a millisecond, the unit of package membership.
+// This clock advances while the process is stopped and while the machine sleeps, and it cannot be set.
 func Now() membership.Time { return membership.Time(boottime.Since() / membership.Tenth) }
 
 // Now returns the time of the mesh's clock.
@@ -226,8 +228,8 @@
 // Leave starts to notify the other members that this process leaves. It does not wait.
 func (m *Mesh) Leave() { m.enqueue(membership.LeaveRequested{}) }
 
-// HandOver returns the state and the sockets that a successor passes to Restore. Until Resume, this process
-// sends no membership messages, and only outcomes of the service messages.
+// HandOver returns the state and the sockets that a successor passes to Restore. Until Resume is called,
+// this process sends no membership messages. Of the service messages, it sends only outcomes.
 func (m *Mesh) HandOver() (state []byte, conns []syscall.Conn, err error) {
 	err = startError(errors.New("cannot hand over: this process is not a member"))
 	m.callInLoop(func() {
@@ -260,7 +262,7 @@
 	if !resumed {
 		return
 	}
-	select { // unlike a message, this input must not be lost
+	select { // waits while the queue is full, because this input must not be lost
 	case m.loop.inputs <- membership.Resumed{}:
 	case <-m.loop.done:
 	}
--- a/internal/cluster/mesh/mesh_test.go
+++ b/internal/cluster/mesh/mesh_test.go
@@ -22,12 +22,12 @@
 
 func testConfig(t *testing.T) *Config {
 	t.Helper()
-	x := Defaults()
-	x.Cluster, x.Listen = "c", "127.0.0.1:0"
-	if err := x.Validate(); err != nil {
+	config := Defaults()
+	config.Cluster, config.Listen = "c", "127.0.0.1:0"
+	if err := config.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	return x
+	return config
 }
 
 // testRecord is the record of an alive member.
@@ -77,7 +77,7 @@
 			t.Fatal(err)
 		}
 		if got, err := decode(text, allowed); err != nil || !reflect.DeepEqual(got, message) {
-			t.Fatalf("%+v, %v", got, err)
+			t.Fatalf("got %+v, error %v", got, err)
 		}
 		at := rapid.IntRange(0, len(text)-1).Draw(t, "at")
 		if _, err := decode(text[:at], allowed); err == nil {
@@ -115,7 +115,7 @@
 		}
 		got, err := decodeService(text)
 		if err != nil || got.From != from || !reflect.DeepEqual(*got.Replication, sent) {
-			t.Fatalf("%+v, %v", got, err)
+			t.Fatalf("got %+v, error %v", got, err)
 		}
 	})
 }
@@ -201,7 +201,7 @@
 		f.Close()
 	}
 	if got, want := successor.Status().Self.Incarnation, b.Status().Self.Incarnation; got != want {
-		t.Errorf("the successor is %+v, the predecessor %+v", got, want)
+		t.Errorf("the successor has incarnation %+v, the predecessor %+v", got, want)
 	}
 	if _, err := Restore(b.config, Identity{"z", 1, 1}, Host{}, zerolog.Nop(), state, files); err == nil {
 		t.Error("a process of another name took over")
@@ -258,8 +258,8 @@
 	await(6)
 }
 
-// A datagram fits as many drain records as are sent together, even if all workers have the longest allowed
-// name. A worker with a longer name does not prevent the records of the other workers from being sent.
+// The drain records that are sent together fit a datagram, even if all workers have the longest allowed name.
+// A worker with a longer name does not prevent the records of the other workers from being sent.
 func TestLongestDrainRecordsFitADatagram(t *testing.T) {
 	const records = 100
 	from := longestRecord()
--- a/internal/cluster/mesh/status.go
+++ b/internal/cluster/mesh/status.go
@@ -9,18 +9,18 @@
 // Status is the view of the cluster that the console shows.
 type Status struct {
 	Self    membership.LocalStatus `json:"self"`
-	LateMS  float64                `json:"late_ms"`       // delay of the latest late timer, in ms
+	LateMS  float64                `json:"late_ms"`       // delay of the last timer that fired late, in ms
 	WorstMS float64                `json:"worst_late_ms"` // longest delay of a timer, in ms
 	Dropped map[string]uint64      `json:"dropped"`       // number of dropped messages and streams by cause
 	Members []MemberStatus         `json:"members"`
-	Digest  string                 `json:"digest"` // equal for equal views
+	Digest  string                 `json:"digest"` // hash of the view; equal for equal views
 }
 
 // MemberStatus is the state of another member in the view.
 type MemberStatus struct {
 	membership.MemberView
 	ForS  float64 `json:"for_s"`  // seconds since this process saw the member enter its state
-	RTTms float64 `json:"rtt_ms"` // round-trip time
+	RTTms float64 `json:"rtt_ms"` // round-trip time, in ms
 }
 
 // knownMembers is a copy of the view for goroutines other than the loop.
--- a/internal/cluster/mesh/streams.go
+++ b/internal/cluster/mesh/streams.go
@@ -28,7 +28,7 @@
 	replies chan membership.StreamReply
 }
 
-// slots bounds the number of open streams.
+// slots is a semaphore that bounds the number of open streams.
 type slots chan struct{}
 
 func (s slots) acquire() bool {
@@ -90,7 +90,9 @@
 }
 
 // maxFrameBytes returns the largest size of a message with the records of a full view.
-func (m *Mesh) maxFrameBytes() int { return baseFrameBytes + maxRecordBytes*m.config.MaxMembers }
+func (m *Mesh) maxFrameBytes() int {
+	return maxFrameBytesWithoutRecords + maxRecordBytes*m.config.MaxMembers
+}
 
 // acceptStreams accepts streams until the sockets are interrupted or closed.
 func (m *Mesh) acceptStreams() {
@@ -101,7 +103,7 @@
 			if readsEnded(err) {
 				return
 			}
-			failures++ // may be temporary, such as a lack of file descriptors
+			failures++ // the error may be temporary, such as a lack of file descriptors
 			time.Sleep(oserror.Backoff(failures))
 			continue
 		}
@@ -152,8 +154,8 @@
 	}()
 }
 
-// dial connects from the address of the sockets, because other members accept streams only from allowed
-// addresses.
+// dial connects from the IP address of this member's sockets, because other members accept streams only from
+// allowed addresses.
 func (m *Mesh) dial(to string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: m.sockets.addr().IP}}
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
--- a/internal/cluster/mesh/wide_record_test.go
+++ b/internal/cluster/mesh/wide_record_test.go
@@ -8,8 +8,9 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// A record with as many claims as replicas may merge fits a message, even if the names of the schedulers have
-// the longest allowed length. A replica that catches up never gets a record that is longer than a message.
+// A replication record with 64 claims, the most that a replica merges, must fit a service message even if the
+// schedulers have names of 255 bytes, the longest that are allowed. A replica that catches up never receives
+// a record that does not fit.
 func TestTheWidestRecordFitsAMessage(t *testing.T) {
 	const claims, nameBytes = 64, 255
 	record := replication.Record{Key: "pay\x00key", Fingerprint: 1}
--- a/internal/cluster/mesh/wire.go
+++ b/internal/cluster/mesh/wire.go
@@ -18,21 +18,21 @@
 
 // Only this file knows the wire format. A message is a header and a body in CBOR (RFC 8949). The header is
 // the letter 'w', a letter for the kind of the body, the version of the protocol and the xxHash64 of the
-// body. On a stream, the length of the message in 4 bytes precedes it. All numbers of the header are
+// body. On a stream, each message follows its length in 4 bytes. The length and the numbers of the header are
 // big-endian.
 const (
-	magicByte        = 'w'
-	membershipKind   = 'm'
-	serviceKind      = 'o'
-	version          = 1
-	headerSize       = 2 + 1 + 8
-	maxDatagramBytes = 1900     // size of a membership message in a datagram
-	maxServiceBytes  = 8 << 10  // size of a service message, which IP may fragment
-	maxRecordBytes   = 640      // size of a member record in a message on a stream
-	baseFrameBytes   = 64 << 10 // size of a message on a stream without its records
-	maxArrayElements = 1 << 16  // elements of an array in a body
-	maxMapPairs      = 20       // pairs of a map in a body
-	maxNesting       = 10       // nested levels of a body
+	magicByte                   = 'w'
+	membershipKind              = 'm'
+	serviceKind                 = 'o'
+	version                     = 1
+	headerSize                  = 2 + 1 + 8
+	maxDatagramBytes            = 1900     // largest size of a membership message in a datagram
+	maxServiceBytes             = 8 << 10  // largest size of a service message, which IP may fragment
+	maxRecordBytes              = 640      // largest size of a member record in a message on a stream
+	maxFrameBytesWithoutRecords = 64 << 10 // largest size of a message on a stream, not counting its records
+	maxArrayElements            = 1 << 16  // most elements of an array in a body
+	maxMapPairs                 = 20       // most pairs of a map in a body
+	maxNesting                  = 10       // most nested levels of a body
 )
 
 // wireRecord is a member record, encoded as an array in the order of the fields. The protocol calls the
@@ -187,7 +187,7 @@
 func encode(message membership.Message) ([]byte, error) {
 	body, err := cbor.Marshal(messageToWire(message))
 	if err != nil {
-		return nil, fmt.Errorf("mesh: %w", err)
+		return nil, fmt.Errorf("mesh: encoding a membership message: %w", err)
 	}
 	return withHeader(membershipKind, body), nil
 }
@@ -230,7 +230,8 @@
 func decodeHandover(data []byte) (membership.HandoverState, error) {
 	var w wireHandover
 	if err := strictDecoding.Unmarshal(data, &w); err != nil {
-		return membership.HandoverState{}, fmt.Errorf("members: %w", err)
+		return membership.HandoverState{},
+			fmt.Errorf("members: decoding the state handed over by the predecessor: %w", err)
 	}
 	return membership.HandoverState{
 		Self:    recordFromWire(w.Self),
@@ -242,7 +243,7 @@
 func encodeService(message serviceMessage) ([]byte, error) {
 	body, err := cbor.Marshal(message)
 	if err != nil {
-		return nil, fmt.Errorf("mesh: %w", err)
+		return nil, fmt.Errorf("mesh: encoding a service message: %w", err)
 	}
 	return withHeader(serviceKind, body), nil
 }
@@ -262,16 +263,16 @@
 // isServiceMessage reports whether the header of a datagram is that of a service message.
 func isServiceMessage(data []byte) bool { return len(data) > 1 && data[1] == serviceKind }
 
-func withHeader(mark byte, body []byte) []byte {
+func withHeader(kind byte, body []byte) []byte {
 	data := make([]byte, 0, headerSize+len(body))
-	data = append(data, magicByte, mark, version)
+	data = append(data, magicByte, kind, version)
 	data = binary.BigEndian.AppendUint64(data, xxhash.Sum64(body))
 	return append(data, body...)
 }
 
 // checkedBody checks the header and returns the body. The error is a dropCause.
-func checkedBody(mark byte, data []byte) ([]byte, error) {
-	if len(data) < headerSize || data[0] != magicByte || data[1] != mark {
+func checkedBody(kind byte, data []byte) ([]byte, error) {
+	if len(data) < headerSize || data[0] != magicByte || data[1] != kind {
 		return nil, errMalformed
 	}
 	if data[2] != version {
--- a/internal/cluster/replica/claims.go
+++ b/internal/cluster/replica/claims.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	maxFirstClaimID = 1 << 60 // below the flag bits of IDs on the wire, with space to count up
+	maxFirstClaimID = 1 << 60 // leaves space to count up below the flag bits of IDs on the wire
 	maxJoinedClaims = 1024
 	joinInterval    = 50 * time.Millisecond // between two claims of an op in progress at another scheduler
 	decisionGrace   = time.Second           // added to QuorumTimeout, as the loop may run late
@@ -33,18 +33,22 @@
 // arrive here and must not match a claim of this process.
 func (p *pendingClaims) startIDsAt(random uint64) { p.lastID.Store(random % maxFirstClaimID) }
 
-// claimOp is the op that a claim is for.
+// claimOp is the op that a claim is for. The worker group drops duplicates of the op within dedupWindow. If
+// dedupWindow is 0, the group drops none.
 type claimOp struct {
 	key         string
 	fingerprint uint64
 	dedupWindow time.Duration
 }
 
-// Claim asks the replicas whether an op may be pushed, and waits at most QuorumTimeout and decisionGrace for
-// their decision. If the worker group drops duplicates within a window, the claim may be granted although the
-// op may have run for a scheduler that is dead. The outcome then names the group. If the op is in progress at
-// another scheduler, Claim repeats the claim until the op has ended, so that the client gets that answer. It
-// repeats the claim for at most JoinTimeout.
+// Claim asks the replicas whether an op may be pushed. The parameter timeout is the time left for the op.
+// Claim waits at most QuorumTimeout plus decisionGrace for the decision of the replicas.
+//
+// If the worker group drops duplicates within a window, the claim may be granted although the op may have run
+// for a scheduler that is dead. The outcome in the result then names the group.
+//
+// If the op is in progress at another scheduler, Claim repeats the claim until the op has ended there, so
+// that the client gets the answer of that op. It repeats the claim for at most JoinTimeout.
 func (r *Replica) Claim(
 	ctx context.Context, category, id string, request []byte, timeout, window time.Duration,
 ) replication.ClaimDecided {
@@ -74,7 +78,9 @@
 	return decided
 }
 
-// claimOnce sends one claim and waits for the decision.
+// claimOnce sends one claim and waits for the decision. The replication core decides within timeout and
+// QuorumTimeout, whichever is shorter. If no decision arrives, claimOnce stops waiting decisionGrace after
+// QuorumTimeout.
 func (r *Replica) claimOnce(ctx context.Context, op claimOp, timeout time.Duration) replication.ClaimDecided {
 	id := r.claims.lastID.Add(1)
 	result, _ := r.claims.add(id, 0) // no limit: the frontend bounds its open ops
@@ -120,7 +126,7 @@
 	r.queue.stateChanges.Put(input{replication: replication.MayHaveRun{RequestID: id, Group: group}})
 }
 
-// Abandon records that a granted op that may have run is not pushed again, and that its client was answered
+// Abandon records that a granted op is not pushed again, although it may have run. The client was answered
 // that a repeat is harmless.
 func (r *Replica) Abandon(id uint64) {
 	r.queue.put(input{replication: replication.OpEnded{RequestID: id, Abandoned: true}})
--- a/internal/cluster/replica/delivery_test.go
+++ b/internal/cluster/replica/delivery_test.go
@@ -81,9 +81,10 @@
 	}
 }
 
-// A replica with a full queue stops voting when its disk fails, and releases a grant that no caller waits
-// for. Guards against a follow-up input that is queued and lost because the queue is full. The replica would
-// then continue to vote with records that do not last, and the claim would stand forever.
+// The inputs that the loop creates while it applies effects must not be lost when the queue is full, so they
+// bypass the queue. If the input after a disk failure were lost, the replica would continue to vote with
+// records that do not last. If the input that releases a grant without a waiting caller were lost, the claim
+// would stand forever.
 func TestFollowUpInputsAreNotLostInAFullQueue(t *testing.T) {
 	fillQueue := func(r *Replica) {
 		for len(r.queue.inputs) < cap(r.queue.inputs) {
--- a/internal/cluster/replica/effects.go
+++ b/internal/cluster/replica/effects.go
@@ -14,8 +14,8 @@
 
 // applyEffects applies the effects of the replication core. It persists records before it sends messages. It
 // also persists an adopted set first, since a message lets another member conclude that this replica refuses
-// claims under the previous set. Follow-up inputs bypass the queue, because the queue may be full and none of
-// them may be lost.
+// claims under the previous set. The inputs that applying the effects creates bypass the queue, because the
+// queue may be full and none of these inputs may be lost.
 func (r *Replica) applyEffects(effects []replication.Effect) {
 	persisted := r.persist(effects)
 	var followUps []replication.Input
--- a/internal/cluster/replica/membership.go
+++ b/internal/cluster/replica/membership.go
@@ -52,7 +52,7 @@
 }
 
 // update records a change of membership and returns it as an input for the replication core. A successor is a
-// different voter than its predecessor, because it does not know what the predecessor granted. The same holds
+// different voter from its predecessor, because it does not know what the predecessor granted. The same holds
 // for a process that resumes after its successor has ended. The member's nonce distinguishes two processes of
 // one generation.
 func (i *identity) update(serving bool, incarnation membership.Incarnation) replication.Membership {
@@ -73,8 +73,8 @@
 	return processIncarnation(i.incarnation, i.successions+1)
 }
 
-// resume adds two successions: one for the successor that has ended, one for this process as it resumes. It
-// returns the membership for the next update.
+// resume adds two successions: one for the successor that has ended, and one for this process, which resumes.
+// It returns the unchanged serving state and incarnation, which the caller passes to SetMembership.
 func (i *identity) resume() (serving bool, incarnation membership.Incarnation) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -109,7 +109,8 @@
 	r.processEnded(successor)
 }
 
-// HandOverProcesses encodes the other processes of this scheduler that have ended, for its successor.
+// HandOverProcesses encodes the other processes of this scheduler that have ended, for the successor of this
+// process.
 func (r *Replica) HandOverProcesses() ([]byte, error) {
 	r.identity.mu.Lock()
 	defer r.identity.mu.Unlock()
@@ -126,7 +127,7 @@
 	}
 	var ended []replication.Incarnation
 	if err := json.Unmarshal(state, &ended); err != nil {
-		return fmt.Errorf("copies: processes that have ended: %w", err)
+		return fmt.Errorf("copies: decoding the ended processes handed over by the predecessor: %w", err)
 	}
 	for _, process := range ended[max(0, len(ended)-maxEndedProcesses):] {
 		r.processEnded(process)
--- a/internal/cluster/replica/queue.go
+++ b/internal/cluster/replica/queue.go
@@ -8,10 +8,11 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// maxQueuedInputs limits the inputs that wait for the loop. Further messages are lost, like lost datagrams.
+// maxQueuedInputs limits the inputs that wait for the loop. Messages beyond the limit
+// are dropped, like datagrams that the network loses.
 const maxQueuedInputs = 4096
 
-// input is an input for the replication core or for the replica set core. The other field is nil.
+// input is an input for the replication core or for the replica set core. Exactly one field is set.
 type input struct {
 	replication replication.Input
 	replicaSet  replicaset.Input
--- a/internal/cluster/replica/replica.go
+++ b/internal/cluster/replica/replica.go
@@ -19,7 +19,8 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// maxExtraInputsPerRound limits the inputs after the first that share one write to the disk.
+// maxExtraInputsPerRound limits the inputs that a round handles after its first input. The inputs of a round
+// share one write to the disk.
 const maxExtraInputsPerRound = 64
 
 // Transport sends messages to members and provides the clock.
@@ -37,7 +38,7 @@
 
 	// Only the loop uses these fields once it runs.
 	core       *replication.Core
-	replicaSet *replicaset.Core // nil unless the set changes by agreement
+	replicaSet *replicaset.Core // nil unless config.DynamicReplicas is set
 	storage    storage
 
 	queue    *inputQueue
@@ -101,7 +102,7 @@
 func randomID() (uint64, error) {
 	var buffer [8]byte
 	if _, err := crand.Read(buffer[:]); err != nil {
-		return 0, fmt.Errorf("copies: %w", err)
+		return 0, fmt.Errorf("copies: drawing a random ID: %w", err)
 	}
 	return binary.BigEndian.Uint64(buffer[:])>>1 | 1, nil
 }
--- a/internal/cluster/replica/replica_test.go
+++ b/internal/cluster/replica/replica_test.go
@@ -85,8 +85,8 @@
 
 // A replica registers with the generation and the nonce that the members know. Guards against a registration
 // with a random nonce. If two replicas that lost their records meet each other first, one of them has the
-// generation of its previous process. With a smaller random nonce, its registration would be taken for one
-// of the previous process, and the replica would never vote.
+// generation of its previous process. With a smaller random nonce, its registration would be treated as a
+// message of the previous process, and the replica would never vote.
 func TestAReplicaRegistersWithTheNonceThatMembersKnow(t *testing.T) {
 	config := Defaults()
 	config.Replicas = []string{"a", "b", "c"}
--- a/internal/cluster/replica/status.go
+++ b/internal/cluster/replica/status.go
@@ -41,8 +41,9 @@
 	Group          string `json:"where,omitempty"` // worker group in which the op may have run
 }
 
-// Page returns the rows of up to recordsPerPage records, in the order of their keys. The first record is the
-// one behind the key after. The result next is the key to pass for the next page, or empty on the last page.
+// Page returns the rows of up to recordsPerPage records, in the order of their keys. The page starts
+// behind the key after. The result next is the parameter after of the next page. It is empty if the page is
+// not full.
 func (r *Replica) Page(after string) (rows []RecordRow, next string) {
 	r.callInLoop(func() {
 		page := r.core.Page(after, recordsPerPage)
--- a/internal/cluster/replica/storage.go
+++ b/internal/cluster/replica/storage.go
@@ -28,11 +28,11 @@
 type persistedState struct {
 	records    replication.StateReloaded
 	setID      uint64           // replica set under which the records were persisted
-	replicaSet replicaset.State // zero unless the set changes by agreement
+	replicaSet replicaset.State // zero unless DynamicReplicas is set
 }
 
 // recordsFor returns the records for a replica set. If they were persisted under another set, they are not
-// complete for any incarnation, and the incarnation is cleared.
+// complete for any incarnation. The incarnation is then cleared.
 func (p *persistedState) recordsFor(setID uint64) replication.StateReloaded {
 	records := p.records
 	if p.setID != setID {
--- a/internal/cluster/replica/waiters_test.go
+++ b/internal/cluster/replica/waiters_test.go
@@ -45,7 +45,7 @@
 	}
 	want.Serving = false
 	if got := i.update(false, membership.Incarnation{}); got != want {
-		t.Errorf("while no member: got %+v, want %+v", got, want)
+		t.Errorf("while the process is not a member: got %+v, want %+v", got, want)
 	}
 	i.update(true, incarnation)
 	want.Serving, want.Generation = true, want.Generation+2
@@ -59,9 +59,9 @@
 	incarnation := replication.Incarnation{Generation: 1, Nonce: 2}
 	p := persistedState{records: replication.StateReloaded{Incarnation: incarnation}, setID: 7}
 	if got := p.recordsFor(7).Incarnation; got != incarnation {
-		t.Errorf("of this set: %v", got)
+		t.Errorf("persisted under this set: got incarnation %v", got)
 	}
 	if got := p.recordsFor(8).Incarnation; got != (replication.Incarnation{}) {
-		t.Errorf("of another set: %v", got)
+		t.Errorf("persisted under another set: got incarnation %v", got)
 	}
 }
