--- a/internal/cluster/mesh/config.go
+++ b/internal/cluster/mesh/config.go
@@ -16,29 +16,46 @@
 	endWhenReplaced     = "end"
 )
 
-// Config is the table members of the features file.
+// Config is the table "members" of the features file.
 type Config struct {
-	Cluster           string            `toml:"cluster"`       // messages of another cluster are dropped
-	Listen            string            `toml:"listen"`        // for datagrams and streams
-	Advertise         string            `toml:"advertise"`     // where others reach this one; empty: Listen
-	Seeds             []string          `toml:"seeds"`         // members that are tried first
-	Networks          []string          `toml:"networks"`      // nothing is received from or sent to others
-	ProbeInterval     features.Duration `toml:"probe"`         // between two pings
-	ProbeTimeout      features.Duration `toml:"window"`        // for an answer, direct or through others
-	MinSuspicion      features.Duration `toml:"doubt"`         // from suspicion to death, if it is confirmed
-	MaxSuspicion      features.Duration `toml:"longest_doubt"` // the same, if nobody confirms it
-	PushPullInterval  features.Duration `toml:"exchange"`      // mean, between push-pulls
-	JoinInterval      features.Duration `toml:"seek"`          // mean, between attempts to reach dead members
-	DeadRetention     features.Duration `toml:"memory"`        // of members that are dead or have left
-	MaxMembers        int               `toml:"most"`          // in the view
-	WhenReplaced      string            `toml:"superseded"`    // what a process does whose name another has
-	ShareDrains       bool              `toml:"workers"`       // drains that others report are followed
-	CarryPeerMessages bool              `toml:"words"`         // peers are reached as members
+	// Cluster is the name of the cluster. Messages of another cluster are dropped.
+	Cluster string `toml:"cluster"`
+	// Listen is the address for datagrams and streams.
+	Listen string `toml:"listen"`
+	// Advertise is the address that other members use. If it is empty, they use Listen.
+	Advertise string `toml:"advertise"`
+	// Seeds are addresses of members that this process contacts first.
+	Seeds []string `toml:"seeds"`
+	// Networks are the address prefixes of members. Messages from and to other addresses are dropped.
+	Networks []string `toml:"networks"`
+	// ProbeInterval is the time between two pings.
+	ProbeInterval features.Duration `toml:"probe"`
+	// ProbeTimeout is how long a prober waits for the ack of a direct or an indirect ping.
+	ProbeTimeout features.Duration `toml:"window"`
+	// MinSuspicion is the time from suspect to dead if others confirm the suspicion.
+	MinSuspicion features.Duration `toml:"doubt"`
+	// MaxSuspicion is the time from suspect to dead if nobody confirms the suspicion.
+	MaxSuspicion features.Duration `toml:"longest_doubt"`
+	// PushPullInterval is the mean time between two push-pulls.
+	PushPullInterval features.Duration `toml:"exchange"`
+	// JoinInterval is the mean time between two attempts to reach dead members.
+	JoinInterval features.Duration `toml:"seek"`
+	// DeadRetention is how long members that are dead or have left are retained.
+	DeadRetention features.Duration `toml:"memory"`
+	// MaxMembers limits the members in the view.
+	MaxMembers int `toml:"most"`
+	// WhenReplaced is "stand-by" or "end": what a process does when another process takes its name.
+	WhenReplaced string `toml:"superseded"`
+	// ShareDrains applies the drains that other schedulers report.
+	ShareDrains bool `toml:"workers"`
+	// CarryPeerMessages sends peer messages as messages between members.
+	CarryPeerMessages bool `toml:"words"`
 
-	networks []netip.Prefix
+	// allowedPrefixes holds the parsed Networks. Validate sets it.
+	allowedPrefixes []netip.Prefix
 }
 
-// Defaults returns the table as it is where the file leaves keys out.
+// Defaults returns the values of keys that the features file omits.
 func Defaults() *Config {
 	d := membership.Defaults()
 	return &Config{
@@ -62,7 +79,7 @@
 func timeOf(d features.Duration) membership.Time { return membership.TimeOf(time.Duration(d)) }
 
 // Validate returns a features.ConfigError for the first key that is invalid. It must be called before the
-// table is used.
+// table is used, because it parses Networks.
 func (c *Config) Validate() error {
 	if err := c.parseNetworks(); err != nil {
 		return err
@@ -71,7 +88,7 @@
 		return err
 	}
 	if c.WhenReplaced != standByWhenReplaced && c.WhenReplaced != endWhenReplaced {
-		return invalid("superseded", fmt.Errorf("%q is neither \"stand-by\" nor \"end\"", c.WhenReplaced))
+		return invalid("superseded", fmt.Errorf("must be \"stand-by\" or \"end\", got %q", c.WhenReplaced))
 	}
 	node := c.membershipConfig("a name", "an address", -1)
 	if err := node.Validate(); err != nil {
@@ -85,20 +102,20 @@
 }
 
 func (c *Config) parseNetworks() error {
-	c.networks = nil
+	c.allowedPrefixes = nil
 	for _, text := range c.Networks {
 		network, err := netip.ParsePrefix(text)
 		if err != nil {
 			return invalid("networks", err)
 		}
-		c.networks = append(c.networks, network)
+		c.allowedPrefixes = append(c.allowedPrefixes, network)
 	}
 	return nil
 }
 
 func (c *Config) validateAddresses() error {
 	if c.Listen == "" {
-		return invalid("listen", errors.New("an address is wanted"))
+		return invalid("listen", errors.New("must be an address with a port"))
 	}
 	if err := c.validateAddress("listen", c.Listen); err != nil {
 		return err
@@ -121,17 +138,17 @@
 	switch {
 	case err != nil:
 		return invalid(key, err)
-	case !c.allowed(addr.Addr()):
-		return invalid(key, fmt.Errorf("%s lies outside the networks", text))
+	case !c.isAllowed(addr.Addr()):
+		return invalid(key, fmt.Errorf("%s is not in members.networks", text))
 	case addr.Port() == 0 && key != "listen":
-		return invalid(key, fmt.Errorf("%s has no port", text))
+		return invalid(key, fmt.Errorf("%s must have a port above 0", text))
 	}
 	return nil
 }
 
-// allowed tells whether messages from an address are read, and sent to it.
-func (c *Config) allowed(addr netip.Addr) bool {
-	for _, network := range c.networks {
+// isAllowed reports whether an address is in Networks. Members exchange messages only with such addresses.
+func (c *Config) isAllowed(addr netip.Addr) bool {
+	for _, network := range c.allowedPrefixes {
 		if network.Contains(addr.Unmap()) {
 			return true
 		}
@@ -139,7 +156,7 @@
 	return false
 }
 
-// membershipConfig returns the configuration of a node. It lacks nonce and seed.
+// membershipConfig returns the configuration of a node without its nonce and seed.
 func (c *Config) membershipConfig(name, addr string, number int) membership.Config {
 	return membership.Config{
 		Cluster:             c.Cluster,
--- a/internal/cluster/mesh/wide_record_test.go
+++ b/internal/cluster/mesh/wide_record_test.go
@@ -8,14 +8,18 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// A record of as many claims as replicas may merge must fit a message between them, whatever the names of the schedulers: one that does not is
-// never caught up with.
+// A replication record with 64 claims, the most that a replica merges, must fit a service message even if the
+// schedulers have names of 255 bytes, the longest that are allowed. A replica that catches up never receives
+// a record that does not fit.
 func TestTheWidestRecordFitsAMessage(t *testing.T) {
 	const claims, nameBytes = 64, 255
 	record := replication.Record{Key: "pay\x00key", Fingerprint: 1}
-	for k := range claims {
+	for i := range claims {
 		record.Outcomes = append(record.Outcomes, replication.Outcome{
-			Claim: replication.Claim{Scheduler: fmt.Sprintf("%03d", k) + strings.Repeat("n", nameBytes-3), Nonce: 1 << 63},
+			Claim: replication.Claim{
+				Scheduler: fmt.Sprintf("%03d", i) + strings.Repeat("n", nameBytes-3),
+				Nonce:     1 << 63,
+			},
 			Stage: replication.Released,
 		})
 	}
@@ -28,6 +32,6 @@
 		t.Fatal(err)
 	}
 	if len(text) > maxServiceBytes {
-		t.Errorf("%d bytes, a message has %d at most", len(text), maxServiceBytes)
+		t.Errorf("the message has %d bytes, the limit is %d", len(text), maxServiceBytes)
 	}
 }
--- a/internal/cluster/replica/config.go
+++ b/internal/cluster/replica/config.go
@@ -13,29 +13,46 @@
 
 // Config is the table "copies" of the features file.
 type Config struct {
-	Replicas        []string          `toml:"keepers"`       // an odd number, the same at all members
-	DynamicReplicas bool              `toml:"agreed"`        // the set changes by agreement
-	ReplaceAfter    features.Duration `toml:"replace_after"` // by a spare, once dead for so long; 0: never
-	Spares          []string          `toml:"spares"`        // that replace it, in order of preference
-	Deduplicated    bool              `toml:"deduplicated"`  // ops of deduplicated categories are claimed too
-	QuorumTimeout   features.Duration `toml:"wait"`          // for a majority, before an op is nacked
-	JoinTimeout     features.Duration `toml:"join"`          // for an op that another scheduler has
-	RetryInterval   features.Duration `toml:"again"`         // to a replica that has not answered
-	PullInterval    features.Duration `toml:"pull"`          // between two pulls of another replica's changes
-	Retention       features.Duration `toml:"remember"`      // of an id, from when it first came
-	AmnesiaHoldOff  features.Duration `toml:"hold_off"`      // without a vote, if all lost their memory
-	CatchUpRate     int               `toml:"catch_up"`      // bytes a second from each replica
-	MaxRecords      int               `toml:"most"`
-	MaxBytes        int               `toml:"most_bytes"`
-	MaxResultBytes  int               `toml:"result_bytes"` // longer answers are not retained
-	Path            string            `toml:"path"`         // of the store; empty: memory alone
-	Sync            bool              `toml:"sync"`         // a grant waits until the disk has it
+	// Replicas are the members of the replica set: an odd number of names, the same at all members.
+	Replicas []string `toml:"keepers"`
+	// DynamicReplicas allows changes of the replica set, on which the members agree.
+	DynamicReplicas bool `toml:"agreed"`
+	// ReplaceAfter is how long a replica must be dead before a spare replaces it; 0 means never.
+	ReplaceAfter features.Duration `toml:"replace_after"`
+	// Spares replace dead replicas, in order of preference.
+	Spares []string `toml:"spares"`
+	// Deduplicated extends claims to the ops of deduplicated categories.
+	Deduplicated bool `toml:"deduplicated"`
+	// QuorumTimeout is how long a claim waits for a majority before the op is nacked.
+	QuorumTimeout features.Duration `toml:"wait"`
+	// JoinTimeout is how long a claim waits for an op that is in progress at another scheduler.
+	JoinTimeout features.Duration `toml:"join"`
+	// RetryInterval is the time between two requests to a replica that does not answer.
+	RetryInterval features.Duration `toml:"again"`
+	// PullInterval is the time between two pulls of another replica's changes.
+	PullInterval features.Duration `toml:"pull"`
+	// Retention is how long an id is remembered, counted from its first arrival.
+	Retention features.Duration `toml:"remember"`
+	// AmnesiaHoldOff is how long the replicas do not vote after all of them lost their records.
+	AmnesiaHoldOff features.Duration `toml:"hold_off"`
+	// CatchUpRate limits catching up, in bytes per second from each replica.
+	CatchUpRate int `toml:"catch_up"`
+	// MaxRecords limits the number of records.
+	MaxRecords int `toml:"most"`
+	// MaxBytes limits the estimated size of all records.
+	MaxBytes int `toml:"most_bytes"`
+	// MaxResultBytes limits the result in a record. Longer answers are not retained.
+	MaxResultBytes int `toml:"result_bytes"`
+	// Path is the file of the store. If it is empty, records are in memory only.
+	Path string `toml:"path"`
+	// Sync delays a grant until its record is synced to disk.
+	Sync bool `toml:"sync"`
 }
 
-// maxResultBytes is such that a message with a result fits a datagram of the mesh.
+// maxResultBytes limits a result so that a message with the result fits a datagram of the mesh.
 const maxResultBytes = 2 << 10
 
-// Defaults returns the table as it is where the file leaves keys out.
+// Defaults returns the values of keys that the features file omits.
 func Defaults() *Config {
 	d := replication.Defaults()
 	return &Config{
@@ -58,58 +75,59 @@
 
 func timeOf(d features.Duration) replication.Time { return membership.TimeOf(time.Duration(d)) }
 
-// Validate returns what is wrong. AmnesiaHoldOff must not be below the longest time to live: replicas
-// without memory must not vote while an op that they granted may still be in flight.
-func (t *Config) Validate(maxTTL time.Duration) error {
-	fault := func(key string, err error) error {
+// Validate returns a features.ConfigError for the first key that is invalid. AmnesiaHoldOff must be at least
+// maxTTL, the longest TTL: replicas that lost their records must not vote while an op that they granted may
+// still be in flight.
+func (c *Config) Validate(maxTTL time.Duration) error {
+	invalid := func(key string, err error) error {
 		return &features.ConfigError{Table: "copies", Key: key, Err: err}
 	}
-	replicationConfig := t.replicationConfig("n", 1, 1)
+	replicationConfig := c.replicationConfig("n", 1, 1)
 	if err := replicationConfig.Validate(); err != nil {
 		return features.WrapCheckError("copies", err)
 	}
-	replicaSetConfig := t.replicaSetConfig("n", 1)
+	replicaSetConfig := c.replicaSetConfig("n", 1)
 	if err := replicaSetConfig.Validate(); err != nil {
 		return features.WrapCheckError("copies", err)
 	}
 	switch {
-	case !t.DynamicReplicas && (t.ReplaceAfter != 0 || len(t.Spares) > 0):
-		return fault("agreed", errors.New("it is needed for replace_after and spares"))
-	case t.RetryInterval <= 0 || t.RetryInterval > t.QuorumTimeout:
-		return fault("again", errors.New("from above 0 to wait"))
-	case t.JoinTimeout < 0 || time.Duration(t.JoinTimeout) > time.Minute:
-		return fault("join", errors.New("from 0 to 1m"))
-	case time.Duration(t.PullInterval) < 10*time.Millisecond:
-		return fault("pull", errors.New("10ms at least"))
-	case time.Duration(t.AmnesiaHoldOff) < maxTTL:
-		return fault("hold_off", fmt.Errorf("shorter than the longest time to live, %v", maxTTL))
-	case t.MaxResultBytes < 0 || t.MaxResultBytes > maxResultBytes:
-		return fault("result_bytes", fmt.Errorf("from 0 to %d", maxResultBytes))
+	case !c.DynamicReplicas && (c.ReplaceAfter != 0 || len(c.Spares) > 0):
+		return invalid("agreed", errors.New("must be true if replace_after or spares is set"))
+	case c.RetryInterval <= 0 || c.RetryInterval > c.QuorumTimeout:
+		return invalid("again", errors.New("must be above 0 and at most copies.wait"))
+	case c.JoinTimeout < 0 || time.Duration(c.JoinTimeout) > time.Minute:
+		return invalid("join", errors.New("must be from 0 to 1m"))
+	case time.Duration(c.PullInterval) < 10*time.Millisecond:
+		return invalid("pull", errors.New("must be at least 10ms"))
+	case time.Duration(c.AmnesiaHoldOff) < maxTTL:
+		return invalid("hold_off", fmt.Errorf("must be at least the longest TTL, %v", maxTTL))
+	case c.MaxResultBytes < 0 || c.MaxResultBytes > maxResultBytes:
+		return invalid("result_bytes", fmt.Errorf("must be from 0 to %d", maxResultBytes))
 	}
 	return nil
 }
 
-func (t *Config) replicationConfig(name string, seed, nonce uint64) replication.Config {
+func (c *Config) replicationConfig(name string, seed, nonce uint64) replication.Config {
 	return replication.Config{
 		Name:            name,
-		Replicas:        t.Replicas,
-		DynamicReplicas: t.DynamicReplicas,
+		Replicas:        c.Replicas,
+		DynamicReplicas: c.DynamicReplicas,
 		Seed:            seed,
 		Nonce:           nonce,
-		QuorumTimeout:   timeOf(t.QuorumTimeout),
-		RetryInterval:   timeOf(t.RetryInterval),
-		PullInterval:    timeOf(t.PullInterval),
-		Retention:       timeOf(t.Retention),
-		AmnesiaHoldOff:  timeOf(t.AmnesiaHoldOff),
-		CatchUpRate:     t.CatchUpRate,
-		MaxRecords:      t.MaxRecords,
-		MaxBytes:        t.MaxBytes,
+		QuorumTimeout:   timeOf(c.QuorumTimeout),
+		RetryInterval:   timeOf(c.RetryInterval),
+		PullInterval:    timeOf(c.PullInterval),
+		Retention:       timeOf(c.Retention),
+		AmnesiaHoldOff:  timeOf(c.AmnesiaHoldOff),
+		CatchUpRate:     c.CatchUpRate,
+		MaxRecords:      c.MaxRecords,
+		MaxBytes:        c.MaxBytes,
 	}
 }
 
-func (t *Config) replicaSetConfig(name string, seed uint64) replicaset.Config {
-	c := replicaset.Defaults()
-	c.Name, c.Replicas, c.Seed = name, t.Replicas, seed
-	c.ReplaceAfter, c.Spares = timeOf(t.ReplaceAfter), t.Spares
-	return c
+func (c *Config) replicaSetConfig(name string, seed uint64) replicaset.Config {
+	config := replicaset.Defaults()
+	config.Name, config.Replicas, config.Seed = name, c.Replicas, seed
+	config.ReplaceAfter, config.Spares = timeOf(c.ReplaceAfter), c.Spares
+	return config
 }
