--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,5 +1,6 @@
-// Command toy is a handful of workers and a discovery agent in one process, to try a scheduler with. A worker
-// runs as many jobs at once as it has slots, and sleeps for as long as a job's hint says.
+// Command toy runs a few workers and a discovery agent in one process, to try out a scheduler. A worker runs
+// as many jobs in parallel as it has slots. A job sleeps for the time in its weight hint, or for 100 ms
+// without one.
 package main
 
 import (
@@ -16,20 +17,20 @@
 )
 
 type worker struct {
-	UID       string `json:"uid"`
-	Endpoint  string `json:"endpoint"`
-	AZ        string `json:"az"`
-	PodGroup  int    `json:"pod_group"`
-	State     string `json:"state"`
-	BootMS    int64  `json:"boot_ms"`
-	slots     chan struct{}
-	held, ran atomic.Int64
+	UID                 string `json:"uid"`
+	Endpoint            string `json:"endpoint"`
+	AZ                  string `json:"az"`
+	PodGroup            int    `json:"pod_group"`
+	State               string `json:"state"`
+	BootMS              int64  `json:"boot_ms"`
+	slots               chan struct{}
+	inFlight, completed atomic.Int64
 }
 
 func (w *worker) load(out http.ResponseWriter, _ *http.Request) {
 	busy := len(w.slots)
-	fmt.Fprintf(out, `{"pending":%d,"busy_reqs":%d,"x0":%d}`, max(int(w.held.Load())-busy, 0), w.held.Load(),
-		cap(w.slots)-busy)
+	fmt.Fprintf(out, `{"pending":%d,"busy_reqs":%d,"x0":%d}`,
+		max(int(w.inFlight.Load())-busy, 0), w.inFlight.Load(), cap(w.slots)-busy)
 }
 
 func (w *worker) job(out http.ResponseWriter, r *http.Request) {
@@ -42,29 +43,31 @@
 	if err != nil {
 		return
 	}
-	say := func(line map[string]any) {
+	writeState := func(line map[string]any) {
 		line["id"], line["from"] = id, w.UID
 		json.NewEncoder(out).Encode(line)
 		out.(http.Flusher).Flush()
 	}
-	w.held.Add(1)
-	defer w.held.Add(-1)
+	w.inFlight.Add(1)
+	defer w.inFlight.Add(-1)
 	out.WriteHeader(http.StatusOK)
 	out.(http.Flusher).Flush()
 	w.slots <- struct{}{}
 	defer func() { <-w.slots }()
-	say(map[string]any{"state": "started"})
-	us, err := strconv.Atoi(r.Header.Get("X-Weight-Hint"))
+	writeState(map[string]any{"state": "started"})
+	micros, err := strconv.Atoi(r.Header.Get("X-Weight-Hint"))
 	if err != nil {
-		us = 100_000
+		micros = 100_000
 	}
-	time.Sleep(time.Duration(us) * time.Microsecond)
-	w.ran.Add(1)
-	say(map[string]any{"state": "done", "result": fmt.Sprintf("%d bytes seen by %s\n", len(body), w.UID)})
+	time.Sleep(time.Duration(micros) * time.Microsecond)
+	w.completed.Add(1)
+	writeState(map[string]any{"state": "done",
+		"result": fmt.Sprintf("%d bytes seen by %s\n", len(body), w.UID)})
 }
 
-// servers answers discovery's list; a watch gets it once, and then an empty line every two seconds.
-func servers(workers []*worker) http.HandlerFunc {
+// listWorkers returns the handler of the endpoint list. A watch gets the list once and then an empty line
+// every two seconds.
+func listWorkers(workers []*worker) http.HandlerFunc {
 	return func(out http.ResponseWriter, r *http.Request) {
 		json.NewEncoder(out).Encode(map[string]any{"rev": 1, "all": true, "targets": workers})
 		for r.URL.Query().Get("stream") == "1" {
@@ -95,8 +98,8 @@
 	flag.Parse()
 	var workers []*worker
 	for i := range *n {
-		w := &worker{UID: fmt.Sprintf("w%d", i), Endpoint: fmt.Sprintf("127.0.0.1:%d", *port+i), PodGroup: i % 2,
-			AZ: []string{"east", "west"}[i%2], State: "SERVING", slots: make(chan struct{}, *slots)}
+		w := &worker{UID: fmt.Sprintf("w%d", i), Endpoint: fmt.Sprintf("127.0.0.1:%d", *port+i),
+			PodGroup: i % 2, AZ: []string{"east", "west"}[i%2], State: "SERVING", slots: make(chan struct{}, *slots)}
 		mux := http.NewServeMux()
 		mux.HandleFunc("GET /healthz", func(http.ResponseWriter, *http.Request) {})
 		mux.HandleFunc("GET /load", w.load)
@@ -105,12 +108,12 @@
 		workers = append(workers, w)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/servers", servers(workers))
+	mux.HandleFunc("GET /v1/servers", listWorkers(workers))
 	serve(*discovery, mux)
 	log.Printf("%d workers from 127.0.0.1:%d, discovery at %s", *n, *port, *discovery)
 	for range time.Tick(5 * time.Second) {
 		for _, w := range workers {
-			log.Printf("%s: %d held, %d run", w.UID, w.held.Load(), w.ran.Load())
+			log.Printf("%s: %d in flight, %d completed", w.UID, w.inFlight.Load(), w.completed.Load())
 		}
 	}
 }
--- a/internal/base/deadlines/deadlines.go
+++ b/internal/base/deadlines/deadlines.go
@@ -1,26 +1,25 @@
-// Package deadlines holds many items with a deadline each, and finds the next one without a walk over
-// all. An item's deadline is a base of its own plus a span that all share. A base only ever grows; the
-// span may grow and shrink. Items are not taken out: each is asked, when it comes to the top of a heap,
-// whether it still counts, so that an input costs nothing here.
+// Package deadlines holds many items with one deadline each, and finds the next deadline without a scan of
+// all items. The deadline of an item is the item's base plus a span that all items share. A base only grows;
+// the span may grow and shrink. Callers do not remove items or report changes, so that a change of an item
+// costs nothing. Instead the queue asks for the state of an item when the item reaches the top of a heap.
 package deadlines
 
-// State is what an item is asked for: its base, the limit before which its deadline must lie to be waited
-// for, and whether it counts at all. A limit only ever shrinks; an item that does not count never does
-// again.
-type State[T any, M ~int64] func(T) (base, limit M, counts bool)
+// StateFunc returns the state of an item: its base, its limit and whether it counts. Next ignores a deadline
+// that is not before the limit. A limit only shrinks. An item that does not count never counts again.
+type StateFunc[T any, M ~int64] func(T) (base, limit M, counts bool)
 
-// Queue holds the items that share a span. An item may be added twice; it is then found twice.
+// Queue holds the items that share a span. An item that is added twice is found twice.
 type Queue[T any, M ~int64] struct {
-	state     State[T, M]
-	byBase    heap[T] // for Overdue
-	pending   heap[T] // by base, for Next
-	postponed heap[T] // with deadlines beyond their limits; by base minus limit, for resumePostponed
+	state     StateFunc[T, M]
+	byBase    heap[T] // all items, for Overdue
+	pending   heap[T] // items with deadlines before their limits, by base, for Next
+	postponed heap[T] // items with deadlines not before their limits, by base minus limit
 }
 
-// New makes a queue.
-func New[T any, M ~int64](state State[T, M]) *Queue[T, M] { return &Queue[T, M]{state: state} }
+// New returns an empty queue.
+func New[T any, M ~int64](state StateFunc[T, M]) *Queue[T, M] { return &Queue[T, M]{state: state} }
 
-// Add puts an item in.
+// Add adds an item if it counts.
 func (q *Queue[T, M]) Add(item T) {
 	base, _, counts := q.state(item)
 	if !counts {
@@ -30,7 +29,7 @@
 	q.pending.push(int64(base), item)
 }
 
-// Overdue takes out the items whose deadline has come, in no order.
+// Overdue removes and returns the items whose deadline has passed, in no particular order.
 func (q *Queue[T, M]) Overdue(now, span M) (overdue []T) {
 	for len(q.byBase) > 0 && M(q.byBase[0].key)+span <= now {
 		item := q.byBase.pop()
@@ -45,7 +44,7 @@
 	return overdue
 }
 
-// Next returns the first deadline that lies before its item's limit.
+// Next returns the earliest of the deadlines that are before the limits of their items.
 func (q *Queue[T, M]) Next(span M) (deadline M, ok bool) {
 	q.resumePostponed(span)
 	for len(q.pending) > 0 {
@@ -67,7 +66,7 @@
 	return 0, false
 }
 
-// resumePostponed moves items back to pending whose deadlines, by this span, lie before their limits.
+// resumePostponed moves the items back to pending whose deadlines, with this span, are before their limits.
 func (q *Queue[T, M]) resumePostponed(span M) {
 	for len(q.postponed) > 0 && int64(span) < -q.postponed[0].key {
 		item := q.postponed.pop()
@@ -86,19 +85,19 @@
 	item T
 }
 
-// heap is a binary heap with the smallest key first.
+// heap is a binary heap with the smallest key at the top.
 type heap[T any] []entry[T]
 
 func (h *heap[T]) push(key int64, item T) {
 	*h = append(*h, entry[T]{key, item})
 	s := *h
 	for i := len(s) - 1; i > 0; {
-		up := (i - 1) / 2
-		if s[up].key <= s[i].key {
+		parent := (i - 1) / 2
+		if s[parent].key <= s[i].key {
 			return
 		}
-		s[up], s[i] = s[i], s[up]
-		i = up
+		s[parent], s[i] = s[i], s[parent]
+		i = parent
 	}
 }
 
@@ -106,14 +105,14 @@
 	s := *h
 	top, last := s[0].item, len(s)-1
 	s[0] = s[last]
-	s[last] = entry[T]{} // lets the collector free what is taken out
+	s[last] = entry[T]{} // lets the garbage collector free the item
 	s = s[:last]
 	*h = s
 	for i := 0; ; {
 		smallest := i
-		for _, down := range [2]int{2*i + 1, 2*i + 2} {
-			if down < len(s) && s[down].key < s[smallest].key {
-				smallest = down
+		for _, child := range [2]int{2*i + 1, 2*i + 2} {
+			if child < len(s) && s[child].key < s[smallest].key {
+				smallest = child
 			}
 		}
 		if smallest == i {
--- a/internal/base/deadlines/deadlines_test.go
+++ b/internal/base/deadlines/deadlines_test.go
@@ -8,14 +8,15 @@
 
 type item struct {
 	base, limit int64
-	gone        bool
+	removed     bool
 }
 
-// A walk over all items is slow and plainly right: both must agree, whatever bases, limits and the span do.
-func TestItFindsWhatAWalkFinds(t *testing.T) {
+// The queue must agree with a scan of all items, which is slow but simple, for random changes of the bases,
+// the limits and the span.
+func TestQueueAgreesWithALinearScan(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		a := New(func(i *item) (int64, int64, bool) { return i.base, i.limit, !i.gone })
+		queue := New(func(i *item) (int64, int64, bool) { return i.base, i.limit, !i.removed })
 		var all []*item
 		span, now := int64(50), int64(0)
 		for range 400 {
@@ -24,14 +25,14 @@
 			case 0, 1:
 				i := &item{base: now + r.Int64N(60), limit: now + r.Int64N(300)}
 				all = append(all, i)
-				a.Add(i)
+				queue.Add(i)
 			case 2:
 				span = max(0, span+r.Int64N(41)-20)
 			}
 			if len(all) > 0 {
 				switch i := all[r.IntN(len(all))]; r.IntN(4) {
 				case 0:
-					i.gone = true
+					i.removed = true
 				case 1:
 					i.base += r.Int64N(30)
 				case 2:
@@ -41,24 +42,24 @@
 			var want []*item
 			next, ok := int64(0), false
 			for _, i := range all {
-				if !i.gone && i.base+span <= now {
+				if !i.removed && i.base+span <= now {
 					want = append(want, i)
 				}
 			}
-			got := a.Overdue(now, span)
+			got := queue.Overdue(now, span)
 			if len(got) != len(want) || slices.ContainsFunc(want, func(i *item) bool { return !slices.Contains(got, i) }) {
-				t.Fatalf("seed %d: %d late, want %d", seed, len(got), len(want))
+				t.Fatalf("seed %d: %d overdue, want %d", seed, len(got), len(want))
 			}
 			for _, i := range got {
-				i.gone = true
+				i.removed = true
 			}
 			for _, i := range all {
-				if !i.gone && i.base+span < i.limit && (!ok || i.base+span < next) {
+				if !i.removed && i.base+span < i.limit && (!ok || i.base+span < next) {
 					next, ok = i.base+span, true
 				}
 			}
-			if at, found := a.Next(span); found != ok || at != next {
-				t.Fatalf("seed %d: next %d %v, want %d %v", seed, at, found, next, ok)
+			if deadline, found := queue.Next(span); found != ok || deadline != next {
+				t.Fatalf("seed %d: next %d %v, want %d %v", seed, deadline, found, next, ok)
 			}
 		}
 	}
--- a/internal/base/opkey/golden_test.go
+++ b/internal/base/opkey/golden_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// The key of an id, and the key that is taken for one that another process sent, keep their text.
+// Guards the text of the key of an id, and of the key for a key or an id that another process sent.
 func TestGoldenKeys(t *testing.T) {
 	longest, zeroDigest := strings.Repeat("x", 64), "sha256:"+strings.Repeat("A", 43)
 	const accentDigest = "sha256:hQ99xDkQ_4kPiHnA7Sb-aXyToGetk6fVD0ZqcCipv04"
-	for _, c := range []struct{ id, key, told string }{
+	for _, c := range []struct{ id, key, peerKey string }{
 		{"", "", ""},
 		{" ", " ", " "},
 		{"~", "~", "~"},
@@ -34,8 +34,8 @@
 		if got := FromID(c.id); got != c.key {
 			t.Errorf("the key of %q is %q, want %q", c.id, got, c.key)
 		}
-		if got := PeerKey(c.id); got != c.told {
-			t.Errorf("%q from another process is taken for %q, want %q", c.id, got, c.told)
+		if got := PeerKey(c.id); got != c.peerKey {
+			t.Errorf("%q from another process gets the key %q, want %q", c.id, got, c.peerKey)
 		}
 	}
 }
--- a/internal/base/opkey/opkey.go
+++ b/internal/base/opkey/opkey.go
@@ -1,6 +1,6 @@
-// Package opkey makes the key under which an op is known in memory and to other processes, from its client's
-// id. An id may be as long as a request's head and hold any bytes; a key is short plain ASCII and takes no
-// more bytes in JSON than its length.
+// Package opkey derives the key of an op from the id that its client sent. The key identifies the op in
+// memory and to other processes. An id may be as long as a request's head and have any bytes. A key is short
+// plain ASCII, which JSON encodes without escapes.
 package opkey
 
 import (
@@ -12,13 +12,13 @@
 // maxKeyBytes is the length of the longest key.
 const maxKeyBytes = 64
 
-// digestPrefix begins the key of an id that is no key itself.
+// digestPrefix is the prefix of a key that is the digest of an id.
 const digestPrefix = "sha256:"
 
-// digestBytes is the length of such a key.
+// digestBytes is the length of a key that is a digest.
 var digestBytes = len(digestPrefix) + base64.RawURLEncoding.EncodedLen(sha256.Size)
 
-// FromID returns the key of an id: the id itself where it is short and plain, and its digest elsewhere.
+// FromID returns the key of an id: the id itself if it is short and plain, otherwise its digest.
 func FromID(id string) string {
 	if isPlain(id) && !strings.HasPrefix(id, digestPrefix) {
 		return id
@@ -27,7 +27,7 @@
 	return digestPrefix + base64.RawURLEncoding.EncodeToString(sum[:])
 }
 
-// PeerKey returns the key for what another process sent as one. An earlier build sent ids as they were.
+// PeerKey returns the key for a key or an id that another process sent. Earlier builds sent ids.
 func PeerKey(key string) string {
 	if strings.HasPrefix(key, digestPrefix) && len(key) == digestBytes {
 		return key
--- a/internal/base/opkey/opkey_test.go
+++ b/internal/base/opkey/opkey_test.go
@@ -6,9 +6,8 @@
 	"testing"
 )
 
-// Two ids never have one key, a key is no longer in JSON than it is, and one that comes from another
-// process stays as it is.
-func TestKeysAreShortAndApart(t *testing.T) {
+// Different ids have different keys, JSON encodes a key without escapes, and PeerKey does not change a key.
+func TestKeysAreShortAndDistinct(t *testing.T) {
 	ids := []string{
 		"", "9b1f03aa5c7e2d41", "a b",
 		strings.Repeat("x", maxKeyBytes), strings.Repeat("x", maxKeyBytes+1), strings.Repeat("x", 9000),
@@ -19,7 +18,7 @@
 	for _, id := range ids {
 		key := FromID(id)
 		if other, known := seen[key]; known {
-			t.Errorf("%q and %q have one key", id, other)
+			t.Errorf("%q and %q have the same key", id, other)
 		}
 		seen[key] = id
 		text, err := json.Marshal(key)
@@ -27,18 +26,18 @@
 			t.Errorf("%.20q: %q is %d bytes long, %s in JSON, %v", id, key, len(key), text, err)
 		}
 		if PeerKey(key) != key {
-			t.Errorf("%.20q: told as %q, taken for %q", id, key, PeerKey(key))
+			t.Errorf("%.20q: key %q is read from a peer as %q", id, key, PeerKey(key))
 		}
 	}
 	if FromID("9b1f03aa5c7e2d41") != "9b1f03aa5c7e2d41" {
-		t.Error("a plain id is no key of its own")
+		t.Error("a plain id is not its own key")
 	}
 	if long := strings.Repeat("x", 9000); PeerKey(long) != FromID(long) {
-		t.Error("an id that an earlier build told as it was is not known by its key")
+		t.Error("an id that an earlier build sent does not get its key")
 	}
 }
 
-func BenchmarkOf(b *testing.B) {
+func BenchmarkFromID(b *testing.B) {
 	for b.Loop() {
 		FromID("9b1f03aa5c7e2d41")
 	}
--- a/internal/base/oserror/oserror.go
+++ b/internal/base/oserror/oserror.go
@@ -1,6 +1,6 @@
-// Package oserror classifies failed system calls: what failed is the moment, this machine or the other
-// side. Everything that accepts, dials, reads and writes goes by it, so that a shortage of this machine
-// ends nothing and is not taken for a fault of another machine.
+// Package oserror classifies errors of system calls as transient, caused by this machine or caused by the
+// other side. All code that accepts, dials, reads and writes uses it, so that a shortage of this machine
+// closes no connection and is not treated as a fault of another machine.
 package oserror
 
 import (
@@ -10,16 +10,16 @@
 	"syscall"
 )
 
-// Kind is what an error is about.
+// Kind is the class of an error.
 type Kind int
 
 // The kinds of errors.
 const (
 	Unknown              Kind = iota
-	Transient                 // the call was interrupted, or found nothing to do: it may be repeated at once
-	DescriptorsExhausted      // this machine or process has no descriptor left
-	ResourceExhausted         // this machine lacks something else: memory, buffers, addresses, permission
-	PeerError                 // the other side, or the way to it
+	Transient                 // the call was interrupted or would block; it may be repeated immediately
+	DescriptorsExhausted      // no descriptor is left in this process or on this machine
+	ResourceExhausted         // this machine lacks memory, buffers, addresses or permission
+	PeerError                 // the other side, or the network between, failed
 	Closed                    // this side has closed the socket
 )
 
@@ -32,11 +32,11 @@
 
 	syscall.ENOBUFS:       ResourceExhausted,
 	syscall.ENOMEM:        ResourceExhausted,
-	syscall.ENOSPC:        ResourceExhausted, // of epoll: no further descriptor can be watched
+	syscall.ENOSPC:        ResourceExhausted, // epoll can't watch a further descriptor
 	syscall.ENOSR:         ResourceExhausted,
 	syscall.EADDRNOTAVAIL: ResourceExhausted, // no local port is left
 	syscall.EADDRINUSE:    ResourceExhausted,
-	syscall.EPERM:         ResourceExhausted, // the machine's own packet filter
+	syscall.EPERM:         ResourceExhausted, // the packet filter of this machine
 	syscall.EACCES:        ResourceExhausted,
 	syscall.ENETDOWN:      ResourceExhausted,
 
@@ -66,14 +66,14 @@
 	return Unknown
 }
 
-// IsLocal tells whether an error is a shortage of this machine that may be over in a moment.
+// IsLocal reports whether an error is a shortage of this machine, which may end soon.
 func IsLocal(err error) bool {
 	kind := Classify(err)
 	return kind == DescriptorsExhausted || kind == ResourceExhausted
 }
 
-// shortages are the errors, beside those of descriptors, that RetryTransient waits out: of memory and
-// buffers, and of a disk that may be readable or have space again.
+// shortages are the errors, apart from those of descriptors, after which RetryTransient retries. They are
+// shortages of memory and buffers, and errors of a disk that may become readable or have space again.
 var shortages = []error{
 	syscall.ENOBUFS,
 	syscall.ENOMEM,
@@ -83,8 +83,8 @@
 	syscall.EDQUOT,
 }
 
-// isShortage tells whether an error is a shortage that may be over soon. A port that another process has,
-// or that this one may not use, is none.
+// isShortage reports whether an error is a shortage that may end soon. A port that another process uses, or
+// that this process may not use, is not a shortage.
 func isShortage(err error) bool {
 	if Classify(err) == DescriptorsExhausted {
 		return true
@@ -92,11 +92,12 @@
 	return slices.ContainsFunc(shortages, func(shortage error) bool { return errors.Is(err, shortage) })
 }
 
-// acceptErrorsOfSocket are the errors of accept that no later call can be without.
-var acceptErrorsOfSocket = []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
+// permanentAcceptErrors are the errors of accept that every later call would return too.
+var permanentAcceptErrors = []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 
-// IsPermanent tells whether a listening socket will never accept again. Linux returns errors of the new
-// connection from accept, so any other error concerns one connection, or is the machine's for a moment.
+// IsPermanent reports whether an error of accept means that the listening socket will never accept again. Any
+// other error concerns one connection, since Linux returns errors of the new connection from accept, or is a
+// temporary shortage of the machine.
 func IsPermanent(err error) bool {
 	if Classify(err) == Closed {
 		return true
@@ -105,5 +106,5 @@
 	if !errors.As(err, &errno) {
 		return true
 	}
-	return slices.Contains(acceptErrorsOfSocket, errno)
+	return slices.Contains(permanentAcceptErrors, errno)
 }
--- a/internal/base/oserror/oserror_test.go
+++ b/internal/base/oserror/oserror_test.go
@@ -15,9 +15,9 @@
 	return &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}
 }
 
-// Only a socket that is none any more ends accepting: every other error that Linux documents is one
-// connection's or a moment's.
-func TestWhichErrorsEndAccepting(t *testing.T) {
+// Accepting ends only if the listening socket is unusable. Every other error that Linux documents concerns
+// one connection or is temporary.
+func TestOnlyAnUnusableSocketEndsAccepting(t *testing.T) {
 	for errno := syscall.Errno(1); errno < 134; errno++ {
 		want := errno == syscall.EBADF || errno == syscall.EINVAL || errno == syscall.ENOTSOCK || errno == syscall.EFAULT
 		if got := IsPermanent(wrapped(errno)); got != want {
@@ -31,8 +31,9 @@
 	}
 }
 
-// What this machine lacks is no worker's fault and no client's leaving; what the other side did is.
-func TestWhoAnErrorTellsOf(t *testing.T) {
+// A shortage of this machine must not be treated as a fault of a worker or as a client's disconnect. Errors
+// that the other side caused have a kind of their own.
+func TestErrorsAreClassifiedByCause(t *testing.T) {
 	for errno, want := range map[syscall.Errno]Kind{syscall.EINTR: Transient, syscall.EMFILE: DescriptorsExhausted, syscall.ENFILE: DescriptorsExhausted,
 		syscall.ENOBUFS: ResourceExhausted, syscall.ENOMEM: ResourceExhausted, syscall.EADDRNOTAVAIL: ResourceExhausted, syscall.ENOSPC: ResourceExhausted, syscall.ECONNRESET: PeerError,
 		syscall.ETIMEDOUT: PeerError, syscall.EHOSTUNREACH: PeerError, syscall.EPIPE: PeerError, syscall.ENETUNREACH: PeerError, syscall.EBADF: Unknown} {
@@ -44,18 +45,18 @@
 		}
 	}
 	if Classify(io.EOF) != Unknown || Classify(&net.OpError{Err: net.ErrClosed}) != Closed {
-		t.Error("an end, or a close")
+		t.Error("io.EOF or net.ErrClosed has the wrong kind")
 	}
 }
 
-// A moment's shortage is waited out, nothing is written twice or left out, and a failure of the other
-// side is told at once.
-func TestAShortageIsWaitedOut(t *testing.T) {
-	short := []error{wrapped(syscall.ENOBUFS), wrapped(syscall.ENOMEM)}
+// Read and Write retry after a temporary shortage, and no byte is written twice or left out. An error of the
+// other side is returned immediately.
+func TestReadAndWriteRetryAfterAShortage(t *testing.T) {
+	shortages := []error{wrapped(syscall.ENOBUFS), wrapped(syscall.ENOMEM)}
 	n, err := Read(func(b []byte) (int, error) {
-		if len(short) > 0 {
-			err := short[0]
-			short = short[1:]
+		if len(shortages) > 0 {
+			err := shortages[0]
+			shortages = shortages[1:]
 			return 0, err
 		}
 		return copy(b, "ab"), nil
@@ -80,17 +81,17 @@
 	}
 }
 
-// What a start needs is waited for while the machine is short of it; what is wrong stays wrong at once.
-func TestAStartWaitsForWhatIsShort(t *testing.T) {
+// RetryTransient repeats a call after shortages of the machine, and returns every other error immediately.
+func TestRetryTransientRetriesOnlyAfterAShortage(t *testing.T) {
 	calls := 0
-	x, err := RetryTransient(func() (string, error) {
+	result, err := RetryTransient(func() (string, error) {
 		if calls++; calls < 4 {
 			return "", wrapped([]syscall.Errno{0, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}[calls])
 		}
 		return "socket", nil
 	})
-	if x != "socket" || err != nil || calls != 4 {
-		t.Errorf("%q, %v after %d calls", x, err, calls)
+	if result != "socket" || err != nil || calls != 4 {
+		t.Errorf("%q, %v after %d calls", result, err, calls)
 	}
 	for _, errno := range []syscall.Errno{syscall.EADDRINUSE, syscall.EACCES, syscall.EADDRNOTAVAIL, syscall.EINVAL} {
 		calls = 0
@@ -100,20 +101,21 @@
 	}
 }
 
-func TestPausesGrowAndAreBounded(t *testing.T) {
-	last := time.Duration(0)
-	for k := range 100 {
-		p := Backoff(k)
-		if p < last || p < minBackoff || p > maxBackoff {
-			t.Errorf("%d: %v after %v", k, p, last)
+func TestBackoffGrowsToItsLimit(t *testing.T) {
+	previous := time.Duration(0)
+	for failures := range 100 {
+		backoff := Backoff(failures)
+		if backoff < previous || backoff < minBackoff || backoff > maxBackoff {
+			t.Errorf("after %d failures: %v, before that %v", failures, backoff, previous)
 		}
-		last = p
+		previous = backoff
 	}
 }
 
-// A read that was interrupted, or that the machine lacked something for, has read nothing: it is made again. One that failed for good is not.
-func TestAReadThatPassesIsMadeAgain(t *testing.T) {
-	for errno, again := range map[syscall.Errno]bool{syscall.EINTR: true, syscall.ENOBUFS: true, syscall.ECONNRESET: false, syscall.EAGAIN: false} {
+// A read that was interrupted, or failed because of a shortage of the machine, has read nothing and is
+// repeated. After any other error it is not.
+func TestReadRetriesOnlyTransientErrors(t *testing.T) {
+	for errno, wantRetry := range map[syscall.Errno]bool{syscall.EINTR: true, syscall.ENOBUFS: true, syscall.ECONNRESET: false, syscall.EAGAIN: false} {
 		calls := 0
 		n, err := Read(func(b []byte) (int, error) {
 			if calls++; calls == 1 {
@@ -121,7 +123,7 @@
 			}
 			return copy(b, "x"), nil
 		}, make([]byte, 1))
-		if made := calls == 2 && n == 1 && err == nil; made != again {
+		if retried := calls == 2 && n == 1 && err == nil; retried != wantRetry {
 			t.Errorf("%v: %d calls, %d bytes, %v", errno, calls, n, err)
 		}
 	}
--- a/internal/base/oserror/retry.go
+++ b/internal/base/oserror/retry.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// retryTimeout is how long a start waits for what the machine is short of.
+	// retryTimeout limits how long RetryTransient waits for the end of a shortage.
 	retryTimeout = 10 * time.Second
 
 	minBackoff   = time.Millisecond
 	maxBackoff   = 100 * time.Millisecond
 	maxDoublings = 10
 
-	// maxAttempts bounds one read or write, with its backoffs to about five seconds.
+	// maxAttempts limits the retries of a read or write. With the backoffs they take about five seconds.
 	maxAttempts = 60
 )
 
-// Backoff returns the wait after so many failures in a row, 1 for the first one. It doubles up to
-// maxBackoff, so that a failure that lasts does not take the processor.
+// Backoff returns the wait after a number of consecutive failures, 1 for the first. The wait doubles up to
+// maxBackoff, so that a lasting failure does not use up the processor.
 func Backoff(failures int) time.Duration {
 	doublings := min(max(failures-1, 0), maxDoublings)
 	return min(minBackoff<<doublings, maxBackoff)
 }
 
-// RetryTransient calls what a start needs, and again while the machine is short of something, for ten
-// seconds at most.
+// RetryTransient makes a call that the start of the process needs. It repeats the call after shortages of the
+// machine, for at most ten seconds.
 func RetryTransient[T any](call func() (T, error)) (T, error) {
 	deadline := time.Now().Add(retryTimeout)
 	for failures := 1; ; failures++ {
@@ -38,19 +38,20 @@
 	}
 }
 
-// Read reads once, and again where the call was interrupted or the machine lacked something for a moment.
+// Read makes one read. It repeats the read if it was interrupted or failed because of a shortage of the
+// machine.
 func Read(read func([]byte) (int, error), b []byte) (int, error) {
 	for attempt := 1; ; attempt++ {
 		n, err := read(b)
-		passes := IsLocal(err) || errors.Is(err, syscall.EINTR)
-		if n > 0 || err == nil || !passes || attempt == maxAttempts {
+		temporary := IsLocal(err) || errors.Is(err, syscall.EINTR)
+		if n > 0 || err == nil || !temporary || attempt == maxAttempts {
 			return n, err
 		}
 		time.Sleep(Backoff(attempt))
 	}
 }
 
-// Write writes all bytes, and goes on where the machine lacked something for a moment.
+// Write writes all bytes. It continues after shortages of the machine.
 func Write(write func([]byte) (int, error), b []byte) (written int, err error) {
 	for attempt := 1; ; attempt++ {
 		n, err := write(b[written:])
--- a/internal/base/spillqueue/spillqueue.go
+++ b/internal/base/spillqueue/spillqueue.go
@@ -1,25 +1,25 @@
-// Package spillqueue puts values into a bounded channel without waiting, losing one or changing their order:
-// values that find the channel full wait in an unbounded list. It is for few values that must not be lost,
-// such as changes of state; a producer of many values drops some of them instead.
+// Package spillqueue sends values to a bounded channel without blocking, and without losing or reordering
+// them. Values that do not fit in the channel wait in an unbounded list. The package is for small numbers of
+// values that must not be lost, such as changes of state. Producers of many values drop some of them instead.
 package spillqueue
 
 import "sync"
 
-// Queue puts values into one channel.
+// Queue sends values to a channel.
 type Queue[T any] struct {
 	channel chan<- T
 	ended   <-chan struct{}
 
 	mu      sync.Mutex
-	waiting []T // the first of them is being sent by drain
+	waiting []T // drain is sending the first
 }
 
-// New makes a queue to a channel. Its reader closes ended once it takes nothing more.
+// New returns a queue to a channel. The reader of the channel closes ended when it stops to receive.
 func New[T any](channel chan<- T, ended <-chan struct{}) *Queue[T] {
 	return &Queue[T]{channel: channel, ended: ended}
 }
 
-// Put adds a value. It returns at once.
+// Put adds a value. It never blocks.
 func (q *Queue[T]) Put(value T) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -36,7 +36,8 @@
 	}
 }
 
-// drain sends the waiting values, beginning with the first. It ends when none is left, or with the reader.
+// drain sends the waiting values, beginning with the first. It returns when no value is left or the reader
+// has ended.
 func (q *Queue[T]) drain(first T) {
 	for value, more := first, true; more; value, more = q.next() {
 		select {
@@ -47,7 +48,7 @@
 	}
 }
 
-// next removes the value that was sent and returns the one behind it; false where there is none.
+// next removes the value that was sent and returns the next value. more is false if there is none.
 func (q *Queue[T]) next() (value T, more bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/base/sprt/sprt.go
+++ b/internal/base/sprt/sprt.go
@@ -1,5 +1,5 @@
-// Package sprt tests verdicts, good and bad, sequentially for whether something fails more often than it
-// ordinarily does, and admits what is suspected as often as it may still be sound.
+// Package sprt has a sequential probability ratio test of whether something, such as a worker, fails more
+// often than it ordinarily does. It also decides how often something suspected is still tried.
 package sprt
 
 import (
@@ -9,26 +9,26 @@
 	"woaddyke/internal/base/stats"
 )
 
-// acceptance is the log likelihood ratio from which the high probability is accepted: ln((1-beta)/alpha)
-// for both errors near 0.05.
+// acceptance is the log likelihood ratio from which p1 is accepted: ln((1-beta)/alpha), with both error rates
+// near 0.05.
 const acceptance = 2.9
 
-// Verdict is one, good or bad, with its time.
+// Verdict is the result of a try, with its time.
 type Verdict[M ~int64] struct {
 	At M    `json:"at"`
 	OK bool `json:"ok"`
 }
 
-// Test is a sequential test of an ordinary probability of failure, p0, against that of something that
-// fails, p1, over the most recent verdicts.
+// Test is a sequential test over the most recent verdicts. It compares the ordinary probability of failure,
+// p0, with the probability of something that fails, p1.
 type Test[M ~int64] struct {
-	verdicts      []Verdict[M] // the newest last
+	verdicts      []Verdict[M] // oldest first
 	lastFailureAt M            // 0 before the first
 	p0, p1        float64
-	maxAge        M // a verdict older than this says nothing about now
+	maxAge        M // older verdicts are ignored
 }
 
-// New makes a test of p0 against p1.
+// New returns a test of p0 against p1. Verdicts older than maxAge are ignored.
 func New[M ~int64](p0, p1 float64, maxAge M) Test[M] { return Test[M]{p0: p0, p1: p1, maxAge: maxAge} }
 
 // Add adds a verdict.
@@ -39,19 +39,20 @@
 	}
 }
 
-// Verdicts returns the most recent ones, the newest last.
+// Verdicts returns the most recent verdicts, oldest first.
 func (t *Test[M]) Verdicts() []Verdict[M] { return t.verdicts }
 
-// Failed reports whether any verdict was bad.
+// Failed reports whether there was any failure.
 func (t *Test[M]) Failed() bool { return t.lastFailureAt > 0 }
 
-// Suspected reports whether the verdicts are more likely under p1.
+// Suspected reports whether the test accepts p1.
 func (t *Test[M]) Suspected(now M) bool {
 	suspected, _ := t.changePoint(now)
 	return suspected
 }
 
-// changePoint reports whether the verdicts are more likely under p1, and from which one on they are.
+// changePoint reports whether the test accepts p1, and returns the index of the verdict since which p1 is
+// more likely.
 func (t *Test[M]) changePoint(now M) (suspected bool, from int) {
 	if !t.Failed() || now-t.lastFailureAt > t.maxAge {
 		return false, 0
@@ -59,13 +60,13 @@
 	for now-t.verdicts[0].At > t.maxAge {
 		t.verdicts = t.verdicts[1:]
 	}
-	ratio := 0.0 // of the log likelihoods, since the change point
-	bad, good := math.Log(t.p1/t.p0), math.Log((1-t.p1)/(1-t.p0))
+	ratio := 0.0 // log likelihood ratio since the change point
+	failureRatio, successRatio := math.Log(t.p1/t.p0), math.Log((1-t.p1)/(1-t.p0))
 	for k, v := range t.verdicts {
 		if v.OK {
-			ratio = max(ratio+good, 0)
+			ratio = max(ratio+successRatio, 0)
 		} else {
-			ratio += bad
+			ratio += failureRatio
 		}
 		if ratio == 0 {
 			from = k + 1
@@ -74,9 +75,9 @@
 	return ratio >= acceptance, from
 }
 
-// Admitted draws whether something suspected is tried, by its probability of success drawn from its
-// posterior, so that nothing is excluded for good. Verdicts from before the change point don't count:
-// they would let many more tries through.
+// Admitted decides at random whether to try something that may be suspected. The probability of a try is a
+// probability of success, drawn from the posterior distribution, so that nothing is excluded for good.
+// Verdicts before the change point don't count, because they would allow many more tries.
 func (t *Test[M]) Admitted(now M, random *stats.Random) bool {
 	suspected, from := t.changePoint(now)
 	if !suspected {
@@ -89,7 +90,8 @@
 			good++
 		}
 	}
-	// Beta(good, bad), each one over its count, is the good-th smallest of good+bad-1 uniform draws.
+	// The posterior is Beta(good, bad), where good and bad are each 1 above their counts. A sample of it is
+	// the good-th smallest of good+bad-1 uniform draws.
 	draws := make([]float64, len(since)+1)
 	for i := range draws {
 		draws[i] = random.Float64()
--- a/internal/base/stats/stats.go
+++ b/internal/base/stats/stats.go
@@ -1,5 +1,5 @@
-// Package stats holds the arithmetic of small samples and of random choices: the most recent values of a
-// measurement, an ordered pool with its median, a random number generator, and rendezvous hashing.
+// Package stats has statistics of small samples and random choices: the most recent values of a measurement,
+// an ordered pool with a median, a random number generator, and rendezvous hashing.
 package stats
 
 import (
@@ -8,10 +8,10 @@
 	"slices"
 )
 
-// MaxRecent is how many values of a measurement are kept.
+// MaxRecent is the maximum number of recent values of a measurement.
 const MaxRecent = 32
 
-// AppendRecent adds a value to the most recent ones.
+// AppendRecent appends a value to the recent values and drops the oldest if there are more than MaxRecent.
 func AppendRecent[T any](recent []T, v T) []T {
 	recent = append(recent, v)
 	if len(recent) > MaxRecent {
@@ -20,7 +20,7 @@
 	return recent
 }
 
-// Quantile is the q-quantile of at most MaxRecent values and at least one.
+// Quantile returns the q-quantile of the values. There must be at least one value and at most MaxRecent.
 func Quantile[T cmp.Ordered](recent []T, q float64) T {
 	var buffer [MaxRecent]T
 	sorted := append(buffer[:0], recent...)
@@ -28,7 +28,7 @@
 	return sorted[int(q*float64(len(sorted)-1)+0.5)]
 }
 
-// Mean of integers rounds towards 0; of none it is 0.
+// Mean returns the mean of integers, rounded towards 0. The mean of no values is 0.
 func Mean[T ~int64](recent []T) T {
 	var sum T
 	for _, t := range recent {
@@ -37,19 +37,19 @@
 	return sum / T(max(len(recent), 1))
 }
 
-// Entropy is that of an event of this probability, in nats. It is 0 where the event is impossible or
-// certain, or where the probability is no number, as that of an empty sample.
+// Entropy returns the entropy of an event with this probability, in nats. It is 0 if the event is impossible
+// or certain, or if the probability is NaN, such as that of an empty sample.
 func Entropy(probability float64) float64 {
 	s := 0.0
 	for _, p := range [2]float64{probability, 1 - probability} {
-		if p > 0 { // 0 ln 0 is 0, and no comparison with NaN holds
+		if p > 0 { // 0 ln 0 counts as 0; comparisons with NaN are false
 			s -= p * math.Log(p)
 		}
 	}
 	return s
 }
 
-// Bit is 1 for true, to count with.
+// Bit returns 1 for true and 0 for false.
 func Bit(b bool) int {
 	if b {
 		return 1
@@ -57,7 +57,7 @@
 	return 0
 }
 
-// Pool is values in ascending order.
+// Pool holds values in ascending order.
 type Pool []float64
 
 // Add inserts a value.
@@ -66,35 +66,35 @@
 	*p = slices.Insert(*p, k, x)
 }
 
-// Remove takes out one value, which must be in it.
+// Remove removes a value, which must be in the pool.
 func (p *Pool) Remove(x float64) {
 	k, _ := slices.BinarySearch(*p, x)
 	*p = slices.Delete(*p, k, k+1)
 }
 
-// poolMedianWeight is how often the pool's median counts beside a member's own values.
+// poolMedianWeight is how many times the pool's median is added to a member's values.
 const poolMedianWeight = 3
 
-// Median is the upper median of a member's own values and poolMedianWeight times the pool's; 1 where the
-// pool is empty.
-func (p Pool) Median(own []float64) float64 {
+// Median returns the upper median of a member's values and poolMedianWeight copies of the pool's median. It
+// returns 1 if the pool is empty.
+func (p Pool) Median(values []float64) float64 {
 	if len(p) == 0 {
 		return 1
 	}
-	all := p[len(p)/2]
-	sorted := make([]float64, 0, poolMedianWeight+len(own))
+	poolMedian := p[len(p)/2]
+	sorted := make([]float64, 0, poolMedianWeight+len(values))
 	for range poolMedianWeight {
-		sorted = append(sorted, all)
+		sorted = append(sorted, poolMedian)
 	}
-	sorted = append(sorted, own...)
+	sorted = append(sorted, values...)
 	slices.Sort(sorted)
 	return sorted[len(sorted)/2]
 }
 
-// Recent is a member's most recent values, which are in a pool too.
+// Recent holds the most recent values of a member of a pool. The pool has the same values.
 type Recent []float64
 
-// Add adds a value here and to the pool.
+// Add appends a value and adds it to the pool. It removes the oldest of MaxRecent values from both.
 func (r *Recent) Add(pool *Pool, x float64) {
 	if len(*r) == MaxRecent {
 		pool.Remove((*r)[0])
@@ -104,7 +104,7 @@
 	pool.Add(x)
 }
 
-// RemoveFrom takes all of the values out of the pool, and drops them here.
+// RemoveFrom removes all values of the member from the pool and clears them.
 func (r *Recent) RemoveFrom(pool *Pool) {
 	for _, x := range *r {
 		pool.Remove(x)
@@ -112,29 +112,30 @@
 	*r = nil
 }
 
-// Random is a multiply-with-carry generator. Its state is a value, so that a choice can be repeated.
+// Random is a multiply-with-carry random number generator. Its state can be copied, so that a choice can be
+// repeated.
 type Random uint64
 
-// NewRandom starts a generator from a seed.
+// NewRandom returns a generator with a seed.
 func NewRandom(seed uint64) Random { return Random(seed&0xffffffff | 1<<32) }
 
-// IntN returns a number from 0 to under n.
+// IntN returns a number in [0, n).
 func (r *Random) IntN(n int) int {
 	*r = 4294957665*(*r&0xffffffff) + *r>>32
 	return int(*r & 0xffffffff * Random(n) >> 32)
 }
 
-// Float64 returns a number from 0 to under 1.
+// Float64 returns a number in [0, 1).
 func (r *Random) Float64() float64 { return float64(r.IntN(1<<30)) / (1 << 30) }
 
-// RendezvousOrder sorts items by a hash of a key and their identities. Whoever knows the identities works
-// out the same order for the key, and an item that comes or goes moves no other one.
+// RendezvousOrder sorts items by a hash of a key and the item's identity. The order for a key is the same for
+// all that know the identities. Adding or removing an item does not change the order of the others.
 func RendezvousOrder(key uint64, items []int, identity func(item int) uint64) {
 	type rankedItem struct {
 		rank uint64
 		item int
 	}
-	ranked := make([]rankedItem, len(items)) // hashed once each and not at each comparison
+	ranked := make([]rankedItem, len(items)) // each item is hashed once, not at each comparison
 	for k, item := range items {
 		h := (key ^ identity(item)) * 0x9e3779b97f4a7c15
 		h = (h ^ h>>32) * 0xd6e8feb86659fd93
--- a/internal/codepolicy/architecture_test.go
+++ b/internal/codepolicy/architecture_test.go
@@ -9,10 +9,11 @@
 	"testing"
 )
 
-// qualifiedName is a declaration as the architecture page names it: package, and a function, a type or a type's method or field.
+// qualifiedName matches the name of a declaration on the architecture page: the package, and a function, a
+// type, or a method or field of a type.
 var qualifiedName = regexp.MustCompile("`([a-z]+)\\.([A-Za-z]+(?:\\.[A-Za-z]+)?)`")
 
-// A newcomer follows the page's names into the code. One that is not declared any more leads nowhere.
+// Every name on the architecture page must be declared, so that readers find it in the code.
 func TestArchitecturePageNamesWhatIsDeclared(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(root, "docs", "architecture.md"))
 	if err != nil {
@@ -21,7 +22,7 @@
 	declared := declaredNames(t)
 	names := qualifiedName.FindAllStringSubmatch(string(page), -1)
 	if len(names) == 0 {
-		t.Fatal("the page names nothing: this check looks at nothing")
+		t.Fatal("the page names nothing: this test checks nothing")
 	}
 	for _, name := range names {
 		if !declared[name[1]+"."+name[2]] {
@@ -30,7 +31,8 @@
 	}
 }
 
-// declaredNames returns the functions, types, methods and fields of the scheduler's packages, each behind its package's name.
+// declaredNames returns the functions, types, methods and fields of the scheduler's packages, each qualified
+// with the name of its package.
 func declaredNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -42,7 +44,7 @@
 	return names
 }
 
-// collectNames adds what one declaration declares.
+// collectNames adds the names that a declaration declares.
 func collectNames(declaration ast.Decl, pkg string, names map[string]bool) {
 	switch declaration := declaration.(type) {
 	case *ast.FuncDecl:
@@ -57,7 +59,7 @@
 	}
 }
 
-// receiverPrefix is the type of a method and a dot; empty for a function.
+// receiverPrefix returns the receiver type of a method and a dot, or nothing for a function.
 func receiverPrefix(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return ""
--- a/internal/codepolicy/codepolicy_test.go
+++ b/internal/codepolicy/codepolicy_test.go
@@ -1,5 +1,5 @@
-// Package codepolicy holds rules on this project's own code that no compiler checks: where the wall clock may be read, and who may write
-// to a worker.
+// Package codepolicy has tests of rules for this module's code that the compiler can't check, for example
+// which files may read the wall clock and which may write to a worker.
 package codepolicy
 
 import (
@@ -11,58 +11,59 @@
 	"testing"
 )
 
-// place is one use in one file.
-type place struct {
-	file, what string
-	at         token.Position
+// use is a use of a name in a file.
+type use struct {
+	file, name string
+	position   token.Position
 }
 
-// uses are all selectors of some names in the scheduler's own code.
-func uses(t *testing.T, wanted func(on ast.Expr, name string) bool) (all []place) {
+// selectorUses returns the selector expressions in the scheduler's code for which wanted returns true.
+func selectorUses(t *testing.T, wanted func(qualifier ast.Expr, name string) bool) (found []use) {
 	t.Helper()
 	for _, file := range sourceFiles(t, parser.SkipObjectResolution) {
 		ast.Inspect(file.content, func(n ast.Node) bool {
 			selector, ok := n.(*ast.SelectorExpr)
 			if ok && wanted(selector.X, selector.Sel.Name) {
-				all = append(all, place{file.name, selector.Sel.Name, file.position(selector)})
+				found = append(found, use{file.name, selector.Sel.Name, file.position(selector)})
 			}
 			return true
 		})
 	}
-	if len(all) == 0 {
-		t.Fatal("no use at all was found: this check looks at nothing")
+	if len(found) == 0 {
+		t.Fatal("no use was found: this test checks nothing")
 	}
-	return all
+	return found
 }
 
-func isPackage(on ast.Expr, name string) bool {
-	id, ok := on.(*ast.Ident)
+func isPackage(qualifier ast.Expr, name string) bool {
+	id, ok := qualifier.(*ast.Ident)
 	return ok && id.Name == name
 }
 
-// held tells of each use in a file that is none of those excepted, and of exceptions that nobody needs any more.
-func held(t *testing.T, all []place, excepted map[string]string) {
+// checkExceptions reports each use that is not among the exceptions, and each exception that has no use.
+func checkExceptions(t *testing.T, found []use, exceptions map[string]string) {
 	t.Helper()
-	needed := map[string]bool{}
-	for _, p := range all {
-		key := p.file + " " + p.what
-		if needed[key] = true; excepted[key] == "" {
-			t.Errorf("%s:%d: %s", p.file, p.at.Line, p.what)
+	used := map[string]bool{}
+	for _, u := range found {
+		key := u.file + " " + u.name
+		if used[key] = true; exceptions[key] == "" {
+			t.Errorf("%s:%d: %s", u.file, u.position.Line, u.name)
 		}
 	}
-	for key := range excepted {
-		if !needed[key] {
-			t.Errorf("an exception that nobody needs: %s", key)
+	for key := range exceptions {
+		if !used[key] {
+			t.Errorf("exception without a use: %s", key)
 		}
 	}
 }
 
-// The wall clock may be stepped at any time, so no moment of it may be compared with another or leave the process. What turns a time
-// into such a moment, or takes its monotonic reading off, is listed here with its reason.
-func TestWhereTheWallClockIsRead(t *testing.T) {
-	wall := []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro", "Round", "Truncate", "UTC", "Local", "GobEncode", "MarshalBinary"}
-	held(t, uses(t, func(on ast.Expr, name string) bool {
-		return slices.Contains(wall, name) && !isPackage(on, "math")
+// The wall clock may be stepped at any time, so its times must not be compared with each other or leave the
+// process. Each use of a method that returns a wall clock time, or removes the monotonic reading of a time,
+// is listed here with its reason.
+func TestWallClockIsReadOnlyInListedFiles(t *testing.T) {
+	wallClockMethods := []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro", "Round", "Truncate", "UTC", "Local", "GobEncode", "MarshalBinary"}
+	checkExceptions(t, selectorUses(t, func(qualifier ast.Expr, name string) bool {
+		return slices.Contains(wallClockMethods, name) && !isPackage(qualifier, "math")
 	}), map[string]string{
 		"internal/workers/discovery/start_times.go UnixMilli": "boot_ms is discovery's Unix time; it is held against this machine's clock of the start, here alone",
 		"internal/frontend/clientconn/clientconn.go Unix":     "a deadline long past, to end a wait; no clock is read",
@@ -71,10 +72,10 @@
 	})
 }
 
-// One package alone owns the write to a worker, so that no push gets round its guards.
-func TestWhoWritesToAWorker(t *testing.T) {
-	held(t, uses(t, func(on ast.Expr, name string) bool {
-		return isPackage(on, "syscall") && name == "Write" || name == "Dialer" || isPackage(on, "net") && strings.HasPrefix(name, "Dial")
+// Only one package may write to workers, so that every push passes its checks.
+func TestOnlyListedFilesWriteToAWorker(t *testing.T) {
+	checkExceptions(t, selectorUses(t, func(qualifier ast.Expr, name string) bool {
+		return isPackage(qualifier, "syscall") && name == "Write" || name == "Dialer" || isPackage(qualifier, "net") && strings.HasPrefix(name, "Dial")
 	}), map[string]string{
 		"internal/workers/workerconn/exchange.go Write":                  "the one write of a push or a probe",
 		"internal/workers/workerconn/workerconn.go Dialer":               "the one dial of a worker",
--- a/internal/codepolicy/floors_test.go
+++ b/internal/codepolicy/floors_test.go
@@ -10,8 +10,8 @@
 
 const module = "woaddyke"
 
-// floors are the scheduler's packages from the lowest floor up, as docs/architecture.md draws them.
-var floors = [][]string{
+// layers are the scheduler's packages, from the lowest layer up, as in the drawing in docs/architecture.md.
+var layers = [][]string{
 	{"internal/config/configerror"},
 	{
 		"internal/base/deadlines", "internal/base/opkey", "internal/base/oserror", "internal/base/spillqueue", "internal/base/stats",
@@ -32,38 +32,39 @@
 	{"cmd/woaddyke"},
 }
 
-// testsOnly are folders whose packages only tests import.
+// testsOnly are folders with packages that only tests import.
 var testsOnly = []string{"internal/testsupport", "internal/codepolicy", "internal/cluster/membership/simulation", "internal/cluster/replication/simulation"}
 
-// A package that imports one of its own floor or of a higher one makes the drawing of the architecture wrong, and is the first step to an
-// import cycle.
-func TestImportsGoDown(t *testing.T) {
-	floorOf := map[string]int{}
-	for floor, packages := range floors {
+// A package may import only packages of lower layers. Any other import would contradict the drawing of the
+// architecture, and could lead to an import cycle.
+func TestImportsPointToLowerLayers(t *testing.T) {
+	layerOf := map[string]int{}
+	for layer, packages := range layers {
 		for _, name := range packages {
-			floorOf[name] = floor + 1 // 0 is for packages without one
+			layerOf[name] = layer + 1 // 0 is for packages without a layer
 		}
 	}
 	seen := map[string]bool{}
 	walkImports(t, func(importer, imported string) {
 		seen[importer] = true
 		switch {
-		case floorOf[importer] == 0:
-			t.Errorf("%s has no floor", importer)
-		case imported != "" && floorOf[imported] == 0:
-			t.Errorf("%s imports %s, which has no floor", importer, imported)
-		case imported != "" && floorOf[imported] >= floorOf[importer]:
-			t.Errorf("%s, floor %d, imports %s, floor %d", importer, floorOf[importer], imported, floorOf[imported])
+		case layerOf[importer] == 0:
+			t.Errorf("%s has no layer", importer)
+		case imported != "" && layerOf[imported] == 0:
+			t.Errorf("%s imports %s, which has no layer", importer, imported)
+		case imported != "" && layerOf[imported] >= layerOf[importer]:
+			t.Errorf("%s, layer %d, imports %s, layer %d", importer, layerOf[importer], imported, layerOf[imported])
 		}
 	})
-	for name := range floorOf {
+	for name := range layerOf {
 		if !seen[name] {
-			t.Errorf("%s has a floor and does not exist", name)
+			t.Errorf("%s has a layer and does not exist", name)
 		}
 	}
 }
 
-// walkImports visits each package of the scheduler, with an empty import, and each of its imports from this module.
+// walkImports calls visit for each file of the scheduler with an empty import, and for each import from this
+// module.
 func walkImports(t *testing.T, visit func(importer, imported string)) {
 	t.Helper()
 	for _, file := range sourceFiles(t, parser.ImportsOnly, testsOnly...) {
@@ -74,8 +75,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if own, found := strings.CutPrefix(name, module+"/"); found {
-				visit(importer, own)
+			if inModule, found := strings.CutPrefix(name, module+"/"); found {
+				visit(importer, inModule)
 			}
 		}
 	}
--- a/internal/codepolicy/imports_test.go
+++ b/internal/codepolicy/imports_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// The scheduler must not depend on the protocol that clients speak: the frontend of another protocol is to feed the same loop. An import of
-// HTTP or of a frontend's package would tie it to one.
-func TestTheSchedulerKnowsNoProtocol(t *testing.T) {
+// The scheduler must not depend on the protocol of the clients, so that a frontend for another protocol can
+// use the same scheduler loop. It must not import HTTP or a package of a frontend.
+func TestSchedulerImportsNoClientProtocol(t *testing.T) {
 	scheduler := filepath.Join(root, "internal", "scheduler")
 	files := 0
 	err := filepath.WalkDir(scheduler, func(path string, d fs.DirEntry, err error) error {
@@ -40,6 +40,6 @@
 		t.Fatal(err)
 	}
 	if files == 0 {
-		t.Fatal("no file was found: this check looks at nothing")
+		t.Fatal("no file was found: this test checks nothing")
 	}
 }
--- a/internal/codepolicy/logmessages_test.go
+++ b/internal/codepolicy/logmessages_test.go
@@ -12,11 +12,11 @@
 	"testing"
 )
 
-// foreignMessages are rows of the table whose lines the standard library words.
-var foreignMessages = []string{"http: ...", "httputil: ..."}
+// standardLibraryMessages are rows of the table for messages of the standard library.
+var standardLibraryMessages = []string{"http: ...", "httputil: ..."}
 
-// Operators look a log line up by its message. A message that the on-call page does not list can't be found there, and a row that no
-// code logs misleads.
+// Operators look up log lines by their messages on the on-call page. The page must list every message that
+// the code logs, and no other.
 func TestOnCallPageListsEveryLogMessage(t *testing.T) {
 	logged, listed := loggedMessages(t), listedMessages(t)
 	for message, where := range logged {
@@ -25,16 +25,17 @@
 		}
 	}
 	for _, message := range listed {
-		if logged[message] == "" && !slices.Contains(foreignMessages, message) {
+		if logged[message] == "" && !slices.Contains(standardLibraryMessages, message) {
 			t.Errorf("the on-call page lists %q, which nothing logs", message)
 		}
 	}
 	if len(logged) == 0 {
-		t.Fatal("no log message was found: this check looks at nothing")
+		t.Fatal("no log message was found: this test checks nothing")
 	}
 }
 
-// loggedMessages returns the messages of all log lines of the scheduler, with a place where each is logged.
+// loggedMessages returns the messages of all log lines of the scheduler, each with a position where it is
+// logged.
 func loggedMessages(t *testing.T) map[string]string {
 	t.Helper()
 	messages := map[string]string{}
@@ -56,10 +57,11 @@
 	return messages
 }
 
-// encodedMessage is the message in a log line that is written without the logger.
+// encodedMessage matches the message in a log line that is written without the logger.
 var encodedMessage = regexp.MustCompile(`"message":"([^"]+)"`)
 
-// messageOf returns the message that a call logs. It has to be a string literal, or the page could not be checked.
+// messageOf returns the message that a call logs. It must be a string literal, so that the page can be
+// checked.
 func messageOf(t *testing.T, file sourceFile, call *ast.CallExpr) (message string, ok bool) {
 	t.Helper()
 	method, ok := call.Fun.(*ast.SelectorExpr)
@@ -68,7 +70,7 @@
 	}
 	literal, ok := call.Args[0].(*ast.BasicLit)
 	if !ok {
-		t.Errorf("%s: the message of a log line is no string literal", file.position(call))
+		t.Errorf("%s: the message of a log line is not a string literal", file.position(call))
 		return "", false
 	}
 	message, err := strconv.Unquote(literal.Value)
@@ -80,7 +82,7 @@
 
 var quotedMessage = regexp.MustCompile("`([^`]+)`")
 
-// listedMessages returns the messages in the first column of the table of log lines.
+// listedMessages returns the messages in the first column of the on-call page's table of log lines.
 func listedMessages(t *testing.T) (messages []string) {
 	t.Helper()
 	page, err := os.ReadFile(filepath.Join(root, "docs", "oncall.md"))
--- a/internal/codepolicy/source_test.go
+++ b/internal/codepolicy/source_test.go
@@ -13,20 +13,20 @@
 
 const root = "../.."
 
-// notTheScheduler are folders whose code is not part of the scheduler: the lab, trials and examples.
-var notTheScheduler = []string{"internal/lab", "spikes", "examples", "journal", ".git", "cmd/lab", "cmd/hollow"}
+// excludedFolders are folders with code that is not part of the scheduler: the lab, trials and examples.
+var excludedFolders = []string{"internal/lab", "spikes", "examples", "journal", ".git", "cmd/lab", "cmd/hollow"}
 
 // sourceFile is one parsed file of the scheduler, without its tests.
 type sourceFile struct {
-	name    string // from the project's root, with slashes
+	name    string // path from the root of the module, with slashes
 	set     *token.FileSet
 	content *ast.File
 }
 
-// position returns where a node stands.
+// position returns the position of a node.
 func (f sourceFile) position(node ast.Node) token.Position { return f.set.Position(node.Pos()) }
 
-// sourceFiles parses the scheduler's own code, but for the folders that are to be skipped beside the foreign ones.
+// sourceFiles parses the scheduler's code, without excludedFolders and the skipped folders.
 func sourceFiles(t *testing.T, mode parser.Mode, skipped ...string) (files []sourceFile) {
 	t.Helper()
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -36,7 +36,7 @@
 		rel, _ := filepath.Rel(root, path)
 		name := filepath.ToSlash(rel)
 		if entry.IsDir() {
-			if slices.Contains(notTheScheduler, name) || slices.Contains(skipped, name) {
+			if slices.Contains(excludedFolders, name) || slices.Contains(skipped, name) {
 				return filepath.SkipDir
 			}
 			return nil
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	if len(files) == 0 {
-		t.Fatal("no file was found: this check looks at nothing")
+		t.Fatal("no file was found: this test checks nothing")
 	}
 	return files
 }
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// teams are so many categories, as a configuration has them.
-func teams(n int) (categories []any) {
+// makeCategories returns n categories in the form of the file.
+func makeCategories(n int) (categories []any) {
 	for i := range n {
 		categories = append(categories, map[string]any{"name": fmt.Sprint("team-", i), "effect": "dedup", "dedupScope": "zone",
 			"windowNs": 5e9, "ttlNs": 5e9, "targetLatencyNs": 1e9, "benefit": 2.0})
@@ -17,12 +17,11 @@
 	return categories
 }
 
-// BenchmarkHash is what a member works out of the settings in force, by which it sees who runs by
-// others.
-func BenchmarkHash(b *testing.B) {
+// BenchmarkSettingsHash measures the hash by which members detect that another member has other settings.
+func BenchmarkSettingsHash(b *testing.B) {
 	for _, entries := range []int{3, 256} {
 		b.Run(fmt.Sprintf("categories=%d", entries), func(b *testing.B) {
-			s := &Bootstrap{Settings: Flatten(map[string]any{"categories": teams(entries)})}
+			s := &Bootstrap{Settings: Flatten(map[string]any{"categories": makeCategories(entries)})}
 			b.ReportAllocs()
 			for range b.N {
 				s.SettingsHash()
@@ -31,12 +30,12 @@
 	}
 }
 
-// BenchmarkReread reads a file in which one of so many categories has changed, and checks it against
-// the one in force.
-func BenchmarkReread(b *testing.B) {
+// BenchmarkReload measures reading a file in which one category has changed, and checking it against the
+// configuration in force.
+func BenchmarkReload(b *testing.B) {
 	for _, entries := range []int{3, 560, maxCategories} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
-			categories := teams(entries)
+			categories := makeCategories(entries)
 			path := filepath.Join(b.TempDir(), "sheet")
 			write := func() *Bootstrap {
 				text, err := json.Marshal(map[string]any{"listen": "a:1", "discovery": "a:2", "seed": "ff", "settings": map[string]any{
@@ -66,8 +65,8 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				if retunes, _ := s.CompareSettings(before); !retunes {
-					b.Fatal("no change")
+				if reload, _ := s.CompareSettings(before); !reload {
+					b.Fatal("no difference was found")
 				}
 			}
 		})
--- a/internal/config/bootstrap.go
+++ b/internal/config/bootstrap.go
@@ -14,31 +14,31 @@
 	"time"
 )
 
-// Bootstrap is the configuration that a scheduler reads at its start.
+// Bootstrap is the bootstrap configuration, which a scheduler reads at its start.
 type Bootstrap struct {
-	// Who this scheduler is, and the addresses where it serves and calls.
-	Name      string `json:"name"`      // of this scheduler; a member of a cluster needs one
-	Listen    string `json:"listen"`    // where clients call; required
-	Console   string `json:"console"`   // where operators call; empty: nowhere, and no hot restart
-	Discovery string `json:"discovery"` // where the endpoint list is read; required
+	// The scheduler's name and addresses.
+	Name      string `json:"name"`      // the scheduler's name; required for a member of a cluster
+	Listen    string `json:"listen"`    // address for clients; required
+	Console   string `json:"console"`   // address for operators; empty: no console and no hot restart
+	Discovery string `json:"discovery"` // address of the endpoint list's source; required
 
-	Seed         string          `json:"seed"` // of the random numbers, hexadecimal; required
+	Seed         string          `json:"seed"` // seed of the random numbers, hexadecimal; required
 	Limits       Limits          `json:"limits"`
-	KnownWorkers json.RawMessage `json:"known"`    // the first endpoint list, as discovery has it
-	RawSettings  map[string]any  `json:"settings"` // nested, as the file has them
+	KnownWorkers json.RawMessage `json:"known"`    // the initial endpoint list, in discovery's format
+	RawSettings  map[string]any  `json:"settings"` // nested, as in the file
 
-	// Optional parts of this project. A null or missing object is off.
-	LearnMachineKinds bool    `json:"kinds"` // learn speeds by machine kind; default true
+	// Optional parts. A part whose object is null or missing is off.
+	LearnMachineKinds bool    `json:"kinds"` // learn the speed of each kind of machine; default true
 	Keys              *Keys   `json:"keys"`  // read affinity keys
-	Peers             *Peers  `json:"peers"` // report to other schedulers, where the settings allow it
-	Shadow            *Shadow `json:"watch"` // count the decisions that other settings would change
+	Peers             *Peers  `json:"peers"` // exchange peer reports, if the settings allow them
+	Shadow            *Shadow `json:"watch"` // count the decisions that the shadow settings would change
 
 	// Derived from the fields above by ReadBootstrap.
 	SeedValue      uint64         `json:"-"` // Seed as a number
-	Settings       Settings       `json:"-"` // RawSettings and the optional parts, flat
-	ShadowSettings Settings       `json:"-"` // Settings with those of Shadow over them; nil without Shadow
-	AffinityFact   string         `json:"-"` // the fact with the affinity key; empty: none is read
-	raw            map[string]any // the whole file, for CheckReload
+	Settings       Settings       `json:"-"` // RawSettings flattened, with the keys of the optional parts
+	ShadowSettings Settings       `json:"-"` // Settings overridden by those of Shadow; nil without Shadow
+	AffinityFact   string         `json:"-"` // the fact that carries the affinity key; empty: no key is read
+	raw            map[string]any // the decoded file, for CheckReload
 }
 
 // Limits are the resources of the machine that a scheduler may use.
@@ -56,28 +56,29 @@
 
 func defaultLimits() Limits { return Limits{Cores: 1, MemoryMB: 192, Sockets: 1024} }
 
-// Keys names where an op carries its affinity key.
+// Keys says which fact of an op is its affinity key.
 type Keys struct {
-	Fact string `json:"fact"` // the key's name in the header X-Facts
+	Fact string `json:"fact"` // the name of the fact in the header X-Facts
 }
 
-// Peers are the other schedulers and where this one receives their reports, as datagrams.
+// Peers has the address at which this scheduler receives peer reports, as datagrams, and the addresses of
+// the other schedulers.
 type Peers struct {
 	Listen string            `json:"listen"` // an IP address with a port
-	Others map[string]string `json:"others"` // the address of each other scheduler by its number
+	Others map[string]string `json:"others"` // addresses of the other schedulers by their numbers
 
 	ListenAddr netip.AddrPort         `json:"-"` // Listen, parsed
 	ByNumber   map[int]netip.AddrPort `json:"-"` // Others, parsed
 }
 
-// Shadow has other settings. Decisions are made by the settings in force, and those that these would
-// change are counted.
+// Shadow has the shadow settings. The scheduler decides by the settings in force and counts the decisions
+// that the shadow settings would change.
 type Shadow struct {
 	Keys     *Keys          `json:"keys"`
-	Settings map[string]any `json:"settings"` // in place of those with the same key
+	Settings map[string]any `json:"settings"` // override the settings with the same keys
 }
 
-// ReadBootstrap reads and checks a file. Its error wraps a *ConfigError for each key that is wrong.
+// ReadBootstrap reads and checks a file. Its error wraps a *ConfigError for each invalid key.
 func ReadBootstrap(path string) (*Bootstrap, error) {
 	if path == "" {
 		return nil, ErrNoPath
@@ -120,13 +121,13 @@
 		return err
 	}
 	if settings, ok := s.raw["settings"].(map[string]any); ok {
-		s.RawSettings = settings // one copy in memory: settings may have hundreds of categories
+		s.RawSettings = settings // shared, not copied: settings may have hundreds of categories
 	}
 	return nil
 }
 
-// decodeOptions decodes the optional parts, in which an unknown key is an error. In the rest of the file
-// the platform may add keys.
+// decodeOptions decodes the optional parts, in which an unknown key is an error. The rest of the file may
+// have unknown keys, since the platform may add some.
 func (s *Bootstrap) decodeOptions(text []byte) error {
 	var parts map[string]json.RawMessage
 	if err := json.Unmarshal(text, &parts); err != nil {
@@ -148,8 +149,8 @@
 	return nil
 }
 
-// AllowPeerMessages turns peer reports on for a transport other than Peers, where the settings allow
-// them.
+// AllowPeerMessages turns on peer reports for a transport other than Peers. It returns an error if Peers is
+// configured or the settings do not allow peer reports.
 func (s *Bootstrap) AllowPeerMessages() error {
 	if s.Peers != nil {
 		return ErrPeersConfigured
@@ -161,7 +162,7 @@
 	return nil
 }
 
-// SchedulerNumber returns the number of this scheduler, -1 where the settings have none.
+// SchedulerNumber returns the number of this scheduler, or -1 if the settings have none.
 func (s *Bootstrap) SchedulerNumber() int {
 	if number, ok := s.Settings.Number(KeyMyNumber); ok {
 		return int(number)
@@ -169,14 +170,13 @@
 	return -1
 }
 
-// Schedulers returns how many schedulers there are, 1 where the settings do not say.
+// Schedulers returns the number of schedulers, or 1 if the settings have none.
 func (s *Bootstrap) Schedulers() int {
 	schedulers, _ := s.Settings.Number(KeyInstances)
 	return max(int(schedulers), 1)
 }
 
-// Duration returns a duration of the settings, or the fallback where they have none above 0 under the
-// key.
+// Duration returns the duration under a key of the settings, or the fallback if it is missing or not above 0.
 func (s *Bootstrap) Duration(key string, fallback time.Duration) time.Duration {
 	return s.Settings.Duration(key, fallback)
 }
--- a/internal/config/bootstrap_test.go
+++ b/internal/config/bootstrap_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// readText reads a configuration file with this text.
+// readText reads a bootstrap configuration from a file with this text.
 func readText(t testing.TB, text string) (*Bootstrap, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -18,8 +18,7 @@
 	return ReadBootstrap(path)
 }
 
-// requireError checks that an error has a text within it, or that there is none where the text is
-// empty.
+// requireError checks that an error contains a text, or that there is no error if the text is empty.
 func requireError(t *testing.T, err error, want string) {
 	t.Helper()
 	if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
@@ -27,8 +26,9 @@
 	}
 }
 
-// A scheduler that starts on half a configuration breaks rules later instead of saying so now.
-func TestBrokenConfigurationIsNamed(t *testing.T) {
+// Guards against a scheduler that starts with an incomplete configuration and breaks rules later, instead of
+// rejecting the file with the reason.
+func TestABrokenConfigurationIsRejectedWithItsReason(t *testing.T) {
 	const complete = `{"listen":"a:1","discovery":"a:2","seed":"ff","settings":{"categories":[{"ttlNs":5}]}}`
 	replaced := func(old, with string) string { return strings.Replace(complete, old, with, 1) }
 	for name, c := range map[string]struct{ text, want string }{
@@ -59,18 +59,17 @@
 	}
 }
 
-// All mistakes are named at once, each with its key: who mends a file does not learn of them one by
-// one.
-func TestEachMistakeIsNamed(t *testing.T) {
+// All invalid keys are reported in one error, so that they can be corrected together.
+func TestAllInvalidKeysAreReportedTogether(t *testing.T) {
 	_, err := readText(t, `{"seed":"ff","limits":{"sockets":3,"memory_mb":1}}`)
 	for _, key := range []string{"listen", "discovery", "settings.categories.0.ttlNs", "limits.sockets", "limits.memory_mb"} {
 		requireError(t, err, key+": ")
 	}
 }
 
-// Where many schedulers share a fleet each meets a worker too seldom to learn its speed: without the
-// kinds of machines slow ones were given as much as fast ones. The simulator's wire has always told
-// them apart.
+// Where many schedulers share a fleet, each sends too few ops to a worker to learn the worker's speed.
+// Without speeds by kind of machine, slow workers got as much work as fast ones. The simulator's wire format
+// has always distinguished the kinds.
 func TestMachineKindsAreOnByDefault(t *testing.T) {
 	for option, want := range map[string]bool{"": true, `"kinds":true,`: true, `"kinds":false,`: false} {
 		text := `{` + option + `"listen":"a:1","discovery":"a:2","seed":"ff","settings":{"categories":[{"ttlNs":5}]}}`
@@ -87,11 +86,12 @@
 		`"settings":{`+settings+`"categories":[{"ttlNs":5}]}}`)
 }
 
-// threeSchedulers are settings under which schedulers may report to one another.
+// threeSchedulers are settings that allow peer reports.
 const threeSchedulers = `"instances":3,"myNumber":1,"bounds":{"peerMessages":true},`
 
-// An option that is half on is worse than none: each mistake must be named before the first op.
-func TestMistakesInOptionsAreNamed(t *testing.T) {
+// An option that is only partly in force is worse than none. An invalid option must be rejected at the start,
+// before the first op.
+func TestInvalidOptionsAreRejectedWithTheirKey(t *testing.T) {
 	for name, c := range map[string]struct{ settings, options, want string }{
 		"none": {"", "", ""},
 		"number": {`"instances":3,"myNumber":3,`, "",
@@ -130,23 +130,23 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := readDeployment(t, c.settings, c.options)
 			requireError(t, err, c.want)
-			var mistake *ConfigError
-			if c.want != "" && !errors.As(err, &mistake) {
-				t.Errorf("%v has no key", err)
+			var configErr *ConfigError
+			if c.want != "" && !errors.As(err, &configErr) {
+				t.Errorf("error %v does not wrap a *ConfigError", err)
 			}
 		})
 	}
 }
 
-// Where no other schedulers are named, decisions would take their silence for idle workers.
+// Without peers, peer reports must be off: decisions would treat missing reports as idle workers.
 func TestOptionsAreOffByDefault(t *testing.T) {
 	s, err := readDeployment(t, threeSchedulers, "")
 	if err != nil || s.Settings[KeyPeerMessages] != false || s.Settings[KeyAffinity] != false {
-		t.Errorf("%v, %v: messages and keys are off by default", s, err)
+		t.Errorf("%v, %v: peer reports and affinity keys must be off by default", s, err)
 	}
 }
 
-func TestPeersAreThoseOfTheFile(t *testing.T) {
+func TestPeerAddressesAreParsed(t *testing.T) {
 	s, err := readDeployment(t, threeSchedulers, `"peers":{"listen":"127.0.0.1:9","others":{"0":"127.0.0.1:7"}},`)
 	if err != nil {
 		t.Fatal(err)
@@ -156,8 +156,8 @@
 	}
 }
 
-// Settings of the shadow must not reach the decisions in force.
-func TestShadowSettingsStayApart(t *testing.T) {
+// The shadow settings must not change the decisions that are in force.
+func TestShadowSettingsDoNotChangeTheSettingsInForce(t *testing.T) {
 	s, err := readDeployment(t, threeSchedulers,
 		`"watch":{"keys":{"fact":"k"},"settings":{"prices":{"connection":0.05}}},`)
 	if err != nil {
@@ -171,9 +171,9 @@
 	}
 }
 
-// Peer reports by another transport are on only where the settings allow them and no addresses are
-// named.
-func TestAllowPeerMessages(t *testing.T) {
+// Peer reports over another transport are turned on only if the settings allow them and the file has no
+// addresses of peers.
+func TestPeerMessagesNeedTheSettingAndNoAddresses(t *testing.T) {
 	peers := `"peers":{"listen":"127.0.0.1:0","others":{"0":"127.0.0.1:7"}},`
 	for name, c := range map[string]struct {
 		settings, options string
@@ -192,7 +192,7 @@
 				t.Errorf("error %v, want %v", err, c.want)
 			}
 			if c.want == nil && s.Settings[KeyPeerMessages] != true {
-				t.Error("messages are not on")
+				t.Error("peer reports are off, want on")
 			}
 		})
 	}
--- a/internal/config/categories.go
+++ b/internal/config/categories.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// effectDeduplicated is the effect of a category whose worker groups drop the repeats of an op.
+// effectDeduplicated is the effect of a category whose worker groups drop duplicates of an op.
 const effectDeduplicated = "deduplicated"
 
-// CategoryRule is how often an op of a category may run.
+// CategoryRule says how often an op of a category may run.
 type CategoryRule struct {
-	Effect string        // as the settings have it: "redeliverable", "deduplicated", "at-most-once" or empty
-	Window time.Duration // how long after the first attempt a worker group drops repeats; 0 where none does
-	Scope  string        // the worker group: "all", "zone" or "cell"; empty where repeats are not dropped
+	Effect string        // "redeliverable", "deduplicated", "at-most-once" or empty
+	Window time.Duration // time after the first attempt in which duplicates are dropped; 0 if they are not
+	Scope  string        // worker group that drops them: "all", "zone" or "cell"; empty if none does
 }
 
-// Categories returns the names of the categories that are served, in their order.
+// Categories returns the names of the categories in the settings, in the order of the settings.
 func (s *Bootstrap) Categories() (names []string) {
 	for i := 0; ; i++ {
 		name, ok := s.Settings.Text(ItemKey(KeyCategories, i, KeyCategoryName))
@@ -23,8 +23,8 @@
 	}
 }
 
-// CategoryRules returns the rules of the categories that are served, by name. Of two categories with one
-// name the last one is served.
+// CategoryRules returns the rules of the categories by name. If two categories have the same name, the
+// rules of the last one apply.
 func (s *Bootstrap) CategoryRules() map[string]CategoryRule {
 	rules := map[string]CategoryRule{}
 	for i, name := range s.Categories() {
@@ -43,7 +43,7 @@
 	return rule
 }
 
-// LongestTTL returns the longest TTL of all categories: no op is open for longer.
+// LongestTTL returns the longest TTL of all categories. No op is open for longer than that.
 func (s *Bootstrap) LongestTTL() (longest time.Duration) {
 	for i := 0; ; i++ {
 		key := ItemKey(KeyCategories, i, KeyCategoryTTL)
--- a/internal/config/configerror/configerror.go
+++ b/internal/config/configerror/configerror.go
@@ -1,6 +1,6 @@
-// Package configerror has the error for one key of a configuration. It imports no other package of this
-// module, so that a package that only decides can report a mistake in its parameters without knowing how
-// the file with them is read.
+// Package configerror has the error for an invalid key of a configuration. It imports no other package of
+// this module, so that any package can report an invalid parameter without depending on the package that
+// reads the file.
 package configerror
 
 import (
@@ -8,24 +8,24 @@
 	"strings"
 )
 
-// Error is a mistake in the value of one key.
+// Error reports an invalid or missing value of one key.
 type Error struct {
-	// Key is the path as the file has it, such as "limits.sockets"; empty where a wrapping error has it.
+	// Key is the path within the file, such as "limits.sockets"; empty if a wrapping error has the key.
 	Key string
-	// Problem is what the value must be, such as "must be between 1 and 65536"; empty where Err says it.
+	// Problem says what the value must be, such as "must be between 1 and 65536"; empty if Err says it.
 	Problem string
-	// Value is what was read; nil where the key is missing or its value says nothing.
+	// Value is the value that was read; nil if the key is missing or its value does not help.
 	Value any
-	// Err is the cause, nil without one.
+	// Err is the cause, or nil.
 	Err error
 }
 
-// Invalid returns the mistake of a key whose value must be otherwise; the format says what it must be.
+// Invalid returns the error for a key with an invalid value. The format says what the value must be.
 func Invalid(key string, value any, format string, args ...any) *Error {
 	return &Error{Key: key, Problem: fmt.Sprintf(format, args...), Value: value}
 }
 
-// Error has the form "key: problem, got value: cause", without the parts that are empty.
+// Error returns a text of the form "key: problem, got value: cause", without the parts that are empty.
 func (e *Error) Error() string {
 	var parts []string
 	if e.Key != "" {
--- a/internal/config/configerror/configerror_test.go
+++ b/internal/config/configerror/configerror_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A person mends a file by the text alone: it must hold the key, what is wanted and what was read.
+// The text alone must be enough to correct a file: it has the key, the allowed values and the value that was
+// read.
 func TestErrorNamesKeyProblemAndValue(t *testing.T) {
 	cause := errors.New("no port")
 	for name, c := range map[string]struct {
@@ -30,6 +31,6 @@
 	var found *Error
 	wrapped := fmt.Errorf("configuration: %w", &Error{Key: "peers.listen", Err: cause})
 	if !errors.As(wrapped, &found) || found.Key != "peers.listen" || !errors.Is(wrapped, cause) {
-		t.Errorf("%v: the key and the cause must be found in a wrapped error", wrapped)
+		t.Errorf("%v: the key and the cause are not found in the wrapped error", wrapped)
 	}
 }
--- a/internal/config/decision_settings.go
+++ b/internal/config/decision_settings.go
@@ -6,10 +6,10 @@
 	"woaddyke/dispatch"
 )
 
-// defaultAcknowledgeTimeout stands in where the settings limit no dial.
+// defaultAcknowledgeTimeout applies if the settings have no bounds.connectTimeout.
 const defaultAcknowledgeTimeout dispatch.Time = 10_000 // 1 s
 
-// DecisionSettings is the part of the flat settings that decisions rest on.
+// DecisionSettings converts the flat settings to those that the dispatch decisions use.
 func DecisionSettings(flat map[string]any) dispatch.Settings {
 	s := dispatch.Settings{
 		Categories:         categoryRules(flat),
@@ -17,15 +17,15 @@
 		Scheduler:          int(number(flat, "myNumber", 0)),
 		Schedulers:         int(number(flat, "instances", 1)),
 		Zone:               int(number(flat, "myZone", 0)),
-		TickInterval:       span(flat, "step", 0),
-		DialTimeout:        span(flat, "bounds.connectTimeout", 0),
-		AcknowledgeTimeout: span(flat, "bounds.connectTimeout", defaultAcknowledgeTimeout),
-		ProgressInterval:   span(flat, "extra.progress", 0),
+		TickInterval:       duration(flat, "step", 0),
+		DialTimeout:        duration(flat, "bounds.connectTimeout", 0),
+		AcknowledgeTimeout: duration(flat, "bounds.connectTimeout", defaultAcknowledgeTimeout),
+		ProgressInterval:   duration(flat, "extra.progress", 0),
 		SlowStart: dispatch.SlowStartSettings{
-			WarmAfter:       span(flat, "safety.warmAfter", 0),
+			WarmAfter:       duration(flat, "safety.warmAfter", 0),
 			InitialCapacity: number(flat, "safety.coldFrom", 1),
 			OverloadFactor:  number(flat, "safety.overloadFactor", 1),
-			OverloadWindow:  span(flat, "safety.tipAfter", 0),
+			OverloadWindow:  duration(flat, "safety.tipAfter", 0),
 		},
 		CrossZonePrice:  number(flat, "prices.crossZone", 0),
 		ConnectionPrice: number(flat, "prices.connection", 0),
@@ -37,28 +37,29 @@
 		BenefitPerWork:  flat["benefitPer"] == "work",
 	}
 	if flat["bounds.retryAfter"] == true {
-		s.MaxRetryAfter = span(flat, "bounds.maxRetryAfter", 0)
+		s.MaxRetryAfter = duration(flat, "bounds.maxRetryAfter", 0)
 	}
 	return s
 }
 
-// categoryRules reads the categories, up to the first number without a TTL.
-func categoryRules(flat map[string]any) (all []dispatch.CategoryRules) {
+// categoryRules reads the categories, up to the first index without a TTL.
+func categoryRules(flat map[string]any) (list []dispatch.CategoryRules) {
 	for i := 0; ; i++ {
 		rules, ok := categoryRulesAt(flat, i)
 		if !ok {
-			return all
+			return list
 		}
-		all = append(all, rules)
+		list = append(list, rules)
 	}
 }
 
-// categoryRulesAt builds its keys in one buffer: hundreds of categories are read at each reload.
+// categoryRulesAt reads the category at an index. ok is false if the category has no TTL. The keys are built
+// in one buffer, since each reload reads hundreds of categories.
 func categoryRulesAt(flat map[string]any, i int) (rules dispatch.CategoryRules, ok bool) {
 	n := strconv.Itoa(i)
 	prefix := append(make([]byte, 0, 64), "categories."+n+"."...)
 	value := func(name string) any { return flat[string(append(prefix, name...))] }
-	numberOf := func(name string, missing float64) float64 { return asNumber(value(name), missing) }
+	numberOf := func(name string, fallback float64) float64 { return asNumber(value(name), fallback) }
 	if _, ok = flat[string(append(prefix, "ttl"...))]; !ok {
 		return rules, false
 	}
@@ -76,17 +77,17 @@
 	return rules, true
 }
 
-func number(flat map[string]any, key string, missing float64) float64 {
-	return asNumber(flat[key], missing)
+func number(flat map[string]any, key string, fallback float64) float64 {
+	return asNumber(flat[key], fallback)
 }
 
-func span(flat map[string]any, key string, missing dispatch.Time) dispatch.Time {
-	return dispatch.Time(number(flat, key, float64(missing)))
+func duration(flat map[string]any, key string, fallback dispatch.Time) dispatch.Time {
+	return dispatch.Time(number(flat, key, float64(fallback)))
 }
 
-func asNumber(value any, missing float64) float64 {
+func asNumber(value any, fallback float64) float64 {
 	if v, ok := value.(float64); ok {
 		return v
 	}
-	return missing
+	return fallback
 }
--- a/internal/config/decision_settings_test.go
+++ b/internal/config/decision_settings_test.go
@@ -9,8 +9,8 @@
 	"woaddyke/dispatch"
 )
 
-// A key that is read under a wrong name leaves a decision to a default, and nothing else would show it.
-func TestDecisionSettingsTakeEachKey(t *testing.T) {
+// A key that is read under a wrong name leaves its setting at the default. No other test would detect that.
+func TestDecisionSettingsReadEachKey(t *testing.T) {
 	flat := map[string]any{
 		"bounds.maxPushes": 4.0, "myNumber": 2.0, "instances": 9.0, "myZone": 3.0, "step": 50.0,
 		"bounds.connectTimeout": 700.0, "extra.progress": 800.0,
@@ -23,7 +23,7 @@
 		"categories.0.ttl": 50_000.0, "categories.0.targetLatency": 5_000.0, "categories.0.window": 20_000.0,
 		"categories.0.benefit": 2.0, "extra.classStretch.0": 1.5,
 		"categories.1.ttl": 10.0,
-		"categories.3.ttl": 10.0, // behind a gap, which ends the list
+		"categories.3.ttl": 10.0, // after the gap that ends the list
 	}
 	want := dispatch.Settings{
 		Categories: []dispatch.CategoryRules{
@@ -44,17 +44,18 @@
 	}
 }
 
-// Settings that say nothing must not limit an op to no attempt, or a warm worker to no capacity.
+// Without settings, defaults apply: an op must not be limited to 0 attempts, nor a warm worker to no
+// capacity.
 func TestDecisionSettingsHaveDefaults(t *testing.T) {
 	want := dispatch.Settings{MaxAttempts: 1, Schedulers: 1, AcknowledgeTimeout: 10_000,
 		SlowStart: dispatch.SlowStartSettings{InitialCapacity: 1, OverloadFactor: 1}}
-	silent := map[string]any{"bounds.maxRetryAfter": 900.0} // allowed by no bounds.retryAfter
-	if got := DecisionSettings(silent); !reflect.DeepEqual(got, want) {
+	unset := map[string]any{"bounds.maxRetryAfter": 900.0} // has no effect without bounds.retryAfter
+	if got := DecisionSettings(unset); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v\nwant %+v", got, want)
 	}
 }
 
-// BenchmarkDecisionSettings is the parsing at a reload, by the number of categories.
+// BenchmarkDecisionSettings measures the conversion of the settings at a reload, by the number of categories.
 func BenchmarkDecisionSettings(b *testing.B) {
 	for _, categories := range []int{3, 560} {
 		b.Run(fmt.Sprintf("categories=%d", categories), func(b *testing.B) {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -6,21 +6,21 @@
 	"woaddyke/internal/config/configerror"
 )
 
-// ConfigError is a mistake in one key of the bootstrap configuration. Its key is the path within the
-// file.
+// ConfigError reports an invalid or missing key of the bootstrap configuration. Its Key is the path within
+// the file.
 type ConfigError = configerror.Error
 
-// Errors that callers tell apart.
+// Errors that callers compare with errors.Is.
 var (
 	ErrNoPath               = errors.New("no configuration: name its file with --config or RELAY_CONFIG")
 	ErrPeersConfigured      = errors.New("the configuration names peers already")
 	ErrPeerMessagesDisabled = errors.New("the settings do not allow messages (bounds.peerMessages)")
 )
 
-// missing is the error for a key that the file lacks.
+// missing returns the error for a key that is not in the file.
 func missing(key string) error { return &ConfigError{Key: key, Problem: "is missing"} }
 
-// invalid is the error for a key that the file has with a wrong value.
+// invalid returns the error for a key with an invalid value.
 func invalid(key string, value any, problem string, args ...any) error {
 	if value == nil {
 		value = null{}
@@ -28,7 +28,7 @@
 	return configerror.Invalid(key, value, problem, args...)
 }
 
-// null stands for JSON's null in an error, in which nil is no value.
+// null represents JSON's null in a ConfigError, whose nil Value means that there is no value to print.
 type null struct{}
 
 func (null) String() string { return "null" }
--- a/internal/config/features/duration.go
+++ b/internal/config/features/duration.go
@@ -10,10 +10,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Duration is a duration as the file has it: "250ms", "2s", "24h"; 0 needs no unit.
+// Duration is a duration that is written as "250ms", "2s" or "24h" in the file. 0 needs no unit.
 type Duration time.Duration
 
-// UnmarshalText reads a duration in the form of time.ParseDuration.
+// UnmarshalText parses a duration with time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -23,14 +23,15 @@
 	return nil
 }
 
-// MarshalText returns the form that UnmarshalText reads.
+// MarshalText returns a text that UnmarshalText parses.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// ErrNoUnit is in the error for a duration that is a number without a unit.
+// ErrNoUnit is wrapped by the error for a duration that is a number without a unit.
 var ErrNoUnit = errors.New("a duration needs a unit")
 
 // checkDurations returns a *ConfigError for the first field of type Duration whose value is a number other
-// than 0: the decoder would take it for nanoseconds. A text that is no TOML is left to the decoder.
+// than 0, which the decoder would interpret as nanoseconds. It returns nil if the text is not valid TOML: the
+// decoder reports that.
 func checkDurations(text []byte, tables any) error {
 	var document map[string]any
 	if err := toml.Unmarshal(text, &document); err != nil {
@@ -39,7 +40,7 @@
 	return checkTable("", document, reflect.TypeOf(tables))
 }
 
-// checkTable checks the values of a table, and of those inside it, that go into a type.
+// checkTable checks the durations of a table and of its nested tables that are decoded into a type.
 func checkTable(name string, table map[string]any, into reflect.Type) error {
 	for into.Kind() == reflect.Pointer {
 		into = into.Elem()
@@ -49,7 +50,7 @@
 	}
 	for i := range into.NumField() {
 		field := into.Field(i)
-		key, value := lookUp(table, field)
+		key, value := lookupField(table, field)
 		if err := checkValue(name, key, value, field.Type); err != nil {
 			return err
 		}
@@ -67,22 +68,22 @@
 	switch value := value.(type) {
 	case int64:
 		if value != 0 {
-			return noUnit(table, key, value)
+			return missingUnit(table, key, value)
 		}
 	case float64:
-		return noUnit(table, key, value)
+		return missingUnit(table, key, value)
 	}
 	return nil
 }
 
-func noUnit(table, key string, value any) error {
+func missingUnit(table, key string, value any) error {
 	const format = "%w: got %v, write for example \"%vms\" or \"%vs\""
 	return &ConfigError{Table: table, Key: key, Err: fmt.Errorf(format, ErrNoUnit, value, value, value)}
 }
 
-// lookUp returns the value that the decoder puts into a field, and its key as the file has it. The decoder
-// compares keys without regard to case.
-func lookUp(table map[string]any, field reflect.StructField) (key string, value any) {
+// lookupField returns the value that the decoder puts into a field, and its key as it stands in the file.
+// Like the decoder it ignores the case of keys.
+func lookupField(table map[string]any, field reflect.StructField) (key string, value any) {
 	name, _, _ := strings.Cut(field.Tag.Get("toml"), ",")
 	if name == "" {
 		name = field.Name
--- a/internal/config/features/duration_test.go
+++ b/internal/config/features/duration_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// A whole number in place of a duration would be taken for nanoseconds: a replica is replaced the moment it is dead.
-func TestADurationWithoutAUnitIsAMistake(t *testing.T) {
+// A number without a unit must be rejected. The decoder would read it as nanoseconds, and for example a
+// replica would be replaced immediately when it is dead.
+func TestADurationWithoutAUnitIsRejected(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"a unit", "[members]\nprobe = \"100ms\"\n", ""},
 		{"0", "[members]\nprobe = 0\n", ""},
@@ -26,7 +27,7 @@
 			if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			err := Read(path, &tables{}, func() error { return nil })
+			err := Read(path, &testTables{}, func() error { return nil })
 			if c.want == "" {
 				if err != nil {
 					t.Error(err)
@@ -37,12 +38,12 @@
 				t.Fatalf("%v, want %q", err, c.want)
 			}
 			if !strings.Contains(err.Error(), path) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("not one line with the file: %v", err)
+				t.Errorf("error %v, want one line with the file", err)
 			}
-			var mistake *ConfigError
-			var place *ParseError
-			if !errors.As(err, &place) && (!errors.As(err, &mistake) || !errors.Is(err, ErrNoUnit) || mistake.Line == 0) {
-				t.Errorf("not typed, or without its line: %#v", err)
+			var configErr *ConfigError
+			var parseErr *ParseError
+			if !errors.As(err, &parseErr) && (!errors.As(err, &configErr) || !errors.Is(err, ErrNoUnit) || configErr.Line == 0) {
+				t.Errorf("error %#v, want a *ParseError, or a *ConfigError with ErrNoUnit and a line", err)
 			}
 		})
 	}
--- a/internal/config/features/errors.go
+++ b/internal/config/features/errors.go
@@ -10,18 +10,18 @@
 	"woaddyke/internal/config/configerror"
 )
 
-// ErrUnknownKey is in the error for a key or a table that this build does not know.
+// ErrUnknownKey is wrapped by the error for a key or a table that this build does not know.
 var ErrUnknownKey = errors.New("no such key")
 
-// ConfigError is a mistake in one key of one table.
+// ConfigError reports an invalid key of a table.
 type ConfigError struct {
 	Table string
 	Key   string
-	Line  int // in the file, from 1; 0 until Read has found it
+	Line  int // line in the file, from 1; 0 until Read sets it
 	Err   error
 }
 
-// Error has the form "table.key: cause". Read puts the file and the line before it.
+// Error returns a text of the form "table.key: cause". Read prepends the file and the line.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("%s: %v", strings.TrimPrefix(e.Table+"."+e.Key, "."), e.Err)
 }
@@ -29,33 +29,33 @@
 // Unwrap returns the cause.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// WrapCheckError is the mistake of a table that the check of a package's parameters returned as a
-// *configerror.Error.
+// WrapCheckError adds the table's name to an error of the check of its parameters. It returns a *ConfigError
+// if that error wraps a *configerror.Error.
 func WrapCheckError(table string, err error) error {
-	var mistake *configerror.Error
-	if !errors.As(err, &mistake) {
+	var invalid *configerror.Error
+	if !errors.As(err, &invalid) {
 		return fmt.Errorf("%s: %w", table, err)
 	}
-	cause := *mistake
-	cause.Key = "" // it is the table's key
-	return &ConfigError{Table: table, Key: mistake.Key, Err: &cause}
+	cause := *invalid
+	cause.Key = "" // the ConfigError has the key
+	return &ConfigError{Table: table, Key: invalid.Key, Err: &cause}
 }
 
-// ParseError is a place of the file that the decoder rejects: TOML syntax, a value of the wrong type, an
-// unknown key.
+// ParseError reports a position in the file that the decoder rejects, for invalid TOML syntax, a value of the
+// wrong type or an unknown key.
 type ParseError struct {
 	Line, Column int // from 1
 	Err          error
 }
 
-// Error has the form "line:column: cause".
+// Error returns a text of the form "line:column: cause".
 func (e *ParseError) Error() string { return fmt.Sprintf("%d:%d: %v", e.Line, e.Column, e.Err) }
 
 // Unwrap returns the cause.
 func (e *ParseError) Unwrap() error { return e.Err }
 
-// parseError returns the first mistake that the decoder found, with its place. An error without a place
-// stays as it is.
+// parseError converts the decoder's first error to a *ParseError with its position. It returns an error
+// without a position unchanged.
 func parseError(err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
@@ -63,10 +63,10 @@
 		line, column := first.Position()
 		return &ParseError{line, column, fmt.Errorf("%w: %s", ErrUnknownKey, strings.Join(first.Key(), "."))}
 	}
-	var mistake *toml.DecodeError
-	if errors.As(err, &mistake) {
-		line, column := mistake.Position()
-		return &ParseError{line, column, errors.New(strings.TrimPrefix(mistake.Error(), "toml: "))}
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		line, column := decodeErr.Position()
+		return &ParseError{line, column, errors.New(strings.TrimPrefix(decodeErr.Error(), "toml: "))}
 	}
 	return err
 }
--- a/internal/config/features/features.go
+++ b/internal/config/features/features.go
@@ -1,6 +1,6 @@
-// Package features reads the features file, the operator's own: what this project offers beyond the
-// platform's configuration. Each table is a feature, which is off where the file does not have the table;
-// the subsystem that offers it owns its defaults and its checks.
+// Package features reads the features file, which operators write. The file configures the features that the
+// platform's configuration does not have. Each table is a feature, which is off if the file does not have the
+// table. The subsystem of a feature defines its defaults and checks.
 package features
 
 import (
@@ -14,9 +14,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Read decodes the file into the tables, which have their defaults already, and calls check. A key that
-// no table has is an error, since it is a misspelled one. Its error is one line with the file, the place
-// and the reason, and wraps a *ParseError or what check returned.
+// Read decodes the file into tables, which already hold the defaults, and calls check. An unknown key is an
+// error, since it is probably misspelled. The error is one line with the file, the position and the reason,
+// and wraps a *ParseError or the error of check.
 func Read(path string, tables any, check func() error) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -26,22 +26,22 @@
 	if err == nil {
 		err = check()
 	}
-	var place *ParseError
-	var mistake *ConfigError
+	var parseErr *ParseError
+	var configErr *ConfigError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &place):
+	case errors.As(err, &parseErr):
 		return fmt.Errorf("operator's file %s:%w", path, err)
-	case errors.As(err, &mistake):
-		mistake.Line = lineOf(string(text), mistake.Table, mistake.Key)
-		return fmt.Errorf("operator's file %s:%d: %w", path, mistake.Line, err)
+	case errors.As(err, &configErr):
+		configErr.Line = lineOf(string(text), configErr.Table, configErr.Key)
+		return fmt.Errorf("operator's file %s:%d: %w", path, configErr.Line, err)
 	}
 	return fmt.Errorf("operator's file %s: %w", path, err)
 }
 
-// Decode decodes a text into tables, as Read does. It returns a *ParseError where the decoder knows the place,
-// and a *ConfigError for a duration without a unit.
+// Decode decodes a text into tables, as Read does. It returns a *ParseError if the decoder reports a
+// position, and a *ConfigError for a duration without a unit.
 func Decode(text []byte, tables any) error {
 	if err := checkDurations(text, tables); err != nil {
 		return err
@@ -54,11 +54,11 @@
 	return nil
 }
 
-// tableHeader matches a line that begins a table.
+// tableHeader matches the header line of a table.
 var tableHeader = regexp.MustCompile(`^\s*\[\s*([^\]]+?)\s*\]`)
 
-// lineOf returns the line of a key of a table, the line of the table where the file leaves the key out,
-// and 1 where it has neither.
+// lineOf returns the line of a key of a table. It returns the line of the table if the file does not have
+// the key, and 1 if it does not have the table either.
 func lineOf(text, table, key string) int {
 	assignment := regexp.MustCompile(`(?i)^\s*"?` + regexp.QuoteMeta(key) + `"?\s*=`)
 	current, found := "", 1
--- a/internal/config/features/features_test.go
+++ b/internal/config/features/features_test.go
@@ -11,15 +11,15 @@
 	"woaddyke/internal/config/configerror"
 )
 
-type tables struct {
+type testTables struct {
 	Members *struct {
 		Probe Duration `toml:"probe"`
 		Name  string   `toml:"name"`
 	} `toml:"members"`
 }
 
-// A mistake in the file must be one line that names the place: staff read it at a start that failed.
-func TestAMistakeIsOneLineWithItsPlace(t *testing.T) {
+// An error in the file is one line with its position, which operators read when a start has failed.
+func TestAnErrorIsOneLineWithItsPosition(t *testing.T) {
 	for text, want := range map[string]string{
 		"[members]\nprobe = \"1s\"\n":                      "",
 		"[members]\nprob = \"1s\"\n":                       ":2:1: no such key: members.prob",
@@ -33,7 +33,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		var x tables
+		var x testTables
 		err := Read(path, &x, func() error {
 			switch {
 			case x.Members.Name == "bad":
@@ -47,14 +47,13 @@
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
-	if err := Read("/nowhere", &tables{}, nil); err == nil {
-		t.Error("a file that is not there was read")
+	if err := Read("/nowhere", &testTables{}, nil); err == nil {
+		t.Error("a missing file was read")
 	}
 }
 
-// A check of a package's own parameters knows neither the table nor the line: both must stand in the
-// message.
-func TestMistakeOfACheckGetsItsPlace(t *testing.T) {
+// A package that checks its parameters knows neither the table nor the line. The error must have both.
+func TestACheckErrorGetsItsTableAndLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	if err := os.WriteFile(path, []byte("[members]\nname = \"a\"\nprobe = \"3h\"\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -69,39 +68,39 @@
 			":1: members.probe_time: must be at most 1h", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			err := Read(path, &tables{}, func() error { return WrapCheckError("members", c.check) })
-			var mistake *ConfigError
-			if !errors.As(err, &mistake) || mistake.Line != c.line || !strings.HasSuffix(err.Error(), path+c.text) {
-				t.Errorf("%v, want the line %d and %q", err, c.line, c.text)
+			err := Read(path, &testTables{}, func() error { return WrapCheckError("members", c.check) })
+			var configErr *ConfigError
+			if !errors.As(err, &configErr) || configErr.Line != c.line || !strings.HasSuffix(err.Error(), path+c.text) {
+				t.Errorf("error %v, want line %d and text %q", err, c.line, c.text)
 			}
 		})
 	}
 }
 
-// Callers tell an unknown key from other mistakes, and find the place of a mistake without reading its
-// text.
+// Callers can distinguish an unknown key from other errors, and get the position of an error without parsing
+// its text.
 func TestParseErrorsAreTyped(t *testing.T) {
 	for text, unknown := range map[string]bool{"[members]\nprob = \"1s\"\n": true, "[members]\nprobe = \"soon\"\n": false} {
 		path := filepath.Join(t.TempDir(), "operator.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		err := Read(path, &tables{}, nil)
-		var place *ParseError
-		if !errors.As(err, &place) || place.Line != 2 || errors.Is(err, ErrUnknownKey) != unknown {
-			t.Errorf("%q: %v, place %+v; an unknown key: %v", text, err, place, unknown)
+		err := Read(path, &testTables{}, nil)
+		var parseErr *ParseError
+		if !errors.As(err, &parseErr) || parseErr.Line != 2 || errors.Is(err, ErrUnknownKey) != unknown {
+			t.Errorf("%q: error %v, position %+v, want an unknown key: %v", text, err, parseErr, unknown)
 		}
 	}
 }
 
-// An error without a key still names the file and the table, and stays what it was.
+// An error of a check that has no key is wrapped, and its text has the file and the table.
 func TestErrorWithoutKeyNamesItsTable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	if err := os.WriteFile(path, []byte("[members]\nprobe = \"3h\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cause := errors.New("probe: longer than 1h")
-	err := Read(path, &tables{}, func() error { return WrapCheckError("members", cause) })
+	err := Read(path, &testTables{}, func() error { return WrapCheckError("members", cause) })
 	if !errors.Is(err, cause) || !strings.HasSuffix(err.Error(), path+": members: probe: longer than 1h") {
 		t.Errorf("%v", err)
 	}
--- a/internal/config/golden_messages_test.go
+++ b/internal/config/golden_messages_test.go
@@ -2,9 +2,8 @@
 
 import "testing"
 
-// The text of a message about a worker's pushes keeps its bytes for each name and count, and reads back
-// as that worker and count.
-func TestGoldenWords(t *testing.T) {
+// Guards the bytes of a peer report for each name and count. They are decoded to the same worker and count.
+func TestPeerReportsKeepTheirBytes(t *testing.T) {
 	names := []string{"", "w1", "worker-17.zone-a", "caf\u00e9"}
 	wantTags := []string{"cy8", "Inr", "tkq", "S0F"}
 	tags := map[string]int{}
@@ -15,10 +14,10 @@
 		tags[tag] = i
 	}
 	for _, c := range []struct {
-		worker int
-		count  int
-		text   string
-		read   int
+		worker  int
+		count   int
+		text    string
+		decoded int
 	}{
 		{0, 0, "cy80", 0},
 		{0, 9, "cy89", 9},
@@ -34,20 +33,20 @@
 		{3, 900, "S0F_", 63},
 	} {
 		if got := EncodePeerReport(names[c.worker], c.count); got != c.text {
-			t.Errorf("%d pushes to %q are told as %q, want %q", c.count, names[c.worker], got, c.text)
+			t.Errorf("%d attempts at %q are encoded as %q, want %q", c.count, names[c.worker], got, c.text)
 		}
-		if worker, count, ok := DecodePeerReport(c.text, tags); !ok || worker != c.worker || count != c.read {
-			t.Errorf("%q is read as worker %d, count %d, %v, want worker %d, count %d", c.text, worker, count, ok, c.worker, c.read)
+		if worker, count, ok := DecodePeerReport(c.text, tags); !ok || worker != c.worker || count != c.decoded {
+			t.Errorf("%q is decoded as worker %d, count %d, %v, want worker %d, count %d", c.text, worker, count, ok, c.worker, c.decoded)
 		}
 	}
 }
 
-// The characters that stand for counts 0 to 63 keep their order.
-func TestGoldenDigits(t *testing.T) {
+// Guards the characters that encode the counts 0 to 63.
+func TestPeerReportCountsKeepTheirDigits(t *testing.T) {
 	const want = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ-_"
 	for count := range len(want) {
 		if got := EncodePeerReport("w1", count); got != "Inr"+want[count:count+1] {
-			t.Errorf("count %d is told as %q", count, got)
+			t.Errorf("count %d is encoded as %q", count, got)
 		}
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -12,9 +12,9 @@
 	"woaddyke/internal/testsupport/golden"
 )
 
-// Guards the JSON keys of the configuration, each of which is set in the file to a value that is not
-// its default.
-func TestSheetKeepsItsKeys(t *testing.T) {
+// Guards the JSON keys of the bootstrap configuration. The file sets each key to a value that is not its
+// default.
+func TestBootstrapFileKeepsItsKeys(t *testing.T) {
 	read, err := ReadBootstrap("testdata/sheet.json")
 	if err != nil {
 		t.Fatal(err)
@@ -27,21 +27,21 @@
 				1: netip.MustParseAddrPort("127.0.0.1:9004"), 3: netip.MustParseAddrPort("127.0.0.1:9005")}},
 		Shadow:    &Shadow{Keys: &Keys{Fact: "dataset"}, Settings: map[string]any{"prices": map[string]any{"connection": 0.5}}},
 		SeedValue: 0x1f, AffinityFact: "dataset"}
-	want.RawSettings, want.Settings, want.ShadowSettings, want.raw = read.RawSettings, read.Settings, read.ShadowSettings, read.raw // guarded below
+	want.RawSettings, want.Settings, want.ShadowSettings, want.raw = read.RawSettings, read.Settings, read.ShadowSettings, read.raw // checked below
 	if !reflect.DeepEqual(*read, want) {
 		t.Errorf("read %+v, want %+v", *read, want)
 	}
-	read.LearnMachineKinds = true // false is not its default
+	read.LearnMachineKinds = true // RequireSet does not accept false
 	filled.RequireSet(t, *read)
 }
 
-// Guards the JSON keys that this build writes for a configuration: a key with another name is another
-// configuration to it.
-func TestSheetKeepsItsForm(t *testing.T) {
+// Guards the JSON keys that this build writes for a bootstrap configuration. A renamed key would be read as a
+// missing one.
+func TestBootstrapKeepsItsJSONKeys(t *testing.T) {
 	filled.CompareJSON(t, "testdata/form.json.golden", filled.Value[Bootstrap](t))
 }
 
-// Guards the keys of the settings that are read by name, and their values as the module takes them.
+// Guards the keys of the settings, and their values after reading.
 func TestSettingsKeepTheirKeys(t *testing.T) {
 	read, err := ReadBootstrap("testdata/sheet.json")
 	if err != nil {
@@ -65,12 +65,12 @@
 		t.Errorf("categories %q", names)
 	}
 	if read.SchedulerNumber() != 2 || read.Schedulers() != 4 || read.LongestTTL() != 6*time.Second {
-		t.Errorf("number %d of %d, longest time to live %v", read.SchedulerNumber(), read.Schedulers(), read.LongestTTL())
+		t.Errorf("number %d of %d, longest TTL %v", read.SchedulerNumber(), read.Schedulers(), read.LongestTTL())
 	}
 }
 
 // Guards the hash of the settings, which schedulers of different builds compare with one another.
-func TestHashKeepsItsValue(t *testing.T) {
+func TestSettingsHashKeepsItsValue(t *testing.T) {
 	read, err := ReadBootstrap("../../examples/config.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/load_report.go
+++ b/internal/config/load_report.go
@@ -6,8 +6,8 @@
 	"woaddyke/internal/workers/loadreport"
 )
 
-// ReportFormatOf returns the form of the load reports of a deployment with these settings. What its extra
-// fields x0 and x1 mean is a setting of its own.
+// ReportFormatOf returns the format of the load reports in a deployment with these settings. Two further
+// settings define the meaning of the extra fields x0 and x1.
 func ReportFormatOf(settings map[string]any) loadreport.Format {
 	var fields []loadreport.Field
 	for _, name := range StringList(settings, KeyReportFields) {
--- a/internal/config/load_report_test.go
+++ b/internal/config/load_report_test.go
@@ -6,7 +6,7 @@
 	"woaddyke/dispatch"
 )
 
-// A value that a report lacks must not be taken for none waiting and nothing free.
+// A field that a load report lacks must not be read as 0, which would mean no queued jobs and no free slots.
 func TestMissingReportFieldIsNotZero(t *testing.T) {
 	r := ReportFormatOf(Flatten(map[string]any{
 		"report": map[string]any{"fields": []any{"pending", "busy_reqs", "x1"}},
@@ -17,6 +17,6 @@
 		t.Errorf("%+v, %v", got, err)
 	}
 	if _, err := r.FromJSON([]byte(`[1]`)); err == nil {
-		t.Error("a row is no object")
+		t.Error("a list was read as a load report")
 	}
 }
--- a/internal/config/peer_report.go
+++ b/internal/config/peer_report.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// A peer report is four characters of peerReportDigits: three that stand for the worker, one for a count
-// of attempts. It is short, since each byte of a message between schedulers is paid for.
+// A peer report has four characters of peerReportDigits: three for the worker and one for the number of
+// attempts in flight. It is short because each byte of a message between schedulers has a cost.
 const (
 	peerReportDigits = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ-_"
 	digitBits        = 6
@@ -14,20 +14,20 @@
 	workerTagLength  = 3
 	peerReportLength = workerTagLength + 1
 
-	// MaxPeerReportCount is the highest count that a peer report can hold; higher ones are sent as this
+	// MaxPeerReportCount is the highest count that a peer report can hold. Higher counts are sent as this
 	// one.
 	MaxPeerReportCount = digitMask
 )
 
-// IdentityHash hashes a name to the same number at every scheduler. It is never 0.
+// IdentityHash returns the hash of a name. It is the same at every scheduler and never 0.
 func IdentityHash(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name)) // never fails
 	return max(h.Sum64(), 1)
 }
 
-// WorkerTag is the part of a peer report that stands for a worker. It leaves out the lowest six bits of
-// the hash.
+// WorkerTag returns the part of a peer report that identifies a worker. It is taken from the hash of the
+// worker's name, without the lowest six bits.
 func WorkerTag(worker string) string {
 	h := IdentityHash(worker)
 	var tag [workerTagLength]byte
@@ -38,13 +38,13 @@
 	return string(tag[:])
 }
 
-// EncodePeerReport is the message that this scheduler has so many attempts in flight at a worker.
+// EncodePeerReport returns the peer report with the number of attempts in flight at a worker.
 func EncodePeerReport(worker string, attempts int) string {
 	return WorkerTag(worker) + peerReportDigits[min(attempts, MaxPeerReportCount):][:1]
 }
 
-// DecodePeerReport reads a peer report. Its worker is the index that tags has for the tag. ok is false
-// for a text of another form and for a worker without a tag.
+// DecodePeerReport decodes a peer report. worker is the value in tags for the report's tag. ok is false if
+// the text is malformed or tags does not have its tag.
 func DecodePeerReport(text string, tags map[string]int) (worker, attempts int, ok bool) {
 	if len(text) != peerReportLength {
 		return 0, 0, false
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// CheckReload checks that this configuration may take the place of the one in force: it must not lack a
-// key of that one or have a value of another kind for it. A file that was cut or damaged in editing must
-// not come into force in part.
+// CheckReload checks that this configuration may replace the one in force: each key of the configuration in
+// force must be present, with a value of the same type. A file that was truncated or damaged in editing
+// must not come into force in part.
 func (s *Bootstrap) CheckReload(inForce *Bootstrap) error {
 	before, after := maps.Clone(inForce.raw), maps.Clone(s.raw)
 	if _, exists := after["known"]; exists {
@@ -18,7 +18,7 @@
 	return checkSameKeys("", before, after)
 }
 
-// checkSameKeys returns the first difference between two values of the file that only damage explains.
+// checkSameKeys returns the first key below path that is missing from the new value or has another type.
 func checkSameKeys(path string, before, after any) error {
 	switch before := before.(type) {
 	case map[string]any:
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// checkSameList checks the entries of a list of objects for the keys that all objects had before. The
-// length may change.
+// checkSameList checks that each object of a list has the keys that all its objects had before. The length
+// of the list may change.
 func checkSameList(path string, before []any, after any) error {
 	list, ok := after.([]any)
 	if !ok {
@@ -72,15 +72,15 @@
 	return nil
 }
 
-func checkSameKind[kind any](path, description string, after any) error {
-	if _, ok := after.(kind); ok {
+func checkSameKind[T any](path, description string, after any) error {
+	if _, ok := after.(T); ok {
 		return nil
 	}
 	return invalid(path, after, "must be %s", description)
 }
 
-// commonKeys returns the keys that all objects of a list have, each with a value. It returns nil where
-// the list is empty or has entries that are no objects.
+// commonKeys returns the keys that have a value in all objects of a list, each with one of its values. It
+// returns nil if the list is empty or has an entry that is not an object.
 func commonKeys(list []any) (common map[string]any) {
 	for _, entry := range list {
 		object, ok := entry.(map[string]any)
@@ -95,20 +95,19 @@
 	return common
 }
 
-// categoryExtrasPrefix begins the keys of settings beside the categories that have an entry for each of
-// them.
+// categoryExtrasPrefix is the prefix of the keys, outside the categories, of settings with one entry for
+// each category.
 const categoryExtrasPrefix = "extra.class"
 
-// reloadable tells whether a setting changes while the scheduler serves.
+// reloadable reports whether a setting can change without a restart.
 func reloadable(key string) bool {
 	return strings.HasPrefix(key, KeyCategories+".") ||
 		strings.HasPrefix(key, categoryExtrasPrefix) ||
 		key == KeyMaxPushes
 }
 
-// CompareSettings compares with the configuration in force. reload tells whether settings differ that
-// change while the scheduler serves, restart whether anything differs that changes only at the next
-// start.
+// CompareSettings compares this configuration with the one in force. reload reports whether a setting
+// differs that can change without a restart. restart reports whether anything differs that needs one.
 func (s *Bootstrap) CompareSettings(inForce *Bootstrap) (reload, restart bool) {
 	restart = s.Listen != inForce.Listen || s.Limits != inForce.Limits || s.Console != inForce.Console
 	compare := func(settings, others Settings) {
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -8,17 +8,17 @@
 	"testing"
 )
 
-// notJSON tells whether a text is from the decoder, which knows no key.
-func notJSON(text string) bool { return text == "unexpected end" || text == "invalid character" }
+// isDecoderText reports whether an error text is from the JSON decoder, whose errors have no key.
+func isDecoderText(text string) bool { return text == "unexpected end" || text == "invalid character" }
 
-// A file that was cut short or slipped in editing must not be half in force: it is turned down whole,
-// and says why.
-func TestAFileThatCanNotFollowIsTurnedDown(t *testing.T) {
-	const whole = `{"listen":"a:1","discovery":"a:2","seed":"ff","known":{"rev":1,"targets":[]},"settings":{"bounds":` +
+// A file that was truncated or damaged in editing must not come into force in part. It is rejected
+// completely, with the reason.
+func TestADamagedFileIsRejectedAtReload(t *testing.T) {
+	const complete = `{"listen":"a:1","discovery":"a:2","seed":"ff","known":{"rev":1,"targets":[]},"settings":{"bounds":` +
 		`{"maxPushes":6,"cancel":true},"zones":["a"],"categories":[{"name":"look","ttlNs":5,"effect":"dedup","windowNs":7},` +
 		`{"name":"see","ttlNs":5,"effect":"retryable"}]}}`
 	read := func(text string) (*Bootstrap, error) { return readText(t, text) }
-	before, err := read(whole)
+	before, err := read(complete)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,8 +29,8 @@
 		{`"maxPushes":6`, `"maxPushes":1`, ""},
 		{`{"rev":1,"targets":[]}`, `{"rev":9}`, ""},
 		{`,"windowNs":7`, ``, ""}, // not all categories have one
-		{whole, "", "unexpected end"},
-		{whole[len(whole)/2:], "", "unexpected end"},
+		{complete, "", "unexpected end"},
+		{complete[len(complete)/2:], "", "unexpected end"},
 		{`"discovery":"a:2",`, "", "discovery: is missing"},
 		{`"known"`, `"unknown"`, "known: is missing"},
 		{`"cancel"`, `"cancels"`, "settings.bounds.cancel: is missing"},
@@ -53,41 +53,42 @@
 		{`"cancel":true`, `"cancel":1`, "settings.bounds.cancel: must be true or false, got 1"},
 		{`["a"]`, `"a"`, "settings.zones: must be a list"},
 	} {
-		s, err := read(strings.Replace(whole, c.old, c.new, 1))
+		s, err := read(strings.Replace(complete, c.old, c.new, 1))
 		if err == nil {
 			err = s.CheckReload(before)
 		}
 		var key *ConfigError
-		if errors.As(err, &key) != (c.want != "" && !notJSON(c.want)) {
-			t.Errorf("%s for %s: error %v: the key must be found in it", c.new, c.old, err)
+		if errors.As(err, &key) != (c.want != "" && !isDecoderText(c.want)) {
+			t.Errorf("%s for %s: error %v, want a *ConfigError unless from the decoder", c.new, c.old, err)
 		}
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("%s for %s: error %v, want %q", c.new, c.old, err, c.want)
 		}
 	}
-	for n := range len(whole) {
-		if _, err := read(whole[:n]); err == nil {
-			t.Errorf("cut to %d bytes it was read", n)
+	for n := range len(complete) {
+		if _, err := read(complete[:n]); err == nil {
+			t.Errorf("truncated to %d bytes the file was accepted", n)
 		}
 	}
-	other, err := read(strings.Replace(strings.Replace(whole, `"retryable"`, `"dedup"`, 1), `"a:2"`, `"a:3"`, 1))
+	other, err := read(strings.Replace(strings.Replace(complete, `"retryable"`, `"dedup"`, 1), `"a:2"`, `"a:3"`, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if retunes, rest := other.CompareSettings(before); !retunes || rest {
-		t.Errorf("another effect and another discovery: retunes %v, a restart is needed %v", retunes, rest)
+	if reload, restart := other.CompareSettings(before); !reload || restart {
+		t.Errorf("another effect and another discovery: reload %v, restart %v", reload, restart)
 	}
-	zones, err := read(strings.Replace(whole, `["a"]`, `["b"]`, 1))
+	zones, err := read(strings.Replace(complete, `["a"]`, `["b"]`, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if retunes, rest := zones.CompareSettings(before); retunes || !rest {
-		t.Errorf("another zone: retunes %v, a restart is needed %v", retunes, rest)
+	if reload, restart := zones.CompareSettings(before); reload || !restart {
+		t.Errorf("another zone: reload %v, restart %v", reload, restart)
 	}
 }
 
-// Whatever a file holds, reading it gives a sheet or an error, and a sheet always may follow itself.
-func FuzzSheet(f *testing.F) {
+// Reading any file returns a configuration or an error. A configuration passes the reload check against
+// itself.
+func FuzzReadBootstrap(f *testing.F) {
 	for _, text := range []string{"", "{", "[]", `{"listen":"a:1","discovery":"a:2","seed":"ff","settings":{"bounds":{"maxPushes":6},` +
 		`"categories":[{"name":"look","ttlNs":5},{"name":"see","ttlNs":7,"windowNs":1}]}}`,
 		`{"listen":"a:1","discovery":"a:2","seed":"0","settings":{"categories":[{"ttlNs":5},7,null]},"keys":{"fact":"k"}}`} {
@@ -103,17 +104,17 @@
 			return
 		}
 		if err := s.CheckReload(s); err != nil {
-			t.Errorf("%q can't follow itself: %v", text, err)
+			t.Errorf("%q fails the reload check against itself: %v", text, err)
 		}
-		if retunes, rest := s.CompareSettings(s); retunes || rest {
+		if reload, restart := s.CompareSettings(s); reload || restart {
 			t.Errorf("%q differs from itself", text)
 		}
 	})
 }
 
-// A site of two years' size has 560 categories, and twice as many must be taken; a file without end
-// must not.
-func TestAsManyCategoriesAsALargeSiteHasAreRead(t *testing.T) {
+// The planned size of a deployment in two years is 560 categories. Twice as many must be accepted, and more
+// than the limit must be rejected, so that the size of a file is bounded.
+func TestOnlyFilesWithinTheCategoryLimitAreRead(t *testing.T) {
 	for n, fits := range map[int]bool{1120: true, maxCategories: true, maxCategories + 1: false} {
 		path := filepath.Join(t.TempDir(), "sheet")
 		text := `{"listen":"a:1","discovery":"a:2","seed":"ff","settings":{"categories":[` +
@@ -128,27 +129,39 @@
 	}
 }
 
-// Which of the terms change at once and which wait for a restart is told apart for each, whatever else
-// stays.
-func TestWhatChangesAtOnceIsToldFromWhatWaits(t *testing.T) {
-	sheet := func(site map[string]any) *Bootstrap { return &Bootstrap{Settings: site} }
-	of := func(more ...any) map[string]any {
-		site := map[string]any{"categories.0.name": "a", "extra.classStretch.0": 2.0, "bounds.maxPushes": 3.0, "step": 5.0}
-		for i := 0; i < len(more); i += 2 {
-			if site[more[i].(string)] = more[i+1]; more[i+1] == nil {
-				delete(site, more[i].(string))
+// Each difference in the settings is reported as one that a reload applies or as one that needs a restart,
+// whatever else differs.
+func TestReloadIsDistinguishedFromRestart(t *testing.T) {
+	bootstrapOf := func(settings map[string]any) *Bootstrap { return &Bootstrap{Settings: settings} }
+	settingsWith := func(changes ...any) map[string]any {
+		settings := map[string]any{
+			"categories.0.name": "a", "extra.classStretch.0": 2.0, "bounds.maxPushes": 3.0, "step": 5.0,
+		}
+		for i := 0; i < len(changes); i += 2 {
+			if settings[changes[i].(string)] = changes[i+1]; changes[i+1] == nil {
+				delete(settings, changes[i].(string))
 			}
 		}
-		return site
+		return settings
 	}
 	for _, c := range []struct {
-		site          map[string]any
-		retunes, rest bool
-	}{{of(), false, false}, {of("categories.0.name", "b"), true, false}, {of("categories.1.name", "b"), true, false},
-		{of("categories.0.name", nil), true, false}, {of("extra.classStretch.0", 3.0), true, false}, {of("bounds.maxPushes", 4.0), true, false},
-		{of("step", 6.0), false, true}, {of("step", nil), false, true}, {of("more", 1.0), false, true}, {of("step", 6.0, "bounds.maxPushes", nil), true, true}} {
-		if retunes, rest := sheet(c.site).CompareSettings(sheet(of())); retunes != c.retunes || rest != c.rest {
-			t.Errorf("%v: %v, %v", c.site, retunes, rest)
+		settings        map[string]any
+		reload, restart bool
+	}{
+		{settingsWith(), false, false},
+		{settingsWith("categories.0.name", "b"), true, false},
+		{settingsWith("categories.1.name", "b"), true, false},
+		{settingsWith("categories.0.name", nil), true, false},
+		{settingsWith("extra.classStretch.0", 3.0), true, false},
+		{settingsWith("bounds.maxPushes", 4.0), true, false},
+		{settingsWith("step", 6.0), false, true},
+		{settingsWith("step", nil), false, true},
+		{settingsWith("more", 1.0), false, true},
+		{settingsWith("step", 6.0, "bounds.maxPushes", nil), true, true},
+	} {
+		if reload, restart := bootstrapOf(c.settings).CompareSettings(bootstrapOf(settingsWith())); reload !=
+			c.reload || restart != c.restart {
+			t.Errorf("%v: reload %v, restart %v", c.settings, reload, restart)
 		}
 	}
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -13,18 +13,18 @@
 const (
 	maxSchedulers      = 4096
 	maxCategories      = 2048
-	maxPushes          = 1000 // of one op
+	maxPushes          = 1000 // attempts of one op
 	maxDuration        = 24 * time.Hour
 	maxConnectionPrice = 1000
 )
 
-// settingsPath precedes the key of a setting in the path within the file.
-const settingsPath = "settings."
+// settingsPathPrefix is the prefix of a setting's key in its path within the file.
+const settingsPathPrefix = "settings."
 
-// shadowPath precedes the path of a setting or of the keys of Shadow.
-const shadowPath = "watch."
+// shadowPathPrefix is the prefix of the paths within the file of Shadow's keys.
+const shadowPathPrefix = "watch."
 
-// checkRequired checks what no scheduler serves without.
+// checkRequired checks that the required keys are present.
 func (s *Bootstrap) checkRequired() error {
 	var errs []error
 	if s.Listen == "" {
@@ -34,7 +34,7 @@
 		errs = append(errs, missing("discovery"))
 	}
 	if s.Settings[ItemKey(KeyCategories, 0, KeyCategoryTTL)] == nil {
-		key := settingsPath + ItemKey(KeyCategories, 0, KeyCategoryTTL) + nanosecondsSuffix
+		key := settingsPathPrefix + ItemKey(KeyCategories, 0, KeyCategoryTTL) + nanosecondsSuffix
 		errs = append(errs, &ConfigError{Key: key, Problem: "is missing or not a number"})
 	}
 	return errors.Join(errs...)
@@ -54,14 +54,16 @@
 	return errors.Join(errs...)
 }
 
-// checkCategories checks the durations and counts without which no op can be kept to its rules. It reads
-// the nested settings, since the flat ones have lost what is no object or no number.
+// checkCategories checks the number of categories, their durations and the maximum number of attempts,
+// without which the rules of ops can't be enforced. It reads the nested settings, since the flat settings do
+// not show which values are neither objects nor numbers.
 func (s *Bootstrap) checkCategories() error {
 	var errs []error
 	categories, _ := s.RawSettings["categories"].([]any)
 	if len(categories) > maxCategories {
 		const problem = "must have at most %d entries"
-		errs = append(errs, invalid(settingsPath+KeyCategories, len(categories), problem, maxCategories))
+		errs = append(errs,
+			invalid(settingsPathPrefix+KeyCategories, len(categories), problem, maxCategories))
 	}
 	for i, entry := range categories {
 		category, _ := entry.(map[string]any)
@@ -73,14 +75,14 @@
 	if value, exists := bounds["maxPushes"]; exists {
 		number, ok := value.(float64)
 		if !ok || number < 1 || number > maxPushes {
-			err := invalid(settingsPath+KeyMaxPushes, value, "must be a number from 1 to %d", maxPushes)
+			err := invalid(settingsPathPrefix+KeyMaxPushes, value, "must be a number from 1 to %d", maxPushes)
 			errs = append(errs, err)
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// checkDuration checks a duration in nanoseconds, which may be missing.
+// checkDuration checks a duration in nanoseconds. The duration may be missing.
 func checkDuration(object map[string]any, key, path string) error {
 	value, exists := object[key]
 	if !exists {
@@ -91,12 +93,12 @@
 		return nil
 	}
 	const problem = "must be a number above 0 and at most %d"
-	return invalid(settingsPath+path, value, problem, maxDuration.Nanoseconds())
+	return invalid(settingsPathPrefix+path, value, problem, maxDuration.Nanoseconds())
 }
 
-// applyOptions checks the optional parts and adds what they mean to the settings.
+// applyOptions checks the optional parts and sets the keys of the settings that are derived from them.
 func (s *Bootstrap) applyOptions() error {
-	if err := errors.Join(checkDeployment(s.Settings, settingsPath), s.Keys.check("")); err != nil {
+	if err := errors.Join(checkDeployment(s.Settings, settingsPathPrefix), s.Keys.check("")); err != nil {
 		return err
 	}
 	if s.Keys != nil {
@@ -105,7 +107,7 @@
 	s.Settings[KeyAffinity] = s.Keys != nil
 	s.Settings[KeyMachineKinds] = s.LearnMachineKinds
 	if s.Peers == nil {
-		// Decisions would take the silence of the other schedulers for idle workers.
+		// Otherwise decisions would treat missing peer reports as idle workers.
 		s.Settings[KeyPeerMessages] = false
 	} else if err := s.applyPeers(); err != nil {
 		return err
@@ -123,12 +125,12 @@
 	return s.Peers.parse(s.Settings)
 }
 
-// parse parses the addresses and the numbers of schedulers.
+// parse parses the addresses and the numbers of the other schedulers.
 func (p *Peers) parse(settings Settings) error {
-	const wantedAddress = "must be an IP address with a port"
+	const addressProblem = "must be an IP address with a port"
 	var err error
 	if p.ListenAddr, err = netip.ParseAddrPort(p.Listen); err != nil {
-		return &ConfigError{Key: "peers.listen", Problem: wantedAddress, Value: p.Listen, Err: err}
+		return &ConfigError{Key: "peers.listen", Problem: addressProblem, Value: p.Listen, Err: err}
 	}
 	schedulers, _ := settings.Number(KeyInstances)
 	p.ByNumber = map[int]netip.AddrPort{}
@@ -140,7 +142,7 @@
 			return invalid(key, name, problem, schedulers)
 		}
 		if p.ByNumber[number], err = netip.ParseAddrPort(address); err != nil {
-			return &ConfigError{Key: key, Problem: wantedAddress, Value: address, Err: err}
+			return &ConfigError{Key: key, Problem: addressProblem, Value: address, Err: err}
 		}
 	}
 	return nil
@@ -152,17 +154,17 @@
 	if keys := s.Shadow.Keys; keys != nil {
 		if s.AffinityFact != "" && s.AffinityFact != keys.Fact {
 			const problem = "must be %q, from which keys are read already"
-			return invalid(shadowPath+"keys.fact", keys.Fact, problem, s.AffinityFact)
+			return invalid(shadowPathPrefix+"keys.fact", keys.Fact, problem, s.AffinityFact)
 		}
 		s.AffinityFact = keys.Fact
 		s.ShadowSettings[KeyAffinity] = true
 	}
 	return errors.Join(
-		checkDeployment(s.ShadowSettings, shadowPath+settingsPath),
-		s.Shadow.Keys.check(shadowPath))
+		checkDeployment(s.ShadowSettings, shadowPathPrefix+settingsPathPrefix),
+		s.Shadow.Keys.check(shadowPathPrefix))
 }
 
-// reservedFacts are facts of an op that say what it needs of a worker; they can't be an affinity key.
+// reservedFacts are facts that say which resources of a worker an op needs. They can't be an affinity key.
 var reservedFacts = []string{"slots", "memory"}
 
 func (k *Keys) check(path string) error {
@@ -175,7 +177,7 @@
 	return nil
 }
 
-// checkDeployment checks the settings that say how many schedulers there are and what is between them.
+// checkDeployment checks the settings for the number of schedulers, their connections and peer reports.
 func checkDeployment(settings Settings, path string) error {
 	err := errors.Join(
 		checkNumber(settings, path, KeyConnectionPrice, 0, maxConnectionPrice),
@@ -196,7 +198,7 @@
 	return nil
 }
 
-// checkNumber checks a number, which may be missing.
+// checkNumber checks that a number is within bounds. The number may be missing.
 func checkNumber(settings Settings, path, key string, lower, upper float64) error {
 	value, exists := settings[key]
 	if !exists {
@@ -208,7 +210,7 @@
 	return invalid(path+key, value, "must be a number from %g to %g", lower, upper)
 }
 
-// checkWholeNumber checks a number without a fraction, which may be missing.
+// checkWholeNumber checks that a number is whole and within bounds. The number may be missing.
 func checkWholeNumber(settings Settings, path, key string, lower, upper float64) error {
 	if err := checkNumber(settings, path, key, lower, upper); err != nil {
 		return err
--- a/internal/lifecycle/boottime/boottime.go
+++ b/internal/lifecycle/boottime/boottime.go
@@ -1,7 +1,7 @@
-// Package boottime reads the time since the machine was started. That clock goes on while a process is
-// stopped and while the machine sleeps, can't be set, and is the same for all processes of the machine.
-// So moments that pass from one process to another, or are persisted, refer to it; the wall clock may be
-// stepped at any time.
+// Package boottime reads the time since the machine was started. That clock runs while a process is stopped
+// and while the machine sleeps, can't be set, and is the same for all processes of the machine. Times that
+// are sent to another process or persisted are therefore relative to it. The wall clock may be stepped at any
+// time.
 package boottime
 
 import (
@@ -13,14 +13,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Reading is a moment, which is comparable with those of the same start of the machine.
+// Reading is a point in time. It can be compared with readings of the same boot.
 type Reading struct {
-	BootID    string // names the start of the machine; empty where the system does not say
+	BootID    string // identifies the boot; empty if the system does not report it
 	SinceBoot time.Duration
 }
 
-// After returns how long after an earlier reading this one was taken. It returns false where that is
-// unknown: the machine was started in between.
+// After returns the time from an earlier reading to this one. It returns false if that time is unknown,
+// because the machine was started in between or the earlier reading is ahead of this one.
 func (r Reading) After(earlier Reading) (time.Duration, bool) {
 	if r.BootID == "" || r.BootID != earlier.BootID || r.SinceBoot < earlier.SinceBoot {
 		return 0, false
@@ -28,8 +28,8 @@
 	return r.SinceBoot - earlier.SinceBoot, true
 }
 
-// Since returns the time since the machine was started. A system without that clock has its monotonic
-// clock read.
+// Since returns the time since the machine was started. On a system without that clock it reads the monotonic
+// clock.
 func Since() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
@@ -38,7 +38,7 @@
 	return time.Duration(now.Nano())
 }
 
-// bootID is the kernel's name for this start of the machine.
+// bootID returns the kernel's identifier of this boot.
 var bootID = sync.OnceValue(func() string {
 	text, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
@@ -47,5 +47,5 @@
 	return strings.TrimSpace(string(text))
 })
 
-// Now returns a reading of this moment.
+// Now returns the current reading.
 func Now() Reading { return Reading{BootID: bootID(), SinceBoot: Since()} }
--- a/internal/lifecycle/boottime/boottime_test.go
+++ b/internal/lifecycle/boottime/boottime_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Between two starts of the machine, or with a clock that went back, nothing is known of how long it
-// was.
-func TestHowLongIsKnownWithinOneStartAlone(t *testing.T) {
+// The time between two readings is unknown if the machine was started in between, or the earlier reading is
+// ahead of the later one.
+func TestElapsedTimeIsKnownOnlyWithinOneBoot(t *testing.T) {
 	at := Reading{"a", 5 * time.Second}
 	for _, c := range []struct {
-		before Reading
-		want   time.Duration
-		known  bool
+		earlier Reading
+		want    time.Duration
+		known   bool
 	}{
 		{Reading{"a", 2 * time.Second}, 3 * time.Second, true},
 		{Reading{"a", 5 * time.Second}, 0, true},
@@ -20,19 +20,19 @@
 		{Reading{"b", 2 * time.Second}, 0, false},
 		{Reading{"", 2 * time.Second}, 0, false},
 	} {
-		if got, known := at.After(c.before); got != c.want || known != c.known {
-			t.Errorf("%v after %v: %v, %v", at, c.before, got, known)
+		if got, known := at.After(c.earlier); got != c.want || known != c.known {
+			t.Errorf("%v after %v: %v, %v", at, c.earlier, got, known)
 		}
 	}
 	if _, known := (Reading{"", 2}).After(Reading{"", 1}); known {
-		t.Error("two starts that can't be told apart are taken for one")
+		t.Error("readings without a boot ID are treated as readings of the same boot")
 	}
 }
 
-func TestTheMachinesClockGoesOn(t *testing.T) {
+func TestReadingsAdvance(t *testing.T) {
 	first := Now()
 	time.Sleep(time.Millisecond)
-	if span, known := Now().After(first); first.BootID != "" && (!known || span < time.Millisecond || span > time.Minute) {
-		t.Errorf("%v, %v", span, known)
+	if elapsed, known := Now().After(first); first.BootID != "" && (!known || elapsed < time.Millisecond || elapsed > time.Minute) {
+		t.Errorf("elapsed %v, known %v", elapsed, known)
 	}
 }
--- a/internal/lifecycle/clientdrain/clientdrain.go
+++ b/internal/lifecycle/clientdrain/clientdrain.go
@@ -1,34 +1,36 @@
-// Package clientdrain decides how a scheduler that goes on running sends its clients to other schedulers
-// when an operator asks for it, and how it readmits them. It does no input or output and reads no clock.
+// Package clientdrain decides how a scheduler moves its clients to other schedulers while it keeps running,
+// and how it admits them again. An operator starts and ends such a client drain. The package does no input or
+// output and reads no clock.
 package clientdrain
 
 import "time"
 
-// Moments of a drain, from its start.
+// Times of the phases of a client drain, from its start.
 const (
-	// detectionTime is when every load balancer has seen the failing health check and sends no more
-	// clients: it polls ten times a second, and goes on sending for 0.2 s after the first failure.
+	// detectionTime is when every load balancer has seen the failing health check and has stopped sending
+	// clients. Load balancers poll ten times a second, and send clients for 0.2 s after the first failure.
 	detectionTime = time.Second / 2
 
-	// closeTime is when all idle connections are closed. Closing begins at detectionTime and is spread
-	// until then: all at once, the clients would reach the other schedulers in one burst.
+	// closeTime is when all idle connections are closed. The closes are spread between detectionTime and
+	// closeTime: if all were made together, the clients would reach the other schedulers in one burst.
 	closeTime = 3 * time.Second / 2
 
-	// admissionTime is when ops are rejected. Four seconds after the start no connection may have had an
-	// op in the last two; 0.1 s is for an op's way to here.
+	// admissionTime is when the scheduler begins to reject ops. Four seconds after the start, no connection
+	// may have had an op in the last two seconds. The remaining 0.1 s is for the delivery of an op.
 	admissionTime = 19 * time.Second / 10
 )
 
-// minIdleTime is how long a connection has been idle when no request of a busy client can be on its way.
+// minIdleTime is how long a connection must have been idle to be closed. After that time no request of a busy
+// client can be on its way.
 const minIdleTime = time.Second / 4
 
-// State is whether clients are being drained. The zero value admits all.
+// State says whether clients are being drained. The zero value admits all ops.
 type State struct {
 	draining  bool
 	startedAt time.Time
 }
 
-// Start begins a drain. A drain that has begun goes on.
+// Start begins a drain. It has no effect during a drain.
 func (s *State) Start(now time.Time) {
 	if !s.draining {
 		s.draining = true
@@ -39,16 +41,17 @@
 // Cancel ends the drain.
 func (s *State) Cancel() { s.draining = false }
 
-// Draining tells whether clients are being drained: health checks fail, and each answer ends its connection.
+// Draining reports whether clients are being drained. During a drain, health checks fail and each connection
+// is closed after an answer.
 func (s *State) Draining() bool { return s.draining }
 
-// Admits tells whether an op that arrives now is admitted. The client of one that is not may retry elsewhere.
+// Admits reports whether an op that arrives now is admitted. The client of a rejected op may retry elsewhere.
 func (s *State) Admits(now time.Time) bool {
 	return !s.draining || now.Sub(s.startedAt) < admissionTime
 }
 
-// ConnectionsToClose is how many of the idle connections to close now, those first that have been idle
-// longest, and how long each must have been idle. It is asked again after each interval.
+// ConnectionsToClose returns how many of the idle connections to close now, beginning with the longest idle,
+// and how long each must have been idle. The caller calls it once in each interval.
 func (s *State) ConnectionsToClose(
 	now time.Time, idle int, interval time.Duration,
 ) (count int, minIdle time.Duration) {
--- a/internal/lifecycle/hotrestart/format.go
+++ b/internal/lifecycle/hotrestart/format.go
@@ -6,24 +6,24 @@
 	"fmt"
 )
 
-// formatVersion is the version of State and Request. A process hands nothing over to one that reads
-// another version.
+// formatVersion is the version of State and Request. A process rejects messages of another version, so
+// processes with different versions hand nothing over.
 const formatVersion = 3
 
-// Errors that refuse a handover.
+// Errors for which a handover is refused.
 var (
 	ErrOtherDeployment = errors.New("handover: both discovery and the settings differ: another deployment")
 	ErrNoDescriptors   = errors.New("handover: no descriptors left for the successor")
 )
 
-// VersionError is a message of a build with another format.
+// VersionError reports a message of a build with another format version.
 type VersionError struct{ Got, Want int }
 
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("handover: version %d, this process reads %d", e.Got, e.Want)
 }
 
-// MismatchError is a request of another scheduler.
+// MismatchError reports a request of another scheduler.
 type MismatchError struct{ Field, Successor, Predecessor string }
 
 func (e *MismatchError) Error() string {
@@ -38,8 +38,8 @@
 	return text, nil
 }
 
-// decode reads a message of formatVersion alone. version is the field of the message that has its
-// version.
+// decode decodes a message and checks that its version is formatVersion. version points to the message's
+// version field.
 func decode(text []byte, message any, version *int) error {
 	if err := json.Unmarshal(text, message); err != nil {
 		return fmt.Errorf("handover: %w", err)
--- a/internal/lifecycle/hotrestart/golden_test.go
+++ b/internal/lifecycle/hotrestart/golden_test.go
@@ -8,17 +8,17 @@
 	"woaddyke/internal/testsupport/golden"
 )
 
-// Guards the bytes of the state that a running process of another build sends to, or reads from, this
-// one during a handover.
+// Guards the bytes of the state, which processes of other builds send and read during a handover.
 func TestStateKeepsItsForm(t *testing.T) {
 	state := filled.Value[State](t)
 	state.Version = 3
 	requireGoldenState(t, "testdata/state_ended.json.golden", state)
-	state.EndedProcesses = nil // as of builds that do not know it
+	state.EndedProcesses = nil // as sent by builds without the field
 	requireGoldenState(t, "testdata/state.json.golden", state)
 }
 
-// requireGoldenState fails the test unless a state is written as the file has it, and read back as it is.
+// requireGoldenState fails the test unless a state is encoded as the content of the file and decoded
+// unchanged.
 func requireGoldenState(t *testing.T, path string, state State) {
 	t.Helper()
 	text, err := state.Encode()
@@ -35,11 +35,11 @@
 	}
 }
 
-// Guards the bytes of the request for a handover that processes of other builds send and read.
-func TestAskerKeepsItsForm(t *testing.T) {
-	asker := filled.Value[Request](t)
-	asker.Version = 3
-	text, err := asker.Encode()
+// Guards the bytes of a request, which processes of other builds send and read.
+func TestRequestKeepsItsForm(t *testing.T) {
+	request := filled.Value[Request](t)
+	request.Version = 3
+	text, err := request.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(read, asker) {
-		t.Errorf("read %+v, want %+v", read, asker)
+	if !reflect.DeepEqual(read, request) {
+		t.Errorf("read %+v, want %+v", read, request)
 	}
 }
--- a/internal/lifecycle/hotrestart/hotrestart.go
+++ b/internal/lifecycle/hotrestart/hotrestart.go
@@ -1,6 +1,6 @@
-// Package hotrestart has the messages between a process and its successor, which serves beside it for a
-// while, and the rules by which the two share what only one may use. It does no input or output; package
-// transfer carries the messages.
+// Package hotrestart has the messages of a hot restart between a process and its successor, and the rules by
+// which the two share resources. Both processes serve for a while. The package does no input or output;
+// package transfer carries the messages.
 package hotrestart
 
 import (
@@ -8,38 +8,40 @@
 	"time"
 )
 
-// State is what a predecessor hands over beside its sockets: what its successor can't read in the
-// configuration.
+// State is the data that a predecessor hands over along with its sockets. The successor can't read it from
+// the configuration.
 type State struct {
 	Version int `json:"version"`
 
-	// Sockets is how many descriptors the successor may use until the predecessor has ended.
+	// Sockets is the number of descriptors that the successor may use until the predecessor has ended.
 	Sockets int `json:"sockets"`
-	// ClockOffset is that of the predecessor's clock, to which all moments refer; see clock.Clock.
+	// ClockOffset is the offset of the predecessor's clock, to which all times in the state refer; see
+	// clock.Clock.
 	ClockOffset time.Duration `json:"offset"`
 
-	KnownWorkers json.RawMessage `json:"known"`   // the endpoint list in discovery's form
-	WorkerStarts json.RawMessage `json:"starts"`  // of discovery.StartTimes
-	Learned      json.RawMessage `json:"learned"` // of the reducer; empty where it could not be asked
+	KnownWorkers json.RawMessage `json:"known"`   // the endpoint list, in discovery's format
+	WorkerStarts json.RawMessage `json:"starts"`  // the state of discovery.StartTimes
+	Learned      json.RawMessage `json:"learned"` // learned state of the reducer; empty if it did not answer
 
-	// ClientsDrained tells whether operators have drained the clients.
+	// ClientsDrained says whether an operator has started a client drain.
 	ClientsDrained bool `json:"drained"`
-	// Successions counts the hot restarts in a row before this one, for replication.
+	// Successions is the number of consecutive hot restarts before this one, for replication.
 	Successions uint64 `json:"heirs"`
-	// Membership is the state of the mesh, whose two sockets come last; empty where there is none.
+	// Membership is the state of the mesh, empty if there is no mesh. The two sockets of the mesh are the
+	// last ones that are handed over.
 	Membership []byte `json:"members"`
-	// EndedProcesses is of replication: which processes before the predecessor have ended. Older builds do not
-	// send it.
+	// EndedProcesses says, for replication, which processes before the predecessor have ended. Older builds
+	// do not send it.
 	EndedProcesses json.RawMessage `json:"ended,omitempty"`
 }
 
-// Encode returns the message with the state.
+// Encode returns the state as a message.
 func (s State) Encode() ([]byte, error) {
 	s.Version = formatVersion
 	return encode(s)
 }
 
-// DecodeState reads the message with a state.
+// DecodeState decodes a message with a state.
 func DecodeState(message []byte) (State, error) {
 	var s State
 	if err := decode(message, &s, &s.Version); err != nil {
--- a/internal/lifecycle/hotrestart/hotrestart_test.go
+++ b/internal/lifecycle/hotrestart/hotrestart_test.go
@@ -5,35 +5,36 @@
 	"testing"
 )
 
-// Half a message, or one of another build, must leave the second process to start as if it were alone.
-func TestWhatCanNotBeReadIsNoState(t *testing.T) {
-	whole, err := State{Sockets: 288, KnownWorkers: []byte(`{"rev":7}`)}.Encode()
+// A truncated state, or one of another version, must be rejected. The successor then starts without a
+// handover.
+func TestAnUnreadableStateIsRejected(t *testing.T) {
+	complete, err := State{Sockets: 288, KnownWorkers: []byte(`{"rev":7}`)}.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s, err := DecodeState(whole); err != nil || s.Sockets != 288 || string(s.KnownWorkers) != `{"rev":7}` {
+	if s, err := DecodeState(complete); err != nil || s.Sockets != 288 || string(s.KnownWorkers) != `{"rev":7}` {
 		t.Errorf("%+v, %v", s, err)
 	}
-	for _, text := range []string{"", string(whole[:len(whole)/2]), `{"version":4,"sockets":9}`, `{"version":2,"sockets":9}`, `{"version":3}`, `[]`} {
+	for _, text := range []string{"", string(complete[:len(complete)/2]), `{"version":4,"sockets":9}`, `{"version":2,"sockets":9}`, `{"version":3}`, `[]`} {
 		if _, err := DecodeState([]byte(text)); err == nil {
-			t.Errorf("%q was read", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 }
 
-// Both processes together may hold no more than one scheduler.
-func TestDescriptorsAreParted(t *testing.T) {
+// Both processes together may use no more descriptors than one scheduler, and each gets as many as it needs.
+func TestDescriptorsAreSplitWithinTheTotal(t *testing.T) {
 	for _, c := range [][4]int{{384, 70 - 32, 32, 192}, {384, 250 - 32, 32, 250}, {384, 380 - 32, 32, 272}, {64, 0, 32, 32}, {128, 90, 36, 78},
 		{128, 90, 73, 64}, {129, 0, 73, 64}} {
 		predecessor, successor := SplitDescriptors(c[0], c[1], c[2])
 		if predecessor != c[3] || predecessor+successor != c[0] ||
 			successor < min(c[2], c[0]/2) || predecessor < min(c[2], c[0]/2) {
-			t.Errorf("%d with %d held, %d needed: %d and %d", c[0], c[1], c[2], predecessor, successor)
+			t.Errorf("%d with %d in use, %d needed per process: split into %d and %d", c[0], c[1], c[2], predecessor, successor)
 		}
 	}
 }
 
-// Whatever comes over the line is a state that can be sent on as it is, or an error.
+// Any message is decoded to a state that can be encoded again unchanged, or is rejected.
 func FuzzState(f *testing.F) {
 	f.Add([]byte(`{"version":3,"sockets":288,"known":{"rev":7},"drained":true}`))
 	f.Add([]byte(`{"version":3,"sockets":1e99}`))
@@ -48,18 +49,18 @@
 			t.Fatal(err)
 		}
 		if s2, err := DecodeState(again); err != nil || s2.Sockets != s.Sockets || s2.ClientsDrained != s.ClientsDrained {
-			t.Errorf("%q came through as %+v, %v", text, s2, err)
+			t.Errorf("%q was decoded again as %+v, %v", text, s2, err)
 		}
 	})
 }
 
-// One customer's scheduler must not take up another's: its listening socket, workers, ids and what was
-// learned of them.
-func TestOnlyAReplacementMayTakeOver(t *testing.T) {
-	was := Request{Name: "n1", Listen: "127.0.0.1:9000", Discovery: "127.0.0.1:8500", Settings: 7}
-	for name, x := range map[string]struct {
-		change func(*Request)
-		may    bool
+// A scheduler of one deployment must not take over the listening socket, workers, ids and learned state of
+// another deployment's scheduler.
+func TestARequestOfAnotherSchedulerIsRejected(t *testing.T) {
+	predecessor := Request{Name: "n1", Listen: "127.0.0.1:9000", Discovery: "127.0.0.1:8500", Settings: 7}
+	for name, c := range map[string]struct {
+		change   func(*Request)
+		accepted bool
 	}{
 		"the same":            {func(*Request) {}, true},
 		"other settings":      {func(a *Request) { a.Settings++ }, true},
@@ -68,9 +69,9 @@
 		"another name":        {func(a *Request) { a.Name = "n2" }, false},
 		"another address":     {func(a *Request) { a.Listen += "1" }, false},
 	} {
-		now := was
-		x.change(&now)
-		text, err := now.Encode()
+		successor := predecessor
+		c.change(&successor)
+		text, err := successor.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -78,18 +79,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if no := read.CheckSuccessorOf(was); (no == nil) != x.may {
-			t.Errorf("%s: %v", name, no)
+		if err := read.CheckSuccessorOf(predecessor); (err == nil) != c.accepted {
+			t.Errorf("%s: error %v", name, err)
 		}
-		for _, torn := range []string{string(text[:len(text)/2]), `{"version":1,"name":"n1"}`, ""} {
-			if _, err := DecodeRequest([]byte(torn)); err == nil {
-				t.Errorf("%q was read", torn)
+		for _, malformed := range []string{string(text[:len(text)/2]), `{"version":1,"name":"n1"}`, ""} {
+			if _, err := DecodeRequest([]byte(malformed)); err == nil {
+				t.Errorf("%q was accepted", malformed)
 			}
 		}
 	}
 }
 
-// Who reads the log has to tell another build from another scheduler, and both from another deployment.
+// The error must distinguish another version, another scheduler and another deployment, since operators read
+// it in the log.
 func TestRefusalsAreTyped(t *testing.T) {
 	var version *VersionError
 	if _, err := DecodeRequest([]byte(`{"version":2}`)); !errors.As(err, &version) || *version != (VersionError{Got: 2, Want: 3}) {
--- a/internal/lifecycle/hotrestart/request.go
+++ b/internal/lifecycle/hotrestart/request.go
@@ -1,22 +1,22 @@
 package hotrestart
 
-// Request is a successor's request for a handover. It says which scheduler the successor is, so that a
-// predecessor can compare itself.
+// Request is a successor's request for a handover. It identifies the successor's scheduler, so that the
+// predecessor can check that both are the same.
 type Request struct {
 	Version   int    `json:"version"`
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	Settings  uint64 `json:"settings"` // their hash, without what differs between schedulers
+	Settings  uint64 `json:"settings"` // hash of the settings that all schedulers share
 }
 
-// Encode returns the message with the request.
+// Encode returns the request as a message.
 func (r Request) Encode() ([]byte, error) {
 	r.Version = formatVersion
 	return encode(r)
 }
 
-// DecodeRequest reads the message with a request.
+// DecodeRequest decodes a message with a request.
 func DecodeRequest(message []byte) (Request, error) {
 	var r Request
 	if err := decode(message, &r, &r.Version); err != nil {
@@ -25,10 +25,10 @@
 	return r, nil
 }
 
-// CheckSuccessorOf checks that the process that makes this request may take the place of another: it must
-// be the same scheduler at the same address, with the same discovery or the same settings. A successor
-// may bring other settings, or start after discovery has moved. With both it belongs to another
-// deployment, which must not get this one's clients, workers and ids.
+// CheckSuccessorOf checks that the sender of this request may replace the predecessor. It must be the same
+// scheduler at the same address, with the same discovery address or the same settings. A successor may have
+// other settings, or start after discovery has moved. If both differ it belongs to another deployment, which
+// must not get the clients, workers and ids of this one.
 func (r Request) CheckSuccessorOf(predecessor Request) error {
 	switch {
 	case r.Name != predecessor.Name:
--- a/internal/lifecycle/hotrestart/transfer/message.go
+++ b/internal/lifecycle/hotrestart/transfer/message.go
@@ -12,76 +12,77 @@
 	"golang.org/x/sys/unix"
 )
 
-// A request and a state are each sent as their length and their bytes. The sockets come with the first
-// bytes of the state's length.
+// A request and a state are each sent as a length and that many bytes. The sockets are sent with the bytes of
+// the state's length.
 const (
 	lengthSize      = 4 // bytes of a length, big endian
 	descriptorSize  = 4 // bytes of a descriptor in a control message
-	maxSockets      = 4 // that come with one state
+	maxSockets      = 4 // sockets with one state
 	maxRequestBytes = 64 << 10
 
-	// maxStateBytes is twice 24 MB learned of 12,600 workers and 12 MiB of ids, lists and members.
+	// maxStateBytes is almost twice the largest expected state: 24 MB learned of 12,600 workers, twice the
+	// planned number, and 12 MiB of ids, endpoint lists and members.
 	maxStateBytes = 64 << 20
 )
 
-// SizeError is a message whose length is over the bound.
+// SizeError reports a message whose length is over the limit.
 type SizeError struct {
-	Message    string // "request" or "state"
-	Size, Most uint32 // bytes
+	Message   string // "request" or "state"
+	Size, Max uint32 // bytes
 }
 
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("a %s of %d bytes, at most %d are read", e.Message, e.Size, e.Most)
+	return fmt.Sprintf("%s of %d bytes exceeds the limit of %d", e.Message, e.Size, e.Max)
 }
 
-// UserError is a process of another user at the other end.
+// UserError reports that the other process belongs to another user.
 type UserError struct{ UID uint32 }
 
-func (e *UserError) Error() string { return fmt.Sprintf("the other process is of user %d", e.UID) }
+func (e *UserError) Error() string { return fmt.Sprintf("the other process belongs to user %d", e.UID) }
 
 // writeRequest sends a successor's request.
-func writeRequest(line *retryConn, request []byte) error {
-	line.SetDeadline(time.Now().Add(sendTimeout))
+func writeRequest(conn *retryConn, request []byte) error {
+	conn.SetDeadline(time.Now().Add(sendTimeout))
 	length := binary.BigEndian.AppendUint32(nil, uint32(len(request)))
-	_, err := line.Write(append(length, request...))
+	_, err := conn.Write(append(length, request...))
 	return err
 }
 
 // readRequest receives a successor's request.
-func readRequest(line *retryConn) ([]byte, error) {
-	line.SetDeadline(time.Now().Add(sendTimeout))
+func readRequest(conn *retryConn) ([]byte, error) {
+	conn.SetDeadline(time.Now().Add(sendTimeout))
 	var header [lengthSize]byte
-	if _, err := io.ReadFull(line, header[:]); err != nil {
+	if _, err := io.ReadFull(conn, header[:]); err != nil {
 		return nil, err
 	}
 	length := binary.BigEndian.Uint32(header[:])
 	if length > maxRequestBytes {
-		return nil, &SizeError{Message: "request", Size: length, Most: maxRequestBytes}
+		return nil, &SizeError{Message: "request", Size: length, Max: maxRequestBytes}
 	}
 	request := make([]byte, length)
-	_, err := io.ReadFull(line, request)
+	_, err := io.ReadFull(conn, request)
 	return request, err
 }
 
 // writeHandover sends a state and the sockets.
-func writeHandover(line *retryConn, state []byte, sockets []syscall.Conn) error {
+func writeHandover(conn *retryConn, state []byte, sockets []syscall.Conn) error {
 	descriptors, err := descriptorsOf(sockets)
 	if err != nil {
 		return err
 	}
-	line.SetDeadline(time.Now().Add(sendTimeout))
+	conn.SetDeadline(time.Now().Add(sendTimeout))
 	length := binary.BigEndian.AppendUint32(nil, uint32(len(state)))
-	if err := line.writeRights(length, unix.UnixRights(descriptors...)); err != nil {
+	if err := conn.writeRights(length, unix.UnixRights(descriptors...)); err != nil {
 		return err
 	}
-	if _, err := line.Write(state); err != nil {
+	if _, err := conn.Write(state); err != nil {
 		return err
 	}
-	return line.SetDeadline(time.Time{})
+	return conn.SetDeadline(time.Time{})
 }
 
-// descriptorsOf returns the numbers of the sockets' descriptors. Duplicates, such as File returns, would
-// set the sockets to blocking for both processes.
+// descriptorsOf returns the descriptors of the sockets. It does not duplicate them with File, which would
+// make the sockets blocking for both processes.
 func descriptorsOf(sockets []syscall.Conn) (descriptors []int, err error) {
 	for _, socket := range sockets {
 		raw, err := socket.SyscallConn()
@@ -95,19 +96,18 @@
 	return descriptors, nil
 }
 
-// readHandover receives a state and the sockets. Without an error the handover's files are the caller's
-// to close.
-func readHandover(line *retryConn) (*Handover, error) {
-	if err := checkSameUser(line); err != nil {
+// readHandover receives a state and the sockets. If it succeeds, the caller must close the handover's files.
+func readHandover(conn *retryConn) (*Handover, error) {
+	if err := checkSameUser(conn); err != nil {
 		return nil, err
 	}
-	line.SetDeadline(time.Now().Add(receiveTimeout))
-	handover := &Handover{PredecessorEnded: make(chan struct{}), conn: line}
+	conn.SetDeadline(time.Now().Add(receiveTimeout))
+	handover := &Handover{PredecessorEnded: make(chan struct{}), conn: conn}
 	if err := handover.read(); err != nil {
 		handover.closeFiles()
 		return nil, err
 	}
-	return handover, line.SetDeadline(time.Time{})
+	return handover, conn.SetDeadline(time.Time{})
 }
 
 func (h *Handover) read() error {
@@ -128,14 +128,14 @@
 		return ErrRefused
 	}
 	if length > maxStateBytes {
-		return &SizeError{Message: "state", Size: length, Most: maxStateBytes}
+		return &SizeError{Message: "state", Size: length, Max: maxStateBytes}
 	}
 	h.State = make([]byte, length)
 	_, err = io.ReadFull(h.conn, h.State)
 	return err
 }
 
-// openFiles takes the descriptors of a control message over.
+// openFiles adds the descriptors of a control message to the handover's files.
 func (h *Handover) openFiles(rights []byte) error {
 	messages, err := unix.ParseSocketControlMessage(rights)
 	if err != nil {
@@ -154,15 +154,16 @@
 	return nil
 }
 
-// waitForEnd returns when the other process has ended or has closed the connection. It sends nothing
-// more.
-func waitForEnd(line *retryConn) {
-	io.Copy(io.Discard, line) // an error is an end as well
+// waitForEnd returns when the other process has ended or has closed the connection. The other process sends
+// nothing more.
+func waitForEnd(conn *retryConn) {
+	io.Copy(io.Discard, conn) // an error also means the end
 }
 
-// checkSameUser keeps other users of the machine from taking a socket and from handing one over.
-func checkSameUser(line *retryConn) error {
-	raw, err := line.SyscallConn()
+// checkSameUser checks that the other process belongs to the same user, so that other users of the machine
+// can neither receive nor hand over sockets.
+func checkSameUser(conn *retryConn) error {
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return err
 	}
--- a/internal/lifecycle/hotrestart/transfer/retryconn.go
+++ b/internal/lifecycle/hotrestart/transfer/retryconn.go
@@ -6,28 +6,28 @@
 	"woaddyke/internal/base/oserror"
 )
 
-// retryConn is the connection between a predecessor and its successor. Each takes the end of the
-// connection for the other's end, so a call that fails for want of something on this machine is repeated,
-// and never taken for it.
+// retryConn is the connection between a predecessor and its successor. Each process treats the end of the
+// connection as the end of the other process. So a call that fails because this machine lacks a resource is
+// retried and not treated as the end of the connection.
 type retryConn struct{ *net.UnixConn }
 
-func (l *retryConn) Read(b []byte) (int, error) { return oserror.Read(l.UnixConn.Read, b) }
+func (c *retryConn) Read(b []byte) (int, error) { return oserror.Read(c.UnixConn.Read, b) }
 
-func (l *retryConn) Write(b []byte) (int, error) { return oserror.Write(l.UnixConn.Write, b) }
+func (c *retryConn) Write(b []byte) (int, error) { return oserror.Write(c.UnixConn.Write, b) }
 
-// readRights reads bytes, and the descriptors that come with the first of them.
-func (l *retryConn) readRights(b, rights []byte) (n, ofRights int, err error) {
+// readRights reads bytes, and the control message with the descriptors that arrives with the first byte.
+func (c *retryConn) readRights(b, rights []byte) (n, rightsLength int, err error) {
 	n, err = oserror.Read(func(b []byte) (n int, err error) {
-		n, ofRights, _, _, err = l.ReadMsgUnix(b, rights)
+		n, rightsLength, _, _, err = c.ReadMsgUnix(b, rights)
 		return n, err
 	}, b)
-	return n, ofRights, err
+	return n, rightsLength, err
 }
 
-// writeRights writes bytes, and descriptors with them.
-func (l *retryConn) writeRights(b, rights []byte) error {
+// writeRights writes bytes, and with them a control message with descriptors.
+func (c *retryConn) writeRights(b, rights []byte) error {
 	_, err := oserror.Write(func(b []byte) (int, error) {
-		n, _, err := l.WriteMsgUnix(b, rights, nil)
+		n, _, err := c.WriteMsgUnix(b, rights, nil)
 		return n, err
 	}, b)
 	return err
--- a/internal/lifecycle/hotrestart/transfer/serve.go
+++ b/internal/lifecycle/hotrestart/transfer/serve.go
@@ -14,16 +14,16 @@
 	"woaddyke/internal/base/oserror"
 )
 
-// Predecessor is a process that hands over. HandOver answers a successor's request; its error refuses it.
-// SetSuccessor says whether a successor is there. When the successor has ended, the path may be the
-// successor's: a process that wants to be asked again must serve again.
+// Predecessor is a process that hands over. HandOver answers a successor's request; an error refuses the
+// request. SetSuccessor is called when a successor is accepted and when it has ended. The successor may serve
+// at the path by then, so a process must call Serve again to receive further requests.
 type Predecessor interface {
 	HandOver(request []byte) (state []byte, sockets []syscall.Conn, err error)
 	SetSuccessor(present bool)
 }
 
-// Serve hands over to processes of the same user that ask at the path, one at a time, until the closer is
-// closed. It takes the place of the process that served there before.
+// Serve answers requests for a handover at the path, one at a time, until the returned closer is closed. It
+// accepts processes of the same user only, and replaces the process that served at the path before.
 func Serve(path string, predecessor Predecessor, log zerolog.Logger) (io.Closer, error) {
 	newPath := path + ".new"
 	if err := os.Remove(newPath); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	listener.SetUnlinkOnClose(false) // by then the path may be the successor's
+	listener.SetUnlinkOnClose(false) // the successor may serve at the path by then
 	if err := os.Rename(newPath, path); err != nil {
 		listener.Close()
 		return nil, fmt.Errorf("handover: %w", err)
@@ -44,7 +44,7 @@
 	return listener, nil
 }
 
-// acceptSuccessors hands over to one process after another until accept's socket is closed.
+// acceptSuccessors answers the requests of one process after another until accept's socket is closed.
 func acceptSuccessors(accept func() (*net.UnixConn, error), predecessor Predecessor, log zerolog.Logger) {
 	failures := 0 // in a row
 	for {
@@ -52,7 +52,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // such as no descriptor; the successor waits in the socket's queue
+		if err != nil { // for example EMFILE; the successor stays in the listen queue
 			failures++
 			time.Sleep(oserror.Backoff(failures))
 			continue
@@ -62,37 +62,37 @@
 	}
 }
 
-// serveSuccessor hands over and returns when the successor has ended.
-func serveSuccessor(line *retryConn, predecessor Predecessor, log zerolog.Logger) {
-	accepted, err := handOver(line, predecessor)
+// serveSuccessor answers one request, and returns when the successor has ended.
+func serveSuccessor(conn *retryConn, predecessor Predecessor, log zerolog.Logger) {
+	accepted, err := handOver(conn, predecessor)
 	if err != nil {
 		log.Warn().Err(err).Msg("handover rejected")
 	} else {
 		log.Info().Msg("handed over")
-		waitForEnd(line)
+		waitForEnd(conn)
 		log.Info().Msg("successor has ended")
 	}
-	line.Close()
+	conn.Close()
 	if accepted {
 		predecessor.SetSuccessor(false)
 	}
 }
 
-// handOver answers one request. accepted tells whether SetSuccessor was called: that is before the
-// successor gets anything, since then it may have this process end at once.
-func handOver(line *retryConn, predecessor Predecessor) (accepted bool, err error) {
-	if err := checkSameUser(line); err != nil {
+// handOver answers one request. accepted reports whether it has called SetSuccessor. It does so before it
+// sends the state, since a successor that has the state may make this process end immediately.
+func handOver(conn *retryConn, predecessor Predecessor) (accepted bool, err error) {
+	if err := checkSameUser(conn); err != nil {
 		return false, err
 	}
-	request, err := readRequest(line)
+	request, err := readRequest(conn)
 	if err != nil {
 		return false, err
 	}
 	state, sockets, err := predecessor.HandOver(request)
 	if err != nil {
-		line.Write(make([]byte, lengthSize)) // an empty state is a refusal
+		conn.Write(make([]byte, lengthSize)) // an empty state is a refusal
 		return false, err
 	}
 	predecessor.SetSuccessor(true)
-	return true, writeHandover(line, state, sockets)
+	return true, writeHandover(conn, state, sockets)
 }
--- a/internal/lifecycle/hotrestart/transfer/transfer.go
+++ b/internal/lifecycle/hotrestart/transfer/transfer.go
@@ -1,6 +1,6 @@
-// Package transfer carries a hot restart from one process to another on the same machine: a message and
-// open sockets, over a Unix socket that only the same user reaches. The connection stays open while both
-// processes run, so that each sees the other's end.
+// Package transfer hands a message and open sockets over to another process on the same machine, for a hot
+// restart. It uses a Unix socket and accepts only processes of the same user. The connection stays open while
+// both processes run, so that each detects the end of the other.
 package transfer
 
 import (
@@ -16,21 +16,21 @@
 )
 
 const (
-	// sendTimeout is for a complete message to be sent.
+	// sendTimeout limits the time to send a message.
 	sendTimeout = time.Second
-	// receiveTimeout is for a predecessor that may not run for a moment, or whose event loop is busy, to
-	// send all that it hands over.
+	// receiveTimeout limits the time to receive the handover. The predecessor may be stopped for a moment, or
+	// its event loop may be busy.
 	receiveTimeout = 3 * time.Second
 )
 
-// ErrRefused is a predecessor's answer that it hands nothing over to this process.
-var ErrRefused = errors.New("the process there hands nothing to this one")
+// ErrRefused means that the predecessor refused to hand over to this process.
+var ErrRefused = errors.New("the predecessor refused the handover")
 
-// SocketPath is where a scheduler of this name with this address for clients hands over. The network
-// namespace is part of it: the same address may belong to another scheduler in another namespace that
-// shares the folder.
+// SocketPath returns the path of the Unix socket for handovers of the scheduler with this name and this
+// address for clients. The path depends on the network namespace, because a scheduler in another namespace
+// may have the same address and share the folder.
 func SocketPath(listen, name string) string {
-	namespace, _ := os.Readlink("/proc/self/ns/net") // empty where the system does not say
+	namespace, _ := os.Readlink("/proc/self/ns/net") // empty if the system does not report it
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s\n%s\n%s", listen, name, namespace) // never fails
 	return filepath.Join(os.TempDir(), fmt.Sprintf("woaddyke-%016x", h.Sum64()))
@@ -44,7 +44,7 @@
 	conn             *retryConn
 }
 
-// Close gives the handover up. The predecessor goes on alone.
+// Close abandons the handover. The predecessor goes on as if it had no successor.
 func (h *Handover) Close() {
 	h.closeFiles()
 	h.conn.Close()
@@ -56,33 +56,33 @@
 	}
 }
 
-// Receive requests a handover from the process that serves at the path. The error is os.ErrNotExist or
-// ECONNREFUSED where there is none.
+// Receive requests a handover from the process that serves at the path. Its error wraps os.ErrNotExist or
+// ECONNREFUSED if no process serves there.
 func Receive(path string, request []byte) (*Handover, error) {
-	// Without a retry a process that lacks a descriptor for a moment would serve ids beside a predecessor
-	// that has them already.
-	conn, err := oserror.RetryTransient(func() (net.Conn, error) {
+	// Without a retry, a process that lacks a descriptor for a moment would start without a handover and
+	// serve ids that its predecessor already serves.
+	dialed, err := oserror.RetryTransient(func() (net.Conn, error) {
 		return net.DialTimeout("unix", path, sendTimeout)
 	})
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	line := &retryConn{conn.(*net.UnixConn)}
-	handover, err := requestHandover(line, request)
+	conn := &retryConn{dialed.(*net.UnixConn)}
+	handover, err := requestHandover(conn, request)
 	if err != nil {
-		line.Close()
+		conn.Close()
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	go func() {
 		defer close(handover.PredecessorEnded)
-		waitForEnd(line)
+		waitForEnd(conn)
 	}()
 	return handover, nil
 }
 
-func requestHandover(line *retryConn, request []byte) (*Handover, error) {
-	if err := writeRequest(line, request); err != nil {
+func requestHandover(conn *retryConn, request []byte) (*Handover, error) {
+	if err := writeRequest(conn, request); err != nil {
 		return nil, err
 	}
-	return readHandover(line)
+	return readHandover(conn)
 }
--- a/internal/lifecycle/hotrestart/transfer/transfer_test.go
+++ b/internal/lifecycle/hotrestart/transfer/transfer_test.go
@@ -15,9 +15,9 @@
 
 type fakePredecessor struct {
 	listener   *net.TCPListener
-	successors chan bool // what SetSuccessor was told
+	successors chan bool // arguments of SetSuccessor
 	refuses    bool
-	state      string // that it hands over; empty: half a megabyte
+	state      string // the state to hand over; empty: half a megabyte
 }
 
 func (p *fakePredecessor) SetSuccessor(present bool) { p.successors <- present }
@@ -33,18 +33,19 @@
 	return []byte(state), []syscall.Conn{p.listener}, nil
 }
 
-// What waits at the door when the first process closes its listening socket was reset.
-func TestWhatWaitsAtTheDoorIsServedByTheHeir(t *testing.T) {
+// Connections that are in the listen queue when the predecessor closes its listening socket must not be
+// reset. The successor accepts them, because the socket was handed over.
+func TestQueuedConnectionsAreServedByTheSuccessor(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "h")
 	if _, err := Receive(path, []byte(`me`)); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("nobody there: %v", err)
+		t.Errorf("no predecessor: %v", err)
 	}
 	predecessor := &fakePredecessor{listener: l.(*net.TCPListener), successors: make(chan bool, 9)}
-	offer, err := Serve(path, predecessor, zerolog.Nop())
+	server, err := Serve(path, predecessor, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,15 +67,15 @@
 	if c, err := listener.Accept(); err != nil || c.RemoteAddr().String() != client.LocalAddr().String() {
 		t.Errorf("%v, %v", c, err)
 	}
-	offer.Close()
+	server.Close()
 	if _, err := Receive(path, []byte(`me`)); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("the predecessor serves no more: %v", err)
+		t.Errorf("after the close of the server: %v", err)
 	}
 }
 
-// At twice the size that is planned for, 12,600 workers, what is learned takes 24 MB and the ids up to
-// 12: it is handed over as any other.
-func TestAllThatAProcessMayKnowIsHandedOver(t *testing.T) {
+// With 12,600 workers, twice the planned number, the learned state has 24 MB and the ids have up to 12 MB. A
+// state of that size must be handed over.
+func TestAStateOfThePlannedSizeIsHandedOver(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -82,18 +83,19 @@
 	}
 	defer l.Close()
 	predecessor := &fakePredecessor{listener: l.(*net.TCPListener), successors: make(chan bool, 9), state: strings.Repeat("x", 36<<20)}
-	offer, err := Serve(path, predecessor, zerolog.Nop())
+	server, err := Serve(path, predecessor, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer offer.Close()
+	defer server.Close()
 	if got, err := Receive(path, []byte(`me`)); err != nil || len(got.State) != len(predecessor.state) {
 		t.Errorf("%v", err)
 	}
 }
 
-// A predecessor that went on as if it had a successor would have let its clients go to nobody.
-func TestEachSideSeesTheOthersEnd(t *testing.T) {
+// Each process must detect the end of the other. Otherwise a predecessor whose successor has ended would stop
+// serving its clients, and no process would serve them.
+func TestEachProcessSeesTheEndOfTheOther(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -101,50 +103,51 @@
 	}
 	defer l.Close()
 	predecessor := &fakePredecessor{listener: l.(*net.TCPListener), successors: make(chan bool, 9)}
-	offer, err := Serve(path, predecessor, zerolog.Nop())
+	server, err := Serve(path, predecessor, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer offer.Close()
-	nc, err := net.Dial("unix", path)
+	defer server.Close()
+	dialed, err := net.Dial("unix", path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	line := &retryConn{nc.(*net.UnixConn)}
-	if err := writeRequest(line, []byte(`me`)); err != nil {
+	conn := &retryConn{dialed.(*net.UnixConn)}
+	if err := writeRequest(conn, []byte(`me`)); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := readHandover(line); err != nil || len(got.Files) != 1 || !<-predecessor.successors {
+	if got, err := readHandover(conn); err != nil || len(got.Files) != 1 || !<-predecessor.successors {
 		t.Fatalf("%v", err)
 	}
-	line.Close()
+	conn.Close()
 	select {
-	case there := <-predecessor.successors:
-		if there {
-			t.Error("the successor has ended")
+	case present := <-predecessor.successors:
+		if present {
+			t.Error("SetSuccessor(true) was called after the successor had ended")
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("the predecessor has not seen that its successor has ended")
+		t.Fatal("the predecessor has not detected the end of its successor")
 	}
 	if got, err := Receive(path, []byte(`me`)); err != nil || !<-predecessor.successors {
 		t.Errorf("the next successor: %v, %v", got, err)
 	}
 }
 
-// A process that can't hand over must not leave its successor waiting, nor stay without successors.
-func TestAGiverThatFailsSaysSo(t *testing.T) {
+// A process that refuses a request must answer it, so that the successor does not wait, and must answer
+// further requests.
+func TestARefusalReachesTheSuccessor(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
-	offer, err := Serve(path, &fakePredecessor{refuses: true}, zerolog.Nop())
+	server, err := Serve(path, &fakePredecessor{refuses: true}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer offer.Close()
+	defer server.Close()
 	for range 2 {
 		if _, err := Receive(path, []byte(`me`)); !errors.Is(err, ErrRefused) {
-			t.Errorf("nothing was given: %v", err)
+			t.Errorf("a refused request: %v", err)
 		}
 	}
-	// A path is taken over from one that is gone without a word.
+	// Serve replaces a process that ended without removing its path.
 	if again, err := Serve(path, &fakePredecessor{refuses: true}, zerolog.Nop()); err != nil {
 		t.Error(err)
 	} else {
@@ -152,15 +155,15 @@
 	}
 }
 
-// A process that is stopped, or dies or hangs in the middle of its message, must not hold up the start
-// of the next one.
-func TestAGiverThatHangsOrDiesIsNotWaitedFor(t *testing.T) {
+// A predecessor that is stopped, dies or hangs in the middle of a message must not block the start of its
+// successor.
+func TestReceiveReturnsWhenThePredecessorHangsOrDies(t *testing.T) {
 	for name, serve := range map[string]func(net.Conn){
-		"says nothing":       nil,
+		"sends nothing":      nil,
 		"dies at once":       func(c net.Conn) { c.Close() },
 		"dies in the middle": func(c net.Conn) { c.Write([]byte{0, 0, 1, 0, 'x'}); c.Close() },
 		"hangs":              func(c net.Conn) { c.Write([]byte{0, 0, 1, 0, 'x'}) },
-		"says too much":      func(c net.Conn) { c.Write([]byte{255, 255, 255, 255}) },
+		"sends too much":     func(c net.Conn) { c.Write([]byte{255, 255, 255, 255}) },
 	} {
 		path := filepath.Join(t.TempDir(), "h")
 		l, err := net.Listen("unix", path)
@@ -174,18 +177,18 @@
 				}
 			}()
 		}
-		began := time.Now()
-		if _, err := Receive(path, []byte(`me`)); err == nil || time.Since(began) > 5*sendTimeout {
-			t.Errorf("%s: %v after %v", name, err, time.Since(began))
+		start := time.Now()
+		if _, err := Receive(path, []byte(`me`)); err == nil || time.Since(start) > 5*sendTimeout {
+			t.Errorf("%s: %v after %v", name, err, time.Since(start))
 		}
 		l.Close()
 	}
 }
 
-// A process that is no successor leaves the predecessor as it was: it is not told of a successor, and
-// gives up neither descriptors nor records. One that says nothing, too much, or half of who it is does
-// not keep the next one waiting for long.
-func TestAGiverIsNotDisturbedByAStranger(t *testing.T) {
+// A rejected request must not affect the predecessor: SetSuccessor is not called, so that the predecessor
+// gives up neither descriptors nor records. A process that sends no request, or an incomplete or too long
+// one, must not block the next process for long.
+func TestARejectedRequestDoesNotAffectThePredecessor(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -193,68 +196,68 @@
 	defer l.Close()
 	path := filepath.Join(t.TempDir(), "h")
 	predecessor := &fakePredecessor{listener: l.(*net.TCPListener), successors: make(chan bool, 9)}
-	offer, err := Serve(path, predecessor, zerolog.Nop())
+	server, err := Serve(path, predecessor, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer offer.Close()
+	defer server.Close()
 	if _, err := Receive(path, []byte("another")); !errors.Is(err, ErrRefused) {
-		t.Errorf("a stranger: %v", err)
+		t.Errorf("a request of another process: %v", err)
 	}
 	for name, text := range map[string][]byte{"nothing": nil, "half": {0, 0, 0, 9, 'm'}, "too much": {255, 255, 255, 255}} {
-		line, err := net.Dial("unix", path)
+		conn, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		line.Write(text)
-		line.SetReadDeadline(time.Now().Add(20 * time.Second))
-		if n, err := line.Read(make([]byte, 1)); n > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
+		conn.Write(text)
+		conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+		if n, err := conn.Read(make([]byte, 1)); n > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%s: %d bytes, %v", name, n, err)
 		}
-		line.Close()
+		conn.Close()
 	}
 	if len(predecessor.successors) > 0 {
-		t.Error("it was told of a successor")
+		t.Error("SetSuccessor was called")
 	}
 	if got, err := Receive(path, []byte("me")); err != nil || !<-predecessor.successors {
-		t.Errorf("the next one: %v", err)
+		t.Errorf("the next request: %v", err)
 	} else {
 		got.Close()
 	}
 }
 
-// Two schedulers at one address, of other names, or of other network namespaces that share the folder,
-// must not meet.
-func TestPathsAreEachSchedulersOwn(t *testing.T) {
+// Schedulers with different names or addresses, or in different network namespaces that share the folder,
+// must have different paths. Otherwise one scheduler could request a handover from the other.
+func TestSchedulersHaveDifferentSocketPaths(t *testing.T) {
 	if SocketPath("127.0.0.1:9000", "a") == SocketPath("127.0.0.1:9000", "b") || SocketPath("127.0.0.1:9000", "a") == SocketPath("127.0.0.1:9001", "a") {
-		t.Error("they meet")
+		t.Error("two schedulers have the same path")
 	}
 	first, again := SocketPath("127.0.0.1:9000", "a"), SocketPath("127.0.0.1:9000", "a")
 	if first != again {
-		t.Error("a scheduler does not find its own")
+		t.Error("a scheduler has two different paths")
 	}
 }
 
-// A process that had no descriptor for the one that asked was never asked again: it could not be
-// replaced any more.
-func TestAMomentWithoutDescriptorsDoesNotEndTheOffer(t *testing.T) {
+// A process that lacks a descriptor to accept a request must go on accepting. Otherwise no successor could
+// replace it.
+func TestAcceptingContinuesAfterADescriptorShortage(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	path := filepath.Join(t.TempDir(), "h")
-	at, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	predecessor, none, ended := &fakePredecessor{listener: l.(*net.TCPListener), successors: make(chan bool, 9)}, 3, make(chan bool)
+	predecessor, failures, ended := &fakePredecessor{listener: l.(*net.TCPListener), successors: make(chan bool, 9)}, 3, make(chan bool)
 	go func() {
 		acceptSuccessors(func() (*net.UnixConn, error) {
-			if none--; none >= 0 {
+			if failures--; failures >= 0 {
 				return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 			}
-			return at.AcceptUnix()
+			return listener.AcceptUnix()
 		}, predecessor, zerolog.Nop())
 		close(ended)
 	}()
@@ -263,22 +266,22 @@
 		t.Fatal(err)
 	}
 	got.Close()
-	at.Close()
+	listener.Close()
 	<-ended
 }
 
-// A length that no state or request has must be refused by its own error, before memory is given for
-// it.
-func TestSizesAreBoundedByTypedErrors(t *testing.T) {
+// A message whose length is over the limit must be rejected with a *SizeError, before its memory is
+// allocated.
+func TestMessagesOverTheSizeLimitAreRejected(t *testing.T) {
 	for name, c := range map[string]struct {
 		length []byte
 		read   func(*retryConn) error
 		want   SizeError
 	}{
-		"request": {[]byte{0, 1, 0, 1}, func(l *retryConn) error { _, err := readRequest(l); return err },
-			SizeError{Message: "request", Size: 1<<16 + 1, Most: 1 << 16}},
-		"state": {[]byte{4, 0, 0, 1}, func(l *retryConn) error { _, err := readHandover(l); return err },
-			SizeError{Message: "state", Size: 64<<20 + 1, Most: 64 << 20}},
+		"request": {[]byte{0, 1, 0, 1}, func(conn *retryConn) error { _, err := readRequest(conn); return err },
+			SizeError{Message: "request", Size: 1<<16 + 1, Max: 1 << 16}},
+		"state": {[]byte{4, 0, 0, 1}, func(conn *retryConn) error { _, err := readHandover(conn); return err },
+			SizeError{Message: "state", Size: 64<<20 + 1, Max: 64 << 20}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "h")
--- a/internal/observe/console/console.go
+++ b/internal/observe/console/console.go
@@ -1,5 +1,5 @@
-// Package console serves the second address of a scheduler, for operators and their tools. It speaks
-// HTTP/1.1, with one request to a connection.
+// Package console serves a scheduler's HTTP address for operators and their tools. It uses HTTP/1.1 with one
+// request per connection.
 package console
 
 import (
@@ -16,30 +16,30 @@
 )
 
 const (
-	maxConnections = 16              // beyond them the one that has been idle longest is closed
-	callTimeout    = 2 * time.Second // for a request to arrive, and for its answer to be read
+	maxConnections = 16              // above it, the connection that has been idle longest is closed
+	callTimeout    = 2 * time.Second // to read a request, and to write its answer
 	maxHeaderBytes = 8 << 10
 
-	// slotTimeout is the time for which a new connection waits until an older one is answered, or found idle.
+	// slotTimeout limits how long a new connection waits until an older connection is answered or found idle.
 	slotTimeout = 200 * time.Millisecond
 )
 
-// Scheduler is what the console shows and controls. None of its methods may wait: answers are owed under
-// any load.
+// Scheduler is the scheduler that the console shows and controls. Its methods must not wait, since the
+// console must answer under any load.
 type Scheduler interface {
-	Ready() <-chan struct{} // closed once it can serve
+	Ready() <-chan struct{} // closed once the scheduler can serve
 	Metrics() metrics.Metrics
-	DrainClients()   // starts sending clients to other schedulers
-	ReadmitClients() // ends that
+	DrainClients()   // starts a client drain
+	ReadmitClients() // ends the client drain
 }
 
-// Call is a further request that the console answers, where a feature is switched on.
+// Call is a further request that the console answers, for a feature that is enabled.
 type Call struct {
 	Path    string
-	Changes bool // it is a POST
+	Changes bool // the method is POST, otherwise GET
 
-	// Answer returns what is written as JSON. It doesn't wait, or less than callTimeout where it changes
-	// something.
+	// Answer returns the value that is written as JSON. It must not wait. A call with the method POST may
+	// wait for less than callTimeout.
 	Answer func(*http.Request) any
 }
 
@@ -50,7 +50,7 @@
 	return http.MethodGet + " " + c.Path
 }
 
-// Serve answers requests until the listener is closed. It returns at once.
+// Serve starts to answer requests and returns. The requests are answered until the listener is closed.
 func Serve(l net.Listener, scheduler Scheduler, log zerolog.Logger, calls ...Call) {
 	connections := clientconn.New(maxConnections, maxConnections)
 	connections.Listener = l
--- a/internal/observe/console/console_test.go
+++ b/internal/observe/console/console_test.go
@@ -15,24 +15,24 @@
 	"woaddyke/internal/testsupport/fragmentpeer"
 )
 
-type scheduler struct {
+type fakeScheduler struct {
 	ready chan struct{}
 	calls chan string
 }
 
-func (s *scheduler) Ready() <-chan struct{}   { return s.ready }
-func (s *scheduler) Metrics() metrics.Metrics { return metrics.Metrics{OpsInFlight: 14} }
+func (s *fakeScheduler) Ready() <-chan struct{}   { return s.ready }
+func (s *fakeScheduler) Metrics() metrics.Metrics { return metrics.Metrics{OpsInFlight: 14} }
 
-func (s *scheduler) DrainClients()   { s.calls <- "evacuate" }
-func (s *scheduler) ReadmitClients() { s.calls <- "rejoin" }
+func (s *fakeScheduler) DrainClients()   { s.calls <- "evacuate" }
+func (s *fakeScheduler) ReadmitClients() { s.calls <- "rejoin" }
 
-func serve(t *testing.T, of Scheduler) (addr string) {
+func serve(t *testing.T, s Scheduler) (addr string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	Serve(l, of, zerolog.Nop())
+	Serve(l, s, zerolog.Nop())
 	return l.Addr().String()
 }
 
@@ -45,25 +45,26 @@
 	defer c.Close()
 	fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", method, path)
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	whole, err := io.ReadAll(c) // to its end: a connection has one call
+	response, err := io.ReadAll(c) // until the close: a connection has one request
 	if err != nil {
-		t.Fatalf("%s %s: %v after %q", method, path, err, whole)
+		t.Fatalf("%s %s: %v after %q", method, path, err, response)
 	}
-	head, text, _ := strings.Cut(string(whole), "\r\n\r\n")
+	head, text, _ := strings.Cut(string(response), "\r\n\r\n")
 	if _, err := fmt.Sscanf(head, "HTTP/1.1 %d", &status); err != nil {
 		t.Fatalf("%q: %v", head, err)
 	}
 	return status, text
 }
 
-// A tool that takes any answer for a yes must not find one at a wrong path or by a wrong method.
-func TestOnlyACallThatIsOneGetsAYes(t *testing.T) {
-	of := &scheduler{make(chan struct{}), make(chan string, 9)}
-	addr := serve(t, of)
+// A request with a wrong path or method must get an error status, since a tool may treat any other answer as
+// success.
+func TestWrongPathsAndMethodsAreRejected(t *testing.T) {
+	s := &fakeScheduler{make(chan struct{}), make(chan string, 9)}
+	addr := serve(t, s)
 	if status, _ := call(t, addr, "GET", "/api/ready"); status != http.StatusServiceUnavailable {
 		t.Errorf("not ready yet: %d", status)
 	}
-	close(of.ready)
+	close(s.ready)
 	for _, c := range []struct {
 		method, path string
 		want         int
@@ -74,19 +75,20 @@
 			t.Errorf("%s %s: %d, want %d", c.method, c.path, status, c.want)
 		}
 	}
-	if len(of.calls) != 2 || <-of.calls != "evacuate" || <-of.calls != "rejoin" {
-		t.Error("it was not called to evacuate and then to rejoin")
+	if len(s.calls) != 2 || <-s.calls != "evacuate" || <-s.calls != "rejoin" {
+		t.Error("DrainClients and then ReadmitClients were not called once each")
 	}
 	if _, text := call(t, addr, "GET", "/api/telemetry"); !strings.Contains(text, `"in_flight":14,"workers_known":0`) {
-		t.Errorf("figures %q", text)
+		t.Errorf("metrics %q", text)
 	}
 }
 
-// Callers that hold connections and say nothing kept the others out.
-func TestCallersWhoSayNothingGiveWay(t *testing.T) {
-	of := &scheduler{make(chan struct{}), make(chan string, 9)}
-	close(of.ready)
-	addr := serve(t, of)
+// Connections whose requests are incomplete must not keep other callers out: the console closes idle
+// connections for new ones.
+func TestIncompleteRequestsDoNotBlockOtherCallers(t *testing.T) {
+	s := &fakeScheduler{make(chan struct{}), make(chan string, 9)}
+	close(s.ready)
+	addr := serve(t, s)
 	for range 4 * maxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -95,40 +97,41 @@
 		defer c.Close()
 		fmt.Fprint(c, "GET /api/re")
 	}
-	began := time.Now()
-	if status, _ := call(t, addr, "GET", "/api/ready"); status != http.StatusOK || time.Since(began) > callTimeout/2 {
-		t.Errorf("%d after %v", status, time.Since(began))
+	start := time.Now()
+	if status, _ := call(t, addr, "GET", "/api/ready"); status != http.StatusOK || time.Since(start) > callTimeout/2 {
+		t.Errorf("status %d after %v", status, time.Since(start))
 	}
 }
 
-// A call in pieces is that call; one that is cut off is none, and leaves the others theirs.
-func TestCallsInPiecesAreTheSame(t *testing.T) {
-	of := &scheduler{make(chan struct{}), make(chan string, 999)}
-	addr := serve(t, of)
-	const whole = "POST /api/evacuate HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
-	send := func(way fragmentpeer.Way) string {
+// A request that arrives in fragments is carried out once. A truncated request is not carried out, and later
+// requests are still answered.
+func TestFragmentedRequestsAreAnsweredAndTruncatedOnesAreNot(t *testing.T) {
+	s := &fakeScheduler{make(chan struct{}), make(chan string, 999)}
+	addr := serve(t, s)
+	const request = "POST /api/evacuate HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
+	send := func(script fragmentpeer.Way) string {
 		c := fragmentpeer.Dial(t, addr)
 		defer c.Close()
-		way.Write(c)
+		script.Write(c)
 		c.SetReadDeadline(time.Now().Add(20 * time.Second))
 		text, _ := io.ReadAll(c)
 		return string(text)
 	}
-	for n, way := range fragmentpeer.Whole(whole) {
-		if text := send(way); !strings.HasPrefix(text, "HTTP/1.1 200") || len(of.calls) != n+1 {
-			t.Errorf("%s: %q, %d calls", way.Name, text, len(of.calls))
+	for n, script := range fragmentpeer.Whole(request) {
+		if text := send(script); !strings.HasPrefix(text, "HTTP/1.1 200") || len(s.calls) != n+1 {
+			t.Errorf("%s: %q, %d calls", script.Name, text, len(s.calls))
 		}
 	}
-	called := len(of.calls)
-	for _, way := range fragmentpeer.Cuts(whole) {
-		if text := send(way); strings.HasPrefix(text, "HTTP/1.1 2") {
-			t.Errorf("%s: %q", way.Name, text)
+	completed := len(s.calls)
+	for _, script := range fragmentpeer.Cuts(request) {
+		if text := send(script); strings.HasPrefix(text, "HTTP/1.1 2") {
+			t.Errorf("%s: %q", script.Name, text)
 		}
 	}
-	if len(of.calls) != called {
-		t.Errorf("%d calls that were never whole were carried out", len(of.calls)-called)
+	if len(s.calls) != completed {
+		t.Errorf("%d truncated requests were carried out", len(s.calls)-completed)
 	}
 	if text := send(fragmentpeer.Way{Parts: []string{"GET /api/ready\r\n\r\n"}}); !strings.HasPrefix(text, "HTTP/1.1 400") {
-		t.Errorf("a head that can't be read: %q", text)
+		t.Errorf("malformed head: %q", text)
 	}
 }
