--- a/internal/observe/invariant/invariant.go
+++ b/internal/observe/invariant/invariant.go
@@ -1,7 +1,7 @@
-// Package invariant counts violations of promises that every path through a running scheduler must keep.
-// Each is checked where a path can no longer turn back. A violation is counted, the first few of each
-// rule are logged with the states that led to them, and the process goes on: its end would lose the ops
-// that the rule protects.
+// Package invariant counts violations of the rules that a running scheduler must never break. Each rule is
+// checked immediately before the action that would break it. Violations are counted, and the first few of
+// each rule are logged with the states that led to them. The process goes on, because its end would lose the
+// ops that the rule protects.
 //
 //	rule       is checked before                  reasons
 //	sending    the first byte of an attempt       ClientGone, PastTTL, DeadlineTooLong, WorkerDraining
@@ -18,24 +18,24 @@
 	"github.com/rs/zerolog"
 )
 
-// Rule is a promise.
+// Rule is an invariant of the scheduler.
 type Rule int
 
-// The rules. Their order is that of ruleNames.
+// The rules, in the order of ruleNames.
 const (
-	Sending   Rule = iota // an attempt goes out in time, for a client that waits, to a worker that takes work
-	Repeating             // the attempts so far allow a further attempt, or a nack
-	Closing               // each request that was read has its answer
-	Starting              // an op is the only one under its ID, and its claim is granted where it needs one
+	Sending   Rule = iota // an attempt is sent in time, for a connected client, to a worker that accepts it
+	Repeating             // a retry, hedged request or nack is allowed after the attempts so far
+	Closing               // each request that was read has an answer when its connection is closed
+	Starting              // an op starts only if its ID is not in use and a claim that it needs is granted
 	numRules
 )
 
-// ruleNames are the names in log lines and on the console.
+// ruleNames are the names of the rules in log lines and on the console.
 var ruleNames = [numRules]string{"sending", "repeating", "closing", "starting"}
 
 func (r Rule) String() string { return ruleNames[r] }
 
-// Reason is how a rule was violated, as the log has it.
+// Reason says how a rule was violated. It is the text in the log.
 type Reason string
 
 // The reasons.
@@ -54,10 +54,10 @@
 	DuplicateID      Reason = "another op with this ID is open"
 )
 
-// maxLoggedPerRule bounds the lines of one rule, so that a fault can't fill a disk.
+// maxLoggedPerRule limits the log lines of each rule, so that a repeated violation can't fill a disk.
 const maxLoggedPerRule = 5
 
-// Checker counts the violations of one process. Its methods may be called from any goroutine.
+// Checker counts the violations of a process. Its methods may be called from any goroutine.
 type Checker struct {
 	log    zerolog.Logger
 	counts [numRules]atomic.Uint64
@@ -66,7 +66,7 @@
 // New returns a checker without violations.
 func New(log zerolog.Logger) *Checker { return &Checker{log: log} }
 
-// Violated counts a violation. addFields, which may be nil, adds the caller's fields to the log line.
+// Violated counts a violation. addFields adds the caller's fields to the log line; it may be nil.
 func (c *Checker) Violated(rule Rule, reason Reason, addFields func(*zerolog.Event)) {
 	if c.counts[rule].Add(1) > maxLoggedPerRule {
 		return
@@ -78,7 +78,7 @@
 	line.Msg("invariant violated")
 }
 
-// Counts returns the violations so far by the rules' names.
+// Counts returns the number of violations so far, by the name of the rule.
 func (c *Checker) Counts() map[string]uint64 {
 	counts := make(map[string]uint64, numRules)
 	for rule := range numRules {
--- a/internal/observe/invariant/invariant_test.go
+++ b/internal/observe/invariant/invariant_test.go
@@ -7,15 +7,15 @@
 	"github.com/rs/zerolog"
 )
 
-// All breaches are counted by rule, and so few are logged that a fault can't fill a disk.
-func TestBreachesAreCountedAndTheFirstLogged(t *testing.T) {
+// All violations are counted by rule. Only a few of each rule are logged, so that a fault can't fill a disk.
+func TestViolationsAreCountedAndTheFirstLogged(t *testing.T) {
 	var log strings.Builder
-	g := New(zerolog.New(&log))
+	c := New(zerolog.New(&log))
 	for range 1000 {
-		g.Violated(Closing, Unanswered, func(e *zerolog.Event) { e.Uint64("op", 7) })
+		c.Violated(Closing, Unanswered, func(e *zerolog.Event) { e.Uint64("op", 7) })
 	}
-	g.Violated(Sending, PastTTL, nil)
-	counts := g.Counts()
+	c.Violated(Sending, PastTTL, nil)
+	counts := c.Counts()
 	if len(counts) != 4 || counts["closing"] != 1000 || counts["sending"] != 1 || counts["repeating"]+counts["starting"] != 0 {
 		t.Errorf("%v", counts)
 	}
--- a/internal/observe/logsink/logsink.go
+++ b/internal/observe/logsink/logsink.go
@@ -1,6 +1,6 @@
-// Package logsink writes the lines of a process's log without ever blocking the goroutine that logs. A
-// reader that stops, leaves or has a full disk costs lines and nothing else: lines without space in the
-// buffer are dropped and counted, and the log says how many as soon as it can be written again.
+// Package logsink writes the lines of a process's log and never blocks the goroutine that logs. If the log's
+// reader stops or exits, or its disk is full, lines that do not fit in the buffer are dropped and counted.
+// The log reports the number of dropped lines when it can be written again.
 package logsink
 
 import (
@@ -11,22 +11,22 @@
 	"time"
 )
 
-// maxPendingBytes bounds the lines that wait to be written. Further ones are dropped.
+// maxPendingBytes limits the size of the lines that wait to be written. Further lines are dropped.
 const maxPendingBytes = 1 << 20
 
-// droppedLine reports lost lines. It has the form of the lines that the logger writes.
+// droppedLine is the log line that reports lost lines, in the format of the logger.
 const droppedLine = `{"level":"warn","dropped":%d,"message":"lines of the log were dropped"}` + "\n"
 
-// Sink is one log. Its methods may be called from any goroutine. Write never blocks.
+// Sink is a log output. Its methods may be called from any goroutine. Write never blocks.
 type Sink struct {
 	out    io.Writer
 	wakeup chan struct{} // has an entry when lines are pending or the sink is closed
-	done   chan struct{} // closed when nothing more is written
+	done   chan struct{} // closed when run has returned
 
 	mu      sync.Mutex
 	pending []byte // complete lines
-	dropped uint64 // lines lost since the log last said so
-	lost    uint64 // lines lost in all
+	dropped uint64 // lines lost since the last report in the log
+	lost    uint64 // total of lost lines
 	closed  bool
 }
 
@@ -41,7 +41,8 @@
 	return s
 }
 
-// Write appends a complete line. It never returns an error: a line that is lost is counted.
+// Write adds a complete line to the pending lines. It never returns an error: a line that does not fit is
+// counted as lost.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,8 +63,7 @@
 	return s.lost
 }
 
-// Close writes the pending lines, for as long as the timeout allows. Lines that are logged later are
-// lost.
+// Close waits until the pending lines are written, up to the timeout. Lines that are logged later are lost.
 func (s *Sink) Close(timeout time.Duration) {
 	s.mu.Lock()
 	s.closed = true
@@ -84,22 +84,22 @@
 	}
 }
 
-// batch is the lines that are written by one call.
+// batch has the lines that are written with one call.
 type batch struct {
 	lines   []byte
-	dropped uint64 // lines lost before or among them, which the log has to report after them
+	dropped uint64 // lost lines, to be reported after the lines of the batch
 	closed  bool
 }
 
-// empty tells whether there is nothing to write. Lost lines are reported with the next line or at the
-// end: a line on them alone, where nothing can be written, would be lost and reported in turn.
+// empty reports whether there is nothing to write. Lost lines are reported only along with other lines or at
+// the close. A report on its own would be lost while the output fails, and would cause a further report.
 func (b *batch) empty() bool { return len(b.lines) == 0 && (b.dropped == 0 || !b.closed) }
 
-// run writes until the sink is closed and nothing is pending.
+// run writes batches until the sink is closed and no line is pending.
 func (s *Sink) run() {
 	defer close(s.done)
 	var spare []byte     // the buffer that is not in use
-	lineComplete := true // the last line that was written
+	lineComplete := true // whether the last line in the log is complete
 	for range s.wakeup {
 		for {
 			b := s.takeBatch(spare)
@@ -118,8 +118,8 @@
 	}
 }
 
-// takeBatch returns the pending lines. Later lines go into the spare buffer, which must not be the one
-// that is returned.
+// takeBatch returns the pending lines and collects later lines in the spare buffer. The spare buffer must not
+// be the one that is returned, which is still to be written.
 func (s *Sink) takeBatch(spare []byte) batch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,8 +132,9 @@
 	return b
 }
 
-// writeBatch writes a batch. lineComplete tells whether the last line in the log is complete, before and
-// after; an incomplete one is ended first. Lines that can't be written are lost.
+// writeBatch writes a batch. lineComplete says whether the last line in the log is complete; an incomplete
+// line is ended first. The result says the same for the log after the write. Lines that can't be written are
+// lost.
 func (s *Sink) writeBatch(b batch, lineComplete bool) bool {
 	if !lineComplete {
 		if _, err := s.out.Write([]byte("\n")); err != nil {
@@ -156,8 +157,8 @@
 	return text[n-1] == '\n'
 }
 
-// countLost counts lines that could not be written. The log has yet to report them, and those lost
-// before.
+// countLost counts lines that could not be written. The next report has them, and the dropped lines that the
+// failed batch was to report.
 func (s *Sink) countLost(lines []byte, dropped uint64) {
 	n := uint64(bytes.Count(lines, []byte("\n")))
 	s.mu.Lock()
--- a/internal/observe/logsink/logsink_test.go
+++ b/internal/observe/logsink/logsink_test.go
@@ -18,29 +18,29 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// reader is an output that takes bytes when it is let.
-type reader struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-	let  chan error // each lets one write through, or has it fail
-	most int        // of one write, where it fails
+// gatedWriter is an output whose writes block until they are released.
+type gatedWriter struct {
+	mu               sync.Mutex
+	written          bytes.Buffer
+	release          chan error // releases one write; an error makes the write fail
+	bytesBeforeError int        // bytes that a failing write accepts
 }
 
-func (r *reader) Write(b []byte) (int, error) {
-	err := <-r.let
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (w *gatedWriter) Write(b []byte) (int, error) {
+	err := <-w.release
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	if err != nil {
-		b = b[:min(len(b), r.most)]
+		b = b[:min(len(b), w.bytesBeforeError)]
 	}
-	n, _ := r.text.Write(b)
+	n, _ := w.written.Write(b)
 	return n, err
 }
 
-// A reader that has stopped holds up nobody; what it missed is counted, what it had room for comes
-// whole and in order.
-func TestAReaderThatStopsHoldsUpNobody(t *testing.T) {
-	out := &reader{let: make(chan error)}
+// While the reader of the log does not read, Write must not block. Lines that fit in the buffer are written
+// completely and in order later, and the other lines are counted as lost.
+func TestABlockedReaderDoesNotBlockWrite(t *testing.T) {
+	out := &gatedWriter{release: make(chan error)}
 	s := New(out)
 	line := []byte(strings.Repeat("x", 999) + "\n")
 	const lines = 4 * maxPendingBytes / 1000
@@ -51,59 +51,60 @@
 	if lost < lines/2 || lost > lines {
 		t.Errorf("%d of %d lines are lost", lost, lines)
 	}
-	close(out.let)
+	close(out.release)
 	s.Close(10 * time.Second)
-	text := out.text.String()
+	text := out.written.String()
 	if got := strings.Count(text, string(line)); got != lines-int(lost) {
-		t.Errorf("%d lines came, %d were lost, of %d", got, lost, lines)
+		t.Errorf("%d lines were written and %d lost, of %d", got, lost, lines)
 	}
-	told := uint64(0) // in one line, or in two where the writer came to its first line late
+	reported := uint64(0) // by one line, or by two if the sink began to write late
 	for _, m := range regexp.MustCompile(`"dropped":(\d+),`).FindAllStringSubmatch(text, -1) {
 		n, _ := strconv.ParseUint(m[1], 10, 64)
-		told += n
+		reported += n
 	}
-	if told != lost {
-		t.Errorf("the log tells of %d lines that were dropped, %d were", told, lost)
+	if reported != lost {
+		t.Errorf("the log reports %d dropped lines, want %d", reported, lost)
 	}
 }
 
-// An output that fails, and then works, has lost some lines and no half one runs into the next.
-func TestAnOutputThatFailsForAWhile(t *testing.T) {
-	out := &reader{let: make(chan error, 9), most: 5}
+// After a failed write that wrote part of a line, the next line must begin on a new line of the log, and the
+// lost line is reported.
+func TestLinesAreCompleteAfterAFailedWrite(t *testing.T) {
+	out := &gatedWriter{release: make(chan error, 9), bytesBeforeError: 5}
 	s := New(out)
 	s.Write([]byte("first line\n"))
-	out.let <- errors.New("no space")
-	out.let <- nil
-	out.let <- nil
-	out.let <- nil
+	out.release <- errors.New("no space")
+	out.release <- nil
+	out.release <- nil
+	out.release <- nil
 	for s.Lost() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	s.Write([]byte("second line\n"))
 	s.Close(10 * time.Second)
-	if got := out.text.String(); !strings.HasPrefix(got, "first\n") || !strings.Contains(got, "\nsecond line\n") || !strings.Contains(got, `"dropped":1`) {
+	if got := out.written.String(); !strings.HasPrefix(got, "first\n") || !strings.Contains(got, "\nsecond line\n") || !strings.Contains(got, `"dropped":1`) {
 		t.Errorf("%q", got)
 	}
 }
 
-// The end waits for a reader that has stopped as long as it is told, and no longer.
-func TestTheEndIsBounded(t *testing.T) {
-	out := &reader{let: make(chan error)}
+// If the reader of the log does not read, Close returns at its timeout.
+func TestCloseReturnsAtItsTimeout(t *testing.T) {
+	out := &gatedWriter{release: make(chan error)}
 	s := New(out)
 	s.Write([]byte("line\n"))
-	began := time.Now()
+	start := time.Now()
 	s.Close(50 * time.Millisecond)
-	if took := time.Since(began); took < 50*time.Millisecond || took > 5*time.Second {
-		t.Errorf("it took %v", took)
+	if took := time.Since(start); took < 50*time.Millisecond || took > 5*time.Second {
+		t.Errorf("Close took %v, want its timeout of 50ms", took)
 	}
-	close(out.let)
+	close(out.release)
 	<-s.done
 }
 
-// BenchmarkWrite is what a line costs whoever logs it.
+// BenchmarkWrite measures the cost of Write for the goroutine that logs.
 func BenchmarkWrite(b *testing.B) {
-	out := &reader{let: make(chan error)}
-	close(out.let)
+	out := &gatedWriter{release: make(chan error)}
+	close(out.release)
 	s := New(out)
 	defer s.Close(time.Second)
 	line := []byte(`{"level":"info","time":1796202593079,"message":"the process before has ended"}` + "\n")
@@ -112,25 +113,25 @@
 		s.Write(line)
 		if b.N%1000 == 0 {
 			out.mu.Lock()
-			out.text.Reset()
+			out.written.Reset()
 			out.mu.Unlock()
 		}
 	}
 }
 
-// torn is a log that nobody reads any more: each write fails at once.
-type torn struct{ writes atomic.Int64 }
+// brokenPipe is an output without a reader. Each write fails immediately.
+type brokenPipe struct{ writes atomic.Int64 }
 
-func (w *torn) Write([]byte) (int, error) {
+func (w *brokenPipe) Write([]byte) (int, error) {
 	w.writes.Add(1)
 	return 0, syscall.EPIPE
 }
 
-// Where every write fails the sink went on writing that lines were dropped, that this line was dropped,
-// and so on without a rest: one core was busy with it for good, and the lines that were lost had no
-// end.
-func TestALogThatNobodyReadsIsNotWrittenToWithoutEnd(t *testing.T) {
-	w := &torn{}
+// If every write fails, the sink must not write without end. A report of dropped lines that is itself lost
+// must not cause another report: that loop would use one core, and the number of lost lines would grow
+// without end.
+func TestABrokenPipeDoesNotCauseEndlessWrites(t *testing.T) {
+	w := &brokenPipe{}
 	s := New(w)
 	for range 3 {
 		s.Write([]byte("line\n"))
@@ -141,45 +142,44 @@
 	}
 	s.Close(10 * time.Second)
 	if n := s.Lost(); n < 3 || n > 20 {
-		t.Errorf("%d lines are counted as lost, of three", n)
+		t.Errorf("%d lines are counted as lost, of three written", n)
 	}
 }
 
-// late is a writer that looks at what it was given only when it is told to, as a pipe that is full
-// does.
-type late struct {
-	begun, go_ chan struct{}
-	got        bytes.Buffer
+// blockingWriter is an output that reads its input only after it is released, as a full pipe does.
+type blockingWriter struct {
+	started, release chan struct{}
+	written          bytes.Buffer
 }
 
-func (l *late) Write(p []byte) (int, error) {
-	l.begun <- struct{}{}
-	<-l.go_
-	return l.got.Write(p)
+func (w *blockingWriter) Write(p []byte) (int, error) {
+	w.started <- struct{}{}
+	<-w.release
+	return w.written.Write(p)
 }
 
-// Lines that come while others are being written were put into the very memory that was being written,
-// from the second time on that the log had been at rest: halves of lines came out.
-func TestLinesThatComeDuringAWriteChangeNothingOfIt(t *testing.T) {
-	out := &late{begun: make(chan struct{}), go_: make(chan struct{})}
+// Lines that are logged during a write must not overwrite the buffer that is being written. The fault
+// appeared from the second time that the sink had been idle, and wrote parts of lines.
+func TestLinesLoggedDuringAWriteDoNotCorruptIt(t *testing.T) {
+	out := &blockingWriter{started: make(chan struct{}), release: make(chan struct{})}
 	s := New(out)
 	want := ""
 	for k := range 4 {
-		for part := range 2 { // the second one comes while the first is being written
+		for part := range 2 { // part 1 is logged while part 0 is being written
 			line := fmt.Sprintf("line %d, part %d: %s\n", k, part, strings.Repeat(string(rune('a'+2*k+part)), 40+part))
 			want += line
 			s.Write([]byte(line))
 			if part == 0 {
-				<-out.begun
+				<-out.started
 			}
 		}
-		out.go_ <- struct{}{}
-		<-out.begun
-		out.go_ <- struct{}{}
-		time.Sleep(20 * time.Millisecond) // it is at rest again; without that nothing is shown, and nothing fails
+		out.release <- struct{}{}
+		<-out.started
+		out.release <- struct{}{}
+		time.Sleep(20 * time.Millisecond) // lets the sink become idle, without which the fault does not occur
 	}
 	s.Close(10 * time.Second)
-	if got := out.got.String(); got != want {
+	if got := out.written.String(); got != want {
 		t.Errorf("got\n%swant\n%s", got, want)
 	}
 }
--- a/internal/observe/metrics/golden_test.go
+++ b/internal/observe/metrics/golden_test.go
@@ -6,7 +6,7 @@
 	"woaddyke/internal/testsupport/filled"
 )
 
-// Guards the JSON keys of the figures that tools of the staff read at /api/telemetry.
-func TestFiguresKeepTheirForm(t *testing.T) {
+// Guards the JSON keys of the metrics, which operators' tools read at /api/telemetry.
+func TestMetricsKeepTheirJSONKeys(t *testing.T) {
 	filled.CompareJSON(t, "testdata/figures.json.golden", filled.Value[Metrics](t))
 }
--- a/internal/observe/metrics/metrics.go
+++ b/internal/observe/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics counts what the console shows: how requests ended, by category, and what a scheduler
-// has and knows now. Counts run from the start of the process. It does no input or output and reads no
-// clock.
+// Package metrics has the counters and gauges that the console shows: how requests ended, by category, and
+// the current state of the scheduler. Counters start with the process. The package does no input or output
+// and reads no clock.
 package metrics
 
 import (
@@ -9,76 +9,76 @@
 	"sync"
 )
 
-// maxCategories is how many categories have counts of their own, those first that are served. The others'
-// requests count as other.
+// maxCategories is the maximum number of categories with separate counts, the first ones that are set.
+// Requests of the others count as other.
 const maxCategories = 2048
 
-// OpCounts are the counts of one category's ops.
+// OpCounts are the counts of the ops of a category.
 type OpCounts struct {
 	Succeeded    int `json:"served"`   // acked
-	Rejected     int `json:"refused"`  // rejected or nacked: a retry is harmless
+	Rejected     int `json:"refused"`  // rejected or nacked; a retry is harmless
 	Failed       int `json:"failed"`   // any other answer
 	Disconnected int `json:"gone"`     // the client disconnected before its answer was written
-	Attempts     int `json:"attempts"` // completely written to workers
+	Attempts     int `json:"attempts"` // attempts written completely to workers
 }
 
-// Metrics are all that the console shows, at one moment.
+// Metrics is a snapshot of all values that the console shows.
 type Metrics struct {
 	Requests        map[string]OpCounts `json:"requests"`       // by category
 	RequestsRead    int                 `json:"requests_taken"` // ended or in flight, of all categories
-	Other           OpCounts            `json:"other"`          // of requests without a known category
-	Attempts        int                 `json:"attempts"`       // of all categories
+	Other           OpCounts            `json:"other"`          // counts of requests without a known category
+	Attempts        int                 `json:"attempts"`       // attempts of all categories
 	Goroutines      int                 `json:"goroutines"`
 	OpsInFlight     int                 `json:"in_flight"`
 	WorkersKnown    int                 `json:"workers_known"`
 	WorkersExcluded int                 `json:"workers_excluded"`
 	ReloadsOK       int                 `json:"reloads_ok"`
 	ReloadsFailed   int                 `json:"reloads_failed"`
-	AcceptFailures  int                 `json:"accept_failures"` // after which accepting went on
-	Violations      map[string]uint64   `json:"violations"`      // of invariants, by rule
+	AcceptFailures  int                 `json:"accept_failures"` // temporary failures of accept
+	Violations      map[string]uint64   `json:"violations"`      // violations of invariants, by rule
 	LogLinesLost    uint64              `json:"log_lines_lost"`
-	Members         *MemberCounts       `json:"members,omitempty"` // nil where this scheduler is no member
+	Members         *MemberCounts       `json:"members,omitempty"` // nil if this scheduler is not a member
 }
 
-// MemberCounts counts the other schedulers by their state in this one's view.
+// MemberCounts counts the other schedulers by their state as this scheduler sees it.
 type MemberCounts struct {
 	Alive     int `json:"here"`
 	Suspect   int `json:"doubted"`
 	Dead      int `json:"gone"`
 	Left      int `json:"left"`
-	Reachable int `json:"reachable"` // from here, directly
+	Reachable int `json:"reachable"` // schedulers that this one reaches directly
 }
 
-// RequestEnd is how a request ended for its client.
+// RequestEnd says how a request ended for its client.
 type RequestEnd int
 
 // The ends of a request.
 const (
 	Succeeded    RequestEnd = iota
 	Rejected                // a retry is harmless
-	Failed                  // a retry may not be
-	Disconnected            // before the answer was written
+	Failed                  // a retry may cause harm
+	Disconnected            // the client disconnected before the answer was written
 )
 
-// Recorder counts. Its methods may be called from any goroutine, and wait only for one another's few
-// instructions.
+// Recorder updates the metrics. Its methods may be called from any goroutine. They wait only for its mutex,
+// which each method holds for a short time.
 type Recorder struct {
 	mu                sync.Mutex
 	metrics           Metrics
 	servedCategories  map[string]bool
-	droppedCategories []string // that still have counts, in the order of their drop
+	droppedCategories []string // dropped categories that still have counts, the first dropped first
 }
 
-// New returns a recorder for the categories that are served: each has counts from the start.
+// New returns a recorder with counts for the categories.
 func New(categories []string) *Recorder {
 	r := &Recorder{metrics: Metrics{Requests: map[string]OpCounts{}}}
 	r.SetCategories(categories)
 	return r
 }
 
-// SetCategories sets the categories that are served. One that is dropped keeps its counts, as they run
-// from the start, until others need the space: then those of the one that was dropped first are added to
-// other.
+// SetCategories sets the categories that are served. A dropped category keeps its counts, since counters run
+// from the start of the process. If there are more than maxCategories, the counts of the category that was
+// dropped first are added to other.
 func (r *Recorder) SetCategories(categories []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,7 +102,7 @@
 	}
 }
 
-// removeDropped takes a category that is served again off the dropped ones.
+// removeDropped removes a category that is served again from the dropped categories.
 func (r *Recorder) removeDropped(category string) {
 	isCategory := func(dropped string) bool { return dropped == category }
 	r.droppedCategories = slices.DeleteFunc(r.droppedCategories, isCategory)
@@ -124,7 +124,7 @@
 	o.Attempts += x.Attempts
 }
 
-// RequestStarted counts a request as in flight until RequestEnded.
+// RequestStarted counts a request, which is in flight until RequestEnded.
 func (r *Recorder) RequestStarted() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,8 +153,8 @@
 	}
 }
 
-// update changes the counts of a category, with the lock held; of an unknown one, those of other. Clients
-// choose the names, so that counts for each would fill the memory.
+// update changes the counts of a category, or those of other if the category is unknown. Clients choose the
+// names of categories, so counts for each name could fill the memory. The caller holds the mutex.
 func (r *Recorder) update(category string, change func(*OpCounts)) {
 	counts, known := r.metrics.Requests[category]
 	if !known {
@@ -165,7 +165,7 @@
 	r.metrics.Requests[category] = counts
 }
 
-// AttemptSent counts an attempt that was written completely.
+// AttemptSent counts an attempt that was written completely to a worker.
 func (r *Recorder) AttemptSent(category string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -173,7 +173,7 @@
 	r.update(category, func(counts *OpCounts) { counts.Attempts++ })
 }
 
-// SetWorkers sets how many workers the endpoint list has, and how many of them are avoided.
+// SetWorkers sets the number of workers in the endpoint list, and the number of them that are excluded.
 func (r *Recorder) SetWorkers(known, excluded int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -181,7 +181,7 @@
 	r.metrics.WorkersExcluded = excluded
 }
 
-// ConfigReloaded counts a configuration that was applied, or rejected.
+// ConfigReloaded counts a reload, whose configuration was applied or rejected.
 func (r *Recorder) ConfigReloaded(applied bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -192,7 +192,7 @@
 	}
 }
 
-// AcceptFailed counts a failure of accept, and returns how many there were.
+// AcceptFailed counts a failure of accept and returns the number of failures so far.
 func (r *Recorder) AcceptFailed() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -200,7 +200,7 @@
 	return r.metrics.AcceptFailures
 }
 
-// Snapshot returns the counts of now.
+// Snapshot returns a copy of the current metrics.
 func (r *Recorder) Snapshot() Metrics {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/observe/metrics/metrics_test.go
+++ b/internal/observe/metrics/metrics_test.go
@@ -6,27 +6,28 @@
 	"testing"
 )
 
-// Staff compare the figures with what clients saw: each op is counted once, under its own end.
-func TestEachOpIsCountedOnceAndHeldUntilItsEnd(t *testing.T) {
-	y := New([]string{"look", "pay"})
+// Each request is counted once, by how it ended, so that operators can compare the metrics with those of
+// clients.
+func TestEachRequestIsCountedOnceAndInFlightUntilItsEnd(t *testing.T) {
+	r := New([]string{"look", "pay"})
 	for range 5 {
-		y.RequestStarted()
+		r.RequestStarted()
 	}
-	y.AttemptSent("look")
-	y.AttemptSent("look")
-	y.RequestEnded("look", Succeeded)
-	y.RequestEnded("look", Rejected)
-	y.RequestEnded("pay", Failed)
-	y.RequestStarted()
-	y.RequestEnded("pay", Rejected)
-	y.RequestStarted()
-	y.RequestEnded("look", Disconnected)
-	y.RequestStarted()
-	y.RequestEnded("stranger", Failed)
-	y.SetWorkers(9, 2)
-	y.ConfigReloaded(true)
-	y.ConfigReloaded(false)
-	got, err := json.Marshal(y.Snapshot())
+	r.AttemptSent("look")
+	r.AttemptSent("look")
+	r.RequestEnded("look", Succeeded)
+	r.RequestEnded("look", Rejected)
+	r.RequestEnded("pay", Failed)
+	r.RequestStarted()
+	r.RequestEnded("pay", Rejected)
+	r.RequestStarted()
+	r.RequestEnded("look", Disconnected)
+	r.RequestStarted()
+	r.RequestEnded("stranger", Failed)
+	r.SetWorkers(9, 2)
+	r.ConfigReloaded(true)
+	r.ConfigReloaded(false)
+	got, err := json.Marshal(r.Snapshot())
 	want := `{"requests":{"look":{"served":1,"refused":1,"failed":0,"gone":1,"attempts":2},` +
 		`"pay":{"served":0,"refused":1,"failed":1,"gone":0,"attempts":0}},"requests_taken":8,` +
 		`"other":{"served":0,"refused":0,"failed":1,"gone":0,"attempts":0},"attempts":2,"goroutines":0,"in_flight":2,` +
@@ -36,78 +37,86 @@
 	}
 }
 
-// Names come from clients: counted one by one, strangers' names would fill the memory.
-func TestStrangersNamesAreNotKept(t *testing.T) {
-	y := New([]string{"look"})
-	y.RequestStarted()
-	y.RequestEnded("stranger", Failed)
-	var many []string
+// Clients choose the names of categories. Unknown names must not get counts, which could fill the memory.
+func TestUnknownCategoriesGetNoCounts(t *testing.T) {
+	r := New([]string{"look"})
+	r.RequestStarted()
+	r.RequestEnded("stranger", Failed)
+	var categories []string
 	for i := range 2 * maxCategories {
-		many = append(many, fmt.Sprint(i))
+		categories = append(categories, fmt.Sprint(i))
 	}
-	y.SetCategories(many)
-	f := y.Snapshot()
-	if _, kept := f.Requests["stranger"]; kept || len(f.Requests) != maxCategories || f.OpsInFlight != 0 {
-		t.Errorf("%d categories, stranger %v, %d held", len(f.Requests), kept, f.OpsInFlight)
+	r.SetCategories(categories)
+	snapshot := r.Snapshot()
+	if _, exists := snapshot.Requests["stranger"]; exists || len(snapshot.Requests) != maxCategories ||
+		snapshot.OpsInFlight != 0 {
+		t.Errorf("%d categories, stranger %v, %d in flight", len(snapshot.Requests), exists,
+			snapshot.OpsInFlight)
 	}
-	f.Requests["look"] = OpCounts{Succeeded: 7}
-	if y.Snapshot().Requests["look"].Succeeded != 0 {
-		t.Error("a reader has changed the figures")
+	snapshot.Requests["look"] = OpCounts{Succeeded: 7}
+	if r.Snapshot().Requests["look"].Succeeded != 0 {
+		t.Error("a change of a snapshot changed the metrics")
 	}
 }
 
-// Over a day of changes names came and went until there was no room, and new categories had no figures.
-// Those that are served always have, the ones that were dropped first make room, and no op is lost from
-// the sums.
-func TestDroppedCategoriesMakeRoomAndNoOpIsLost(t *testing.T) {
+// Served categories always have counts. The counts of the categories that were dropped first are merged into
+// other, and the totals stay the same. Otherwise the dropped categories of a day of changes would use up the
+// limit, and new categories would have no counts.
+func TestCountsOfDroppedCategoriesAreMergedIntoOther(t *testing.T) {
 	const entries, changes = 560, 5000
 	name := func(i int) string { return fmt.Sprint("c", i) }
 	served := make([]string, entries)
 	for i := range served {
 		served[i] = name(i)
 	}
-	y := New(served)
+	r := New(served)
 	n := 0
-	count := func(c string) {
+	count := func(category string) {
 		n++
-		y.RequestStarted()
-		y.AttemptSent(c)
-		y.RequestEnded(c, RequestEnd(n%4))
+		r.RequestStarted()
+		r.AttemptSent(category)
+		r.RequestEnded(category, RequestEnd(n%4))
 	}
 	for i := entries; i < changes; i++ {
 		served[i%entries] = name(i)
-		y.SetCategories(served)
+		r.SetCategories(served)
 		count(name(i))
 		if i%5 == 0 {
-			count(name(i - entries)) // a client that does not know yet
+			count(name(i - entries)) // a client still uses a dropped category
 		}
 	}
-	f := y.Snapshot()
+	snapshot := r.Snapshot()
 	for _, c := range served {
-		if o, has := f.Requests[c]; !has || o.Attempts == 0 {
-			t.Errorf("%s is served and has %+v, %v", c, o, has)
+		if counts, exists := snapshot.Requests[c]; !exists || counts.Attempts == 0 {
+			t.Errorf("served category %s has counts %+v, %v", c, counts, exists)
 		}
 	}
-	for _, want := range []string{name(changes - entries - 1), name(changes - maxCategories)} {
-		if _, has := f.Requests[want]; !has {
-			t.Errorf("%s, one of the last that were dropped, has no figures", want)
+	for _, category := range []string{name(changes - entries - 1), name(changes - maxCategories)} {
+		if _, exists := snapshot.Requests[category]; !exists {
+			t.Errorf("%s, one of the categories dropped last, has no counts", category)
 		}
 	}
-	if _, has := f.Requests[name(changes-maxCategories-1)]; has || len(f.Requests) != maxCategories || len(y.droppedCategories) != maxCategories-entries {
-		t.Errorf("%d categories have figures, of them %d dropped", len(f.Requests), len(y.droppedCategories))
+	if _, exists := snapshot.Requests[name(changes-maxCategories-1)]; exists ||
+		len(snapshot.Requests) != maxCategories || len(r.droppedCategories) != maxCategories-entries {
+		t.Errorf("%d categories have counts, %d of them dropped", len(snapshot.Requests),
+			len(r.droppedCategories))
 	}
-	sum, attempts := f.Other.Succeeded+f.Other.Rejected+f.Other.Failed+f.Other.Disconnected, f.Other.Attempts
-	for _, o := range f.Requests {
+	sum, attempts := snapshot.Other.Succeeded+snapshot.Other.Rejected+snapshot.Other.Failed+
+		snapshot.Other.Disconnected, snapshot.Other.Attempts
+	for _, o := range snapshot.Requests {
 		sum, attempts = sum+o.Succeeded+o.Rejected+o.Failed+o.Disconnected, attempts+o.Attempts
 	}
-	if sum != f.RequestsRead || attempts != f.Attempts || f.Attempts != f.RequestsRead || f.OpsInFlight != 0 {
-		t.Errorf("%d in all places, %d taken; %d and %d attempts", sum, f.RequestsRead, attempts, f.Attempts)
+	if sum != snapshot.RequestsRead || attempts != snapshot.Attempts ||
+		snapshot.Attempts != snapshot.RequestsRead || snapshot.OpsInFlight != 0 {
+		t.Errorf("sum of counts %d, requests read %d; sum of attempts %d, attempts %d", sum,
+			snapshot.RequestsRead, attempts, snapshot.Attempts)
 	}
-	back := name(changes - entries - 1)
-	was := f.Requests[back]
-	served[0] = back
-	y.SetCategories(served)
-	if y.Snapshot().Requests[back] != was || len(y.droppedCategories) != maxCategories-entries {
-		t.Errorf("back again, it has %+v, not %+v; %d dropped", y.Snapshot().Requests[back], was, len(y.droppedCategories))
+	restored := name(changes - entries - 1)
+	want := snapshot.Requests[restored]
+	served[0] = restored
+	r.SetCategories(served)
+	if r.Snapshot().Requests[restored] != want || len(r.droppedCategories) != maxCategories-entries {
+		t.Errorf("the restored category has counts %+v, want %+v; %d dropped",
+			r.Snapshot().Requests[restored], want, len(r.droppedCategories))
 	}
 }
--- a/internal/testsupport/filled/filled.go
+++ b/internal/testsupport/filled/filled.go
@@ -1,4 +1,5 @@
-// Package filled builds values whose every field is set, and finds fields that are not. It is for tests only.
+// Package filled builds values in which every field is set, and finds fields that are not set. It is for
+// tests only.
 package filled
 
 import (
@@ -11,10 +12,10 @@
 	"woaddyke/internal/testsupport/golden"
 )
 
-const elements = 2 // of each slice and each map
+const elementCount = 2 // elements in each slice and each map
 
-// Value returns a value in which every exported field that JSON carries has a non-zero value that no other field has, but for booleans,
-// which are true. It fails the test where a field can't be set.
+// Value returns a value in which every exported field that is encoded in JSON is set. Booleans are true, and
+// all other fields have different values. It fails the test if a field can't be set.
 func Value[T any](t testing.TB) T {
 	t.Helper()
 	var value T
@@ -24,10 +25,11 @@
 	return value
 }
 
-// CompareJSON fails the test unless the value is written as the file has it, and the file is read as the value.
+// CompareJSON fails the test unless the value is encoded as the content of the file, and the file is decoded
+// as the value.
 func CompareJSON[T any](t testing.TB, path string, value T) {
 	t.Helper()
-	var compact bytes.Buffer // what is raw in the value has no indents
+	var compact bytes.Buffer // without indents, as raw messages in the value have none
 	if err := json.Compact(&compact, CompareWritten(t, path, value)); err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +42,8 @@
 	}
 }
 
-// CompareWritten fails the test unless the value, with every field set, is written as the file has it. It returns what is written.
+// CompareWritten fails the test unless every field of the value is set, and the value is encoded as the
+// content of the file. It returns the encoded value.
 func CompareWritten(t testing.TB, path string, value any) []byte {
 	t.Helper()
 	RequireSet(t, value)
@@ -53,7 +56,7 @@
 	return text
 }
 
-// RequireSet fails the test for each field with its zero value, of those that are exported and that JSON carries.
+// RequireSet fails the test for each exported field that is encoded in JSON and has its zero value.
 func RequireSet(t testing.TB, value any) {
 	t.Helper()
 	for _, name := range unset(reflect.ValueOf(value), fmt.Sprintf("%T", value)) {
@@ -64,11 +67,11 @@
 	}
 }
 
-func carried(field reflect.StructField) bool {
+func isEncoded(field reflect.StructField) bool {
 	return field.IsExported() && field.Tag.Get("json") != "-"
 }
 
-// unset names the fields with their zero values.
+// unset returns the names of the fields that have their zero values.
 func unset(value reflect.Value, name string) (names []string) {
 	if !value.IsValid() || value.IsZero() {
 		return []string{name}
@@ -78,7 +81,7 @@
 		return unset(value.Elem(), name)
 	case reflect.Struct:
 		for i := range value.NumField() {
-			if field := value.Type().Field(i); carried(field) {
+			if field := value.Type().Field(i); isEncoded(field) {
 				names = append(names, unset(value.Field(i), name+"."+field.Name)...)
 			}
 		}
@@ -100,7 +103,7 @@
 	return names
 }
 
-// filler counts up, for values that differ.
+// filler sets fields to values that count up, so that all differ.
 type filler struct {
 	t    testing.TB
 	last int
@@ -131,7 +134,7 @@
 	case reflect.Struct:
 		f.fillStruct(value, name)
 	case reflect.Slice:
-		value.Set(reflect.MakeSlice(value.Type(), elements, elements))
+		value.Set(reflect.MakeSlice(value.Type(), elementCount, elementCount))
 		f.fillList(value, name)
 	case reflect.Array:
 		f.fillList(value, name)
@@ -150,7 +153,7 @@
 func (f *filler) fillStruct(value reflect.Value, name string) {
 	f.t.Helper()
 	for i := range value.NumField() {
-		if field := value.Type().Field(i); carried(field) {
+		if field := value.Type().Field(i); isEncoded(field) {
 			f.fill(value.Field(i), name+"."+field.Name)
 		}
 	}
@@ -166,7 +169,7 @@
 func (f *filler) fillMap(value reflect.Value, name string) {
 	f.t.Helper()
 	value.Set(reflect.MakeMap(value.Type()))
-	for range elements {
+	for range elementCount {
 		key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
 		f.fill(key, name)
 		f.fill(element, name)
@@ -174,7 +177,7 @@
 	}
 }
 
-// RequireDiffers fails the test for each exported field that is the same in two values of one struct type.
+// RequireDiffers fails the test for each exported field that has the same value in both structs of one type.
 func RequireDiffers(t testing.TB, value, other any) {
 	t.Helper()
 	a, b := reflect.ValueOf(value), reflect.ValueOf(other)
--- a/internal/testsupport/filled/numbered.go
+++ b/internal/testsupport/filled/numbered.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Numbered returns a value in which every exported field is set, whatever its tags: numbers and texts count up in the order of the fields,
-// and booleans are true. It fails the test where a field can't be set.
+// Numbered returns a value in which every exported field is set, regardless of its tags. Numbers and texts
+// count up in the order of the fields, and booleans are true. It fails the test if a field can't be set.
 func Numbered[T any](t testing.TB) T {
 	t.Helper()
 	var value T
@@ -16,13 +16,13 @@
 	return value
 }
 
-// RequireNonZero fails the test where an exported field, or an element of a list, has its zero value.
+// RequireNonZero fails the test if an exported field, or an element of a list, has its zero value.
 func RequireNonZero(t testing.TB, name string, value any) {
 	t.Helper()
 	requireNonZero(t, name, reflect.ValueOf(value))
 }
 
-// numberer sets fields, and no two numbers or texts to the same value.
+// numberer sets fields to numbers and texts that all differ.
 type numberer struct{ last int }
 
 func (n *numberer) fill(t testing.TB, value reflect.Value) {
@@ -36,7 +36,7 @@
 			}
 		}
 	case reflect.Slice:
-		value.Set(reflect.MakeSlice(value.Type(), elements, elements))
+		value.Set(reflect.MakeSlice(value.Type(), elementCount, elementCount))
 		for i := range value.Len() {
 			n.fill(t, value.Index(i))
 		}
--- a/internal/testsupport/fragmentpeer/fragmentpeer.go
+++ b/internal/testsupport/fragmentpeer/fragmentpeer.go
@@ -1,5 +1,5 @@
-// Package fragmentpeer is a stand-in for peers that write in pieces, leave in the middle or end their sending, for the tests of all
-// that reads from a connection.
+// Package fragmentpeer simulates peers that write a text in fragments, or close the connection or its write
+// side before the text is complete. It is for tests of code that reads from a connection.
 package fragmentpeer
 
 import (
@@ -10,47 +10,51 @@
 	"testing"
 )
 
-// Way is one way to write a text: its parts, each a write of its own, and how the peer goes on.
+// Way is a sequence of writes to a connection, one for each part, and the action of the peer after them.
 type Way struct {
 	Name  string
 	Parts []string
 	Then  Then
 }
 
-// Then is what a peer does once it has written.
+// Then is the action of a peer after its last write.
 type Then int
 
-// Cut is to leave; with Ends it sends no more but reads on.
+// The actions after the last write, in order: leave the connection open, close it, close its write side only.
 const (
 	Stays Then = iota
 	Cut
 	Ends
 )
 
-// Whole are the ways that bring all of a text: at once, a byte at a time, and split at each place.
+// Whole returns scripts that write a complete text: in one write, a byte at a time, and split at each
+// position.
 func Whole(text string) []Way {
-	ways := []Way{{Name: "at once", Parts: []string{text}}, {Name: "a byte at a time", Parts: strings.Split(text, "")}}
+	scripts := []Way{
+		{Name: "at once", Parts: []string{text}}, {Name: "a byte at a time", Parts: strings.Split(text, "")},
+	}
 	for k := 1; k < len(text); k++ {
-		ways = append(ways, Way{Name: fmt.Sprintf("split at %d", k), Parts: []string{text[:k], text[k:]}})
+		scripts = append(scripts, Way{Name: fmt.Sprintf("split at %d", k), Parts: []string{text[:k], text[k:]}})
 	}
-	return ways
+	return scripts
 }
 
-// Cuts are the ways that leave a text off: before each of its bytes, by leaving or by ending the sending.
-func Cuts(text string) (ways []Way) {
+// Cuts returns scripts that write only the start of a text. For each byte there are two, which stop before
+// that byte: one closes the connection, the other its write side.
+func Cuts(text string) (scripts []Way) {
 	for k := range len(text) {
-		ways = append(ways, Way{fmt.Sprintf("cut at %d", k), []string{text[:k]}, Cut},
+		scripts = append(scripts, Way{fmt.Sprintf("cut at %d", k), []string{text[:k]}, Cut},
 			Way{fmt.Sprintf("ended at %d", k), []string{text[:k]}, Ends})
 	}
-	return ways
+	return scripts
 }
 
-// Text is all that a way brings.
+// Text returns the complete text of the script.
 func (w Way) Text() string { return strings.Join(w.Parts, "") }
 
-// Write writes to a connection in this way. What is written after the other side has closed is of no interest.
+// Write plays the script on a connection. It ignores errors of writes after the other side has closed.
 func (w Way) Write(c *net.TCPConn) {
-	c.SetNoDelay(true) // each part a segment of its own
+	c.SetNoDelay(true) // sends each part as a separate segment
 	for _, p := range w.Parts {
 		if _, err := io.WriteString(c, p); err != nil {
 			return
@@ -64,8 +68,8 @@
 	}
 }
 
-// Serve hands each connection that it accepts to a function, and closes it after that.
-func Serve(t testing.TB, with func(*net.TCPConn)) (addr string) {
+// Serve calls handle for each accepted connection, and closes the connection afterwards.
+func Serve(t testing.TB, handle func(*net.TCPConn)) (addr string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -79,15 +83,15 @@
 			}
 			go func() {
 				defer c.Close()
-				with(c.(*net.TCPConn))
+				handle(c.(*net.TCPConn))
 			}()
 		}
 	}()
 	return l.Addr().String()
 }
 
-// Answer is a server that waits for the end of a request's head on each connection and then writes in the way that next
-// tells.
+// Answer starts a server that reads the head of a request on each connection and then plays the script that
+// next returns.
 func Answer(t *testing.T, next func() Way) (addr string) {
 	return Serve(t, func(c *net.TCPConn) {
 		head, b := "", make([]byte, 1)
@@ -98,11 +102,11 @@
 			head += string(b)
 		}
 		next().Write(c)
-		io.Copy(io.Discard, c) // until the other side is done with it
+		io.Copy(io.Discard, c) // until the other side closes the connection
 	})
 }
 
-// Dial is a connection to a server under test.
+// Dial returns a connection to a server under test.
 func Dial(t *testing.T, addr string) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
--- a/internal/testsupport/golden/golden.go
+++ b/internal/testsupport/golden/golden.go
@@ -1,4 +1,4 @@
-// Package golden compares what a build writes with files that an earlier build wrote. It is for tests only.
+// Package golden compares the output of a build with files that an earlier build wrote. It is for tests only.
 package golden
 
 import (
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Compare fails the test unless got is the content of the file. With UPDATE_GOLDEN=1 it writes the file and fails, so that a run
-// that updates files never passes.
+// Compare fails the test unless got is the content of the file. With UPDATE_GOLDEN=1 it writes the file and
+// fails, so that a run that updates files never passes.
 func Compare(t testing.TB, path string, got []byte) {
 	t.Helper()
 	if os.Getenv("UPDATE_GOLDEN") == "1" {
--- a/internal/testsupport/helptext/helptext.go
+++ b/internal/testsupport/helptext/helptext.go
@@ -1,4 +1,4 @@
-// Package helptext collects the help of a program's commands. It is for tests only.
+// Package helptext collects the help texts of a program's commands. It is for tests only.
 package helptext
 
 import (
@@ -10,11 +10,12 @@
 	"github.com/spf13/cobra"
 )
 
-// All is the help of a program and of all commands below it, as --help prints it. Each is asked of a tree of its own.
+// All returns the help texts of a program and all its subcommands, as --help prints them. Each text is
+// printed by a new command tree.
 func All(t testing.TB, program func() *cobra.Command) []byte {
 	t.Helper()
 	var text bytes.Buffer
-	for _, path := range paths(program()) {
+	for _, path := range commandPaths(program()) {
 		c := program()
 		c.SetOut(&text)
 		c.SetArgs(append(strings.Fields(path)[1:], "--help"))
@@ -27,11 +28,11 @@
 	return text.Bytes()
 }
 
-// paths are the full names of a command and of all below it.
-func paths(c *cobra.Command) []string {
-	all := []string{c.CommandPath()}
-	for _, below := range c.Commands() {
-		all = append(all, paths(below)...)
+// commandPaths returns the full names of a command and all its subcommands.
+func commandPaths(c *cobra.Command) []string {
+	names := []string{c.CommandPath()}
+	for _, subcommand := range c.Commands() {
+		names = append(names, commandPaths(subcommand)...)
 	}
-	return all
+	return names
 }
--- a/spikes/memberlist/spike_test.go
+++ b/spikes/memberlist/spike_test.go
@@ -16,53 +16,55 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// wire is a transport of ours: it notes each datagram and loses those that a cut takes.
-type wire struct {
+// recordingTransport records each datagram and drops those on a link that is blocked.
+type recordingTransport struct {
 	memberlist.NodeAwareTransport
-	name string
-	note func(from, to string, size int)
-	cut  func(from, to string) bool
+	name    string
+	record  func(from, to string, size int)
+	blocked func(from, to string) bool
 }
 
-func (w *wire) WriteTo(b []byte, addr string) (time.Time, error) {
-	return w.WriteToAddress(b, memberlist.Address{Addr: addr})
+func (r *recordingTransport) WriteTo(b []byte, addr string) (time.Time, error) {
+	return r.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
-func (w *wire) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	w.note(w.name, a.Addr, len(b))
-	if w.cut(w.name, a.Addr) {
+func (r *recordingTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+	r.record(r.name, a.Addr, len(b))
+	if r.blocked(r.name, a.Addr) {
 		return time.Now(), nil
 	}
-	go w.NodeAwareTransport.WriteToAddress(append([]byte(nil), b...), a) // a mock's channel has no room: two that write at once wait for good
+	// Two members that write to each other would block forever, as the channel of the mock is unbuffered.
+	go r.NodeAwareTransport.WriteToAddress(append([]byte(nil), b...), a)
 	return time.Now(), nil
 }
 
-func (w *wire) DialAddressTimeout(a memberlist.Address, d time.Duration) (net.Conn, error) {
-	if w.cut(w.name, a.Addr) {
+func (r *recordingTransport) DialAddressTimeout(a memberlist.Address, d time.Duration) (net.Conn, error) {
+	if r.blocked(r.name, a.Addr) {
 		time.Sleep(d)
-		return nil, fmt.Errorf("cut")
+		return nil, fmt.Errorf("link blocked")
 	}
-	return w.NodeAwareTransport.DialAddressTimeout(a, d)
+	return r.NodeAwareTransport.DialAddressTimeout(a, d)
 }
 
-// play runs five members for the time given, in virtual time, and tells a hash of all that was sent and how many each sees.
-func play(t *testing.T, last, cutFrom, cutUntil time.Duration) (hash uint64, seen string) {
+// runCluster runs five members in virtual time for a duration. It returns a hash of all datagrams, and how
+// many members each member sees.
+func runCluster(t *testing.T, duration, partitionStart, partitionEnd time.Duration) (hash uint64, seen string) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		h := fnv.New64a()
 		start := time.Now()
 		var network memberlist.MockNetwork
 		side := map[string]int{}
-		over := false
-		var wires []*memberlist.MockTransport
-		var all []*memberlist.Memberlist
+		stopped := false
+		var transports []*memberlist.MockTransport
+		var members []*memberlist.Memberlist
 		for i := range 5 {
 			name := fmt.Sprint("m", i)
 			tr := network.NewTransport(name)
-			wires = append(wires, tr)
+			transports = append(transports, tr)
 			c := memberlist.DefaultLANConfig()
 			c.Name, c.Logger = name, log.New(io.Discard, "", 0)
-			c.Transport = &wire{tr, name, func(from, to string, size int) {
+			c.Transport = &recordingTransport{tr, name, func(from, to string, size int) {
 				mu.Lock()
 				defer mu.Unlock()
 				fmt.Fprintln(h, time.Since(start), from, to, size)
@@ -70,7 +72,7 @@
 				mu.Lock()
 				defer mu.Unlock()
 				at := time.Since(start)
-				return over || at > cutFrom && at < cutUntil && side[from] != side[to]
+				return stopped || at > partitionStart && at < partitionEnd && side[from] != side[to]
 			}}
 			m, err := memberlist.Create(c)
 			if err != nil {
@@ -80,25 +82,28 @@
 			mu.Lock()
 			side[name], side[n.Address()] = i/3, i/3
 			mu.Unlock()
-			if all = append(all, m); i > 0 {
-				if _, err := m.Join([]string{all[0].LocalNode().Address()}); err != nil {
+			if members = append(members, m); i > 0 {
+				if _, err := m.Join([]string{members[0].LocalNode().Address()}); err != nil {
 					t.Log(err)
 				}
 			}
 		}
-		time.Sleep(last)
+		time.Sleep(duration)
 		var counts []string
-		for _, m := range all {
+		for _, m := range members {
 			counts = append(counts, fmt.Sprint(m.NumMembers()))
 		}
 		mu.Lock()
-		over = true
+		stopped = true
 		mu.Unlock()
-		time.Sleep(10 * time.Second) // what is on its way arrives: a mock's packet that nobody reads waits for good
-		for _, m := range all {
+		// Lets datagrams in flight arrive: a write to the channel of the mock blocks forever if nothing reads
+		// it.
+		time.Sleep(10 * time.Second)
+		for _, m := range members {
 			m.Shutdown()
 		}
-		for _, tr := range wires { // what is still on its way to one that has ended must not wait for good
+		// Reads the datagrams to members that have ended, whose writers would block forever.
+		for _, tr := range transports {
 			for more := true; more; {
 				select {
 				case <-tr.PacketCh():
@@ -118,18 +123,20 @@
 	return hash, seen
 }
 
-func TestOneSeedPlaysACluster(t *testing.T) {
+// Shows whether runs of a cluster are reproducible.
+func TestRunsOfAClusterAreReproducible(t *testing.T) {
 	var hashes []string
 	for range 3 {
-		h, seen := play(t, 20*time.Second, 0, 0)
+		h, seen := runCluster(t, 20*time.Second, 0, 0)
 		hashes = append(hashes, fmt.Sprintf("%016x (%s)", h, seen))
 	}
-	t.Log("three plays, nothing drawn by us: ", hashes)
+	t.Log("three runs without random choices of the test: ", hashes)
 }
 
-func TestACutOfAMinuteEnds(t *testing.T) {
+// Shows how many members each member sees after a network partition of 60 s.
+func TestMembersRejoinAfterAPartition(t *testing.T) {
 	for _, after := range []time.Duration{30 * time.Second, 5 * time.Minute, 20 * time.Minute} {
-		_, seen := play(t, 70*time.Second+after, 10*time.Second, 70*time.Second)
-		t.Logf("members seen by each, %v after a cut of 60 s between 3 and 2: %s", after, seen)
+		_, seen := runCluster(t, 70*time.Second+after, 10*time.Second, 70*time.Second)
+		t.Logf("members seen by each, %v after a partition of 60 s between 3 and 2 members: %s", after, seen)
 	}
 }
--- a/spikes/raft/spike_test.go
+++ b/spikes/raft/spike_test.go
@@ -10,28 +10,29 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// group is three keepers of one raft group in virtual time: a tick is 10 ms, a message takes none.
+// group is a raft group of three nodes in virtual time. A tick is 10 ms, and messages arrive without delay.
 type group struct {
 	nodes   map[uint64]*raft.RawNode
 	stores  map[uint64]*raft.MemoryStorage
 	stopped map[uint64]bool
-	cut     map[[2]uint64]bool
-	applied map[uint64]int
-	now     int
+	blocked map[[2]uint64]bool // links from one node to another that lose every message
+	applied map[uint64]int     // number of entries that each node has applied
+	now     int                // in ticks
 }
 
 const (
-	election  = 15 // ticks: 150 ms, which a pause of the runtime must not reach
-	heartbeat = 3
+	electionTicks  = 15 // 150 ms; a pause of the runtime must be shorter
+	heartbeatTicks = 3
 )
 
 func start(t *testing.T) *group {
-	g := &group{nodes: map[uint64]*raft.RawNode{}, stores: map[uint64]*raft.MemoryStorage{}, stopped: map[uint64]bool{}, cut: map[[2]uint64]bool{}, applied: map[uint64]int{}}
+	g := &group{nodes: map[uint64]*raft.RawNode{}, stores: map[uint64]*raft.MemoryStorage{}, stopped: map[uint64]bool{},
+		blocked: map[[2]uint64]bool{}, applied: map[uint64]int{}}
 	quiet := &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 	for id := uint64(1); id <= 3; id++ {
 		s := raft.NewMemoryStorage()
 		s.ApplySnapshot(raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1, ConfState: raftpb.ConfState{Voters: []uint64{1, 2, 3}}}})
-		n, err := raft.NewRawNode(&raft.Config{ID: id, ElectionTick: election, HeartbeatTick: heartbeat, Storage: s, MaxSizePerMsg: 1 << 20,
+		n, err := raft.NewRawNode(&raft.Config{ID: id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: s, MaxSizePerMsg: 1 << 20,
 			MaxInflightMsgs: 256, PreVote: true, CheckQuorum: true, Logger: quiet, Applied: 1})
 		if err != nil {
 			t.Fatal(err)
@@ -62,11 +63,11 @@
 				g.nodes[id].Tick()
 			}
 		}
-		g.settle()
+		g.deliver()
 	}
 }
 
-func (g *group) settle() {
+func (g *group) deliver() {
 	for again := true; again; {
 		again = false
 		for id := uint64(1); id <= 3; id++ {
@@ -86,7 +87,7 @@
 				}
 			}
 			for _, m := range rd.Messages {
-				if !g.stopped[m.To] && !g.cut[[2]uint64{id, m.To}] {
+				if !g.stopped[m.To] && !g.blocked[[2]uint64{id, m.To}] {
 					g.nodes[m.To].Step(m)
 				}
 			}
@@ -95,8 +96,9 @@
 	}
 }
 
-// refused counts for how many of so many ticks a claim, proposed to whoever leads, was not committed within the tick.
-func (g *group) refused(ticks int) (n int) {
+// failedClaims proposes a claim to the leader in each tick, and counts the claims that were not committed
+// within their tick.
+func (g *group) failedClaims(ticks int) (n int) {
 	for range ticks {
 		g.run(1)
 		l := g.leader()
@@ -109,41 +111,42 @@
 			n++
 			continue
 		}
-		if g.settle(); g.applied[l] == before {
+		if g.deliver(); g.applied[l] == before {
 			n++
 		}
 	}
 	return n
 }
 
-func TestWhatALeaderInTroubleCosts(t *testing.T) {
-	for _, trouble := range []string{"leader dead", "leader stopped for 1 s", "leader heard by none", "leader hears none", "follower dead"} {
-		var all []int
+// Measures for how long no claim is committed after a fault of a node.
+func TestCommitGapAfterAFault(t *testing.T) {
+	for _, fault := range []string{"leader dead", "leader stopped for 1 s", "leader heard by none", "leader hears none", "follower dead"} {
+		var gaps []int // ms, one of each run
 		for range 50 {
 			g := start(t)
 			l := g.leader()
-			switch trouble {
+			switch fault {
 			case "leader heard by none":
 				for id := uint64(1); id <= 3; id++ {
-					g.cut[[2]uint64{l, id}] = true
+					g.blocked[[2]uint64{l, id}] = true
 				}
 			case "leader hears none":
 				for id := uint64(1); id <= 3; id++ {
-					g.cut[[2]uint64{id, l}] = true
+					g.blocked[[2]uint64{id, l}] = true
 				}
 			case "follower dead":
 				g.stopped[l%3+1] = true
 			default:
 				g.stopped[l] = true
 			}
-			n := g.refused(100)
-			if trouble == "leader stopped for 1 s" {
+			n := g.failedClaims(100)
+			if fault == "leader stopped for 1 s" {
 				g.stopped[l] = false
-				n += g.refused(100)
+				n += g.failedClaims(100)
 			}
-			all = append(all, 10*n)
+			gaps = append(gaps, 10*n)
 		}
-		sort.Ints(all)
-		t.Logf("%s: no claim is committed for %d ms at p50, %d at p90, %d at worst", trouble, all[25], all[45], all[49])
+		sort.Ints(gaps)
+		t.Logf("%s: no claim is committed for %d ms at p50, %d at p90, %d at worst", fault, gaps[25], gaps[45], gaps[49])
 	}
 }
