--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -36,7 +36,7 @@
 	for _, entries := range []int{3, 560, maxCategories} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			categories := makeCategories(entries)
-			path := filepath.Join(b.TempDir(), "sheet")
+			path := filepath.Join(b.TempDir(), "config.json")
 			write := func() *Bootstrap {
 				text, err := json.Marshal(map[string]any{"listen": "a:1", "discovery": "a:2", "seed": "ff", "settings": map[string]any{
 					"bounds": map[string]any{"maxPushes": 3}, "categories": categories}})
--- a/internal/config/features/features_test.go
+++ b/internal/config/features/features_test.go
@@ -63,8 +63,8 @@
 		text  string
 		line  int
 	}{
-		"typed": {&configerror.Error{Key: "probe", Problem: "must be at most 1h", Value: "3h"}, `:3: members.probe: must be at most 1h, got "3h"`, 3},
-		"left out": {&configerror.Error{Key: "probe_time", Problem: "must be at most 1h"},
+		"present": {&configerror.Error{Key: "probe", Problem: "must be at most 1h", Value: "3h"}, `:3: members.probe: must be at most 1h, got "3h"`, 3},
+		"missing": {&configerror.Error{Key: "probe_time", Problem: "must be at most 1h"},
 			":1: members.probe_time: must be at most 1h", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -95,7 +95,7 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		path := filepath.Join(t.TempDir(), "sheet")
+		path := filepath.Join(t.TempDir(), "config.json")
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -116,7 +116,7 @@
 // than the limit must be rejected, so that the size of a file is bounded.
 func TestOnlyFilesWithinTheCategoryLimitAreRead(t *testing.T) {
 	for n, fits := range map[int]bool{1120: true, maxCategories: true, maxCategories + 1: false} {
-		path := filepath.Join(t.TempDir(), "sheet")
+		path := filepath.Join(t.TempDir(), "config.json")
 		text := `{"listen":"a:1","discovery":"a:2","seed":"ff","settings":{"categories":[` +
 			strings.TrimSuffix(strings.Repeat(`{"name":"c","ttlNs":5},`, n), ",") + `]}}`
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/internal/lifecycle/hotrestart/transfer/transfer_test.go
+++ b/internal/lifecycle/hotrestart/transfer/transfer_test.go
@@ -204,7 +204,7 @@
 	if _, err := Receive(path, []byte("another")); !errors.Is(err, ErrRefused) {
 		t.Errorf("a request of another process: %v", err)
 	}
-	for name, text := range map[string][]byte{"nothing": nil, "half": {0, 0, 0, 9, 'm'}, "too much": {255, 255, 255, 255}} {
+	for name, text := range map[string][]byte{"nothing": nil, "incomplete": {0, 0, 0, 9, 'm'}, "too much": {255, 255, 255, 255}} {
 		conn, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
