--- a/internal/cluster/drainstate/drainstate.go
+++ b/internal/cluster/drainstate/drainstate.go
@@ -1,6 +1,7 @@
-// Package drainstate spreads which workers are draining or were removed: what discovery reported to one
-// member binds every member that receives it, until its own discovery has come as far. The package is
-// pure: it takes an input with its time and returns effects, does no I/O and reads no clock.
+// Package drainstate shares among the members which workers are draining or were removed. What discovery
+// reported to one member binds every member that receives the report, until the discovery of the receiving
+// member reaches the same revision. The package is pure: it takes an input with its time and returns effects,
+// does no I/O and reads no clock.
 package drainstate
 
 import (
@@ -12,20 +13,21 @@
 	"woaddyke/internal/cluster/membership"
 )
 
-// Time is a moment in tenths of a millisecond on a clock that only goes forward.
+// Time is a time in tenths of a millisecond on a monotonic clock.
 type Time = membership.Time
 
-// DrainRecord says that a worker takes nothing new, as discovery reported to a member. A worker that
-// starts again has another boot ID and is another worker.
+// DrainRecord reports that a worker takes no new ops, as discovery told a member. A worker that restarts has
+// a new boot ID and counts as another worker.
 type DrainRecord struct {
 	Worker   string `cbor:"Worker"`
-	BootID   int64  `cbor:"Boot"` // ms, as discovery tells it
-	Removed  bool   `cbor:"Gone"` // from the endpoint list; false: it is draining
-	Revision int64  `cbor:"Rev"`  // discovery's own
+	BootID   int64  `cbor:"Boot"` // ms, from discovery
+	Removed  bool   `cbor:"Gone"` // true: removed from the endpoint list; false: draining
+	Revision int64  `cbor:"Rev"`  // of the endpoint list
 }
 
-// Merge returns which of two records of one worker counts: that of the later boot, else of the later
-// revision, else the one that says removed. It is commutative, associative and idempotent.
+// Merge returns the record that takes precedence, of two records of the same worker: the record of the later
+// boot, else of the later revision, else the record with Removed set. Merge is commutative, associative and
+// idempotent.
 func Merge(a, b DrainRecord) DrainRecord {
 	if compare(a, b) < 0 {
 		return b
@@ -50,32 +52,32 @@
 
 const (
 	maxRecords           = 4096
-	maxRecordsPerMessage = 24  // with the longest names they fit a message of the mesh
-	maxWorkerNameBytes   = 255 // nothing is spread of a worker with a longer name
+	maxRecordsPerMessage = 24  // fit into one message of the mesh even with the longest names
+	maxWorkerNameBytes   = 255 // records of workers with longer names are ignored
 
-	gossipFanout   = 3 // members that a record is sent to in one round
-	gossipRounds   = 4 // in which a record is sent
+	gossipFanout   = 3 // members to which a record is sent in one round
+	gossipRounds   = 4 // rounds in which a record is sent
 	gossipInterval = Time(1_000)
-	retention      = Time(600_000) // 60 s: by then discovery has notified every member, or none
+	retention      = Time(600_000) // 60 s: by then discovery has notified all members or none
 
-	// seedSalt tells this package's random sequence from others with the same seed.
+	// seedSalt makes this package's random sequence differ from those of other packages with the same seed.
 	seedSalt = 0x6c69737473
 )
 
-// storedRecord is a record that is being spread.
+// storedRecord is a known record and the progress of its gossip.
 type storedRecord struct {
 	DrainRecord
-	learnedAt Time
-	rounds    int // of gossip in which it was sent
+	learnedAt  Time
+	roundsSent int // gossip rounds in which the record was sent
 }
 
-func (r *storedRecord) needsGossip() bool { return r.rounds < gossipRounds }
+func (r *storedRecord) needsGossip() bool { return r.roundsSent < gossipRounds }
 
-// Core is the part of one scheduler.
+// Core is the drain state of one scheduler.
 type Core struct {
 	random     *rand.Rand
-	revision   int64               // of the own discovery
-	listed     map[string]Endpoint // by the own discovery
+	revision   int64               // of this scheduler's discovery
+	listed     map[string]Endpoint // by this scheduler's discovery, by worker
 	records    map[string]*storedRecord
 	peers      []string
 	nextGossip Time
@@ -83,7 +85,7 @@
 	effects    []Effect
 }
 
-// New makes a core without records.
+// New returns a core without records.
 func New(seed uint64) *Core {
 	return &Core{
 		random:  rand.New(rand.NewPCG(seed, seedSalt)),
@@ -92,7 +94,7 @@
 	}
 }
 
-// Step takes an input and returns its effects.
+// Step processes an input and returns its effects.
 func (c *Core) Step(now Time, in Input) []Effect {
 	c.now, c.effects = max(now, c.now), nil
 	switch in := in.(type) {
@@ -113,10 +115,10 @@
 	return c.effects
 }
 
-// NextTick is when a Tick is due.
+// NextTick returns the time when a Tick is due.
 func (c *Core) NextTick() Time { return c.nextGossip }
 
-// handleEndpoints learns of the workers that a list of the own discovery says are draining or removed.
+// handleEndpoints records the workers that this scheduler's discovery reports as draining or removed.
 func (c *Core) handleEndpoints(in EndpointsChanged) {
 	c.revision = in.Revision
 	before := c.listed
@@ -131,7 +133,7 @@
 	}
 }
 
-// handleEndpoint takes one endpoint, and the one that was listed before under its name, if any.
+// handleEndpoint processes one endpoint. before is the endpoint that was listed under its name, if any.
 func (c *Core) handleEndpoint(e, before Endpoint) {
 	if e.Removed {
 		delete(c.listed, e.Worker)
@@ -143,12 +145,12 @@
 	}
 	bootID := e.BootID
 	if bootID == 0 {
-		bootID = before.BootID // it is the process that was listed
+		bootID = before.BootID // an endpoint without a boot ID refers to the listed process
 	}
 	c.learn(DrainRecord{Worker: e.Worker, BootID: bootID, Removed: e.Removed, Revision: c.revision})
 }
 
-// learnUnlisted learns that the workers were removed which a snapshot does not list any more.
+// learnUnlisted records as removed the workers that a snapshot no longer lists.
 func (c *Core) learnUnlisted(before map[string]Endpoint) {
 	for _, name := range slices.Sorted(maps.Keys(before)) {
 		if _, listed := c.listed[name]; !listed {
@@ -162,7 +164,7 @@
 	}
 }
 
-// learn stores a record that counts more than the known one, for the next rounds of gossip.
+// learn stores a record that takes precedence over the known one. The next gossip rounds send it.
 func (c *Core) learn(r DrainRecord) {
 	if r.Worker == "" || len(r.Worker) > maxWorkerNameBytes {
 		return
@@ -170,7 +172,7 @@
 	known := c.records[r.Worker]
 	switch {
 	case known == nil && len(c.records) >= maxRecords:
-		return // the own discovery will tell
+		return // this scheduler's discovery will report the worker
 	case known != nil && compare(r, known.DrainRecord) <= 0:
 		return
 	}
@@ -180,8 +182,9 @@
 	}
 }
 
-// Excluded reports whether a worker takes nothing new though the own discovery lists it as ready: another
-// member has another report of this very boot of it, or a later one, at a revision that has not come here.
+// Excluded reports whether a worker takes no new ops although this scheduler's discovery lists it as ready.
+// That is so if another member reported the same or a later boot of the worker as draining or removed, at a
+// revision that this scheduler's discovery has not reached.
 func (c *Core) Excluded(worker string) bool {
 	endpoint, listed := c.listed[worker]
 	r := c.records[worker]
@@ -191,7 +194,7 @@
 	return r.BootID >= endpoint.BootID && r.Revision > c.revision && c.now-r.learnedAt < retention
 }
 
-// handlePeers takes the members that are alive; those that are new are sent all records.
+// handlePeers processes the members that are alive. It sends all records to new members.
 func (c *Core) handlePeers(names []string) {
 	all := func(*storedRecord) bool { return true }
 	for _, name := range names {
@@ -202,7 +205,7 @@
 	c.peers = names
 }
 
-// sendRecords sends some of the records to a member, in messages of bounded size.
+// sendRecords sends the records that included selects to a member, in messages of bounded size.
 func (c *Core) sendRecords(to string, included func(*storedRecord) bool) {
 	var records []DrainRecord
 	for _, name := range slices.Sorted(maps.Keys(c.records)) {
@@ -221,9 +224,10 @@
 	})
 }
 
-// gossip sends the records that are new to a few random members, in a few rounds: each passes them on.
+// gossip sends new records to gossipFanout random members, in gossipRounds rounds. Each receiver passes them
+// on.
 func (c *Core) gossip() {
-	if len(c.peers) == 0 || !c.hasNews() {
+	if len(c.peers) == 0 || !c.hasRecordsToGossip() {
 		return
 	}
 	fanout := min(gossipFanout, len(c.peers))
@@ -231,11 +235,11 @@
 		c.sendRecords(c.peers[i], (*storedRecord).needsGossip)
 	}
 	for _, r := range c.records {
-		r.rounds++
+		r.roundsSent++
 	}
 }
 
-func (c *Core) hasNews() bool {
+func (c *Core) hasRecordsToGossip() bool {
 	for _, r := range c.records {
 		if r.needsGossip() {
 			return true
--- a/internal/cluster/drainstate/drainstate_test.go
+++ b/internal/cluster/drainstate/drainstate_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestJoinIsAJoin(t *testing.T) {
+func TestMergeIsCommutativeAssociativeAndIdempotent(t *testing.T) {
 	draw := func(t *rapid.T, label string) DrainRecord {
 		return DrainRecord{
 			Worker:   "w",
@@ -24,74 +24,75 @@
 	})
 }
 
-func serving(names ...string) (entries []Endpoint) {
+func readyEndpoints(names ...string) (entries []Endpoint) {
 	for _, n := range names {
 		entries = append(entries, Endpoint{Worker: n, BootID: 5, Ready: true})
 	}
 	return entries
 }
 
-// A scheduler that is cut off from discovery went on pushing to a worker whose drain its neighbours had
-// been told of.
-func TestANeighboursDrainBinds(t *testing.T) {
+// A scheduler whose discovery lags must stop pushing to a worker that a peer reports as draining. The report
+// binds until the scheduler's discovery reaches the same revision.
+func TestADrainRecordBindsUntilDiscoveryCatchesUp(t *testing.T) {
 	a, b := New(1), New(2)
-	a.Step(1, EndpointsChanged{Revision: 7, Snapshot: true, Endpoints: serving("w1", "w2")})
-	b.Step(1, EndpointsChanged{Revision: 7, Snapshot: true, Endpoints: serving("w1", "w2")})
+	a.Step(1, EndpointsChanged{Revision: 7, Snapshot: true, Endpoints: readyEndpoints("w1", "w2")})
+	b.Step(1, EndpointsChanged{Revision: 7, Snapshot: true, Endpoints: readyEndpoints("w1", "w2")})
 	a.Step(2, PeersChanged{[]string{"b"}})
-	bound := 0
-	pass := func(effects []Effect) {
+	excluded := 0
+	deliver := func(effects []Effect) {
 		for _, e := range effects {
 			if x, ok := e.(SendRecords); ok {
 				for _, e := range b.Step(3000, RecordsReceived{x.Records}) {
 					if _, ok := e.(WorkerExcluded); ok {
-						bound++
+						excluded++
 					}
 				}
 			}
 		}
 	}
-	pass(a.Step(2000, EndpointsChanged{Revision: 8, Endpoints: []Endpoint{{Worker: "w1", BootID: 5}}}))
-	pass(a.Step(4000, Tick{}))
-	if !b.Excluded("w1") || b.Excluded("w2") || bound != 1 {
-		t.Errorf("w1 %v, w2 %v, bound %d times", b.Excluded("w1"), b.Excluded("w2"), bound)
+	deliver(a.Step(2000, EndpointsChanged{Revision: 8, Endpoints: []Endpoint{{Worker: "w1", BootID: 5}}}))
+	deliver(a.Step(4000, Tick{}))
+	if !b.Excluded("w1") || b.Excluded("w2") || excluded != 1 {
+		t.Errorf("excluded: w1 %v, w2 %v, reported %d times", b.Excluded("w1"), b.Excluded("w2"), excluded)
 	}
-	b.Step(5000, EndpointsChanged{Revision: 8, Endpoints: serving("w1")})
+	b.Step(5000, EndpointsChanged{Revision: 8, Endpoints: readyEndpoints("w1")})
 	if b.Excluded("w1") {
-		t.Error("its own discovery has come as far, and still it does not count")
+		t.Error("a record excludes a worker after discovery reached its revision")
 	}
 }
 
-// A list of a lower revision, such as of a discovery that was restarted, must not bring a drained worker
-// back while neighbours know better; nor may an old word hold back a worker that has started again.
-func TestThreeAgesOfOneWorker(t *testing.T) {
+// An endpoint list of a lower revision, such as one of a restarted discovery, must not clear the drain of a
+// worker that a peer reported at a higher revision. A record of an earlier boot must not exclude a restarted
+// worker.
+func TestTheRecordOfTheLatestBootAndRevisionCounts(t *testing.T) {
 	c := New(1)
 	c.Step(1, RecordsReceived{[]DrainRecord{{"w", 5, false, 20}}})
-	c.Step(2, EndpointsChanged{Revision: 3, Snapshot: true, Endpoints: serving("w")})
+	c.Step(2, EndpointsChanged{Revision: 3, Snapshot: true, Endpoints: readyEndpoints("w")})
 	if !c.Excluded("w") {
-		t.Error("a lower revision stands over what a neighbour was told")
+		t.Error("a list of a lower revision clears a drain record")
 	}
 	c.Step(3, EndpointsChanged{Revision: 4, Endpoints: []Endpoint{{Worker: "w", BootID: 9, Ready: true}}})
 	if c.Excluded("w") {
-		t.Error("it has started again, and the word is of the start before")
+		t.Error("a record of an earlier boot excludes a restarted worker")
 	}
 	c.Step(4, RecordsReceived{[]DrainRecord{{"w", 9, true, 21}}})
 	c.Step(5, RecordsReceived{[]DrainRecord{{"w", 5, false, 30}}})
 	if !c.Excluded("w") {
-		t.Error("an older start's word stands over a later one's")
+		t.Error("a record of an earlier boot replaces a record of a later boot")
 	}
 	if c.Step(4+retention, Tick{}); c.Excluded("w") {
-		t.Error("a word is never forgotten")
+		t.Error("a record does not expire after the retention")
 	}
 }
 
-// Strangers' words must not take the memory, and one who is new is told all.
-func TestWordsAreBounded(t *testing.T) {
+// Records from peers must not use unbounded memory. A new peer is sent all records.
+func TestDrainRecordsAreBounded(t *testing.T) {
 	c := New(1)
 	for i := range 3 * maxRecords {
 		c.Step(1, RecordsReceived{[]DrainRecord{{fmt.Sprint("w", i), 1, false, 1}}})
 	}
 	if len(c.records) != maxRecords {
-		t.Errorf("%d words", len(c.records))
+		t.Errorf("%d records", len(c.records))
 	}
 	n := 0
 	for _, e := range c.Step(2, PeersChanged{[]string{"b"}}) {
@@ -100,6 +101,6 @@
 		}
 	}
 	if n < maxRecords {
-		t.Errorf("a new one is told %d of %d", n, maxRecords)
+		t.Errorf("a new peer is sent %d of %d records", n, maxRecords)
 	}
 }
--- a/internal/cluster/drainstate/inputs.go
+++ b/internal/cluster/drainstate/inputs.go
@@ -1,6 +1,6 @@
 package drainstate
 
-// Endpoint is a worker as the own discovery lists it.
+// Endpoint is a worker as this scheduler's discovery lists it.
 type Endpoint struct {
 	Worker  string
 	BootID  int64 // ms; 0: unknown
@@ -11,20 +11,20 @@
 // Input is one of EndpointsChanged, RecordsReceived, PeersChanged and Tick.
 type Input interface{ input() }
 
-// EndpointsChanged is a snapshot or a delta of the own discovery.
+// EndpointsChanged is a snapshot or a delta of the endpoint list from this scheduler's discovery.
 type EndpointsChanged struct {
 	Revision  int64
 	Snapshot  bool
 	Endpoints []Endpoint
 }
 
-// RecordsReceived are records of another member.
+// RecordsReceived contains records from another member.
 type RecordsReceived struct{ Records []DrainRecord }
 
-// PeersChanged are the members that are alive now. A new one among them is sent all records.
+// PeersChanged lists the members that are alive now. New members are sent all records.
 type PeersChanged struct{ Names []string }
 
-// Tick says that the moment of NextTick has come.
+// Tick reports that the time returned by NextTick has come.
 type Tick struct{}
 
 func (EndpointsChanged) input() {}
@@ -41,8 +41,8 @@
 	Records []DrainRecord
 }
 
-// WorkerExcluded says that a worker takes nothing new from this scheduler, though its own discovery still
-// lists it.
+// WorkerExcluded reports that a worker takes no new ops from this scheduler, although the scheduler's
+// discovery still lists the worker as ready.
 type WorkerExcluded struct{ Worker string }
 
 func (SendRecords) effect()    {}
--- a/internal/cluster/operatorstate/operatorstate.go
+++ b/internal/cluster/operatorstate/operatorstate.go
@@ -1,6 +1,6 @@
-// Package operatorstate keeps what operators decided for each scheduler of a cluster, as the schedulers
-// notify one another of it: the settings that a scheduler uses, and whether its clients are drained. It
-// does no I/O and reads no clock.
+// Package operatorstate tracks the operator state of each scheduler of a cluster: the settings that a
+// scheduler uses, and whether its clients are drained. The schedulers send each other their states. The
+// package does no I/O and reads no clock.
 package operatorstate
 
 import (
@@ -8,13 +8,13 @@
 	"slices"
 )
 
-const maxMembers = 4096 // other schedulers, as many as a view has by default
+const maxMembers = 4096 // other schedulers; a membership view has as many by default
 
-// State is what a scheduler reports of itself.
+// State is the operator state that a scheduler reports about itself.
 type State struct {
-	Settings       uint64 `cbor:"1,keyasint,omitzero"` // hash of what should be the same everywhere
-	ClientsDrained bool   `cbor:"2,keyasint,omitzero"` // its clients are sent to other schedulers
-	Sequence       uint64 `cbor:"3,keyasint,omitzero"` // grows with each change of the state
+	Settings       uint64 `cbor:"1,keyasint,omitzero"` // hash of the settings that all schedulers should use
+	ClientsDrained bool   `cbor:"2,keyasint,omitzero"` // the scheduler sends its clients to other schedulers
+	Sequence       uint64 `cbor:"3,keyasint,omitzero"` // increases with each change of the state
 }
 
 // memberState is the newest state of a member, and the incarnation that reported it.
@@ -23,8 +23,8 @@
 	incarnation uint64
 }
 
-// newerThan tells whether a state replaces another one: of two incarnations the later one's does, and of
-// one incarnation the state with the greater sequence number.
+// newerThan reports whether a state replaces another one. The state of a later incarnation replaces that of
+// an earlier one. Within one incarnation, the state with the greater sequence number replaces the other.
 func (m memberState) newerThan(other memberState) bool {
 	if m.incarnation != other.incarnation {
 		return m.incarnation > other.incarnation
@@ -32,21 +32,22 @@
 	return m.state.Sequence > other.state.Sequence
 }
 
-// Board is what one scheduler knows of its own state and those of the others. It is not safe for concurrent
-// use.
+// Board contains a scheduler's own state and the known states of other schedulers. It is not safe for
+// concurrent use.
 type Board struct {
 	own    State
 	ownSet bool
 	byName map[string]memberState
 }
 
-// New returns a board that knows of no other scheduler. The sequence number of the own state begins at
-// start, which must be greater for a successor than for its predecessor.
+// New returns an instance without states of other schedulers. The sequence number of this scheduler's state
+// begins at start, which must be greater for a successor than for its predecessor.
 func New(start uint64) *Board {
 	return &Board{own: State{Sequence: start}, byName: map[string]memberState{}}
 }
 
-// SetOwn sets the own state. It reports whether that has changed, so that all others are to be notified.
+// SetOwn sets the state of this scheduler. It reports whether the state has changed, in which case all other
+// schedulers must be notified.
 func (b *Board) SetOwn(settings uint64, clientsDrained bool) bool {
 	if b.ownSet && b.own.Settings == settings && b.own.ClientsDrained == clientsDrained {
 		return false
@@ -60,11 +61,10 @@
 	return true
 }
 
-// Own returns the own state.
+// Own returns the state of this scheduler.
 func (b *Board) Own() State { return b.own }
 
-// Receive takes the state that an incarnation of a member reports. One that is not newer than what is known
-// changes nothing.
+// Receive stores the state that an incarnation of a member reports, if it is newer than the known state.
 func (b *Board) Receive(name string, incarnation uint64, state State) {
 	received := memberState{state: state, incarnation: incarnation}
 	current, known := b.byName[name]
@@ -77,15 +77,16 @@
 	b.byName[name] = received
 }
 
-// Forget drops the state of a member that has ended.
+// Forget deletes the state of a member that has ended.
 func (b *Board) Forget(name string) { delete(b.byName, name) }
 
-// DifferingMembers returns the names of those that use other settings than this scheduler, in order.
+// DifferingMembers returns the sorted names of the members whose settings differ from those of this
+// scheduler.
 func (b *Board) DifferingMembers() []string {
 	return b.namesWhere(func(s State) bool { return s.Settings != b.own.Settings })
 }
 
-// DrainedMembers returns the names of those whose clients are drained, in order.
+// DrainedMembers returns the sorted names of the members whose clients are drained.
 func (b *Board) DrainedMembers() []string {
 	return b.namesWhere(func(s State) bool { return s.ClientsDrained })
 }
--- a/internal/cluster/operatorstate/operatorstate_test.go
+++ b/internal/cluster/operatorstate/operatorstate_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The own state is to be sent to everybody when it changes, and only then.
+// SetOwn must report a change, and only a change: the scheduler then sends its state to all others.
 func TestSetOwnReportsChanges(t *testing.T) {
 	b := New(0)
 	for i, c := range []struct {
@@ -19,12 +19,12 @@
 		}
 	}
 	if want := (State{Settings: 7, ClientsDrained: true, Sequence: 2}); b.Own() != want {
-		t.Errorf("the own state is %+v, want %+v", b.Own(), want)
+		t.Errorf("own state %+v, want %+v", b.Own(), want)
 	}
 }
 
-// States come late, twice and of incarnations that have ended: the newest by the member's own count is
-// kept.
+// States can arrive late, twice, or from incarnations that have ended. Only the state with the latest
+// incarnation and sequence number counts.
 func TestNewestStateIsKept(t *testing.T) {
 	b := New(0)
 	b.SetOwn(7, true)
@@ -39,26 +39,26 @@
 	}
 	b.Receive("n", 3, State{7, false, 1})
 	if len(b.DifferingMembers())+len(b.DrainedMembers()) > 0 {
-		t.Errorf("a later incarnation counts from 1: %v, %v", b.DifferingMembers(), b.DrainedMembers())
+		t.Errorf("a later incarnation is ignored: %v, %v", b.DifferingMembers(), b.DrainedMembers())
 	}
 	b.Receive("m", 1, State{6, false, 1})
 	b.Forget("m")
 	if len(b.DifferingMembers()) > 0 {
-		t.Error("a member that has ended differs still")
+		t.Error("a forgotten member still differs")
 	}
 }
 
-// Names that strangers make up must not take the memory of the process, nor the place of a known member.
-func TestBoardIsBounded(t *testing.T) {
+// States under arbitrary names must not use unbounded memory, or displace the state of a known member.
+func TestOtherMembersAreBounded(t *testing.T) {
 	b := New(0)
 	for i := range 2 * maxMembers {
 		b.Receive(fmt.Sprintf("n%05d", i), 1, State{Settings: 1, Sequence: 1})
 	}
 	b.Receive("n00000", 1, State{Settings: 1, ClientsDrained: true, Sequence: 2})
 	if got := len(b.DifferingMembers()); got != maxMembers {
-		t.Errorf("%d members are known, at most %d", got, maxMembers)
+		t.Errorf("%d members are known, want %d", got, maxMembers)
 	}
 	if !slices.Equal(b.DrainedMembers(), []string{"n00000"}) {
-		t.Errorf("a known member's state is not taken: %v", b.DrainedMembers())
+		t.Errorf("the state of a known member was not updated: drained %v", b.DrainedMembers())
 	}
 }
--- a/internal/cluster/peerload/peerload.go
+++ b/internal/cluster/peerload/peerload.go
@@ -1,4 +1,4 @@
-// Package peerload holds the last reports of others about something: one number each, with its time.
+// Package peerload stores the latest report of each sender: one number, with the time when it arrived.
 package peerload
 
 import "slices"
@@ -8,10 +8,10 @@
 	at            M
 }
 
-// Reports are the last reports of others, in order of the senders' numbers.
+// Reports are the latest reports of all senders, ordered by sender number.
 type Reports[M ~int64] []report[M]
 
-// Set takes a sender's report, in place of its last.
+// Set stores a sender's report and replaces the sender's previous one.
 func (r *Reports[M]) Set(sender, value int, now M) {
 	bySender := func(x report[M], sender int) int { return x.sender - sender }
 	k, found := slices.BinarySearchFunc(*r, sender, bySender)
@@ -26,7 +26,8 @@
 	*r = slices.DeleteFunc(*r, func(x report[M]) bool { return x.sender == sender })
 }
 
-// Sum is that of the reports younger than maxAge: a sender that has fallen silent says nothing about now.
+// Sum returns the sum of the reports that are younger than maxAge. An older report says nothing about the
+// present load of its sender.
 func (r Reports[M]) Sum(now, maxAge M) (sum int) {
 	for _, x := range r {
 		if now-x.at < maxAge {
--- a/internal/cluster/replicaset/changes.go
+++ b/internal/cluster/replicaset/changes.go
@@ -13,16 +13,16 @@
 // retryInterval is the time between two attempts at one step of a change.
 const retryInterval = 200 * ms
 
-// changes is the state of changes of the set: those that operators requested here, and the one that this
+// changes is the state of set changes: the requests of operators at this process, and the change that this
 // process carries out as the leader.
 type changes struct {
 	requests   map[uint64]*pendingRequest
 	active     *activeChange
-	lastChange Time   // of the set
-	readyEpoch uint64 // the epoch whose new replicas are ready, a majority of them
+	lastChange Time   // last change of the set, or proposal of a change
+	readyEpoch uint64 // epoch for which a majority of the new replicas is ready
 }
 
-// pendingRequest is a change that operators requested here.
+// pendingRequest is a change that operators requested at this process.
 type pendingRequest struct {
 	ChangeRequest
 	deadline, nextRetry Time
@@ -30,20 +30,20 @@
 
 // activeChange is a change that the leader carries out.
 type activeChange struct {
-	requestedBy string // the member that forwarded it; empty for one of the leader's own
-	requestID   uint64 // 0 for one of the leader's own
+	requestedBy string // member where operators requested the change; empty: the leader started it itself
+	requestID   uint64 // 0: the leader started the change itself
 	replicas    []string
-	voterIDs    map[string]uint64 // of replicas that are new
+	voterIDs    map[string]uint64 // of new replicas, by name
 	deadline    Time
 	nextRetry   Time
 	proposed    bool
 }
 
-func (s *changes) add(in ChangeRequest, now, deadline Time) {
+func (s *changes) addRequest(in ChangeRequest, now, deadline Time) {
 	s.requests[in.RequestID] = &pendingRequest{ChangeRequest: in, deadline: deadline, nextRetry: now}
 }
 
-// nextDue is when the next retry or deadline is due, at a limit at the latest.
+// nextDue returns the time of the next retry or deadline, but at most limit.
 func (s *changes) nextDue(limit Time) Time {
 	at := limit
 	for _, request := range s.requests {
@@ -55,7 +55,7 @@
 	return at
 }
 
-// Why a change is not begun, or not finished. Operators read the texts.
+// Reasons why a change cannot start or finish. Operators read the texts.
 var (
 	errNotLeader  = errors.New("not the one that leads")
 	errBehind     = errors.New("behind what others know")
@@ -64,14 +64,14 @@
 		"no majority of the keepers has agreed in time; look again: it may come to stand yet")
 )
 
-// staleEpochError is a change from another epoch than the present one.
+// staleEpochError rejects a change that was requested for another epoch than the current one.
 type staleEpochError struct{ present, requested uint64 }
 
 func (e *staleEpochError) Error() string {
 	return fmt.Sprintf("the keepers have changed meanwhile: turn %d, not %d", e.present, e.requested)
 }
 
-// beginChange begins a change, or returns why not.
+// beginChange starts a change, or returns the reason why the change cannot start.
 func (c *Core) beginChange(change *activeChange, epoch uint64) error {
 	change.replicas = slices.Sorted(slices.Values(change.replicas))
 	isRequest := change.requestID != 0
@@ -101,20 +101,21 @@
 	return nil
 }
 
-// isActive reports whether a request is the one that is being carried out.
+// isActive reports whether a change is for the same request as the active change.
 func (c *Core) isActive(change *activeChange) bool {
 	active := c.changes.active
 	return active != nil && active.requestID == change.requestID && active.requestedBy == change.requestedBy
 }
 
-// endChange ends the active change: with an error, or a text for success.
+// endChange ends the active change with an error or, if err is nil, with a text for success.
 func (c *Core) endChange(err error, text string) {
 	change := c.changes.active
 	c.changes.active = nil
 	c.answerChange(change, err, text)
 }
 
-// answerChange answers the member that forwarded a change, and the operators where it was requested here.
+// answerChange answers a change request, either to the member that forwarded it or to the operators at this
+// process. It also logs the result.
 func (c *Core) answerChange(change *activeChange, err error, text string) {
 	if err != nil {
 		text = err.Error()
@@ -139,7 +140,8 @@
 	})
 }
 
-// handleChangeRequested begins a change that another member forwarded, or answers why not.
+// handleChangeRequested starts a change that another member forwarded. If the change cannot start, the leader
+// answers with the reason.
 func (c *Core) handleChangeRequested(in MessageReceived) {
 	err := c.beginChange(&activeChange{
 		requestedBy: in.From,
@@ -157,7 +159,7 @@
 	}
 }
 
-// handleChangeAnswered takes the leader's answer to a change that was requested here.
+// handleChangeAnswered passes the leader's answer to the operators who requested the change at this process.
 func (c *Core) handleChangeAnswered(in MessageReceived) {
 	if c.changes.requests[in.RequestID] != nil && slices.Contains(c.set.Members(), in.From) {
 		delete(c.changes.requests, in.RequestID)
@@ -165,7 +167,7 @@
 	}
 }
 
-// retryRequests forwards the changes that were requested here to the leader, wherever that is.
+// retryRequests forwards pending requests to the leader again, and ends requests whose deadline has passed.
 func (c *Core) retryRequests() {
 	for _, id := range sortedKeys(c.changes.requests) {
 		request := c.changes.requests[id]
@@ -180,7 +182,8 @@
 	}
 }
 
-// forwardRequest begins a change as the leader, and sends it to all other replicas elsewhere.
+// forwardRequest starts the change if this process is the leader. Otherwise it sends the request to all
+// replicas, because any of them may be the leader.
 func (c *Core) forwardRequest(request *pendingRequest) {
 	id := request.RequestID
 	if !c.IsLeader() {
@@ -206,11 +209,10 @@
 	}
 }
 
-// advanceChange does the next step of the active change, and leaves the joint set once its new replicas are
-// ready.
+// advanceChange does the next step of the active change. It ends a joint set once the new replicas are ready.
 func (c *Core) advanceChange() error {
 	if !c.IsLeader() {
-		c.changes.active = nil // the next leader does not know of it: the requester retries
+		c.changes.active = nil // the next leader does not know the change: the requester retries
 		return nil
 	}
 	if err := c.leaveJoint(); err != nil {
@@ -222,7 +224,7 @@
 	case c.now >= change.deadline && change.proposed:
 		c.endChange(errNoMajority, "")
 	case c.now >= change.deadline:
-		silent := strings.Join(c.silentReplicas(change), ", ")
+		silent := strings.Join(c.replicasWithoutVoterID(change), ", ")
 		c.endChange(errors.New("nothing is heard of "+silent), "")
 	case !change.proposed && c.now >= change.nextRetry:
 		change.nextRetry = c.now + retryInterval
@@ -231,8 +233,8 @@
 	return nil
 }
 
-// leaveJoint proposes to drop the old part of the set once a majority of the new one is ready; again after a
-// while, where the proposal was lost.
+// leaveJoint proposes to drop the old part of the set once a majority of the new part is ready. It repeats
+// the proposal after retryInterval, because a proposal can be lost.
 func (c *Core) leaveJoint() error {
 	epoch := c.raft.epoch
 	ready := c.set.Joint() && epoch == c.set.Epoch && c.changes.readyEpoch == epoch
@@ -243,7 +245,7 @@
 	return c.propose(raftpb.ConfChangeV2{})
 }
 
-// voterIDOf is the voter ID that a replica has, or is to have; 0: unknown.
+// voterIDOf returns the voter ID that a change gives to a replica, or else its current voter ID; 0: unknown.
 func (c *Core) voterIDOf(name string, change *activeChange) uint64 {
 	if id := change.voterIDs[name]; id != 0 {
 		return id
@@ -256,8 +258,8 @@
 	return 0
 }
 
-// silentReplicas are the replicas of a change whose voter IDs are unknown.
-func (c *Core) silentReplicas(change *activeChange) (names []string) {
+// replicasWithoutVoterID returns the replicas of a change whose voter IDs are unknown.
+func (c *Core) replicasWithoutVoterID(change *activeChange) (names []string) {
 	for _, name := range change.replicas {
 		if c.voterIDOf(name, change) == 0 {
 			names = append(names, name)
@@ -266,7 +268,8 @@
 	return names
 }
 
-// addChangeVoter takes the voter ID of a new replica, and ends the change where that cannot be one.
+// addChangeVoter records the voter ID of a new replica. It ends the change if the replica cannot become a
+// voter.
 func (c *Core) addChangeVoter(in MessageReceived) {
 	change := c.changes.active
 	if change == nil || change.proposed || !slices.Contains(change.replicas, in.From) {
@@ -282,13 +285,13 @@
 	}
 }
 
-// proposeChange proposes a change once all new replicas have reported their voter IDs: one that is silent
-// must not become a voter.
+// proposeChange proposes a change once all new replicas have reported their voter IDs. A replica that does
+// not answer must not become a voter.
 func (c *Core) proposeChange(change *activeChange) error {
-	kept := map[uint64]bool{}
+	voterIDs := map[uint64]bool{}
 	for _, name := range change.replicas {
 		if id := c.voterIDOf(name, change); id != 0 {
-			kept[id] = true
+			voterIDs[id] = true
 			continue
 		}
 		if name == c.config.Name {
@@ -296,10 +299,10 @@
 		}
 		c.send(name, Message{Kind: VoterQuery})
 	}
-	if len(kept) < len(change.replicas) {
+	if len(voterIDs) < len(change.replicas) {
 		return nil
 	}
-	proposal, err := c.proposal(change, kept)
+	proposal, err := c.proposal(change, voterIDs)
 	if err != nil {
 		return err
 	}
@@ -307,20 +310,20 @@
 	return c.propose(proposal)
 }
 
-// proposal is a change to some voters as raft takes it, with the names of those that are new.
-func (c *Core) proposal(change *activeChange, kept map[uint64]bool) (raftpb.ConfChangeV2, error) {
+// proposal encodes a change to the given voters for raft. Its context contains the names of the new voters.
+func (c *Core) proposal(change *activeChange, voterIDs map[uint64]bool) (raftpb.ConfChangeV2, error) {
 	proposal := raftpb.ConfChangeV2{Transition: raftpb.ConfChangeTransitionJointExplicit}
 	var added []Voter
 	for _, name := range change.replicas {
 		id := c.voterIDOf(name, change)
 		if !slices.Contains(c.raft.conf.Voters, id) {
 			added = append(added, Voter{id, name})
-			proposal.Changes = append(proposal.Changes, single(raftpb.ConfChangeAddNode, id))
+			proposal.Changes = append(proposal.Changes, singleChange(raftpb.ConfChangeAddNode, id))
 		}
 	}
 	for _, id := range c.raft.conf.Voters {
-		if !kept[id] {
-			proposal.Changes = append(proposal.Changes, single(raftpb.ConfChangeRemoveNode, id))
+		if !voterIDs[id] {
+			proposal.Changes = append(proposal.Changes, singleChange(raftpb.ConfChangeRemoveNode, id))
 		}
 	}
 	names, err := cbor.Marshal(added)
@@ -328,11 +331,11 @@
 	return proposal, err
 }
 
-func single(kind raftpb.ConfChangeType, id uint64) raftpb.ConfChangeSingle {
+func singleChange(kind raftpb.ConfChangeType, id uint64) raftpb.ConfChangeSingle {
 	return raftpb.ConfChangeSingle{Type: kind, NodeID: id}
 }
 
-// answerAgreedChange answers the active change once it is agreed.
+// answerAgreedChange ends the active change with success once the group has agreed to it.
 func (c *Core) answerAgreedChange() {
 	change := c.changes.active
 	if change != nil && c.set.Joint() && slices.Equal(change.replicas, c.set.New) {
--- a/internal/cluster/replicaset/changes_test.go
+++ b/internal/cluster/replicaset/changes_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// request has operators request a change at a leader, and runs it until there is an answer.
-func request(t *testing.T, c *Core, id, epoch uint64, replicas ...string) ChangeResult {
+// requestChange requests a change at a leader, and runs the leader until it answers.
+func requestChange(t *testing.T, c *Core, id, epoch uint64, replicas ...string) ChangeResult {
 	t.Helper()
 	effects := c.Step(c.now+1, ChangeRequest{RequestID: id, Epoch: epoch, Replicas: replicas})
 	for range 100 {
@@ -21,8 +21,9 @@
 	return ChangeResult{}
 }
 
-// What can't be is refused in plain words, and changes nothing.
-func TestRefusedChanges(t *testing.T) {
+// A request for an invalid change, or for the present replicas, is answered with the reason and leaves the
+// set as it is.
+func TestARequestThatBeginsNoChangeIsAnswered(t *testing.T) {
 	for _, x := range []struct {
 		name     string
 		epoch    uint64
@@ -37,7 +38,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := newLeader(t)
-			got := request(t, c, 1, x.epoch, x.replicas...)
+			got := requestChange(t, c, 1, x.epoch, x.replicas...)
 			if got.OK != x.ok || got.Retryable || !strings.Contains(got.Message, x.text) {
 				t.Errorf("%+v", got)
 			}
@@ -48,31 +49,32 @@
 	}
 }
 
-// One change at a time: a second one is told to come again, and the first one goes on.
-func TestASecondChangeIsBusy(t *testing.T) {
+// Only one change runs at a time: a second request is rejected as retryable, and the first change continues.
+func TestASecondChangeIsRejectedDuringAChange(t *testing.T) {
 	c := newLeader(t)
 	c.Step(c.now+1, ChangeRequest{RequestID: 1, Epoch: 1, Replicas: []string{"b"}})
-	if got := request(t, c, 2, 1, "c"); got.OK || !got.Retryable || got.Message != errBusy.Error() {
+	if got := requestChange(t, c, 2, 1, "c"); got.OK || !got.Retryable || got.Message != errBusy.Error() {
 		t.Errorf("%+v", got)
 	}
 	if active := c.changes.active; active == nil || active.requestID != 1 {
-		t.Errorf("the first one is %+v", active)
+		t.Errorf("the active change is %+v", active)
 	}
 }
 
-// A replica is replaced once it has been dead for ReplaceAfter without a break, by a spare that is alive.
-func TestWhenADeadReplicaIsReplaced(t *testing.T) {
+// A replica is replaced by a spare that is alive, once the replica has been dead for ReplaceAfter without
+// interruption.
+func TestADeadReplicaIsReplacedAfterReplaceAfter(t *testing.T) {
 	for _, x := range []struct {
 		name    string
 		status  func(c *Core)
 		started bool
 	}{
-		{"dead for long", func(c *Core) {}, true},
-		{"back in between", func(c *Core) {
+		{"dead for ReplaceAfter", func(c *Core) {}, true},
+		{"alive for a moment", func(c *Core) {
 			c.handlePeerStatus(PeerStatus{Name: "b", Alive: true})
 			c.handlePeerStatus(PeerStatus{Name: "b"})
 		}, false},
-		{"back for long", func(c *Core) {
+		{"alive again", func(c *Core) {
 			c.handlePeerStatus(PeerStatus{Name: "b", Alive: true})
 			c.now += 10 * second
 		}, false},
@@ -88,7 +90,7 @@
 			x.status(c)
 			c.replaceDeadReplica()
 			if started := c.changes.active != nil; started != x.started {
-				t.Errorf("a change has begun: %v", started)
+				t.Errorf("change started: %v", started)
 			}
 		})
 	}
--- a/internal/cluster/replicaset/config.go
+++ b/internal/cluster/replicaset/config.go
@@ -11,17 +11,17 @@
 	second Time = 1000 * ms
 )
 
-// Config is what a scheduler is given at its start.
+// Config is the configuration that a scheduler starts with.
 type Config struct {
 	Name              string
-	Replicas          []string // as configured; they create the group
+	Replicas          []string // configured replicas, which create the raft group
 	Seed              uint64
-	HeartbeatInterval Time // of the leader
-	ElectionTimeout   Time // without a leader's message, before a campaign; up to twice that, at random
-	ChangeTimeout     Time // for the answer to a change request
+	HeartbeatInterval Time // between two heartbeats of the leader
+	ElectionTimeout   Time // silence of the leader before a campaign; randomly up to twice that
+	ChangeTimeout     Time // limit for the answer to a change request
 
-	ReplaceAfter Time     // a replica that is dead for so long is replaced by a spare; 0: never
-	Spares       []string // in order of preference
+	ReplaceAfter Time     // a replica that is dead for this long is replaced by a spare; 0: never
+	Spares       []string // members that replace dead replicas, in order of preference
 }
 
 // Defaults returns the default configuration.
@@ -34,27 +34,26 @@
 }
 
 const (
-	maxSpares    = 64
-	maxMembers   = 4096 // whose presence is known: as many as a membership view has by default
-	maxNameBytes = 512
-	minReplace   = 10 * second
+	maxSpares       = 64
+	maxMembers      = 4096 // members whose presence is recorded; a membership view has as many by default
+	maxNameBytes    = 512
+	minReplaceAfter = 10 * second
 )
 
-// Validate returns what is wrong with the configuration. The keys in its errors are those of the features
-// file.
-func (t *Config) Validate() error {
+// Validate checks the configuration. Its errors name the keys of the features file.
+func (c *Config) Validate() error {
 	switch {
-	case t.ReplaceAfter != 0 && t.ReplaceAfter < minReplace:
-		return configerror.Invalid("replace_after", t.ReplaceAfter.Duration(), "must be at least 10s, or 0")
-	case t.ReplaceAfter != 0 && len(t.Spares) == 0:
+	case c.ReplaceAfter != 0 && c.ReplaceAfter < minReplaceAfter:
+		return configerror.Invalid("replace_after", c.ReplaceAfter.Duration(), "must be at least 10s, or 0")
+	case c.ReplaceAfter != 0 && len(c.Spares) == 0:
 		return configerror.Invalid("replace_after", nil, "must be 0 where there are no spares")
-	case len(t.Spares) > maxSpares:
-		return configerror.Invalid("spares", len(t.Spares), "must have at most %d entries", maxSpares)
+	case len(c.Spares) > maxSpares:
+		return configerror.Invalid("spares", len(c.Spares), "must have at most %d entries", maxSpares)
 	}
-	return ValidateNames(t.Replicas)
+	return ValidateNames(c.Replicas)
 }
 
-// ValidateNames returns what is wrong with a list of replicas.
+// ValidateNames checks a list of replicas. It allows an odd number of distinct names, up to MaxReplicas.
 func ValidateNames(names []string) error {
 	if len(names) == 0 || len(names) > MaxReplicas || len(names)%2 == 0 {
 		const problem = "must be an odd number up to %d of names, such as 3 or 5"
--- a/internal/cluster/replicaset/core.go
+++ b/internal/cluster/replicaset/core.go
@@ -1,7 +1,7 @@
-// Package replicaset agrees on which members are replicas, by a raft group of the replicas themselves whose
-// log holds nothing but changes of its own voters. The package is pure: it takes an input with its time and
-// returns messages and sets, does no I/O, reads no clock, and draws from its seed alone. docs/copies.md
-// gives the reasons for the design.
+// Package replicaset agrees on which members are replicas. The replicas form a raft group whose log contains
+// only changes of its own voters. The package is pure: it takes an input with its time and returns messages
+// and sets, does no I/O, reads no clock, and draws random numbers only from its seed. docs/copies.md gives
+// the reasons for the design.
 package replicaset
 
 import (
@@ -13,18 +13,18 @@
 	"woaddyke/internal/cluster/membership"
 )
 
-// Time is a moment in tenths of a millisecond on a clock that only goes forward.
+// Time is a time in tenths of a millisecond on a monotonic clock.
 type Time = membership.Time
 
 const (
-	// seedSalt tells this package's random sequence from others with the same seed.
+	// seedSalt makes this package's random sequence differ from those of other packages with the same seed.
 	seedSalt = 0x6b656570
 
-	// maintenanceInterval is the time between two checks of what is not driven by messages.
+	// maintenanceInterval is the time between two calls of maintain.
 	maintenanceInterval = second
 )
 
-// Core is the part of one process.
+// Core is the state machine of one process for the replica set.
 type Core struct {
 	config  Config
 	random  *rand.Rand
@@ -32,19 +32,19 @@
 	effects []Effect
 
 	serving         bool
-	failed          bool // its state is not durable, or made no sense: it takes no part any more
+	failed          bool // the state is not durable or invalid: this process takes no part in the group
 	state           State
-	set             Set // the latest that is known, agreed here or learned
+	set             Set // the latest known set, agreed here or learned
 	raft            raftGroup
 	election        electionTimer
 	creation        groupCreation
 	changes         changes
-	presence        map[string]presence // of other members
+	presence        map[string]presence // of other members, by name
 	nextMaintenance Time
 }
 
-// New makes a process's part. The state is the one that was persisted, or one with a voter ID that was just
-// drawn; a process with a voter ID of 0 takes no part in the group.
+// New creates the core of a process. The state is the persisted state, or one with a newly drawn voter ID. A
+// process with the voter ID 0 takes no part in the group.
 func New(config Config, state State, now Time) *Core {
 	c := &Core{
 		config:   config,
@@ -64,13 +64,13 @@
 	return c
 }
 
-// Set is the set in force here.
+// Set returns the set in force at this process.
 func (c *Core) Set() Set { return c.set }
 
-// IsLeader reports whether this process carries out changes now.
+// IsLeader reports whether this process is the leader, which carries out changes.
 func (c *Core) IsLeader() bool { return c.raft.isLeader() }
 
-// Status is the role of this process, as operators see it.
+// Status returns the role of this process as shown to operators.
 func (c *Core) Status() string {
 	switch {
 	case c.failed:
@@ -87,9 +87,9 @@
 	return "none"
 }
 
-// Step takes an input and returns its effects, in the order in which they must be carried out. Times never
-// go back. A message, or a stored state, that makes no sense ends this process's part in the group, and
-// nothing else.
+// Step processes an input and returns its effects in the order in which they must be carried out. A time
+// before the latest one counts as the latest one. An invalid message or stored state ends this process's part
+// in the group, but not the process.
 func (c *Core) Step(now Time, in Input) []Effect {
 	c.now = max(now, c.now)
 	c.effects = c.effects[:0:0]
@@ -100,7 +100,7 @@
 	return c.effects
 }
 
-// raftPanicError is a panic of the raft library, which is its answer to corrupt input.
+// raftPanicError is a panic of the raft library. The library panics on corrupt input.
 type raftPanicError struct{ value any }
 
 func (e *raftPanicError) Error() string { return fmt.Sprint(e.value) }
@@ -129,7 +129,7 @@
 	case PeerStatus:
 		c.handlePeerStatus(in)
 	case ChangeRequest:
-		c.changes.add(in, c.now, c.now+c.config.ChangeTimeout)
+		c.changes.addRequest(in, c.now, c.now+c.config.ChangeTimeout)
 	case SetLearned:
 		return c.handleSetLearned(in.Set)
 	case ReplicasReady:
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// handleSetLearned takes a set that others announced: a process that is not in it any more may never learn
-// of that through the group.
+// handleSetLearned adopts a set that another member announced. A process that is no longer a replica may
+// never learn this through the group.
 func (c *Core) handleSetLearned(s Set) error {
 	if !s.Supersedes(c.set) || c.state.GroupID != 0 && s.GroupID != c.state.GroupID {
 		return nil
@@ -182,7 +182,7 @@
 	return c.persist()
 }
 
-// handleStateReloaded goes on with a durable state after a failure.
+// handleStateReloaded continues with a durable state after a failure.
 func (c *Core) handleStateReloaded(state State) error {
 	c.failed = false
 	c.state = state
@@ -192,7 +192,7 @@
 	return c.resume()
 }
 
-// resume starts the raft node where this process is to have one.
+// resume starts the raft node if this process serves as a replica, and resets the election timer.
 func (c *Core) resume() error {
 	isMember := c.state.GroupID != 0 && c.set.contains(c.config.Name)
 	if c.serving && !c.failed && c.raft.node == nil && isMember {
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// fail ends this process's part in the group.
+// fail ends this process's part in the group until its state is reloaded.
 func (c *Core) fail(reason string) {
 	c.failed = true
 	c.raft.node = nil
@@ -216,7 +216,7 @@
 	c.changes.lastChange = c.now
 }
 
-// NextTick is when a Tick is due.
+// NextTick returns the time when a Tick is due.
 func (c *Core) NextTick() Time {
 	at := c.nextMaintenance
 	switch {
@@ -229,7 +229,7 @@
 	return max(c.changes.nextDue(at), c.now+1)
 }
 
-// runTimers does what is due.
+// runTimers performs all actions that are due.
 func (c *Core) runTimers() error {
 	if err := c.runElectionTimer(); err != nil {
 		return err
@@ -244,8 +244,8 @@
 	return c.advanceChange()
 }
 
-// maintain does what no message drives: the group's creation, the replacement of a voter that lost its
-// file, and that of a replica that is dead.
+// maintain does the work that no message triggers: it creates the group, replaces the voter ID of a replica
+// that lost its file, and replaces a dead replica.
 func (c *Core) maintain() error {
 	if !c.serving || c.failed || c.state.VoterID == 0 {
 		return nil
@@ -257,7 +257,7 @@
 		}
 	case c.raft.node == nil && slices.Contains(c.set.New, c.config.Name):
 		c.requestReplacement()
-	case c.state.GroupID != 0 && c.createsGroup():
+	case c.state.GroupID != 0 && c.isGroupCreator():
 		c.announceGroup()
 	}
 	if c.IsLeader() {
@@ -268,12 +268,12 @@
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-func (c *Core) send(to string, x Message) {
+func (c *Core) send(to string, m Message) {
 	if to == "" || to == c.config.Name {
 		return
 	}
-	x.GroupID, x.VoterID = c.state.GroupID, c.state.VoterID
-	c.emit(Send{to, x})
+	m.GroupID, m.VoterID = c.state.GroupID, c.state.VoterID
+	c.emit(Send{to, m})
 }
 
 func sortedKeys[T any](m map[uint64]T) []uint64 { return slices.Sorted(maps.Keys(m)) }
--- a/internal/cluster/replicaset/effects.go
+++ b/internal/cluster/replicaset/effects.go
@@ -1,9 +1,9 @@
 package replicaset
 
-// Effect is one of Persist, Send, SetAgreed, ChangeResult and Event.
+// Effect is an effect that Core.Step returns. The types in this file implement it.
 type Effect interface{ effect() }
 
-// Persist writes a state, before any message after it is sent.
+// Persist writes a state to durable storage before the messages that follow are sent.
 type Persist struct{ State }
 
 // Send sends a message to a member.
@@ -12,10 +12,10 @@
 	Message
 }
 
-// SetAgreed is a set that is in force from now on.
+// SetAgreed reports a set that is in force from now on.
 type SetAgreed struct{ Set }
 
-// ChangeResult is the answer to a ChangeRequest.
+// ChangeResult answers a ChangeRequest.
 type ChangeResult struct {
 	RequestID uint64
 	OK        bool
@@ -30,7 +30,7 @@
 	Warning     bool // operators should act on it
 }
 
-// LeftGroup is the description of the event that this process takes no part in the raft group any more.
+// LeftGroup is the description of the event that this process no longer takes part in the raft group.
 const LeftGroup = "takes no part in the raft group any more"
 
 func (Persist) effect()      {}
--- a/internal/cluster/replicaset/election.go
+++ b/internal/cluster/replicaset/election.go
@@ -5,24 +5,24 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// electionTimer takes the place of the library's own timers: the library is ticked at the leader alone, and
-// campaigns are started by this core's random numbers, so that a seed repeats them.
+// electionTimer replaces the timers of the raft library. Only the leader ticks the library. The start times
+// of campaigns come from the core's random numbers, so that a seed reproduces them.
 type electionTimer struct {
-	nextHeartbeat Time // at the leader
-	campaignAt    Time // elsewhere
+	nextHeartbeat Time // used by the leader
+	campaignAt    Time // used by the other voters
 	leaderHeardAt Time // 0: never
 }
 
-// campaignTransfer is the library's context of a vote request that ignores its leader lease.
+// campaignTransfer is the context of a vote request for which the library ignores its leader lease.
 const campaignTransfer = "CampaignTransfer"
 
-// resetElectionTimer waits for the leader between one and two election timeouts.
+// resetElectionTimer schedules a campaign at a random time, one to two election timeouts from now.
 func (c *Core) resetElectionTimer() {
 	jitter := Time(c.random.Int64N(int64(c.config.ElectionTimeout)))
 	c.election.campaignAt = c.now + c.config.ElectionTimeout + jitter
 }
 
-// runElectionTimer sends heartbeats as the leader, and campaigns elsewhere.
+// runElectionTimer sends heartbeats at the leader, and starts campaigns at the other voters.
 func (c *Core) runElectionTimer() error {
 	switch {
 	case !c.serving || c.raft.node == nil:
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// reportLostSnapshots has snapshots without an answer sent again. The library would wait for the answer
-// without end.
+// reportLostSnapshots makes the library send unanswered snapshots again. Without this report the library
+// would wait for the answer forever.
 func (c *Core) reportLostSnapshots() {
 	sentAt := c.raft.snapshotsSentAt
 	for _, voter := range sortedKeys(sentAt) {
@@ -52,8 +52,8 @@
 	}
 }
 
-// admitRaftMessage reports whether a message may reach the node. It records the leader's messages, and keeps
-// vote requests away while the leader's lease lasts.
+// admitRaftMessage reports whether a message may reach the node. It records when the leader was last heard,
+// and rejects vote requests while the leader's lease is valid.
 func (c *Core) admitRaftMessage(m *raftpb.Message) bool {
 	switch m.Type {
 	case raftpb.MsgPreVote, raftpb.MsgVote:
@@ -63,7 +63,8 @@
 		if c.leaseValid() {
 			return false
 		}
-		// The library counts its own lease by ticks, which only the leader gets.
+		// The library counts its lease in ticks, which only the leader gets. With this context the library
+		// ignores its lease.
 		m.Context = []byte(campaignTransfer)
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 		if m.Term >= c.raft.node.BasicStatus().Term {
@@ -73,12 +74,12 @@
 	case raftpb.MsgProp, raftpb.MsgHup, raftpb.MsgBeat, raftpb.MsgUnreachable, raftpb.MsgSnapStatus,
 		raftpb.MsgCheckQuorum, raftpb.MsgTransferLeader, raftpb.MsgTimeoutNow, raftpb.MsgReadIndex,
 		raftpb.MsgReadIndexResp, raftpb.MsgForgetLeader:
-		return false // no voter of this program sends these
+		return false // voters never send these to each other
 	}
 	return true
 }
 
-// leaseValid reports whether the leader was heard within the election timeout.
+// leaseValid reports whether the leader sent a message within the last election timeout.
 func (c *Core) leaseValid() bool {
 	heardAt := c.election.leaderHeardAt
 	return heardAt != 0 && c.now-heardAt < c.config.ElectionTimeout
--- a/internal/cluster/replicaset/golden_test.go
+++ b/internal/cluster/replicaset/golden_test.go
@@ -14,27 +14,28 @@
 
 const goldenFolder = "testdata/golden"
 
-// requireGolden compares a value's CBOR with its file in both directions.
+// requireGolden requires that a value's CBOR equals its golden file, and that the file decodes to the value.
 func requireGolden[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	path := filepath.Join(goldenFolder, name+".cbor")
-	text, err := cbor.Marshal(value)
+	data, err := cbor.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Compare(t, path, text)
+	golden.Compare(t, path, data)
 	var got T
 	if err := cbor.Unmarshal(golden.Read(t, path), &got); err != nil || !reflect.DeepEqual(got, value) {
 		t.Fatalf("got %+v, %v\nwant %+v", got, err, value)
 	}
 }
 
-// The data of a raft snapshot keeps its bytes, with the names of its fields, and decodes to the same value.
+// The encoded data of a raft snapshot keeps its bytes, including the field names, and decodes to the same
+// value.
 func TestGoldenSnapshotData(t *testing.T) {
-	requireGolden(t, "settled", filled.Numbered[settled](t))
+	requireGolden(t, "settled", filled.Numbered[snapshotData](t))
 }
 
-// The seats in the context of a raft configuration change keep their bytes and decode to the same value.
+// The voters in the context of a raft configuration change keep their bytes and decode to the same value.
 func TestGoldenConfigurationChangeContext(t *testing.T) {
 	requireGolden(t, "seats", filled.Numbered[[]Voter](t))
 }
@@ -49,25 +50,24 @@
 	requireGolden(t, "state", filled.Numbered[State](t))
 }
 
-// A core that starts on a snapshot whose data an earlier build wrote takes its turn and the names of its
-// voters.
-func TestGoldenSnapshotDataIsTakenAtStart(t *testing.T) {
-	data := filled.Numbered[settled](t)
+// A core that starts from a snapshot of an earlier build adopts the snapshot's epoch and voter names.
+func TestGoldenSnapshotDataIsAppliedAtStart(t *testing.T) {
+	data := filled.Numbered[snapshotData](t)
 	voters := []uint64{data.Voters[0].ID, data.Voters[1].ID}
 	snapshot := raftpb.Snapshot{Data: golden.Read(t, filepath.Join(goldenFolder, "settled.cbor")),
 		Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1, ConfState: raftpb.ConfState{Voters: voters}}}
 	hard := raftpb.HardState{Term: 1, Commit: 1}
-	snapshotText, errSnapshot := snapshot.Marshal()
-	hardText, errHard := hard.Marshal()
+	snapshotBytes, errSnapshot := snapshot.Marshal()
+	hardBytes, errHard := hard.Marshal()
 	if errSnapshot != nil || errHard != nil {
 		t.Fatal(errSnapshot, errHard)
 	}
-	terms := Defaults()
-	terms.Name, terms.Replicas = data.Voters[0].Name, []string{data.Voters[0].Name, data.Voters[1].Name}
-	core := New(terms, State{VoterID: voters[0], GroupID: 1, Snapshot: snapshotText, HardState: hardText}, 0)
-	core.Step(1, Membership{Serving: true})
-	want := Set{GroupID: 1, Epoch: data.Epoch, New: terms.Replicas}
-	if got := core.Set(); !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v, want %+v; the core takes part: %s", got, want, core.Status())
+	config := Defaults()
+	config.Name, config.Replicas = data.Voters[0].Name, []string{data.Voters[0].Name, data.Voters[1].Name}
+	c := New(config, State{VoterID: voters[0], GroupID: 1, Snapshot: snapshotBytes, HardState: hardBytes}, 0)
+	c.Step(1, Membership{Serving: true})
+	want := Set{GroupID: 1, Epoch: data.Epoch, New: config.Replicas}
+	if got := c.Set(); !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v; status %s", got, want, c.Status())
 	}
 }
--- a/internal/cluster/replicaset/group_creation.go
+++ b/internal/cluster/replicaset/group_creation.go
@@ -9,18 +9,18 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// groupCreation is the state of the creation of the raft group, which happens once. The first of the
-// configured replicas creates it, so that there are no two groups.
+// groupCreation is the state of the creation of the raft group, which happens once. Only the first configured
+// replica by name creates the group, so that there are never two groups.
 type groupCreation struct {
-	voterIDs map[string]uint64 // of the configured replicas that have answered
-	accepted map[uint64]bool   // voters that know of the group
+	voterIDs map[string]uint64 // of the configured replicas that have answered, by name
+	accepted map[uint64]bool   // IDs of the voters that acknowledged the group
 }
 
 func newGroupCreation() groupCreation {
 	return groupCreation{voterIDs: map[string]uint64{}, accepted: map[uint64]bool{}}
 }
 
-// voters are the configured replicas whose voter IDs are known.
+// voters returns the configured replicas whose voter IDs are known.
 func (g *groupCreation) voters(replicas []string) (voters []Voter) {
 	for _, name := range replicas {
 		if id := g.voterIDs[name]; id != 0 {
@@ -30,15 +30,15 @@
 	return voters
 }
 
-// createsGroup reports whether this process is the one that creates the group.
-func (c *Core) createsGroup() bool {
+// isGroupCreator reports whether this process creates the group.
+func (c *Core) isGroupCreator() bool {
 	return len(c.config.Replicas) > 0 && c.config.Replicas[0] == c.config.Name
 }
 
-// createGroup creates the group once every configured replica has reported its voter ID, and none knows of a
-// group that was created before.
+// createGroup creates the group once every configured replica has reported its voter ID and no replica has
+// reported an existing group.
 func (c *Core) createGroup() error {
-	if !c.createsGroup() {
+	if !c.isGroupCreator() {
 		return nil
 	}
 	c.creation.voterIDs[c.config.Name] = c.state.VoterID
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// announceGroup tells the voters of the first epoch of the group, until all of them have answered.
+// announceGroup announces the group to its voters during its first epoch, until all voters have acknowledged.
 func (c *Core) announceGroup() {
 	allAccepted := len(c.creation.accepted) >= len(c.config.Replicas)-1
 	if c.raft.epoch > 1 || allAccepted || c.raft.node == nil {
@@ -72,10 +72,10 @@
 	}
 }
 
-// joinGroup starts the node on the first snapshot of a group, which is the same at each of its voters, and
-// has it persisted.
+// joinGroup starts the node from the first snapshot of a group, and persists the snapshot. All voters of the
+// group have the same first snapshot.
 func (c *Core) joinGroup(groupID uint64, voters []Voter) error {
-	snapshot, hard, err := firstState(voters)
+	snapshot, hard, err := initialState(voters)
 	if err != nil {
 		return err
 	}
@@ -87,8 +87,8 @@
 	return c.persist()
 }
 
-// firstState encodes the snapshot and the hard state of a new group.
-func firstState(voters []Voter) (snapshot, hard []byte, err error) {
+// initialState encodes the snapshot and the hard state of a new group.
+func initialState(voters []Voter) (snapshot, hard []byte, err error) {
 	var conf raftpb.ConfState
 	for _, v := range voters {
 		conf.Voters = append(conf.Voters, v.ID)
@@ -96,7 +96,7 @@
 	slices.Sort(conf.Voters)
 	byName := func(a, b Voter) int { return strings.Compare(a.Name, b.Name) }
 	voters = slices.SortedFunc(slices.Values(voters), byName)
-	data, err := cbor.Marshal(settled{1, voters})
+	data, err := cbor.Marshal(snapshotData{1, voters})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -110,7 +110,7 @@
 	return snapshot, hard, errors.Join(err1, err2)
 }
 
-// handleGroupFounded joins the group of which this process is a voter, and answers that it knows of it.
+// handleGroupFounded joins the group if this process is one of its voters, and acknowledges the announcement.
 func (c *Core) handleGroupFounded(in MessageReceived) error {
 	isVoter := slices.Contains(in.Voters, Voter{c.state.VoterID, c.config.Name})
 	joins := c.state.GroupID == 0 && in.GroupID != 0 && c.state.VoterID != 0
@@ -125,12 +125,12 @@
 	return nil
 }
 
-// handleVoterReply takes another process's voter ID, for the creation of the group or a change of the set.
+// handleVoterReply records another process's voter ID, for the creation of the group or a change of the set.
 func (c *Core) handleVoterReply(in MessageReceived) {
 	if c.state.GroupID == 0 && c.set.GroupID == 0 {
 		switch {
 		case in.GroupID != 0:
-			// A group was created before: this process has lost its file, and will learn of the set.
+			// A group exists already: this process has lost its file, and will learn of the set.
 			clear(c.creation.voterIDs)
 		case in.VoterID != 0:
 			c.creation.voterIDs[in.From] = in.VoterID
--- a/internal/cluster/replicaset/inputs.go
+++ b/internal/cluster/replicaset/inputs.go
@@ -1,45 +1,44 @@
 package replicaset
 
-// Input is one of MessageReceived, Tick, Membership, PeerStatus, ChangeRequest, SetLearned, ReplicasReady,
-// PersistFailed and StateReloaded.
+// Input is an input of Core.Step. The types in this file implement it.
 type Input interface{ input() }
 
-// MessageReceived is a message of another member.
+// MessageReceived is a message from another member.
 type MessageReceived struct {
 	From string
 	Message
 }
 
-// Tick says that the moment of NextTick has come.
+// Tick reports that the time returned by NextTick has come.
 type Tick struct{}
 
-// Membership says whether this process is a member.
+// Membership reports whether this process is a member.
 type Membership struct{ Serving bool }
 
-// PeerStatus says whether another member is alive, as this process sees it.
+// PeerStatus reports whether another member is alive, as this process sees it.
 type PeerStatus struct {
 	Name  string
 	Alive bool
 }
 
-// ChangeRequest is a change of the set that operators request, at any scheduler.
+// ChangeRequest is a request of operators to change the set. Any scheduler accepts the request.
 type ChangeRequest struct {
-	RequestID uint64 // the caller's own, never used twice
-	Epoch     uint64 // of the set that they saw
+	RequestID uint64 // chosen by the caller, never used twice
+	Epoch     uint64 // of the set that the operators saw
 	Replicas  []string
 }
 
-// SetLearned is a set that other members announced.
+// SetLearned is a set that another member announced.
 type SetLearned struct{ Set }
 
-// ReplicasReady says that a majority of the new replicas of an epoch know what the old ones knew.
+// ReplicasReady reports that a majority of the new replicas of an epoch has caught up with the old replicas.
 type ReplicasReady struct{ Epoch uint64 }
 
-// PersistFailed says that a state could not be persisted.
+// PersistFailed reports that a state could not be persisted.
 type PersistFailed struct{}
 
-// StateReloaded says that states are durable again after PersistFailed, and brings the one that is persisted
-// by now.
+// StateReloaded reports that states can be persisted again after PersistFailed. It contains the state that is
+// persisted now.
 type StateReloaded struct{ State }
 
 func (MessageReceived) input() {}
--- a/internal/cluster/replicaset/messages.go
+++ b/internal/cluster/replicaset/messages.go
@@ -1,47 +1,46 @@
 package replicaset
 
-// Voter is one voter of the raft group: a number that was drawn when its file was made, and the name of its
-// member.
+// Voter is a voter of the raft group. Its ID is drawn at random when the file of its member is created.
 type Voter struct {
 	ID   uint64 `cbor:"1,keyasint,omitzero"`
 	Name string `cbor:"2,keyasint,omitzero"`
 }
 
-// Kind is the kind of a message. The numbers are fixed by the wire.
+// Kind is the kind of a message. The numbers are part of the wire format.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	VoterQuery      Kind = iota + 1 // what is your voter ID?
-	VoterReply                      // its answer; 0 without a file
-	GroupFounded                    // the group was created with these voters
-	VoterAccepted                   // its answer: the voter knows of the group
-	RaftMessage                     // a message of the raft library
-	ReplaceVoter                    // this replica has another voter ID than the one in the group
-	ChangeRequested                 // operators request these replicas
-	ChangeAnswered                  // the leader's answer
+	VoterQuery      Kind = iota + 1 // asks for the voter ID of the receiver
+	VoterReply                      // contains the voter ID of the sender; 0: the sender has no file
+	GroupFounded                    // announces a new group and its voters
+	VoterAccepted                   // acknowledges the announcement of the group
+	RaftMessage                     // contains a message of the raft library
+	ReplaceVoter                    // reports that the group has another voter ID for the sender
+	ChangeRequested                 // forwards a change request of operators
+	ChangeAnswered                  // contains the leader's answer to a change request
 )
 
-// Message is what members send each other about the replica set.
+// Message is a message between members about the replica set.
 type Message struct {
 	Kind        Kind     `cbor:"1,keyasint,omitzero"`
 	GroupID     uint64   `cbor:"2,keyasint,omitzero"`
 	VoterID     uint64   `cbor:"3,keyasint,omitzero"` // of the sender
-	Voters      []Voter  `cbor:"4,keyasint,omitzero"` // GroupFounded
-	RaftMessage []byte   `cbor:"5,keyasint,omitzero"` // a raftpb.Message
-	RequestID   uint64   `cbor:"6,keyasint,omitzero"` // ChangeRequested and ChangeAnswered
-	Epoch       uint64   `cbor:"7,keyasint,omitzero"` // ChangeRequested: of the set that the operators saw
-	Replicas    []string `cbor:"8,keyasint,omitzero"` // ChangeRequested
-	OK          bool     `cbor:"9,keyasint,omitzero"` // ChangeAnswered
+	Voters      []Voter  `cbor:"4,keyasint,omitzero"` // all voters of a new group
+	RaftMessage []byte   `cbor:"5,keyasint,omitzero"` // an encoded raftpb.Message
+	RequestID   uint64   `cbor:"6,keyasint,omitzero"` // in ChangeRequested and ChangeAnswered
+	Epoch       uint64   `cbor:"7,keyasint,omitzero"` // in ChangeRequested: of the set that the operators saw
+	Replicas    []string `cbor:"8,keyasint,omitzero"` // in ChangeRequested
+	OK          bool     `cbor:"9,keyasint,omitzero"` // in ChangeAnswered
 	Retryable   bool     `cbor:"10,keyasint,omitzero"`
-	Text        string   `cbor:"11,keyasint,omitzero"` // ChangeAnswered
+	Text        string   `cbor:"11,keyasint,omitzero"` // in ChangeAnswered
 }
 
-// State is what must survive a restart, as it is stored.
+// State is the state of a process that is stored and survives a restart.
 type State struct {
 	VoterID   uint64   `cbor:"1,keyasint,omitzero"`
 	GroupID   uint64   `cbor:"2,keyasint,omitzero"`
-	Set       Set      `cbor:"3,keyasint,omitzero"` // the latest that is known
+	Set       Set      `cbor:"3,keyasint,omitzero"` // the latest known set
 	HardState []byte   `cbor:"4,keyasint,omitzero"` // raftpb.HardState
 	Snapshot  []byte   `cbor:"5,keyasint,omitzero"` // raftpb.Snapshot
 	Entries   [][]byte `cbor:"6,keyasint,omitzero"` // raftpb.Entry
--- a/internal/cluster/replicaset/raft_group.go
+++ b/internal/cluster/replicaset/raft_group.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	maxLogEntries       = 64   // before what is applied is put into a snapshot
+	maxLogEntries       = 64   // applied entries before the log is compacted
 	maxMessageBytes     = 4096 // of entries in one raft message
 	maxInflightMessages = 16
-	maxStoredBytes      = 1 << 30 // of entries that are persisted
+	maxStoredBytes      = 1 << 30 // of persisted entries
 	maxSenders          = 4 * MaxReplicas
-	snapshotHeartbeats  = 5  // after which a snapshot without an answer is sent again
-	quorumHeartbeats    = 10 // without a majority's answers, after which a leader steps down
+	snapshotHeartbeats  = 5  // heartbeat intervals after which an unanswered snapshot is sent again
+	quorumHeartbeats    = 10 // heartbeats without a majority's answers after which a leader steps down
 )
 
-// discardLogger keeps the raft library from writing to the standard error.
+// discardLogger keeps the raft library from writing to standard error.
 var discardLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 
-// raftGroup drives the library's node, and holds what the log has stated.
+// raftGroup contains the library's node and the state that results from the applied log.
 type raftGroup struct {
-	node    *raft.RawNode // nil: this process has no part in the group now
+	node    *raft.RawNode // nil: this process takes no part in the group now
 	log     *raft.MemoryStorage
 	conf    raftpb.ConfState
-	applied uint64 // index
-	epoch   uint64 // of the latest change that was applied
+	applied uint64 // index of the last applied entry
+	epoch   uint64 // of the latest applied change
 
-	names           map[uint64]string // of the voters
-	senders         map[uint64]string // by voter ID, for as long as its name is not known
-	snapshotsSentAt map[uint64]Time   // without an answer yet
+	names           map[uint64]string // member names of the voters, by voter ID
+	senders         map[uint64]string // member names by voter ID, for IDs that are not in names yet
+	snapshotsSentAt map[uint64]Time   // send times of unanswered snapshots, by voter ID
 
-	compactionDue bool // after this round
-	removed       bool // this process is no voter any more: the node ends after this round
+	compactionDue bool // compact after the current Ready
+	removed       bool // this process is no longer a voter: the node ends when nothing is ready
 }
 
 func newRaftGroup() raftGroup {
@@ -67,7 +67,7 @@
 	}
 }
 
-// addSender records under which name a voter ID sends.
+// addSender records the name of the member that sends with a voter ID.
 func (g *raftGroup) addSender(id uint64, name string) {
 	g.senders[id] = name
 	if len(g.senders) > maxSenders {
@@ -76,7 +76,7 @@
 	}
 }
 
-// voters are the present voters, in the order of their IDs.
+// voters returns the current voters, ordered by voter ID.
 func (g *raftGroup) voters() (voters []Voter) {
 	ids := append(slices.Clone(g.conf.Voters), g.conf.VotersOutgoing...)
 	slices.Sort(ids)
@@ -86,7 +86,7 @@
 	return slices.Compact(voters)
 }
 
-// sortedNames are the names of some voters, in order.
+// sortedNames returns the names of the given voters in alphabetical order.
 func (g *raftGroup) sortedNames(ids []uint64) (names []string) {
 	for _, id := range ids {
 		names = append(names, g.names[id])
@@ -95,7 +95,7 @@
 	return names
 }
 
-// set is what the log states as the set, from an epoch on.
+// set returns the set that results from the applied log, with the given epoch.
 func (g *raftGroup) set(groupID, epoch uint64) Set {
 	return Set{
 		GroupID: groupID,
@@ -105,12 +105,12 @@
 	}
 }
 
-// loadEntries adds the entries of a persisted state to the log.
+// loadEntries appends the entries of a persisted state to the log.
 func (g *raftGroup) loadEntries(entries [][]byte) error {
-	for _, text := range entries {
+	for _, data := range entries {
 		var entry raftpb.Entry
-		if err := entry.Unmarshal(text); err != nil {
-			return fmt.Errorf("stored entry: %w", err)
+		if err := entry.Unmarshal(data); err != nil {
+			return fmt.Errorf("stored raft entry: %w", err)
 		}
 		g.log.Append([]raftpb.Entry{entry})
 	}
@@ -138,22 +138,23 @@
 		return err
 	}
 	for _, entry := range entries {
-		text, err := entry.Marshal()
+		data, err := entry.Marshal()
 		if err != nil {
 			return err
 		}
-		state.Entries = append(state.Entries, text)
+		state.Entries = append(state.Entries, data)
 	}
 	return nil
 }
 
-// settled is the data of a snapshot beside the raft configuration.
-type settled struct {
+// snapshotData is the application data of a raft snapshot. The raft configuration is in the snapshot's
+// metadata.
+type snapshotData struct {
 	Epoch  uint64  `cbor:"Turn"`
 	Voters []Voter `cbor:"Seats"`
 }
 
-// startNode runs the raft node on the state that was persisted.
+// startNode starts the raft node from the persisted state.
 func (c *Core) startNode() error {
 	g := &c.raft
 	g.log = raft.NewMemoryStorage()
@@ -162,7 +163,7 @@
 	var hard raftpb.HardState
 	err := errors.Join(snapshot.Unmarshal(c.state.Snapshot), hard.Unmarshal(c.state.HardState))
 	if err != nil {
-		return fmt.Errorf("stored state: %w", err)
+		return fmt.Errorf("stored raft state: %w", err)
 	}
 	if !raft.IsEmptySnap(snapshot) {
 		g.log.ApplySnapshot(snapshot)
@@ -194,20 +195,20 @@
 	return c.processReady()
 }
 
-// applySnapshot takes over the voters that a snapshot states.
+// applySnapshot adopts the voters and the epoch of a snapshot.
 func (c *Core) applySnapshot(s raftpb.Snapshot) error {
-	var data settled
+	var data snapshotData
 	if err := cbor.Unmarshal(s.Data, &data); err != nil {
-		return fmt.Errorf("snapshot: %w", err)
+		return fmt.Errorf("data of a raft snapshot: %w", err)
 	}
 	c.raft.addNames(data.Voters)
 	c.raft.applied, c.raft.conf = s.Metadata.Index, s.Metadata.ConfState
-	c.adoptAgreed(data.Epoch)
+	c.adoptAgreedSet(data.Epoch)
 	return nil
 }
 
-// adoptAgreed uses the set that the log states, from an epoch on.
-func (c *Core) adoptAgreed(epoch uint64) {
+// adoptAgreedSet adopts the set that results from the applied log, unless it is older than the known set.
+func (c *Core) adoptAgreedSet(epoch uint64) {
 	c.raft.epoch = epoch
 	s := c.raft.set(c.state.GroupID, epoch)
 	if s.Supersedes(c.set) {
@@ -216,21 +217,21 @@
 	}
 }
 
-// processReady carries out what the node has ready, until there is no more.
+// processReady handles the node's Ready batches until none is left.
 func (c *Core) processReady() error {
 	g := &c.raft
 	for g.node != nil && g.node.HasReady() {
-		if err := c.process(g.node.Ready()); err != nil {
+		if err := c.handleReady(g.node.Ready()); err != nil {
 			return err
 		}
 	}
 	if g.removed {
-		g.node, g.removed = nil, false // what it voted stays persisted
+		g.node, g.removed = nil, false // its votes stay persisted
 	}
 	return nil
 }
 
-func (c *Core) process(ready raft.Ready) error {
+func (c *Core) handleReady(ready raft.Ready) error {
 	if err := c.storeReady(ready); err != nil {
 		return err
 	}
@@ -251,7 +252,7 @@
 	return nil
 }
 
-// storeReady adds to the log, and has it persisted before the messages that follow.
+// storeReady adds a Ready to the log, and persists the log before the messages that follow are sent.
 func (c *Core) storeReady(ready raft.Ready) error {
 	g := &c.raft
 	hasSnapshot := !raft.IsEmptySnap(ready.Snapshot)
@@ -273,19 +274,19 @@
 
 func (c *Core) sendRaftMessages(messages []raftpb.Message) error {
 	for _, m := range messages {
-		text, err := m.Marshal()
+		data, err := m.Marshal()
 		if err != nil {
 			return err
 		}
 		if m.Type == raftpb.MsgSnap {
 			c.raft.snapshotsSentAt[m.To] = c.now
 		}
-		c.send(c.raft.nameOf(m.To), Message{Kind: RaftMessage, RaftMessage: text})
+		c.send(c.raft.nameOf(m.To), Message{Kind: RaftMessage, RaftMessage: data})
 	}
 	return nil
 }
 
-// applyEntry applies an entry that is committed.
+// applyEntry applies a committed entry.
 func (c *Core) applyEntry(entry raftpb.Entry) error {
 	if entry.Type == raftpb.EntryConfChangeV2 {
 		if err := c.applyChange(entry); err != nil {
@@ -299,31 +300,31 @@
 func (c *Core) applyChange(entry raftpb.Entry) error {
 	var change raftpb.ConfChangeV2
 	if err := change.Unmarshal(entry.Data); err != nil {
-		return fmt.Errorf("committed change: %w", err)
+		return fmt.Errorf("committed configuration change: %w", err)
 	}
 	var voters []Voter
 	if len(change.Context) > 0 {
 		if err := cbor.Unmarshal(change.Context, &voters); err != nil {
-			return fmt.Errorf("voters of a committed change: %w", err)
+			return fmt.Errorf("voters of a committed configuration change: %w", err)
 		}
 	}
 	g := &c.raft
 	g.addNames(voters)
 	wasVoter := g.isVoter(c.state.VoterID)
 	g.conf = *g.node.ApplyConfChange(change)
-	c.adoptAgreed(entry.Index)
+	c.adoptAgreedSet(entry.Index)
 	c.answerAgreedChange()
-	g.compactionDue = true // a new voter takes no snapshot that it is not part of
+	g.compactionDue = true // a new voter rejects a snapshot in which it is not a voter
 	g.removed = wasVoter && !g.isVoter(c.state.VoterID)
 	return nil
 }
 
-// compact puts what is applied into a snapshot, with the names of the present voters.
+// compact replaces the applied entries by a snapshot that contains the names of the current voters.
 func (c *Core) compact() error {
 	g := &c.raft
 	g.compactionDue = false
 	voters := g.voters()
-	data, err := cbor.Marshal(settled{g.epoch, voters})
+	data, err := cbor.Marshal(snapshotData{g.epoch, voters})
 	if err != nil {
 		return err
 	}
@@ -338,7 +339,7 @@
 	return c.persist()
 }
 
-// persist has all that must survive a restart written.
+// persist emits an effect that writes the state that must survive a restart.
 func (c *Core) persist() error {
 	state := c.state
 	state.Set = c.set
@@ -352,13 +353,13 @@
 	return nil
 }
 
-// propose has the node propose a change. One that is lost is proposed again later.
+// propose proposes a change to the raft group. A lost proposal is proposed again later.
 func (c *Core) propose(change raftpb.ConfChangeV2) error {
 	c.raft.node.ProposeConfChange(change)
 	return c.processReady()
 }
 
-// handleRaftMessage feeds a message of another voter to the node.
+// handleRaftMessage passes a message of another voter to the node.
 func (c *Core) handleRaftMessage(in MessageReceived) error {
 	var m raftpb.Message
 	if in.GroupID == 0 || m.Unmarshal(in.RaftMessage) != nil {
--- a/internal/cluster/replicaset/replacement.go
+++ b/internal/cluster/replicaset/replacement.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// presence is whether a member is alive, and since when.
+// presence records whether a member is alive, and since when.
 type presence struct {
 	alive bool
 	since Time
@@ -16,9 +16,9 @@
 	c.presence[in.Name] = presence{in.Alive, max(c.now, 1)}
 }
 
-// replaceDeadReplica replaces a replica that has been dead for ReplaceAfter by a spare: one at a time, and
-// not before the last change is as old. Failure detection alone decides nothing: a majority of the old and
-// of the new set has to agree.
+// replaceDeadReplica replaces a replica that has been dead for ReplaceAfter by a spare. It replaces one
+// replica at a time, at least ReplaceAfter after the last change. Failure detection alone cannot change the
+// set: a majority of the old and of the new set must agree.
 func (c *Core) replaceDeadReplica() {
 	after := c.config.ReplaceAfter
 	if after == 0 || c.changes.active != nil || c.set.Joint() || c.now-c.changes.lastChange < after {
@@ -36,7 +36,7 @@
 	}
 }
 
-// aliveSpare is the first spare that is alive and no replica.
+// aliveSpare returns the first spare that is alive and not a replica.
 func (c *Core) aliveSpare() (name string, found bool) {
 	for _, name := range c.config.Spares {
 		alive := c.presence[name].alive || name == c.config.Name
@@ -47,7 +47,7 @@
 	return "", false
 }
 
-// replace begins the change of one replica for a spare.
+// replace starts a change that replaces a replica by a spare.
 func (c *Core) replace(replica, spare string) {
 	replicas := slices.Clone(c.set.New)
 	replicas[slices.Index(replicas, replica)] = spare
@@ -56,14 +56,15 @@
 	c.beginChange(&activeChange{replicas: replicas, voterIDs: map[string]uint64{}}, c.set.Epoch)
 }
 
-// requestReplacement tells the group that this replica has another voter ID than the one in the group.
+// requestReplacement reports this replica's voter ID to the group, which has another voter ID for the
+// replica.
 func (c *Core) requestReplacement() {
 	for _, name := range c.set.Members() {
 		c.send(name, Message{Kind: ReplaceVoter})
 	}
 }
 
-// handleReplaceVoter gives a replica that lost its file a new voter ID in the group.
+// handleReplaceVoter starts a change that gives a replica that lost its file a new voter ID in the group.
 func (c *Core) handleReplaceVoter(in MessageReceived) {
 	if !c.IsLeader() || c.changes.active != nil || c.set.Joint() {
 		return
--- a/internal/cluster/replicaset/set.go
+++ b/internal/cluster/replicaset/set.go
@@ -11,22 +11,22 @@
 // MaxReplicas is the greatest number of replicas in one part of a set.
 const MaxReplicas = 9
 
-// Set is which members are replicas. A joint set, during a change, has an old part beside the new one, and
-// needs a majority of each.
+// Set names the members that are replicas. During a change the set is joint: it has an old and a new part,
+// and a decision needs a majority of each.
 type Set struct {
-	GroupID uint64   `cbor:"1,keyasint,omitzero"` // of the group that agreed on it; 0: it is as configured
-	Epoch   uint64   `cbor:"2,keyasint,omitzero"` // grows with each change
-	Old     []string `cbor:"3,keyasint,omitzero"` // empty where the set is not joint
+	GroupID uint64   `cbor:"1,keyasint,omitzero"` // raft group that agreed on the set; 0: as configured
+	Epoch   uint64   `cbor:"2,keyasint,omitzero"` // increases with each change
+	Old     []string `cbor:"3,keyasint,omitzero"` // empty unless the set is joint
 	New     []string `cbor:"4,keyasint,omitzero"`
 }
 
-// Configured is the set that the configuration names.
+// Configured returns the set that the configuration names.
 func Configured(names []string) Set { return Set{New: names} }
 
-// Joint reports whether a change is under way.
+// Joint reports whether a change is in progress.
 func (s Set) Joint() bool { return len(s.Old) > 0 }
 
-// Quorums are the parts of the set, each of which needs a majority; the old one first.
+// Quorums returns the parts of the set, the old part first. A decision needs a majority of each part.
 func (s Set) Quorums() [][]string {
 	if s.Joint() {
 		return [][]string{s.Old, s.New}
@@ -34,7 +34,7 @@
 	return [][]string{s.New}
 }
 
-// Members are the replicas of both parts, once each.
+// Members returns the replicas of both parts without duplicates.
 func (s Set) Members() []string {
 	members := slices.Clone(s.New)
 	for _, name := range s.Old {
@@ -47,7 +47,7 @@
 
 func (s Set) contains(name string) bool { return slices.Contains(s.Members(), name) }
 
-// HasMajority reports whether a predicate holds for a majority of each part.
+// HasMajority reports whether the predicate holds for a majority of each part.
 func (s Set) HasMajority(holds func(name string) bool) bool {
 	for _, part := range s.Quorums() {
 		if Count(part, holds) < Majority(len(part)) {
@@ -57,8 +57,8 @@
 	return true
 }
 
-// ID identifies the set. Two configured sets with the same replicas are one; so are two agreed ones of the
-// same group and epoch with the same new part.
+// ID returns a hash that identifies the set. Configured sets with the same replicas have the same ID. Agreed
+// sets have the same ID if their group, epoch and new part are the same.
 func (s Set) ID() uint64 {
 	names := strings.Join(slices.Sorted(slices.Values(s.New)), "\n")
 	if s.GroupID == 0 {
@@ -69,8 +69,8 @@
 	return xxhash.Sum64(append(buffer, names...))
 }
 
-// Supersedes reports whether this set replaces another: an agreed one replaces a configured one, and a later
-// epoch an earlier one of the same group. Of two groups neither replaces the other.
+// Supersedes reports whether this set replaces the other set. An agreed set replaces a configured set, and a
+// later epoch replaces an earlier epoch of the same group. Sets of different groups never replace each other.
 func (s Set) Supersedes(other Set) bool {
 	if s.GroupID == 0 {
 		return false
@@ -78,18 +78,18 @@
 	return other.GroupID == 0 || s.GroupID == other.GroupID && s.Epoch > other.Epoch
 }
 
-// Valid reports whether an agreed set from elsewhere is within bounds.
+// Valid reports whether an agreed set that another member sent is within bounds.
 func (s Set) Valid() bool {
 	return s.GroupID != 0 && len(s.New) > 0 && len(s.New) <= MaxReplicas && len(s.Old) <= MaxReplicas
 }
 
-// Majority is the smallest majority of n.
+// Majority returns the size of the smallest majority of n members.
 func Majority(n int) int { return n/2 + 1 }
 
-// ReadQuorum is the smallest number of n that meets each majority of them.
+// ReadQuorum returns the smallest number of members, out of n, that intersects every majority.
 func ReadQuorum(n int) int { return n - Majority(n) + 1 }
 
-// Count counts the names for which a predicate holds.
+// Count returns the number of names for which the predicate holds.
 func Count(names []string, holds func(string) bool) (n int) {
 	for _, name := range names {
 		if holds(name) {
--- a/internal/cluster/replicaset/set_test.go
+++ b/internal/cluster/replicaset/set_test.go
@@ -7,9 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// A later set of the same group replaces an earlier one, an agreed one a configured one, and of two groups
-// neither: whoever learns of sets in whatever order ends with the same.
-func TestWhichSetStands(t *testing.T) {
+// Members that learn of the same sets in any order end with the same set. A later epoch replaces an earlier
+// epoch of the same group, and an agreed set replaces a configured set. Sets of two groups never replace each
+// other.
+func TestTheOrderOfLearnedSetsDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Set
 		for range rapid.IntRange(1, 8).Draw(t, "sets") {
@@ -35,17 +36,17 @@
 	})
 	a, b := Set{GroupID: 1, Epoch: 9, New: []string{"a"}}, Set{GroupID: 2, Epoch: 3, New: []string{"a"}}
 	if a.Supersedes(b) || b.Supersedes(a) || a.Supersedes(a) {
-		t.Error("of two groups, or of one set twice, one supersedes the other")
+		t.Error("a set supersedes itself or the set of another group")
 	}
 	next := a
 	next.Epoch++
 	if a.ID() == next.ID() {
-		t.Error("two epochs with the same replicas have one ID")
+		t.Error("two epochs with the same replicas have the same ID")
 	}
 }
 
-// A majority of a joint set is one of each part, whoever is in both.
-func TestAMajorityOfEachPart(t *testing.T) {
+// A majority of a joint set is a majority of each part. A member of both parts counts in both.
+func TestAJointSetNeedsAMajorityOfEachPart(t *testing.T) {
 	s := Set{GroupID: 1, Epoch: 2, Old: []string{"a", "b", "c"}, New: []string{"c", "d", "e"}}
 	for names, want := range map[string]bool{
 		"abc": false, "ab": false, "cde": false, "acd": true, "abde": true, "abcd": true, "ade": false,
--- a/internal/cluster/store/clock.go
+++ b/internal/cluster/store/clock.go
@@ -11,13 +11,13 @@
 	"woaddyke/internal/lifecycle/boottime"
 )
 
-// row is a record as it is stored.
+// row is a stored record.
 type row struct {
 	Record    replication.Record `cbor:"1,keyasint"`
-	FirstSeen int64              `cbor:"3,keyasint"` // ms on the file's clock; may be negative
+	FirstSeen int64              `cbor:"3,keyasint"` // ms since boot, on the file's clock; may be negative
 }
 
-// age is the record's age in whole seconds.
+// age returns the record's age in whole seconds.
 func (r *row) age(now boottime.Reading) uint64 {
 	return uint64(max(now.SinceBoot.Milliseconds()-r.FirstSeen, 0) / 1000)
 }
@@ -26,39 +26,40 @@
 	return row{record, now.SinceBoot.Milliseconds() - 1000*int64(record.Age)}
 }
 
-// clock is the clock of a file's moments: that of one boot of the machine. When the file is opened after
-// another boot, all rows are moved to the new clock. How long the machine was down is unknown, so their ages
-// go on from the last one that is proven.
+// clock is the clock to which the times in a file refer. It counts from one boot of the machine. When the
+// file is opened in another boot, all rows are moved to the new clock. How long the machine was down is
+// unknown, so the ages of the rows continue from their last known values.
 type clock struct {
 	BootID string `cbor:"1,keyasint"`
-	Latest int64  `cbor:"2,keyasint"` // ms: when rows were last written
+	Latest int64  `cbor:"2,keyasint"` // ms since boot when rows were last written
 }
 
 func clockAt(now boottime.Reading) clock { return clock{now.BootID, now.SinceBoot.Milliseconds()} }
 
-// reading is the clock's latest moment.
+// reading returns the latest time on the clock.
 func (c clock) reading() boottime.Reading {
 	return boottime.Reading{BootID: c.BootID, SinceBoot: time.Duration(c.Latest) * time.Millisecond}
 }
 
-// readClock reads the file's clock; false for a file of a version that used the wall clock.
+// readClock reads the file's clock. known is false for a file of a version that used the wall clock.
 func readClock(meta *bbolt.Bucket) (c clock, known bool, err error) {
-	text := meta.Get(clockKey)
-	if text == nil {
+	data := meta.Get(clockKey)
+	if data == nil {
 		return clock{}, false, nil
 	}
-	return c, true, cbor.Unmarshal(text, &c)
+	return c, true, cbor.Unmarshal(data, &c)
 }
 
 func (c clock) write(meta *bbolt.Bucket) error {
-	text, err := cbor.Marshal(c)
+	data, err := cbor.Marshal(c)
 	if err != nil {
 		return err
 	}
-	return meta.Put(clockKey, text)
+	return meta.Put(clockKey, data)
 }
 
-// rebase moves the moments of all rows to the clock of now, where that is another one.
+// rebase moves all rows to the clock of now if the file's clock is of another boot, and writes the clock of
+// now.
 func rebase(tx *bbolt.Tx, now boottime.Reading) error {
 	meta := tx.Bucket(metaBucket)
 	before, known, err := readClock(meta)
@@ -68,7 +69,7 @@
 	if _, sameBoot := now.After(before.reading()); !known || !sameBoot {
 		ageOf := func(r row) int64 {
 			if !known {
-				return 0 // a moment of the wall clock proves nothing
+				return 0 // no age can be derived from a wall-clock time
 			}
 			return max(before.Latest-r.FirstSeen, 0)
 		}
@@ -77,12 +78,12 @@
 	return errors.Join(err, clockAt(now).write(meta))
 }
 
-// rebaseRows has the rows keep their ages, in ms, at a moment of another clock.
+// rebaseRows moves all rows to another clock, on which the time is now, in ms. The rows keep their ages.
 func rebaseRows(records *bbolt.Bucket, now int64, ageOf func(row) int64) error {
-	rebased := map[string][]byte{} // a bucket must not change while it is read
-	err := records.ForEach(func(key, text []byte) error {
+	rebased := map[string][]byte{} // a bucket must not change during ForEach
+	err := records.ForEach(func(key, data []byte) error {
 		var r row
-		if err := cbor.Unmarshal(text, &r); err != nil {
+		if err := cbor.Unmarshal(data, &r); err != nil {
 			return err
 		}
 		r.FirstSeen = now - ageOf(r)
@@ -90,8 +91,8 @@
 		rebased[string(key)], err = cbor.Marshal(r)
 		return err
 	})
-	for key, text := range rebased {
-		err = errors.Join(err, records.Put([]byte(key), text))
+	for key, data := range rebased {
+		err = errors.Join(err, records.Put([]byte(key), data))
 	}
 	return err
 }
--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -20,40 +20,40 @@
 
 const goldenFile = "testdata/keeper.db"
 
-// goldenNow is the moment at which the golden file was written.
+// goldenNow is the time at which the golden file was written.
 var goldenNow = boottime.Reading{BootID: "start-of-the-golden-file", SinceBoot: 1000 * time.Second}
 
-// goldenContent is all that a replica's file holds.
+// goldenContent is the content of a replica's file.
 type goldenContent struct {
-	Records     []replication.Record // in order of their keys
+	Records     []replication.Record // ordered by key
 	Incarnation replication.Incarnation
 	SetID       uint64
-	Cursors     []replication.ReplicationCursor // in order of their replicas
+	Cursors     []replication.ReplicationCursor // ordered by replica
 	ReplicaSet  replicaset.State
 }
 
-// newGoldenContent is content with every field set, and a record with a claim of each stage.
+// newGoldenContent returns content with every field set. Its first record has an outcome of each stage.
 func newGoldenContent(t *testing.T) goldenContent {
 	t.Helper()
 	content := filled.Numbered[goldenContent](t)
 	stages := []replication.Stage{
 		replication.Claimed, replication.Released, replication.Abandoned, replication.Ended,
 	}
-	fates := make([]replication.Outcome, len(stages))
+	outcomes := make([]replication.Outcome, len(stages))
 	for i, stage := range stages {
-		fates[i] = filled.Numbered[replication.Outcome](t)
-		fates[i].Stage = stage
-		fates[i].Scheduler = fmt.Sprintf("scheduler-%d", i)
-		fates[i].Group = fmt.Sprintf("group-%d", i)
+		outcomes[i] = filled.Numbered[replication.Outcome](t)
+		outcomes[i].Stage = stage
+		outcomes[i].Scheduler = fmt.Sprintf("scheduler-%d", i)
+		outcomes[i].Group = fmt.Sprintf("group-%d", i)
 	}
-	content.Records[0].Outcomes = fates
+	content.Records[0].Outcomes = outcomes
 	content.Records[0].Key, content.Records[1].Key = "category\x00first", "category\x00second"
 	content.Cursors[0].Replica, content.Cursors[1].Replica = "keeper-1", "keeper-2"
 	filled.RequireNonZero(t, "content", content)
 	return content
 }
 
-// writeStore writes content to a new file through the package's own calls.
+// writeStore writes content to a new file through the methods of Store.
 func writeStore(t *testing.T, path string, content goldenContent) {
 	t.Helper()
 	s, err := Open(path, true)
@@ -72,7 +72,7 @@
 	}
 }
 
-// copyOfGolden is the path of a copy that may be written to.
+// copyOfGolden returns the path of a writable copy of the golden file.
 func copyOfGolden(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "keeper.db")
@@ -82,7 +82,7 @@
 	return path
 }
 
-// rawRows are all values of a file, by bucket and key, as bbolt has them.
+// rawRows returns all encoded values of a file by bucket and key.
 func rawRows(t *testing.T, path string) map[string]map[string]string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout})
@@ -134,19 +134,19 @@
 	}
 }
 
-// A replica's file of an earlier build gives the records, life, epoch, positions and agreement that were
-// put into it.
+// A replica's file of an earlier build is read completely: records, incarnation, replica set ID, cursors and
+// replica set state.
 func TestGoldenFileIsRead(t *testing.T) {
 	later := goldenNow
 	later.SinceBoot += 20 * time.Second
-	anotherStart := boottime.Reading{BootID: "another-start", SinceBoot: 5 * time.Second}
+	anotherBoot := boottime.Reading{BootID: "another-start", SinceBoot: 5 * time.Second}
 	for _, c := range []struct {
 		name   string
 		now    boottime.Reading
-		passed uint64 // seconds by which each record is older
+		passed uint64 // seconds by which each record has aged
 	}{
-		{"at the same start of the machine", later, 20},
-		{"at another start of the machine", anotherStart, 0},
+		{"in the same boot", later, 20},
+		{"in another boot", anotherBoot, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, err := Open(copyOfGolden(t), false)
@@ -155,21 +155,21 @@
 			}
 			defer s.Close()
 			var got goldenContent
-			var whole, agreed bool
-			var errSeen, errAgreement error
+			var complete, hasState bool
+			var errCursors, errState error
 			contents, errLoad := s.Load(c.now)
 			got.Records, got.Incarnation = contents.Records, contents.Incarnation
-			got.SetID, whole = contents.SetID, contents.Complete
-			got.Cursors, errSeen = s.Cursors()
-			got.ReplicaSet, agreed, errAgreement = s.ReplicaSetState()
-			if err := errors.Join(errLoad, errSeen, errAgreement); err != nil || !whole || !agreed {
-				t.Fatalf("whole %v, agreed %v, %v", whole, agreed, err)
+			got.SetID, complete = contents.SetID, contents.Complete
+			got.Cursors, errCursors = s.Cursors()
+			got.ReplicaSet, hasState, errState = s.ReplicaSetState()
+			if err := errors.Join(errLoad, errCursors, errState); err != nil || !complete || !hasState {
+				t.Fatalf("complete %v, has a replica set state %v, %v", complete, hasState, err)
 			}
 			want := newGoldenContent(t)
 			for i := range want.Records {
 				want.Records[i].Age += c.passed
 				for j := range want.Records[i].Outcomes {
-					want.Records[i].Outcomes[j].Age = 0 // it is not told over a start
+					want.Records[i].Outcomes[j].Age = 0 // dropped at a restart
 				}
 			}
 			if !reflect.DeepEqual(got, want) {
--- a/internal/cluster/store/store.go
+++ b/internal/cluster/store/store.go
@@ -1,5 +1,5 @@
-// Package store persists what a replica must remember: one file, held by one process at a time, in an
-// embedded store with atomic transactions. It decides nothing.
+// Package store persists the records and the state of a replica in one file. The file is an embedded database
+// with atomic transactions, and only one process can open it at a time. The package makes no decisions.
 package store
 
 import (
@@ -16,20 +16,20 @@
 	"woaddyke/internal/lifecycle/boottime"
 )
 
-// lockTimeout is how long a predecessor may take to close the file.
+// lockTimeout is how long Open waits for a predecessor to close the file.
 const lockTimeout = 2 * time.Second
 
 // Descriptors is the number of file descriptors that an open store uses.
 const Descriptors = 1
 
-// Versions of the file's form. Open converts the earlier ones.
+// Versions of the file format. Open converts earlier versions.
 const (
-	versionCatchUp   = 1 // its records are dropped: the replica catches up as one without memory
-	versionWallClock = 2 // the ages of its records are unknown
+	versionCatchUp   = 1 // the records are dropped: the replica catches up like a new one
+	versionWallClock = 2 // the ages of the records are unknown
 	currentVersion   = 3
 )
 
-// Buckets, and keys in the bucket meta.
+// The names of the buckets, and the keys in the bucket meta.
 var (
 	recordsBucket = []byte("records")
 	metaBucket    = []byte("meta")
@@ -42,23 +42,23 @@
 	clockKey       = []byte("clock")
 )
 
-// incarnationBytes is the size of a stored incarnation: generation and nonce.
+// incarnationBytes is the size of a stored incarnation, which consists of generation and nonce.
 const incarnationBytes = 16
 
-// VersionError is a file of a version that this build does not read.
+// VersionError reports a file format version that this build does not read.
 type VersionError struct{ Version byte }
 
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("its form is %d, this build reads %d", e.Version, currentVersion)
+	return fmt.Sprintf("file format version is %d, this build reads up to %d", e.Version, currentVersion)
 }
 
-// Store is one open file.
+// Store is an open file.
 type Store struct {
 	db *bbolt.DB
 }
 
-// Open opens or creates the file. With sync off a crash of the machine, not of the process, may lose the
-// last records: a replica that comes back from one must not be believed.
+// Open opens or creates the file. With sync off, a crash of the machine (but not of the process) may lose the
+// last records. The records of a replica that restarts after such a crash must not be trusted.
 func Open(path string, sync bool) (*Store, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{
 		Timeout:        lockTimeout,
@@ -89,7 +89,7 @@
 	return errors.Join(err1, err2, meta.Put(versionKey, []byte{currentVersion}))
 }
 
-// convert drops what this build cannot use of an earlier version. The wall clock of one is left to Load.
+// convert drops the data of an earlier version that this build cannot use. Load converts wall-clock times.
 func convert(tx *bbolt.Tx, meta *bbolt.Bucket) error {
 	version := meta.Get(versionKey)
 	if version == nil {
@@ -104,15 +104,15 @@
 	return &VersionError{version[0]}
 }
 
-// Contents is what a file holds of a replica's records.
+// Contents are the records in a file, with the incarnation and the replica set that they belong to.
 type Contents struct {
 	Records     []replication.Record
-	Incarnation replication.Incarnation // under which the records are complete
-	SetID       uint64                  // of the replica set under which they were persisted
-	Complete    bool                    // false, without records: a new file, or one of a replica behind
+	Incarnation replication.Incarnation // incarnation in which the records are complete
+	SetID       uint64                  // ID of the replica set under which the records were persisted
+	Complete    bool                    // false: the file is new, or the replica has not caught up
 }
 
-// Load reads the records. From here on the file uses the clock of now.
+// Load reads the records. From then on the times in the file refer to the boot of now.
 func (s *Store) Load(now boottime.Reading) (contents Contents, err error) {
 	err = s.db.Update(func(tx *bbolt.Tx) error {
 		if err := rebase(tx, now); err != nil {
@@ -128,30 +128,30 @@
 
 func (c *Contents) read(tx *bbolt.Tx, now boottime.Reading) error {
 	meta := tx.Bucket(metaBucket)
-	text := meta.Get(incarnationKey)
-	if len(text) != incarnationBytes {
+	data := meta.Get(incarnationKey)
+	if len(data) != incarnationBytes {
 		return nil
 	}
 	c.Incarnation = replication.Incarnation{
-		Generation: binary.BigEndian.Uint64(text),
-		Nonce:      binary.BigEndian.Uint64(text[8:]),
+		Generation: binary.BigEndian.Uint64(data),
+		Nonce:      binary.BigEndian.Uint64(data[8:]),
 	}
 	c.Complete = c.Incarnation != replication.Incarnation{}
 	if setID := meta.Get(setIDKey); len(setID) == 8 {
 		c.SetID = binary.BigEndian.Uint64(setID)
 	}
-	return tx.Bucket(recordsBucket).ForEach(func(_, text []byte) error {
-		record, err := decodeRecord(text, now)
+	return tx.Bucket(recordsBucket).ForEach(func(_, data []byte) error {
+		record, err := decodeRecord(data, now)
 		c.Records = append(c.Records, record)
 		return err
 	})
 }
 
-// decodeRecord reads a record. How long ago its op ran is not known across a restart: an age that is too
-// great would let the op run again in its group after the window, so it is dropped.
-func decodeRecord(text []byte, now boottime.Reading) (replication.Record, error) {
+// decodeRecord decodes a record. It drops the ages of the outcomes, because the time since an op ran is
+// unknown after a restart. An age that is too great would let the op run again in its group after the window.
+func decodeRecord(data []byte, now boottime.Reading) (replication.Record, error) {
 	var r row
-	if err := cbor.Unmarshal(text, &r); err != nil {
+	if err := cbor.Unmarshal(data, &r); err != nil {
 		return replication.Record{}, err
 	}
 	for i := range r.Record.Outcomes {
@@ -161,8 +161,8 @@
 	return r.Record, nil
 }
 
-// Write puts records and deletes others in one transaction. They are durable when it returns without an
-// error. It is called after Load, in the same boot of the machine.
+// Write writes and deletes records in one transaction. The changes are durable when Write returns without an
+// error. Call Write after Load, in the same boot of the machine.
 func (s *Store) Write(now boottime.Reading, put []replication.Record, deleted []string) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		if err := clockAt(now).write(tx.Bucket(metaBucket)); err != nil {
@@ -184,19 +184,19 @@
 }
 
 func putCBOR(bucket *bbolt.Bucket, key []byte, value any) error {
-	text, err := cbor.Marshal(value)
+	data, err := cbor.Marshal(value)
 	if err != nil {
 		return err
 	}
-	return bucket.Put(key, text)
+	return bucket.Put(key, data)
 }
 
-// Cursors reads up to which position the changes of each other replica are in the file.
+// Cursors reads, for each other replica, the position up to which its changes are in the file.
 func (s *Store) Cursors() (cursors []replication.ReplicationCursor, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		return tx.Bucket(cursorsBucket).ForEach(func(_, text []byte) error {
+		return tx.Bucket(cursorsBucket).ForEach(func(_, data []byte) error {
 			var cursor replication.ReplicationCursor
-			err := cbor.Unmarshal(text, &cursor)
+			err := cbor.Unmarshal(data, &cursor)
 			cursors = append(cursors, cursor)
 			return err
 		})
@@ -207,7 +207,7 @@
 	return cursors, err
 }
 
-// SaveCursors writes cursors, one for each replica.
+// SaveCursors writes the cursors, one for each replica.
 func (s *Store) SaveCursors(cursors []replication.ReplicationCursor) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		for _, cursor := range cursors {
@@ -219,38 +219,38 @@
 	})
 }
 
-// SetIncarnation writes under which incarnation, and of which replica set, the records are complete from now
-// on; a zero incarnation: they are not.
+// SetIncarnation writes the incarnation and the replica set for which the records are complete from now on. A
+// zero incarnation means that the records are incomplete.
 func (s *Store) SetIncarnation(incarnation replication.Incarnation, setID uint64) error {
-	text := binary.BigEndian.AppendUint64(nil, incarnation.Generation)
-	text = binary.BigEndian.AppendUint64(text, incarnation.Nonce)
+	data := binary.BigEndian.AppendUint64(nil, incarnation.Generation)
+	data = binary.BigEndian.AppendUint64(data, incarnation.Nonce)
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
 		return errors.Join(
-			meta.Put(incarnationKey, text),
+			meta.Put(incarnationKey, data),
 			meta.Put(setIDKey, binary.BigEndian.AppendUint64(nil, setID)),
 		)
 	})
 }
 
-// ReplicaSetState reads the state of the replica set core; false for a file without one.
+// ReplicaSetState reads the state of the replica set core. known is false if the file has no such state.
 func (s *Store) ReplicaSetState() (state replicaset.State, known bool, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		text := tx.Bucket(metaBucket).Get(replicaSetKey)
-		if text == nil {
+		data := tx.Bucket(metaBucket).Get(replicaSetKey)
+		if data == nil {
 			return nil
 		}
 		known = true
-		return cbor.Unmarshal(text, &state)
+		return cbor.Unmarshal(data, &state)
 	})
 	if err != nil {
-		err = fmt.Errorf("copies: the agreement: %w", err)
+		err = fmt.Errorf("copies: replica set state: %w", err)
 	}
 	return state, known, err
 }
 
-// SaveReplicaSetState writes the state of the replica set core. It is durable when this returns without an
-// error, with sync off as well: a raft vote that is forgotten may be given twice.
+// SaveReplicaSetState writes the state of the replica set core. The state is durable when the method returns
+// without an error, even with sync off: a voter that loses its raft vote may vote twice.
 func (s *Store) SaveReplicaSetState(state replicaset.State) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		return putCBOR(tx.Bucket(metaBucket), replicaSetKey, state)
