--- a/internal/cluster/drainstate/drainstate.go
+++ b/internal/cluster/drainstate/drainstate.go
@@ -1,5 +1,5 @@
-// Package drainstate shares among the members which workers are draining or were removed. What discovery
-// reported to one member binds every member that receives the report, until the discovery of the receiving
+// Package drainstate shares among the members which workers are draining or were removed. A report of one
+// member's discovery applies to every member that receives the report, until the discovery of the receiving
 // member reaches the same revision. The package is pure: it takes an input with its time and returns effects,
 // does no I/O and reads no clock.
 package drainstate
@@ -16,17 +16,17 @@
 // Time is a time in tenths of a millisecond on a monotonic clock.
 type Time = membership.Time
 
-// DrainRecord reports that a worker takes no new ops, as discovery told a member. A worker that restarts has
-// a new boot ID and counts as another worker.
+// DrainRecord states that a worker takes no new ops, as a member's discovery reported. A worker that restarts
+// has a new boot ID and counts as another worker.
 type DrainRecord struct {
 	Worker   string `cbor:"Worker"`
-	BootID   int64  `cbor:"Boot"` // ms, from discovery
+	BootID   int64  `cbor:"Boot"` // start time of the worker's process in tenths of a ms; 0: unknown
 	Removed  bool   `cbor:"Gone"` // true: removed from the endpoint list; false: draining
-	Revision int64  `cbor:"Rev"`  // of the endpoint list
+	Revision int64  `cbor:"Rev"`  // revision of the endpoint list
 }
 
-// Merge returns the record that takes precedence, of two records of the same worker: the record of the later
-// boot, else of the later revision, else the record with Removed set. Merge is commutative, associative and
+// Merge chooses between two records of the same worker. It returns the record of the later boot, else the
+// record of the later revision, else the record with Removed set. Merge is commutative, associative and
 // idempotent.
 func Merge(a, b DrainRecord) DrainRecord {
 	if compare(a, b) < 0 {
@@ -56,9 +56,9 @@
 	maxWorkerNameBytes   = 255 // records of workers with longer names are ignored
 
 	gossipFanout   = 3 // members to which a record is sent in one round
-	gossipRounds   = 4 // rounds in which a record is sent
+	gossipRounds   = 4 // rounds in which a record is sent; a round starts every 100 ms
 	gossipInterval = Time(1_000)
-	retention      = Time(600_000) // 60 s: by then discovery has notified all members or none
+	retention      = Time(600_000) // 60 s: by then discovery has notified all members or none of them
 
 	// seedSalt makes this package's random sequence differ from those of other packages with the same seed.
 	seedSalt = 0x6c69737473
@@ -76,8 +76,8 @@
 // Core is the drain state of one scheduler.
 type Core struct {
 	random     *rand.Rand
-	revision   int64               // of this scheduler's discovery
-	listed     map[string]Endpoint // by this scheduler's discovery, by worker
+	revision   int64               // latest revision from this scheduler's discovery
+	listed     map[string]Endpoint // endpoints in this scheduler's discovery, by worker
 	records    map[string]*storedRecord
 	peers      []string
 	nextGossip Time
@@ -133,7 +133,7 @@
 	}
 }
 
-// handleEndpoint processes one endpoint. before is the endpoint that was listed under its name, if any.
+// handleEndpoint processes one endpoint. before is the endpoint that was listed for the same worker, if any.
 func (c *Core) handleEndpoint(e, before Endpoint) {
 	if e.Removed {
 		delete(c.listed, e.Worker)
@@ -164,7 +164,8 @@
 	}
 }
 
-// learn stores a record that takes precedence over the known one. The next gossip rounds send it.
+// learn stores a record if it takes precedence over the known record of the worker. The next gossip rounds
+// send the new record.
 func (c *Core) learn(r DrainRecord) {
 	if r.Worker == "" || len(r.Worker) > maxWorkerNameBytes {
 		return
@@ -172,7 +173,7 @@
 	known := c.records[r.Worker]
 	switch {
 	case known == nil && len(c.records) >= maxRecords:
-		return // this scheduler's discovery will report the worker
+		return // no space: this scheduler learns of the worker from its own discovery only
 	case known != nil && compare(r, known.DrainRecord) <= 0:
 		return
 	}
@@ -183,8 +184,8 @@
 }
 
 // Excluded reports whether a worker takes no new ops although this scheduler's discovery lists it as ready.
-// That is so if another member reported the same or a later boot of the worker as draining or removed, at a
-// revision that this scheduler's discovery has not reached.
+// A worker is excluded if another member reported the same or a later boot of the worker as draining or
+// removed, at a revision that this scheduler's discovery has not reached.
 func (c *Core) Excluded(worker string) bool {
 	endpoint, listed := c.listed[worker]
 	r := c.records[worker]
@@ -194,7 +195,7 @@
 	return r.BootID >= endpoint.BootID && r.Revision > c.revision && c.now-r.learnedAt < retention
 }
 
-// handlePeers processes the members that are alive. It sends all records to new members.
+// handlePeers updates the list of members that are alive. It sends all records to new members.
 func (c *Core) handlePeers(names []string) {
 	all := func(*storedRecord) bool { return true }
 	for _, name := range names {
@@ -205,7 +206,7 @@
 	c.peers = names
 }
 
-// sendRecords sends the records that included selects to a member, in messages of bounded size.
+// sendRecords sends a member the records for which included returns true, in messages of bounded size.
 func (c *Core) sendRecords(to string, included func(*storedRecord) bool) {
 	var records []DrainRecord
 	for _, name := range slices.Sorted(maps.Keys(c.records)) {
@@ -224,8 +225,8 @@
 	})
 }
 
-// gossip sends new records to gossipFanout random members, in gossipRounds rounds. Each receiver passes them
-// on.
+// gossip runs one round: it sends the records that were sent in fewer than gossipRounds rounds to
+// gossipFanout random members. A receiver gossips the records that are new to it.
 func (c *Core) gossip() {
 	if len(c.peers) == 0 || !c.hasRecordsToGossip() {
 		return
--- a/internal/cluster/drainstate/drainstate_test.go
+++ b/internal/cluster/drainstate/drainstate_test.go
@@ -32,8 +32,8 @@
 }
 
 // A scheduler whose discovery lags must stop pushing to a worker that a peer reports as draining. The report
-// binds until the scheduler's discovery reaches the same revision.
-func TestADrainRecordBindsUntilDiscoveryCatchesUp(t *testing.T) {
+// applies until the scheduler's discovery reaches the same revision.
+func TestADrainRecordAppliesUntilDiscoveryCatchesUp(t *testing.T) {
 	a, b := New(1), New(2)
 	a.Step(1, EndpointsChanged{Revision: 7, Snapshot: true, Endpoints: readyEndpoints("w1", "w2")})
 	b.Step(1, EndpointsChanged{Revision: 7, Snapshot: true, Endpoints: readyEndpoints("w1", "w2")})
@@ -85,7 +85,7 @@
 	}
 }
 
-// Records from peers must not use unbounded memory. A new peer is sent all records.
+// Records from peers must not use unbounded memory. A new peer must be sent all records.
 func TestDrainRecordsAreBounded(t *testing.T) {
 	c := New(1)
 	for i := range 3 * maxRecords {
--- a/internal/cluster/drainstate/endpoints_test.go
+++ b/internal/cluster/drainstate/endpoints_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// An update without a boot ID that removes or drains a worker is about the listed process. The listed
-// endpoint must be read before the update overwrites it. Otherwise peers get a record without a boot ID,
-// which excludes no worker.
-func TestAnEndpointWithoutABootIDTakesTheListedOne(t *testing.T) {
+// An update without a boot ID that removes or drains a worker refers to the listed process, so the drain
+// record must have the boot ID of the listed endpoint. The failure: the update overwrites the listed endpoint
+// before its boot ID is read. Peers then get a record without a boot ID, which excludes no worker.
+func TestAnEndpointWithoutABootIDGetsTheListedBootID(t *testing.T) {
 	updates := map[string]Endpoint{"gone": {Worker: "w", Removed: true}, "drains": {Worker: "w"}}
 	listed := []Endpoint{{Worker: "w", BootID: 50, Ready: true}}
 	for name, update := range updates {
--- a/internal/cluster/drainstate/inputs.go
+++ b/internal/cluster/drainstate/inputs.go
@@ -1,9 +1,10 @@
 package drainstate
 
-// Endpoint is a worker as this scheduler's discovery lists it.
+// Endpoint is an entry for a worker in the endpoint list of this scheduler's discovery. Ready means that the
+// worker takes new ops. Removed means that the worker was removed from the list.
 type Endpoint struct {
 	Worker  string
-	BootID  int64 // ms; 0: unknown
+	BootID  int64 // start time of the worker's process in tenths of a ms; 0: unknown
 	Ready   bool
 	Removed bool
 }
--- a/internal/cluster/operatorstate/operatorstate.go
+++ b/internal/cluster/operatorstate/operatorstate.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-const maxMembers = 4096 // other schedulers; a membership view has as many by default
+const maxMembers = 4096 // other schedulers; also the default limit of a membership view
 
 // State is the operator state that a scheduler reports about itself.
 type State struct {
@@ -23,8 +23,9 @@
 	incarnation uint64
 }
 
-// newerThan reports whether a state replaces another one. The state of a later incarnation replaces that of
-// an earlier one. Within one incarnation, the state with the greater sequence number replaces the other.
+// newerThan reports whether a state replaces another state. The state of a later incarnation replaces the
+// state of an earlier incarnation. Within one incarnation, the state with the greater sequence number
+// replaces the other.
 func (m memberState) newerThan(other memberState) bool {
 	if m.incarnation != other.incarnation {
 		return m.incarnation > other.incarnation
@@ -32,7 +33,7 @@
 	return m.state.Sequence > other.state.Sequence
 }
 
-// Board contains a scheduler's own state and the known states of other schedulers. It is not safe for
+// Board contains the state of this scheduler and the known states of other schedulers. It is not safe for
 // concurrent use.
 type Board struct {
 	own    State
@@ -40,7 +41,7 @@
 	byName map[string]memberState
 }
 
-// New returns an instance without states of other schedulers. The sequence number of this scheduler's state
+// New returns a Board without states of other schedulers. The sequence number of this scheduler's state
 // begins at start, which must be greater for a successor than for its predecessor.
 func New(start uint64) *Board {
 	return &Board{own: State{Sequence: start}, byName: map[string]memberState{}}
@@ -77,7 +78,7 @@
 	b.byName[name] = received
 }
 
-// Forget deletes the state of a member that has ended.
+// Forget deletes the state of a member whose process has ended.
 func (b *Board) Forget(name string) { delete(b.byName, name) }
 
 // DifferingMembers returns the sorted names of the members whose settings differ from those of this
--- a/internal/cluster/operatorstate/operatorstate_test.go
+++ b/internal/cluster/operatorstate/operatorstate_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// SetOwn must report a change, and only a change: the scheduler then sends its state to all others.
+// SetOwn must report every change and nothing else. After a change the scheduler sends its state to all
+// others.
 func TestSetOwnReportsChanges(t *testing.T) {
 	b := New(0)
 	for i, c := range []struct {
--- a/internal/cluster/peerload/peerload.go
+++ b/internal/cluster/peerload/peerload.go
@@ -1,11 +1,12 @@
-// Package peerload stores the latest report of each sender: one number, with the time when it arrived.
+// Package peerload stores the latest load report of each sender. A report is a number with the time of its
+// arrival.
 package peerload
 
 import "slices"
 
 type report[M ~int64] struct {
 	sender, value int
-	at            M
+	arrivedAt     M
 }
 
 // Reports are the latest reports of all senders, ordered by sender number.
@@ -30,7 +31,7 @@
 // present load of its sender.
 func (r Reports[M]) Sum(now, maxAge M) (sum int) {
 	for _, x := range r {
-		if now-x.at < maxAge {
+		if now-x.arrivedAt < maxAge {
 			sum += x.value
 		}
 	}
--- a/internal/cluster/replicaset/changes.go
+++ b/internal/cluster/replicaset/changes.go
@@ -18,7 +18,7 @@
 type changes struct {
 	requests   map[uint64]*pendingRequest
 	active     *activeChange
-	lastChange Time   // last change of the set, or proposal of a change
+	lastChange Time   // when the set last changed, or this process last tried to change it
 	readyEpoch uint64 // epoch for which a majority of the new replicas is ready
 }
 
@@ -28,12 +28,12 @@
 	deadline, nextRetry Time
 }
 
-// activeChange is a change that the leader carries out.
+// activeChange is a change that the leader carries out. It is proposed to the raft group once.
 type activeChange struct {
 	requestedBy string // member where operators requested the change; empty: the leader started it itself
 	requestID   uint64 // 0: the leader started the change itself
 	replicas    []string
-	voterIDs    map[string]uint64 // of new replicas, by name
+	voterIDs    map[string]uint64 // voter IDs of new replicas, by name
 	deadline    Time
 	nextRetry   Time
 	proposed    bool
@@ -55,7 +55,8 @@
 	return at
 }
 
-// Reasons why a change cannot start or finish. Operators read the texts.
+// Reasons why a change cannot start or finish. Operators read the texts. errBehind means that the raft log of
+// the leader ends before the latest known set.
 var (
 	errNotLeader  = errors.New("not the one that leads")
 	errBehind     = errors.New("behind what others know")
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// isActive reports whether a change is for the same request as the active change.
+// isActive reports whether a change belongs to the same request as the active change.
 func (c *Core) isActive(change *activeChange) bool {
 	active := c.changes.active
 	return active != nil && active.requestID == change.requestID && active.requestedBy == change.requestedBy
@@ -114,8 +115,8 @@
 	c.answerChange(change, err, text)
 }
 
-// answerChange answers a change request, either to the member that forwarded it or to the operators at this
-// process. It also logs the result.
+// answerChange sends the result of a change to the member that forwarded the request, or to the operators at
+// this process. It also logs the result.
 func (c *Core) answerChange(change *activeChange, err error, text string) {
 	if err != nil {
 		text = err.Error()
@@ -209,7 +210,8 @@
 	}
 }
 
-// advanceChange does the next step of the active change. It ends a joint set once the new replicas are ready.
+// advanceChange does the next step of the active change. It also proposes to end a joint set once the new
+// replicas are ready.
 func (c *Core) advanceChange() error {
 	if !c.IsLeader() {
 		c.changes.active = nil // the next leader does not know the change: the requester retries
@@ -310,7 +312,8 @@
 	return c.propose(proposal)
 }
 
-// proposal encodes a change to the given voters for raft. Its context contains the names of the new voters.
+// proposal encodes a change as a raft configuration change. voterIDs are all voters after the change. The
+// context of the proposal contains the voters that are added.
 func (c *Core) proposal(change *activeChange, voterIDs map[uint64]bool) (raftpb.ConfChangeV2, error) {
 	proposal := raftpb.ConfChangeV2{Transition: raftpb.ConfChangeTransitionJointExplicit}
 	var added []Voter
--- a/internal/cluster/replicaset/changes_test.go
+++ b/internal/cluster/replicaset/changes_test.go
@@ -21,8 +21,8 @@
 	return ChangeResult{}
 }
 
-// A request for an invalid change, or for the present replicas, is answered with the reason and leaves the
-// set as it is.
+// A request for an invalid change, or for the present replicas, must be answered with the reason. The set
+// does not change.
 func TestARequestThatBeginsNoChangeIsAnswered(t *testing.T) {
 	for _, x := range []struct {
 		name     string
@@ -49,7 +49,8 @@
 	}
 }
 
-// Only one change runs at a time: a second request is rejected as retryable, and the first change continues.
+// Only one change runs at a time. A second request must be rejected as retryable, and the first change must
+// continue.
 func TestASecondChangeIsRejectedDuringAChange(t *testing.T) {
 	c := newLeader(t)
 	c.Step(c.now+1, ChangeRequest{RequestID: 1, Epoch: 1, Replicas: []string{"b"}})
@@ -61,8 +62,8 @@
 	}
 }
 
-// A replica is replaced by a spare that is alive, once the replica has been dead for ReplaceAfter without
-// interruption.
+// A replica must be replaced only after it has been dead for ReplaceAfter without interruption, and only by a
+// spare that is alive.
 func TestADeadReplicaIsReplacedAfterReplaceAfter(t *testing.T) {
 	for _, x := range []struct {
 		name    string
--- a/internal/cluster/replicaset/config.go
+++ b/internal/cluster/replicaset/config.go
@@ -17,7 +17,7 @@
 	Replicas          []string // configured replicas, which create the raft group
 	Seed              uint64
 	HeartbeatInterval Time // between two heartbeats of the leader
-	ElectionTimeout   Time // silence of the leader before a campaign; randomly up to twice that
+	ElectionTimeout   Time // shortest silence of the leader before a campaign; the longest is twice that
 	ChangeTimeout     Time // limit for the answer to a change request
 
 	ReplaceAfter Time     // a replica that is dead for this long is replaced by a spare; 0: never
@@ -35,7 +35,7 @@
 
 const (
 	maxSpares       = 64
-	maxMembers      = 4096 // members whose presence is recorded; a membership view has as many by default
+	maxMembers      = 4096 // members whose presence is recorded; also the default limit of a membership view
 	maxNameBytes    = 512
 	minReplaceAfter = 10 * second
 )
@@ -53,7 +53,8 @@
 	return ValidateNames(c.Replicas)
 }
 
-// ValidateNames checks a list of replicas. It allows an odd number of distinct names, up to MaxReplicas.
+// ValidateNames checks the names of replicas. Their number must be odd and at most MaxReplicas, and the names
+// must be distinct.
 func ValidateNames(names []string) error {
 	if len(names) == 0 || len(names) > MaxReplicas || len(names)%2 == 0 {
 		const problem = "must be an odd number up to %d of names, such as 3 or 5"
--- a/internal/cluster/replicaset/core.go
+++ b/internal/cluster/replicaset/core.go
@@ -1,7 +1,7 @@
-// Package replicaset agrees on which members are replicas. The replicas form a raft group whose log contains
-// only changes of its own voters. The package is pure: it takes an input with its time and returns messages
-// and sets, does no I/O, reads no clock, and draws random numbers only from its seed. docs/copies.md gives
-// the reasons for the design.
+// Package replicaset lets the members agree on which of them are replicas. The replicas form a raft group
+// whose log contains only changes of the group's voters. The package is pure: it takes an input with its time
+// and returns effects, does no I/O, reads no clock, and draws random numbers only from its seed.
+// docs/copies.md gives the reasons for the design.
 package replicaset
 
 import (
@@ -32,9 +32,9 @@
 	effects []Effect
 
 	serving         bool
-	failed          bool // the state is not durable or invalid: this process takes no part in the group
+	failed          bool // set by a failed write or an error of a step; cleared when the state is reloaded
 	state           State
-	set             Set // the latest known set, agreed here or learned
+	set             Set // the latest known set, agreed by the group or learned from a member
 	raft            raftGroup
 	election        electionTimer
 	creation        groupCreation
@@ -43,8 +43,8 @@
 	nextMaintenance Time
 }
 
-// New creates the core of a process. The state is the persisted state, or one with a newly drawn voter ID. A
-// process with the voter ID 0 takes no part in the group.
+// New creates the core of a process. The state is the persisted state. If nothing was persisted, the state
+// contains only a newly drawn voter ID. A process with the voter ID 0 takes no part in the group.
 func New(config Config, state State, now Time) *Core {
 	c := &Core{
 		config:   config,
@@ -87,9 +87,9 @@
 	return "none"
 }
 
-// Step processes an input and returns its effects in the order in which they must be carried out. A time
-// before the latest one counts as the latest one. An invalid message or stored state ends this process's part
-// in the group, but not the process.
+// Step processes an input and returns its effects in the order in which they must be carried out. If now is
+// before the time of an earlier step, the earlier step's time is used. After an invalid message or an invalid
+// stored state, this process takes no part in the group but continues to run.
 func (c *Core) Step(now Time, in Input) []Effect {
 	c.now = max(now, c.now)
 	c.effects = c.effects[:0:0]
@@ -100,15 +100,15 @@
 	return c.effects
 }
 
-// raftPanicError is a panic of the raft library. The library panics on corrupt input.
-type raftPanicError struct{ value any }
+// stepPanicError is a panic during a step. The raft library panics on corrupt input.
+type stepPanicError struct{ value any }
 
-func (e *raftPanicError) Error() string { return fmt.Sprint(e.value) }
+func (e *stepPanicError) Error() string { return fmt.Sprint(e.value) }
 
 func (c *Core) step(in Input) (err error) {
 	defer func() {
 		if value := recover(); value != nil {
-			err = &raftPanicError{value}
+			err = &stepPanicError{value}
 		}
 	}()
 	if err := c.handle(in); err != nil {
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// handleSetLearned adopts a set that another member announced. A process that is no longer a replica may
-// never learn this through the group.
+// handleSetLearned adopts a set that another member announced. A process that was removed from the set may
+// never receive this change through the group.
 func (c *Core) handleSetLearned(s Set) error {
 	if !s.Supersedes(c.set) || c.state.GroupID != 0 && s.GroupID != c.state.GroupID {
 		return nil
@@ -182,7 +182,7 @@
 	return c.persist()
 }
 
-// handleStateReloaded continues with a durable state after a failure.
+// handleStateReloaded clears a failure and continues with the reloaded state, which is durable.
 func (c *Core) handleStateReloaded(state State) error {
 	c.failed = false
 	c.state = state
@@ -192,7 +192,8 @@
 	return c.resume()
 }
 
-// resume starts the raft node if this process serves as a replica, and resets the election timer.
+// resume starts the raft node if this process should run a node but has none. It also resets the election
+// timer.
 func (c *Core) resume() error {
 	isMember := c.state.GroupID != 0 && c.set.contains(c.config.Name)
 	if c.serving && !c.failed && c.raft.node == nil && isMember {
@@ -204,7 +205,7 @@
 	return nil
 }
 
-// fail ends this process's part in the group until its state is reloaded.
+// fail stops the raft node until the state is reloaded, and reports the reason.
 func (c *Core) fail(reason string) {
 	c.failed = true
 	c.raft.node = nil
@@ -244,8 +245,8 @@
 	return c.advanceChange()
 }
 
-// maintain does the work that no message triggers: it creates the group, replaces the voter ID of a replica
-// that lost its file, and replaces a dead replica.
+// maintain does the work that no message triggers. It creates and announces the group, requests a new voter
+// ID in the group after this process lost its file, and replaces a dead replica.
 func (c *Core) maintain() error {
 	if !c.serving || c.failed || c.state.VoterID == 0 {
 		return nil
--- a/internal/cluster/replicaset/core_test.go
+++ b/internal/cluster/replicaset/core_test.go
@@ -41,8 +41,9 @@
 	return data
 }
 
-// A message that the raft library panics on must not end the process: the core leaves the group and reports
-// this. Messages that cannot be decoded, are for another voter or have a local type are ignored.
+// A message that makes the raft library panic must not end the process: the core leaves the group and emits
+// LeftGroup. Three kinds of messages are ignored: those that cannot be decoded, those for another voter, and
+// those of a type that voters never send to each other.
 func TestAnInvalidRaftMessageDoesNotEndTheProcess(t *testing.T) {
 	c := newLeader(t)
 	groupID := c.Set().GroupID
--- a/internal/cluster/replicaset/effects.go
+++ b/internal/cluster/replicaset/effects.go
@@ -1,9 +1,9 @@
 package replicaset
 
-// Effect is an effect that Core.Step returns. The types in this file implement it.
+// Effect is an action that the caller of Core.Step must carry out. The effects are the types in this file.
 type Effect interface{ effect() }
 
-// Persist writes a state to durable storage before the messages that follow are sent.
+// Persist writes a state to durable storage. Later Send effects must wait until the write is complete.
 type Persist struct{ State }
 
 // Send sends a message to a member.
@@ -12,7 +12,7 @@
 	Message
 }
 
-// SetAgreed reports a set that is in force from now on.
+// SetAgreed reports a set that the group agreed on. The set is in force from now on.
 type SetAgreed struct{ Set }
 
 // ChangeResult answers a ChangeRequest.
@@ -23,14 +23,15 @@
 	Message   string
 }
 
-// Event is logged for operators.
+// Event is logged for operators. The subject names the members concerned, or gives a reason.
 type Event struct {
 	Description string
 	Subject     string
-	Warning     bool // operators should act on it
+	Warning     bool // operators should act on the event
 }
 
-// LeftGroup is the description of the event that this process no longer takes part in the raft group.
+// LeftGroup is the description of the event that reports that this process takes no part in the raft group
+// any more.
 const LeftGroup = "takes no part in the raft group any more"
 
 func (Persist) effect()      {}
--- a/internal/cluster/replicaset/election.go
+++ b/internal/cluster/replicaset/election.go
@@ -13,7 +13,8 @@
 	leaderHeardAt Time // 0: never
 }
 
-// campaignTransfer is the context of a vote request for which the library ignores its leader lease.
+// campaignTransfer is a context of vote requests. The raft library ignores its leader lease for a vote
+// request with this context.
 const campaignTransfer = "CampaignTransfer"
 
 // resetElectionTimer schedules a campaign at a random time, one to two election timeouts from now.
@@ -22,7 +23,8 @@
 	c.election.campaignAt = c.now + c.config.ElectionTimeout + jitter
 }
 
-// runElectionTimer sends heartbeats at the leader, and starts campaigns at the other voters.
+// runElectionTimer sends a heartbeat if this process is the leader and a heartbeat is due. Otherwise it
+// starts a campaign if one is due.
 func (c *Core) runElectionTimer() error {
 	switch {
 	case !c.serving || c.raft.node == nil:
@@ -40,8 +42,8 @@
 	return nil
 }
 
-// reportLostSnapshots makes the library send unanswered snapshots again. Without this report the library
-// would wait for the answer forever.
+// reportLostSnapshots reports unanswered snapshots as failed, so that the library sends them again. Without
+// the report the library would wait for an answer forever.
 func (c *Core) reportLostSnapshots() {
 	sentAt := c.raft.snapshotsSentAt
 	for _, voter := range sortedKeys(sentAt) {
@@ -63,8 +65,8 @@
 		if c.leaseValid() {
 			return false
 		}
-		// The library counts its lease in ticks, which only the leader gets. With this context the library
-		// ignores its lease.
+		// The library measures its lease in ticks, but only the leader ticks the library. leaseValid replaces
+		// that lease, and this context makes the library ignore it.
 		m.Context = []byte(campaignTransfer)
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 		if m.Term >= c.raft.node.BasicStatus().Term {
--- a/internal/cluster/replicaset/golden_test.go
+++ b/internal/cluster/replicaset/golden_test.go
@@ -29,23 +29,22 @@
 	}
 }
 
-// The encoded data of a raft snapshot keeps its bytes, including the field names, and decodes to the same
-// value.
+// The data of a raft snapshot is encoded as in its golden file, including the field names.
 func TestGoldenSnapshotData(t *testing.T) {
 	requireGolden(t, "settled", filled.Numbered[snapshotData](t))
 }
 
-// The voters in the context of a raft configuration change keep their bytes and decode to the same value.
+// The voters in the context of a raft configuration change are encoded as in their golden file.
 func TestGoldenConfigurationChangeContext(t *testing.T) {
 	requireGolden(t, "seats", filled.Numbered[[]Voter](t))
 }
 
-// A set of replicas keeps its bytes and decodes to the same value.
+// A replica set is encoded as in its golden file.
 func TestGoldenSet(t *testing.T) {
 	requireGolden(t, "set", filled.Numbered[Set](t))
 }
 
-// The state that a replica stores keeps its bytes and decodes to the same value.
+// The stored state of a replica is encoded as in its golden file.
 func TestGoldenState(t *testing.T) {
 	requireGolden(t, "state", filled.Numbered[State](t))
 }
--- a/internal/cluster/replicaset/group_creation.go
+++ b/internal/cluster/replicaset/group_creation.go
@@ -9,10 +9,10 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// groupCreation is the state of the creation of the raft group, which happens once. Only the first configured
-// replica by name creates the group, so that there are never two groups.
+// groupCreation is the progress of creating the raft group, which happens once. Only the configured replica
+// whose name sorts first creates the group, so that there are never two groups.
 type groupCreation struct {
-	voterIDs map[string]uint64 // of the configured replicas that have answered, by name
+	voterIDs map[string]uint64 // voter IDs of the configured replicas that have answered, by name
 	accepted map[uint64]bool   // IDs of the voters that acknowledged the group
 }
 
@@ -110,7 +110,8 @@
 	return snapshot, hard, errors.Join(err1, err2)
 }
 
-// handleGroupFounded joins the group if this process is one of its voters, and acknowledges the announcement.
+// handleGroupFounded joins an announced group if this process is one of the group's voters, and acknowledges
+// the announcement.
 func (c *Core) handleGroupFounded(in MessageReceived) error {
 	isVoter := slices.Contains(in.Voters, Voter{c.state.VoterID, c.config.Name})
 	joins := c.state.GroupID == 0 && in.GroupID != 0 && c.state.VoterID != 0
@@ -130,7 +131,8 @@
 	if c.state.GroupID == 0 && c.set.GroupID == 0 {
 		switch {
 		case in.GroupID != 0:
-			// A group exists already: this process has lost its file, and will learn of the set.
+			// A group exists already: this process has lost its file and must not create another group. The
+			// other members announce the set.
 			clear(c.creation.voterIDs)
 		case in.VoterID != 0:
 			c.creation.voterIDs[in.From] = in.VoterID
--- a/internal/cluster/replicaset/inputs.go
+++ b/internal/cluster/replicaset/inputs.go
@@ -1,6 +1,6 @@
 package replicaset
 
-// Input is an input of Core.Step. The types in this file implement it.
+// Input is an input of Core.Step. The inputs are the types in this file.
 type Input interface{ input() }
 
 // MessageReceived is a message from another member.
@@ -12,7 +12,7 @@
 // Tick reports that the time returned by NextTick has come.
 type Tick struct{}
 
-// Membership reports whether this process is a member.
+// Membership reports whether this process takes part in the cluster as a member.
 type Membership struct{ Serving bool }
 
 // PeerStatus reports whether another member is alive, as this process sees it.
@@ -23,8 +23,8 @@
 
 // ChangeRequest is a request of operators to change the set. Any scheduler accepts the request.
 type ChangeRequest struct {
-	RequestID uint64 // chosen by the caller, never used twice
-	Epoch     uint64 // of the set that the operators saw
+	RequestID uint64 // unique, chosen by the caller
+	Epoch     uint64 // epoch of the set that the operators saw
 	Replicas  []string
 }
 
@@ -37,8 +37,8 @@
 // PersistFailed reports that a state could not be persisted.
 type PersistFailed struct{}
 
-// StateReloaded reports that states can be persisted again after PersistFailed. It contains the state that is
-// persisted now.
+// StateReloaded reports that states can be persisted again after PersistFailed. It contains the persisted
+// state.
 type StateReloaded struct{ State }
 
 func (MessageReceived) input() {}
--- a/internal/cluster/replicaset/raft_group.go
+++ b/internal/cluster/replicaset/raft_group.go
@@ -14,12 +14,12 @@
 
 const (
 	maxLogEntries       = 64   // applied entries before the log is compacted
-	maxMessageBytes     = 4096 // of entries in one raft message
+	maxMessageBytes     = 4096 // bytes of entries in one raft message
 	maxInflightMessages = 16
-	maxStoredBytes      = 1 << 30 // of persisted entries
+	maxStoredBytes      = 1 << 30 // bytes of persisted entries
 	maxSenders          = 4 * MaxReplicas
-	snapshotHeartbeats  = 5  // heartbeat intervals after which an unanswered snapshot is sent again
-	quorumHeartbeats    = 10 // heartbeats without a majority's answers after which a leader steps down
+	snapshotHeartbeats  = 5  // heartbeat intervals until an unanswered snapshot is sent again
+	quorumHeartbeats    = 10 // heartbeats without a majority's answers until a leader steps down
 )
 
 // discardLogger keeps the raft library from writing to standard error.
@@ -31,14 +31,14 @@
 	log     *raft.MemoryStorage
 	conf    raftpb.ConfState
 	applied uint64 // index of the last applied entry
-	epoch   uint64 // of the latest applied change
+	epoch   uint64 // epoch of the latest applied change
 
 	names           map[uint64]string // member names of the voters, by voter ID
-	senders         map[uint64]string // member names by voter ID, for IDs that are not in names yet
+	senders         map[uint64]string // up to maxSenders member names by voter ID, for IDs not in names yet
 	snapshotsSentAt map[uint64]Time   // send times of unanswered snapshots, by voter ID
 
 	compactionDue bool // compact after the current Ready
-	removed       bool // this process is no longer a voter: the node ends when nothing is ready
+	removed       bool // this process is no longer a voter: the node stops after its last Ready
 }
 
 func newRaftGroup() raftGroup {
@@ -49,7 +49,7 @@
 	return g.node != nil && g.node.BasicStatus().RaftState == raft.StateLeader
 }
 
-// isVoter reports whether a voter ID is part of the group, as far as this process knows.
+// isVoter reports whether a voter ID belongs to the group according to the applied log.
 func (g *raftGroup) isVoter(id uint64) bool {
 	return slices.Contains(g.conf.Voters, id) || slices.Contains(g.conf.VotersOutgoing, id)
 }
@@ -67,7 +67,8 @@
 	}
 }
 
-// addSender records the name of the member that sends with a voter ID.
+// addSender records the name of the member that sends messages with a voter ID. If there are too many names,
+// it deletes all others.
 func (g *raftGroup) addSender(id uint64, name string) {
 	g.senders[id] = name
 	if len(g.senders) > maxSenders {
@@ -217,7 +218,8 @@
 	}
 }
 
-// processReady handles the node's Ready batches until none is left.
+// processReady handles the pending Ready values of the node. A Ready contains the messages and log changes
+// that the raft library has prepared.
 func (c *Core) processReady() error {
 	g := &c.raft
 	for g.node != nil && g.node.HasReady() {
@@ -226,7 +228,7 @@
 		}
 	}
 	if g.removed {
-		g.node, g.removed = nil, false // its votes stay persisted
+		g.node, g.removed = nil, false // the persisted state keeps the votes
 	}
 	return nil
 }
@@ -252,7 +254,8 @@
 	return nil
 }
 
-// storeReady adds a Ready to the log, and persists the log before the messages that follow are sent.
+// storeReady adds the snapshot, hard state and entries of a Ready to the log. If the messages of the Ready
+// depend on them, it persists the log before the messages are sent.
 func (c *Core) storeReady(ready raft.Ready) error {
 	g := &c.raft
 	hasSnapshot := !raft.IsEmptySnap(ready.Snapshot)
@@ -353,7 +356,8 @@
 	return nil
 }
 
-// propose proposes a change to the raft group. A lost proposal is proposed again later.
+// propose proposes a change to the raft group. A proposal can be lost: leaveJoint proposes again, and any
+// other change ends at its deadline.
 func (c *Core) propose(change raftpb.ConfChangeV2) error {
 	c.raft.node.ProposeConfChange(change)
 	return c.processReady()
@@ -369,7 +373,7 @@
 		return nil
 	}
 	if c.state.GroupID == 0 {
-		c.state.GroupID = in.GroupID // the announcement of the group was lost
+		c.state.GroupID = in.GroupID // this process missed the announcement of the group
 	}
 	if in.GroupID != c.state.GroupID {
 		return nil
--- a/internal/cluster/replicaset/replacement.go
+++ b/internal/cluster/replicaset/replacement.go
@@ -56,15 +56,16 @@
 	c.beginChange(&activeChange{replicas: replicas, voterIDs: map[string]uint64{}}, c.set.Epoch)
 }
 
-// requestReplacement reports this replica's voter ID to the group, which has another voter ID for the
-// replica.
+// requestReplacement asks the group to replace its old voter ID of this replica by the new one. All replicas
+// are asked, because any of them may be the leader.
 func (c *Core) requestReplacement() {
 	for _, name := range c.set.Members() {
 		c.send(name, Message{Kind: ReplaceVoter})
 	}
 }
 
-// handleReplaceVoter starts a change that gives a replica that lost its file a new voter ID in the group.
+// handleReplaceVoter starts a change that replaces the voter ID of a replica. The replica has lost its file
+// and drawn a new voter ID.
 func (c *Core) handleReplaceVoter(in MessageReceived) {
 	if !c.IsLeader() || c.changes.active != nil || c.set.Joint() {
 		return
--- a/internal/cluster/replicaset/set.go
+++ b/internal/cluster/replicaset/set.go
@@ -14,7 +14,7 @@
 // Set names the members that are replicas. During a change the set is joint: it has an old and a new part,
 // and a decision needs a majority of each.
 type Set struct {
-	GroupID uint64   `cbor:"1,keyasint,omitzero"` // raft group that agreed on the set; 0: as configured
+	GroupID uint64   `cbor:"1,keyasint,omitzero"` // raft group that agreed on the set; 0: a configured set
 	Epoch   uint64   `cbor:"2,keyasint,omitzero"` // increases with each change
 	Old     []string `cbor:"3,keyasint,omitzero"` // empty unless the set is joint
 	New     []string `cbor:"4,keyasint,omitzero"`
--- a/internal/cluster/store/clock.go
+++ b/internal/cluster/store/clock.go
@@ -11,7 +11,7 @@
 	"woaddyke/internal/lifecycle/boottime"
 )
 
-// row is a stored record.
+// row is a record as it is stored in the file.
 type row struct {
 	Record    replication.Record `cbor:"1,keyasint"`
 	FirstSeen int64              `cbor:"3,keyasint"` // ms since boot, on the file's clock; may be negative
@@ -26,12 +26,12 @@
 	return row{record, now.SinceBoot.Milliseconds() - 1000*int64(record.Age)}
 }
 
-// clock is the clock to which the times in a file refer. It counts from one boot of the machine. When the
-// file is opened in another boot, all rows are moved to the new clock. How long the machine was down is
-// unknown, so the ages of the rows continue from their last known values.
+// clock is the clock to which the times in a file refer. It counts the time since one boot of the machine.
+// When the file is loaded in another boot, all rows are converted to the clock of that boot. How long the
+// machine was down is unknown, so the ages of the rows continue from their last known values.
 type clock struct {
 	BootID string `cbor:"1,keyasint"`
-	Latest int64  `cbor:"2,keyasint"` // ms since boot when rows were last written
+	Latest int64  `cbor:"2,keyasint"` // ms since boot when the file was last loaded or rows were last written
 }
 
 func clockAt(now boottime.Reading) clock { return clock{now.BootID, now.SinceBoot.Milliseconds()} }
@@ -41,7 +41,8 @@
 	return boottime.Reading{BootID: c.BootID, SinceBoot: time.Duration(c.Latest) * time.Millisecond}
 }
 
-// readClock reads the file's clock. known is false for a file of a version that used the wall clock.
+// readClock reads the file's clock. known is false for a new file and for a file of a version that
+// used the wall clock.
 func readClock(meta *bbolt.Bucket) (c clock, known bool, err error) {
 	data := meta.Get(clockKey)
 	if data == nil {
@@ -58,8 +59,8 @@
 	return meta.Put(clockKey, data)
 }
 
-// rebase moves all rows to the clock of now if the file's clock is of another boot, and writes the clock of
-// now.
+// rebase converts all rows to the clock of now, unless the file's clock is of the same boot and not ahead of
+// now. It also writes the clock of now to the file.
 func rebase(tx *bbolt.Tx, now boottime.Reading) error {
 	meta := tx.Bucket(metaBucket)
 	before, known, err := readClock(meta)
@@ -78,7 +79,8 @@
 	return errors.Join(err, clockAt(now).write(meta))
 }
 
-// rebaseRows moves all rows to another clock, on which the time is now, in ms. The rows keep their ages.
+// rebaseRows converts all rows to another clock. now is the time on that clock in ms, and ageOf returns the
+// age of a row in ms.
 func rebaseRows(records *bbolt.Bucket, now int64, ageOf func(row) int64) error {
 	rebased := map[string][]byte{} // a bucket must not change during ForEach
 	err := records.ForEach(func(key, data []byte) error {
--- a/internal/cluster/store/store.go
+++ b/internal/cluster/store/store.go
@@ -52,13 +52,13 @@
 	return fmt.Sprintf("file format version is %d, this build reads up to %d", e.Version, currentVersion)
 }
 
-// Store is an open file.
+// Store is the open file of a replica.
 type Store struct {
 	db *bbolt.DB
 }
 
-// Open opens or creates the file. With sync off, a crash of the machine (but not of the process) may lose the
-// last records. The records of a replica that restarts after such a crash must not be trusted.
+// Open opens or creates the file of a replica. With sync off, a crash of the machine (but not of the process)
+// may lose the last records. The records of a replica that restarts after such a crash must not be trusted.
 func Open(path string, sync bool) (*Store, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{
 		Timeout:        lockTimeout,
@@ -89,7 +89,8 @@
 	return errors.Join(err1, err2, meta.Put(versionKey, []byte{currentVersion}))
 }
 
-// convert drops the data of an earlier version that this build cannot use. Load converts wall-clock times.
+// convert drops the data of a file of an earlier version that this build cannot use. It leaves wall-clock
+// times to Load, which converts them.
 func convert(tx *bbolt.Tx, meta *bbolt.Bucket) error {
 	version := meta.Get(versionKey)
 	if version == nil {
@@ -112,7 +113,8 @@
 	Complete    bool                    // false: the file is new, or the replica has not caught up
 }
 
-// Load reads the records. From then on the times in the file refer to the boot of now.
+// Load reads the records. It also converts the times in the file to the clock of the boot that the parameter
+// now names.
 func (s *Store) Load(now boottime.Reading) (contents Contents, err error) {
 	err = s.db.Update(func(tx *bbolt.Tx) error {
 		if err := rebase(tx, now); err != nil {
@@ -121,7 +123,7 @@
 		return contents.read(tx, now)
 	})
 	if err != nil {
-		return Contents{}, fmt.Errorf("copies: %w", err)
+		return Contents{}, fmt.Errorf("copies: load the records: %w", err)
 	}
 	return contents, nil
 }
@@ -148,7 +150,8 @@
 }
 
 // decodeRecord decodes a record. It drops the ages of the outcomes, because the time since an op ran is
-// unknown after a restart. An age that is too great would let the op run again in its group after the window.
+// unknown after a restart. An age that is too small would let the op run again in its group after the group
+// has stopped dropping repeats.
 func decodeRecord(data []byte, now boottime.Reading) (replication.Record, error) {
 	var r row
 	if err := cbor.Unmarshal(data, &r); err != nil {
@@ -161,8 +164,9 @@
 	return r.Record, nil
 }
 
-// Write writes and deletes records in one transaction. The changes are durable when Write returns without an
-// error. Call Write after Load, in the same boot of the machine.
+// Write writes and deletes records in one transaction. When Write returns without an error, the changes
+// survive a crash of the process, and with sync on also a crash of the machine. Call Write after Load, in the
+// same boot of the machine.
 func (s *Store) Write(now boottime.Reading, put []replication.Record, deleted []string) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		if err := clockAt(now).write(tx.Bucket(metaBucket)); err != nil {
@@ -191,7 +195,8 @@
 	return bucket.Put(key, data)
 }
 
-// Cursors reads, for each other replica, the position up to which its changes are in the file.
+// Cursors reads the replication cursors. The cursor of another replica is the position up to which the
+// changes of that replica are in the file.
 func (s *Store) Cursors() (cursors []replication.ReplicationCursor, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(cursorsBucket).ForEach(func(_, data []byte) error {
@@ -202,12 +207,12 @@
 		})
 	})
 	if err != nil {
-		err = fmt.Errorf("copies: %w", err)
+		err = fmt.Errorf("copies: read the replication cursors: %w", err)
 	}
 	return cursors, err
 }
 
-// SaveCursors writes the cursors, one for each replica.
+// SaveCursors writes replication cursors, at most one for each replica.
 func (s *Store) SaveCursors(cursors []replication.ReplicationCursor) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		for _, cursor := range cursors {
@@ -244,7 +249,7 @@
 		return cbor.Unmarshal(data, &state)
 	})
 	if err != nil {
-		err = fmt.Errorf("copies: replica set state: %w", err)
+		err = fmt.Errorf("copies: read the replica set state: %w", err)
 	}
 	return state, known, err
 }
--- a/internal/cluster/store/store_test.go
+++ b/internal/cluster/store/store_test.go
@@ -89,9 +89,9 @@
 	s.Close()
 }
 
-// A record never gets an age greater than the known one. The time between two boots of the machine is
-// unknown, and so is the error of a clock that went back. In both cases the age continues from its last known
-// value.
+// A record must never be read with an age greater than its true one. The time between two boots of the
+// machine is unknown, and so is how far a clock went back. In both cases the age continues from its last
+// known value.
 func TestARecordAgesOnlyWithinOneBoot(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "copies.db")
 	at := func(boot string, seconds int) boottime.Reading {
@@ -133,8 +133,8 @@
 	}
 }
 
-// A file of the previous version has wall-clock times, from which no age can be derived: its records are read
-// with the age 0.
+// A file of the previous version has wall-clock times, from which no age can be derived. The records of such
+// a file must be read with the age 0.
 func TestRecordsOfAWallClockFileHaveAgeZero(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "copies.db")
 	s, err := Open(path, false)
