--- a/internal/cluster/replicaset/effects.go
+++ b/internal/cluster/replicaset/effects.go
@@ -1,9 +1,9 @@
 package replicaset
 
-// Effect is one of Persist, Send, SetAgreed, ChangeResult and Event.
+// Effect is an action that the caller of Core.Step must carry out. The effects are the types in this file.
 type Effect interface{ effect() }
 
-// Persist writes a state, before any message after it is sent.
+// Persist writes a state to durable storage. Later Send effects must wait until the write is complete.
 type Persist struct{ State }
 
 // Send sends a message to a member.
@@ -12,10 +12,10 @@
 	Message
 }
 
-// SetAgreed is a set that is in force from now on.
+// SetAgreed reports a set that the group agreed on. The set is in force from now on.
 type SetAgreed struct{ Set }
 
-// ChangeResult is the answer to a ChangeRequest.
+// ChangeResult answers a ChangeRequest.
 type ChangeResult struct {
 	RequestID uint64
 	OK        bool
@@ -23,14 +23,15 @@
 	Message   string
 }
 
-// Event is logged for operators.
+// Event is logged for operators. The subject names the members concerned, or gives a reason.
 type Event struct {
 	Description string
 	Subject     string
-	Warning     bool // operators should act on it
+	Warning     bool // operators should act on the event
 }
 
-// LeftGroup is the description of the event that this process takes no part in the raft group any more.
+// LeftGroup is the description of the event that reports that this process takes no part in the raft group
+// any more.
 const LeftGroup = "takes no part in the raft group any more"
 
 func (Persist) effect()      {}
