--- a/internal/lab/clients/clients.go
+++ b/internal/lab/clients/clients.go
@@ -1,5 +1,6 @@
-// Package clients holds the emulated clients: open-loop arrivals by the script, each op sent at the moment at
-// which it is due whatever became of those before, retries, and clients that leave, trickle, stall or ask again.
+// Package clients holds the emulated clients. They generate an open-loop load: each op is sent when it is
+// due, whatever the state of earlier ops. Clients retry, disconnect early, send slowly, stall, or send
+// duplicates, as the workload specifies.
 package clients
 
 import (
@@ -24,38 +25,39 @@
 	"woaddyke/internal/lab/workload"
 )
 
-// Server is a scheduler as clients know it.
+// Server is a scheduler as seen by clients.
 type Server interface{ Up() bool }
 
-// Crowd is all clients.
+// Crowd is the set of all emulated clients.
 type Crowd struct {
-	plan    *experiment.Experiment
-	script  *workload.Script
-	book    *ledger.Book
-	desk    *requests.Desk
-	servers []Server
-	addrs   []string
-	weather []*links.Weather
-	tries   sync.WaitGroup
-	open    atomic.Int64
-	bodies  [][]byte
+	experiment   *experiment.Experiment
+	workload     *workload.Script
+	ledger       *ledger.Book
+	requests     *requests.Registry
+	servers      []Server
+	addrs        []string
+	links        []*links.Weather
+	running      sync.WaitGroup
+	openAttempts atomic.Int64
+	bodies       [][]byte
 
 	mu    sync.Mutex
-	pools map[place]*pool
+	pools map[poolKey]*pool
 }
 
-// place is one client's connections to one scheduler.
-type place struct{ client, scheduler int }
+// poolKey identifies the connections of one client to one scheduler.
+type poolKey struct{ client, scheduler int }
 
-// pipelining is the client, as of connections, of all tries that may be sent behind another one: a relay for many.
-const pipelining = -1
+// pipelineClient is the client number of the shared connections on which attempts of all clients are
+// pipelined, as a proxy does.
+const pipelineClient = -1
 
-// New makes the clients of an experiment.
-func New(e *experiment.Experiment, s *workload.Script, book *ledger.Book, desk *requests.Desk, servers []Server, addrs []string) *Crowd {
-	c := &Crowd{plan: e, script: s, book: book, desk: desk, servers: servers, addrs: addrs, pools: map[place]*pool{}}
+// New creates the clients of an experiment.
+func New(e *experiment.Experiment, w *workload.Script, events *ledger.Book, registry *requests.Registry, servers []Server, addrs []string) *Crowd {
+	c := &Crowd{experiment: e, workload: w, ledger: events, requests: registry, servers: servers, addrs: addrs, pools: map[poolKey]*pool{}}
 	for i := range addrs {
-		sky := fleet.Sky(e, "clients", "", e.Zones[i%len(e.Zones)])
-		c.weather = append(c.weather, links.New(sky, e.Seed*31+uint64(i)))
+		conditions := fleet.Sky(e, "clients", "", e.Zones[i%len(e.Zones)])
+		c.links = append(c.links, links.New(conditions, e.Seed*31+uint64(i)))
 	}
 	for _, cat := range e.Categories {
 		c.bodies = append(c.bodies, []byte(strings.Repeat("x", cat.BodyBytes)))
@@ -63,49 +65,50 @@
 	return c
 }
 
-// pool is a client's connections to a scheduler.
+// pool returns the connections of a client to a scheduler.
 func (c *Crowd) pool(client, scheduler int) *pool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at := place{client, scheduler}
-	p := c.pools[at]
+	key := poolKey{client, scheduler}
+	p := c.pools[key]
 	if p == nil {
-		p = &pool{addr: c.addrs[scheduler], book: c.book, weather: c.weather[scheduler]}
-		c.pools[at] = p
+		p = &pool{addr: c.addrs[scheduler], ledger: c.ledger, link: c.links[scheduler]}
+		c.pools[key] = p
 	}
 	return p
 }
 
-// Open tells how many tries have no end yet.
-func (c *Crowd) Open() int64 { return c.open.Load() }
+// Open returns the number of attempts that have not ended.
+func (c *Crowd) Open() int64 { return c.openAttempts.Load() }
 
-// Run sends all ops of the script, each when it is due after the start, and returns when the last was sent or the
-// context has ended.
+// Run sends all requests of the workload, each when it is due after the start. It returns after the last one
+// is sent or when the context ends.
 func (c *Crowd) Run(ctx context.Context, start time.Time) {
-	// The runtime's own timers wake up to a whole millisecond late; a thread that sleeps by itself does not.
+	// Timers of the Go runtime fire up to a millisecond late. A locked thread in nanosleep does not have this
+	// delay.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	for i := range c.script.Wishes {
-		w := &c.script.Wishes[i]
-		due := start.Add(time.Duration(w.Due) * ledger.Tenth)
+	for i := range c.workload.Wishes {
+		request := &c.workload.Wishes[i]
+		due := start.Add(time.Duration(request.Due) * ledger.Tenth)
 		for wait := time.Until(due); wait > 0 && ctx.Err() == nil; wait = time.Until(due) {
-			nap := syscall.NsecToTimespec(int64(min(wait, longestNap)))
-			syscall.Nanosleep(&nap, nil)
+			sleep := syscall.NsecToTimespec(int64(min(wait, maxSleep)))
+			syscall.Nanosleep(&sleep, nil)
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		c.tries.Add(1)
+		c.running.Add(1)
 		go func() {
-			defer c.tries.Done()
-			c.wish(ctx, i, w, due)
+			defer c.running.Done()
+			c.runRequest(ctx, i, request, due)
 		}()
 	}
 }
 
-// Wait waits until all tries have ended, and closes their connections.
+// Wait waits for all attempts to end and closes the connections.
 func (c *Crowd) Wait() {
-	c.tries.Wait()
+	c.running.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, p := range c.pools {
@@ -113,22 +116,23 @@
 	}
 }
 
-// try is one op.
-type try struct {
+// attempt is one attempt of a client's request. It is an op of its own unless its ID is shared.
+type attempt struct {
 	id, effect string
 	number     int
 	category   *experiment.Category
-	wish       *workload.Wish
+	request    *workload.Wish
 	body       []byte
-	until      time.Time
-	leaveAt    time.Duration
-	shared     bool // its id is that of all tries of its wish
-	repeat     bool // it is not the first of them
-	keptOnly   bool // it goes by a connection that is open, or not at all
+	deadline   time.Time
+	leaveAfter time.Duration
+	sharedID   bool // all attempts of the request have the same ID
+	repeat     bool // not the first attempt with this ID
+	reuseOnly  bool // only uses a connection that is already open
 }
 
-// note writes an event of a try. In the ledger a wish whose tries share an id is one op, at the scheduler of its first try.
-func (c *Crowd) note(t *try, e ledger.Event) {
+// record adds an event of an attempt to the ledger. Attempts with a shared ID are one op in the ledger, at
+// the scheduler of the first attempt.
+func (c *Crowd) record(t *attempt, e ledger.Event) {
 	if t.repeat {
 		if e.Kind == ledger.Sent {
 			return
@@ -138,385 +142,392 @@
 		}
 		e.Kind = ledger.Echo
 	}
-	c.book.Add(e)
+	c.ledger.Add(e)
 }
 
-// outcome is what a client knows of a try.
+// outcome is the result of an attempt as the client sees it.
 type outcome struct {
-	kind  ledger.Kind // Answer, Cut, Refused or Left
-	which string
-	pause time.Duration
+	kind       ledger.Kind // Answer, Cut, Refused or Left
+	verdict    string
+	retryAfter time.Duration
 }
 
-const longestNap = 20 * time.Millisecond // before a look at whether to stop
+const maxSleep = 20 * time.Millisecond // how often the context is checked while waiting
 
 const (
-	leastTry  = 50 * time.Millisecond // with less left a client asks no more
-	leastTold = time.Millisecond      // that a head tells as the time left
-	waitOver  = 1500 * time.Millisecond
+	minAttemptTime = 50 * time.Millisecond // a client with less time left does not retry
+	minTimeLeft    = time.Millisecond      // smallest time left that a header states
+	lateAnswerWait = 1500 * time.Millisecond
 )
 
-// wish sees one wish through, try after try.
-func (c *Crowd) wish(ctx context.Context, n int, w *workload.Wish, due time.Time) {
-	cat := &c.plan.Categories[w.Category]
-	until := due.Add(time.Duration(cat.TTLMS * float64(time.Millisecond)))
-	r := rand.New(rand.NewPCG(w.Seed, 0x77697368))
-	effect := fmt.Sprintf("e%x-%d", c.plan.Seed, n)
-	if w.AsksAgain {
-		c.tries.Add(1)
+// runRequest sends a client's request, including its retries.
+func (c *Crowd) runRequest(ctx context.Context, index int, request *workload.Wish, due time.Time) {
+	cat := &c.experiment.Categories[request.Category]
+	deadline := due.Add(time.Duration(cat.TTLMS * float64(time.Millisecond)))
+	r := rand.New(rand.NewPCG(request.Seed, 0x77697368))
+	effect := fmt.Sprintf("e%x-%d", c.experiment.Seed, index)
+	if request.AsksAgain {
+		c.running.Add(1)
 		wait := time.Duration(1+r.IntN(200)) * time.Millisecond
 		go func() {
-			defer c.tries.Done()
+			defer c.running.Done()
 			select {
 			case <-time.After(time.Until(due.Add(wait))):
 			case <-ctx.Done():
 				return
 			}
-			c.once(ctx, &try{id: effect + "-again", effect: effect, number: 100, category: cat, wish: w, body: c.bodies[w.Category],
-				until: until}, due.Add(wait), w.Scheduler)
+			c.sendAttempt(ctx, &attempt{id: effect + "-again", effect: effect, number: 100, category: cat, request: request, body: c.bodies[request.Category],
+				deadline: deadline}, due.Add(wait), request.Scheduler)
 		}()
 	}
-	at := w.Scheduler
-	if c.plan.Clients.SameID && cat.Effect == ledger.AtMostOnce {
-		c.insist(ctx, effect, w, due, until, r)
+	scheduler := request.Scheduler
+	if c.experiment.Clients.SameID && cat.Effect == ledger.AtMostOnce {
+		c.retrySameID(ctx, effect, request, due, deadline, r)
 		return
 	}
 	for k := 0; ; k++ {
-		t := &try{id: fmt.Sprintf("%s-%d", effect, k), effect: effect, number: k, category: cat, wish: w,
-			body: c.bodies[w.Category], until: until}
-		if k == 0 && w.LeaveAt > 0 {
-			t.leaveAt = time.Duration(w.LeaveAt) * ledger.Tenth
+		t := &attempt{id: fmt.Sprintf("%s-%d", effect, k), effect: effect, number: k, category: cat, request: request,
+			body: c.bodies[request.Category], deadline: deadline}
+		if k == 0 && request.LeaveAt > 0 {
+			t.leaveAfter = time.Duration(request.LeaveAt) * ledger.Tenth
 		}
-		at, t.keptOnly = c.serving(at, w.Client)
-		end := c.once(ctx, t, due, at)
-		if !c.again(t, end) || k >= c.plan.Clients.Retries || ctx.Err() != nil {
+		scheduler, t.reuseOnly = c.chooseScheduler(scheduler, request.Client)
+		result := c.sendAttempt(ctx, t, due, scheduler)
+		if !c.shouldRetry(t, result) || k >= c.experiment.Clients.Retries || ctx.Err() != nil {
 			return
 		}
 		var ok bool
-		if due, ok = c.rest(ctx, c.wait(r, w, k, end), until); !ok {
+		if due, ok = c.waitForRetry(ctx, c.retryDelay(r, request, k, result), deadline); !ok {
 			return
 		}
-		at = r.IntN(len(c.addrs)) // the front deals it out anew
+		scheduler = r.IntN(len(c.addrs)) // the load balancer assigns the retry to a random scheduler
 	}
 }
 
-// rest waits before a client's next try and tells when that is due; false where it would come too late, or the run ends.
-func (c *Crowd) rest(ctx context.Context, wait time.Duration, until time.Time) (due time.Time, ok bool) {
-	if due = time.Now().Add(wait); until.Sub(due) < leastTry {
+// waitForRetry waits before the next attempt and returns when it is due. It returns false if that is too late
+// or the context ends.
+func (c *Crowd) waitForRetry(ctx context.Context, delay time.Duration, deadline time.Time) (due time.Time, ok bool) {
+	if due = time.Now().Add(delay); deadline.Sub(due) < minAttemptTime {
 		return due, false
 	}
 	select {
-	case <-time.After(wait):
+	case <-time.After(delay):
 		return due, true
 	case <-ctx.Done():
 		return due, false
 	}
 }
 
-// insist asks for an op under one id until it has a final answer: first at one scheduler, then at others, now and then at two at once.
-func (c *Crowd) insist(ctx context.Context, effect string, w *workload.Wish, due, until time.Time, r *rand.Rand) {
-	cat := &c.plan.Categories[w.Category]
-	first := c.up(w.Scheduler)
-	ask := func(k int, due time.Time, at int) outcome {
-		return c.once(ctx, &try{id: effect + "-0", effect: effect, number: k, category: cat, wish: w, body: c.bodies[w.Category], until: until,
-			shared: true, repeat: k > 0}, due, at)
-	}
-	elsewhere := func() (int, bool) {
-		at := c.up((first + 1 + r.IntN(len(c.addrs)-1)) % len(c.addrs))
-		return at, at != first
-	}
-	if at, ok := elsewhere(); ok && r.Float64() < c.plan.Clients.AtOnce {
-		c.tries.Add(1)
+// retrySameID sends an op under one ID until it gets a final answer: first to one scheduler, then to others.
+// With a set probability it also sends the op to two schedulers at the same time.
+func (c *Crowd) retrySameID(ctx context.Context, effect string, request *workload.Wish, due, deadline time.Time, r *rand.Rand) {
+	cat := &c.experiment.Categories[request.Category]
+	first := c.nextUp(request.Scheduler)
+	send := func(k int, due time.Time, scheduler int) outcome {
+		return c.sendAttempt(ctx, &attempt{id: effect + "-0", effect: effect, number: k, category: cat, request: request, body: c.bodies[request.Category], deadline: deadline,
+			sharedID: true, repeat: k > 0}, due, scheduler)
+	}
+	otherScheduler := func() (int, bool) {
+		scheduler := c.nextUp((first + 1 + r.IntN(len(c.addrs)-1)) % len(c.addrs))
+		return scheduler, scheduler != first
+	}
+	if scheduler, ok := otherScheduler(); ok && r.Float64() < c.experiment.Clients.AtOnce {
+		c.running.Add(1)
 		go func() {
-			defer c.tries.Done()
+			defer c.running.Done()
 			select {
-			case <-time.After(time.Millisecond): // its first try's Due stands in the ledger by then
-				ask(100, due, at)
+			case <-time.After(time.Millisecond): // by then the ledger has the Due event of the first attempt
+				send(100, due, scheduler)
 			case <-ctx.Done():
 			}
 		}()
 	}
-	end := ask(0, due, first)
-	for k := 1; k <= c.plan.Clients.Retries; k++ {
-		if end.kind == ledger.Left || end.kind == ledger.Answer && end.which != ledger.Nacked || ctx.Err() != nil {
+	result := send(0, due, first)
+	for k := 1; k <= c.experiment.Clients.Retries; k++ {
+		if result.kind == ledger.Left || result.kind == ledger.Answer && result.verdict != ledger.Nacked || ctx.Err() != nil {
 			return
 		}
-		due, ok := c.rest(ctx, c.wait(r, w, k-1, end), until)
+		due, ok := c.waitForRetry(ctx, c.retryDelay(r, request, k-1, result), deadline)
 		if !ok {
 			return
 		}
-		at, ok := elsewhere()
+		scheduler, ok := otherScheduler()
 		if !ok {
 			return
 		}
-		end = ask(k, due, at)
+		result = send(k, due, scheduler)
 	}
 }
 
-// up is a scheduler that is known to serve: the one given, or the next one.
-func (c *Crowd) up(at int) int {
+// nextUp returns the given scheduler if it is up, otherwise the next one that is.
+func (c *Crowd) nextUp(scheduler int) int {
 	for i := range c.servers {
-		if k := (at + i) % len(c.servers); c.servers[k].Up() {
+		if k := (scheduler + i) % len(c.servers); c.servers[k].Up() {
 			return k
 		}
 	}
-	return at
+	return scheduler
 }
 
-// ender is a scheduler that may be about to end: it takes no new clients, and those with open connections go on.
-type ender interface{ Ending() bool }
+// endingServer is a scheduler that may be shutting down. It accepts no new clients, but clients with open
+// connections continue.
+type endingServer interface{ Ending() bool }
 
-// serving is a scheduler that a client may send to: the one given, or the next one. Of one that is about to end only open connections
-// are used.
-func (c *Crowd) serving(at, client int) (scheduler int, keptOnly bool) {
+// chooseScheduler returns the given scheduler if a client may send to it, otherwise the next one. A scheduler
+// that is shutting down is only used through open connections.
+func (c *Crowd) chooseScheduler(from, client int) (scheduler int, reuseOnly bool) {
 	for i := range c.servers {
-		k := (at + i) % len(c.servers)
+		k := (from + i) % len(c.servers)
 		if c.servers[k].Up() {
 			return k, false
 		}
-		if s, ok := c.servers[k].(ender); ok && s.Ending() && (c.pool(client, k).open() || c.pool(pipelining, k).open()) {
+		if s, ok := c.servers[k].(endingServer); ok && s.Ending() && (c.pool(client, k).hasOpen() || c.pool(pipelineClient, k).hasOpen()) {
 			return k, true
 		}
 	}
-	return at, false
+	return from, false
 }
 
-// again tells whether a client asks once more. A dead letter promises nothing, so only what may run twice is.
-func (c *Crowd) again(t *try, o outcome) bool {
+// shouldRetry reports whether a client retries. A dead letter does not exclude that the op ran, so the client
+// only retries an op that may run twice.
+func (c *Crowd) shouldRetry(t *attempt, o outcome) bool {
 	switch o.kind {
 	case ledger.Refused:
 		return true
 	case ledger.Answer:
-		return o.which == ledger.Nacked || o.which == ledger.Dead && t.category.Effect == ledger.Redeliverable
+		return o.verdict == ledger.Nacked || o.verdict == ledger.Dead && t.category.Effect == ledger.Redeliverable
 	case ledger.Cut:
 		return t.category.Effect == ledger.Redeliverable
 	}
 	return false
 }
 
-func (c *Crowd) wait(r *rand.Rand, w *workload.Wish, k int, o outcome) time.Duration {
-	wait := time.Duration(c.plan.Clients.WaitMS * float64(time.Millisecond))
-	switch c.plan.Clients.Backoff {
+func (c *Crowd) retryDelay(r *rand.Rand, request *workload.Wish, k int, o outcome) time.Duration {
+	delay := time.Duration(c.experiment.Clients.WaitMS * float64(time.Millisecond))
+	switch c.experiment.Clients.Backoff {
 	case "none":
-		wait = 0
+		delay = 0
 	case "exponential":
-		wait = time.Duration(float64(wait<<min(k, 8)) * (0.5 + r.Float64()))
+		delay = time.Duration(float64(delay<<min(k, 8)) * (0.5 + r.Float64()))
 	}
-	if w.Honours {
-		wait = max(wait, o.pause)
+	if request.Honours {
+		delay = max(delay, o.retryAfter)
 	}
-	return wait
+	return delay
 }
 
-// once sends one op and sees what becomes of it. An op on a kept connection that ends unread is sent once more.
-func (c *Crowd) once(ctx context.Context, t *try, due time.Time, at int) outcome {
-	c.open.Add(1)
-	defer c.open.Add(-1)
+// sendAttempt sends an op and returns its outcome. If a reused connection ends without an answer, the op is
+// sent once more.
+func (c *Crowd) sendAttempt(ctx context.Context, t *attempt, due time.Time, scheduler int) outcome {
+	c.openAttempts.Add(1)
+	defer c.openAttempts.Add(-1)
 	cat := t.category
-	job := workermodel.Job{Op: t.id, Effect: t.effect, Work: t.wish.Work, Usual: cat.WorkMS, Slots: t.wish.Slots, Memory: cat.Memory, Dedup: cat.Effect == ledger.Deduplicated,
+	job := workermodel.Job{Op: t.id, Effect: t.effect, Work: t.request.Work, ExpectedWork: cat.WorkMS, Slots: t.request.Slots, Memory: cat.Memory, Dedup: cat.Effect == ledger.Deduplicated,
 		Window: experiment.MS(cat.WindowMS), Scope: cat.Scope}
 	key := ""
 	if cat.Effect != ledger.Redeliverable {
 		key = t.effect
 	}
 	target := "/api?sid=" + t.effect
-	c.desk.Put(t.id, requests.Ask{Job: job, Target: target, Key: key, Body: requests.Sum(t.body)})
+	c.requests.Put(t.id, requests.Request{Job: job, Target: target, IdempotencyKey: key, BodyHash: requests.HashBody(t.body)})
 	if t.repeat {
-		c.book.Add(ledger.Event{Kind: ledger.Repeat, Op: t.id, Scheduler: at + 1, Try: t.number, Client: t.wish.Client + 1})
+		c.ledger.Add(ledger.Event{Kind: ledger.Repeat, Op: t.id, Scheduler: scheduler + 1, Try: t.number, Client: t.request.Client + 1})
 	} else {
-		c.due(t, due, at)
+		c.recordDue(t, due, scheduler)
 	}
-	for round := 0; ; round++ {
-		o, reused := c.exchange(ctx, t, due, at, target, key, round > 0)
-		if o.kind != ledger.Cut || !reused || round > 0 || o.which != "" {
+	for try := 0; ; try++ {
+		o, reused := c.exchange(ctx, t, due, scheduler, target, key, try > 0)
+		if o.kind != ledger.Cut || !reused || try > 0 || o.verdict != "" {
 			return o
 		}
 	}
 }
 
-// due writes down that a try is due, which is an op of its own.
-func (c *Crowd) due(t *try, due time.Time, at int) {
+// recordDue records that an attempt is due, as an op of its own.
+func (c *Crowd) recordDue(t *attempt, due time.Time, scheduler int) {
 	state := ""
-	if t.shared {
+	if t.sharedID {
 		state = "shared"
 	}
 	cat := t.category
-	c.book.Add(ledger.Event{Kind: ledger.Due, Op: t.id, Effect: t.effect, State: state, Category: cat.Name, Scheduler: at + 1, Try: t.number, Client: t.wish.Client + 1,
-		From: c.book.Moment(due), Until: c.book.Moment(t.until), Work: t.wish.Work * t.wish.Slots, Slots: t.wish.Slots})
+	c.ledger.Add(ledger.Event{Kind: ledger.Due, Op: t.id, Effect: t.effect, State: state, Category: cat.Name, Scheduler: scheduler + 1, Try: t.number, Client: t.request.Client + 1,
+		From: c.ledger.Moment(due), Until: c.ledger.Moment(t.deadline), Work: t.request.Work * t.request.Slots, Slots: t.request.Slots})
 }
 
-// head is a request's head.
-func (t *try) head(target, key string, left time.Duration) []byte {
+// header returns the request line and headers.
+func (t *attempt) header(target, key string, left time.Duration) []byte {
 	b := fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: %s\r\nX-Service-Class: %s\r\nX-Time-Left-Ms: %d\r\nX-Client: c%d\r\n",
-		target, t.id, t.category.Name, max(left, leastTold).Milliseconds(), t.wish.Client)
+		target, t.id, t.category.Name, max(left, minTimeLeft).Milliseconds(), t.request.Client)
 	if key != "" {
 		b = fmt.Appendf(b, "Idempotency-Key: %s\r\n", key)
 	}
-	if t.number > 0 && !t.shared {
+	if t.number > 0 && !t.sharedID {
 		b = append(b, "X-Repeat: 1\r\n"...)
 	}
-	if t.wish.Hint > 0 {
-		b = fmt.Appendf(b, "X-Weight-Hint: %d\r\n", int64(t.wish.Hint*1000))
+	if t.request.Hint > 0 {
+		b = fmt.Appendf(b, "X-Weight-Hint: %d\r\n", int64(t.request.Hint*1000))
 	}
-	if t.wish.Slots > 1 || t.category.Memory > 0 {
-		b = fmt.Appendf(b, "X-Facts: slots=%g,memory=%g\r\n", t.wish.Slots, t.category.Memory)
+	if t.request.Slots > 1 || t.category.Memory > 0 {
+		b = fmt.Appendf(b, "X-Facts: slots=%g,memory=%g\r\n", t.request.Slots, t.category.Memory)
 	}
 	return fmt.Appendf(b, "Content-Length: %d\r\n\r\n", len(t.body))
 }
 
-func (c *Crowd) exchange(ctx context.Context, t *try, due time.Time, at int, target, key string, fresh bool) (outcome, bool) {
-	pipelines := t.pipelines(c.plan.Clients.Pipeline)
-	p := c.pool(t.wish.Client, at)
-	if pipelines {
-		p = c.pool(pipelining, at)
+func (c *Crowd) exchange(ctx context.Context, t *attempt, due time.Time, scheduler int, target, key string, freshConn bool) (outcome, bool) {
+	pipeline := t.usesPipelining(c.experiment.Clients.Pipeline)
+	p := c.pool(t.request.Client, scheduler)
+	if pipeline {
+		p = c.pool(pipelineClient, scheduler)
 	}
-	if fresh {
-		p = &pool{addr: p.addr, weather: p.weather, book: p.book}
+	if freshConn {
+		p = &pool{addr: p.addr, link: p.link, ledger: p.ledger}
 	}
-	if t.keptOnly && (fresh || !p.open()) {
-		c.note(t, ledger.Event{Kind: ledger.Refused, Op: t.id, Scheduler: at + 1, Text: "it is about to end"})
+	if t.reuseOnly && (freshConn || !p.hasOpen()) {
+		c.record(t, ledger.Event{Kind: ledger.Refused, Op: t.id, Scheduler: scheduler + 1, Text: "it is about to end"})
 		return outcome{kind: ledger.Refused}, false
 	}
-	w, waits, reused, behind, err := p.connection(t, pipelines && !fresh)
+	conn, replies, reused, pipelined, err := p.connection(t, pipeline && !freshConn)
 	if err != nil {
-		c.note(t, ledger.Event{Kind: ledger.Refused, Op: t.id, Scheduler: at + 1, Text: err.Error()})
+		c.record(t, ledger.Event{Kind: ledger.Refused, Op: t.id, Scheduler: scheduler + 1, Text: err.Error()})
 		return outcome{kind: ledger.Refused}, false
 	}
-	began := time.Now()
-	if least := began.Add(leastTold); t.until.Before(least) { // it is sent again, and no head tells less
-		t.until = least
+	started := time.Now()
+	// The op may be sent a second time, and a header never states less than minTimeLeft.
+	if minDeadline := started.Add(minTimeLeft); t.deadline.Before(minDeadline) {
+		t.deadline = minDeadline
 	}
-	err = c.write(w, t, append(t.head(target, key, time.Until(t.until)), t.body...))
-	w.order.Unlock()
+	err = c.writeRequest(conn, t, append(t.header(target, key, time.Until(t.deadline)), t.body...))
+	conn.sendMu.Unlock()
 	if err != nil {
-		select { // it may have been answered before it was whole
-		case r := <-waits:
+		select { // the answer can arrive before the request is completely written
+		case r := <-replies:
 			if r.err == nil {
-				return c.close(w, t, at, r), reused
+				return c.recordAnswer(conn, t, scheduler, r), reused
 			}
 		case <-time.After(10 * time.Millisecond):
 		}
-		w.Close()
-		c.note(t, ledger.Event{Kind: ledger.Cut, Op: t.id, Scheduler: at + 1, State: reusedText(reused), Text: err.Error()})
+		conn.Close()
+		c.record(t, ledger.Event{Kind: ledger.Cut, Op: t.id, Scheduler: scheduler + 1, State: reusedState(reused), Text: err.Error()})
 		return outcome{kind: ledger.Cut}, reused
 	}
-	// Its time counts from its last byte, whatever time the bytes before took.
+	// The time left counts from the last byte of the request, however long the bytes before it took.
 	now := time.Now()
-	t.until = t.until.Add(now.Sub(began))
+	t.deadline = t.deadline.Add(now.Sub(started))
 	text := ""
-	if behind {
+	if pipelined {
 		text = ledger.Behind
 	}
-	c.note(t, ledger.Event{Kind: ledger.Sent, Op: t.id, Scheduler: at + 1, Until: c.book.Moment(t.until), Text: text,
-		Late: max(c.book.Moment(began)-c.book.Moment(due), 0)})
+	c.record(t, ledger.Event{Kind: ledger.Sent, Op: t.id, Scheduler: scheduler + 1, Until: c.ledger.Moment(t.deadline), Text: text,
+		Late: max(c.ledger.Moment(started)-c.ledger.Moment(due), 0)})
 	leave := make(<-chan time.Time)
-	if t.leaveAt > 0 {
-		leave = time.After(t.leaveAt)
+	if t.leaveAfter > 0 {
+		leave = time.After(t.leaveAfter)
 	}
-	// A client gives up at its TTL. The lab waits on, so that an answer that comes after it is seen.
-	late := time.NewTimer(time.Until(t.until) + waitOver)
+	// The client gives up at its deadline. The lab waits longer, so that late answers are seen.
+	late := time.NewTimer(time.Until(t.deadline) + lateAnswerWait)
 	defer late.Stop()
 	select {
-	case r := <-waits:
+	case r := <-replies:
 		if r.err != nil {
 			text := r.err.Error()
-			if r.read {
+			if r.allRead {
 				text = ledger.ReadUnanswered
 			}
-			w.Close()
-			c.note(t, ledger.Event{Kind: ledger.Cut, Op: t.id, Scheduler: at + 1, State: reusedText(reused && !r.some), Text: text})
-			return outcome{kind: ledger.Cut}, reused && !r.some
+			conn.Close()
+			c.record(t, ledger.Event{Kind: ledger.Cut, Op: t.id, Scheduler: scheduler + 1, State: reusedState(reused && !r.partial), Text: text})
+			return outcome{kind: ledger.Cut}, reused && !r.partial
 		}
 		if r.header.Get("Connection") != "close" {
-			p.put(w)
+			p.release(conn)
 		}
-		return c.close(nil, t, at, r), reused
+		return c.recordAnswer(nil, t, scheduler, r), reused
 	case <-leave:
-		c.note(t, ledger.Event{Kind: ledger.Left, Op: t.id})
-		w.Close()
+		c.record(t, ledger.Event{Kind: ledger.Left, Op: t.id})
+		conn.Close()
 		return outcome{kind: ledger.Left}, reused
 	case <-ctx.Done():
-		c.note(t, ledger.Event{Kind: ledger.Left, Op: t.id})
-		w.Close()
+		c.record(t, ledger.Event{Kind: ledger.Left, Op: t.id})
+		conn.Close()
 		return outcome{kind: ledger.Left}, reused
 	case <-late.C:
-		w.Close()
-		return outcome{kind: ledger.Cut, which: "late"}, reused
+		conn.Close()
+		return outcome{kind: ledger.Cut, verdict: "late"}, reused
 	}
 }
 
-// connection is one for a try's request, which may be behind another's. Its order is held.
-func (p *pool) connection(t *try, mayBeBehind bool) (w *wire, waits chan reply, reused, behind bool, err error) {
-	if mayBeBehind {
-		if w, waits, ok := p.behind(t.id, t.until); ok {
-			return w, waits, true, true, nil
+// connection returns a connection for an attempt, possibly behind other requests. Its sendMu is locked.
+func (p *pool) connection(t *attempt, mayPipeline bool) (conn *conn, replies chan reply, reused, pipelined bool, err error) {
+	if mayPipeline {
+		if conn, replies, ok := p.pipelined(t.id, t.deadline); ok {
+			return conn, replies, true, true, nil
 		}
 	}
-	w, waits, reused, err = p.get(t.id, t.until, t.leaveAt > 0)
-	return w, waits, reused, false, err
+	conn, replies, reused, err = p.acquire(t.id, t.deadline, t.leaveAfter > 0)
+	return conn, replies, reused, false, err
 }
 
-// pipelines draws whether a try is sent behind another one. One that is written slowly, or whose client may leave, is not: it would take
-// the others' time, or connection, along.
-func (t *try) pipelines(chance float64) bool {
-	if chance == 0 || t.leaveAt > 0 || t.wish.Trickles || t.wish.Stalls {
+// usesPipelining draws whether an attempt may be sent behind other requests. Slow attempts and attempts whose
+// client may disconnect are excluded, because they would delay the other requests or close their connection.
+func (t *attempt) usesPipelining(chance float64) bool {
+	if chance == 0 || t.leaveAfter > 0 || t.request.Trickles || t.request.Stalls {
 		return false
 	}
-	r := rand.New(rand.NewPCG(t.wish.Seed, 0x70697065+uint64(t.number)))
+	r := rand.New(rand.NewPCG(t.request.Seed, 0x70697065+uint64(t.number)))
 	return r.Float64() < chance
 }
 
-func reusedText(reused bool) string {
+func reusedState(reused bool) string {
 	if reused {
 		return "reused"
 	}
 	return ""
 }
 
-// close notes a whole answer; a connection given is closed.
-func (c *Crowd) close(w *wire, t *try, at int, r reply) outcome {
-	if w != nil {
-		w.Close()
+// recordAnswer records a complete answer. It closes the connection if one is given.
+func (c *Crowd) recordAnswer(conn *conn, t *attempt, scheduler int, r reply) outcome {
+	if conn != nil {
+		conn.Close()
 	}
-	o := outcome{kind: ledger.Answer, which: ledger.Dead}
+	o := outcome{kind: ledger.Answer, verdict: ledger.Dead}
 	text := ""
 	switch {
 	case r.status == http.StatusOK:
-		o.which, text = ledger.Acked, string(r.body)
+		o.verdict, text = ledger.Acked, string(r.body)
 	case r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests:
-		o.which = ledger.Nacked
+		o.verdict = ledger.Nacked
 		if s, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64); err == nil && s > 0 && s < 3600 {
-			o.pause = time.Duration(s * float64(time.Second))
+			o.retryAfter = time.Duration(s * float64(time.Second))
 		}
 	case r.status/100 == 4:
-		o.which = ledger.Bad
+		o.verdict = ledger.Bad
 	}
-	c.note(t, ledger.Event{Kind: ledger.Answer, Op: t.id, Scheduler: at + 1, Verdict: o.which, Status: r.status, Text: text})
+	c.record(t, ledger.Event{Kind: ledger.Answer, Op: t.id, Scheduler: scheduler + 1, Verdict: o.verdict, Status: r.status, Text: text})
 	return o
 }
 
-const trickle = 2 * time.Millisecond // between bytes
+const trickleInterval = 2 * time.Millisecond // between two bytes
 
-// write sends a request as its client does: at once, byte by byte or with a halt in the middle.
-func (c *Crowd) write(w *wire, t *try, text []byte) error {
+// writeRequest writes a request the way its client does: in one piece, byte by byte, or with a pause in the
+// middle.
+func (c *Crowd) writeRequest(conn *conn, t *attempt, text []byte) error {
 	switch {
-	case t.wish.Trickles:
+	case t.request.Trickles:
 		for i := range text {
-			if _, err := w.Write(text[i : i+1]); err != nil {
+			if _, err := conn.Write(text[i : i+1]); err != nil {
 				return err
 			}
-			time.Sleep(trickle)
+			time.Sleep(trickleInterval)
 		}
 		return nil
-	case t.wish.Stalls:
+	case t.request.Stalls:
 		half := len(text) - len(t.body)/2 - 1
-		if _, err := w.Write(text[:half]); err != nil {
+		if _, err := conn.Write(text[:half]); err != nil {
 			return err
 		}
 		time.Sleep(700 * time.Millisecond)
 		text = text[half:]
 	}
-	if _, err := w.Write(text); err != nil {
+	if _, err := conn.Write(text); err != nil {
 		return err
 	}
 	return nil
--- a/internal/lab/clients/conn.go
+++ b/internal/lab/clients/conn.go
@@ -16,107 +16,108 @@
 	"woaddyke/internal/lab/links"
 )
 
-// reply is a whole answer, or what became of it.
+// reply is a complete answer, or the reason why there is none.
 type reply struct {
-	status int
-	header http.Header
-	body   []byte
-	err    error
-	some   bool // bytes of an answer had come
-	read   bool // the other side had read all that was written, and closed in order
+	status  int
+	header  http.Header
+	body    []byte
+	err     error
+	partial bool // part of an answer had arrived
+	allRead bool // the scheduler read all requests and then closed without a reset
 }
 
-// wire is one connection to a scheduler. Its reader goes on between requests: an answer that nobody asked for is
-// a second answer to the request before.
-type wire struct {
+// conn is a connection to a scheduler. Its reader also runs between requests. An unexpected answer is
+// recorded as a second answer to the previous request.
+type conn struct {
 	net.Conn
-	book  *ledger.Book
-	order sync.Mutex // held from the asking for an answer until the request is written
-	mu    sync.Mutex
-	op    string    // whose answer came last
-	waits []awaited // answers, in the order of the requests
-	alone bool      // its client may leave, and nothing is sent behind its request
-	idle  bool      // it lies in the pool; guarded by that
-	uses  int
-	dead  bool
+	ledger    *ledger.Book
+	sendMu    sync.Mutex // held from expect until the request is written
+	mu        sync.Mutex
+	lastOp    string           // op of the last answer
+	expected  []expectedAnswer // in the order of the requests
+	exclusive bool             // nothing is pipelined behind the request, because its client may disconnect
+	idle      bool             // in the pool's idle list; guarded by the pool's mu
+	useCount  int
+	closed    bool
 }
 
-// awaited is an answer that a request waits for.
-type awaited struct {
-	op    string
-	until time.Time // its client gives up
-	to    chan reply
+// expectedAnswer is an answer that a request waits for.
+type expectedAnswer struct {
+	op       string
+	deadline time.Time // when the client gives up
+	replies  chan reply
 }
 
-// mostBehind is how many requests may be out on a connection at once.
-const mostBehind = 4
+// maxPipelined bounds the unanswered requests on a connection.
+const maxPipelined = 4
 
 const (
-	dialTime   = time.Second
-	longestAns = 1 << 20
+	dialTimeout    = time.Second
+	maxAnswerBytes = 1 << 20
 )
 
-func dial(addr string, weather *links.Weather, book *ledger.Book) (*wire, error) {
-	c, err := net.DialTimeout("tcp", addr, dialTime)
+func dial(addr string, link *links.Weather, events *ledger.Book) (*conn, error) {
+	socket, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
-	if !weather.Free() {
-		c = links.Through(c, weather)
+	if !link.IsTransparent() {
+		socket = links.Through(socket, link)
 	}
-	w := &wire{Conn: c, book: book}
-	go w.read()
-	return w, nil
+	c := &conn{Conn: socket, ledger: events}
+	go c.readLoop()
+	return c, nil
 }
 
-func (w *wire) read() {
-	in := bufio.NewReader(w.Conn)
+func (c *conn) readLoop() {
+	in := bufio.NewReader(c.Conn)
 	for {
 		_, err := in.Peek(1)
 		if err != nil {
-			w.deliver(reply{err: err, read: errors.Is(err, io.EOF) && w.closedOverRead()})
+			c.deliver(reply{err: err, allRead: errors.Is(err, io.EOF) && c.closedAfterReadingAll()})
 			return
 		}
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
-			w.deliver(reply{err: err, some: true})
+			c.deliver(reply{err: err, partial: true})
 			return
 		}
-		body, err := io.ReadAll(io.LimitReader(resp.Body, longestAns))
+		body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 		if err != nil {
-			w.deliver(reply{err: err, some: true})
+			c.deliver(reply{err: err, partial: true})
 			return
 		}
 		if resp.StatusCode/100 == 1 {
 			continue
 		}
 		ends := resp.Close
-		w.deliver(reply{status: resp.StatusCode, header: resp.Header, body: body})
+		c.deliver(reply{status: resp.StatusCode, header: resp.Header, body: body})
 		if ends {
-			w.deliver(reply{err: io.EOF})
+			c.deliver(reply{err: io.EOF})
 			return
 		}
 	}
 }
 
-// resetTime is for a reset to come that was under way when the end of a connection was seen.
-const resetTime = 20 * time.Millisecond
+// resetWait leaves time for a reset that follows the end of the connection.
+const resetWait = 20 * time.Millisecond
 
-// closedOverRead tells whether the other side has read all that was written before it closed. Linux acknowledges what it takes into a socket's
-// queue, and resets a connection that is closed over unread bytes or is written to after its close.
-func (w *wire) closedOverRead() bool {
-	w.order.Lock() // nothing is half written
-	defer w.order.Unlock()
-	return closedOverRead(w.Conn)
+// closedAfterReadingAll reports whether the scheduler read everything that was written before it closed the
+// connection. Linux acknowledges bytes when they enter the socket's receive queue. It resets a connection
+// that is closed with unread bytes, or that is written to after the close.
+func (c *conn) closedAfterReadingAll() bool {
+	c.sendMu.Lock() // no write is in progress
+	defer c.sendMu.Unlock()
+	return closedAfterReadingAll(c.Conn)
 }
 
-func closedOverRead(conn net.Conn) bool {
-	c, ok := conn.(*net.TCPConn)
+func closedAfterReadingAll(socket net.Conn) bool {
+	tcp, ok := socket.(*net.TCPConn)
 	if !ok {
 		return false
 	}
-	time.Sleep(resetTime)
-	raw, err := c.SyscallConn()
+	time.Sleep(resetWait)
+	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return false
 	}
@@ -129,116 +130,120 @@
 	return closedInOrder
 }
 
-// deliver hands a reply to the request that waits for it; the end of the connection to all that do.
-func (w *wire) deliver(r reply) {
-	w.mu.Lock()
-	var to []awaited
-	if n := len(w.waits); r.err != nil {
-		to, w.waits, w.dead = w.waits, nil, true
+// deliver passes a reply to the first request that waits for an answer. The end of the connection is passed
+// to all of them.
+func (c *conn) deliver(r reply) {
+	c.mu.Lock()
+	var receivers []expectedAnswer
+	if n := len(c.expected); r.err != nil {
+		receivers, c.expected, c.closed = c.expected, nil, true
 	} else if n > 0 {
-		to, w.waits, w.op = w.waits[:1], w.waits[1:], w.waits[0].op
+		receivers, c.expected, c.lastOp = c.expected[:1], c.expected[1:], c.expected[0].op
 	}
-	op := w.op
-	w.mu.Unlock()
-	if len(to) == 0 && r.err == nil {
-		w.book.Add(ledger.Event{Kind: ledger.Stray, Op: op, Status: r.status})
+	op := c.lastOp
+	c.mu.Unlock()
+	if len(receivers) == 0 && r.err == nil {
+		c.ledger.Add(ledger.Event{Kind: ledger.Stray, Op: op, Status: r.status})
 	}
-	for k, a := range to {
+	for k, a := range receivers {
 		answer := r
-		answer.some = r.some && k == 0 // nothing of an answer came for those behind the first
-		a.to <- answer
+		// Only the first of the waiting requests has received part of an answer.
+		answer.partial = r.partial && k == 0
+		a.replies <- answer
 	}
 	if r.err != nil {
-		w.Close()
+		c.Close()
 	}
 }
 
-// ask makes the next answer that nobody awaits that of an op; false if the connection has ended.
-func (w *wire) ask(op string, until time.Time) (chan reply, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.dead {
+// expect assigns the next unassigned answer to an op. It returns false if the connection has ended.
+func (c *conn) expect(op string, deadline time.Time) (chan reply, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
 		return nil, false
 	}
-	c := make(chan reply, 1)
-	w.waits = append(w.waits, awaited{op, until, c})
-	w.uses++
-	return c, true
+	answers := make(chan reply, 1)
+	c.expected = append(c.expected, expectedAnswer{op, deadline, answers})
+	c.useCount++
+	return answers, true
 }
 
-// takesBehind tells whether a request may be sent behind others on a connection. Answers come in the order of the requests, so one that may
-// give up before those in front of it would have its own too late, whatever the scheduler does.
-func (w *wire) takesBehind(until time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.dead || w.alone || len(w.waits) == 0 || len(w.waits) >= mostBehind {
+// canPipeline reports whether a request may be sent behind others. Answers arrive in the order of the
+// requests. A request with an earlier deadline than one before it could therefore get its answer too late
+// through no fault of the scheduler.
+func (c *conn) canPipeline(deadline time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed || c.exclusive || len(c.expected) == 0 || len(c.expected) >= maxPipelined {
 		return false
 	}
-	for _, a := range w.waits {
-		if a.until.After(until) {
+	for _, a := range c.expected {
+		if a.deadline.After(deadline) {
 			return false
 		}
 	}
 	return true
 }
 
-// pool keeps connections to one scheduler between requests.
+// pool holds the connections to a scheduler.
 type pool struct {
-	addr    string
-	weather *links.Weather
-	book    *ledger.Book
-	mu      sync.Mutex
-	idle    []*wire
-	busy    []*wire // lately used: an answer may be awaited on them
+	addr   string
+	link   *links.Weather
+	ledger *ledger.Book
+	mu     sync.Mutex
+	idle   []*conn
+	busy   []*conn // recently used, possibly with expected answers
 }
 
 const (
-	mostIdle = 4096
-	mostBusy = 64
+	maxIdle = 4096
+	maxBusy = 64
 )
 
-// behind is a connection on which an answer is awaited, with its order held; false where there is none.
-func (p *pool) behind(op string, until time.Time) (*wire, chan reply, bool) {
+// pipelined returns a connection that expects an answer, with sendMu locked. It returns false if there is
+// none.
+func (p *pool) pipelined(op string, deadline time.Time) (*conn, chan reply, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, w := range p.busy {
-		if w.idle || !w.takesBehind(until) || !w.order.TryLock() {
+	for _, conn := range p.busy {
+		if conn.idle || !conn.canPipeline(deadline) || !conn.sendMu.TryLock() {
 			continue
 		}
-		if c, ok := w.ask(op, until); ok {
-			return w, c, true
+		if answers, ok := conn.expect(op, deadline); ok {
+			return conn, answers, true
 		}
-		w.order.Unlock()
+		conn.sendMu.Unlock()
 	}
 	return nil, nil, false
 }
 
-// uses notes a connection that requests may be sent behind.
-func (p *pool) uses(w *wire) {
+// addBusy adds a connection behind whose requests others may be sent.
+func (p *pool) addBusy(conn *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.busy = append(p.busy, w); len(p.busy) > mostBusy {
+	if p.busy = append(p.busy, conn); len(p.busy) > maxBusy {
 		p.busy = p.busy[1:]
 	}
 }
 
-// get is a connection on which nothing is awaited, with its order held.
-func (p *pool) get(op string, until time.Time, alone bool) (*wire, chan reply, bool, error) {
-	w, c, reused, err := p.free(op, until)
+// acquire returns a connection that expects no other answer, with sendMu locked.
+func (p *pool) acquire(op string, deadline time.Time, exclusive bool) (*conn, chan reply, bool, error) {
+	conn, answers, reused, err := p.idleOrDial(op, deadline)
 	if err != nil {
 		return nil, nil, false, err
 	}
-	w.order.Lock()
-	w.mu.Lock()
-	w.alone = alone
-	w.mu.Unlock()
-	if !alone {
-		p.uses(w)
+	conn.sendMu.Lock()
+	conn.mu.Lock()
+	conn.exclusive = exclusive
+	conn.mu.Unlock()
+	if !exclusive {
+		p.addBusy(conn)
 	}
-	return w, c, reused, nil
+	return conn, answers, reused, nil
 }
 
-func (p *pool) free(op string, until time.Time) (*wire, chan reply, bool, error) {
+func (p *pool) idleOrDial(op string, deadline time.Time) (*conn, chan reply, bool, error) {
 	for {
 		p.mu.Lock()
 		n := len(p.idle)
@@ -246,61 +251,61 @@
 			p.mu.Unlock()
 			break
 		}
-		w := p.idle[n-1]
+		conn := p.idle[n-1]
 		p.idle = p.idle[:n-1]
-		w.idle = false
+		conn.idle = false
 		p.mu.Unlock()
-		if c, ok := w.ask(op, until); ok {
-			return w, c, true, nil
+		if answers, ok := conn.expect(op, deadline); ok {
+			return conn, answers, true, nil
 		}
 	}
-	w, err := dial(p.addr, p.weather, p.book)
+	conn, err := dial(p.addr, p.link, p.ledger)
 	if err != nil {
 		return nil, nil, false, err
 	}
-	c, ok := w.ask(op, until)
+	answers, ok := conn.expect(op, deadline)
 	if !ok {
 		return nil, nil, false, io.EOF
 	}
-	return w, c, false, nil
+	return conn, answers, false, nil
 }
 
-// open tells whether a connection is open, idle or in use.
-func (p *pool) open() bool {
+// hasOpen reports whether the pool has an open connection, idle or in use.
+func (p *pool) hasOpen() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.ContainsFunc(p.idle, (*wire).alive) || slices.ContainsFunc(p.busy, (*wire).alive)
+	return slices.ContainsFunc(p.idle, (*conn).isOpen) || slices.ContainsFunc(p.busy, (*conn).isOpen)
 }
 
-func (w *wire) alive() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return !w.dead
+func (c *conn) isOpen() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return !c.closed
 }
 
-// put keeps a connection, once nothing is awaited on it any more.
-func (p *pool) put(w *wire) {
+// release returns a connection to the idle list if it expects no more answers.
+func (p *pool) release(conn *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w.mu.Lock()
-	kept := !w.dead && len(w.waits) == 0 && !w.idle
-	w.mu.Unlock()
-	if !kept {
+	conn.mu.Lock()
+	reusable := !conn.closed && len(conn.expected) == 0 && !conn.idle
+	conn.mu.Unlock()
+	if !reusable {
 		return
 	}
-	if len(p.idle) >= mostIdle {
-		w.Close()
+	if len(p.idle) >= maxIdle {
+		conn.Close()
 		return
 	}
-	w.idle = true
-	p.idle = append(p.idle, w)
+	conn.idle = true
+	p.idle = append(p.idle, conn)
 }
 
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, w := range p.idle {
-		w.Close()
+	for _, conn := range p.idle {
+		conn.Close()
 	}
 	p.idle = nil
 }
--- a/internal/lab/clients/relay.go
+++ b/internal/lab/clients/relay.go
@@ -14,51 +14,54 @@
 )
 
 const (
-	relayTime  = 30 * time.Second     // bounds a relay, for a scheduler that never ends
-	relayPause = 5 * time.Millisecond // between two of its requests
-	relayBody  = "x"
+	relayTimeout = 30 * time.Second     // limit for a scheduler that never ends the connection
+	relayPause   = 5 * time.Millisecond // between two requests of a relay
+	relayBody    = "x"
 )
 
-// relayHead is of an op that no scheduler serves: it is read whole, answered, and reaches no worker.
-func relayHead(name string, k int) string {
+// relayHeader returns the headers of a request for a service class that no scheduler serves. The scheduler
+// reads the request completely and answers it, and no worker receives it.
+func relayHeader(name string, k int) string {
 	const head = "POST / HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: %s-%d\r\nX-Service-Class: of no scheduler\r\n" +
 		"X-Time-Left-Ms: 2000\r\nContent-Length: %d\r\n\r\n"
 	return fmt.Sprintf(head, name, k, len(relayBody))
 }
 
-// Relay goes on with one connection to a scheduler until that ends it. The body of each of its requests comes with the head of the next one,
-// so that at any time something of one has been read and has no answer. It writes down an end that left one so.
-func Relay(addr string, scheduler int, name string, book *ledger.Book) {
-	c, err := net.DialTimeout("tcp", addr, dialTime)
+// Relay keeps sending requests on one connection to a scheduler until the scheduler closes it. The body of
+// each request is sent together with the headers of the next one, so that at any time a partly read request
+// has no answer. If the scheduler closes the connection in that state after reading all bytes, the ledger
+// gets an event.
+func Relay(addr string, scheduler int, name string, events *ledger.Book) {
+	c, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
-		return // it takes nobody any more
+		return // the scheduler accepts no more connections
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(relayTime))
-	var mu sync.Mutex // held while something is written, and for good once the end is seen: what is written behind that is reset
-	asked := 0
+	c.SetDeadline(time.Now().Add(relayTimeout))
+	var mu sync.Mutex // held during writes and after the end: a write after the close causes a reset
+	sent := 0
 	go func() {
-		for text := relayHead(name, 0); ; time.Sleep(relayPause) {
+		for text := relayHeader(name, 0); ; time.Sleep(relayPause) {
 			mu.Lock()
 			_, err := io.WriteString(c, text)
 			if err != nil {
 				mu.Unlock()
-				return // it has ended
+				return // the connection has ended
 			}
-			asked++
-			text = relayBody + relayHead(name, asked)
+			sent++
+			text = relayBody + relayHeader(name, sent)
 			mu.Unlock()
 		}
 	}()
-	answered := 0
-	for answers := bufio.NewReader(c); ; answered++ {
+	received := 0
+	for answers := bufio.NewReader(c); ; received++ {
 		if _, err := answers.Peek(1); err != nil {
 			mu.Lock()
 			defer mu.Unlock()
-			if errors.Is(err, io.EOF) && asked > answered && closedOverRead(c) {
-				book.Add(ledger.Event{Kind: ledger.Cut, Scheduler: scheduler, Text: ledger.ReadUnanswered})
+			if errors.Is(err, io.EOF) && sent > received && closedAfterReadingAll(c) {
+				events.Add(ledger.Event{Kind: ledger.Cut, Scheduler: scheduler, Text: ledger.ReadUnanswered})
 			}
-			c.Close() // before the writer goes on
+			c.Close() // before the lock is released and the writer continues
 			return
 		}
 		resp, err := http.ReadResponse(answers, nil)
--- a/internal/lab/cluster/several.go
+++ b/internal/lab/cluster/several.go
@@ -1,5 +1,5 @@
-// Package cluster starts a few real processes of the program for a test, each with an address, a folder and a link to every other of
-// its own, and ends them with it.
+// Package cluster starts several real processes of the program for a test. Each process has its own address,
+// its own directory and a fault-injecting link to every other process. All processes end with the test.
 package cluster
 
 import (
@@ -24,42 +24,42 @@
 	"woaddyke/internal/lab/faultproxy"
 )
 
-// Cluster is some processes with links between them.
+// Cluster is a set of processes with links between them.
 type Cluster struct {
-	t         testing.TB
-	Net       *faultproxy.Net
-	base      int // number of its first address
-	make      func(args ...string) *exec.Cmd
-	operator  string
-	discovery string
-	Places    []*Place
-	Begin     func(p *Place, cmd *exec.Cmd) error // starts a process; nil: as it is
+	t          testing.TB
+	Net        *faultproxy.Net
+	firstAddr  int // number of the first address, as in package faultproxy
+	newCommand func(args ...string) *exec.Cmd
+	operator   string
+	discovery  string
+	Places     []*Place
+	Begin      func(p *Place, cmd *exec.Cmd) error // starts a process; nil calls cmd.Start
 }
 
-// Place is where one process runs; another may take its place.
+// Place is a slot in which one process runs. A successor can replace the process.
 type Place struct {
-	Categories            string        // of its sheet, in JSON; empty for pay, note and look
-	ConnectTimeout        time.Duration // of its sheet; twice as long it waits for a worker's word that it has a push; 0 for the usual one
-	Settings              string        // further ones, in JSON with a comma behind; empty: discovery is pushed
+	Categories            string        // JSON of the categories; empty for pay, note and look
+	ConnectTimeout        time.Duration // 0 for the default; a worker has twice as long to confirm a push
+	Settings              string        // JSON with a trailing comma; empty for pushed discovery
 	Name, Listen, Console string
-	Discovery             string // where its own is; empty: the cluster's
-	at                    netip.AddrPort
+	Discovery             string // address of this process's discovery server; empty for the cluster's
+	listenAddr            netip.AddrPort
 	dir                   string
-	told                  string
+	advertised            string
 
-	mu  sync.Mutex
-	cmd *exec.Cmd
-	end chan error
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	exited chan error
 }
 
-// Row is one member as a process shows it.
-type Row struct {
+// Member is a member as shown by a process.
+type Member struct {
 	Name, State, Address, By string
 	Incarnation, Turn        uint64
 	Reachable                bool
 }
 
-// View is what a process shows of its cluster.
+// View is the membership as shown by one process.
 type View struct {
 	Self struct {
 		Name, State       string
@@ -68,10 +68,10 @@
 	}
 	Digest  string
 	Dropped map[string]uint64
-	Members []Row
+	Members []Member
 }
 
-// State is what a view holds of a name, empty for nothing.
+// State returns the state of the named member, or an empty string if the view does not contain it.
 func (v *View) State(name string) string {
 	for _, m := range v.Members {
 		if m.Name == name {
@@ -81,29 +81,31 @@
 	return ""
 }
 
-var blocks atomic.Int64
+var blocksUsed atomic.Int64
 
-// block is the number of the first of some addresses that no other cluster uses, in this process or in the tests beside it.
-func block(n int) int {
-	const size, each, processes = 12, 720, 80 // sixty clusters to a process, of a dozen processes at most
-	wanted := int64(n+size-1) / size
+// allocateAddrs reserves n consecutive addresses and returns the number of the first. No other cluster uses
+// them, neither in this process nor in a test process that runs at the same time. Each test process has
+// addresses for sixty clusters of at most a dozen processes.
+func allocateAddrs(n int) int {
+	const size, each, processes = 12, 720, 80 // 720 addresses: sixty clusters
+	sizes := int64(n+size-1) / size
 	for {
-		first := int(blocks.Add(wanted)-wanted) * size % each
+		first := int(blocksUsed.Add(sizes)-sizes) * size % each
 		if first+n <= each {
 			return 1000 + os.Getpid()%processes*each + first
 		}
 	}
 }
 
-// Bound is the address at which the k-th place listens.
-func (c *Cluster) Bound(k int) netip.Addr { return faultproxy.Bound(c.base + k) }
+// Bound returns the IP address at which the k-th process listens.
+func (c *Cluster) Bound(k int) netip.Addr { return faultproxy.Bound(c.firstAddr + k) }
 
-// New makes places for so many processes, of which none runs. Further lines of the operator's table of members may be given, in which
-// {dir} is the place's own folder. The
-// list of workers is given in discovery's form.
+// New creates a cluster of n places. No process runs yet. The operator argument holds additional lines of the
+// [members] table in the operator file; {dir} in it is replaced by the place's directory. The workers
+// argument is the list of workers in the format of the discovery service.
 func New(t testing.TB, n int, operator, workers string, program func(args ...string) *exec.Cmd) *Cluster {
 	t.Helper()
-	c := &Cluster{t: t, make: program, operator: operator, base: block(n)}
+	c := &Cluster{t: t, newCommand: program, operator: operator, firstAddr: allocateAddrs(n)}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintln(w, workers)
 		w.(http.Flusher).Flush()
@@ -111,15 +113,15 @@
 	}))
 	c.discovery = s.Listener.Addr().String()
 	var err error
-	if c.Net, err = faultproxy.At(c.base, n, 1, func(int, int, faultproxy.Cut) {}); err != nil {
+	if c.Net, err = faultproxy.At(c.firstAddr, n, 1, func(int, int, faultproxy.Cut) {}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		for _, p := range c.Places {
 			p.kill()
 			if t.Failed() {
-				log, _ := os.ReadFile(filepath.Join(p.dir, "log"))
-				t.Logf("%s:\n%s", p.Name, log)
+				text, _ := os.ReadFile(filepath.Join(p.dir, "log"))
+				t.Logf("%s:\n%s", p.Name, text)
 			}
 			os.RemoveAll(p.dir)
 		}
@@ -133,60 +135,60 @@
 	return c
 }
 
-// Place adds a place under a name, at the k-th address of the rig.
+// Place adds a place under a name, at the k-th address of the cluster.
 func (c *Cluster) Place(k int, name string) *Place {
-	var taken []string
-	free := func() netip.AddrPort {
-		at, err := faultproxy.Free(c.Bound(k), taken...)
+	var used []string
+	freePort := func() netip.AddrPort {
+		at, err := faultproxy.Free(c.Bound(k), used...)
 		if err != nil {
 			c.t.Fatal(err)
 		}
-		taken = append(taken, at.String())
+		used = append(used, at.String())
 		return at
 	}
-	dir, err := os.MkdirTemp("", "several-") // not the test's own: that is gone before its logs are read
+	dir, err := os.MkdirTemp("", "several-") // t.TempDir would be removed before the logs are read
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	p := &Place{Name: name, Listen: free().String(), Console: free().String(), at: free(), dir: dir,
-		told: c.Net.Told(k)}
-	c.Net.Listens(k, p.at)
+	p := &Place{Name: name, Listen: freePort().String(), Console: freePort().String(), listenAddr: freePort(), dir: dir,
+		advertised: c.Net.Told(k)}
+	c.Net.Listens(k, p.listenAddr)
 	c.Places = append(c.Places, p)
 	return p
 }
 
-const usual = `{"name":"pay","effect":"fragile","ttlNs":5e9,"targetLatencyNs":5e9},` +
+const defaultCategories = `{"name":"pay","effect":"fragile","ttlNs":5e9,"targetLatencyNs":5e9},` +
 	`{"name":"note","effect":"dedup","windowNs":8e9,"dedupScope":"zone","ttlNs":5e9,"targetLatencyNs":5e9},` +
 	`{"name":"look","effect":"retryable","ttlNs":5e9,"targetLatencyNs":5e9}`
 
-const usualConnectTimeout = 200 * time.Millisecond
+const defaultConnectTimeout = 200 * time.Millisecond
 
-// Start starts a process at a place, which may take the place of the one that runs there.
+// Start starts a process in a place. If a process already runs there, the new one is its successor.
 func (c *Cluster) Start(p *Place) {
 	c.t.Helper()
-	sheet, offers := filepath.Join(p.dir, "sheet.json"), filepath.Join(p.dir, "operator.toml")
+	bootstrapPath, operatorPath := filepath.Join(p.dir, "sheet.json"), filepath.Join(p.dir, "operator.toml")
 	discovery := p.Discovery
 	if discovery == "" {
 		discovery = c.discovery
 	}
 	categories := p.Categories
 	if categories == "" {
-		categories = usual
+		categories = defaultCategories
 	}
 	settings := p.Settings
 	if settings == "" {
 		settings = `"discovery":"pushed",`
 	}
-	text := fmt.Sprintf(`{"name":%q,"listen":%q,"console":%q,"discovery":%q,"seed":"1","settings":{%s`+
+	bootstrapText := fmt.Sprintf(`{"name":%q,"listen":%q,"console":%q,"discovery":%q,"seed":"1","settings":{%s`+
 		`"bounds":{"maxPushes":3,"probes":true,"cancel":true,"connectTimeoutNs":%d},"report":{"fields":["waiting","running"],"how":"on_probe"},"categories":[%s]}}`,
-		p.Name, p.Listen, p.Console, discovery, settings, cmp.Or(p.ConnectTimeout, usualConnectTimeout), categories)
+		p.Name, p.Listen, p.Console, discovery, settings, cmp.Or(p.ConnectTimeout, defaultConnectTimeout), categories)
 	var seeds []string
 	for i := range min(2, len(c.Places)) {
-		seeds = append(seeds, fmt.Sprintf("%q", c.Places[i].told))
+		seeds = append(seeds, fmt.Sprintf("%q", c.Places[i].advertised))
 	}
-	offer := fmt.Sprintf("[members]\ncluster = \"test\"\nlisten = %q\nadvertise = %q\nseeds = [%s]\n%s", p.at, p.told, strings.Join(seeds, ", "),
+	operatorText := fmt.Sprintf("[members]\ncluster = \"test\"\nlisten = %q\nadvertise = %q\nseeds = [%s]\n%s", p.listenAddr, p.advertised, strings.Join(seeds, ", "),
 		strings.ReplaceAll(c.operator, "{dir}", p.dir))
-	for path, text := range map[string]string{sheet: text, offers: offer} {
+	for path, text := range map[string]string{bootstrapPath: bootstrapText, operatorPath: operatorText} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			c.t.Fatal(err)
 		}
@@ -196,35 +198,36 @@
 		c.t.Fatal(err)
 	}
 	defer log.Close()
-	cmd := c.make("serve", "--config", sheet, "--operator", offers)
+	cmd := c.newCommand("serve", "--config", bootstrapPath, "--operator", operatorPath)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.Env = append(cmd.Environ(), "TMPDIR="+p.dir)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	begin := c.Begin
-	if begin == nil {
-		begin = func(_ *Place, cmd *exec.Cmd) error { return cmd.Start() }
+	start := c.Begin
+	if start == nil {
+		start = func(_ *Place, cmd *exec.Cmd) error { return cmd.Start() }
 	}
-	if err := begin(p, cmd); err != nil {
+	if err := start(p, cmd); err != nil {
 		c.t.Fatal(err)
 	}
-	end := make(chan error, 1)
+	exited := make(chan error, 1)
 	go func() {
-		end <- cmd.Wait()
-		close(end) // whoever asks later need not wait
+		exited <- cmd.Wait()
+		close(exited) // later receives return immediately
 	}()
 	p.mu.Lock()
-	p.cmd, p.end = cmd, end
+	p.cmd, p.exited = cmd, exited
 	p.mu.Unlock()
 }
 
-// Dir is the place's own folder.
+// Dir returns the directory of the place.
 func (p *Place) Dir() string { return p.dir }
 
 // stopTimeout bounds the wait for a process to stop.
 const stopTimeout = 5 * time.Second
 
-// Signal sends the process at a place a signal. SIGSTOP takes effect a moment after the call: it returns once no thread runs any more, as a
-// test goes on as if the process could do nothing.
+// Signal sends a signal to the process in a place. SIGSTOP takes effect shortly after the system call, and
+// tests rely on a process that can do nothing. Therefore Signal waits until all threads of the process are
+// stopped.
 func (p *Place) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -240,7 +243,7 @@
 	}
 }
 
-// stopped tells whether all threads of a process are stopped, as /proc has them (proc(5)).
+// stopped reports whether all threads of a process are stopped, according to /proc (proc(5)).
 func stopped(pid int) bool {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	for _, name := range files {
@@ -248,7 +251,8 @@
 		if err != nil {
 			return false
 		}
-		// The state is the first field behind the command's name, which is in parentheses and may hold any character.
+		// The state is the first field after the command name, which is in parentheses and can contain any
+		// character.
 		fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
 		if len(fields) == 0 || fields[0] != "T" {
 			return false
@@ -257,51 +261,53 @@
 	return len(files) > 0
 }
 
-// Running hands over the process that runs, so that another can be started in its place; the caller waits for its end.
+// Running returns the running process, so that a successor can be started. The caller waits for the process
+// to end.
 func (p *Place) Running() (*exec.Cmd, <-chan error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cmd, p.end
+	return p.cmd, p.exited
 }
 
-// Takeover has a second process take the place of the one that runs, and waits until that one has ended.
+// Takeover performs a hot restart: it starts a successor, and waits until the predecessor has ended.
 func (c *Cluster) Takeover(p *Place) {
 	c.t.Helper()
-	first, ended := p.Running()
-	l, err := net.Listen("tcp4", p.at.Addr().String()+":0")
+	predecessor, exited := p.Running()
+	l, err := net.Listen("tcp4", p.listenAddr.Addr().String()+":0")
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	p.Console = l.Addr().String()
 	l.Close()
 	c.Start(p)
-	c.Await("the heir is ready", func() bool { return p.Get("/api/ready", nil) })
-	first.Process.Signal(syscall.SIGTERM)
+	c.Await("the successor is ready", func() bool { return p.Get("/api/ready", nil) })
+	predecessor.Process.Signal(syscall.SIGTERM)
 	select {
-	case err := <-ended:
+	case err := <-exited:
 		if err != nil {
-			c.t.Errorf("the one before: %v", err)
+			c.t.Errorf("the predecessor: %v", err)
 		}
-	case <-time.After(longestWait):
-		c.t.Fatal("the one before does not end")
+	case <-time.After(awaitTimeout):
+		c.t.Fatal("the predecessor does not end")
 	}
 }
 
-// Kill ends the process at a place at once and waits for its end.
+// Kill sends SIGKILL to the process in a place and waits until it has ended.
 func (p *Place) Kill() { p.kill() }
 
 func (p *Place) kill() {
 	p.mu.Lock()
-	cmd, end := p.cmd, p.end
+	cmd, exited := p.cmd, p.exited
 	p.cmd = nil
 	p.mu.Unlock()
 	if cmd != nil {
 		cmd.Process.Signal(syscall.SIGKILL)
-		<-end
+		<-exited
 	}
 }
 
-// Get reads a call of the second address; false where there is no answer.
+// Get requests a path from the console listener and decodes the response into a value. It returns false
+// without a successful response.
 func (p *Place) Get(path string, into any) bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + p.Console + path)
@@ -312,26 +318,26 @@
 	return resp.StatusCode == http.StatusOK && (into == nil || json.NewDecoder(resp.Body).Decode(into) == nil)
 }
 
-// View is what the process at a place shows, empty where it shows nothing.
+// View returns the membership as shown by the process in a place. It is empty without a response.
 func (p *Place) View() *View {
 	v := &View{}
 	p.Get("/api/members", v)
 	return v
 }
 
-const longestWait = 20 * time.Second // ten times what anything waited for takes
+const awaitTimeout = 20 * time.Second // ten times the longest expected wait
 
-// Await waits until something holds, and fails the test where it never does.
-func (c *Cluster) Await(what string, holds func() bool) {
+// Await waits until a condition holds, and fails the test after awaitTimeout.
+func (c *Cluster) Await(what string, condition func() bool) {
 	c.t.Helper()
-	for until := time.Now().Add(longestWait); !holds(); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(until) {
-			c.t.Fatalf("it never came about that %s", what)
+	for deadline := time.Now().Add(awaitTimeout); !condition(); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			c.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// AwaitState waits until some hold a name in a state.
+// AwaitState waits until all given processes show a member in a state.
 func (c *Cluster) AwaitState(name, state string, by ...*Place) {
 	c.t.Helper()
 	c.Await(fmt.Sprintf("%s is %s", name, state), func() bool {
@@ -344,10 +350,10 @@
 	})
 }
 
-// AwaitWhole waits until all places hold all others here, with views that are the same.
+// AwaitWhole waits until all given processes show one another as here, in identical views.
 func (c *Cluster) AwaitWhole(all ...*Place) {
 	c.t.Helper()
-	c.Await("all are here in all views", func() bool {
+	c.Await("all members are here in all views", func() bool {
 		digest := ""
 		for _, p := range all {
 			v := p.View()
@@ -357,8 +363,8 @@
 			if v.Digest != digest || v.Self.State != "here" {
 				return false
 			}
-			for _, o := range all {
-				if o != p && v.State(o.Name) != "here" {
+			for _, other := range all {
+				if other != p && v.State(other.Name) != "here" {
 					return false
 				}
 			}
--- a/internal/lab/discovery/herald.go
+++ b/internal/lab/discovery/herald.go
@@ -1,5 +1,6 @@
-// Package discovery is the emulated discovery: an agent for each scheduler that gives the list of workers and a watch
-// on its changes, each told late by a span drawn from the seed; silent, broken or moved when the script says so.
+// Package discovery emulates the discovery service. Each scheduler has its own agent, which serves the list
+// of workers and a watch for changes. Changes become visible after a delay that is drawn from the seed. The
+// workload can silence, break or move an agent.
 package discovery
 
 import (
@@ -18,7 +19,7 @@
 	"woaddyke/internal/lab/meter"
 )
 
-// target is a line of the list in discovery's form.
+// target is a worker in the format of the discovery service.
 type target struct {
 	UID      string `json:"uid"`
 	Endpoint string `json:"endpoint"`
@@ -29,47 +30,47 @@
 	BootMS   int64  `json:"boot_ms"`
 }
 
-// message is a list or its changes.
+// message is a snapshot of the list or a delta.
 type message struct {
 	Rev     int64    `json:"rev"`
 	All     bool     `json:"all"`
 	Targets []target `json:"targets"`
 }
 
-var words = map[string]string{"ready": "SERVING", "draining": "DRAINING", "gone": "DELETED"}
+var stateNames = map[string]string{"ready": "SERVING", "draining": "DRAINING", "gone": "DELETED"}
 
 type change struct {
-	rev int64
-	at  time.Time // when this agent has it
-	of  fleet.Entry
+	rev       int64
+	visibleAt time.Time // when the agent shows the change
+	entry     fleet.Entry
 }
 
-// Agent is discovery as one scheduler has it.
+// Agent is the discovery service as seen by one scheduler.
 type Agent struct {
-	n    int // of the scheduler, from 0
-	book *ledger.Book
-	addr func(slot, scheduler int) string
-	rand *rand.Rand
-	late [2]time.Duration
-	sky  *links.Weather
-	sent *meter.Meter
-
-	mu       sync.Mutex
-	changes  []change
-	silent   bool
-	broken   bool
-	told     map[string]string
-	woken    chan struct{} // closed when something has changed
-	server   *http.Server
-	listener net.Listener
-	watches  map[int]func()
-	number   int
+	scheduler  int // index of the scheduler, from 0
+	ledger     *ledger.Book
+	addr       func(slot, scheduler int) string
+	rand       *rand.Rand
+	delayRange [2]time.Duration
+	link       *links.Weather
+	meter      *meter.Meter
+
+	mu          sync.Mutex
+	changes     []change
+	silent      bool
+	broken      bool
+	reported    map[string]string
+	updated     chan struct{} // closed and replaced when something has changed
+	server      *http.Server
+	listener    net.Listener
+	cancelWatch map[int]func()
+	lastWatch   int
 }
 
-// New starts the agent of a scheduler on an address of its own.
-func New(n int, book *ledger.Book, addr func(slot, scheduler int) string, late [2]time.Duration, sky links.Sky, seed uint64, m *meter.Meter) (*Agent, error) {
-	a := &Agent{n: n, book: book, addr: addr, late: late, rand: rand.New(rand.NewPCG(seed, uint64(n))), told: map[string]string{},
-		woken: make(chan struct{}), watches: map[int]func(){}, sky: links.New(sky, seed+uint64(n)), sent: m}
+// New starts the agent of a scheduler at a separate address.
+func New(scheduler int, events *ledger.Book, addr func(slot, scheduler int) string, delayRange [2]time.Duration, conditions links.Sky, seed uint64, m *meter.Meter) (*Agent, error) {
+	a := &Agent{scheduler: scheduler, ledger: events, addr: addr, delayRange: delayRange, rand: rand.New(rand.NewPCG(seed, uint64(scheduler))), reported: map[string]string{},
+		updated: make(chan struct{}), cancelWatch: map[int]func(){}, link: links.New(conditions, seed+uint64(scheduler)), meter: m}
 	return a, a.listen()
 }
 
@@ -79,107 +80,108 @@
 		return fmt.Errorf("discovery: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/servers", a.list)
+	mux.HandleFunc("GET /v1/servers", a.serveList)
 	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
 	a.mu.Lock()
 	a.listener, a.server = l, s
 	a.mu.Unlock()
-	go s.Serve(&through{l, a})
+	go s.Serve(&agentListener{l, a})
 	return nil
 }
 
-// through puts the agent's link before each connection, and counts what passes.
-type through struct {
+// agentListener wraps each connection in the agent's link and counts its bytes.
+type agentListener struct {
 	net.Listener
-	of *Agent
+	agent *Agent
 }
 
-// counted is a connection from a scheduler.
-type counted struct {
+// countingConn counts the bytes of a connection from a scheduler.
+type countingConn struct {
 	net.Conn
-	of *Agent
+	agent *Agent
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.of.sent.Add(c.of.n, meter.List, 0, n, 0)
+	c.agent.meter.Add(c.agent.scheduler, meter.List, 0, n, 0)
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.of.sent.Add(c.of.n, meter.List, n, 0, 1)
+	c.agent.meter.Add(c.agent.scheduler, meter.List, n, 0, 1)
 	return n, err
 }
 
-func (t *through) Accept() (net.Conn, error) {
-	c, err := t.Listener.Accept()
+func (l *agentListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	if !t.of.sky.Free() {
-		c = links.Through(c, t.of.sky)
+	if !l.agent.link.IsTransparent() {
+		c = links.Through(c, l.agent.link)
 	}
-	return counted{c, t.of}, nil
+	return countingConn{c, l.agent}, nil
 }
 
-// Addr is where the agent listens now.
+// Addr returns the current listen address.
 func (a *Agent) Addr() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.listener.Addr().String()
 }
 
-// Hear takes a change of the list; the agent has it late.
+// Hear adds a change of the list. The agent shows it after a random delay, or immediately with atOnce.
 func (a *Agent) Hear(e fleet.Entry, atOnce bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	late := a.late[0] + time.Duration(a.rand.Float64()*float64(a.late[1]-a.late[0]))
+	delay := a.delayRange[0] + time.Duration(a.rand.Float64()*float64(a.delayRange[1]-a.delayRange[0]))
 	if atOnce {
-		late = 0
+		delay = 0
 	}
-	at := time.Now().Add(late)
-	if n := len(a.changes); n > 0 && at.Before(a.changes[n-1].at) {
-		at = a.changes[n-1].at // a list's versions come in order
+	visibleAt := time.Now().Add(delay)
+	if n := len(a.changes); n > 0 && visibleAt.Before(a.changes[n-1].visibleAt) {
+		visibleAt = a.changes[n-1].visibleAt // changes become visible in the order of their versions
 	}
-	a.changes = append(a.changes, change{int64(len(a.changes) + 1), at, e})
-	if late > 0 {
-		time.AfterFunc(time.Until(at), a.wake)
+	a.changes = append(a.changes, change{int64(len(a.changes) + 1), visibleAt, e})
+	if delay > 0 {
+		time.AfterFunc(time.Until(visibleAt), a.notifyWatches)
 	}
 }
 
-func (a *Agent) wake() {
+func (a *Agent) notifyWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	close(a.woken)
-	a.woken = make(chan struct{})
+	close(a.updated)
+	a.updated = make(chan struct{})
 }
 
-// Silence lets the agent say nothing, or speak again.
+// Silence makes the agent stop or resume answering.
 func (a *Agent) Silence(on bool) {
 	a.mu.Lock()
 	a.silent = on
 	a.mu.Unlock()
-	a.wake()
+	a.notifyWatches()
 }
 
-// Break ends all watches, and refuses new ones until it is over.
+// Break ends all watches and makes the agent reject requests, until it is called with false.
 func (a *Agent) Break(on bool) {
 	a.mu.Lock()
 	a.broken = on
-	var ends []func()
-	for _, end := range a.watches {
-		ends = append(ends, end)
+	var cancels []func()
+	for _, cancel := range a.cancelWatch {
+		cancels = append(cancels, cancel)
 	}
 	a.mu.Unlock()
 	if on {
-		for _, end := range ends {
-			end()
+		for _, cancel := range cancels {
+			cancel()
 		}
 	}
 }
 
-// Move goes over to a new address. The old one takes no new connection, and ends the open ones after a while.
+// Move switches to a new address. The old address accepts no new connections, and its open connections end
+// after a short time.
 func (a *Agent) Move() error {
 	a.mu.Lock()
 	l, s := a.listener, a.server
@@ -192,7 +194,7 @@
 	return nil
 }
 
-// Stop ends the agent.
+// Stop closes the agent's server.
 func (a *Agent) Stop() {
 	a.mu.Lock()
 	s := a.server
@@ -200,80 +202,80 @@
 	s.Close()
 }
 
-// view is the list as of now: the last change of each worker that the agent has, and its version.
-func (a *Agent) view(now time.Time) (rev int64, of map[string]fleet.Entry, order []string) {
-	of = map[string]fleet.Entry{}
+// latest returns the visible version, the last visible entry of each worker, and the order of the names.
+func (a *Agent) latest(now time.Time) (rev int64, entries map[string]fleet.Entry, order []string) {
+	entries = map[string]fleet.Entry{}
 	for _, c := range a.changes {
-		if c.at.After(now) {
+		if c.visibleAt.After(now) {
 			break
 		}
-		if _, ok := of[c.of.Name]; !ok {
-			order = append(order, c.of.Name)
+		if _, ok := entries[c.entry.Name]; !ok {
+			order = append(order, c.entry.Name)
 		}
-		rev, of[c.of.Name] = c.rev, c.of
+		rev, entries[c.entry.Name] = c.rev, c.entry
 	}
-	return rev, of, order
+	return rev, entries, order
 }
 
 func (a *Agent) target(e fleet.Entry) target {
-	t := target{UID: e.Name, Endpoint: a.addr(e.Slot, a.n), AZ: e.Zone, Model: "m", PodGroup: e.Cell, State: words[e.State]}
+	t := target{UID: e.Name, Endpoint: a.addr(e.Slot, a.scheduler), AZ: e.Zone, Model: "m", PodGroup: e.Cell, State: stateNames[e.State]}
 	if e.Cold {
-		t.BootMS = e.Boot.UnixMilli()
+		t.BootMS = e.StartTime.UnixMilli()
 	}
 	return t
 }
 
-// Known is the list as it is now, in the form in which a scheduler is told it at its start.
+// Known returns the current list, in the format in which a scheduler receives it at its start.
 func (a *Agent) Known() json.RawMessage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	m, _ := a.whole(time.Now())
+	m, _ := a.snapshot(time.Now())
 	text, _ := json.Marshal(m)
 	return text
 }
 
-func (a *Agent) whole(now time.Time) (message, []fleet.Entry) {
-	rev, of, order := a.view(now)
+func (a *Agent) snapshot(now time.Time) (message, []fleet.Entry) {
+	rev, entries, order := a.latest(now)
 	m := message{Rev: rev, All: true, Targets: []target{}}
-	var all []fleet.Entry
+	var listed []fleet.Entry
 	for _, name := range order {
-		e := of[name]
-		all = append(all, e)
+		e := entries[name]
+		listed = append(listed, e)
 		if e.State != "gone" {
 			m.Targets = append(m.Targets, a.target(e))
 		}
 	}
-	return m, all
+	return m, listed
 }
 
-// since are the changes after a version that the agent has by now.
-func (a *Agent) since(rev int64, now time.Time) (message, []fleet.Entry) {
+// delta returns the visible changes after a version.
+func (a *Agent) delta(rev int64, now time.Time) (message, []fleet.Entry) {
 	m := message{Rev: rev, Targets: []target{}}
-	var some []fleet.Entry
+	var changed []fleet.Entry
 	for _, c := range a.changes[min(max(rev, 0), int64(len(a.changes))):] {
-		if c.at.After(now) {
+		if c.visibleAt.After(now) {
 			break
 		}
-		m.Rev, m.Targets, some = c.rev, append(m.Targets, a.target(c.of)), append(some, c.of)
+		m.Rev, m.Targets, changed = c.rev, append(m.Targets, a.target(c.entry)), append(changed, c.entry)
 	}
-	return m, some
+	return m, changed
 }
 
-// note writes down what a scheduler is told, just before it is written to it. A boot time is Unix time.
-func (a *Agent) note(whole bool, of []fleet.Entry) {
-	for _, e := range of {
-		if a.told[e.Name] == e.State && !(whole && e.State != "ready") {
+// record adds the states that a scheduler is about to receive to the ledger, before they are written to it.
+func (a *Agent) record(isSnapshot bool, entries []fleet.Entry) {
+	for _, e := range entries {
+		if a.reported[e.Name] == e.State && !(isSnapshot && e.State != "ready") {
 			continue
 		}
-		a.told[e.Name] = e.State
-		a.book.Add(ledger.Event{Kind: ledger.Told, Scheduler: a.n + 1, Worker: e.Name, State: e.State})
+		a.reported[e.Name] = e.State
+		a.ledger.Add(ledger.Event{Kind: ledger.Told, Scheduler: a.scheduler + 1, Worker: e.Name, State: e.State})
 	}
 }
 
-const beat = 2 * time.Second
+const heartbeatInterval = 2 * time.Second
 
-// list answers the list, or a watch on it.
-func (a *Agent) list(w http.ResponseWriter, r *http.Request) {
+// serveList serves the list or a watch for changes.
+func (a *Agent) serveList(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
 	broken := a.broken
 	a.mu.Unlock()
@@ -282,53 +284,53 @@
 		return
 	}
 	for a.quiet() {
-		if !a.changed(r) {
+		if !a.awaitUpdate(r) {
 			return
 		}
 	}
-	say := json.NewEncoder(w)
+	encoder := json.NewEncoder(w)
 	if r.URL.Query().Get("stream") != "1" {
 		a.mu.Lock()
-		m, all := a.whole(time.Now())
-		a.note(true, all)
+		m, entries := a.snapshot(time.Now())
+		a.record(true, entries)
 		a.mu.Unlock()
-		say.Encode(m)
+		encoder.Encode(m)
 		return
 	}
 	rev, err := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
-	ctx, end := r.Context(), make(chan struct{})
+	ctx, canceled := r.Context(), make(chan struct{})
 	a.mu.Lock()
-	a.number++
-	n := a.number
+	a.lastWatch++
+	watch := a.lastWatch
 	var once sync.Once
-	a.watches[n] = func() { once.Do(func() { close(end) }) }
+	a.cancelWatch[watch] = func() { once.Do(func() { close(canceled) }) }
 	a.mu.Unlock()
 	defer func() {
 		a.mu.Lock()
-		delete(a.watches, n)
+		delete(a.cancelWatch, watch)
 		a.mu.Unlock()
 	}()
 	first := true
 	for {
 		a.mu.Lock()
-		now, silent, woken := time.Now(), a.silent, a.woken
+		now, silent, updated := time.Now(), a.silent, a.updated
 		var m message
-		var of []fleet.Entry
+		var entries []fleet.Entry
 		switch {
 		case silent:
 		case first && (err != nil || rev <= 0 || rev > int64(len(a.changes))):
-			m, of = a.whole(now)
+			m, entries = a.snapshot(now)
 		default:
-			m, of = a.since(rev, now)
+			m, entries = a.delta(rev, now)
 		}
-		speak := !silent && (first || len(of) > 0)
-		if speak {
-			a.note(m.All, of)
+		send := !silent && (first || len(entries) > 0)
+		if send {
+			a.record(m.All, entries)
 			rev, first = m.Rev, false
 		}
 		a.mu.Unlock()
-		if speak {
-			if say.Encode(m) != nil {
+		if send {
+			if encoder.Encode(m) != nil {
 				return
 			}
 			w.(http.Flusher).Flush()
@@ -336,10 +338,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-end:
+		case <-canceled:
 			return
-		case <-woken:
-		case <-time.After(beat):
+		case <-updated:
+		case <-time.After(heartbeatInterval):
 			if !a.quiet() {
 				fmt.Fprintln(w)
 				w.(http.Flusher).Flush()
@@ -354,15 +356,15 @@
 	return a.silent
 }
 
-// changed waits for a change, and tells whether the request still stands.
-func (a *Agent) changed(r *http.Request) bool {
+// awaitUpdate waits for a change. It returns false if the request has ended.
+func (a *Agent) awaitUpdate(r *http.Request) bool {
 	a.mu.Lock()
-	woken := a.woken
+	updated := a.updated
 	a.mu.Unlock()
 	select {
 	case <-r.Context().Done():
 		return false
-	case <-woken:
+	case <-updated:
 		return true
 	}
 }
--- a/internal/lab/faultproxy/block.go
+++ b/internal/lab/faultproxy/block.go
@@ -11,23 +11,26 @@
 	claimPort = 7946
 )
 
-// blocks are the third bytes at which a play's addresses may begin; the tests that start processes of their own use those between.
-var blocks = []byte{0, 2, 236, 238, 240, 242, 244, 246, 248, 250, 252, 254}
+// addressBlocks are the third bytes at which the addresses of a run may begin. Tests that start their own
+// processes use the bytes in between.
+var addressBlocks = []byte{0, 2, 236, 238, 240, 242, 244, 246, 248, 250, 252, 254}
 
-// claims are the sockets by which this process holds its blocks: one that nothing refers to is closed by the garbage collector.
-var claims []net.PacketConn
+// claimSockets are the sockets that hold the blocks of this process. The garbage collector would close an
+// unreferenced socket.
+var claimSockets []net.PacketConn
 
-var errNoBlock = errors.New("links between schedulers: as many plays run at once as there are addresses for")
+var errNoBlock = errors.New("links between schedulers: other runs on this machine have claimed all address blocks")
 
-// Own is the number of the first scheduler's address in the plays of this process. Two plays on one machine must not share addresses: a
-// port that one of them gives up for a moment, as while its scheduler is down, is taken by the other, and that scheduler does not start
-// again. A block is claimed by a socket on an address of it that no scheduler has, until the process ends.
+// Own returns the number of the first scheduler's address in the runs of this process. Two runs on one
+// machine must not share addresses. One run could take a port that the other frees while its scheduler is
+// down, and that scheduler would not start again. A socket on an unused address of the block claims it until
+// the process ends.
 var Own = sync.OnceValues(func() (int, error) {
-	for _, b := range blocks {
-		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, b, perBlock + 2}), claimPort)
-		if held, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at)); err == nil {
-			claims = append(claims, held)
-			return int(b) * perBlock, nil
+	for _, block := range addressBlocks {
+		claimAddr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, block, schedulersPerBlock + 2}), claimPort)
+		if claim, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(claimAddr)); err == nil {
+			claimSockets = append(claimSockets, claim)
+			return int(block) * schedulersPerBlock, nil
 		}
 	}
 	return 0, errNoBlock
--- a/internal/lab/faultproxy/net.go
+++ b/internal/lab/faultproxy/net.go
@@ -15,147 +15,151 @@
 	"woaddyke/internal/lab/meter"
 )
 
-// Bounds of the rig's own memory and descriptors.
+// Limits of the proxy's own memory and descriptors.
 const (
-	longestDatagram = 16 << 10
-	mostFlying      = 50_000 // datagrams on their way, over all links
-	mostStreams     = 2048
-	dialTime        = 2 * time.Second
-	perBlock        = 250 // schedulers to a third byte of an address
+	maxDatagramBytes   = 16 << 10
+	maxInFlight        = 50_000 // delayed datagrams, over all links
+	maxStreams         = 2048
+	dialTimeout        = 2 * time.Second
+	schedulersPerBlock = 250 // schedulers for each value of an address's third byte
 )
 
-// Bound is the address that the n-th scheduler, from 0, binds and sends from; nobody else on the machine sends from it.
+// Bound returns the address that the n-th scheduler, from 0, binds and sends from. No other process on the
+// machine sends from it.
 func Bound(n int) netip.Addr {
-	return netip.AddrFrom4([4]byte{127, 2, byte(n / perBlock), byte(n%perBlock + 1)})
+	return netip.AddrFrom4([4]byte{127, 2, byte(n / schedulersPerBlock), byte(n%schedulersPerBlock + 1)})
 }
 
-func toldAddr(n int) netip.Addr {
-	return netip.AddrFrom4([4]byte{127, 3, byte(n / perBlock), byte(n%perBlock + 1)})
+func advertisedAddr(n int) netip.Addr {
+	return netip.AddrFrom4([4]byte{127, 3, byte(n / schedulersPerBlock), byte(n%schedulersPerBlock + 1)})
 }
 
-// senderOf is the scheduler that sends from an address, -1 for none.
+// senderOf returns the scheduler that sends from an address, or -1 if there is none.
 func senderOf(a netip.Addr) int {
 	b := a.Unmap().As4()
-	if b[0] != 127 || b[1] != 2 || b[3] == 0 || b[3] > perBlock {
+	if b[0] != 127 || b[1] != 2 || b[3] == 0 || b[3] > schedulersPerBlock {
 		return -1
 	}
-	return int(b[2])*perBlock + int(b[3]) - 1
+	return int(b[2])*schedulersPerBlock + int(b[3]) - 1
 }
 
-// Net is the links between so many schedulers.
+// Net holds the links between a set of schedulers.
 type Net struct {
-	base   int // the address of the first scheduler
-	mouths []*mouth
-	lanes  [][]*Lane          // from, to
-	skies  [][]*links.Weather // of streams, from, to
-	tell   func(from, to int, cut Cut)
-
-	flying  atomic.Int64
-	crowded atomic.Int64 // datagrams lost for want of room in the rig itself
-	streams chan struct{}
-	mu      sync.Mutex
-	open    map[net.Conn][2]int
-	done    chan struct{}
-	meter   atomic.Pointer[meter.Meter]
+	firstAddr     int // number of the first scheduler's address
+	endpoints     []*endpoint
+	datagramLinks [][]*DatagramLink  // by sender and receiver
+	streamLinks   [][]*links.Weather // by sender and receiver
+	onCut         func(from, to int, cut Cut)
+
+	inFlight      atomic.Int64
+	overflowDrops atomic.Int64 // datagrams dropped because of maxInFlight
+	streamSlots   chan struct{}
+	mu            sync.Mutex
+	openStreams   map[net.Conn][2]int
+	done          chan struct{}
+	meter         atomic.Pointer[meter.Meter]
 }
 
-// Count has a meter count what schedulers send one another from here on; a datagram that the link loses is sent, and not received.
+// Count sets the meter that counts the traffic between schedulers from now on. A datagram that the link loses
+// counts as sent, but not as received.
 func (x *Net) Count(m *meter.Meter) { x.meter.Store(m) }
 
-// counter writes a stream from one scheduler to another.
-type counter struct {
+// countingWriter counts the bytes of a stream from one scheduler to another.
+type countingWriter struct {
 	io.Writer
-	x        *Net
+	net      *Net
 	from, to int
 }
 
-func (c counter) Write(b []byte) (int, error) {
+func (c countingWriter) Write(b []byte) (int, error) {
 	n, err := c.Writer.Write(b)
-	m := c.x.meter.Load()
+	m := c.net.meter.Load()
 	m.Add(c.from, meter.Members, 0, n, 0)
 	m.Add(c.to, meter.Members, n, 0, 0)
 	return n, err
 }
 
-// mouth is where one scheduler is reached: the address that it tells the others.
-type mouth struct {
-	told  string
-	bound atomic.Pointer[netip.AddrPort] // where it listens
-	udp   *net.UDPConn
-	tcp   net.Listener
+// endpoint receives the traffic to one scheduler, at the address that the scheduler advertises.
+type endpoint struct {
+	advertised string
+	listenAddr atomic.Pointer[netip.AddrPort] // where the scheduler listens
+	udp        *net.UDPConn
+	tcp        net.Listener
 
-	mu      sync.Mutex    // held while a marker is on its way
-	marker  *net.UDPConn  // sends markers, which are no scheduler's datagrams
-	reached chan struct{} // has one when a marker has been read
+	mu         sync.Mutex    // held while a marker is in flight
+	marker     *net.UDPConn  // sends markers, which are not datagrams of a scheduler
+	markerRead chan struct{} // holds a value once a marker has been read
 }
 
-// settleTime is the longest wait for a marker: it is lost where the socket has no room, and then so is what came after it.
-const settleTime = 200 * time.Millisecond
+// markerTimeout bounds the wait for a marker. A marker is lost if the socket buffer is full; any datagram
+// after it is then lost too.
+const markerTimeout = 200 * time.Millisecond
 
-// settle returns when all datagrams have been judged that lie at the socket now.
-func (m *mouth) settle(done <-chan struct{}) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// awaitQueued waits until all datagrams that are in the socket buffer now are processed.
+func (e *endpoint) awaitQueued(done <-chan struct{}) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	select {
-	case <-m.reached: // one that came too late for the wait before
+	case <-e.markerRead: // a late marker of an earlier call
 	default:
 	}
-	if _, err := m.marker.WriteToUDPAddrPort([]byte{0}, m.udp.LocalAddr().(*net.UDPAddr).AddrPort()); err != nil {
+	if _, err := e.marker.WriteToUDPAddrPort([]byte{0}, e.udp.LocalAddr().(*net.UDPAddr).AddrPort()); err != nil {
 		return
 	}
-	late := time.NewTimer(settleTime)
+	late := time.NewTimer(markerTimeout)
 	defer late.Stop()
 	select {
-	case <-m.reached:
+	case <-e.markerRead:
 	case <-late.C:
 	case <-done:
 	}
 }
 
-// isMarker tells whether a datagram came from the marker's own socket.
-func (m *mouth) isMarker(from netip.AddrPort) bool {
-	at := m.marker.LocalAddr().(*net.UDPAddr).AddrPort()
+// isMarker reports whether a datagram comes from the marker socket.
+func (e *endpoint) isMarker(from netip.AddrPort) bool {
+	at := e.marker.LocalAddr().(*net.UDPAddr).AddrPort()
 	return from.Port() == at.Port() && from.Addr().Unmap() == at.Addr().Unmap()
 }
 
-// New opens the links; tell hears of each cut that begins or ends.
-func New(n int, seed uint64, tell func(from, to int, cut Cut)) (*Net, error) {
-	base, err := Own()
+// New opens the links. It calls the given function when a cut begins or ends.
+func New(n int, seed uint64, onCut func(from, to int, cut Cut)) (*Net, error) {
+	firstAddr, err := Own()
 	if err != nil {
 		return nil, err
 	}
-	return At(base, n, seed, tell)
+	return At(firstAddr, n, seed, onCut)
 }
 
-// At opens the links between schedulers whose first one binds the address of the given number: several nets at once must not share
-// addresses, where a port that one gives up for a moment is another's.
-func At(base, n int, seed uint64, tell func(from, to int, cut Cut)) (*Net, error) {
-	x := &Net{base: base, tell: tell, streams: make(chan struct{}, mostStreams), open: map[net.Conn][2]int{}, done: make(chan struct{})}
+// At opens the links between schedulers; the first scheduler binds the address with the given number. Nets
+// that run at the same time must not share addresses. Otherwise one of them could take a port that another
+// frees for a moment.
+func At(firstAddr, n int, seed uint64, onCut func(from, to int, cut Cut)) (*Net, error) {
+	x := &Net{firstAddr: firstAddr, onCut: onCut, streamSlots: make(chan struct{}, maxStreams), openStreams: map[net.Conn][2]int{}, done: make(chan struct{})}
 	for i := range n {
-		m, err := newMouth(base + i)
+		e, err := newEndpoint(firstAddr + i)
 		if err != nil {
 			x.Close()
 			return nil, err
 		}
-		x.mouths = append(x.mouths, m)
-		var lanes []*Lane
-		var skies []*links.Weather
+		x.endpoints = append(x.endpoints, e)
+		var datagramLinks []*DatagramLink
+		var streamLinks []*links.Weather
 		for j := range n {
 			s := seed ^ uint64(i)<<40 ^ uint64(j)<<20
-			lanes, skies = append(lanes, newLane(s)), append(skies, links.New(links.Sky{}, s))
+			datagramLinks, streamLinks = append(datagramLinks, newDatagramLink(s)), append(streamLinks, links.New(links.Sky{}, s))
 		}
-		x.lanes, x.skies = append(x.lanes, lanes), append(x.skies, skies)
+		x.datagramLinks, x.streamLinks = append(x.datagramLinks, datagramLinks), append(x.streamLinks, streamLinks)
 	}
-	for i, m := range x.mouths {
-		go x.datagrams(i, m)
-		go x.accept(i, m)
+	for i, e := range x.endpoints {
+		go x.forwardDatagrams(i, e)
+		go x.acceptStreams(i, e)
 	}
 	return x, nil
 }
 
-// both opens the two sockets of a port that is free for datagrams and for streams.
-func both(at netip.Addr) (*net.UDPConn, net.Listener, error) {
-	var last error
+// listenBoth opens a UDP and a TCP socket on a port that is free for both.
+func listenBoth(at netip.Addr) (*net.UDPConn, net.Listener, error) {
+	var lastErr error
 	for range 20 {
 		udp, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(at, 0)))
 		if err != nil {
@@ -165,91 +169,92 @@
 		if err == nil {
 			return udp, tcp, nil
 		}
-		last = err
+		lastErr = err
 		udp.Close()
 	}
-	return nil, nil, fmt.Errorf("links between schedulers: %w", last)
+	return nil, nil, fmt.Errorf("links between schedulers: %w", lastErr)
 }
 
-// Free is a port of an address that is free for datagrams and for streams, other than some: one that is free for datagrams alone may be
-// what another of the same scheduler's listeners was given, and then it does not start.
-func Free(at netip.Addr, but ...string) (netip.AddrPort, error) {
+// Free returns a port that is free for both UDP and TCP, other than the given ones. A port that is only free
+// for UDP may belong to another listener of the same scheduler, which then does not start.
+func Free(at netip.Addr, exclude ...string) (netip.AddrPort, error) {
 	for range 20 {
-		udp, tcp, err := both(at)
+		udp, tcp, err := listenBoth(at)
 		if err != nil {
 			return netip.AddrPort{}, err
 		}
 		free := udp.LocalAddr().(*net.UDPAddr).AddrPort()
 		udp.Close()
-		if tcp.Close(); !slices.Contains(but, free.String()) {
+		if tcp.Close(); !slices.Contains(exclude, free.String()) {
 			return free, nil
 		}
 	}
-	return netip.AddrPort{}, errTaken
+	return netip.AddrPort{}, errNoCommonPort
 }
 
-var errTaken = errors.New("links between schedulers: no port is free for both")
+var errNoCommonPort = errors.New("links between schedulers: no port is free for both UDP and TCP")
 
-func newMouth(n int) (*mouth, error) {
-	udp, tcp, err := both(toldAddr(n))
+func newEndpoint(n int) (*endpoint, error) {
+	udp, tcp, err := listenBoth(advertisedAddr(n))
 	if err != nil {
 		return nil, err
 	}
 	udp.SetReadBuffer(4 << 20)
-	marker, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(toldAddr(n), 0)))
+	marker, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(advertisedAddr(n), 0)))
 	if err != nil {
 		udp.Close()
 		tcp.Close()
 		return nil, fmt.Errorf("links between schedulers: %w", err)
 	}
-	return &mouth{told: udp.LocalAddr().String(), udp: udp, tcp: tcp, marker: marker, reached: make(chan struct{}, 1)}, nil
+	return &endpoint{advertised: udp.LocalAddr().String(), udp: udp, tcp: tcp, marker: marker, markerRead: make(chan struct{}, 1)}, nil
 }
 
-// Bound is the address that the n-th scheduler binds.
-func (x *Net) Bound(n int) netip.Addr { return Bound(x.base + n) }
+// Bound returns the address that the n-th scheduler binds.
+func (x *Net) Bound(n int) netip.Addr { return Bound(x.firstAddr + n) }
 
-// Told is the address that the n-th scheduler tells the others.
-func (x *Net) Told(n int) string { return x.mouths[n].told }
+// Told returns the address that the n-th scheduler advertises to the others.
+func (x *Net) Told(n int) string { return x.endpoints[n].advertised }
 
-// Listens sets where the n-th scheduler listens; it may change.
-func (x *Net) Listens(n int, at netip.AddrPort) { x.mouths[n].bound.Store(&at) }
+// Listens sets the address at which the n-th scheduler listens. It may change.
+func (x *Net) Listens(n int, addr netip.AddrPort) { x.endpoints[n].listenAddr.Store(&addr) }
 
-// Crowded is how many datagrams the rig lost for want of room of its own: a play with any is void.
-func (x *Net) Crowded() int64 { return x.crowded.Load() }
+// Crowded returns how many datagrams were dropped because of maxInFlight. The result of a run with any is
+// void.
+func (x *Net) Crowded() int64 { return x.overflowDrops.Load() }
 
-// Weather changes the link from one to another.
+// Weather changes the conditions of the link from one scheduler to another.
 func (x *Net) Weather(from, to int, change func(*Sky)) {
-	s := x.lanes[from][to].set(change)
-	x.skies[from][to].Set(links.Sky{Delay: s.Delay, Jitter: s.Jitter, Rate: s.Rate, Stall: s.Loss, StallFor: resendTime})
+	s := x.datagramLinks[from][to].update(change)
+	x.streamLinks[from][to].SetConditions(links.Sky{Delay: s.Delay, Jitter: s.Jitter, Rate: s.Rate, Stall: s.Loss, StallFor: retransmitDelay})
 }
 
-// Cut cuts the link from one to another, or opens it. A stream needs both directions, since nothing of it is taken without a word
-// back; so it stands still as long as either is cut.
-func (x *Net) Cut(from, to int, how Cut) {
-	l := x.lanes[from][to]
-	if l.isCut() == how {
+// Cut begins or ends a cut of the link from one scheduler to another. A stream makes no progress while either
+// direction is cut, because it needs acknowledgments.
+func (x *Net) Cut(from, to int, mode Cut) {
+	l := x.datagramLinks[from][to]
+	if l.cutMode() == mode {
 		return
 	}
-	x.mouths[to].settle(x.done) // what was sent before goes by how the link was then
-	l.setCut(how)
-	x.tell(from, to, how)
-	either := how != Open || x.lanes[to][from].isCut() != Open
-	x.skies[from][to].Cut(either)
-	x.skies[to][from].Cut(either)
-	if how != Refusing {
+	x.endpoints[to].awaitQueued(x.done) // the earlier mode still applies to datagrams sent before
+	l.setCut(mode)
+	x.onCut(from, to, mode)
+	either := mode != Open || x.datagramLinks[to][from].cutMode() != Open
+	x.streamLinks[from][to].SetCut(either)
+	x.streamLinks[to][from].SetCut(either)
+	if mode != Refusing {
 		return
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for c, pair := range x.open {
+	for c, pair := range x.openStreams {
 		if pair == [2]int{from, to} || pair == [2]int{to, from} {
 			reset(c)
 		}
 	}
 }
 
-// Reaches tells whether the link from one to another is open.
-func (x *Net) Reaches(from, to int) bool { return x.lanes[from][to].isCut() == Open }
+// IsOpen reports whether the link from one scheduler to another is open.
+func (x *Net) IsOpen(from, to int) bool { return x.datagramLinks[from][to].cutMode() == Open }
 
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
@@ -258,41 +263,41 @@
 	c.Close()
 }
 
-func (x *Net) datagrams(to int, m *mouth) {
-	room := make([]byte, longestDatagram)
+func (x *Net) forwardDatagrams(to int, e *endpoint) {
+	buf := make([]byte, maxDatagramBytes)
 	for {
-		n, from, err := m.udp.ReadFromUDPAddrPort(room)
+		n, from, err := e.udp.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
-		if m.isMarker(from) {
+		if e.isMarker(from) {
 			select {
-			case m.reached <- struct{}{}:
+			case e.markerRead <- struct{}{}:
 			default:
 			}
 			continue
 		}
-		by, at := senderOf(from.Addr())-x.base, m.bound.Load()
-		if by < 0 || by >= len(x.mouths) || at == nil {
+		sender, at := senderOf(from.Addr())-x.firstAddr, e.listenAddr.Load()
+		if sender < 0 || sender >= len(x.endpoints) || at == nil {
 			continue
 		}
-		x.meter.Load().Add(by, meter.Members, 0, n, 1)
-		for _, after := range x.lanes[by][to].Datagram(time.Now(), n) {
-			text := append([]byte(nil), room[:n]...)
-			if after <= 0 {
-				m.udp.WriteToUDPAddrPort(text, *at)
+		x.meter.Load().Add(sender, meter.Members, 0, n, 1)
+		for _, delay := range x.datagramLinks[sender][to].DeliveryDelays(time.Now(), n) {
+			datagram := append([]byte(nil), buf[:n]...)
+			if delay <= 0 {
+				e.udp.WriteToUDPAddrPort(datagram, *at)
 				x.meter.Load().Add(to, meter.Members, n, 0, 0)
 				continue
 			}
-			if x.flying.Add(1) > mostFlying {
-				x.flying.Add(-1)
-				x.crowded.Add(1)
+			if x.inFlight.Add(1) > maxInFlight {
+				x.inFlight.Add(-1)
+				x.overflowDrops.Add(1)
 				continue
 			}
-			time.AfterFunc(after, func() {
-				x.flying.Add(-1)
-				if x.lanes[by][to].isCut() == Open { // a cut takes what is on its way
-					m.udp.WriteToUDPAddrPort(text, *at)
+			time.AfterFunc(delay, func() {
+				x.inFlight.Add(-1)
+				if x.datagramLinks[sender][to].cutMode() == Open { // a cut also drops datagrams in flight
+					e.udp.WriteToUDPAddrPort(datagram, *at)
 					x.meter.Load().Add(to, meter.Members, n, 0, 0)
 				}
 			})
@@ -300,76 +305,77 @@
 	}
 }
 
-func (x *Net) accept(to int, m *mouth) {
+func (x *Net) acceptStreams(to int, e *endpoint) {
 	for {
-		c, err := m.tcp.Accept()
+		c, err := e.tcp.Accept()
 		if err != nil {
 			return
 		}
 		from := -1
 		if a, ok := c.RemoteAddr().(*net.TCPAddr); ok {
-			from = senderOf(a.AddrPort().Addr()) - x.base
+			from = senderOf(a.AddrPort().Addr()) - x.firstAddr
 		}
-		at := m.bound.Load()
-		if from < 0 || from >= len(x.mouths) || at == nil || x.lanes[from][to].isCut() == Refusing || x.lanes[to][from].isCut() == Refusing {
+		at := e.listenAddr.Load()
+		if from < 0 || from >= len(x.endpoints) || at == nil || x.datagramLinks[from][to].cutMode() == Refusing || x.datagramLinks[to][from].cutMode() == Refusing {
 			reset(c)
 			continue
 		}
 		select {
-		case x.streams <- struct{}{}:
+		case x.streamSlots <- struct{}{}:
 		default:
 			reset(c)
 			continue
 		}
-		go x.carry(c, from, to, at.String())
+		go x.forwardStream(c, from, to, at.String())
 	}
 }
 
-// carry passes a stream on. One that comes up during a cut waits for its end, as a handshake whose packets are lost does.
-func (x *Net) carry(c net.Conn, from, to int, at string) {
-	defer func() { <-x.streams }()
+// forwardStream forwards a stream. A stream that is opened during a cut waits for its end, like a handshake
+// whose packets are lost.
+func (x *Net) forwardStream(c net.Conn, from, to int, at string) {
+	defer func() { <-x.streamSlots }()
 	x.mu.Lock()
-	x.open[c] = [2]int{from, to}
+	x.openStreams[c] = [2]int{from, to}
 	x.mu.Unlock()
-	near := links.Between(c, x.skies[from][to], x.skies[to][from])
+	in := links.WrapAsymmetric(c, x.streamLinks[from][to], x.streamLinks[to][from])
 	defer func() {
 		x.mu.Lock()
-		delete(x.open, c)
+		delete(x.openStreams, c)
 		x.mu.Unlock()
-		near.Close()
+		in.Close()
 	}()
 	for {
-		silent, over := x.skies[from][to].Silent()
-		if !silent {
+		cut, cutEnded := x.streamLinks[from][to].IsCut()
+		if !cut {
 			break
 		}
 		select {
-		case <-over:
+		case <-cutEnded:
 		case <-x.done:
 			return
 		}
 	}
-	far, err := net.DialTimeout("tcp4", at, dialTime)
+	out, err := net.DialTimeout("tcp4", at, dialTimeout)
 	if err != nil {
 		reset(c)
 		return
 	}
-	defer far.Close()
-	back := make(chan struct{})
+	defer out.Close()
+	returned := make(chan struct{})
 	go func() {
-		defer close(back)
-		io.Copy(counter{near, x, to, from}, far)
-		near.CloseSoon(10 * time.Second)
+		defer close(returned)
+		io.Copy(countingWriter{in, x, to, from}, out)
+		in.CloseSoon(10 * time.Second)
 	}()
-	if _, err := io.Copy(counter{far, x, from, to}, near); err != nil {
-		reset(far)
-	} else if t, ok := far.(*net.TCPConn); ok {
+	if _, err := io.Copy(countingWriter{out, x, from, to}, in); err != nil {
+		reset(out)
+	} else if t, ok := out.(*net.TCPConn); ok {
 		t.CloseWrite()
 	}
-	<-back
+	<-returned
 }
 
-// Close ends all links.
+// Close closes all links and streams.
 func (x *Net) Close() {
 	select {
 	case <-x.done:
@@ -377,14 +383,14 @@
 	default:
 		close(x.done)
 	}
-	for _, m := range x.mouths {
-		m.udp.Close()
-		m.tcp.Close()
-		m.marker.Close()
+	for _, e := range x.endpoints {
+		e.udp.Close()
+		e.tcp.Close()
+		e.marker.Close()
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for c := range x.open {
+	for c := range x.openStreams {
 		c.Close()
 	}
 }
--- a/internal/lab/faultproxy/net_test.go
+++ b/internal/lab/faultproxy/net_test.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// party is a scheduler's two sockets at its bound address.
-type party struct {
+// testScheduler holds the two sockets that a scheduler opens at its bound address.
+type testScheduler struct {
 	udp *net.UDPConn
 	tcp net.Listener
 }
 
-func parties(t *testing.T, n int) (*Net, []party, *[][3]int) {
+func newNet(t *testing.T, n int) (*Net, []testScheduler, *[][3]int) {
 	t.Helper()
-	var told [][3]int
-	x, err := New(n, 1, func(from, to int, cut Cut) { told = append(told, [3]int{from, to, int(cut)}) })
+	var cuts [][3]int
+	x, err := New(n, 1, func(from, to int, cut Cut) { cuts = append(cuts, [3]int{from, to, int(cut)}) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(x.Close)
-	var all []party
+	var schedulers []testScheduler
 	for i := range n {
 		udp, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(x.Bound(i), 0)))
 		if err != nil {
@@ -34,52 +34,54 @@
 		}
 		t.Cleanup(func() { udp.Close(); tcp.Close() })
 		x.Listens(i, udp.LocalAddr().(*net.UDPAddr).AddrPort())
-		all = append(all, party{udp, tcp})
+		schedulers = append(schedulers, testScheduler{udp, tcp})
 	}
-	return x, all, &told
+	return x, schedulers, &cuts
 }
 
-func (p party) send(t *testing.T, to, text string) {
+func (s testScheduler) send(t *testing.T, to, text string) {
 	t.Helper()
-	if _, err := p.udp.WriteToUDPAddrPort([]byte(text), netip.MustParseAddrPort(to)); err != nil {
+	if _, err := s.udp.WriteToUDPAddrPort([]byte(text), netip.MustParseAddrPort(to)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (p party) heard(t *testing.T) string {
+func (s testScheduler) receive(t *testing.T) string {
 	t.Helper()
-	room := make([]byte, 99)
-	p.udp.SetReadDeadline(time.Now().Add(5 * time.Second))
-	n, err := p.udp.Read(room)
+	buf := make([]byte, 99)
+	s.udp.SetReadDeadline(time.Now().Add(5 * time.Second))
+	n, err := s.udp.Read(buf)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(room[:n])
+	return string(buf[:n])
 }
 
-// A cut of one direction that took the other too, or hit another pair, would make every one-sided experiment a lie.
-func TestACutTakesOneDirectionOfOnePair(t *testing.T) {
-	x, p, told := parties(t, 3)
+// Guards against a cut that also affects the opposite direction or another pair. One-sided experiments would
+// then give wrong results.
+func TestACutStopsOneDirectionOfOnePair(t *testing.T) {
+	x, s, cuts := newNet(t, 3)
 	x.Cut(0, 1, Silent)
-	p[0].send(t, x.Told(1), "lost")
-	p[1].send(t, x.Told(0), "back")
-	p[0].send(t, x.Told(2), "aside")
-	if got := p[0].heard(t) + p[2].heard(t); got != "backaside" {
-		t.Errorf("heard %q", got)
+	s[0].send(t, x.Told(1), "lost")
+	s[1].send(t, x.Told(0), "back")
+	s[0].send(t, x.Told(2), "aside")
+	if got := s[0].receive(t) + s[2].receive(t); got != "backaside" {
+		t.Errorf("received %q", got)
 	}
 	x.Cut(0, 1, Open)
-	p[0].send(t, x.Told(1), "after")
-	if got := p[1].heard(t); got != "after" {
-		t.Errorf("heard %q: what a cut took must not come later", got)
+	s[0].send(t, x.Told(1), "after")
+	if got := s[1].receive(t); got != "after" {
+		t.Errorf("received %q; a datagram dropped by a cut must not arrive later", got)
 	}
-	if len(*told) != 2 || (*told)[0] != [3]int{0, 1, int(Silent)} || (*told)[1] != [3]int{0, 1, int(Open)} || !x.Reaches(0, 1) {
-		t.Errorf("noted %v", *told)
+	if len(*cuts) != 2 || (*cuts)[0] != [3]int{0, 1, int(Silent)} || (*cuts)[1] != [3]int{0, 1, int(Open)} || !x.IsOpen(0, 1) {
+		t.Errorf("reported cuts: %v", *cuts)
 	}
 }
 
-// A stream through a link whose way back is cut must stand still, and be reset where the cut refuses.
-func TestStreamsStandStillOrAreReset(t *testing.T) {
-	x, p, _ := parties(t, 2)
+// Guards against a stream that passes a link whose opposite direction is cut, and against a refusing cut that
+// does not reset open streams.
+func TestACutStallsOrResetsStreams(t *testing.T) {
+	x, s, _ := newNet(t, 2)
 	dial := func() net.Conn {
 		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IP(x.Bound(0).AsSlice())}}
 		c, err := d.Dial("tcp4", x.Told(1))
@@ -91,45 +93,45 @@
 	}
 	go func() {
 		for {
-			c, err := p[1].tcp.Accept()
+			c, err := s[1].tcp.Accept()
 			if err != nil {
 				return
 			}
 			go io.Copy(c, c)
 		}
 	}()
-	room := make([]byte, 3)
+	buf := make([]byte, 3)
 	c := dial()
 	c.Write([]byte("one"))
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := io.ReadFull(c, room); err != nil || string(room) != "one" {
-		t.Fatalf("%q, %v", room, err)
+	if _, err := io.ReadFull(c, buf); err != nil || string(buf) != "one" {
+		t.Fatalf("%q, %v", buf, err)
 	}
 	x.Cut(1, 0, Silent)
 	c.Write([]byte("two"))
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-	if n, err := c.Read(room); err == nil {
-		t.Errorf("%q came through a cut", room[:n])
+	if n, err := c.Read(buf); err == nil {
+		t.Errorf("%q passed a cut", buf[:n])
 	}
 	x.Cut(1, 0, Open)
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := io.ReadFull(c, room); err != nil || string(room) != "two" {
-		t.Errorf("after the cut: %q, %v", room, err)
+	if _, err := io.ReadFull(c, buf); err != nil || string(buf) != "two" {
+		t.Errorf("after the cut: received %q, %v", buf, err)
 	}
 	x.Cut(0, 1, Refusing)
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := c.Read(room); err == nil || err == io.EOF {
-		t.Errorf("a refusing cut: %v", err)
+	if _, err := c.Read(buf); err == nil || err == io.EOF {
+		t.Errorf("reading during a refusing cut: %v, want a reset", err)
 	}
 }
 
-// One seed, one history: the share that is lost and doubled must be the same each time, and near what was asked.
-func TestAWeatherIsDrawnFromItsSeed(t *testing.T) {
-	play := func() (lost, twice int) {
-		l := newLane(7)
-		l.set(func(s *Sky) { *s = Sky{Loss: 0.3, Dup: 0.1, Jitter: time.Millisecond} })
+// The same seed must give the same losses and duplicates, with shares near the configured probabilities.
+func TestDeliveriesAreReproducibleFromTheSeed(t *testing.T) {
+	count := func() (lost, twice int) {
+		l := newDatagramLink(7)
+		l.update(func(s *Sky) { *s = Sky{Loss: 0.3, Dup: 0.1, Jitter: time.Millisecond} })
 		for range 10_000 {
-			switch len(l.Datagram(time.Time{}, 100)) {
+			switch len(l.DeliveryDelays(time.Time{}, 100)) {
 			case 0:
 				lost++
 			case 2:
@@ -138,24 +140,24 @@
 		}
 		return lost, twice
 	}
-	lost, twice := play()
-	if l, d := play(); l != lost || d != twice || lost < 2700 || lost > 3300 || twice < 600 || twice > 800 {
-		t.Errorf("lost %d and %d, twice %d and %d", lost, l, twice, d)
+	lost, twice := count()
+	if l, d := count(); l != lost || d != twice || lost < 2700 || lost > 3300 || twice < 600 || twice > 800 {
+		t.Errorf("lost %d and %d, duplicated %d and %d", lost, l, twice, d)
 	}
 }
 
-// A link with a rate has a bounded queue; without one a flood would arrive minutes later.
-func TestARateHoldsUpAndThenLoses(t *testing.T) {
-	l, now := newLane(1), time.Time{}
-	l.set(func(s *Sky) { s.Rate = 1000 })
+// Guards against an unbounded queue on a link with a rate, from which datagrams would arrive minutes later.
+func TestARateDelaysDatagramsAndDropsThemWhenTheQueueIsFull(t *testing.T) {
+	l, now := newDatagramLink(1), time.Time{}
+	l.update(func(s *Sky) { s.Rate = 1000 })
 	for i := range 30 {
-		after := l.Datagram(now, 100)
-		if want := time.Duration(i+1) * 100 * time.Millisecond; want > longestWait {
-			if after != nil {
-				t.Fatalf("datagram %d arrives after %v", i, after)
+		delays := l.DeliveryDelays(now, 100)
+		if want := time.Duration(i+1) * 100 * time.Millisecond; want > maxQueueDelay {
+			if delays != nil {
+				t.Fatalf("datagram %d arrives after %v, want a drop", i, delays)
 			}
-		} else if len(after) != 1 || after[0] != want {
-			t.Fatalf("datagram %d: %v, not %v", i, after, want)
+		} else if len(delays) != 1 || delays[0] != want {
+			t.Fatalf("datagram %d arrives after %v, want %v", i, delays, want)
 		}
 	}
 }
--- a/internal/lab/faultproxy/sky.go
+++ b/internal/lab/faultproxy/sky.go
@@ -1,5 +1,6 @@
-// Package faultproxy holds the links between schedulers: one for every ordered pair, for datagrams and streams alike, each with its
-// own weather. What happens to a datagram is decided by a Lane, which does no input or output; a Net beside it carries it out.
+// Package faultproxy emulates the links between schedulers: one for each ordered pair, for datagrams and
+// streams, each with its own conditions. A DatagramLink decides what happens to a datagram and does no I/O. A
+// Net applies the decisions.
 package faultproxy
 
 import (
@@ -9,19 +10,20 @@
 	"time"
 )
 
-// Sky is what the link from one scheduler to another is like at one moment.
+// Sky holds the conditions of the link from one scheduler to another.
 type Sky struct {
-	Loss          float64 // chance that a datagram is lost; a stream's piece comes resendTime later in its place
-	Dup           float64 // chance that a datagram comes twice
-	Reorder       float64 // chance that a datagram is held up for reorderTime
+	Loss          float64 // probability of a lost datagram; delays a stream by retransmitDelay
+	Dup           float64 // probability that a datagram is duplicated
+	Reorder       float64 // probability that a datagram is delayed by reorderDelay
 	Delay, Jitter time.Duration
-	Rate          float64 // bytes a second, 0 for no limit
+	Rate          float64 // bytes per second; 0 for no limit
 }
 
-// Cut is in which way nothing passes.
+// Cut is the mode of a cut.
 type Cut int
 
-// A silent cut swallows all. One that refuses swallows datagrams too, but ends streams with a reset and lets none come up.
+// A silent cut drops everything. A refusing cut also drops datagrams, but resets streams and rejects new
+// ones.
 const (
 	Open Cut = iota
 	Silent
@@ -29,68 +31,72 @@
 )
 
 const (
-	resendTime  = 200 * time.Millisecond // least time after which a kernel sends again what was lost of a stream
-	reorderTime = 20 * time.Millisecond
-	longestWait = 2 * time.Second // for a link with a rate; what would wait longer finds the queue full
+	retransmitDelay = 200 * time.Millisecond // minimum retransmission timeout of a kernel
+	reorderDelay    = 20 * time.Millisecond
+	maxQueueDelay   = 2 * time.Second // with a rate; datagrams that would wait longer are dropped
 )
 
-// Lane is one direction between two schedulers. It may change while datagrams are on their way.
-type Lane struct {
-	mu   sync.Mutex
-	sky  Sky
-	cut  Cut
-	rand *rand.Rand
-	free time.Time // when the link has sent all before
+// DatagramLink is one direction between two schedulers. Its conditions may change while datagrams are in
+// flight.
+type DatagramLink struct {
+	mu         sync.Mutex
+	conditions Sky
+	cut        Cut
+	rand       *rand.Rand
+	idleAt     time.Time // when the link has sent all earlier datagrams
 }
 
-func newLane(seed uint64) *Lane { return &Lane{rand: rand.New(rand.NewPCG(seed, 0x6265747765656e))} }
+func newDatagramLink(seed uint64) *DatagramLink {
+	return &DatagramLink{rand: rand.New(rand.NewPCG(seed, 0x6265747765656e))}
+}
 
-func (l *Lane) set(change func(*Sky)) (now Sky) {
+func (l *DatagramLink) update(change func(*Sky)) (now Sky) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	change(&l.sky)
-	return l.sky
+	change(&l.conditions)
+	return l.conditions
 }
 
-func (l *Lane) setCut(c Cut) {
+func (l *DatagramLink) setCut(c Cut) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = c
 }
 
-func (l *Lane) isCut() Cut {
+func (l *DatagramLink) cutMode() Cut {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.cut
 }
 
-// Datagram tells after which spans a datagram that is sent now arrives: never, once or twice. Each chance is drawn whatever the
-// sky, so that a change of one of them leaves the rest of a play as it was.
-func (l *Lane) Datagram(now time.Time, size int) (after []time.Duration) {
+// DeliveryDelays returns the delays after which a datagram that is sent now arrives: none, one or two. Each
+// probability is drawn whatever the conditions are, so that a change of one condition leaves the random
+// decisions of the others unchanged.
+func (l *DatagramLink) DeliveryDelays(now time.Time, size int) (delays []time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	lost, twice, late, jitter := l.rand.Float64(), l.rand.Float64(), l.rand.Float64(), math.Abs(l.rand.NormFloat64())
-	if l.cut != Open || lost < l.sky.Loss {
+	lossDraw, dupDraw, reorderDraw, jitter := l.rand.Float64(), l.rand.Float64(), l.rand.Float64(), math.Abs(l.rand.NormFloat64())
+	if l.cut != Open || lossDraw < l.conditions.Loss {
 		return nil
 	}
-	wait := time.Duration(0)
-	if l.sky.Rate > 0 {
+	delay := time.Duration(0)
+	if l.conditions.Rate > 0 {
 		start := now
-		if l.free.After(start) {
-			start = l.free
+		if l.idleAt.After(start) {
+			start = l.idleAt
 		}
-		sent := start.Add(time.Duration(float64(size) / l.sky.Rate * float64(time.Second)))
-		if wait = sent.Sub(now); wait > longestWait {
+		sent := start.Add(time.Duration(float64(size) / l.conditions.Rate * float64(time.Second)))
+		if delay = sent.Sub(now); delay > maxQueueDelay {
 			return nil
 		}
-		l.free = sent
+		l.idleAt = sent
 	}
-	wait += l.sky.Delay + time.Duration(float64(l.sky.Jitter)*jitter)
-	if late < l.sky.Reorder {
-		wait += reorderTime
+	delay += l.conditions.Delay + time.Duration(float64(l.conditions.Jitter)*jitter)
+	if reorderDraw < l.conditions.Reorder {
+		delay += reorderDelay
 	}
-	if after = append(after, wait); twice < l.sky.Dup {
-		after = append(after, wait+l.sky.Delay/2+time.Millisecond)
+	if delays = append(delays, delay); dupDraw < l.conditions.Dup {
+		delays = append(delays, delay+l.conditions.Delay/2+time.Millisecond)
 	}
-	return after
+	return delays
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet holds the emulated workers on loopback sockets. Each has an address of its own for each scheduler,
-// so that it knows who pushes and each pair has a link of its own. What a worker does is decided in package box.
+// Package fleet runs the emulated workers on loopback sockets. Each worker has a separate address for each
+// scheduler. It therefore knows which scheduler sends a push, and each pair has its own link. Package
+// workermodel decides what a worker does.
 package fleet
 
 import (
@@ -21,45 +22,45 @@
 	"woaddyke/internal/lab/workload"
 )
 
-// Entry is what the list says of a worker.
+// Entry describes a worker in the endpoint list.
 type Entry struct {
 	Name, Zone string
 	Cell       int
-	Slot       int    // which of the script's workers it is, or has succeeded
+	Slot       int    // index in the workload's list of workers; a successor has the slot of its predecessor
 	State      string // ready, draining or gone
-	Boot       time.Time
+	StartTime  time.Time
 	Cold       bool
 }
 
-// Fleet is all workers.
+// Fleet is the set of all emulated workers.
 type Fleet struct {
-	book   *ledger.Book
-	plan   *experiment.Experiment
-	script *workload.Script
-	desk   *requests.Desk
-	list   func(Entry)
-	rules  *ledger.Rules
-	pushes atomic.Int64
-	zones  map[string]*workermodel.Memory
-	cells  map[int]*workermodel.Memory
-	all    *workermodel.Memory
-
-	addrs   [][]string         // by slot and scheduler
-	weather [][]*links.Weather // the same
-	slots   []*worker          // what stands there now
-	mu      sync.Mutex
-	births  []int // by slot: how many successors it had
-	seed    uint64
-	ports   *ports // of hollow workers
-	starved atomic.Int64
-	meter   *meter.Meter
-	ending  sync.WaitGroup
+	ledger      *ledger.Book
+	experiment  *experiment.Experiment
+	workload    *workload.Script
+	requests    *requests.Registry
+	publish     func(Entry)
+	rules       *ledger.Rules
+	lastPush    atomic.Int64
+	zoneDedup   map[string]*workermodel.DedupStore
+	cellDedup   map[int]*workermodel.DedupStore
+	globalDedup *workermodel.DedupStore
+
+	addrs               [][]string         // by slot and scheduler
+	links               [][]*links.Weather // by slot and scheduler
+	workers             []*worker          // the current worker of each slot
+	mu                  sync.Mutex
+	replacements        []int // by slot: number of successors and restarts
+	seed                uint64
+	ports               *ports // ports of hollow workers
+	descriptorShortages atomic.Int64
+	meter               *meter.Meter
+	background          sync.WaitGroup
 }
 
-// New makes a fleet and reserves its addresses; nothing listens yet. The list is told of each change of state.
-func New(e *experiment.Experiment, s *workload.Script, book *ledger.Book, desk *requests.Desk, m *meter.Meter, list func(Entry)) (*Fleet, error) {
-	f := &Fleet{book: book, plan: e, script: s, desk: desk, list: list, rules: e.Judged(), zones: map[string]*workermodel.Memory{},
-		cells: map[int]*workermodel.Memory{}, all: workermodel.NewMemory(), births: make([]int, len(s.Workers)), seed: e.Seed, meter: m}
+// New creates a fleet and starts its workers. It calls publish for each change of a worker's state.
+func New(e *experiment.Experiment, s *workload.Script, events *ledger.Book, registry *requests.Registry, m *meter.Meter, publish func(Entry)) (*Fleet, error) {
+	f := &Fleet{ledger: events, experiment: e, workload: s, requests: registry, publish: publish, rules: e.Judged(), zoneDedup: map[string]*workermodel.DedupStore{},
+		cellDedup: map[int]*workermodel.DedupStore{}, globalDedup: workermodel.NewDedupStore(), replacements: make([]int, len(s.Workers)), seed: e.Seed, meter: m}
 	hollow := 0
 	for _, w := range s.Workers {
 		if e.Workers[w.Kind].Hollow {
@@ -71,20 +72,20 @@
 		return nil, err
 	}
 	for i, w := range s.Workers {
-		if f.zones[w.Zone] == nil {
-			f.zones[w.Zone] = workermodel.NewMemory()
+		if f.zoneDedup[w.Zone] == nil {
+			f.zoneDedup[w.Zone] = workermodel.NewDedupStore()
 		}
-		if f.cells[w.Cell] == nil {
-			f.cells[w.Cell] = workermodel.NewMemory()
+		if f.cellDedup[w.Cell] == nil {
+			f.cellDedup[w.Cell] = workermodel.NewDedupStore()
 		}
-		var weather []*links.Weather
+		var workerLinks []*links.Weather
 		for n := range e.Schedulers.Count {
-			weather = append(weather, links.New(Sky(e, "workers", e.Zones[n%len(e.Zones)], w.Zone), w.Seed+uint64(n)))
+			workerLinks = append(workerLinks, links.New(Sky(e, "workers", e.Zones[n%len(e.Zones)], w.Zone), w.Seed+uint64(n)))
 		}
-		f.weather = append(f.weather, weather)
+		f.links = append(f.links, workerLinks)
 		f.addrs = append(f.addrs, make([]string, e.Schedulers.Count))
-		f.slots = append(f.slots, nil)
-		if err := f.boot(i, w.Name, false); err != nil {
+		f.workers = append(f.workers, nil)
+		if err := f.startWorker(i, w.Name, false); err != nil {
 			f.Stop()
 			return nil, err
 		}
@@ -92,78 +93,79 @@
 	return f, nil
 }
 
-// Sky is what an experiment's links say of two parties; the last that fits counts.
-func Sky(e *experiment.Experiment, between, from, to string) (sky links.Sky) {
+// Sky returns the link conditions that an experiment sets between two parties. The last matching entry
+// applies.
+func Sky(e *experiment.Experiment, between, from, to string) (conditions links.Sky) {
 	ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
-	for _, l := range e.Links {
-		if l.Between == between && e.In(l.From, from) && e.In(l.To, to) {
-			sky = links.Sky{Delay: ms(l.DelayMS), Jitter: ms(l.JitterMS), Rate: 1000 * l.RateKBps, Stall: l.Stall,
-				StallFor: ms(l.StallMS), ResetFirst: l.ResetFirst, ResetAfter: l.ResetAfter, Mute: l.Mute}
+	for _, link := range e.Links {
+		if link.Between == between && e.In(link.From, from) && e.In(link.To, to) {
+			conditions = links.Sky{Delay: ms(link.DelayMS), Jitter: ms(link.JitterMS), Rate: 1000 * link.RateKBps, Stall: link.Stall,
+				StallFor: ms(link.StallMS), ResetFirst: link.ResetFirst, ResetAfter: link.ResetAfter, Mute: link.Mute}
 		}
 	}
-	return sky
+	return conditions
 }
 
-// worker is one process of a worker.
+// worker is one process of an emulated worker.
 type worker struct {
-	f         *Fleet
+	fleet     *Fleet
 	slot      int
 	name      string
-	made      experiment.Workers
+	kind      experiment.Workers
 	listeners []net.Listener
 
-	mu    sync.Mutex
-	box   *workermodel.Box
-	dead  bool
-	ails  workermodel.Ails
-	legs  map[int]*leg
-	conns map[*link]bool
-	wake  *time.Timer
-	calls map[int]chan workermodel.Report
-	next  int // numbers probes
-	shut  []*shut
-	cutAt ledger.Time // when its link was cut last, or that was over
-	admit bool
+	mu           sync.Mutex
+	model        *workermodel.Worker
+	ended        bool
+	faults       workermodel.Ails
+	pushes       map[int]*activePush
+	conns        map[*schedulerConn]bool
+	timer        *time.Timer
+	probes       map[int]chan workermodel.Report
+	lastProbe    int // number of the last probe
+	blocked      []*blockedListener
+	cutChangedAt ledger.Time // time at which the last cut of its link began or ended
+	admitted     bool
 }
 
-// leg is one push that has come and is not over.
-type leg struct {
-	push int
-	op   string
-	on   *link
-	over chan struct{}
-	done bool
+// activePush is a push that has arrived and has not ended.
+type activePush struct {
+	id       int
+	op       string
+	conn     *schedulerConn
+	finished chan struct{}
+	done     bool
 }
 
-// boot starts a worker's process in a slot.
-func (f *Fleet) boot(slot int, name string, cold bool) error {
-	at := f.script.Workers[slot]
-	made := f.plan.Workers[at.Kind]
-	w := &worker{f: f, slot: slot, name: name, made: made, legs: map[int]*leg{}, conns: map[*link]bool{}, calls: map[int]chan workermodel.Report{}}
-	b := workermodel.Make{Cores: made.Cores, Speed: at.Speed, Slots: made.Slots, Memory: made.Memory, Queue: made.Queue,
-		ReportEvery: experiment.MS(made.ReportEveryMS), Progress: experiment.MS(made.ProgressMS), TellsStart: true, ConnWork: made.ConnWorkMS,
-		ProbeWork: made.ProbeWorkMS, Connections: made.Connections, ErrorRate: made.ErrorRate, CancelDrops: made.CancelDrops}
+// startWorker starts a worker process in a slot.
+func (f *Fleet) startWorker(slot int, name string, cold bool) error {
+	spec := f.workload.Workers[slot]
+	kind := f.experiment.Workers[spec.Kind]
+	w := &worker{fleet: f, slot: slot, name: name, kind: kind, pushes: map[int]*activePush{}, conns: map[*schedulerConn]bool{}, probes: map[int]chan workermodel.Report{}}
+	config := workermodel.Config{Cores: kind.Cores, Speed: spec.Speed, Slots: kind.Slots, Memory: kind.Memory, Queue: kind.Queue,
+		ReportEvery: experiment.MS(kind.ReportEveryMS), Progress: experiment.MS(kind.ProgressMS), ReportsStart: true, ConnWork: kind.ConnWorkMS,
+		ProbeWork: kind.ProbeWorkMS, Connections: kind.Connections, ErrorRate: kind.ErrorRate, CancelDrops: kind.CancelDrops}
 	if err := w.listen(); err != nil {
 		return fmt.Errorf("worker %s: %w", name, err)
 	}
 	now := time.Now()
-	booted := f.book.Add(ledger.Event{Kind: ledger.Boot, Worker: name, Zone: at.Zone, Cell: at.Cell, Cold: cold, Cores: made.Cores * at.Speed})
-	w.box = workermodel.New(name, b, *f.rules, f.cells[at.Cell], f.zones[at.Zone], f.all, at.Seed+uint64(f.births[slot]), booted, cold)
-	w.wake = time.AfterFunc(time.Hour, func() { w.take(workermodel.Woken{}) })
+	startTime := f.ledger.Add(ledger.Event{Kind: ledger.Boot, Worker: name, Zone: spec.Zone, Cell: spec.Cell, Cold: cold, Cores: kind.Cores * spec.Speed})
+	w.model = workermodel.New(name, config, *f.rules, f.cellDedup[spec.Cell], f.zoneDedup[spec.Zone], f.globalDedup, spec.Seed+uint64(f.replacements[slot]), startTime, cold)
+	w.timer = time.AfterFunc(time.Hour, func() { w.handle(workermodel.TimerFired{}) })
 	f.mu.Lock()
-	f.slots[slot] = w
+	f.workers[slot] = w
 	f.mu.Unlock()
 	for n, l := range w.listeners {
 		go w.accept(l, n)
 	}
-	f.list(Entry{Name: name, Zone: at.Zone, Cell: at.Cell, Slot: slot, State: "ready", Boot: now, Cold: cold})
+	f.publish(Entry{Name: name, Zone: spec.Zone, Cell: spec.Cell, Slot: slot, State: "ready", StartTime: now, Cold: cold})
 	return nil
 }
 
-// listen opens a worker's listeners: one for each scheduler, or one for all where it is hollow.
+// listen opens the listeners of a worker: one for each scheduler, or a single listener for a hollow worker.
 func (w *worker) listen() error {
-	f := w.f
-	if w.made.Hollow {
+	f := w.fleet
+	if w.kind.Hollow {
 		l, err := f.ports.listen(f.addrs[w.slot])
 		if err != nil {
 			return err
@@ -171,10 +173,11 @@
 		w.listeners = []net.Listener{l}
 		return nil
 	}
-	for n := range f.plan.Schedulers.Count {
+	for n := range f.experiment.Schedulers.Count {
 		addr := f.addrs[w.slot][n]
 		if addr == "" {
-			// Its own address, so that no connection from this machine can take its port while it is down.
+			// A separate address for each worker: no connection from this machine can take its port while the
+			// worker is down.
 			addr = fmt.Sprintf("127.1.%d.%d:0", w.slot/250, w.slot%250+1)
 		}
 		l, err := net.Listen("tcp", addr)
@@ -190,60 +193,60 @@
 	return nil
 }
 
-// Addr is where a scheduler reaches the worker of a slot.
+// Addr returns the address at which a scheduler reaches the worker of a slot.
 func (f *Fleet) Addr(slot, scheduler int) string { return f.addrs[slot][scheduler] }
 
-// take hands an input to the box and carries out its effects, in order.
-func (w *worker) take(in workermodel.Input) {
+// handle passes an input to the worker model and carries out the effects in order.
+func (w *worker) handle(in workermodel.Input) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.takeLocked(in)
+	w.handleLocked(in)
 }
 
-func (w *worker) takeLocked(in workermodel.Input) {
-	if w.dead {
+func (w *worker) handleLocked(in workermodel.Input) {
+	if w.ended {
 		return
 	}
-	for _, e := range w.box.Take(w.f.book.Now(), in) {
+	for _, e := range w.model.Handle(w.fleet.ledger.Now(), in) {
 		switch e := e.(type) {
-		case workermodel.Say:
-			w.say(e)
-		case workermodel.Happened:
-			w.f.book.Add(ledger.Event{Kind: e.Kind, Worker: w.name, Push: e.Push, Op: e.Op, Text: e.Text})
+		case workermodel.SendStatus:
+			w.sendStatus(e)
+		case workermodel.Record:
+			w.fleet.ledger.Add(ledger.Event{Kind: e.Kind, Worker: w.name, Push: e.Push, Op: e.Op, Text: e.Text})
 		case workermodel.Report:
-			if c := w.calls[e.Probe]; c != nil {
-				delete(w.calls, e.Probe)
+			if c := w.probes[e.Probe]; c != nil {
+				delete(w.probes, e.Probe)
 				c <- e
 			}
 		case workermodel.Admit:
-			w.admit = e.May
-		case workermodel.Wake:
-			w.wake.Reset(max(time.Until(w.f.book.Wall(e.At)), 0))
-		case workermodel.Collapse:
+			w.admitted = e.Allowed
+		case workermodel.SetTimer:
+			w.timer.Reset(max(time.Until(w.fleet.ledger.Wall(e.At)), 0))
+		case workermodel.Crash:
 			go w.end()
 		}
 	}
 }
 
-// end ends the process: its connections break.
+// end ends the process and resets its connections.
 func (w *worker) end() {
 	w.mu.Lock()
-	if w.dead {
+	if w.ended {
 		w.mu.Unlock()
 		return
 	}
-	w.dead = true
-	w.wake.Stop()
-	for _, s := range w.shut {
-		s.open()
+	w.ended = true
+	w.timer.Stop()
+	for _, b := range w.blocked {
+		b.unblock()
 	}
-	w.f.book.Add(ledger.Event{Kind: ledger.Gone, Worker: w.name})
-	var open []*link
+	w.fleet.ledger.Add(ledger.Event{Kind: ledger.Gone, Worker: w.name})
+	var open []*schedulerConn
 	for c := range w.conns {
 		open = append(open, c)
 	}
-	for _, l := range w.legs {
-		w.finish(l)
+	for _, p := range w.pushes {
+		w.finishPush(p)
 	}
 	w.mu.Unlock()
 	for _, l := range w.listeners {
@@ -254,209 +257,215 @@
 	}
 }
 
-// at is the worker in a slot.
-func (f *Fleet) at(slot int) *worker {
+// workerAt returns the current worker of a slot.
+func (f *Fleet) workerAt(slot int) *worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.slots[slot]
+	return f.workers[slot]
 }
 
 func (f *Fleet) entry(w *worker, state string) Entry {
-	at := f.script.Workers[w.slot]
-	return Entry{Name: w.name, Zone: at.Zone, Cell: at.Cell, Slot: w.slot, State: state}
+	spec := f.workload.Workers[w.slot]
+	return Entry{Name: w.name, Zone: spec.Zone, Cell: spec.Cell, Slot: w.slot, State: state}
 }
 
-// Ail changes what ails the worker of a slot.
+// Ail changes the faults of the worker in a slot.
 func (f *Fleet) Ail(slot int, change func(*workermodel.Ails)) {
-	w := f.at(slot)
+	w := f.workerAt(slot)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	change(&w.ails)
-	w.takeLocked(workermodel.Changed{Ails: w.ails})
+	change(&w.faults)
+	w.handleLocked(workermodel.FaultsChanged{Faults: w.faults})
 }
 
-// Cut silences the links of a slot's worker, or lets them speak again: open connections are silent, and new ones do
-// not come up.
+// Cut begins or ends a cut of all links of the worker in a slot. During a cut, open connections carry nothing
+// and new connections are not established.
 func (f *Fleet) Cut(slot int, on bool) {
-	for _, weather := range f.weather[slot] {
-		weather.Cut(on)
+	for _, link := range f.links[slot] {
+		link.SetCut(on)
 	}
-	w := f.at(slot)
+	w := f.workerAt(slot)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.cutAt = f.book.Now()
-	if w.dead || (len(w.shut) > 0) == on {
+	w.cutChangedAt = f.ledger.Now()
+	if w.ended || (len(w.blocked) > 0) == on {
 		return
 	}
 	if !on {
-		for _, s := range w.shut {
-			s.open()
+		for _, b := range w.blocked {
+			b.unblock()
 		}
-		w.shut = nil
+		w.blocked = nil
 		return
 	}
 	for _, l := range w.listeners {
-		if s, err := shutListener(l.(*net.TCPListener)); err == nil {
-			w.shut = append(w.shut, s)
+		if b, err := blockListener(l.(*net.TCPListener)); err == nil {
+			w.blocked = append(w.blocked, b)
 		} else {
-			f.book.Add(ledger.Event{Kind: ledger.Fault, Worker: w.name, Text: "its listener can't be silenced: " + err.Error()})
+			f.ledger.Add(ledger.Event{Kind: ledger.Fault, Worker: w.name, Text: "its listener can't be silenced: " + err.Error()})
 		}
 	}
 }
 
-// CutFrom silences the link between a slot's worker and one scheduler, or lets it speak again. The worker's listener may be that of all
-// schedulers, so what this one dials comes up, and is silent.
-func (f *Fleet) CutFrom(slot, scheduler int, on bool) { f.weather[slot][scheduler].Cut(on) }
+// CutFrom begins or ends a cut of the link between the worker in a slot and one scheduler. All schedulers may
+// share the worker's listener. During the cut a new connection of this scheduler is therefore established,
+// but carries nothing.
+func (f *Fleet) CutFrom(slot, scheduler int, on bool) { f.links[slot][scheduler].SetCut(on) }
 
-// Kill ends the process of a slot's worker; the list is told.
+// Kill ends the process of the worker in a slot and publishes its state.
 func (f *Fleet) Kill(slot int) {
-	w := f.at(slot)
+	w := f.workerAt(slot)
 	w.end()
-	f.list(f.entry(w, "gone"))
+	f.publish(f.entry(w, "gone"))
 }
 
-// Restart starts a killed worker again under its name, cold. Where a successor stands already, that is enough.
+// Restart starts a killed worker again under the same name, cold. It does nothing if a successor already runs
+// in the slot.
 func (f *Fleet) Restart(slot int) error {
-	w := f.at(slot)
+	w := f.workerAt(slot)
 	w.mu.Lock()
-	dead := w.dead
+	ended := w.ended
 	w.mu.Unlock()
-	if !dead {
+	if !ended {
 		return nil
 	}
 	f.mu.Lock()
-	f.births[slot]++
+	f.replacements[slot]++
 	f.mu.Unlock()
-	return f.boot(slot, w.name, true)
+	return f.startWorker(slot, w.name, true)
 }
 
-// mostDrain bounds how long a draining worker finishes what it has.
+// maxDrain bounds how long a draining worker may take to finish its jobs.
 const (
-	mostDrain = 15 * time.Second
-	seen      = time.Second
+	maxDrain    = 15 * time.Second
+	drainMargin = time.Second
 )
 
-// Announce has discovery say that a worker drains while it knows nothing of that and goes on; after a span it is gone, and a successor
-// stands in its place.
-func (f *Fleet) Announce(slot int, span time.Duration) {
-	w := f.at(slot)
-	f.list(f.entry(w, "draining"))
-	f.ending.Add(1)
+// Announce publishes that a worker drains. The worker itself does not know and continues. After the given
+// time it ends, and a successor replaces it.
+func (f *Fleet) Announce(slot int, delay time.Duration) {
+	w := f.workerAt(slot)
+	f.publish(f.entry(w, "draining"))
+	f.background.Add(1)
 	go func() {
-		defer f.ending.Done()
-		time.Sleep(span)
+		defer f.background.Done()
+		time.Sleep(delay)
 		w.end()
-		f.list(f.entry(w, "gone"))
-		f.succeed(slot, w)
+		f.publish(f.entry(w, "gone"))
+		f.startSuccessor(slot, w)
 	}()
 }
 
-// Drain lets a worker finish and go. After a span a successor stands in its place, under another name; with a span
-// below 0 none does.
-func (f *Fleet) Drain(slot int, next time.Duration) {
-	w := f.at(slot)
+// Drain lets a worker finish its jobs and end. After the given time a successor with another name replaces
+// it. With a negative time no successor starts.
+func (f *Fleet) Drain(slot int, successorAfter time.Duration) {
+	w := f.workerAt(slot)
 	w.mu.Lock()
-	if w.dead || w.ails.Draining {
+	if w.ended || w.faults.Draining {
 		w.mu.Unlock()
 		return
 	}
 	w.mu.Unlock()
-	f.Ail(slot, func(a *workermodel.Ails) { a.Draining = true })
-	f.list(f.entry(w, "draining"))
-	from := time.Now()
-	f.ending.Add(1)
+	f.Ail(slot, func(faults *workermodel.Ails) { faults.Draining = true })
+	f.publish(f.entry(w, "draining"))
+	start := time.Now()
+	f.background.Add(1)
 	go func() {
-		defer f.ending.Done()
+		defer f.background.Done()
 		for {
 			time.Sleep(20 * time.Millisecond)
 			w.mu.Lock()
-			idle, dead := w.box.Idle(), w.dead
+			idle, ended := w.model.Idle(), w.ended
 			w.mu.Unlock()
-			// It stays until the list's word is about and the grace is over: what comes to it then must be seen.
-			told := time.Since(from) > time.Duration((f.plan.Discovery.LateMS[1]+f.plan.Rules.DrainGraceMS)*float64(time.Millisecond))+seen
-			if dead || idle && told || time.Since(from) > mostDrain {
+			// The worker stays until discovery has reported the drain and the grace has passed, so that late
+			// pushes to it are recorded.
+			observed := time.Since(start) > time.Duration((f.experiment.Discovery.LateMS[1]+f.experiment.Rules.DrainGraceMS)*float64(time.Millisecond))+drainMargin
+			if ended || idle && observed || time.Since(start) > maxDrain {
 				break
 			}
 		}
 		w.end()
-		f.list(f.entry(w, "gone"))
-		if next < 0 {
+		f.publish(f.entry(w, "gone"))
+		if successorAfter < 0 {
 			return
 		}
-		if wait := next - time.Since(from); wait > 0 {
+		if wait := successorAfter - time.Since(start); wait > 0 {
 			time.Sleep(wait)
 		}
-		f.succeed(slot, w)
+		f.startSuccessor(slot, w)
 	}()
 }
 
-// succeed starts a worker's successor under another name.
-func (f *Fleet) succeed(slot int, w *worker) {
+// startSuccessor starts the successor of a worker under another name.
+func (f *Fleet) startSuccessor(slot int, w *worker) {
 	f.mu.Lock()
-	if f.slots[slot] != w { // it was killed meanwhile, and is back
+	if f.workers[slot] != w { // the worker was killed and restarted in the meantime
 		f.mu.Unlock()
 		return
 	}
-	f.births[slot]++
-	name := fmt.Sprintf("%s-%d", f.script.Workers[slot].Name, f.births[slot])
+	f.replacements[slot]++
+	name := fmt.Sprintf("%s-%d", f.workload.Workers[slot].Name, f.replacements[slot])
 	f.mu.Unlock()
-	if err := f.boot(slot, name, true); err != nil {
-		f.book.Add(ledger.Event{Kind: ledger.Fault, Text: err.Error()})
+	if err := f.startWorker(slot, name, true); err != nil {
+		f.ledger.Add(ledger.Event{Kind: ledger.Fault, Text: err.Error()})
 	}
 }
 
-// Depth is a worker's queue at a moment.
+// Depth is the queue of a worker at one moment.
 type Depth struct {
 	Slot             int
 	Running, Waiting int
 }
 
-// Depths tells how many jobs each worker runs and holds.
+// Depths returns how many jobs run and wait at each worker.
 func (f *Fleet) Depths() []Depth {
-	var all []Depth
-	for i := range f.slots {
-		w := f.at(i)
+	var depths []Depth
+	for i := range f.workers {
+		w := f.workerAt(i)
 		w.mu.Lock()
 		d := Depth{Slot: i}
-		if !w.dead {
-			d.Running, d.Waiting = w.box.Queue()
+		if !w.ended {
+			d.Running, d.Waiting = w.model.QueueLengths()
 		}
 		w.mu.Unlock()
-		all = append(all, d)
+		depths = append(depths, d)
 	}
-	return all
+	return depths
 }
 
 // Stop ends all workers.
 func (f *Fleet) Stop() {
-	for i := range f.slots {
-		if w := f.at(i); w != nil {
+	for i := range f.workers {
+		if w := f.workerAt(i); w != nil {
 			w.end()
 		}
 	}
-	f.ports.free()
+	f.ports.release()
 }
 
-const starvedPause = 100 * time.Millisecond
+const descriptorPause = 100 * time.Millisecond
 
-// Starved is how often a worker could not take a connection for want of descriptors: a run with any proves nothing.
-func (f *Fleet) Starved() int64 { return f.starved.Load() }
+// Starved returns how often a worker failed to accept a connection for lack of file descriptors. The result
+// of a run with any is void.
+func (f *Fleet) Starved() int64 { return f.descriptorShortages.Load() }
 
 func (w *worker) accept(l net.Listener, scheduler int) {
 	for {
 		c, err := l.Accept()
-		if errors.Is(err, os.ErrDeadlineExceeded) { // it is silent
-			time.Sleep(shutLook)
+		if errors.Is(err, os.ErrDeadlineExceeded) { // the listener is blocked
+			time.Sleep(blockedPollInterval)
 			continue
 		}
 		if err != nil {
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-				w.f.starved.Add(1) // no line for each: thousands of workers meet it at once, again and again
-				time.Sleep(starvedPause)
+				// No ledger event for each: thousands of workers hit the limit at the same time and
+				// repeatedly.
+				w.fleet.descriptorShortages.Add(1)
+				time.Sleep(descriptorPause)
 				continue
 			}
 			if !errors.Is(err, net.ErrClosed) {
-				w.f.book.Add(ledger.Event{Kind: ledger.Fault, Worker: w.name, Text: err.Error()})
+				w.fleet.ledger.Add(ledger.Event{Kind: ledger.Fault, Worker: w.name, Text: err.Error()})
 				time.Sleep(10 * time.Millisecond)
 				continue
 			}
@@ -466,26 +475,26 @@
 			c.Close()
 			continue
 		}
-		if w.made.Hollow {
-			if scheduler = dialler(c); scheduler < 0 || scheduler >= w.f.plan.Schedulers.Count {
+		if w.kind.Hollow {
+			if scheduler = dialingScheduler(c); scheduler < 0 || scheduler >= w.fleet.experiment.Schedulers.Count {
 				c.Close()
 				continue
 			}
 		}
 		w.mu.Lock()
-		w.f.book.Add(ledger.Event{Kind: ledger.Dialed, Worker: w.name, Scheduler: scheduler + 1})
-		w.admit = false
-		w.takeLocked(workermodel.Dialed{})
-		may := w.admit && !w.dead
-		if !may {
+		w.fleet.ledger.Add(ledger.Event{Kind: ledger.Dialed, Worker: w.name, Scheduler: scheduler + 1})
+		w.admitted = false
+		w.handleLocked(workermodel.Connected{})
+		admitted := w.admitted && !w.ended
+		if !admitted {
 			w.mu.Unlock()
 			c.Close()
 			continue
 		}
-		k := &link{w: w, scheduler: scheduler, c: links.Through(c, w.f.weather[w.slot][scheduler])}
-		w.conns[k] = true
+		conn := &schedulerConn{worker: w, scheduler: scheduler, conn: links.Through(c, w.fleet.links[w.slot][scheduler])}
+		w.conns[conn] = true
 		w.mu.Unlock()
-		k.c.OnGone(k.gone)
-		go k.serve()
+		conn.conn.OnPeerClose(conn.onPeerClose)
+		go conn.serve()
 	}
 }
--- a/internal/lab/fleet/hollow_test.go
+++ b/internal/lab/fleet/hollow_test.go
@@ -21,36 +21,36 @@
 	"woaddyke/internal/lab/workload"
 )
 
-// stand makes a fleet of three workers for three schedulers.
-func stand(t *testing.T, hollow bool, m *meter.Meter) (*Fleet, *ledger.Book, *requests.Desk) {
+// newFleet creates a fleet of three workers for three schedulers.
+func newFleet(t *testing.T, hollow bool, m *meter.Meter) (*Fleet, *ledger.Book, *requests.Registry) {
 	t.Helper()
-	e, err := experiment.Parse([]byte(fmt.Sprintf("[schedulers]\ncount = 3\n[[workers]]\ncount = 3\ncores = 2\nhollow = %v\n[[categories]]\nname = \"a\"\n", hollow)))
+	exp, err := experiment.Parse([]byte(fmt.Sprintf("[schedulers]\ncount = 3\n[[workers]]\ncount = 3\ncores = 2\nhollow = %v\n[[categories]]\nname = \"a\"\n", hollow)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := workload.Of(e)
+	generated, err := workload.Of(exp)
 	if err != nil {
 		t.Fatal(err)
 	}
-	book, err := ledger.Create("", time.Now())
+	events, err := ledger.Create("", time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	desk := requests.New()
-	f, err := New(e, s, book, desk, m, func(Entry) {})
+	registry := requests.New()
+	f, err := New(exp, generated, events, registry, m, func(Entry) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.Stop)
-	return f, book, desk
+	return f, events, registry
 }
 
-// awaits waits for as many events of a kind.
-func awaits(t *testing.T, book *ledger.Book, kind ledger.Kind, count int) {
+// awaitEvents waits until the ledger has the given number of events of a kind.
+func awaitEvents(t *testing.T, events *ledger.Book, kind ledger.Kind, count int) {
 	t.Helper()
-	for limit := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		n := 0
-		for _, e := range book.Events() {
+		for _, e := range events.Events() {
 			if e.Kind == kind {
 				n++
 			}
@@ -58,22 +58,23 @@
 		if n == count {
 			return
 		}
-		if time.Now().After(limit) {
-			t.Fatalf("%d events %s, %d are wanted", n, kind, count)
+		if time.Now().After(deadline) {
+			t.Fatalf("%d events %s, want %d", n, kind, count)
 		}
 	}
 }
 
-// exchange is what a scheduler and the workers say to each other: load reports, pushes that end, one that runs, one that is given up
-// behind it, one that is turned away, a worker that dies and is back. What is heard, and what the lab has of it, is returned in order.
-func exchange(t *testing.T, hollow bool) (said []string, lines []string, sheet meter.Sheet) {
+// runExchange sends load probes and pushes to the workers: pushes that end, one that runs, one that is
+// canceled behind it, one that is rejected, and a probe of a worker that was killed and restarted. It returns
+// the responses, the ledger events and the byte counts, each in order.
+func runExchange(t *testing.T, hollow bool) (responses []string, eventLines []string, counts meter.Sheet) {
 	t.Helper()
 	m := meter.New(3)
-	f, book, desk := stand(t, hollow, m)
+	f, events, registry := newFleet(t, hollow, m)
 	dials := 0
 	dial := func(slot, scheduler int) net.Conn {
 		dials++
-		defer func() { awaits(t, book, ledger.Dialed, dials) }() // in order
+		defer func() { awaitEvents(t, events, ledger.Dialed, dials) }() // keeps the connections in order
 		c, err := net.DialTimeout("tcp", f.Addr(slot, scheduler), 20*time.Second)
 		if err != nil {
 			t.Fatal(err)
@@ -82,20 +83,20 @@
 		c.SetDeadline(time.Now().Add(20 * time.Second))
 		return c
 	}
-	hear := func(c net.Conn) {
+	receive := func(c net.Conn) {
 		r, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		body, err := io.ReadAll(r.Body)
-		said = append(said, fmt.Sprintf("%d %v %q %v", r.StatusCode, r.Header, body, err))
+		responses = append(responses, fmt.Sprintf("%d %v %q %v", r.StatusCode, r.Header, body, err))
 	}
 	probe := func(c net.Conn) {
 		io.WriteString(c, "GET /load HTTP/1.1\r\nHost: worker\r\n\r\n")
-		hear(c)
+		receive(c)
 	}
 	push := func(c net.Conn, op string, work, slots float64) {
-		desk.Put(op, requests.Ask{Job: workermodel.Job{Op: op, Effect: op, Work: work, Usual: work, Slots: slots}, Target: "/api", Body: requests.Sum([]byte("x"))})
+		registry.Put(op, requests.Request{Job: workermodel.Job{Op: op, Effect: op, Work: work, ExpectedWork: work, Slots: slots}, Target: "/api", BodyHash: requests.HashBody([]byte("x"))})
 		fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: worker\r\nX-Correlation-Id: %s\r\nContent-Length: 1\r\n\r\nx", op)
 	}
 	for n := range 3 {
@@ -103,67 +104,69 @@
 			c := dial(slot, n)
 			probe(c)
 			push(c, fmt.Sprintf("short-%d-%d", n, slot), 1, 1)
-			hear(c)
+			receive(c)
 			probe(c)
 		}
 	}
-	const day = 86_400_000
-	runs, waits := dial(1, 0), dial(1, 2)
-	push(runs, "runs", day, 2)
-	awaits(t, book, ledger.Ran, 10)
-	push(waits, "waits", day, 1)
-	awaits(t, book, ledger.Reached, 11)
-	said = append(said, fmt.Sprint(f.Depths()))
-	waits.Close()
-	awaits(t, book, ledger.Closed, 1)
-	push(dial(1, 1), "wide", 1, 3) // more slots than it has
-	awaits(t, book, ledger.Said, 10)
+	const dayMS = 86_400_000
+	running, queued := dial(1, 0), dial(1, 2)
+	push(running, "runs", dayMS, 2)
+	awaitEvents(t, events, ledger.Ran, 10)
+	push(queued, "waits", dayMS, 1)
+	awaitEvents(t, events, ledger.Reached, 11)
+	responses = append(responses, fmt.Sprint(f.Depths()))
+	queued.Close()
+	awaitEvents(t, events, ledger.Closed, 1)
+	push(dial(1, 1), "wide", 1, 3) // more slots than the worker has
+	awaitEvents(t, events, ledger.Said, 10)
 	f.Kill(1)
-	if _, err := io.Copy(io.Discard, runs); err == nil {
-		t.Error("the connection to a worker that was killed has ended whole")
+	if _, err := io.Copy(io.Discard, running); err == nil {
+		t.Error("the connection to a killed worker ended without an error")
 	}
-	said = append(said, fmt.Sprint(f.Depths()))
+	responses = append(responses, fmt.Sprint(f.Depths()))
 	if err := f.Restart(1); err != nil {
 		t.Fatal(err)
 	}
 	probe(dial(1, 0))
-	for _, e := range book.Events() {
+	for _, e := range events.Events() {
 		e.At, e.From = 0, 0
-		lines = append(lines, fmt.Sprintf("%+v", e))
+		eventLines = append(eventLines, fmt.Sprintf("%+v", e))
 	}
-	return said, lines, m.Now()
+	return responses, eventLines, m.Now()
 }
 
-// What is measured on thousands of hollow workers is worth nothing unless they do what ordinary ones do: the same words are spoken with
-// both, and all answers, events, messages, bytes and states must be the same.
-func TestHollowWorkersAndOrdinaryOnesSayTheSame(t *testing.T) {
-	said, lines, sheet := exchange(t, false)
-	hollowSaid, hollowLines, hollowSheet := exchange(t, true)
+// Guards against hollow workers that behave differently from ordinary ones, which would make results with
+// thousands of hollow workers meaningless. Responses, events, message counts, byte counts and states must be
+// equal.
+func TestHollowAndOrdinaryWorkersSendTheSame(t *testing.T) {
+	responses, eventLines, counts := runExchange(t, false)
+	hollowResponses, hollowEvents, hollowCounts := runExchange(t, true)
 	for _, c := range []struct {
 		what       string
 		of, hollow any
-	}{{"answers", said, hollowSaid}, {"events", lines, hollowLines}, {"bytes and messages", sheet, hollowSheet}} {
+	}{{"answers", responses, hollowResponses}, {"events", eventLines, hollowEvents}, {"bytes and messages", counts, hollowCounts}} {
 		if !reflect.DeepEqual(c.of, c.hollow) {
-			t.Errorf("%s: of ordinary workers\n%v\nof hollow ones\n%v", c.what, c.of, c.hollow)
+			t.Errorf("%s: ordinary workers\n%v\nhollow workers\n%v", c.what, c.of, c.hollow)
 		}
 	}
-	for n, row := range sheet {
+	for n, row := range counts {
 		if p, w := row[meter.Probes], row[meter.Work]; p.Messages < 6 || w.Messages < 3 || p.In < 6*60 || p.Out != p.Messages*int64(len("GET /load HTTP/1.1\r\nHost: worker\r\n\r\n")) || w.In == 0 || w.Out == 0 {
 			t.Errorf("scheduler %d: %+v", n+1, row)
 		}
 	}
 }
 
-// A hollow worker shares what an ordinary one has for each scheduler; seen from a scheduler both must be the same: who dialled is known,
-// a dead one refuses, one that has vanished lets nothing come up, one that is back has its address, and its neighbour feels nothing.
-func TestAHollowWorkerIsReachedRefusesAndVanishesLikeAnOrdinaryOne(t *testing.T) {
+// Guards against hollow workers that look different to a scheduler because they share one listener. Both
+// kinds must know who dials, refuse connections while dead, leave connection attempts unanswered while cut,
+// and keep their address after a restart. A neighboring worker must not be affected.
+func TestHollowAndOrdinaryWorkersAcceptRefuseAndTimeOutAlike(t *testing.T) {
 	for _, hollow := range []bool{false, true} {
 		t.Run(fmt.Sprintf("hollow=%v", hollow), func(t *testing.T) {
-			f, book, _ := stand(t, hollow, nil)
+			f, events, _ := newFleet(t, hollow, nil)
 			before := [2]string{f.Addr(0, 0), f.Addr(0, 2)}
-			within := 20 * time.Second
-			comes := func(slot, scheduler int) error {
-				c, err := net.DialTimeout("tcp", f.Addr(slot, scheduler), within)
+			timeout := 20 * time.Second
+			connect := func(slot, scheduler int) error {
+				c, err := net.DialTimeout("tcp", f.Addr(slot, scheduler), timeout)
 				if err == nil {
 					c.Close()
 				}
@@ -171,59 +174,61 @@
 			}
 			for slot := range 2 {
 				for n := range 3 {
-					if err := comes(slot, n); err != nil {
+					if err := connect(slot, n); err != nil {
 						t.Errorf("scheduler %d to worker %d: %v", n, slot, err)
 					}
 				}
 			}
-			for limit := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) { // they are accepted after they came up
-				dialled := map[string]int{}
-				for _, ev := range book.Events() {
+			// The worker accepts connections after they are established.
+			for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
+				dialed := map[string]int{}
+				for _, ev := range events.Events() {
 					if ev.Kind == ledger.Dialed {
-						dialled[fmt.Sprintf("%s by %d", ev.Worker, ev.Scheduler)]++
+						dialed[fmt.Sprintf("%s by %d", ev.Worker, ev.Scheduler)]++
 					}
 				}
-				if len(dialled) == 6 {
+				if len(dialed) == 6 {
 					break
 				}
-				if time.Now().After(limit) {
-					t.Fatalf("who dialled whom: %v", dialled)
+				if time.Now().After(deadline) {
+					t.Fatalf("workers and the schedulers that dialed them: %v", dialed)
 				}
 			}
 			f.Kill(0)
 			for n := range 3 {
-				if err := comes(0, n); !errors.Is(err, syscall.ECONNREFUSED) {
-					t.Errorf("a dead worker: %v", err)
+				if err := connect(0, n); !errors.Is(err, syscall.ECONNREFUSED) {
+					t.Errorf("connecting to a dead worker: %v, want a refusal", err)
 				}
 			}
 			if err := f.Restart(0); err != nil {
 				t.Fatal(err)
 			}
-			if now := [2]string{f.Addr(0, 0), f.Addr(0, 2)}; now != before || comes(0, 2) != nil {
-				t.Errorf("back at %v, was at %v", now, before)
+			if now := [2]string{f.Addr(0, 0), f.Addr(0, 2)}; now != before || connect(0, 2) != nil {
+				t.Errorf("after the restart at %v, before at %v", now, before)
 			}
 			f.Cut(0, true)
-			within = 150 * time.Millisecond
+			timeout = 150 * time.Millisecond
 			for n := range 3 {
-				var late net.Error
-				if err := comes(0, n); !errors.As(err, &late) || !late.Timeout() {
-					t.Errorf("one that has vanished: %v", err)
+				var timeoutErr net.Error
+				if err := connect(0, n); !errors.As(err, &timeoutErr) || !timeoutErr.Timeout() {
+					t.Errorf("connecting to a worker that is cut: %v, want a timeout", err)
 				}
 			}
-			within = 20 * time.Second
-			if err := comes(1, 0); err != nil {
-				t.Errorf("its neighbour: %v", err)
+			timeout = 20 * time.Second
+			if err := connect(1, 0); err != nil {
+				t.Errorf("connecting to a neighbor of the worker that is cut: %v", err)
 			}
 			f.Cut(0, false)
-			if err := comes(0, 1); err != nil {
-				t.Errorf("one that is back: %v", err)
+			if err := connect(0, 1); err != nil {
+				t.Errorf("connecting after the cut: %v", err)
 			}
 		})
 	}
 }
 
-// Plays on one machine must not take each other's ports, nor keep them when they have ended.
-func TestPortsOfHollowWorkersAreClaimedAndGivenBack(t *testing.T) {
+// Guards against two runs on one machine that claim the same ports, and against ports that stay claimed after
+// a run.
+func TestPortsOfHollowWorkersAreClaimedOnceAndReleased(t *testing.T) {
 	a, err := claimPorts(300)
 	if err != nil {
 		t.Fatal(err)
@@ -232,49 +237,51 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	own := map[int]bool{}
-	for _, p := range a.room {
-		own[p] = true
+	claimed := map[int]bool{}
+	for _, p := range a.unused {
+		claimed[p] = true
 	}
-	for _, p := range b.room {
-		if own[p] {
-			t.Fatalf("both have port %d", p)
+	for _, p := range b.unused {
+		if claimed[p] {
+			t.Fatalf("both claims have port %d", p)
 		}
 	}
-	b.free()
-	if len(a.room) < 300 || len(b.claims) != 0 {
-		t.Errorf("%d ports, %d claims after the end", len(a.room), len(b.claims))
+	b.release()
+	if len(a.unused) < 300 || len(b.claims) != 0 {
+		t.Errorf("%d ports, %d claims after the release", len(a.unused), len(b.claims))
 	}
 	if c, err := claimPorts(lastPort); !errors.Is(err, errNoPorts) {
-		t.Errorf("more than there are: %v, %v", c, err)
+		t.Errorf("claiming more ports than exist: %v, %v", c, err)
 	}
 	again, err := claimPorts(300)
-	if err != nil || again.room[0] != b.room[0] {
-		t.Errorf("what was given back is not had again: %v", err)
+	if err != nil || again.unused[0] != b.unused[0] {
+		t.Errorf("released ports can't be claimed again: %v", err)
 	}
-	again.free()
-	a.free()
+	again.release()
+	a.release()
 }
 
-// poor is a listener without descriptors, until it is closed.
-type poor struct {
+// exhaustedListener fails with EMFILE a number of times and is closed afterwards.
+type exhaustedListener struct {
 	net.Listener
-	times int
+	failures int
 }
 
-func (p *poor) Accept() (net.Conn, error) {
-	if p.times--; p.times < 0 {
+func (l *exhaustedListener) Accept() (net.Conn, error) {
+	if l.failures--; l.failures < 0 {
 		return nil, net.ErrClosed
 	}
 	return nil, &net.OpError{Op: "accept", Net: "tcp4", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 }
 
-// A lab without descriptors was once at its busiest writing that down, a quarter of a million times, and called what came of it a result.
-func TestALabWithoutDescriptorsSaysSoOnce(t *testing.T) {
-	f, book, _ := stand(t, true, nil)
-	before := len(book.Events())
-	f.at(0).accept(&poor{times: 3}, 0)
-	if n := f.Starved(); n != 3 || len(book.Events()) != before {
-		t.Errorf("%d times, %d lines", n, len(book.Events())-before)
+// Guards against a ledger event for each failed accept. A lab without descriptors once wrote a quarter of a
+// million events and presented the run as valid. The shortages must be counted, so that the run can be
+// rejected.
+func TestDescriptorShortagesAreCountedWithoutLedgerEvents(t *testing.T) {
+	f, events, _ := newFleet(t, true, nil)
+	before := len(events.Events())
+	f.workerAt(0).accept(&exhaustedListener{failures: 3}, 0)
+	if n := f.Starved(); n != 3 || len(events.Events()) != before {
+		t.Errorf("%d shortages counted, %d ledger events added", n, len(events.Events())-before)
 	}
 }
--- a/internal/lab/fleet/serve.go
+++ b/internal/lab/fleet/serve.go
@@ -17,256 +17,260 @@
 	"woaddyke/internal/lab/workermodel"
 )
 
-// link is one connection from a scheduler; it carries one request at a time.
-type link struct {
-	w         *worker
+// schedulerConn is a connection from a scheduler. It carries one request at a time.
+type schedulerConn struct {
+	worker    *worker
 	scheduler int
-	c         *links.Conn
+	conn      *links.Conn
 
-	mu  sync.Mutex
-	leg *leg        // the push that is on it
-	off ledger.Time // when the other side ended it, 0 before
+	mu       sync.Mutex
+	push     *activePush // the push in progress, if any
+	closedAt ledger.Time // when the scheduler closed the connection; 0 while it is open
 
-	came, counted int64 // bytes read, and those of them that stand in the meter
+	bytesRead, bytesCounted int64 // bytes read, and how many of them the meter has counted
 }
 
-// Read counts what is read.
-func (k *link) Read(b []byte) (int, error) {
-	n, err := k.c.Read(b)
-	k.came += int64(n)
+// Read reads from the connection and counts the bytes.
+func (k *schedulerConn) Read(b []byte) (int, error) {
+	n, err := k.conn.Read(b)
+	k.bytesRead += int64(n)
 	return n, err
 }
 
-// count puts what the scheduler has sent up to here into the meter; left are bytes that were read and belong to what follows.
-func (k *link) count(kind meter.Kind, left int) {
-	sent := k.came - int64(left) - k.counted
-	k.counted += sent
-	k.w.f.meter.Add(k.scheduler, kind, 0, int(sent), 1)
+// count adds the bytes of the current request to the meter. The left argument is the number of buffered bytes
+// that belong to the next request.
+func (k *schedulerConn) count(kind meter.Kind, left int) {
+	size := k.bytesRead - int64(left) - k.bytesCounted
+	k.bytesCounted += size
+	k.worker.fleet.meter.Add(k.scheduler, kind, 0, int(size), 1)
 }
 
-// write sends what the scheduler receives.
-func (k *link) write(kind meter.Kind, b []byte) {
-	k.c.Write(b)
-	k.w.f.meter.Add(k.scheduler, kind, len(b), 0, 0)
+// write sends bytes to the scheduler and counts them.
+func (k *schedulerConn) write(kind meter.Kind, b []byte) {
+	k.conn.Write(b)
+	k.worker.fleet.meter.Add(k.scheduler, kind, len(b), 0, 0)
 }
 
 const (
-	longestBody = 64 << 10
-	headTime    = 10 * time.Second
+	maxBodyBytes  = 64 << 10
+	headerTimeout = 10 * time.Second
 )
 
-// reset ends a connection as the death of a process does.
-func (k *link) reset() {
-	if t, ok := k.c.Conn.(interface{ SetLinger(int) error }); ok {
+// reset resets a connection, as the kernel does when a process dies.
+func (k *schedulerConn) reset() {
+	if t, ok := k.conn.Conn.(interface{ SetLinger(int) error }); ok {
 		t.SetLinger(0)
 	}
-	k.c.Close()
+	k.conn.Close()
 }
 
-// behindCut is how long after a cut's end bytes come that were written during it: when, nobody knows.
-const behindCut = ledger.Time(500 * time.Millisecond / ledger.Tenth)
+// afterCut is how long after the end of a cut bytes arrive that were written during the cut. The time at
+// which they were written is unknown.
+const afterCut = ledger.Time(500 * time.Millisecond / ledger.Tenth)
 
-// toldUntil is until when a worker is told that its answer is waited for, 0 where it is not told or not known, with its lock held.
-func (w *worker) toldUntil(r *http.Request, from ledger.Time) ledger.Time {
-	if w.cutAt > 0 && from >= w.cutAt && from <= w.cutAt+behindCut {
+// pushDeadline returns the time until which the scheduler waits for an answer, or 0 if it is unknown. The
+// worker's lock must be held.
+func (w *worker) pushDeadline(r *http.Request, arrived ledger.Time) ledger.Time {
+	if w.cutChangedAt > 0 && arrived >= w.cutChangedAt && arrived <= w.cutChangedAt+afterCut {
 		return 0
 	}
 	ms, err := strconv.ParseInt(r.Header.Get("X-Time-Left-Ms"), 10, 32)
 	if err != nil {
 		return 0
 	}
-	return from + ledger.Span(time.Duration(ms)*time.Millisecond)
+	return arrived + ledger.Span(time.Duration(ms)*time.Millisecond)
 }
 
-// gone is told at the moment at which the scheduler ends the connection, whatever lies on the link still.
-func (k *link) gone() {
+// onPeerClose is called when the scheduler closes the connection, even while data is still on the link.
+func (k *schedulerConn) onPeerClose() {
 	k.mu.Lock()
-	l := k.leg
-	k.off = max(k.w.f.book.Now(), 1)
-	at := k.off
+	push := k.push
+	k.closedAt = max(k.worker.fleet.ledger.Now(), 1)
+	at := k.closedAt
 	k.mu.Unlock()
-	if l != nil {
-		k.closed(l, at)
+	if push != nil {
+		k.cancelPush(push, at)
 	}
 }
 
-// closed notes that a push was given up.
-func (k *link) closed(l *leg, at ledger.Time) {
-	w := k.w
+// cancelPush records that the scheduler has given up a push.
+func (k *schedulerConn) cancelPush(push *activePush, at ledger.Time) {
+	w := k.worker
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if l.done || w.dead {
+	if push.done || w.ended {
 		return
 	}
-	w.f.book.Add(ledger.Event{Kind: ledger.Closed, Op: l.op, Worker: w.name, Push: l.push, From: at})
-	w.takeLocked(workermodel.Closed{Push: l.push})
-	w.finish(l)
+	w.fleet.ledger.Add(ledger.Event{Kind: ledger.Closed, Op: push.op, Worker: w.name, Push: push.id, From: at})
+	w.handleLocked(workermodel.Closed{Push: push.id})
+	w.finishPush(push)
 }
 
-// finish ends a leg, with the worker's lock held. Its job may go on.
-func (w *worker) finish(l *leg) {
-	if !l.done {
-		l.done = true
-		delete(w.legs, l.push)
-		close(l.over)
+// finishPush ends a push. Its job may continue. The worker's lock must be held.
+func (w *worker) finishPush(push *activePush) {
+	if !push.done {
+		push.done = true
+		delete(w.pushes, push.id)
+		close(push.finished)
 	}
 }
 
-// serve reads requests one by one.
-func (k *link) serve() {
+// serve reads and answers requests one after another.
+func (k *schedulerConn) serve() {
 	defer k.end()
 	in := bufio.NewReaderSize(k, 4096)
-	idle := time.Duration(k.w.f.plan.Schedulers.KeepaliveMS * float64(time.Millisecond))
+	idle := time.Duration(k.worker.fleet.experiment.Schedulers.KeepaliveMS * float64(time.Millisecond))
 	for {
-		k.c.SetReadDeadline(time.Now().Add(idle))
+		k.conn.SetReadDeadline(time.Now().Add(idle))
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
-		from := k.w.f.book.Moment(k.c.Mouth())
-		k.c.SetReadDeadline(time.Now().Add(headTime))
+		arrived := k.worker.fleet.ledger.Moment(k.conn.Mouth())
+		k.conn.SetReadDeadline(time.Now().Add(headerTimeout))
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(io.LimitReader(r.Body, longestBody+1))
+		body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 		if err != nil {
-			return // it never came whole
+			return // incomplete body
 		}
-		k.c.SetReadDeadline(time.Time{})
-		k.count(kindOf(r), in.Buffered())
-		if !k.answer(r, body, from) {
+		k.conn.SetReadDeadline(time.Time{})
+		k.count(trafficKind(r), in.Buffered())
+		if !k.handle(r, body, arrived) {
 			return
 		}
 	}
 }
 
-// end forgets the connection.
-func (k *link) end() {
-	w := k.w
+// end removes the connection from the worker.
+func (k *schedulerConn) end() {
+	w := k.worker
 	w.mu.Lock()
 	if w.conns[k] {
 		delete(w.conns, k)
-		w.takeLocked(workermodel.Hangup{})
+		w.handleLocked(workermodel.Disconnected{})
 	}
 	w.mu.Unlock()
-	k.c.CloseSoon(time.Second)
+	k.conn.CloseSoon(time.Second)
 }
 
-// isProbe tells whether a request asks for a load report.
+// isProbe reports whether a request is a load probe.
 func isProbe(r *http.Request) bool {
 	return r.Method == http.MethodGet && (r.URL.Path == "/load" || r.URL.Path == "/healthz")
 }
 
-func kindOf(r *http.Request) meter.Kind {
+func trafficKind(r *http.Request) meter.Kind {
 	if isProbe(r) {
 		return meter.Probes
 	}
 	return meter.Work
 }
 
-func (k *link) plain(kind meter.Kind, status int, extra, body string) {
+func (k *schedulerConn) respond(kind meter.Kind, status int, extra, body string) {
 	k.write(kind, fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), extra, len(body), body))
 }
 
-// answer answers one request, and tells whether another may follow.
-func (k *link) answer(r *http.Request, body []byte, from ledger.Time) bool {
+// handle answers one request and reports whether another one may follow.
+func (k *schedulerConn) handle(r *http.Request, body []byte, arrived ledger.Time) bool {
 	if isProbe(r) {
 		return k.probe(r.URL.Path == "/load")
 	}
 	id := r.Header.Get("X-Correlation-Id")
 	if id == "" {
-		k.plain(meter.Work, http.StatusNotFound, "", "")
+		k.respond(meter.Work, http.StatusNotFound, "", "")
 		return true
 	}
-	w, f := k.w, k.w.f
-	ask, ok := f.desk.Get(id)
-	if what := differs(r, body, ask); !ok || what != "" {
+	w, f := k.worker, k.worker.fleet
+	request, ok := f.requests.Get(id)
+	if problem := mismatch(r, body, request); !ok || problem != "" {
 		if !ok {
-			what = "no client sent this id"
+			problem = "no client sent this id"
 		}
-		f.book.Add(ledger.Event{Kind: ledger.Strange, Op: id, Worker: w.name, Scheduler: k.scheduler + 1, Text: what})
-		k.plain(meter.Work, http.StatusBadRequest, "", what+"\n")
+		f.ledger.Add(ledger.Event{Kind: ledger.Strange, Op: id, Worker: w.name, Scheduler: k.scheduler + 1, Text: problem})
+		k.respond(meter.Work, http.StatusBadRequest, "", problem+"\n")
 		return true
 	}
-	l := &leg{push: int(f.pushes.Add(1)), op: id, on: k, over: make(chan struct{})}
+	push := &activePush{id: int(f.lastPush.Add(1)), op: id, conn: k, finished: make(chan struct{})}
 	w.mu.Lock()
-	if w.dead {
+	if w.ended {
 		w.mu.Unlock()
 		return false
 	}
-	f.book.Add(ledger.Event{Kind: ledger.Reached, Op: id, Worker: w.name, Scheduler: k.scheduler + 1, Push: l.push, From: from,
-		Until: w.toldUntil(r, from), Work: ask.Job.Work * ask.Job.Slots, Usual: ask.Job.Usual * ask.Job.Slots})
-	w.legs[l.push] = l
+	f.ledger.Add(ledger.Event{Kind: ledger.Reached, Op: id, Worker: w.name, Scheduler: k.scheduler + 1, Push: push.id, From: arrived,
+		Until: w.pushDeadline(r, arrived), Work: request.Job.Work * request.Job.Slots, Usual: request.Job.ExpectedWork * request.Job.Slots})
+	w.pushes[push.id] = push
 	k.mu.Lock()
-	k.leg = l
-	off := k.off
+	k.push = push
+	closedAt := k.closedAt
 	k.mu.Unlock()
-	w.takeLocked(workermodel.Pushed{Push: l.push, Job: ask.Job})
+	w.handleLocked(workermodel.Pushed{Push: push.id, Job: request.Job})
 	w.mu.Unlock()
-	if off > 0 {
-		k.closed(l, off)
+	if closedAt > 0 {
+		k.cancelPush(push, closedAt)
 	}
-	<-l.over
+	<-push.finished
 	k.mu.Lock()
-	k.leg = nil
-	off = k.off
+	k.push = nil
+	closedAt = k.closedAt
 	k.mu.Unlock()
-	return off == 0
+	return closedAt == 0
 }
 
-// differs says what of a push is not as its client sent it.
-func differs(r *http.Request, body []byte, a requests.Ask) string {
+// mismatch describes the first difference between a push and the client's request. It is empty if they are
+// equal.
+func mismatch(r *http.Request, body []byte, sent requests.Request) string {
 	switch {
 	case r.Method != http.MethodPost:
 		return "method " + r.Method
-	case r.RequestURI != a.Target:
+	case r.RequestURI != sent.Target:
 		return "target " + r.RequestURI
-	case r.Header.Get("Idempotency-Key") != a.Key:
+	case r.Header.Get("Idempotency-Key") != sent.IdempotencyKey:
 		return "another Idempotency-Key"
-	case requests.Sum(body) != a.Body:
+	case requests.HashBody(body) != sent.BodyHash:
 		return "another body"
 	}
 	return ""
 }
 
-// probe answers with the load report, or with nothing from a worker that hangs.
-func (k *link) probe(load bool) bool {
-	w := k.w
-	got := make(chan workermodel.Report, 1)
+// probe answers a load probe. A hung worker does not answer.
+func (k *schedulerConn) probe(load bool) bool {
+	w := k.worker
+	answer := make(chan workermodel.Report, 1)
 	w.mu.Lock()
-	w.next++
-	w.calls[w.next] = got
-	w.f.book.Add(ledger.Event{Kind: ledger.Probed, Worker: w.name, Scheduler: k.scheduler + 1})
-	w.takeLocked(workermodel.Probed{Probe: w.next})
+	w.lastProbe++
+	w.probes[w.lastProbe] = answer
+	w.fleet.ledger.Add(ledger.Event{Kind: ledger.Probed, Worker: w.name, Scheduler: k.scheduler + 1})
+	w.handleLocked(workermodel.Probed{Probe: w.lastProbe})
 	w.mu.Unlock()
 	select {
-	case r := <-got:
+	case r := <-answer:
 		if r.Silent {
-			return k.hold()
+			return k.waitForClose()
 		}
-		status, body := http.StatusOK, ""
+		status, report := http.StatusOK, ""
 		if !r.Ready {
 			status = http.StatusServiceUnavailable
 		}
 		if load {
-			body = fmt.Sprintf(`{"pending":%d,"busy_reqs":%d,"x0":%g,"x1":%g}`, r.Load.Waiting, r.Load.Jobs, r.Load.Free, r.Load.Memory)
+			report = fmt.Sprintf(`{"pending":%d,"busy_reqs":%d,"x0":%g,"x1":%g}`, r.Load.Waiting, r.Load.Jobs, r.Load.Free, r.Load.Memory)
 		}
-		k.plain(meter.Probes, status, "Content-Type: application/json\r\n", body)
+		k.respond(meter.Probes, status, "Content-Type: application/json\r\n", report)
 		return true
 	default: // the process has ended
 		return false
 	}
 }
 
-// hold keeps a connection open and silent until the other side has had enough of it.
-func (k *link) hold() bool {
-	k.c.SetReadDeadline(time.Time{})
-	k.c.Read(make([]byte, 1))
+// waitForClose keeps a connection open without sending anything until the other side closes it.
+func (k *schedulerConn) waitForClose() bool {
+	k.conn.SetReadDeadline(time.Time{})
+	k.conn.Read(make([]byte, 1))
 	return false
 }
 
-// line is one line of a job.
-type line struct {
+// statusLine is a line in the response to a push.
+type statusLine struct {
 	ID     string  `json:"id"`
 	From   string  `json:"from"`
 	State  string  `json:"state"`
@@ -274,36 +278,37 @@
 	Result string  `json:"result,omitempty"`
 }
 
-// say carries out a word of the box, with the worker's lock held. The ledger has it before the scheduler can.
-func (w *worker) say(s workermodel.Say) {
-	l := w.legs[s.Push]
-	if l == nil || l.done {
+// sendStatus sends a status from the worker model to the scheduler. It adds the ledger event before it
+// writes. The worker's lock must be held.
+func (w *worker) sendStatus(s workermodel.SendStatus) {
+	push := w.pushes[s.Push]
+	if push == nil || push.done {
 		return
 	}
-	switch s.Word {
-	case workermodel.Taken:
-		l.on.write(meter.Work, []byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"))
+	switch s.Status {
+	case workermodel.Accepted:
+		push.conn.write(meter.Work, []byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"))
 		return
-	case workermodel.TurnedAway, workermodel.Unfit:
-		w.f.book.Add(ledger.Event{Kind: ledger.Said, Op: l.op, Worker: w.name, Push: l.push, Verdict: string(s.Word)})
-		if s.Word == workermodel.Unfit {
-			l.on.plain(meter.Work, http.StatusUnprocessableEntity, "", "")
+	case workermodel.Rejected, workermodel.Unfit:
+		w.fleet.ledger.Add(ledger.Event{Kind: ledger.Said, Op: push.op, Worker: w.name, Push: push.id, Verdict: string(s.Status)})
+		if s.Status == workermodel.Unfit {
+			push.conn.respond(meter.Work, http.StatusUnprocessableEntity, "", "")
 		} else {
-			l.on.plain(meter.Work, http.StatusServiceUnavailable, "X-Unprocessed: 1\r\n", "")
+			push.conn.respond(meter.Work, http.StatusServiceUnavailable, "X-Unprocessed: 1\r\n", "")
 		}
-		w.finish(l)
+		w.finishPush(push)
 		return
 	}
-	text, _ := json.Marshal(line{ID: l.op, From: w.name, State: string(s.Word), Share: s.Share, Result: s.Result})
+	text, _ := json.Marshal(statusLine{ID: push.op, From: w.name, State: string(s.Status), Share: s.Progress, Result: s.Result})
 	text = append(text, '\n')
 	chunk := fmt.Appendf(nil, "%x\r\n%s\r\n", len(text), text)
-	switch s.Word {
+	switch s.Status {
 	case workermodel.Done, workermodel.Failed, workermodel.Returned:
 		chunk = append(chunk, "0\r\n\r\n"...)
-		w.f.book.Add(ledger.Event{Kind: ledger.Said, Op: l.op, Worker: w.name, Push: l.push, Verdict: string(s.Word), Text: s.Result})
-		l.on.write(meter.Work, chunk)
-		w.finish(l)
+		w.fleet.ledger.Add(ledger.Event{Kind: ledger.Said, Op: push.op, Worker: w.name, Push: push.id, Verdict: string(s.Status), Text: s.Result})
+		push.conn.write(meter.Work, chunk)
+		w.finishPush(push)
 	default:
-		l.on.write(meter.Work, chunk)
+		push.conn.write(meter.Work, chunk)
 	}
 }
--- a/internal/lab/fleet/shut.go
+++ b/internal/lab/fleet/shut.go
@@ -9,48 +9,51 @@
 	"golang.org/x/sys/unix"
 )
 
-// shut is a listener on which no connection comes up, as on a machine that has vanished. The kernel itself answers
-// a connection as long as there is room in the listener's queue: so the queue is made as short as can be, filled
-// from here, and not emptied. What is dialled then gets no answer at all.
-type shut struct {
-	l       *net.TCPListener
-	fillers []net.Conn
+// blockedListener is a listener at which no connection is established, as on a machine that has vanished. The
+// kernel completes handshakes as long as the listener's backlog has space. The backlog is therefore reduced
+// to the minimum, filled with connections from this process, and not accepted from. Later connection attempts
+// get no answer.
+type blockedListener struct {
+	listener *net.TCPListener
+	fillers  []net.Conn
 }
 
 const (
-	shutLook    = 5 * time.Millisecond // how often a silent listener looks whether it may speak
-	fillTime    = 20 * time.Millisecond
-	mostFillers = 8
-	fillLooks   = 3 // at the queue: a connection that was being taken when the listener fell silent leaves room behind
-	fillPause   = time.Millisecond
-	backlog     = 4096
+	blockedPollInterval = 5 * time.Millisecond // how often a blocked listener checks whether it is unblocked
+	fillTimeout         = 20 * time.Millisecond
+	maxFillers          = 8
+	fillRounds          = 3 // an accept in progress can leave a free entry after the first round
+	fillPause           = time.Millisecond
+	backlog             = 4096
 )
 
-// own are both ends of fillers' connections, which are no scheduler's. One that never came up here stays in it, and its port is given out
-// again: by that alone a scheduler's connection would be taken for it, and be closed.
-var own sync.Map
+// fillerAddrs holds the address pairs of filler connections. Both ends are needed: the pair of a connection
+// that was never established here stays in the map, and the kernel reuses its port. With the port alone, a
+// later connection from a scheduler would be taken for a filler and closed.
+var fillerAddrs sync.Map
 
 func isFiller(c net.Conn) bool {
-	_, ok := own.LoadAndDelete(c.RemoteAddr().String() + " " + c.LocalAddr().String())
+	_, ok := fillerAddrs.LoadAndDelete(c.RemoteAddr().String() + " " + c.LocalAddr().String())
 	return ok
 }
 
-// full tells whether no further connection comes up at a listener. The kernel counts in TCP_INFO what waits there and how much may.
-func full(l *net.TCPListener) (is bool, err error) {
+// backlogFull reports whether a listener's backlog is full. For a listener, TCP_INFO holds the backlog's
+// length and its limit.
+func backlogFull(l *net.TCPListener) (full bool, err error) {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return false, err
 	}
-	var failed error
+	var sockErr error
 	if err := raw.Control(func(fd uintptr) {
 		var info *unix.TCPInfo
-		if info, failed = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); failed == nil {
-			is = info.Unacked > info.Sacked
+		if info, sockErr = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); sockErr == nil {
+			full = info.Unacked > info.Sacked
 		}
 	}); err != nil {
 		return false, err
 	}
-	return is, failed
+	return full, sockErr
 }
 
 func setBacklog(l *net.TCPListener, n int) error {
@@ -58,39 +61,39 @@
 	if err != nil {
 		return err
 	}
-	var failed error
-	if err := raw.Control(func(fd uintptr) { failed = syscall.Listen(int(fd), n) }); err != nil {
+	var sockErr error
+	if err := raw.Control(func(fd uintptr) { sockErr = syscall.Listen(int(fd), n) }); err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
 
-func shutListener(l *net.TCPListener) (*shut, error) {
-	s := &shut{l: l}
+func blockListener(l *net.TCPListener) (*blockedListener, error) {
+	b := &blockedListener{listener: l}
 	if err := setBacklog(l, 0); err != nil {
 		return nil, err
 	}
 	l.SetDeadline(time.Unix(1, 0))
-	for range fillLooks {
-		for range mostFillers {
-			if is, err := full(l); is || err != nil {
+	for range fillRounds {
+		for range maxFillers {
+			if full, err := backlogFull(l); full || err != nil {
 				break
 			}
-			if c, err := net.DialTimeout("tcp", l.Addr().String(), fillTime); err == nil {
-				own.Store(c.LocalAddr().String()+" "+c.RemoteAddr().String(), true)
-				s.fillers = append(s.fillers, c)
+			if c, err := net.DialTimeout("tcp", l.Addr().String(), fillTimeout); err == nil {
+				fillerAddrs.Store(c.LocalAddr().String()+" "+c.RemoteAddr().String(), true)
+				b.fillers = append(b.fillers, c)
 			}
 		}
 		time.Sleep(fillPause)
 	}
-	return s, nil
+	return b, nil
 }
 
-// open lets connections come up again.
-func (s *shut) open() {
-	for _, c := range s.fillers {
+// unblock lets connections be established again.
+func (b *blockedListener) unblock() {
+	for _, c := range b.fillers {
 		c.Close()
 	}
-	setBacklog(s.l, backlog)
-	s.l.SetDeadline(time.Time{})
+	setBacklog(b.listener, backlog)
+	b.listener.SetDeadline(time.Time{})
 }
--- a/internal/lab/fleet/shut_test.go
+++ b/internal/lab/fleet/shut_test.go
@@ -6,31 +6,32 @@
 	"time"
 )
 
-// A vanished machine answers no new connection; one that came up and was silent would be another trouble.
-func TestNoConnectionComesUpOnASilentListener(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// A vanished machine does not answer connection attempts. Guards against a blocked listener that still
+// completes handshakes, which would emulate a different fault.
+func TestABlockedListenerAnswersNoConnectionAttempt(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	s, err := shutListener(l.(*net.TCPListener))
+	defer listener.Close()
+	blocked, err := blockListener(listener.(*net.TCPListener))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c, err := net.DialTimeout("tcp", l.Addr().String(), 200*time.Millisecond); err == nil {
+	if c, err := net.DialTimeout("tcp", listener.Addr().String(), 200*time.Millisecond); err == nil {
 		c.Close()
-		t.Error("a connection came up")
+		t.Error("a connection was established")
 	} else if e, ok := err.(net.Error); !ok || !e.Timeout() {
-		t.Errorf("%v, no time-out", err)
+		t.Errorf("%v, want a timeout", err)
 	}
-	s.open()
-	c, err := net.DialTimeout("tcp", l.Addr().String(), 10*time.Second)
+	blocked.unblock()
+	c, err := net.DialTimeout("tcp", listener.Addr().String(), 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	for { // the fillers come first
-		got, err := l.Accept()
+	for { // the filler connections are accepted first
+		got, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/links/conn.go
+++ b/internal/lab/links/conn.go
@@ -10,275 +10,276 @@
 	"time"
 )
 
-// Conn is one end of a connection as seen through a link: what is written to it reaches the socket late or never,
-// and what comes from the socket is read late or never. The socket is the mouth of the link.
+// Conn wraps one end of a connection in a link. Written bytes reach the socket late or never, and bytes from
+// the socket are read late or never.
 type Conn struct {
 	net.Conn
-	weather *Weather // of what comes
-	away    *Weather // of what is written
-	out     *Lane
+	inLink       *Weather // for received bytes
+	outLink      *Weather // for written bytes
+	outDirection *Direction
 
-	mu      sync.Mutex
-	came    *sync.Cond
-	pieces  []piece // read from the socket, not yet arrived or not yet taken
-	taken   []byte  // of the first piece
-	mouth   time.Time
-	gone    time.Time
-	closed  bool
-	expires time.Time
-	timer   *time.Timer
-	alarm   *time.Timer // of the read deadline
-	onGone  func()
+	mu            sync.Mutex
+	readChanged   *sync.Cond
+	pieces        []piece // read from the socket, and not yet returned by Read
+	unread        []byte  // the rest of the first piece
+	receivedAt    time.Time
+	peerClosedAt  time.Time
+	closed        bool
+	readDeadline  time.Time
+	arrivalTimer  *time.Timer
+	deadlineTimer *time.Timer // fires at the read deadline
+	onPeerClose   func()
 
-	sending sync.Mutex
-	moved   *sync.Cond // something was queued or taken, or the connection is closed
-	queue   []sending
-	over    bool
-	pending atomic.Int64 // written, and not sent yet
-	once    sync.Once
-	done    chan struct{}
+	sendMu       sync.Mutex
+	queueChanged *sync.Cond // signals that the queue has changed or the connection is closed
+	queue        []outgoing
+	sendClosed   bool
+	unsent       atomic.Int64 // pieces written and not yet sent
+	closeOnce    sync.Once
+	done         chan struct{}
 }
 
 type piece struct {
-	bytes []byte
-	at    time.Time // arrives
-	mouth time.Time // came to the socket
-	fail  error
+	bytes      []byte
+	arrivesAt  time.Time // when the link delivers it
+	receivedAt time.Time // when it was read from the socket
+	err        error
 }
 
-type sending struct {
+type outgoing struct {
 	bytes []byte
 	fate  Fate
 }
 
-// Bounds of a connection's own memory.
+// Limits of the memory of a connection.
 const (
 	pieceSize   = 4 << 10
-	mostPieces  = 64 // read ahead of their reader; then the socket is not read, and its peer must wait
-	mostSending = 256
+	maxPieces   = 64 // read ahead; beyond that the socket is not read, and the peer has to wait
+	maxOutgoing = 256
 )
 
-// Through puts a link before a socket.
-func Through(c net.Conn, w *Weather) *Conn { return Between(c, w, w) }
+// Through wraps a socket in a link.
+func Through(socket net.Conn, link *Weather) *Conn { return WrapAsymmetric(socket, link, link) }
 
-// Between puts a link before a socket whose two directions have weathers of their own.
-func Between(c net.Conn, in, out *Weather) *Conn {
-	x := &Conn{Conn: c, weather: in, away: out, out: out.Lane(), done: make(chan struct{})}
-	x.came, x.moved = sync.NewCond(&x.mu), sync.NewCond(&x.sending)
-	go x.read(in.Lane())
-	go x.send()
-	return x
+// WrapAsymmetric wraps a socket in two links, one for each direction.
+func WrapAsymmetric(socket net.Conn, in, out *Weather) *Conn {
+	conn := &Conn{Conn: socket, inLink: in, outLink: out, outDirection: out.NewDirection(), done: make(chan struct{})}
+	conn.readChanged, conn.queueChanged = sync.NewCond(&conn.mu), sync.NewCond(&conn.sendMu)
+	go conn.readLoop(in.NewDirection())
+	go conn.sendLoop()
+	return conn
 }
 
-// OnGone sets what is called once when the peer ends its side, at the moment it does.
-func (x *Conn) OnGone(f func()) {
-	x.mu.Lock()
-	now := !x.gone.IsZero()
-	x.onGone = f
-	x.mu.Unlock()
-	if now {
-		f()
+// OnPeerClose sets a function that is called once, when the peer closes its side.
+func (c *Conn) OnPeerClose(callback func()) {
+	c.mu.Lock()
+	closed := !c.peerClosedAt.IsZero()
+	c.onPeerClose = callback
+	c.mu.Unlock()
+	if closed {
+		callback()
 	}
 }
 
-// Mouth is when the byte that was read last came to the link's mouth.
-func (x *Conn) Mouth() time.Time {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.mouth
+// Mouth returns the time at which the byte that was last returned by Read was read from the socket.
+func (c *Conn) Mouth() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.receivedAt
 }
 
-// read takes pieces from the socket as they come, whatever the link makes of them: the moment at which a peer has
-// closed or sent must be known.
-func (x *Conn) read(lane *Lane) {
+// readLoop reads from the socket as soon as bytes arrive, whatever the link does with them. The times at
+// which the peer sends and closes are therefore known.
+func (c *Conn) readLoop(direction *Direction) {
 	first := true
 	b := make([]byte, pieceSize)
 	for {
-		n, err := x.Conn.Read(b)
+		n, err := c.Conn.Read(b)
 		now := time.Now()
 		if n > 0 {
-			f := lane.Send(now, n, first)
-			first = n == pieceSize // what follows a full piece belongs to it
-			p := piece{bytes: append([]byte(nil), b[:n]...), at: f.At, mouth: now}
-			if lane.Mute() {
+			fate := direction.Send(now, n, first)
+			first = n == pieceSize // a full piece is followed by more of the same write
+			p := piece{bytes: append([]byte(nil), b[:n]...), arrivesAt: fate.ArrivesAt, receivedAt: now}
+			if direction.Mute() {
 				p.bytes = nil
 			}
-			if f.Break {
-				p.fail, p.bytes = ErrBroken, nil
+			if fate.ResetBefore {
+				p.err, p.bytes = ErrBroken, nil
 			}
-			x.add(p)
-			if f.Break || f.After {
-				x.breakOff(time.Until(f.At))
+			c.add(p)
+			if fate.ResetBefore || fate.ResetAfter {
+				c.resetIn(time.Until(fate.ArrivesAt))
 			}
 		}
 		if err != nil {
-			x.mu.Lock()
-			x.gone = now
-			f := x.onGone
-			x.mu.Unlock()
-			if f != nil {
-				f()
+			c.mu.Lock()
+			c.peerClosedAt = now
+			callback := c.onPeerClose
+			c.mu.Unlock()
+			if callback != nil {
+				callback()
 			}
-			at := now
-			if !lane.Mute() {
-				at = lane.Send(now, 0, false).At
+			arrivesAt := now
+			if !direction.Mute() {
+				arrivesAt = direction.Send(now, 0, false).ArrivesAt
 			}
-			x.add(piece{at: at, mouth: now, fail: err})
+			c.add(piece{arrivesAt: arrivesAt, receivedAt: now, err: err})
 			return
 		}
 	}
 }
 
-// ErrBroken is what a party reads whose link has broken the connection.
+// ErrBroken is returned by Read when the link breaks the connection.
 var ErrBroken = errors.New("the link has broken the connection")
 
-// breakOff ends both sides with a reset.
-func (x *Conn) breakOff(in time.Duration) {
-	time.AfterFunc(in, func() {
-		if t, ok := x.Conn.(*net.TCPConn); ok {
+// resetIn resets the connection after a delay.
+func (c *Conn) resetIn(delay time.Duration) {
+	time.AfterFunc(delay, func() {
+		if t, ok := c.Conn.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
-		x.Close()
+		c.Close()
 	})
 }
 
-func (x *Conn) add(p piece) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	for len(x.pieces) >= mostPieces && !x.closed {
-		x.came.Wait()
+func (c *Conn) add(p piece) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for len(c.pieces) >= maxPieces && !c.closed {
+		c.readChanged.Wait()
 	}
-	if p.bytes != nil || p.fail != nil {
-		x.pieces = append(x.pieces, p)
+	if p.bytes != nil || p.err != nil {
+		c.pieces = append(c.pieces, p)
 	}
-	x.came.Broadcast()
+	c.readChanged.Broadcast()
 }
 
-// Read gives what has arrived.
-func (x *Conn) Read(b []byte) (int, error) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+// Read returns bytes that the link has delivered.
+func (c *Conn) Read(b []byte) (int, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for {
 		now := time.Now()
 		switch {
-		case x.closed:
+		case c.closed:
 			return 0, net.ErrClosed
-		case len(x.taken) > 0:
-			n := copy(b, x.taken)
-			x.taken = x.taken[n:]
+		case len(c.unread) > 0:
+			n := copy(b, c.unread)
+			c.unread = c.unread[n:]
 			return n, nil
-		case !x.expires.IsZero() && !now.Before(x.expires):
+		case !c.readDeadline.IsZero() && !now.Before(c.readDeadline):
 			return 0, os.ErrDeadlineExceeded
 		}
-		silent, over := x.weather.Silent()
-		if len(x.pieces) > 0 && !silent {
-			p := x.pieces[0]
-			if !now.Before(p.at) {
-				if p.fail != nil {
-					return 0, p.fail
+		cut, cutEnded := c.inLink.IsCut()
+		if len(c.pieces) > 0 && !cut {
+			p := c.pieces[0]
+			if !now.Before(p.arrivesAt) {
+				if p.err != nil {
+					return 0, p.err
 				}
-				x.mouth, x.taken = p.mouth, p.bytes
-				x.pieces = x.pieces[1:]
-				x.came.Broadcast()
+				c.receivedAt, c.unread = p.receivedAt, p.bytes
+				c.pieces = c.pieces[1:]
+				c.readChanged.Broadcast()
 				continue
 			}
-			x.wakeIn(p.at.Sub(now))
-		} else if silent {
-			go func() { // the lock is not held while the silence lasts
+			c.wakeReadersAfter(p.arrivesAt.Sub(now))
+		} else if cut {
+			go func() { // the lock is not held during the cut
 				select {
-				case <-over:
-				case <-x.done:
+				case <-cutEnded:
+				case <-c.done:
 				}
-				x.came.Broadcast()
+				c.readChanged.Broadcast()
 			}()
 		}
-		x.came.Wait()
+		c.readChanged.Wait()
 	}
 }
 
-// look has a reader look anew. Without the lock it could come between a reader's look and its sleep, and be missed for good.
-func (x *Conn) look() {
-	x.mu.Lock()
-	x.came.Broadcast()
-	x.mu.Unlock()
+// wakeReaders makes Read check its conditions again. Without the lock, the broadcast could come between a
+// reader's check and its wait, and would be lost.
+func (c *Conn) wakeReaders() {
+	c.mu.Lock()
+	c.readChanged.Broadcast()
+	c.mu.Unlock()
 }
 
-func (x *Conn) wakeIn(in time.Duration) {
-	if x.timer == nil {
-		x.timer = time.AfterFunc(in, x.look)
+func (c *Conn) wakeReadersAfter(delay time.Duration) {
+	if c.arrivalTimer == nil {
+		c.arrivalTimer = time.AfterFunc(delay, c.wakeReaders)
 		return
 	}
-	x.timer.Reset(in)
+	c.arrivalTimer.Reset(delay)
 }
 
-// Write hands bytes to the link.
-func (x *Conn) Write(b []byte) (int, error) {
-	x.sending.Lock()
-	defer x.sending.Unlock()
-	for len(x.queue) >= mostSending && !x.over {
-		x.moved.Wait()
+// Write queues bytes for the link.
+func (c *Conn) Write(b []byte) (int, error) {
+	c.sendMu.Lock()
+	defer c.sendMu.Unlock()
+	for len(c.queue) >= maxOutgoing && !c.sendClosed {
+		c.queueChanged.Wait()
 	}
-	if x.over {
+	if c.sendClosed {
 		return 0, net.ErrClosed
 	}
-	x.queue = append(x.queue, sending{append([]byte(nil), b...), x.out.Send(time.Now(), len(b), true)})
-	x.pending.Add(1)
-	x.moved.Broadcast()
+	c.queue = append(c.queue, outgoing{append([]byte(nil), b...), c.outDirection.Send(time.Now(), len(b), true)})
+	c.unsent.Add(1)
+	c.queueChanged.Broadcast()
 	return len(b), nil
 }
 
-// next takes what is to be sent next; false once the connection is closed.
-func (x *Conn) next() (s sending, ok bool) {
-	x.sending.Lock()
-	defer x.sending.Unlock()
-	for len(x.queue) == 0 && !x.over {
-		x.moved.Wait()
+// nextOutgoing removes the next piece from the queue. It returns false once the connection is closed.
+func (c *Conn) nextOutgoing() (out outgoing, ok bool) {
+	c.sendMu.Lock()
+	defer c.sendMu.Unlock()
+	for len(c.queue) == 0 && !c.sendClosed {
+		c.queueChanged.Wait()
 	}
-	if x.over {
-		return s, false
+	if c.sendClosed {
+		return out, false
 	}
-	s, x.queue = x.queue[0], x.queue[1:]
-	if len(x.queue) == 0 {
-		x.queue = nil // thousands of connections are idle
+	out, c.queue = c.queue[0], c.queue[1:]
+	if len(c.queue) == 0 {
+		c.queue = nil // frees the memory: thousands of connections are idle
 	}
-	x.moved.Broadcast()
-	return s, true
+	c.queueChanged.Broadcast()
+	return out, true
 }
 
-func (x *Conn) send() {
+func (c *Conn) sendLoop() {
 	for {
-		s, ok := x.next()
-		if !ok || !x.pause(time.Until(s.fate.At)) {
+		out, ok := c.nextOutgoing()
+		if !ok || !c.sleep(time.Until(out.fate.ArrivesAt)) {
 			return
 		}
-		if silent, over := x.away.Silent(); silent {
+		if cut, cutEnded := c.outLink.IsCut(); cut {
 			select {
-			case <-over:
-			case <-x.done:
+			case <-cutEnded:
+			case <-c.done:
 				return
 			}
 		}
 		switch {
-		case x.out.Mute():
-		case s.fate.Break:
-			x.Conn.Write(s.bytes[:len(s.bytes)/2])
-			x.breakOff(0)
+		case c.outDirection.Mute():
+		case out.fate.ResetBefore:
+			c.Conn.Write(out.bytes[:len(out.bytes)/2])
+			c.resetIn(0)
 			return
 		default:
-			if _, err := x.Conn.Write(s.bytes); err != nil {
+			if _, err := c.Conn.Write(out.bytes); err != nil {
 				return
 			}
-			if s.fate.After {
-				x.breakOff(0)
+			if out.fate.ResetAfter {
+				c.resetIn(0)
 				return
 			}
 		}
-		x.pending.Add(-1)
+		c.unsent.Add(-1)
 	}
 }
 
-// pause waits, and tells whether the connection is still open then.
-func (x *Conn) pause(d time.Duration) bool {
+// sleep waits and reports whether the connection is still open.
+func (c *Conn) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -287,87 +288,88 @@
 	select {
 	case <-t.C:
 		return true
-	case <-x.done:
+	case <-c.done:
 		return false
 	}
 }
 
-// CloseSoon closes once all that was written has been sent, or after a while.
-func (x *Conn) CloseSoon(within time.Duration) {
+// CloseSoon closes the connection after all written bytes are sent, or after a time limit.
+func (c *Conn) CloseSoon(limit time.Duration) {
 	go func() {
-		limit := time.Now().Add(within)
-		for x.pending.Load() > 0 && time.Now().Before(limit) && x.pause(time.Millisecond) {
+		deadline := time.Now().Add(limit)
+		for c.unsent.Load() > 0 && time.Now().Before(deadline) && c.sleep(time.Millisecond) {
 		}
-		x.Close()
+		c.Close()
 	}()
 }
 
-// Close ends the connection at once.
-func (x *Conn) Close() error {
-	x.once.Do(func() { close(x.done) })
-	x.mu.Lock()
-	x.closed = true
-	if x.alarm != nil {
-		x.alarm.Stop()
+// Close closes the connection immediately.
+func (c *Conn) Close() error {
+	c.closeOnce.Do(func() { close(c.done) })
+	c.mu.Lock()
+	c.closed = true
+	if c.deadlineTimer != nil {
+		c.deadlineTimer.Stop()
 	}
-	x.came.Broadcast()
-	x.mu.Unlock()
-	x.sending.Lock()
-	x.over, x.queue = true, nil
-	x.moved.Broadcast()
-	x.sending.Unlock()
-	return x.Conn.Close()
+	c.readChanged.Broadcast()
+	c.mu.Unlock()
+	c.sendMu.Lock()
+	c.sendClosed, c.queue = true, nil
+	c.queueChanged.Broadcast()
+	c.sendMu.Unlock()
+	return c.Conn.Close()
 }
 
-// SetReadDeadline bounds how long Read waits.
-func (x *Conn) SetReadDeadline(t time.Time) error {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	// One timer for all deadlines: one for each would keep a closed connection for as long as its deadline.
-	switch x.expires = t; {
-	case t.IsZero() || x.closed:
-	case x.alarm == nil:
-		x.alarm = time.AfterFunc(time.Until(t), x.look)
+// SetReadDeadline sets the deadline of Read.
+func (c *Conn) SetReadDeadline(t time.Time) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	// A single timer serves all deadlines. A timer for each deadline would keep a closed connection in memory
+	// until it fires.
+	switch c.readDeadline = t; {
+	case t.IsZero() || c.closed:
+	case c.deadlineTimer == nil:
+		c.deadlineTimer = time.AfterFunc(time.Until(t), c.wakeReaders)
 	default:
-		x.alarm.Reset(time.Until(t))
+		c.deadlineTimer.Reset(time.Until(t))
 	}
-	x.came.Broadcast()
+	c.readChanged.Broadcast()
 	return nil
 }
 
-// SetDeadline bounds how long Read waits; a Write never does.
-func (x *Conn) SetDeadline(t time.Time) error { return x.SetReadDeadline(t) }
+// SetDeadline sets the deadline of Read. Write has no deadline.
+func (c *Conn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
-// Forward carries connections from a listener to an address through a link, until the listener is closed.
-func Forward(l net.Listener, to string, w *Weather) error {
+// Forward forwards connections from a listener to an address through a link, until the listener is closed.
+func Forward(l net.Listener, to string, link *Weather) error {
 	for {
-		c, err := l.Accept()
+		conn, err := l.Accept()
 		if err != nil {
 			return err
 		}
-		go forward(Through(c, w), to)
+		go forwardConn(Through(conn, link), to)
 	}
 }
 
-const longestWay = time.Minute // for what is still on a link when its party has ended
+const drainTimeout = time.Minute // for data that is on the link when one side has closed
 
-func forward(near *Conn, to string) {
-	far, err := net.Dial("tcp", to)
+func forwardConn(local *Conn, to string) {
+	remote, err := net.Dial("tcp", to)
 	if err != nil {
-		near.Close()
+		local.Close()
 		return
 	}
-	defer far.Close()
-	back := make(chan struct{})
+	defer remote.Close()
+	returned := make(chan struct{})
 	go func() {
-		io.Copy(near, far)
-		near.CloseSoon(longestWay)
-		close(back)
+		io.Copy(local, remote)
+		local.CloseSoon(drainTimeout)
+		close(returned)
 	}()
-	if _, err := io.Copy(far, near); err != nil {
-		far.Close() // what broke here must break there
-	} else if t, ok := far.(*net.TCPConn); ok {
+	if _, err := io.Copy(remote, local); err != nil {
+		remote.Close() // passes the failure on to the other side
+	} else if t, ok := remote.(*net.TCPConn); ok {
 		t.CloseWrite()
 	}
-	<-back
+	<-returned
 }
