--- a/internal/lab/links/weather.go
+++ b/internal/lab/links/weather.go
@@ -1,6 +1,6 @@
-// Package links holds what lies between two parties: delay, jitter, a rate, pieces that are held up, silence and
-// breaks. What happens to a piece of bytes is decided by a Weather, which does no input or output; a Conn beside it
-// carries it out on a real connection, and Forward between any two addresses.
+// Package links emulates the network between two parties: delay, jitter, a rate limit, stalls, cuts and
+// resets. A link decides what happens to each piece of bytes and does no I/O. A Conn applies the decisions to a
+// real connection, and Forward applies them between any two addresses.
 package links
 
 import (
@@ -10,124 +10,124 @@
 	"time"
 )
 
-// Sky is what a link is like at one moment.
+// Sky holds the conditions of a link.
 type Sky struct {
 	Delay, Jitter time.Duration
-	Rate          float64 // bytes a second, 0 for no limit
-	Stall         float64 // chance that a piece is held up
+	Rate          float64 // bytes per second; 0 for no limit
+	Stall         float64 // probability that a piece is delayed by StallFor
 	StallFor      time.Duration
-	ResetFirst    float64 // chance that a connection breaks in the middle of what a party sends
-	ResetAfter    float64 // chance that it breaks right after what a party has sent
-	Mute          float64 // chance that a new connection is silent from its first byte on
+	ResetFirst    float64 // probability that a connection is reset in the middle of a write
+	ResetAfter    float64 // probability that a connection is reset right after a write
+	Mute          float64 // probability that a new connection never delivers anything
 }
 
-// Weather decides what happens to pieces of bytes on a link. It may change while connections are open.
+// Weather decides what happens to the pieces of bytes on a link. Its conditions may change while connections
+// are open.
 type Weather struct {
-	mu   sync.Mutex
-	sky  Sky
-	cut  bool // nothing passes, and nobody is told
-	rand *rand.Rand
-	wait chan struct{} // closed when the cut ends
+	mu         sync.Mutex
+	conditions Sky
+	cut        bool // nothing passes, and neither side gets an error
+	rand       *rand.Rand
+	cutEnded   chan struct{} // closed when the cut ends
 }
 
-// New makes a link's weather from a seed.
-func New(sky Sky, seed uint64) *Weather {
-	return &Weather{sky: sky, rand: rand.New(rand.NewPCG(seed, 0x6c696e6b)), wait: make(chan struct{})}
+// New creates a link whose random decisions are drawn from a seed.
+func New(conditions Sky, seed uint64) *Weather {
+	return &Weather{conditions: conditions, rand: rand.New(rand.NewPCG(seed, 0x6c696e6b)), cutEnded: make(chan struct{})}
 }
 
-// Set changes the sky.
-func (w *Weather) Set(sky Sky) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.sky = sky
+// SetConditions changes the conditions.
+func (l *Weather) SetConditions(conditions Sky) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.conditions = conditions
 }
 
-// Cut begins or ends a silence in which nothing passes. What was sent meanwhile arrives when it ends, as from a
-// peer that sends it again.
-func (w *Weather) Cut(on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.cut == on {
+// SetCut begins or ends a cut, during which nothing passes. Bytes sent during the cut arrive after its end,
+// as if the peer retransmitted them.
+func (l *Weather) SetCut(on bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.cut == on {
 		return
 	}
-	if w.cut = on; on {
-		w.wait = make(chan struct{})
+	if l.cut = on; on {
+		l.cutEnded = make(chan struct{})
 	} else {
-		close(w.wait)
+		close(l.cutEnded)
 	}
 }
 
-// Silent tells whether the link is cut, and what is closed when it is no longer.
-func (w *Weather) Silent() (bool, <-chan struct{}) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.cut, w.wait
+// IsCut reports whether the link is cut. The channel is closed when the cut ends.
+func (l *Weather) IsCut() (bool, <-chan struct{}) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.cut, l.cutEnded
 }
 
-// Fate is what happens to one piece.
+// Fate is the decision for one piece.
 type Fate struct {
-	At    time.Time // when it arrives
-	Break bool      // the connection breaks in place of it
-	After bool      // or right behind it
+	ArrivesAt   time.Time // at the other end of the link
+	ResetBefore bool      // the connection is reset in place of the piece
+	ResetAfter  bool      // the connection is reset after the piece
 }
 
-// Lane is one direction of one connection.
-type Lane struct {
-	w    *Weather
-	free time.Time // when the link has sent all before
-	last time.Time // when the piece before arrives: pieces keep their order
-	mute bool
+// Direction is one direction of a connection.
+type Direction struct {
+	link        *Weather
+	idleAt      time.Time // when the link has sent all earlier pieces
+	lastArrival time.Time // when the previous piece arrives; pieces keep their order
+	mute        bool
 }
 
-// Lane opens one direction; whether it is mute is drawn here.
-func (w *Weather) Lane() *Lane {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return &Lane{w: w, mute: w.sky.Mute > 0 && w.rand.Float64() < w.sky.Mute}
+// NewDirection creates a direction of a new connection, and draws whether it is mute.
+func (l *Weather) NewDirection() *Direction {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return &Direction{link: l, mute: l.conditions.Mute > 0 && l.rand.Float64() < l.conditions.Mute}
 }
 
-// Mute tells whether nothing ever passes here.
-func (l *Lane) Mute() bool { return l.mute }
+// Mute reports whether the direction never delivers anything.
+func (d *Direction) Mute() bool { return d.mute }
 
-// Send decides the fate of a piece that is sent now. Breaks are drawn at the first piece of what a party has to
-// say and at its last.
-func (l *Lane) Send(now time.Time, size int, firstPiece bool) Fate {
-	l.w.mu.Lock()
-	defer l.w.mu.Unlock()
-	sky := &l.w.sky
+// Send decides the fate of a piece that is sent now. Resets are drawn for the first piece of a message only.
+func (d *Direction) Send(now time.Time, size int, firstPiece bool) Fate {
+	d.link.mu.Lock()
+	defer d.link.mu.Unlock()
+	conditions := &d.link.conditions
 	start := now
-	if l.free.After(start) {
-		start = l.free
+	if d.idleAt.After(start) {
+		start = d.idleAt
 	}
 	sent := start
-	if sky.Rate > 0 {
-		sent = start.Add(time.Duration(float64(size) / sky.Rate * float64(time.Second)))
+	if conditions.Rate > 0 {
+		sent = start.Add(time.Duration(float64(size) / conditions.Rate * float64(time.Second)))
 	}
-	l.free = sent
-	at := sent.Add(sky.Delay)
-	if sky.Jitter > 0 {
-		at = at.Add(time.Duration(sky.Jitter.Seconds() * math.Abs(l.w.rand.NormFloat64()) * float64(time.Second)))
+	d.idleAt = sent
+	arrivesAt := sent.Add(conditions.Delay)
+	if conditions.Jitter > 0 {
+		arrivesAt = arrivesAt.Add(time.Duration(conditions.Jitter.Seconds() * math.Abs(d.link.rand.NormFloat64()) * float64(time.Second)))
 	}
-	if sky.Stall > 0 && l.w.rand.Float64() < sky.Stall {
-		at = at.Add(sky.StallFor)
+	if conditions.Stall > 0 && d.link.rand.Float64() < conditions.Stall {
+		arrivesAt = arrivesAt.Add(conditions.StallFor)
 	}
-	if at.Before(l.last) { // a stream: what is held up holds up all behind it
-		at = l.last
+	if arrivesAt.Before(d.lastArrival) { // a delayed piece of a stream also delays the pieces behind it
+		arrivesAt = d.lastArrival
 	}
-	l.last = at
-	f := Fate{At: at}
-	if firstPiece && sky.ResetFirst > 0 {
-		f.Break = l.w.rand.Float64() < sky.ResetFirst
+	d.lastArrival = arrivesAt
+	fate := Fate{ArrivesAt: arrivesAt}
+	if firstPiece && conditions.ResetFirst > 0 {
+		fate.ResetBefore = d.link.rand.Float64() < conditions.ResetFirst
 	}
-	if firstPiece && sky.ResetAfter > 0 {
-		f.After = l.w.rand.Float64() < sky.ResetAfter
+	if firstPiece && conditions.ResetAfter > 0 {
+		fate.ResetAfter = d.link.rand.Float64() < conditions.ResetAfter
 	}
-	return f
+	return fate
 }
 
-// Free tells whether the weather does nothing to what passes.
-func (w *Weather) Free() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.sky == Sky{} && !w.cut
+// IsTransparent reports whether the link leaves everything unchanged.
+func (l *Weather) IsTransparent() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.conditions == Sky{} && !l.cut
 }
--- a/internal/lab/requests/asks.go
+++ b/internal/lab/requests/asks.go
@@ -1,5 +1,5 @@
-// Package requests holds what clients have asked for, by the ids that they sent: workers look up there what a push is
-// about, so that nothing a scheduler writes is taken on trust.
+// Package requests holds the requests that clients have sent, by ID. Workers compare each push with it, so
+// that the lab does not depend on what a scheduler writes.
 package requests
 
 import (
@@ -9,41 +9,41 @@
 	"woaddyke/internal/lab/workermodel"
 )
 
-// Ask is one try as its client wrote it.
-type Ask struct {
-	Job    workermodel.Job
-	Target string // path and query
-	Key    string // Idempotency-Key
-	Body   uint64 // its sum
+// Request is one attempt as its client sent it.
+type Request struct {
+	Job            workermodel.Job
+	Target         string // path and query
+	IdempotencyKey string // of the Idempotency-Key header
+	BodyHash       uint64 // as returned by HashBody
 }
 
-// Sum names a body.
-func Sum(body []byte) uint64 {
+// HashBody returns the hash by which request bodies are compared.
+func HashBody(body []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(body)
 	return h.Sum64()
 }
 
-// Desk is all asks of an experiment; it holds as many as the script has tries.
-type Desk struct {
-	mu  sync.RWMutex
-	ask map[string]Ask
+// Registry holds all requests of an experiment, one for each attempt.
+type Registry struct {
+	mu       sync.RWMutex
+	requests map[string]Request
 }
 
-// New makes an empty desk.
-func New() *Desk { return &Desk{ask: map[string]Ask{}} }
+// New creates an empty registry.
+func New() *Registry { return &Registry{requests: map[string]Request{}} }
 
-// Put notes what is about to be sent.
-func (d *Desk) Put(id string, a Ask) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.ask[id] = a
+// Put adds a request that is about to be sent.
+func (r *Registry) Put(id string, request Request) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.requests[id] = request
 }
 
-// Get is what a client has sent under an id.
-func (d *Desk) Get(id string) (Ask, bool) {
-	d.mu.RLock()
-	defer d.mu.RUnlock()
-	a, ok := d.ask[id]
-	return a, ok
+// Get returns the request that a client sent under an ID.
+func (r *Registry) Get(id string) (Request, bool) {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	request, ok := r.requests[id]
+	return request, ok
 }
--- a/internal/lab/workermodel/box.go
+++ b/internal/lab/workermodel/box.go
@@ -1,5 +1,5 @@
-// Package workermodel holds an emulated worker: its queue, its slots and cores, how warm it is and what ails it. It takes
-// inputs with their time and returns effects; it reads no clock and writes to no connection.
+// Package workermodel models an emulated worker: its queue, slots, cores, warm-up and faults. The model takes
+// inputs with their time and returns effects. It reads no clock and writes to no connection.
 package workermodel
 
 import (
@@ -11,245 +11,248 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-// Make is what a kind of worker is built like.
-type Make struct {
-	Cores       float64
-	Speed       float64 // 1: the yardstick on which work is stated
-	Slots       float64
-	Memory      float64
-	Queue       int         // jobs that may wait; more are turned away
-	ReportEvery ledger.Time // a load report is as old as this at most
-	Progress    ledger.Time // a running job tells of itself this often; 0 for never
-	TellsStart  bool
-	ConnWork    float64 // core time that a new connection costs, ms on the yardstick
-	ProbeWork   float64
-	Connections int
-	ErrorRate   float64
-	CancelDrops bool // a closed push is dropped while it waits
-}
-
-// Job is what a push asks for.
+// Config describes a kind of worker.
+type Config struct {
+	Cores        float64
+	Speed        float64 // 1 for the reference core on which work is stated
+	Slots        float64
+	Memory       float64
+	Queue        int         // jobs that may wait; further ones are rejected
+	ReportEvery  ledger.Time // maximum age of a load report
+	Progress     ledger.Time // interval between progress messages of a running job; 0 for none
+	ReportsStart bool
+	ConnWork     float64 // core time that a new connection costs, in ms on the reference core
+	ProbeWork    float64
+	Connections  int
+	ErrorRate    float64
+	CancelDrops  bool // a canceled push is dropped if it is still waiting
+}
+
+// Job is the work that a push asks for.
 type Job struct {
-	Op, Effect string
-	Work       float64 // running time on the yardstick, ms
-	Usual      float64 // what a job of its category takes: all that a scheduler can know
-	Slots      float64
-	Memory     float64
-	Dedup      bool
-	Window     ledger.Time
-	Scope      string
+	Op, Effect   string
+	Work         float64 // running time on the reference core, in ms
+	ExpectedWork float64 // typical work of the category, in ms: the most that a scheduler can know
+	Slots        float64
+	Memory       float64
+	Dedup        bool
+	Window       ledger.Time
+	Scope        string
 }
 
-// Ails are what is wrong with a worker; the zero value is a sound one.
+// Ails holds the faults of a worker. The zero value is a healthy worker.
 type Ails struct {
-	Slow       float64 // how many times slower it runs; below 1 counts as 1
-	Hung       bool    // it takes jobs, and nothing moves
-	Taken      float64 // share of its cores that another program has
-	Mute       float64 // chance that nothing is heard of a push after it was taken
-	Fails      float64 // chance that a job fails
-	Lies       bool    // its reports say that it is idle
+	Slow       float64 // factor by which the worker is slower; values below 1 count as 1
+	Hung       bool    // the worker accepts jobs, but makes no progress
+	Taken      float64 // share of the cores that another program uses
+	Mute       float64 // probability that nothing more is sent for a push after it is accepted
+	Fails      float64 // probability that a job fails
+	Lies       bool    // load reports show an idle worker
 	StaleBy    ledger.Time
 	TurnsAway  bool
 	Draining   bool
-	UnfitShare float64 // chance that it calls a sound op unfit
+	UnfitShare float64 // probability that a valid op is answered as unfit
 }
 
-// Input is one of Pushed, Closed, Probed, Dialed, Hangup, Woken and Changed.
+// Input is one of Pushed, Closed, Probed, Connected, Disconnected, TimerFired and FaultsChanged.
 type Input interface{ input() }
 
-// Pushed is a whole push.
+// Pushed is a completely received push.
 type Pushed struct {
 	Push int
 	Job  Job
 }
 
-// Closed says that the push's connection was ended from the other side.
+// Closed reports that the scheduler closed the connection of a push.
 type Closed struct{ Push int }
 
-// Probed asks for a load report.
+// Probed is a load probe.
 type Probed struct{ Probe int }
 
-// Dialed is a new connection, Hangup the end of one.
-type Dialed struct{ Conn int }
+// Connected is a new connection. The Admit effect answers it.
+type Connected struct{ Conn int }
 
-// Hangup ends a connection.
-type Hangup struct{}
+// Disconnected is the end of a connection.
+type Disconnected struct{}
 
-// Woken says that the moment asked for has come.
-type Woken struct{}
+// TimerFired reports that the time of the last SetTimer has come.
+type TimerFired struct{}
 
-// Changed says what ails the worker from here on.
-type Changed struct{ Ails Ails }
+// FaultsChanged replaces the worker's faults.
+type FaultsChanged struct{ Faults Ails }
 
-func (Pushed) input()  {}
-func (Closed) input()  {}
-func (Probed) input()  {}
-func (Dialed) input()  {}
-func (Hangup) input()  {}
-func (Woken) input()   {}
-func (Changed) input() {}
+func (Pushed) input()        {}
+func (Closed) input()        {}
+func (Probed) input()        {}
+func (Connected) input()     {}
+func (Disconnected) input()  {}
+func (TimerFired) input()    {}
+func (FaultsChanged) input() {}
 
-// Effect is one of Say, Happened, Report, Admit, Wake and Collapse.
+// Effect is one of SendStatus, Record, Report, Admit, SetTimer and Crash.
 type Effect interface{ effect() }
 
-// Word is what a worker says of a push.
-type Word string
+// Status is the state of a push as the worker reports it.
+type Status string
 
-// What may be said; the last five end a push.
+// Statuses of a push. The last five end the push.
 const (
-	Taken      Word = "taken"
-	Started    Word = "started"
-	Running    Word = "running"
-	Done       Word = ledger.Done
-	Failed     Word = ledger.Failed
-	Returned   Word = ledger.Returned
-	TurnedAway Word = ledger.TurnedAway
-	Unfit      Word = "unfit"
+	Accepted Status = "taken"
+	Started  Status = "started"
+	Running  Status = "running"
+	Done     Status = ledger.Done
+	Failed   Status = ledger.Failed
+	Returned Status = ledger.Returned
+	Rejected Status = ledger.TurnedAway
+	Unfit    Status = "unfit"
 )
 
-// Say tells the other side of a push.
-type Say struct {
-	Push   int
-	Word   Word
-	Share  float64
-	Result string
+// SendStatus sends the status of a push to the scheduler.
+type SendStatus struct {
+	Push     int
+	Status   Status
+	Progress float64
+	Result   string
 }
 
-// Happened is for the ledger.
-type Happened struct {
+// Record adds an event to the ledger.
+type Record struct {
 	Kind ledger.Kind
 	Push int
 	Op   string
 	Text string
 }
 
-// Report answers a probe.
+// Report answers a load probe.
 type Report struct {
 	Probe         int
 	Ready, Silent bool
 	Load          Load
 }
 
-// Load is a load report.
+// Load is the content of a load report.
 type Load struct {
 	Jobs, Waiting int
 	Free, Memory  float64
 }
 
-// Admit says whether a connection may stay.
+// Admit reports whether a connection is accepted.
 type Admit struct {
-	Conn int
-	May  bool
+	Conn    int
+	Allowed bool
 }
 
-// Wake asks for Woken at a moment, in place of what was asked for before.
-type Wake struct{ At ledger.Time }
+// SetTimer requests TimerFired at a time. It replaces an earlier request.
+type SetTimer struct{ At ledger.Time }
 
-// Collapse ends the worker's process.
-type Collapse struct{}
+// Crash ends the worker's process.
+type Crash struct{}
 
-func (Say) effect()      {}
-func (Happened) effect() {}
-func (Report) effect()   {}
-func (Admit) effect()    {}
-func (Wake) effect()     {}
-func (Collapse) effect() {}
+func (SendStatus) effect() {}
+func (Record) effect()     {}
+func (Report) effect()     {}
+func (Admit) effect()      {}
+func (SetTimer) effect()   {}
+func (Crash) effect()      {}
 
-// Memory is what the workers of a group remember of effects that have begun, so that repeats are dropped.
-type Memory struct {
-	mu    sync.Mutex
-	began map[string]ledger.Time
-	sweep int
+// DedupStore remembers the effects that the workers of a group have started, so that duplicates are dropped.
+type DedupStore struct {
+	mu        sync.Mutex
+	started   map[string]ledger.Time
+	sweepSize int
 }
 
-// NewMemory makes a group's memory.
-func NewMemory() *Memory { return &Memory{began: map[string]ledger.Time{}, sweep: 1024} }
+// NewDedupStore creates an empty store.
+func NewDedupStore() *DedupStore {
+	return &DedupStore{started: map[string]ledger.Time{}, sweepSize: 1024}
+}
 
-// Begin notes that an effect begins, and tells whether it is a repeat that is still remembered.
-func (m *Memory) Begin(effect string, now, window ledger.Time) (repeat bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if at, ok := m.began[effect]; ok && now <= at+window {
+// Begin records the start of an effect. It returns true if the effect is a duplicate within its window.
+func (s *DedupStore) Begin(effect string, now, window ledger.Time) (repeat bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if at, ok := s.started[effect]; ok && now <= at+window {
 		return true
 	}
-	if len(m.began) >= m.sweep { // it holds what of a window there is, and as much again at most
-		for e, at := range m.began {
+	if len(s.started) >= s.sweepSize { // at most doubles the number of entries that are within their window
+		for e, at := range s.started {
 			if now > at+window {
-				delete(m.began, e)
+				delete(s.started, e)
 			}
 		}
-		m.sweep = max(2*len(m.began), 1024)
+		s.sweepSize = max(2*len(s.started), 1024)
 	}
-	m.began[effect] = now
+	s.started[effect] = now
 	return false
 }
 
 type job struct {
 	Job
-	push     int
-	left     float64 // work
-	mute     bool
-	fails    bool
-	closed   bool
-	progress ledger.Time
+	push         int
+	remaining    float64 // work that is left, in ms
+	silent       bool
+	fails        bool
+	canceled     bool
+	nextProgress ledger.Time
 }
 
-type sent struct {
+type arrival struct {
 	at   ledger.Time
 	work float64
 }
 
-// Box is one worker from its start on.
-type Box struct {
-	Name   string
-	make   Make
-	rules  ledger.Rules
-	memory *Memory // of its group for each scope
-	rand   *rand.Rand
-	boot   ledger.Time
-	cold   bool
-
-	ails    Ails
-	now     ledger.Time
-	waiting []*job
-	running []*job
-	debt    float64 // work of connections and probes
-	conns   int
-	asked   []sent
-	fallen  bool
-	report  Load
-	seenAt  ledger.Time
-	memoryZ *Memory
-	memoryA *Memory
-}
-
-// New starts a worker. The memories are those of its cell, its zone and all workers.
-func New(name string, m Make, rules ledger.Rules, cell, zone, all *Memory, seed uint64, boot ledger.Time, cold bool) *Box {
-	b := &Box{Name: name, make: m, rules: rules, memory: cell, memoryZ: zone, memoryA: all,
-		rand: rand.New(rand.NewPCG(seed, 0x626f78)), boot: boot, cold: cold, now: boot, seenAt: -1 << 40}
-	return b
-}
-
-// capacity is the cores' speed at this moment, and how many cores there are.
-func (b *Box) capacity() (speed, cores float64) {
-	if b.ails.Hung {
-		return 0, b.make.Cores
-	}
-	speed = b.make.Speed / max(b.ails.Slow, 1)
-	if b.cold {
-		speed *= b.rules.Warmth(b.now - b.boot)
-	}
-	return speed, b.make.Cores * (1 - b.ails.Taken)
-}
-
-// rate is how much work each running job does in a unit of time.
-func (b *Box) rate() float64 {
-	speed, cores := b.capacity()
+// Worker models one worker process.
+type Worker struct {
+	Name      string
+	config    Config
+	rules     ledger.Rules
+	cellDedup *DedupStore // one dedup store for each scope: this one, zoneDedup and globalDedup
+	rand      *rand.Rand
+	startTime ledger.Time
+	cold      bool
+
+	faults      Ails
+	now         ledger.Time
+	waiting     []*job
+	running     []*job
+	overhead    float64 // work of connections and probes that is not done yet, in ms
+	connections int
+	arrivals    []arrival
+	crashed     bool
+	lastReport  Load
+	reportedAt  ledger.Time
+	zoneDedup   *DedupStore
+	globalDedup *DedupStore
+}
+
+// New creates the model of a worker that starts now. The stores are those of its cell, its zone and all
+// workers.
+func New(name string, config Config, rules ledger.Rules, cell, zone, all *DedupStore, seed uint64, startTime ledger.Time, cold bool) *Worker {
+	w := &Worker{Name: name, config: config, rules: rules, cellDedup: cell, zoneDedup: zone, globalDedup: all,
+		rand: rand.New(rand.NewPCG(seed, 0x626f78)), startTime: startTime, cold: cold, now: startTime, reportedAt: -1 << 40}
+	return w
+}
+
+// capacity returns the current speed of a core and the number of usable cores.
+func (w *Worker) capacity() (speed, cores float64) {
+	if w.faults.Hung {
+		return 0, w.config.Cores
+	}
+	speed = w.config.Speed / max(w.faults.Slow, 1)
+	if w.cold {
+		speed *= w.rules.Warmth(w.now - w.startTime)
+	}
+	return speed, w.config.Cores * (1 - w.faults.Taken)
+}
+
+// jobRate returns how much work each running job completes per unit of ledger time.
+func (w *Worker) jobRate() float64 {
+	speed, cores := w.capacity()
 	busy := 0.0
-	for _, j := range b.running {
+	for _, j := range w.running {
 		busy += j.Slots
 	}
-	if b.debt > 0 {
+	if w.overhead > 0 {
 		busy++
 	}
 	if busy == 0 {
@@ -258,273 +261,275 @@
 	return speed * min(1, cores/busy) / 10
 }
 
-const step ledger.Time = 500 // while its warmth changes, a worker's speed is worked out anew this often
+const warmUpStep ledger.Time = 500 // how often the speed is recomputed while the worker warms up
 
-// advance lets time go by.
-func (b *Box) advance(now ledger.Time) {
-	for b.now < now && !b.fallen {
-		rate := b.rate()
-		until := now
-		if b.cold && b.now < b.boot+b.rules.WarmAfter {
-			until = min(until, b.now+step)
+// advance moves the clock forward, up to the first end of a job.
+func (w *Worker) advance(now ledger.Time) {
+	for w.now < now && !w.crashed {
+		rate := w.jobRate()
+		next := now
+		if w.cold && w.now < w.startTime+w.rules.WarmAfter {
+			next = min(next, w.now+warmUpStep)
 		}
 		if rate > 0 {
-			for _, j := range b.running {
-				until = min(until, b.now+max(ledger.Time(math.Ceil(j.left/rate)), 1))
+			for _, j := range w.running {
+				next = min(next, w.now+max(ledger.Time(math.Ceil(j.remaining/rate)), 1))
 			}
-			if b.debt > 0 {
-				until = min(until, b.now+max(ledger.Time(math.Ceil(b.debt/rate)), 1))
+			if w.overhead > 0 {
+				next = min(next, w.now+max(ledger.Time(math.Ceil(w.overhead/rate)), 1))
 			}
 		}
-		did := rate * float64(until-b.now)
-		for _, j := range b.running {
-			j.left -= did
+		done := rate * float64(next-w.now)
+		for _, j := range w.running {
+			j.remaining -= done
 		}
-		b.debt = max(b.debt-did, 0)
-		b.now = until
-		if b.ready() { // what ends in this span must end before the rest of it goes by
+		w.overhead = max(w.overhead-done, 0)
+		w.now = next
+		if w.hasFinished() { // the freed capacity changes the rate of the other jobs
 			return
 		}
 	}
-	b.now = max(b.now, now)
+	w.now = max(w.now, now)
 }
 
-// ready tells whether a running job is at its end.
-func (b *Box) ready() bool {
-	for _, j := range b.running {
-		if j.left <= 1e-9 {
+// hasFinished reports whether a running job has no work left.
+func (w *Worker) hasFinished() bool {
+	for _, j := range w.running {
+		if j.remaining <= 1e-9 {
 			return true
 		}
 	}
 	return false
 }
 
-// Take tells the worker of an input and returns what it does.
-func (b *Box) Take(now ledger.Time, in Input) []Effect {
-	var do []Effect
-	if b.fallen {
+// Handle applies an input and returns the resulting effects.
+func (w *Worker) Handle(now ledger.Time, in Input) []Effect {
+	var effects []Effect
+	if w.crashed {
 		return nil
 	}
-	now = max(now, b.now)
+	now = max(now, w.now)
 	for {
-		b.advance(now)
-		do = b.settle(do)
-		if b.now >= now && !b.ready() {
+		w.advance(now)
+		effects = w.finishAndStart(effects)
+		if w.now >= now && !w.hasFinished() {
 			break
 		}
 	}
 	switch in := in.(type) {
 	case Pushed:
-		do = b.pushed(do, in)
+		effects = w.addPush(effects, in)
 	case Closed:
-		do = b.closed(do, in.Push)
+		effects = w.cancelPush(effects, in.Push)
 	case Probed:
-		do = b.probed(do, in.Probe)
-	case Dialed:
-		may := b.conns < b.make.Connections
-		if may {
-			b.conns++
-			b.debt += b.make.ConnWork
+		effects = w.reportLoad(effects, in.Probe)
+	case Connected:
+		admitted := w.connections < w.config.Connections
+		if admitted {
+			w.connections++
+			w.overhead += w.config.ConnWork
 		}
-		do = append(do, Admit{in.Conn, may})
-	case Hangup:
-		b.conns--
-	case Changed:
-		do = b.changed(do, in.Ails)
+		effects = append(effects, Admit{in.Conn, admitted})
+	case Disconnected:
+		w.connections--
+	case FaultsChanged:
+		effects = w.setFaults(effects, in.Faults)
 	}
-	do = b.settle(do)
-	if b.fallen {
-		return do
+	effects = w.finishAndStart(effects)
+	if w.crashed {
+		return effects
 	}
-	if at, ok := b.due(); ok {
-		do = append(do, Wake{at})
+	if at, ok := w.nextEvent(); ok {
+		effects = append(effects, SetTimer{at})
 	}
-	return do
+	return effects
 }
 
-func (b *Box) changed(do []Effect, ails Ails) []Effect {
-	drains := ails.Draining && !b.ails.Draining
-	b.ails = ails
-	if drains { // it hands back what it has not begun
-		for _, j := range b.waiting {
-			do = b.say(do, j, Say{Push: j.push, Word: Returned})
+func (w *Worker) setFaults(effects []Effect, faults Ails) []Effect {
+	startsDraining := faults.Draining && !w.faults.Draining
+	w.faults = faults
+	if startsDraining { // a draining worker returns the jobs that it has not started
+		for _, j := range w.waiting {
+			effects = w.sendStatus(effects, j, SendStatus{Push: j.push, Status: Returned})
 		}
-		b.waiting = nil
+		w.waiting = nil
 	}
-	return do
+	return effects
 }
 
-func (b *Box) pushed(do []Effect, in Pushed) []Effect {
-	j := &job{Job: in.Job, push: in.Push, left: in.Job.Work}
+func (w *Worker) addPush(effects []Effect, in Pushed) []Effect {
+	j := &job{Job: in.Job, push: in.Push, remaining: in.Job.Work}
 	if j.Slots <= 0 {
 		j.Slots = 1
 	}
-	if do, fell := b.overload(do, j); fell {
-		return do
+	if effects, crashed := w.checkOverload(effects, j); crashed {
+		return effects
 	}
 	switch {
-	case b.ails.UnfitShare > 0 && b.rand.Float64() < b.ails.UnfitShare:
-		return append(do, Say{Push: in.Push, Word: Unfit})
-	case b.ails.TurnsAway || b.ails.Draining || len(b.waiting) >= b.make.Queue || j.Slots > b.make.Slots || j.Memory > b.make.Memory && b.make.Memory > 0:
-		return append(do, Say{Push: in.Push, Word: TurnedAway})
-	}
-	// Chances are drawn at arrival and in one order, so that a seed gives the same day whatever is asked for.
-	mute, fail := b.rand.Float64(), b.rand.Float64()
-	j.mute = mute < b.ails.Mute
-	j.fails = fail < max(b.make.ErrorRate, b.ails.Fails)
-	do = append(do, Say{Push: in.Push, Word: Taken})
-	b.waiting = append(b.waiting, j)
-	return do
-}
-
-// overload lets a cold worker fall over that was pushed to more than it can bear.
-func (b *Box) overload(do []Effect, j *job) ([]Effect, bool) {
-	if !b.cold || b.rules.TipAfter == 0 || b.now-b.boot >= b.rules.WarmAfter {
-		return do, false
-	}
-	b.asked = append(b.asked, sent{b.now, j.Usual * j.Slots})
-	sum, kept := 0.0, b.asked[:0]
-	for _, s := range b.asked {
-		if s.at > b.now-b.rules.TipAfter {
-			sum, kept = sum+s.work, append(kept, s)
+	case w.faults.UnfitShare > 0 && w.rand.Float64() < w.faults.UnfitShare:
+		return append(effects, SendStatus{Push: in.Push, Status: Unfit})
+	case w.faults.TurnsAway || w.faults.Draining || len(w.waiting) >= w.config.Queue || j.Slots > w.config.Slots || j.Memory > w.config.Memory && w.config.Memory > 0:
+		return append(effects, SendStatus{Push: in.Push, Status: Rejected})
+	}
+	// Both values are always drawn, at arrival and in this order. A seed then gives the same run whatever the
+	// faults are.
+	silentDraw, failDraw := w.rand.Float64(), w.rand.Float64()
+	j.silent = silentDraw < w.faults.Mute
+	j.fails = failDraw < max(w.config.ErrorRate, w.faults.Fails)
+	effects = append(effects, SendStatus{Push: in.Push, Status: Accepted})
+	w.waiting = append(w.waiting, j)
+	return effects
+}
+
+// checkOverload crashes a cold worker that received more work than it can handle.
+func (w *Worker) checkOverload(effects []Effect, j *job) ([]Effect, bool) {
+	if !w.cold || w.rules.TipAfter == 0 || w.now-w.startTime >= w.rules.WarmAfter {
+		return effects, false
+	}
+	w.arrivals = append(w.arrivals, arrival{w.now, j.ExpectedWork * j.Slots})
+	sum, recent := 0.0, w.arrivals[:0]
+	for _, a := range w.arrivals {
+		if a.at > w.now-w.rules.TipAfter {
+			sum, recent = sum+a.work, append(recent, a)
 		}
 	}
-	b.asked = kept
-	bears := b.rules.Bears(b.make.Cores*b.make.Speed, b.now-b.boot)
-	if sum <= bears { // also right after its start: a short heavy burst can spend what the whole span allows
-		return do, false
+	w.arrivals = recent
+	limit := w.rules.Bears(w.config.Cores*w.config.Speed, w.now-w.startTime)
+	// A short burst right after the start can already use up the limit of the whole interval.
+	if sum <= limit {
+		return effects, false
 	}
-	b.fallen = true
-	return append(do, Happened{Kind: ledger.Fell, Text: fmt.Sprintf("%.0f ms asked, %.0f borne", sum, bears)}, Collapse{}), true
+	w.crashed = true
+	return append(effects, Record{Kind: ledger.Fell, Text: fmt.Sprintf("%.0f ms asked, %.0f borne", sum, limit)}, Crash{}), true
 }
 
-func (b *Box) closed(do []Effect, push int) []Effect {
-	for i, j := range b.waiting {
+func (w *Worker) cancelPush(effects []Effect, push int) []Effect {
+	for i, j := range w.waiting {
 		if j.push == push {
-			if j.closed = true; b.make.CancelDrops {
-				b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
+			if j.canceled = true; w.config.CancelDrops {
+				w.waiting = append(w.waiting[:i], w.waiting[i+1:]...)
 			}
-			return do
+			return effects
 		}
 	}
-	for _, j := range b.running {
+	for _, j := range w.running {
 		if j.push == push {
-			j.closed = true // a cancel stops nothing that runs
+			j.canceled = true // a running job continues after a cancel
 		}
 	}
-	return do
+	return effects
 }
 
-// load is the state of this moment.
-func (b *Box) load() Load {
-	l := Load{Jobs: len(b.waiting) + len(b.running), Waiting: len(b.waiting), Free: b.make.Slots, Memory: b.make.Memory}
-	for _, j := range b.running {
+// load returns the current load.
+func (w *Worker) load() Load {
+	l := Load{Jobs: len(w.waiting) + len(w.running), Waiting: len(w.waiting), Free: w.config.Slots, Memory: w.config.Memory}
+	for _, j := range w.running {
 		l.Free -= j.Slots
 		l.Memory -= j.Memory
 	}
 	return l
 }
 
-func (b *Box) probed(do []Effect, probe int) []Effect {
-	b.debt += b.make.ProbeWork
-	if b.now-b.seenAt >= b.make.ReportEvery+b.ails.StaleBy {
-		b.report, b.seenAt = b.load(), b.now
+func (w *Worker) reportLoad(effects []Effect, probe int) []Effect {
+	w.overhead += w.config.ProbeWork
+	if w.now-w.reportedAt >= w.config.ReportEvery+w.faults.StaleBy {
+		w.lastReport, w.reportedAt = w.load(), w.now
 	}
-	r := Report{Probe: probe, Ready: !b.ails.Draining, Silent: b.ails.Hung, Load: b.report}
-	if b.ails.Lies {
-		r.Load = Load{Free: b.make.Slots, Memory: b.make.Memory}
+	r := Report{Probe: probe, Ready: !w.faults.Draining, Silent: w.faults.Hung, Load: w.lastReport}
+	if w.faults.Lies {
+		r.Load = Load{Free: w.config.Slots, Memory: w.config.Memory}
 	}
-	return append(do, r)
+	return append(effects, r)
 }
 
-func (b *Box) say(do []Effect, j *job, s Say) []Effect {
-	if j.mute || j.closed {
-		return do
+func (w *Worker) sendStatus(effects []Effect, j *job, s SendStatus) []Effect {
+	if j.silent || j.canceled {
+		return effects
 	}
-	return append(do, s)
+	return append(effects, s)
 }
 
-// settle ends what is at its end, tells of progress and starts what fits: first come, first served, and the first
-// waits until it fits.
-func (b *Box) settle(do []Effect) []Effect {
-	if b.ails.Hung {
-		return do
+// finishAndStart ends finished jobs, sends progress messages and starts the jobs that fit. Jobs start in the
+// order of arrival: a job at the head of the queue that does not fit delays those behind it.
+func (w *Worker) finishAndStart(effects []Effect) []Effect {
+	if w.faults.Hung {
+		return effects
 	}
-	kept := b.running[:0]
-	for _, j := range b.running {
-		if j.left > 1e-9 {
-			kept = append(kept, j)
+	unfinished := w.running[:0]
+	for _, j := range w.running {
+		if j.remaining > 1e-9 {
+			unfinished = append(unfinished, j)
 			continue
 		}
-		word := Done
+		status := Done
 		if j.fails {
-			word = Failed
+			status = Failed
 		}
-		do = b.say(do, j, Say{Push: j.push, Word: word, Result: b.result(j, "made")})
+		effects = w.sendStatus(effects, j, SendStatus{Push: j.push, Status: status, Result: w.result(j, "made")})
 	}
-	b.running = kept
-	for _, j := range b.running {
-		if b.make.Progress > 0 && b.now >= j.progress {
-			j.progress += b.make.Progress
-			do = b.say(do, j, Say{Push: j.push, Word: Running, Share: math.Round(100*(1-j.left/max(j.Work, 1e-9))) / 100})
+	w.running = unfinished
+	for _, j := range w.running {
+		if w.config.Progress > 0 && w.now >= j.nextProgress {
+			j.nextProgress += w.config.Progress
+			effects = w.sendStatus(effects, j, SendStatus{Push: j.push, Status: Running, Progress: math.Round(100*(1-j.remaining/max(j.Work, 1e-9))) / 100})
 		}
 	}
-	free := b.load()
-	for len(b.waiting) > 0 {
-		j := b.waiting[0]
-		if j.Slots > free.Free || b.make.Memory > 0 && j.Memory > free.Memory {
+	available := w.load()
+	for len(w.waiting) > 0 {
+		j := w.waiting[0]
+		if j.Slots > available.Free || w.config.Memory > 0 && j.Memory > available.Memory {
 			break
 		}
-		b.waiting = b.waiting[1:]
-		if b.make.TellsStart {
-			do = b.say(do, j, Say{Push: j.push, Word: Started})
+		w.waiting = w.waiting[1:]
+		if w.config.ReportsStart {
+			effects = w.sendStatus(effects, j, SendStatus{Push: j.push, Status: Started})
 		}
-		if j.Dedup && b.memoryOf(j.Scope).Begin(j.Effect, b.now, j.Window) {
-			do = append(do, Happened{Kind: ledger.Dropped, Push: j.push, Op: j.Op})
-			do = b.say(do, j, Say{Push: j.push, Word: Done, Result: b.result(j, "repeat")})
+		if j.Dedup && w.dedupStore(j.Scope).Begin(j.Effect, w.now, j.Window) {
+			effects = append(effects, Record{Kind: ledger.Dropped, Push: j.push, Op: j.Op})
+			effects = w.sendStatus(effects, j, SendStatus{Push: j.push, Status: Done, Result: w.result(j, "repeat")})
 			continue
 		}
-		do = append(do, Happened{Kind: ledger.Ran, Push: j.push, Op: j.Op})
-		j.progress = b.now + b.make.Progress
-		b.running = append(b.running, j)
-		free.Free -= j.Slots
-		free.Memory -= j.Memory
+		effects = append(effects, Record{Kind: ledger.Ran, Push: j.push, Op: j.Op})
+		j.nextProgress = w.now + w.config.Progress
+		w.running = append(w.running, j)
+		available.Free -= j.Slots
+		available.Memory -= j.Memory
 	}
-	return do
+	return effects
 }
 
-func (b *Box) memoryOf(scope string) *Memory {
+func (w *Worker) dedupStore(scope string) *DedupStore {
 	switch scope {
 	case "zone":
-		return b.memoryZ
+		return w.zoneDedup
 	case "all":
-		return b.memoryA
+		return w.globalDedup
 	}
-	return b.memory
+	return w.cellDedup
 }
 
-func (b *Box) result(j *job, how string) string {
-	return fmt.Sprintf("%s for %s by %s, push %d", how, j.Op, b.Name, j.push)
+func (w *Worker) result(j *job, how string) string {
+	return fmt.Sprintf("%s for %s by %s, push %d", how, j.Op, w.Name, j.push)
 }
 
-// due is the next moment at which something happens by itself.
-func (b *Box) due() (at ledger.Time, ok bool) {
-	rate := b.rate()
+// nextEvent returns the time at which the next job finishes or reports progress.
+func (w *Worker) nextEvent() (at ledger.Time, ok bool) {
+	rate := w.jobRate()
 	at = math.MaxInt64
 	if rate <= 0 {
 		return 0, false
 	}
-	for _, j := range b.running {
-		at = min(at, b.now+max(ledger.Time(math.Ceil(j.left/rate)), 1))
-		if b.make.Progress > 0 {
-			at = min(at, max(j.progress, b.now+1))
+	for _, j := range w.running {
+		at = min(at, w.now+max(ledger.Time(math.Ceil(j.remaining/rate)), 1))
+		if w.config.Progress > 0 {
+			at = min(at, max(j.nextProgress, w.now+1))
 		}
 	}
 	return at, at < math.MaxInt64
 }
 
-// Idle tells whether nothing is held.
-func (b *Box) Idle() bool { return len(b.waiting)+len(b.running) == 0 }
+// Idle reports whether no job is running or waiting.
+func (w *Worker) Idle() bool { return len(w.waiting)+len(w.running) == 0 }
 
-// Queue tells how many jobs run and wait.
-func (b *Box) Queue() (running, waiting int) { return len(b.running), len(b.waiting) }
+// QueueLengths returns the numbers of running and waiting jobs.
+func (w *Worker) QueueLengths() (running, waiting int) { return len(w.running), len(w.waiting) }
--- a/internal/lab/workermodel/box_test.go
+++ b/internal/lab/workermodel/box_test.go
@@ -10,157 +10,163 @@
 
 var rules = ledger.Rules{OverloadFactor: 2.5, TipAfter: 15_000, ColdFrom: 0.3, WarmAfter: 86_000, MeanWork: 100}
 
-func worker(cold bool) *Box {
-	return New("w", Make{Cores: 2, Speed: 1, Slots: 4, Queue: 8, TellsStart: true, Progress: 10_000, Connections: 2},
-		rules, NewMemory(), NewMemory(), NewMemory(), 1, 0, cold)
+func newWorker(cold bool) *Worker {
+	return New("w", Config{Cores: 2, Speed: 1, Slots: 4, Queue: 8, ReportsStart: true, Progress: 10_000, Connections: 2},
+		rules, NewDedupStore(), NewDedupStore(), NewDedupStore(), 1, 0, cold)
 }
 
-// day plays inputs and wakes the box when it asks for it, as its host does.
-type day struct {
-	b    *Box
-	said map[int][]Word
-	ends map[int]ledger.Time
-	ran  []int
-	fell bool
-	wake ledger.Time
+// testRun applies inputs to a worker, and fires its timer as the fleet does.
+type testRun struct {
+	worker   *Worker
+	statuses map[int][]Status
+	ends     map[int]ledger.Time
+	ran      []int
+	crashed  bool
+	timer    ledger.Time
 }
 
-func play(b *Box) *day { return &day{b: b, said: map[int][]Word{}, ends: map[int]ledger.Time{}} }
+func newTestRun(worker *Worker) *testRun {
+	return &testRun{worker: worker, statuses: map[int][]Status{}, ends: map[int]ledger.Time{}}
+}
 
-func (d *day) take(now ledger.Time, in Input) {
-	for d.wake > 0 && d.wake <= now {
-		at := d.wake
-		d.wake = 0
-		d.note(at, d.b.Take(at, Woken{}))
+func (r *testRun) handle(now ledger.Time, in Input) {
+	for r.timer > 0 && r.timer <= now {
+		at := r.timer
+		r.timer = 0
+		r.collect(at, r.worker.Handle(at, TimerFired{}))
 	}
-	d.note(now, d.b.Take(now, in))
+	r.collect(now, r.worker.Handle(now, in))
 }
 
-func (d *day) note(now ledger.Time, do []Effect) {
-	for _, e := range do {
+func (r *testRun) collect(now ledger.Time, effects []Effect) {
+	for _, e := range effects {
 		switch e := e.(type) {
-		case Say:
-			d.said[e.Push] = append(d.said[e.Push], e.Word)
-			if e.Word == Done || e.Word == Failed || e.Word == Returned || e.Word == TurnedAway {
-				d.ends[e.Push] = now
+		case SendStatus:
+			r.statuses[e.Push] = append(r.statuses[e.Push], e.Status)
+			if e.Status == Done || e.Status == Failed || e.Status == Returned || e.Status == Rejected {
+				r.ends[e.Push] = now
 			}
-		case Happened:
+		case Record:
 			if e.Kind == ledger.Ran {
-				d.ran = append(d.ran, e.Push)
+				r.ran = append(r.ran, e.Push)
 			}
-			d.fell = d.fell || e.Kind == ledger.Fell
-		case Wake:
-			d.wake = e.At
+			r.crashed = r.crashed || e.Kind == ledger.Fell
+		case SetTimer:
+			r.timer = e.At
 		}
 	}
 }
 
-func ask(op string, work, slots float64) Job {
-	return Job{Op: op, Effect: op, Work: work, Usual: work, Slots: slots}
+func newJob(op string, work, slots float64) Job {
+	return Job{Op: op, Effect: op, Work: work, ExpectedWork: work, Slots: slots}
 }
 
-// A wide job at the head of the queue must hold up those behind it, as on the machines that this stands for.
-func TestTheFirstWaitsUntilItFitsAndHoldsUpTheRest(t *testing.T) {
-	d := play(worker(false))
-	d.take(0, Pushed{1, ask("a", 100, 1)})
-	d.take(0, Pushed{2, ask("b", 100, 4)})
-	d.take(0, Pushed{3, ask("c", 10, 1)})
-	d.take(10_000, Woken{})
-	if !slices.Equal(d.ran, []int{1, 2, 3}) || d.ends[1] != 1000 || d.ends[3] <= d.ends[2] || d.ends[2] != 3000 {
-		t.Errorf("ran %v, ended %v", d.ran, d.ends) // four slots on two cores take twice as long
+// Guards against jobs that overtake a wide job at the head of the queue. The emulated machines do not do
+// this.
+func TestAWideJobAtTheHeadOfTheQueueDelaysTheJobsBehindIt(t *testing.T) {
+	run := newTestRun(newWorker(false))
+	run.handle(0, Pushed{1, newJob("a", 100, 1)})
+	run.handle(0, Pushed{2, newJob("b", 100, 4)})
+	run.handle(0, Pushed{3, newJob("c", 10, 1)})
+	run.handle(10_000, TimerFired{})
+	if !slices.Equal(run.ran, []int{1, 2, 3}) || run.ends[1] != 1000 || run.ends[3] <= run.ends[2] || run.ends[2] != 3000 {
+		t.Errorf("ran %v, ended %v", run.ran, run.ends) // four slots on two cores take twice as long
 	}
 }
 
-// A worker that did more in a second than its cores can do would flatter every scheduler.
+// Guards against a worker that does more work than its cores can. Every scheduler would look better than it
+// is.
 func TestNoMoreWorkIsDoneThanTheCoresCanDo(t *testing.T) {
 	for seed := range uint64(50) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		d, asked, last := play(worker(false)), 0.0, ledger.Time(0)
+		run, accepted, last := newTestRun(newWorker(false)), 0.0, ledger.Time(0)
 		for push := 1; push <= 40; push++ {
 			last += ledger.Time(r.IntN(900))
 			work := 1 + 200*r.Float64()
-			d.take(last, Pushed{push, ask("x", work, 1)})
-			if !slices.Contains(d.said[push], TurnedAway) {
-				asked += work
+			run.handle(last, Pushed{push, newJob("x", work, 1)})
+			if !slices.Contains(run.statuses[push], Rejected) {
+				accepted += work
 			}
 		}
-		d.take(last+10_000_000, Woken{})
+		run.handle(last+10_000_000, TimerFired{})
 		end := ledger.Time(0)
 		for push := 1; push <= 40; push++ {
-			if d.ends[push] == 0 {
+			if run.ends[push] == 0 {
 				t.Fatalf("seed %d: push %d has no end", seed, push)
 			}
-			end = max(end, d.ends[push])
+			end = max(end, run.ends[push])
 		}
-		if least := asked * 10 / 2; float64(end) < least-1 {
-			t.Errorf("seed %d: %.0f ms of work were done on two cores in %.1f ms", seed, asked, float64(end)/10)
+		if least := accepted * 10 / 2; float64(end) < least-1 {
+			t.Errorf("seed %d: %.0f ms of work were done on two cores in %.1f ms", seed, accepted, float64(end)/10)
 		}
 	}
 }
 
 func TestAGroupDropsARepeatWithinItsWindowAndNoLonger(t *testing.T) {
-	zone := NewMemory()
-	first := New("a", Make{Cores: 1, Speed: 1, Slots: 1, Queue: 9}, rules, NewMemory(), zone, NewMemory(), 1, 0, false)
-	second := New("b", Make{Cores: 1, Speed: 1, Slots: 1, Queue: 9}, rules, NewMemory(), zone, NewMemory(), 1, 0, false)
+	zone := NewDedupStore()
+	first := New("a", Config{Cores: 1, Speed: 1, Slots: 1, Queue: 9}, rules, NewDedupStore(), zone, NewDedupStore(), 1, 0, false)
+	second := New("b", Config{Cores: 1, Speed: 1, Slots: 1, Queue: 9}, rules, NewDedupStore(), zone, NewDedupStore(), 1, 0, false)
 	j := Job{Op: "x", Effect: "e", Work: 10, Dedup: true, Scope: "zone", Window: 1000}
-	a, b := play(first), play(second)
-	a.take(0, Pushed{1, j})
-	b.take(1000, Pushed{2, j})
-	b.take(1001, Pushed{3, j})
-	if b.take(5000, Woken{}); !slices.Equal(b.ran, []int{3}) || b.ends[2] != 1000 {
-		t.Errorf("ran %v, ended %v", b.ran, b.ends)
+	firstRun, secondRun := newTestRun(first), newTestRun(second)
+	firstRun.handle(0, Pushed{1, j})
+	secondRun.handle(1000, Pushed{2, j})
+	secondRun.handle(1001, Pushed{3, j})
+	if secondRun.handle(5000, TimerFired{}); !slices.Equal(secondRun.ran, []int{3}) || secondRun.ends[2] != 1000 {
+		t.Errorf("ran %v, ended %v", secondRun.ran, secondRun.ends)
 	}
 }
 
-// 2 cores may be sent 3,471 ms at 2 s of age, and with jobs of 100 ms 1,378 ms more are chance; right after the start 2,250 and 1,149.
-func TestAColdWorkerFallsOverOnlyUnderMoreThanItCanBear(t *testing.T) {
+// Two cores may receive 3,471 ms of work at an age of 2 s, and 1,378 ms more may be chance with jobs of 100
+// ms. Right after the start the figures are 2,250 ms and 1,149 ms.
+func TestAColdWorkerCrashesOnlyAboveItsLimit(t *testing.T) {
 	for _, c := range []struct {
-		at    ledger.Time
-		usual float64
-		fell  bool
+		at           ledger.Time
+		expectedWork float64
+		crashed      bool
 	}{{20_000, 440, false}, {20_000, 442, true}, {1, 308, false}, {1, 310, true}} {
-		d := play(worker(true))
+		run := newTestRun(newWorker(true))
 		for push := 1; push <= 11; push++ {
-			d.take(c.at, Pushed{push, ask("x", c.usual, 1)})
+			run.handle(c.at, Pushed{push, newJob("x", c.expectedWork, 1)})
 		}
-		if d.fell != c.fell {
-			t.Errorf("11 jobs of %.0f ms at %d: fell %v", c.usual, c.at, d.fell)
+		if run.crashed != c.crashed {
+			t.Errorf("11 jobs of %.0f ms at %d: crashed: %v", c.expectedWork, c.at, run.crashed)
 		}
 	}
 }
 
-// What hangs says nothing and loses nothing; what drains hands back what it has not begun.
-func TestHangingAndDraining(t *testing.T) {
-	d := play(worker(false))
+// Guards against a hung worker that ends a push or loses one, and against a draining worker that keeps jobs
+// which it has not started.
+func TestAHungWorkerIsSilentAndADrainingOneReturnsItsQueue(t *testing.T) {
+	run := newTestRun(newWorker(false))
 	for push := 1; push <= 6; push++ {
-		d.take(0, Pushed{push, ask("x", 100, 1)})
+		run.handle(0, Pushed{push, newJob("x", 100, 1)})
 	}
-	d.take(100, Changed{Ails{Hung: true}})
-	if d.take(50_000, Woken{}); len(d.ends) > 0 {
-		t.Errorf("a worker that hangs ended %v", d.ends)
+	run.handle(100, FaultsChanged{Ails{Hung: true}})
+	if run.handle(50_000, TimerFired{}); len(run.ends) > 0 {
+		t.Errorf("a hung worker ended pushes: %v", run.ends)
 	}
-	d.take(60_000, Changed{Ails{Draining: true}})
-	d.take(60_000, Pushed{7, ask("x", 1, 1)})
-	d.take(90_000, Woken{})
-	for push, want := range map[int]Word{1: Done, 4: Done, 5: Returned, 6: Returned, 7: TurnedAway} {
-		if words := d.said[push]; len(words) == 0 || words[len(words)-1] != want {
-			t.Errorf("push %d: %v, want %s at last", push, words, want)
+	run.handle(60_000, FaultsChanged{Ails{Draining: true}})
+	run.handle(60_000, Pushed{7, newJob("x", 1, 1)})
+	run.handle(90_000, TimerFired{})
+	for push, want := range map[int]Status{1: Done, 4: Done, 5: Returned, 6: Returned, 7: Rejected} {
+		if statuses := run.statuses[push]; len(statuses) == 0 || statuses[len(statuses)-1] != want {
+			t.Errorf("push %d: statuses %v, want %s last", push, statuses, want)
 		}
 	}
-	if !d.b.Idle() {
-		t.Error("it still holds something")
+	if !run.worker.Idle() {
+		t.Error("the worker still has jobs")
 	}
 }
 
 func TestConnectionsBeyondTheLimitAreNotAdmitted(t *testing.T) {
-	b := worker(false)
+	worker := newWorker(false)
 	for n, want := range []bool{true, true, false} {
-		if a := b.Take(0, Dialed{n})[0].(Admit); a.May != want {
-			t.Errorf("connection %d: %v", n, a.May)
+		if admit := worker.Handle(0, Connected{n})[0].(Admit); admit.Allowed != want {
+			t.Errorf("connection %d: admitted %v", n, admit.Allowed)
 		}
 	}
-	b.Take(0, Hangup{})
-	if a := b.Take(0, Dialed{3})[0].(Admit); !a.May {
-		t.Error("a place that is free again is not given")
+	worker.Handle(0, Disconnected{})
+	if admit := worker.Handle(0, Connected{3})[0].(Admit); !admit.Allowed {
+		t.Error("a connection is rejected after another one has ended")
 	}
 }
