--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -1,5 +1,6 @@
-// Package experiment holds what an experiment file says: the fleet, its schedulers, links, clients and faults. A file is
-// TOML and read strictly: what is not known or makes no sense is one line with its place and the reason.
+// Package experiment reads experiment files. A file describes the workers, schedulers, links, clients and
+// faults of a run in TOML. An unknown key or an invalid value gives an error of one line with the position
+// and the reason.
 package experiment
 
 import (
@@ -18,19 +19,19 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-// Experiment is one file.
+// Experiment holds the contents of an experiment file.
 type Experiment struct {
 	Name    string   `toml:"name"`
-	Base    string   `toml:"base"` // another file, read before this one; lists given here stand in place of its own
+	Base    string   `toml:"base"` // another file that is read first; lists of this file replace its lists
 	Seed    uint64   `toml:"seed"`
-	Seconds float64  `toml:"seconds"` // of arrivals
+	Seconds float64  `toml:"seconds"` // time during which requests arrive
 	Settle  float64  `toml:"settle_s"`
 	Zones   []string `toml:"zones"`
-	// Regions are groups of zones; a link or a trouble may name one in place of a zone.
+	// Regions are groups of zones. A link or a fault may name a region instead of a zone.
 	Regions []Region `toml:"regions"`
-	// Sizes are played one after another, each with that share of the workers and of the arrivals.
+	// Sizes lists shares of the workers and of the arrival rate. The experiment runs once for each of them.
 	Sizes []float64 `toml:"sizes"`
-	// Expect are promises beyond the rules: a figure's name and what bounds it.
+	// Expect lists bounds on figures, which are checked in addition to the rules.
 	Expect     []Expect   `toml:"expect"`
 	Rules      Rules      `toml:"rules"`
 	Schedulers Schedulers `toml:"schedulers"`
@@ -45,16 +46,17 @@
 	Faults     []Fault    `toml:"faults"`
 	Chaos      Chaos      `toml:"chaos"`
 
-	Dir string `toml:"-"` // of the file: what it names is looked for there
+	Dir string `toml:"-"` // folder of the file; relative paths in the file start here
 }
 
-// Region is some zones.
+// Region is a named group of zones.
 type Region struct {
 	Name  string   `toml:"name"`
 	Zones []string `toml:"zones"`
 }
 
-// In tells whether a zone is the one named, or in the region of that name; no name is any.
+// In reports whether a zone has the given name or belongs to the region of that name. An empty name matches
+// every zone.
 func (e *Experiment) In(name, zone string) bool {
 	if name == "" || name == zone {
 		return true
@@ -67,14 +69,14 @@
 	return false
 }
 
-// Expect bounds a figure of the results.
+// Expect holds the bounds of a figure of the results.
 type Expect struct {
 	Figure string   `toml:"figure"`
 	Least  *float64 `toml:"least"`
 	Most   *float64 `toml:"most"`
 }
 
-// Rules are the figures of the rules.
+// Rules holds the limits by which the audit judges a run.
 type Rules struct {
 	SlackMS        float64 `toml:"slack_ms"`
 	DrainGraceMS   float64 `toml:"drain_grace_ms"`
@@ -84,7 +86,7 @@
 	WarmAfterMS    float64 `toml:"warm_after_ms"`
 }
 
-// Schedulers are the processes under test and what they are told.
+// Schedulers describes the processes under test and their configuration.
 type Schedulers struct {
 	Count            int       `toml:"count"`
 	Cores            float64   `toml:"cores"`
@@ -98,23 +100,23 @@
 	Probes           bool      `toml:"probes"`
 	StepMS           float64   `toml:"step_ms"`
 	CrossPrice       float64   `toml:"cross_price"`
-	Shares           []float64 `toml:"shares"` // of arrivals; equal where there are none
-	Args             []string  `toml:"args"`   // after `serve`
+	Shares           []float64 `toml:"shares"` // shares of the arrivals; equal if empty
+	Args             []string  `toml:"args"`   // further arguments of `serve`
 	Log              string    `toml:"log"`
 }
 
-// Discovery is how the list of workers is told.
+// Discovery describes the discovery emulators.
 type Discovery struct {
-	LateMS []float64 `toml:"late_ms"` // least and most
+	LateMS []float64 `toml:"late_ms"` // minimum and maximum delay of an update of the endpoint list
 }
 
-// Workers are some of one kind.
+// Workers describes a group of emulated workers of one kind.
 type Workers struct {
 	Kind          string  `toml:"kind"`
 	Count         int     `toml:"count"`
 	Cores         float64 `toml:"cores"`
 	Speed         float64 `toml:"speed"`
-	SpeedSpread   float64 `toml:"speed_spread"` // a speed is drawn from 1-spread to 1+spread times this
+	SpeedSpread   float64 `toml:"speed_spread"` // each worker's speed is drawn from (1-speed_spread)*speed to (1+speed_spread)*speed
 	Slots         float64 `toml:"slots"`
 	Memory        float64 `toml:"memory"`
 	Queue         int     `toml:"queue"`
@@ -126,217 +128,218 @@
 	Connections   int     `toml:"connections"`
 	ErrorRate     float64 `toml:"error_rate"`
 	CancelDrops   bool    `toml:"cancel_drops"`
-	// Hollow has one listener for each worker, and not one for each worker and scheduler: fleets of thousands.
+	// Hollow gives each worker one listener for all schedulers instead of one per scheduler, for fleets of
+	// thousands of workers.
 	Hollow bool `toml:"hollow"`
 }
 
-// Category is one category of ops.
+// Category describes a category of ops.
 type Category struct {
-	Name        string    `toml:"name"`
-	Effect      string    `toml:"effect"`
-	Scope       string    `toml:"scope"`
-	WindowMS    float64   `toml:"window_ms"`
-	Benefit     float64   `toml:"benefit"`
-	LateBenefit float64   `toml:"late_benefit"`
-	Share       float64   `toml:"share"`
-	WorkMS      float64   `toml:"work_ms"`
-	Dist        string    `toml:"dist"` // fixed, exponential, lognormal or pareto
-	CV          float64   `toml:"cv"`
-	Heaviest    float64   `toml:"heaviest"` // no op has more work than so many times the mean
-	TargetMS    float64   `toml:"target_ms"`
-	Stretch     float64   `toml:"stretch"`
-	TTLMS       float64   `toml:"ttl_ms"`
-	Slots       []float64 `toml:"slots"`  // chances of 1, 2, 4 slots
-	Memory      float64   `toml:"memory"` // that a job needs beside its slots, in the unit of the workers' own
-	BodyBytes   int       `toml:"body_bytes"`
-	HintSpread  float64   `toml:"hint_spread"` // a hint is off by this factor at most; 0 for no hints
-}
-
-// Arrivals are when ops are due.
+	Name          string    `toml:"name"`
+	Effect        string    `toml:"effect"`
+	Scope         string    `toml:"scope"`
+	WindowMS      float64   `toml:"window_ms"`
+	Benefit       float64   `toml:"benefit"`
+	LateBenefit   float64   `toml:"late_benefit"`
+	Share         float64   `toml:"share"`
+	WorkMS        float64   `toml:"work_ms"`
+	Dist          string    `toml:"dist"` // fixed, exponential, lognormal or pareto
+	CV            float64   `toml:"cv"`
+	MaxWorkFactor float64   `toml:"heaviest"` // maximum work of an op as a multiple of the mean
+	TargetMS      float64   `toml:"target_ms"`
+	Stretch       float64   `toml:"stretch"`
+	TTLMS         float64   `toml:"ttl_ms"`
+	Slots         []float64 `toml:"slots"`  // weights of ops that need 1, 2 and 4 slots
+	Memory        float64   `toml:"memory"` // memory per job, in the unit of the workers' memory
+	BodyBytes     int       `toml:"body_bytes"`
+	HintSpread    float64   `toml:"hint_spread"` // a hint is wrong by a factor of at most 1+hint_spread; 0 for no hints
+}
+
+// Arrivals describes when requests arrive.
 type Arrivals struct {
 	Kind  string      `toml:"kind"`  // poisson, even, trace
-	Rate  float64     `toml:"rate"`  // ops a second
-	Steps [][]float64 `toml:"steps"` // [at_s, factor]: the rate is this factor from then on
-	Ramp  bool        `toml:"ramp"`  // between two steps the factor goes evenly from one to the next
-	Trace string      `toml:"trace"` // a file with lines "at_ms category"
+	Rate  float64     `toml:"rate"`  // requests per second
+	Steps [][]float64 `toml:"steps"` // [at_s, factor]: the rate is multiplied by factor from at_s on
+	Ramp  bool        `toml:"ramp"`  // the factor changes linearly between two steps
+	Trace string      `toml:"trace"` // path of a file with lines "at_ms category"
 }
 
-// Clients are how they behave.
+// Clients describes the behaviour of the clients.
 type Clients struct {
-	Count     int       `toml:"count"`
-	Shares    []float64 `toml:"shares"`
-	Retries   int       `toml:"retries"`
-	WaitMS    float64   `toml:"wait_ms"`
-	Backoff   string    `toml:"backoff"` // none, fixed or exponential
-	Honour    float64   `toml:"honour"`  // chance that a Retry-After is kept
-	Leave     float64   `toml:"leave"`   // chance that a client leaves
-	Trickle   float64   `toml:"trickle"` // chance that it sends byte by byte
-	Stall     float64   `toml:"stall"`   // chance that it stops in the middle for a while
-	AskAgain  float64   `toml:"ask_again"`
-	Pipeline  float64   `toml:"pipeline"`     // chance that it sends behind a request whose answer it still awaits
-	Impatient float64   `toml:"impatient_ms"` // those who leave do so after this
-	SameID    bool      `toml:"same_id"`      // an at-most-once op that got no final answer is asked for again under its id, elsewhere
-	AtOnce    float64   `toml:"at_once"`      // chance that it is asked for at two schedulers at one moment
-	GoOn      bool      `toml:"go_on"`        // after SIGTERM new connections come for a while, and open ones are used to the end
-}
-
-// Link is what lies between two parties.
+	Count               int       `toml:"count"`
+	Shares              []float64 `toml:"shares"`
+	Retries             int       `toml:"retries"`
+	WaitMS              float64   `toml:"wait_ms"`
+	Backoff             string    `toml:"backoff"` // none, fixed or exponential
+	HonourRetryAfter    float64   `toml:"honour"`  // chance that a client waits as Retry-After says
+	DisconnectChance    float64   `toml:"leave"`   // chance that a client disconnects before the response
+	TrickleChance       float64   `toml:"trickle"` // chance that a client sends a request byte by byte
+	StallChance         float64   `toml:"stall"`   // chance that a client pauses in the middle of a request
+	DuplicateChance     float64   `toml:"ask_again"`
+	Pipeline            float64   `toml:"pipeline"`     // chance that a client sends a request before the previous response on the connection
+	DisconnectAfterMS   float64   `toml:"impatient_ms"` // mean time after which such a client disconnects
+	SameID              bool      `toml:"same_id"`      // an at-most-once op without a final answer is retried at another scheduler under the same id
+	AtOnce              float64   `toml:"at_once"`      // chance that such an op is sent to two schedulers at the same time
+	UseWhileTerminating bool      `toml:"go_on"`        // after SIGTERM clients go on for a while with new connections, and until the exit with open ones
+}
+
+// Link describes the network conditions between the schedulers and another party.
 type Link struct {
-	Between    string  `toml:"between"` // clients, workers or discovery: and the schedulers
-	From       string  `toml:"from"`    // zone of the one, empty for any
+	Between    string  `toml:"between"` // clients, workers or discovery; the other end is a scheduler
+	From       string  `toml:"from"`    // zone of that party, empty for any
 	To         string  `toml:"to"`
 	DelayMS    float64 `toml:"delay_ms"`
 	JitterMS   float64 `toml:"jitter_ms"`
-	RateKBps   float64 `toml:"rate_kbps"` // 1,000 bytes a second
-	Stall      float64 `toml:"stall"`     // chance that a piece is held up, as a lost packet is
+	RateKBps   float64 `toml:"rate_kbps"` // 1,000 bytes per second
+	Stall      float64 `toml:"stall"`     // chance that a segment is delayed, as by a lost packet
 	StallMS    float64 `toml:"stall_ms"`
-	ResetFirst float64 `toml:"reset_before"` // chance that an exchange breaks before its last byte
-	ResetAfter float64 `toml:"reset_after"`  // chance that it breaks after that
-	Mute       float64 `toml:"mute"`         // chance that a connection falls silent both ways
+	ResetFirst float64 `toml:"reset_before"` // chance that an exchange is reset before its last byte
+	ResetAfter float64 `toml:"reset_after"`  // chance that an exchange is reset after its last byte
+	Mute       float64 `toml:"mute"`         // chance that a connection transfers nothing more in both directions
 }
 
-// Members has schedulers be members of one cluster, with a link between every ordered pair of them.
+// Members makes the schedulers members of one cluster. Each ordered pair of schedulers has a link.
 type Members struct {
-	On       bool    `toml:"on"`
-	Workers  bool    `toml:"workers"`   // a drain that one was told of binds the others
-	Words    bool    `toml:"words"`     // words between schedulers go by the view
-	Operator string  `toml:"operator"`  // further lines of the operator's table
-	PauseMS  float64 `toml:"pause_ms"`  // one that stands still up to so long must not be called gone
-	DetectMS float64 `toml:"detect_ms"` // one that is no more must be gone in all views within this
-	SettleMS float64 `toml:"settle_ms"` // and views that can be must be the same after this
-	GraceMS  float64 `toml:"grace_ms"`  // a word that one is gone may rest on what was so long ago
-	Loss     float64 `toml:"loss"`      // of datagrams, on each link
-	Dup      float64 `toml:"dup"`
-	Reorder  float64 `toml:"reorder"`
-	DelayMS  float64 `toml:"delay_ms"`
-	JitterMS float64 `toml:"jitter_ms"`
-	RateKBps float64 `toml:"rate_kbps"`
-	Hollow   int     `toml:"hollow"` // further members, which share one process and have no clients
-}
-
-// Copies has the fates of at-most-once ops stand at some of the schedulers, the first ones.
+	On           bool    `toml:"on"`
+	ShareDrains  bool    `toml:"workers"`   // schedulers share the drains that they learn of
+	PeerMessages bool    `toml:"words"`     // schedulers send peer reports to the members of their view
+	Operator     string  `toml:"operator"`  // further lines of the [members] table of the operator's file
+	PauseMS      float64 `toml:"pause_ms"`  // a member that is stopped for at most this time must not be declared gone
+	DetectMS     float64 `toml:"detect_ms"` // all views must mark an exited member as gone within this time
+	SettleMS     float64 `toml:"settle_ms"` // views of connected members must be equal after this time
+	GraceMS      float64 `toml:"grace_ms"`  // a declaration that a member is gone may rest on events up to this old
+	Loss         float64 `toml:"loss"`      // chance that a datagram is lost, on each link
+	Dup          float64 `toml:"dup"`
+	Reorder      float64 `toml:"reorder"`
+	DelayMS      float64 `toml:"delay_ms"`
+	JitterMS     float64 `toml:"jitter_ms"`
+	RateKBps     float64 `toml:"rate_kbps"`
+	Hollow       int     `toml:"hollow"` // number of further members, which share one process and have no clients
+}
+
+// Copies replicates the outcomes of at-most-once ops on the first schedulers.
 type Copies struct {
 	On       bool   `toml:"on"`
 	Keepers  int    `toml:"keepers"`
-	Operator string `toml:"operator"` // further lines of the operator's table
-	Agreed   bool   `toml:"agreed"`   // keepers change by agreement, and their records last
+	Operator string `toml:"operator"` // further lines of the [copies] table of the operator's file
+	Agreed   bool   `toml:"agreed"`   // the replica set can change by consensus, and its records are stored on disk
 }
 
-// Fault is one trouble.
+// Fault describes a fault that the lab injects.
 type Fault struct {
 	Kind    string  `toml:"kind"`
 	At      float64 `toml:"at_s"`
 	For     float64 `toml:"for_s"`
-	Part    float64 `toml:"part"`    // share of the workers or schedulers it hits
-	Indices []int   `toml:"indices"` // or these, from 0
+	Part    float64 `toml:"part"`    // share of the workers or schedulers that it hits
+	Indices []int   `toml:"indices"` // indices of the workers or schedulers that it hits, from 0; replaces part
 	Zone    string  `toml:"zone"`
 	Size    float64 `toml:"size"`
-	EveryS  float64 `toml:"every_s"` // for pauses, restarts and the like
-	To      []int   `toml:"to"`      // mesh-: the other ends of the links, from 0; all others where there are none
-	Way     string  `toml:"way"`     // mesh-: both, out (from those hit) or in
-	Refuses bool    `toml:"refuses"` // mesh-: streams are reset, and not only silent
+	EveryS  float64 `toml:"every_s"` // interval of a repeated fault
+	To      []int   `toml:"to"`      // mesh faults: indices of the schedulers at the other ends of the links; all others if empty
+	Way     string  `toml:"way"`     // mesh faults: both, out (from the schedulers that it hits) or in
+	Refuses bool    `toml:"refuses"` // mesh faults: resets streams instead of blocking them silently
 }
 
-// Chaos draws faults by chance from the seed.
+// Chaos describes faults that are drawn from the seed.
 type Chaos struct {
-	Kinds  []string  `toml:"kinds"`
-	EveryS float64   `toml:"every_s"` // in the mean
-	ForS   []float64 `toml:"for_s"`
-	Part   []float64 `toml:"part"`
-	Size   []float64 `toml:"size"`
+	Kinds     []string  `toml:"kinds"`
+	EveryS    float64   `toml:"every_s"` // mean interval
+	DurationS []float64 `toml:"for_s"`
+	Fraction  []float64 `toml:"part"`
+	Magnitude []float64 `toml:"size"`
 }
 
-// kinds of faults, and whether they need a size.
-var kinds = map[string]struct {
+// faultKinds lists all kinds of faults, whether they need a size and whether they hit schedulers.
+var faultKinds = map[string]struct {
 	size, schedulers bool
-	least, most      float64 // of the size
+	min, max         float64 // bounds of the size
 }{
-	"slow":       {size: true, least: 1, most: 1000},
+	"slow":       {size: true, min: 1, max: 1000},
 	"hang":       {},
-	"pauses":     {size: true, least: 1, most: 60_000}, // ms each
-	"taken":      {size: true, least: 0, most: 0.99},   // share of the cores
-	"mute":       {size: true, least: 0, most: 1},
-	"fails":      {size: true, least: 0, most: 1},
-	"unfit":      {size: true, least: 0, most: 1},
+	"pauses":     {size: true, min: 1, max: 60_000}, // ms per pause
+	"taken":      {size: true, min: 0, max: 0.99},   // share of the cores that another program uses
+	"mute":       {size: true, min: 0, max: 1},
+	"fails":      {size: true, min: 0, max: 1},
+	"unfit":      {size: true, min: 0, max: 1},
 	"lies":       {},
-	"stale":      {size: true, least: 0, most: 60_000}, // ms
+	"stale":      {size: true, min: 0, max: 60_000}, // ms
 	"refuses":    {},
-	"kill":       {},                                   // the worker's process; it is back after for_s, cold
-	"drain":      {},                                   // told, drained and gone; a successor comes cold after for_s
-	"drain-told": {},                                   // discovery tells that they drain, and they know nothing of it; gone after for_s, with a cold successor
-	"vanish":     {},                                   // the machine says nothing more: connections stay open and silent
-	"replace":    {},                                   // a rolling deploy: each is drained and followed by a cold one within for_s
-	"shrink":     {},                                   // drained for good
-	"cut":        {},                                   // a zone's links are silent
-	"restarts":   {size: true, least: 1, most: 60_000}, // killed one after another within for_s, each back after so many ms, cold
+	"kill":       {},                                // ends the worker's process; it starts again, cold, after for_s
+	"drain":      {},                                // announced and drained, then gone; a cold successor starts after for_s
+	"drain-told": {},                                // only discovery announces the drain; gone after for_s, with a cold successor
+	"vanish":     {},                                // the machine stops responding; connections stay open and silent
+	"replace":    {},                                // rolling deploy: each worker is drained and replaced by a cold one within for_s
+	"shrink":     {},                                // drained without a successor
+	"cut":        {},                                // the links of a zone transfer nothing
+	"restarts":   {size: true, min: 1, max: 60_000}, // killed one after another within for_s; each starts again, cold, after this many ms
 
-	"region-cut": {}, // nothing passes between a region and the others
+	"region-cut": {}, // links between a region and the other zones transfer nothing
 
 	"discovery-silent": {}, "discovery-broken": {}, "discovery-moved": {},
 
 	"scheduler-kill": {schedulers: true}, "scheduler-term": {schedulers: true}, "scheduler-stop": {schedulers: true},
 	"scheduler-reload": {schedulers: true}, "scheduler-stale": {schedulers: true},
 
-	"mesh-cut":   {schedulers: true},                                     // links between those hit and the others pass nothing
-	"mesh-flap":  {schedulers: true},                                     // the same, on and off every every_s
-	"mesh-loss":  {schedulers: true, size: true, least: 0, most: 1},      // chance that a datagram is lost
-	"mesh-delay": {schedulers: true, size: true, least: 0, most: 60_000}, // ms, and as much jitter
+	"mesh-cut":   {schedulers: true},                                  // links between the schedulers that it hits and the others transfer nothing
+	"mesh-flap":  {schedulers: true},                                  // mesh-cut that begins and ends alternately, every every_s
+	"mesh-loss":  {schedulers: true, size: true, min: 0, max: 1},      // chance that a datagram is lost
+	"mesh-delay": {schedulers: true, size: true, min: 0, max: 60_000}, // delay in ms, with jitter of the same size
 
-	"scheduler-pauses":   {schedulers: true, size: true, least: 1, most: 60_000}, // ms each, every every_s
-	"scheduler-blind":    {schedulers: true},                                     // its discovery says nothing
-	"scheduler-starve":   {schedulers: true, size: true, least: 0, most: 0.99},   // share of the time for which it stands still
-	"scheduler-takeover": {schedulers: true},                                     // a second process takes its place
-	"scheduler-hups":     {schedulers: true},                                     // several SIGHUPs within a few ms
-	"scheduler-hup-term": {schedulers: true},                                     // SIGTERM right behind a SIGHUP; it is back after for_s
-	"scheduler-terms":    {schedulers: true},                                     // SIGTERM again and again until it has ended; it is back after for_s
-	"takeover-hups":      {schedulers: true},                                     // SIGHUPs while a second process takes its place
-	"scheduler-crowd":    {schedulers: true},                                     // idle clients fill its descriptors, silent or with half a request, also at its console
-	"scheduler-twin":     {schedulers: true},                                     // it is stopped, and a second process has its name elsewhere; after for_s it wakes up
-	"scheduler-stranger": {schedulers: true},                                     // a member of another cluster knocks at it
+	"scheduler-pauses":   {schedulers: true, size: true, min: 1, max: 60_000}, // ms per pause, every every_s
+	"scheduler-blind":    {schedulers: true},                                  // its discovery emulator sends nothing
+	"scheduler-starve":   {schedulers: true, size: true, min: 0, max: 0.99},   // share of the time for which the process is stopped
+	"scheduler-takeover": {schedulers: true},                                  // a second process takes over, as in a hot restart
+	"scheduler-hups":     {schedulers: true},                                  // several SIGHUPs within a few ms
+	"scheduler-hup-term": {schedulers: true},                                  // SIGTERM directly after a SIGHUP; it starts again after for_s
+	"scheduler-terms":    {schedulers: true},                                  // repeated SIGTERM until it exits; it starts again after for_s
+	"takeover-hups":      {schedulers: true},                                  // SIGHUPs while a second process takes over
+	"scheduler-crowd":    {schedulers: true},                                  // idle clients exhaust its descriptors, also at its console; some send half a request
+	"scheduler-twin":     {schedulers: true},                                  // it is stopped while a second process runs under its name at another address; resumes after for_s
+	"scheduler-stranger": {schedulers: true},                                  // a member of another cluster tries to join through it
 
-	// Those of the soak, which brings what they need: see play.Shims.
-	"scheduler-clock": {size: true, schedulers: true, least: -day, most: day}, // its wall clock is so many seconds ahead from then on
-	"scheduler-calls": {size: true, schedulers: true, least: 1, most: 1e6},    // one in so many of its system calls on sockets fails
-	"scheduler-late":  {size: true, schedulers: true, least: 0, most: 60_000}, // its connections come up so many ms late at most
-	"scheduler-disk":  {schedulers: true},                                     // its writes and syncs of files fail
+	// Faults inside the process of a scheduler, for the soak: see runner.Shims.
+	"scheduler-clock": {size: true, schedulers: true, min: -dayMS, max: dayMS}, // its wall clock jumps ahead by this many seconds and stays there
+	"scheduler-calls": {size: true, schedulers: true, min: 1, max: 1e6},        // one in this many of its system calls on sockets fails
+	"scheduler-late":  {size: true, schedulers: true, min: 0, max: 60_000},     // its connections are established up to this many ms late
+	"scheduler-disk":  {schedulers: true},                                      // its file writes and syncs fail
 
-	"settings-change": {schedulers: true}, // every every_s, until for_s is over, one value of their settings is another
+	"settings-change": {schedulers: true}, // changes one value of their settings every every_s until for_s is over
 
-	"keepers-change": {schedulers: true}, // staff ask for those hit as keepers, at those of `to` or at any, until they stand or for_s is over
+	"keepers-change": {schedulers: true}, // requests the targets as the replica set, at the schedulers in `to` or at all of them in turn, until it is in force or for_s is over
 
-	"burst": {size: true, least: 0, most: 1000},
+	"burst": {size: true, min: 0, max: 1000},
 }
 
-// KindsOf are the names of all faults, in order.
-func KindsOf() []string {
+// FaultKinds returns the names of all kinds of faults, sorted.
+func FaultKinds() []string {
 	var names []string
-	for k := range kinds {
+	for k := range faultKinds {
 		names = append(names, k)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// OfSchedulers tells whether a fault hits schedulers.
-func OfSchedulers(kind string) bool { return kinds[kind].schedulers }
+// OfSchedulers reports whether a kind of fault hits schedulers.
+func OfSchedulers(kind string) bool { return faultKinds[kind].schedulers }
 
-// Read reads an experiment from a file.
+// Read reads an experiment from a file and its base files.
 func Read(path string) (*Experiment, error) {
 	e := defaults()
-	if err := e.read(path, 0); err != nil {
+	if err := e.readFile(path, 0); err != nil {
 		return nil, err
 	}
-	if err := e.fill(); err != nil {
+	if err := e.normalize(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	e.Dir = filepath.Dir(path)
 	return e, nil
 }
 
-const mostBases = 4 // a file's base may have one too; a circle must end
+const maxBaseDepth = 4 // depth of nested base files; a cycle of bases fails at it
 
-// read reads a file over what is known, its base first.
-func (e *Experiment) read(path string, depth int) error {
+// readFile reads the base of a file and then the file, whose values replace those of the base.
+func (e *Experiment) readFile(path string, depth int) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -344,63 +347,63 @@
 	var base struct {
 		Base string `toml:"base"`
 	}
-	// What else is wrong with the file is found below, with its place.
+	// decode reports any other error in the file, with its position.
 	if toml.Unmarshal(text, &base) == nil && base.Base != "" {
-		if depth >= mostBases {
-			return fmt.Errorf("%s: base: more than %d files deep", path, mostBases)
+		if depth >= maxBaseDepth {
+			return fmt.Errorf("%s: base: files are nested more than %d deep", path, maxBaseDepth)
 		}
 		if !filepath.IsAbs(base.Base) {
 			base.Base = filepath.Join(filepath.Dir(path), base.Base)
 		}
-		if err := e.read(base.Base, depth+1); err != nil {
+		if err := e.readFile(base.Base, depth+1); err != nil {
 			return err
 		}
 	}
 	e.Name = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
-	if err := e.over(text); err != nil {
+	if err := e.decode(text); err != nil {
 		return fmt.Errorf("%s:%w", path, err)
 	}
 	return nil
 }
 
-// over reads a text over what is known.
-func (e *Experiment) over(text []byte) error {
+// decode replaces the values that the text sets.
+func (e *Experiment) decode(text []byte) error {
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(e); err != nil {
-		return place(err)
+		return withPosition(err)
 	}
 	return nil
 }
 
-// defaults are what a file need not say.
+// defaults returns an experiment with the default values.
 func defaults() *Experiment {
 	return &Experiment{Seed: 1, Seconds: 10, Settle: 2, Zones: []string{"east", "west"},
 		Rules: Rules{SlackMS: 50, DrainGraceMS: 2500, OverloadFactor: 2.5, TipAfterMS: 1500, ColdFrom: 0.3, WarmAfterMS: 8600},
 		Schedulers: Schedulers{Count: 2, Cores: 1, MemoryMB: 192, Sockets: 1024, MaxPushes: 6, ConnectTimeoutMS: 200,
 			KeepaliveMS: 10_000, MaxRetryAfterMS: 2000, Cancel: true, Probes: true, StepMS: 5, CrossPrice: 0.01, Log: "info"},
 		Discovery: Discovery{LateMS: []float64{200, 1000}},
-		Clients:   Clients{Count: 8, Backoff: "exponential", WaitMS: 100, Honour: 1, Impatient: 300},
+		Clients:   Clients{Count: 8, Backoff: "exponential", WaitMS: 100, HonourRetryAfter: 1, DisconnectAfterMS: 300},
 		Arrivals:  Arrivals{Kind: "poisson", Rate: 50},
 		Copies:    Copies{Keepers: 3},
 		Members:   Members{PauseMS: 2000, DetectMS: 6000, SettleMS: 10_000, GraceMS: 8000},
 	}
 }
 
-// Parse reads an experiment from its text, which has no base.
+// Parse reads an experiment from a text. A base is ignored.
 func Parse(text []byte) (*Experiment, error) {
 	e := defaults()
-	if err := e.over(text); err != nil {
+	if err := e.decode(text); err != nil {
 		return nil, err
 	}
-	if err := e.fill(); err != nil {
+	if err := e.normalize(); err != nil {
 		return nil, fmt.Errorf(" %w", err)
 	}
 	return e, nil
 }
 
-// place puts a decoder's error into one line with its place.
-func place(err error) error {
+// withPosition formats a decoder's error as one line that starts with the row and column.
+func withPosition(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		row, col := strict.Errors[0].Position()
@@ -414,16 +417,16 @@
 	return fmt.Errorf(" %w", err)
 }
 
-// number checks that a value lies in bounds.
-func number(name string, v, least, most float64) error {
-	if math.IsNaN(v) || v < least || v > most {
-		return fmt.Errorf("%s = %g lies outside %g to %g", name, v, least, most)
+// checkRange checks that a value is from lower to upper.
+func checkRange(name string, v, lower, upper float64) error {
+	if math.IsNaN(v) || v < lower || v > upper {
+		return fmt.Errorf("%s = %g must be from %g to %g", name, v, lower, upper)
 	}
 	return nil
 }
 
-// first is the first error of several.
-func first(errs ...error) error {
+// firstError returns the first error that isn't nil.
+func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -432,145 +435,145 @@
 	return nil
 }
 
-func oneOf(name, v string, of ...string) error {
-	if slices.Contains(of, v) {
+func checkOneOf(name, v string, allowed ...string) error {
+	if slices.Contains(allowed, v) {
 		return nil
 	}
-	return fmt.Errorf("%s = %q is none of %s", name, v, strings.Join(of, ", "))
+	return fmt.Errorf("%s = %q must be one of %s", name, v, strings.Join(allowed, ", "))
 }
 
-// Bounds on what a file may ask of the machine.
+// Bounds on the resources that a file may request.
 const (
-	mostWorkers    = 16_384 // over twice of the 6,300 that docs/CAPACITY.md asks for
-	mostSchedulers = 400    // each is a process
-	mostMembers    = 480    // real and hollow ones: the addresses of a play
-	mostRate       = 200_000
-	mostSeconds    = 3600
-	day            = 86_400_000 // ms
+	maxWorkers    = 16_384 // over twice the 6,300 that docs/CAPACITY.md requires
+	maxSchedulers = 400    // each scheduler is a process
+	maxMembers    = 480    // schedulers and hollow members; limited by the addresses of a run
+	maxRate       = 200_000
+	maxSeconds    = 3600
+	dayMS         = 86_400_000 // ms
 )
 
-// fill puts in what is left out and checks the rest.
-func (e *Experiment) fill() error {
+// normalize sets defaults for missing values and checks all values.
+func (e *Experiment) normalize() error {
 	s, r, c := &e.Schedulers, &e.Rules, &e.Clients
-	if err := first(
-		number("seconds", e.Seconds, 0.1, mostSeconds), number("settle_s", e.Settle, 0, mostSeconds),
-		number("rules.slack_ms", r.SlackMS, 0, day), number("rules.drain_grace_ms", r.DrainGraceMS, 0, day),
-		number("rules.overload_factor", r.OverloadFactor, 0.1, 1000), number("rules.tip_after_ms", r.TipAfterMS, 0, day),
-		number("rules.cold_from", r.ColdFrom, 0.01, 1), number("rules.warm_after_ms", r.WarmAfterMS, 0, day),
-		number("schedulers.count", float64(s.Count), 1, mostSchedulers), number("schedulers.cores", s.Cores, 0.05, 64),
-		number("schedulers.memory_mb", float64(s.MemoryMB), 32, 1<<20),
-		number("schedulers.sockets", float64(s.Sockets), 64, 1<<20),
-		number("schedulers.max_pushes", float64(s.MaxPushes), 1, 100),
-		number("schedulers.connect_timeout_ms", s.ConnectTimeoutMS, 1, day),
-		number("schedulers.keepalive_ms", s.KeepaliveMS, 1, day),
-		number("schedulers.max_retry_after_ms", s.MaxRetryAfterMS, 0, day),
-		number("schedulers.step_ms", s.StepMS, 0.1, day),
-		oneOf("schedulers.log", s.Log, "debug", "info", "warn", "error"),
-		number("clients.count", float64(c.Count), 1, 100_000), number("clients.retries", float64(c.Retries), 0, 100),
-		number("clients.wait_ms", c.WaitMS, 0, day), number("clients.honour", c.Honour, 0, 1),
-		number("clients.leave", c.Leave, 0, 1), number("clients.trickle", c.Trickle, 0, 1),
-		number("clients.stall", c.Stall, 0, 1), number("clients.ask_again", c.AskAgain, 0, 1), number("clients.pipeline", c.Pipeline, 0, 1), number("clients.at_once", c.AtOnce, 0, 1),
-		oneOf("clients.backoff", c.Backoff, "none", "fixed", "exponential"),
-		oneOf("arrivals.kind", e.Arrivals.Kind, "poisson", "even", "trace"),
-		number("arrivals.rate", e.Arrivals.Rate, 0, mostRate),
+	if err := firstError(
+		checkRange("seconds", e.Seconds, 0.1, maxSeconds), checkRange("settle_s", e.Settle, 0, maxSeconds),
+		checkRange("rules.slack_ms", r.SlackMS, 0, dayMS), checkRange("rules.drain_grace_ms", r.DrainGraceMS, 0, dayMS),
+		checkRange("rules.overload_factor", r.OverloadFactor, 0.1, 1000), checkRange("rules.tip_after_ms", r.TipAfterMS, 0, dayMS),
+		checkRange("rules.cold_from", r.ColdFrom, 0.01, 1), checkRange("rules.warm_after_ms", r.WarmAfterMS, 0, dayMS),
+		checkRange("schedulers.count", float64(s.Count), 1, maxSchedulers), checkRange("schedulers.cores", s.Cores, 0.05, 64),
+		checkRange("schedulers.memory_mb", float64(s.MemoryMB), 32, 1<<20),
+		checkRange("schedulers.sockets", float64(s.Sockets), 64, 1<<20),
+		checkRange("schedulers.max_pushes", float64(s.MaxPushes), 1, 100),
+		checkRange("schedulers.connect_timeout_ms", s.ConnectTimeoutMS, 1, dayMS),
+		checkRange("schedulers.keepalive_ms", s.KeepaliveMS, 1, dayMS),
+		checkRange("schedulers.max_retry_after_ms", s.MaxRetryAfterMS, 0, dayMS),
+		checkRange("schedulers.step_ms", s.StepMS, 0.1, dayMS),
+		checkOneOf("schedulers.log", s.Log, "debug", "info", "warn", "error"),
+		checkRange("clients.count", float64(c.Count), 1, 100_000), checkRange("clients.retries", float64(c.Retries), 0, 100),
+		checkRange("clients.wait_ms", c.WaitMS, 0, dayMS), checkRange("clients.honour", c.HonourRetryAfter, 0, 1),
+		checkRange("clients.leave", c.DisconnectChance, 0, 1), checkRange("clients.trickle", c.TrickleChance, 0, 1),
+		checkRange("clients.stall", c.StallChance, 0, 1), checkRange("clients.ask_again", c.DuplicateChance, 0, 1), checkRange("clients.pipeline", c.Pipeline, 0, 1), checkRange("clients.at_once", c.AtOnce, 0, 1),
+		checkOneOf("clients.backoff", c.Backoff, "none", "fixed", "exponential"),
+		checkOneOf("arrivals.kind", e.Arrivals.Kind, "poisson", "even", "trace"),
+		checkRange("arrivals.rate", e.Arrivals.Rate, 0, maxRate),
 	); err != nil {
 		return err
 	}
 	if k := e.Copies.Keepers; e.Copies.On && (!e.Members.On || k < 1 || k%2 == 0 || k > s.Count) {
-		return fmt.Errorf("copies.keepers = %d: an odd number of the schedulers is wanted, and members.on", k)
+		return fmt.Errorf("copies.keepers = %d must be odd and at most schedulers.count, and members.on must be set", k)
 	}
 	m := &e.Members
-	if err := first(number("members.pause_ms", m.PauseMS, 0, day), number("members.detect_ms", m.DetectMS, 1, day),
-		number("members.settle_ms", m.SettleMS, 1, day), number("members.grace_ms", m.GraceMS, 1, day), number("members.loss", m.Loss, 0, 1),
-		number("members.dup", m.Dup, 0, 1), number("members.reorder", m.Reorder, 0, 1), number("members.delay_ms", m.DelayMS, 0, day),
-		number("members.jitter_ms", m.JitterMS, 0, day), number("members.rate_kbps", m.RateKBps, 0, 1e9)); err != nil {
+	if err := firstError(checkRange("members.pause_ms", m.PauseMS, 0, dayMS), checkRange("members.detect_ms", m.DetectMS, 1, dayMS),
+		checkRange("members.settle_ms", m.SettleMS, 1, dayMS), checkRange("members.grace_ms", m.GraceMS, 1, dayMS), checkRange("members.loss", m.Loss, 0, 1),
+		checkRange("members.dup", m.Dup, 0, 1), checkRange("members.reorder", m.Reorder, 0, 1), checkRange("members.delay_ms", m.DelayMS, 0, dayMS),
+		checkRange("members.jitter_ms", m.JitterMS, 0, dayMS), checkRange("members.rate_kbps", m.RateKBps, 0, 1e9)); err != nil {
 		return err
 	}
 	for i, r := range e.Regions {
 		for _, z := range r.Zones {
 			if !slices.Contains(e.Zones, z) {
-				return fmt.Errorf("regions[%d].zones: %q is no zone", i, z)
+				return fmt.Errorf("regions[%d].zones: zone %q does not exist", i, z)
 			}
 		}
 		if r.Name == "" || slices.Contains(e.Zones, r.Name) || len(r.Zones) == 0 {
-			return fmt.Errorf("regions[%d].name = %q: a name that is no zone's is wanted, and zones", i, r.Name)
+			return fmt.Errorf("regions[%d].name = %q must be a name that no zone has, and the region needs zones", i, r.Name)
 		}
 	}
 	for i, f := range e.Sizes {
-		if err := number(fmt.Sprintf("sizes[%d]", i), f, 0.001, 10); err != nil {
+		if err := checkRange(fmt.Sprintf("sizes[%d]", i), f, 0.001, 10); err != nil {
 			return err
 		}
 		if e.Arrivals.Kind == "trace" {
-			return errors.New("sizes: a trace has its own rate")
+			return errors.New("sizes: must be empty with arrivals.kind = \"trace\"")
 		}
 	}
-	if m.Hollow != 0 && (!m.On || m.Hollow < 0 || m.Hollow+s.Count > mostMembers) {
-		return fmt.Errorf("members.hollow = %d: members.on is wanted, and %d members at most with the schedulers", m.Hollow, mostMembers)
+	if m.Hollow != 0 && (!m.On || m.Hollow < 0 || m.Hollow+s.Count > maxMembers) {
+		return fmt.Errorf("members.hollow = %d needs members.on, and at most %d members including the schedulers", m.Hollow, maxMembers)
 	}
 	if len(e.Zones) == 0 {
-		return errors.New("zones: there must be one")
+		return errors.New("zones: must not be empty")
 	}
-	if l := e.Discovery.LateMS; len(l) != 2 || l[0] < 0 || l[1] < l[0] || l[1] > day {
-		return fmt.Errorf("discovery.late_ms = %v: least and most are wanted", l)
+	if l := e.Discovery.LateMS; len(l) != 2 || l[0] < 0 || l[1] < l[0] || l[1] > dayMS {
+		return fmt.Errorf("discovery.late_ms = %v must be a minimum and a maximum from 0 on", l)
 	}
 	if len(s.Shares) > 0 && len(s.Shares) != s.Count {
-		return fmt.Errorf("schedulers.shares: %d for %d schedulers", len(s.Shares), s.Count)
+		return fmt.Errorf("schedulers.shares: %d values for %d schedulers", len(s.Shares), s.Count)
 	}
-	return first(e.fillWorkers(), e.fillCategories(), e.fillLinks(), e.fillFaults(), e.fillSteps())
+	return firstError(e.normalizeWorkers(), e.normalizeCategories(), e.checkLinks(), e.normalizeFaults(), e.checkArrivals())
 }
 
-func orElse[T int | float64](v *T, otherwise T) {
+func setDefault[T int | float64](v *T, value T) {
 	if *v == 0 {
-		*v = otherwise
+		*v = value
 	}
 }
 
-func (e *Experiment) fillWorkers() error {
-	all := 0
+func (e *Experiment) normalizeWorkers() error {
+	total := 0
 	for i := range e.Workers {
 		w := &e.Workers[i]
 		at := fmt.Sprintf("workers[%d].", i)
-		orElse(&w.Cores, 4)
-		orElse(&w.Speed, 1)
-		orElse(&w.Slots, w.Cores)
-		orElse(&w.Queue, int(7*w.Cores))
-		orElse(&w.CellSize, 3)
-		orElse(&w.ReportEveryMS, 50)
-		orElse(&w.Connections, 3000)
+		setDefault(&w.Cores, 4)
+		setDefault(&w.Speed, 1)
+		setDefault(&w.Slots, w.Cores)
+		setDefault(&w.Queue, int(7*w.Cores))
+		setDefault(&w.CellSize, 3)
+		setDefault(&w.ReportEveryMS, 50)
+		setDefault(&w.Connections, 3000)
 		if w.Kind == "" {
 			w.Kind = fmt.Sprintf("kind%d", i)
 		}
-		if err := first(number(at+"count", float64(w.Count), 1, mostWorkers), number(at+"cores", w.Cores, 0.1, 1024),
-			number(at+"speed", w.Speed, 0.001, 1000), number(at+"speed_spread", w.SpeedSpread, 0, 0.95),
-			number(at+"slots", w.Slots, 1, 4096), number(at+"queue", float64(w.Queue), 0, 1e6),
-			number(at+"cell_size", float64(w.CellSize), 1, 1e6), number(at+"report_every_ms", w.ReportEveryMS, 0, day),
-			number(at+"progress_ms", w.ProgressMS, 0, day), number(at+"conn_work_ms", w.ConnWorkMS, 0, 1000),
-			number(at+"probe_work_ms", w.ProbeWorkMS, 0, 1000), number(at+"error_rate", w.ErrorRate, 0, 1),
-			number(at+"connections", float64(w.Connections), 1, 1e6), number(at+"memory", w.Memory, 0, 1e9)); err != nil {
+		if err := firstError(checkRange(at+"count", float64(w.Count), 1, maxWorkers), checkRange(at+"cores", w.Cores, 0.1, 1024),
+			checkRange(at+"speed", w.Speed, 0.001, 1000), checkRange(at+"speed_spread", w.SpeedSpread, 0, 0.95),
+			checkRange(at+"slots", w.Slots, 1, 4096), checkRange(at+"queue", float64(w.Queue), 0, 1e6),
+			checkRange(at+"cell_size", float64(w.CellSize), 1, 1e6), checkRange(at+"report_every_ms", w.ReportEveryMS, 0, dayMS),
+			checkRange(at+"progress_ms", w.ProgressMS, 0, dayMS), checkRange(at+"conn_work_ms", w.ConnWorkMS, 0, 1000),
+			checkRange(at+"probe_work_ms", w.ProbeWorkMS, 0, 1000), checkRange(at+"error_rate", w.ErrorRate, 0, 1),
+			checkRange(at+"connections", float64(w.Connections), 1, 1e6), checkRange(at+"memory", w.Memory, 0, 1e9)); err != nil {
 			return err
 		}
-		all += w.Count
+		total += w.Count
 	}
-	if all == 0 || all > mostWorkers {
-		return fmt.Errorf("workers: %d; there must be 1 to %d", all, mostWorkers)
+	if total == 0 || total > maxWorkers {
+		return fmt.Errorf("workers: %d workers in total, must be from 1 to %d", total, maxWorkers)
 	}
 	return nil
 }
 
-func (e *Experiment) fillCategories() error {
+func (e *Experiment) normalizeCategories() error {
 	shares := 0.0
 	seen := map[string]bool{}
 	for i := range e.Categories {
 		c := &e.Categories[i]
 		at := fmt.Sprintf("categories[%d].", i)
-		orElse(&c.Benefit, 1)
-		orElse(&c.Share, 1)
-		orElse(&c.WorkMS, 50)
-		orElse(&c.TTLMS, 5000)
-		orElse(&c.TargetMS, 300)
-		orElse(&c.Stretch, 2)
-		orElse(&c.CV, 1)
-		orElse(&c.Heaviest, 8) // far heavier ones could not end within any TTL that suits the rest
+		setDefault(&c.Benefit, 1)
+		setDefault(&c.Share, 1)
+		setDefault(&c.WorkMS, 50)
+		setDefault(&c.TTLMS, 5000)
+		setDefault(&c.TargetMS, 300)
+		setDefault(&c.Stretch, 2)
+		setDefault(&c.CV, 1)
+		setDefault(&c.MaxWorkFactor, 8) // ops with far more work could not end within a TTL that suits the others
 		if c.Dist == "" {
 			c.Dist = "exponential"
 		}
@@ -578,7 +581,7 @@
 			c.Effect = ledger.Redeliverable
 		}
 		if c.Effect == ledger.Deduplicated {
-			orElse(&c.WindowMS, 7500)
+			setDefault(&c.WindowMS, 7500)
 			if c.Scope == "" {
 				c.Scope = "zone"
 			}
@@ -586,78 +589,78 @@
 		if len(c.Slots) == 0 {
 			c.Slots = []float64{1}
 		}
-		if err := first(oneOf(at+"effect", c.Effect, ledger.Redeliverable, ledger.Deduplicated, ledger.AtMostOnce),
-			oneOf(at+"dist", c.Dist, "fixed", "exponential", "lognormal", "pareto"),
-			number(at+"window_ms", c.WindowMS, 0, day), number(at+"benefit", c.Benefit, 0, 1e6),
-			number(at+"late_benefit", c.LateBenefit, 0, 1), number(at+"share", c.Share, 0, 1e6),
-			number(at+"work_ms", c.WorkMS, 0.01, day), number(at+"cv", c.CV, 0.01, 20),
-			number(at+"heaviest", c.Heaviest, 1, 1000),
-			number(at+"target_ms", c.TargetMS, 1, day), number(at+"stretch", c.Stretch, 0, 1000),
-			number(at+"ttl_ms", c.TTLMS, 20, day), number(at+"body_bytes", float64(c.BodyBytes), 0, 64<<10),
-			number(at+"hint_spread", c.HintSpread, 0, 100), number(at+"memory", c.Memory, 0, 1e9)); err != nil {
+		if err := firstError(checkOneOf(at+"effect", c.Effect, ledger.Redeliverable, ledger.Deduplicated, ledger.AtMostOnce),
+			checkOneOf(at+"dist", c.Dist, "fixed", "exponential", "lognormal", "pareto"),
+			checkRange(at+"window_ms", c.WindowMS, 0, dayMS), checkRange(at+"benefit", c.Benefit, 0, 1e6),
+			checkRange(at+"late_benefit", c.LateBenefit, 0, 1), checkRange(at+"share", c.Share, 0, 1e6),
+			checkRange(at+"work_ms", c.WorkMS, 0.01, dayMS), checkRange(at+"cv", c.CV, 0.01, 20),
+			checkRange(at+"heaviest", c.MaxWorkFactor, 1, 1000),
+			checkRange(at+"target_ms", c.TargetMS, 1, dayMS), checkRange(at+"stretch", c.Stretch, 0, 1000),
+			checkRange(at+"ttl_ms", c.TTLMS, 20, dayMS), checkRange(at+"body_bytes", float64(c.BodyBytes), 0, 64<<10),
+			checkRange(at+"hint_spread", c.HintSpread, 0, 100), checkRange(at+"memory", c.Memory, 0, 1e9)); err != nil {
 			return err
 		}
 		if c.Effect == ledger.Deduplicated {
-			if err := oneOf(at+"scope", c.Scope, "all", "zone", "cell"); err != nil {
+			if err := checkOneOf(at+"scope", c.Scope, "all", "zone", "cell"); err != nil {
 				return err
 			}
 		} else if c.Scope != "" {
-			return fmt.Errorf("%sscope goes with effect = %q only", at, ledger.Deduplicated)
+			return fmt.Errorf("%sscope is only allowed with effect = %q", at, ledger.Deduplicated)
 		}
 		if c.Name == "" || seen[c.Name] {
-			return fmt.Errorf("%sname = %q: each category has a name of its own", at, c.Name)
+			return fmt.Errorf("%sname = %q must not be empty or used twice", at, c.Name)
 		}
 		if len(c.Slots) > 3 {
-			return fmt.Errorf("%sslots: chances of 1, 2 and 4 slots are wanted", at)
+			return fmt.Errorf("%sslots: must have at most 3 values, the weights of 1, 2 and 4 slots", at)
 		}
 		seen[c.Name] = true
 		shares += c.Share
 	}
 	if len(e.Categories) == 0 || shares <= 0 {
-		return errors.New("categories: there must be one with a share")
+		return errors.New("categories: at least one must have a share above 0")
 	}
 	return nil
 }
 
-func (e *Experiment) fillLinks() error {
+func (e *Experiment) checkLinks() error {
 	for i, l := range e.Links {
 		at := fmt.Sprintf("links[%d].", i)
-		if err := first(oneOf(at+"between", l.Between, "clients", "workers", "discovery"),
-			number(at+"delay_ms", l.DelayMS, 0, day), number(at+"jitter_ms", l.JitterMS, 0, day),
-			number(at+"rate_kbps", l.RateKBps, 0, 1e9), number(at+"stall", l.Stall, 0, 1),
-			number(at+"stall_ms", l.StallMS, 0, day), number(at+"reset_before", l.ResetFirst, 0, 1),
-			number(at+"reset_after", l.ResetAfter, 0, 1), number(at+"mute", l.Mute, 0, 1),
-			e.zone(at+"from", l.From), e.zone(at+"to", l.To)); err != nil {
+		if err := firstError(checkOneOf(at+"between", l.Between, "clients", "workers", "discovery"),
+			checkRange(at+"delay_ms", l.DelayMS, 0, dayMS), checkRange(at+"jitter_ms", l.JitterMS, 0, dayMS),
+			checkRange(at+"rate_kbps", l.RateKBps, 0, 1e9), checkRange(at+"stall", l.Stall, 0, 1),
+			checkRange(at+"stall_ms", l.StallMS, 0, dayMS), checkRange(at+"reset_before", l.ResetFirst, 0, 1),
+			checkRange(at+"reset_after", l.ResetAfter, 0, 1), checkRange(at+"mute", l.Mute, 0, 1),
+			e.checkZone(at+"from", l.From), e.checkZone(at+"to", l.To)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (e *Experiment) zone(name, z string) error {
+func (e *Experiment) checkZone(name, z string) error {
 	if z == "" || slices.Contains(e.Zones, z) || slices.ContainsFunc(e.Regions, func(r Region) bool { return r.Name == z }) {
 		return nil
 	}
-	return fmt.Errorf("%s = %q is no zone", name, z)
+	return fmt.Errorf("%s = %q is not a zone or region", name, z)
 }
 
-func (e *Experiment) fillFaults() error {
+func (e *Experiment) normalizeFaults() error {
 	for i := range e.Faults {
 		f := &e.Faults[i]
 		at := fmt.Sprintf("faults[%d].", i)
-		k, ok := kinds[f.Kind]
+		k, ok := faultKinds[f.Kind]
 		if !ok {
-			return fmt.Errorf("%skind = %q is none of %s", at, f.Kind, strings.Join(KindsOf(), ", "))
+			return fmt.Errorf("%skind = %q must be one of %s", at, f.Kind, strings.Join(FaultKinds(), ", "))
 		}
 		if len(f.Indices) == 0 && f.Part == 0 && f.Zone == "" {
 			f.Part = 1
 		}
-		if err := first(number(at+"at_s", f.At, 0, mostSeconds), number(at+"for_s", f.For, 0, mostSeconds),
-			number(at+"part", f.Part, 0, 1), number(at+"every_s", f.EveryS, 0, mostSeconds), e.zone(at+"zone", f.Zone)); err != nil {
+		if err := firstError(checkRange(at+"at_s", f.At, 0, maxSeconds), checkRange(at+"for_s", f.For, 0, maxSeconds),
+			checkRange(at+"part", f.Part, 0, 1), checkRange(at+"every_s", f.EveryS, 0, maxSeconds), e.checkZone(at+"zone", f.Zone)); err != nil {
 			return err
 		}
 		if k.size {
-			if err := number(at+"size", f.Size, k.least, k.most); err != nil {
+			if err := checkRange(at+"size", f.Size, k.min, k.max); err != nil {
 				return err
 			}
 		}
@@ -670,40 +673,40 @@
 		}
 		for _, n := range f.Indices {
 			if n < 0 || n >= limit {
-				return fmt.Errorf("%sindices: %d is none of 0 to %d", at, n, limit-1)
+				return fmt.Errorf("%sindices: %d must be from 0 to %d", at, n, limit-1)
 			}
 		}
 		for _, n := range f.To {
 			if n < 0 || n >= e.Schedulers.Count {
-				return fmt.Errorf("%sto: %d is none of 0 to %d", at, n, e.Schedulers.Count-1)
+				return fmt.Errorf("%sto: %d must be from 0 to %d", at, n, e.Schedulers.Count-1)
 			}
 		}
 		if f.Way == "" {
 			f.Way = "both"
 		}
-		if err := oneOf(at+"way", f.Way, "both", "out", "in"); err != nil {
+		if err := checkOneOf(at+"way", f.Way, "both", "out", "in"); err != nil {
 			return err
 		}
 		if !e.Members.On && (strings.HasPrefix(f.Kind, "mesh-") || f.Kind == "scheduler-takeover" || f.Kind == "takeover-hups" || f.Kind == "scheduler-twin" || f.Kind == "scheduler-stranger") {
-			return fmt.Errorf("%skind = %q: members.on is not set", at, f.Kind)
+			return fmt.Errorf("%skind = %q needs members.on", at, f.Kind)
 		}
 		if f.Kind == "settings-change" && (!e.Members.On || f.EveryS <= 0) {
-			return fmt.Errorf("%skind = %q: members.on is wanted, and every_s", at, f.Kind)
+			return fmt.Errorf("%skind = %q needs members.on and every_s", at, f.Kind)
 		}
 		if f.Kind == "keepers-change" && (!e.Copies.Agreed || len(f.Indices)%2 == 0) {
-			return fmt.Errorf("%skind = %q: an odd number of indices is wanted, and copies.agreed", at, f.Kind)
+			return fmt.Errorf("%skind = %q needs copies.agreed and an odd number of indices", at, f.Kind)
 		}
 		if f.Kind == "region-cut" && !slices.ContainsFunc(e.Regions, func(r Region) bool { return r.Name == f.Zone }) {
-			return fmt.Errorf("%szone = %q: a region is wanted", at, f.Zone)
+			return fmt.Errorf("%szone = %q must be a region", at, f.Zone)
 		}
 		if f.Kind == "cut" && f.Zone == "" {
-			return fmt.Errorf("%szone is wanted", at)
+			return fmt.Errorf("%szone must be set", at)
 		}
 	}
 	c := &e.Chaos
 	for _, k := range c.Kinds {
-		if _, ok := kinds[k]; !ok {
-			return fmt.Errorf("chaos.kinds: %q is none of %s", k, strings.Join(KindsOf(), ", "))
+		if _, ok := faultKinds[k]; !ok {
+			return fmt.Errorf("chaos.kinds: %q must be one of %s", k, strings.Join(FaultKinds(), ", "))
 		}
 	}
 	if len(c.Kinds) == 0 {
@@ -713,40 +716,40 @@
 		name      string
 		v         *[]float64
 		otherwise []float64
-	}{{"for_s", &c.ForS, []float64{1, 4}}, {"part", &c.Part, []float64{0.1, 0.4}}, {"size", &c.Size, []float64{2, 8}}} {
+	}{{"for_s", &c.DurationS, []float64{1, 4}}, {"part", &c.Fraction, []float64{0.1, 0.4}}, {"size", &c.Magnitude, []float64{2, 8}}} {
 		if len(*row.v) == 0 {
 			*row.v = row.otherwise
 		}
 		if v := *row.v; len(v) != 2 || v[0] < 0 || v[1] < v[0] {
-			return fmt.Errorf("chaos.%s = %v: least and most are wanted", row.name, v)
+			return fmt.Errorf("chaos.%s = %v must be a minimum and a maximum from 0 on", row.name, v)
 		}
 	}
-	return number("chaos.every_s", c.EveryS, 0.1, mostSeconds)
+	return checkRange("chaos.every_s", c.EveryS, 0.1, maxSeconds)
 }
 
-func (e *Experiment) fillSteps() error {
+func (e *Experiment) checkArrivals() error {
 	last := -1.0
 	for i, s := range e.Arrivals.Steps {
 		if len(s) != 2 || s[0] <= last || s[1] < 0 || s[1] > 1000 {
-			return fmt.Errorf("arrivals.steps[%d] = %v: [at_s, factor] in order of time is wanted", i, s)
+			return fmt.Errorf("arrivals.steps[%d] = %v must be [at_s, factor], in order of time, with a factor from 0 to 1000", i, s)
 		}
 		last = s[0]
 	}
 	if e.Arrivals.Kind == "trace" && e.Arrivals.Trace == "" {
-		return errors.New("arrivals.trace: a file is wanted")
+		return errors.New("arrivals.trace: a file must be set")
 	}
 	if e.Arrivals.Kind != "trace" && e.Arrivals.Rate <= 0 {
-		return errors.New("arrivals.rate: ops a second are wanted")
+		return errors.New("arrivals.rate: must be above 0")
 	}
 	for i, x := range e.Expect {
 		if x.Figure == "" || x.Least == nil && x.Most == nil {
-			return fmt.Errorf("expect[%d]: a figure and least or most are wanted", i)
+			return fmt.Errorf("expect[%d]: figure and least or most must be set", i)
 		}
 	}
 	return nil
 }
 
-// WorkerCount is how many workers there are.
+// WorkerCount returns the total number of workers.
 func (e *Experiment) WorkerCount() (n int) {
 	for _, w := range e.Workers {
 		n += w.Count
@@ -754,7 +757,7 @@
 	return n
 }
 
-// Sized is the same experiment with that share of its workers and arrivals.
+// Sized returns the experiment with a share of its workers and of its arrival rate.
 func (e *Experiment) Sized(share float64) (*Experiment, error) {
 	s := *e
 	s.Sizes, s.Workers, s.Faults = nil, slices.Clone(e.Workers), slices.Clone(e.Faults)
@@ -763,30 +766,30 @@
 	for i := range s.Workers {
 		s.Workers[i].Count = max(int(math.Round(float64(e.Workers[i].Count)*share)), 1)
 	}
-	if err := s.fill(); err != nil { // a trouble may name a worker that is not there
+	if err := s.normalize(); err != nil { // a fault may name a worker that no longer exists
 		return nil, fmt.Errorf("%s: %w", s.Name, err)
 	}
 	return &s, nil
 }
 
-// MS is a number of milliseconds in the ledger's unit, rounded down.
+// MS converts milliseconds to ledger time, rounded down.
 func MS(ms float64) ledger.Time { return ledger.Time(math.Floor(ms*10 + 1e-6)) }
 
-// S is a number of seconds in the ledger's unit.
-func S(s float64) ledger.Time { return MS(1000 * s) }
+// FromSeconds converts seconds to ledger time, rounded down.
+func FromSeconds(s float64) ledger.Time { return MS(1000 * s) }
 
-// Judged are the rules as the audit takes them.
+// Judged returns the rules in the form that the ledger and the audit use.
 func (e *Experiment) Judged() *ledger.Rules {
 	r := &ledger.Rules{Slack: MS(e.Rules.SlackMS), DrainGrace: MS(e.Rules.DrainGraceMS), OverloadFactor: e.Rules.OverloadFactor,
 		TipAfter: MS(e.Rules.TipAfterMS), ColdFrom: e.Rules.ColdFrom, WarmAfter: MS(e.Rules.WarmAfterMS),
 		Categories: map[string]ledger.Category{}}
 	longest, shares := 0.0, 0.0
 	for _, c := range e.Categories {
-		wide, chances := 0.0, 0.0
-		for k, chance := range c.Slots { // of 1, 2 and 4 slots
-			wide, chances = wide+chance*float64(int(1)<<k), chances+chance
+		slots, weights := 0.0, 0.0
+		for k, weight := range c.Slots { // weights of 1, 2 and 4 slots
+			slots, weights = slots+weight*float64(int(1)<<k), weights+weight
 		}
-		r.MeanWork, shares = r.MeanWork+c.Share*c.WorkMS*wide/chances, shares+c.Share
+		r.MeanWork, shares = r.MeanWork+c.Share*c.WorkMS*slots/weights, shares+c.Share
 		r.Categories[c.Name] = ledger.Category{Effect: c.Effect, Scope: c.Scope, Window: MS(c.WindowMS)}
 		longest = max(longest, c.TTLMS)
 	}
@@ -795,8 +798,8 @@
 	return r
 }
 
-// Longest is the longest TTL of all categories.
-func (e *Experiment) Longest() time.Duration {
+// LongestTTL returns the longest TTL of all categories.
+func (e *Experiment) LongestTTL() time.Duration {
 	longest := 0.0
 	for _, c := range e.Categories {
 		longest = max(longest, c.TTLMS)
--- a/internal/lab/runner/ends.go
+++ b/internal/lab/runner/ends.go
@@ -11,114 +11,117 @@
 )
 
 const (
-	// leastKillAfter is how long after the longest deadline a process that was told to end may be killed.
-	leastKillAfter = 700 * time.Millisecond
-	usualKillAfter = time.Second
+	// clientDrainKillMargin is the time after the longest TTL at which a terminating process is killed, if
+	// clients go on using it.
+	clientDrainKillMargin = 700 * time.Millisecond
+	killMargin            = time.Second
 
-	hupsInSeries = 5
-	hupPause     = 2 * time.Millisecond // between two of a series
+	hupCount    = 5
+	hupInterval = 2 * time.Millisecond // between two SIGHUPs
 
-	crowdPause    = 500 * time.Millisecond // before another comes in place of one that was closed: it is a crowd, no flood
-	crowdDialTime = 200 * time.Millisecond
-	halfARequest  = "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Corr"
+	reconnectDelay   = 500 * time.Millisecond // before a closed connection is replaced, so that the load is idle connections and not a flood of new ones
+	crowdDialTimeout = 200 * time.Millisecond
+	partialRequest   = "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Corr"
 )
 
-// killAfter is how long a process has from SIGTERM on before it is killed.
-func (r *run) killAfter() time.Duration {
-	if r.plan.Clients.GoOn {
-		return r.plan.Longest() + leastKillAfter
+// killDelay returns the time from SIGTERM to SIGKILL for a process that doesn't exit.
+func (r *run) killDelay() time.Duration {
+	if r.experiment.Clients.UseWhileTerminating {
+		return r.experiment.LongestTTL() + clientDrainKillMargin
 	}
-	return r.plan.Longest() + usualKillAfter
+	return r.experiment.LongestTTL() + killMargin
 }
 
-// relaysAtAnEnd is how many relays go on with their connections to a process that is told to end.
-const relaysAtAnEnd = 3
+// relayCount is the number of relays that keep their connections to a terminating process.
+const relayCount = 3
 
-// relayed begins some relays before a process is told to end, where clients go on. They end with it.
-func (r *run) relayed(n int) {
-	if !r.plan.Clients.GoOn {
+// startRelays starts relays to a process that is about to be terminated, if clients.go_on is set. They end
+// with the process.
+func (r *run) startRelays(n int) {
+	if !r.experiment.Clients.UseWhileTerminating {
 		return
 	}
-	name := fmt.Sprintf("r%x-%d-%d", r.plan.Seed, n, r.book.Now())
-	for k := range relaysAtAnEnd {
-		r.beside(func() error {
-			clients.Relay(r.schedulers[n].Listen, n+1, fmt.Sprint(name, "-", k), r.book)
+	name := fmt.Sprintf("r%x-%d-%d", r.experiment.Seed, n, r.ledger.Now())
+	for k := range relayCount {
+		r.inBackground(func() error {
+			clients.Relay(r.schedulers[n].Listen, n+1, fmt.Sprint(name, "-", k), r.ledger)
 			return nil
 		})
 	}
 	time.Sleep(relayLead)
 }
 
-// relayLead is for relays to be under way.
+// relayLead is the time for relays to connect before the process is terminated.
 const relayLead = 20 * time.Millisecond
 
-// takeover has a second process take a scheduler's place, with relays at the first one.
+// takeover replaces a scheduler's process by a second one while relays use the first.
 func (r *run) takeover(n int, hups bool) error {
-	r.relayed(n)
-	return r.schedulers[n].Takeover(r.killAfter(), hups)
+	r.startRelays(n)
+	return r.schedulers[n].Takeover(r.killDelay(), hups)
 }
 
-// endAndStart ends a scheduler in one of several ways, and starts it again.
-func (r *run) endAndStart(s *schedulers.Scheduler, kind string, n int, span time.Duration) error {
-	from := time.Now()
+// stopAndRestart stops a scheduler as the kind of fault says, and starts it again when the duration is over.
+func (r *run) stopAndRestart(s *schedulers.Scheduler, kind string, n int, duration time.Duration) error {
+	begin := time.Now()
 	if kind != "scheduler-kill" && kind != "scheduler-stale" {
-		r.relayed(n)
+		r.startRelays(n)
 	}
 	var err error
 	switch kind {
 	case "scheduler-term":
-		err = s.End(r.killAfter())
+		err = s.Terminate(r.killDelay())
 	case "scheduler-terms":
-		err = s.EndBySeries(r.killAfter())
+		err = s.TerminateRepeatedly(r.killDelay())
 	case "scheduler-hup-term":
-		r.move(n)
-		err = s.End(r.killAfter())
+		r.moveDiscovery(n)
+		err = s.Terminate(r.killDelay())
 	default:
 		s.Kill()
 	}
 	if err != nil {
 		return err
 	}
-	time.Sleep(max(span-time.Since(from), 0))
+	time.Sleep(max(duration-time.Since(begin), 0))
 	return s.Start(kind == "scheduler-stale")
 }
 
-// hups sends a series of SIGHUPs; each comes with discovery at another place.
-func (r *run) hups(n int) {
-	for range hupsInSeries {
-		r.move(n)
-		time.Sleep(hupPause)
+// sendHups sends a series of SIGHUPs. Before each of them the discovery emulator moves to another address.
+func (r *run) sendHups(n int) {
+	for range hupCount {
+		r.moveDiscovery(n)
+		time.Sleep(hupInterval)
 	}
 }
 
-// fill opens idle connections to a scheduler, and a quarter as many to its console, until its descriptors are used up: silent ones and ones
-// with half a request. Where one is closed another one comes, for a while.
-func (r *run) fill(s *schedulers.Scheduler, span time.Duration) error {
-	until := time.Now().Add(span)
+// exhaustDescriptors opens idle connections to a scheduler, and a quarter as many to its console, to use up
+// its descriptors. Half of the connections send part of a request. A closed connection is replaced until the
+// duration is over.
+func (r *run) exhaustDescriptors(s *schedulers.Scheduler, duration time.Duration) error {
+	until := time.Now().Add(duration)
 	var all sync.WaitGroup
-	for k := range r.plan.Schedulers.Sockets * 5 / 4 {
+	for k := range r.experiment.Schedulers.Sockets * 5 / 4 {
 		addr := s.Listen
 		if console := s.Console(); k%5 == 4 && console != "" {
 			addr = console
 		}
-		all.Go(func() { rest(addr, k%2 == 0, until) })
+		all.Go(func() { keepIdleConns(addr, k%2 == 0, until) })
 	}
 	all.Wait()
 	return nil
 }
 
-// rest keeps an idle connection open, one after another, until a moment.
-func rest(addr string, silent bool, until time.Time) {
+// keepIdleConns keeps one idle connection open until a point in time and replaces it when it is closed.
+func keepIdleConns(addr string, silent bool, until time.Time) {
 	for time.Now().Before(until) {
-		c, err := net.DialTimeout("tcp", addr, crowdDialTime)
+		c, err := net.DialTimeout("tcp", addr, crowdDialTimeout)
 		if err == nil {
 			if !silent {
-				fmt.Fprint(c, halfARequest)
+				fmt.Fprint(c, partialRequest)
 			}
 			c.SetReadDeadline(until)
 			c.Read(make([]byte, 1))
 			c.Close()
 		}
-		time.Sleep(crowdPause)
+		time.Sleep(reconnectDelay)
 	}
 }
--- a/internal/lab/runner/keepers.go
+++ b/internal/lab/runner/keepers.go
@@ -11,96 +11,99 @@
 )
 
 const (
-	changeEvery = 100 * time.Millisecond
-	changeTime  = 10 * time.Second // for a change of keepers whose trouble states no span
+	pollInterval         = 100 * time.Millisecond
+	replicaChangeTimeout = 10 * time.Second // for a change of the replica set without for_s
 )
 
-// changeKeepers has staff ask for other keepers, at whichever scheduler answers, until they stand or the span is over. A change that
-// does not come about is no fault of the rig: an experiment says how many it expects.
-func (r *run) changeKeepers(t workload.Turn, span time.Duration) error {
-	if span == 0 {
-		span = changeTime
+// changeReplicas requests another replica set at the console of a scheduler that answers, as an operator
+// would. It repeats the request until the set is in force or the timeout is over. A change that doesn't
+// succeed is no error here: the experiment bounds the number of changes that it expects.
+func (r *run) changeReplicas(t workload.FaultEvent, timeout time.Duration) error {
+	if timeout == 0 {
+		timeout = replicaChangeTimeout
 	}
 	var names []string
 	for _, n := range t.Targets {
 		names = append(names, fmt.Sprintf("n%d", n+1))
 	}
-	slices.Sort(names) // as the program shows them
-	began := time.Now()
-	for k := 0; time.Since(began) < span; k++ {
-		s := r.schedulers[(k+t.Fault)%len(r.schedulers)]
+	slices.Sort(names) // the console lists them in this order
+	begin := time.Now()
+	for k := 0; time.Since(begin) < timeout; k++ {
+		s := r.schedulers[(k+t.FaultID)%len(r.schedulers)]
 		if len(t.To) > 0 {
 			s = r.schedulers[t.To[k%len(t.To)]]
 		}
-		var c shownCopies
+		var c copiesStatus
 		if !s.Up() || s.Ask("/api/copies", &c) != nil {
-			time.Sleep(changeEvery)
+			time.Sleep(pollInterval)
 			continue
 		}
-		if len(c.Before) == 0 && slices.Equal(c.Keepers, names) {
+		if len(c.Previous) == 0 && slices.Equal(c.Replicas, names) {
 			r.mu.Lock()
-			r.changed = append(r.changed, time.Since(began))
+			r.replicaChanges = append(r.replicaChanges, time.Since(begin))
 			r.mu.Unlock()
 			return nil
 		}
-		if len(c.Before) == 0 {
-			q := url.Values{"turn": {fmt.Sprint(c.Turn)}, "keepers": {strings.Join(names, ",")}}
+		if len(c.Previous) == 0 {
+			q := url.Values{"turn": {fmt.Sprint(c.Epoch)}, "keepers": {strings.Join(names, ",")}}
 			s.Post("/api/copies/keepers?" + q.Encode())
 		}
-		time.Sleep(changeEvery)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
 
-// shownCopies is what a scheduler shows of its copies, in the program's published form.
-type shownCopies struct {
-	Turn    uint64            `json:"turn"`
-	Keepers []string          `json:"keepers"`
-	Before  []string          `json:"before"`
-	Keeper  bool              `json:"keeper"`
-	Voting  bool              `json:"voting"`
-	Digest  string            `json:"digest"`
-	Counts  map[string]uint64 `json:"counts"`
+// copiesStatus is the part of the response of /api/copies that the lab uses.
+type copiesStatus struct {
+	Epoch     uint64            `json:"turn"`
+	Replicas  []string          `json:"keepers"`
+	Previous  []string          `json:"before"`
+	IsReplica bool              `json:"keeper"`
+	IsVoter   bool              `json:"voting"`
+	Digest    string            `json:"digest"`
+	Counts    map[string]uint64 `json:"counts"`
 }
 
-const restTime = 5 * time.Second // for keepers that have changed at the last moment, once all troubles are over
+const replicaSettleTimeout = 5 * time.Second // after the last fault, for a change of the replica set that is still in progress
 
-// atRest asks all keepers for their copies, once those that are here have had the time to look at one another.
-func (r *run) atRest() error {
-	if !r.plan.Copies.On {
+// awaitReplicaSet waits until all schedulers use one replica set and no change is in progress, for at most
+// replicaSettleTimeout. It then records the digests of the replicas and other counts for the results.
+func (r *run) awaitReplicaSet() error {
+	if !r.experiment.Copies.On {
 		return nil
 	}
-	for limit := time.Now().Add(restTime); ; time.Sleep(changeEvery) {
-		digests, turns, unsure, late := []string(nil), map[uint64]bool{}, 0, false
+	for limit := time.Now().Add(replicaSettleTimeout); ; time.Sleep(pollInterval) {
+		digests, epochs, withoutMajority, changing := []string(nil), map[uint64]bool{}, 0, false
 		for _, s := range r.schedulers {
-			var c shownCopies
+			var c copiesStatus
 			if err := s.Ask("/api/copies", &c); err != nil {
 				return err
 			}
-			if c.Keeper {
+			if c.IsReplica {
 				digests = append(digests, c.Digest)
 			}
-			turns[c.Turn], late = true, late || len(c.Before) > 0
-			unsure += int(c.Counts["unsure"])
+			epochs[c.Epoch], changing = true, changing || len(c.Previous) > 0
+			withoutMajority += int(c.Counts["unsure"])
 		}
-		r.digests, r.unsure, r.sets = digests, unsure, len(turns)
-		if !late && len(turns) == 1 || time.Now().After(limit) {
+		r.digests, r.withoutMajority, r.replicaSets = digests, withoutMajority, len(epochs)
+		if !changing && len(epochs) == 1 || time.Now().After(limit) {
 			return nil
 		}
 	}
 }
 
-// waitForVotes waits until all keepers have their votes: a cluster that starts has no memory, and holds off. Where keepers change, all
-// have to know the agreement's first set.
-func (r *run) waitForVotes() error {
-	if !r.plan.Copies.On {
+// awaitVoters waits until all replicas are voters. A cluster that has just started has no records, so its
+// replicas don't vote for a while. If the replica set can change, all schedulers must also know the first
+// set.
+func (r *run) awaitVoters() error {
+	if !r.experiment.Copies.On {
 		return nil
 	}
-	for limit := time.Now().Add(votesTime); ; time.Sleep(50 * time.Millisecond) {
+	for limit := time.Now().Add(votersTimeout); ; time.Sleep(50 * time.Millisecond) {
 		missing := 0
 		for _, s := range r.schedulers {
-			var c shownCopies
-			if s.Ask("/api/copies", &c) != nil || c.Keeper != c.Voting || r.plan.Copies.Agreed && c.Turn == 0 {
+			var c copiesStatus
+			if s.Ask("/api/copies", &c) != nil || c.IsReplica != c.IsVoter || r.experiment.Copies.Agreed && c.Epoch == 0 {
 				missing++
 			}
 		}
@@ -108,7 +111,7 @@
 			return nil
 		}
 		if time.Now().After(limit) {
-			return fmt.Errorf("%d schedulers have no vote, or do not know the keepers, after %v", missing, votesTime)
+			return fmt.Errorf("%d schedulers aren't voters or don't know the replica set after %v", missing, votersTimeout)
 		}
 	}
 }
--- a/internal/lab/runner/lag.go
+++ b/internal/lab/runner/lag.go
@@ -12,23 +12,24 @@
 )
 
 const (
-	lagEvery  = 5 * time.Millisecond
-	pathEvery = 10 * time.Millisecond
+	timerInterval    = 5 * time.Millisecond
+	pushPathInterval = 10 * time.Millisecond
 )
 
-// watch finds out by how much the lab is late at most, until the context ends: what it writes down later than it was counts against
-// others. It looks at timers, and at the whole way on which a worker learns of a push: a connection that is taken, its reader that starts,
-// the bytes that it reads. On a busy machine each of these waits for its turn, and the sum is later than any timer.
-func watch(ctx context.Context) (lag time.Duration, err error) {
+// measureLag measures the maximum delay in the lab itself until the context ends, because a delay before the
+// lab records an event would be counted against the schedulers. It measures timers and the path of a push to
+// a worker: accept a connection, start its reader, read the bytes. On a busy machine each of these steps
+// waits for the CPU, and their sum is later than any timer.
+func measureLag(ctx context.Context) (lag time.Duration, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return 0, fmt.Errorf("the lab's watch on itself: %w", err)
+		return 0, fmt.Errorf("measuring the lag of the lab: %w", err)
 	}
 	defer l.Close()
 	var mu sync.Mutex
-	late := func(by time.Duration) {
+	record := func(delay time.Duration) {
 		mu.Lock()
-		lag = max(lag, by)
+		lag = max(lag, delay)
 		mu.Unlock()
 	}
 	var all sync.WaitGroup
@@ -39,46 +40,47 @@
 			if err != nil {
 				return
 			}
-			all.Go(func() { arrive(c, late) })
+			all.Go(func() { receiveTimestamp(c, record) })
 		}
 	})
 	all.Go(func() {
 		for ctx.Err() == nil {
-			send(l.Addr().String())
-			time.Sleep(pathEvery)
+			sendTimestamp(l.Addr().String())
+			time.Sleep(pushPathInterval)
 		}
 		l.Close()
 	})
 	for ctx.Err() == nil {
-		from := time.Now()
-		time.Sleep(lagEvery)
-		late(time.Since(from) - lagEvery)
+		begin := time.Now()
+		time.Sleep(timerInterval)
+		record(time.Since(begin) - timerInterval)
 	}
 	return lag, nil
 }
 
-const stampSize = 8
+const timestampSize = 8
 
-// send dials as a scheduler does and sends the moment at which it did.
-func send(to string) {
+// sendTimestamp connects as a scheduler does and sends the current time.
+func sendTimestamp(to string) {
 	c, err := net.Dial("tcp", to)
 	if err != nil {
 		return
 	}
 	defer c.Close()
-	c.Write(stampOf(time.Since(began)))
+	c.Write(encodeTimestamp(time.Since(baseTime)))
 }
 
-var began = time.Now()
+// baseTime is the time from which timestamps count.
+var baseTime = time.Now()
 
-func stampOf(at time.Duration) []byte { return binary.BigEndian.AppendUint64(nil, uint64(at)) }
+func encodeTimestamp(at time.Duration) []byte { return binary.BigEndian.AppendUint64(nil, uint64(at)) }
 
-// arrive reads such a moment as a worker reads a push.
-func arrive(c net.Conn, late func(time.Duration)) {
+// receiveTimestamp reads a timestamp as a worker reads a push, and records its age.
+func receiveTimestamp(c net.Conn, record func(time.Duration)) {
 	x := links.Through(c, links.New(links.Sky{}, 0))
 	defer x.Close()
-	room := make([]byte, stampSize)
-	if n, err := x.Read(room); err == nil && n == len(room) {
-		late(x.Mouth().Sub(began) - time.Duration(binary.BigEndian.Uint64(room)))
+	buf := make([]byte, timestampSize)
+	if n, err := x.Read(buf); err == nil && n == len(buf) {
+		record(x.Mouth().Sub(baseTime) - time.Duration(binary.BigEndian.Uint64(buf)))
 	}
 }
--- a/internal/lab/runner/lag_test.go
+++ b/internal/lab/runner/lag_test.go
@@ -7,30 +7,31 @@
 	"time"
 )
 
-// A lab that is late at reading and not at its timers would call its own lateness a scheduler's second push.
-func TestWhatIsReadLateIsNoticed(t *testing.T) {
-	near, far := net.Pipe()
+// A read that is late while timers are on time must count as lag. Otherwise the audit would blame a scheduler
+// for a duplicate push that only the lab's delay caused.
+func TestALateReadCountsAsLag(t *testing.T) {
+	client, worker := net.Pipe()
 	sent := make(chan struct{})
 	go func() {
-		defer near.Close()
-		stamp := time.Since(began) - time.Hour // as if it had lain there for an hour
-		near.Write(stampOf(stamp))
+		defer client.Close()
+		stamp := time.Since(baseTime) - time.Hour // as if unread for an hour
+		client.Write(encodeTimestamp(stamp))
 		close(sent)
 	}()
-	got := make(chan time.Duration, 1)
-	arrive(far, func(by time.Duration) { got <- by })
+	recorded := make(chan time.Duration, 1)
+	receiveTimestamp(worker, func(delay time.Duration) { recorded <- delay })
 	<-sent
 	select {
-	case by := <-got:
-		if by < time.Hour || by > time.Hour+time.Minute {
-			t.Errorf("late by %v", by)
+	case delay := <-recorded:
+		if delay < time.Hour || delay > time.Hour+time.Minute {
+			t.Errorf("delay %v, want 1 h to 1 h 1 min", delay)
 		}
 	default:
-		t.Error("nothing was noticed")
+		t.Error("no delay was recorded")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	if lag, err := watch(ctx); err != nil || lag <= 0 || lag > 20*time.Second {
-		t.Errorf("%v, %v", lag, err)
+	if lag, err := measureLag(ctx); err != nil || lag <= 0 || lag > 20*time.Second {
+		t.Errorf("lag %v, %v; want a positive lag up to 20 s", lag, err)
 	}
 }
--- a/internal/lab/runner/mesh.go
+++ b/internal/lab/runner/mesh.go
@@ -22,40 +22,41 @@
 )
 
 const (
-	mostSeeds   = 3                     // that each scheduler is told of
-	starveSlice = 20 * time.Millisecond // of which one that is starved stands still for a part
-	longestLine = 1 << 20
-	votesTime   = 30 * time.Second      // for the keepers of a cluster that starts
-	endTime     = 20 * time.Millisecond // between the last judgement and the first leave: logs have whole milliseconds
+	maxSeeds      = 3                     // in each scheduler's configuration
+	starveSlice   = 20 * time.Millisecond // a starved scheduler is stopped for a part of each slice
+	maxLogLine    = 1 << 20
+	votersTimeout = 30 * time.Second      // for the replicas of a cluster that starts
+	leaveGap      = 20 * time.Millisecond // between the last checked event and the first leave; logs have a resolution of 1 ms
 )
 
-// extra tells whether a turn needs a place of its own beside the schedulers.
-func extra(t workload.Turn) bool {
-	return t.On && (t.Kind == "scheduler-twin" || t.Kind == "scheduler-stranger")
+// needsExtraScheduler reports whether an event starts an extra scheduler.
+func needsExtraScheduler(t workload.FaultEvent) bool {
+	return t.Begins && (t.Kind == "scheduler-twin" || t.Kind == "scheduler-stranger")
 }
 
-// places counts the places in the mesh: schedulers, those that stand beside them for a while, hollow ones.
-func (r *run) places() int {
-	r.hollowAt = r.plan.Schedulers.Count
-	for _, t := range r.script.Turns {
-		if extra(t) {
-			r.hollowAt += len(t.Targets)
+// meshSize returns the number of mesh indices: first the schedulers, then the extra schedulers that faults
+// start, then the hollow members. It also sets firstHollow.
+func (r *run) meshSize() int {
+	r.firstHollow = r.experiment.Schedulers.Count
+	for _, t := range r.workload.Turns {
+		if needsExtraScheduler(t) {
+			r.firstHollow += len(t.Targets)
 		}
 	}
-	return r.hollowAt + r.plan.Members.Hollow
+	return r.firstHollow + r.experiment.Members.Hollow
 }
 
-// setUpMesh opens the links between schedulers.
+// setUpMesh opens the links between the members.
 func (r *run) setUpMesh() error {
-	if !r.plan.Members.On {
+	if !r.experiment.Members.On {
 		return nil
 	}
-	r.spare, r.cuts = r.plan.Schedulers.Count, map[[2]int]map[int]faultproxy.Cut{}
-	n := r.places()
+	r.firstExtra, r.cuts = r.experiment.Schedulers.Count, map[[2]int]map[int]faultproxy.Cut{}
+	n := r.meshSize()
 	var err error
-	r.mesh, err = faultproxy.New(n, r.plan.Seed, func(from, to int, cut faultproxy.Cut) {
-		if from < r.spare && to < r.spare {
-			r.book.Add(ledger.Event{Kind: ledger.Way, Scheduler: from + 1, To: to + 1,
+	r.mesh, err = faultproxy.New(n, r.experiment.Seed, func(from, to int, cut faultproxy.Cut) {
+		if from < r.firstExtra && to < r.firstExtra {
+			r.ledger.Add(ledger.Event{Kind: ledger.Way, Scheduler: from + 1, To: to + 1,
 				State: []string{"open", "silent", "refusing"}[cut]})
 		}
 	})
@@ -63,211 +64,213 @@
 		return err
 	}
 	r.mesh.Count(r.meter)
-	m := &r.plan.Members
+	m := &r.experiment.Members
 	ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 	for i := range n {
 		for j := range n {
-			r.mesh.Weather(i, j, func(s *faultproxy.Sky) {
-				*s = faultproxy.Sky{Loss: m.Loss, Dup: m.Dup, Reorder: m.Reorder, Delay: ms(m.DelayMS), Jitter: ms(m.JitterMS), Rate: 1000 * m.RateKBps}
+			r.mesh.Weather(i, j, func(conditions *faultproxy.Sky) {
+				*conditions = faultproxy.Sky{Loss: m.Loss, Dup: m.Dup, Reorder: m.Reorder, Delay: ms(m.DelayMS), Jitter: ms(m.JitterMS), Rate: 1000 * m.RateKBps}
 			})
 		}
 	}
 	return nil
 }
 
-// offer writes what the n-th scheduler is told of its cluster.
-func (r *run) offer(s *schedulers.Scheduler, n int, cluster string) error {
+// setOperatorConfig sets the operator's file of the scheduler with mesh index n: its cluster, its addresses
+// and its replica set.
+func (r *run) setOperatorConfig(s *schedulers.Scheduler, n int, cluster string) error {
 	if r.mesh == nil {
 		return nil
 	}
-	// A port of its own address: nobody else takes it while the scheduler is down.
-	at, err := faultproxy.Free(r.mesh.Bound(n), s.Listen)
+	// No other program uses this IP address, so the port stays free while the scheduler is down.
+	listen, err := faultproxy.Free(r.mesh.Bound(n), s.Listen)
 	if err != nil {
 		return err
 	}
-	r.mesh.Listens(n, at)
+	r.mesh.Listens(n, listen)
 	var seeds []string
-	for _, at := range r.seeds() {
-		seeds = append(seeds, fmt.Sprintf("%q", at))
+	for _, addr := range r.seeds() {
+		seeds = append(seeds, fmt.Sprintf("%q", addr))
 	}
-	copies := ""
-	if c := &r.plan.Copies; c.On {
-		var keepers []string
+	copiesTable := ""
+	if c := &r.experiment.Copies; c.On {
+		var replicas []string
 		for i := range c.Keepers {
-			keepers = append(keepers, fmt.Sprintf("\"n%d\"", i+1))
+			replicas = append(replicas, fmt.Sprintf("\"n%d\"", i+1))
 		}
-		copies = fmt.Sprintf("[copies]\nkeepers = [%s]\n%s\n", strings.Join(keepers, ", "), c.Operator)
+		copiesTable = fmt.Sprintf("[copies]\nkeepers = [%s]\n%s\n", strings.Join(replicas, ", "), c.Operator)
 		if c.Agreed {
 			path, err := filepath.Abs(filepath.Join(r.dir, s.Label()+".copies"))
 			if err != nil {
 				return err
 			}
-			copies += fmt.Sprintf("agreed = true\npath = %q\n", path)
+			copiesTable += fmt.Sprintf("agreed = true\npath = %q\n", path)
 		}
 	}
-	s.Offer(fmt.Sprintf("[members]\ncluster = %q\nlisten = %q\nadvertise = %q\nseeds = [%s]\nwords = %v\nworkers = %v\n%s\n%s", cluster, at, r.mesh.Told(n),
-		strings.Join(seeds, ", "), r.plan.Members.Words, r.plan.Members.Workers, r.plan.Members.Operator, copies))
+	s.SetOperatorConfig(fmt.Sprintf("[members]\ncluster = %q\nlisten = %q\nadvertise = %q\nseeds = [%s]\nwords = %v\nworkers = %v\n%s\n%s", cluster, listen, r.mesh.Told(n),
+		strings.Join(seeds, ", "), r.experiment.Members.PeerMessages, r.experiment.Members.ShareDrains, r.experiment.Members.Operator, copiesTable))
 	return nil
 }
 
-// seeds are whom a scheduler that starts asks first.
+// seeds returns the addresses of the members that a starting scheduler contacts first.
 func (r *run) seeds() (all []string) {
-	for i := range min(mostSeeds, r.spare) {
+	for i := range min(maxSeeds, r.firstExtra) {
 		all = append(all, r.mesh.Told(i))
 	}
 	return all
 }
 
-// zoneOf is the zone of a place in the mesh.
-func (r *run) zoneOf(place int) string {
-	if place >= r.hollowAt {
-		place -= r.hollowAt
+// zoneOf returns the zone of a mesh index.
+func (r *run) zoneOf(index int) string {
+	if index >= r.firstHollow {
+		index -= r.firstHollow
 	}
-	return r.plan.Zones[place%len(r.plan.Zones)]
+	return r.experiment.Zones[index%len(r.experiment.Zones)]
 }
 
-// startHollow starts the hollow schedulers.
+// startHollow starts the process of the hollow members and waits until the views are equal.
 func (r *run) startHollow() error {
-	if r.plan.Members.Hollow == 0 {
+	if r.experiment.Members.Hollow == 0 {
 		return nil
 	}
-	t := hollow.Told{Cluster: "lab", Seeds: r.seeds(), Lines: r.plan.Members.Operator, Chance: r.plan.Seed << 16}
-	for i := range r.plan.Members.Hollow {
-		n := r.hollowAt + i
-		at, err := faultproxy.Free(r.mesh.Bound(n))
+	config := hollow.Told{Cluster: "lab", Seeds: r.seeds(), Lines: r.experiment.Members.Operator, Chance: r.experiment.Seed << 16}
+	for i := range r.experiment.Members.Hollow {
+		n := r.firstHollow + i
+		listen, err := faultproxy.Free(r.mesh.Bound(n))
 		if err != nil {
 			return err
 		}
-		r.mesh.Listens(n, at)
-		t.Members = append(t.Members, hollow.Member{Name: fmt.Sprintf("h%d", i+1), Listen: at.String(), Advertise: r.mesh.Told(n)})
+		r.mesh.Listens(n, listen)
+		config.Members = append(config.Members, hollow.Member{Name: fmt.Sprintf("h%d", i+1), Listen: listen.String(), Advertise: r.mesh.Told(n)})
 	}
-	p, err := hollow.Start(r.stage.Hollow, t)
+	p, err := hollow.Start(r.options.Hollow, config)
 	if err != nil {
 		return err
 	}
 	r.hollow = p
-	err = r.hold() // what joining costs is apart from the figures
-	r.viewsFirst = r.views
+	err = r.awaitEqualViews() // the figures exclude the cost of joining
+	r.initialViews = r.distinctViews
 	return err
 }
 
-// view is what a member holds, in the program's published form.
-type view struct {
+// memberView is the part of the response of /api/members that the lab uses.
+type memberView struct {
 	Digest string
 	Self   struct{ Live int }
 }
 
-// hold asks all members what they hold, until all hold one another and the same, or the time is over in which views have to be the same.
-func (r *run) hold() error {
+// awaitEqualViews polls the views of all members until all views are equal and contain every member, or
+// members.settle_ms is over.
+func (r *run) awaitEqualViews() error {
 	if r.hollow == nil {
 		return nil
 	}
-	settle := time.Duration(r.plan.Members.SettleMS * float64(time.Millisecond))
-	for limit := time.Now().Add(settle); ; time.Sleep(changeEvery) {
+	settle := time.Duration(r.experiment.Members.SettleMS * float64(time.Millisecond))
+	for limit := time.Now().Add(settle); ; time.Sleep(pollInterval) {
 		states, err := r.hollow.States()
 		if err != nil {
 			return err
 		}
-		held, whole := map[string]int{}, true
-		note := func(digest string, live int) {
-			held[digest]++
-			whole = whole && live == len(states)+len(r.schedulers)-1
+		counts, complete := map[string]int{}, true
+		count := func(digest string, live int) {
+			counts[digest]++
+			complete = complete && live == len(states)+len(r.schedulers)-1
 		}
 		for _, s := range states {
-			note(s.Digest, s.Live)
-			r.hollowLate = max(r.hollowLate, s.WorstMS)
+			count(s.Digest, s.Live)
+			r.maxHollowLateMS = max(r.maxHollowLateMS, s.WorstMS)
 		}
 		for _, s := range r.schedulers {
-			var of view
-			if err := s.Ask("/api/members", &of); err != nil {
+			var view memberView
+			if err := s.Ask("/api/members", &view); err != nil {
 				return err
 			}
-			note(of.Digest, of.Self.Live)
+			count(view.Digest, view.Self.Live)
 		}
-		if r.views = len(held); len(held) == 1 && whole || time.Now().After(limit) {
+		if r.distinctViews = len(counts); len(counts) == 1 && complete || time.Now().After(limit) {
 			return nil
 		}
 	}
 }
 
-// links are the ordered pairs that a trouble of the mesh hits at one scheduler.
-func (r *run) links(t workload.Turn, n int, do func(from, to int)) {
-	for k := range r.spare {
+// forEachLink calls a function for each link of scheduler n that a mesh fault hits.
+func (r *run) forEachLink(t workload.FaultEvent, n int, do func(from, to int)) {
+	for k := range r.firstExtra {
 		if k == n || len(t.To) > 0 && !slices.Contains(t.To, k) || len(t.To) == 0 && slices.Contains(t.Targets, k) {
 			continue
 		}
-		if t.Way != "in" {
+		if t.Direction != "in" {
 			do(n, k)
 		}
-		if t.Way != "out" {
+		if t.Direction != "out" {
 			do(k, n)
 		}
 	}
 }
 
-// cut cuts a link for one trouble, or ends that: a link is open only when no trouble cuts it any more.
-func (r *run) cut(from, to int, t workload.Turn) {
+// setLinkCut begins or ends the cut of a link by one fault. A link opens when no fault cuts it any more.
+func (r *run) setLinkCut(from, to int, t workload.FaultEvent) {
 	link := [2]int{from, to}
 	if r.cuts[link] == nil {
 		r.cuts[link] = map[int]faultproxy.Cut{}
 	}
 	switch {
-	case !t.On:
-		delete(r.cuts[link], t.Fault)
-	case t.Refuses:
-		r.cuts[link][t.Fault] = faultproxy.Refusing
+	case !t.Begins:
+		delete(r.cuts[link], t.FaultID)
+	case t.ResetStreams:
+		r.cuts[link][t.FaultID] = faultproxy.Refusing
 	default:
-		r.cuts[link][t.Fault] = faultproxy.Silent
+		r.cuts[link][t.FaultID] = faultproxy.Silent
 	}
-	how := faultproxy.Open
+	cut := faultproxy.Open
 	for _, c := range r.cuts[link] {
-		how = max(how, c)
+		cut = max(cut, c)
 	}
-	r.mesh.Cut(from, to, how)
+	r.mesh.Cut(from, to, cut)
 }
 
-// meshTrouble is one on the links or of a member; false for one of another kind.
-func (r *run) meshTrouble(t workload.Turn, n int) bool {
-	span := time.Duration(t.For) * ledger.Tenth
+// applyMeshFault begins or ends a fault of links or of a member. It returns false for other kinds of faults.
+func (r *run) applyMeshFault(t workload.FaultEvent, n int) bool {
+	duration := time.Duration(t.Duration) * ledger.Tenth
 	switch t.Kind {
 	case "mesh-cut":
-		r.links(t, n, func(from, to int) { r.cut(from, to, t) })
+		r.forEachLink(t, n, func(from, to int) { r.setLinkCut(from, to, t) })
 	case "mesh-loss", "mesh-delay":
-		m := &r.plan.Members
-		r.links(t, n, func(from, to int) {
-			r.mesh.Weather(from, to, func(s *faultproxy.Sky) {
+		m := &r.experiment.Members
+		r.forEachLink(t, n, func(from, to int) {
+			r.mesh.Weather(from, to, func(conditions *faultproxy.Sky) {
 				ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 				switch {
-				case t.Kind == "mesh-loss" && t.On:
-					s.Loss = t.Size
+				case t.Kind == "mesh-loss" && t.Begins:
+					conditions.Loss = t.Magnitude
 				case t.Kind == "mesh-loss":
-					s.Loss = m.Loss
-				case t.On:
-					s.Delay, s.Jitter = ms(t.Size), ms(t.Size)
+					conditions.Loss = m.Loss
+				case t.Begins:
+					conditions.Delay, conditions.Jitter = ms(t.Magnitude), ms(t.Magnitude)
 				default:
-					s.Delay, s.Jitter = ms(m.DelayMS), ms(m.JitterMS)
+					conditions.Delay, conditions.Jitter = ms(m.DelayMS), ms(m.JitterMS)
 				}
 			})
 		})
 	case "scheduler-starve":
-		if t.On {
-			r.beside(func() error { return r.starve(n, t.Size, span) })
+		if t.Begins {
+			r.inBackground(func() error { return r.starve(n, t.Magnitude, duration) })
 		}
 	case "scheduler-takeover":
-		if t.On {
-			r.beside(func() error { return r.takeover(n, false) })
+		if t.Begins {
+			r.inBackground(func() error { return r.takeover(n, false) })
 		}
 	case "takeover-hups":
-		if t.On {
-			r.beside(func() error { return r.takeover(n, true) })
+		if t.Begins {
+			r.inBackground(func() error { return r.takeover(n, true) })
 		}
 	case "scheduler-twin":
-		if t.On {
-			r.beside(func() error { return r.twin(n, span) })
+		if t.Begins {
+			r.inBackground(func() error { return r.runTwin(n, duration) })
 		}
 	case "scheduler-stranger":
-		if t.On {
-			r.beside(func() error { return r.stranger(n, span) })
+		if t.Begins {
+			r.inBackground(func() error { return r.runStranger(n, duration) })
 		}
 	default:
 		return false
@@ -275,97 +278,99 @@
 	return true
 }
 
-// beside does what takes a while.
-func (r *run) beside(do func() error) {
-	r.work.Add(1)
+// inBackground calls a function in a goroutine that the end of the run waits for, and records its error.
+func (r *run) inBackground(do func() error) {
+	r.background.Add(1)
 	go func() {
-		defer r.work.Done()
+		defer r.background.Done()
 		if err := do(); err != nil {
-			r.fail(err)
+			r.addError(err)
 		}
 	}()
 }
 
-// starve has a scheduler stand still for a part of each short slice. The ledger has no event for each: none is longer than a slice.
-func (r *run) starve(n int, part float64, span time.Duration) error {
-	p := r.schedulers[n].PID()
-	if p == 0 {
+// starve stops a scheduler for a part of each starveSlice. The ledger has no events for these stops, since
+// none is longer than a slice.
+func (r *run) starve(n int, part float64, duration time.Duration) error {
+	pid := r.schedulers[n].PID()
+	if pid == 0 {
 		return nil
 	}
-	still := time.Duration(part * float64(starveSlice))
-	for until := time.Now().Add(span); time.Now().Before(until); {
-		syscall.Kill(p, syscall.SIGSTOP)
-		time.Sleep(still)
-		syscall.Kill(p, syscall.SIGCONT)
-		time.Sleep(starveSlice - still)
+	stopped := time.Duration(part * float64(starveSlice))
+	for until := time.Now().Add(duration); time.Now().Before(until); {
+		syscall.Kill(pid, syscall.SIGSTOP)
+		time.Sleep(stopped)
+		syscall.Kill(pid, syscall.SIGCONT)
+		time.Sleep(starveSlice - stopped)
 	}
 	return nil
 }
 
-// place makes a scheduler without clients at a place of its own.
-func (r *run) place(name, label, cluster string, n int) (*schedulers.Scheduler, error) {
+// newExtra creates an extra scheduler, which has no clients, at the next free mesh index.
+func (r *run) newExtra(name, label, cluster string, n int) (*schedulers.Scheduler, error) {
 	r.mu.Lock()
-	at := r.spare + r.placed
-	r.placed++
+	index := r.firstExtra + r.extraCount
+	r.extraCount++
 	r.mu.Unlock()
-	s, err := schedulers.Twin(at, name, label, r.plan, r.stage.Make, r.agents[n], r.dir)
+	s, err := schedulers.NewExtra(index, name, label, r.experiment, r.options.Make, r.emulators[n], r.dir)
 	if err != nil {
 		return nil, err
 	}
 	r.mu.Lock()
-	r.twins = append(r.twins, s)
+	r.extras = append(r.extras, s)
 	r.mu.Unlock()
-	return s, r.offer(s, at, cluster)
+	return s, r.setOperatorConfig(s, index, cluster)
 }
 
-// twin stops a scheduler, starts another process of its name elsewhere and wakes the first one up.
-func (r *run) twin(n int, span time.Duration) error {
-	// Whom the others hold under this name is the later one from here on.
-	r.book.Add(ledger.Event{Kind: ledger.Way, Scheduler: n + 1, State: "aside"})
+// runTwin stops a scheduler's process, starts another process under the same name at another address, and
+// resumes the first one after the duration. This makes a name conflict.
+func (r *run) runTwin(n int, duration time.Duration) error {
+	// From now on the other members' views have the new process under this name.
+	r.ledger.Add(ledger.Event{Kind: ledger.Way, Scheduler: n + 1, State: "aside"})
 	if err := r.schedulers[n].Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	s, err := r.place(fmt.Sprintf("n%d", n+1), fmt.Sprintf("n%d-twin", n+1), "lab", n)
+	s, err := r.newExtra(fmt.Sprintf("n%d", n+1), fmt.Sprintf("n%d-twin", n+1), "lab", n)
 	if err == nil {
 		err = s.Start(false)
 	}
-	time.Sleep(span)
-	if went := r.schedulers[n].Signal(syscall.SIGCONT); err == nil {
-		err = went
+	time.Sleep(duration)
+	if resumeErr := r.schedulers[n].Signal(syscall.SIGCONT); err == nil {
+		err = resumeErr
 	}
 	return err
 }
 
-// stranger starts a scheduler of another cluster that asks this one's members for a while.
-func (r *run) stranger(n int, span time.Duration) error {
-	s, err := r.place("stranger", fmt.Sprintf("n%d-stranger", n+1), "another cluster", n)
+// runStranger runs a scheduler of another cluster that uses this cluster's members as its seeds.
+func (r *run) runStranger(n int, duration time.Duration) error {
+	s, err := r.newExtra("stranger", fmt.Sprintf("n%d-stranger", n+1), "another cluster", n)
 	if err == nil {
 		err = s.Start(false)
 	}
-	time.Sleep(span)
+	time.Sleep(duration)
 	s.Kill()
 	return err
 }
 
-// endMesh ends what stands beside the schedulers, before they are told to end themselves.
-func (r *run) endMesh() {
+// stopMesh stops the extra schedulers and the hollow members before the schedulers are terminated.
+func (r *run) stopMesh() {
 	if r.mesh == nil {
 		return
 	}
-	r.book.Add(ledger.Event{Kind: ledger.Way, Scheduler: 1, State: "end"})
-	time.Sleep(endTime)
-	for _, s := range r.twins {
+	r.ledger.Add(ledger.Event{Kind: ledger.Way, Scheduler: 1, State: "end"})
+	time.Sleep(leaveGap)
+	for _, s := range r.extras {
 		s.Kill()
 	}
 	if r.hollow != nil {
 		if err := r.hollow.End(); err != nil {
-			r.fail(err)
+			r.addError(err)
 		}
 	}
 }
 
-// heldLine is a line of a scheduler's log.
-type heldLine struct {
+// logLine is a line of a scheduler's log about a membership change or a vote.
+type logLine struct {
 	Time    int64  `json:"time"`
 	Message string `json:"message"`
 	Member  string `json:"member"`
@@ -375,31 +380,31 @@
 	What    string `json:"what"`
 }
 
-// heldOf reads from the schedulers' logs what they held of one another.
-func (r *run) heldOf() error {
+// readMemberLogs reads the membership changes and the votes from the schedulers' logs.
+func (r *run) readMemberLogs() error {
 	for n := range r.schedulers {
 		f, err := os.Open(filepath.Join(r.dir, r.schedulers[n].Label()+".log"))
 		if err != nil {
 			return err
 		}
 		in := bufio.NewScanner(f)
-		in.Buffer(nil, longestLine)
+		in.Buffer(nil, maxLogLine)
 		for in.Scan() {
-			var l heldLine
-			changed := strings.Contains(in.Text(), `"member changed"`)
-			if !changed && !strings.Contains(in.Text(), `"votes"`) || json.Unmarshal(in.Bytes(), &l) != nil {
+			var l logLine
+			memberChanged := strings.Contains(in.Text(), `"member changed"`)
+			if !memberChanged && !strings.Contains(in.Text(), `"votes"`) || json.Unmarshal(in.Bytes(), &l) != nil {
 				continue
 			}
-			if !changed {
-				r.votes = append(r.votes, duplicates.Vote{Keeper: n + 1, At: r.book.Clock(time.UnixMilli(l.Time))})
+			if !memberChanged {
+				r.votes = append(r.votes, duplicates.Vote{Keeper: n + 1, At: r.ledger.Clock(time.UnixMilli(l.Time))})
 				continue
 			}
 			ev := ledger.Event{Kind: ledger.Held, Scheduler: n + 1, Name: l.Member, State: l.State, Text: l.By,
-				From: r.book.Clock(time.UnixMilli(l.Time))}
+				From: r.ledger.Clock(time.UnixMilli(l.Time))}
 			if l.Private {
 				ev.Verdict = "private"
 			}
-			r.book.Add(ev)
+			r.ledger.Add(ev)
 		}
 		f.Close()
 		if err := in.Err(); err != nil {
@@ -409,8 +414,8 @@
 	return nil
 }
 
-// viewTerms are what views are judged by.
-func viewTerms(e *experiment.Experiment) membershipcheck.Terms {
+// viewLimits returns the limits by which the views are judged.
+func viewLimits(e *experiment.Experiment) membershipcheck.Terms {
 	m := &e.Members
 	return membershipcheck.Terms{Count: e.Schedulers.Count, Pause: experiment.MS(m.PauseMS), Detect: experiment.MS(m.DetectMS), Settle: experiment.MS(m.SettleMS),
 		Grace: experiment.MS(m.GraceMS)}
--- a/internal/lab/runner/play.go
+++ b/internal/lab/runner/play.go
@@ -1,5 +1,5 @@
-// Package runner plays an experiment: it starts workers, discovery and schedulers, sends the script's ops, turns its
-// troubles on and off, and holds the ledger against the rules at the end.
+// Package runner runs an experiment. It starts workers, discovery emulators and schedulers, sends the
+// requests of the workload, injects its faults and checks the ledger against the rules at the end.
 package runner
 
 import (
@@ -31,82 +31,83 @@
 	"woaddyke/internal/lab/workload"
 )
 
-// Stage is where and with what an experiment is played.
+// Stage holds the options of a run.
 type Stage struct {
-	Out      string // a folder; empty for a temporary one that is removed
+	Out      string // output folder; empty for a temporary one that is removed
 	Make     schedulers.Maker
-	Progress func(Progress) // now and then; may be nil
-	Quiet    bool           // write no page and no results
-	Hollow   string         // the program of hollow schedulers
-	Shims    Shims          // may be nil: then there are no troubles that need them
-	// Look is called when all schedulers serve, before the first op, and when all is over, before they are told to end; it may be nil.
+	Progress func(Progress) // called every sampleInterval; may be nil
+	Quiet    bool           // don't write the results file
+	Hollow   string         // path of the program that runs hollow members
+	Shims    Shims          // may be nil if the experiment has no faults that need it
+	// Look is called when all schedulers are ready, before the first op, and after the last one, before the
+	// schedulers are terminated. It may be nil.
 	Look func(ended bool, all []*schedulers.Scheduler)
 }
 
-// Shims make troubles inside a scheduler's process that no other process can make.
+// Shims injects faults inside a scheduler's process that can't be caused from outside.
 type Shims interface {
-	Turn(kind string, scheduler int, on bool, size float64)
+	Turn(kind string, scheduler int, begins bool, magnitude float64)
 }
 
-// Progress is how far a run is.
+// Progress reports the state of a run.
 type Progress struct {
 	Second, Of float64
 	Open       int64
 	Events     int
-	Last       string // the newest trouble
+	Last       string // the latest fault
 }
 
-// run is one experiment on its way.
+// run holds the state of a running experiment.
 type run struct {
-	plan       *experiment.Experiment
-	script     *workload.Script
-	book       *ledger.Book
-	fleet      *fleet.Fleet
-	agents     []*discovery.Agent
-	schedulers []*schedulers.Scheduler
-	crowd      *clients.Crowd
-	work       sync.WaitGroup // restarts that are under way
-	mu         sync.Mutex
-	last       string
-	errs       []error
-	uses       []schedulers.Use
-	queues     []report.Queue
-	dir        string
-	lag        time.Duration // the longest by which the lab itself was late
-	stage      Stage
-	mesh       *faultproxy.Net // nil where schedulers are no members
-	meter      *meter.Meter
-	spans      [2]report.Edge  // the first op is due; the last one was
-	hollow     *hollow.Process // nil for none
-	hollowAt   int             // the place of the first of them
-	views      int             // that members held at rest
-	hollowLate float64         // by how much one of them was late at most, ms
-	viewsFirst int             // the same when the first op was due
-	forced     []report.InForce
-	spare      int // the first place that is no scheduler's
-	placed     int
-	changed    []time.Duration // what each change of keepers took
-	sets       int             // of keepers that were in use, at rest
-	digests    []string        // of the keepers' copies, at rest
-	unsure     int             // ops that no majority was had for
-	votes      []duplicates.Vote
-	cuts       map[[2]int]map[int]faultproxy.Cut // from and to, by trouble; of the one goroutine that plays troubles
-	twins      []*schedulers.Scheduler
+	experiment      *experiment.Experiment
+	workload        *workload.Script
+	ledger          *ledger.Book
+	fleet           *fleet.Fleet
+	emulators       []*discovery.Agent
+	schedulers      []*schedulers.Scheduler
+	clients         *clients.Crowd
+	background      sync.WaitGroup // restarts and other faults that take a while
+	mu              sync.Mutex
+	lastFault       string
+	errs            []error
+	usages          []schedulers.Use
+	queueSamples    []report.Queue
+	dir             string
+	maxLag          time.Duration // the maximum delay in the lab itself
+	options         Stage
+	mesh            *faultproxy.Net // nil if the schedulers aren't members of a cluster
+	meter           *meter.Meter
+	loadEdges       [2]report.Edge  // at the first arrival and after the last
+	hollow          *hollow.Process // the process of the hollow members, nil for none
+	firstHollow     int             // mesh index of the first hollow member
+	distinctViews   int             // number of different membership views after the run
+	maxHollowLateMS float64         // maximum delay of a hollow member
+	initialViews    int             // distinctViews before the first arrival
+	settingsChanges []report.InForce
+	firstExtra      int // mesh index of the first extra scheduler
+	extraCount      int
+	replicaChanges  []time.Duration // duration of each change of the replica set
+	replicaSets     int             // number of different replica sets in use after the run
+	digests         []string        // digests of the replicas' records after the run
+	withoutMajority int             // number of ops for which no majority could be reached
+	votes           []duplicates.Vote
+	cuts            map[[2]int]map[int]faultproxy.Cut // by source, target and fault; only used by applyFaults
+	extras          []*schedulers.Scheduler
 }
 
 const (
-	sampleEvery = 250 * time.Millisecond
-	lead        = 300 * time.Millisecond // between the last scheduler's start and the first op
+	sampleInterval = 250 * time.Millisecond
+	startLead      = 300 * time.Millisecond // between the last scheduler's start and the first arrival
 )
 
-// Fits says whether this machine can bear an experiment.
+// Fits checks that this machine has the resources for an experiment, at each of its sizes.
 func Fits(e *experiment.Experiment) error {
-	l, err := requirements.Machine()
+	limits, err := requirements.Machine()
 	if err != nil {
 		return err
 	}
 	if len(e.Sizes) == 0 {
-		if err := requirements.Of(e).Fit(l); err != nil {
+		if err := requirements.Of(e).Fit(limits); err != nil {
 			return fmt.Errorf("%s: %w", e.Name, err)
 		}
 	}
@@ -122,17 +123,17 @@
 	return nil
 }
 
-// Run plays an experiment from its seed.
-func Run(ctx context.Context, e *experiment.Experiment, st Stage) (*report.Results, error) {
+// Run runs an experiment with the workload of its seed and returns the results.
+func Run(ctx context.Context, e *experiment.Experiment, options Stage) (*report.Results, error) {
 	if err := Fits(e); err != nil {
 		return nil, err
 	}
-	s, err := workload.Of(e)
+	w, err := workload.Of(e)
 	if err != nil {
 		return nil, err
 	}
-	r := &run{plan: e, script: s, dir: st.Out, stage: st}
-	r.meter = meter.New(r.places())
+	r := &run{experiment: e, workload: w, dir: options.Out, options: options}
+	r.meter = meter.New(r.meshSize())
 	if r.dir == "" {
 		if r.dir, err = os.MkdirTemp("", "lab-"); err != nil {
 			return nil, err
@@ -141,59 +142,59 @@
 	} else if err := os.MkdirAll(r.dir, 0o755); err != nil {
 		return nil, err
 	}
-	if r.book, err = ledger.Create(filepath.Join(r.dir, "ledger.jsonl"), time.Now()); err != nil {
+	if r.ledger, err = ledger.Create(filepath.Join(r.dir, "ledger.jsonl"), time.Now()); err != nil {
 		return nil, err
 	}
-	r.book.Add(ledger.Event{Kind: ledger.World, Name: e.Name, Seed: e.Seed, Rules: e.Judged(), Text: s.Hash()})
-	err = r.play(ctx, st)
+	r.ledger.Add(ledger.Event{Kind: ledger.World, Name: e.Name, Seed: e.Seed, Rules: e.Judged(), Text: w.Hash()})
+	err = r.execute(ctx, options)
 	if err == nil {
 		err = errors.Join(r.errs...)
 	}
 	if r.mesh != nil && err == nil {
-		err = r.heldOf()
+		err = r.readMemberLogs()
 	}
 	text := ""
 	if ctx.Err() != nil {
 		text = "stopped before its time"
 	}
-	r.book.Add(ledger.Event{Kind: ledger.Finished, Text: text})
-	events := r.book.Events()
-	if err = errors.Join(err, r.book.Close()); err != nil {
+	r.ledger.Add(ledger.Event{Kind: ledger.Finished, Text: text})
+	events := r.ledger.Events()
+	if err = errors.Join(err, r.ledger.Close()); err != nil {
 		return nil, err
 	}
-	result, err := report.Of(e, events, r.uses, r.queues)
+	result, err := report.Of(e, events, r.usages, r.queueSamples)
 	if err != nil {
 		return nil, err
 	}
 	if r.mesh != nil {
-		result.Views(membershipcheck.Judge(events, viewTerms(e)))
-		result.Doubles(duplicates.Judge(events, r.digests, r.unsure, r.votes, e.Members.Workers))
-		result.Changes(r.changed, r.sets)
+		result.Views(membershipcheck.Judge(events, viewLimits(e)))
+		result.Doubles(duplicates.Judge(events, r.digests, r.withoutMajority, r.votes, e.Members.ShareDrains))
+		result.Changes(r.replicaChanges, r.replicaSets)
 		if n := r.mesh.Crowded(); n > 0 {
 			result.Void = fmt.Sprintf("the links between schedulers lost %d datagrams for want of room", n)
 		}
 	}
-	result.Roles(r.spans[0], r.spans[1], events, e.Schedulers.Count, e.Members.Hollow)
+	result.Roles(r.loadEdges[0], r.loadEdges[1], events, e.Schedulers.Count, e.Members.Hollow)
 	if r.hollow != nil {
-		result.HeldViews(r.viewsFirst, r.views, r.hollowLate, e.Members.PauseMS)
+		result.HeldViews(r.initialViews, r.distinctViews, r.maxHollowLateMS, e.Members.PauseMS)
 	}
 	for _, s := range r.schedulers {
-		result.Ready(s.Readies())
+		result.Ready(s.ReadyTimes())
 	}
-	result.InForce(r.forced)
+	result.InForce(r.settingsChanges)
 	result.Expect(e)
 	if n := r.fleet.Starved(); n > 0 {
 		result.Void = fmt.Sprintf("the lab had no descriptor for %d connections to workers", n)
 	}
-	result.Script = s.Hash()
-	result.Lagged(float64(r.lag)/float64(time.Millisecond), e.Rules.SlackMS)
-	if st.Out != "" && !st.Quiet {
-		err = write(filepath.Join(r.dir, "results.json"), result)
+	result.Script = w.Hash()
+	result.Lagged(float64(r.maxLag)/float64(time.Millisecond), e.Rules.SlackMS)
+	if options.Out != "" && !options.Quiet {
+		err = writeJSON(filepath.Join(r.dir, "results.json"), result)
 	}
 	return result, err
 }
 
-func write(path string, v any) error {
+func writeJSON(path string, v any) error {
 	text, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
 		return err
@@ -201,25 +202,25 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-// setUp starts all parties.
-func (r *run) setUp(st Stage) error {
-	e := r.plan
-	late := [2]time.Duration{time.Duration(e.Discovery.LateMS[0] * float64(time.Millisecond)),
+// setUp starts discovery emulators, workers, schedulers, hollow members and clients.
+func (r *run) setUp(options Stage) error {
+	e := r.experiment
+	delay := [2]time.Duration{time.Duration(e.Discovery.LateMS[0] * float64(time.Millisecond)),
 		time.Duration(e.Discovery.LateMS[1] * float64(time.Millisecond))}
 	for n := range e.Schedulers.Count {
-		a, err := discovery.New(n, r.book, func(slot, scheduler int) string { return r.fleet.Addr(slot, scheduler) }, late,
+		a, err := discovery.New(n, r.ledger, func(slot, scheduler int) string { return r.fleet.Addr(slot, scheduler) }, delay,
 			fleet.Sky(e, "discovery", "", e.Zones[n%len(e.Zones)]), e.Seed, r.meter)
 		if err != nil {
 			return err
 		}
-		r.agents = append(r.agents, a)
+		r.emulators = append(r.emulators, a)
 	}
 	desk := requests.New()
-	var on bool
+	var started bool
 	var err error
-	r.fleet, err = fleet.New(e, r.script, r.book, desk, r.meter, func(entry fleet.Entry) {
-		for _, a := range r.agents {
-			a.Hear(entry, !on)
+	r.fleet, err = fleet.New(e, r.workload, r.ledger, desk, r.meter, func(entry fleet.Entry) {
+		for _, a := range r.emulators {
+			a.Hear(entry, !started)
 		}
 	})
 	if err != nil {
@@ -231,28 +232,28 @@
 	var servers []clients.Server
 	var addrs []string
 	for n := range e.Schedulers.Count {
-		s, err := schedulers.New(n, e, r.book, st.Make, r.agents[n], r.dir)
+		s, err := schedulers.New(n, e, r.ledger, options.Make, r.emulators[n], r.dir)
 		if err != nil {
 			return err
 		}
-		if err := r.offer(s, n, "lab"); err != nil {
+		if err := r.setOperatorConfig(s, n, "lab"); err != nil {
 			return err
 		}
 		r.schedulers = append(r.schedulers, s)
 		servers, addrs = append(servers, s), append(addrs, s.Listen)
 	}
-	on = true
-	failed := make(chan error, len(r.schedulers))
-	room := make(chan struct{}, startsAtOnce)
+	started = true
+	errs := make(chan error, len(r.schedulers))
+	semaphore := make(chan struct{}, maxParallelStarts)
 	for _, s := range r.schedulers {
 		go func() {
-			room <- struct{}{}
-			failed <- s.Start(false)
-			<-room
+			semaphore <- struct{}{}
+			errs <- s.Start(false)
+			<-semaphore
 		}()
 	}
 	for range r.schedulers {
-		err = errors.Join(err, <-failed)
+		err = errors.Join(err, <-errs)
 	}
 	if err != nil {
 		return err
@@ -260,18 +261,19 @@
 	if err := r.startHollow(); err != nil {
 		return err
 	}
-	r.crowd = clients.New(e, r.script, r.book, desk, servers, addrs)
+	r.clients = clients.New(e, r.workload, r.ledger, desk, servers, addrs)
 	return nil
 }
 
-const turnsAtOnce = 32
+const maxParallelCuts = 32
 
-// startsAtOnce bounds how many processes start at a time: hundreds at once keep one another from being ready.
-const startsAtOnce = 32
+// maxParallelStarts bounds the processes that start at the same time. With hundreds of parallel starts none
+// becomes ready in time.
+const maxParallelStarts = 32
 
-// tearDown ends all that was started.
+// tearDown stops everything that setUp started.
 func (r *run) tearDown() {
-	r.endMesh()
+	r.stopMesh()
 	if r.mesh != nil {
 		defer r.mesh.Close()
 	}
@@ -280,13 +282,13 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			if err := s.End(r.plan.Longest() + 3*time.Second); err != nil {
-				r.fail(err)
+			if err := s.Terminate(r.experiment.LongestTTL() + 3*time.Second); err != nil {
+				r.addError(err)
 			}
 		}()
 	}
 	all.Wait()
-	for _, a := range r.agents {
+	for _, a := range r.emulators {
 		a.Stop()
 	}
 	if r.fleet != nil {
@@ -294,91 +296,91 @@
 	}
 }
 
-func (r *run) fail(err error) {
+func (r *run) addError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.errs = append(r.errs, err)
 }
 
-func (r *run) play(ctx context.Context, st Stage) error {
+func (r *run) execute(ctx context.Context, options Stage) error {
 	defer r.tearDown()
-	if err := r.setUp(st); err != nil {
+	if err := r.setUp(options); err != nil {
 		return err
 	}
-	if err := r.waitForVotes(); err != nil {
+	if err := r.awaitVoters(); err != nil {
 		return err
 	}
-	if st.Look != nil {
-		st.Look(false, r.schedulers)
+	if options.Look != nil {
+		options.Look(false, r.schedulers)
 	}
-	start := time.Now().Add(lead)
-	playing, stop := context.WithCancel(ctx)
-	var side sync.WaitGroup
-	side.Add(3)
+	start := time.Now().Add(startLead)
+	injecting, stop := context.WithCancel(ctx)
+	var helpers sync.WaitGroup
+	helpers.Add(3)
 	go func() {
-		defer side.Done()
-		lag, err := watch(playing)
-		if r.lag = lag; err != nil {
-			r.fail(err)
+		defer helpers.Done()
+		lag, err := measureLag(injecting)
+		if r.maxLag = lag; err != nil {
+			r.addError(err)
 		}
 	}()
 	go func() {
-		defer side.Done()
-		r.turns(playing, start)
+		defer helpers.Done()
+		r.applyFaults(injecting, start)
 	}()
 	go func() {
-		defer side.Done()
-		r.sample(playing, start, st.Progress)
+		defer helpers.Done()
+		r.sampleUsage(injecting, start, options.Progress)
 	}()
-	r.spans[0] = r.edge()
-	r.crowd.Run(ctx, start)
-	if rest := time.Until(start.Add(time.Duration(r.plan.Seconds * float64(time.Second)))); rest > 0 {
+	r.loadEdges[0] = r.usageEdge()
+	r.clients.Run(ctx, start)
+	if remaining := time.Until(start.Add(time.Duration(r.experiment.Seconds * float64(time.Second)))); remaining > 0 {
 		select {
-		case <-time.After(rest):
+		case <-time.After(remaining):
 		case <-ctx.Done():
 		}
 	}
-	r.spans[1] = r.edge()
-	settle := time.After(time.Duration(r.plan.Settle * float64(time.Second)))
-	r.crowd.Wait()
+	r.loadEdges[1] = r.usageEdge()
+	settle := time.After(time.Duration(r.experiment.Settle * float64(time.Second)))
+	r.clients.Wait()
 	select {
 	case <-settle:
 	case <-ctx.Done():
 	}
 	stop()
-	side.Wait()
-	r.work.Wait()
-	for n := range r.schedulers { // what stands still can't end
+	helpers.Wait()
+	r.background.Wait()
+	for n := range r.schedulers { // a stopped process can't exit
 		r.schedulers[n].Signal(syscall.SIGCONT)
-		r.agents[n].Silence(false)
+		r.emulators[n].Silence(false)
 	}
-	for slot := range r.script.Workers {
+	for slot := range r.workload.Workers {
 		r.fleet.Cut(slot, false)
 	}
-	err := errors.Join(r.atRest(), r.hold())
-	if st.Look != nil {
-		st.Look(true, r.schedulers)
+	err := errors.Join(r.awaitReplicaSet(), r.awaitEqualViews())
+	if options.Look != nil {
+		options.Look(true, r.schedulers)
 	}
 	return err
 }
 
-// edge is what all have used up to now.
-func (r *run) edge() report.Edge {
-	e := report.Edge{At: r.book.Now(), Sent: r.meter.Now()}
+// usageEdge returns the total resource usage up to now.
+func (r *run) usageEdge() report.Edge {
+	e := report.Edge{At: r.ledger.Now(), Sent: r.meter.Now()}
 	for _, s := range r.schedulers {
 		if u, ok := s.Use(); ok {
 			e.Uses = append(e.Uses, u)
 		}
 	}
 	if r.hollow != nil {
-		e.Hollow, _ = schedulers.UseOf(r.hollow.PID(), e.At, 0)
+		e.Hollow, _ = schedulers.ProcessUsage(r.hollow.PID(), e.At, 0)
 	}
 	return e
 }
 
-// sample notes now and then what is used and held.
-func (r *run) sample(ctx context.Context, start time.Time, tell func(Progress)) {
-	tick := time.NewTicker(sampleEvery)
+// sampleUsage samples resource usage and queue lengths every sampleInterval and reports the progress.
+func (r *run) sampleUsage(ctx context.Context, start time.Time, onProgress func(Progress)) {
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -388,34 +390,34 @@
 		}
 		for _, s := range r.schedulers {
 			if u, ok := s.Use(); ok {
-				r.uses = append(r.uses, u)
+				r.usages = append(r.usages, u)
 			}
 		}
-		q := report.Queue{At: r.book.Now()}
+		q := report.Queue{At: r.ledger.Now()}
 		for _, d := range r.fleet.Depths() {
 			q.Held, q.Waiting = append(q.Held, d.Running+d.Waiting), append(q.Waiting, d.Waiting)
 		}
-		r.queues = append(r.queues, q)
-		if tell != nil {
+		r.queueSamples = append(r.queueSamples, q)
+		if onProgress != nil {
 			r.mu.Lock()
-			last := r.last
+			lastFault := r.lastFault
 			r.mu.Unlock()
-			tell(Progress{Second: time.Since(start).Seconds(), Of: r.plan.Seconds, Open: r.crowd.Open(),
-				Events: len(r.book.Events()), Last: last})
+			onProgress(Progress{Second: time.Since(start).Seconds(), Of: r.experiment.Seconds, Open: r.clients.Open(),
+				Events: len(r.ledger.Events()), Last: lastFault})
 		}
 	}
 }
 
-// turns plays the script's troubles.
-func (r *run) turns(ctx context.Context, start time.Time) {
-	for _, t := range r.script.Turns {
+// applyFaults applies the fault events of the workload at their times.
+func (r *run) applyFaults(ctx context.Context, start time.Time) {
+	for _, t := range r.workload.Turns {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Until(start.Add(time.Duration(t.At) * ledger.Tenth))):
 		}
 		text := " on "
-		if !t.On {
+		if !t.Begins {
 			text = " over on "
 		}
 		text = t.Kind + text
@@ -424,12 +426,12 @@
 		} else {
 			text += fmt.Sprint(t.Targets)
 		}
-		r.book.Add(ledger.Event{Kind: ledger.Fault, Text: text})
+		r.ledger.Add(ledger.Event{Kind: ledger.Fault, Text: text})
 		r.mu.Lock()
-		r.last = text
+		r.lastFault = text
 		r.mu.Unlock()
 		if t.Kind == "region-cut" {
-			r.part(t)
+			r.setRegionCut(t)
 			continue
 		}
 		if t.Kind == "settings-change" {
@@ -437,173 +439,175 @@
 			continue
 		}
 		if t.Kind == "keepers-change" {
-			if t.On {
-				r.beside(func() error { return r.changeKeepers(t, time.Duration(t.For)*ledger.Tenth) })
+			if t.Begins {
+				r.inBackground(func() error { return r.changeReplicas(t, time.Duration(t.Duration)*ledger.Tenth) })
 			}
 			continue
 		}
 		var all sync.WaitGroup
-		room := make(chan struct{}, turnsAtOnce)
+		semaphore := make(chan struct{}, maxParallelCuts)
 		for _, n := range t.Targets {
 			if t.Kind != "cut" && t.Kind != "vanish" {
-				r.turn(t, n)
+				r.applyFault(t, n)
 				continue
 			}
-			all.Add(1) // each takes a few ms, and a zone has hundreds
-			room <- struct{}{}
+			all.Add(1) // in parallel: each cut takes a few ms, and a zone has hundreds of workers
+			semaphore <- struct{}{}
 			go func() {
 				defer all.Done()
-				r.turn(t, n)
-				<-room
+				r.applyFault(t, n)
+				<-semaphore
 			}()
 		}
 		all.Wait()
 	}
 }
 
-// part cuts a region off from the others, or ends that: its schedulers and the others' workers, the other way round, and the links
-// between its schedulers and the others.
-func (r *run) part(t workload.Turn) {
-	e := r.plan
+// setRegionCut cuts a region off from the other zones, or ends the cut. It affects links between schedulers
+// and workers and links between schedulers, if one end is inside the region and the other outside.
+func (r *run) setRegionCut(t workload.FaultEvent) {
+	e := r.experiment
 	inside := func(scheduler int) bool { return e.In(t.Zone, e.Zones[scheduler%len(e.Zones)]) }
-	for slot, w := range r.script.Workers {
+	for slot, w := range r.workload.Workers {
 		for n := range e.Schedulers.Count {
 			if inside(n) != e.In(t.Zone, w.Zone) {
-				r.fleet.CutFrom(slot, n, t.On)
+				r.fleet.CutFrom(slot, n, t.Begins)
 			}
 		}
 	}
 	if r.mesh == nil {
 		return
 	}
-	var places []int
+	var members []int
 	for n := range e.Schedulers.Count {
-		places = append(places, n)
+		members = append(members, n)
 	}
 	for i := range e.Members.Hollow {
-		places = append(places, r.hollowAt+i)
+		members = append(members, r.firstHollow+i)
 	}
-	for _, from := range places {
-		for _, to := range places {
+	for _, from := range members {
+		for _, to := range members {
 			if e.In(t.Zone, r.zoneOf(from)) != e.In(t.Zone, r.zoneOf(to)) {
-				r.cut(from, to, t)
+				r.setLinkCut(from, to, t)
 			}
 		}
 	}
 }
 
-// turn begins or ends a trouble at one worker or scheduler.
-func (r *run) turn(t workload.Turn, n int) {
+// applyFault begins or ends a fault at one worker or scheduler.
+func (r *run) applyFault(t workload.FaultEvent, n int) {
 	if experiment.OfSchedulers(t.Kind) {
-		if !r.meshTrouble(t, n) {
-			r.trouble(t, n)
+		if !r.applyMeshFault(t, n) {
+			r.applySchedulerFault(t, n)
 		}
 		return
 	}
-	span := time.Duration(t.For) * ledger.Tenth
-	ail := func(change func(*workermodel.Ails)) { r.fleet.Ail(n, change) }
-	size := t.Size
-	if !t.On {
-		size = 0
+	duration := time.Duration(t.Duration) * ledger.Tenth
+	impair := func(change func(*workermodel.Ails)) { r.fleet.Ail(n, change) }
+	magnitude := t.Magnitude
+	if !t.Begins {
+		magnitude = 0
 	}
 	switch t.Kind {
 	case "slow":
-		ail(func(a *workermodel.Ails) { a.Slow = size })
+		impair(func(a *workermodel.Ails) { a.Slow = magnitude })
 	case "hang":
-		ail(func(a *workermodel.Ails) { a.Hung = t.On })
+		impair(func(a *workermodel.Ails) { a.Hung = t.Begins })
 	case "taken":
-		ail(func(a *workermodel.Ails) { a.Taken = size })
+		impair(func(a *workermodel.Ails) { a.Taken = magnitude })
 	case "mute":
-		ail(func(a *workermodel.Ails) { a.Mute = size })
+		impair(func(a *workermodel.Ails) { a.Mute = magnitude })
 	case "fails":
-		ail(func(a *workermodel.Ails) { a.Fails = size })
+		impair(func(a *workermodel.Ails) { a.Fails = magnitude })
 	case "unfit":
-		ail(func(a *workermodel.Ails) { a.UnfitShare = size })
+		impair(func(a *workermodel.Ails) { a.UnfitShare = magnitude })
 	case "lies":
-		ail(func(a *workermodel.Ails) { a.Lies = t.On })
+		impair(func(a *workermodel.Ails) { a.Lies = t.Begins })
 	case "stale":
-		ail(func(a *workermodel.Ails) { a.StaleBy = experiment.MS(size) })
+		impair(func(a *workermodel.Ails) { a.StaleBy = experiment.MS(magnitude) })
 	case "refuses":
-		ail(func(a *workermodel.Ails) { a.TurnsAway = t.On })
+		impair(func(a *workermodel.Ails) { a.TurnsAway = t.Begins })
 	case "vanish", "cut":
-		r.fleet.Cut(n, t.On)
+		r.fleet.Cut(n, t.Begins)
 	case "kill":
-		if t.On {
+		if t.Begins {
 			r.fleet.Kill(n)
 		} else if err := r.fleet.Restart(n); err != nil {
-			r.fail(err)
+			r.addError(err)
 		}
 	case "drain-told":
-		if t.On {
-			r.fleet.Announce(n, span)
+		if t.Begins {
+			r.fleet.Announce(n, duration)
 		}
 	case "drain":
-		if t.On {
-			r.fleet.Drain(n, span)
+		if t.Begins {
+			r.fleet.Drain(n, duration)
 		}
 	case "discovery-silent":
-		for _, a := range r.agents {
-			a.Silence(t.On)
+		for _, a := range r.emulators {
+			a.Silence(t.Begins)
 		}
 	case "discovery-broken":
-		for _, a := range r.agents {
-			a.Break(t.On)
+		for _, a := range r.emulators {
+			a.Break(t.Begins)
 		}
 	case "discovery-moved":
-		r.move(n)
+		r.moveDiscovery(n)
 	}
 }
 
-// move moves a scheduler's discovery and tells it so.
-func (r *run) move(n int) {
-	if n >= len(r.agents) {
+// moveDiscovery moves a scheduler's discovery emulator to another address and makes the scheduler reload its
+// configuration.
+func (r *run) moveDiscovery(n int) {
+	if n >= len(r.emulators) {
 		return
 	}
-	if err := r.agents[n].Move(); err != nil {
-		r.fail(err)
+	if err := r.emulators[n].Move(); err != nil {
+		r.addError(err)
 		return
 	}
 	if err := r.schedulers[n].Signal(syscall.SIGHUP); err != nil {
-		r.fail(err)
+		r.addError(err)
 	}
 }
 
-// trouble is one at a scheduler; it is seen through to its end.
-func (r *run) trouble(t workload.Turn, n int) {
+// applySchedulerFault begins or ends a fault of a scheduler's process. Restarts run in the background to
+// their end.
+func (r *run) applySchedulerFault(t workload.FaultEvent, n int) {
 	s := r.schedulers[n]
-	span := max(time.Duration(t.For)*ledger.Tenth, 100*time.Millisecond)
+	duration := max(time.Duration(t.Duration)*ledger.Tenth, 100*time.Millisecond)
 	switch t.Kind {
 	case "scheduler-stop":
 		sig := syscall.SIGCONT
-		if t.On {
+		if t.Begins {
 			sig = syscall.SIGSTOP
 		}
 		if err := s.Signal(sig); err != nil {
-			r.fail(err)
+			r.addError(err)
 		}
 	case "scheduler-clock", "scheduler-calls", "scheduler-late", "scheduler-disk":
-		if r.stage.Shims == nil {
-			r.fail(fmt.Errorf("%s: nothing is there to make it", t.Kind))
+		if r.options.Shims == nil {
+			r.addError(fmt.Errorf("fault %s needs shims, and this run has none", t.Kind))
 			return
 		}
-		r.stage.Shims.Turn(t.Kind, n, t.On, t.Size)
+		r.options.Shims.Turn(t.Kind, n, t.Begins, t.Magnitude)
 	case "scheduler-blind":
-		r.agents[n].Silence(t.On)
+		r.emulators[n].Silence(t.Begins)
 	case "scheduler-reload":
-		if t.On {
-			r.move(n)
+		if t.Begins {
+			r.moveDiscovery(n)
 		}
 	case "scheduler-hups":
-		if t.On {
-			r.hups(n)
+		if t.Begins {
+			r.sendHups(n)
 		}
 	case "scheduler-crowd":
-		if t.On {
-			r.beside(func() error { return r.fill(s, span) })
+		if t.Begins {
+			r.inBackground(func() error { return r.exhaustDescriptors(s, duration) })
 		}
 	case "scheduler-kill", "scheduler-stale", "scheduler-term", "scheduler-terms", "scheduler-hup-term":
-		if t.On {
-			r.beside(func() error { return r.endAndStart(s, t.Kind, n, span) })
+		if t.Begins {
+			r.inBackground(func() error { return r.stopAndRestart(s, t.Kind, n, duration) })
 		}
 	}
 }
--- a/internal/lab/runner/play_test.go
+++ b/internal/lab/runner/play_test.go
@@ -23,7 +23,7 @@
 		goleak.IgnoreTopFunction("net/http.(*persistConn).writeLoop"), goleak.IgnoreTopFunction("internal/poll.runtime_pollWait"))
 }
 
-const day = `
+const baseExperiment = `
 seconds = 2.5
 settle_s = 0.2
 [rules]
@@ -48,26 +48,26 @@
 ttl_ms = 1500
 `
 
-func live(t *testing.T, text, policy string, wrong baseline.Wrongs, out string) *report.Results {
+func runExperiment(t *testing.T, text, policy string, defects baseline.Wrongs, outputDir string) *report.Results {
 	t.Helper()
 	e, err := experiment.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := baseline.Maker(policy, wrong)
+	m, err := baseline.Maker(policy, defects)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	r, err := Run(ctx, e, Stage{Make: m, Out: out})
+	r, err := Run(ctx, e, Stage{Make: m, Out: outputDir})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func rulesOf(r *report.Results) (rules []audit.Rule) {
+func brokenRules(r *report.Results) (rules []audit.Rule) {
 	for _, b := range r.Audit.Breaches {
 		if !slices.Contains(rules, b.Rule) {
 			rules = append(rules, b.Rule)
@@ -76,34 +76,34 @@
 	return rules
 }
 
-// A judge that lets a wrong scheduler pass on real sockets is worth nothing, and one that accuses a right one less.
-func TestTheJudgeTellsWrongSchedulersFromARightOne(t *testing.T) {
+// The audit must find the breach of each faulty scheduler on real sockets, and none of a correct scheduler.
+func TestTheAuditFindsEachFaultyScheduler(t *testing.T) {
 	const drains = "[[faults]]\nkind = \"shrink\"\nat_s = 0.3\nfor_s = 0.2\npart = 0.6\n"
-	const slow = "[[faults]]\nkind = \"fails\"\nat_s = 0.1\nfor_s = 2.4\nsize = 0.5\n"
-	// Three of five workers are back cold, and bear next to nothing: their fifth of the ops fells them.
-	const cold = "[[faults]]\nkind = \"kill\"\nat_s = 0.2\nfor_s = 0.2\nindices = [0, 1, 2]\n"
-	const frail = "overload_factor = 1\ntip_after_ms = 300\ncold_from = 0.01\nwarm_after_ms = 5000\n"
+	const fails = "[[faults]]\nkind = \"fails\"\nat_s = 0.1\nfor_s = 2.4\nsize = 0.5\n"
+	// Three of five workers restart cold with little capacity. A fifth of the ops overloads each of them.
+	const coldRestarts = "[[faults]]\nkind = \"kill\"\nat_s = 0.2\nfor_s = 0.2\nindices = [0, 1, 2]\n"
+	const lowLimits = "overload_factor = 1\ntip_after_ms = 300\ncold_from = 0.01\nwarm_after_ms = 5000\n"
 	for name, c := range map[string]struct {
-		more  string
-		wrong baseline.Wrongs
-		want  audit.Rule
+		faults  string
+		defects baseline.Wrongs
+		want    audit.Rule
 	}{
-		"leaves cold workers alone":  {cold, baseline.Wrongs{}, ""},
-		"knows no cold worker":       {cold, baseline.Wrongs{Cold: true}, audit.Cold},
-		"right":                      {drains + slow, baseline.Wrongs{}, ""},
-		"answers twice":              {"", baseline.Wrongs{Answers: 2}, audit.Lost},
-		"pushes again at once":       {"[[faults]]\nkind = \"slow\"\nat_s = 0\nfor_s = 2.5\nsize = 40\n", baseline.Wrongs{Copies: 2}, audit.Twice},
-		"ignores drains":             {drains, baseline.Wrongs{Drains: true}, audit.Drain},
-		"pushes again what may have": {slow, baseline.Wrongs{Retries: true}, audit.Twice},
+		"correct, cold workers":              {coldRestarts, baseline.Wrongs{}, ""},
+		"ignores the limits of cold workers": {coldRestarts, baseline.Wrongs{Cold: true}, audit.Cold},
+		"right":                              {drains + fails, baseline.Wrongs{}, ""},
+		"sends two responses":                {"", baseline.Wrongs{Answers: 2}, audit.Lost},
+		"pushes duplicates":                  {"[[faults]]\nkind = \"slow\"\nat_s = 0\nfor_s = 2.5\nsize = 40\n", baseline.Wrongs{Copies: 2}, audit.Twice},
+		"ignores drains":                     {drains, baseline.Wrongs{Drains: true}, audit.Drain},
+		"retries ops that may have run":      {fails, baseline.Wrongs{Retries: true}, audit.Twice},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			text := day + c.more
-			if c.more == cold {
-				text = strings.Replace(strings.Replace(text, "[rules]\n", "[rules]\n"+frail, 1), "rate = 80", "rate = 400", 1)
+			text := baseExperiment + c.faults
+			if c.faults == coldRestarts {
+				text = strings.Replace(strings.Replace(text, "[rules]\n", "[rules]\n"+lowLimits, 1), "rate = 80", "rate = 400", 1)
 			}
-			r := live(t, text, "turns", c.wrong, "")
-			if rules := rulesOf(r); c.want == "" && len(rules) > 0 || c.want != "" && !slices.Contains(rules, c.want) {
+			r := runExperiment(t, text, "turns", c.defects, "")
+			if rules := brokenRules(r); c.want == "" && len(rules) > 0 || c.want != "" && !slices.Contains(rules, c.want) {
 				t.Errorf("%v, want %q: %v", rules, c.want, r.Audit.Breaches[:min(3, len(r.Audit.Breaches))])
 			}
 			if r.Audit.Ops < 100 {
@@ -113,10 +113,11 @@
 	}
 }
 
-// Troubles of all kinds are played, undone and judged; nothing is left running.
-func TestAStormOfTroublesIsPlayedToItsEnd(t *testing.T) {
+// Faults of many kinds must begin and end, and the ledger read from its file must give the same audit.
+// TestMain finds goroutines that are left over.
+func TestARunWithRandomFaultsCompletes(t *testing.T) {
 	dir := t.TempDir()
-	const chaos = `
+	const linksAndChaos = `
 [[links]]
 between = "workers"
 delay_ms = 1
@@ -134,12 +135,13 @@
 for_s = [0.1, 0.6]
 `
 	for _, policy := range []string{"fewest", "probes"} {
-		r := live(t, "seed = 11\n"+day+chaos, policy, baseline.Wrongs{}, filepath.Join(dir, policy))
+		r := runExperiment(t, "seed = 11\n"+baseExperiment+linksAndChaos, policy, baseline.Wrongs{}, filepath.Join(dir, policy))
 		if len(r.Faults) < 10 || r.Audit.Ops < 50 || !r.Audit.Whole {
-			t.Errorf("%s: %d troubles, %+v", policy, len(r.Faults), r.Audit)
+			t.Errorf("%s: %d faults, want at least 10; audit %+v", policy, len(r.Faults), r.Audit)
 		}
-		// A plain scheduler may lose ops in this; it pushes nothing twice and keeps its drains.
-		if rules := rulesOf(r); slices.Contains(rules, audit.Forged) || slices.Contains(rules, audit.Drain) {
+		// A simple scheduler may lose ops under these faults, but it must not forge outcomes or push to
+		// draining workers.
+		if rules := brokenRules(r); slices.Contains(rules, audit.Forged) || slices.Contains(rules, audit.Drain) {
 			t.Errorf("%s: %v", policy, r.Audit.Breaches)
 		}
 		events, err := ledger.ReadFile(filepath.Join(dir, policy, "ledger.jsonl"))
@@ -147,15 +149,15 @@
 			t.Fatal(err)
 		}
 		if j, err := audit.Judge(events); err != nil || j.Ops != r.Audit.Ops || len(j.Breaches) != len(r.Audit.Breaches) {
-			t.Errorf("the ledger read back is judged otherwise: %+v, %v", j, err)
+			t.Errorf("the audit of the ledger file differs: %+v, %v", j, err)
 		}
 	}
 }
 
-// Ctrl-C ends all that was started, and the ledger is whole.
+// An interrupted run must stop everything that it started and write a complete ledger and the results.
 func TestAnInterruptedRunWritesItsLedger(t *testing.T) {
 	dir := t.TempDir()
-	e, err := experiment.Parse([]byte("seconds = 600\n" + day[len("\nseconds = 2.5"):]))
+	e, err := experiment.Parse([]byte("seconds = 600\n" + baseExperiment[len("\nseconds = 2.5"):]))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/runner/scale_test.go
+++ b/internal/lab/runner/scale_test.go
@@ -13,8 +13,9 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-// What can't fit is not begun: no folder, no process.
-func TestAnExperimentBeyondTheMachineStartsNothing(t *testing.T) {
+// An experiment that exceeds the machine must be rejected before the run creates a folder or starts a
+// process.
+func TestAnExperimentThatExceedsTheMachineStartsNothing(t *testing.T) {
 	e, err := experiment.Parse([]byte("[schedulers]\ncount = 400\n[[workers]]\ncount = 16000\n[[categories]]\nname = \"a\"\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -26,15 +27,16 @@
 		t.Errorf("%v", err)
 	}
 	if _, err := os.Stat(dir); !os.IsNotExist(err) {
-		t.Errorf("its folder: %v", err)
+		t.Errorf("the output folder exists, or can't be checked: %v", err)
 	}
 }
 
-// A region that parts is cut off in both ways, and from nobody within it: what the figures of such a run say rests on that.
-func TestBetweenARegionAndTheOthersNothingPassesWhileItIsCut(t *testing.T) {
+// A region cut must block pushes in both directions between the region and the others, and none inside the
+// region. The figures of a run with such a fault depend on this.
+func TestARegionCutBlocksPushesInBothDirections(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	live(t, `
+	runExperiment(t, `
 seconds = 2.5
 settle_s = 0.2
 zones = ["a", "b", "c"]
@@ -65,34 +67,34 @@
 		t.Fatal(err)
 	}
 	zone := map[string]string{}
-	var from, to ledger.Time
-	across, within := [3]int{}, [3]int{} // before, while and after it is cut
+	var cutBegin, cutEnd ledger.Time
+	across, within := [3]int{}, [3]int{} // pushes before, during and after the cut
 	for _, e := range events {
 		switch {
 		case e.Kind == ledger.Boot:
 			zone[e.Worker] = e.Zone
 		case e.Kind == ledger.Fault && e.Text == "region-cut on far":
-			from = e.At
+			cutBegin = e.At
 		case e.Kind == ledger.Fault && e.Text == "region-cut over on far":
-			to = e.At
+			cutEnd = e.At
 		case e.Kind == ledger.Reached:
-			when := 0
-			if to > 0 {
-				when = 2
-			} else if from > 0 {
-				when = 1
-				if e.At < from+3000 { // it may have been read before
+			phase := 0
+			if cutEnd > 0 {
+				phase = 2
+			} else if cutBegin > 0 {
+				phase = 1
+				if e.At < cutBegin+3000 { // the push may have been read before the cut
 					continue
 				}
 			}
 			if (e.Scheduler == 1) != (zone[e.Worker] == "a") {
-				across[when]++
+				across[phase]++
 			} else {
-				within[when]++
+				within[phase]++
 			}
 		}
 	}
 	if across[0] == 0 || across[1] != 0 || across[2] == 0 || within[0] == 0 || within[1] == 0 || within[2] == 0 {
-		t.Errorf("pushes before, while and after it was cut: across %v, within %v", across, within)
+		t.Errorf("pushes before, during and after the cut: across %v, within %v", across, within)
 	}
 }
--- a/internal/lab/runner/settings.go
+++ b/internal/lab/runner/settings.go
@@ -9,63 +9,64 @@
 )
 
 const (
-	forceEvery = 10 * time.Millisecond
-	forceTime  = 15 * time.Second // within which a change has to be in force
+	settingsPollInterval = 10 * time.Millisecond
+	settingsTimeout      = 15 * time.Second // for a change to be in force
 )
 
-// settingsOf is the hash of the settings that a scheduler runs by, as its staff see it.
-func (r *run) settingsOf(n int) (string, error) {
-	var shown struct{ Settings string }
-	err := r.schedulers[n].Ask("/api/staff", &shown)
-	return shown.Settings, err
+// settingsHash returns the hash of the settings that a scheduler uses, from its console.
+func (r *run) settingsHash(n int) (string, error) {
+	var status struct{ Settings string }
+	err := r.schedulers[n].Ask("/api/staff", &status)
+	return status.Settings, err
 }
 
-// changeSettings has schedulers take a change of their settings, all at once as staff's hand would, and finds out when it is in force at
-// each. One that does not run at that moment, or ends meanwhile, is left out: it reads the new sheet when it starts.
-func (r *run) changeSettings(t workload.Turn) {
-	began := time.Now()
+// changeSettings changes the settings of the targets at the same time, as an operator would, and measures
+// when the change is in force at each of them. A scheduler that isn't running, or exits meanwhile, doesn't
+// count: it reads the new configuration when it starts.
+func (r *run) changeSettings(t workload.FaultEvent) {
+	begin := time.Now()
 	took := make(chan time.Duration, len(t.Targets))
-	asked := 0
+	pending := 0
 	for _, n := range t.Targets {
-		before, err := r.settingsOf(n)
+		before, err := r.settingsHash(n)
 		if err != nil || !r.schedulers[n].Up() {
 			continue
 		}
-		asked++
-		r.beside(func() error {
+		pending++
+		r.inBackground(func() error {
 			pid := r.schedulers[n].PID()
-			if err := r.schedulers[n].Change(int(t.Size)); err != nil {
+			if err := r.schedulers[n].ChangeSettings(int(t.Magnitude)); err != nil {
 				took <- -1
-				return fmt.Errorf("settings: %w", err)
+				return fmt.Errorf("change of settings: %w", err)
 			}
-			from := time.Now()
-			for time.Since(from) < forceTime && r.schedulers[n].PID() == pid {
-				if now, err := r.settingsOf(n); err == nil && now != before {
-					took <- time.Since(from)
+			sent := time.Now()
+			for time.Since(sent) < settingsTimeout && r.schedulers[n].PID() == pid {
+				if now, err := r.settingsHash(n); err == nil && now != before {
+					took <- time.Since(sent)
 					return nil
 				}
-				time.Sleep(forceEvery)
+				time.Sleep(settingsPollInterval)
 			}
 			if r.schedulers[n].PID() != pid {
 				took <- -1
 				return nil
 			}
-			took <- forceTime
+			took <- settingsTimeout
 			return nil
 		})
 	}
-	r.beside(func() error {
-		f := report.InForce{At: r.book.Moment(began)}
-		for range asked {
+	r.inBackground(func() error {
+		change := report.InForce{At: r.ledger.Moment(begin)}
+		for range pending {
 			switch d := <-took; {
-			case d >= forceTime:
-				f.Missing++
+			case d >= settingsTimeout:
+				change.Missing++
 			case d >= 0:
-				f.Took = append(f.Took, d)
+				change.Took = append(change.Took, d)
 			}
 		}
 		r.mu.Lock()
-		r.forced = append(r.forced, f)
+		r.settingsChanges = append(r.settingsChanges, change)
 		r.mu.Unlock()
 		return nil
 	})
--- a/internal/lab/schedulers/schedulers.go
+++ b/internal/lab/schedulers/schedulers.go
@@ -21,32 +21,32 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-// Running is one scheduler that was started.
+// Running is a started scheduler.
 type Running interface {
 	Signal(syscall.Signal) error
-	Wait() error // returns when it has ended
-	PID() int    // 0 for one in the lab's own process
+	Wait() error // returns after the scheduler has exited
+	PID() int    // 0 for a scheduler inside the lab's own process
 }
 
-// Maker starts a scheduler that reads a sheet from a file and writes its log to another.
-type Maker func(n int, sheet, log string) (Running, error)
+// Maker starts the n-th scheduler with the paths of its bootstrap configuration and of its log.
+type Maker func(n int, config, log string) (Running, error)
 
-// process is a scheduler's process.
+// process is a scheduler that runs as a child process.
 type process struct{ cmd *exec.Cmd }
 
 func (p process) Signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 func (p process) Wait() error                   { return p.cmd.Wait() }
 func (p process) PID() int                      { return p.cmd.Process.Pid }
 
-// Program starts processes of a build by its path.
+// Program returns a Maker that starts the executable at path.
 func Program(path string, args ...string) Maker {
-	return func(n int, sheet, log string) (Running, error) {
+	return func(n int, config, log string) (Running, error) {
 		out, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return nil, err
 		}
 		defer out.Close()
-		cmd := Command(path, sheet, out, args...)
+		cmd := Command(path, config, out, args...)
 		if err := cmd.Start(); err != nil {
 			return nil, fmt.Errorf("scheduler: %w", err)
 		}
@@ -54,72 +54,76 @@
 	}
 }
 
-// Command is a scheduler's process that is not started yet.
-func Command(path, sheet string, log *os.File, args ...string) *exec.Cmd {
-	args = append([]string{"serve", "--config", sheet}, args...)
-	if operator := operatorOf(sheet); operator != "" {
+// Command returns the command for a scheduler's process. It isn't started yet.
+func Command(path, config string, log *os.File, args ...string) *exec.Cmd {
+	args = append([]string{"serve", "--config", config}, args...)
+	if operator := operatorConfigPath(config); operator != "" {
 		args = append(args, "--operator", operator)
 	}
 	cmd := exec.Command(path, args...)
 	cmd.Stdout, cmd.Stderr = log, log
-	// It must not outlive the lab, nor take the lab's Ctrl-C for its own.
+	// The process must not outlive the lab. A process group of its own keeps the lab's Ctrl-C away from it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	return cmd
 }
 
-// Started is a process that somebody has started.
+// Started wraps a command that the caller has started.
 func Started(cmd *exec.Cmd) Running { return process{cmd} }
 
-// operatorOf is the operator's file beside a sheet, empty where there is none.
-func operatorOf(sheet string) string {
-	path := strings.TrimSuffix(sheet, ".json") + ".operator.toml"
+// operatorConfigPath returns the path of the operator's file next to a bootstrap configuration, or "" if
+// there is none.
+func operatorConfigPath(config string) string {
+	path := strings.TrimSuffix(config, ".json") + ".operator.toml"
 	if _, err := os.Stat(path); err != nil {
 		return ""
 	}
 	return path
 }
 
-// Known gives a scheduler's discovery address and the list as it is now.
-type Known interface {
+// EndpointSource gives the address of a scheduler's discovery emulator and the current endpoint list.
+type EndpointSource interface {
 	Addr() string
 	Known() json.RawMessage
 }
 
-// Scheduler is one place at which a scheduler runs.
+// Scheduler runs a scheduler at one listen address, through restarts and takeovers.
 type Scheduler struct {
-	n      int
-	plan   *experiment.Experiment
-	book   *ledger.Book
-	make   Maker
-	known  Known
-	dir    string
-	Listen string
-
-	mu      sync.Mutex
-	running Running
-	ended   chan struct{}
-	starts  uint64
-	first   json.RawMessage // the list of the first start, for one that comes back with an old one
-	up      bool
-	ending  bool      // told to end, and not ended
-	newTill time.Time // new clients come to one that is ending
-	label   string    // of its files and its name; Name stays n's own
-	name    string
-	console string
-	readies []time.Duration
-	change  int    // which of the changes of settings stands in its sheet, 0 for none
-	offers  string // the operator's file, empty for none
-}
-
-// Label is the name of its files.
+	index      int
+	experiment *experiment.Experiment
+	ledger     *ledger.Book
+	launcher   Maker
+	endpoints  EndpointSource
+	dir        string
+	Listen     string
+
+	mu              sync.Mutex
+	running         Running
+	exited          chan struct{}
+	starts          uint64
+	firstEndpoints  json.RawMessage // endpoint list of the first start, for restarts with a stale list
+	ready           bool
+	terminating     bool      // SIGTERM was sent, the process still runs
+	newClientsUntil time.Time // until then new clients use a terminating scheduler
+	label           string    // base name of its files; differs from name for an extra scheduler
+	name            string
+	console         string
+	readyTimes      []time.Duration
+	settingsChange  int    // number of the settings change in its configuration, 0 for none
+	operatorConfig  string // text of the operator's file, empty for none
+}
+
+// Label returns the base name of the scheduler's files.
 func (s *Scheduler) Label() string { return s.label }
 
-// Offer sets what stands in its operator's file, before it is started; it has a second address from then on.
-func (s *Scheduler) Offer(text string) { s.offers = text }
+// SetOperatorConfig sets the text of the operator's file. Call it before Start. The scheduler then also has a
+// console.
+func (s *Scheduler) SetOperatorConfig(text string) { s.operatorConfig = text }
 
-// New reserves an address for the n-th scheduler.
-func New(n int, e *experiment.Experiment, book *ledger.Book, m Maker, known Known, dir string) (*Scheduler, error) {
-	// Its own address, so that no connection from this machine can take its port while it is down.
+// New reserves a listen address for the n-th scheduler, counted from 0.
+func New(n int, e *experiment.Experiment, events *ledger.Book, m Maker, endpoints EndpointSource, dir string,
+) (*Scheduler, error) {
+	// An IP address for this scheduler only: no connection from this machine can take its port while it is
+	// down.
 	base, err := faultproxy.Own()
 	if err != nil {
 		return nil, err
@@ -130,125 +134,130 @@
 	}
 	defer l.Close()
 	name := fmt.Sprintf("n%d", n+1)
-	return &Scheduler{n: n, plan: e, book: book, make: m, known: known, dir: dir, Listen: l.Addr().String(), label: name, name: name}, nil
+	return &Scheduler{index: n, experiment: e, ledger: events, launcher: m, endpoints: endpoints, dir: dir,
+		Listen: l.Addr().String(), label: name, name: name}, nil
 }
 
-// Twin is a scheduler that takes no clients and writes nothing into the ledger, at an address of its own.
-func Twin(n int, name, label string, e *experiment.Experiment, m Maker, known Known, dir string) (*Scheduler, error) {
-	quiet, err := ledger.Create("", time.Now())
+// NewExtra returns a scheduler with a separate address that has no clients and writes no ledger events.
+func NewExtra(n int, name, label string, e *experiment.Experiment, m Maker, endpoints EndpointSource, dir string,
+) (*Scheduler, error) {
+	unused, err := ledger.Create("", time.Now())
 	if err != nil {
 		return nil, err
 	}
-	s, err := New(n, e, quiet, m, known, dir)
+	s, err := New(n, e, unused, m, endpoints, dir)
 	if err == nil {
 		s.name, s.label = name, label
 	}
 	return s, err
 }
 
-func (s *Scheduler) file(end string) string { return filepath.Join(s.dir, s.label+end) }
+func (s *Scheduler) filePath(suffix string) string { return filepath.Join(s.dir, s.label+suffix) }
 
-const startTime = 20 * time.Second
+const startTimeout = 20 * time.Second
 
-// Start starts it and waits until it answers health checks. A stale one is told the list of its first start.
+// Start starts the scheduler and waits until it answers health checks. If stale is set, it gets the endpoint
+// list of its first start.
 func (s *Scheduler) Start(stale bool) error {
 	s.mu.Lock()
-	known := s.known.Known()
-	if s.first == nil {
-		s.first = known
+	endpoints := s.endpoints.Known()
+	if s.firstEndpoints == nil {
+		s.firstEndpoints = endpoints
 	}
 	if stale {
-		known = s.first
+		endpoints = s.firstEndpoints
 	}
 	s.starts++
-	r, ended, err := s.launch(known)
+	r, exited, err := s.launch(endpoints)
 	s.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	s.await(r, ended)
-	return s.ready(ended)
+	s.watchExit(r, exited)
+	return s.awaitReady(exited)
 }
 
-// launch starts a process by a new sheet, with the lock held.
-func (s *Scheduler) launch(known json.RawMessage) (Running, chan struct{}, error) {
-	if s.offers != "" {
-		l, err := net.Listen("tcp", strings.Split(s.Listen, ":")[0]+":0") // nobody else binds this address
+// launch writes a new bootstrap configuration and starts a process with it. The caller holds the lock.
+func (s *Scheduler) launch(endpoints json.RawMessage) (Running, chan struct{}, error) {
+	if s.operatorConfig != "" {
+		l, err := net.Listen("tcp", strings.Split(s.Listen, ":")[0]+":0") // no other program binds this IP address
 		if err != nil {
 			return nil, nil, err
 		}
 		s.console = l.Addr().String()
 		l.Close()
-		if err := os.WriteFile(s.file(".operator.toml"), []byte(s.offers), 0o644); err != nil {
+		if err := os.WriteFile(s.filePath(".operator.toml"), []byte(s.operatorConfig), 0o644); err != nil {
 			return nil, nil, err
 		}
 	}
-	if err := s.write(s.file(".json"), known); err != nil {
+	if err := s.writeConfig(s.filePath(".json"), endpoints); err != nil {
 		return nil, nil, err
 	}
-	r, err := s.make(s.n, s.file(".json"), s.file(".log"))
+	r, err := s.launcher(s.index, s.filePath(".json"), s.filePath(".log"))
 	if err != nil {
 		return nil, nil, err
 	}
-	ended := make(chan struct{})
-	s.running, s.ended = r, ended
-	return r, ended, nil
+	exited := make(chan struct{})
+	s.running, s.exited = r, exited
+	return r, exited, nil
 }
 
-// hupEvery is the time between two SIGHUPs of a series beside a takeover.
-const hupEvery = 25 * time.Millisecond
+// hupInterval is the time between two SIGHUPs of a series during a takeover.
+const hupInterval = 25 * time.Millisecond
 
-// hup sends SIGHUP to a process again and again until a channel is closed.
-func (s *Scheduler) hup(to Running, until <-chan struct{}) {
+// repeatHup sends SIGHUP to a process every hupInterval until a channel is closed.
+func (s *Scheduler) repeatHup(to Running, done <-chan struct{}) {
 	for {
 		select {
-		case <-until:
+		case <-done:
 			return
-		case <-time.After(hupEvery):
+		case <-time.After(hupInterval):
 		}
-		s.book.Add(ledger.Event{Kind: ledger.Hup, Scheduler: s.n + 1})
+		s.ledger.Add(ledger.Event{Kind: ledger.Hup, Scheduler: s.index + 1})
 		to.Signal(syscall.SIGHUP)
 	}
 }
 
-// Takeover has a second process take the place of the one that runs, with SIGHUPs to that one meanwhile where they are wanted. In the
-// ledger both are one: only an end that nobody asked for is written down.
-func (s *Scheduler) Takeover(within time.Duration, hups bool) error {
+// Takeover replaces the running process by a second one, as a hot restart does. It then sends SIGTERM to the
+// predecessor, and SIGKILL if that process is still running after the timeout. If hups is set, the
+// predecessor gets SIGHUPs meanwhile. The ledger treats both processes as one scheduler: it gets an exit
+// event for the predecessor only if that process fails.
+func (s *Scheduler) Takeover(timeout time.Duration, hups bool) error {
 	s.mu.Lock()
-	before, old := s.running, s.ended
-	if before == nil {
+	predecessor, predecessorExited := s.running, s.exited
+	if predecessor == nil {
 		s.mu.Unlock()
 		return nil
 	}
 	s.starts++
-	r, ended, err := s.launch(s.known.Known())
+	r, exited, err := s.launch(s.endpoints.Known())
 	s.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	s.await(r, ended)
+	s.watchExit(r, exited)
 	if hups {
-		go s.hup(before, old)
+		go s.repeatHup(predecessor, predecessorExited)
 	}
-	for limit := time.Now().Add(startTime); s.Ask("/api/ready", nil) != nil; time.Sleep(5 * time.Millisecond) {
+	for limit := time.Now().Add(startTimeout); s.Ask("/api/ready", nil) != nil; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
-			return fmt.Errorf("scheduler %d: the process that takes over is not ready after %v", s.n+1, startTime)
+			return fmt.Errorf("scheduler %d: the successor process is not ready after %v", s.index+1, startTimeout)
 		}
 	}
-	if err := before.Signal(syscall.SIGTERM); err != nil {
+	if err := predecessor.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
 	select {
-	case <-old:
-	case <-time.After(within):
-		before.Signal(syscall.SIGKILL)
-		<-old
+	case <-predecessorExited:
+	case <-time.After(timeout):
+		predecessor.Signal(syscall.SIGKILL)
+		<-predecessorExited
 	}
 	return nil
 }
 
-// await notes the end of a process.
-func (s *Scheduler) await(r Running, ended chan struct{}) {
+// watchExit records the exit of a process in the ledger and closes the channel.
+func (s *Scheduler) watchExit(r Running, exited chan struct{}) {
 	go func() {
 		err := r.Wait()
 		text := "exit status 0"
@@ -256,24 +265,24 @@
 			text = err.Error()
 		}
 		s.mu.Lock()
-		own := s.running == r
-		if own {
-			s.running, s.up, s.ending = nil, false, false
+		current := s.running == r
+		if current {
+			s.running, s.ready, s.terminating = nil, false, false
 		}
-		if own || err != nil { // one that was replaced, and ended as told, goes on in its heir
-			s.book.Add(ledger.Event{Kind: ledger.Exited, Scheduler: s.n + 1, Text: text})
+		if current || err != nil { // a predecessor that exits without an error is replaced by its successor
+			s.ledger.Add(ledger.Event{Kind: ledger.Exited, Scheduler: s.index + 1, Text: text})
 		}
-		close(ended)
+		close(exited)
 		s.mu.Unlock()
 	}()
 }
 
-// write replaces the sheet in one step: a scheduler may read it at any moment.
-func (s *Scheduler) write(path string, known json.RawMessage) error {
-	sheet := SheetOf(s.plan, s.n, s.starts, s.Listen, s.known.Addr(), known)
-	sheet.Name, sheet.Console = s.name, s.console
-	sheet.Change(s.change)
-	text, err := json.Marshal(sheet)
+// writeConfig replaces the bootstrap configuration atomically, since a scheduler may read it at any moment.
+func (s *Scheduler) writeConfig(path string, endpoints json.RawMessage) error {
+	config := NewBootstrapConfig(s.experiment, s.index, s.starts, s.Listen, s.endpoints.Addr(), endpoints)
+	config.Name, config.Console = s.name, s.console
+	config.ChangeSettings(s.settingsChange)
+	text, err := json.Marshal(config)
 	if err != nil {
 		return err
 	}
@@ -283,20 +292,21 @@
 	return os.Rename(path+".new", path)
 }
 
-// Readies are what each of its starts took, from the process's start to its first answer to a health check.
-func (s *Scheduler) Readies() []time.Duration {
+// ReadyTimes returns the duration of each start, from the start of the process to its first passed health
+// check.
+func (s *Scheduler) ReadyTimes() []time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.readies)
+	return slices.Clone(s.readyTimes)
 }
 
-func (s *Scheduler) ready(ended chan struct{}) error {
-	began := time.Now()
+func (s *Scheduler) awaitReady(exited chan struct{}) error {
+	started := time.Now()
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for limit := time.Now().Add(startTime); time.Now().Before(limit); {
+	for limit := time.Now().Add(startTimeout); time.Now().Before(limit); {
 		select {
-		case <-ended:
-			return fmt.Errorf("scheduler %d ended before it was ready; see %s", s.n+1, s.file(".log"))
+		case <-exited:
+			return fmt.Errorf("scheduler %d exited before it was ready; see %s", s.index+1, s.filePath(".log"))
 		case <-time.After(5 * time.Millisecond):
 		}
 		resp, err := client.Get("http://" + s.Listen + "/healthz")
@@ -306,16 +316,17 @@
 		resp.Body.Close()
 		if resp.StatusCode == http.StatusOK {
 			s.mu.Lock()
-			s.up, s.readies = true, append(s.readies, time.Since(began))
-			s.book.Add(ledger.Event{Kind: ledger.Up, Scheduler: s.n + 1})
+			s.ready, s.readyTimes = true, append(s.readyTimes, time.Since(started))
+			s.ledger.Add(ledger.Event{Kind: ledger.Up, Scheduler: s.index + 1})
 			s.mu.Unlock()
 			return nil
 		}
 	}
-	return fmt.Errorf("scheduler %d is not ready after %v", s.n+1, startTime)
+	return fmt.Errorf("scheduler %d is not ready after %v", s.index+1, startTimeout)
 }
 
-// Ask reads a call of its second address; into may be nil for one that only says yes or no.
+// Ask sends a GET request to the scheduler's console and decodes the JSON response into a value. Into may be
+// nil if only the status matters.
 func (s *Scheduler) Ask(path string, into any) error {
 	s.mu.Lock()
 	console := s.console
@@ -323,11 +334,11 @@
 	client := http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + console + path)
 	if err != nil {
-		return fmt.Errorf("scheduler %d: %w", s.n+1, err)
+		return fmt.Errorf("scheduler %d: %w", s.index+1, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("scheduler %d: %s: %s", s.n+1, path, resp.Status)
+		return fmt.Errorf("scheduler %d: %s: %s", s.index+1, path, resp.Status)
 	}
 	if into == nil {
 		return nil
@@ -335,7 +346,8 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
-// Post makes a call that changes something. What comes of that is seen elsewhere.
+// Post sends a POST request to the scheduler's console and ignores the response. The caller observes the
+// effect by other calls.
 func (s *Scheduler) Post(path string) {
 	s.mu.Lock()
 	console := s.console
@@ -346,7 +358,7 @@
 	}
 }
 
-// PID is of its process, 0 where none runs.
+// PID returns the id of the running process, or 0 if none runs.
 func (s *Scheduler) PID() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -356,76 +368,81 @@
 	return s.running.PID()
 }
 
-// Up tells whether it is known to serve. To one that was told to end new clients come for a while, where clients go on.
+// Up reports whether new clients use the scheduler: it is ready, or it is terminating, clients.go_on is set
+// and the time for new clients isn't over.
 func (s *Scheduler) Up() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.up || s.ending && time.Now().Before(s.newTill)
+	return s.ready || s.terminating && time.Now().Before(s.newClientsUntil)
 }
 
-// Ending tells whether it was told to end, and clients go on with the connections that they have.
+// Ending reports whether the scheduler is terminating while clients go on using their open connections
+// (clients.go_on).
 func (s *Scheduler) Ending() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ending
+	return s.terminating
 }
 
-// New clients come to a scheduler that was told to end for so long, by its place.
+// Bounds of the time for which new clients use a terminating scheduler. The time depends on the scheduler's
+// index.
 const (
-	leastNewClients = 200 * time.Millisecond
-	mostNewClients  = 400 * time.Millisecond
+	minNewClientTime = 200 * time.Millisecond
+	maxNewClientTime = 400 * time.Millisecond
 )
 
-// beginEnd notes that it was told to end, with the lock held.
-func (s *Scheduler) beginEnd() {
-	s.up = false
-	if s.ending || !s.plan.Clients.GoOn {
+// markTerminating records that SIGTERM is sent. The caller holds the lock.
+func (s *Scheduler) markTerminating() {
+	s.ready = false
+	if s.terminating || !s.experiment.Clients.UseWhileTerminating {
 		return
 	}
-	spread := time.Duration(s.n) * 70 * time.Millisecond % (mostNewClients - leastNewClients)
-	s.ending, s.newTill = true, time.Now().Add(leastNewClients+spread)
+	spread := time.Duration(s.index) * 70 * time.Millisecond % (maxNewClientTime - minNewClientTime)
+	s.terminating, s.newClientsUntil = true, time.Now().Add(minNewClientTime+spread)
 }
 
-var kinds = map[syscall.Signal]ledger.Kind{syscall.SIGKILL: ledger.Killed, syscall.SIGTERM: ledger.Term,
+// signalEvents maps signals to the kinds of their ledger events.
+var signalEvents = map[syscall.Signal]ledger.Kind{syscall.SIGKILL: ledger.Killed, syscall.SIGTERM: ledger.Term,
 	syscall.SIGHUP: ledger.Hup, syscall.SIGSTOP: ledger.Stopped, syscall.SIGCONT: ledger.Resumed}
 
-// Change has it take a numbered change of its settings: a new sheet, and a SIGHUP.
-func (s *Scheduler) Change(number int) error {
+// ChangeSettings applies a numbered settings change: it writes a new bootstrap configuration and sends
+// SIGHUP.
+func (s *Scheduler) ChangeSettings(number int) error {
 	s.mu.Lock()
-	s.change = number
+	s.settingsChange = number
 	s.mu.Unlock()
 	return s.Signal(syscall.SIGHUP)
 }
 
-// Signal sends a signal, and writes it down just before.
+// Signal records a signal in the ledger and then sends it.
 func (s *Scheduler) Signal(sig syscall.Signal) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running == nil {
 		return nil
 	}
-	if sig == syscall.SIGHUP { // it comes with a sheet that tells where discovery is now
-		if err := s.write(s.file(".json"), s.known.Known()); err != nil {
+	if sig == syscall.SIGHUP { // the scheduler reloads a configuration with the current address of discovery
+		if err := s.writeConfig(s.filePath(".json"), s.endpoints.Known()); err != nil {
 			return err
 		}
 	}
-	s.book.Add(ledger.Event{Kind: kinds[sig], Scheduler: s.n + 1})
+	s.ledger.Add(ledger.Event{Kind: signalEvents[sig], Scheduler: s.index + 1})
 	switch sig {
 	case syscall.SIGKILL:
-		s.up, s.ending = false, false
+		s.ready, s.terminating = false, false
 	case syscall.SIGTERM:
-		s.beginEnd()
+		s.markTerminating()
 	}
 	if err := s.running.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		return fmt.Errorf("scheduler %d: %w", s.n+1, err)
+		return fmt.Errorf("scheduler %d: %w", s.index+1, err)
 	}
 	return nil
 }
 
-// End ends it: with SIGTERM first, and SIGKILL if it has not ended within a time.
-func (s *Scheduler) End(within time.Duration) error {
+// Terminate sends SIGTERM, and SIGKILL if the process still runs after the timeout.
+func (s *Scheduler) Terminate(timeout time.Duration) error {
 	s.mu.Lock()
-	ended, running := s.ended, s.running
+	exited, running := s.exited, s.running
 	s.mu.Unlock()
 	if running == nil {
 		return nil
@@ -433,72 +450,73 @@
 	if err := s.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	return s.awaitEnd(ended, within)
+	return s.awaitExit(exited, timeout)
 }
 
-// awaitEnd waits until it has ended, and kills it where that takes too long.
-func (s *Scheduler) awaitEnd(ended <-chan struct{}, within time.Duration) error {
+// awaitExit waits until the process has exited, and kills it after the timeout.
+func (s *Scheduler) awaitExit(exited <-chan struct{}, timeout time.Duration) error {
 	select {
-	case <-ended:
+	case <-exited:
 		return nil
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 	err := s.Signal(syscall.SIGKILL)
-	<-ended
+	<-exited
 	return err
 }
 
-// termEvery is the time between two SIGTERMs of a series.
-const termEvery = 150 * time.Millisecond
+// termInterval is the time between two SIGTERMs of a series.
+const termInterval = 150 * time.Millisecond
 
-// EndBySeries is End with SIGTERM again and again.
-func (s *Scheduler) EndBySeries(within time.Duration) error {
+// TerminateRepeatedly sends SIGTERM every termInterval until the process exits, and SIGKILL after the
+// timeout.
+func (s *Scheduler) TerminateRepeatedly(timeout time.Duration) error {
 	s.mu.Lock()
-	ended, running := s.ended, s.running
+	exited, running := s.exited, s.running
 	s.mu.Unlock()
 	if running == nil {
 		return nil
 	}
-	for began := time.Now(); time.Since(began) < within; {
+	for started := time.Now(); time.Since(started) < timeout; {
 		if err := s.Signal(syscall.SIGTERM); err != nil {
 			return err
 		}
 		select {
-		case <-ended:
+		case <-exited:
 			return nil
-		case <-time.After(termEvery):
+		case <-time.After(termInterval):
 		}
 	}
-	return s.awaitEnd(ended, 0)
+	return s.awaitExit(exited, 0)
 }
 
-// Console is its second address, empty for none.
+// Console returns the address of the scheduler's console, or "" if it has none.
 func (s *Scheduler) Console() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.console
 }
 
-// Kill ends it at once and waits until it has.
+// Kill sends SIGKILL and waits until the process has exited.
 func (s *Scheduler) Kill() {
 	s.mu.Lock()
-	ended := s.ended
+	exited := s.exited
 	s.mu.Unlock()
-	if s.Signal(syscall.SIGKILL) == nil && ended != nil {
-		<-ended
+	if s.Signal(syscall.SIGKILL) == nil && exited != nil {
+		<-exited
 	}
 }
 
-// Use is what a scheduler uses at a moment.
+// Use holds the resource usage of a scheduler at one moment.
 type Use struct {
 	At        ledger.Time `json:"at"`
 	Scheduler int         `json:"scheduler"`
-	CPU       float64     `json:"cpu_s"` // since its start
+	CPU       float64     `json:"cpu_s"` // CPU time since the start of the process, in seconds
 	Resident  int64       `json:"resident"`
 	Files     int         `json:"files"`
 }
 
-// Use reads what it uses, if it is a process that runs.
+// Use reads the current resource usage. It returns false if no separate process runs.
 func (s *Scheduler) Use() (Use, bool) {
 	s.mu.Lock()
 	r := s.running
@@ -506,17 +524,18 @@
 	if r == nil || r.PID() == 0 {
 		return Use{}, false
 	}
-	return UseOf(r.PID(), s.book.Now(), s.n+1)
+	return ProcessUsage(r.PID(), s.ledger.Now(), s.index+1)
 }
 
-// UseOf reads what a process uses.
-func UseOf(pid int, now ledger.Time, scheduler int) (Use, bool) {
+// ProcessUsage reads the resource usage of a process from /proc. It returns false if that fails.
+func ProcessUsage(pid int, now ledger.Time, scheduler int) (Use, bool) {
 	proc := fmt.Sprintf("/proc/%d/", pid)
 	stat, err := os.ReadFile(proc + "stat")
 	if err != nil {
 		return Use{}, false
 	}
-	// The name may hold anything; what follows its last bracket is in order.
+	// The process name may contain spaces and brackets. The fields after the last closing bracket are
+	// separated by spaces.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	if len(fields) < 22 {
 		return Use{}, false
--- a/internal/lab/schedulers/sheet.go
+++ b/internal/lab/schedulers/sheet.go
@@ -1,5 +1,5 @@
-// Package schedulers holds the schedulers under test: what they are told, and their processes, which are started,
-// signalled, stopped and killed as the script says.
+// Package schedulers manages the schedulers under test. It writes their configuration and starts, signals,
+// stops and kills their processes.
 package schedulers
 
 import (
@@ -10,7 +10,7 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-// Sheet is what a scheduler is told at its start, in the platform's form.
+// Sheet is the bootstrap configuration of a scheduler in the platform's format.
 type Sheet struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -28,24 +28,29 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// published are the platform's words for effects.
-var published = map[string]string{ledger.Redeliverable: "retryable", ledger.Deduplicated: "dedup", ledger.AtMostOnce: "fragile"}
+// effectNames maps the ledger's names of effects to those of the bootstrap configuration.
+var effectNames = map[string]string{ledger.Redeliverable: "retryable", ledger.Deduplicated: "dedup",
+	ledger.AtMostOnce: "fragile"}
 
-// Change makes the settings those of a numbered change: one value of the first category is another, by so little that it decides nothing.
-func (s *Sheet) Change(number int) {
+// ChangeSettings applies a numbered settings change: it changes the benefit of the first category by a factor
+// that is too small to affect any decision.
+func (s *Sheet) ChangeSettings(number int) {
 	if first, ok := s.Settings["categories"].([]any)[0].(map[string]any); ok {
 		first["benefit"] = first["benefit"].(float64) * (1 + float64(number)*1e-9)
 	}
 }
 
-// SheetOf is what the n-th scheduler of an experiment is told.
-func SheetOf(e *experiment.Experiment, n int, start uint64, listen, discovery string, known json.RawMessage) *Sheet {
+// NewBootstrapConfig returns the bootstrap configuration of the n-th scheduler, counted from 0. Start is the
+// number of this start and varies the seed.
+func NewBootstrapConfig(e *experiment.Experiment, n int, start uint64, listen, discovery string,
+	endpoints json.RawMessage,
+) *Sheet {
 	s, r := &e.Schedulers, &e.Rules
 	ns := func(ms float64) float64 { return float64(int64(ms * 1e6)) }
 	var categories []any
 	var stretch []any
 	for _, c := range e.Categories {
-		m := map[string]any{"name": c.Name, "effect": published[c.Effect], "benefit": c.Benefit,
+		m := map[string]any{"name": c.Name, "effect": effectNames[c.Effect], "benefit": c.Benefit,
 			"targetLatencyNs": ns(c.TargetMS), "ttlNs": ns(c.TTLMS), "tardyBenefit": c.LateBenefit}
 		if c.Effect == ledger.Deduplicated {
 			m["dedupScope"], m["windowNs"] = c.Scope, ns(c.WindowMS)
@@ -79,7 +84,7 @@
 			"overloadFactor": r.OverloadFactor, "tipAfterNs": ns(r.TipAfterMS), "warmAfterNs": ns(r.WarmAfterMS)},
 		"stepNs": ns(s.StepMS),
 	}
-	return &Sheet{Name: fmt.Sprintf("n%d", n+1), Listen: listen, Discovery: discovery, Known: known, Settings: settings,
+	return &Sheet{Name: fmt.Sprintf("n%d", n+1), Listen: listen, Discovery: discovery, Known: endpoints, Settings: settings,
 		Seed:   fmt.Sprintf("%016x", (e.Seed*0x9e3779b97f4a7c15+uint64(n)*0x100000001b3+start)|1),
 		Limits: limits{s.Cores, s.MemoryMB, s.Sockets}}
 }
--- a/internal/lab/workload/script.go
+++ b/internal/lab/workload/script.go
@@ -1,6 +1,6 @@
-// Package workload draws from an experiment's seed all that is left to chance before it is played: when ops are
-// due and what they ask for, how clients behave, which worker is how quick, and what troubles come when. The same
-// file and seed give the same script, whatever the program under test does with it.
+// Package workload draws all random choices of an experiment from its seed before the run: when requests
+// arrive and what they need, how clients behave, how fast each worker is, and when faults begin and end. The
+// same file and seed give the same workload, whatever the program under test does.
 package workload
 
 import (
@@ -22,39 +22,39 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-// Wish is one thing that a client wants done; each of its tries is an op.
+// Wish is one request of a client. The first attempt and each retry of the client is an op.
 type Wish struct {
 	Due       ledger.Time
 	Category  int
 	Client    int
-	Scheduler int // from 0, where the first try goes
+	Scheduler int // from 0, receives the first attempt
 	Work      float64
 	Slots     float64
 	Hint      float64     // ms, 0 for none
-	LeaveAt   ledger.Time // after it was sent, 0 for one that stays
+	LeaveAt   ledger.Time // time from sending to the client's disconnect, 0 for none
 	Trickles  bool
 	Stalls    bool
 	AsksAgain bool
 	Honours   bool
-	Seed      uint64 // for its waits
+	Seed      uint64 // for its backoff
 }
 
-// Turn is one turn of a trouble.
-type Turn struct {
-	At      ledger.Time
-	Kind    string
-	On      bool
-	Targets []int // of workers or schedulers, from 0
-	Size    float64
-	For     ledger.Time
-	Zone    string
-	Fault   int // which turns belong together
-	To      []int
-	Way     string
-	Refuses bool
+// FaultEvent begins or ends a fault.
+type FaultEvent struct {
+	At           ledger.Time
+	Kind         string
+	Begins       bool
+	Targets      []int // indices of workers or schedulers, from 0
+	Magnitude    float64
+	Duration     ledger.Time
+	Zone         string
+	FaultID      int // the same for all events of a fault
+	To           []int
+	Direction    string
+	ResetStreams bool
 }
 
-// Worker is one worker as built.
+// Worker holds the drawn properties of a worker.
 type Worker struct {
 	Name  string
 	Kind  int
@@ -64,49 +64,50 @@
 	Seed  uint64
 }
 
-// Script is all of it, in order of time.
+// Script holds everything that is drawn. Requests and fault events are in order of time.
 type Script struct {
 	Wishes  []Wish
-	Turns   []Turn
+	Turns   []FaultEvent
 	Workers []Worker
 }
 
-// mostWishes bounds what a script may hold.
-const mostWishes = 5_000_000
+// maxRequests bounds the requests of a workload.
+const maxRequests = 5_000_000
 
-// Of draws an experiment's script.
+// Of draws the workload of an experiment.
 func Of(e *experiment.Experiment) (*Script, error) {
 	s := &Script{}
-	s.workers(e, source(e.Seed, "workers"))
-	s.faults(e, source(e.Seed, "faults"))
-	s.chaos(e, source(e.Seed, "chaos"))
-	slices.SortStableFunc(s.Turns, func(a, b Turn) int { return cmp.Compare(a.At, b.At) })
-	if err := s.wishes(e, source(e.Seed, "wishes")); err != nil {
+	s.addWorkers(e, newRand(e.Seed, "workers"))
+	s.addFaults(e, newRand(e.Seed, "faults"))
+	s.addRandomFaults(e, newRand(e.Seed, "chaos"))
+	slices.SortStableFunc(s.Turns, func(a, b FaultEvent) int { return cmp.Compare(a.At, b.At) })
+	if err := s.addRequests(e, newRand(e.Seed, "wishes")); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// source keeps draws apart: one more worker must not change when ops come.
-func source(seed uint64, name string) *rand.Rand {
+// newRand returns a random source for one kind of choice. Separate sources keep the draws independent: one
+// more worker must not change the arrivals.
+func newRand(seed uint64, purpose string) *rand.Rand {
 	h := fnv.New64a()
-	io.WriteString(h, name)
+	io.WriteString(h, purpose)
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-func (s *Script) workers(e *experiment.Experiment, r *rand.Rand) {
+func (s *Script) addWorkers(e *experiment.Experiment, r *rand.Rand) {
 	n := 0
-	cells, inCell := map[string]int{}, map[string]int{}
-	next := 0
+	cells, cellWorkers := map[string]int{}, map[string]int{}
+	nextCell := 0
 	for k, w := range e.Workers {
 		for range w.Count {
 			zone := e.Zones[n%len(e.Zones)]
 			// No two zones share a cell.
-			if _, ok := cells[zone]; !ok || inCell[zone] >= w.CellSize {
-				cells[zone], inCell[zone] = next, 0
-				next++
+			if _, ok := cells[zone]; !ok || cellWorkers[zone] >= w.CellSize {
+				cells[zone], cellWorkers[zone] = nextCell, 0
+				nextCell++
 			}
-			inCell[zone]++
+			cellWorkers[zone]++
 			s.Workers = append(s.Workers, Worker{Name: fmt.Sprintf("w%03d", n), Kind: k, Zone: zone, Cell: cells[zone],
 				Speed: w.Speed * (1 + w.SpeedSpread*(2*r.Float64()-1)), Seed: r.Uint64()})
 			n++
@@ -114,8 +115,8 @@
 	}
 }
 
-// pick draws an index by weight.
-func pick(r *rand.Rand, weights []float64) int {
+// pickWeighted draws an index with a probability in proportion to its weight.
+func pickWeighted(r *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
@@ -129,8 +130,8 @@
 	return len(weights) - 1
 }
 
-// Draw draws an amount of work.
-func Draw(r *rand.Rand, dist string, mean, cv float64) float64 {
+// DrawWork draws an amount of work from a distribution with a mean and a coefficient of variation.
+func DrawWork(r *rand.Rand, dist string, mean, cv float64) float64 {
 	switch dist {
 	case "fixed":
 		return mean
@@ -138,14 +139,14 @@
 		v := math.Log(1 + cv*cv)
 		return mean * math.Exp(math.Sqrt(v)*r.NormFloat64()-v/2)
 	case "pareto":
-		a := 1 + math.Sqrt(1+1/(cv*cv)) // the shape that has this coefficient of variation
+		a := 1 + math.Sqrt(1+1/(cv*cv)) // the shape with this coefficient of variation
 		return mean * (a - 1) / a * math.Pow(1-r.Float64(), -1/a)
 	}
 	return mean * r.ExpFloat64()
 }
 
-// factor is what the steps and bursts make of the rate at a moment.
-func factor(e *experiment.Experiment, at float64) float64 {
+// rateFactor returns the factor by which steps and bursts change the arrival rate at a time in seconds.
+func rateFactor(e *experiment.Experiment, at float64) float64 {
 	f := 1.0
 	steps := e.Arrivals.Steps
 	for i, s := range steps {
@@ -158,30 +159,30 @@
 			f += (next[1] - s[1]) * min((at-s[0])/(next[0]-s[0]), 1)
 		}
 	}
-	for _, x := range e.Faults {
-		if x.Kind == "burst" && at >= x.At && at < x.At+x.For {
-			f *= x.Size
+	for _, burst := range e.Faults {
+		if burst.Kind == "burst" && at >= burst.At && at < burst.At+burst.For {
+			f *= burst.Size
 		}
 	}
 	return f
 }
 
-func (s *Script) wishes(e *experiment.Experiment, r *rand.Rand) error {
+func (s *Script) addRequests(e *experiment.Experiment, r *rand.Rand) error {
 	shares := make([]float64, len(e.Categories))
 	for i, c := range e.Categories {
 		shares[i] = c.Share
 	}
 	if e.Arrivals.Kind == "trace" {
-		return s.trace(e, r)
+		return s.addTraceRequests(e, r)
 	}
-	most := 0.0
+	maxFactor := 0.0
 	for at := 0.0; at < e.Seconds; at += 0.01 {
-		most = max(most, factor(e, at))
+		maxFactor = max(maxFactor, rateFactor(e, at))
 	}
-	if n := most * e.Arrivals.Rate * e.Seconds; n > mostWishes {
-		return fmt.Errorf("arrivals: about %.0f ops; %d at most", n, mostWishes)
+	if n := maxFactor * e.Arrivals.Rate * e.Seconds; n > maxRequests {
+		return fmt.Errorf("arrivals: about %.0f ops; at most %d are allowed", n, maxRequests)
 	}
-	if most == 0 {
+	if maxFactor == 0 {
 		return nil
 	}
 	for at := 0.0; ; {
@@ -190,7 +191,7 @@
 			gap = r.ExpFloat64()
 		}
 		if e.Arrivals.Kind == "even" {
-			f := factor(e, at)
+			f := rateFactor(e, at)
 			if f <= 0 {
 				at += 0.01
 				if at >= e.Seconds {
@@ -200,45 +201,45 @@
 			}
 			at += gap / (e.Arrivals.Rate * f)
 		} else {
-			at += gap / (e.Arrivals.Rate * most)
+			at += gap / (e.Arrivals.Rate * maxFactor)
 		}
 		if at >= e.Seconds {
 			return nil
 		}
-		if e.Arrivals.Kind == "poisson" && r.Float64()*most >= factor(e, at) { // thinning
+		if e.Arrivals.Kind == "poisson" && r.Float64()*maxFactor >= rateFactor(e, at) { // thinning
 			continue
 		}
-		s.Wishes = append(s.Wishes, wish(e, r, at, pick(r, shares)))
+		s.Wishes = append(s.Wishes, newRequest(e, r, at, pickWeighted(r, shares)))
 	}
 }
 
-func wish(e *experiment.Experiment, r *rand.Rand, at float64, category int) Wish {
+func newRequest(e *experiment.Experiment, r *rand.Rand, at float64, category int) Wish {
 	c, cl := &e.Categories[category], &e.Clients
-	w := Wish{Due: experiment.S(at), Category: category, Seed: r.Uint64()}
-	w.Work = min(max(Draw(r, c.Dist, c.WorkMS, c.CV), 0.01), c.Heaviest*c.WorkMS)
-	w.Slots = []float64{1, 2, 4}[pick(r, c.Slots)]
+	w := Wish{Due: experiment.FromSeconds(at), Category: category, Seed: r.Uint64()}
+	w.Work = min(max(DrawWork(r, c.Dist, c.WorkMS, c.CV), 0.01), c.MaxWorkFactor*c.WorkMS)
+	w.Slots = []float64{1, 2, 4}[pickWeighted(r, c.Slots)]
 	if c.HintSpread > 0 {
 		w.Hint = w.Work * math.Pow(1+c.HintSpread, 2*r.Float64()-1)
 	}
 	if w.Client = r.IntN(cl.Count); len(cl.Shares) > 0 {
-		w.Client = pick(r, cl.Shares)
+		w.Client = pickWeighted(r, cl.Shares)
 	}
 	if len(e.Schedulers.Shares) > 0 {
-		w.Scheduler = pick(r, e.Schedulers.Shares)
+		w.Scheduler = pickWeighted(r, e.Schedulers.Shares)
 	} else {
 		w.Scheduler = r.IntN(e.Schedulers.Count)
 	}
-	// Each chance is drawn whatever the file says: a quirk that is switched on changes nothing else of the day.
-	leave, trickle, stall, again, honour := r.Float64(), r.Float64(), r.Float64(), r.Float64(), r.Float64()
-	if leave < cl.Leave {
-		w.LeaveAt = max(experiment.MS(cl.Impatient*(0.5+leave/cl.Leave)), 1)
+	// All chances are drawn even if the file disables them, so that enabling one changes no other draw.
+	disconnect, trickle, stall, duplicate, honour := r.Float64(), r.Float64(), r.Float64(), r.Float64(), r.Float64()
+	if disconnect < cl.DisconnectChance {
+		w.LeaveAt = max(experiment.MS(cl.DisconnectAfterMS*(0.5+disconnect/cl.DisconnectChance)), 1)
 	}
-	w.Trickles, w.Stalls, w.AsksAgain, w.Honours = trickle < cl.Trickle, stall < cl.Stall, again < cl.AskAgain, honour < cl.Honour
+	w.Trickles, w.Stalls, w.AsksAgain, w.Honours = trickle < cl.TrickleChance, stall < cl.StallChance, duplicate < cl.DuplicateChance, honour < cl.HonourRetryAfter
 	return w
 }
 
-// trace reads when ops are due from a file: a line for each, its moment in ms and its category.
-func (s *Script) trace(e *experiment.Experiment, r *rand.Rand) error {
+// addTraceRequests reads the arrivals from a trace file. Each line holds a time in ms and a category.
+func (s *Script) addTraceRequests(e *experiment.Experiment, r *rand.Rand) error {
 	path := e.Arrivals.Trace
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(e.Dir, path)
@@ -261,20 +262,20 @@
 		}
 		fields := strings.Fields(line)
 		if len(fields) != 2 {
-			return fmt.Errorf("%s:%d: a moment in ms and a category are wanted", path, n)
+			return fmt.Errorf("%s:%d: want a time in ms and a category", path, n)
 		}
 		at, err := strconv.ParseFloat(fields[0], 64)
 		c, ok := names[fields[1]]
 		switch {
 		case err != nil || math.IsNaN(at) || at < last || at > 3_600_000:
-			return fmt.Errorf("%s:%d: %q is no moment in order", path, n, fields[0])
+			return fmt.Errorf("%s:%d: %q is not a time in ms from the previous one to 3600000", path, n, fields[0])
 		case !ok:
-			return fmt.Errorf("%s:%d: no category %q", path, n, fields[1])
-		case len(s.Wishes) >= mostWishes:
-			return fmt.Errorf("%s:%d: more than %d ops", path, n, mostWishes)
+			return fmt.Errorf("%s:%d: category %q does not exist", path, n, fields[1])
+		case len(s.Wishes) >= maxRequests:
+			return fmt.Errorf("%s:%d: more than %d requests", path, n, maxRequests)
 		}
 		last = at
-		s.Wishes = append(s.Wishes, wish(e, r, at/1000, c))
+		s.Wishes = append(s.Wishes, newRequest(e, r, at/1000, c))
 	}
 	if err := in.Err(); err != nil {
 		return fmt.Errorf("arrivals.trace: %w", err)
@@ -282,125 +283,126 @@
 	return nil
 }
 
-// targets are the workers or schedulers that a fault hits.
-func (s *Script) targets(e *experiment.Experiment, r *rand.Rand, f *experiment.Fault) []int {
+// faultTargets returns the indices of the workers or schedulers that a fault hits.
+func (s *Script) faultTargets(e *experiment.Experiment, r *rand.Rand, f *experiment.Fault) []int {
 	if len(f.Indices) > 0 {
 		return slices.Clone(f.Indices)
 	}
-	all := len(s.Workers)
+	count := len(s.Workers)
 	if experiment.OfSchedulers(f.Kind) {
-		all = e.Schedulers.Count
+		count = e.Schedulers.Count
 	}
-	var in []int
-	for i := range all {
+	var targets []int
+	for i := range count {
 		if f.Zone == "" || experiment.OfSchedulers(f.Kind) || e.In(f.Zone, s.Workers[i].Zone) {
-			in = append(in, i)
+			targets = append(targets, i)
 		}
 	}
 	if f.Part == 0 {
-		return in
+		return targets
 	}
-	r.Shuffle(len(in), func(i, j int) { in[i], in[j] = in[j], in[i] })
-	in = in[:min(len(in), max(1, int(math.Round(f.Part*float64(len(in))))))]
-	slices.Sort(in)
-	return in
+	r.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
+	targets = targets[:min(len(targets), max(1, int(math.Round(f.Part*float64(len(targets))))))]
+	slices.Sort(targets)
+	return targets
 }
 
-func (s *Script) faults(e *experiment.Experiment, r *rand.Rand) {
+func (s *Script) addFaults(e *experiment.Experiment, r *rand.Rand) {
 	for i := range e.Faults {
 		f := &e.Faults[i]
-		s.add(e, r, f, i)
+		s.addFault(e, r, f, i)
 	}
 }
 
-// add puts the turns of a fault into the script.
-func (s *Script) add(e *experiment.Experiment, r *rand.Rand, f *experiment.Fault, n int) {
-	t := Turn{At: experiment.S(f.At), Kind: f.Kind, On: true, Targets: s.targets(e, r, f), Size: f.Size, For: experiment.S(f.For),
-		Zone: f.Zone, Fault: n, To: f.To, Way: f.Way, Refuses: f.Refuses}
+// addFault adds the events of a fault. The id is the same for all of them.
+func (s *Script) addFault(e *experiment.Experiment, r *rand.Rand, f *experiment.Fault, id int) {
+	t := FaultEvent{At: experiment.FromSeconds(f.At), Kind: f.Kind, Begins: true, Targets: s.faultTargets(e, r, f),
+		Magnitude: f.Size, Duration: experiment.FromSeconds(f.For), Zone: f.Zone, FaultID: id, To: f.To, Direction: f.Way, ResetStreams: f.Refuses}
 	switch f.Kind {
 	case "mesh-flap":
-		every := max(f.EveryS, 0.05)
+		interval := max(f.EveryS, 0.05)
 		if f.EveryS == 0 {
-			every = 0.7
+			interval = 0.7
 		}
-		on := true
-		for at := f.At; at < f.At+f.For; at += every {
-			one := t
-			one.At, one.Kind, one.On = experiment.S(at), "mesh-cut", on
-			s.Turns, on = append(s.Turns, one), !on
+		begins := true
+		for at := f.At; at < f.At+f.For; at += interval {
+			event := t
+			event.At, event.Kind, event.Begins = experiment.FromSeconds(at), "mesh-cut", begins
+			s.Turns, begins = append(s.Turns, event), !begins
 		}
-		t.At, t.Kind, t.On = experiment.S(f.At+f.For), "mesh-cut", false
+		t.At, t.Kind, t.Begins = experiment.FromSeconds(f.At+f.For), "mesh-cut", false
 		s.Turns = append(s.Turns, t)
 		return
-	case "pauses", "scheduler-pauses": // stands still for size ms, every so often
+	case "pauses", "scheduler-pauses": // stops for size ms about every every_s
 		kind := "hang"
 		if f.Kind == "scheduler-pauses" {
 			kind = "scheduler-stop"
 		}
-		every := f.EveryS
-		if every == 0 {
-			every = 1
+		interval := f.EveryS
+		if interval == 0 {
+			interval = 1
 		}
-		for at := f.At; at < f.At+max(f.For, 0.001); at += every * (0.5 + r.Float64()) {
-			on, off := t, t
-			on.At, on.Kind = experiment.S(at), kind
-			off.At, off.Kind, off.On = experiment.S(at)+experiment.MS(f.Size), kind, false
-			s.Turns = append(s.Turns, on, off)
+		for at := f.At; at < f.At+max(f.For, 0.001); at += interval * (0.5 + r.Float64()) {
+			begin, end := t, t
+			begin.At, begin.Kind = experiment.FromSeconds(at), kind
+			end.At, end.Kind, end.Begins = experiment.FromSeconds(at)+experiment.MS(f.Size), kind, false
+			s.Turns = append(s.Turns, begin, end)
 		}
 		return
-	case "replace": // one after another within the span
+	case "replace": // workers are replaced one after another within for_s
 		for k, w := range t.Targets {
-			one := t
-			one.Targets, one.Kind = []int{w}, "drain"
-			one.At += ledger.Time(float64(t.For) * float64(k) / float64(len(t.Targets)))
-			one.For = 10_000
-			s.Turns = append(s.Turns, one)
+			event := t
+			event.Targets, event.Kind = []int{w}, "drain"
+			event.At += ledger.Time(float64(t.Duration) * float64(k) / float64(len(t.Targets)))
+			event.Duration = 10_000
+			s.Turns = append(s.Turns, event)
 		}
 		return
 	case "settings-change":
 		for k := 0; float64(k)*f.EveryS < max(f.For, f.EveryS); k++ {
-			one := t
-			one.At, one.Size = experiment.S(f.At+float64(k)*f.EveryS), float64(k+1)
-			s.Turns = append(s.Turns, one)
+			event := t
+			event.At, event.Magnitude = experiment.FromSeconds(f.At+float64(k)*f.EveryS), float64(k+1)
+			s.Turns = append(s.Turns, event)
 		}
 		return
 	case "restarts":
 		for k, w := range t.Targets {
-			on := t
-			on.Targets, on.Kind = []int{w}, "kill"
-			on.At += ledger.Time(float64(t.For) * float64(k) / float64(len(t.Targets)))
-			off := on
-			off.At, off.On = on.At+experiment.MS(f.Size), false
-			s.Turns = append(s.Turns, on, off)
+			begin := t
+			begin.Targets, begin.Kind = []int{w}, "kill"
+			begin.At += ledger.Time(float64(t.Duration) * float64(k) / float64(len(t.Targets)))
+			end := begin
+			end.At, end.Begins = begin.At+experiment.MS(f.Size), false
+			s.Turns = append(s.Turns, begin, end)
 		}
 		return
 	case "shrink":
 		for k, w := range t.Targets {
-			one := t
-			one.Targets, one.Kind = []int{w}, "drain"
-			one.At += ledger.Time(float64(t.For) * float64(k) / float64(len(t.Targets)))
-			one.For = -1
-			s.Turns = append(s.Turns, one)
+			event := t
+			event.Targets, event.Kind = []int{w}, "drain"
+			event.At += ledger.Time(float64(t.Duration) * float64(k) / float64(len(t.Targets)))
+			event.Duration = -1
+			s.Turns = append(s.Turns, event)
 		}
 		return
 	}
 	s.Turns = append(s.Turns, t)
 	if f.For > 0 {
-		t.At, t.On = t.At+experiment.S(f.For), false
+		t.At, t.Begins = t.At+experiment.FromSeconds(f.For), false
 		s.Turns = append(s.Turns, t)
 	}
 }
 
-// chaos draws faults by chance.
-func (s *Script) chaos(e *experiment.Experiment, r *rand.Rand) {
+// addRandomFaults draws faults as the chaos table says.
+func (s *Script) addRandomFaults(e *experiment.Experiment, r *rand.Rand) {
 	c := &e.Chaos
 	if len(c.Kinds) == 0 {
 		return
 	}
-	between := func(row []float64) float64 { return row[0] + (row[1]-row[0])*r.Float64() }
-	n := len(e.Faults)
+	uniform := func(bounds []float64) float64 { return bounds[0] + (bounds[1]-bounds[0])*r.Float64() }
+	id := len(e.Faults)
 	for at := c.EveryS * r.ExpFloat64(); at < e.Seconds; at += c.EveryS * r.ExpFloat64() {
-		f := experiment.Fault{Kind: c.Kinds[r.IntN(len(c.Kinds))], At: at, For: between(c.ForS), Part: between(c.Part), Size: between(c.Size)}
+		f := experiment.Fault{Kind: c.Kinds[r.IntN(len(c.Kinds))], At: at, For: uniform(c.DurationS),
+			Part: uniform(c.Fraction), Size: uniform(c.Magnitude)}
 		switch f.Kind {
 		case "taken", "mute", "fails", "unfit":
 			f.Size = min(f.Size/10, 0.9)
@@ -409,12 +411,12 @@
 		case "cut":
 			f.Zone, f.Part = e.Zones[r.IntN(len(e.Zones))], 0
 		}
-		s.add(e, r, &f, n)
-		n++
+		s.addFault(e, r, &f, id)
+		id++
 	}
 }
 
-// Hash names a script: two that have the same are the same.
+// Hash returns a hash of the whole workload. Equal hashes mean equal workloads.
 func (s *Script) Hash() string {
 	h := fnv.New128a()
 	put := func(v ...any) {
@@ -434,12 +436,12 @@
 			w.Trickles, w.Stalls, w.AsksAgain, w.Honours, w.Seed)
 	}
 	for _, t := range s.Turns {
-		put(int64(t.At), t.Kind, t.On, t.Size, int64(t.For), t.Zone, int64(t.Fault))
+		put(int64(t.At), t.Kind, t.Begins, t.Magnitude, int64(t.Duration), t.Zone, int64(t.FaultID))
 		for _, i := range append(slices.Clone(t.Targets), t.To...) {
 			put(int64(i))
 		}
-		if t.Way != "" && t.Way != "both" {
-			put(t.Way)
+		if t.Direction != "" && t.Direction != "both" {
+			put(t.Direction)
 		}
 	}
 	return fmt.Sprintf("%x", h.Sum(nil))
--- a/internal/lab/workload/script_test.go
+++ b/internal/lab/workload/script_test.go
@@ -12,15 +12,16 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-func parseExperiment(t *testing.T, more string) *experiment.Experiment {
-	e, err := experiment.Parse([]byte("seconds = 20\n[[workers]]\ncount = 9\nspeed_spread = 0.2\n[[categories]]\nname = \"a\"\n" + more))
+func parseExperiment(t *testing.T, moreTOML string) *experiment.Experiment {
+	e, err := experiment.Parse([]byte(
+		"seconds = 20\n[[workers]]\ncount = 9\nspeed_spread = 0.2\n[[categories]]\nname = \"a\"\n" + moreTOML))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return e
 }
 
-func hash(t *testing.T, e *experiment.Experiment) string {
+func generateHash(t *testing.T, e *experiment.Experiment) string {
 	s, err := Of(e)
 	if err != nil {
 		t.Fatal(err)
@@ -28,38 +29,39 @@
 	return s.Hash()
 }
 
-// Two builds are only comparable on the same arrivals, work and troubles.
-func TestASeedIsAScriptAndAnotherSeedAnother(t *testing.T) {
-	more := "[chaos]\nkinds = [\"slow\", \"kill\", \"pauses\", \"replace\"]\nevery_s = 2\n"
-	a, b, c := parseExperiment(t, more), parseExperiment(t, more), parseExperiment(t, more)
-	if c.Seed++; hash(t, a) != hash(t, b) || hash(t, a) == hash(t, c) {
-		t.Error("a seed does not make one script")
+// Two builds can only be compared with the same arrivals, work and faults, so a seed must always give the
+// same workload.
+func TestTheSeedDeterminesTheWorkload(t *testing.T) {
+	chaos := "[chaos]\nkinds = [\"slow\", \"kill\", \"pauses\", \"replace\"]\nevery_s = 2\n"
+	a, b, c := parseExperiment(t, chaos), parseExperiment(t, chaos), parseExperiment(t, chaos)
+	if c.Seed++; generateHash(t, a) != generateHash(t, b) || generateHash(t, a) == generateHash(t, c) {
+		t.Error("equal seeds give different workloads, or different seeds equal ones")
 	}
-	// A trouble more must not move the arrivals: runs with and without it are compared.
-	plain, troubled := parseExperiment(t, ""), parseExperiment(t, "[[faults]]\nkind = \"hang\"\nat_s = 3\n")
+	// A further fault must not change the arrivals, since runs with and without the fault are compared.
+	plain, faulty := parseExperiment(t, ""), parseExperiment(t, "[[faults]]\nkind = \"hang\"\nat_s = 3\n")
 	x, _ := Of(plain)
-	y, _ := Of(troubled)
+	y, _ := Of(faulty)
 	if len(x.Wishes) != len(y.Wishes) || x.Wishes[99] != y.Wishes[99] || len(y.Turns) != 1 {
-		t.Error("a trouble moved the arrivals")
+		t.Error("a fault changed the arrivals")
 	}
 }
 
-func TestWorkHasTheMeanThatIsStated(t *testing.T) {
+func TestEachDistributionHasTheConfiguredMean(t *testing.T) {
 	for _, dist := range []string{"fixed", "exponential", "lognormal", "pareto"} {
 		r, sum := rand.New(rand.NewPCG(1, 1)), 0.0
 		const n = 200_000
 		for range n {
-			sum += Draw(r, dist, 100, 1.5)
+			sum += DrawWork(r, dist, 100, 1.5)
 		}
 		if mean := sum / n; math.Abs(mean-100) > 4 {
-			t.Errorf("%s: %.1f in the mean", dist, mean)
+			t.Errorf("%s: mean %.1f, want 100", dist, mean)
 		}
 	}
 }
 
-func TestStepsAndRampsMakeTheRate(t *testing.T) {
-	count := func(more string, from, to float64) (n int) {
-		s, err := Of(parseExperiment(t, "[arrivals]\nrate = 200\nsteps = [[0, 1], [10, 3]]\n"+more))
+func TestStepsAndRampsScaleTheArrivalRate(t *testing.T) {
+	count := func(moreTOML string, from, to float64) (n int) {
+		s, err := Of(parseExperiment(t, "[arrivals]\nrate = 200\nsteps = [[0, 1], [10, 3]]\n"+moreTOML))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,16 +73,16 @@
 		return n
 	}
 	if a, b := count("", 0, 10), count("", 10, 20); math.Abs(float64(a)-2000) > 200 || math.Abs(float64(b)-6000) > 350 {
-		t.Errorf("a step: %d and %d", a, b)
+		t.Errorf("a step: %d and %d requests, want about 2000 and 6000", a, b)
 	}
 	if a := count("ramp = true\n", 4, 6); math.Abs(float64(a)-800) > 120 {
-		t.Errorf("the middle of a ramp: %d", a)
+		t.Errorf("the middle of a ramp: %d requests, want about 800", a)
 	}
 }
 
-func TestATraceIsPlayedAsItStandsAndABadOneNamed(t *testing.T) {
+func TestATraceIsReadInOrderAndAnInvalidLineIsNamed(t *testing.T) {
 	dir := t.TempDir()
-	for text, want := range map[string]string{"# ms\n0.5 a\n7 a\n": "", "7 a\n6 a\n": ":2:", "1 b\n": "no category", "1\n": ":1:"} {
+	for text, want := range map[string]string{"# ms\n0.5 a\n7 a\n": "", "7 a\n6 a\n": ":2:", "1 b\n": ":1: category \"b\" does not exist", "1\n": ":1:"} {
 		if err := os.WriteFile(filepath.Join(dir, "trace"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -94,8 +96,9 @@
 	}
 }
 
-// Restarts at a pace are one after another over the whole span, each back after its own time.
-func TestRestartsAreSpreadOverTheirSpan(t *testing.T) {
+// Restarts must follow one another over the whole fault. Each worker must be back after the time that size
+// says.
+func TestRestartsAreSpreadOverTheFaultDuration(t *testing.T) {
 	e, err := experiment.Parse([]byte("seconds = 20\n[[workers]]\ncount = 40\n[[categories]]\nname = \"a\"\n[[faults]]\nkind = \"restarts\"\nat_s = 1\nfor_s = 10\npart = 0.5\nsize = 700\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -105,22 +108,22 @@
 		t.Fatal(err)
 	}
 	down := map[int]ledger.Time{}
-	next := experiment.S(1)
-	for _, turn := range s.Turns {
-		n := turn.Targets[0]
-		if len(turn.Targets) != 1 || turn.Kind != "kill" {
-			t.Fatalf("%+v", turn)
+	next := experiment.FromSeconds(1)
+	for _, event := range s.Turns {
+		n := event.Targets[0]
+		if len(event.Targets) != 1 || event.Kind != "kill" {
+			t.Fatalf("%+v", event)
 		}
-		if turn.On {
-			if turn.At != next || down[n] != 0 {
-				t.Errorf("worker %d is killed at %d, not at %d, or twice", n, turn.At, next)
+		if event.Begins {
+			if event.At != next || down[n] != 0 {
+				t.Errorf("worker %d is killed at %d, want once at %d", n, event.At, next)
 			}
-			down[n], next = turn.At, next+5000
-		} else if turn.At != down[n]+7000 {
-			t.Errorf("worker %d is back at %d, was killed at %d", n, turn.At, down[n])
+			down[n], next = event.At, next+5000
+		} else if event.At != down[n]+7000 {
+			t.Errorf("worker %d is back at %d, want 7000 after its kill at %d", n, event.At, down[n])
 		}
 	}
 	if len(down) != 20 || len(s.Turns) != 40 {
-		t.Errorf("%d workers, %d turns", len(down), len(s.Turns))
+		t.Errorf("%d workers, %d events, want 20 and 40", len(down), len(s.Turns))
 	}
 }
