--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -78,12 +78,12 @@
 
 // Rules holds the limits by which the audit judges a run.
 type Rules struct {
-	SlackMS        float64 `toml:"slack_ms"`
+	SlackMS        float64 `toml:"slack_ms"` // tolerance on each time limit, since sockets take time
 	DrainGraceMS   float64 `toml:"drain_grace_ms"`
-	OverloadFactor float64 `toml:"overload_factor"`
-	TipAfterMS     float64 `toml:"tip_after_ms"`
-	ColdFrom       float64 `toml:"cold_from"`
-	WarmAfterMS    float64 `toml:"warm_after_ms"`
+	OverloadFactor float64 `toml:"overload_factor"` // a cold worker's load limit, per unit of capacity
+	TipAfterMS     float64 `toml:"tip_after_ms"`    // time after which an overloaded cold worker fails
+	ColdFrom       float64 `toml:"cold_from"`       // share of its capacity that a worker has at its start
+	WarmAfterMS    float64 `toml:"warm_after_ms"`   // time from the start of a worker to its full capacity
 }
 
 // Schedulers describes the processes under test and their configuration.
@@ -112,11 +112,12 @@
 
 // Workers describes a group of emulated workers of one kind.
 type Workers struct {
-	Kind          string  `toml:"kind"`
-	Count         int     `toml:"count"`
-	Cores         float64 `toml:"cores"`
-	Speed         float64 `toml:"speed"`
-	SpeedSpread   float64 `toml:"speed_spread"` // each worker's speed is drawn from (1-speed_spread)*speed to (1+speed_spread)*speed
+	Kind  string  `toml:"kind"`
+	Count int     `toml:"count"`
+	Cores float64 `toml:"cores"`
+	Speed float64 `toml:"speed"`
+	// Each worker's speed is drawn from (1-speed_spread)*speed to (1+speed_spread)*speed.
+	SpeedSpread   float64 `toml:"speed_spread"`
 	Slots         float64 `toml:"slots"`
 	Memory        float64 `toml:"memory"`
 	Queue         int     `toml:"queue"`
@@ -152,7 +153,8 @@
 	Slots         []float64 `toml:"slots"`  // weights of ops that need 1, 2 and 4 slots
 	Memory        float64   `toml:"memory"` // memory per job, in the unit of the workers' memory
 	BodyBytes     int       `toml:"body_bytes"`
-	HintSpread    float64   `toml:"hint_spread"` // a hint is wrong by a factor of at most 1+hint_spread; 0 for no hints
+	// A hint is wrong by a factor of at most 1+hint_spread; 0 for no hints.
+	HintSpread float64 `toml:"hint_spread"`
 }
 
 // Arrivals describes when requests arrive.
@@ -166,28 +168,32 @@
 
 // Clients describes the behaviour of the clients.
 type Clients struct {
-	Count               int       `toml:"count"`
-	Shares              []float64 `toml:"shares"`
-	Retries             int       `toml:"retries"`
-	WaitMS              float64   `toml:"wait_ms"`
-	Backoff             string    `toml:"backoff"` // none, fixed or exponential
-	HonourRetryAfter    float64   `toml:"honour"`  // chance that a client waits as Retry-After says
-	DisconnectChance    float64   `toml:"leave"`   // chance that a client disconnects before the response
-	TrickleChance       float64   `toml:"trickle"` // chance that a client sends a request byte by byte
-	StallChance         float64   `toml:"stall"`   // chance that a client pauses in the middle of a request
-	DuplicateChance     float64   `toml:"ask_again"`
-	Pipeline            float64   `toml:"pipeline"`     // chance that a client sends a request before the previous response on the connection
-	DisconnectAfterMS   float64   `toml:"impatient_ms"` // mean time after which such a client disconnects
-	SameID              bool      `toml:"same_id"`      // an at-most-once op without a final answer is retried at another scheduler under the same id
-	AtOnce              float64   `toml:"at_once"`      // chance that such an op is sent to two schedulers at the same time
-	UseWhileTerminating bool      `toml:"go_on"`        // after SIGTERM clients go on for a while with new connections, and until the exit with open ones
+	Count            int       `toml:"count"`
+	Shares           []float64 `toml:"shares"`
+	Retries          int       `toml:"retries"`
+	WaitMS           float64   `toml:"wait_ms"`
+	Backoff          string    `toml:"backoff"` // none, fixed or exponential
+	HonourRetryAfter float64   `toml:"honour"`  // chance that a client waits as Retry-After says
+	DisconnectChance float64   `toml:"leave"`   // chance that a client disconnects after impatient_ms
+	TrickleChance    float64   `toml:"trickle"` // chance that a client sends a request byte by byte
+	StallChance      float64   `toml:"stall"`   // chance that a client pauses in the middle of a request
+	DuplicateChance  float64   `toml:"ask_again"`
+	// Chance that a client sends a request before the previous response on the connection.
+	Pipeline          float64 `toml:"pipeline"`
+	DisconnectAfterMS float64 `toml:"impatient_ms"` // mean time from sending a request to a disconnect
+	// An at-most-once op without a final answer is retried at another scheduler under the same id.
+	SameID bool `toml:"same_id"`
+	// Chance that an op under same_id is sent to two schedulers at the same time.
+	AtOnce float64 `toml:"at_once"`
+	// After SIGTERM clients open new connections for a while and use open ones until the process exits.
+	UseWhileTerminating bool `toml:"go_on"`
 }
 
 // Link describes the network conditions between the schedulers and another party.
 type Link struct {
 	Between    string  `toml:"between"` // clients, workers or discovery; the other end is a scheduler
 	From       string  `toml:"from"`    // zone of that party, empty for any
-	To         string  `toml:"to"`
+	To         string  `toml:"to"`      // zone of the scheduler, empty for any
 	DelayMS    float64 `toml:"delay_ms"`
 	JitterMS   float64 `toml:"jitter_ms"`
 	RateKBps   float64 `toml:"rate_kbps"` // 1,000 bytes per second
@@ -195,26 +201,30 @@
 	StallMS    float64 `toml:"stall_ms"`
 	ResetFirst float64 `toml:"reset_before"` // chance that an exchange is reset before its last byte
 	ResetAfter float64 `toml:"reset_after"`  // chance that an exchange is reset after its last byte
-	Mute       float64 `toml:"mute"`         // chance that a connection transfers nothing more in both directions
+	// Chance that a connection transfers nothing more in both directions.
+	Mute float64 `toml:"mute"`
 }
 
 // Members makes the schedulers members of one cluster. Each ordered pair of schedulers has a link.
 type Members struct {
-	On           bool    `toml:"on"`
-	ShareDrains  bool    `toml:"workers"`   // schedulers share the drains that they learn of
-	PeerMessages bool    `toml:"words"`     // schedulers send peer reports to the members of their view
-	Operator     string  `toml:"operator"`  // further lines of the [members] table of the operator's file
-	PauseMS      float64 `toml:"pause_ms"`  // a member that is stopped for at most this time must not be declared gone
-	DetectMS     float64 `toml:"detect_ms"` // all views must mark an exited member as gone within this time
-	SettleMS     float64 `toml:"settle_ms"` // views of connected members must be equal after this time
-	GraceMS      float64 `toml:"grace_ms"`  // a declaration that a member is gone may rest on events up to this old
-	Loss         float64 `toml:"loss"`      // chance that a datagram is lost, on each link
-	Dup          float64 `toml:"dup"`
-	Reorder      float64 `toml:"reorder"`
-	DelayMS      float64 `toml:"delay_ms"`
-	JitterMS     float64 `toml:"jitter_ms"`
-	RateKBps     float64 `toml:"rate_kbps"`
-	Hollow       int     `toml:"hollow"` // number of further members, which share one process and have no clients
+	On           bool   `toml:"on"`
+	ShareDrains  bool   `toml:"workers"`  // schedulers share the drains that they learn of
+	PeerMessages bool   `toml:"words"`    // schedulers send peer reports to the members of their view
+	Operator     string `toml:"operator"` // further lines of the [members] table of the operator's file
+	// A member that is stopped for at most this time must not be declared gone.
+	PauseMS  float64 `toml:"pause_ms"`
+	DetectMS float64 `toml:"detect_ms"` // all views must mark an exited member as gone within this time
+	SettleMS float64 `toml:"settle_ms"` // views of connected members must be equal after this time
+	// A declaration that a member is gone may rest on events that are at most this old.
+	GraceMS  float64 `toml:"grace_ms"`
+	Loss     float64 `toml:"loss"` // chance that a datagram is lost, on each link
+	Dup      float64 `toml:"dup"`
+	Reorder  float64 `toml:"reorder"`
+	DelayMS  float64 `toml:"delay_ms"`
+	JitterMS float64 `toml:"jitter_ms"`
+	RateKBps float64 `toml:"rate_kbps"`
+	// Number of further members, which share one process and have no clients.
+	Hollow int `toml:"hollow"`
 }
 
 // Copies replicates the outcomes of at-most-once ops on the first schedulers.
@@ -222,22 +232,25 @@
 	On       bool   `toml:"on"`
 	Keepers  int    `toml:"keepers"`
 	Operator string `toml:"operator"` // further lines of the [copies] table of the operator's file
-	Agreed   bool   `toml:"agreed"`   // the replica set can change by consensus, and its records are stored on disk
+	// The replica set can change by consensus, and its records are stored on disk.
+	Agreed bool `toml:"agreed"`
 }
 
 // Fault describes a fault that the lab injects.
 type Fault struct {
-	Kind    string  `toml:"kind"`
-	At      float64 `toml:"at_s"`
-	For     float64 `toml:"for_s"`
-	Part    float64 `toml:"part"`    // share of the workers or schedulers that it hits
-	Indices []int   `toml:"indices"` // indices of the workers or schedulers that it hits, from 0; replaces part
+	Kind string  `toml:"kind"`
+	At   float64 `toml:"at_s"`
+	For  float64 `toml:"for_s"`
+	Part float64 `toml:"part"` // share of the workers or schedulers that it hits
+	// Indices of the workers or schedulers that it hits, from 0; replaces part.
+	Indices []int   `toml:"indices"`
 	Zone    string  `toml:"zone"`
 	Size    float64 `toml:"size"`
 	EveryS  float64 `toml:"every_s"` // interval of a repeated fault
-	To      []int   `toml:"to"`      // mesh faults: indices of the schedulers at the other ends of the links; all others if empty
-	Way     string  `toml:"way"`     // mesh faults: both, out (from the schedulers that it hits) or in
-	Refuses bool    `toml:"refuses"` // mesh faults: resets streams instead of blocking them silently
+	// Mesh faults: indices of the schedulers at the other ends of the links; all other schedulers if empty.
+	To      []int  `toml:"to"`
+	Way     string `toml:"way"`     // mesh faults: both, out (from the schedulers that it hits) or in
+	Refuses bool   `toml:"refuses"` // mesh faults: resets streams instead of blocking them silently
 }
 
 // Chaos describes faults that are drawn from the seed.
@@ -254,59 +267,103 @@
 	size, schedulers bool
 	min, max         float64 // bounds of the size
 }{
-	"slow":       {size: true, min: 1, max: 1000},
-	"hang":       {},
-	"pauses":     {size: true, min: 1, max: 60_000}, // ms per pause
-	"taken":      {size: true, min: 0, max: 0.99},   // share of the cores that another program uses
-	"mute":       {size: true, min: 0, max: 1},
-	"fails":      {size: true, min: 0, max: 1},
-	"unfit":      {size: true, min: 0, max: 1},
-	"lies":       {},
-	"stale":      {size: true, min: 0, max: 60_000}, // ms
-	"refuses":    {},
-	"kill":       {},                                // ends the worker's process; it starts again, cold, after for_s
-	"drain":      {},                                // announced and drained, then gone; a cold successor starts after for_s
-	"drain-told": {},                                // only discovery announces the drain; gone after for_s, with a cold successor
-	"vanish":     {},                                // the machine stops responding; connections stay open and silent
-	"replace":    {},                                // rolling deploy: each worker is drained and replaced by a cold one within for_s
-	"shrink":     {},                                // drained without a successor
-	"cut":        {},                                // the links of a zone transfer nothing
-	"restarts":   {size: true, min: 1, max: 60_000}, // killed one after another within for_s; each starts again, cold, after this many ms
-
-	"region-cut": {}, // links between a region and the other zones transfer nothing
-
+	// Jobs take this many times as long.
+	"slow": {size: true, min: 1, max: 1000},
+	// Accepts jobs and makes no progress.
+	"hang": {},
+	// Length of a pause in ms.
+	"pauses": {size: true, min: 1, max: 60_000},
+	// Share of the cores that another program uses.
+	"taken": {size: true, min: 0, max: 0.99},
+	// Chance that the worker sends nothing more about a push that it has accepted.
+	"mute": {size: true, min: 0, max: 1},
+	// Chance that a job fails.
+	"fails": {size: true, min: 0, max: 1},
+	// Chance that the worker rejects a valid op as unfit.
+	"unfit": {size: true, min: 0, max: 1},
+	// Load reports say that the worker is idle.
+	"lies": {},
+	// Additional age of the load reports in ms.
+	"stale": {size: true, min: 0, max: 60_000},
+	// Rejects all pushes.
+	"refuses": {},
+	// Ends the worker's process; it starts again, cold, after for_s.
+	"kill": {},
+	// Announced and drained, then gone; a cold successor starts after for_s.
+	"drain": {},
+	// Only discovery announces the drain; gone after for_s, with a cold successor.
+	"drain-told": {},
+	// The machine stops responding; connections stay open and silent.
+	"vanish": {},
+	// Rolling deploy: each worker is drained and replaced by a cold one within for_s.
+	"replace": {},
+	// Drained without a successor.
+	"shrink": {},
+	// The links of a zone transfer nothing.
+	"cut": {},
+	// Killed one after another within for_s; each starts again, cold, after this many ms.
+	"restarts": {size: true, min: 1, max: 60_000},
+
+	// Links between a region and the other zones transfer nothing.
+	"region-cut": {},
+
+	// The discovery emulators send nothing, close and refuse all watches, or move to another address.
 	"discovery-silent": {}, "discovery-broken": {}, "discovery-moved": {},
 
 	"scheduler-kill": {schedulers: true}, "scheduler-term": {schedulers: true}, "scheduler-stop": {schedulers: true},
 	"scheduler-reload": {schedulers: true}, "scheduler-stale": {schedulers: true},
 
-	"mesh-cut":   {schedulers: true},                                  // links between the schedulers that it hits and the others transfer nothing
-	"mesh-flap":  {schedulers: true},                                  // mesh-cut that begins and ends alternately, every every_s
-	"mesh-loss":  {schedulers: true, size: true, min: 0, max: 1},      // chance that a datagram is lost
-	"mesh-delay": {schedulers: true, size: true, min: 0, max: 60_000}, // delay in ms, with jitter of the same size
-
-	"scheduler-pauses":   {schedulers: true, size: true, min: 1, max: 60_000}, // ms per pause, every every_s
-	"scheduler-blind":    {schedulers: true},                                  // its discovery emulator sends nothing
-	"scheduler-starve":   {schedulers: true, size: true, min: 0, max: 0.99},   // share of the time for which the process is stopped
-	"scheduler-takeover": {schedulers: true},                                  // a second process takes over, as in a hot restart
-	"scheduler-hups":     {schedulers: true},                                  // several SIGHUPs within a few ms
-	"scheduler-hup-term": {schedulers: true},                                  // SIGTERM directly after a SIGHUP; it starts again after for_s
-	"scheduler-terms":    {schedulers: true},                                  // repeated SIGTERM until it exits; it starts again after for_s
-	"takeover-hups":      {schedulers: true},                                  // SIGHUPs while a second process takes over
-	"scheduler-crowd":    {schedulers: true},                                  // idle clients exhaust its descriptors, also at its console; some send half a request
-	"scheduler-twin":     {schedulers: true},                                  // it is stopped while a second process runs under its name at another address; resumes after for_s
-	"scheduler-stranger": {schedulers: true},                                  // a member of another cluster tries to join through it
+	// Links between the schedulers that it hits and the others transfer nothing.
+	"mesh-cut": {schedulers: true},
+	// mesh-cut that begins and ends alternately, at intervals of every_s.
+	"mesh-flap": {schedulers: true},
+	// Chance that a datagram is lost.
+	"mesh-loss": {schedulers: true, size: true, min: 0, max: 1},
+	// Delay in ms, with jitter of the same size.
+	"mesh-delay": {schedulers: true, size: true, min: 0, max: 60_000},
+
+	// Length of a pause in ms. The pauses follow one another at intervals of about every_s.
+	"scheduler-pauses": {schedulers: true, size: true, min: 1, max: 60_000},
+	// Its discovery emulator sends nothing.
+	"scheduler-blind": {schedulers: true},
+	// Share of the time for which the process is stopped.
+	"scheduler-starve": {schedulers: true, size: true, min: 0, max: 0.99},
+	// A second process takes over, as in a hot restart.
+	"scheduler-takeover": {schedulers: true},
+	// Several SIGHUPs within a few ms.
+	"scheduler-hups": {schedulers: true},
+	// SIGTERM directly after a SIGHUP; it starts again after for_s.
+	"scheduler-hup-term": {schedulers: true},
+	// Repeated SIGTERM until it exits; it starts again after for_s.
+	"scheduler-terms": {schedulers: true},
+	// SIGHUPs while a second process takes over.
+	"takeover-hups": {schedulers: true},
+	// Idle clients exhaust its descriptors, also at its console; some send half a request.
+	"scheduler-crowd": {schedulers: true},
+	// It is stopped while a second process runs under its name at another address; resumes after for_s.
+	"scheduler-twin": {schedulers: true},
+	// A member of another cluster tries to join through it.
+	"scheduler-stranger": {schedulers: true},
 
 	// Faults inside the process of a scheduler, for the soak: see runner.Shims.
-	"scheduler-clock": {size: true, schedulers: true, min: -dayMS, max: dayMS}, // its wall clock jumps ahead by this many seconds and stays there
-	"scheduler-calls": {size: true, schedulers: true, min: 1, max: 1e6},        // one in this many of its system calls on sockets fails
-	"scheduler-late":  {size: true, schedulers: true, min: 0, max: 60_000},     // its connections are established up to this many ms late
-	"scheduler-disk":  {schedulers: true},                                      // its file writes and syncs fail
 
-	"settings-change": {schedulers: true}, // changes one value of their settings every every_s until for_s is over
+	// Its wall clock jumps ahead by this many seconds and stays there.
+	"scheduler-clock": {size: true, schedulers: true, min: -dayMS, max: dayMS},
+	// One in this many of its system calls on sockets fails.
+	"scheduler-calls": {size: true, schedulers: true, min: 1, max: 1e6},
+	// Its connections are established up to this many ms late.
+	"scheduler-late": {size: true, schedulers: true, min: 0, max: 60_000},
+	// Its file writes and syncs fail.
+	"scheduler-disk": {schedulers: true},
+
+	// Changes one value of their settings at intervals of every_s until for_s is over.
+	"settings-change": {schedulers: true},
 
-	"keepers-change": {schedulers: true}, // requests the targets as the replica set, at the schedulers in `to` or at all of them in turn, until it is in force or for_s is over
+	// Requests the targets as the replica set, at the schedulers in `to` or at all of them in turn, until it
+	// is in force or for_s is over.
+	"keepers-change": {schedulers: true},
 
+	// Factor of the arrival rate.
 	"burst": {size: true, min: 0, max: 1000},
 }
 
@@ -435,6 +492,7 @@
 	return nil
 }
 
+// checkOneOf checks that a value is one of the allowed ones.
 func checkOneOf(name, v string, allowed ...string) error {
 	if slices.Contains(allowed, v) {
 		return nil
@@ -472,7 +530,8 @@
 		checkRange("clients.count", float64(c.Count), 1, 100_000), checkRange("clients.retries", float64(c.Retries), 0, 100),
 		checkRange("clients.wait_ms", c.WaitMS, 0, dayMS), checkRange("clients.honour", c.HonourRetryAfter, 0, 1),
 		checkRange("clients.leave", c.DisconnectChance, 0, 1), checkRange("clients.trickle", c.TrickleChance, 0, 1),
-		checkRange("clients.stall", c.StallChance, 0, 1), checkRange("clients.ask_again", c.DuplicateChance, 0, 1), checkRange("clients.pipeline", c.Pipeline, 0, 1), checkRange("clients.at_once", c.AtOnce, 0, 1),
+		checkRange("clients.stall", c.StallChance, 0, 1), checkRange("clients.ask_again", c.DuplicateChance, 0, 1),
+		checkRange("clients.pipeline", c.Pipeline, 0, 1), checkRange("clients.at_once", c.AtOnce, 0, 1),
 		checkOneOf("clients.backoff", c.Backoff, "none", "fixed", "exponential"),
 		checkOneOf("arrivals.kind", e.Arrivals.Kind, "poisson", "even", "trace"),
 		checkRange("arrivals.rate", e.Arrivals.Rate, 0, maxRate),
@@ -483,9 +542,12 @@
 		return fmt.Errorf("copies.keepers = %d must be odd and at most schedulers.count, and members.on must be set", k)
 	}
 	m := &e.Members
-	if err := firstError(checkRange("members.pause_ms", m.PauseMS, 0, dayMS), checkRange("members.detect_ms", m.DetectMS, 1, dayMS),
-		checkRange("members.settle_ms", m.SettleMS, 1, dayMS), checkRange("members.grace_ms", m.GraceMS, 1, dayMS), checkRange("members.loss", m.Loss, 0, 1),
-		checkRange("members.dup", m.Dup, 0, 1), checkRange("members.reorder", m.Reorder, 0, 1), checkRange("members.delay_ms", m.DelayMS, 0, dayMS),
+	if err := firstError(checkRange("members.pause_ms", m.PauseMS, 0, dayMS),
+		checkRange("members.detect_ms", m.DetectMS, 1, dayMS),
+		checkRange("members.settle_ms", m.SettleMS, 1, dayMS), checkRange("members.grace_ms", m.GraceMS, 1, dayMS),
+		checkRange("members.loss", m.Loss, 0, 1),
+		checkRange("members.dup", m.Dup, 0, 1), checkRange("members.reorder", m.Reorder, 0, 1),
+		checkRange("members.delay_ms", m.DelayMS, 0, dayMS),
 		checkRange("members.jitter_ms", m.JitterMS, 0, dayMS), checkRange("members.rate_kbps", m.RateKBps, 0, 1e9)); err != nil {
 		return err
 	}
@@ -573,7 +635,8 @@
 		setDefault(&c.TargetMS, 300)
 		setDefault(&c.Stretch, 2)
 		setDefault(&c.CV, 1)
-		setDefault(&c.MaxWorkFactor, 8) // ops with far more work could not end within a TTL that suits the others
+		// Ops with far more work could not end within a TTL that suits the others.
+		setDefault(&c.MaxWorkFactor, 8)
 		if c.Dist == "" {
 			c.Dist = "exponential"
 		}
@@ -637,6 +700,7 @@
 	return nil
 }
 
+// checkZone checks that a value is empty, a zone or a region.
 func (e *Experiment) checkZone(name, z string) error {
 	if z == "" || slices.Contains(e.Zones, z) || slices.ContainsFunc(e.Regions, func(r Region) bool { return r.Name == z }) {
 		return nil
@@ -656,7 +720,8 @@
 			f.Part = 1
 		}
 		if err := firstError(checkRange(at+"at_s", f.At, 0, maxSeconds), checkRange(at+"for_s", f.For, 0, maxSeconds),
-			checkRange(at+"part", f.Part, 0, 1), checkRange(at+"every_s", f.EveryS, 0, maxSeconds), e.checkZone(at+"zone", f.Zone)); err != nil {
+			checkRange(at+"part", f.Part, 0, 1), checkRange(at+"every_s", f.EveryS, 0, maxSeconds),
+			e.checkZone(at+"zone", f.Zone)); err != nil {
 			return err
 		}
 		if k.size {
@@ -687,7 +752,8 @@
 		if err := checkOneOf(at+"way", f.Way, "both", "out", "in"); err != nil {
 			return err
 		}
-		if !e.Members.On && (strings.HasPrefix(f.Kind, "mesh-") || f.Kind == "scheduler-takeover" || f.Kind == "takeover-hups" || f.Kind == "scheduler-twin" || f.Kind == "scheduler-stranger") {
+		if !e.Members.On && (strings.HasPrefix(f.Kind, "mesh-") || f.Kind == "scheduler-takeover" ||
+			f.Kind == "takeover-hups" || f.Kind == "scheduler-twin" || f.Kind == "scheduler-stranger") {
 			return fmt.Errorf("%skind = %q needs members.on", at, f.Kind)
 		}
 		if f.Kind == "settings-change" && (!e.Members.On || f.EveryS <= 0) {
@@ -715,10 +781,11 @@
 	for _, row := range []struct {
 		name      string
 		v         *[]float64
-		otherwise []float64
-	}{{"for_s", &c.DurationS, []float64{1, 4}}, {"part", &c.Fraction, []float64{0.1, 0.4}}, {"size", &c.Magnitude, []float64{2, 8}}} {
+		byDefault []float64
+	}{{"for_s", &c.DurationS, []float64{1, 4}}, {"part", &c.Fraction, []float64{0.1, 0.4}},
+		{"size", &c.Magnitude, []float64{2, 8}}} {
 		if len(*row.v) == 0 {
-			*row.v = row.otherwise
+			*row.v = row.byDefault
 		}
 		if v := *row.v; len(v) != 2 || v[0] < 0 || v[1] < v[0] {
 			return fmt.Errorf("chaos.%s = %v must be a minimum and a maximum from 0 on", row.name, v)
--- a/internal/lab/runner/ends.go
+++ b/internal/lab/runner/ends.go
@@ -19,7 +19,9 @@
 	hupCount    = 5
 	hupInterval = 2 * time.Millisecond // between two SIGHUPs
 
-	reconnectDelay   = 500 * time.Millisecond // before a closed connection is replaced, so that the load is idle connections and not a flood of new ones
+	// reconnectDelay is the time before a closed connection is replaced. It avoids a flood of new connections:
+	// the fault is meant to be many idle ones.
+	reconnectDelay   = 500 * time.Millisecond
 	crowdDialTimeout = 200 * time.Millisecond
 	partialRequest   = "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Corr"
 )
--- a/internal/lab/runner/keepers.go
+++ b/internal/lab/runner/keepers.go
@@ -64,7 +64,8 @@
 	Counts    map[string]uint64 `json:"counts"`
 }
 
-const replicaSettleTimeout = 5 * time.Second // after the last fault, for a change of the replica set that is still in progress
+// replicaSettleTimeout is the time after the last fault for a change of the replica set to finish.
+const replicaSettleTimeout = 5 * time.Second
 
 // awaitReplicaSet waits until all schedulers use one replica set and no change is in progress, for at most
 // replicaSettleTimeout. It then records the digests of the replicas and other counts for the results.
--- a/internal/lab/runner/mesh.go
+++ b/internal/lab/runner/mesh.go
@@ -25,8 +25,9 @@
 	maxSeeds      = 3                     // in each scheduler's configuration
 	starveSlice   = 20 * time.Millisecond // a starved scheduler is stopped for a part of each slice
 	maxLogLine    = 1 << 20
-	votersTimeout = 30 * time.Second      // for the replicas of a cluster that starts
-	leaveGap      = 20 * time.Millisecond // between the last checked event and the first leave; logs have a resolution of 1 ms
+	votersTimeout = 30 * time.Second // for the replicas of a cluster that starts
+	// leaveGap separates the last checked event from the first leave, since logs have a resolution of 1 ms.
+	leaveGap = 20 * time.Millisecond
 )
 
 // needsExtraScheduler reports whether an event starts an extra scheduler.
@@ -69,7 +70,8 @@
 	for i := range n {
 		for j := range n {
 			r.mesh.Weather(i, j, func(conditions *faultproxy.Sky) {
-				*conditions = faultproxy.Sky{Loss: m.Loss, Dup: m.Dup, Reorder: m.Reorder, Delay: ms(m.DelayMS), Jitter: ms(m.JitterMS), Rate: 1000 * m.RateKBps}
+				*conditions = faultproxy.Sky{Loss: m.Loss, Dup: m.Dup, Reorder: m.Reorder,
+					Delay: ms(m.DelayMS), Jitter: ms(m.JitterMS), Rate: 1000 * m.RateKBps}
 			})
 		}
 	}
@@ -107,8 +109,9 @@
 			copiesTable += fmt.Sprintf("agreed = true\npath = %q\n", path)
 		}
 	}
-	s.SetOperatorConfig(fmt.Sprintf("[members]\ncluster = %q\nlisten = %q\nadvertise = %q\nseeds = [%s]\nwords = %v\nworkers = %v\n%s\n%s", cluster, listen, r.mesh.Told(n),
-		strings.Join(seeds, ", "), r.experiment.Members.PeerMessages, r.experiment.Members.ShareDrains, r.experiment.Members.Operator, copiesTable))
+	s.SetOperatorConfig(fmt.Sprintf("[members]\ncluster = %q\nlisten = %q\nadvertise = %q\nseeds = [%s]\n"+
+		"words = %v\nworkers = %v\n%s\n%s", cluster, listen, r.mesh.Told(n), strings.Join(seeds, ", "),
+		r.experiment.Members.PeerMessages, r.experiment.Members.ShareDrains, r.experiment.Members.Operator, copiesTable))
 	return nil
 }
 
@@ -133,7 +136,8 @@
 	if r.experiment.Members.Hollow == 0 {
 		return nil
 	}
-	config := hollow.Told{Cluster: "lab", Seeds: r.seeds(), Lines: r.experiment.Members.Operator, Chance: r.experiment.Seed << 16}
+	config := hollow.Told{Cluster: "lab", Seeds: r.seeds(), Lines: r.experiment.Members.Operator,
+		Chance: r.experiment.Seed << 16}
 	for i := range r.experiment.Members.Hollow {
 		n := r.firstHollow + i
 		listen, err := faultproxy.Free(r.mesh.Bound(n))
@@ -141,7 +145,8 @@
 			return err
 		}
 		r.mesh.Listens(n, listen)
-		config.Members = append(config.Members, hollow.Member{Name: fmt.Sprintf("h%d", i+1), Listen: listen.String(), Advertise: r.mesh.Told(n)})
+		config.Members = append(config.Members, hollow.Member{Name: fmt.Sprintf("h%d", i+1),
+			Listen: listen.String(), Advertise: r.mesh.Told(n)})
 	}
 	p, err := hollow.Start(r.options.Hollow, config)
 	if err != nil {
@@ -417,6 +422,6 @@
 // viewLimits returns the limits by which the views are judged.
 func viewLimits(e *experiment.Experiment) membershipcheck.Terms {
 	m := &e.Members
-	return membershipcheck.Terms{Count: e.Schedulers.Count, Pause: experiment.MS(m.PauseMS), Detect: experiment.MS(m.DetectMS), Settle: experiment.MS(m.SettleMS),
-		Grace: experiment.MS(m.GraceMS)}
+	return membershipcheck.Terms{Count: e.Schedulers.Count, Pause: experiment.MS(m.PauseMS),
+		Detect: experiment.MS(m.DetectMS), Settle: experiment.MS(m.SettleMS), Grace: experiment.MS(m.GraceMS)}
 }
--- a/internal/lab/runner/play.go
+++ b/internal/lab/runner/play.go
@@ -265,6 +265,7 @@
 	return nil
 }
 
+// maxParallelCuts bounds the workers whose links are cut or restored at the same time.
 const maxParallelCuts = 32
 
 // maxParallelStarts bounds the processes that start at the same time. With hundreds of parallel starts none
@@ -302,6 +303,7 @@
 	r.errs = append(r.errs, err)
 }
 
+// execute runs the experiment from the first start to the last exit.
 func (r *run) execute(ctx context.Context, options Stage) error {
 	defer r.tearDown()
 	if err := r.setUp(options); err != nil {
@@ -478,7 +480,7 @@
 	if r.mesh == nil {
 		return
 	}
-	var members []int
+	var members []int // mesh indices
 	for n := range e.Schedulers.Count {
 		members = append(members, n)
 	}
--- a/internal/lab/runner/play_test.go
+++ b/internal/lab/runner/play_test.go
@@ -107,7 +107,7 @@
 				t.Errorf("%v, want %q: %v", rules, c.want, r.Audit.Breaches[:min(3, len(r.Audit.Breaches))])
 			}
 			if r.Audit.Ops < 100 {
-				t.Errorf("%d ops", r.Audit.Ops)
+				t.Errorf("%d ops, want at least 100", r.Audit.Ops)
 			}
 		})
 	}
--- a/internal/lab/schedulers/schedulers.go
+++ b/internal/lab/schedulers/schedulers.go
@@ -180,7 +180,8 @@
 // launch writes a new bootstrap configuration and starts a process with it. The caller holds the lock.
 func (s *Scheduler) launch(endpoints json.RawMessage) (Running, chan struct{}, error) {
 	if s.operatorConfig != "" {
-		l, err := net.Listen("tcp", strings.Split(s.Listen, ":")[0]+":0") // no other program binds this IP address
+		// No other program binds this IP address.
+		l, err := net.Listen("tcp", strings.Split(s.Listen, ":")[0]+":0")
 		if err != nil {
 			return nil, nil, err
 		}
@@ -511,9 +512,9 @@
 type Use struct {
 	At        ledger.Time `json:"at"`
 	Scheduler int         `json:"scheduler"`
-	CPU       float64     `json:"cpu_s"` // CPU time since the start of the process, in seconds
-	Resident  int64       `json:"resident"`
-	Files     int         `json:"files"`
+	CPU       float64     `json:"cpu_s"`    // CPU time since the start of the process, in seconds
+	Resident  int64       `json:"resident"` // bytes
+	Files     int         `json:"files"`    // open descriptors
 }
 
 // Use reads the current resource usage. It returns false if no separate process runs.
--- a/internal/lab/workload/script.go
+++ b/internal/lab/workload/script.go
@@ -24,19 +24,19 @@
 
 // Wish is one request of a client. The first attempt and each retry of the client is an op.
 type Wish struct {
-	Due       ledger.Time
+	Due       ledger.Time // when the first attempt is sent
 	Category  int
 	Client    int
-	Scheduler int // from 0, receives the first attempt
-	Work      float64
+	Scheduler int     // from 0, receives the first attempt
+	Work      float64 // ms
 	Slots     float64
 	Hint      float64     // ms, 0 for none
 	LeaveAt   ledger.Time // time from sending to the client's disconnect, 0 for none
-	Trickles  bool
-	Stalls    bool
-	AsksAgain bool
-	Honours   bool
-	Seed      uint64 // for its backoff
+	Trickles  bool        // the client sends byte by byte
+	Stalls    bool        // the client pauses in the middle of the request
+	AsksAgain bool        // the client sends a duplicate
+	Honours   bool        // the client waits as Retry-After says
+	Seed      uint64      // for its backoff
 }
 
 // FaultEvent begins or ends a fault.
@@ -48,8 +48,8 @@
 	Magnitude    float64
 	Duration     ledger.Time
 	Zone         string
-	FaultID      int // the same for all events of a fault
-	To           []int
+	FaultID      int   // the same for all events of a fault
+	To           []int // indices of the schedulers at the other ends of the links, empty for all
 	Direction    string
 	ResetStreams bool
 }
@@ -213,6 +213,7 @@
 	}
 }
 
+// newRequest draws a request that arrives at a time in seconds.
 func newRequest(e *experiment.Experiment, r *rand.Rand, at float64, category int) Wish {
 	c, cl := &e.Categories[category], &e.Clients
 	w := Wish{Due: experiment.FromSeconds(at), Category: category, Seed: r.Uint64()}
@@ -234,7 +235,8 @@
 	if disconnect < cl.DisconnectChance {
 		w.LeaveAt = max(experiment.MS(cl.DisconnectAfterMS*(0.5+disconnect/cl.DisconnectChance)), 1)
 	}
-	w.Trickles, w.Stalls, w.AsksAgain, w.Honours = trickle < cl.TrickleChance, stall < cl.StallChance, duplicate < cl.DuplicateChance, honour < cl.HonourRetryAfter
+	w.Trickles, w.Stalls, w.AsksAgain, w.Honours = trickle < cl.TrickleChance, stall < cl.StallChance,
+		duplicate < cl.DuplicateChance, honour < cl.HonourRetryAfter
 	return w
 }
 
@@ -262,7 +264,7 @@
 		}
 		fields := strings.Fields(line)
 		if len(fields) != 2 {
-			return fmt.Errorf("%s:%d: want a time in ms and a category", path, n)
+			return fmt.Errorf("%s:%d: %q: want a time in ms and a category", path, n, line)
 		}
 		at, err := strconv.ParseFloat(fields[0], 64)
 		c, ok := names[fields[1]]
@@ -317,7 +319,8 @@
 // addFault adds the events of a fault. The id is the same for all of them.
 func (s *Script) addFault(e *experiment.Experiment, r *rand.Rand, f *experiment.Fault, id int) {
 	t := FaultEvent{At: experiment.FromSeconds(f.At), Kind: f.Kind, Begins: true, Targets: s.faultTargets(e, r, f),
-		Magnitude: f.Size, Duration: experiment.FromSeconds(f.For), Zone: f.Zone, FaultID: id, To: f.To, Direction: f.Way, ResetStreams: f.Refuses}
+		Magnitude: f.Size, Duration: experiment.FromSeconds(f.For), Zone: f.Zone,
+		FaultID: id, To: f.To, Direction: f.Way, ResetStreams: f.Refuses}
 	switch f.Kind {
 	case "mesh-flap":
 		interval := max(f.EveryS, 0.05)
--- a/internal/lab/workload/script_test.go
+++ b/internal/lab/workload/script_test.go
@@ -82,7 +82,8 @@
 
 func TestATraceIsReadInOrderAndAnInvalidLineIsNamed(t *testing.T) {
 	dir := t.TempDir()
-	for text, want := range map[string]string{"# ms\n0.5 a\n7 a\n": "", "7 a\n6 a\n": ":2:", "1 b\n": ":1: category \"b\" does not exist", "1\n": ":1:"} {
+	for text, want := range map[string]string{"# ms\n0.5 a\n7 a\n": "", "7 a\n6 a\n": ":2:",
+		"1 b\n": ":1: category \"b\" does not exist", "1\n": ":1:"} {
 		if err := os.WriteFile(filepath.Join(dir, "trace"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -91,7 +92,7 @@
 		s, err := Of(e)
 		if want == "" && (err != nil || len(s.Wishes) != 2 || s.Wishes[1].Due != 70) ||
 			want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
 }
@@ -99,7 +100,8 @@
 // Restarts must follow one another over the whole fault. Each worker must be back after the time that size
 // says.
 func TestRestartsAreSpreadOverTheFaultDuration(t *testing.T) {
-	e, err := experiment.Parse([]byte("seconds = 20\n[[workers]]\ncount = 40\n[[categories]]\nname = \"a\"\n[[faults]]\nkind = \"restarts\"\nat_s = 1\nfor_s = 10\npart = 0.5\nsize = 700\n"))
+	e, err := experiment.Parse([]byte("seconds = 20\n[[workers]]\ncount = 40\n[[categories]]\nname = \"a\"\n" +
+		"[[faults]]\nkind = \"restarts\"\nat_s = 1\nfor_s = 10\npart = 0.5\nsize = 700\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
