--- a/internal/cluster/replication/catch_up.go
+++ b/internal/cluster/replication/catch_up.go
@@ -2,32 +2,32 @@
 
 import "slices"
 
-// peerState is how far another replica's changes are known here.
+// peerState is the progress of catching up with another replica, the peer.
 type peerState struct {
-	incarnation   Incarnation // whose order of changes the positions are in
-	position      uint64      // all changes up to it are known here
-	pagePosition  uint64      // and those up to it, once what is missing has come
-	missing       []uint64    // digests of records that it has and that are not known here
-	requested     []uint64    // digests that are being fetched from it
-	awaitsOther   bool        // all that is missing is being fetched from other replicas
-	cursorChanged bool        // position has not been persisted since it moved
-	rateFreeAt    Time        // when CatchUpRate allows the next request
-	nextSend      Time
-	more          bool // its answer left changes out
+	incarnation    Incarnation // the peer's incarnation, to whose log the positions belong
+	position       uint64      // all changes up to this position are known here
+	pagePosition   uint64      // the end of the current page, and the next position once nothing is missing
+	missing        []uint64    // digests of the peer's records that are not known here
+	requested      []uint64    // digests that are being fetched from the peer
+	waitsForOthers bool        // all missing records are being fetched from other replicas
+	cursorChanged  bool        // position has changed since the cursor was persisted
+	rateFreeAt     Time        // time at which CatchUpRate allows the next request
+	nextSend       Time
+	hasMore        bool // the peer has changes after the current page
 
-	registeredAs         Incarnation // of this process, as that replica knows it
-	registrationPosition uint64      // its latest change when it registered this process
-	voting               bool        // by its own statement
-	ready                bool        // by its own statement
-	caughtUp             bool        // all changes up to registrationPosition are known here, and it votes
+	registeredAs         Incarnation // incarnation of this process that the peer knows
+	registrationPosition uint64      // position that must be reached for caughtUp
+	voting               bool        // as stated by the peer
+	ready                bool        // as stated by the peer
+	caughtUp             bool        // all changes up to registrationPosition are known, and the peer votes
 }
 
-// restart begins with the first change of an incarnation.
+// restart restarts at the first change of an incarnation.
 func (p *peerState) restart(of Incarnation) {
 	p.incarnation, p.position, p.pagePosition, p.missing = of, 0, 0, nil
 }
 
-// registerAgain has this process register with the peer at once.
+// registerAgain makes this process register with the peer without delay.
 func (p *peerState) registerAgain(now Time) {
 	p.registeredAs = Incarnation{}
 	p.caughtUp, p.voting, p.ready = false, false, false
@@ -35,17 +35,17 @@
 }
 
 // registered records that the peer knows this process under an incarnation.
-func (p *peerState) registered(as Incarnation, x Message) {
+func (p *peerState) registered(as Incarnation, answer Message) {
 	p.registeredAs = as
-	p.registrationPosition = x.Next
+	p.registrationPosition = answer.Next
 	p.caughtUp = false
-	p.voting, p.ready = x.Voting, x.Ready
-	if p.incarnation != x.Incarnation {
-		p.restart(x.Incarnation)
+	p.voting, p.ready = answer.Voting, answer.Ready
+	if p.incarnation != answer.Incarnation {
+		p.restart(answer.Incarnation)
 	}
 }
 
-// advance moves the position on once nothing is missing up to it.
+// advance moves the position to the end of the page once no record of the page is missing.
 func (p *peerState) advance() {
 	if len(p.missing) > 0 {
 		return
@@ -53,29 +53,29 @@
 	if p.position < p.pagePosition {
 		p.position, p.cursorChanged = p.pagePosition, true
 	}
-	if !p.more && p.voting && p.position >= p.registrationPosition {
-		p.caughtUp = true // it knows all that the peer knew while that had its vote
+	if !p.hasMore && p.voting && p.position >= p.registrationPosition {
+		p.caughtUp = true // this process knows all that the voting peer knew at the registration
 	}
 }
 
-// catchUp is the progress with the other replicas.
+// catchUp is the progress of catching up with the other replicas.
 type catchUp struct {
 	peers    map[string]*peerState
-	fetching map[uint64]Time // digests that one replica was asked for, and until when no other is
+	fetching map[uint64]Time // by requested digest: the time until which no other replica is asked
 }
 
 func newCatchUp() catchUp {
 	return catchUp{peers: map[string]*peerState{}, fetching: map[uint64]Time{}}
 }
 
-// restartAll begins with the first change of every peer.
+// restartAll restarts at the first change of every peer.
 func (u *catchUp) restartAll() {
 	for _, peer := range u.peers {
 		peer.restart(peer.incarnation)
 	}
 }
 
-// reserve picks the digests that no other replica is being asked for, and reserves them for a while.
+// reserve selects missing digests that are not being fetched, and reserves them for the given time.
 func (u *catchUp) reserve(missing []uint64, now, reservation Time) (digests []uint64) {
 	for _, digest := range missing {
 		if u.fetching[digest] <= now {
@@ -84,7 +84,7 @@
 	}
 	digests = digests[:min(len(digests), digestsPerFetch)]
 	if len(digests) > 0 && len(u.fetching) > maxReplicas*digestsPerPage {
-		clear(u.fetching) // of requests that were never answered
+		clear(u.fetching) // removes requests that were never answered
 	}
 	for _, digest := range digests {
 		u.fetching[digest] = now + reservation
@@ -92,8 +92,8 @@
 	return digests
 }
 
-// release ends the reservation of what a peer was asked for: what did not fit its answer may be fetched from
-// any replica.
+// release ends the reservation of the digests that a peer was asked for. Records that did not fit the answer
+// may be fetched from any replica.
 func (u *catchUp) release(peer *peerState) {
 	for _, digest := range peer.requested {
 		delete(u.fetching, digest)
@@ -101,18 +101,18 @@
 	peer.requested = nil
 }
 
-// wakeWaiting lets the peers continue that waited for answers of others.
-func (u *catchUp) wakeWaiting(now Time) {
+// resumeWaiting resumes catching up with the peers whose missing records were being fetched from others.
+func (u *catchUp) resumeWaiting(now Time) {
 	for _, peer := range u.peers {
-		if peer.awaitsOther {
-			peer.awaitsOther = false
+		if peer.waitsForOthers {
+			peer.waitsForOthers = false
 			peer.nextSend = max(now, peer.rateFreeAt-catchUpBurst)
 		}
 	}
 }
 
-// resetPeers forgets the progress with all peers, but for the persisted cursors: no later incarnation of
-// this process knows less than these.
+// resetPeers resets the progress with all peers to the persisted cursors. The changes before a cursor are
+// persisted, so every later incarnation of this process knows them.
 func (c *Core) resetPeers() {
 	for _, name := range c.active.members {
 		if name != c.config.Name {
@@ -127,7 +127,7 @@
 	c.durability.persistedCursors = nil
 }
 
-// replicate registers with the other replicas, pulls their changes, and starts to vote when that is safe.
+// replicate registers with the other replicas, pulls their changes, and starts voting once that is safe.
 func (c *Core) replicate() {
 	if !c.active.isReplica || !c.registration.serving {
 		return
@@ -147,19 +147,20 @@
 	c.startVoting()
 }
 
-// nextPull draws when another replica is pulled from again.
+// nextPull returns a random time for the next pull from a replica.
 func (c *Core) nextPull() Time {
 	return c.now + c.config.PullInterval/2 + Time(c.random.Int64N(int64(c.config.PullInterval)))
 }
 
-// pull fetches what is missing, or asks for what comes next; again after a while where no answer comes.
+// pull fetches missing records, or requests the next page of changes. If no answer arrives, the request is
+// repeated after a while.
 func (c *Core) pull(name string, peer *peerState) {
 	peer.nextSend = c.nextPull()
 	peer.missing = c.records.missing(peer.missing)
 	switch {
 	case len(peer.missing) > 0:
 		c.fetch(name, peer)
-	case peer.pagePosition > peer.position: // all of them have come from other replicas
+	case peer.pagePosition > peer.position: // other replicas have sent all missing records
 		c.continueCatchUp(name, peer, 0)
 	default:
 		c.send(name, Message{
@@ -171,11 +172,11 @@
 	}
 }
 
-// fetch asks a replica for some of what is missing.
+// fetch requests some of the missing records from a replica.
 func (c *Core) fetch(name string, peer *peerState) {
 	digests := c.catchUp.reserve(peer.missing, c.now, c.config.RetryInterval)
 	if len(digests) == 0 {
-		peer.awaitsOther = true
+		peer.waitsForOthers = true
 		peer.nextSend = c.now + c.config.RetryInterval
 		return
 	}
@@ -189,11 +190,11 @@
 	})
 }
 
-// handlePull answers with the digests of what has changed after a position, up to a page.
+// handlePull answers with one page of digests of the records that changed after a position.
 func (c *Core) handlePull(in MessageReceived) {
 	after := in.After
 	if in.LogIncarnation != c.registration.incarnation {
-		after = 0 // a position in another process's order
+		after = 0 // the position belongs to the log of another process
 	}
 	digests, last, more := c.records.changedAfter(after, digestsPerPage)
 	c.send(in.From, Message{
@@ -209,15 +210,15 @@
 	})
 }
 
-// handleDigestPage compares a page of another replica's changes with what is known here, and goes on with
-// what is missing.
+// handleDigestPage determines which records of a page of another replica's changes are missing here, and
+// continues catching up.
 func (c *Core) handleDigestPage(in MessageReceived) {
 	peer := c.catchUp.peers[in.From]
 	if peer == nil || peer.registeredAs != c.registration.incarnation {
 		return
 	}
 	if peer.incarnation != in.LogIncarnation {
-		// Another process: what it may have lost is asked for again.
+		// Another process answers. It may have lost records, so catching up restarts.
 		peer.restart(in.LogIncarnation)
 		peer.registeredAs = Incarnation{}
 		peer.nextSend = c.now
@@ -226,19 +227,19 @@
 	if in.After != peer.position {
 		return // the answer to an earlier pull
 	}
-	peer.pagePosition, peer.more = in.Next, in.More
+	peer.pagePosition, peer.hasMore = in.Next, in.More
 	peer.voting, peer.ready = in.Voting, in.Ready
 	peer.missing = c.records.missing(slices.Clone(in.Digests))
 	c.continueCatchUp(in.From, peer, 8*len(in.Digests))
 }
 
-// continueCatchUp accounts for an answer of so many bytes, and asks for what comes next within CatchUpRate:
-// catching up must not slow down ops.
+// continueCatchUp accounts for the size of an answer, and sends the next request as soon as CatchUpRate
+// allows it. The rate limit prevents catch-up from slowing down ops.
 func (c *Core) continueCatchUp(name string, peer *peerState, bytes int) {
 	peer.rateFreeAt = max(peer.rateFreeAt, c.now) + Time(bytes)*second/Time(c.config.CatchUpRate)
 	peer.advance()
 	switch {
-	case len(peer.missing) == 0 && !peer.more:
+	case len(peer.missing) == 0 && !peer.hasMore:
 		peer.nextSend = c.nextPull()
 		c.persistCursor(name, peer)
 	case peer.rateFreeAt > c.now+catchUpBurst:
@@ -256,14 +257,14 @@
 	}
 }
 
-// handleFetch answers with records, as many as fit, and names the digests that it went through: a record
-// that has changed meanwhile stands later in the order.
+// handleFetch answers with as many of the requested records as fit, and lists the digests that it processed.
+// If a record has changed meanwhile, its digest is listed without the record, which has a later position.
 func (c *Core) handleFetch(in MessageReceived) {
 	if in.LogIncarnation != c.registration.incarnation {
-		c.handlePull(in) // whose answer says that this is another process
+		c.handlePull(in) // the answer states the incarnation of this process
 		return
 	}
-	x := Message{
+	answer := Message{
 		Kind:           Fetched,
 		RequestID:      in.RequestID,
 		Incarnation:    c.registration.incarnation,
@@ -274,17 +275,17 @@
 	for _, digest := range in.Digests {
 		if r := c.records.byDigest[digest]; r != nil {
 			bytesLeft -= r.size()
-			if bytesLeft < 0 && len(x.Records) > 0 {
+			if bytesLeft < 0 && len(answer.Records) > 0 {
 				break
 			}
-			x.Records = append(x.Records, c.withAges(r))
+			answer.Records = append(answer.Records, c.withAges(r))
 		}
-		x.Digests = append(x.Digests, digest)
+		answer.Digests = append(answer.Digests, digest)
 	}
-	c.send(in.From, x)
+	c.send(in.From, answer)
 }
 
-// handleFetched merges the records that were missing.
+// handleFetched merges fetched records and continues catching up.
 func (c *Core) handleFetched(in MessageReceived) {
 	peer := c.catchUp.peers[in.From]
 	if peer == nil || peer.registeredAs != c.registration.incarnation {
@@ -296,21 +297,21 @@
 	bytes := c.mergeFetched(in.Records, min(Time(in.RequestID), c.now))
 	c.catchUp.release(peer)
 	if len(in.Digests) > len(in.Records) {
-		// A record moved on in the peer's order before it was fetched. All that the peer knew at the
-		// registration is known here only once the record's new position is reached; otherwise a vote could
-		// start without a claim that an earlier incarnation granted.
+		// A record changed and got a later position in the peer's log before it was fetched. All that the
+		// peer knew at the registration is known here only after that position is reached. Otherwise this
+		// process could vote without knowing a claim that an earlier incarnation granted.
 		peer.registrationPosition = max(peer.registrationPosition, in.Next)
 	}
 	missingBefore := len(peer.missing)
-	peer.missing = c.records.missing(without(peer.missing, in.Digests))
-	if len(peer.missing) < missingBefore { // otherwise it answers an earlier request
+	peer.missing = c.records.missing(removeDigests(peer.missing, in.Digests))
+	if len(peer.missing) < missingBefore { // otherwise this answers an earlier request
 		c.continueCatchUp(in.From, peer, bytes)
 	}
-	c.catchUp.wakeWaiting(c.now)
+	c.catchUp.resumeWaiting(c.now)
 }
 
-// mergeFetched merges fetched records, whose ages were true at some moment not before the request, and
-// returns their size.
+// mergeFetched merges fetched records and returns their estimated size. The ages in the records were true at
+// the time of the request or later.
 func (c *Core) mergeFetched(records []Record, requestedAt Time) (bytes int) {
 	for _, r := range records {
 		bytes += r.size()
@@ -326,8 +327,8 @@
 	return bytes
 }
 
-// without removes some digests from a list, in place.
-func without(digests, removed []uint64) []uint64 {
+// removeDigests removes digests from a list in place.
+func removeDigests(digests, removed []uint64) []uint64 {
 	isRemoved := map[uint64]bool{}
 	for _, digest := range removed {
 		isRemoved[digest] = true
--- a/internal/cluster/replication/catch_up_test.go
+++ b/internal/cluster/replication/catch_up_test.go
@@ -2,19 +2,19 @@
 
 import "testing"
 
-// A record that moves on while it is being fetched is not known yet, though all changes up to the
-// registration have been gone through: the vote waits for it.
-func TestWhatMovesOnDuringCatchUp(t *testing.T) {
-	c := newCore("a", "a", "b", "c")
+// A record can change while it is being fetched, so that all positions up to the registration are passed
+// without the record being known. The replica must not vote until it has fetched the changed record.
+func TestARecordThatChangesDuringCatchUpDelaysTheVote(t *testing.T) {
+	c := newTestCore("a", "a", "b", "c")
 	c.Step(1, Membership{Serving: true, Generation: 1})
 	own := Incarnation{1, c.config.Nonce}
 	peers := map[string]Incarnation{"b": {1, 2}, "c": {1, 3}}
-	receive := func(from string, x Message) {
-		x.SetID, x.Incarnation, x.LogIncarnation, x.Voting = c.active.id, peers[from], peers[from], true
-		if x.Kind == Registered {
-			x.LogIncarnation = own
+	receive := func(from string, m Message) {
+		m.SetID, m.Incarnation, m.LogIncarnation, m.Voting = c.active.id, peers[from], peers[from], true
+		if m.Kind == Registered {
+			m.LogIncarnation = own
 		}
-		c.Step(c.now+1, MessageReceived{from, x})
+		c.Step(c.now+1, MessageReceived{from, m})
 	}
 	for _, name := range []string{"b", "c"} {
 		receive(name, Message{Kind: Registered, Next: 1})
@@ -28,17 +28,18 @@
 	// The record has changed meanwhile, to position 2.
 	receive("b", Message{Kind: Fetched, Next: 2, Digests: []uint64{before.digest()}})
 	if c.registration.voting {
-		t.Fatal("it votes without the record")
+		t.Fatal("the replica votes without the record")
 	}
 	receive("b", Message{Kind: DigestPage, After: 1, Next: 2, Digests: []uint64{after.digest()}})
 	fetched := Message{Kind: Fetched, Next: 2, Digests: []uint64{after.digest()}, Records: []Record{after}}
 	receive("b", fetched)
 	if _, ok := c.Lookup("k"); !c.registration.voting || !ok {
-		t.Errorf("with all that there is: voting %v, known %v", c.registration.voting, ok)
+		t.Errorf("after the fetch of the changed record: voting %v, known %v", c.registration.voting, ok)
 	}
 }
 
-// No record is fetched from two replicas at once; what one of them did not answer is free for the others.
+// A digest is requested from one replica at a time. It may be requested from another replica after an answer,
+// or after its reservation has expired. Otherwise a record would be fetched twice or never.
 func TestADigestIsFetchedFromOneReplica(t *testing.T) {
 	u := newCatchUp()
 	missing := make([]uint64, 3*digestsPerFetch/2)
@@ -49,41 +50,42 @@
 	first.requested = u.reserve(first.missing, 10, 40)
 	second.requested = u.reserve(second.missing, 10, 40)
 	if len(first.requested) != digestsPerFetch || len(second.requested) != digestsPerFetch/2 {
-		t.Fatalf("%d and %d of %d", len(first.requested), len(second.requested), len(missing))
+		t.Fatalf("reserved %d and %d of %d", len(first.requested), len(second.requested), len(missing))
 	}
 	for _, digest := range second.requested {
 		for _, other := range first.requested {
 			if digest == other {
-				t.Fatalf("%d is fetched twice", digest)
+				t.Fatalf("digest %d is reserved for both peers", digest)
 			}
 		}
 	}
 	if got := u.reserve(missing, 10, 40); len(got) != 0 {
-		t.Errorf("reserved again at once: %v", got)
+		t.Errorf("reserved again before an answer: %v", got)
 	}
 	u.release(first)
 	if got := u.reserve(missing, 10, 40); len(got) != digestsPerFetch {
-		t.Errorf("%d are free after the first answer", len(got))
+		t.Errorf("%d digests are free after the first answer", len(got))
 	}
 	if got := u.reserve(second.requested, 51, 40); len(got) != len(second.requested) {
-		t.Errorf("%d are free after their reservation has expired", len(got))
+		t.Errorf("%d digests are free after their reservation expired", len(got))
 	}
 }
 
-// A peer's changes count as known only without a gap, and only of a peer that votes.
-func TestWhenAPeerIsCaughtUpWith(t *testing.T) {
+// A replica has caught up with a peer only if it knows all changes of the peer up to the registration, and
+// the peer votes. Otherwise the replica could vote without knowing a granted claim.
+func TestAPeerIsCaughtUpOnlyWithoutGaps(t *testing.T) {
 	for _, x := range []struct {
 		name     string
 		peer     peerState
 		position uint64
 		caughtUp bool
 	}{
-		{"all is known", peerState{pagePosition: 7, registrationPosition: 7, voting: true}, 7, true},
+		{"all changes are known", peerState{pagePosition: 7, registrationPosition: 7, voting: true}, 7, true},
 		{"a record is missing", peerState{pagePosition: 7, voting: true, missing: []uint64{1}}, 0, false},
-		{"there are more pages", peerState{pagePosition: 7, voting: true, more: true}, 7, false},
-		{"it has no vote", peerState{pagePosition: 7}, 7, false},
+		{"there are more pages", peerState{pagePosition: 7, voting: true, hasMore: true}, 7, false},
+		{"the peer has no vote", peerState{pagePosition: 7}, 7, false},
 		{
-			"short of the registration",
+			"the registration position is not reached",
 			peerState{pagePosition: 7, registrationPosition: 8, voting: true}, 7, false,
 		},
 	} {
--- a/internal/cluster/replication/claims.go
+++ b/internal/cluster/replication/claims.go
@@ -5,31 +5,31 @@
 	"slices"
 )
 
-// claimAnswer is a replica's answer to one claim.
+// claimAnswer is the answer of a replica to a claim.
 type claimAnswer struct {
 	granted     bool
 	incarnation Incarnation
 	voters      []Voter
 	reason      RefusalReason
 	record      Record
-	grantedAt   uint64 // on the replica's clock
+	grantedAt   uint64 // time on the replica's clock
 }
 
-// activeClaim is a claim of this scheduler that is pending, or granted with the op not ended.
+// activeClaim is a claim of this scheduler that is pending, or that is granted and whose op has not ended.
 type activeClaim struct {
 	ClaimRequest
-	claim       Claim
-	process     Incarnation // that made it
-	group       string      // the worker group that it is bound to, where the op may have run
-	firstRun    Time        // beside group: the op did not run before
-	requestedAt Time
-	deadline    Time
-	nextRetry   Time
-	answers     map[string]claimAnswer
-	requests    map[string]int // that were sent, by replica
+	claim        Claim
+	process      Incarnation // the process that made the claim
+	group        string      // worker group to which the claim is bound or in which the op may have run
+	notRunBefore Time        // set with group: the op did not run before this time
+	requestedAt  Time
+	deadline     Time
+	nextRetry    Time
+	answers      map[string]claimAnswer
+	requests     map[string]int // number of requests sent, by replica
 }
 
-// newActiveClaim makes a claim that no replica has answered.
+// newActiveClaim returns a claim without any answers.
 func newActiveClaim(in ClaimRequest, claim Claim, process Incarnation, now, quorumTimeout Time) *activeClaim {
 	return &activeClaim{
 		ClaimRequest: in,
@@ -42,16 +42,17 @@
 	}
 }
 
-// certainlyUnknownTo reports whether a replica has certainly not recorded the claim: it refused the one
-// request that it was sent, and does not know the claim from other replicas. Of two requests it, or the
-// process before it, may have granted the first one.
+// certainlyUnknownTo reports whether a replica has certainly not recorded the claim: the replica was sent one
+// request, refused it, and does not know the claim from other replicas. If two requests were sent, the
+// replica or its former process may have granted the first one.
 func (a *activeClaim) certainlyUnknownTo(replica string) bool {
 	answer, answered := a.answers[replica]
 	_, known := answer.record.find(a.claim)
 	return answered && !answer.granted && a.requests[replica] == 1 && !known
 }
 
-// wireID is the request ID on the wire: an answer to a claim is none to the bound one in its place.
+// wireID returns the request ID on the wire. It differs for a bound claim, so that a late answer to the
+// unbound claim does not count as an answer to the bound one.
 func (a *activeClaim) wireID() uint64 {
 	if a.group != "" {
 		return a.RequestID | boundClaimFlag
@@ -59,24 +60,24 @@
 	return a.RequestID
 }
 
-// outcome is the claim in a stage, as it is sent.
+// outcome returns the outcome of the claim in a stage, for a message.
 func (a *activeClaim) outcome(stage Stage, now Time) Outcome {
 	o := Outcome{Claim: a.claim, Stage: stage, Group: a.group}
 	if stage == Claimed {
 		o.Result = encodeProcess(a.process)
 	}
 	if a.group != "" {
-		o.Age = uint64(max(now-a.firstRun, 0))
+		o.Age = uint64(max(now-a.notRunBefore, 0))
 	}
 	return o
 }
 
-// record is a record of the op with one outcome.
+// record returns a record of the op with one outcome.
 func (a *activeClaim) record(o Outcome) Record {
 	return Record{Key: a.Key, Fingerprint: a.Fingerprint, Outcomes: []Outcome{o}}
 }
 
-// newestVoters is the newest incarnation of each voter that any of the granting replicas knows.
+// newestVoters returns the newest incarnation of each voter that any granting replica knows.
 func (a *activeClaim) newestVoters() map[string]Incarnation {
 	newest := map[string]Incarnation{}
 	for _, answer := range a.answers {
@@ -92,10 +93,10 @@
 	return newest
 }
 
-// claimTable is the claims of this scheduler and the reports on them.
+// claimTable contains the claims of this scheduler and the outcome reports, by request ID.
 type claimTable struct {
 	pending map[uint64]*activeClaim
-	granted map[uint64]*activeClaim // until the op has ended
+	granted map[uint64]*activeClaim // claims of ops that have not ended
 	reports map[uint64]*outcomeReport
 }
 
@@ -107,7 +108,7 @@
 	}
 }
 
-// nextDue is when the next retry or deadline is due, at a limit at the latest.
+// nextDue returns the time of the next retry or deadline, and at most the limit.
 func (t *claimTable) nextDue(limit Time) Time {
 	at := limit
 	for _, claim := range t.pending {
@@ -119,15 +120,15 @@
 	return at
 }
 
-// newClaim draws a claim of this scheduler.
+// newClaim returns a claim of a scheduler with a random nonce.
 func newClaim(scheduler string, random *rand.Rand) Claim {
 	return Claim{scheduler, random.Uint64()}
 }
 
-// handleClaimRequest begins a claim.
+// handleClaimRequest starts a claim.
 func (c *Core) handleClaimRequest(in ClaimRequest) {
-	drawn := newClaim(c.config.Name, c.random)
-	claim := newActiveClaim(in, drawn, c.registration.incarnation, c.now, c.config.QuorumTimeout)
+	id := newClaim(c.config.Name, c.random)
+	claim := newActiveClaim(in, id, c.registration.incarnation, c.now, c.config.QuorumTimeout)
 	switch {
 	case len(c.claims.pending) >= maxPendingClaims || len(in.Key) > maxNameBytes || in.Key == "":
 		c.count(countClaimsFull)
@@ -142,7 +143,7 @@
 	c.requestGrants(claim)
 }
 
-// requestGrants asks all replicas that have not decided on a claim.
+// requestGrants requests grants from all replicas that have not decided on a claim.
 func (c *Core) requestGrants(claim *activeClaim) {
 	claim.nextRetry = c.now + c.config.RetryInterval
 	for _, name := range c.active.members {
@@ -153,12 +154,12 @@
 			c.send(name, Message{Kind: ClaimRequested, RequestID: claim.wireID(), Record: record})
 		}
 		if c.claims.pending[claim.RequestID] != claim {
-			return // decided by this process's own vote
+			return // the vote of this process decided the claim
 		}
 	}
 }
 
-// retryClaims decides on the claims whose deadline has passed, and asks again for others.
+// retryClaims decides on the claims whose deadline has passed, and retries the other claims that are due.
 func (c *Core) retryClaims() {
 	isDue := func(claim *activeClaim) bool { return c.now >= min(claim.nextRetry, claim.deadline) }
 	for _, id := range dueIDs(c.claims.pending, isDue) {
@@ -171,7 +172,7 @@
 	}
 }
 
-// restartPendingClaims asks for all pending claims anew, as after a change of the set.
+// restartPendingClaims discards the answers to all pending claims and requests grants again.
 func (c *Core) restartPendingClaims() {
 	all := func(*activeClaim) bool { return true }
 	for _, id := range dueIDs(c.claims.pending, all) {
@@ -182,11 +183,11 @@
 	}
 }
 
-// handleClaimAnswer takes a replica's answer to a claim.
+// handleClaimAnswer records the answer of a replica to a claim, and evaluates the claim.
 func (c *Core) handleClaimAnswer(in MessageReceived) {
 	claim := c.claims.pending[in.RequestID&^boundClaimFlag]
 	if claim == nil || claim.wireID() != in.RequestID {
-		return // or it answers the claim before it was bound
+		return // the claim was decided, or bound to a group after this request
 	}
 	claim.answers[in.From] = claimAnswer{
 		granted:     in.Kind == ClaimGranted,
@@ -199,8 +200,8 @@
 	c.evaluate(claim, false)
 }
 
-// hasMajority reports whether a majority has granted a claim: one of each part while the set is joint. The
-// grant of a process does not count where another granting replica knows a later incarnation of it.
+// hasMajority reports whether a majority has granted a claim. In a joint set, each part needs a majority. The
+// grant of a process does not count if another granting replica knows a later incarnation of that voter.
 func (c *Core) hasMajority(claim *activeClaim) bool {
 	newest := claim.newestVoters()
 	return c.active.set.HasMajority(func(name string) bool {
@@ -209,7 +210,7 @@
 	})
 }
 
-// majorityPossible reports whether a majority may still grant a claim.
+// majorityPossible reports whether a majority may still grant a claim. Only AlreadyClaimed is final.
 func (c *Core) majorityPossible(claim *activeClaim) bool {
 	return c.active.set.HasMajority(func(name string) bool {
 		answer, answered := claim.answers[name]
@@ -217,7 +218,7 @@
 	})
 }
 
-// evaluate decides on a claim as soon as the answers allow it, and at its deadline in any case.
+// evaluate decides on a claim as soon as the answers allow a decision, and always at the deadline.
 func (c *Core) evaluate(claim *activeClaim, atDeadline bool) {
 	inTime := c.now < claim.deadline
 	if inTime && c.hasMajority(claim) {
@@ -246,11 +247,11 @@
 	c.emit(ClaimDecided{RequestID: claim.RequestID, Result: Granted, Outcome: outcome})
 }
 
-// refusals is what the replicas that refused a claim have answered.
+// refusals summarizes the answers of the replicas that refused a claim.
 type refusals struct {
-	reason       RefusalReason // the most specific one
-	record       Record        // all that they know of the op
-	otherRequest bool          // another request came first under this id
+	reason              RefusalReason // the most specific reason
+	record              Record        // the joined records of the replicas that refused
+	fingerprintMismatch bool          // the key was first used by another request
 }
 
 func (c *Core) refusals(claim *activeClaim) refusals {
@@ -262,34 +263,35 @@
 		}
 		all.reason = max(all.reason, answer.reason)
 		if answer.reason == AlreadyClaimed {
-			all.otherRequest = all.otherRequest || answer.record.Fingerprint != claim.Fingerprint
+			all.fingerprintMismatch = all.fingerprintMismatch ||
+				answer.record.Fingerprint != claim.Fingerprint
 			all.record, _ = Join(all.record, answer.record)
 		}
 	}
 	return all
 }
 
-// hasResult reports whether the op has ended, with a result that was retained.
+// hasResult reports whether the op has ended with a retained result.
 func (r *refusals) hasResult() bool {
-	end, ended := r.record.ending()
+	end, ended := r.record.endedOutcome()
 	return ended && end.ResultRetained
 }
 
-// decision is the result of a claim without a majority.
+// decision returns the result of a claim without a majority.
 func (c *Core) decision(claim *activeClaim, r *refusals) ClaimDecided {
 	decided := ClaimDecided{RequestID: claim.RequestID, Result: NoQuorum, Reason: r.reason}
-	if r.otherRequest {
+	if r.fingerprintMismatch {
 		decided.Result = FingerprintMismatch
 		return decided
 	}
-	if end, ended := r.record.ending(); ended {
+	if end, ended := r.record.endedOutcome(); ended {
 		decided.Result, decided.Outcome = AlreadyEnded, end
 		if end.ResultRetained {
 			decided.Result = AlreadyAnswered
 		}
 		return decided
 	}
-	if other, ok := r.record.standing(claim.claim); ok {
+	if other, ok := r.record.findUnresolved(claim.claim); ok {
 		decided.Result, decided.Outcome = OutcomeUnknown, other
 		if c.inProgressElsewhere(claim, &r.record) {
 			decided.Result = InProgress
@@ -298,32 +300,32 @@
 	return decided
 }
 
-// inProgressElsewhere reports whether a process that has not ended has another claim of the op.
+// inProgressElsewhere reports whether another claim of the op belongs to a process that has not ended.
 func (c *Core) inProgressElsewhere(claim *activeClaim, record *Record) bool {
 	return slices.ContainsFunc(record.Outcomes, func(o Outcome) bool {
 		return o.Stage == Claimed && o.Claim != claim.claim && !c.members.claimerEnded(&o)
 	})
 }
 
-// bindToGroup replaces a claim by one that is bound to a worker group, and reports whether it did: where the
-// op may have run for schedulers that are dead or have abandoned it, in that group alone, and the group
-// still drops repeats.
+// bindToGroup replaces a claim by one that is bound to a worker group, and reports whether it did so. This
+// requires that the other unresolved claims were abandoned or belong to ended processes, that the op may have
+// run only in that group, and that the group still drops repeats.
 func (c *Core) bindToGroup(claim *activeClaim, r *refusals) bool {
-	other, stands := r.record.standing(claim.claim)
-	_, ended := r.record.ending()
-	if claim.Window == 0 || claim.group != "" || r.otherRequest || ended || !stands {
+	other, stands := r.record.findUnresolved(claim.claim)
+	_, ended := r.record.endedOutcome()
+	if claim.Window == 0 || claim.group != "" || r.fingerprintMismatch || ended || !stands {
 		return false
 	}
-	if c.inProgressElsewhere(claim, &r.record) || !r.record.standsOnlyIn(claim.claim, other.Group) {
+	if c.inProgressElsewhere(claim, &r.record) || !r.record.unresolvedOnlyIn(claim.claim, other.Group) {
 		return false
 	}
-	firstRun, known := c.earliestRun(claim, &r.record)
-	if !known || c.now-firstRun >= claim.Window || c.now >= claim.deadline {
+	notRunBefore, known := c.earliestPossibleRun(claim, &r.record)
+	if !known || c.now-notRunBefore >= claim.Window || c.now >= claim.deadline {
 		return false
 	}
 	c.releaseClaim(claim, claim.RequestID|boundClaimFlag)
 	claim.claim = newClaim(c.config.Name, c.random)
-	claim.group, claim.firstRun = other.Group, firstRun
+	claim.group, claim.notRunBefore = other.Group, notRunBefore
 	clear(claim.answers)
 	clear(claim.requests)
 	c.count(countBound)
@@ -331,19 +333,19 @@
 	return true
 }
 
-// earliestRun is a moment before which none of the other standing claims ran; false where an age is unknown.
-// An age in an answer was true at some moment after the request, so counting it from the request includes
-// the time that the answer took.
-func (c *Core) earliestRun(claim *activeClaim, record *Record) (first Time, known bool) {
-	first = c.now
+// earliestPossibleRun returns a time before which the op did not run under any other unresolved claim, and
+// false if an age is unknown. An age in an answer was true at some time after the request. Therefore the age
+// is subtracted from the time of the request, which allows for the delay of the answer.
+func (c *Core) earliestPossibleRun(claim *activeClaim, record *Record) (earliest Time, known bool) {
+	earliest = c.now
 	for _, o := range record.Outcomes {
-		if !o.stands() || o.Claim == claim.claim {
+		if !o.unresolved() || o.Claim == claim.claim {
 			continue
 		}
 		if o.Age == 0 {
 			return 0, false
 		}
-		first = min(first, claim.requestedAt-Time(min(o.Age, maxAgeTenths)))
+		earliest = min(earliest, claim.requestedAt-Time(min(o.Age, maxAgeTenths)))
 	}
-	return first, true
+	return earliest, true
 }
--- a/internal/cluster/replication/claims_test.go
+++ b/internal/cluster/replication/claims_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// grantFrom is a grant of the request 1.
+// grantFrom returns a grant for request 1 from a replica.
 func grantFrom(c *Core, replica string, incarnation Incarnation, voters ...Voter) MessageReceived {
 	return MessageReceived{replica, Message{
 		Kind:        ClaimGranted,
@@ -13,7 +13,7 @@
 	}}
 }
 
-// refusalFrom is a refusal of the request 1, since another claim stands.
+// refusalFrom returns a refusal for request 1 from a replica, with the record that forbids the claim.
 func refusalFrom(c *Core, replica string, known Record) MessageReceived {
 	return MessageReceived{replica, Message{
 		Kind:      ClaimRefused,
@@ -24,8 +24,8 @@
 	}}
 }
 
-// claimsIn reports whether some effects ask for a claim that is bound to a worker group.
-func claimsIn(effects []Effect, group string) bool {
+// requestsClaimIn reports whether the effects request grants for a claim that is bound to a worker group.
+func requestsClaimIn(effects []Effect, group string) bool {
 	for _, e := range effects {
 		if s, ok := e.(Send); ok && s.Kind == ClaimRequested && s.Record.Outcomes[0].Group == group {
 			return true
@@ -34,29 +34,30 @@
 	return false
 }
 
-// The vote of a process that was replaced must not count beside that of a replica that knows its successor.
+// A grant of a replaced process must not count if another granting replica knows the later process. The
+// replaced process does not know the grants of the later one, so two claims could get a majority.
 func TestAnEarlierProcessesVoteDoesNotCount(t *testing.T) {
-	for _, later := range []bool{true, false} {
-		c := newCore("x", "a", "b", "c")
+	for _, replaced := range []bool{true, false} {
+		c := newTestCore("x", "a", "b", "c")
 		c.Step(1, Membership{Serving: true, Generation: 1})
 		c.Step(2, ClaimRequest{RequestID: 1, Key: "k", Timeout: second})
 		c.Step(3, grantFrom(c, "a", Incarnation{1, 1}))
 		known := Incarnation{1, 1}
-		if later {
+		if replaced {
 			known = Incarnation{2, 7}
 		}
-		got := decision(c.Step(4, grantFrom(c, "b", Incarnation{1, 2}, Voter{"a", known})))
-		if (got == Granted) == later {
-			t.Errorf("later %v: %v", later, got)
+		got := lastResult(c.Step(4, grantFrom(c, "b", Incarnation{1, 2}, Voter{"a", known})))
+		if (got == Granted) == replaced {
+			t.Errorf("replaced %v: result %v", replaced, got)
 		}
 	}
 }
 
-// A replica that claims an op grants it to itself, and its disk fails in that round: the vote would be
-// forgotten, and does not count, however the others answer after it.
-func TestAnOwnVoteThatDoesNotLastDoesNotCount(t *testing.T) {
-	for _, lasts := range []bool{true, false} {
-		c := newCore("a", "a", "b", "c")
+// A replica claims an op and grants the claim itself, but its disk fails in the same step. The replica could
+// forget this grant, so the grant must not count towards the majority.
+func TestAnUnpersistedOwnVoteDoesNotCount(t *testing.T) {
+	for _, persisted := range []bool{true, false} {
+		c := newTestCore("a", "a", "b", "c")
 		c.Restore(nil, Incarnation{1, 1}, nil)
 		c.Step(1, Membership{Serving: true, Generation: 2, Nonce: 1})
 		for _, replica := range []string{"b", "c"} {
@@ -69,50 +70,50 @@
 			}})
 		}
 		if !c.registration.voting {
-			t.Fatal("it has no vote: this test proves nothing")
+			t.Fatal("the replica has no vote, so this test checks nothing")
 		}
 		c.Step(3, ClaimRequest{RequestID: 1, Key: "k", Timeout: second})
-		if !lasts {
+		if !persisted {
 			c.Step(4, PersistFailed{Keys: []string{"k"}})
 		}
-		got := decision(c.Step(5, grantFrom(c, "b", Incarnation{1, 1})))
-		if (got == Granted) != lasts {
-			t.Errorf("its own vote lasts %v: %v", lasts, got)
+		got := lastResult(c.Step(5, grantFrom(c, "b", Incarnation{1, 1})))
+		if (got == Granted) != persisted {
+			t.Errorf("own grant persisted %v: result %v", persisted, got)
 		}
 	}
 }
 
-// Another request under an id that may have run must not be taken for its repeat, and gets neither its
-// answer nor its place.
-func TestAnotherRequestUnderAnID(t *testing.T) {
+// A different request with the key of an op that may have run must be rejected. It must neither get the
+// answer of the first request nor run in its place.
+func TestAnotherRequestUnderTheSameIDIsRejected(t *testing.T) {
 	config := Defaults()
 	config.Name, config.Replicas, config.AmnesiaHoldOff = "a", []string{"a"}, 0
 	c := New(config, 0)
 	c.Step(1, Membership{Serving: true, Generation: 1})
 	claim := func(id, fingerprint uint64) ClaimResult {
 		request := ClaimRequest{RequestID: id, Key: "k", Fingerprint: fingerprint, Timeout: second}
-		return decision(c.Step(Time(10+id), request))
+		return lastResult(c.Step(Time(10+id), request))
 	}
 	if got := claim(1, 7); got != Granted {
 		t.Fatalf("%v", got)
 	}
 	if got := claim(2, 8); got != FingerprintMismatch {
-		t.Errorf("while the first one runs: %v", got)
+		t.Errorf("another request while the first one runs: %v", got)
 	}
 	c.Step(20, OpEnded{RequestID: 1, Verdict: 200, Result: []byte("r"), ResultRetained: true})
 	if got := claim(3, 8); got != FingerprintMismatch {
-		t.Errorf("after its end: %v", got)
+		t.Errorf("another request after the first one has ended: %v", got)
 	}
 	if got := claim(4, 7); got != AlreadyAnswered {
-		t.Errorf("its repeat: %v", got)
+		t.Errorf("a repeat of the first request: %v", got)
 	}
 }
 
-// An op that ran for a scheduler that is dead is claimed again only where its age is known; and what was
-// granted to the claim before the bound one is not granted to that.
-func TestAnAskerBindsItself(t *testing.T) {
+// The op of a dead scheduler is claimed again in its worker group only if its age is known, since the group
+// drops repeats only for a limited time. Grants of the unbound claim must not count for the bound one.
+func TestAClaimIsBoundToAGroupOnlyWithAKnownAge(t *testing.T) {
 	for _, age := range []uint64{0, 10} {
-		c := newCore("x", "a", "b", "c")
+		c := newTestCore("x", "a", "b", "c")
 		c.Step(1, Membership{Serving: true, Generation: 1})
 		c.Step(2, PeerStatus{Name: "y", Dead: true})
 		c.Step(3, ClaimRequest{RequestID: 1, Key: "k", Fingerprint: 1, Timeout: second, Window: second})
@@ -122,20 +123,20 @@
 		for _, replica := range []string{"a", "b"} {
 			effects = c.Step(c.now+1, refusalFrom(c, replica, known))
 		}
-		if bound := claimsIn(effects, "all"); bound != (age > 0) {
+		if bound := requestsClaimIn(effects, "all"); bound != (age > 0) {
 			t.Errorf("age %d: bound %v", age, bound)
 		}
 		for _, replica := range []string{"a", "b", "c"} {
-			if decision(c.Step(c.now+1, grantFrom(c, replica, Incarnation{}))) == Granted {
-				t.Error("by grants to the claim before")
+			if lastResult(c.Step(c.now+1, grantFrom(c, replica, Incarnation{}))) == Granted {
+				t.Error("the bound claim is granted by grants of the unbound claim")
 			}
 		}
 	}
 }
 
-// What its scheduler has abandoned is repeated in its group while that scheduler is alive, and waited for
-// where another one has it.
-func TestWhatIsAbandonedIsRepeated(t *testing.T) {
+// An op that its living scheduler has abandoned is repeated in its worker group. It must not be repeated
+// while another claim of the op is in progress.
+func TestAnAbandonedOpIsRepeatedInItsGroup(t *testing.T) {
 	for _, x := range []struct {
 		stages []Stage
 		bound  bool
@@ -145,17 +146,17 @@
 		{[]Stage{Abandoned, Claimed}, false},
 		{[]Stage{Abandoned, Abandoned}, true},
 	} {
-		c := newCore("x", "a", "b", "c")
+		c := newTestCore("x", "a", "b", "c")
 		c.Step(1, Membership{Serving: true, Generation: 1})
 		c.Step(2, ClaimRequest{RequestID: 1, Key: "k", Fingerprint: 1, Timeout: second, Window: second})
 		known := Record{Key: "k", Fingerprint: 1}
-		for n, stage := range x.stages {
-			outcome := Outcome{Claim: Claim{"y", uint64(n)}, Stage: stage, Group: "all", Age: 10}
+		for i, stage := range x.stages {
+			outcome := Outcome{Claim: Claim{"y", uint64(i)}, Stage: stage, Group: "all", Age: 10}
 			known.Outcomes = append(known.Outcomes, outcome)
 		}
 		bound := false
 		for _, replica := range []string{"a", "b"} {
-			bound = claimsIn(c.Step(c.now+1, refusalFrom(c, replica, known)), "all") || bound
+			bound = requestsClaimIn(c.Step(c.now+1, refusalFrom(c, replica, known)), "all") || bound
 		}
 		if bound != x.bound {
 			t.Errorf("%v: bound %v", x.stages, bound)
--- a/internal/cluster/replication/core.go
+++ b/internal/cluster/replication/core.go
@@ -1,7 +1,7 @@
-// Package replication decides which scheduler may run an op that must not run twice: a claim needs the
-// grants of a majority of a few replicas, which record what became of it. The package is pure: it takes an
-// input with its time and returns messages and decisions, does no I/O, reads no clock, and draws from its
-// seed alone. docs/copies.md states what it promises, and under which faults.
+// Package replication decides which scheduler may run an op that must not run twice. A claim needs grants
+// from a majority of a few replicas, and the replicas record its outcome. The package is deterministic: it
+// takes an input with its time and returns messages and decisions. It does no I/O, reads no clock, and takes
+// random numbers only from its seed. docs/copies.md states its guarantees, and under which faults they hold.
 package replication
 
 import (
@@ -11,11 +11,11 @@
 	"woaddyke/internal/cluster/replicaset"
 )
 
-// seedSalt tells this package's random sequence from others with the same seed.
+// seedSalt makes the random sequence of this package differ from others with the same seed.
 const seedSalt = 0x636f70696573
 
-// Core is the replication state of one process: it claims ops for its scheduler, and grants claims and
-// stores records where its name is a replica's.
+// Core is the replication state of one process. It claims ops for its scheduler. If the process is a
+// replica, it also grants claims and stores records.
 type Core struct {
 	config  Config
 	random  *rand.Rand
@@ -49,8 +49,8 @@
 	return c
 }
 
-// Step takes an input and returns its effects, in the order in which they must be carried out. Times never
-// go back.
+// Step handles an input and returns its effects, in the order in which they must be carried out. If now is
+// before the time of an earlier step, the earlier time applies.
 func (c *Core) Step(now Time, in Input) []Effect {
 	c.now = max(now, c.now)
 	c.effects = c.effects[:0:0]
@@ -88,7 +88,7 @@
 	}
 }
 
-// handleMessage dispatches a message. The set that it names must be the one in force here.
+// handleMessage dispatches a message. A claim or catch-up message must name the replica set in force here.
 func (c *Core) handleMessage(in MessageReceived) {
 	switch in.Kind {
 	case SetInForce:
@@ -118,7 +118,7 @@
 	}
 }
 
-// handleReplicaRequest dispatches what only a replica is asked.
+// handleReplicaRequest dispatches a request to this replica.
 func (c *Core) handleReplicaRequest(in MessageReceived) {
 	switch in.Kind {
 	case ClaimRequested:
@@ -134,7 +134,7 @@
 	}
 }
 
-// handleReplicaAnswer dispatches what only a replica answers.
+// handleReplicaAnswer dispatches the answer of a replica.
 func (c *Core) handleReplicaAnswer(in MessageReceived) {
 	switch in.Kind {
 	case ClaimGranted, ClaimRefused:
@@ -150,7 +150,7 @@
 	}
 }
 
-// NextTick is when a Tick is due.
+// NextTick returns the time at which the next Tick is due.
 func (c *Core) NextTick() Time {
 	at := c.claims.nextDue(c.now + second)
 	if c.active.isReplica && c.registration.serving {
@@ -161,7 +161,7 @@
 	return max(at, c.now+1)
 }
 
-// runTimers does what is due.
+// runTimers does the periodic work that is due.
 func (c *Core) runTimers() {
 	c.retryClaims()
 	c.retryReports()
@@ -173,19 +173,19 @@
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-func (c *Core) count(what string) { c.counts[what]++ }
+func (c *Core) count(name string) { c.counts[name]++ }
 
-// send sends a message; one to this process itself is handled at once.
-func (c *Core) send(to string, x Message) {
-	x.SetID = c.active.id
+// send sends a message under the replica set in force. A message to this process itself is handled directly.
+func (c *Core) send(to string, m Message) {
+	m.SetID = c.active.id
 	if to == c.config.Name {
-		c.handleMessage(MessageReceived{to, x})
+		c.handleMessage(MessageReceived{to, m})
 		return
 	}
-	c.emit(Send{to, x})
+	c.emit(Send{to, m})
 }
 
-// dueIDs returns the request IDs of the entries that are due, in order.
+// dueIDs returns the request IDs of the entries that are due, in ascending order.
 func dueIDs[T any](entries map[uint64]T, isDue func(T) bool) (ids []uint64) {
 	for id, entry := range entries {
 		if isDue(entry) {
--- a/internal/cluster/replication/core_test.go
+++ b/internal/cluster/replication/core_test.go
@@ -6,15 +6,15 @@
 	"woaddyke/internal/cluster/replicaset"
 )
 
-// newCore makes a core with the default configuration.
-func newCore(name string, replicas ...string) *Core {
+// newTestCore returns a core with the default configuration.
+func newTestCore(name string, replicas ...string) *Core {
 	config := Defaults()
 	config.Name, config.Replicas = name, replicas
 	return New(config, 0)
 }
 
-// decision is the result of the last claim that some effects decide on; 0: of none.
-func decision(effects []Effect) (result ClaimResult) {
+// lastResult returns the result of the last claim that the effects decide, or 0 if they decide none.
+func lastResult(effects []Effect) (result ClaimResult) {
 	for _, e := range effects {
 		if decided, ok := e.(ClaimDecided); ok {
 			result = decided.Result
@@ -23,13 +23,14 @@
 	return result
 }
 
-// A replica of another set has no vote in this one, and no replica may be configured twice.
+// Grants under another replica set, or from a member that is not a replica, must not count. Invalid lists of
+// replicas must be rejected.
 func TestReplicasOfAnotherSetDoNotCount(t *testing.T) {
 	setID := func(names ...string) uint64 { return replicaset.Configured(names).ID() }
 	if setID("a", "b", "c") != setID("c", "a", "b") || setID("a", "b", "c") == setID("a", "b", "d") {
-		t.Error("a set's ID must be of its members, in any order")
+		t.Error("the ID of a set must depend on its members and not on their order")
 	}
-	c := newCore("x", "a", "b", "c")
+	c := newTestCore("x", "a", "b", "c")
 	c.Step(1, Membership{Serving: true, Generation: 1})
 	c.Step(2, ClaimRequest{RequestID: 1, Key: "k", Timeout: second})
 	claim := c.claims.pending[1]
@@ -39,14 +40,14 @@
 		c.Step(3, otherSet)
 	}
 	if c.Step(3, grantFrom(c, "stranger", Incarnation{})); len(claim.answers) > 0 {
-		t.Errorf("counted %v", claim.answers)
+		t.Errorf("answers that must not count: %v", claim.answers)
 	}
 	config := Defaults()
 	config.Name = "x"
-	for _, bad := range [][]string{nil, {"a", "b"}, {"a", "a", "b"}, {"a", "", "b"}} {
-		config.Replicas = bad
+	for _, invalid := range [][]string{nil, {"a", "b"}, {"a", "a", "b"}, {"a", "", "b"}} {
+		config.Replicas = invalid
 		if config.Validate() == nil {
-			t.Errorf("%q are taken for replicas", bad)
+			t.Errorf("the replicas %q are accepted", invalid)
 		}
 	}
 }
--- a/internal/cluster/replication/counters.go
+++ b/internal/cluster/replication/counters.go
@@ -1,14 +1,14 @@
 package replication
 
-// Names of the counters in Status. Operators and programs read them, so the texts stay. Beside them the
-// results of claims without a majority are counted, by their String.
+// Names of the counters in Status. Operators and programs read the counters, so the names must not change.
+// The results of claims without a majority are also counted, under the names that ClaimResult.String returns.
 const (
 	countGranted        = "granted"
-	countBound          = "bound to a group" // claims that were asked for again in a worker group
+	countBound          = "bound to a group" // claims that were replaced by claims bound to a worker group
 	countRecordsFetched = "pulled"
-	countRefusedPrefix  = "refused: " // with the reason
+	countRefusedPrefix  = "refused: " // followed by the reason
 
-	// Claims and reports that were given up at once.
+	// Claims and reports that were rejected without being sent.
 	countClaimsFull  = "no room to ask"
 	countNotServing  = "asked while no member"
 	countReportsFull = "no room to tell"
@@ -22,11 +22,11 @@
 	countInvalidRecord     = "garbled"
 	countStaleRegistration = "registration of an earlier process"
 
-	// Records that were not stored, or not completely.
+	// Records that were not stored, or were stored without some of their claims.
 	countLogFull       = "no room for a record"
 	countTooManyClaims = "too many claims"
 
-	// Broken promises.
+	// Conflicts that show that an invariant was violated.
 	countFingerprintConflict = "breach: two requests under one id"
 	countOutcomeConflict     = "breach: words that can't both be true"
 )
--- a/internal/cluster/replication/durability.go
+++ b/internal/cluster/replication/durability.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// durability is what is known of the place where this replica's records are persisted.
+// durability is the state of the store of this replica's records.
 type durability struct {
-	enabled bool // Persist and Delete are emitted
-	failed  bool // a write has failed since
+	enabled bool // records are persisted
+	failed  bool // a write has failed, and the state has not been reloaded since
 
-	// The incarnation under which the restored records were complete, until its vote has started; zero for a
-	// new store, or one whose records are not complete.
+	// The incarnation under which the restored records were complete. It is cleared when this replica starts
+	// voting, and zero if the store is new or its records are incomplete.
 	persistedIncarnation Incarnation
 	persistedCursors     []ReplicationCursor
 }
 
-// Restore says that records are durable from now on, and brings those that were persisted, under an
-// incarnation of this replica; a zero one for a new store. It is called before the first input.
+// Restore adds the persisted records and makes records durable from now on. The persisted incarnation is the
+// one under which the records are complete, and zero for a new store. Call Restore before the first input.
 func (c *Core) Restore(records []Record, persisted Incarnation, cursors []ReplicationCursor) {
 	c.durability.persistedIncarnation = persisted
 	if persisted != (Incarnation{}) {
 		c.durability.persistedCursors = cursors
 	}
-	c.durability.enabled = false // they are persisted already
+	c.durability.enabled = false // the records are already persisted
 	for _, r := range records {
 		if c.valid(r) && Time(r.Age) < c.config.Retention/second {
 			c.mergeRecord(r, max(c.now, 1))
@@ -32,8 +32,8 @@
 	c.durability.enabled = true
 }
 
-// handlePersistFailed gives up this replica's vote. A grant to its own claim that was not persisted does not
-// count: it would be forgotten.
+// handlePersistFailed gives up the vote of this replica. A grant to its own claim does not count if the grant
+// was not persisted, since the replica could forget it.
 func (c *Core) handlePersistFailed(in PersistFailed) {
 	c.registration.loseVote()
 	c.durability.failed = true
@@ -45,8 +45,8 @@
 	c.emit(Event{Description: "no vote: records are not durable", Warning: true})
 }
 
-// handleStateReloaded goes on with a durable store after a time without one, and persists what came to be
-// known meanwhile.
+// handleStateReloaded resumes persisting after a failure of the store, and persists all records, including
+// those that were added meanwhile.
 func (c *Core) handleStateReloaded(in StateReloaded) {
 	c.durability.failed = false
 	c.Restore(in.Records, in.Incarnation, in.Cursors)
@@ -55,8 +55,8 @@
 	}
 }
 
-// persistIncarnation states the incarnation under which the persisted records are complete; a zero one while
-// they are not.
+// persistIncarnation persists the incarnation under which the persisted records are complete. A zero
+// incarnation marks them as incomplete.
 func (c *Core) persistIncarnation(as Incarnation) {
 	if c.durability.enabled {
 		c.emit(IncarnationPersisted{as})
--- a/internal/cluster/replication/effects.go
+++ b/internal/cluster/replication/effects.go
@@ -17,13 +17,13 @@
 
 // The results.
 const (
-	Granted             ClaimResult = iota + 1 // the op may be pushed, by nobody else
-	AlreadyAnswered                            // it has ended, with a retained answer
-	AlreadyEnded                               // it has ended, and the answer was not retained
-	InProgress                                 // another claim of it may run
-	OutcomeUnknown                             // it may have run, and its process has ended
-	FingerprintMismatch                        // another request came first under this id
-	NoQuorum                                   // no majority answered in time: nothing is claimed
+	Granted             ClaimResult = iota + 1 // only this scheduler may push the op
+	AlreadyAnswered                            // the op has ended, and its answer was retained
+	AlreadyEnded                               // the op has ended, and its answer was not retained
+	InProgress                                 // the op may run under another claim
+	OutcomeUnknown                             // the op may have run, and was abandoned or its process ended
+	FingerprintMismatch                        // the key was first used by another request
+	NoQuorum                                   // no majority granted the claim in time
 )
 
 var claimResults = [...]string{
@@ -36,7 +36,7 @@
 	NoQuorum:            "unsure",
 }
 
-// String is the result as it is counted; empty for an unknown one.
+// String returns the name under which the result is counted, and "" for an unknown result.
 func (r ClaimResult) String() string {
 	if int(r) >= len(claimResults) {
 		return ""
@@ -48,8 +48,8 @@
 type ClaimDecided struct {
 	RequestID uint64
 	Result    ClaimResult
-	Outcome   Outcome       // what decided; for Granted: the claim, with the group that it is bound to
-	Reason    RefusalReason // for NoQuorum: the most specific refusal
+	Outcome   Outcome       // outcome behind the result; for Granted: the claim and any group it is bound to
+	Reason    RefusalReason // for NoQuorum: the most specific reason
 }
 
 // Event is logged for operators.
@@ -59,10 +59,10 @@
 	Warning     bool // operators should act on it
 }
 
-// Persist writes a record, before any message after it is sent.
+// Persist writes a record. The write must be complete before any later message is sent.
 type Persist struct{ Record }
 
-// PersistedKeys returns the keys of the records that some effects persist.
+// PersistedKeys returns the keys of the records that the effects persist.
 func PersistedKeys(effects []Effect) (keys []string) {
 	for _, e := range effects {
 		if p, ok := e.(Persist); ok {
@@ -75,22 +75,22 @@
 // Delete removes a persisted record.
 type Delete struct{ Key string }
 
-// IncarnationPersisted records the incarnation under which the persisted records are complete from now on;
-// a zero one: they are not complete.
+// IncarnationPersisted stores the incarnation under which the persisted records are complete from now on. A
+// zero incarnation means that they are incomplete.
 type IncarnationPersisted struct{ Incarnation }
 
-// ReplicationCursor records that all changes of another replica's incarnation, up to a position, are
-// persisted.
+// ReplicationCursor stores that all changes of an incarnation of another replica are persisted up to a
+// position.
 type ReplicationCursor struct {
 	Replica     string      `cbor:"Keeper"`
 	Incarnation Incarnation `cbor:"Of"`
 	Position    uint64      `cbor:"Since"`
 }
 
-// SetAdopted says that this process uses another replica set from now on.
+// SetAdopted states that this process uses another replica set from now on.
 type SetAdopted struct{ replicaset.Set }
 
-// ReplicasReady says that a majority of the new replicas of an epoch know what the old ones knew.
+// ReplicasReady states that a majority of the new replicas of an epoch know all that the old replicas knew.
 type ReplicasReady struct{ Epoch uint64 }
 
 func (Send) effect()                 {}
--- a/internal/cluster/replication/golden_test.go
+++ b/internal/cluster/replication/golden_test.go
@@ -6,7 +6,7 @@
 	"woaddyke/internal/testsupport/filled"
 )
 
-// Guards the JSON keys of a copy's state that tools of the operators read at /api/copies.
-func TestShownKeepsItsForm(t *testing.T) {
+// Operators' tools read the JSON keys of Status at /api/copies, so the keys must not change.
+func TestStatusKeepsItsJSONKeys(t *testing.T) {
 	filled.CompareJSON(t, "testdata/shown.json.golden", filled.Value[Status](t))
 }
--- a/internal/cluster/replication/grants.go
+++ b/internal/cluster/replication/grants.go
@@ -1,6 +1,6 @@
 package replication
 
-// handleClaimRequested grants a claim, or answers why not.
+// handleClaimRequested grants a claim, or answers with the reason for the refusal.
 func (c *Core) handleClaimRequested(in MessageReceived) {
 	if !c.valid(in.Record) || len(in.Record.Outcomes) != 1 {
 		return
@@ -11,8 +11,8 @@
 		c.refuse(in, reason, r)
 		return
 	}
-	if r != nil && !r.protects() {
-		r.Fingerprint = in.Record.Fingerprint // nothing of what came before ran
+	if r != nil && !r.hasUnreleasedClaim() {
+		r.Fingerprint = in.Record.Fingerprint // all former claims were released, so nothing ran
 		c.records.updateDigest(r)
 	}
 	granted := in.Record
@@ -33,8 +33,8 @@
 	})
 }
 
-// refusalReason is why this replica does not grant a claim, 0 where it does. Beside the record that is known
-// here, nil for none, it takes the request's record and its one outcome.
+// refusalReason returns why this replica does not grant a claim, or 0 if it does. The parameter known is the
+// stored record, or nil if there is none. The parameter requested is the only outcome of the request.
 func (c *Core) refusalReason(known, request *Record, requested *Outcome) RefusalReason {
 	switch {
 	case !c.registration.voting:
@@ -44,11 +44,11 @@
 	case known == nil:
 		return 0
 	}
-	if _, ended := known.ending(); ended {
+	if _, ended := known.endedOutcome(); ended {
 		return AlreadyClaimed
 	}
-	_, stands := known.standing(requested.Claim)
-	if stands && !known.standsOnlyIn(requested.Claim, requested.Group) {
+	_, otherUnresolved := known.findUnresolved(requested.Claim)
+	if otherUnresolved && !known.unresolvedOnlyIn(requested.Claim, requested.Group) {
 		return AlreadyClaimed
 	}
 	i, claimed := known.find(requested.Claim)
@@ -61,7 +61,8 @@
 	return 0
 }
 
-// refuse answers why a claim is not granted, with the record that forbids it.
+// refuse answers with the reason why a claim is not granted. For AlreadyClaimed, the answer contains the
+// record that forbids the claim.
 func (c *Core) refuse(in MessageReceived, reason RefusalReason, known *Record) {
 	c.count(countRefusedPrefix + reason.String())
 	answer := Message{
@@ -82,9 +83,9 @@
 		return
 	}
 	agesTrueAt := Time(0)
-	if c.echoesOwnGrant(in.Message) {
-		// The op can only have run after this process granted it: that bounds its age, however long the
-		// report was on its way.
+	if c.hasOwnGrantTime(in.Message) {
+		// The op can only have run after this process granted the claim. The time of the grant bounds the
+		// age, however long the report took to arrive.
 		agesTrueAt = Time(in.After) + 1
 		in.Record.Outcomes[0].Age = 1
 	}
@@ -96,8 +97,8 @@
 	})
 }
 
-// echoesOwnGrant reports whether a report carries the moment at which this incarnation granted the claim.
-func (c *Core) echoesOwnGrant(x Message) bool {
-	return x.LogIncarnation == c.registration.incarnation &&
-		x.After > 0 && Time(x.After) <= c.now && len(x.Record.Outcomes) == 1
+// hasOwnGrantTime reports whether a report contains the time at which this incarnation granted the claim.
+func (c *Core) hasOwnGrantTime(m Message) bool {
+	return m.LogIncarnation == c.registration.incarnation &&
+		m.After > 0 && Time(m.After) <= c.now && len(m.Record.Outcomes) == 1
 }
--- a/internal/cluster/replication/inputs.go
+++ b/internal/cluster/replication/inputs.go
@@ -2,78 +2,80 @@
 
 import "woaddyke/internal/cluster/replicaset"
 
-// Input is one of MessageReceived, Tick, ClaimRequest, MayHaveRun, OpEnded, Membership, PeerStatus, PeerProcess,
-// ProcessEnded, AdoptSet, PersistFailed and StateReloaded.
+// Input is one of MessageReceived, Tick, ClaimRequest, MayHaveRun, OpEnded, Membership, PeerStatus,
+// PeerProcess, ProcessEnded, AdoptSet, PersistFailed and StateReloaded.
 type Input interface{ input() }
 
-// MessageReceived is a message of another member, or of this process itself.
+// MessageReceived is a message from another member, or from this process itself.
 type MessageReceived struct {
 	From string
 	Message
 }
 
-// Tick says that the moment of NextTick has come.
+// Tick states that the time returned by NextTick has been reached.
 type Tick struct{}
 
 // ClaimRequest asks whether an op may be pushed.
 type ClaimRequest struct {
-	RequestID   uint64 // the caller's own, never used twice, below boundClaimFlag
+	RequestID   uint64 // chosen by the caller, never used twice, less than boundClaimFlag
 	Key         string
-	Fingerprint uint64 // of the request
+	Fingerprint uint64 // request fingerprint
 	Timeout     Time   // for the decision
-	Window      Time   // for which a worker group drops repeats of the op after its first push; 0: for none
+	Window      Time   // time after the first push for which a worker group drops repeats of the op; 0: none
 }
 
-// MayHaveRun says that a granted op may have run in a worker group that drops repeats. It is said of the
-// first push that is not proved to have run nowhere, once that cannot be proved any more.
+// MayHaveRun states that a granted op may have run in a worker group that drops repeats. The input refers to
+// the first push for which it can no longer be proved that nothing ran.
 type MayHaveRun struct {
 	RequestID uint64
 	Group     string
 }
 
-// OpEnded says how a granted op ended.
+// OpEnded states how a granted op ended.
 type OpEnded struct {
 	RequestID      uint64
-	NeverRan       bool // it is proved that nothing ran: the id may be claimed again
-	Abandoned      bool // it is pushed no more and may have run, without an answer: its group may repeat it
+	NeverRan       bool // it is proved that the op did not run: its key may be claimed again
+	Abandoned      bool // the op may have run, has no answer and is not pushed again: its group may repeat it
 	Verdict        uint16
 	Result         []byte
 	ResultRetained bool
 }
 
-// Membership says whether this process is a member, and as which incarnation.
+// Membership states whether this process is a member, and as which incarnation.
 type Membership struct {
 	Serving    bool
 	Generation uint64
-	Nonce      uint64 // tells incarnations of one generation apart, in the members' order; 0: Config.Nonce
+	Nonce      uint64 // distinguishes incarnations of one generation, in the members' order; 0: Config.Nonce
 }
 
-// PeerStatus says whether another scheduler is dead. It changes what a client is answered, and nothing else.
+// PeerStatus states whether another scheduler is dead. Replicas grant claims regardless of it. The status
+// affects only the answers to clients, the binding of claims to worker groups, and which members are sent
+// reports and replica sets.
 type PeerStatus struct {
 	Name string
 	Dead bool
 }
 
-// PeerProcess says as which process the members know another scheduler.
+// PeerProcess states as which process the members know another scheduler.
 type PeerProcess struct {
 	Name    string
 	Process Incarnation
 }
 
-// ProcessEnded says that another process of this scheduler has ended: the predecessor in a hot restart, or a
-// successor that failed.
+// ProcessEnded states that another process of this scheduler has ended: the predecessor in a hot restart, or
+// a successor that failed.
 type ProcessEnded struct{ Process Incarnation }
 
-// AdoptSet says that a replica set has been agreed.
+// AdoptSet states that a replica set has been agreed on.
 type AdoptSet struct{ replicaset.Set }
 
-// PersistFailed says that records are not durable any more: this replica has no vote from now on.
+// PersistFailed states that records are no longer durable: this replica has no vote from now on.
 type PersistFailed struct {
-	Keys []string // of records that were to be persisted and were not
+	Keys []string // keys of the records that were not persisted
 }
 
-// StateReloaded says that records are durable again after PersistFailed, and brings those that are persisted
-// by now, as Restore does.
+// StateReloaded states that records are durable again after PersistFailed. It contains the persisted records,
+// as the arguments of Restore do.
 type StateReloaded struct {
 	Records     []Record
 	Incarnation Incarnation
--- a/internal/cluster/replication/outcome_reports.go
+++ b/internal/cluster/replication/outcome_reports.go
@@ -4,32 +4,32 @@
 
 // outcomeReport is an outcome that is being reported to the replicas.
 type outcomeReport struct {
-	requestID    uint64 // on the wire
+	requestID    uint64 // as on the wire
 	record       Record
 	acknowledged map[string]bool
-	grants       map[string]claimAnswer // in a report of the worker group: those before the op ran
+	grants       map[string]claimAnswer // in a report of the worker group: the grants before the op ran
 	attempts     int
 	nextRetry    Time
 }
 
-// message is the report as it is sent to a replica. The moment of its own grant goes back to it: the op did
-// not run before.
+// message returns the report for a replica. It contains the time at which that replica granted the claim,
+// since the op did not run before that time.
 func (r *outcomeReport) message(to string) Message {
-	x := Message{Kind: OutcomeReported, RequestID: r.requestID, Record: r.record}
+	m := Message{Kind: OutcomeReported, RequestID: r.requestID, Record: r.record}
 	if grant := r.grants[to]; grant.granted {
-		x.LogIncarnation, x.After = grant.incarnation, grant.grantedAt
+		m.LogIncarnation, m.After = grant.incarnation, grant.grantedAt
 	}
-	return x
+	return m
 }
 
-// handleMayHaveRun reports in which worker group a granted op may have run. Nothing waits for that: without
-// it nobody goes on with the op.
+// handleMayHaveRun reports in which worker group a granted op may have run. Nothing waits for the report:
+// until it arrives, no other scheduler may repeat the op.
 func (c *Core) handleMayHaveRun(in MayHaveRun) {
 	claim := c.claims.granted[in.RequestID]
 	if claim == nil || claim.group != "" || in.Group == "" {
 		return
 	}
-	claim.group, claim.firstRun = in.Group, c.now
+	claim.group, claim.notRunBefore = in.Group, c.now
 	c.report(&outcomeReport{
 		requestID:    in.RequestID | groupReportFlag,
 		record:       claim.record(claim.outcome(Claimed, c.now)),
@@ -38,7 +38,7 @@
 	})
 }
 
-// handleOpEnded reports what became of a granted op.
+// handleOpEnded reports how a granted op ended.
 func (c *Core) handleOpEnded(in OpEnded) {
 	claim := c.claims.granted[in.RequestID]
 	if claim == nil {
@@ -66,35 +66,36 @@
 	})
 }
 
-// releaseClaim reports that a claim is not used, to all replicas that may have recorded it.
+// releaseClaim reports the release of a claim to all replicas that may have recorded the claim.
 func (c *Core) releaseClaim(claim *activeClaim, requestID uint64) {
-	nothingToRelease := map[string]bool{}
+	acknowledged := map[string]bool{}
 	for _, name := range c.active.members {
 		if claim.certainlyUnknownTo(name) {
-			nothingToRelease[name] = true
+			acknowledged[name] = true
 		}
 	}
 	c.report(&outcomeReport{
 		requestID:    requestID,
 		record:       claim.record(Outcome{Claim: claim.claim, Stage: Released}),
-		acknowledged: nothingToRelease,
+		acknowledged: acknowledged,
 	})
 }
 
-// report begins to report an outcome to the replicas that have not acknowledged it.
+// report starts reporting an outcome to the replicas that have not acknowledged it.
 func (c *Core) report(r *outcomeReport) {
 	if c.allAcknowledged(r) {
 		return
 	}
 	if len(c.claims.reports) >= maxPendingClaims {
-		c.count(countReportsFull) // the claim stands on: nobody pushes what may have run
+		c.count(countReportsFull) // safe: the claim stays unresolved, and no other scheduler pushes the op
 		return
 	}
 	c.claims.reports[r.requestID] = r
 	c.sendReport(r)
 }
 
-// sendReport sends a report to the replicas that have not acknowledged it, and ends it once that is enough.
+// sendReport sends a report to the replicas that have not acknowledged it, and removes the report once it is
+// done.
 func (c *Core) sendReport(r *outcomeReport) {
 	r.attempts++
 	r.nextRetry = c.now + c.config.RetryInterval*Time(min(r.attempts, 10))
@@ -108,7 +109,8 @@
 	}
 }
 
-// reportDone reports whether a report need not be sent again: the replicas that lack it pull it from others.
+// reportDone reports whether a report need not be sent again. Replicas that have not received it pull the
+// outcome from others.
 func (c *Core) reportDone(r *outcomeReport) bool {
 	if c.allAcknowledged(r) || r.attempts >= 4*maxReportAttempts {
 		return true
@@ -122,7 +124,7 @@
 	return replicaset.Count(members, func(name string) bool { return r.acknowledged[name] }) == len(members)
 }
 
-// retryReports sends the reports that are due again.
+// retryReports resends the reports that are due.
 func (c *Core) retryReports() {
 	isDue := func(r *outcomeReport) bool { return c.now >= r.nextRetry }
 	for _, id := range dueIDs(c.claims.reports, isDue) {
@@ -132,7 +134,7 @@
 	}
 }
 
-// handleOutcomeKnown records a replica's acknowledgement.
+// handleOutcomeKnown records the acknowledgement of a replica.
 func (c *Core) handleOutcomeKnown(in MessageReceived) {
 	r := c.claims.reports[in.RequestID]
 	if r == nil {
--- a/internal/cluster/replication/process.go
+++ b/internal/cluster/replication/process.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	processBytes = 16 // of an encoded process
-	// maxEndedProcesses is how many processes are remembered as ended beside the one that runs, by name.
+	processBytes = 16 // size of an encoded process
+	// maxEndedProcesses is the maximum number of ended processes that are remembered for each scheduler name.
 	maxEndedProcesses = 16
 )
 
-// encodeProcess returns a process as a claim states it: generation and nonce, in big-endian order.
+// encodeProcess returns a process as a claim states it: generation and nonce, in big-endian byte order.
 func encodeProcess(p Incarnation) []byte {
 	if p == (Incarnation{}) {
 		return nil
 	}
-	text := binary.BigEndian.AppendUint64(make([]byte, 0, processBytes), p.Generation)
-	return binary.BigEndian.AppendUint64(text, p.Nonce)
+	encoded := binary.BigEndian.AppendUint64(make([]byte, 0, processBytes), p.Generation)
+	return binary.BigEndian.AppendUint64(encoded, p.Nonce)
 }
 
-// process is the process that made the claim; zero where the claim does not state it, as claims of builds
-// that know no processes do not.
+// process returns the process that made the claim. It is zero if the claim does not state its process, as in
+// claims of older builds.
 //
-// It stands in the field of the result, which a claim without an end does not have. Those builds reject a
-// message with a field that they do not know, and retain and relay this one.
+// The process is encoded in the Result field, which is unused until the claim has ended. Older builds reject
+// a message with an unknown field, but store and relay the Result field.
 func (o *Outcome) process() Incarnation {
 	if o.Stage != Claimed || o.ResultRetained || len(o.Result) != processBytes {
 		return Incarnation{}
@@ -35,21 +35,21 @@
 	}
 }
 
-// processes is what is known of the processes under one name.
-type processes struct {
-	newest Incarnation // that the members know
+// schedulerProcesses records the known processes of one scheduler name.
+type schedulerProcesses struct {
+	newest Incarnation // the newest process that the members know
 	ended  []Incarnation
 }
 
-// learn takes the incarnation that the members know under the name.
-func (p *processes) learn(newest Incarnation) {
+// learn records the incarnation that the members know for the name, if it is newer than the recorded one.
+func (p *schedulerProcesses) learn(newest Incarnation) {
 	if newest.compare(p.newest) > 0 {
 		p.newest = newest
 	}
 }
 
-// markEnded records that one process has ended.
-func (p *processes) markEnded(process Incarnation) {
+// markEnded records that a process has ended.
+func (p *schedulerProcesses) markEnded(process Incarnation) {
 	if process == (Incarnation{}) || slices.Contains(p.ended, process) {
 		return
 	}
@@ -59,10 +59,10 @@
 	}
 }
 
-// hasEnded reports whether a process runs no more. A predecessor and its successor in a hot restart share a
-// nonce, and the predecessor may still run: its end has to be reported. An earlier process with another
-// nonce has ended, or was replaced.
-func (p *processes) hasEnded(process Incarnation) bool {
+// hasEnded reports whether a process no longer runs. A predecessor and its successor in a hot restart have
+// the same nonce, and the predecessor may still run, so its end must be reported. An earlier process with
+// another nonce has ended or was replaced.
+func (p *schedulerProcesses) hasEnded(process Incarnation) bool {
 	if process == (Incarnation{}) {
 		return false
 	}
@@ -72,7 +72,7 @@
 	return process.Nonce != p.newest.Nonce && process.compare(p.newest) < 0
 }
 
-// claimerEnded reports whether the process that made a claim runs no more.
+// claimerEnded reports whether the process that made a claim no longer runs.
 func (v *memberView) claimerEnded(o *Outcome) bool {
 	if v.dead[o.Scheduler] {
 		return true
@@ -81,15 +81,15 @@
 	return known != nil && known.hasEnded(o.process())
 }
 
-// processesOf returns what is known of the processes under a name, to be changed; nil where too many names
-// are known.
-func (v *memberView) processesOf(name string) *processes {
+// processesOf returns the entry for the processes of a scheduler name, and adds one if there is none. It
+// returns nil if the table is full.
+func (v *memberView) processesOf(name string) *schedulerProcesses {
 	known := v.processes[name]
 	if known == nil {
 		if len(v.processes) >= maxAliveMembers {
 			return nil
 		}
-		known = &processes{}
+		known = &schedulerProcesses{}
 		v.processes[name] = known
 	}
 	return known
@@ -127,7 +127,7 @@
 	}
 }
 
-// gossipEndedProcesses repeats the report to a random member, for one that missed it.
+// gossipEndedProcesses periodically repeats the report to a random member, in case that member missed it.
 func (c *Core) gossipEndedProcesses() {
 	own := c.members.processes[c.config.Name]
 	if own == nil || len(own.ended) == 0 || c.now < c.members.nextProcessGossip || len(c.members.alive) == 0 {
--- a/internal/cluster/replication/record.go
+++ b/internal/cluster/replication/record.go
@@ -10,25 +10,24 @@
 	"woaddyke/internal/cluster/membership"
 )
 
-// Time is a moment in tenths of a millisecond on a clock that only goes forward.
+// Time is a point on a monotonic clock, in tenths of a millisecond.
 type Time = membership.Time
 
-// Stage is how far a claim has come. A later stage replaces an earlier one. The numbers are fixed by the
-// wire.
+// Stage is the progress of a claim. A later stage replaces an earlier one. The wire format fixes the numbers.
 type Stage uint8
 
-// The stages. A claim stands in the stages Claimed and Abandoned: nobody else takes it for never pushed,
-// however long its scheduler has been silent.
+// The stages. A claim is unresolved in the stages Claimed and Abandoned: other schedulers must assume that
+// the op may have run, however long the claim's scheduler has been silent.
 const (
-	Claimed   Stage = iota + 1 // its scheduler may push, and may have pushed
-	Released                   // its scheduler pushes no more, and has proved that nothing ran
-	Abandoned                  // its scheduler pushes no more, and what it pushed may have run
-	Ended                      // the op has its answer
+	Claimed   Stage = iota + 1 // the scheduler may push the op, and may have pushed it
+	Released                   // the scheduler does not push the op, and has proved that it did not run
+	Abandoned                  // the scheduler no longer pushes the op, and the op may have run
+	Ended                      // the op has an answer
 )
 
 var stages = [...]string{Claimed: "claimed", Released: "released", Abandoned: "given up", Ended: "ended"}
 
-// String is the stage as operators see it; empty for an unknown one.
+// String returns the stage as operators see it, and "" for an unknown stage.
 func (s Stage) String() string {
 	if int(s) >= len(stages) {
 		return ""
@@ -36,45 +35,46 @@
 	return stages[s]
 }
 
-// Claim is one scheduler's claim of one op. It is embedded in Outcome, so their CBOR keys are distinct.
+// Claim identifies one claim of an op by a scheduler. Claim is embedded in Outcome, so the CBOR keys of both
+// types are distinct.
 type Claim struct {
 	Scheduler string `cbor:"6,keyasint,omitzero"`
-	Nonce     uint64 `cbor:"7,keyasint,omitzero"` // of this claim alone
+	Nonce     uint64 `cbor:"7,keyasint,omitzero"` // unique to this claim
 }
 
 func compareClaims(a, b Claim) int {
 	return cmp.Or(cmp.Compare(a.Scheduler, b.Scheduler), cmp.Compare(a.Nonce, b.Nonce))
 }
 
-// Outcome is what is known of one claim.
+// Outcome is the known state of one claim.
 type Outcome struct {
 	Claim
 	Stage          Stage  `cbor:"1,keyasint,omitzero"`
 	Verdict        uint16 `cbor:"2,keyasint,omitzero"` // Ended: the HTTP status of the answer
-	Result         []byte `cbor:"3,keyasint,omitzero"` // Ended: the answer, nil where it was not retained; Claimed: see process
+	Result         []byte `cbor:"3,keyasint,omitzero"` // Ended: the answer, if retained; Claimed: see process
 	ResultRetained bool   `cbor:"4,keyasint,omitzero"` // Result is the complete answer
 	Voted          bool   `cbor:"5,keyasint,omitzero"` // this replica has granted the claim
-	Group          string `cbor:"8,keyasint,omitzero"` // in which it may have run; empty: unknown
-	Age            uint64 `cbor:"9,keyasint,omitzero"` // on the wire: tenths of a ms since notBefore
+	Group          string `cbor:"8,keyasint,omitzero"` // group in which the op may have run; "": unknown
+	Age            uint64 `cbor:"9,keyasint,omitzero"` // on the wire: tenths of a ms since notRunBefore
 
-	notBefore Time // the op did not run before, since the claim was not granted; 0: unknown
+	notRunBefore Time // the op did not run before this time, as the claim was not granted yet; 0: unknown
 }
 
-// conflictingGroups stands for the group of a claim for which two groups were reported.
+// conflictingGroups replaces the group of a claim for which two groups were reported.
 const conflictingGroups = "\x00"
 
-// valid reports whether an outcome from elsewhere is within bounds.
+// valid reports whether an outcome from a message or the store is within the limits.
 func (o *Outcome) valid() bool {
 	return o.Stage >= Claimed && o.Stage <= Ended &&
 		o.Scheduler != "" && len(o.Scheduler) <= maxNameBytes &&
 		len(o.Group) <= maxNameBytes
 }
 
-// stands reports whether the op may have run under the claim, or may run yet, and has no answer.
-func (o *Outcome) stands() bool { return o.Stage == Claimed || o.Stage == Abandoned }
+// unresolved reports whether the op may have run, or may still run, under the claim and has no answer.
+func (o *Outcome) unresolved() bool { return o.Stage == Claimed || o.Stage == Abandoned }
 
-// joinOutcomes merges two outcomes of one claim. Where both can't be true it reports a conflict, and keeps
-// the one under which nothing is pushed.
+// joinOutcomes merges two outcomes of one claim. If the outcomes contradict each other, it reports a conflict
+// and uses the outcome with the later stage. In that stage, the op is not pushed.
 func joinOutcomes(a, b Outcome) (joined Outcome, conflict bool) {
 	conflict = stagesConflict(a, b)
 	joined = a
@@ -82,21 +82,21 @@
 		joined = b
 	}
 	joined.Voted = a.Voted || b.Voted
-	joined.notBefore = max(a.notBefore, b.notBefore)
+	joined.notRunBefore = max(a.notRunBefore, b.notRunBefore)
 	joined.Age = min(a.Age, b.Age)
 	if joined.Age == 0 {
 		joined.Age = max(a.Age, b.Age)
 	}
 	joined.Group = max(a.Group, b.Group)
 	if a.Group != "" && b.Group != "" && a.Group != b.Group {
-		// The first push fixes the group. Of two reports nobody may rely on either.
+		// The first push determines the group. If two groups are reported, neither can be trusted.
 		joined.Group, conflict = conflictingGroups, true
 	}
 	return joined, conflict
 }
 
-// stagesConflict reports whether one outcome says that nothing ran and the other that something may have, or
-// whether both name an end with another status.
+// stagesConflict reports whether two outcomes of one claim contradict each other. They do if one states that
+// the op did not run and the other that it may have run, or if both have ended with different HTTP statuses.
 func stagesConflict(a, b Outcome) bool {
 	if a.Stage == Ended && b.Stage == Ended {
 		return a.Verdict != b.Verdict
@@ -118,25 +118,26 @@
 	return -1
 }
 
-// Record is all that is known of one op: the outcome of every claim of it that anybody has heard of.
+// Record is the known state of one op: the outcomes of all its known claims.
 type Record struct {
 	Key         string    `cbor:"1,keyasint,omitzero"`
-	Fingerprint uint64    `cbor:"2,keyasint,omitzero"` // of the request that came first under this id
-	Age         uint64    `cbor:"3,keyasint,omitzero"` // on the wire: seconds since it was first seen
-	Outcomes    []Outcome `cbor:"4,keyasint,omitzero"` // in the order of their claims
+	Fingerprint uint64    `cbor:"2,keyasint,omitzero"` // fingerprint of the first request with this key
+	Age         uint64    `cbor:"3,keyasint,omitzero"` // on the wire: seconds since the record was first seen
+	Outcomes    []Outcome `cbor:"4,keyasint,omitzero"` // sorted by claim
 
 	firstSeen Time
-	position  uint64 // of its latest change
-	digestSum uint64 // its digest, as it is part of the log's
+	position  uint64 // position of the latest change in the log
+	digestSum uint64 // the digest that is included in the digest of the log
 }
 
-// find returns the index of a claim's outcome, or where it would be inserted.
+// find returns the index of a claim's outcome, or the index at which it would be inserted.
 func (r *Record) find(c Claim) (index int, found bool) {
 	compare := func(o Outcome, c Claim) int { return compareClaims(o.Claim, c) }
 	return slices.BinarySearchFunc(r.Outcomes, c, compare)
 }
 
-// join merges an outcome, and reports whether that changed what other replicas must learn.
+// join merges an outcome into the record. It reports whether the record changed in a way that other replicas
+// must learn, and whether the outcome conflicts with the known one.
 func (r *Record) join(o Outcome) (changed, conflict bool) {
 	i, known := r.find(o.Claim)
 	if !known {
@@ -151,29 +152,29 @@
 	return changed, conflict
 }
 
-// standing returns the first outcome of another claim that stands; false where there is none.
-func (r *Record) standing(except Claim) (Outcome, bool) {
+// findUnresolved returns the first unresolved outcome of another claim, and false if there is none.
+func (r *Record) findUnresolved(except Claim) (Outcome, bool) {
 	for _, o := range r.Outcomes {
-		if o.stands() && o.Claim != except {
+		if o.unresolved() && o.Claim != except {
 			return o, true
 		}
 	}
 	return Outcome{}, false
 }
 
-// standsOnlyIn reports whether all other claims that stand may have run in one worker group alone: that group
-// drops a repeat.
-func (r *Record) standsOnlyIn(except Claim, group string) bool {
+// unresolvedOnlyIn reports whether all other unresolved claims may have run only in one worker group. That
+// group drops a repeat.
+func (r *Record) unresolvedOnlyIn(except Claim, group string) bool {
 	for _, o := range r.Outcomes {
-		if o.stands() && o.Claim != except && o.Group != group {
+		if o.unresolved() && o.Claim != except && o.Group != group {
 			return false
 		}
 	}
 	return group != "" && group != conflictingGroups
 }
 
-// ending returns the end of the op, of several one with a result.
-func (r *Record) ending() (end Outcome, ended bool) {
+// endedOutcome returns the outcome of a claim that has ended, preferably one whose result was retained.
+func (r *Record) endedOutcome() (end Outcome, ended bool) {
 	for _, o := range r.Outcomes {
 		if o.Stage == Ended && (!ended || o.ResultRetained && !end.ResultRetained) {
 			end, ended = o, true
@@ -182,18 +183,19 @@
 	return end, ended
 }
 
-// protects reports whether the op could run twice if the record were forgotten.
-func (r *Record) protects() bool {
+// hasUnreleasedClaim reports whether a claim was not released. If such a record were forgotten, the op could
+// run twice.
+func (r *Record) hasUnreleasedClaim() bool {
 	return slices.ContainsFunc(r.Outcomes, func(o Outcome) bool { return o.Stage != Released })
 }
 
-// Estimated bytes of a record and of an outcome beside their strings.
+// Estimated sizes of a record and of an outcome without their strings.
 const (
 	recordOverheadBytes  = 64
 	outcomeOverheadBytes = 48
 )
 
-// size estimates the record's bytes, in memory and in a message.
+// size estimates the size of the record in bytes, in memory and in a message.
 func (r *Record) size() int {
 	n := len(r.Key) + recordOverheadBytes
 	for _, o := range r.Outcomes {
@@ -202,7 +204,7 @@
 	return n
 }
 
-// digest is the record's part in the digest of all records, which are joined by exclusive or.
+// digest returns the digest of the record. The digest of the log is the exclusive or of all record digests.
 func (r *Record) digest() (sum uint64) {
 	buffer := make([]byte, 0, 128)
 	for _, o := range r.Outcomes {
@@ -222,8 +224,8 @@
 	return sum
 }
 
-// Join merges two copies of a record, and reports whether they conflict. It is commutative, associative and
-// idempotent.
+// Join merges two versions of a record, and reports whether they conflict. The merge is commutative,
+// associative and idempotent.
 func Join(a, b Record) (joined Record, conflict bool) {
 	joined = Record{
 		Key:         a.Key,
--- a/internal/cluster/replication/record_log.go
+++ b/internal/cluster/replication/record_log.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// recordLog holds the records, in the order in which they last changed. Positions in that order count from
-// 1 and are never reused by one incarnation.
+// recordLog contains the records in the order of their latest changes. Positions in that order start at 1,
+// and an incarnation never reuses a position.
 type recordLog struct {
 	maxRecords int
 	maxBytes   int
 
 	byKey    map[string]*Record
 	byDigest map[uint64]*Record
-	bytes    int    // of all records, by estimate
-	digest   uint64 // of all records, kept up to date as they change: reading it must not hold up ops
+	bytes    int    // estimated size of all records
+	digest   uint64 // of all records; updated with each change, since computing it when read would delay ops
 
-	changes       []*Record // by position; nil where a record has changed again
-	firstPosition uint64    // of changes[0]
-	position      uint64    // of the latest change
+	changes       []*Record // by position; nil if the record has changed again or was removed
+	firstPosition uint64    // position of changes[0]
+	position      uint64    // position of the latest change
 
-	bySecond     map[Time][]*Record // by the second in which they were first seen
+	bySecond     map[Time][]*Record // by the second in which the records were first seen
 	oldestSecond Time
 }
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// full reports whether nothing more may be learned.
+// full reports whether no record may be added.
 func (l *recordLog) full() bool {
 	return len(l.byKey) >= l.maxRecords || l.bytes >= l.maxBytes
 }
@@ -43,7 +43,7 @@
 	return len(l.byKey) < l.maxRecords && l.bytes+r.size() <= l.maxBytes
 }
 
-// add makes a record without outcomes. The caller adds them and calls update.
+// add adds a record without outcomes. The caller adds the outcomes and calls update.
 func (l *recordLog) add(key string, fingerprint uint64, firstSeen Time) *Record {
 	r := &Record{Key: key, Fingerprint: fingerprint, firstSeen: firstSeen}
 	l.byKey[key] = r
@@ -53,7 +53,7 @@
 	return r
 }
 
-// update brings size and digests up to date after a record of a former size has changed.
+// update updates the size and the digests of the log after a record has changed.
 func (l *recordLog) update(r *Record, sizeBefore int) {
 	l.bytes += r.size() - sizeBefore
 	l.updateDigest(r)
@@ -87,8 +87,8 @@
 	l.firstPosition += uint64(holes)
 }
 
-// changedAfter returns the digests of up to limit records that have changed after a position, the position
-// of the last one looked at, and whether there are more.
+// changedAfter returns the digests of up to limit records that changed after a position, the last position
+// that was examined, and whether there are later positions.
 func (l *recordLog) changedAfter(position uint64, limit int) (digests []uint64, last uint64, more bool) {
 	at := max(position+1, l.firstPosition)
 	end := l.firstPosition + uint64(len(l.changes))
@@ -100,14 +100,14 @@
 	return digests, at - 1, at < end
 }
 
-// missing removes from some digests those of records that are known here, in place.
+// missing returns the digests of records that are not in the log. It modifies the argument.
 func (l *recordLog) missing(digests []uint64) []uint64 {
 	return slices.DeleteFunc(digests, func(digest uint64) bool { return l.byDigest[digest] != nil })
 }
 
-// expire removes the records whose retention is over, and returns their keys in the order in which they were
-// first seen, by whole seconds. Ages are exchanged in whole seconds; an exact order would cost a sort of all
-// records that came at once.
+// expire removes the records whose retention has ended. It returns their keys, ordered by the second in which
+// the records were first seen. Ages are exchanged in whole seconds. A more precise order would require
+// sorting all records of a second.
 func (l *recordLog) expire(now, retention Time) (keys []string) {
 	for ; (l.oldestSecond+1)*second+retention <= now; l.oldestSecond++ {
 		for _, r := range l.bySecond[l.oldestSecond] {
@@ -126,8 +126,8 @@
 	l.changes[r.position-l.firstPosition] = nil
 }
 
-// page returns up to limit records in the order of their keys, after a key. It sorts no more than it
-// returns: ops wait meanwhile.
+// page returns up to limit records after a key, sorted by key. It sorts only the keys that it returns, since
+// ops wait during the call.
 func (l *recordLog) page(after string, limit int) (page []Record) {
 	keys := make([]string, 0, limit+1)
 	for key := range l.byKey {
@@ -144,7 +144,7 @@
 	return page
 }
 
-// secondOf is the whole second that a moment is in.
+// secondOf returns a time in whole seconds, rounded down.
 func secondOf(t Time) Time {
 	if t < 0 {
 		t -= second - 1
--- a/internal/cluster/replication/record_log_test.go
+++ b/internal/cluster/replication/record_log_test.go
@@ -9,15 +9,17 @@
 	"pgregory.net/rapid"
 )
 
-// endedRecord is a record of an op that has ended.
+// endedRecord returns the record of an op that has ended.
 func endedRecord(key string) Record {
 	return Record{Key: key, Fingerprint: 1, Outcomes: []Outcome{{Claim: Claim{"x", 1}, Stage: Ended}}}
 }
 
-// Whatever is merged and expires, the log's size, digest and order of changes are those of its records.
-func TestTheLogFitsItsRecords(t *testing.T) {
+// The size, the digests and the changes of the log must match its records after any sequence of merges and
+// expirations. Otherwise replicas with equal records would appear to differ, or the size limit would be
+// wrong.
+func TestTheLogTotalsMatchItsRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := newCore("a", "a", "b", "c")
+		c := newTestCore("a", "a", "b", "c")
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			c.now += rapid.SampledFrom([]Time{0, ms, second, 300 * second}).Draw(t, "passed")
 			r := drawRecord(t, "record")
@@ -38,7 +40,7 @@
 		bytes += r.size()
 		digest ^= r.digest()
 		if l.byDigest[r.digest()] == nil {
-			t.Errorf("%s is not known by its digest", r.Key)
+			t.Errorf("record %s is not found by its digest", r.Key)
 		}
 	}
 	if l.bytes != bytes || l.digest != digest || len(l.byDigest) > len(l.byKey) {
@@ -53,11 +55,12 @@
 	}
 }
 
-// A replica that goes on from a position gets each change after it once, in pages.
+// A replica that continues from a position gets the latest change of each record after that position once, in
+// pages.
 func TestChangesComeInPages(t *testing.T) {
-	c := newCore("a", "a")
-	for n := range 10 {
-		c.mergeRecord(endedRecord(fmt.Sprint(n)), 0)
+	c := newTestCore("a", "a")
+	for i := range 10 {
+		c.mergeRecord(endedRecord(fmt.Sprint(i)), 0)
 	}
 	pages := 0
 	var all []uint64
@@ -68,16 +71,17 @@
 	}
 	slices.Sort(all)
 	if len(slices.Compact(all)) != 7 || pages != 3 {
-		t.Errorf("%d changes in %d pages", len(all), pages)
+		t.Errorf("%d changes in %d pages, want 7 in 3", len(all), pages)
 	}
 }
 
-// A record is kept for its retention from when it was first seen anywhere, and not a second less.
+// A record is retained for the whole retention after it was first seen by any replica. If it expired earlier,
+// the op could run twice.
 func TestRecordsExpireByTheirAge(t *testing.T) {
-	c := newCore("a", "a")
-	old := endedRecord("old")
-	old.Age = uint64(c.config.Retention/second) - 10
-	c.mergeRecord(old, 0)
+	c := newTestCore("a", "a")
+	oldRecord := endedRecord("old")
+	oldRecord.Age = uint64(c.config.Retention/second) - 10
+	c.mergeRecord(oldRecord, 0)
 	c.mergeRecord(endedRecord("new"), 0)
 	for _, x := range []struct {
 		at   Time
@@ -91,16 +95,16 @@
 		c.now = x.at
 		c.expireRecords()
 		if got := slices.Sorted(maps.Keys(c.records.byKey)); !slices.Equal(got, x.keys) {
-			t.Errorf("after %d s: %q, want %q", x.at/second, got, x.keys)
+			t.Errorf("after %d s the log contains %q, want %q", x.at/second, got, x.keys)
 		}
 	}
 }
 
-// Pages show each record once and in order, however many there are.
-func TestPagesShowAll(t *testing.T) {
-	c := newCore("a", "a")
-	for n := range 100 {
-		c.mergeRecord(endedRecord(fmt.Sprintf("%03d", n*37%100)), 0)
+// Consecutive pages contain each record once, sorted by key.
+func TestPagesReturnEachRecordOnceInOrder(t *testing.T) {
+	c := newTestCore("a", "a")
+	for i := range 100 {
+		c.mergeRecord(endedRecord(fmt.Sprintf("%03d", i*37%100)), 0)
 	}
 	var all []string
 	for after := ""; ; after = all[len(all)-1] {
@@ -118,9 +122,9 @@
 }
 
 func BenchmarkPage(b *testing.B) {
-	c := newCore("a", "a")
-	for n := range 100_000 {
-		c.mergeRecord(endedRecord(fmt.Sprintf("%016x", uint64(n)*0x9e3779b97f4a7c15)), 0)
+	c := newTestCore("a", "a")
+	for i := range 100_000 {
+		c.mergeRecord(endedRecord(fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15)), 0)
 	}
 	for b.Loop() {
 		c.Page("8", 500)
--- a/internal/cluster/replication/record_test.go
+++ b/internal/cluster/replication/record_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawRecord draws a record of one key, with up to four outcomes of six claims.
+// drawRecord draws a record with a fixed key and up to four outcomes, for claims out of six.
 func drawRecord(t *rapid.T, label string) Record {
 	r := Record{Key: "k", Fingerprint: 1, Age: rapid.Uint64Range(0, 3).Draw(t, label)}
 	for range rapid.IntRange(0, 4).Draw(t, label) {
@@ -35,7 +35,7 @@
 	return o
 }
 
-func joined(a, b Record) Record {
+func joinedRecord(a, b Record) Record {
 	c, _ := Join(a, b)
 	if len(c.Outcomes) == 0 {
 		c.Outcomes = nil
@@ -43,24 +43,26 @@
 	return c
 }
 
-// Copies that have heard the same must be the same, in whatever order they heard it.
-func TestJoinIsAJoin(t *testing.T) {
+// Replicas that have merged the same records in any order must have the same result. Otherwise they would
+// never converge.
+func TestJoinIsCommutativeAssociativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawRecord(t, "a"), drawRecord(t, "b"), drawRecord(t, "c")
-		if !reflect.DeepEqual(joined(a, b), joined(b, a)) {
-			t.Fatalf("not commutative: %+v, %+v", joined(a, b), joined(b, a))
+		if !reflect.DeepEqual(joinedRecord(a, b), joinedRecord(b, a)) {
+			t.Fatalf("not commutative: %+v, %+v", joinedRecord(a, b), joinedRecord(b, a))
 		}
-		if !reflect.DeepEqual(joined(a, joined(a, a)), joined(a, a)) {
+		if !reflect.DeepEqual(joinedRecord(a, joinedRecord(a, a)), joinedRecord(a, a)) {
 			t.Fatal("not idempotent")
 		}
-		if !reflect.DeepEqual(joined(joined(a, b), c), joined(a, joined(b, c))) {
+		if !reflect.DeepEqual(joinedRecord(joinedRecord(a, b), c), joinedRecord(a, joinedRecord(b, c))) {
 			t.Fatal("not associative")
 		}
 	})
 }
 
-// A claim that stands replaces nothing, an end replaces both, and a result none; a conflict is reported.
-func TestWhatStandsOverWhat(t *testing.T) {
+// A later stage replaces an earlier one, and an outcome with a result replaces one without. Contradicting
+// outcomes are reported as a conflict.
+func TestALaterStageReplacesAnEarlierOne(t *testing.T) {
 	outcome := func(stage Stage, verdict uint16, result string) Outcome {
 		o := Outcome{Claim: Claim{"n1", 1}, Stage: stage, Verdict: verdict}
 		if result != "" {
@@ -75,15 +77,15 @@
 		a, b, want Outcome
 		conflict   bool
 	}{
-		{"an end over a claim", claimed, ended, ended, false},
-		{"a release over a claim", claimed, released, released, false},
-		{"a result over none", ended, answered, answered, false},
-		{"an end of what was released", released, ended, ended, true},
-		{"two statuses", failed, ended, failed, true},
+		{"an end replaces a claim", claimed, ended, ended, false},
+		{"a release replaces a claim", claimed, released, released, false},
+		{"a result replaces no result", ended, answered, answered, false},
+		{"an end conflicts with a release", released, ended, ended, true},
+		{"two HTTP statuses conflict", failed, ended, failed, true},
 	} {
 		got, conflict := joinOutcomes(x.a, x.b)
 		if !reflect.DeepEqual(got, x.want) || conflict != x.conflict {
-			t.Errorf("%s: %+v and %+v: %+v, conflict %v", x.name, x.a, x.b, got, conflict)
+			t.Errorf("%s: joining %+v and %+v gives %+v, conflict %v", x.name, x.a, x.b, got, conflict)
 		}
 	}
 }
--- a/internal/cluster/replication/records.go
+++ b/internal/cluster/replication/records.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// valid reports whether a record from elsewhere is within bounds.
+// valid reports whether a record from a message or the store is within the limits.
 func (c *Core) valid(r Record) bool {
 	ok := r.Key != "" && len(r.Key) <= maxNameBytes &&
 		len(r.Outcomes) > 0 && len(r.Outcomes) <= 4*maxClaimsPerOp
@@ -15,22 +15,22 @@
 	return ok
 }
 
-// mergeRecord merges a record into what is known here. The ages of its outcomes were true at some moment
-// not before agesTrueAt; 0: they prove nothing, since nobody knows how long they were on their way.
-func (c *Core) mergeRecord(x Record, agesTrueAt Time) {
-	r, sizeBefore := c.records.byKey[x.Key], 0
+// mergeRecord merges a record into the log. The ages of its outcomes were true at agesTrueAt or later. If
+// agesTrueAt is 0, the ages are ignored, since the time that the record took to arrive is unknown.
+func (c *Core) mergeRecord(received Record, agesTrueAt Time) {
+	r, sizeBefore := c.records.byKey[received.Key], 0
 	switch {
 	case r != nil:
 		sizeBefore = r.size()
-		c.mergeFingerprint(r, &x)
-	case !c.records.fits(&x):
+		c.mergeFingerprint(r, &received)
+	case !c.records.fits(&received):
 		c.handleFullLog()
 		return
 	default:
-		age := Time(min(x.Age, uint64(c.config.Retention/second))) * second
-		r = c.records.add(x.Key, x.Fingerprint, c.now-age)
+		age := Time(min(received.Age, uint64(c.config.Retention/second))) * second
+		r = c.records.add(received.Key, received.Fingerprint, c.now-age)
 	}
-	changed := c.mergeOutcomes(r, x.Outcomes, agesTrueAt)
+	changed := c.mergeOutcomes(r, received.Outcomes, agesTrueAt)
 	c.records.update(r, sizeBefore)
 	if !changed {
 		return
@@ -41,8 +41,8 @@
 	}
 }
 
-// handleFullLog gives up this replica's vote, since it cannot store a record that may forbid a claim. What
-// found no room is fetched again.
+// handleFullLog gives up the vote of this replica, since it can't store a record that may forbid a claim.
+// Catch-up restarts, so that the record is fetched again.
 func (c *Core) handleFullLog() {
 	c.count(countLogFull)
 	c.registration.loseVote()
@@ -53,29 +53,30 @@
 	}
 }
 
-// mergeFingerprint keeps one fingerprint of two different ones, and reports the conflict where both requests
-// may have run.
-func (c *Core) mergeFingerprint(r, x *Record) {
-	if x.Fingerprint == r.Fingerprint {
+// mergeFingerprint chooses one of two different fingerprints. It reports a conflict if both requests may have
+// run.
+func (c *Core) mergeFingerprint(r, received *Record) {
+	if received.Fingerprint == r.Fingerprint {
 		return
 	}
-	if r.protects() && x.protects() {
+	if r.hasUnreleasedClaim() && received.hasUnreleasedClaim() {
 		c.count(countFingerprintConflict)
-		c.emit(Event{Description: "two requests under one id", Subject: x.Key, Warning: true})
+		c.emit(Event{Description: "two requests under one id", Subject: received.Key, Warning: true})
 	}
-	r.Fingerprint = max(r.Fingerprint, x.Fingerprint)
+	r.Fingerprint = max(r.Fingerprint, received.Fingerprint)
 }
 
-// mergeOutcomes merges outcomes into a record, and reports whether that changed what others must learn.
+// mergeOutcomes merges outcomes into a record. It reports whether the record changed in a way that other
+// replicas must learn.
 func (c *Core) mergeOutcomes(r *Record, outcomes []Outcome, agesTrueAt Time) (changed bool) {
 	for _, o := range outcomes {
 		if _, known := r.find(o.Claim); !known && len(r.Outcomes) >= 4*maxClaimsPerOp {
 			c.count(countTooManyClaims)
 			continue
 		}
-		o.notBefore = 0
+		o.notRunBefore = 0
 		if o.Age > 0 && agesTrueAt > 0 {
-			o.notBefore = max(agesTrueAt-Time(min(o.Age, maxAgeTenths)), 1)
+			o.notRunBefore = max(agesTrueAt-Time(min(o.Age, maxAgeTenths)), 1)
 		}
 		o.Age = 0
 		updated, conflict := r.join(o)
@@ -88,20 +89,20 @@
 	return changed
 }
 
-// withAges is a record as it is sent: with ages in place of moments.
+// withAges returns a copy of a record for a message or the store, with ages instead of local times.
 func (c *Core) withAges(r *Record) Record {
-	x := *r
-	x.Age = uint64(max(c.now-r.firstSeen, 0) / second)
-	x.Outcomes = slices.Clone(r.Outcomes)
-	for i := range x.Outcomes {
-		if o := &x.Outcomes[i]; o.notBefore > 0 {
-			o.Age = uint64(max(c.now-o.notBefore, 0)) + 1
+	encoded := *r
+	encoded.Age = uint64(max(c.now-r.firstSeen, 0) / second)
+	encoded.Outcomes = slices.Clone(r.Outcomes)
+	for i := range encoded.Outcomes {
+		if o := &encoded.Outcomes[i]; o.notRunBefore > 0 {
+			o.Age = uint64(max(c.now-o.notRunBefore, 0)) + 1
 		}
 	}
-	return x
+	return encoded
 }
 
-// expireRecords deletes the records whose retention is over.
+// expireRecords deletes the records whose retention has ended.
 func (c *Core) expireRecords() {
 	for _, key := range c.records.expire(c.now, c.config.Retention) {
 		if c.durability.enabled {
--- a/internal/cluster/replication/registration.go
+++ b/internal/cluster/replication/registration.go
@@ -6,23 +6,23 @@
 	"woaddyke/internal/cluster/replicaset"
 )
 
-// registration is as which process this replica votes, and which processes vote for the others.
+// registration is the voting state of this process, and the known incarnations of all voters.
 type registration struct {
 	serving             bool // this process is a member
 	incarnation         Incarnation
 	voting              bool
-	votingSinceAdoption bool // it had its vote when the set came into force, and has not lost it since
-	ready               bool // while the set is joint: it knows what the replicas of the old part knew
-	registeredSince     Time // when enough replicas knew this incarnation; 0: not yet
+	votingSinceAdoption bool // this process had a vote when the set came into force and has not lost the vote
+	ready               bool // in a joint set: this process knows what a read quorum of the old part knew
+	registeredSince     Time // when enough replicas first knew this incarnation; 0: not enough yet
 	voters              map[string]Incarnation
-	formerVoters        map[string]Incarnation // the incarnation before the present one of each voter
+	formerVoters        map[string]Incarnation // the incarnation before the current one of each voter
 }
 
 func newRegistration() registration {
 	return registration{voters: map[string]Incarnation{}, formerVoters: map[string]Incarnation{}}
 }
 
-// restart begins a new incarnation without a vote.
+// restart starts a new incarnation without a vote.
 func (r *registration) restart(as Incarnation) {
 	r.incarnation = as
 	r.registeredSince = 0
@@ -33,7 +33,8 @@
 	r.voting, r.votingSinceAdoption, r.ready = false, false, false
 }
 
-// setVoter records the incarnation that votes under a name; false where it is older than the known one.
+// setVoter records the incarnation that votes under a name. It returns false for an incarnation older than
+// the known one.
 func (r *registration) setVoter(name string, as Incarnation) bool {
 	known, ok := r.voters[name]
 	if as.compare(known) < 0 {
@@ -46,7 +47,7 @@
 	return true
 }
 
-// learnVoters takes newer incarnations of other voters from a replica's view.
+// learnVoters records newer incarnations of other voters that another replica knows.
 func (r *registration) learnVoters(voters []Voter, self string) {
 	for _, v := range voters {
 		if v.Name != self && v.Incarnation.compare(r.voters[v.Name]) > 0 {
@@ -55,7 +56,7 @@
 	}
 }
 
-// knownVoters are the registered voters among some members.
+// knownVoters returns the voters among the members whose incarnations are known.
 func (r *registration) knownVoters(members []string) (voters []Voter) {
 	for _, name := range members {
 		if incarnation, ok := r.voters[name]; ok {
@@ -65,8 +66,8 @@
 	return voters
 }
 
-// handleMembership begins or ends a time as a member. A process that is none has no vote; one that is back
-// as the same incarnation has kept its memory.
+// handleMembership starts or ends serving as a member. A process that is not a member does not vote. If the
+// process returns as the same incarnation, it still has its records and any vote.
 func (c *Core) handleMembership(in Membership) {
 	c.registration.serving = in.Serving
 	if !in.Serving {
@@ -88,7 +89,7 @@
 	}
 }
 
-// handleRegister records the process that votes under a replica's name.
+// handleRegister records the process that votes for a replica.
 func (c *Core) handleRegister(in MessageReceived) {
 	if !slices.Contains(c.active.members, in.From) {
 		return
@@ -127,8 +128,8 @@
 	peer.nextSend = c.now
 }
 
-// discardPersistedIncarnation has this replica catch up as one without memory: a later process voted after
-// its records were persisted.
+// discardPersistedIncarnation makes this replica catch up as if it had no stored records, since a later
+// process voted after the records were persisted.
 func (c *Core) discardPersistedIncarnation() {
 	c.durability.persistedIncarnation = Incarnation{}
 	c.catchUp.restartAll()
@@ -139,20 +140,22 @@
 	c.persistIncarnation(Incarnation{})
 }
 
-// quorumProgress is how far this replica is with the others of the part that decides on its vote.
+// quorumProgress is the progress of this replica towards its vote, in the part of the set that decides on the
+// vote.
 type quorumProgress struct {
 	part       []string
-	others     int // replicas of the part beside this one
-	enough     int // of the others: as many as meet each majority of the part
-	registered int // of the others: those that know this incarnation
-	caughtUp   int // of the others: voters whose changes before the registration are known here
+	others     int // number of other replicas in the part
+	required   int // number of other replicas that always includes one of each majority of the part
+	registered int // number of other replicas that know this incarnation
+	caughtUp   int // number of other voters whose changes before the registration are known here
 }
 
-// progress measures it for the old part while the set is joint: nothing is granted without its majority.
+// progress returns the progress towards the vote. In a joint set, the old part decides, since no claim is
+// granted without its majority.
 func (c *Core) progress() (p quorumProgress) {
 	p.part = c.active.set.Quorums()[0]
 	p.others = replicaset.Count(p.part, func(name string) bool { return name != c.config.Name })
-	p.enough = min(replicaset.ReadQuorum(len(p.part)), p.others)
+	p.required = min(replicaset.ReadQuorum(len(p.part)), p.others)
 	for _, name := range p.part {
 		if peer := c.catchUp.peers[name]; peer != nil && peer.registeredAs == c.registration.incarnation {
 			p.registered++
@@ -164,28 +167,29 @@
 	return p
 }
 
-// startVoting gives this replica its vote once that is safe. Whatever an earlier incarnation granted is
-// known to one of any "enough" other voters, and these knew the present incarnation before they were
-// pulled from: so nothing that counts is missed, and no vote of an earlier incarnation counts beside this
-// one's. Where too few others vote, it waits until every earlier grant has expired.
+// startVoting gives this replica its vote once that is safe. Every grant of an earlier incarnation that
+// counts is known to at least one of any quorumProgress.required other voters. These voters knew the current
+// incarnation before it pulled from them. Therefore no grant that counts is missed, and no grant of an
+// earlier incarnation counts together with one of this incarnation. If too few others vote, this replica
+// waits for AmnesiaHoldOff, until every earlier grant has expired.
 func (c *Core) startVoting() {
 	settled := c.registration.voting || c.durability.failed
 	if !c.active.isReplica || settled && !c.active.set.Joint() {
-		return // the common case, on the way of every message
+		return // the common case, which is checked for every message
 	}
 	p := c.progress()
 	if settled {
 		c.updateReadiness(p)
 		return
 	}
-	if p.registered >= p.enough && c.registration.registeredSince == 0 {
+	if p.registered >= p.required && c.registration.registeredSince == 0 {
 		c.registration.registeredSince = max(c.now, 1)
 	}
 	if c.durability.persistedIncarnation != (Incarnation{}) && p.registered >= min(1, p.others) {
-		c.voteFromOwnRecords()
+		c.voteFromStoredRecords()
 		return
 	}
-	if c.records.full() || p.caughtUp < p.enough && !c.holdOffElapsed(p) {
+	if c.records.full() || p.caughtUp < p.required && !c.holdOffElapsed(p) {
 		return
 	}
 	c.registration.voting = true
@@ -194,23 +198,23 @@
 	c.updateReadiness(p)
 }
 
-// voteFromOwnRecords gives this replica its vote on its persisted records. They hold all that it ever
-// granted, and no earlier process can be left, since one process alone holds the store.
-func (c *Core) voteFromOwnRecords() {
+// voteFromStoredRecords gives this replica its vote based on its persisted records. The records contain all
+// its grants. No earlier process can still run, since only one process at a time has the store open.
+func (c *Core) voteFromStoredRecords() {
 	c.registration.voting, c.registration.votingSinceAdoption = true, true
 	c.durability.persistedIncarnation = Incarnation{}
 	c.persistIncarnation(c.registration.incarnation)
 	c.emit(Event{Description: "votes", Subject: "on its stored records"})
 }
 
-// holdOffElapsed reports whether this incarnation has been known to enough replicas for AmnesiaHoldOff.
+// holdOffElapsed reports whether enough replicas have known this incarnation for AmnesiaHoldOff.
 func (c *Core) holdOffElapsed(p quorumProgress) bool {
-	return p.registered >= p.enough && c.now-c.registration.registeredSince >= c.config.AmnesiaHoldOff
+	return p.registered >= p.required && c.now-c.registration.registeredSince >= c.config.AmnesiaHoldOff
 }
 
-// updateReadiness records, while the set is joint, that this replica knows what a read quorum of the old
-// part knew after these had begun to refuse the old part alone. It counts itself where it was one of them
-// and kept its vote.
+// updateReadiness records, in a joint set, that this replica is ready. It is ready once it knows what a read
+// quorum of the old part knew after those replicas had adopted the joint set, and so refused claims under the
+// old set. This replica counts towards the quorum if it is in the old part and has not lost its vote since.
 func (c *Core) updateReadiness(p quorumProgress) {
 	r := &c.registration
 	if !c.active.set.Joint() || !r.voting {
@@ -230,7 +234,7 @@
 	}
 }
 
-// replicaReady reports whether a replica has stated that it is ready, to this incarnation.
+// replicaReady reports whether a replica has stated to this incarnation that it is ready.
 func (c *Core) replicaReady(name string) bool {
 	if name == c.config.Name && c.registration.ready {
 		return true
--- a/internal/cluster/replication/registration_test.go
+++ b/internal/cluster/replication/registration_test.go
@@ -5,14 +5,15 @@
 	"testing"
 )
 
-// Of two processes under one name the later one is the voter, in whatever order they are heard of, and the
-// one before it is named to it: so it knows that its records may be older than they say.
+// Of two processes under one name, the later one is the voter, in whatever order they register. The
+// incarnation before it is recorded as the former voter, so that a process can detect that its stored records
+// are outdated.
 func TestTheLaterIncarnationIsTheVoter(t *testing.T) {
 	r := newRegistration()
 	earlier, later := Incarnation{1, 9}, Incarnation{2, 1}
 	for range 2 { // a process may register again
 		if !r.setVoter("b", earlier) {
-			t.Error("the first process is refused")
+			t.Error("the first process is rejected")
 		}
 	}
 	if !r.setVoter("b", later) || r.formerVoters["b"] != earlier {
@@ -28,8 +29,9 @@
 	}
 }
 
-// A new incarnation has nothing of the vote of the one before.
-func TestARestartHasNoVote(t *testing.T) {
+// A new incarnation does not inherit the vote or the readiness of the former one. Otherwise it would vote
+// without its former grants.
+func TestARestartLosesTheVote(t *testing.T) {
 	r := newRegistration()
 	r.incarnation, r.registeredSince = Incarnation{1, 1}, 7
 	r.voting, r.votingSinceAdoption, r.ready = true, true, true
--- a/internal/cluster/replication/replica_set.go
+++ b/internal/cluster/replication/replica_set.go
@@ -8,51 +8,51 @@
 	"woaddyke/internal/cluster/replicaset"
 )
 
-// gossipInterval is the time between two random members that are sent what they may have missed.
+// gossipInterval is the time between two gossip messages of one kind. Each goes to a random member, in case
+// that member missed the information.
 const gossipInterval = second
 
-// activeSet is the replica set in force at this process, and what follows from it.
+// activeSet is the replica set in force at this process, with values derived from it.
 type activeSet struct {
 	set       replicaset.Set
-	members   []string // of both parts of the set, once each
+	members   []string // the replicas of both parts of the set, without duplicates
 	id        uint64
-	isReplica bool // this process is one of them
+	isReplica bool // this process is a member of the set
 }
 
-// memberView is which other schedulers are alive and which are dead, and what is known of the processes of
-// all schedulers.
+// memberView is the status of the other schedulers, and the known processes of all schedulers.
 type memberView struct {
 	dead              map[string]bool
-	alive             []string // in order
-	processes         map[string]*processes
+	alive             []string // sorted
+	processes         map[string]*schedulerProcesses
 	nextSetGossip     Time
 	nextProcessGossip Time
 }
 
 func newMemberView() memberView {
-	return memberView{dead: map[string]bool{}, processes: map[string]*processes{}}
+	return memberView{dead: map[string]bool{}, processes: map[string]*schedulerProcesses{}}
 }
 
 // update records the status of a member.
 func (v *memberView) update(in PeerStatus) {
-	at, known := slices.BinarySearch(v.alive, in.Name)
+	i, known := slices.BinarySearch(v.alive, in.Name)
 	if in.Dead {
 		v.dead[in.Name] = true
 		if known {
-			v.alive = slices.Delete(v.alive, at, at+1)
+			v.alive = slices.Delete(v.alive, i, i+1)
 		}
 		return
 	}
 	delete(v.dead, in.Name)
 	if !known && len(v.alive) < maxAliveMembers {
-		v.alive = slices.Insert(v.alive, at, in.Name)
+		v.alive = slices.Insert(v.alive, i, in.Name)
 	}
 }
 
-// SetID identifies the replica set in force.
+// SetID returns the ID of the replica set in force.
 func (c *Core) SetID() uint64 { return c.active.id }
 
-// Set is the replica set in force.
+// Set returns the replica set in force.
 func (c *Core) Set() replicaset.Set { return c.active.set }
 
 func (c *Core) useSet(s replicaset.Set) {
@@ -65,14 +65,16 @@
 	}
 }
 
-// AdoptStored uses a set that was persisted. It is called before Restore and the first input.
+// AdoptStored adopts a persisted set if it supersedes the configured one. Call AdoptStored before Restore and
+// the first input.
 func (c *Core) AdoptStored(s replicaset.Set) {
 	if s.Supersedes(c.active.set) {
 		c.useSet(s)
 	}
 }
 
-// handlePeerStatus records whether a member is alive. One that is back may use its configured set.
+// handlePeerStatus records whether a member is alive. A member that returns may use its configured set, so it
+// is sent the set in force.
 func (c *Core) handlePeerStatus(in PeerStatus) {
 	c.members.update(in)
 	if in.Dead {
@@ -84,8 +86,8 @@
 	}
 }
 
-// gossipSet tells a random member which set is in force: one that missed the change would use its configured
-// set without end.
+// gossipSet periodically sends the set in force to a random member. A member that missed the change would
+// otherwise use its configured set forever.
 func (c *Core) gossipSet() {
 	if c.active.set.GroupID == 0 || !c.active.isReplica || c.now < c.members.nextSetGossip {
 		return
@@ -97,8 +99,8 @@
 	c.sendSetInForce(c.members.alive[c.random.IntN(len(c.members.alive))])
 }
 
-// handleOtherSet answers a message under another set, so that whichever side is behind learns of the later
-// one.
+// handleOtherSet answers a message that names another set with the set in force, so that the side with the
+// earlier set learns of the later one.
 func (c *Core) handleOtherSet(in MessageReceived) {
 	c.count(countOtherSet)
 	switch in.Kind {
@@ -117,7 +119,8 @@
 	}
 }
 
-// handleSetInForce adopts a later set of another member, or tells it of a later one.
+// handleSetInForce adopts the set of another member if it is later, or sends that member the set in force if
+// that is later.
 func (c *Core) handleSetInForce(in MessageReceived) {
 	own := c.active.set
 	switch {
@@ -132,8 +135,8 @@
 	}
 }
 
-// adoptSet uses another set from now on. A replica that stays one keeps its vote, since it knows what it
-// granted. Pending claims start again: grants under another set do not count.
+// adoptSet adopts a later set. A process that stays a replica also retains its vote, since it knows all its
+// grants. Pending claims restart, since grants under another set do not count.
 func (c *Core) adoptSet(s replicaset.Set) {
 	if !s.Supersedes(c.active.set) {
 		return
@@ -158,7 +161,7 @@
 	}
 }
 
-// updateVoteForSet drops or keeps this replica's vote as the set has changed.
+// updateVoteForSet drops or retains the vote of this process after a change of the set.
 func (c *Core) updateVoteForSet(wasReplica bool) {
 	r := &c.registration
 	r.ready = false
@@ -172,11 +175,11 @@
 		r.registeredSince = 0
 		c.durability.persistedIncarnation = Incarnation{}
 	case r.voting:
-		c.persistIncarnation(r.incarnation) // for this set
+		c.persistIncarnation(r.incarnation) // the stored incarnation is valid for one set only
 	}
 }
 
-// updatePeersForSet drops the peers that are no replicas any more, and registers with all others anew.
+// updatePeersForSet removes the peers that are no longer replicas, and registers again with the others.
 func (c *Core) updatePeersForSet() {
 	maps.DeleteFunc(c.catchUp.peers, func(name string, _ *peerState) bool {
 		return !slices.Contains(c.active.members, name)
--- a/internal/cluster/replication/simulation/change_test.go
+++ b/internal/cluster/replication/simulation/change_test.go
@@ -10,311 +10,315 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// dynamicCluster is a cluster whose replicas change by agreement, once that is founded.
-func dynamicCluster(t *testing.T, n, count int, seed uint64) *Cluster {
+// dynamicCluster returns a cluster with dynamic replicas, whose raft group has been created.
+func dynamicCluster(t *testing.T, n, replicas int, seed uint64) *Cluster {
 	t.Helper()
-	p := New(n, count, seed)
-	p.DynamicReplicas = true
+	c := New(n, replicas, seed)
+	c.DynamicReplicas = true
 	for i := range n {
-		p.Start(i)
+		c.Start(i)
 	}
-	p.Run(8 * Second)
+	c.Run(8 * Second)
 	for i := range n {
-		if p.Core(i).Set().Epoch == 0 {
-			t.Fatalf("seed %d: n%d goes by its file: %+v", seed, i, p.Core(i).Status())
+		if c.Core(i).Set().Epoch == 0 {
+			t.Fatalf("seed %d: n%d still uses its configured set: %+v", seed, i, c.Core(i).Status())
 		}
 	}
-	return p
+	return c
 }
 
-// changeReplicas has operators ask for replicas, again and again until they stand, and reports whether
-// they do in time.
-func (p *Cluster) changeReplicas(i int, within Time, want ...int) bool {
-	until := p.Now() + within
-	for p.Now() < until {
-		p.RequestChange(i, want...)
-		p.Run(p.Now() + 2*Second)
-		if p.replicasAre(i, want...) {
+// changeReplicasUntilInForce requests replicas repeatedly until they are in force. It reports whether they
+// are in force before the timeout.
+func (c *Cluster) changeReplicasUntilInForce(i int, timeout Time, want ...int) bool {
+	deadline := c.Now() + timeout
+	for c.Now() < deadline {
+		c.RequestChange(i, want...)
+		c.Run(c.Now() + 2*Second)
+		if c.hasReplicas(i, want...) {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *Cluster) replicasAre(i int, want ...int) bool {
+func (c *Cluster) hasReplicas(i int, want ...int) bool {
 	var names []string
 	for _, k := range want {
 		names = append(names, fmt.Sprint("n", k))
 	}
 	slices.Sort(names)
-	set := p.Core(i).Set()
+	set := c.Core(i).Set()
 	return !set.Joint() && slices.Equal(set.New, names)
 }
 
-func (p *Cluster) partition(a, b []int, on bool) {
+func (c *Cluster) partition(a, b []int, cut bool) {
 	for _, i := range a {
 		for _, j := range b {
-			p.CutLink(i, j, on)
-			p.CutLink(j, i, on)
+			c.CutLink(i, j, cut)
+			c.CutLink(j, i, cut)
 		}
 	}
 }
 
-func (p *Cluster) requireNoViolations(t *testing.T) {
+func (c *Cluster) requireNoViolations(t *testing.T) {
 	t.Helper()
-	for _, b := range p.Violations {
-		t.Error(b)
+	for _, violation := range c.Violations {
+		t.Error(violation)
 	}
 }
 
-// checkConverged checks that so many places go by one set of replicas, all of which have their votes and
-// the same copies.
-func (p *Cluster) checkConverged(t *testing.T, seed uint64, places int) {
+// checkConverged checks that the first nodes use the same replica set, and that all its replicas vote and
+// have equal records.
+func (c *Cluster) checkConverged(t *testing.T, seed uint64, nodes int) {
 	t.Helper()
-	set, digest := p.Core(0).Set(), ""
-	for i := range places {
-		if got := p.Core(i).Set(); got.ID() != set.ID() || got.Joint() {
-			t.Errorf("seed %d: at rest n%d goes by %+v, n0 by %+v", seed, i, got, set)
+	set, digest := c.Core(0).Set(), ""
+	for i := range nodes {
+		if got := c.Core(i).Set(); got.ID() != set.ID() || got.Joint() {
+			t.Errorf("seed %d: at rest n%d uses the set %+v, n0 uses %+v", seed, i, got, set)
 		}
-		if !slices.Contains(set.New, p.nodes[i].name) {
+		if !slices.Contains(set.New, c.nodes[i].name) {
 			continue
 		}
-		s := p.Core(i).Status()
+		s := c.Core(i).Status()
 		if digest == "" {
 			digest = s.Digest
 		}
 		if s.Digest != digest || !s.Voting {
-			const format = "seed %d: at rest n%d votes: %v, its copies %s, others' %s"
+			const format = "seed %d: at rest n%d votes: %v, digest of its records %s, want %s"
 			t.Errorf(format, seed, i, s.Voting, s.Digest, digest)
 		}
 	}
 }
 
-// All replicas are replaced by others: whatever the old ones granted, the new ones know.
-func TestAllKeepersAreReplaced(t *testing.T) {
+// If all replicas are replaced, the new replicas know all grants of the old ones. Otherwise an op could be
+// granted twice.
+func TestNewReplicasKnowTheGrantsOfReplacedOnes(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
-		p := dynamicCluster(t, 7, 3, seed)
+		c := dynamicCluster(t, 7, 3, seed)
 		for k := range 30 {
-			p.Claim(6, fmt.Sprint("x", k))
+			c.Claim(6, fmt.Sprint("x", k))
 		}
-		p.Run(p.Now() + Second)
-		if !p.changeReplicas(6, 10*Second, 3, 4, 5) {
-			t.Fatalf("seed %d: the keepers are %v", seed, p.Core(6).Set())
+		c.Run(c.Now() + Second)
+		if !c.changeReplicasUntilInForce(6, 10*Second, 3, 4, 5) {
+			t.Fatalf("seed %d: the replicas are %v", seed, c.Core(6).Set())
 		}
 		for i := range 3 {
-			p.Kill(i)
+			c.Kill(i)
 		}
 		for k := range 30 {
-			p.claimResult(6, fmt.Sprint("x", k))
+			c.claimResult(6, fmt.Sprint("x", k))
 		}
-		if got := p.claimResult(6, "new"); got != replication.Granted {
-			t.Errorf("seed %d: the new keepers give nothing: %v", seed, got)
+		if got := c.claimResult(6, "new"); got != replication.Granted {
+			t.Errorf("seed %d: a claim at the new replicas: %v", seed, got)
 		}
-		p.requireNoViolations(t)
+		c.requireNoViolations(t)
 	}
 }
 
-// What the new replicas are told of the past is lost on its way: the old ones are not let go before it has
-// come, though two of the three are new ones that were old ones, and had their votes all along. What the
-// other three granted these do not know.
-func TestOldKeepersStayUntilTheNewOnesKnow(t *testing.T) {
-	led := false
+// The old replicas stay until the new ones have caught up. Two of the three new replicas are also old ones
+// and vote all along, but they don't know what the other three old replicas granted. As long as the digests
+// that the new replicas need are lost, the set must stay joint. Otherwise an op could be granted twice.
+func TestOldReplicasStayUntilTheNewOnesHaveCaughtUp(t *testing.T) {
+	leaderInformed := false
 	for seed := uint64(1); seed <= 8; seed++ {
-		p := dynamicCluster(t, 8, 5, seed)
-		for i := 2; i < 5; i++ { // one that hears who is ready
-			led = led || p.nodes[i].replicaSet.IsLeader()
+		c := dynamicCluster(t, 8, 5, seed)
+		for i := 2; i < 5; i++ { // a leader that is not among the three learns which replicas are ready
+			leaderInformed = leaderInformed || c.nodes[i].replicaSet.IsLeader()
 		}
-		p.DropIf = func(to string, x replication.Message) bool {
-			return to == "n0" || to == "n1" || to == "n5" // all of them at first, so that three others grant
+		c.DropIf = func(to string, m replication.Message) bool {
+			return to == "n0" || to == "n1" || to == "n5" // so that the other three replicas grant the claim
 		}
-		p.Claim(7, "x")
-		p.Run(p.Now() + Second)
-		if p.Granted != 1 {
-			t.Fatalf("seed %d: not given", seed)
+		c.Claim(7, "x")
+		c.Run(c.Now() + Second)
+		if c.Granted != 1 {
+			t.Fatalf("seed %d: the claim is not granted", seed)
 		}
-		// At first none of the three knows, and then one: that is not enough.
-		for _, mute := range []string{"n0 n1 n5", "n0 n1"} {
-			p.DropIf = func(to string, x replication.Message) bool {
-				return strings.Contains(mute, to) && x.Kind == replication.DigestPage
+		// At first none of the three new replicas can catch up. Then only n5 can, which is not a majority.
+		for _, uninformed := range []string{"n0 n1 n5", "n0 n1"} {
+			c.DropIf = func(to string, m replication.Message) bool {
+				return strings.Contains(uninformed, to) && m.Kind == replication.DigestPage
 			}
 			for range 4 {
-				p.RequestChange(6, 0, 1, 5)
-				p.Run(p.Now() + Second)
-				p.Claim(6, "x")
+				c.RequestChange(6, 0, 1, 5)
+				c.Run(c.Now() + Second)
+				c.Claim(6, "x")
 			}
-			if set := p.Core(6).Set(); !set.Joint() {
-				t.Errorf("seed %d: the old ones are let go while %s know nothing: %v", seed, mute, set)
+			if set := c.Core(6).Set(); !set.Joint() {
+				t.Errorf("seed %d: before %s have caught up, the set is %v", seed, uninformed, set)
 			}
 		}
-		p.DropIf = nil
-		p.Run(p.Now() + 3*Second)
-		if !p.replicasAre(6, 0, 1, 5) {
-			t.Errorf("seed %d: the change has no end: %v", seed, p.Core(6).Set())
+		c.DropIf = nil
+		c.Run(c.Now() + 3*Second)
+		if !c.hasReplicas(6, 0, 1, 5) {
+			t.Errorf("seed %d: the change is not completed: %v", seed, c.Core(6).Set())
 		}
-		p.claimResult(6, "x")
-		p.requireNoViolations(t)
+		c.claimResult(6, "x")
+		c.requireNoViolations(t)
 	}
-	if !led {
-		t.Error("none led that would have heard: this proves little")
+	if !leaderInformed {
+		t.Error("no leader learned which replicas are ready, so this test checks little")
 	}
 }
 
-// One of three is dead and another takes its place; ops go on all the while.
-func TestADeadKeeperIsReplacedUnderLoad(t *testing.T) {
-	p := dynamicCluster(t, 6, 3, 1)
-	p.Kill(2)
-	begin, n := p.Now(), 0
+// While a dead replica is replaced, no claim is refused.
+func TestADeadReplicaIsReplacedWithoutRefusedClaims(t *testing.T) {
+	c := dynamicCluster(t, 6, 3, 1)
+	c.Kill(2)
+	begin, n := c.Now(), 0
 	for at := begin; at < begin+6*Second; at += 50 * Millisecond {
 		n++
-		p.At(at, func() { p.Claim(5, fmt.Sprint("y", at)) })
+		c.At(at, func() { c.Claim(5, fmt.Sprint("y", at)) })
 	}
-	p.RequestChange(4, 0, 1, 3)
-	p.Run(begin + 8*Second)
+	c.RequestChange(4, 0, 1, 3)
+	c.Run(begin + 8*Second)
 	refused := 0
-	for _, op := range p.History {
-		if op.Step == stepDecided && op.At >= begin && op.Result == replication.NoQuorum {
+	for _, entry := range c.History {
+		if entry.Step == stepDecided && entry.At >= begin && entry.Result == replication.NoQuorum {
 			refused++
 		}
 	}
-	if !p.replicasAre(5, 0, 1, 3) || refused > 0 {
-		t.Errorf("keepers %v; %d of %d ops refused meanwhile", p.Core(5).Set(), refused, n)
+	if !c.hasReplicas(5, 0, 1, 3) || refused > 0 {
+		t.Errorf("replicas %v, and %d of %d claims refused during the change", c.Core(5).Set(), refused, n)
 	}
-	p.Kill(1) // two of the new three are enough
-	if got := p.claimResult(5, "z"); got != replication.Granted {
-		t.Errorf("with two of the new three: %v", got)
+	c.Kill(1) // two of the three new replicas are a majority
+	if got := c.claimResult(5, "z"); got != replication.Granted {
+		t.Errorf("a claim with two of the three new replicas: %v", got)
 	}
-	p.requireNoViolations(t)
+	c.requireNoViolations(t)
 }
 
-// Parted, and operators ask on both sides: one side alone can agree, and the other takes that over
-// afterwards.
-func TestStaffAskOnBothSidesOfACut(t *testing.T) {
+// If operators request changes on both sides of a partition, only the side with the majority changes the
+// replicas. The other side adopts the change after the partition. Otherwise both sides could grant one op.
+func TestOnlyOneSideOfAPartitionChangesTheReplicas(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
-		p := dynamicCluster(t, 8, 3, seed)
+		c := dynamicCluster(t, 8, 3, seed)
 		a, b := []int{0, 1, 3, 6}, []int{2, 4, 5, 7}
-		p.partition(a, b, true)
-		p.Run(p.Now() + 3*Second)
+		c.partition(a, b, true)
+		c.Run(c.Now() + 3*Second)
 		for range 3 {
-			p.RequestChange(6, 0, 1, 3)
-			p.RequestChange(7, 2, 4, 5)
-			p.Run(p.Now() + 2*Second)
-			p.Claim(6, "x")
-			p.Claim(7, "x")
+			c.RequestChange(6, 0, 1, 3)
+			c.RequestChange(7, 2, 4, 5)
+			c.Run(c.Now() + 2*Second)
+			c.Claim(6, "x")
+			c.Claim(7, "x")
 		}
-		if !p.replicasAre(6, 0, 1, 3) || p.replicasAre(7, 2, 4, 5) {
-			t.Fatalf("seed %d: keepers %v and %v", seed, p.Core(6).Set(), p.Core(7).Set())
+		if !c.hasReplicas(6, 0, 1, 3) || c.hasReplicas(7, 2, 4, 5) {
+			t.Fatalf("seed %d: the replicas are %v and %v", seed, c.Core(6).Set(), c.Core(7).Set())
 		}
-		p.partition(a, b, false)
-		p.Run(p.Now() + 5*Second)
-		if !p.replicasAre(7, 0, 1, 3) || !p.replicasAre(2, 0, 1, 3) {
-			t.Errorf("seed %d: after the cut %v and %v", seed, p.Core(7).Set(), p.Core(2).Set())
+		c.partition(a, b, false)
+		c.Run(c.Now() + 5*Second)
+		if !c.hasReplicas(7, 0, 1, 3) || !c.hasReplicas(2, 0, 1, 3) {
+			t.Errorf("seed %d: after the partition %v and %v", seed, c.Core(7).Set(), c.Core(2).Set())
 		}
-		p.requireNoViolations(t)
+		c.requireNoViolations(t)
 	}
 }
 
-// A scheduler that stood still through two changes asks the replicas of before: these refuse, and tell who
-// keeps now; and an answer that was given before the changes, and comes after them, does not count.
-func TestAMessageOfBeforeTwoChanges(t *testing.T) {
+// A scheduler that was paused during two changes of the replicas sends its claim to the original replicas.
+// They refuse the claim and send the set in force. A grant from before the changes must not count. Otherwise
+// the op could be granted twice.
+func TestAClaimDelayedOverTwoChangesIsNotGrantedTwice(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
-		p := dynamicCluster(t, 8, 3, seed)
-		p.Pause(7)
-		p.Claim(7, "x") // waits in it
-		if !p.changeReplicas(6, 10*Second, 2, 3, 4) || !p.changeReplicas(6, 10*Second, 4, 5, 6) {
-			t.Fatalf("seed %d: the keepers are %v", seed, p.Core(6).Set())
+		c := dynamicCluster(t, 8, 3, seed)
+		c.Pause(7)
+		c.Claim(7, "x") // deferred until the scheduler resumes
+		if !c.changeReplicasUntilInForce(6, 10*Second, 2, 3, 4) ||
+			!c.changeReplicasUntilInForce(6, 10*Second, 4, 5, 6) {
+			t.Fatalf("seed %d: the replicas are %v", seed, c.Core(6).Set())
 		}
-		p.claimResult(6, "x")
-		p.Resume(7)
-		p.Run(p.Now() + 2*Second)
-		if got := p.claimResult(7, "y"); got != replication.Granted {
-			t.Errorf("seed %d: it has not learned who keeps: %v, %v", seed, got, p.Core(7).Set())
+		c.claimResult(6, "x")
+		c.Resume(7)
+		c.Run(c.Now() + 2*Second)
+		if got := c.claimResult(7, "y"); got != replication.Granted {
+			t.Errorf("seed %d: n7 has not learned the replicas: %v, %v", seed, got, c.Core(7).Set())
 		}
-		p.requireNoViolations(t)
+		c.requireNoViolations(t)
 	}
 }
 
-// A replica loses its disk: it is seated anew by the others, and votes for copies once it has caught up.
-func TestAKeeperThatLostItsDisk(t *testing.T) {
-	for _, k := range []int{0, 2} { // the one that founds, and another
-		p := dynamicCluster(t, 5, 3, 3)
-		p.Claim(4, "x")
-		p.Run(p.Now() + Second)
-		turn := p.Core(4).Set().Epoch
-		p.Kill(k)
-		p.LoseDisk(k)
-		p.Start(k)
-		p.Run(p.Now() + 6*Second)
-		if set := p.Core(4).Set(); set.Joint() || set.Epoch == turn || !p.Core(k).Status().Voting {
-			t.Fatalf("n%d: %+v, voting %v", k, set, p.Core(k).Status().Voting)
+// A replica that lost its disk is added again by the others and votes once it has caught up, in the raft
+// group and on claims.
+func TestAReplicaThatLostItsDiskVotesAgain(t *testing.T) {
+	for _, k := range []int{0, 2} { // the replica that creates the raft group, and another one
+		c := dynamicCluster(t, 5, 3, 3)
+		c.Claim(4, "x")
+		c.Run(c.Now() + Second)
+		epoch := c.Core(4).Set().Epoch
+		c.Kill(k)
+		c.LoseDisk(k)
+		c.Start(k)
+		c.Run(c.Now() + 6*Second)
+		if set := c.Core(4).Set(); set.Joint() || set.Epoch == epoch || !c.Core(k).Status().Voting {
+			t.Fatalf("n%d: %+v, voting %v", k, set, c.Core(k).Status().Voting)
 		}
-		p.Kill((k + 1) % 3) // now its vote is needed, in both
-		if !p.changeReplicas(4, 20*Second, k, (k+2)%3, 3) {
-			t.Errorf("n%d: the keepers are %v", k, p.Core(4).Set())
+		c.Kill((k + 1) % 3) // the raft group and the claims now need the vote of replica k
+		if !c.changeReplicasUntilInForce(4, 20*Second, k, (k+2)%3, 3) {
+			t.Errorf("n%d: the replicas are %v", k, c.Core(4).Set())
 		}
-		p.requireNoViolations(t)
+		c.requireNoViolations(t)
 	}
 }
 
-// The rule replaces a replica that is gone for long, and none that is back in time; a spare that can't be
-// heard is not let in.
-func TestTheRuleReplaces(t *testing.T) {
-	p := New(6, 3, 1)
-	p.DynamicReplicas = true
-	p.ReplicaSetConfig.ReplaceAfter, p.ReplicaSetConfig.Spares = 20*Second, []string{"n3", "n4"}
+// A replica that is dead for ReplaceAfter is replaced by an alive spare. A replica that returns earlier is
+// not replaced, and a dead spare is not used.
+func TestALongDeadReplicaIsReplacedByAnAliveSpare(t *testing.T) {
+	c := New(6, 3, 1)
+	c.DynamicReplicas = true
+	c.ReplicaSetConfig.ReplaceAfter, c.ReplicaSetConfig.Spares = 20*Second, []string{"n3", "n4"}
 	for i := range 6 {
-		p.Start(i)
+		c.Start(i)
 	}
-	p.Run(30 * Second)
+	c.Run(30 * Second)
 	for i := range 6 {
-		p.SetAlive(i, true)
-	}
-	p.Kill(1)
-	p.SetAlive(1, false)
-	p.Run(p.Now() + 15*Second)
-	p.Start(1)
-	p.SetAlive(1, true)
-	p.Run(p.Now() + 20*Second)
-	if !p.replicasAre(5, 0, 1, 2) {
-		t.Errorf("replaced before its time: %v", p.Core(5).Set())
-	}
-	p.Kill(3)
-	p.SetAlive(3, false)
-	p.Kill(1)
-	p.SetAlive(1, false)
-	p.Run(p.Now() + 30*Second)
-	if !p.replicasAre(5, 0, 2, 4) {
-		t.Errorf("not replaced by the spare that is here: %v", p.Core(5).Set())
-	}
-	p.requireNoViolations(t)
+		c.SetAlive(i, true)
+	}
+	c.Kill(1)
+	c.SetAlive(1, false)
+	c.Run(c.Now() + 15*Second)
+	c.Start(1)
+	c.SetAlive(1, true)
+	c.Run(c.Now() + 20*Second)
+	if !c.hasReplicas(5, 0, 1, 2) {
+		t.Errorf("a replica that returned in time was replaced: %v", c.Core(5).Set())
+	}
+	c.Kill(3)
+	c.SetAlive(3, false)
+	c.Kill(1)
+	c.SetAlive(1, false)
+	c.Run(c.Now() + 30*Second)
+	if !c.hasReplicas(5, 0, 2, 4) {
+		t.Errorf("the dead replica was not replaced by the alive spare: %v", c.Core(5).Set())
+	}
+	c.requireNoViolations(t)
 }
 
-// The agreement is founded by all replicas of the file together: two of three that found one while the
-// third is away could be joined by a third that founds another.
-func TestTheFoundingTakesAllKeepers(t *testing.T) {
-	p := New(4, 3, 1)
-	p.DynamicReplicas = true
+// Only all configured replicas together create the raft group. If two of three replicas could create it while
+// the third one is down, that replica could later create another group.
+func TestTheRaftGroupIsCreatedOnlyByAllConfiguredReplicas(t *testing.T) {
+	c := New(4, 3, 1)
+	c.DynamicReplicas = true
 	for _, i := range []int{0, 1, 3} {
-		p.Start(i)
+		c.Start(i)
 	}
-	p.Run(20 * Second)
-	if p.Core(0).Set().Epoch != 0 {
-		t.Errorf("with two of three: %v", p.Core(0).Set())
+	c.Run(20 * Second)
+	if c.Core(0).Set().Epoch != 0 {
+		t.Errorf("two of three replicas created the group: %v", c.Core(0).Set())
 	}
-	p.Start(2)
-	p.Run(p.Now() + 5*Second)
+	c.Start(2)
+	c.Run(c.Now() + 5*Second)
 	for i := range 4 {
-		if p.Core(i).Set().Epoch != 1 {
-			t.Errorf("n%d: %v", i, p.Core(i).Set())
+		if c.Core(i).Set().Epoch != 1 {
+			t.Errorf("the set at n%d is %v, want epoch 1", i, c.Core(i).Set())
 		}
 	}
-	p.claimResult(3, "x")
-	p.requireNoViolations(t)
+	c.claimResult(3, "x")
+	c.requireNoViolations(t)
 }
 
-// What can't be is refused in plain words, and changes nothing.
-func TestWhatStaffAreRefused(t *testing.T) {
-	p := dynamicCluster(t, 6, 3, 1)
-	p.Kill(5)
+// Invalid, outdated and conflicting changes are rejected with a reason, and change nothing.
+func TestInvalidReplicaChangesAreRejected(t *testing.T) {
+	c := dynamicCluster(t, 6, 3, 1)
+	c.Kill(5)
 	for _, x := range []struct {
 		want []int
 		text string
@@ -323,88 +327,88 @@
 		{[]int{0, 1, 1}, "stands twice"},
 		{[]int{0, 1, 5}, "nothing is heard of n5"},
 	} {
-		ticket := p.RequestChange(4, x.want...)
-		p.Run(p.Now() + 3*Second)
-		if a := p.Answers[ticket]; a.OK || !strings.Contains(a.Text, x.text) {
+		id := c.RequestChange(4, x.want...)
+		c.Run(c.Now() + 3*Second)
+		if a := c.Answers[id]; a.OK || !strings.Contains(a.Text, x.text) {
 			t.Errorf("%v: %+v", x.want, a)
 		}
 	}
-	if !p.changeReplicas(4, 10*Second, 1, 2, 3) {
-		t.Fatal(p.Core(4).Set())
+	if !c.changeReplicasUntilInForce(4, 10*Second, 1, 2, 3) {
+		t.Fatal(c.Core(4).Set())
 	}
-	p.lastRequest++ // by one who saw the set before
-	p.stepReplicaSet(p.nodes[4], p.Core(4), replicaset.ChangeRequest{
-		RequestID: p.lastRequest,
+	c.lastRequest++ // a request based on the previous set
+	c.stepReplicaSet(c.nodes[4], c.Core(4), replicaset.ChangeRequest{
+		RequestID: c.lastRequest,
 		Epoch:     1,
 		Replicas:  []string{"n0", "n2", "n3"},
 	})
-	p.Run(p.Now() + 3*Second)
-	if a := p.Answers[p.lastRequest]; a.OK || !strings.Contains(a.Text, "have changed meanwhile") {
-		t.Errorf("from a set that is no more: %+v", a)
+	c.Run(c.Now() + 3*Second)
+	if a := c.Answers[c.lastRequest]; a.OK || !strings.Contains(a.Text, "have changed meanwhile") {
+		t.Errorf("a request based on the previous set: %+v", a)
 	}
-	if !p.changeReplicas(4, 10*Second, 0, 1, 2) {
-		t.Fatal(p.Core(4).Set())
+	if !c.changeReplicasUntilInForce(4, 10*Second, 0, 1, 2) {
+		t.Fatal(c.Core(4).Set())
 	}
-	one, two := p.RequestChange(3, 0, 1, 3), p.RequestChange(4, 0, 1, 4)
-	p.Run(p.Now() + 3*Second)
-	if a, b := p.Answers[one], p.Answers[two]; a.OK == b.OK {
-		t.Errorf("two at once: %+v and %+v", a, b)
+	firstID, secondID := c.RequestChange(3, 0, 1, 3), c.RequestChange(4, 0, 1, 4)
+	c.Run(c.Now() + 3*Second)
+	if a, b := c.Answers[firstID], c.Answers[secondID]; a.OK == b.OK {
+		t.Errorf("two simultaneous requests: %+v and %+v", a, b)
 	}
-	if !p.replicasAre(4, 0, 1, 3) && !p.replicasAre(4, 0, 1, 4) {
-		t.Errorf("the keepers are %v", p.Core(4).Set())
+	if !c.hasReplicas(4, 0, 1, 3) && !c.hasReplicas(4, 0, 1, 4) {
+		t.Errorf("the replicas are %v", c.Core(4).Set())
 	}
-	p.requireNoViolations(t)
+	c.requireNoViolations(t)
 }
 
-// Whatever fails while replicas change, and whenever, no op is given to two schedulers; and at rest all go
-// by one set.
-func TestDrawnChangesOfKeepers(t *testing.T) {
-	first, last := seeds(24)
+// No op is granted to two schedulers while replicas change under random crashes, pauses, cut links and
+// message loss. At rest, all schedulers use the same set.
+func TestNoOpIsGrantedTwiceDuringRandomReplicaChanges(t *testing.T) {
+	first, last := seedRange(24)
 	granted, epochs := 0, 0
 	for seed := first; seed <= last; seed++ {
-		p := New(7, 3, seed)
-		p.DynamicReplicas = true
-		p.drawNetwork(0, 0.05, 0.2)
+		c := New(7, 3, seed)
+		c.DynamicReplicas = true
+		c.drawNetwork(0, 0.05, 0.2)
 		for i := range 7 {
-			p.Start(i)
+			c.Start(i)
 		}
-		p.Run(8 * Second)
-		p.CrashProbability = []float64{0, 0.0002, 0.001}[p.Rand.IntN(3)]
-		begin, end := p.Now(), p.Now()+30*Second
-		p.drawClaimsInPairs(begin, end)
-		p.drawChanges(begin, end)
-		p.drawOutages(begin, end)
-		p.Run(end + 5*Second)
-		p.CrashProbability, p.Loss, p.Duplication = 0, 0, 0
-		p.Run(end + 60*Second)
-		granted, epochs = granted+p.Granted, epochs+len(p.Epochs)
-		p.reportViolations(t, seed)
-		p.checkConverged(t, seed, 7)
+		c.Run(8 * Second)
+		c.CrashProbability = []float64{0, 0.0002, 0.001}[c.Rand.IntN(3)]
+		begin, end := c.Now(), c.Now()+30*Second
+		c.drawClaimsInPairs(begin, end)
+		c.drawChanges(begin, end)
+		c.drawOutages(begin, end)
+		c.Run(end + 5*Second)
+		c.CrashProbability, c.LossProbability, c.DuplicationProbability = 0, 0, 0
+		c.Run(end + 60*Second)
+		granted, epochs = granted+c.Granted, epochs+len(c.Epochs)
+		c.reportViolations(t, seed)
+		c.checkConverged(t, seed, 7)
 		if t.Failed() {
 			return
 		}
 	}
 	if runs := int(last - first + 1); granted < 20*runs || epochs < 3*runs {
-		t.Errorf("only %d ops were granted and %d epochs came into force: this proves little", granted, epochs)
+		t.Errorf("only %d ops granted and %d epochs in force: too few for this test", granted, epochs)
 	}
 }
 
-// drawClaimsInPairs plans claims of ids that come again within two seconds, each at two schedulers nearly at
-// the same moment.
-func (p *Cluster) drawClaimsInPairs(begin, end Time) {
-	r := p.Rand
+// drawClaimsInPairs schedules claims of keys that repeat within two seconds, each at two schedulers at nearly
+// the same time.
+func (c *Cluster) drawClaimsInPairs(begin, end Time) {
+	r := c.Rand
 	for at := begin; at < end; at += Time(r.IntN(1500)) {
 		i, j, key := r.IntN(7), r.IntN(7), fmt.Sprint("op", at/(2*Second), "-", r.IntN(3))
-		p.At(at, func() { p.Claim(i, key) })
-		p.At(at+Time(r.IntN(30)), func() { p.Claim(j, key) })
+		c.At(at, func() { c.Claim(i, key) })
+		c.At(at+Time(r.IntN(30)), func() { c.Claim(j, key) })
 	}
 }
 
-// drawChanges plans changes to one, three or five replicas that operators request.
-func (p *Cluster) drawChanges(begin, end Time) {
-	r := p.Rand
+// drawChanges schedules requests for random sets of one, three or five replicas.
+func (c *Cluster) drawChanges(begin, end Time) {
+	r := c.Rand
 	for at := begin; at < end; at += Time(r.IntN(40_000)) {
 		scheduler, replicas := r.IntN(7), r.Perm(7)[:[]int{1, 3, 3, 5}[r.IntN(4)]]
-		p.At(at, func() { p.RequestChange(scheduler, replicas...) })
+		c.At(at, func() { c.RequestChange(scheduler, replicas...) })
 	}
 }
--- a/internal/cluster/replication/simulation/checker.go
+++ b/internal/cluster/replication/simulation/checker.go
@@ -13,38 +13,38 @@
 	stepEnded    = "ended"
 )
 
-// HistoryEntry is one step of the history: what a scheduler was answered on an op, or did with it.
+// HistoryEntry is one step of the history: the decision on a claim, or the release or end of an op.
 type HistoryEntry struct {
 	At          Time
 	Scheduler   string
 	Key         string
 	Claim       int // the request ID
 	Step        string
-	Result      replication.ClaimResult // of a decided claim
-	RequestedAt Time                    // of a decided claim
+	Result      replication.ClaimResult // set for a decided claim
+	RequestedAt Time                    // set for a decided claim
 }
 
-// checker knows of each op which claim may have run it, and finds decisions that break a promise.
+// checker records which claim of each op may have run, and detects decisions that violate a guarantee.
 type checker struct {
 	History     []HistoryEntry
 	Violations  []string
-	DedupWindow Time // of the ops whose key begins with d, within their group; 0: none are deduplicated
+	DedupWindow Time // for ops whose key starts with d, in their worker group; 0: no op is deduplicated
 	Granted     int
-	BoundClaims int // claims that were granted beside another
+	BoundClaims int // number of granted claims that are bound to a worker group
 
-	endsNever     bool                       // granted ops are ended by the test alone
-	claims        map[uint64]*claim          // by request ID
-	holders       map[string]string          // by key: the claim that may have run, or has ended
-	firstRuns     map[string]firstRun        // by key
-	repeatedUnder map[string]map[string]bool // by key: bound claims
+	opsEndManually bool                       // only the test ends granted ops
+	claims         map[uint64]*claim          // by request ID
+	holders        map[string]string          // by key: the claim that may have run or has ended
+	firstRuns      map[string]firstRun        // by key
+	boundByKey     map[string]map[string]bool // by key: the bound claims
 }
 
 func newChecker() checker {
 	return checker{
-		claims:        map[uint64]*claim{},
-		holders:       map[string]string{},
-		firstRuns:     map[string]firstRun{},
-		repeatedUnder: map[string]map[string]bool{},
+		claims:     map[uint64]*claim{},
+		holders:    map[string]string{},
+		firstRuns:  map[string]firstRun{},
+		boundByKey: map[string]map[string]bool{},
 	}
 }
 
@@ -56,10 +56,10 @@
 	requestedAt Time
 }
 
-// sameProcess reports whether the process runs that requested the claim.
-func (cl *claim) sameProcess() bool { return cl.scheduler.running && cl.scheduler.core == cl.core }
+// processRunning reports whether the process that requested the claim still runs.
+func (cl *claim) processRunning() bool { return cl.scheduler.running && cl.scheduler.core == cl.core }
 
-// moveClaims has a process go on at another node with what it claimed.
+// moveClaims assigns the claims of a process to another node when the process moves to that node.
 func (c *Cluster) moveClaims(from, to *node) {
 	for _, cl := range c.claims {
 		if cl.scheduler == from && cl.core == to.core {
@@ -68,7 +68,7 @@
 	}
 }
 
-// firstRun is in which group an op ran first, and when.
+// firstRun is the worker group and the time of the first run of an op.
 type firstRun struct {
 	group string
 	at    Time
@@ -76,7 +76,7 @@
 
 func (k *checker) deduplicated(key string) bool { return k.DedupWindow > 0 && key[0] == 'd' }
 
-// Claim has a scheduler claim an op.
+// Claim makes a scheduler claim an op.
 func (c *Cluster) Claim(i int, key string) {
 	n := c.nodes[i]
 	if !n.running || n.core == nil {
@@ -92,12 +92,12 @@
 	c.step(n, n.core, in)
 }
 
-func (c *Cluster) violation(format string, values ...any) {
+func (c *Cluster) addViolation(format string, values ...any) {
 	at := fmt.Sprintf("at %.3f s: ", float64(c.Now())/float64(Second))
 	c.Violations = append(c.Violations, at+fmt.Sprintf(format, values...))
 }
 
-func (c *Cluster) record(cl *claim, id uint64, step string) *HistoryEntry {
+func (c *Cluster) addHistoryEntry(cl *claim, id uint64, step string) *HistoryEntry {
 	c.History = append(c.History, HistoryEntry{
 		At:        c.Now(),
 		Scheduler: cl.scheduler.name,
@@ -108,10 +108,10 @@
 	return &c.History[len(c.History)-1]
 }
 
-// checkDecision checks a decision: of one op, no two claims may be used.
+// checkDecision checks a decision. At most one claim of an op may be used, except for bound claims.
 func (c *Cluster) checkDecision(d replication.ClaimDecided) {
 	cl := c.claims[d.RequestID]
-	entry := c.record(cl, d.RequestID, stepDecided)
+	entry := c.addHistoryEntry(cl, d.RequestID, stepDecided)
 	entry.Result, entry.RequestedAt = d.Result, cl.requestedAt
 	switch d.Result {
 	case replication.Granted:
@@ -133,34 +133,34 @@
 		return
 	}
 	if holder := c.holders[cl.key]; holder != "" {
-		const format = "%s is given to claim %s of %s, and claim %s may have run"
-		c.violation(format, cl.key, name, cl.scheduler.name, holder)
+		const format = "%s is granted to claim %s of %s, but claim %s may have run"
+		c.addViolation(format, cl.key, name, cl.scheduler.name, holder)
 	}
 	c.holders[cl.key] = name
 	c.endOrRelease(cl, name, d.RequestID)
 }
 
-// checkAnswer checks that an answer is that of the claim which held the op, or of one that was bound beside
-// it, where its run was dropped.
+// checkAnswer checks that an answer is the result of the claim that ran the op, or of a bound claim of the
+// op. The worker group drops the push of a bound claim as a repeat.
 func (c *Cluster) checkAnswer(cl *claim, d replication.ClaimDecided) {
 	result := string(d.Outcome.Result)
-	if c.repeatedUnder[cl.key][result] {
+	if c.boundByKey[cl.key][result] {
 		return
 	}
 	if holder := c.holders[cl.key]; result != holder {
-		const format = "%s is answered with the result of claim %s, and claim %s had it"
-		c.violation(format, cl.key, result, holder)
+		const format = "%s is answered with the result of claim %s, but claim %s may have run"
+		c.addViolation(format, cl.key, result, holder)
 	}
 }
 
-// endOrRelease ends an op after a while, or releases it; of one in five nothing is heard again.
+// endOrRelease ends or releases an op after a while. One in five ops never ends.
 func (c *Cluster) endOrRelease(cl *claim, name string, id uint64) {
 	drawn := c.Rand.IntN(10)
-	if drawn < 2 || c.endsNever {
+	if drawn < 2 || c.opsEndManually {
 		return
 	}
 	c.At(c.Now()+Time(c.Rand.IntN(5000)), func() {
-		if !cl.sameProcess() {
+		if !cl.processRunning() {
 			return
 		}
 		ended := replication.OpEnded{RequestID: id, Verdict: 200, Result: []byte(name), ResultRetained: true}
@@ -168,20 +168,20 @@
 		if drawn < 5 {
 			ended.NeverRan, step = true, stepReleased
 			if c.holders[cl.key] == name {
-				c.holders[cl.key] = "" // from here on it pushes nothing
+				c.holders[cl.key] = "" // the scheduler no longer pushes the op
 			}
 		}
-		c.record(cl, id, step)
+		c.addHistoryEntry(cl, id, step)
 		c.step(cl.scheduler, cl.core, ended)
 	})
 }
 
-// startRun has a deduplicated op start to run in one of two groups after a while.
+// startRun starts a run of a deduplicated op in one of two worker groups after a while.
 func (c *Cluster) startRun(cl *claim, name string, id uint64) {
 	c.holders[cl.key] = name
 	group := []string{"zone east", "zone west"}[c.Rand.IntN(2)]
 	c.At(c.Now()+Time(c.Rand.IntN(300)), func() {
-		if !cl.sameProcess() || cl.scheduler.paused {
+		if !cl.processRunning() || cl.scheduler.paused {
 			return
 		}
 		c.firstRuns[cl.key] = firstRun{group, c.Now()}
@@ -190,37 +190,37 @@
 	})
 }
 
-// endLater ends or abandons a deduplicated op after a while, or never.
+// endLater ends or abandons a deduplicated op after a while. One in three ops never ends.
 func (c *Cluster) endLater(cl *claim, name string, id uint64) {
 	if c.Rand.IntN(3) == 0 {
 		return
 	}
 	c.At(c.Now()+Time(c.Rand.IntN(60_000)), func() {
 		ended := replication.OpEnded{RequestID: id, Verdict: 200, Result: []byte(name), ResultRetained: true}
-		if c.Rand.IntN(3) == 0 { // nacked: a repeat in its group is harmless
+		if c.Rand.IntN(3) == 0 { // the op was nacked: repeating it in its group is safe
 			ended = replication.OpEnded{RequestID: id, Abandoned: true}
 		}
 		c.step(cl.scheduler, cl.core, ended)
 	})
 }
 
-// checkBound checks a claim that was granted beside another: only in the group where that ran, within the
-// window, and told no younger than it is.
+// checkBound checks a granted claim that is bound to a worker group. The op must have run first in that
+// group, the deduplication window must not have ended, and the age in the decision must not be too low.
 func (c *Cluster) checkBound(cl *claim, name string, d replication.ClaimDecided) {
 	c.BoundClaims++
 	first, ran := c.firstRuns[cl.key]
 	switch {
 	case !ran || first.group != d.Outcome.Group:
-		const format = "%s is given to claim %s of %s in %s, and ran in %q"
-		c.violation(format, cl.key, name, cl.scheduler.name, d.Outcome.Group, first.group)
+		const format = "%s is granted to claim %s of %s in %s, but ran in %q"
+		c.addViolation(format, cl.key, name, cl.scheduler.name, d.Outcome.Group, first.group)
 	case c.Now()-first.at >= c.DedupWindow:
-		c.violation("%s is given to claim %s of %s after the window", cl.key, name, cl.scheduler.name)
+		c.addViolation("%s is granted to claim %s of %s after the window", cl.key, name, cl.scheduler.name)
 	case c.Now()-Time(d.Outcome.Age) > first.at:
-		c.violation("%s is told to be younger than it is", cl.key)
+		c.addViolation("the age of %s in the decision is too low", cl.key)
 	}
-	if c.repeatedUnder[cl.key] == nil {
-		c.repeatedUnder[cl.key] = map[string]bool{}
+	if c.boundByKey[cl.key] == nil {
+		c.boundByKey[cl.key] = map[string]bool{}
 	}
-	c.repeatedUnder[cl.key][name] = true
+	c.boundByKey[cl.key][name] = true
 	c.endLater(cl, name, d.RequestID)
 }
--- a/internal/cluster/replication/simulation/claimer_test.go
+++ b/internal/cluster/replication/simulation/claimer_test.go
@@ -7,169 +7,180 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// openClaim has a scheduler claim an op that never ends by itself, and fails the test unless it is granted.
-func (p *Cluster) openClaim(t *testing.T, i int, key string) (id uint64) {
+// claimWithoutEnd makes a scheduler claim an op that only the test ends. It fails the test if the claim is
+// not granted.
+func (c *Cluster) claimWithoutEnd(t *testing.T, i int, key string) (id uint64) {
 	t.Helper()
-	p.endsNever = true
-	p.Claim(i, key)
-	id = p.lastRequest
-	p.Run(p.Now() + 200*Millisecond)
-	if p.holders[key] != fmt.Sprint(id) {
+	c.opsEndManually = true
+	c.Claim(i, key)
+	id = c.lastRequest
+	c.Run(c.Now() + 200*Millisecond)
+	if c.holders[key] != fmt.Sprint(id) {
 		t.Fatalf("%s is not granted", key)
 	}
 	return id
 }
 
-// end has the process of a claim end its op, where it runs.
-func (p *Cluster) end(id uint64) {
-	cl := p.claims[id]
-	if cl.sameProcess() {
+// endOp makes the process of a claim end its op, if the process still runs.
+func (c *Cluster) endOp(id uint64) {
+	cl := c.claims[id]
+	if cl.processRunning() {
 		result := []byte(fmt.Sprint(id))
 		ended := replication.OpEnded{RequestID: id, Verdict: 200, Result: result, ResultRetained: true}
-		p.step(cl.scheduler, cl.core, ended)
+		c.step(cl.scheduler, cl.core, ended)
 	}
 }
 
-// A repeat of an op is answered by what its own process does: 503 only while that may still end it, however
-// often another process has taken the scheduler's name.
-func TestARepeatIsAnsweredByTheProcessOfItsClaim(t *testing.T) {
+// A repeat of an op is in progress, and answered with 503, only while the process of its claim can still end
+// the op. Later processes under the same scheduler name must not change this result.
+func TestARepeatIsInProgressOnlyWhileItsProcessRuns(t *testing.T) {
 	const claimer, replica, other = 4, 0, 3
-	unknown, running, answered := replication.OutcomeUnknown, replication.InProgress, replication.AlreadyAnswered
-	for _, c := range []struct {
+	unknown, running, answered :=
+		replication.OutcomeUnknown, replication.InProgress, replication.AlreadyAnswered
+	for _, x := range []struct {
 		name    string
 		claimer int
-		after   func(p *Cluster, i int, id uint64) // the claim is granted
+		after   func(c *Cluster, i int, id uint64) // called after the claim is granted
 		want    replication.ClaimResult
 	}{
-		{"killed and back", claimer, func(p *Cluster, i int, _ uint64) { p.Kill(i); p.Start(i) }, unknown},
-		{"a replica, killed and back", replica, func(p *Cluster, i int, _ uint64) { p.Kill(i); p.Start(i) }, unknown},
-		{"killed and back twice", claimer, func(p *Cluster, i int, _ uint64) {
-			p.Kill(i)
-			p.Start(i)
-			p.Kill(i)
-			p.Start(i)
+		{"killed and restarted", claimer, func(c *Cluster, i int, _ uint64) {
+			c.Kill(i)
+			c.Start(i)
 		}, unknown},
-		{"paused and resumed", claimer, func(p *Cluster, i int, _ uint64) {
-			p.Pause(i)
-			p.Run(p.Now() + 3*Second)
-			p.Resume(i)
+		{"a replica, killed and restarted", replica, func(c *Cluster, i int, _ uint64) {
+			c.Kill(i)
+			c.Start(i)
+		}, unknown},
+		{"killed and restarted twice", claimer, func(c *Cluster, i int, _ uint64) {
+			c.Kill(i)
+			c.Start(i)
+			c.Kill(i)
+			c.Start(i)
+		}, unknown},
+		{"paused and resumed", claimer, func(c *Cluster, i int, _ uint64) {
+			c.Pause(i)
+			c.Run(c.Now() + 3*Second)
+			c.Resume(i)
 		}, running},
-		{"paused, resumed and ended", claimer, func(p *Cluster, i int, id uint64) {
-			p.Pause(i)
-			p.Run(p.Now() + 3*Second)
-			p.Resume(i)
-			p.end(id)
+		{"paused, resumed and ended", claimer, func(c *Cluster, i int, id uint64) {
+			c.Pause(i)
+			c.Run(c.Now() + 3*Second)
+			c.Resume(i)
+			c.endOp(id)
 		}, answered},
-		{"predecessor in a hot restart", claimer, func(p *Cluster, i int, _ uint64) {
-			p.HotRestart(i, 600*Second)
+		{"predecessor in a hot restart", claimer, func(c *Cluster, i int, _ uint64) {
+			c.HotRestart(i, 600*Second)
 		}, running},
-		{"replica, predecessor in a hot restart", replica, func(p *Cluster, i int, _ uint64) {
-			p.HotRestart(i, 600*Second)
+		{"replica, predecessor in a hot restart", replica, func(c *Cluster, i int, _ uint64) {
+			c.HotRestart(i, 600*Second)
 		}, running},
-		{"predecessor that ends its op", claimer, func(p *Cluster, i int, id uint64) {
-			p.HotRestart(i, 2*Second)
-			p.Run(p.Now() + Second)
-			p.end(id)
+		{"predecessor that ends its op", claimer, func(c *Cluster, i int, id uint64) {
+			c.HotRestart(i, 2*Second)
+			c.Run(c.Now() + Second)
+			c.endOp(id)
 		}, answered},
-		{"predecessor that is killed", claimer, func(p *Cluster, i int, _ uint64) {
-			p.HotRestart(i, Second)
+		{"predecessor that is killed", claimer, func(c *Cluster, i int, _ uint64) {
+			c.HotRestart(i, Second)
 		}, unknown},
-		{"predecessor's op is ended at one replica alone", claimer, func(p *Cluster, i int, id uint64) {
-			p.HotRestart(i, 2*Second)
-			p.DropIf = func(to string, x replication.Message) bool {
+		{"predecessor's op is ended at one replica alone", claimer, func(c *Cluster, i int, id uint64) {
+			c.HotRestart(i, 2*Second)
+			c.DropIf = func(to string, x replication.Message) bool {
 				return x.Kind == replication.OutcomeReported && to != "n1"
 			}
-			p.end(id)
-			p.Run(p.Now() + 3*Second)
+			c.endOp(id)
+			c.Run(c.Now() + 3*Second)
 		}, answered},
-		{"both processes of a hot restart killed", claimer, func(p *Cluster, i int, _ uint64) {
-			p.HotRestart(i, Second)
-			p.Run(p.Now() + Second)
-			p.Kill(i)
-			p.Start(i)
+		{"both processes of a hot restart killed", claimer, func(c *Cluster, i int, _ uint64) {
+			c.HotRestart(i, Second)
+			c.Run(c.Now() + Second)
+			c.Kill(i)
+			c.Start(i)
 		}, unknown},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			p := cluster(5, 3, 1)
-			id := p.openClaim(t, c.claimer, "x")
-			c.after(p, c.claimer, id)
-			p.Run(p.Now() + 5*Second)
-			for _, i := range []int{other, 1, c.claimer} {
-				if got := p.claimResult(i, "x"); got != c.want {
-					t.Errorf("at n%d: %v, not %v", i, got, c.want)
+		t.Run(x.name, func(t *testing.T) {
+			c := startCluster(5, 3, 1)
+			id := c.claimWithoutEnd(t, x.claimer, "x")
+			x.after(c, x.claimer, id)
+			c.Run(c.Now() + 5*Second)
+			for _, i := range []int{other, 1, x.claimer} {
+				if got := c.claimResult(i, "x"); got != x.want {
+					t.Errorf("at n%d: result %v, want %v", i, got, x.want)
 				}
 			}
-			if len(p.Violations) > 0 {
-				t.Error(p.Violations)
+			if len(c.Violations) > 0 {
+				t.Error(c.Violations)
 			}
 		})
 	}
 }
 
-// The claim of a former process may reach a replica after its successor has been seen there, by a late message
-// or by catch-up: it is still the former process's.
-func TestAClaimThatComesAfterItsProcessHasEnded(t *testing.T) {
-	p := cluster(5, 3, 1)
-	p.CutLink(4, 2, true)
-	p.openClaim(t, 4, "x")
-	p.Kill(4)
-	p.Start(4)
-	p.CutLink(4, 2, false)
-	p.Run(p.Now() + 5*Second) // n2 catches up
-	p.Kill(0)
-	requireResult(t, p.claimResult(3, "x"), replication.OutcomeUnknown)
+// The claim of an ended process may reach a replica after the next process of that scheduler is known there,
+// by a late message or by catch-up. The claim must still count as one of the ended process.
+func TestALateClaimOfAnEndedProcessHasAnUnknownOutcome(t *testing.T) {
+	c := startCluster(5, 3, 1)
+	c.CutLink(4, 2, true)
+	c.claimWithoutEnd(t, 4, "x")
+	c.Kill(4)
+	c.Start(4)
+	c.CutLink(4, 2, false)
+	c.Run(c.Now() + 5*Second) // n2 catches up
+	c.Kill(0)
+	checkResult(t, c.claimResult(3, "x"), replication.OutcomeUnknown)
 }
 
-// A claim that does not say which process made it, as those of older builds, is of a scheduler that may run.
+// A claim that does not state its process, as in older builds, is in progress, since its process may still
+// run.
 func TestAClaimOfAnOlderBuildIsInProgress(t *testing.T) {
-	p := cluster(5, 3, 1)
-	p.stripProcesses = true
-	p.openClaim(t, 4, "x")
-	p.Kill(4)
-	p.Start(4)
-	p.Run(p.Now() + 5*Second)
-	requireResult(t, p.claimResult(3, "x"), replication.InProgress)
+	c := startCluster(5, 3, 1)
+	c.removesProcesses = true
+	c.claimWithoutEnd(t, 4, "x")
+	c.Kill(4)
+	c.Start(4)
+	c.Run(c.Now() + 5*Second)
+	checkResult(t, c.claimResult(3, "x"), replication.InProgress)
 }
 
-// A member that missed the report of a process's end learns of it later.
-func TestTheEndOfAProcessIsRepeated(t *testing.T) {
-	p := cluster(5, 3, 1)
-	p.openClaim(t, 4, "x")
-	p.HotRestart(4, Second)
-	p.CutLink(4, 3, true)
-	p.Run(p.Now() + 3*Second)
-	requireResult(t, p.claimResult(3, "x"), replication.InProgress)
-	p.CutLink(4, 3, false)
-	p.Run(p.Now() + 20*Second)
-	requireResult(t, p.claimResult(3, "x"), replication.OutcomeUnknown)
+// A member that missed the report that a process has ended gets the report again. Otherwise the ops of that
+// process would stay in progress for this member.
+func TestAMissedProcessEndIsReportedAgain(t *testing.T) {
+	c := startCluster(5, 3, 1)
+	c.claimWithoutEnd(t, 4, "x")
+	c.HotRestart(4, Second)
+	c.CutLink(4, 3, true)
+	c.Run(c.Now() + 3*Second)
+	checkResult(t, c.claimResult(3, "x"), replication.InProgress)
+	c.CutLink(4, 3, false)
+	c.Run(c.Now() + 20*Second)
+	checkResult(t, c.claimResult(3, "x"), replication.OutcomeUnknown)
 }
 
-// Whatever happens to claimers, once all is quiet each op is in progress exactly while its process may end it,
-// and no op is granted twice.
-func TestDrawnRestartsOfClaimers(t *testing.T) {
-	first, last := seeds(40)
+// After random kills, pauses and hot restarts of claimers, a repeat of an op that has not ended is in
+// progress if the process of its claim still runs. Otherwise its outcome is unknown. No op is granted twice.
+func TestRepeatsAreAnsweredCorrectlyAfterRandomRestarts(t *testing.T) {
+	first, last := seedRange(40)
 	unknown, running := 0, 0
 	for seed := first; seed <= last; seed++ {
-		p := New(6, 3, seed)
-		p.drawNetwork(0, 0.05, 0.2)
+		c := New(6, 3, seed)
+		c.drawNetwork(0, 0.05, 0.2)
 		for i := range 6 {
-			p.At(Time(p.Rand.IntN(5000)), func() { p.Start(i) })
+			c.At(Time(c.Rand.IntN(5000)), func() { c.Start(i) })
 		}
 		end := 25 * Second
-		p.drawClaims(6*Second, end)
-		p.drawRestarts(7*Second, end, 3)
-		p.Run(end + 5*Second)
-		p.Loss, p.Duplication = 0, 0
-		p.Run(end + 60*Second)
-		p.reportViolations(t, seed)
-		for key, holder := range p.holders {
-			want := p.openResult(key, holder)
+		c.drawClaims(6*Second, end)
+		c.drawRestarts(7*Second, end, 3)
+		c.Run(end + 5*Second)
+		c.LossProbability, c.DuplicationProbability = 0, 0
+		c.Run(end + 60*Second)
+		c.reportViolations(t, seed)
+		for key, holder := range c.holders {
+			want := c.unendedOpResult(key, holder)
 			if want == 0 {
 				continue
 			}
-			for _, i := range []int{p.Rand.IntN(6), 5} {
-				if got := p.claimResult(i, key); got != want {
-					t.Errorf("seed %d: %s at n%d: %v, not %v (SEED=%d repeats it)", seed, key, i, got, want, seed)
+			for _, i := range []int{c.Rand.IntN(6), 5} {
+				if got := c.claimResult(i, key); got != want {
+					t.Errorf("seed %d: %s at n%d: result %v, want %v (SEED=%d repeats it)",
+						seed, key, i, got, want, seed)
 				}
 			}
 			if want == replication.OutcomeUnknown {
@@ -182,50 +193,52 @@
 			return
 		}
 	}
-	if plays := int(last - first + 1); unknown < plays/2 || running < plays/2 {
-		t.Errorf("%d ops of unknown outcome and %d in progress: this proves little", unknown, running)
+	if runs := int(last - first + 1); unknown < runs/2 || running < runs/2 {
+		t.Errorf("%d ops of unknown outcome and %d in progress: too few for this test", unknown, running)
 	}
 }
 
-// openResult is what a repeat has to be answered of an op that was granted and has no end; 0 for any other.
-func (p *Cluster) openResult(key, holder string) replication.ClaimResult {
+// unendedOpResult returns the result that a repeat must get if the op was granted and has not ended. It
+// returns 0 for other ops.
+func (c *Cluster) unendedOpResult(key, holder string) replication.ClaimResult {
 	var id uint64
 	if _, err := fmt.Sscan(holder, &id); err != nil {
 		return 0
 	}
-	for _, step := range p.History {
-		if step.Claim == int(id) && (step.Step == stepEnded || step.Step == stepReleased) {
+	for _, entry := range c.History {
+		if entry.Claim == int(id) && (entry.Step == stepEnded || entry.Step == stepReleased) {
 			return 0
 		}
 	}
-	if p.claims[id].sameProcess() {
+	if c.claims[id].processRunning() {
 		return replication.InProgress
 	}
 	return replication.OutcomeUnknown
 }
 
-// drawRestarts plans kills with a start soon after, pauses and hot restarts. A node has one of them at a time,
-// and so have the replicas together: without memory and disks, two of three would forget what was granted.
-func (p *Cluster) drawRestarts(begin, end Time, replicas int) {
-	r, n := p.Rand, len(p.nodes)
+// drawRestarts schedules kills with a quick restart, pauses and hot restarts. A node has one fault at a time.
+// All replicas together also have one fault at a time: without disks, two killed replicas of three would
+// forget grants.
+func (c *Cluster) drawRestarts(begin, end Time, replicas int) {
+	r, n := c.Rand, len(c.nodes)
 	busyUntil := make([]Time, n)
 	for at := begin; at < end; at += Time(r.IntN(15_000)) {
-		i, span := r.IntN(n), Time(r.IntN(30_000))
-		busy, rest := &busyUntil[i], Second
+		i, duration := r.IntN(n), Time(r.IntN(30_000))
+		busy, recovery := &busyUntil[i], Second
 		if i < replicas {
-			busy, rest = &busyUntil[0], 5*Second
+			busy, recovery = &busyUntil[0], 5*Second
 		}
 		if *busy > at {
 			continue
 		}
-		*busy = at + span + rest
+		*busy = at + duration + recovery
 		switch r.IntN(3) {
 		case 0:
-			p.killAt(at, i, span/100)
+			c.killAt(at, i, duration/100)
 		case 1:
-			p.pauseAt(at, i, span)
+			c.pauseAt(at, i, duration)
 		case 2:
-			p.At(at, func() { p.HotRestart(i, span) })
+			c.At(at, func() { c.HotRestart(i, duration) })
 		}
 	}
 }
--- a/internal/cluster/replication/simulation/cluster.go
+++ b/internal/cluster/replication/simulation/cluster.go
@@ -1,6 +1,6 @@
-// Package simulation runs a whole cluster of schedulers and replicas under one seed in virtual time, with
-// crashes, pauses, cut links, lost memory, failing disks, and messages that are lost, duplicated and late.
-// It checks what the cluster does by the answers that schedulers get.
+// Package simulation runs a cluster of schedulers and replicas in virtual time, with all randomness from one
+// seed. It simulates crashes, pauses, cut links, lost memory, failing disks, and lost, duplicated and late
+// messages. It checks the behavior of the cluster by the answers that schedulers get.
 package simulation
 
 import (
@@ -13,29 +13,29 @@
 	"woaddyke/internal/testsupport/simclock"
 )
 
-// Time is the unit of the cores: tenths of a millisecond.
+// Time is the time of the replication cores, in tenths of a millisecond.
 type Time = replication.Time
 
-// Spans in the unit of Time.
+// One millisecond and one second in the unit of Time.
 const (
 	Millisecond Time = 10
 	Second      Time = 10_000
 )
 
 const (
-	// seedSalt tells this package's random sequence from others with the same seed.
+	// seedSalt makes the random sequence of this package differ from others with the same seed.
 	seedSalt = 0x706c6179
 
 	tickInterval     = 5 * Millisecond
-	maxDeferred      = 500 // inputs that wait for a paused process; those beyond them are lost
-	defaultDelay     = Time(5)
-	maxCrashDowntime = 20_000      // in the unit of Time
-	replacedLinger   = 2 * Second  // until a replaced process has learned of that
+	maxDeferred      = 500 // maximum number of inputs that wait for a paused process; further inputs are lost
+	defaultMeanDelay = Time(5)
+	maxCrashDowntime = 20_000      // limit of the downtime after a random crash, in tenths of a millisecond
+	replacedLinger   = 2 * Second  // time until a resumed process learns that it was replaced
 	amnesiaHoldOff   = 5 * Second  // shorter than by default, for shorter runs
-	lateDelay        = 30 * Second // the longest delay of a late message
+	maxLateDelay     = 30 * Second // limit of the additional delay of a late message
 
-	spreadInterval  = 50 * Millisecond // between two members that learn of a new process
-	generationShift = 16               // as package replica numbers hot restarts
+	announceInterval = 50 * Millisecond // time between two members that learn of a new process
+	generationShift  = 16               // low bits of a generation; they count hot restarts, as in replica
 )
 
 // Cluster is one simulated cluster.
@@ -45,10 +45,10 @@
 	Config           replication.Config
 	DynamicReplicas  bool // replicas have disks, and the set changes by agreement
 	ReplicaSetConfig replicaset.Config
-	CrashProbability float64                 // after each effect of a process
-	Answers          map[uint64]ChangeAnswer // to RequestChange, by request ID
-	Epochs           map[uint64]int          // that came into force, and at how many processes
-	DiskFailures     int                     // rounds that a disk did not take
+	CrashProbability float64                 // probability of a crash before an effect
+	Answers          map[uint64]ChangeAnswer // answers to RequestChange, by request ID
+	Epochs           map[uint64]int          // by adopted epoch: the number of adoptions
+	DiskFailures     int                     // number of failed writes
 
 	network
 	checker
@@ -58,13 +58,13 @@
 	lastRequest uint64
 }
 
-// ChangeAnswer is what operators were answered on a change of the set.
+// ChangeAnswer is the answer to an operator's request to change the set.
 type ChangeAnswer struct {
 	OK   bool
 	Text string
 }
 
-// New makes a cluster of n schedulers, the first of which are replicas.
+// New returns a cluster of n schedulers. The first ones are the replicas.
 func New(n, replicas int, seed uint64) *Cluster {
 	c := &Cluster{
 		Rand:             rand.New(rand.NewPCG(seed, seedSalt)),
@@ -88,7 +88,7 @@
 	return c
 }
 
-// Core is what runs at a node; nil for nothing.
+// Core returns the core that runs at a node, or nil if none runs.
 func (c *Cluster) Core(i int) *replication.Core {
 	if n := c.nodes[i]; n.running {
 		return n.core
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// Start starts a process at a node, with what its disk holds and nothing else.
+// Start starts a process at a node. The process knows only the contents of the disk.
 func (c *Cluster) Start(i int) {
 	n := c.nodes[i]
 	config := c.Config
@@ -104,46 +104,46 @@
 	config.Seed, config.Nonce = c.Rand.Uint64(), c.Rand.Uint64()
 	config.DynamicReplicas = c.DynamicReplicas
 	n.generation++
-	n.nonce, n.successions, n.ended, n.learned = config.Nonce, 0, nil, nil
+	n.nonce, n.hotRestarts, n.ended, n.queuedInputs = config.Nonce, 0, nil, nil
 	n.core = replication.New(config, c.Now())
 	n.running, n.paused, n.deferred, n.diskFailed = true, false, nil, false
 	if c.DynamicReplicas {
 		c.startReplicaSet(n)
 	}
-	c.serve(n)
+	c.becomeMember(n)
 	if c.DynamicReplicas {
-		c.introduce(n)
+		c.announceAlive(n)
 	}
-	c.spreadProcess(n, n.core)
+	c.announceProcess(n, n.core)
 	c.scheduleTick(n, n.core)
 }
 
-// serve has a process serve as the member that it is.
-func (c *Cluster) serve(n *node) {
+// becomeMember makes a process serve as a member.
+func (c *Cluster) becomeMember(n *node) {
 	own := n.process()
 	c.step(n, n.core, replication.Membership{Serving: true, Generation: own.Generation, Nonce: own.Nonce})
 }
 
-// spreadProcess has a new process and all others learn after a while as which processes the members know
-// each other, as membership does. They learn it just before a tick, so that no timer of a core runs at
-// another moment than without it.
-func (c *Cluster) spreadProcess(n *node, core *replication.Core) {
+// announceProcess makes a new process and all others learn of each other's processes after a while, as
+// membership does. They learn this just before a tick, so that the timers of the cores run at the same times
+// as without the announcement.
+func (c *Cluster) announceProcess(n *node, core *replication.Core) {
 	for i, other := range c.nodes {
 		if other == n || other.handedOver {
 			continue
 		}
-		c.At(c.Now()+spreadInterval*Time(i+1), func() {
+		c.At(c.Now()+announceInterval*Time(i+1), func() {
 			if other.core == nil || n.core != core {
 				return
 			}
-			c.learn(other, n)
-			c.learn(n, other)
+			c.queueProcess(other, n)
+			c.queueProcess(n, other)
 		})
 	}
 }
 
-// HotRestart has a successor take the place of a process, which goes on with its ops and sends nothing but
-// their ends. It ends after a while, and the successor learns of that.
+// HotRestart starts a successor of a process. The predecessor continues its ops and sends only outcome
+// reports. The predecessor ends after the given time, and the successor learns that it has ended.
 func (c *Cluster) HotRestart(i int, endsAfter Time) {
 	n := c.nodes[i]
 	predecessor := &node{
@@ -152,7 +152,7 @@
 		running:     n.running,
 		handedOver:  true,
 		generation:  n.generation,
-		successions: n.successions,
+		hotRestarts: n.hotRestarts,
 		nonce:       n.nonce,
 		ended:       n.ended,
 	}
@@ -162,12 +162,12 @@
 	config.Name = n.name
 	config.Seed, config.Nonce = c.Rand.Uint64(), c.Rand.Uint64()
 	n.core = replication.New(config, c.Now())
-	n.successions++
-	c.serve(n)
+	n.hotRestarts++
+	c.becomeMember(n)
 	for _, process := range n.ended {
 		c.step(n, n.core, replication.ProcessEnded{Process: process})
 	}
-	c.spreadProcess(n, n.core)
+	c.announceProcess(n, n.core)
 	c.scheduleTick(n, n.core)
 	c.scheduleTick(predecessor, predecessor.core)
 	successor := n.core
@@ -181,7 +181,7 @@
 	})
 }
 
-// startReplicaSet loads what a node's disk holds, and starts its replica set core.
+// startReplicaSet loads the state from the disk of a node, and starts its replica set core.
 func (c *Cluster) startReplicaSet(n *node) {
 	if n.disk == nil {
 		n.disk = newDisk(c.Rand.Uint64()>>1 | 1)
@@ -194,8 +194,8 @@
 	c.stepReplicaSet(n, n.core, replicaset.Membership{Serving: true})
 }
 
-// introduce has a new process and all others see each other as alive.
-func (c *Cluster) introduce(n *node) {
+// announceAlive makes a new process and all others see each other as alive.
+func (c *Cluster) announceAlive(n *node) {
 	for _, other := range c.nodes {
 		if other != n && other.running {
 			c.step(other, other.core, replication.PeerStatus{Name: n.name})
@@ -209,8 +209,8 @@
 		if n.core != core || !n.running {
 			return
 		}
-		for _, known := range n.takeLearned() {
-			c.step(n, core, known)
+		for _, in := range n.takeQueuedInputs() {
+			c.step(n, core, in)
 		}
 		c.step(n, core, replication.Tick{})
 		if n.replicaSet != nil && n.replicaSet.NextTick() <= c.Now() {
@@ -220,13 +220,13 @@
 	})
 }
 
-// Kill ends a process at once.
+// Kill ends a process immediately.
 func (c *Cluster) Kill(i int) { c.nodes[i].running, c.nodes[i].deferred = false, nil }
 
-// Pause stops a process; its inputs wait for it.
+// Pause pauses a process. Its inputs are deferred until it is resumed.
 func (c *Cluster) Pause(i int) { c.nodes[i].paused = true }
 
-// Resume lets a paused process go on.
+// Resume resumes a paused process and runs its deferred inputs.
 func (c *Cluster) Resume(i int) {
 	n := c.nodes[i]
 	n.paused = false
@@ -237,8 +237,8 @@
 	}
 }
 
-// Replace has another process take the name of a paused one. The first one goes on after a while, and sends
-// what it still has to send before it learns that it was replaced.
+// Replace starts another process under the name of a paused one. The paused process resumes after the given
+// time. It sends its remaining messages before it learns that it was replaced.
 func (c *Cluster) Replace(i int, after Time) {
 	n := c.nodes[i]
 	old := &node{
@@ -250,7 +250,7 @@
 		replicaSet: n.replicaSet,
 		disk:       n.disk,
 	}
-	n.disk = nil // the other one runs elsewhere
+	n.disk = nil // the new process runs on another machine
 	c.nodes = append(c.nodes, old)
 	oldIndex := len(c.nodes) - 1
 	c.Start(i)
@@ -261,7 +261,7 @@
 	c.At(c.Now()+after+replacedLinger, func() { old.running = false })
 }
 
-// SetAlive has every process see a member as alive, or not, for the agreement on the replica set.
+// SetAlive sets whether the replica set cores of all other processes see a member as alive.
 func (c *Cluster) SetAlive(i int, alive bool) {
 	for _, n := range c.nodes {
 		if n.running && n.replicaSet != nil && n != c.nodes[i] {
@@ -270,7 +270,7 @@
 	}
 }
 
-// SetDead has every process see a member as dead, or not, for claims.
+// SetDead sets whether the replication cores of all other processes see a member as dead.
 func (c *Cluster) SetDead(i int, dead bool) {
 	for _, n := range c.nodes {
 		if n.running && n != c.nodes[i] {
@@ -279,8 +279,8 @@
 	}
 }
 
-// RequestChange has operators request other replicas at a scheduler. It returns the request ID under which
-// Answers will have the answer.
+// RequestChange requests a change of the replicas at a scheduler, as an operator does. It returns the request
+// ID under which Answers will contain the answer.
 func (c *Cluster) RequestChange(i int, replicas ...int) uint64 {
 	n := c.nodes[i]
 	c.lastRequest++
@@ -300,9 +300,9 @@
 	return id
 }
 
-// mayCrash ends a process by chance between two of its effects, and starts it again later. It reports whether
-// the process has ended.
-func (c *Cluster) mayCrash(n *node, core *replication.Core) bool {
+// crashAtRandom ends a process with CrashProbability and starts it again later. The function is called before
+// each effect. It reports whether the process has ended.
+func (c *Cluster) crashAtRandom(n *node, core *replication.Core) bool {
 	if n.core != core || !n.running {
 		return true
 	}
--- a/internal/cluster/replication/simulation/disk.go
+++ b/internal/cluster/replication/simulation/disk.go
@@ -8,20 +8,20 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// disk is what a node keeps when its process ends.
+// disk is the state of a node that persists when its process ends.
 type disk struct {
 	state       replicaset.State
 	records     map[string]replication.Record
-	firstSeen   map[string]Time // of each record
+	firstSeen   map[string]Time // by key of the record
 	cursors     map[string]replication.ReplicationCursor
 	incarnation replication.Incarnation
 	setID       uint64
 }
 
-// diskFault is the state of a node's disk.
+// diskFault is the fault state of a node's disk.
 type diskFault struct {
-	diskFailing bool // it takes nothing now
-	diskFailed  bool // it has failed since the process started
+	diskFailing bool // writes fail now
+	diskFailed  bool // a write has failed since the process started
 }
 
 func newDisk(voterID uint64) *disk {
@@ -33,7 +33,7 @@
 	}
 }
 
-// load returns what a replication core restores under a set.
+// load returns the state that a replication core restores under a replica set.
 func (d *disk) load(now Time, setID uint64) (
 	records []replication.Record,
 	incarnation replication.Incarnation,
@@ -63,7 +63,7 @@
 	return false
 }
 
-// apply carries out an effect that is a write.
+// apply applies an effect that is a write to the disk.
 func (d *disk) apply(e replication.Effect, now Time, setID uint64) {
 	switch e := e.(type) {
 	case replication.Persist:
@@ -77,17 +77,17 @@
 	}
 }
 
-// LoseDisk empties the disk of a node whose process has ended.
+// LoseDisk removes the disk of a node whose process has ended. The next process gets an empty disk.
 func (c *Cluster) LoseDisk(i int) { c.nodes[i].disk = nil }
 
-// FailDisk has the disk of a node take nothing from now on, or work again.
+// FailDisk sets whether writes to the disk of a node fail.
 func (c *Cluster) FailDisk(i int, failing bool) { c.nodes[i].diskFailing = failing }
 
-// DiskFailed reports whether the disk of a node has failed since its process started.
+// DiskFailed reports whether a write to the disk of a node has failed since its process started.
 func (c *Cluster) DiskFailed(i int) bool { return c.nodes[i].diskFailed }
 
-// diskWrite reports whether a round's write fails, and whether it was written: what a disk fails to sync
-// may be written all the same.
+// diskWrite reports whether a write fails, and whether the data was written. Data may have been written even
+// if the disk failed to sync it.
 func (c *Cluster) diskWrite(n *node) (failed, written bool) {
 	if !n.diskFailing {
 		return false, true
--- a/internal/cluster/replication/simulation/faults_test.go
+++ b/internal/cluster/replication/simulation/faults_test.go
@@ -5,108 +5,108 @@
 	"testing"
 )
 
-// drawNetwork draws how much the network loses and how long it takes.
-func (p *Cluster) drawNetwork(losses ...float64) {
-	p.Loss, p.Duplication = losses[p.Rand.IntN(len(losses))], 0.05
-	p.Delay = Time(2 + p.Rand.IntN(200))
+// drawNetwork chooses one of the loss probabilities and a random mean delay.
+func (c *Cluster) drawNetwork(losses ...float64) {
+	c.LossProbability, c.DuplicationProbability = losses[c.Rand.IntN(len(losses))], 0.05
+	c.MeanDelay = Time(2 + c.Rand.IntN(200))
 }
 
-func (p *Cluster) killAt(at Time, i int, downtime Time) {
-	p.At(at, func() { p.Kill(i) })
-	p.At(at+downtime, func() { p.Start(i) })
+func (c *Cluster) killAt(at Time, i int, downtime Time) {
+	c.At(at, func() { c.Kill(i) })
+	c.At(at+downtime, func() { c.Start(i) })
 }
 
-func (p *Cluster) pauseAt(at Time, i int, span Time) {
-	p.At(at, func() { p.Pause(i) })
-	p.At(at+span, func() { p.Resume(i) })
+func (c *Cluster) pauseAt(at Time, i int, duration Time) {
+	c.At(at, func() { c.Pause(i) })
+	c.At(at+duration, func() { c.Resume(i) })
 }
 
-func (p *Cluster) cutLinkAt(at Time, from, to int, span Time) {
-	p.At(at, func() { p.CutLink(from, to, true) })
-	p.At(at+span, func() { p.CutLink(from, to, false) })
+func (c *Cluster) cutLinkAt(at Time, from, to int, duration Time) {
+	c.At(at, func() { c.CutLink(from, to, true) })
+	c.At(at+duration, func() { c.CutLink(from, to, false) })
 }
 
-// drawClaims plans claims of ids that come again within two seconds, which is less than replicas without
-// memory hold off; some of them at two schedulers at the same moment, or nearly so.
-func (p *Cluster) drawClaims(begin, end Time) {
-	r, n := p.Rand, len(p.nodes)
+// drawClaims schedules claims of keys that repeat within two seconds. This is less than the hold-off of
+// replicas that lost their memory. Some keys are claimed at two schedulers at nearly the same time.
+func (c *Cluster) drawClaims(begin, end Time) {
+	r, n := c.Rand, len(c.nodes)
 	for at := begin; at < end; at += Time(r.IntN(1500)) {
 		i, key := r.IntN(n), fmt.Sprint("op", at/(2*Second), "-", r.IntN(3))
-		p.At(at, func() { p.Claim(i, key) })
+		c.At(at, func() { c.Claim(i, key) })
 		if r.IntN(2) == 0 {
 			j := r.IntN(n)
-			p.At(at+Time(r.IntN(30)), func() { p.Claim(j, key) })
+			c.At(at+Time(r.IntN(30)), func() { c.Claim(j, key) })
 		}
 	}
 }
 
-// drawTroubles plans crashes, pauses, replaced processes and cut links. A node has one of the first three at
-// a time.
-func (p *Cluster) drawTroubles(begin, end Time) {
-	r, n := p.Rand, len(p.nodes)
+// drawFaults schedules random crashes, pauses, replaced processes and cut links. A node has at most one
+// crash, pause or replacement at a time.
+func (c *Cluster) drawFaults(begin, end Time) {
+	r, n := c.Rand, len(c.nodes)
 	busyUntil := make([]Time, n)
 	for at := begin; at < end; at += Time(r.IntN(20_000)) {
-		i, j, span := r.IntN(n), r.IntN(n), Time(r.IntN(40_000))
+		i, j, duration := r.IntN(n), r.IntN(n), Time(r.IntN(40_000))
 		switch kind := r.IntN(5); {
 		case kind < 3 && busyUntil[i] > at || i == j:
 		case kind == 0:
-			busyUntil[i] = at + span + Second
-			p.killAt(at, i, span)
+			busyUntil[i] = at + duration + Second
+			c.killAt(at, i, duration)
 		case kind == 1:
-			busyUntil[i] = at + span + Second
-			p.pauseAt(at, i, span)
+			busyUntil[i] = at + duration + Second
+			c.pauseAt(at, i, duration)
 		case kind == 2:
 			busyUntil[i] = at + 6*Second
-			p.At(at, func() {
-				p.Pause(i)
-				p.Replace(i, Time(r.IntN(30_000)))
+			c.At(at, func() {
+				c.Pause(i)
+				c.Replace(i, Time(r.IntN(30_000)))
 			})
 		default:
-			p.cutLinkAt(at, i, j, span)
+			c.cutLinkAt(at, i, j, duration)
 			if kind == 4 {
-				p.cutLinkAt(at, j, i, span)
+				c.cutLinkAt(at, j, i, duration)
 			}
 		}
 	}
 }
 
-// drawOutages plans crashes, pauses and cut links, for clusters whose replicas change.
-func (p *Cluster) drawOutages(begin, end Time) {
-	r, n := p.Rand, len(p.nodes)
+// drawOutages schedules random crashes, pauses and cut links, for clusters whose replicas change.
+func (c *Cluster) drawOutages(begin, end Time) {
+	r, n := c.Rand, len(c.nodes)
 	busyUntil := make([]Time, n)
 	for at := begin; at < end; at += Time(r.IntN(30_000)) {
-		i, j, span := r.IntN(n), r.IntN(n), Time(r.IntN(40_000))
+		i, j, duration := r.IntN(n), r.IntN(n), Time(r.IntN(40_000))
 		switch kind := r.IntN(5); {
 		case kind < 3 && busyUntil[i] > at || i == j:
 		case kind < 2:
-			busyUntil[i] = at + span + Second
-			p.killAt(at, i, span)
+			busyUntil[i] = at + duration + Second
+			c.killAt(at, i, duration)
 		case kind == 2:
-			busyUntil[i] = at + span + Second
-			p.pauseAt(at, i, span)
+			busyUntil[i] = at + duration + Second
+			c.pauseAt(at, i, duration)
 		default:
-			p.cutLinkAt(at, i, j, span)
+			c.cutLinkAt(at, i, j, duration)
 			if kind == 4 {
-				p.cutLinkAt(at, j, i, span)
+				c.cutLinkAt(at, j, i, duration)
 			}
 		}
 	}
 }
 
-// reportViolations fails the test for what the cluster did wrong under a seed.
-func (p *Cluster) reportViolations(t *testing.T, seed uint64) {
+// reportViolations fails the test for each violation under a seed.
+func (c *Cluster) reportViolations(t *testing.T, seed uint64) {
 	t.Helper()
-	for _, violation := range p.Violations {
+	for _, violation := range c.Violations {
 		t.Errorf("seed %d: %s (SEED=%d repeats it)", seed, violation, seed)
 	}
 }
 
-// checkReplicasEqual checks that the replicas that run have their votes and the same records.
-func (p *Cluster) checkReplicasEqual(t *testing.T, seed uint64, replicas int) {
+// checkReplicasEqual checks that the running replicas vote and have equal records.
+func (c *Cluster) checkReplicasEqual(t *testing.T, seed uint64, replicas int) {
 	t.Helper()
 	digest := ""
 	for i := range replicas {
-		core := p.Core(i)
+		core := c.Core(i)
 		if core == nil {
 			continue
 		}
