--- a/internal/cluster/replication/simulation/figures_test.go
+++ b/internal/cluster/replication/simulation/figures_test.go
@@ -13,79 +13,85 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// What catch-up costs, for the record: `CATCHUP=100000 go test -run CatchUpFigures -v` plays a replica
-// that comes back without its memory, and one that was cut off, to so many records. A link takes 0.25 to
-// 0.75 ms, and nothing is lost.
+// Measures the cost of catch-up: `CATCHUP=100000 go test -run CatchUpFigures -v`. A replica that restarts
+// without memory, and one that was cut off, catch up with up to CATCHUP records. A link delays messages by
+// 0.25 to 0.75 ms and loses none. FULL removes the limit of CatchUpRate.
 func TestCatchUpFigures(t *testing.T) {
-	var most int
-	if fmt.Sscan(os.Getenv("CATCHUP"), &most); most == 0 {
+	var maxRecords int
+	if fmt.Sscan(os.Getenv("CATCHUP"), &maxRecords); maxRecords == 0 {
 		t.Skip("CATCHUP is not set")
 	}
 	for _, cutOff := range []bool{false, true} {
-		for n := 10; n <= most; n *= 10 {
-			p := New(4, 3, 1)
-			p.Config.MaxRecords, p.Config.MaxBytes, p.Config.Retention = 2*most+10, 1<<31, 7*24*3600*Second
+		for n := 10; n <= maxRecords; n *= 10 {
+			c := New(4, 3, 1)
+			c.Config.MaxRecords, c.Config.MaxBytes, c.Config.Retention =
+				2*maxRecords+10, 1<<31, 7*24*3600*Second
 			if os.Getenv("FULL") != "" {
-				p.Config.CatchUpRate = 1 << 40
+				c.Config.CatchUpRate = 1 << 40
 			}
 			for i := range 4 {
-				p.Start(i)
+				c.Start(i)
 			}
-			p.Run(6 * Second)
-			kept := 0
-			tell := func(n int, to ...int) { // as if so many ops had ended: each known at those replicas
-				for k := range n {
+			c.Run(6 * Second)
+			reported := 0
+			reportEnds := func(count int, to ...int) { // reports the ends of new ops to some replicas
+				for k := range count {
 					const result = "charged, and here is what the client was told of it: 0123456789"
-					r := endedRecord(kept+k, uint64(kept+k), result)
+					record := endedRecord(reported+k, uint64(reported+k), result)
 					for _, i := range to {
-						pl := p.nodes[i]
-						report := replication.Message{Kind: replication.OutcomeReported, SetID: pl.core.SetID(), Record: r}
-						pl.core.Step(p.Now(), replication.MessageReceived{From: "n3", Message: report})
+						replica := c.nodes[i]
+						report := replication.Message{
+							Kind:   replication.OutcomeReported,
+							SetID:  replica.core.SetID(),
+							Record: record,
+						}
+						replica.core.Step(c.Now(), replication.MessageReceived{From: "n3", Message: report})
 					}
 				}
-				kept += n
+				reported += count
 			}
 			if cutOff {
-				tell(most, 0, 1, 2)
-				p.Run(p.Now() + 120*Second)
-				isolateReplica2(p, true)
+				reportEnds(maxRecords, 0, 1, 2)
+				c.Run(c.Now() + 120*Second)
+				setReplica2Isolated(c, true)
 			} else {
-				p.Kill(2)
+				c.Kill(2)
 			}
-			tell(n, 0, 1)
+			reportEnds(n, 0, 1)
 			bytes, missed := 0, 0
-			text, _ := cbor.Marshal(endedRecord(1, 1<<60, strings.Repeat("x", 64)))
-			missed = n * len(text)
-			p.OnSend = func(e replication.Send) {
+			encoded, _ := cbor.Marshal(endedRecord(1, 1<<60, strings.Repeat("x", 64)))
+			missed = n * len(encoded)
+			c.OnSend = func(e replication.Send) {
 				if e.To == "n2" && (e.Kind == replication.DigestPage || e.Kind == replication.Fetched) {
-					text, _ := cbor.Marshal(e.Message)
-					bytes += len(text)
+					encoded, _ := cbor.Marshal(e.Message)
+					bytes += len(encoded)
 				}
 			}
 			if cutOff {
-				isolateReplica2(p, false)
+				setReplica2Isolated(c, false)
 			} else {
-				p.Start(2)
+				c.Start(2)
 			}
-			began, cpu := p.Now(), time.Now()
-			for p.Core(2).Digest() != p.Core(0).Digest() || !p.Core(2).Status().Voting {
-				p.Run(p.Now() + 10*Millisecond)
-				if p.Now()-began > 3600*Second {
-					t.Fatal("it does not catch up")
+			start, wallStart := c.Now(), time.Now()
+			for c.Core(2).Digest() != c.Core(0).Digest() || !c.Core(2).Status().Voting {
+				c.Run(c.Now() + 10*Millisecond)
+				if c.Now()-start > 3600*Second {
+					t.Fatal("n2 has not caught up after one hour")
 				}
 			}
-			var m runtime.MemStats
+			var memory runtime.MemStats
 			runtime.GC()
-			runtime.ReadMemStats(&m)
-			t.Logf("cut off %v, %d missed beside %d: %.2f s, %d bytes, %.2f of what was missed; "+
-				"%.1f s of this machine; %d bytes of memory a record and keeper",
-				cutOff, n, kept-n, float64(p.Now()-began)/float64(Second), bytes,
-				float64(bytes)/float64(missed), time.Since(cpu).Seconds(), int(m.HeapAlloc)/(3*kept))
+			runtime.ReadMemStats(&memory)
+			t.Logf("cut off %v, %d records missed and %d known: %.2f s, %d bytes, %.2f of the missed bytes; "+
+				"%.1f s of real time; %d bytes of memory per record and replica",
+				cutOff, n, reported-n, float64(c.Now()-start)/float64(Second), bytes,
+				float64(bytes)/float64(missed), time.Since(wallStart).Seconds(),
+				int(memory.HeapAlloc)/(3*reported))
 		}
 	}
 }
 
-// endedRecord is a record of an op that has ended with a result.
+// endedRecord returns the record of an op that has ended with a result.
 func endedRecord(op int, nonce uint64, result string) replication.Record {
 	outcome := replication.Outcome{
 		Claim:          replication.Claim{Scheduler: "n3", Nonce: nonce},
@@ -98,36 +104,36 @@
 	return replication.Record{Key: key, Fingerprint: 1, Outcomes: []replication.Outcome{outcome}}
 }
 
-func isolateReplica2(p *Cluster, on bool) { p.partition([]int{2}, []int{0, 1, 3}, on) }
+func setReplica2Isolated(c *Cluster, isolated bool) { c.partition([]int{2}, []int{0, 1, 3}, isolated) }
 
-// What a guarded op costs in messages, for the record: `OPS=2000 go test -run OpFigures -v`.
+// Measures the messages and bytes per op: `OPS=2000 go test -run OpFigures -v`.
 func TestOpFigures(t *testing.T) {
 	var n int
 	if fmt.Sscan(os.Getenv("OPS"), &n); n == 0 {
 		t.Skip("OPS is not set")
 	}
-	for _, keepers := range []int{3, 5} {
-		p := New(8, keepers, 1)
+	for _, replicas := range []int{3, 5} {
+		c := New(8, replicas, 1)
 		for i := range 8 {
-			p.Start(i)
+			c.Start(i)
 		}
-		p.Run(6 * Second)
+		c.Run(6 * Second)
 		messages, bytes := 0, 0
-		p.OnSend = func(e replication.Send) {
-			text, _ := cbor.Marshal(e.Message)
-			messages, bytes = messages+1, bytes+len(text)
+		c.OnSend = func(e replication.Send) {
+			encoded, _ := cbor.Marshal(e.Message)
+			messages, bytes = messages+1, bytes+len(encoded)
 		}
-		began := p.Now()
-		p.Run(began + 10*Second)
-		calm := bytes
+		start := c.Now()
+		c.Run(start + 10*Second)
+		idleBytes := bytes
 		for k := range n {
-			scheduler, key := keepers+k%(8-keepers), fmt.Sprintf("charge\x00%016x", k)
-			p.At(p.Now()+Time(k*50), func() { p.Claim(scheduler, key) })
+			scheduler, key := replicas+k%(8-replicas), fmt.Sprintf("charge\x00%016x", k)
+			c.At(c.Now()+Time(k*50), func() { c.Claim(scheduler, key) })
 		}
 		messages, bytes = 0, 0
-		p.Run(p.Now() + Time(n*50) + 5*Second)
-		t.Logf("%d keepers: %.1f messages and %d bytes of CBOR an op, all keepers together, "+
-			"at 200 ops a second; %.0f bytes a second without ops",
-			keepers, float64(messages)/float64(n), bytes/n, float64(calm)/10)
+		c.Run(c.Now() + Time(n*50) + 5*Second)
+		t.Logf("%d replicas: %.1f messages and %d bytes of CBOR per op, for all replicas together, "+
+			"at 200 ops per second; %.0f bytes per second without ops",
+			replicas, float64(messages)/float64(n), bytes/n, float64(idleBytes)/10)
 	}
 }
--- a/internal/cluster/replication/simulation/history_test.go
+++ b/internal/cluster/replication/simulation/history_test.go
@@ -9,98 +9,100 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// opState is an op as if there were one scheduler: who has it, and whether it has ended.
+// opState is the state of an op in the model with a single scheduler.
 type opState struct {
-	holder int // 0: nobody
+	holder int // request ID of the claim that has the op; 0: none
 	ended  bool
 }
 
-// singleScheduler is what the history of an op must look like, whatever order the schedulers were asked in.
-var singleScheduler = porcupine.Model{
+// singleSchedulerModel is the sequential model of an op: the history of an op must be linearizable to a
+// sequence of steps that one scheduler could have taken.
+var singleSchedulerModel = porcupine.Model{
 	Init: func() any { return opState{} },
 	Step: func(state, input, output any) (bool, any) {
-		s, op := state.(opState), input.(HistoryEntry)
-		switch op.Step {
+		s, entry := state.(opState), input.(HistoryEntry)
+		switch entry.Step {
 		case stepReleased:
-			if s.holder == op.Claim && !s.ended {
+			if s.holder == entry.Claim && !s.ended {
 				return true, opState{}
 			}
 			return false, s
 		case stepEnded:
-			if s.holder == op.Claim && !s.ended {
-				return true, opState{op.Claim, true}
+			if s.holder == entry.Claim && !s.ended {
+				return true, opState{entry.Claim, true}
 			}
 			return false, s
 		}
 		switch output.(replication.ClaimResult) {
 		case replication.Granted:
-			return s.holder == 0, opState{holder: op.Claim}
+			return s.holder == 0, opState{holder: entry.Claim}
 		case replication.AlreadyAnswered, replication.AlreadyEnded:
 			return s.ended, s
 		}
-		return true, s // it was not given, whoever has it
+		return true, s // a claim may be refused in any state
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// The histories of drawn plays are as if there were one scheduler. The judge in the play counts grants;
-// this one knows orders.
-func TestHistoriesAreAsOfOneScheduler(t *testing.T) {
+// The histories of random runs are linearizable to a single scheduler. The checker of the cluster only counts
+// grants. This test also checks the order of grants, releases and ends.
+func TestHistoriesAreLinearizable(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
-		p := New(5, 3, seed)
-		r := p.Rand
-		p.Loss, p.Duplication, p.Delay = 0.1, 0.05, Time(2+r.IntN(300))
+		c := New(5, 3, seed)
+		r := c.Rand
+		c.LossProbability, c.DuplicationProbability, c.MeanDelay = 0.1, 0.05, Time(2+r.IntN(300))
 		for i := range 5 {
-			p.Start(i)
+			c.Start(i)
 		}
-		p.Run(6 * Second)
-		begin := p.Now()
+		c.Run(6 * Second)
+		begin := c.Now()
 		for k := range 250 {
 			i, key := r.IntN(5), fmt.Sprint("op", k/25, "-", r.IntN(3))
-			p.At(begin+Time(k*500+r.IntN(500)), func() { p.Claim(i, key) })
+			c.At(begin+Time(k*500+r.IntN(500)), func() { c.Claim(i, key) })
 		}
 		for k := range 8 {
 			i, at := r.IntN(5), begin+Time(k*15_000+r.IntN(15_000))
-			p.At(at, func() { p.Pause(i) })
-			p.At(at+Time(r.IntN(12_000)), func() { p.Resume(i) })
+			c.At(at, func() { c.Pause(i) })
+			c.At(at+Time(r.IntN(12_000)), func() { c.Resume(i) })
 			j := r.IntN(5)
-			p.At(at, func() { p.CutLink(i, j, true) })
-			p.At(at+Time(r.IntN(12_000)), func() { p.CutLink(i, j, false) })
+			c.At(at, func() { c.CutLink(i, j, true) })
+			c.At(at+Time(r.IntN(12_000)), func() { c.CutLink(i, j, false) })
 		}
-		p.Run(begin + 30*Second)
+		c.Run(begin + 30*Second)
 		byKey := map[string][]porcupine.Operation{}
-		for n, op := range p.History {
-			x := porcupine.Operation{
-				ClientId: n,
-				Input:    op,
-				Output:   op.Result,
-				Call:     int64(op.RequestedAt),
-				Return:   int64(op.At),
+		for i, entry := range c.History {
+			operation := porcupine.Operation{
+				ClientId: i,
+				Input:    entry,
+				Output:   entry.Result,
+				Call:     int64(entry.RequestedAt),
+				Return:   int64(entry.At),
 			}
-			if op.Step != stepDecided {
-				x.Call = x.Return
+			if entry.Step != stepDecided {
+				operation.Call = operation.Return
 			}
-			byKey[op.Key] = append(byKey[op.Key], x)
+			byKey[entry.Key] = append(byKey[entry.Key], operation)
 		}
-		given := 0
-		for key, ops := range byKey {
-			if !porcupine.CheckOperations(singleScheduler, ops) {
-				t.Fatalf("seed %d: the history of %s is not that of one scheduler", seed, key)
+		granted := 0
+		for key, operations := range byKey {
+			if !porcupine.CheckOperations(singleSchedulerModel, operations) {
+				t.Fatalf("seed %d: the history of %s is not linearizable", seed, key)
 			}
-			for _, op := range ops {
-				if op.Output == replication.Granted {
-					given++
+			for _, operation := range operations {
+				if operation.Output == replication.Granted {
+					granted++
 				}
 			}
 		}
-		if given < 20 {
-			t.Errorf("seed %d: only %d ops were given", seed, given)
+		if granted < 20 {
+			t.Errorf("seed %d: only %d claims were granted", seed, granted)
 		}
 	}
 }
 
-// A judge that takes every history proves nothing.
-func TestTheJudgeOfHistoriesSeesADouble(t *testing.T) {
+// The model must reject a history with two grants of one op, and accept a grant after a release. Otherwise
+// the check of random histories would detect nothing.
+func TestTheHistoryModelRejectsADoubleGrant(t *testing.T) {
 	granted := func(claim int, call, end int64) porcupine.Operation {
 		return porcupine.Operation{
 			ClientId: claim,
@@ -110,8 +112,11 @@
 			Return:   end,
 		}
 	}
-	if porcupine.CheckOperations(singleScheduler, []porcupine.Operation{granted(1, 0, 10), granted(2, 5, 20)}) {
-		t.Error("an op that was given twice")
+	if porcupine.CheckOperations(singleSchedulerModel, []porcupine.Operation{
+		granted(1, 0, 10),
+		granted(2, 5, 20),
+	}) {
+		t.Error("a history with two grants of one op is accepted")
 	}
 	released := porcupine.Operation{
 		ClientId: 3,
@@ -120,8 +125,8 @@
 		Call:     12,
 		Return:   12,
 	}
-	givenBack := []porcupine.Operation{granted(1, 0, 10), released, granted(2, 13, 20)}
-	if !porcupine.CheckOperations(singleScheduler, givenBack) {
-		t.Error("an op that was given back")
+	grantedAfterRelease := []porcupine.Operation{granted(1, 0, 10), released, granted(2, 13, 20)}
+	if !porcupine.CheckOperations(singleSchedulerModel, grantedAfterRelease) {
+		t.Error("a history with a grant after a release is rejected")
 	}
 }
--- a/internal/cluster/replication/simulation/network.go
+++ b/internal/cluster/replication/simulation/network.go
@@ -7,18 +7,18 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// link is the way from one member to another.
+// link is the link from one member to another, in one direction.
 type link struct{ from, to string }
 
-// network is what the cluster's links do, and what was sent over them.
+// network is the state of the cluster's links, with counts of what was sent over them.
 type network struct {
-	Loss        float64
-	Duplication float64
-	Delay       Time                                        // the mean one
-	DropIf      func(to string, x replication.Message) bool // drops further messages; nil: none
-	OnSend      func(replication.Send)                      // nil: not called
+	LossProbability        float64
+	DuplicationProbability float64
+	MeanDelay              Time                                        // of a message
+	DropIf                 func(to string, x replication.Message) bool // drops matching messages
+	OnSend                 func(replication.Send)                      // nil: not called
 
-	stripProcesses bool // claims do not state their processes, as those of older builds
+	removesProcesses bool // claims do not state their processes, as in older builds
 
 	SentRecords int
 	SentDigests int
@@ -26,7 +26,7 @@
 	cutLinks map[link]bool
 }
 
-func newNetwork() network { return network{Delay: defaultDelay, cutLinks: map[link]bool{}} }
+func newNetwork() network { return network{MeanDelay: defaultMeanDelay, cutLinks: map[link]bool{}} }
 
 // CutLink cuts the link from one node to another, or restores it.
 func (c *Cluster) CutLink(from, to int, cut bool) {
@@ -50,23 +50,23 @@
 	if c.DropIf != nil && c.DropIf(e.To, e.Message) {
 		return
 	}
-	if c.stripProcesses {
-		e.Message = withoutProcesses(e.Message)
+	if c.removesProcesses {
+		e.Message = removeProcesses(e.Message)
 	}
 	c.send(from, e.To, func(to *node) {
 		c.step(to, to.core, replication.MessageReceived{From: from.name, Message: e.Message})
 	})
 }
 
-// withoutProcesses is a claim request as a build writes it that knows no processes.
-func withoutProcesses(x replication.Message) replication.Message {
-	if x.Kind == replication.ClaimRequested {
-		x.Record.Outcomes = slices.Clone(x.Record.Outcomes)
-		for i := range x.Record.Outcomes {
-			x.Record.Outcomes[i].Result = nil
+// removeProcesses removes the process from a claim request, as older builds do not state it.
+func removeProcesses(m replication.Message) replication.Message {
+	if m.Kind == replication.ClaimRequested {
+		m.Record.Outcomes = slices.Clone(m.Record.Outcomes)
+		for i := range m.Record.Outcomes {
+			m.Record.Outcomes[i].Result = nil
 		}
 	}
-	return x
+	return m
 }
 
 func (c *Cluster) sendReplicaSet(from *node, e replicaset.Send) {
@@ -78,13 +78,14 @@
 	})
 }
 
-// send delivers a message after a while, or never, or twice; a few come much later.
+// send delivers a message after a random delay, loses it, or delivers it twice. A few messages arrive much
+// later.
 func (c *Cluster) send(from *node, name string, receive func(to *node)) {
 	to := c.byName[name]
-	lost, twice := c.Rand.Float64() < c.Loss, c.Rand.Float64() < c.Duplication
-	delay := c.Delay/2 + Time(c.Rand.Int64N(int64(c.Delay)+1))
-	if c.Rand.Float64() < c.Duplication/4 {
-		delay += Time(c.Rand.Int64N(int64(lateDelay)))
+	lost, twice := c.Rand.Float64() < c.LossProbability, c.Rand.Float64() < c.DuplicationProbability
+	delay := c.MeanDelay/2 + Time(c.Rand.Int64N(int64(c.MeanDelay)+1))
+	if c.Rand.Float64() < c.DuplicationProbability/4 {
+		delay += Time(c.Rand.Int64N(int64(maxLateDelay)))
 	}
 	if to == nil || lost {
 		return
--- a/internal/cluster/replication/simulation/node.go
+++ b/internal/cluster/replication/simulation/node.go
@@ -7,54 +7,59 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-// node is where processes of one name run. A replaced process goes on in a node of its own.
+// node runs the processes of one scheduler name. A replaced process and a predecessor in a hot restart move
+// to separate nodes.
 type node struct {
-	name        string
-	core        *replication.Core
-	running     bool
-	paused      bool
-	deferred    []func()
-	handedOver  bool // a successor is the member
-	generation  uint64
-	nonce       uint64
-	successions uint64                    // hot restarts within the generation
-	ended       []replication.Incarnation // processes of its scheduler that it knows to have ended
-	learned     []replication.Input       // since the latest tick
-	replicaSet  *replicaset.Core          // nil where the set does not change
-	disk        *disk                     // nil: memory alone
+	name         string
+	core         *replication.Core
+	running      bool
+	paused       bool
+	deferred     []func()
+	handedOver   bool // the process is a predecessor, and its successor is the member
+	generation   uint64
+	nonce        uint64
+	hotRestarts  uint64                    // number of hot restarts in the generation
+	ended        []replication.Incarnation // ended processes of its scheduler
+	queuedInputs []replication.Input       // inputs for the next tick
+	replicaSet   *replicaset.Core          // nil if the set does not change
+	disk         *disk                     // nil: records are not persisted
 	diskFault
 }
 
-// process is the process that runs at a node.
+// process returns the process that runs at a node.
 func (n *node) process() replication.Incarnation {
-	return replication.Incarnation{Generation: n.generation<<generationShift + n.successions, Nonce: n.nonce}
+	return replication.Incarnation{Generation: n.generation<<generationShift + n.hotRestarts, Nonce: n.nonce}
 }
 
-// memberProcess is the process as the members know it: they do not see hot restarts.
+// memberProcess returns the process as the members know it. The members do not see hot restarts.
 func (n *node) memberProcess() replication.Incarnation {
 	return replication.Incarnation{Generation: n.generation << generationShift, Nonce: n.nonce}
 }
 
-// learn has a process learn at its next tick that another scheduler is alive, and as which process.
-func (c *Cluster) learn(n, of *node) {
-	n.learned = append(n.learned, replication.PeerProcess{Name: of.name, Process: of.memberProcess()})
-	if !c.DynamicReplicas { // else introduce has it see the others as alive
-		n.learned = append(n.learned, replication.PeerStatus{Name: of.name})
+// queueProcess queues the process of another scheduler for the next tick, and that the scheduler is alive.
+func (c *Cluster) queueProcess(n, of *node) {
+	n.queuedInputs = append(n.queuedInputs, replication.PeerProcess{
+		Name:    of.name,
+		Process: of.memberProcess(),
+	})
+	if !c.DynamicReplicas { // otherwise announceAlive has made the process see the others as alive
+		n.queuedInputs = append(n.queuedInputs, replication.PeerStatus{Name: of.name})
 	}
 }
 
-// takeLearned returns what the process learns now: nothing while it is paused.
-func (n *node) takeLearned() []replication.Input {
+// takeQueuedInputs removes and returns the queued inputs. It returns none while the process is paused.
+func (n *node) takeQueuedInputs() []replication.Input {
 	if n.paused {
 		return nil
 	}
-	learned := n.learned
-	n.learned = nil
-	return learned
+	inputs := n.queuedInputs
+	n.queuedInputs = nil
+	return inputs
 }
 
-// ready reports whether a process takes an input now. A paused one takes it when it goes on.
-func (n *node) ready(core *replication.Core, later func()) bool {
+// acceptsInput reports whether a process accepts an input now. If the process is paused, the input is
+// deferred until it resumes.
+func (n *node) acceptsInput(core *replication.Core, later func()) bool {
 	if !n.running || n.core != core {
 		return false
 	}
@@ -64,10 +69,10 @@
 	return !n.paused
 }
 
-// step feeds a replication core and carries out its effects as package replica does: what must be persisted
-// is before anything is sent.
+// step passes an input to a replication core and carries out its effects. As in package replica, the effects
+// are persisted before messages are sent.
 func (c *Cluster) step(n *node, core *replication.Core, in replication.Input) {
-	if !n.ready(core, func() { c.step(n, core, in) }) {
+	if !n.acceptsInput(core, func() { c.step(n, core, in) }) {
 		return
 	}
 	effects := core.Step(c.Now(), in)
@@ -78,12 +83,12 @@
 	}
 	persisted = c.persistAdoptedSets(n, core, effects) && persisted
 	for _, e := range effects {
-		if c.mayCrash(n, core) {
+		if c.crashAtRandom(n, core) {
 			return
 		}
 		switch e := e.(type) {
 		case replication.ClaimDecided:
-			if !persisted && e.Result == replication.Granted { // its own vote may be part of it
+			if !persisted && e.Result == replication.Granted { // the majority may need this process's vote
 				e = replication.ClaimDecided{RequestID: e.RequestID, Result: replication.NoQuorum}
 				followUps = append(followUps, replication.OpEnded{RequestID: e.RequestID, NeverRan: true})
 			}
@@ -103,11 +108,11 @@
 	}
 }
 
-// persistAdoptedSets has the replica set core persist the sets that were adopted; false where that failed.
+// persistAdoptedSets makes the replica set core persist the adopted sets, and reports whether that succeeded.
 func (c *Cluster) persistAdoptedSets(n *node, core *replication.Core, effects []replication.Effect) bool {
 	ok := true
 	for _, e := range effects {
-		if adopted, is := e.(replication.SetAdopted); is {
+		if adopted, isAdopted := e.(replication.SetAdopted); isAdopted {
 			c.Epochs[adopted.Epoch]++
 			ok = c.stepReplicaSet(n, core, replicaset.SetLearned{Set: adopted.Set}) && ok
 		}
@@ -115,10 +120,10 @@
 	return ok
 }
 
-// stepReplicaSet feeds a replica set core and carries out its effects; false where its state could not be
-// persisted.
+// stepReplicaSet passes an input to a replica set core and carries out its effects. It returns false if the
+// state could not be persisted.
 func (c *Cluster) stepReplicaSet(n *node, core *replication.Core, in replicaset.Input) bool {
-	if !n.ready(core, func() { c.stepReplicaSet(n, core, in) }) {
+	if !n.acceptsInput(core, func() { c.stepReplicaSet(n, core, in) }) {
 		return true
 	}
 	effects := n.replicaSet.Step(c.Now(), in)
@@ -126,7 +131,7 @@
 		return false
 	}
 	for _, e := range effects {
-		if c.mayCrash(n, core) {
+		if c.crashAtRandom(n, core) {
 			return true
 		}
 		switch e := e.(type) {
@@ -138,18 +143,18 @@
 			c.Answers[e.RequestID] = ChangeAnswer{e.OK, e.Message}
 		case replicaset.Event:
 			if e.Description == replicaset.LeftGroup {
-				c.violation("%s: %s", n.name, e.Subject)
+				c.addViolation("%s: %s", n.name, e.Subject)
 			}
 		}
 	}
 	return true
 }
 
-// persistReplicaSet writes the states of a round; false where that failed.
+// persistReplicaSet writes the states that the effects of a step persist, and reports whether that succeeded.
 func (c *Cluster) persistReplicaSet(n *node, core *replication.Core, effects []replicaset.Effect) bool {
 	for _, e := range effects {
-		persist, is := e.(replicaset.Persist)
-		if !is {
+		persist, isPersist := e.(replicaset.Persist)
+		if !isPersist {
 			continue
 		}
 		failed, written := c.diskWrite(n)
@@ -165,7 +170,7 @@
 	return true
 }
 
-// persist writes what a round of effects asks for; false where that failed.
+// persist writes the effects of a step to the disk, and reports whether that succeeded.
 func (c *Cluster) persist(n *node, core *replication.Core, effects []replication.Effect) bool {
 	if n.disk == nil || !slices.ContainsFunc(effects, isWrite) {
 		return true
--- a/internal/cluster/replication/simulation/simulation_test.go
+++ b/internal/cluster/replication/simulation/simulation_test.go
@@ -9,336 +9,342 @@
 	"woaddyke/internal/cluster/replication"
 )
 
-func cluster(n, keepers int, seed uint64) *Cluster {
-	p := New(n, keepers, seed)
+func startCluster(n, replicas int, seed uint64) *Cluster {
+	c := New(n, replicas, seed)
 	for i := range n {
-		p.Start(i)
+		c.Start(i)
 	}
-	p.Run(6 * Second)
-	return p
+	c.Run(6 * Second)
+	return c
 }
 
-// claimResult has one scheduler ask and tells what it was told.
-func (p *Cluster) claimResult(i int, key string) replication.ClaimResult {
-	k := len(p.History)
-	p.Claim(i, key)
-	p.Run(p.Now() + Second)
-	for _, op := range p.History[k:] {
-		if op.Key == key && op.Step == stepDecided && op.Scheduler == p.nodes[i].name {
-			return op.Result
+// claimResult makes a scheduler claim an op, and returns the result of the claim; 0 if there is none in time.
+func (c *Cluster) claimResult(i int, key string) replication.ClaimResult {
+	previousSteps := len(c.History)
+	c.Claim(i, key)
+	c.Run(c.Now() + Second)
+	for _, entry := range c.History[previousSteps:] {
+		if entry.Key == key && entry.Step == stepDecided && entry.Scheduler == c.nodes[i].name {
+			return entry.Result
 		}
 	}
 	return 0
 }
 
-// seeds are the first and the last to play: so many, or what SEED or PLAYS says.
-func seeds(plays uint64) (first, last uint64) {
-	if v, err := strconv.ParseUint(os.Getenv("SEED"), 10, 64); err == nil {
-		return v, v
+// seedRange returns the first and the last seed to run: 1 and count by default. The environment variable
+// PLAYS replaces count, and SEED selects a single seed.
+func seedRange(count uint64) (first, last uint64) {
+	if seed, err := strconv.ParseUint(os.Getenv("SEED"), 10, 64); err == nil {
+		return seed, seed
 	}
-	if v, err := strconv.ParseUint(os.Getenv("PLAYS"), 10, 64); err == nil {
-		plays = v
+	if runs, err := strconv.ParseUint(os.Getenv("PLAYS"), 10, 64); err == nil {
+		count = runs
 	}
-	return 1, plays
+	return 1, count
 }
 
-// Whatever fails, and whenever: no op is given to two schedulers. SEED repeats a seed that failed, PLAYS
-// plays more.
-func TestDrawnTroubles(t *testing.T) {
-	first, last := seeds(90)
+// No op is granted to two schedulers under random crashes, pauses, replaced processes, cut links and message
+// loss. At rest, all replicas vote and have equal records. SEED repeats one seed, and PLAYS sets the number
+// of seeds.
+func TestNoOpIsGrantedTwiceUnderRandomFaults(t *testing.T) {
+	first, last := seedRange(90)
 	granted := 0
 	for seed := first; seed <= last; seed++ {
 		replicas := 3
 		if seed%3 == 0 {
 			replicas = 5
 		}
-		p := New(6, replicas, seed)
-		p.drawNetwork(0, 0.05, 0.2)
+		c := New(6, replicas, seed)
+		c.drawNetwork(0, 0.05, 0.2)
 		for i := range 6 {
-			p.At(Time(p.Rand.IntN(5000)), func() { p.Start(i) })
+			c.At(Time(c.Rand.IntN(5000)), func() { c.Start(i) })
 		}
 		end := 25 * Second
-		p.drawClaims(3500*Millisecond, end)
-		p.drawTroubles(4*Second, end)
-		p.Run(end + 12*Second)
-		granted += p.Granted
-		p.reportViolations(t, seed)
-		p.Loss, p.Duplication = 0, 0
-		p.Run(end + 50*Second) // by then the latest of all messages has come
-		p.checkReplicasEqual(t, seed, replicas)
+		c.drawClaims(3500*Millisecond, end)
+		c.drawFaults(4*Second, end)
+		c.Run(end + 12*Second)
+		granted += c.Granted
+		c.reportViolations(t, seed)
+		c.LossProbability, c.DuplicationProbability = 0, 0
+		c.Run(end + 50*Second) // until all late messages have arrived
+		c.checkReplicasEqual(t, seed, replicas)
 		if t.Failed() {
 			return
 		}
 	}
 	if granted < 20*int(last-first+1) {
-		t.Errorf("only %d ops were granted: this proves little", granted)
+		t.Errorf("only %d ops were granted: too few for this test", granted)
 	}
 }
 
-func requireResult(t *testing.T, got, want replication.ClaimResult) {
+func checkResult(t *testing.T, got, want replication.ClaimResult) {
 	t.Helper()
 	if got != want {
-		t.Errorf("%v, not %v", got, want)
+		t.Errorf("result %v, want %v", got, want)
 	}
 }
 
-// The same id at three schedulers at one moment: one has it at the most, and nobody twice.
-func TestTheSameIDAtOnce(t *testing.T) {
+// If three schedulers claim the same key at the same time, at most one claim is granted.
+func TestSimultaneousClaimsOfOneIDAreGrantedOnce(t *testing.T) {
 	for seed := range uint64(200) {
-		p := cluster(6, 3, seed)
+		c := startCluster(6, 3, seed)
 		for i := range 3 {
-			p.Claim(3+i, "x")
+			c.Claim(3+i, "x")
 		}
-		p.Run(p.Now() + 2*Second)
-		mine := 0
-		for _, op := range p.History {
-			if op.Result == replication.Granted {
-				mine++
+		c.Run(c.Now() + 2*Second)
+		granted := 0
+		for _, entry := range c.History {
+			if entry.Result == replication.Granted {
+				granted++
 			}
 		}
-		if mine > 1 || len(p.Violations) > 0 {
-			t.Fatalf("seed %d: %d have it, %v", seed, mine, p.Violations)
+		if granted > 1 || len(c.Violations) > 0 {
+			t.Fatalf("seed %d: %d claims granted, %v", seed, granted, c.Violations)
 		}
 	}
 }
 
-// The claimer is killed: its claim stands, and whoever comes next is told that it may have run.
-func TestAClaimerThatIsKilled(t *testing.T) {
-	p := cluster(5, 3, 1)
-	p.Config.Retention = 600 * Second
-	c := p.Core(4)
-	p.Claim(4, "x")
-	p.Run(p.Now() + 20*Millisecond)
-	if c.Status().GrantedClaims != 1 {
+// The claim of a killed scheduler stays unresolved. A repeat is in progress until the scheduler counts as
+// dead. After that the outcome is unknown, and the op is not granted again.
+func TestAKilledClaimersOpHasAnUnknownOutcome(t *testing.T) {
+	c := startCluster(5, 3, 1)
+	c.Config.Retention = 600 * Second
+	core := c.Core(4)
+	c.Claim(4, "x")
+	c.Run(c.Now() + 20*Millisecond)
+	if core.Status().GrantedClaims != 1 {
 		t.Fatal("not granted")
 	}
-	p.Kill(4)
-	requireResult(t, p.claimResult(3, "x"), replication.InProgress)
+	c.Kill(4)
+	checkResult(t, c.claimResult(3, "x"), replication.InProgress)
 	for i := range 4 {
-		p.step(p.nodes[i], p.nodes[i].core, replication.PeerStatus{Name: "n4", Dead: true})
+		c.step(c.nodes[i], c.nodes[i].core, replication.PeerStatus{Name: "n4", Dead: true})
 	}
-	requireResult(t, p.claimResult(3, "x"), replication.OutcomeUnknown)
+	checkResult(t, c.claimResult(3, "x"), replication.OutcomeUnknown)
 }
 
-// The claimer is killed and comes back under its name at once, before any member holds it for dead. Its former claim stands, and nobody runs
-// it any more: a repeat of the id must not be asked to come back for as long as the record is retained.
-func TestAClaimerThatIsKilledAndComesBack(t *testing.T) {
-	p := cluster(5, 3, 1)
-	p.Config.Retention = 600 * Second
-	p.Claim(4, "x")
-	p.Run(p.Now() + 20*Millisecond)
-	if p.Core(4).Status().GrantedClaims != 1 {
+// A claimer is killed and restarts under its name before any member sees it as dead. No process runs its
+// former op any more, so a repeat must get an unknown outcome. If the repeat were in progress, the client
+// would retry until the record expires.
+func TestARestartedClaimersOpHasAnUnknownOutcome(t *testing.T) {
+	c := startCluster(5, 3, 1)
+	c.Config.Retention = 600 * Second
+	c.Claim(4, "x")
+	c.Run(c.Now() + 20*Millisecond)
+	if c.Core(4).Status().GrantedClaims != 1 {
 		t.Fatal("not granted")
 	}
-	p.Kill(4)
-	p.Start(4)
-	p.Run(p.Now() + 30*Second)
-	requireResult(t, p.claimResult(3, "x"), replication.OutcomeUnknown)
+	c.Kill(4)
+	c.Start(4)
+	c.Run(c.Now() + 30*Second)
+	checkResult(t, c.claimResult(3, "x"), replication.OutcomeUnknown)
 }
 
-// Half the replicas gone: nothing is granted, and nothing is guessed.
-func TestAMajorityLostAndBack(t *testing.T) {
-	p := cluster(5, 3, 1)
-	p.Kill(0)
-	requireResult(t, p.claimResult(4, "a"), replication.Granted)
-	p.Kill(1)
-	requireResult(t, p.claimResult(4, "b"), replication.NoQuorum)
-	p.Start(0)
-	p.Start(1)
-	p.Run(p.Now() + 500*Millisecond)
-	// Two replicas are without their memory: one that has it is too few.
-	requireResult(t, p.claimResult(4, "c"), replication.NoQuorum)
-	p.Run(p.Now() + 5*Second)
-	requireResult(t, p.claimResult(4, "c"), replication.Granted)
-	if got := p.claimResult(3, "a"); got == replication.Granted {
-		t.Errorf("what was claimed before is given again")
+// Without a majority of replicas that vote, no claim is granted. Replicas that restart without memory vote
+// only after the hold-off. An op that was claimed before is not granted again.
+func TestNothingIsGrantedWithoutAMajority(t *testing.T) {
+	c := startCluster(5, 3, 1)
+	c.Kill(0)
+	checkResult(t, c.claimResult(4, "a"), replication.Granted)
+	c.Kill(1)
+	checkResult(t, c.claimResult(4, "b"), replication.NoQuorum)
+	c.Start(0)
+	c.Start(1)
+	c.Run(c.Now() + 500*Millisecond)
+	// Two replicas have lost their memory, and one voting replica is not a majority.
+	checkResult(t, c.claimResult(4, "c"), replication.NoQuorum)
+	c.Run(c.Now() + 5*Second)
+	checkResult(t, c.claimResult(4, "c"), replication.Granted)
+	if got := c.claimResult(3, "a"); got == replication.Granted {
+		t.Errorf("an op that was claimed before is granted again")
 	}
 }
 
-// A replica that comes back without its memory has no vote before it has caught up, and then knows what it
-// knew.
-func TestAKeeperThatForgot(t *testing.T) {
-	p := cluster(5, 3, 1)
+// A replica that restarts without memory has no vote before it has caught up. After that it has all records
+// again. If it voted earlier, it could grant an op that it had granted before.
+func TestAReplicaWithoutMemoryCatchesUpBeforeItVotes(t *testing.T) {
+	c := startCluster(5, 3, 1)
 	for k := range 40 {
-		p.Claim(4, fmt.Sprint("x", k))
+		c.Claim(4, fmt.Sprint("x", k))
 	}
-	p.Run(p.Now() + 2*Second)
-	p.Kill(2)
-	p.Start(2)
-	if p.Core(2).Status().Voting {
-		t.Error("it votes without its memory")
+	c.Run(c.Now() + 2*Second)
+	c.Kill(2)
+	c.Start(2)
+	if c.Core(2).Status().Voting {
+		t.Error("the replica votes without its records")
 	}
-	p.Run(p.Now() + 3*Second)
-	if s := p.Core(2).Status(); !s.Voting || s.Records != 40 || s.Digest != p.Core(0).Status().Digest {
+	c.Run(c.Now() + 3*Second)
+	if s := c.Core(2).Status(); !s.Voting || s.Records != 40 || s.Digest != c.Core(0).Status().Digest {
 		t.Errorf("after 3 s: %+v", s)
 	}
 }
 
-// Catch-up costs by what was missed and not by what is kept.
-func TestCatchUpIsInProportion(t *testing.T) {
-	p := cluster(5, 3, 1)
+// The cost of catch-up depends on the number of missed records and not on the number of all records.
+func TestCatchUpFetchesOnlyMissedRecords(t *testing.T) {
+	c := startCluster(5, 3, 1)
 	for k := range 2000 {
-		p.At(p.Now()+Time(k*10), func() { p.Claim(4, fmt.Sprint("x", k)) })
+		c.At(c.Now()+Time(k*10), func() { c.Claim(4, fmt.Sprint("x", k)) })
 	}
-	p.Run(p.Now() + 10*Second)
+	c.Run(c.Now() + 10*Second)
 	for i := range 5 {
-		p.CutLink(i, 2, true)
-		p.CutLink(2, i, true)
+		c.CutLink(i, 2, true)
+		c.CutLink(2, i, true)
 	}
 	for k := range 50 {
-		p.Claim(4, fmt.Sprint("y", k))
+		c.Claim(4, fmt.Sprint("y", k))
 	}
-	p.Run(p.Now() + 8*Second)
-	p.SentRecords = 0
+	c.Run(c.Now() + 8*Second)
+	c.SentRecords = 0
 	for i := range 5 {
-		p.CutLink(i, 2, false)
-		p.CutLink(2, i, false)
+		c.CutLink(i, 2, false)
+		c.CutLink(2, i, false)
 	}
-	p.Run(p.Now() + 5*Second)
-	if p.Core(2).Status().Digest != p.Core(0).Status().Digest {
-		t.Error("the copies differ")
+	c.Run(c.Now() + 5*Second)
+	if c.Core(2).Status().Digest != c.Core(0).Status().Digest {
+		t.Error("the records of the replicas differ")
 	}
-	if p.SentRecords > 4*50 { // from two others each, and each end is news too
-		t.Errorf("%d records were sent for 50 that were missed", p.SentRecords)
+	if c.SentRecords > 4*50 { // two replicas send each record, and each end is another change
+		t.Errorf("%d records were sent for 50 missed ones", c.SentRecords)
 	}
 }
 
-// Full: what is new is refused, and nothing that protects an op is dropped.
-func TestFullKeepersRefuse(t *testing.T) {
-	p := New(4, 3, 1)
-	p.Config.MaxRecords = 10
+// Full replicas refuse new ops. They don't delete records to make space, since a deleted op could run twice.
+func TestFullReplicasRefuseNewOps(t *testing.T) {
+	c := New(4, 3, 1)
+	c.Config.MaxRecords = 10
 	for i := range 4 {
-		p.Start(i)
+		c.Start(i)
 	}
-	p.Run(6 * Second)
+	c.Run(6 * Second)
 	for k := range 10 {
-		requireResult(t, p.claimResult(3, fmt.Sprint("x", k)), replication.Granted)
+		checkResult(t, c.claimResult(3, fmt.Sprint("x", k)), replication.Granted)
 	}
-	requireResult(t, p.claimResult(3, "one more"), replication.NoQuorum)
+	checkResult(t, c.claimResult(3, "one more"), replication.NoQuorum)
 	for k := range 10 {
-		p.claimResult(3, fmt.Sprint("x", k))
+		c.claimResult(3, fmt.Sprint("x", k))
 	}
-	if len(p.Violations) > 0 {
-		t.Error(p.Violations)
+	if len(c.Violations) > 0 {
+		t.Error(c.Violations)
 	}
 }
 
-// One replica of three in trouble, whichever and however: not one op is refused for it.
-func TestOneKeeperInTroubleRefusesNothing(t *testing.T) {
-	for what, trouble := range map[string]func(p *Cluster, k int){
-		"dead":          func(p *Cluster, k int) { p.Kill(k) },
-		"stopped":       func(p *Cluster, k int) { p.Pause(k) },
-		"heard by none": func(p *Cluster, k int) { isolate(p, k, true, false) },
-		"hears none":    func(p *Cluster, k int) { isolate(p, k, false, true) },
+// If one replica of three is killed, paused or cut off in one direction, no claim is refused.
+func TestOneFaultyReplicaOfThreeCausesNoRefusal(t *testing.T) {
+	for fault, inject := range map[string]func(c *Cluster, k int){
+		"dead":          func(c *Cluster, k int) { c.Kill(k) },
+		"stopped":       func(c *Cluster, k int) { c.Pause(k) },
+		"can't send":    func(c *Cluster, k int) { cutLinksOf(c, k, true, false) },
+		"can't receive": func(c *Cluster, k int) { cutLinksOf(c, k, false, true) },
 	} {
 		for k := range 3 {
-			p := cluster(6, 3, uint64(k+1))
-			trouble(p, k)
-			before := len(p.History)
+			c := startCluster(6, 3, uint64(k+1))
+			inject(c, k)
+			previousSteps := len(c.History)
 			for n := range 200 {
-				p.At(p.Now()+Time(n*50), func() { p.Claim(3+n%3, fmt.Sprint("x", n)) })
+				c.At(c.Now()+Time(n*50), func() { c.Claim(3+n%3, fmt.Sprint("x", n)) })
 			}
-			p.Run(p.Now() + 3*Second)
-			unsure, mine := 0, 0
-			for _, op := range p.History[before:] {
-				if op.Step == stepDecided && op.Result == replication.NoQuorum {
-					unsure++
-				} else if op.Result == replication.Granted {
-					mine++
+			c.Run(c.Now() + 3*Second)
+			refused, granted := 0, 0
+			for _, entry := range c.History[previousSteps:] {
+				if entry.Step == stepDecided && entry.Result == replication.NoQuorum {
+					refused++
+				} else if entry.Result == replication.Granted {
+					granted++
 				}
 			}
-			if unsure > 0 || mine != 200 {
-				t.Errorf("keeper %d %s: %d of 200 given, %d refused", k, what, mine, unsure)
+			if refused > 0 || granted != 200 {
+				t.Errorf("replica %d %s: %d of 200 granted, %d refused", k, fault, granted, refused)
 			}
 		}
 	}
 }
 
-func isolate(p *Cluster, k int, out, in bool) {
+func cutLinksOf(c *Cluster, k int, out, in bool) {
 	for i := range 6 {
 		if i != k {
-			p.CutLink(k, i, out)
-			p.CutLink(i, k, in)
+			c.CutLink(k, i, out)
+			c.CutLink(i, k, in)
 		}
 	}
 }
 
-// Catch-up that is interrupted ten times goes on from where it was: what has come once does not come again.
-func TestCatchUpThatIsInterrupted(t *testing.T) {
-	const missed = 7000 // more than ten times 400 ms are enough for at CatchUpRate
-	p := New(5, 3, 1)
-	p.Config.CatchUpRate = 1 << 16
+// Catch-up that is interrupted ten times resumes where it stopped. Records that have arrived are not sent
+// again.
+func TestInterruptedCatchUpResumes(t *testing.T) {
+	const missed = 7000 // more records than CatchUpRate allows in ten times 400 ms
+	c := New(5, 3, 1)
+	c.Config.CatchUpRate = 1 << 16
 	for i := range 5 {
-		p.Start(i)
+		c.Start(i)
 	}
-	p.Run(6 * Second)
-	cut := func(on bool) { p.partition([]int{2}, []int{0, 1, 3, 4}, on) }
+	c.Run(6 * Second)
+	cut := func(isolated bool) { c.partition([]int{2}, []int{0, 1, 3, 4}, isolated) }
 	cut(true)
 	for k := range missed {
-		p.At(p.Now()+Time(k*8), func() { p.Claim(4, fmt.Sprint("x", k)) })
+		c.At(c.Now()+Time(k*8), func() { c.Claim(4, fmt.Sprint("x", k)) })
 	}
-	p.Run(p.Now() + 8*Second)
-	p.SentRecords = 0
+	c.Run(c.Now() + 8*Second)
+	c.SentRecords = 0
 	for range 10 {
 		cut(false)
-		p.Run(p.Now() + 400*Millisecond)
-		if p.Core(2).Digest() == p.Core(0).Digest() {
-			t.Fatal("it caught up between two cuts: this proves nothing")
+		c.Run(c.Now() + 400*Millisecond)
+		if c.Core(2).Digest() == c.Core(0).Digest() {
+			t.Fatal("the replica caught up between two interruptions, so this test checks nothing")
 		}
 		cut(true)
-		p.Run(p.Now() + 300*Millisecond)
+		c.Run(c.Now() + 300*Millisecond)
 	}
 	cut(false)
-	p.Run(p.Now() + 20*Second)
-	if p.Core(2).Digest() != p.Core(0).Digest() {
-		t.Error("the copies differ")
+	c.Run(c.Now() + 20*Second)
+	if c.Core(2).Digest() != c.Core(0).Digest() {
+		t.Error("the records of the replicas differ")
 	}
-	if p.SentRecords > missed*5/4 {
-		t.Errorf("%d records were sent for %d that were missed", p.SentRecords, missed)
+	if c.SentRecords > missed*5/4 {
+		t.Errorf("%d records were sent for %d missed ones", c.SentRecords, missed)
 	}
 }
 
-// Ops whose repeats a group drops go on at another scheduler, when theirs is held for gone: in that group
-// alone, while it drops repeats, also where the first one is only stopped, and where what says so is lost
-// or late.
-func TestDrawnRepeatsInTheGroup(t *testing.T) {
+// If the scheduler of a deduplicated op is seen as dead, another scheduler may repeat the op. It may do so
+// only in the worker group where the op ran, and only while that group drops repeats. This must also hold if
+// the first scheduler is only paused, and if reports are lost or late.
+func TestRandomRepeatsAreGrantedOnlyInTheirGroup(t *testing.T) {
 	bound := 0
 	for seed := uint64(1); seed <= 60; seed++ {
-		p := New(6, 3, seed)
-		r := p.Rand
-		p.DedupWindow = 6 * Second
-		p.drawNetwork(0, 0.1, 0.3)
+		c := New(6, 3, seed)
+		r := c.Rand
+		c.DedupWindow = 6 * Second
+		c.drawNetwork(0, 0.1, 0.3)
 		for i := range 6 {
-			p.Start(i)
+			c.Start(i)
 		}
-		p.Run(6 * Second)
-		begin := p.Now()
+		c.Run(6 * Second)
+		begin := c.Now()
 		for at := begin; at < begin+25*Second; at += Time(r.IntN(1500)) {
 			i, key := r.IntN(6), fmt.Sprint("d", (at-begin)/(9*Second), "-", r.IntN(4))
-			p.At(at, func() { p.Claim(i, key) })
+			c.At(at, func() { c.Claim(i, key) })
 		}
 		for at := begin; at < begin+25*Second; at += 3*Second + Time(r.IntN(20_000)) {
-			i, kill, long := 3+r.IntN(3), r.IntN(2) == 0, 2*Second+Time(r.IntN(80_000))
-			p.At(at, func() {
+			i, kill, downtime := 3+r.IntN(3), r.IntN(2) == 0, 2*Second+Time(r.IntN(80_000))
+			c.At(at, func() {
 				if kill {
-					p.Kill(i)
+					c.Kill(i)
 				} else {
-					p.Pause(i)
+					c.Pause(i)
 				}
 			})
-			p.At(at+Second/2, func() { p.SetDead(i, true) })
-			p.At(at+long, func() {
+			c.At(at+Second/2, func() { c.SetDead(i, true) })
+			c.At(at+downtime, func() {
 				if kill {
-					p.Start(i)
+					c.Start(i)
 				} else {
-					p.Resume(i)
+					c.Resume(i)
 				}
-				p.SetDead(i, false)
+				c.SetDead(i, false)
 			})
 		}
-		p.Run(begin + 45*Second)
-		bound += p.BoundClaims
-		for _, violation := range p.Violations {
+		c.Run(begin + 45*Second)
+		bound += c.BoundClaims
+		for _, violation := range c.Violations {
 			t.Errorf("seed %d: %s", seed, violation)
 		}
 		if t.Failed() {
@@ -346,6 +352,6 @@
 		}
 	}
 	if bound < 60 {
-		t.Errorf("only %d went on elsewhere: this proves little", bound)
+		t.Errorf("only %d claims were bound to a group: too few for this test", bound)
 	}
 }
--- a/internal/cluster/replication/status.go
+++ b/internal/cluster/replication/status.go
@@ -8,23 +8,23 @@
 // Status is the state that operators see.
 type Status struct {
 	SetID            string            `json:"epoch"`
-	Epoch            uint64            `json:"turn"` // of the agreed set; 0: the set is as configured
+	Epoch            uint64            `json:"turn"` // epoch of the agreed set; 0: configured set
 	Replicas         []string          `json:"keepers"`
-	PreviousReplicas []string          `json:"before,omitempty"` // joint set: its old part
-	Ready            bool              `json:"ready,omitempty"`  // joint set: this replica is ready
+	PreviousReplicas []string          `json:"before,omitempty"` // in a joint set: the old part
+	Ready            bool              `json:"ready,omitempty"`  // in a joint set: this replica is ready
 	IsReplica        bool              `json:"keeper"`
 	Voting           bool              `json:"voting"`
 	Records          int               `json:"records"`
 	Bytes            int               `json:"bytes"`
-	PendingClaims    int               `json:"asking"` // without a decision yet
-	GrantedClaims    int               `json:"mine"`   // with ops that have not ended
+	PendingClaims    int               `json:"asking"` // claims without a decision
+	GrantedClaims    int               `json:"mine"`   // granted claims whose ops have not ended
 	PendingReports   int               `json:"telling"`
 	Peers            []PeerProgress    `json:"looks"`
 	Digest           string            `json:"digest"`
 	Counts           map[string]uint64 `json:"counts"`
 }
 
-// PeerProgress is how far another replica's changes are known.
+// PeerProgress is the progress of catching up with another replica.
 type PeerProgress struct {
 	Replica  string `json:"keeper"`
 	Position uint64 `json:"since"`
@@ -32,7 +32,7 @@
 	CaughtUp bool   `json:"caught_up"`
 }
 
-// Status returns the state as of the last input.
+// Status returns the state after the last input.
 func (c *Core) Status() Status {
 	s := Status{
 		SetID:            fmt.Sprintf("%016x", c.active.id),
@@ -53,16 +53,16 @@
 	}
 	for _, name := range c.active.members {
 		if peer := c.catchUp.peers[name]; peer != nil {
-			s.Peers = append(s.Peers, PeerProgress{name, peer.position, peer.voting, !peer.more})
+			s.Peers = append(s.Peers, PeerProgress{name, peer.position, peer.voting, !peer.hasMore})
 		}
 	}
 	return s
 }
 
-// Digest is equal for two replicas with the same outcomes.
+// Digest returns a digest of all records. It is equal for replicas with the same outcomes.
 func (c *Core) Digest() uint64 { return c.records.digest }
 
-// Lookup returns a record as it is known here.
+// Lookup returns the record of a key, and false if there is none.
 func (c *Core) Lookup(key string) (Record, bool) {
 	r, ok := c.records.byKey[key]
 	if !ok {
@@ -71,5 +71,5 @@
 	return *r, true
 }
 
-// Page returns up to limit records in the order of their keys, after a key.
+// Page returns up to limit records after a key, sorted by key.
 func (c *Core) Page(after string, limit int) []Record { return c.records.page(after, limit) }
