--- a/internal/cluster/replication/catch_up_test.go
+++ b/internal/cluster/replication/catch_up_test.go
@@ -64,7 +64,7 @@
 	}
 	u.release(first)
 	if got := u.reserve(missing, 10, 40); len(got) != digestsPerFetch {
-		t.Errorf("%d digests are free after the first answer", len(got))
+		t.Errorf("%d digests are free after the first answer, want %d", len(got), digestsPerFetch)
 	}
 	if got := u.reserve(second.requested, 51, 40); len(got) != len(second.requested) {
 		t.Errorf("%d digests are free after their reservation expired", len(got))
--- a/internal/cluster/replication/claims_test.go
+++ b/internal/cluster/replication/claims_test.go
@@ -95,7 +95,7 @@
 		return lastResult(c.Step(Time(10+id), request))
 	}
 	if got := claim(1, 7); got != Granted {
-		t.Fatalf("%v", got)
+		t.Fatalf("the first request: %v", got)
 	}
 	if got := claim(2, 8); got != FingerprintMismatch {
 		t.Errorf("another request while the first one runs: %v", got)
--- a/internal/cluster/replication/config.go
+++ b/internal/cluster/replication/config.go
@@ -5,6 +5,7 @@
 	"woaddyke/internal/config/configerror"
 )
 
+// One millisecond and one second in the unit of Time.
 const (
 	ms     Time = 10
 	second Time = 1000 * ms
--- a/internal/cluster/replication/registration_test.go
+++ b/internal/cluster/replication/registration_test.go
@@ -37,6 +37,6 @@
 	r.voting, r.votingSinceAdoption, r.ready = true, true, true
 	r.restart(Incarnation{2, 1})
 	if r.voting || r.votingSinceAdoption || r.ready || r.registeredSince != 0 {
-		t.Errorf("%+v", r)
+		t.Errorf("registration after the restart: %+v", r)
 	}
 }
--- a/internal/cluster/replication/simulation/change_test.go
+++ b/internal/cluster/replication/simulation/change_test.go
@@ -41,6 +41,7 @@
 	return false
 }
 
+// hasReplicas reports whether exactly these replicas are in force at a scheduler, in a set that is not joint.
 func (c *Cluster) hasReplicas(i int, want ...int) bool {
 	var names []string
 	for _, k := range want {
@@ -51,6 +52,7 @@
 	return !set.Joint() && slices.Equal(set.New, names)
 }
 
+// partition cuts or restores all links between two sides.
 func (c *Cluster) partition(a, b []int, cut bool) {
 	for _, i := range a {
 		for _, j := range b {
--- a/internal/cluster/replication/simulation/faults_test.go
+++ b/internal/cluster/replication/simulation/faults_test.go
@@ -11,16 +11,19 @@
 	c.MeanDelay = Time(2 + c.Rand.IntN(200))
 }
 
+// killAt schedules a kill of a node and its restart.
 func (c *Cluster) killAt(at Time, i int, downtime Time) {
 	c.At(at, func() { c.Kill(i) })
 	c.At(at+downtime, func() { c.Start(i) })
 }
 
+// pauseAt schedules a pause of a node.
 func (c *Cluster) pauseAt(at Time, i int, duration Time) {
 	c.At(at, func() { c.Pause(i) })
 	c.At(at+duration, func() { c.Resume(i) })
 }
 
+// cutLinkAt schedules a cut of a link and its restoration.
 func (c *Cluster) cutLinkAt(at Time, from, to int, duration Time) {
 	c.At(at, func() { c.CutLink(from, to, true) })
 	c.At(at+duration, func() { c.CutLink(from, to, false) })
--- a/internal/cluster/replication/simulation/figures_test.go
+++ b/internal/cluster/replication/simulation/figures_test.go
@@ -104,6 +104,7 @@
 	return replication.Record{Key: key, Fingerprint: 1, Outcomes: []replication.Outcome{outcome}}
 }
 
+// setReplica2Isolated cuts or restores all links of n2.
 func setReplica2Isolated(c *Cluster, isolated bool) { c.partition([]int{2}, []int{0, 1, 3}, isolated) }
 
 // Measures the messages and bytes per op: `OPS=2000 go test -run OpFigures -v`.
--- a/internal/cluster/replication/simulation/simulation_test.go
+++ b/internal/cluster/replication/simulation/simulation_test.go
@@ -9,6 +9,7 @@
 	"woaddyke/internal/cluster/replication"
 )
 
+// startCluster returns a cluster of started schedulers whose replicas vote.
 func startCluster(n, replicas int, seed uint64) *Cluster {
 	c := New(n, replicas, seed)
 	for i := range n {
@@ -232,7 +233,7 @@
 func TestOneFaultyReplicaOfThreeCausesNoRefusal(t *testing.T) {
 	for fault, inject := range map[string]func(c *Cluster, k int){
 		"dead":          func(c *Cluster, k int) { c.Kill(k) },
-		"stopped":       func(c *Cluster, k int) { c.Pause(k) },
+		"paused":        func(c *Cluster, k int) { c.Pause(k) },
 		"can't send":    func(c *Cluster, k int) { cutLinksOf(c, k, true, false) },
 		"can't receive": func(c *Cluster, k int) { cutLinksOf(c, k, false, true) },
 	} {
@@ -259,6 +260,7 @@
 	}
 }
 
+// cutLinksOf cuts or restores the outgoing and incoming links of one node.
 func cutLinksOf(c *Cluster, k int, out, in bool) {
 	for i := range 6 {
 		if i != k {
