--- a/internal/cluster/replication/catch_up.go
+++ b/internal/cluster/replication/catch_up.go
@@ -6,7 +6,7 @@
 type peerState struct {
 	incarnation    Incarnation // the peer's incarnation, to whose log the positions belong
 	position       uint64      // all changes up to this position are known here
-	pagePosition   uint64      // the end of the current page, and the next position once nothing is missing
+	pagePosition   uint64      // the end of the current page; becomes position once nothing is missing
 	missing        []uint64    // digests of the peer's records that are not known here
 	requested      []uint64    // digests that are being fetched from the peer
 	waitsForOthers bool        // all missing records are being fetched from other replicas
@@ -22,7 +22,7 @@
 	caughtUp             bool        // all changes up to registrationPosition are known, and the peer votes
 }
 
-// restart restarts at the first change of an incarnation.
+// restart restarts catching up at the first change in the log of an incarnation.
 func (p *peerState) restart(of Incarnation) {
 	p.incarnation, p.position, p.pagePosition, p.missing = of, 0, 0, nil
 }
@@ -34,8 +34,8 @@
 	p.nextSend = now
 }
 
-// registered records that the peer knows this process under an incarnation.
-func (p *peerState) registered(as Incarnation, answer Message) {
+// markRegistered records that the peer knows this process under an incarnation.
+func (p *peerState) markRegistered(as Incarnation, answer Message) {
 	p.registeredAs = as
 	p.registrationPosition = answer.Next
 	p.caughtUp = false
@@ -68,7 +68,7 @@
 	return catchUp{peers: map[string]*peerState{}, fetching: map[uint64]Time{}}
 }
 
-// restartAll restarts at the first change of every peer.
+// restartAll restarts catching up with every peer at the first change in its log.
 func (u *catchUp) restartAll() {
 	for _, peer := range u.peers {
 		peer.restart(peer.incarnation)
@@ -112,7 +112,7 @@
 }
 
 // resetPeers resets the progress with all peers to the persisted cursors. The changes before a cursor are
-// persisted, so every later incarnation of this process knows them.
+// persisted, so every later incarnation of this replica knows them.
 func (c *Core) resetPeers() {
 	for _, name := range c.active.members {
 		if name != c.config.Name {
@@ -310,8 +310,8 @@
 	c.catchUp.resumeWaiting(c.now)
 }
 
-// mergeFetched merges fetched records and returns their estimated size. The ages in the records were true at
-// the time of the request or later.
+// mergeFetched merges fetched records and returns their estimated size. The sender computed the ages of the
+// outcomes after requestedAt. Counted back from requestedAt, they give times that are not too late.
 func (c *Core) mergeFetched(records []Record, requestedAt Time) (bytes int) {
 	for _, r := range records {
 		bytes += r.size()
--- a/internal/cluster/replication/catch_up_test.go
+++ b/internal/cluster/replication/catch_up_test.go
@@ -40,7 +40,7 @@
 
 // A digest is requested from one replica at a time. It may be requested from another replica after an answer,
 // or after its reservation has expired. Otherwise a record would be fetched twice or never.
-func TestADigestIsFetchedFromOneReplica(t *testing.T) {
+func TestADigestIsFetchedFromOneReplicaAtATime(t *testing.T) {
 	u := newCatchUp()
 	missing := make([]uint64, 3*digestsPerFetch/2)
 	for i := range missing {
--- a/internal/cluster/replication/claims.go
+++ b/internal/cluster/replication/claims.go
@@ -210,7 +210,8 @@
 	})
 }
 
-// majorityPossible reports whether a majority may still grant a claim. Only AlreadyClaimed is final.
+// majorityPossible reports whether a majority may still grant a claim. Only the refusal AlreadyClaimed is
+// final.
 func (c *Core) majorityPossible(claim *activeClaim) bool {
 	return c.active.set.HasMajority(func(name string) bool {
 		answer, answered := claim.answers[name]
@@ -307,13 +308,13 @@
 	})
 }
 
-// bindToGroup replaces a claim by one that is bound to a worker group, and reports whether it did so. This
-// requires that the other unresolved claims were abandoned or belong to ended processes, that the op may have
-// run only in that group, and that the group still drops repeats.
+// bindToGroup replaces a claim by one that is bound to a worker group, and reports whether it did so. The
+// other unresolved claims must have been abandoned or belong to ended processes. The op must not have run
+// outside that group, and the group must still drop repeats.
 func (c *Core) bindToGroup(claim *activeClaim, r *refusals) bool {
-	other, stands := r.record.findUnresolved(claim.claim)
+	other, unresolved := r.record.findUnresolved(claim.claim)
 	_, ended := r.record.endedOutcome()
-	if claim.Window == 0 || claim.group != "" || r.fingerprintMismatch || ended || !stands {
+	if claim.Window == 0 || claim.group != "" || r.fingerprintMismatch || ended || !unresolved {
 		return false
 	}
 	if c.inProgressElsewhere(claim, &r.record) || !r.record.unresolvedOnlyIn(claim.claim, other.Group) {
@@ -334,8 +335,8 @@
 }
 
 // earliestPossibleRun returns a time before which the op did not run under any other unresolved claim, and
-// false if an age is unknown. An age in an answer was true at some time after the request. Therefore the age
-// is subtracted from the time of the request, which allows for the delay of the answer.
+// false if an age is unknown. A replica computes an age after the request was sent. Subtracting the age from
+// the time of the request therefore gives a time that is not too late, however long the answer takes.
 func (c *Core) earliestPossibleRun(claim *activeClaim, record *Record) (earliest Time, known bool) {
 	earliest = c.now
 	for _, o := range record.Outcomes {
@@ -345,7 +346,7 @@
 		if o.Age == 0 {
 			return 0, false
 		}
-		earliest = min(earliest, claim.requestedAt-Time(min(o.Age, maxAgeTenths)))
+		earliest = min(earliest, claim.requestedAt-Time(min(o.Age, maxOutcomeAge)))
 	}
 	return earliest, true
 }
--- a/internal/cluster/replication/claims_test.go
+++ b/internal/cluster/replication/claims_test.go
@@ -34,9 +34,10 @@
 	return false
 }
 
-// A grant of a replaced process must not count if another granting replica knows the later process. The
-// replaced process does not know the grants of the later one, so two claims could get a majority.
-func TestAnEarlierProcessesVoteDoesNotCount(t *testing.T) {
+// A process of replica a grants a claim and is replaced. The grant must not count if another granting replica
+// already knows the later process of a. The replaced process does not know the grants of the later one, so
+// two claims could get a majority.
+func TestAGrantOfAReplacedProcessDoesNotCount(t *testing.T) {
 	for _, replaced := range []bool{true, false} {
 		c := newTestCore("x", "a", "b", "c")
 		c.Step(1, Membership{Serving: true, Generation: 1})
--- a/internal/cluster/replication/config.go
+++ b/internal/cluster/replication/config.go
@@ -22,10 +22,10 @@
 	RetryInterval   Time   // time between two requests to a replica that has not answered
 	PullInterval    Time   // mean time between two pulls of another replica's changes
 	Retention       Time   // time for which a record is stored after it was first seen
-	AmnesiaHoldOff  Time   // time after which a replica that lost its records and can't catch up votes
+	AmnesiaHoldOff  Time   // wait before a replica that lost its records and can't catch up votes
 	CatchUpRate     int    // bytes per second that are requested of each replica during catch-up
 	MaxRecords      int
-	MaxBytes        int // estimated size of all records
+	MaxBytes        int // maximum estimated size of all records
 }
 
 // Defaults returns the default configuration.
@@ -44,25 +44,25 @@
 
 // Fixed bounds.
 const (
-	maxClaimsPerOp    = 16   // claims that a replica grants; released ones may be added from other replicas
+	maxClaimsPerOp    = 16   // a replica grants no more; claims from other replicas are added up to 4 times this
 	maxPendingClaims  = 4096 // limit of pending claims, and separately of unfinished outcome reports
 	maxAliveMembers   = 4096
-	maxReportAttempts = 50 // attempts after which the acknowledgements of a majority suffice: others pull it
+	maxReportAttempts = 50 // attempts after which a majority's acknowledgements suffice: others pull the outcome
 	maxNameBytes      = 512
 	maxReplicas       = replicaset.MaxReplicas
 
 	fetchedPageBytes = 1200 // estimated size of the records in one message
 	digestsPerPage   = 128
-	digestsPerFetch  = 24     // about as many records as fit one answer: the rest may be fetched from others
+	digestsPerFetch  = 24     // about as many records as fit one answer; the rest may come from other replicas
 	catchUpBurst     = 5 * ms // time by which requests may run ahead of CatchUpRate
 
-	maxAgeTenths = 1 << 40 // maximum age of an outcome, in tenths of a millisecond
+	maxOutcomeAge = 1 << 40 // maximum age of an outcome, in the unit of Time
 )
 
 // Flags in request IDs on the wire. The request IDs of callers are less than both flags.
 const (
-	groupReportFlag = 1 << 63 // a report that names the worker group; without the flag it reports the end
-	boundClaimFlag  = 1 << 62 // a claim that has been bound to a worker group
+	groupReportFlag = 1 << 63 // the report names the worker group; without the flag, how the claim ended
+	boundClaimFlag  = 1 << 62 // a claim bound to a worker group, or the release of the claim that it replaces
 )
 
 // Validate returns an error for an invalid configuration. Its errors name the keys of the features file.
--- a/internal/cluster/replication/core.go
+++ b/internal/cluster/replication/core.go
@@ -50,7 +50,7 @@
 }
 
 // Step handles an input and returns its effects, in the order in which they must be carried out. If now is
-// before the time of an earlier step, the earlier time applies.
+// before the time of the previous step, that time applies.
 func (c *Core) Step(now Time, in Input) []Effect {
 	c.now = max(now, c.now)
 	c.effects = c.effects[:0:0]
--- a/internal/cluster/replication/counters.go
+++ b/internal/cluster/replication/counters.go
@@ -8,7 +8,8 @@
 	countRecordsFetched = "pulled"
 	countRefusedPrefix  = "refused: " // followed by the reason
 
-	// Claims and reports that were rejected without being sent.
+	// Claims and reports that were rejected without being sent. countClaimsFull also counts claims whose key is
+	// empty or too long.
 	countClaimsFull  = "no room to ask"
 	countNotServing  = "asked while no member"
 	countReportsFull = "no room to tell"
--- a/internal/cluster/replication/durability.go
+++ b/internal/cluster/replication/durability.go
@@ -33,7 +33,7 @@
 }
 
 // handlePersistFailed gives up the vote of this replica. A grant to its own claim does not count if the grant
-// was not persisted, since the replica could forget it.
+// was not persisted, since the replica could forget the grant.
 func (c *Core) handlePersistFailed(in PersistFailed) {
 	c.registration.loseVote()
 	c.durability.failed = true
--- a/internal/cluster/replication/effects.go
+++ b/internal/cluster/replication/effects.go
@@ -20,10 +20,10 @@
 	Granted             ClaimResult = iota + 1 // only this scheduler may push the op
 	AlreadyAnswered                            // the op has ended, and its answer was retained
 	AlreadyEnded                               // the op has ended, and its answer was not retained
-	InProgress                                 // the op may run under another claim
-	OutcomeUnknown                             // the op may have run, and was abandoned or its process ended
+	InProgress                                 // the op may run under another claim, whose process has not ended
+	OutcomeUnknown                             // the op may have run; it was abandoned or its process ended
 	FingerprintMismatch                        // the key was first used by another request
-	NoQuorum                                   // no majority granted the claim in time
+	NoQuorum                                   // not granted by a majority in time, or not started; see Reason
 )
 
 var claimResults = [...]string{
@@ -36,7 +36,8 @@
 	NoQuorum:            "unsure",
 }
 
-// String returns the name under which the result is counted, and "" for an unknown result.
+// String returns the name under which the result is counted, and "" for an unknown result. Operators and
+// programs read the counters, so the names must not change.
 func (r ClaimResult) String() string {
 	if int(r) >= len(claimResults) {
 		return ""
@@ -48,8 +49,8 @@
 type ClaimDecided struct {
 	RequestID uint64
 	Result    ClaimResult
-	Outcome   Outcome       // outcome behind the result; for Granted: the claim and any group it is bound to
-	Reason    RefusalReason // for NoQuorum: the most specific reason
+	Outcome   Outcome       // outcome that led to the result; Granted: the claim and any group it is bound to
+	Reason    RefusalReason // for NoQuorum: the most specific reason; 0: no replica refused
 }
 
 // Event is logged for operators.
--- a/internal/cluster/replication/inputs.go
+++ b/internal/cluster/replication/inputs.go
@@ -20,12 +20,12 @@
 	RequestID   uint64 // chosen by the caller, never used twice, less than boundClaimFlag
 	Key         string
 	Fingerprint uint64 // request fingerprint
-	Timeout     Time   // for the decision
+	Timeout     Time   // maximum wait for the decision
 	Window      Time   // time after the first push for which a worker group drops repeats of the op; 0: none
 }
 
-// MayHaveRun states that a granted op may have run in a worker group that drops repeats. The input refers to
-// the first push for which it can no longer be proved that nothing ran.
+// MayHaveRun states that a granted op may have run in a worker group that drops repeats. The group is that of
+// the first push that can no longer be proved not to have run the op.
 type MayHaveRun struct {
 	RequestID uint64
 	Group     string
@@ -35,7 +35,7 @@
 type OpEnded struct {
 	RequestID      uint64
 	NeverRan       bool // it is proved that the op did not run: its key may be claimed again
-	Abandoned      bool // the op may have run, has no answer and is not pushed again: its group may repeat it
+	Abandoned      bool // the op may have run, has no answer and is not pushed again; its group may get a repeat
 	Verdict        uint16
 	Result         []byte
 	ResultRetained bool
@@ -45,18 +45,18 @@
 type Membership struct {
 	Serving    bool
 	Generation uint64
-	Nonce      uint64 // distinguishes incarnations of one generation, in the members' order; 0: Config.Nonce
+	Nonce      uint64 // orders the incarnations of one generation as the members do; 0: Config.Nonce
 }
 
-// PeerStatus states whether another scheduler is dead. Replicas grant claims regardless of it. The status
-// affects only the answers to clients, the binding of claims to worker groups, and which members are sent
-// reports and replica sets.
+// PeerStatus states whether another scheduler is dead. Replicas grant claims regardless of the status. It
+// affects only the answers to clients, the binding of claims to worker groups, and the members to which
+// reports and replica sets are sent.
 type PeerStatus struct {
 	Name string
 	Dead bool
 }
 
-// PeerProcess states as which process the members know another scheduler.
+// PeerProcess states which process of another scheduler the members know.
 type PeerProcess struct {
 	Name    string
 	Process Incarnation
--- a/internal/cluster/replication/messages.go
+++ b/internal/cluster/replication/messages.go
@@ -16,7 +16,7 @@
 	return cmp.Or(cmp.Compare(a.Generation, b.Generation), cmp.Compare(a.Nonce, b.Nonce))
 }
 
-// Voter is the process that votes for a replica, as another replica knows it.
+// Voter is the process that casts the vote of a replica, as another replica knows it.
 type Voter struct {
 	Name        string      `cbor:"1,keyasint,omitzero"`
 	Incarnation Incarnation `cbor:"2,keyasint,omitzero"`
@@ -29,7 +29,7 @@
 const (
 	ClaimRequested     Kind = iota + 1 // scheduler to replica: requests a grant of a claim
 	ClaimGranted                       // answer to ClaimRequested: the claim is granted
-	ClaimRefused                       // answer to ClaimRequested: the reason, and any record that forbids it
+	ClaimRefused                       // answer to ClaimRequested: the reason and any record that forbids it
 	OutcomeReported                    // scheduler to replica: reports the outcome of a claim
 	OutcomeKnown                       // answer to OutcomeReported: the outcome is stored
 	Register                           // replica to replica: registers the sender's process as its voter
@@ -63,7 +63,8 @@
 	ClaimReleased:   "released",
 }
 
-// String returns the name under which the reason is counted, and "" for an unknown reason.
+// String returns the name under which the reason is counted, and "" for an unknown reason. Operators and
+// programs read the counters, so the names must not change.
 func (r RefusalReason) String() string {
 	if int(r) >= len(refusalReasons) {
 		return ""
@@ -84,7 +85,7 @@
 	Ready             bool           `cbor:"9,keyasint,omitzero"`
 	Set               replicaset.Set `cbor:"10,keyasint,omitzero"` // SetInForce
 	FormerIncarnation Incarnation    `cbor:"11,keyasint,omitzero"` // Registered: the previous voter
-	LogIncarnation    Incarnation    `cbor:"12,keyasint,omitzero"` // incarnation of positions or a grant time
+	LogIncarnation    Incarnation    `cbor:"12,keyasint,omitzero"` // of After and Next; Registered: receiver's
 	After             uint64         `cbor:"13,keyasint,omitzero"` // position in the log, or time of a grant
 	Next              uint64         `cbor:"14,keyasint,omitzero"` // the last position in a page or the log
 	More              bool           `cbor:"15,keyasint,omitzero"`
--- a/internal/cluster/replication/outcome_reports.go
+++ b/internal/cluster/replication/outcome_reports.go
@@ -7,7 +7,7 @@
 	requestID    uint64 // as on the wire
 	record       Record
 	acknowledged map[string]bool
-	grants       map[string]claimAnswer // in a report of the worker group: the grants before the op ran
+	answers      map[string]claimAnswer // to the claim, by replica; set only with groupReportFlag
 	attempts     int
 	nextRetry    Time
 }
@@ -16,8 +16,8 @@
 // since the op did not run before that time.
 func (r *outcomeReport) message(to string) Message {
 	m := Message{Kind: OutcomeReported, RequestID: r.requestID, Record: r.record}
-	if grant := r.grants[to]; grant.granted {
-		m.LogIncarnation, m.After = grant.incarnation, grant.grantedAt
+	if answer := r.answers[to]; answer.granted {
+		m.LogIncarnation, m.After = answer.incarnation, answer.grantedAt
 	}
 	return m
 }
@@ -34,7 +34,7 @@
 		requestID:    in.RequestID | groupReportFlag,
 		record:       claim.record(claim.outcome(Claimed, c.now)),
 		acknowledged: map[string]bool{},
-		grants:       claim.answers,
+		answers:      claim.answers,
 	})
 }
 
@@ -109,8 +109,8 @@
 	}
 }
 
-// reportDone reports whether a report need not be sent again. Replicas that have not received it pull the
-// outcome from others.
+// reportDone reports whether a report need not be sent again. Replicas that have not received the report
+// pull the outcome from others.
 func (c *Core) reportDone(r *outcomeReport) bool {
 	if c.allAcknowledged(r) || r.attempts >= 4*maxReportAttempts {
 		return true
--- a/internal/cluster/replication/outcome_reports_test.go
+++ b/internal/cluster/replication/outcome_reports_test.go
@@ -56,7 +56,7 @@
 
 // A replica may have granted a first request whose answer was lost, and refuse the second one. Its record
 // then contains the claim, which blocks the key until the replica receives the release.
-func TestAReplicaThatWasAskedTwiceLearnsOfTheRelease(t *testing.T) {
+func TestAReplicaThatGotTwoRequestsLearnsOfTheRelease(t *testing.T) {
 	ownClaim := func(c *Core) Record {
 		return c.claims.pending[1].record(Outcome{Claim: c.claims.pending[1].claim, Stage: Claimed})
 	}
--- a/internal/cluster/replication/process.go
+++ b/internal/cluster/replication/process.go
@@ -127,7 +127,8 @@
 	}
 }
 
-// gossipEndedProcesses periodically repeats the report to a random member, in case that member missed it.
+// gossipEndedProcesses periodically reports the ended processes again to a random member, in case that member
+// missed a report.
 func (c *Core) gossipEndedProcesses() {
 	own := c.members.processes[c.config.Name]
 	if own == nil || len(own.ended) == 0 || c.now < c.members.nextProcessGossip || len(c.members.alive) == 0 {
--- a/internal/cluster/replication/record.go
+++ b/internal/cluster/replication/record.go
@@ -51,11 +51,11 @@
 	Claim
 	Stage          Stage  `cbor:"1,keyasint,omitzero"`
 	Verdict        uint16 `cbor:"2,keyasint,omitzero"` // Ended: the HTTP status of the answer
-	Result         []byte `cbor:"3,keyasint,omitzero"` // Ended: the answer, if retained; Claimed: see process
+	Result         []byte `cbor:"3,keyasint,omitzero"` // Ended: the answer, if retained; Claimed: the process
 	ResultRetained bool   `cbor:"4,keyasint,omitzero"` // Result is the complete answer
 	Voted          bool   `cbor:"5,keyasint,omitzero"` // this replica has granted the claim
 	Group          string `cbor:"8,keyasint,omitzero"` // group in which the op may have run; "": unknown
-	Age            uint64 `cbor:"9,keyasint,omitzero"` // on the wire: tenths of a ms since notRunBefore
+	Age            uint64 `cbor:"9,keyasint,omitzero"` // encoded: tenths of a ms since notRunBefore; 0: unknown
 
 	notRunBefore Time // the op did not run before this time, as the claim was not granted yet; 0: unknown
 }
@@ -74,7 +74,7 @@
 func (o *Outcome) unresolved() bool { return o.Stage == Claimed || o.Stage == Abandoned }
 
 // joinOutcomes merges two outcomes of one claim. If the outcomes contradict each other, it reports a conflict
-// and uses the outcome with the later stage. In that stage, the op is not pushed.
+// and uses the outcome with the later stage, in which the op is no longer pushed.
 func joinOutcomes(a, b Outcome) (joined Outcome, conflict bool) {
 	conflict = stagesConflict(a, b)
 	joined = a
@@ -152,7 +152,8 @@
 	return changed, conflict
 }
 
-// findUnresolved returns the first unresolved outcome of another claim, and false if there is none.
+// findUnresolved returns the first unresolved outcome of a claim other than except, and false if there is
+// none.
 func (r *Record) findUnresolved(except Claim) (Outcome, bool) {
 	for _, o := range r.Outcomes {
 		if o.unresolved() && o.Claim != except {
@@ -162,8 +163,8 @@
 	return Outcome{}, false
 }
 
-// unresolvedOnlyIn reports whether all other unresolved claims may have run only in one worker group. That
-// group drops a repeat.
+// unresolvedOnlyIn reports whether the op may have run only in the given worker group under all unresolved
+// claims other than except. That group drops a repeat.
 func (r *Record) unresolvedOnlyIn(except Claim, group string) bool {
 	for _, o := range r.Outcomes {
 		if o.unresolved() && o.Claim != except && o.Group != group {
@@ -204,7 +205,7 @@
 	return n
 }
 
-// digest returns the digest of the record. The digest of the log is the exclusive or of all record digests.
+// digest returns the digest of the record. The digest of the log is the XOR of all record digests.
 func (r *Record) digest() (sum uint64) {
 	buffer := make([]byte, 0, 128)
 	for _, o := range r.Outcomes {
--- a/internal/cluster/replication/record_test.go
+++ b/internal/cluster/replication/record_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawRecord draws a record with a fixed key and up to four outcomes, for claims out of six.
+// drawRecord draws a record with a fixed key and up to four outcomes, of six possible claims.
 func drawRecord(t *rapid.T, label string) Record {
 	r := Record{Key: "k", Fingerprint: 1, Age: rapid.Uint64Range(0, 3).Draw(t, label)}
 	for range rapid.IntRange(0, 4).Draw(t, label) {
--- a/internal/cluster/replication/records.go
+++ b/internal/cluster/replication/records.go
@@ -15,8 +15,9 @@
 	return ok
 }
 
-// mergeRecord merges a record into the log. The ages of its outcomes were true at agesTrueAt or later. If
-// agesTrueAt is 0, the ages are ignored, since the time that the record took to arrive is unknown.
+// mergeRecord merges a record into the log. The ages of its outcomes were computed at agesTrueAt or
+// later. Counted back from agesTrueAt, they give times that are not too late. If agesTrueAt is 0, the ages
+// are ignored, since the time that the record took to arrive is unknown.
 func (c *Core) mergeRecord(received Record, agesTrueAt Time) {
 	r, sizeBefore := c.records.byKey[received.Key], 0
 	switch {
@@ -76,7 +77,7 @@
 		}
 		o.notRunBefore = 0
 		if o.Age > 0 && agesTrueAt > 0 {
-			o.notRunBefore = max(agesTrueAt-Time(min(o.Age, maxAgeTenths)), 1)
+			o.notRunBefore = max(agesTrueAt-Time(min(o.Age, maxOutcomeAge)), 1)
 		}
 		o.Age = 0
 		updated, conflict := r.join(o)
--- a/internal/cluster/replication/registration.go
+++ b/internal/cluster/replication/registration.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// handleRegister records the process that votes for a replica.
+// handleRegister records the process that casts the vote of another replica.
 func (c *Core) handleRegister(in MessageReceived) {
 	if !slices.Contains(c.active.members, in.From) {
 		return
@@ -123,7 +123,7 @@
 		c.discardPersistedIncarnation()
 	}
 	if peer.registeredAs != c.registration.incarnation {
-		peer.registered(c.registration.incarnation, in.Message)
+		peer.markRegistered(c.registration.incarnation, in.Message)
 	}
 	peer.nextSend = c.now
 }
@@ -167,11 +167,11 @@
 	return p
 }
 
-// startVoting gives this replica its vote once that is safe. Every grant of an earlier incarnation that
-// counts is known to at least one of any quorumProgress.required other voters. These voters knew the current
-// incarnation before it pulled from them. Therefore no grant that counts is missed, and no grant of an
-// earlier incarnation counts together with one of this incarnation. If too few others vote, this replica
-// waits for AmnesiaHoldOff, until every earlier grant has expired.
+// startVoting gives this replica its vote once that is safe. A grant of an earlier incarnation counts only
+// as part of a majority. Any quorumProgress.required other voters include one that knows this grant. These
+// voters knew the current incarnation before it pulled from them. Therefore no grant that counts is missed,
+// and no grant of an earlier incarnation counts together with one of this incarnation. If too few others
+// vote, this replica waits for AmnesiaHoldOff, until every earlier grant has expired.
 func (c *Core) startVoting() {
 	settled := c.registration.voting || c.durability.failed
 	if !c.active.isReplica || settled && !c.active.set.Joint() {
--- a/internal/cluster/replication/replica_set.go
+++ b/internal/cluster/replication/replica_set.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// handleSetInForce adopts the set of another member if it is later, or sends that member the set in force if
-// that is later.
+// handleSetInForce adopts the set of another member if that set is later. If the set in force here is later,
+// it is sent to that member.
 func (c *Core) handleSetInForce(in MessageReceived) {
 	own := c.active.set
 	switch {
--- a/internal/cluster/replication/simulation/change_test.go
+++ b/internal/cluster/replication/simulation/change_test.go
@@ -124,7 +124,7 @@
 	leaderInformed := false
 	for seed := uint64(1); seed <= 8; seed++ {
 		c := dynamicCluster(t, 8, 5, seed)
-		for i := 2; i < 5; i++ { // a leader that is not among the three learns which replicas are ready
+		for i := 2; i < 5; i++ { // a leader that is not a new replica must learn which of them are ready
 			leaderInformed = leaderInformed || c.nodes[i].replicaSet.IsLeader()
 		}
 		c.DropIf = func(to string, m replication.Message) bool {
@@ -395,8 +395,8 @@
 	}
 }
 
-// drawClaimsInPairs schedules claims of keys that repeat within two seconds, each at two schedulers at nearly
-// the same time.
+// drawClaimsInPairs schedules pairs of claims of one key, at two random nodes (possibly the same one) within
+// 3 ms. A key is reused for at most two seconds.
 func (c *Cluster) drawClaimsInPairs(begin, end Time) {
 	r := c.Rand
 	for at := begin; at < end; at += Time(r.IntN(1500)) {
--- a/internal/cluster/replication/simulation/checker.go
+++ b/internal/cluster/replication/simulation/checker.go
@@ -18,7 +18,7 @@
 	At          Time
 	Scheduler   string
 	Key         string
-	Claim       int // the request ID
+	Claim       int // request ID of the claim
 	Step        string
 	Result      replication.ClaimResult // set for a decided claim
 	RequestedAt Time                    // set for a decided claim
@@ -28,7 +28,7 @@
 type checker struct {
 	History     []HistoryEntry
 	Violations  []string
-	DedupWindow Time // for ops whose key starts with d, in their worker group; 0: no op is deduplicated
+	DedupWindow Time // time for which a worker group drops repeats of ops whose key starts with d; 0: none
 	Granted     int
 	BoundClaims int // number of granted claims that are bound to a worker group
 
--- a/internal/cluster/replication/simulation/cluster.go
+++ b/internal/cluster/replication/simulation/cluster.go
@@ -26,16 +26,16 @@
 	// seedSalt makes the random sequence of this package differ from others with the same seed.
 	seedSalt = 0x706c6179
 
-	tickInterval     = 5 * Millisecond
-	maxDeferred      = 500 // maximum number of inputs that wait for a paused process; further inputs are lost
-	defaultMeanDelay = Time(5)
-	maxCrashDowntime = 20_000      // limit of the downtime after a random crash, in tenths of a millisecond
-	replacedLinger   = 2 * Second  // time until a resumed process learns that it was replaced
-	amnesiaHoldOff   = 5 * Second  // shorter than by default, for shorter runs
-	maxLateDelay     = 30 * Second // limit of the additional delay of a late message
+	tickInterval           = 5 * Millisecond
+	maxDeferred            = 500 // maximum number of inputs that wait for a paused process; others are lost
+	defaultMeanDelay       = Time(5)
+	maxCrashDowntime       = 20_000      // limit of the downtime after a random crash, in the unit of Time
+	replacementNoticeDelay = 2 * Second  // time until a resumed process learns that it was replaced
+	amnesiaHoldOff         = 5 * Second  // shorter than by default, for shorter runs
+	maxLateDelay           = 30 * Second // limit of the additional delay of a late message
 
 	announceInterval = 50 * Millisecond // time between two members that learn of a new process
-	generationShift  = 16               // low bits of a generation; they count hot restarts, as in replica
+	generationShift  = 16               // number of low bits, which count hot restarts as in package replica
 )
 
 // Cluster is one simulated cluster.
@@ -258,7 +258,7 @@
 		c.Resume(oldIndex)
 		c.scheduleTick(old, old.core)
 	})
-	c.At(c.Now()+after+replacedLinger, func() { old.running = false })
+	c.At(c.Now()+after+replacementNoticeDelay, func() { old.running = false })
 }
 
 // SetAlive sets whether the replica set cores of all other processes see a member as alive.
--- a/internal/cluster/replication/simulation/disk_test.go
+++ b/internal/cluster/replication/simulation/disk_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Disks of replicas fail for a while, and half of the failed writes are stored all the same. Meanwhile
-// processes are killed and links are cut. No op is granted twice. After each node whose disk failed has been
-// restarted, all replicas vote and have equal records.
+// Disks of replicas fail for a while, and half of the failed writes are stored nevertheless. Meanwhile
+// processes are killed and links are cut. No op is granted twice. After the nodes whose disks failed have
+// been restarted, all replicas vote and have equal records.
 func TestNoOpIsGrantedTwiceUnderRandomDiskFailures(t *testing.T) { runDiskFailures(t, false) }
 
 // No op is granted twice under the same disk failures while operators change the replicas.
@@ -54,49 +54,49 @@
 // two, and later again at random schedulers.
 func scheduleFaultBurst(c *Cluster, changes bool) {
 	r, begin := c.Rand, c.Now()+Second
-	replicas := r.Perm(3)
+	nodes := r.Perm(3)
 	if changes {
-		replicas = c.threeReplicas()
-		r.Shuffle(3, func(i, j int) { replicas[i], replicas[j] = replicas[j], replicas[i] })
+		nodes = c.threeNodesReplicasFirst()
+		r.Shuffle(3, func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
 	}
-	failing, connected, isolated := replicas[0], replicas[1], replicas[2]
-	at := func(from, until Time) Time { return begin + from + Time(r.Int64N(int64(until-from))) }
+	failing, connected, isolated := nodes[0], nodes[1], nodes[2]
+	timeBetween := func(from, until Time) Time { return begin + from + Time(r.Int64N(int64(until-from))) }
 	likely := func() bool { return r.IntN(8) > 0 }
 	if likely() {
-		c.At(at(0, Second), func() { c.FailDisk(failing, true) })
-		c.At(at(Second, 3*Second), func() { c.FailDisk(failing, false) })
+		c.At(timeBetween(0, Second), func() { c.FailDisk(failing, true) })
+		c.At(timeBetween(Second, 3*Second), func() { c.FailDisk(failing, false) })
 	}
 	for _, other := range []int{failing, connected} {
 		if likely() {
 			c.At(begin-100*Millisecond, func() { c.partition([]int{isolated}, []int{other}, true) })
-			c.At(at(3*Second, 5*Second), func() { c.partition([]int{isolated}, []int{other}, false) })
+			c.At(timeBetween(3*Second, 5*Second), func() { c.partition([]int{isolated}, []int{other}, false) })
 		}
 	}
 	for _, i := range []int{failing, connected} {
 		if likely() {
-			killedAt := at(2*Second, 4*Second)
+			killedAt := timeBetween(2*Second, 4*Second)
 			c.At(killedAt, func() { c.Kill(i) })
 			c.At(killedAt+Time(r.IntN(40_000)), func() { c.Start(i) })
 		}
 	}
 	if changes && r.IntN(2) == 0 {
 		scheduler, want := r.IntN(5), r.Perm(5)[:3]
-		c.At(at(0, 3*Second), func() { c.RequestChange(scheduler, want...) })
+		c.At(timeBetween(0, 3*Second), func() { c.RequestChange(scheduler, want...) })
 	}
 	for k := range 12 {
 		key := fmt.Sprint("op", begin, "-", k)
 		first := []int{failing, connected}[r.IntN(2)]
-		c.At(at(0, 2*Second), func() { c.Claim(first, key) })
+		c.At(timeBetween(0, 2*Second), func() { c.Claim(first, key) })
 		for range 3 {
 			repeat := r.IntN(5)
-			c.At(at(4*Second, 10*Second), func() { c.Claim(repeat, key) })
+			c.At(timeBetween(4*Second, 10*Second), func() { c.Claim(repeat, key) })
 		}
 	}
 }
 
-// threeReplicas returns three nodes: replicas as n4 knows them, and other nodes if there are fewer than three
-// replicas.
-func (c *Cluster) threeReplicas() []int {
+// threeNodesReplicasFirst returns three nodes: the replicas of the set in force at n4, then other nodes if
+// there are fewer than three replicas. All nodes run between two bursts, so any node could be asked.
+func (c *Cluster) threeNodesReplicasFirst() []int {
 	var replicas, others []int
 	set := c.Core(4).Set()
 	for i, n := range c.nodes {
--- a/internal/cluster/replication/simulation/faults_test.go
+++ b/internal/cluster/replication/simulation/faults_test.go
@@ -29,8 +29,9 @@
 	c.At(at+duration, func() { c.CutLink(from, to, false) })
 }
 
-// drawClaims schedules claims of keys that repeat within two seconds. This is less than the hold-off of
-// replicas that lost their memory. Some keys are claimed at two schedulers at nearly the same time.
+// drawClaims schedules claims at random nodes. A key is reused for at most two seconds, which is less than
+// the hold-off of replicas that lost their memory. About half of the claims are followed by another claim
+// of the same key at a random node within 3 ms.
 func (c *Cluster) drawClaims(begin, end Time) {
 	r, n := c.Rand, len(c.nodes)
 	for at := begin; at < end; at += Time(r.IntN(1500)) {
--- a/internal/cluster/replication/simulation/history_test.go
+++ b/internal/cluster/replication/simulation/history_test.go
@@ -11,7 +11,7 @@
 
 // opState is the state of an op in the model with a single scheduler.
 type opState struct {
-	holder int // request ID of the claim that has the op; 0: none
+	holder int // request ID of the claim that is granted and not released; 0: none
 	ended  bool
 }
 
--- a/internal/cluster/replication/simulation/node.go
+++ b/internal/cluster/replication/simulation/node.go
@@ -36,7 +36,8 @@
 	return replication.Incarnation{Generation: n.generation << generationShift, Nonce: n.nonce}
 }
 
-// queueProcess queues the process of another scheduler for the next tick, and that the scheduler is alive.
+// queueProcess queues inputs for the next tick: the process of another scheduler, and that this scheduler is
+// alive.
 func (c *Cluster) queueProcess(n, of *node) {
 	n.queuedInputs = append(n.queuedInputs, replication.PeerProcess{
 		Name:    of.name,
--- a/internal/cluster/replication/status.go
+++ b/internal/cluster/replication/status.go
@@ -11,7 +11,7 @@
 	Epoch            uint64            `json:"turn"` // epoch of the agreed set; 0: configured set
 	Replicas         []string          `json:"keepers"`
 	PreviousReplicas []string          `json:"before,omitempty"` // in a joint set: the old part
-	Ready            bool              `json:"ready,omitempty"`  // in a joint set: this replica is ready
+	Ready            bool              `json:"ready,omitempty"`  // in a joint set: knows what the old part knew
 	IsReplica        bool              `json:"keeper"`
 	Voting           bool              `json:"voting"`
 	Records          int               `json:"records"`
