--- a/cmd/hollow/main.go
+++ b/cmd/hollow/main.go
@@ -1,7 +1,8 @@
-// Command hollow runs the membership of many schedulers in one process, for the lab: the program's own mesh
-// on sockets of their own, without clients, workers or a console. It reads their configuration as one line
-// of JSON from standard input, prints "up" once all have sockets, and answers each further line with the
-// state of each member in a line of its own. It ends with its input.
+// Command hollow runs the membership of many schedulers in one process, for the lab. Each scheduler has its
+// own mesh, as in the program, on its own sockets, without clients, workers or a console. The command reads
+// the configuration of all schedulers as one line of JSON from standard input and prints "up" once all of
+// them have sockets. It answers each further line with one line per member, which has the state of that
+// member. It ends at the end of its input.
 package main
 
 import (
@@ -23,7 +24,7 @@
 type config struct {
 	Cluster string         `json:"cluster"`
 	Seeds   []string       `json:"seeds"`
-	Lines   string         `json:"lines"` // further lines of the table members
+	Lines   string         `json:"lines"` // further lines of the table members in the features file
 	Seed    uint64         `json:"chance"`
 	Members []memberConfig `json:"members"`
 }
@@ -34,7 +35,7 @@
 	Advertise string `json:"advertise"`
 }
 
-// memberState is what one member reports.
+// memberState is the answer of one member.
 type memberState struct {
 	Name    string  `json:"name"`
 	Live    int     `json:"live"`
@@ -42,14 +43,14 @@
 	WorstMS float64 `json:"worst_late_ms"`
 }
 
-// member is one scheduler of the process.
+// member is one of the schedulers in the process.
 type member struct {
 	name  string
 	mesh  *mesh.Mesh
 	board *board
 }
 
-const leaveTimeout = 300 * time.Millisecond // for the members to notify others that they leave
+const leaveTimeout = 300 * time.Millisecond // time to notify the other members
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
@@ -62,11 +63,11 @@
 	in := bufio.NewReader(from)
 	line, err := in.ReadBytes('\n')
 	if err != nil {
-		return fmt.Errorf("what the members are told: %w", err)
+		return fmt.Errorf("reading the configuration of the members: %w", err)
 	}
 	var c config
 	if err := json.Unmarshal(line, &c); err != nil {
-		return fmt.Errorf("what the members are told: %w", err)
+		return fmt.Errorf("reading the configuration of the members: %w", err)
 	}
 	var members []*member
 	quit := make(chan struct{})
@@ -74,8 +75,8 @@
 		close(quit)
 		leave(members)
 	}()
-	for number := range c.Members {
-		m, err := startMember(&c, number)
+	for i := range c.Members {
+		m, err := startMember(&c, i)
 		if err != nil {
 			return err
 		}
@@ -86,30 +87,30 @@
 	return answer(in, to, members)
 }
 
-// startMember starts a member by its number in the configuration.
-func startMember(c *config, number int) (*member, error) {
-	who := c.Members[number]
+// startMember starts the member with a given index in the configuration.
+func startMember(c *config, index int) (*member, error) {
+	settings := c.Members[index]
 	table := mesh.Defaults()
 	if err := features.Decode([]byte(c.Lines), table); err != nil {
-		return nil, fmt.Errorf("the operator's lines: %w", err)
+		return nil, fmt.Errorf("lines of the table members: %w", err)
 	}
 	table.Cluster = c.Cluster
 	table.Seeds = c.Seeds
-	table.Listen = who.Listen
-	table.Advertise = who.Advertise
+	table.Listen = settings.Listen
+	table.Advertise = settings.Advertise
 	if err := table.Validate(); err != nil {
 		return nil, err
 	}
-	identity := mesh.Identity{Name: who.Name, Number: -1, Seed: c.Seed + uint64(number)}
+	identity := mesh.Identity{Name: settings.Name, Number: -1, Seed: c.Seed + uint64(index)}
 	b := newBoard()
 	m, err := mesh.Start(table, identity, b.host(), zerolog.Nop())
 	if err != nil {
 		return nil, err
 	}
-	return &member{name: who.Name, mesh: m, board: b}, nil
+	return &member{name: settings.Name, mesh: m, board: b}, nil
 }
 
-// leave ends all members, after they had the time to notify others.
+// leave makes all members leave the cluster, and closes them after leaveTimeout.
 func leave(members []*member) {
 	for _, m := range members {
 		m.mesh.Leave()
@@ -120,7 +121,7 @@
 	}
 }
 
-// answer answers each line of the input with the states of all members.
+// answer writes the states of all members for each line of the input.
 func answer(in *bufio.Reader, to io.Writer, members []*member) error {
 	out := json.NewEncoder(to)
 	for {
--- a/cmd/hollow/operator_state.go
+++ b/cmd/hollow/operator_state.go
@@ -11,16 +11,17 @@
 	"woaddyke/internal/lifecycle/boottime"
 )
 
-// broadcastInterval is the program's own span between two operator states that it sends to a random member.
+// broadcastInterval is the time between two messages with the operator state to a random member, as in
+// cmd/woaddyke.
 const broadcastInterval = time.Second
 
-// board is what one member knows of operator states. It has no settings of its own, and takes those that it
-// receives first.
+// board holds the operator states that one member knows. The member has no settings at first and adopts the
+// first settings that it receives.
 type board struct {
 	mu          sync.Mutex
 	states      *operatorstate.Board
 	hasSettings bool
-	changed     bool // the own state, since it was sent last
+	changed     bool // this member's state has changed since it was last sent
 }
 
 func newBoard() *board { return &board{states: operatorstate.New(uint64(boottime.Since()))} }
@@ -48,8 +49,8 @@
 	b.states.Forget(c.Name)
 }
 
-// takeOwn returns the own state, and whether it has changed since the last call. It reports false as long
-// as there is none.
+// takeOwn returns this member's operator state, and whether it has changed since the last call. known is
+// false until the member has adopted settings.
 func (b *board) takeOwn() (state operatorstate.State, changed, known bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,8 +59,8 @@
 	return b.states.Own(), changed, b.hasSettings
 }
 
-// broadcastOperatorStates has each member send its operator state as a scheduler does: a changed one to all
-// others, and in each interval one to a random member.
+// broadcastOperatorStates sends the operator state of each member as a scheduler does: a changed state to
+// all other members, and in each interval the present state to a random member.
 func broadcastOperatorStates(members []*member, quit chan struct{}) {
 	tick := time.NewTicker(broadcastInterval)
 	defer tick.Stop()
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,5 @@
-// Command simhost runs the decision module on the bench's wire.
+// Command simhost runs the dispatcher for the simulator: it speaks the simulator's protocol on standard
+// input and output.
 package main
 
 import (
--- a/cmd/woaddyke/bench_test.go
+++ b/cmd/woaddyke/bench_test.go
@@ -13,36 +13,37 @@
 	"woaddyke/internal/lab/several"
 )
 
-// BenchmarkGuardedOp is what an at-most-once op costs from its client's side, with copies at three keepers and without.
+// BenchmarkGuardedOp measures the latency and the processor time of an at-most-once op, with records at
+// three replicas and without replication.
 func BenchmarkGuardedOp(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprint("copies=", on), func(b *testing.B) {
-			worker := httptest.NewServer(&bench{runs: map[string]int{}})
+			worker := httptest.NewServer(&testWorker{runs: map[string]int{}})
 			defer worker.Close()
-			offer := quick
+			lines := fastMembers
 			if on {
-				offer += "[copies]\nkeepers = [\"n1\", \"n2\", \"n3\"]\nhold_off = \"5s\"\n"
+				lines += "[copies]\nkeepers = [\"n1\", \"n2\", \"n3\"]\nhold_off = \"5s\"\n"
 			}
-			c := several.New(b, 4, offer, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
-				worker.Listener.Addr()), thisProgram)
+			c := several.New(b, 4, lines, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
+				worker.Listener.Addr()), testCommand)
 			for _, p := range c.Places {
 				c.Start(p)
 			}
 			c.AwaitWhole(c.Places...)
 			for _, p := range c.Places {
-				c.Await("keepers have their votes", func() bool { return p.Get("/api/ready", nil) && (!on || votes(p)) })
+				c.Await("the replicas have their votes", func() bool { return p.Get("/api/ready", nil) && (!on || voteSettled(p)) })
 			}
 			client := http.Client{Timeout: 10 * time.Second}
 			var took []time.Duration
-			kept := func() (total time.Duration) { // the processor time of the three that keep
+			replicaTime := func() (total time.Duration) { // processor time of the three replicas
 				for _, p := range c.Places[:3] {
 					cmd, _ := p.Running()
-					total += spent(b, cmd)
+					total += cpuTime(b, cmd)
 				}
 				return total
 			}
-			door, _ := c.Places[3].Running()
-			keepers, own := kept(), spent(b, door)
+			claimer, _ := c.Places[3].Running()
+			replicasBefore, claimerBefore := replicaTime(), cpuTime(b, claimer)
 			b.ResetTimer()
 			for n := range b.N {
 				r, _ := http.NewRequest(http.MethodPost, "http://"+c.Places[3].Listen+"/", strings.NewReader("x"))
@@ -59,8 +60,8 @@
 				}
 			}
 			b.StopTimer()
-			b.ReportMetric(float64((kept()-keepers).Microseconds())/float64(3*b.N), "us/op-keeper")
-			b.ReportMetric(float64((spent(b, door)-own).Microseconds())/float64(b.N), "us/op-door")
+			b.ReportMetric(float64((replicaTime()-replicasBefore).Microseconds())/float64(3*b.N), "us/op-keeper")
+			b.ReportMetric(float64((cpuTime(b, claimer)-claimerBefore).Microseconds())/float64(b.N), "us/op-door")
 			slices.Sort(took)
 			for name, q := range map[string]float64{"p50-us": 0.5, "p99-us": 0.99, "p99.9-us": 0.999} {
 				b.ReportMetric(float64(took[int(q*float64(len(took)-1))].Microseconds()), name)
--- a/cmd/woaddyke/callsweep_test.go
+++ b/cmd/woaddyke/callsweep_test.go
@@ -13,16 +13,18 @@
 	"woaddyke/internal/lab/syscallfault"
 )
 
-// failure is a system call that fails, with an error that its manual page names.
-type failure struct {
+// syscallFailure is a system call and the errors with which it fails. The manual page of the call lists
+// these errors.
+type syscallFailure struct {
 	name   string
 	call   int
 	errnos []syscall.Errno
 }
 
-// shortages are failures of this machine: they prove nothing of a worker or a client, and no op may pay for one. epoll_ctl is none of them: where
-// it fails for a connection that was just accepted, the standard library closes that unread (docs/incidents/hunt.md, open risks).
-var shortages = []failure{
+// localFailures are failures of the local machine. They say nothing about a worker or a client, and no op
+// may fail because of them. epoll_ctl is not among them: if it fails for a connection that was just
+// accepted, the standard library closes that connection unread (docs/incidents/hunt.md, open risks).
+var localFailures = []syscallFailure{
 	{"socket", syscall.SYS_SOCKET, []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}},
 	{"connect", syscall.SYS_CONNECT, []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM}},
 	{"setsockopt", syscall.SYS_SETSOCKOPT, []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS, syscall.EDOM}},
@@ -35,18 +37,19 @@
 	{"ioctl", syscall.SYS_IOCTL, []syscall.Errno{syscall.EINVAL, syscall.ENOTTY}},
 }
 
-// Every few calls of one kind fail for a while. Each op is served all the same, and no guard is broken.
-func TestNoShortageOfACallCostsAnOp(t *testing.T) {
+// Every fourth call of one system call fails for a while. Every op must still be served, and no invariant
+// may be violated.
+func TestLocalSyscallFailuresFailNoOp(t *testing.T) {
 	t.Parallel()
 	const every, clients = 4, 40
-	for _, x := range shortages {
+	for _, x := range localFailures {
 		for _, errno := range x.errnos {
 			t.Run(fmt.Sprintf("%s %d", x.name, errno), func(t *testing.T) {
 				t.Parallel()
-				discovery, listen, at, _ := holding(t)
-				p, s := supervised(t, listen, discovery, 512, x.call)
+				discovery, listen, received, _ := startHoldingWorker(t)
+				p, s := startSupervised(t, listen, discovery, 512, x.call)
 				go func() {
-					for range at { // nobody counts them
+					for range received { // discards the ids
 					}
 				}()
 				var n atomic.Int64
@@ -73,11 +76,11 @@
 					return true
 				})
 				if status := postAt(t, listen, "after", 4*time.Second); status != http.StatusOK {
-					t.Errorf("after it: %d: %s", status, p.log)
+					t.Errorf("after the failures: %d: %s", status, p.log)
 				}
-				for rule, n := range figures(t, p.console).Violations {
+				for rule, n := range readMetrics(t, p.console).Violations {
 					if n > 0 {
-						t.Errorf("rule %s was broken %d times: %s", rule, n, p.log)
+						t.Errorf("invariant %s was violated %d times: %s", rule, n, p.log)
 					}
 				}
 				t.Logf("%d calls failed, %v", s.Failed(x.call), strings.Count(p.log.String(), "\n"))
--- a/cmd/woaddyke/changes_test.go
+++ b/cmd/woaddyke/changes_test.go
@@ -15,20 +15,20 @@
 	"time"
 )
 
-// changeable is a real process whose configuration a test replaces.
-type changeable struct {
-	started
-	t       *testing.T
-	path    string
-	sheet   map[string]any
-	watches atomic.Int32
+// reloadedProcess is a real process whose configuration file a test replaces.
+type reloadedProcess struct {
+	testProcess
+	t        *testing.T
+	path     string
+	document map[string]any
+	watches  atomic.Int32
 }
 
-func newChangeable(t *testing.T, worker http.Handler, entries int) (*changeable, string) {
+func newReloadedProcess(t *testing.T, worker http.Handler, entries int) (*reloadedProcess, string) {
 	t.Helper()
 	w := httptest.NewServer(worker)
 	t.Cleanup(w.Close)
-	x := &changeable{t: t}
+	x := &reloadedProcess{t: t}
 	discovery := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		x.watches.Add(1)
 		fmt.Fprintf(rw, `{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`+"\n", w.Listener.Addr())
@@ -37,11 +37,11 @@
 	}))
 	t.Cleanup(discovery.Close)
 	listen, dir := freeAddr(t), t.TempDir()
-	x.started = startProcess(t, dir, listen, discovery.Listener.Addr().String(), 0)
+	x.testProcess = startProcess(t, dir, listen, discovery.Listener.Addr().String(), 0)
 	x.path = filepath.Join(dir, "0.json")
 	text, err := os.ReadFile(x.path)
 	if err == nil {
-		err = json.Unmarshal(text, &x.sheet)
+		err = json.Unmarshal(text, &x.document)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -50,30 +50,30 @@
 	for i := range categories {
 		categories[i] = map[string]any{"name": fmt.Sprint("team-", i), "effect": "fragile", "ttlNs": 1e9, "targetLatencyNs": 1e9}
 	}
-	x.sheet["settings"].(map[string]any)["categories"] = categories
+	x.document["settings"].(map[string]any)["categories"] = categories
 	return x, listen
 }
 
-func (x *changeable) category(i int) map[string]any {
-	return x.sheet["settings"].(map[string]any)["categories"].([]any)[i].(map[string]any)
+func (x *reloadedProcess) category(i int) map[string]any {
+	return x.document["settings"].(map[string]any)["categories"].([]any)[i].(map[string]any)
 }
 
-func (x *changeable) text() []byte {
+func (x *reloadedProcess) text() []byte {
 	x.t.Helper()
-	text, err := json.Marshal(x.sheet)
+	text, err := json.Marshal(x.document)
 	if err != nil {
 		x.t.Fatal(err)
 	}
 	return text
 }
 
-// change puts the configuration as it is now in the place of the one before, and says so.
-func (x *changeable) change() {
+// reload writes the present configuration to the file, and sends SIGHUP.
+func (x *reloadedProcess) reload() {
 	x.t.Helper()
-	x.replace(x.text())
+	x.reloadText(x.text())
 }
 
-func (x *changeable) replace(text []byte) {
+func (x *reloadedProcess) reloadText(text []byte) {
 	x.t.Helper()
 	err := os.WriteFile(x.path+".new", text, 0o600)
 	if err == nil {
@@ -93,8 +93,8 @@
 	Requests      map[string]struct{ Served int } `json:"requests"`
 }
 
-// await reads the figures until they say what is waited for.
-func (x *changeable) await(what string, holds func(telemetry) bool) (f telemetry) {
+// await polls the metrics until a condition holds.
+func (x *reloadedProcess) await(what string, holds func(telemetry) bool) (f telemetry) {
 	x.t.Helper()
 	for until := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		resp, err := http.Get("http://" + x.console + "/api/telemetry")
@@ -110,13 +110,13 @@
 			return f
 		}
 		if time.Now().After(until) {
-			x.t.Fatalf("%s: it never came about, %d taken, %d turned down: %s", what, f.ReloadsOK, f.ReloadsFailed, x.log)
+			x.t.Fatalf("%s: timed out after %d successful and %d failed reloads: %s", what, f.ReloadsOK, f.ReloadsFailed, x.log)
 		}
 	}
 }
 
-// resident is the process's resident memory in KB, and its processor time in ms.
-func (x *changeable) resident() (kb, ms int) {
+// usage returns the resident memory of the process in KB, and its processor time in ms.
+func (x *reloadedProcess) usage() (kb, ms int) {
 	x.t.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", x.cmd.Process.Pid))
 	if err != nil {
@@ -137,21 +137,22 @@
 	return kb, (user + system) * 10
 }
 
-// number reads one from the environment, for longer runs than CI's.
-func number(name string, otherwise int) int {
+// intFromEnv reads a number from the environment, for runs that are longer than in CI.
+func intFromEnv(name string, fallback int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return otherwise
+	return fallback
 }
 
-// A process took 340 changes of one of three categories, and turned down all that came after them until it was replaced. The watch was
-// opened anew at each of them, at every scheduler. CHANGES and ENTRIES make it a day of a large site.
-func TestARealProcessTakesChangesWithoutEnd(t *testing.T) {
-	n, entries := number("CHANGES", 400), number("ENTRIES", 3)
-	runs := &record{runs: map[string]int{}}
-	x, listen := newChangeable(t, runs, entries)
-	x.change()
+// A process must apply any number of reloads. It once applied 340 changes of one of three categories and
+// rejected all later ones until it was replaced, and every scheduler opened its watch again at each reload.
+// CHANGES and ENTRIES set a larger number of reloads and categories.
+func TestAProcessAppliesHundredsOfReloads(t *testing.T) {
+	n, entries := intFromEnv("CHANGES", 400), intFromEnv("ENTRIES", 3)
+	runs := &runCounter{runs: map[string]int{}}
+	x, listen := newReloadedProcess(t, runs, entries)
+	x.reload()
 	x.await("the first change is in force", func(f telemetry) bool { return f.ReloadsOK == 1 })
 	op := 0
 	serve := func(category string, want int) {
@@ -169,47 +170,47 @@
 			t.Fatal(err)
 		}
 		if resp.Body.Close(); resp.StatusCode != want {
-			t.Fatalf("an op of %s: %d, not %d: %s", category, resp.StatusCode, want, x.log)
+			t.Fatalf("an op of category %s: status %d, want %d: %s", category, resp.StatusCode, want, x.log)
 		}
 	}
 	x.await("the worker is listed", func(telemetry) bool { return x.watches.Load() > 0 })
 	watches := x.watches.Load()
-	began, before := x.resident()
+	began, before := x.usage()
 	for i := range n {
 		c := x.category(i % entries)
 		if c["targetLatencyNs"] = 1e9 + 1e5*float64(i); i%4 == 3 {
 			c["name"] = fmt.Sprint("team-", i%entries, "-", i)
 		}
-		x.change()
+		x.reload()
 		f := x.await("a change is in force", func(f telemetry) bool { return f.ReloadsOK == i+2 || f.ReloadsFailed > 0 })
 		if f.ReloadsFailed > 0 {
-			t.Fatalf("change %d is turned down: %s", i, x.log)
+			t.Fatalf("reload %d failed: %s", i, x.log)
 		}
 		if i%20 == 3 {
 			serve(c["name"].(string), http.StatusOK)
 		}
 	}
-	rss, spent := x.resident()
-	t.Logf("%d changes of %d categories: %d KB resident, %d before; %.2f ms of processor a change, figures among it", n, entries, rss, began,
+	rss, spent := x.usage()
+	t.Logf("%d reloads of %d categories: %d KB resident, %d before; %.2f ms of processor time per reload, including reads of the metrics", n, entries, rss, began,
 		float64(spent-before)/float64(n))
-	if got := int(x.watches.Load() - watches); got > n/4 { // time opens it anew too, about once a second
-		t.Errorf("the watch was opened %d times in %d changes that do not move it", got, n)
+	if got := int(x.watches.Load() - watches); got > n/4 { // it is also opened again by time, about once a second
+		t.Errorf("the watch was opened %d times in %d reloads that keep its address", got, n)
 	}
-	// A file that is at fault changes nothing, says so in one line, and what comes after it is taken.
+	// An invalid file changes nothing and is logged in one line. Later valid files are applied.
 	c := x.category(0)
 	name, ttl := c["name"].(string), c["ttlNs"]
 	c["name"], c["ttlNs"] = "wrong", -1
-	x.change()
-	f := x.await("the wrong file is turned down", func(f telemetry) bool { return f.ReloadsFailed == 1 })
+	x.reload()
+	f := x.await("the invalid file is rejected", func(f telemetry) bool { return f.ReloadsFailed == 1 })
 	if _, taken := f.Requests["wrong"]; taken || f.ReloadsOK != n+1 {
-		t.Errorf("%d taken, the wrong one among them: %v", f.ReloadsOK, taken)
+		t.Errorf("%d successful reloads, the invalid file applied: %v", f.ReloadsOK, taken)
 	}
 	serve("wrong", http.StatusBadRequest)
 	serve(name, http.StatusOK)
-	// Changes that come faster than they are taken up: the last one is in force in the end.
+	// If reloads arrive faster than they are applied, the last one is in force at the end.
 	c["ttlNs"] = ttl
-	settings := x.sheet["settings"].(map[string]any)
-	for i := range 1900 - entries { // so that taking one up takes longer than writing the next
+	settings := x.document["settings"].(map[string]any)
+	for i := range 1900 - entries { // so that applying a file takes longer than writing the next one
 		settings["categories"] = append(settings["categories"].([]any), map[string]any{"name": fmt.Sprint("more-", i), "effect": "fragile",
 			"ttlNs": 1e9, "targetLatencyNs": 1e9})
 	}
@@ -219,15 +220,15 @@
 		files = append(files, x.text())
 	}
 	for _, text := range files {
-		x.replace(text)
+		x.reloadText(text)
 	}
-	x.await("the last of many at once is in force", func(f telemetry) bool { _, last := f.Requests["at-once-19"]; return last })
+	x.await("the last of many reloads is in force", func(f telemetry) bool { _, last := f.Requests["at-once-19"]; return last })
 	serve("at-once-19", http.StatusOK)
 	x.cmd.Process.Signal(syscall.SIGTERM)
 	if err := x.cmd.Wait(); err != nil {
 		t.Errorf("%v: %s", err, x.log)
 	}
 	if text := x.log.String(); strings.Count(text, "configuration kept") != 1 || !strings.Contains(text, "settings.categories.0.ttlNs: must be a number above 0 and at most 86400000000000, got -1") {
-		t.Errorf("the wrong file is not told of in one line with its place: %s", text)
+		t.Errorf("the invalid file is not logged in one line with the key at fault: %s", text)
 	}
 }
--- a/cmd/woaddyke/claimers_test.go
+++ b/cmd/woaddyke/claimers_test.go
@@ -11,33 +11,35 @@
 )
 
 const (
-	openOps = 4 // of the claimer whose process is killed, stopped or replaced
-	// repeatKnownWithin is for the members to learn that a process has ended; it takes a second or two.
+	openOps = 4 // ops pending at the claimer whose process is killed, stopped or replaced
+	// repeatKnownWithin is the timeout for the members to learn that a process has ended. This takes one to
+	// two seconds.
 	repeatKnownWithin = 15 * time.Second
 )
 
-// startOpenOps sends ops to a place that its worker does not finish, and returns their ids.
-func startOpenOps(t *testing.T, p *several.Place, b *bench) (ids []string) {
+// startOpenOps sends ops that the worker holds to a scheduler, and returns their ids.
+func startOpenOps(t *testing.T, p *several.Place, b *testWorker) (ids []string) {
 	t.Helper()
 	for k := range openOps {
 		id := fmt.Sprint("hold-", k)
 		go post(p, "pay", id, "x")
-		b.awaitBegan(t)
+		b.awaitStarted(t)
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-// startSuccessor has a second process take the place of one, with a console of its own, and waits until it serves.
+// startSuccessor starts a successor of a process, with its own console address, and waits until it serves.
 func startSuccessor(t *testing.T, c *several.Cluster, p *several.Place) {
 	t.Helper()
 	p.Console = freeAddr(t)
 	c.Start(p)
-	c.Await("the successor serves", func() bool { return p.Get("/api/ready", nil) && votes(p) })
+	c.Await("the successor serves", func() bool { return p.Get("/api/ready", nil) && voteSettled(p) })
 }
 
-// awaitRepeats waits until each repeat at each of some places has a status, and fails the test for one that was granted.
-func awaitRepeats(t *testing.T, c *several.Cluster, b *bench, ids []string, want int, places ...*several.Place) {
+// awaitRepeats repeats each id at each of the given schedulers until it gets the wanted status, and fails
+// the test if an op ran more than once.
+func awaitRepeats(t *testing.T, c *several.Cluster, b *testWorker, ids []string, want int, places ...*several.Place) {
 	t.Helper()
 	for _, p := range places {
 		for _, id := range ids {
@@ -53,29 +55,30 @@
 		}
 	}
 	for _, id := range ids {
-		if n := b.ran(id); n != 1 {
+		if n := b.runCount(id); n != 1 {
 			t.Errorf("%s ran %d times", id, n)
 		}
 	}
 }
 
-// A scheduler is killed and started again under its name before any member holds it for dead. Nobody runs its ops any more: repeats are
-// answered that the outcome is unknown, and are not asked to come back for as long as the id is retained.
-func TestRepeatsAfterAClaimerIsKilledAndBack(t *testing.T) {
+// A scheduler is killed, and restarts under its name before any member considers it dead. No process runs
+// its ops any more: repeats must be answered that the outcome is unknown. While the id is retained, they
+// are never asked to retry.
+func TestRepeatsFailAfterAClaimerRestarts(t *testing.T) {
 	t.Parallel()
-	c, b := guarded(t, 3, true, "path = \"{dir}/copies.db\"\n")
+	c, b := startReplicas(t, 3, true, "path = \"{dir}/copies.db\"\n")
 	ids := startOpenOps(t, c.Places[0], b)
 	c.Places[0].Kill()
 	c.Start(c.Places[0])
-	c.Await("it is back", func() bool { return c.Places[0].Get("/api/ready", nil) && votes(c.Places[0]) })
+	c.Await("the claimer is ready again", func() bool { return c.Places[0].Get("/api/ready", nil) && voteSettled(c.Places[0]) })
 	awaitRepeats(t, c, b, ids, http.StatusBadGateway, c.Places[1], c.Places[0])
 }
 
-// The predecessor of a hot restart is killed while its ops run. Its successor is the member that the others know, so only the successor can
-// tell them.
-func TestRepeatsAfterAPredecessorIsKilled(t *testing.T) {
+// The predecessor of a hot restart is killed while its ops are in flight. The successor continues as the
+// same member, so only the successor can report to the others that these ops have no claimer.
+func TestRepeatsFailAfterAPredecessorIsKilled(t *testing.T) {
 	t.Parallel()
-	c, b := guarded(t, 3, true, "path = \"{dir}/copies.db\"\n")
+	c, b := startReplicas(t, 3, true, "path = \"{dir}/copies.db\"\n")
 	p := c.Places[0]
 	ids := startOpenOps(t, p, b)
 	predecessor, ended := p.Running()
@@ -90,49 +93,49 @@
 	awaitRepeats(t, c, b, ids, http.StatusBadGateway, c.Places[1], p)
 }
 
-// The predecessor of a hot restart ends its ops: repeats get their answers.
-func TestRepeatsOfAPredecessorsOps(t *testing.T) {
+// The predecessor of a hot restart finishes its ops: repeats get the results.
+func TestRepeatsGetAPredecessorsResults(t *testing.T) {
 	t.Parallel()
-	c, b := guarded(t, 3, true, "path = \"{dir}/copies.db\"\n")
+	c, b := startReplicas(t, 3, true, "path = \"{dir}/copies.db\"\n")
 	p := c.Places[0]
 	ids := startOpenOps(t, p, b)
 	startSuccessor(t, c, p)
-	close(b.go_)
+	close(b.release)
 	awaitRepeats(t, c, b, ids, http.StatusOK, c.Places[1], p)
 }
 
-// A scheduler that is stopped for seconds and goes on still has its ops.
-func TestRepeatsWhileAClaimerIsStopped(t *testing.T) {
+// A scheduler that is stopped for seconds and resumes still has its ops in flight: repeats get the results.
+func TestRepeatsGetAStoppedClaimersResults(t *testing.T) {
 	t.Parallel()
-	c, b := guarded(t, 3, true)
+	c, b := startReplicas(t, 3, true)
 	p := c.Places[0]
 	ids := startOpenOps(t, p, b)
 	p.Signal(syscall.SIGSTOP)
-	time.Sleep(2 * time.Second) // the fault itself: members suspect it meanwhile, and may hold it for dead
+	time.Sleep(2 * time.Second) // the fault itself: members suspect it meanwhile, and may declare it dead
 	p.Signal(syscall.SIGCONT)
 	c.AwaitState(p.Name, "here", c.Places[1:]...)
 	if status, text := post(c.Places[1], "pay", ids[0], "x"); status != http.StatusServiceUnavailable {
-		t.Errorf("once it goes on: %d %q", status, text)
+		t.Errorf("after it resumed: %d %q", status, text)
 	}
-	close(b.go_)
+	close(b.release)
 	awaitRepeats(t, c, b, ids, http.StatusOK, c.Places[1], p)
 }
 
-// The predecessor's ops have ended, and its successor is ready. A repeat at the successor itself is answered like one elsewhere, not
-// after its claim has waited for a majority in vain.
+// The predecessor's ops have ended, and its successor is ready. The successor must answer a repeat as fast
+// as other schedulers do, and not only after its claim has waited in vain for a majority.
 func TestASuccessorAnswersItsPredecessorsRepeatsAtOnce(t *testing.T) {
 	t.Parallel()
-	const most = time.Second // half of the wait for a majority in this cluster
-	c, b := guarded(t, 3, true, "path = \"{dir}/copies.db\"\n")
+	const maxLatency = time.Second // half of the timeout for a majority in this cluster
+	c, b := startReplicas(t, 3, true, "path = \"{dir}/copies.db\"\n")
 	p := c.Places[0]
 	ids := startOpenOps(t, p, b)
 	startSuccessor(t, c, p)
-	close(b.go_)
+	close(b.release)
 	awaitRepeats(t, c, b, ids, http.StatusOK, c.Places[1])
 	for _, id := range ids {
 		began := time.Now()
 		status, text := post(p, "pay", id, "x")
-		if took := time.Since(began); status != http.StatusOK || took > most {
+		if took := time.Since(began); status != http.StatusOK || took > maxLatency {
 			t.Errorf("%s: %d %q after %v", id, status, text, took)
 		}
 	}
--- a/cmd/woaddyke/clock_test.go
+++ b/cmd/woaddyke/clock_test.go
@@ -15,19 +15,20 @@
 	"woaddyke/internal/lab/steppedclock"
 )
 
-// steppedFolder holds the build whose wall clock can be stepped; empty until a test needs it.
-var steppedFolder string
+// steppedBuildDir is the directory of a build whose wall clock can be stepped. It is empty until a test
+// needs the build.
+var steppedBuildDir string
 
 var steppedBuild = sync.OnceValues(func() (string, error) {
 	var err error
-	if steppedFolder, err = os.MkdirTemp("", "stepped-"); err != nil {
+	if steppedBuildDir, err = os.MkdirTemp("", "stepped-"); err != nil {
 		return "", err
 	}
-	return steppedclock.Build(context.Background(), ".", ".", steppedFolder)
+	return steppedclock.Build(context.Background(), ".", ".", steppedBuildDir)
 })
 
-// stepped is this command by a wall clock of the test's own.
-func stepped(t *testing.T) (program func(args ...string) *exec.Cmd, clock *steppedclock.Clock) {
+// steppedProgram returns this command with a wall clock that the test controls.
+func steppedProgram(t *testing.T) (program func(args ...string) *exec.Cmd, clock *steppedclock.Clock) {
 	t.Helper()
 	path, err := steppedBuild()
 	if err != nil {
@@ -44,18 +45,19 @@
 	}, clock
 }
 
-var steps = []time.Duration{0, time.Hour, -time.Hour}
+var clockSteps = []time.Duration{0, time.Hour, -time.Hour}
 
-// Three keepers with files were killed and started again with the wall clock an hour on: 12 of 12 at-most-once ops ran a second time,
-// since a record's age was the difference of two readings of that clock. The same after a step in the running process, and while a
-// record is put down.
-func TestKeepersRememberWhateverTheWallClockSays(t *testing.T) {
+// Replicas must retain ids after a step of the wall clock, whether it happens while a process runs, between
+// two runs, or while a record is written. The age of a record was once the difference of two readings of
+// the wall clock: three replicas with files that restarted with the clock an hour ahead let 12 of 12
+// at-most-once ops run a second time.
+func TestReplicasRetainIDsAcrossAClockStep(t *testing.T) {
 	t.Parallel()
-	for _, step := range steps {
+	for _, step := range clockSteps {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
-			program, clock := stepped(t)
-			c, b := guardedBy(t, 3, true, program, "path = \"{dir}/copies.db\"\n")
+			program, clock := steppedProgram(t)
+			c, b := startReplicasOf(t, 3, true, program, "path = \"{dir}/copies.db\"\n")
 			const ids = 12
 			for k := range ids {
 				if k == ids/2 {
@@ -65,7 +67,7 @@
 					t.Fatalf("id%d: %d %q", k, status, text)
 				}
 			}
-			awaitTold(c) // this test is of what was told: an end that is on its way when all are killed is known to nobody
+			awaitReported(c) // an outcome that is still being sent when all processes are killed is lost
 			for _, p := range c.Places {
 				p.Kill()
 			}
@@ -73,7 +75,7 @@
 			for k := range ids {
 				id := fmt.Sprint("id", k)
 				status, text := post(c.Places[(k+1)%3], "pay", id, "x")
-				if n := b.ran(id); n != 1 || status != http.StatusOK || text != "result of "+id {
+				if n := b.runCount(id); n != 1 || status != http.StatusOK || text != "result of "+id {
 					t.Errorf("%s ran %d times; then %d %q", id, n, status, text)
 				}
 			}
@@ -81,15 +83,16 @@
 	}
 }
 
-// handedOver are ids that a process served before another took its place, with the wall clock stepped between the starts of the two.
-func handedOver(t *testing.T, step, ttl time.Duration) (heir started, listen string, runs *record, ids []string) {
+// hotRestartWithStep serves ids, steps the wall clock and then starts a successor, which is returned with
+// the ids.
+func hotRestartWithStep(t *testing.T, step, ttl time.Duration) (successor testProcess, listen string, runs *runCounter, ids []string) {
 	t.Helper()
-	program, clock := stepped(t)
-	runs = &record{runs: map[string]int{}}
-	discovery, listen := standIns(t, runs)
-	dir := socketFolder(t)
+	program, clock := steppedProgram(t)
+	runs = &runCounter{runs: map[string]int{}}
+	discovery, listen := startWorkers(t, runs)
+	dir := shortTempDir(t)
 	settings := paySettings(ttl)
-	giver := startProgram(t, dir, listen, discovery, 0, 256, settings, program, (*exec.Cmd).Start)
+	predecessor := startProgram(t, dir, listen, discovery, 0, 256, settings, program, (*exec.Cmd).Start)
 	for k := range 10 {
 		id := fmt.Sprint("id", k)
 		if status := postAt(t, listen, id, ttl); status != http.StatusOK {
@@ -98,18 +101,18 @@
 		ids = append(ids, id)
 	}
 	clock.Set(step)
-	heir = startProgram(t, dir, listen, discovery, 1, 256, settings, program, (*exec.Cmd).Start)
-	giver.cmd.Process.Signal(syscall.SIGTERM)
-	if err := giver.cmd.Wait(); err != nil {
-		t.Fatalf("%v: %s", err, giver.log)
+	successor = startProgram(t, dir, listen, discovery, 1, 256, settings, program, (*exec.Cmd).Start)
+	predecessor.cmd.Process.Signal(syscall.SIGTERM)
+	if err := predecessor.cmd.Wait(); err != nil {
+		t.Fatalf("%v: %s", err, predecessor.log)
 	}
-	if !strings.Contains(heir.log.String(), "took over") {
-		t.Fatalf("nothing was handed over, this test proves nothing: %s", heir.log)
+	if !strings.Contains(successor.log.String(), "took over") {
+		t.Fatalf("nothing was handed over, so the test shows nothing: %s", successor.log)
 	}
-	return heir, listen, runs, ids
+	return successor, listen, runs, ids
 }
 
-// postAt sends an op on a connection of its own and returns the status of its answer.
+// postAt sends an op on a new connection and returns the status of its answer.
 func postAt(t *testing.T, listen, id string, left time.Duration) int {
 	t.Helper()
 	status, err := postOp(listen, id, left)
@@ -134,36 +137,38 @@
 	return resp.StatusCode, nil
 }
 
-// An heir that started after the wall clock had gone an hour on read its giver's moments by its own clock: 10 of 10 at-most-once ids
-// whose TTL was not over ran a second time.
-func TestAnHeirKnowsTheIDsWhateverTheWallClockSays(t *testing.T) {
+// A successor must reject the ids of its predecessor until their TTL is over, also after a step of the wall
+// clock. A successor that started with the clock an hour ahead once read the times of its predecessor by
+// its own clock: 10 of 10 at-most-once ids ran a second time within their TTL.
+func TestASuccessorRetainsIDsAcrossAClockStep(t *testing.T) {
 	t.Parallel()
-	for _, step := range steps {
+	for _, step := range clockSteps {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
-			heir, listen, runs, ids := handedOver(t, step, 30*time.Second)
+			successor, listen, runs, ids := hotRestartWithStep(t, step, 30*time.Second)
 			for _, id := range ids {
 				if status := postAt(t, listen, id, 30*time.Second); status != http.StatusConflict {
 					t.Errorf("%s again: %d", id, status)
 				}
 				if n := runs.runs[id]; n != 1 {
-					t.Errorf("%s ran %d times: %s", id, n, heir.log)
+					t.Errorf("%s ran %d times: %s", id, n, successor.log)
 				}
 			}
 		})
 	}
 }
 
-// With the clock an hour back the heir refused the same ids for an hour more than their TTL.
-func TestAnHeirFreesIDsWithTheirTTLWhateverTheWallClockSays(t *testing.T) {
+// A successor must accept an id again when its TTL is over. With the clock an hour behind it once rejected
+// the ids for an hour longer.
+func TestASuccessorFreesIDsAfterTheirTTLAcrossAClockStep(t *testing.T) {
 	t.Parallel()
 	const ttl = 3 * time.Second
-	for _, step := range steps {
+	for _, step := range clockSteps {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
-			heir, listen, _, ids := handedOver(t, step, ttl)
+			successor, listen, _, ids := hotRestartWithStep(t, step, ttl)
 			began := time.Now()
-			await(t, "their TTL is over", heir.log, func() bool { return time.Since(began) > ttl })
+			await(t, "their TTL is over", successor.log, func() bool { return time.Since(began) > ttl })
 			for _, id := range ids {
 				if status := postAt(t, listen, id, ttl); status != http.StatusOK {
 					t.Errorf("%s after its TTL: %d", id, status)
--- a/cmd/woaddyke/cluster.go
+++ b/cmd/woaddyke/cluster.go
@@ -13,15 +13,15 @@
 	"woaddyke/internal/scheduler/reducer"
 )
 
-// endWhenReplaced is the value of members.superseded that ends a process whose name another one has
-// taken.
+// endWhenReplaced is the value of members.superseded with which a process stops when another process takes
+// its name.
 const endWhenReplaced = "end"
 
-// meshSockets is how many sockets of the mesh a handover has, as its last ones.
+// meshSockets is the number of sockets of the mesh in a handover. They are the last ones.
 const meshSockets = 2
 
-// joinCluster makes this process a member where the features file says so, on the predecessor's sockets
-// where the handover has them. handover is nil without a predecessor.
+// joinCluster makes this process a member if the features file has a table members. It uses the sockets of
+// the predecessor if the handover has them. handover is nil without a predecessor.
 func (p *process) joinCluster(handover *transfer.Handover, state hotrestart.State) (err error) {
 	table := p.features.Members
 	if table == nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// meshHost returns what the mesh calls in this process.
+// meshHost returns the callbacks that the mesh calls in this process.
 func (p *process) meshHost() mesh.Host {
 	table := p.features.Members
 	host := mesh.Host{
@@ -118,7 +118,8 @@
 	return counts
 }
 
-// createReplica creates the replica where the features file says so, and lets the mesh call it.
+// createReplica creates the replica if the features file has a table copies, and adds the callbacks of the
+// replica to host.
 func (p *process) createReplica(state hotrestart.State, host *mesh.Host) (err error) {
 	table := p.features.Copies
 	if table == nil {
@@ -150,13 +151,14 @@
 	return nil
 }
 
-// setReplicaPeer tells the replica what is known of another member.
+// setReplicaPeer passes the incarnation of another member to the replica, and whether that member has
+// ended.
 func (p *process) setReplicaPeer(member membership.MemberView) {
 	p.replica.SetPeerIncarnation(member.Name, member.Incarnation)
 	p.replica.SetPeerDead(member.Name, member.State.Ended())
 }
 
-// requiresClaim tells whether an op of a category needs a claim before its first attempt.
+// requiresClaim reports whether an op of a category needs a claim before its first attempt.
 func (p *process) requiresClaim(category string) bool {
 	switch p.server.CategoryEffect(category) {
 	case "at-most-once":
@@ -167,7 +169,7 @@
 	return false
 }
 
-// peerChanged tells the server which schedulers that send peer reports have joined or ended.
+// peerChanged reports to the server that a scheduler that sends peer reports has joined or ended.
 func (p *process) peerChanged(c membership.MemberChanged) {
 	if c.Number < 0 {
 		return
@@ -176,14 +178,15 @@
 	case c.State.Ended():
 		p.server.ReceivePeerInput(reducer.PeerLost{Peer: c.Number})
 	case c.State == membership.Alive && (c.New || c.Before.Ended()):
-		if c.New { // another process: the reports of the former one don't hold for it
+		if c.New { // a new process: the reports of the former process are not valid for it
 			p.server.ReceivePeerInput(reducer.PeerLost{Peer: c.Number})
 		}
 		p.server.ReceivePeerInput(reducer.PeerJoined{Peer: c.Number})
 	}
 }
 
-// handOverMembership adds to a handover what makes the successor the same member.
+// handOverMembership adds to a handover the state with which the successor continues as the same member. It
+// returns the sockets of the mesh.
 func (p *process) handOverMembership(state *hotrestart.State) []syscall.Conn {
 	if p.mesh == nil {
 		return nil
@@ -197,15 +200,15 @@
 	if p.replica != nil {
 		state.Successions = p.replica.Successions()
 		if state.EndedProcesses, err = p.replica.HandOverProcesses(); err != nil {
-			p.log.Warn().Err(err).Msg("processes that have ended not handed over")
+			p.log.Warn().Err(err).Msg("ended processes not handed over")
 		}
 		p.replica.ReleaseStore()
 	}
 	return sockets
 }
 
-// leaveCluster tells the other members that this process ends, unless its successor goes on in its
-// place.
+// leaveCluster notifies the other members that this process ends. If it has a successor, the successor
+// continues as the same member and nobody is notified.
 func (p *process) leaveCluster() {
 	if p.mesh != nil && !p.server.HasSuccessor() {
 		p.mesh.Leave()
--- a/cmd/woaddyke/console_calls.go
+++ b/cmd/woaddyke/console_calls.go
@@ -15,13 +15,13 @@
 
 func (p *process) replicaStatus(*http.Request) any { return p.replica.Status() }
 
-// recordsPage is a part of the replica's records.
+// recordsPage is one page of the records of the replica.
 type recordsPage struct {
 	Rows []replica.RecordRow `json:"rows"`
-	Next string              `json:"next"` // the key after which the next page begins; empty on the last one
+	Next string              `json:"next"` // the key after which the next page begins; empty on the last page
 }
 
-// records answers with the records of one ID, or with a page of all.
+// records returns the records of one ID, or one page of all records.
 func (p *process) records(r *http.Request) any {
 	query := r.URL.Query()
 	if id := query.Get("id"); id != "" {
@@ -32,15 +32,15 @@
 	return page
 }
 
-// changeResult is the answer to a change that an operator requested.
+// changeResult is the result of a change that an operator requested.
 type changeResult struct {
 	Done  bool   `json:"done"`
-	Again bool   `json:"again"` // it may succeed if it is requested again
+	Again bool   `json:"again"` // a further request may succeed
 	Text  string `json:"text"`
 }
 
-// changeReplicas requests another replica set. The request names the epoch of the set that the operator
-// saw.
+// changeReplicas requests another replica set. The request names the epoch of the replica set that the
+// operator saw.
 func (p *process) changeReplicas(r *http.Request) any {
 	query := r.URL.Query()
 	epoch, err := strconv.ParseUint(query.Get("turn"), 10, 64)
@@ -51,7 +51,7 @@
 	return changeResult{Done: result.OK, Again: result.Retryable, Text: result.Message}
 }
 
-// consoleCalls returns the console's calls for the features that are on.
+// consoleCalls returns the console's calls for the enabled features.
 func (p *process) consoleCalls() (calls []console.Call) {
 	if p.mesh != nil {
 		calls = append(calls,
--- a/cmd/woaddyke/console_client.go
+++ b/cmd/woaddyke/console_client.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	consoleTimeout    = 3 * time.Second // for a console to answer
-	maxConsoleAnswer  = 16 << 20        // bytes that are read of an answer
-	consoleFlagEnvVar = "RELAY_CONSOLE" // the default of the flag --console
+	consoleTimeout    = 3 * time.Second // of a request to a console
+	maxConsoleAnswer  = 16 << 20        // maximum bytes read of an answer
+	consoleFlagEnvVar = "RELAY_CONSOLE" // holds the default of the flag --console
 )
 
-// getConsole decodes the answer of one of a console's calls that change nothing.
+// getConsole makes a read-only call to a console and decodes its answer.
 func getConsole(addr, path string, answer any) error {
 	return callConsole(http.MethodGet, addr, path, answer)
 }
 
-// callConsole makes a call at a console and decodes its answer.
+// callConsole makes a call to a console and decodes its answer.
 func callConsole(method, addr, path string, answer any) error {
 	client := http.Client{Timeout: consoleTimeout}
 	request, err := http.NewRequest(method, "http://"+addr+path, nil)
@@ -36,14 +36,14 @@
 	switch response.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound:
-		return fmt.Errorf("%s: that is not switched on there", addr)
+		return fmt.Errorf("%s: this feature is not enabled on that scheduler", addr)
 	default:
 		return fmt.Errorf("%s: %s", addr, response.Status)
 	}
 	return json.NewDecoder(io.LimitReader(response.Body, maxConsoleAnswer)).Decode(answer)
 }
 
-// formatCounts lists counts by name, in the order of the names.
+// formatCounts formats counts by name, sorted by name.
 func formatCounts(counts map[string]uint64) string {
 	var texts []string
 	for name, count := range counts {
--- a/cmd/woaddyke/copies_command.go
+++ b/cmd/woaddyke/copies_command.go
@@ -16,10 +16,10 @@
 	"woaddyke/internal/cluster/replica"
 )
 
-// changePollInterval is between two polls of a change of replicas.
+// changePollInterval is the time between two polls of a change of the replica set.
 const changePollInterval = 200 * time.Millisecond
 
-// errReplicasNotChanged ends a change that was refused.
+// errReplicasNotChanged is the error of a change of the replica set that was refused.
 var errReplicasNotChanged = errors.New("the keepers are not changed")
 
 func copiesCommand() *cobra.Command {
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// changeReplicasCommand requests another replica set, and waits until the former replicas are not
-// needed.
+// changeReplicasCommand requests another replica set, and waits until the former replicas are not needed
+// any more.
 func changeReplicasCommand(addr *string) *cobra.Command {
 	var timeout time.Duration
 	c := &cobra.Command{
@@ -114,12 +114,12 @@
 type replicaChange struct {
 	out      io.Writer
 	addr     string   // of the console
-	names    []string // of the new replicas
+	names    []string // the members of the new replica set
 	timeout  time.Duration
 	deadline time.Time
 }
 
-// awaitAgreement repeats the request until the change is agreed or refused for good.
+// awaitAgreement repeats the request until the change is agreed or finally refused.
 func (c *replicaChange) awaitAgreement() error {
 	for printed := ""; ; time.Sleep(changePollInterval) {
 		result, err := c.request()
@@ -139,7 +139,7 @@
 	}
 }
 
-// request requests the change once, from the present replica set.
+// request requests the change once. It names the epoch of the present replica set.
 func (c *replicaChange) request() (result changeResult, err error) {
 	var s replica.Status
 	if err := getConsole(c.addr, "/api/copies", &s); err != nil {
@@ -154,10 +154,10 @@
 	return result, err
 }
 
-// awaitHandover polls until the new replicas know what the former ones know.
+// awaitHandover polls until the new replicas have the records of the former replicas.
 func (c *replicaChange) awaitHandover() error {
 	for ; ; time.Sleep(changePollInterval) {
-		var s replica.Status // a new one each time: a key that an answer leaves out must not keep its value
+		var s replica.Status // new for each poll: decoding keeps the values of absent keys
 		if err := getConsole(c.addr, "/api/copies", &s); err != nil {
 			return err
 		}
--- a/cmd/woaddyke/copies_heir_test.go
+++ b/cmd/woaddyke/copies_heir_test.go
@@ -6,16 +6,17 @@
 	"testing"
 )
 
-// A new build that dies after it has taken a keeper's place, as one does that is faulty: the keeper before goes on alone, and gets its vote
-// back. What its heir granted meanwhile stands. With records on a disk it had none until it was started again: after two such heirs no
-// majority was left, and every guarded op was turned down.
-func TestKeepersWhoseHeirsDieHaveTheirVotesAgain(t *testing.T) {
+// A successor dies after it has taken over from a replica, as a faulty build does. The predecessor must
+// continue alone and regain its vote, and the claims that the successor granted stay valid. With records on
+// disk a predecessor once had no vote until it was restarted: after two such successors no majority was
+// left, and every op that needs a claim was rejected.
+func TestAReplicaRegainsItsVoteIfItsSuccessorDies(t *testing.T) {
 	t.Parallel()
 	for name, more := range map[string]string{"memory": "", "disk": "path = \"{dir}/copies.db\"\n",
 		"agreed": "agreed = true\npath = \"{dir}/copies.db\"\n"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, b := guarded(t, 4, true, more)
+			c, b := startReplicas(t, 4, true, more)
 			for _, p := range c.Places[:2] {
 				before := "before " + p.Name
 				if status, _ := post(p, "pay", before, "x"); status != http.StatusOK {
@@ -24,17 +25,17 @@
 				console := p.Console
 				p.Console = freeAddr(t)
 				c.Start(p)
-				c.Await("the heir is ready, and has its vote", func() bool { return p.Get("/api/ready", nil) && votes(p) })
+				c.Await("the successor is ready and has its vote", func() bool { return p.Get("/api/ready", nil) && voteSettled(p) })
 				if status, _ := post(c.Places[3], "pay", "meanwhile "+p.Name, "x"); status != http.StatusOK {
-					t.Errorf("while the heir is there: %d", status)
+					t.Errorf("while the successor runs: %d", status)
 				}
 				p.Kill()
 				p.Console = console
-				c.Await("the one before has its vote again", func() bool { return votes(p) })
+				c.Await("the predecessor has its vote again", func() bool { return voteSettled(p) })
 				for _, id := range []string{before, "meanwhile " + p.Name} {
 					for _, at := range []int{0, 3} {
-						if status, text := post(c.Places[at], "pay", id, "x"); status != http.StatusOK || text != "result of "+id || b.ran(id) != 1 {
-							t.Errorf("%s at %s: %d %q, it ran %d times", id, c.Places[at].Name, status, text, b.ran(id))
+						if status, text := post(c.Places[at], "pay", id, "x"); status != http.StatusOK || text != "result of "+id || b.runCount(id) != 1 {
+							t.Errorf("%s at %s: %d %q, it ran %d times", id, c.Places[at].Name, status, text, b.runCount(id))
 						}
 					}
 				}
--- a/cmd/woaddyke/copies_test.go
+++ b/cmd/woaddyke/copies_test.go
@@ -21,26 +21,28 @@
 	"woaddyke/internal/lab/several"
 )
 
-// keepersTable is the table of the first three schedulers as keepers. A claim waits so long for a majority.
-func keepersTable(wait string) string {
+// copiesTableOf returns a table copies with the first three schedulers as replicas. wait is the timeout of
+// a claim.
+func copiesTableOf(wait string) string {
 	return "[copies]\nkeepers = [\"n1\", \"n2\", \"n3\"]\npull = \"50ms\"\nhold_off = \"5s\"\nwait = \"" + wait + "\"\n"
 }
 
-// usualWait is more than processes need that start beside one another on a busy machine; half a second was too short there.
-const usualWait = "2s"
+// claimTimeout is enough for processes that start together on a busy machine. Half a second was too short
+// there.
+const claimTimeout = "2s"
 
-// longestStart is more than any client's time: an op that has not begun by then was turned away.
-const longestStart = 10 * time.Second
+// opStartTimeout is longer than the TTL of any client: an op that has not started by then was rejected.
+const opStartTimeout = 10 * time.Second
 
-// bench is a worker that counts how often each op began, and holds those whose id begins with "hold" until it is told.
-type bench struct {
-	mu    sync.Mutex
-	runs  map[string]int
-	go_   chan struct{}
-	began chan string
+// testWorker counts the runs of each op. It holds ops whose id begins with "hold" until release is closed.
+type testWorker struct {
+	mu      sync.Mutex
+	runs    map[string]int
+	release chan struct{}
+	started chan string
 }
 
-func (b *bench) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *testWorker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodGet {
 		fmt.Fprintln(w, `{"waiting":0,"running":0}`)
 		return
@@ -51,9 +53,9 @@
 	b.runs[id]++
 	b.mu.Unlock()
 	if strings.HasPrefix(id, "hold") {
-		b.began <- id
+		b.started <- id
 		select {
-		case <-b.go_:
+		case <-b.release:
 		case <-r.Context().Done():
 			return
 		}
@@ -61,44 +63,44 @@
 	fmt.Fprintf(w, `{"id":%q,"state":"done","result":%q}`+"\n", id, "result of "+id)
 }
 
-// awaitBegan waits until an op that is held has begun; one that was turned away never does.
-func (b *bench) awaitBegan(t *testing.T) {
+// awaitStarted waits until a held op has started. A rejected op never starts.
+func (b *testWorker) awaitStarted(t *testing.T) {
 	t.Helper()
 	select {
-	case <-b.began:
-	case <-time.After(longestStart):
-		t.Fatal("no op that is held has begun")
+	case <-b.started:
+	case <-time.After(opStartTimeout):
+		t.Fatal("no held op has started")
 	}
 }
 
-func (b *bench) ran(id string) int {
+func (b *testWorker) runCount(id string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.runs[id]
 }
 
-// guarded starts schedulers beside one worker; the first three are keepers unless copies are off.
-func guarded(t *testing.T, n int, on bool, more ...string) (*several.Cluster, *bench) {
+// startReplicas starts n schedulers with one worker. If on is true, the first three are replicas.
+func startReplicas(t *testing.T, n int, on bool, more ...string) (*several.Cluster, *testWorker) {
 	t.Helper()
-	return guardedBy(t, n, on, thisProgram, more...)
+	return startReplicasOf(t, n, on, testCommand, more...)
 }
 
-// guardedBy starts schedulers of another build.
-func guardedBy(t *testing.T, n int, on bool, program func(args ...string) *exec.Cmd, more ...string) (*several.Cluster, *bench) {
+// startReplicasOf does the same with another build.
+func startReplicasOf(t *testing.T, n int, on bool, program func(args ...string) *exec.Cmd, more ...string) (*several.Cluster, *testWorker) {
 	t.Helper()
-	offer := quick
+	lines := fastMembers
 	if on {
-		offer += keepersTable(usualWait) + strings.Join(more, "\n")
+		lines += copiesTableOf(claimTimeout) + strings.Join(more, "\n")
 	}
-	c, b := besideOneWorker(t, n, offer, program)
+	c, b := newCluster(t, n, lines, program)
 	startAll(c, on)
 	return c, b
 }
 
-// besideOneWorker is a cluster beside one worker, not started yet.
-func besideOneWorker(t *testing.T, n int, operator string, program func(args ...string) *exec.Cmd) (*several.Cluster, *bench) {
+// newCluster returns a cluster with one worker. No scheduler is started yet.
+func newCluster(t *testing.T, n int, operator string, program func(args ...string) *exec.Cmd) (*several.Cluster, *testWorker) {
 	t.Helper()
-	b := &bench{runs: map[string]int{}, go_: make(chan struct{}), began: make(chan string, 99)}
+	b := &testWorker{runs: map[string]int{}, release: make(chan struct{}), started: make(chan string, 99)}
 	worker := httptest.NewServer(b)
 	t.Cleanup(worker.Close)
 	t.Cleanup(worker.CloseClientConnections)
@@ -106,24 +108,25 @@
 	return several.New(t, n, operator, list, program), b
 }
 
-// startAll starts all schedulers and waits until they serve and, where they keep copies, have their votes.
+// startAll starts all schedulers and waits until they serve and, with replication, the replicas have their
+// votes.
 func startAll(c *several.Cluster, copies bool) {
 	for _, p := range c.Places {
 		c.Start(p)
 	}
 	c.AwaitWhole(c.Places...)
 	for _, p := range c.Places {
-		c.Await("all are ready, and keepers have their votes", func() bool { return p.Get("/api/ready", nil) && (!copies || votes(p)) })
+		c.Await("all schedulers are ready and the replicas have their votes", func() bool { return p.Get("/api/ready", nil) && (!copies || voteSettled(p)) })
 	}
 }
 
-// votes tells whether a process has its vote, if it is a keeper.
-func votes(p *several.Place) bool {
+// voteSettled reports whether a process has its vote or is no replica.
+func voteSettled(p *several.Place) bool {
 	var s struct{ Keeper, Voting bool }
 	return p.Get("/api/copies", &s) && s.Keeper == s.Voting
 }
 
-// post sends an op and returns its answer; status 0 for a connection that broke.
+// post sends an op and returns its answer. The status is 0 if the connection failed.
 func post(p *several.Place, category, id, body string) (int, string) {
 	r, _ := http.NewRequest(http.MethodPost, "http://"+p.Listen+"/", strings.NewReader(body))
 	r.Header = http.Header{"X-Correlation-Id": {id}, "X-Service-Class": {category}, "X-Time-Left-Ms": {"4500"}}
@@ -137,9 +140,9 @@
 	return resp.StatusCode, string(text)
 }
 
-// awaitTold waits until all know what became of each op.
-func awaitTold(c *several.Cluster) {
-	c.Await("what became of the claims is told", func() bool {
+// awaitReported waits until no scheduler has a claim pending, granted or to be reported.
+func awaitReported(c *several.Cluster) {
+	c.Await("the outcomes of the claims are reported", func() bool {
 		for _, p := range c.Places {
 			var s struct{ Asking, Mine, Telling int }
 			if !p.Get("/api/copies", &s) || s.Asking+s.Mine+s.Telling > 0 {
@@ -150,64 +153,68 @@
 	})
 }
 
-// endKnownWithin is how long after an op's answer its end may be on its way to the keepers: a word that is lost is sent again after 40 ms.
-const endKnownWithin = 2 * time.Second
+// outcomeKnownWithin is the maximum time from an op's answer until the replicas know its outcome. A lost
+// message is sent again after 40 ms.
+const outcomeKnownWithin = 2 * time.Second
 
-// repeat sends an op whose id was answered at another scheduler. While the word of its end is on its way to the keepers it is told to come
-// back, by that one answer and for a bounded time; the first other answer is returned.
-func repeat(t *testing.T, p *several.Place, category, id string) (int, string) {
+// postRepeat repeats an id that was answered at another scheduler. While the outcome is on its way to the
+// replicas, the repeat may be nacked, by this one answer and for a bounded time. The first other answer is
+// returned.
+func postRepeat(t *testing.T, p *several.Place, category, id string) (int, string) {
 	t.Helper()
-	for until := time.Now().Add(endKnownWithin); ; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(outcomeKnownWithin); ; time.Sleep(time.Millisecond) {
 		status, text := post(p, category, id, "x")
-		comeBack := status == http.StatusServiceUnavailable && text == "nacked: another scheduler holds an op with this id\n"
-		if !comeBack || time.Now().After(until) {
+		retryLater := status == http.StatusServiceUnavailable && text == "nacked: another scheduler holds an op with this id\n"
+		if !retryLater || time.Now().After(until) {
 			return status, text
 		}
 	}
 }
 
-// The need: a scheduler is killed in the push, and its client asks another one with the same id. Without copies it runs twice.
+// A scheduler is killed during a push, and its client repeats the id at another scheduler. With replication
+// the op must run once; without replication it runs twice.
 func TestAnOpWhoseSchedulerIsKilledRunsOnce(t *testing.T) {
 	t.Parallel()
 	for _, on := range []bool{true, false} {
 		t.Run(fmt.Sprint("copies ", on), func(t *testing.T) {
 			t.Parallel()
-			c, b := guarded(t, 4, on)
+			c, b := startReplicas(t, 4, on)
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
 				post(c.Places[3], "pay", "hold-1", "x")
 			}()
-			b.awaitBegan(t)
+			b.awaitStarted(t)
 			c.Places[3].Kill()
 			<-done
 			if !on {
-				close(b.go_) // the second run ends
-				if status, text := post(c.Places[0], "pay", "hold-1", "x"); status != http.StatusOK || b.ran("hold-1") != 2 {
-					t.Errorf("without copies: %d %q, %d runs: this test proves nothing", status, text, b.ran("hold-1"))
+				close(b.release) // so that the second run ends
+				if status, text := post(c.Places[0], "pay", "hold-1", "x"); status != http.StatusOK || b.runCount("hold-1") != 2 {
+					t.Errorf("without replication: %d %q, %d runs, so the test shows nothing", status, text, b.runCount("hold-1"))
 				}
 				return
 			}
 			if status, text := post(c.Places[0], "pay", "hold-1", "x"); status != http.StatusServiceUnavailable && status != http.StatusBadGateway {
-				t.Errorf("while its scheduler may live: %d %q", status, text)
+				t.Errorf("while its scheduler may be alive: %d %q", status, text)
 			}
 			c.AwaitState("n4", "gone", c.Places[:3]...)
 			if status, text := post(c.Places[1], "pay", "hold-1", "x"); status != http.StatusBadGateway {
-				t.Errorf("after its scheduler is gone: %d %q", status, text)
+				t.Errorf("after its scheduler is dead: %d %q", status, text)
 			}
-			if n := b.ran("hold-1"); n != 1 {
+			if n := b.runCount("hold-1"); n != 1 {
 				t.Errorf("it ran %d times", n)
 			}
 		})
 	}
 }
 
-// A deduplicated op whose scheduler is killed after its worker began goes on at another one, in the zone where it ran and nowhere else;
-// after the window, and where nobody knows that it began, it is a dead letter.
-func TestADeduplicatedOpGoesOnInItsZone(t *testing.T) {
+// A deduplicated op whose scheduler is killed after its worker started must be retried by another
+// scheduler, only in the zone where it ran. After the deduplication window, or if no replica knows that it
+// started, it is a dead letter.
+func TestADeduplicatedOpIsRetriedInItsZone(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
-	runs := map[string][]string{} // by id: zones
+	runs := map[string][]string{} // zones by id
 	began := make(chan string, 9)
 	worker := func(zone string) *httptest.Server {
 		w := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -236,28 +243,29 @@
 		return w
 	}
 	east, west := worker("east"), worker("west")
-	c := several.New(t, 4, quick+keepersTable(usualWait)+"deduplicated = true\n",
+	c := several.New(t, 4, fastMembers+copiesTableOf(claimTimeout)+"deduplicated = true\n",
 		fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"e","endpoint":%q,"az":"east","pod_group":1,"state":"SERVING"},`+
-			`{"uid":"w","endpoint":%q,"az":"west","pod_group":2,"state":"SERVING"}]}`, east.Listener.Addr(), west.Listener.Addr()), thisProgram)
-	c.Places[3].ConnectTimeout = 5 * time.Second // it must not give the silent worker up, and know by that where the op may have run
+			`{"uid":"w","endpoint":%q,"az":"west","pod_group":2,"state":"SERVING"}]}`, east.Listener.Addr(), west.Listener.Addr()), testCommand)
+	// A connect timeout would tell the scheduler in which zone the op of the silent worker may have run.
+	c.Places[3].ConnectTimeout = 5 * time.Second
 	for _, p := range c.Places {
 		c.Start(p)
 	}
 	c.AwaitWhole(c.Places...)
 	for _, p := range c.Places {
-		c.Await("all are ready, and keepers have their votes", func() bool { return p.Get("/api/ready", nil) && votes(p) })
+		c.Await("all schedulers are ready and the replicas have their votes", func() bool { return p.Get("/api/ready", nil) && voteSettled(p) })
 	}
 	done := sync.WaitGroup{}
 	for _, id := range []string{"seen", "mute", "late"} {
 		done.Go(func() { post(c.Places[3], "note", id, "x") })
 		select {
 		case <-began:
-		case <-time.After(longestStart):
+		case <-time.After(opStartTimeout):
 			t.Fatalf("%s has not begun", id)
 		}
 	}
 	ran := time.Now()
-	c.Await("the keepers know where they ran", func() bool {
+	c.Await("the replicas know the zones of the ops", func() bool {
 		known := 0
 		for _, p := range c.Places[:3] {
 			for _, id := range []string{"seen", "late"} {
@@ -273,10 +281,10 @@
 	done.Wait()
 	c.AwaitState("n4", "gone", c.Places[:3]...)
 	if status, text := post(c.Places[0], "note", "seen", "x"); status != http.StatusOK || !strings.HasPrefix(text, "done in ") {
-		t.Errorf("where it is known that it ran: %d %q", status, text)
+		t.Errorf("the zone is known: %d %q", status, text)
 	}
 	if status, text := post(c.Places[1], "note", "mute", "x"); status != http.StatusBadGateway {
-		t.Errorf("where nobody knows that it ran: %d %q", status, text)
+		t.Errorf("no zone is known: %d %q", status, text)
 	}
 	c.Await("the window is over", func() bool { return time.Since(ran) > 8*time.Second })
 	if status, text := post(c.Places[2], "note", "late", "x"); status != http.StatusBadGateway || !strings.Contains(text, "may have run") {
@@ -296,20 +304,20 @@
 	}
 }
 
-// With a time to join, an id that runs elsewhere is waited for, and its client gets that one's answer; without, it is told when to come
-// back at once.
-func TestARunningOpIsJoined(t *testing.T) {
+// With the setting join, a repeat waits for the op in flight at another scheduler and gets its result.
+// Without it the repeat is nacked immediately.
+func TestARepeatJoinsAnOpInFlight(t *testing.T) {
 	t.Parallel()
 	for _, join := range []bool{true, false} {
 		t.Run(fmt.Sprint("join ", join), func(t *testing.T) {
 			t.Parallel()
-			c, b := guarded(t, 3, true, map[bool]string{true: "join = \"4s\"\n"}[join])
+			c, b := startReplicas(t, 3, true, map[bool]string{true: "join = \"4s\"\n"}[join])
 			first := make(chan string, 1)
 			go func() {
 				_, text := post(c.Places[0], "pay", "hold-1", "x")
 				first <- text
 			}()
-			b.awaitBegan(t)
+			b.awaitStarted(t)
 			type answer struct {
 				status int
 				text   string
@@ -324,32 +332,33 @@
 					t.Errorf("without joining: %+v", a)
 				}
 			} else {
-				c.Await("it is asked for a few times", func() bool {
+				c.Await("the repeat polls a few times", func() bool {
 					var s struct{ Counts map[string]uint64 }
 					return c.Places[1].Get("/api/copies", &s) && s.Counts["runs"] > 3
 				})
 			}
-			close(b.go_)
+			close(b.release)
 			text := <-first
 			if join {
 				if a := <-second; a.status != http.StatusOK || a.text != text {
 					t.Errorf("joined: %+v, the first %q", a, text)
 				}
 			}
-			if n := b.ran("hold-1"); n != 1 {
+			if n := b.runCount("hold-1"); n != 1 {
 				t.Errorf("it ran %d times", n)
 			}
 		})
 	}
 }
 
-// An id that comes again elsewhere gets the first answer; another request under it is refused; at once at two, it runs once.
-func TestAnIDThatComesAgain(t *testing.T) {
+// A repeated id gets the first result at every scheduler, another request with the same id is rejected, and
+// ids that arrive at several schedulers at the same time run once.
+func TestARepeatedIDGetsTheFirstResult(t *testing.T) {
 	t.Parallel()
-	c, b := guarded(t, 4, true)
+	c, b := startReplicas(t, 4, true)
 	status, first := post(c.Places[0], "pay", "a", "x")
 	for _, p := range c.Places {
-		if got, text := repeat(t, p, "pay", "a"); got != status || status != http.StatusOK || text != first {
+		if got, text := postRepeat(t, p, "pay", "a"); got != status || status != http.StatusOK || text != first {
 			t.Errorf("at %s: %d %q, first %d %q", p.Name, got, text, status, first)
 		}
 	}
@@ -363,9 +372,9 @@
 		}
 	}
 	all.Wait()
-	for k := range 30 { // where each of three keepers had its own, nobody had a majority: the claims are given back, and the next one has it
+	for k := range 30 { // if each replica granted another claim, none had a majority: all are released
 		id, answer := fmt.Sprint("b", k), ""
-		c.Await("the id that was asked for three times at once is served", func() bool {
+		c.Await("the id that was sent three times is served", func() bool {
 			status, text := post(c.Places[k%4], "pay", id, "x")
 			if status != http.StatusOK && status != http.StatusServiceUnavailable {
 				t.Errorf("%s: %d %q", id, status, text)
@@ -373,17 +382,17 @@
 			answer = text
 			return status == http.StatusOK
 		})
-		if status, text := repeat(t, c.Places[(k+1)%4], "pay", id); status != http.StatusOK || text != answer {
+		if status, text := postRepeat(t, c.Places[(k+1)%4], "pay", id); status != http.StatusOK || text != answer {
 			t.Errorf("%s elsewhere: %d %q, first %q", id, status, text, answer)
 		}
-		if n := b.ran(id); n != 1 {
+		if n := b.runCount(id); n != 1 {
 			t.Errorf("%s ran %d times", id, n)
 		}
 	}
-	if n := b.ran("a"); n != 1 {
+	if n := b.runCount("a"); n != 1 {
 		t.Errorf("a ran %d times", n)
 	}
-	c.Await("copies are the same", func() bool {
+	c.Await("the replicas have the same records", func() bool {
 		var out bytes.Buffer
 		cmd := command()
 		cmd.SetOut(&out)
@@ -392,32 +401,34 @@
 	})
 }
 
-// Keepers keep an id by a short key, so one that is longer than their messages take is served as any other.
-func TestALongIDIsKeptToo(t *testing.T) {
+// Replicas store an id under a short key, so an id that is longer than their messages is served like any
+// other.
+func TestALongIDIsReplicated(t *testing.T) {
 	t.Parallel()
-	c, b := guarded(t, 4, true)
+	c, b := startReplicas(t, 4, true)
 	for _, id := range []string{strings.Repeat("long", 150), "caf\u00e9"} {
 		status, first := post(c.Places[3], "pay", id, "x")
 		if status != http.StatusOK {
 			t.Errorf("%.12s: %d %q", id, status, first)
 		}
-		if again, text := repeat(t, c.Places[0], "pay", id); again != status || text != first {
+		if again, text := postRepeat(t, c.Places[0], "pay", id); again != status || text != first {
 			t.Errorf("%.12s elsewhere: %d %.40q", id, again, text)
 		}
 		var records recordsPage
 		if !c.Places[0].Get("/api/copies/records?category=pay&id="+url.QueryEscape(id), &records) {
-			t.Errorf("%.12s: no answer to operators", id)
+			t.Errorf("%.12s: the console has no records", id)
 		}
-		requireOneAnswer(t, records, c.Places[3].Name, c.Places[0].Name)
-		if n := b.ran(id); n != 1 {
+		requireOneResult(t, records, c.Places[3].Name, c.Places[0].Name)
+		if n := b.runCount(id); n != 1 {
 			t.Errorf("%.12s ran %d times", id, n)
 		}
 	}
 }
 
-// requireOneAnswer fails the test unless a page of one id shows the one claim that ended with status 200, at the scheduler that ran the op.
-// Beside it only released claims of the scheduler that got the repeats may stand: one for each repeat that came before the end was known.
-func requireOneAnswer(t *testing.T, records recordsPage, ran, repeated string) {
+// requireOneResult fails the test unless the records of one id have a single claim that ended with status
+// 200, at the scheduler that ran the op. The scheduler that got the repeats may have released claims: one
+// for each repeat before the outcome was known.
+func requireOneResult(t *testing.T, records recordsPage, ran, repeated string) {
 	t.Helper()
 	ended := 0
 	for _, row := range records.Rows {
@@ -426,26 +437,27 @@
 			ended++
 		case row.Stage == "released" && row.Scheduler == repeated:
 		default:
-			t.Errorf("operators see %+v", row)
+			t.Errorf("unexpected record %+v", row)
 		}
 	}
 	if ended != 1 {
-		t.Errorf("operators see %d answers: %+v", ended, records.Rows)
+		t.Errorf("%d ended claims, want 1: %+v", ended, records.Rows)
 	}
 }
 
-// A keeper dies and staff put another in its place while ops go on; then the other two of the first three go as well. Ids of before the
-// changes get their first answers, and none runs twice. A scheduler that slept through all of it learns who keeps now.
-func TestKeepersAreReplaced(t *testing.T) {
+// A replica dies and operators replace it while ops are served, then the other two replicas are replaced as
+// well. Ids from before the changes must get their first results, and none may run twice. A scheduler that
+// was stopped during both changes must learn the present replica set.
+func TestIDsAreRetainedWhenReplicasChange(t *testing.T) {
 	t.Parallel()
-	c, b := guarded(t, 6, true, "agreed = true\npath = \"{dir}/copies.db\"\n")
+	c, b := startReplicas(t, 6, true, "agreed = true\npath = \"{dir}/copies.db\"\n")
 	type shown struct {
 		Turn    uint64
 		Keepers []string
 		Before  []string
 		Voting  bool
 	}
-	c.Await("changes are founded, and all know", func() bool {
+	c.Await("all schedulers know the first epoch", func() bool {
 		for _, p := range c.Places {
 			var s shown
 			if !p.Get("/api/copies", &s) || s.Turn == 0 {
@@ -454,7 +466,7 @@
 		}
 		return true
 	})
-	staff := func(p *several.Place, names ...string) string {
+	changeReplicas := func(p *several.Place, names ...string) string {
 		var out bytes.Buffer
 		cmd := command()
 		cmd.SetOut(&out)
@@ -467,16 +479,16 @@
 	if status, _ := post(c.Places[5], "pay", "first", "x"); status != http.StatusOK {
 		t.Fatal(status)
 	}
-	if text := staff(c.Places[5], "n1", "n2"); !strings.Contains(text, "odd number") {
-		t.Errorf("two keepers: %q", text)
+	if text := changeReplicas(c.Places[5], "n1", "n2"); !strings.Contains(text, "odd number") {
+		t.Errorf("two replicas: %q", text)
 	}
 	c.Places[2].Kill()
 	c.Places[4].Signal(syscall.SIGSTOP)
-	if text := staff(c.Places[5], "n1", "n2", "n5"); !strings.Contains(text, "nothing is heard of n5") {
-		t.Errorf("one that stands still: %q", text)
+	if text := changeReplicas(c.Places[5], "n1", "n2", "n5"); !strings.Contains(text, "nothing is heard of n5") {
+		t.Errorf("with a stopped member: %q", text)
 	}
 	stop, all := make(chan struct{}), sync.WaitGroup{}
-	all.Go(func() { // ops go on
+	all.Go(func() { // ops during the change
 		for k := 0; ; k++ {
 			select {
 			case <-stop:
@@ -488,81 +500,82 @@
 			}
 		}
 	})
-	if text := staff(c.Places[5], "n1", "n2", "n4"); !strings.Contains(text, "done: keepers n1, n2, n4") {
-		t.Errorf("the dead one is not replaced: %q", text)
+	if text := changeReplicas(c.Places[5], "n1", "n2", "n4"); !strings.Contains(text, "done: keepers n1, n2, n4") {
+		t.Errorf("the dead replica is not replaced: %q", text)
 	}
 	close(stop)
 	all.Wait()
-	c.Start(c.Places[2]) // it comes back as one that keeps nothing
-	c.Await("the first one that was replaced knows", func() bool {
+	c.Start(c.Places[2]) // it restarts, and is no replica any more
+	c.Await("the first replaced replica knows the present set", func() bool {
 		var s shown
 		return c.Places[2].Get("/api/copies", &s) && s.Turn > 1 && !s.Voting
 	})
-	c.Await("the rest are replaced", func() bool {
-		return strings.Contains(staff(c.Places[5], "n3", "n4", "n6"), "done: keepers n3, n4, n6")
+	c.Await("the other replicas are replaced", func() bool {
+		return strings.Contains(changeReplicas(c.Places[5], "n3", "n4", "n6"), "done: keepers n3, n4, n6")
 	})
 	c.Places[0].Kill()
 	c.Places[1].Kill()
-	c.Places[4].Signal(syscall.SIGCONT) // it slept through both changes
-	c.Await("it learns who keeps", func() bool {
+	c.Places[4].Signal(syscall.SIGCONT) // it was stopped during both changes
+	c.Await("the resumed scheduler learns the replica set", func() bool {
 		status, text := post(c.Places[4], "pay", "first", "x")
 		return status == http.StatusOK && text == "result of first"
 	})
 	for k := range 5 {
 		id := fmt.Sprint("op", k)
-		if _, text := post(c.Places[3], "pay", id, "x"); b.ran(id) > 1 || b.ran(id) == 1 && text != "result of "+id {
-			t.Errorf("%s: ran %d times, then %q", id, b.ran(id), text)
+		if _, text := post(c.Places[3], "pay", id, "x"); b.runCount(id) > 1 || b.runCount(id) == 1 && text != "result of "+id {
+			t.Errorf("%s: ran %d times, then %q", id, b.runCount(id), text)
 		}
 	}
-	if n := b.ran("first"); n != 1 {
+	if n := b.runCount("first"); n != 1 {
 		t.Errorf("first ran %d times", n)
 	}
 }
 
-// Without a majority nothing that must not run twice is pushed; what may goes on. A keeper that comes back catches up and votes.
-func TestAMajorityOfKeepersLostAndBack(t *testing.T) {
+// Without a majority of replicas no at-most-once op is pushed, while redeliverable ops are served. A
+// replica that restarts catches up and votes again.
+func TestGuardedOpsAreNackedWithoutAMajority(t *testing.T) {
 	t.Parallel()
-	c, b := guarded(t, 4, true)
+	c, b := startReplicas(t, 4, true)
 	if status, _ := post(c.Places[3], "pay", "a", "x"); status != http.StatusOK {
 		t.Fatalf("%d", status)
 	}
 	c.Places[0].Kill()
 	if status, text := post(c.Places[3], "pay", "b", "x"); status != http.StatusOK {
-		t.Errorf("with two of three keepers: %d %q", status, text)
+		t.Errorf("with two of three replicas: %d %q", status, text)
 	}
 	c.Places[1].Signal(syscall.SIGSTOP)
-	if status, text := post(c.Places[3], "pay", "c", "x"); status != http.StatusServiceUnavailable || b.ran("c") != 0 {
-		t.Errorf("with one of three keepers: %d %q, ran %d times", status, text, b.ran("c"))
+	if status, text := post(c.Places[3], "pay", "c", "x"); status != http.StatusServiceUnavailable || b.runCount("c") != 0 {
+		t.Errorf("with one of three replicas: %d %q, ran %d times", status, text, b.runCount("c"))
 	}
 	if status, text := post(c.Places[3], "look", "d", "x"); status != http.StatusOK {
 		t.Errorf("a redeliverable op meanwhile: %d %q", status, text)
 	}
 	c.Places[1].Signal(syscall.SIGCONT)
-	c.Await("ops are taken again", func() bool {
+	c.Await("ops are served again", func() bool {
 		status, _ := post(c.Places[3], "pay", "c", "x")
 		return status == http.StatusOK
 	})
 	c.Start(c.Places[0])
-	c.Await("the keeper that forgot has its vote", func() bool {
+	c.Await("the replica that lost its records has its vote", func() bool {
 		var s struct{ Voting bool }
 		return c.Places[0].Get("/api/copies", &s) && s.Voting
 	})
-	c.Places[2].Kill() // now the one that forgot decides
+	c.Places[2].Kill() // the replica that lost its records decides now
 	if status, text := post(c.Places[3], "pay", "a", "x"); status != http.StatusOK || text != "result of a" {
-		t.Errorf("an id of before: %d %q", status, text)
+		t.Errorf("an earlier id: %d %q", status, text)
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		if n := b.ran(id); n != 1 {
+		if n := b.runCount(id); n != 1 {
 			t.Errorf("%s ran %d times", id, n)
 		}
 	}
 }
 
-// Two of three keepers come back without their memory at once: they have no votes until what they may have granted is over, and what the
-// third knows is known to them by then.
-func TestTwoKeepersForgetAtOnce(t *testing.T) {
+// Two of three replicas restart without their records at the same time. They must have no vote until every
+// claim that they may have granted has expired, and by then they must have the records of the third.
+func TestReplicasWithoutRecordsHaveNoVoteAtFirst(t *testing.T) {
 	t.Parallel()
-	c, b := guarded(t, 4, true)
+	c, b := startReplicas(t, 4, true)
 	if status, _ := post(c.Places[3], "pay", "a", "x"); status != http.StatusOK {
 		t.Fatal(status)
 	}
@@ -570,64 +583,65 @@
 	c.Places[1].Kill()
 	c.Start(c.Places[0])
 	c.Start(c.Places[1])
-	if status, text := post(c.Places[3], "pay", "b", "x"); status != http.StatusServiceUnavailable || b.ran("b") > 0 {
-		t.Errorf("before they have votes: %d %q, ran %d times", status, text, b.ran("b"))
+	if status, text := post(c.Places[3], "pay", "b", "x"); status != http.StatusServiceUnavailable || b.runCount("b") > 0 {
+		t.Errorf("before they have votes: %d %q, ran %d times", status, text, b.runCount("b"))
 	}
 	for _, p := range c.Places[:2] {
-		c.Await("votes are back", func() bool { return votes(p) })
+		c.Await("votes are back", func() bool { return voteSettled(p) })
 	}
-	c.Places[2].Kill() // the one that knew
-	if status, text := post(c.Places[3], "pay", "a", "x"); status != http.StatusOK || text != "result of a" || b.ran("a") != 1 {
-		t.Errorf("an id of before: %d %q, ran %d times", status, text, b.ran("a"))
+	c.Places[2].Kill() // the replica that retained its records
+	if status, text := post(c.Places[3], "pay", "a", "x"); status != http.StatusOK || text != "result of a" || b.runCount("a") != 1 {
+		t.Errorf("an earlier id: %d %q, ran %d times", status, text, b.runCount("a"))
 	}
 	if status, text := post(c.Places[3], "pay", "b", "x"); status != http.StatusOK {
-		t.Errorf("a new one: %d %q", status, text)
+		t.Errorf("a new id: %d %q", status, text)
 	}
 }
 
-// A keeper's disk takes nothing more: it gives up its vote and says so, and the other two go on.
-func TestAKeeperWhoseDiskIsFull(t *testing.T) {
+// The disk of a replica is full: the replica gives up its vote and shows this, and the other two serve on.
+func TestAReplicaWithAFullDiskGivesUpItsVote(t *testing.T) {
 	t.Parallel()
-	c, b := guarded(t, 4, true, "path = \"{dir}/copies.db\"\n")
+	c, b := startReplicas(t, 4, true, "path = \"{dir}/copies.db\"\n")
 	cmd, _ := c.Places[0].Running()
 	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 4096, Max: 4096}, nil); err != nil {
 		t.Fatal(err)
 	}
 	for k := range 20 {
 		id := fmt.Sprint("a", k)
-		if status, text := post(c.Places[3], "pay", id, "x"); status != http.StatusOK || b.ran(id) != 1 {
-			t.Errorf("%s: %d %q, ran %d times", id, status, text, b.ran(id))
+		if status, text := post(c.Places[3], "pay", id, "x"); status != http.StatusOK || b.runCount(id) != 1 {
+			t.Errorf("%s: %d %q, ran %d times", id, status, text, b.runCount(id))
 		}
 	}
-	c.Await("it has given up its vote", func() bool { return !votes(c.Places[0]) })
+	c.Await("the replica has given up its vote", func() bool { return !voteSettled(c.Places[0]) })
 	c.Places[1].Kill()
-	if status, text := post(c.Places[3], "pay", "b", "x"); status != http.StatusServiceUnavailable || b.ran("b") > 0 {
-		t.Errorf("with one vote left: %d %q, ran %d times", status, text, b.ran("b"))
+	if status, text := post(c.Places[3], "pay", "b", "x"); status != http.StatusServiceUnavailable || b.runCount("b") > 0 {
+		t.Errorf("with one vote left: %d %q, ran %d times", status, text, b.runCount("b"))
 	}
 }
 
-// A claimer that is cut off from all but its client and the worker has its op; nobody else gets that one while it lasts, nor after.
-func TestAClaimerThatIsCutOff(t *testing.T) {
+// A claimer that is isolated from all members, but not from its client and the worker, keeps its op. No
+// other scheduler may run the op, neither during the partition nor after it.
+func TestAnOpOfAnIsolatedClaimerRunsOnce(t *testing.T) {
 	t.Parallel()
-	c, b := guarded(t, 4, true)
+	c, b := startReplicas(t, 4, true)
 	done := make(chan int)
 	go func() {
 		status, _ := post(c.Places[3], "pay", "hold-1", "x")
 		done <- status
 	}()
-	b.awaitBegan(t)
+	b.awaitStarted(t)
 	for i := range 3 {
 		c.Net.Cut(3, i, between.Silent)
 		c.Net.Cut(i, 3, between.Silent)
 	}
 	c.AwaitState("n4", "gone", c.Places[:3]...)
 	if status, text := post(c.Places[0], "pay", "hold-1", "x"); status != http.StatusBadGateway {
-		t.Errorf("at another: %d %q", status, text)
+		t.Errorf("at another scheduler: %d %q", status, text)
 	}
-	if status, _ := post(c.Places[3], "pay", "new", "x"); status != http.StatusServiceUnavailable || b.ran("new") > 0 {
-		t.Errorf("a new op at the one that is cut off: %d, ran %d times", status, b.ran("new"))
+	if status, _ := post(c.Places[3], "pay", "new", "x"); status != http.StatusServiceUnavailable || b.runCount("new") > 0 {
+		t.Errorf("a new op at the isolated scheduler: %d, ran %d times", status, b.runCount("new"))
 	}
-	close(b.go_)
+	close(b.release)
 	if status := <-done; status != http.StatusOK {
 		t.Errorf("the first client: %d", status)
 	}
@@ -635,41 +649,42 @@
 		c.Net.Cut(3, i, between.Open)
 		c.Net.Cut(i, 3, between.Open)
 	}
-	c.Await("its end is known", func() bool {
+	c.Await("the outcome is known", func() bool {
 		status, text := post(c.Places[1], "pay", "hold-1", "x")
 		return status == http.StatusOK && text == "result of hold-1"
 	})
-	if n := b.ran("hold-1"); n != 1 {
+	if n := b.runCount("hold-1"); n != 1 {
 		t.Errorf("it ran %d times", n)
 	}
 }
 
-// What was claimed before a takeover is known after it, by the process that took over too.
-func TestATakeoverKeepsClaims(t *testing.T) {
+// Claims from before a hot restart are known after it, also by the successor.
+func TestAHotRestartRetainsClaims(t *testing.T) {
 	t.Parallel()
-	c, b := guarded(t, 3, true)
+	c, b := startReplicas(t, 3, true)
 	p := c.Places[0]
 	if status, _ := post(p, "pay", "a", "x"); status != http.StatusOK {
 		t.Fatal(status)
 	}
 	c.Takeover(p)
-	c.Await("the heir has its vote", func() bool {
+	c.Await("the successor has its vote", func() bool {
 		var s struct{ Voting bool }
 		return p.Get("/api/copies", &s) && s.Voting
 	})
-	if status, text := post(p, "pay", "a", "x"); status != http.StatusOK || text != "result of a" || b.ran("a") != 1 {
-		t.Errorf("%d %q, ran %d times", status, text, b.ran("a"))
+	if status, text := post(p, "pay", "a", "x"); status != http.StatusOK || text != "result of a" || b.runCount("a") != 1 {
+		t.Errorf("%d %q, ran %d times", status, text, b.runCount("a"))
 	}
 	if status, text := post(p, "pay", "b", "x"); status != http.StatusOK {
 		t.Errorf("a new op: %d %q", status, text)
 	}
 }
 
-// All keepers are killed at one moment. With a disk that lasts they come back with their votes and know what they granted, at once; one
-// whose file was torn says so and does not start; one whose file is older than it says catches up.
-func TestKeepersWithADisk(t *testing.T) {
+// All replicas are killed at the same time. With intact files they restart with their votes and know their
+// grants immediately. A replica with an old file catches up before it votes, and a replica with a corrupt
+// file does not start and returns an error.
+func TestReplicasRestoreRecordsFromDisk(t *testing.T) {
 	t.Parallel()
-	c, b := guarded(t, 4, true, "path = \"{dir}/copies.db\"\n")
+	c, b := startReplicas(t, 4, true, "path = \"{dir}/copies.db\"\n")
 	if status, _ := post(c.Places[3], "pay", "a", "x"); status != http.StatusOK {
 		t.Fatal(status)
 	}
@@ -686,11 +701,11 @@
 		c.Start(p)
 	}
 	for _, p := range c.Places[:3] {
-		c.Await("keepers have their votes", func() bool { return votes(p) })
+		c.Await("the replicas have their votes", func() bool { return voteSettled(p) })
 	}
 	t.Logf("votes back after %v", time.Since(began))
 	if status, text := post(c.Places[3], "pay", "a", "x"); status != http.StatusOK || text != "result of a" {
-		t.Errorf("an id of before: %d %q", status, text)
+		t.Errorf("an earlier id: %d %q", status, text)
 		for _, p := range c.Places {
 			var x, y any
 			p.Get("/api/copies/records?category=pay&id=a", &x)
@@ -704,11 +719,11 @@
 		}
 	}
 	c.Places[2].Kill()
-	if err := os.WriteFile(file, old, 0o600); err != nil { // as from a copy made before
+	if err := os.WriteFile(file, old, 0o600); err != nil { // as after a restore from a backup
 		t.Fatal(err)
 	}
 	c.Start(c.Places[2])
-	c.Await("the one with an old file has caught up", func() bool {
+	c.Await("the replica with an old file has caught up", func() bool {
 		var s, first struct {
 			Voting bool
 			Digest string
@@ -724,13 +739,13 @@
 	select {
 	case err := <-ended:
 		if err == nil {
-			t.Error("a torn file ends the start with no error")
+			t.Error("a start with a corrupt file ends without an error")
 		}
 	case <-time.After(15 * time.Second):
-		t.Error("it starts with a torn file")
+		t.Error("the replica starts with a corrupt file")
 	}
 	for _, id := range []string{"a", "b0", "b19"} {
-		if n := b.ran(id); n != 1 {
+		if n := b.runCount(id); n != 1 {
 			t.Errorf("%s ran %d times", id, n)
 		}
 	}
--- a/cmd/woaddyke/crossings_test.go
+++ b/cmd/woaddyke/crossings_test.go
@@ -11,16 +11,18 @@
 	"time"
 )
 
-// Three rare things at once, and then again: while discovery says nothing and the wall clock has been stepped, a process takes the place of
-// another, which is killed between its handing over and its end; the next takeover comes with a SIGHUP to the giver and its end in the
-// same moment. Ids stay known, new ops are served by the list that was handed on, and a drain that discovery tells at its return is kept.
-func TestTakeoversWhileDiscoveryIsDownAndClocksAreStepped(t *testing.T) {
+// Several rare events coincide, twice in a row. While discovery is down and the wall clock has been
+// stepped, a successor takes over and the predecessor is killed between its handover and its end. In the
+// next hot restart the predecessor gets SIGHUP and SIGTERM at the same time. Ids must be retained, new ops
+// must be served with the endpoint list from the handover, and a drain that discovery reports when it
+// returns must be applied.
+func TestHotRestartsWhileDiscoveryIsDownAndClocksAreStepped(t *testing.T) {
 	t.Parallel()
 	for _, how := range []string{"hangs", "refused", "silent"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
-			program, clock := stepped(t)
-			runs := &record{runs: map[string]int{}}
+			program, clock := steppedProgram(t)
+			runs := &runCounter{runs: map[string]int{}}
 			var entries []string
 			var workers []*httptest.Server
 			for k := range 2 {
@@ -28,18 +30,18 @@
 				t.Cleanup(workers[k].Close)
 				entries = append(entries, fmt.Sprintf(`{"uid":"w%d","endpoint":%q,"state":"SERVING"}`, k, workers[k].Listener.Addr()))
 			}
-			discovery := newOutage(t, `{"rev":1,"all":true,"targets":[`+strings.Join(entries, ",")+`]}`)
-			listen := ownAddr()
-			dir := socketFolder(t)
+			discovery := newTestDiscovery(t, `{"rev":1,"all":true,"targets":[`+strings.Join(entries, ",")+`]}`)
+			listen := uniqueAddr()
+			dir := shortTempDir(t)
 			settings := map[string]any{"discovery": "pushed",
 				"bounds":     map[string]any{"maxPushes": 3, "probes": true, "cancel": true, "connectTimeoutNs": 2e8},
 				"safety":     map[string]any{"drainGraceNs": 5e8},
 				"report":     map[string]any{"fields": []string{"waiting", "running"}, "how": "on_probe"},
 				"categories": []any{map[string]any{"name": "pay", "effect": "fragile", "ttlNs": 60e9, "targetLatencyNs": 20e9}}}
-			start := func(n int) started {
+			start := func(n int) testProcess {
 				return startProgram(t, dir, listen, discovery.addr, n, 256, settings, program, (*exec.Cmd).Start)
 			}
-			again := func(when string, ids []string) {
+			requireRejected := func(when string, ids []string) {
 				t.Helper()
 				for _, id := range ids {
 					if status, err := postOp(listen, id, 50*time.Second); status != http.StatusConflict {
@@ -60,30 +62,30 @@
 			}
 			first := start(0)
 			ids := serve("first")
-			discovery.down(how)
+			discovery.fail(how)
 			clock.Set(time.Hour)
 			second := start(1)
 			first.cmd.Process.Kill()
 			first.cmd.Wait()
-			again("after the giver was killed", ids)
+			requireRejected("after the predecessor was killed", ids)
 			ids = append(ids, serve("second")...)
 			clock.Set(-time.Hour)
 			third := start(2)
 			second.cmd.Process.Signal(syscall.SIGHUP)
 			second.cmd.Process.Signal(syscall.SIGTERM)
-			if err := endOf(second.cmd); err != nil {
+			if err := waitOrKill(second.cmd); err != nil {
 				t.Errorf("the second: %v: %s", err, second.log)
 			}
-			again("after the next takeover", ids)
+			requireRejected("after the next hot restart", ids)
 			ids = append(ids, serve("third")...)
-			discovery.back(`{"rev":2,"all":true,"targets":[` + strings.Replace(entries[0], "SERVING", "DRAINING", 1) + "," + entries[1] + `]}`)
+			discovery.restore(`{"rev":2,"all":true,"targets":[` + strings.Replace(entries[0], "SERVING", "DRAINING", 1) + "," + entries[1] + `]}`)
 			await(t, "the drain is known", third.log, func() bool {
 				var f struct {
 					Excluded int `json:"workers_excluded"`
 				}
 				return get(third.console, "/api/telemetry", &f) && f.Excluded == 1
 			})
-			again("after discovery's return", ids)
+			requireRejected("after discovery's return", ids)
 			serve("last")
 			runs.mu.Lock()
 			defer runs.mu.Unlock()
@@ -92,9 +94,9 @@
 					t.Errorf("%s ran %d times", id, runs.runs[id])
 				}
 			}
-			for _, p := range []started{second, third} {
+			for _, p := range []testProcess{second, third} {
 				if !strings.Contains(p.log.String(), "took over") {
-					t.Errorf("nothing was handed over, this test proves nothing: %s", p.log)
+					t.Errorf("nothing was handed over, so the test shows nothing: %s", p.log)
 				}
 			}
 		})
--- a/cmd/woaddyke/crowds_test.go
+++ b/cmd/woaddyke/crowds_test.go
@@ -12,8 +12,9 @@
 	"time"
 )
 
-// idleCrowd keeps so many idle connections open at an address, each begun with a text, until the test ends. One that is closed comes again.
-func idleCrowd(t *testing.T, addr, text string, count int) {
+// holdConnections keeps count idle connections open at an address until the test ends. Each sends a text
+// first, and is opened again when it is closed.
+func holdConnections(t *testing.T, addr, text string, count int) {
 	t.Helper()
 	done := make(chan struct{})
 	var all sync.WaitGroup
@@ -41,20 +42,20 @@
 		close(done)
 		all.Wait()
 	})
-	time.Sleep(500 * time.Millisecond) // the crowd's: it has come
+	time.Sleep(500 * time.Millisecond) // for the connections to be opened
 }
 
 const halfBody = "POST / HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: half\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 5000\r\nContent-Length: 999\r\n\r\nhalf"
 
-// answered counts how many of some ops, each on a new connection, get any answer.
-func answered(listen string, ops int) (n int) {
+// countAnswered sends ops on new connections and returns how many get any answer.
+func countAnswered(listen string, ops int) (n int) {
 	for k := range ops {
 		c, err := net.DialTimeout("tcp", listen, 5*time.Second)
 		if err != nil {
 			continue
 		}
 		c.SetDeadline(time.Now().Add(5 * time.Second))
-		fmt.Fprint(c, piped(fmt.Sprint("op", k), ""))
+		fmt.Fprint(c, pipelinedOp(fmt.Sprint("op", k), ""))
 		if _, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
 			n++
 		}
@@ -63,36 +64,37 @@
 	return n
 }
 
-// A crowd of half bodies holds every place: it must give way to clients with whole requests, as silent connections and half heads do.
+// Connections with incomplete bodies use every slot. They must be closed in favour of clients with complete
+// requests, as silent connections and those with incomplete headers are.
 func TestHalfBodiesGiveWay(t *testing.T) {
-	discovery, listen, at, free := holding(t)
+	discovery, listen, received, free := startHoldingWorker(t)
 	close(free)
 	go func() {
-		for range at { // nobody counts them
+		for range received { // discards the ids
 		}
 	}()
 	startProcess(t, t.TempDir(), listen, discovery, 0)
 	const ops = 20
-	idleCrowd(t, listen, halfBody, 200)
-	if n := answered(listen, ops); n < ops {
+	holdConnections(t, listen, halfBody, 200)
+	if n := countAnswered(listen, ops); n < ops {
 		t.Errorf("%d of %d ops were answered", n, ops)
 	}
 }
 
-// A crowd at the console takes nothing from clients, and the console itself answers.
-func TestACrowdAtTheConsoleTakesNothingFromClients(t *testing.T) {
+// Many idle connections to the console must not affect clients, and the console must still answer.
+func TestIdleConsoleConnectionsDontDelayClients(t *testing.T) {
 	for name, text := range map[string]string{"silent": "", "half heads": "GET /api/ready HTTP/1.1\r\nHo"} {
 		t.Run(name, func(t *testing.T) {
-			discovery, listen, at, free := holding(t)
+			discovery, listen, received, free := startHoldingWorker(t)
 			close(free)
 			go func() {
-				for range at { // nobody counts them
+				for range received { // discards the ids
 				}
 			}()
 			p := startProcess(t, t.TempDir(), listen, discovery, 0)
 			const ops = 20
-			idleCrowd(t, p.console, text, 400)
-			if n := answered(listen, ops); n < ops {
+			holdConnections(t, p.console, text, 400)
+			if n := countAnswered(listen, ops); n < ops {
 				t.Errorf("%d of %d ops were answered", n, ops)
 			}
 			client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -108,19 +110,19 @@
 	}
 }
 
-// A member that starts while one of those that it tries first is stopped is ready in time all the same.
+// A member must become ready in time although one of the members that it contacts first is stopped.
 func TestAMemberStartsBesideAStoppedOne(t *testing.T) {
 	t.Parallel()
-	const most = 6 * time.Second // of ten that are allowed
-	c, _ := guarded(t, 4, true)
+	const maxStart = 6 * time.Second // ten seconds are allowed
+	c, _ := startReplicas(t, 4, true)
 	c.Places[3].Kill()
 	c.Places[0].Signal(syscall.SIGSTOP)
 	began := time.Now()
 	c.Start(c.Places[3])
-	c.Await("it is ready", func() bool { return c.Places[3].Get("/api/ready", nil) })
+	c.Await("the member is ready", func() bool { return c.Places[3].Get("/api/ready", nil) })
 	took := time.Since(began)
 	c.Places[0].Signal(syscall.SIGCONT)
-	if took > most {
+	if took > maxStart {
 		t.Errorf("ready after %v", took)
 	}
 }
--- a/cmd/woaddyke/descriptors_test.go
+++ b/cmd/woaddyke/descriptors_test.go
@@ -24,70 +24,74 @@
 	"woaddyke/internal/observe/metrics"
 )
 
-// downFor is how long discovery is down in a crowd; outside CI, DOWN=8s.
-func downFor() time.Duration {
+// outageDuration is how long discovery is down under a connection flood. For longer runs than in CI:
+// DOWN=8s.
+func outageDuration() time.Duration {
 	if d, err := time.ParseDuration(os.Getenv("DOWN")); err == nil {
 		return d
 	}
 	return 600 * time.Millisecond
 }
 
-// within is a program that may open so many descriptors, as the shell before it says.
-func within(descriptors int) func(args ...string) *exec.Cmd {
+// limitedTo returns this command with a limit on its open descriptors, which a shell sets before it runs
+// the command.
+func limitedTo(descriptors int) func(args ...string) *exec.Cmd {
 	return func(args ...string) *exec.Cmd {
-		program := thisProgram(args...)
+		program := testCommand(args...)
 		cmd := exec.Command("/bin/sh", append([]string{"-c", `ulimit -n "$0" && exec "$@"`, strconv.Itoa(descriptors), program.Path}, args...)...)
 		cmd.Env = program.Env
 		return cmd
 	}
 }
 
-var addrs atomic.Int64
+var addrsUsed atomic.Int64
 
-// ownAddr is an address that nobody else uses. It is not tried: a listener that was closed stays while a process that another test
-// starts just then has a copy of it, until that one's program runs. Nor is its port one of those that the machine gives out.
-func ownAddr() string {
-	n, pid := addrs.Add(1), os.Getpid()
+// uniqueAddr returns an address that no other test uses. It does not try to listen there: a closed listener
+// stays open in a child process that another test forks at that moment, until the child runs its program.
+// The port is outside the range of ephemeral ports.
+func uniqueAddr() string {
+	n, pid := addrsUsed.Add(1), os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:%d", 11+pid/250%80, pid%250, n%250+1, 10_000+n%5000)
 }
 
-// outage is a discovery that goes down in one of four ways and comes back at the same address with another list.
-type outage struct {
+// testDiscovery is a discovery server that fails in one of four ways, and recovers at the same address with
+// another list.
+type testDiscovery struct {
 	t    *testing.T
 	addr string
 
-	mu    sync.Mutex
-	how   string        // it is down; empty: it is not
-	list  string        // that it has
-	fresh chan struct{} // closed when that changes
-	l     net.Listener
-	s     *http.Server
-	told  atomic.Int64 // lists that were written while it was up
+	mu        sync.Mutex
+	failure   string        // the kind of outage; empty if discovery is up
+	list      string        // the present endpoint list
+	changed   chan struct{} // closed when failure or list changes
+	listener  net.Listener
+	server    *http.Server
+	listsSent atomic.Int64 // endpoint lists written so far
 }
 
-func newOutage(t *testing.T, list string) *outage {
-	o := &outage{t: t, list: list, fresh: make(chan struct{})}
-	o.listen(ownAddr())
-	o.addr = o.l.Addr().String()
-	t.Cleanup(func() { o.s.Close() })
+func newTestDiscovery(t *testing.T, list string) *testDiscovery {
+	o := &testDiscovery{t: t, list: list, changed: make(chan struct{})}
+	o.listen(uniqueAddr())
+	o.addr = o.listener.Addr().String()
+	t.Cleanup(func() { o.server.Close() })
 	return o
 }
 
-func (o *outage) listen(addr string) {
-	await(o.t, "the address is free", o, func() bool { // see ownAddr
+func (o *testDiscovery) listen(addr string) {
+	await(o.t, "the address is free", o, func() bool { // see uniqueAddr
 		var err error
-		o.l, err = net.Listen("tcp", addr)
+		o.listener, err = net.Listen("tcp", addr)
 		return err == nil
 	})
-	o.s = &http.Server{Handler: o}
-	go o.s.Serve(o.l)
+	o.server = &http.Server{Handler: o}
+	go o.server.Serve(o.listener)
 }
 
-func (o *outage) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (o *testDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	o.mu.Lock()
-	how, list, fresh := o.how, o.list, o.fresh
+	failure, list, changed := o.failure, o.list, o.changed
 	o.mu.Unlock()
-	switch how {
+	switch failure {
 	case "hangs":
 		<-r.Context().Done()
 		return
@@ -96,19 +100,19 @@
 		return
 	}
 	for {
-		if how == "" {
+		if failure == "" {
 			fmt.Fprintln(w, list)
 			w.(http.Flusher).Flush()
-			o.told.Add(1)
+			o.listsSent.Add(1)
 		}
 		beat := time.NewTicker(500 * time.Millisecond)
 	same:
 		for {
 			select {
-			case <-fresh:
+			case <-changed:
 				break same
 			case <-beat.C:
-				if how == "" {
+				if failure == "" {
 					fmt.Fprintln(w)
 					w.(http.Flusher).Flush()
 				}
@@ -119,54 +123,55 @@
 		}
 		beat.Stop()
 		o.mu.Lock()
-		how, list, fresh = o.how, o.list, o.fresh
+		failure, list, changed = o.failure, o.list, o.changed
 		o.mu.Unlock()
 	}
 }
 
-// down has it refuse calls, turn them away, leave them hanging, or say nothing more on those that are on, and to nobody who comes.
-func (o *outage) down(how string) {
+// fail starts an outage: discovery refuses connections, answers 503 ("turned away"), leaves requests
+// unanswered ("hangs"), or sends nothing more on open and new watches ("silent").
+func (o *testDiscovery) fail(how string) {
 	o.mu.Lock()
-	o.how = how
-	close(o.fresh)
-	o.fresh = make(chan struct{})
+	o.failure = how
+	close(o.changed)
+	o.changed = make(chan struct{})
 	o.mu.Unlock()
 	if how != "silent" {
-		o.s.Close() // the watches that are on end too
+		o.server.Close() // ends the open watches too
 	}
 	if how == "hangs" || how == "turned away" {
 		o.listen(o.addr)
 	}
 }
 
-func (o *outage) back(list string) {
+func (o *testDiscovery) restore(list string) {
 	o.mu.Lock()
-	refused := o.how == "refused"
-	o.how, o.list = "", list
-	close(o.fresh)
-	o.fresh = make(chan struct{})
+	refused := o.failure == "refused"
+	o.failure, o.list = "", list
+	close(o.changed)
+	o.changed = make(chan struct{})
 	o.mu.Unlock()
 	if refused {
 		o.listen(o.addr)
 	}
 }
 
-// crowd keeps so many connections to an address, each of them silent, with half a head, with half a body, or idle after an answer, and
-// opens each anew when it is closed. It is full once as many as are counted on were open at one time.
-type crowd struct {
-	stop context.CancelFunc
-	all  sync.WaitGroup
-	open atomic.Int64
-	shut atomic.Int64 // were closed by the other side
+// connectionFlood keeps a number of connections to an address open. Each is silent, sends half a header or
+// half a body, or is idle after an answer. A closed connection is opened again.
+type connectionFlood struct {
+	stop         context.CancelFunc
+	clients      sync.WaitGroup
+	open         atomic.Int64
+	closedByPeer atomic.Int64 // number of connections that the server closed
 }
 
-func newCrowd(t *testing.T, addr string, size int) *crowd {
+func newConnectionFlood(t *testing.T, addr string, size int) *connectionFlood {
 	ctx, stop := context.WithCancel(t.Context())
-	c := &crowd{stop: stop}
+	c := &connectionFlood{stop: stop}
 	for i := range size {
-		c.all.Go(func() {
+		c.clients.Go(func() {
 			for ctx.Err() == nil {
-				c.one(ctx, addr, i%8)
+				c.connect(ctx, addr, i%8)
 				select {
 				case <-ctx.Done():
 				case <-time.After(50 * time.Millisecond):
@@ -174,11 +179,11 @@
 			}
 		})
 	}
-	t.Cleanup(func() { stop(); c.all.Wait() })
+	t.Cleanup(func() { stop(); c.clients.Wait() })
 	return c
 }
 
-func (c *crowd) one(ctx context.Context, addr string, kind int) {
+func (c *connectionFlood) connect(ctx context.Context, addr string, kind int) {
 	nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return
@@ -196,50 +201,52 @@
 		io.WriteString(nc, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 	}
 	io.Copy(io.Discard, nc)
-	c.shut.Add(1)
+	c.closedByPeer.Add(1)
 }
 
-// await fails the test if something does not come about in a time that is no measure of it.
+// await fails the test if a condition does not hold within 20 s. This timeout is not a requirement on the
+// product.
 func await(t *testing.T, what string, log fmt.Stringer, holds func() bool) {
 	t.Helper()
 	for until := time.Now().Add(20 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("never: %s\n%s", what, log)
+			t.Fatalf("timed out: %s\n%s", what, log)
 		}
 	}
 }
 
-// figures are what the second address says; it must say it to each call. A second is owed, ten are waited on a busy machine.
-func figures(t *testing.T, console string) (f metrics.Metrics) {
+// readMetrics reads the metrics from the console, which must answer each call. One second is the
+// requirement; ten seconds are allowed on a busy machine.
+func readMetrics(t *testing.T, console string) (f metrics.Metrics) {
 	t.Helper()
 	client := http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + console + "/api/telemetry")
 	if err != nil {
-		t.Errorf("staff get no answer: %v", err)
+		t.Errorf("the console does not answer: %v", err)
 		return f
 	}
 	defer resp.Body.Close()
 	if err := json.NewDecoder(resp.Body).Decode(&f); err != nil {
-		t.Errorf("staff get no figures: %v", err)
+		t.Errorf("the console returns no metrics: %v", err)
 	}
 	return f
 }
 
-// kept is a client that was served before a crowd came, on the connection that it has had since.
-type kept struct {
+// persistentClient is a client with one connection, which was served before a connection flood.
+type persistentClient struct {
 	t  *testing.T
 	nc net.Conn
 	r  *bufio.Reader
 	n  int
 }
 
-func newKept(t *testing.T, listen string) *kept {
+func newPersistentClient(t *testing.T, listen string) *persistentClient {
 	nc := dial(t, listen)
-	return &kept{t: t, nc: nc, r: bufio.NewReader(nc)}
+	return &persistentClient{t: t, nc: nc, r: bufio.NewReader(nc)}
 }
 
-// asks sends an op and returns its answer's status; 0 where there was none.
-func (k *kept) asks(category string) int {
+// send sends an op and returns the status of its answer, or 0 without an answer.
+func (k *persistentClient) send(category string) int {
 	k.t.Helper()
 	k.n++
 	k.nc.SetDeadline(time.Now().Add(10 * time.Second))
@@ -254,16 +261,17 @@
 	return resp.StatusCode
 }
 
-// served wants an op answered with a 200.
-func (k *kept) served(category string) {
+// requireServed sends an op and fails the test unless its status is 200.
+func (k *persistentClient) requireServed(category string) {
 	k.t.Helper()
-	if status := k.asks(category); status != http.StatusOK {
+	if status := k.send(category); status != http.StatusOK {
 		k.t.Fatalf("op %d: status %d", k.n, status)
 	}
 }
 
-// two are workers that count their pushes, and how discovery lists them.
-func two(t *testing.T) (pushed [2]*atomic.Int64, list func(rev int, first string) string) {
+// startTwoWorkers starts two workers that count their pushes, and returns a function that formats an
+// endpoint list of them.
+func startTwoWorkers(t *testing.T) (pushed [2]*atomic.Int64, list func(rev int, first string) string) {
 	var at [2]string
 	for i := range pushed {
 		n := &atomic.Int64{}
@@ -286,15 +294,17 @@
 	}
 }
 
-// descriptorsOf is how many a process has open.
-func descriptorsOf(pid int) int {
+// countDescriptors returns the number of open descriptors of a process.
+func countDescriptors(pid int) int {
 	all, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	return len(all)
 }
 
-// Clients that say nothing, or half of what they have to say, took the descriptors that the watch, the probes, the pushes and staff's
-// calls need: so many that accepting itself failed, and nobody gave way any more. Discovery comes back with a drain behind them.
-func TestACrowdLeavesDescriptorsForTheRest(t *testing.T) {
+// Clients that send nothing or incomplete requests must not use the descriptors that the watch, the probes,
+// the pushes and the calls of operators need. They once used so many that accept failed, and then no idle
+// connection was closed in favour of new clients. During the flood discovery fails, and recovers with a
+// drain that must be applied.
+func TestIdleClientsLeaveDescriptorsForOthers(t *testing.T) {
 	for _, how := range []string{"refused", "hangs", "silent"} {
 		for _, x := range []struct {
 			name            string
@@ -302,9 +312,9 @@
 		}{{"as the settings say", 96, 96}, {"fewer than the settings say", 1024, 96}} {
 			t.Run(how+", "+x.name, func(t *testing.T) {
 				t.Parallel()
-				pushed, list := two(t)
-				o := newOutage(t, list(1, "SERVING"))
-				dir, listen, console := t.TempDir(), ownAddr(), ownAddr()
+				pushed, list := startTwoWorkers(t)
+				o := newTestDiscovery(t, list(1, "SERVING"))
+				dir, listen, console := t.TempDir(), uniqueAddr(), uniqueAddr()
 				text, err := json.Marshal(map[string]any{"name": "n", "listen": listen, "console": console, "discovery": o.addr, "seed": "7",
 					"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": x.settings}, "settings": map[string]any{
 						"discovery":  "pushed",
@@ -319,7 +329,7 @@
 					t.Fatal(err)
 				}
 				log := &strings.Builder{}
-				p := within(x.limit)("serve", "--config", filepath.Join(dir, "sheet"))
+				p := limitedTo(x.limit)("serve", "--config", filepath.Join(dir, "sheet"))
 				p.Env, p.Stderr = append(p.Env, "TMPDIR="+dir), log
 				if err := p.Start(); err != nil {
 					t.Fatal(err)
@@ -332,38 +342,38 @@
 					}
 					return err == nil && resp.StatusCode == http.StatusOK
 				})
-				client := newKept(t, listen)
-				client.served("look")
-				o.down(how)
-				crowd := newCrowd(t, listen, 4*x.limit)
-				await(t, "as many were shut as there are descriptors", log, func() bool { return crowd.shut.Load() >= int64(x.limit) })
+				client := newPersistentClient(t, listen)
+				client.requireServed("look")
+				o.fail(how)
+				flood := newConnectionFlood(t, listen, 4*x.limit)
+				await(t, "as many connections were closed as there are descriptors", log, func() bool { return flood.closedByPeer.Load() >= int64(x.limit) })
 				began := time.Now()
-				most, slowest := 0, time.Duration(0)
-				for time.Since(began) < downFor() {
-					most = max(most, descriptorsOf(p.Process.Pid))
+				maxOpen, slowest := 0, time.Duration(0)
+				for time.Since(began) < outageDuration() {
+					maxOpen = max(maxOpen, countDescriptors(p.Process.Pid))
 					asked := time.Now()
-					figures(t, console)
+					readMetrics(t, console)
 					slowest = max(slowest, time.Since(asked))
-					client.served("look")
+					client.requireServed("look")
 				}
-				t.Logf("at most %d descriptors of %d, %d connections shut, staff answered within %v", most, x.limit, crowd.shut.Load(), slowest)
+				t.Logf("at most %d descriptors of %d, %d connections closed, console answered within %v", maxOpen, x.limit, flood.closedByPeer.Load(), slowest)
 				p.Process.Signal(syscall.SIGHUP)
-				await(t, "a SIGHUP is carried out", log, func() bool { return figures(t, console).ReloadsOK == 1 })
-				o.back(list(2, "DRAINING"))
-				told := time.Now()
-				await(t, "the drain is told", log, func() bool { f := figures(t, console); return f.WorkersKnown == 3 && f.WorkersExcluded == 2 })
-				if late := time.Since(told); late > 6*time.Second {
-					t.Errorf("told %v after discovery was back", late)
+				await(t, "a SIGHUP is carried out", log, func() bool { return readMetrics(t, console).ReloadsOK == 1 })
+				o.restore(list(2, "DRAINING"))
+				recovered := time.Now()
+				await(t, "the drain is known", log, func() bool { f := readMetrics(t, console); return f.WorkersKnown == 3 && f.WorkersExcluded == 2 })
+				if late := time.Since(recovered); late > 6*time.Second {
+					t.Errorf("known %v after discovery recovered", late)
 				}
 				from := [2]int64{pushed[0].Load(), pushed[1].Load()}
 				for range 20 {
-					client.served("look")
+					client.requireServed("look")
 				}
 				if n := pushed[0].Load() - from[0]; n > 0 {
 					t.Errorf("%d ops went to the worker that drains", n)
 				}
 				if n := pushed[1].Load() - from[1]; n < 20 {
-					t.Errorf("%d of 20 ops went to the other", n)
+					t.Errorf("%d of 20 ops went to the other worker", n)
 				}
 				if t.Failed() {
 					t.Log(log)
@@ -373,59 +383,60 @@
 	}
 }
 
-// A keeper in a crowd, with its streams to other members and its file of copies, and replaced in the middle of it: its journal goes over to
-// the heir, it has its vote, ops of which each needs a majority are served, and the drain that discovery comes back with is kept.
-func TestACrowdLeavesAKeeperAndItsHeirTheirDescriptors(t *testing.T) { // not beside others: their members would doubt one another
+// A replica under a connection flood, with its streams to other members and its file of records, is
+// replaced by a successor. The successor must get the file and the vote, ops that need a majority must be
+// served, and the drain that discovery reports when it recovers must be applied.
+func TestIdleClientsLeaveAReplicaItsDescriptors(t *testing.T) { // not parallel: members of other tests would suspect one another
 	const limit = 160
-	pushed, list := two(t)
-	o := newOutage(t, list(1, "SERVING"))
-	c := several.New(t, 3, quick+keepersTable(usualWait)+"path = \"{dir}/copies.db\"\n",
-		noWorkers, within(limit))
+	pushed, list := startTwoWorkers(t)
+	o := newTestDiscovery(t, list(1, "SERVING"))
+	c := several.New(t, 3, fastMembers+copiesTableOf(claimTimeout)+"path = \"{dir}/copies.db\"\n",
+		noEndpoints, limitedTo(limit))
 	for _, p := range c.Places {
 		p.Discovery = o.addr
 		c.Start(p)
 	}
 	c.AwaitWhole(c.Places...)
-	votes := func() bool {
+	allVote := func() bool {
 		for _, p := range c.Places {
-			if !p.Get("/api/ready", nil) || !votes(p) {
+			if !p.Get("/api/ready", nil) || !voteSettled(p) {
 				return false
 			}
 		}
 		return true
 	}
-	c.Await("all are ready and have their votes", votes)
-	client := newKept(t, c.Places[0].Listen)
-	client.served("pay")
-	o.down("hangs")
+	c.Await("all schedulers are ready and have their votes", allVote)
+	client := newPersistentClient(t, c.Places[0].Listen)
+	client.requireServed("pay")
+	o.fail("hangs")
 	first := c.Places[0]
-	crowd := newCrowd(t, first.Listen, 3*limit)
-	await(t, "as many were shut as there are descriptors", o, func() bool { return crowd.shut.Load() >= limit })
+	flood := newConnectionFlood(t, first.Listen, 3*limit)
+	await(t, "as many connections were closed as there are descriptors", o, func() bool { return flood.closedByPeer.Load() >= limit })
 	began, acked := time.Now(), 0
-	c.Await("ops are served in the crowd", func() bool { // a majority may be late once, and then none is pushed
-		switch status := client.asks("pay"); status {
+	c.Await("ops are served during the flood", func() bool { // an op is nacked if the majority answers too late
+		switch status := client.send("pay"); status {
 		case http.StatusOK:
 			acked++
 		case http.StatusServiceUnavailable:
 		default:
 			t.Fatalf("op %d: status %d", client.n, status)
 		}
-		return acked >= 20 && time.Since(began) > downFor()
+		return acked >= 20 && time.Since(began) > outageDuration()
 	})
 	c.Takeover(first)
-	c.Await("the heir has the vote", votes)
+	c.Await("the successor has the vote", allVote)
 	running, _ := first.Running()
-	if n := descriptorsOf(running.Process.Pid); n > limit {
+	if n := countDescriptors(running.Process.Pid); n > limit {
 		t.Errorf("%d descriptors", n)
 	}
-	o.back(list(2, "DRAINING"))
-	c.Await("the drain is told", func() bool {
-		f := figures(t, first.Console)
+	o.restore(list(2, "DRAINING"))
+	c.Await("the drain is known", func() bool {
+		f := readMetrics(t, first.Console)
 		return f.WorkersKnown == 3 && f.WorkersExcluded == 2
 	})
 	from := pushed[0].Load()
 	acked = 0
-	c.Await("ops are served by the heir", func() bool { // a newcomer may be shut unread
+	c.Await("ops are served by the successor", func() bool { // a new connection may be closed unread
 		if status, _ := post(first, "pay", fmt.Sprint("after", acked), "x"); status == http.StatusOK {
 			acked++
 		}
@@ -437,5 +448,5 @@
 	c.AwaitWhole(c.Places...)
 }
 
-// String is for logs.
-func (o *outage) String() string { return "discovery at " + o.addr }
+// String names the server in failure messages.
+func (o *testDiscovery) String() string { return "discovery at " + o.addr }
--- a/cmd/woaddyke/ends_test.go
+++ b/cmd/woaddyke/ends_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// holding is a stand-in worker that holds the op "held" until it is freed and tells of each that comes, its discovery, and a free
-// address for clients.
-func holding(t *testing.T) (discovery, listen string, at chan string, free chan bool) {
-	at, free = make(chan string, 9), make(chan bool)
+// startHoldingWorker starts a worker, its discovery, and returns a free address for clients. The worker
+// sends the id of each op to received, and holds the op "held" until free is closed.
+func startHoldingWorker(t *testing.T) (discovery, listen string, received chan string, free chan bool) {
+	received, free = make(chan string, 9), make(chan bool)
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			fmt.Fprintln(w, `{"waiting":0,"running":0}`)
@@ -23,21 +23,21 @@
 		}
 		io.Copy(io.Discard, r.Body)
 		id := r.Header.Get("X-Correlation-Id")
-		if at <- id; id == "held" {
+		if received <- id; id == "held" {
 			<-free
 		}
 		fmt.Fprintf(w, `{"id":%q,"state":"done","result":"x"}`+"\n", id)
 	}))
 	t.Cleanup(worker.Close)
-	return discoveryOf(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
-		worker.Listener.Addr())), freeAddr(t), at, free
+	return startDiscovery(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
+		worker.Listener.Addr())), freeAddr(t), received, free
 }
 
-// A real process that is told to end again and again, before discovery has said a word, in the middle of a SIGHUP and of a drain: what
-// it holds at a worker is answered, what comes on new connections too, and it ends by itself. A second SIGTERM during an end that the
-// process had begun by itself killed it with all that it held.
-func TestAProcessToldToEndTwiceAnswersWhatItHolds(t *testing.T) {
-	discovery, listen, at, free := holding(t)
+// A process gets SIGTERM several times, before discovery has sent a list, during a reload and during a
+// client drain. It must answer the ops in flight and those on new connections, and end by itself. A second
+// SIGTERM while the process was already stopping once killed it with its ops.
+func TestAProcessAnswersItsOpsAfterTwoSIGTERMs(t *testing.T) {
+	discovery, listen, received, free := startHoldingWorker(t)
 	s := startProcess(t, t.TempDir(), listen, discovery, 0)
 	send := func(id string) (net.Conn, *bufio.Reader) {
 		c, err := net.Dial("tcp", listen)
@@ -60,7 +60,7 @@
 		return resp.StatusCode
 	}
 	_, held := send("held")
-	if id := <-at; id != "held" {
+	if id := <-received; id != "held" {
 		t.Fatal(id)
 	}
 	if resp, err := http.Post("http://"+s.console+"/api/evacuate", "", nil); err != nil || resp.StatusCode != http.StatusOK {
@@ -71,11 +71,11 @@
 	}
 	_, late := send("late")
 	if got := status(late); got != http.StatusOK {
-		t.Errorf("an op soon after the word to end: %d", got)
+		t.Errorf("an op soon after SIGTERM: %d", got)
 	}
 	close(free)
 	if got := status(held); got != http.StatusOK {
-		t.Errorf("the op that was held: %d", got)
+		t.Errorf("the held op: %d", got)
 	}
 	s.cmd.Process.Signal(syscall.SIGTERM)
 	if err := s.cmd.Wait(); err != nil {
@@ -83,14 +83,14 @@
 	}
 }
 
-// A process that had been told to end left new clients to its heir for good: when that one died in the next moment, nobody accepted
-// any more, though the process was still there for an op that it held.
-func TestAnHeirThatDiesAfterItsGiverWasToldToEnd(t *testing.T) {
-	discovery, listen, at, free := holding(t)
+// A process that got SIGTERM must accept clients again when its successor dies, as long as it still has an
+// op in flight. It once left new clients to the successor for good, so nobody accepted them.
+func TestAcceptResumesWhenASuccessorDies(t *testing.T) {
+	discovery, listen, received, free := startHoldingWorker(t)
 	dir := t.TempDir()
-	giver := startProcess(t, dir, listen, discovery, 0)
+	predecessor := startProcess(t, dir, listen, discovery, 0)
 	held := make(chan int, 1)
-	go client(listen, "h", t.Context().Done(), func(string, int, error) {}) // clients that come on and on
+	go sendOps(listen, "h", t.Context().Done(), func(string, int, error) {}) // a client that sends ops all the time
 	go func() {
 		c, err := net.Dial("tcp", listen)
 		if err != nil {
@@ -109,19 +109,19 @@
 	}()
 	for id := ""; id != "held"; {
 		select {
-		case id = <-at:
+		case id = <-received:
 		case <-time.After(20 * time.Second):
-			t.Fatal("it is not pushed")
+			t.Fatal("the op is not pushed")
 		}
 	}
 	go func() {
-		for range at { // nobody counts the others
+		for range received { // discards the other ids
 		}
 	}()
-	heir := startProcess(t, dir, listen, discovery, 1)
-	giver.cmd.Process.Signal(syscall.SIGTERM)
-	heir.cmd.Process.Kill()
-	heir.cmd.Wait()
+	successor := startProcess(t, dir, listen, discovery, 1)
+	predecessor.cmd.Process.Signal(syscall.SIGTERM)
+	successor.cmd.Process.Kill()
+	successor.cmd.Wait()
 	served := false
 	for until := time.Now().Add(time.Second); !served && time.Now().Before(until); {
 		c, err := net.Dial("tcp", listen)
@@ -135,13 +135,13 @@
 		c.Close()
 	}
 	if !served {
-		t.Error("nobody accepts")
+		t.Error("no process accepts")
 	}
 	close(free)
 	if status := <-held; status != http.StatusOK {
-		t.Errorf("the op that was held: %d", status)
+		t.Errorf("the held op: %d", status)
 	}
-	if err := giver.cmd.Wait(); err != nil {
-		t.Errorf("%v: %s", err, giver.log)
+	if err := predecessor.cmd.Wait(); err != nil {
+		t.Errorf("%v: %s", err, predecessor.log)
 	}
 }
--- a/cmd/woaddyke/failedlook_test.go
+++ b/cmd/woaddyke/failedlook_test.go
@@ -16,30 +16,31 @@
 	"woaddyke/internal/lab/syscallfault"
 )
 
-// toldOp is what a worker was told of an op.
-type toldOp struct {
-	left time.Duration
-	at   time.Time
+// receivedOp is the time left that a worker received with an op, and when the op arrived.
+type receivedOp struct {
+	timeLeft   time.Duration
+	receivedAt time.Time
 }
 
-// toldWorker notes what it is told, and holds ops whose ids begin with "held" until they are released or cancelled.
-type toldWorker struct {
+// recordingWorker records the ops that it receives. It holds ops whose ids begin with "held" until they are
+// released or cancelled.
+type recordingWorker struct {
 	mu        sync.Mutex
-	told      map[string]toldOp
+	received  map[string]receivedOp
 	release   chan struct{}
-	began     chan string
+	started   chan string
 	cancelled chan string
 }
 
-func newToldWorker(t *testing.T) (w *toldWorker, discovery string) {
-	w = &toldWorker{told: map[string]toldOp{}, release: make(chan struct{}), began: make(chan string, 9), cancelled: make(chan string, 9)}
+func newRecordingWorker(t *testing.T) (w *recordingWorker, discovery string) {
+	w = &recordingWorker{received: map[string]receivedOp{}, release: make(chan struct{}), started: make(chan string, 9), cancelled: make(chan string, 9)}
 	s := httptest.NewServer(w)
 	t.Cleanup(s.Close)
 	t.Cleanup(s.CloseClientConnections)
-	return w, discoveryOf(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`, s.Listener.Addr()))
+	return w, startDiscovery(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`, s.Listener.Addr()))
 }
 
-func (w *toldWorker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+func (w *recordingWorker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodGet {
 		fmt.Fprintln(rw, `{"waiting":0,"running":0}`)
 		return
@@ -48,9 +49,9 @@
 	id := r.Header.Get("X-Correlation-Id")
 	ms, _ := strconv.Atoi(r.Header.Get("X-Time-Left-Ms"))
 	w.mu.Lock()
-	w.told[id] = toldOp{time.Duration(ms) * time.Millisecond, time.Now()}
+	w.received[id] = receivedOp{time.Duration(ms) * time.Millisecond, time.Now()}
 	w.mu.Unlock()
-	w.began <- id
+	w.started <- id
 	if strings.HasPrefix(id, "held") {
 		select {
 		case <-w.release:
@@ -62,22 +63,23 @@
 	fmt.Fprintf(rw, `{"id":%q,"state":"done","result":"x"}`+"\n", id)
 }
 
-// looks are the system calls by which a process looks at a client's connection without reading from it.
-var looks = []int{syscall.SYS_RECVFROM}
+// peekCalls are the system calls that check a client connection without consuming its data.
+var peekCalls = []int{syscall.SYS_RECVFROM}
 
-var failuresOfALook = []syscall.Errno{syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM}
+var peekErrnos = []syscall.Errno{syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM}
 
-// A look at a client's connection fails in the moment in which a further op comes behind the one that is served. The op is as old as it is all
-// the same, though a third one comes later: a worker was told most of a second more than the client had.
-func TestALookThatFailsHidesNoOp(t *testing.T) {
+// A peek at a client connection fails at the moment when a further op arrives behind the one that is
+// served, and a third op arrives later. The second op must keep its age. A worker once received almost a
+// second more time than the client had left.
+func TestAFailedPeekDoesNotChangeAnOpsAge(t *testing.T) {
 	t.Parallel()
 	const left, slack = 2500 * time.Millisecond, 150 * time.Millisecond
-	for _, errno := range failuresOfALook {
+	for _, errno := range peekErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			worker, discovery := newToldWorker(t)
+			worker, discovery := newRecordingWorker(t)
 			listen := freeAddr(t)
-			p, s := supervised(t, listen, discovery, 512, looks...)
+			p, s := startSupervised(t, listen, discovery, 512, peekCalls...)
 			c := dial(t, listen)
 			c.SetDeadline(time.Now().Add(20 * time.Second))
 			sent := map[string]time.Time{}
@@ -95,57 +97,58 @@
 				}
 				io.Copy(io.Discard, resp.Body)
 			}
-			for _, id := range []string{"first-a", "first-b"} { // behind one another: from here on the process watches itself closely
+			for _, id := range []string{"first-a", "first-b"} { // once a client pipelines, the process watches its own pauses closely
 				send(id)
 			}
 			for range 2 {
 				read()
-				<-worker.began
+				<-worker.started
 			}
 			send("held")
-			<-worker.began
+			<-worker.started
 			s.Set(func(syscallfault.Call) syscall.Errno { return errno })
 			send("second")
-			time.Sleep(100 * time.Millisecond) // the fault lasts
+			time.Sleep(100 * time.Millisecond) // duration of the failure
 			s.Set(nil)
-			time.Sleep(800 * time.Millisecond) // the client's: it writes its third op later
+			time.Sleep(800 * time.Millisecond) // the client sends its third op later
 			send("third")
-			time.Sleep(50 * time.Millisecond) // it has come, and the kernel dates the connection by it
+			time.Sleep(50 * time.Millisecond) // for its arrival, which sets the time of the last data in the kernel
 			close(worker.release)
 			for range 3 {
 				read()
 			}
 			worker.mu.Lock()
 			defer worker.mu.Unlock()
-			for id, told := range worker.told {
-				if excess := told.left + told.at.Sub(sent[id]) - left; excess > slack {
-					t.Errorf("%s was told %v more than its client had", id, excess)
+			for id, op := range worker.received {
+				if excess := op.timeLeft + op.receivedAt.Sub(sent[id]) - left; excess > slack {
+					t.Errorf("%s got %v more time than its client had", id, excess)
 				}
 			}
 		})
 	}
 }
 
-// A look fails in the moment in which the client leaves. Its op is called off all the same: the kernel tells of the end of a connection once.
-func TestALookThatFailsHidesNoEnd(t *testing.T) {
+// A peek fails at the moment when the client disconnects. Its op must still be cancelled, although the
+// kernel reports the end of a connection only once.
+func TestAFailedPeekDoesNotHideADisconnect(t *testing.T) {
 	t.Parallel()
-	for _, errno := range failuresOfALook {
+	for _, errno := range peekErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			worker, discovery := newToldWorker(t)
+			worker, discovery := newRecordingWorker(t)
 			listen := freeAddr(t)
-			p, s := supervised(t, listen, discovery, 512, looks...)
+			p, s := startSupervised(t, listen, discovery, 512, peekCalls...)
 			c := dial(t, listen)
-			fmt.Fprint(c, piped("held", ""))
-			<-worker.began
+			fmt.Fprint(c, pipelinedOp("held", ""))
+			<-worker.started
 			s.Set(func(syscallfault.Call) syscall.Errno { return errno })
 			c.Close()
-			time.Sleep(100 * time.Millisecond) // the fault lasts
+			time.Sleep(100 * time.Millisecond) // duration of the failure
 			s.Set(nil)
 			select {
 			case <-worker.cancelled:
 			case <-time.After(3 * time.Second):
-				t.Errorf("its op is not called off: %s", p.log)
+				t.Errorf("the op is not cancelled: %s", p.log)
 				close(worker.release)
 			}
 		})
--- a/cmd/woaddyke/features.go
+++ b/cmd/woaddyke/features.go
@@ -18,14 +18,14 @@
 	copiesTable  = "copies"
 )
 
-// featureTables are the tables of the features file. A table that is nil is off: it has no socket,
-// goroutine or timer.
+// featureTables holds the tables of the features file. A nil table is a disabled feature, which has no
+// socket, goroutine or timer.
 type featureTables struct {
 	Members *mesh.Config    `toml:"members"`
 	Copies  *replica.Config `toml:"copies"`
 }
 
-// readFeatures reads the features file; without a path all features are off.
+// readFeatures reads the features file. Without a path all features are disabled.
 func readFeatures(path string, bootstrap *config.Bootstrap) (*featureTables, error) {
 	if path == "" {
 		return &featureTables{}, nil
@@ -37,7 +37,7 @@
 	return tables, features.Read(path, tables, func() error { return tables.validate(bootstrap) })
 }
 
-// defaultFeatures returns the tables that the file has, with their defaults.
+// defaultFeatures returns the tables that are present in the file, filled with their defaults.
 func defaultFeatures(path string) (*featureTables, error) {
 	var present struct {
 		Members *map[string]any `toml:"members"`
@@ -57,7 +57,7 @@
 	return tables, nil
 }
 
-// descriptors returns how many descriptors the features may use.
+// descriptors returns the maximum number of descriptors that the enabled features use.
 func (t *featureTables) descriptors() (n int) {
 	if t.Members != nil {
 		n += mesh.Descriptors
--- a/cmd/woaddyke/features_test.go
+++ b/cmd/woaddyke/features_test.go
@@ -13,10 +13,10 @@
 	"woaddyke/internal/config"
 )
 
-// The example in deploy/ must be a file that the program takes, with all its defaults as stated.
-func TestTheExampleOfTheOperatorsFileIsFit(t *testing.T) {
-	sheet := &config.Bootstrap{Name: "n1", Limits: config.Limits{Sockets: 1024}, Settings: map[string]any{}}
-	o, err := readFeatures("../../deploy/operator.toml", sheet)
+// The example in deploy/ must be a valid features file that states the defaults.
+func TestTheExampleFeaturesFileIsValid(t *testing.T) {
+	bootstrap := &config.Bootstrap{Name: "n1", Limits: config.Limits{Sockets: 1024}, Settings: map[string]any{}}
+	o, err := readFeatures("../../deploy/operator.toml", bootstrap)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var bare []string // the same file with only what has no default
+	var bare []string // the keys without a default
 	for _, row := range strings.Split(string(text), "\n") {
 		key, _, _ := strings.Cut(row, " = ")
 		if strings.HasPrefix(row, "[") || key == "cluster" || key == "listen" || key == "seeds" || key == "keepers" {
@@ -33,7 +33,7 @@
 	}
 	path := filepath.Join(t.TempDir(), "bare.toml")
 	os.WriteFile(path, []byte(strings.Join(bare, "\n")), 0o600)
-	b, err := readFeatures(path, sheet)
+	b, err := readFeatures(path, bootstrap)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,33 +52,33 @@
 		"[members]\ncluster=\"a\"\n", "[members]\ncluster=\"a\"\nlisten=\"10.0.0.1:1\"\n",
 		"[members]\ncluster=\"a\"\nlisten=\"127.0.0.1:1\"\nsuperseded=\"fight\"\n", "[members]\ncluster=\"a\"\nlisten=\"127.0.0.1:1\"\nwords=true\n",
 		"[members]\ncluster=\"a\"\nlisten=\"127.0.0.1:1\"\nmost=1\n", "[members]\ncluster=\"a\"\nlisten=\"127.0.0.1:1\"\nseeds=[\"x\"]\n",
-		guards + "keepers=[\"a\",\"b\"]\n", guards + "keepers=[\"a\"]\nagreed=true\nreplace_after=\"20s\"\n",
-		guards + "keepers=[\"a\"]\nspares=[\"b\"]\n", guards + "keepers=[\"a\"]\njoin=\"2h\"\n", guards + "keepers=[\"a\"]\ncatch_up=1\n",
-		guards + "keepers=[\"" + sheet.Name + "\"]\nagreed=true\n"} {
+		copiesPreamble + "keepers=[\"a\",\"b\"]\n", copiesPreamble + "keepers=[\"a\"]\nagreed=true\nreplace_after=\"20s\"\n",
+		copiesPreamble + "keepers=[\"a\"]\nspares=[\"b\"]\n", copiesPreamble + "keepers=[\"a\"]\njoin=\"2h\"\n", copiesPreamble + "keepers=[\"a\"]\ncatch_up=1\n",
+		copiesPreamble + "keepers=[\"" + bootstrap.Name + "\"]\nagreed=true\n"} {
 		os.WriteFile(path, []byte(bad), 0o600)
-		if _, err := readFeatures(path, sheet); err == nil || strings.Count(err.Error(), "\n") > 0 || !strings.Contains(err.Error(), "bare.toml:") {
+		if _, err := readFeatures(path, bootstrap); err == nil || strings.Count(err.Error(), "\n") > 0 || !strings.Contains(err.Error(), "bare.toml:") {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
 }
 
-const guards = "[members]\ncluster=\"a\"\nlisten=\"127.0.0.1:1\"\n[copies]\n"
+const copiesPreamble = "[members]\ncluster=\"a\"\nlisten=\"127.0.0.1:1\"\n[copies]\n"
 
-// Where the operator's file is not named, membership must cost nothing: the bench and the platform have it off.
-func TestWithoutAnOperatorsFileNothingMoreRuns(t *testing.T) {
+// Without a features file membership must cost nothing: the simulator and the platform run without it.
+func TestNoMeshRunsWithoutAFeaturesFile(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	runs := func(o featureTables) (mesh bool) {
-		p := replaceable(t, "127.0.0.1:0")
+		p := newProcess(t, "127.0.0.1:0")
 		p.features, p.bootstrap.Name, p.log, p.stop = o, "n1", zerolog.Nop(), func() {}
 		at, err := p.openServer()
 		if err != nil {
 			t.Fatal(err)
 		}
-		stop, ended := p.start(at)
+		stop, ended := p.serve(at)
 		<-p.server.Ready()
-		room := make([]byte, 1<<20)
-		mesh = strings.Contains(string(room[:runtime.Stack(room, true)]), "woaddyke/internal/cluster/mesh")
-		if stop(); p.mesh != nil { // its sockets and timers are its own
+		stack := make([]byte, 1<<20)
+		mesh = strings.Contains(string(stack[:runtime.Stack(stack, true)]), "woaddyke/internal/cluster/mesh")
+		if stop(); p.mesh != nil { // its sockets and timers must be closed
 			p.operatorBoard.close()
 			p.mesh.Close()
 			mesh = true
@@ -91,7 +91,7 @@
 		t.Fatalf("%+v, %v", o, err)
 	}
 	if runs(*o) {
-		t.Error("something of the mesh runs without a file that asks for it")
+		t.Error("the mesh runs without a features file")
 	}
 	path := filepath.Join(t.TempDir(), "on.toml")
 	os.WriteFile(path, []byte("[members]\ncluster=\"a\"\nlisten=\"127.0.0.1:0\"\n"), 0o600)
@@ -99,13 +99,13 @@
 		t.Fatal(err)
 	}
 	if !runs(*o) {
-		t.Error("this test would not see the mesh")
+		t.Error("the test does not detect a running mesh")
 	}
 }
 
-// A member's streams and its file of copies come beside the connections: with the fewest descriptors that a scheduler may have they
-// took those of the watch and of staff.
-func TestAMemberNeedsDescriptorsOfItsOwn(t *testing.T) {
+// The streams of a member and its file of records need descriptors in addition to the connections. With the
+// minimum number of descriptors of a scheduler they once used those of the watch and of operators.
+func TestAMemberNeedsMoreDescriptors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "on.toml")
 	if err := os.WriteFile(path, []byte("[members]\ncluster = \"c\"\nlisten = \"127.0.0.1:7\"\n[copies]\nkeepers = [\"a\", \"b\", \"c\"]\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/woaddyke/golden_test.go
+++ b/cmd/woaddyke/golden_test.go
@@ -19,24 +19,25 @@
 	"woaddyke/internal/testsupport/helptext"
 )
 
-// Guards the JSON keys that tools of the staff read at /api/staff.
-func TestStaffCallKeepsItsForm(t *testing.T) {
+// Guards the JSON keys that tools of operators read at /api/staff.
+func TestOperatorStateKeysAreStable(t *testing.T) {
 	filled.CompareJSON(t, "testdata/staff.json.golden", filled.Value[operatorStatus](t))
 }
 
-// Guards the JSON keys that tools of the staff read at /api/copies/records.
-func TestRecordsCallKeepsItsForm(t *testing.T) {
+// Guards the JSON keys that tools of operators read at /api/copies/records.
+func TestRecordsPageKeysAreStable(t *testing.T) {
 	filled.CompareJSON(t, "testdata/records.json.golden", filled.Value[recordsPage](t))
 }
 
-// Guards the JSON keys that tools of the staff read after a change of keepers at /api/copies/keepers.
-func TestKeepersCallKeepsItsForm(t *testing.T) {
+// Guards the JSON keys that tools of operators read at /api/copies/keepers after a change of the replica
+// set.
+func TestChangeResultKeysAreStable(t *testing.T) {
 	filled.CompareJSON(t, "testdata/keepers.json.golden", filled.Value[changeResult](t))
 }
 
-// Guards that the members command reads each key it prints from what a scheduler of another build shows at /api/members, and the
-// text that it prints.
-func TestMembersCommandReadsWhatIsShown(t *testing.T) {
+// Guards that the members command reads each key it prints from the answer of /api/members of another
+// build, and the text that it prints.
+func TestMembersCommandReadsEveryKeyItPrints(t *testing.T) {
 	text, err := os.ReadFile("../../internal/cluster/mesh/testdata/shown.json.golden")
 	if err != nil {
 		t.Fatal(err)
@@ -51,8 +52,8 @@
 	golden.Compare(t, "testdata/members.txt.golden", printed.Bytes())
 }
 
-// Guards the methods and paths of the calls that tools of the staff make where members and copies are switched on.
-func TestCallsKeepTheirPaths(t *testing.T) {
+// Guards the paths of the console calls for members and copies, and whether a call changes state.
+func TestConsolePathsAreStable(t *testing.T) {
 	p := &process{mesh: &mesh.Mesh{}, replica: &replica.Replica{}}
 	var list bytes.Buffer
 	for _, c := range p.consoleCalls() {
@@ -61,18 +62,19 @@
 	golden.Compare(t, "testdata/calls.txt.golden", list.Bytes())
 }
 
-// Guards the help of each command: the names, flags, defaults and words that operators and their scripts rely on.
-func TestHelpKeepsItsForm(t *testing.T) {
+// Guards the help of each command: the names, flags, defaults and texts that operators and their scripts
+// rely on.
+func TestHelpTextIsStable(t *testing.T) {
 	t.Setenv("RELAY_CONFIG", "")
 	t.Setenv("RELAY_CONSOLE", "")
 	golden.Compare(t, "testdata/help.txt.golden", helptext.All(t, command))
 }
 
-// runToEnd runs the program as a process and tells its exit code and what it printed.
+// runToEnd runs the program as a process, and returns its exit code and output.
 func runToEnd(t *testing.T, args ...string) []byte {
 	t.Helper()
 	var out, errs bytes.Buffer
-	c := thisProgram(args...)
+	c := testCommand(args...)
 	c.Stdout, c.Stderr = &out, &errs
 	var exit *exec.ExitError
 	if err := c.Run(); err != nil && !errors.As(err, &exit) {
@@ -81,23 +83,24 @@
 	return fmt.Appendf(nil, "exit code %d\nstdout: %q\nstderr: %q\n", c.ProcessState.ExitCode(), out.Bytes(), errs.Bytes())
 }
 
-// Guards the verdict of the check command on the example files, and its exit code, which scripts of operators read.
-func TestCheckKeepsItsVerdict(t *testing.T) {
+// Guards the output and the exit code of the check command for the example files. Scripts of operators read
+// them.
+func TestCheckOutputIsStable(t *testing.T) {
 	got := runToEnd(t, "check", "../../examples/config.json", "--operator", "../../deploy/operator.toml")
 	golden.Compare(t, "testdata/check.txt.golden", got)
 }
 
-// Guards the error text and the exit code of the check command for a key that nobody knows in the operator's file.
-func TestCheckKeepsItsErrorForAnUnknownKey(t *testing.T) {
+// Guards the error text and the exit code of the check command for an unknown key in the features file.
+func TestCheckErrorForAnUnknownKeyIsStable(t *testing.T) {
 	got := runToEnd(t, "check", "../../examples/config.json", "--operator", "testdata/unknown_key.toml")
 	golden.Compare(t, "testdata/check_unknown_key.txt.golden", got)
 }
 
-// Guards the names of the operator's tables, each with every key set to a value that is fit and is not its default.
-func TestOffersKeepTheirKeys(t *testing.T) {
-	sheet := &config.Bootstrap{Name: "n1", RawSettings: map[string]any{"bounds": map[string]any{"peerMessages": true}}, Settings: map[string]any{},
+// Guards the keys of the features file. Each key is set to a valid value that is not its default.
+func TestFeaturesFileKeysAreStable(t *testing.T) {
+	bootstrap := &config.Bootstrap{Name: "n1", RawSettings: map[string]any{"bounds": map[string]any{"peerMessages": true}}, Settings: map[string]any{},
 		Limits: config.Limits{Sockets: 1024}}
-	read, err := readFeatures("testdata/operator.toml", sheet)
+	read, err := readFeatures("testdata/operator.toml", bootstrap)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/woaddyke/gone_test.go
+++ b/cmd/woaddyke/gone_test.go
@@ -17,67 +17,69 @@
 	"golang.org/x/sys/unix"
 )
 
-// slow is a stand-in worker that answers probes only when let, and keeps the ids of the ops that came.
-type slow struct {
-	mu     sync.Mutex
-	probes int // that wait for their answer
-	let    chan bool
-	came   []string
+// slowWorker answers probes only after release is closed, and records the ids of the ops that it receives.
+type slowWorker struct {
+	mu       sync.Mutex
+	probes   int // pending probes
+	release  chan bool
+	received []string
 }
 
-func (s *slow) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *slowWorker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodGet {
-		s.count(1)
-		defer s.count(-1)
+		s.addProbes(1)
+		defer s.addProbes(-1)
 		select {
-		case <-s.let:
+		case <-s.release:
 		case <-r.Context().Done():
 		}
 		fmt.Fprintln(w, `{"waiting":0,"running":0}`)
-		w.(http.Flusher).Flush() // it lies before the process once this one is counted off
+		w.(http.Flusher).Flush() // the answer is in the socket before the probe counts as done
 		return
 	}
 	io.Copy(io.Discard, r.Body)
 	id := r.Header.Get("X-Correlation-Id")
 	s.mu.Lock()
-	s.came = append(s.came, id)
+	s.received = append(s.received, id)
 	s.mu.Unlock()
 	fmt.Fprintf(w, `{"id":%q,"state":"done","result":"x"}`+"\n", id)
 }
 
-func (s *slow) count(n int) {
+func (s *slowWorker) addProbes(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.probes += n
 }
 
-func (s *slow) waiting() int {
+func (s *slowWorker) pendingProbes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.probes
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func awaitCondition(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: never", what)
+			t.Fatalf("%s: timed out", what)
 		}
 	}
 }
 
-// halt stops a process as a machine does that has no time for it, and returns once it stands.
-func halt(t *testing.T, p started) {
+// suspend stops a process with SIGSTOP, as a machine without processor time does, and returns when the
+// process is stopped.
+func suspend(t *testing.T, p testProcess) {
 	t.Helper()
 	p.cmd.Process.Signal(syscall.SIGSTOP)
-	until(t, "it stands", func() bool {
+	awaitCondition(t, "the process is stopped", func() bool {
 		b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 		return err == nil && bytes.HasPrefix(b[bytes.LastIndexByte(b, ')')+1:], []byte(" T"))
 	})
 }
 
-// leave has clients end their sending, waits until the other machine has said of each that it knows, and closes.
-func leave(t *testing.T, clients []net.Conn) {
+// disconnect shuts down the sending side of the clients, waits until the kernel of the server has
+// acknowledged each shutdown, and closes the connections.
+func disconnect(t *testing.T, clients []net.Conn) {
 	t.Helper()
 	for _, c := range clients {
 		if err := c.(*net.TCPConn).CloseWrite(); err != nil {
@@ -89,7 +91,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		until(t, "the machine knows", func() bool {
+		awaitCondition(t, "the shutdown is acknowledged", func() bool {
 			known := false
 			raw.Control(func(fd uintptr) {
 				info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
@@ -112,46 +114,47 @@
 	return c
 }
 
-// A process that the machine gives no time for a while: the answers to its probes come, its clients leave, others come with whole
-// requests and leave before they are accepted, and a client stays. When it runs on, all of that is there at once, on one core. No op of
-// one who left is sent on; nor is it by the process that takes its place, whose clients came to the same socket.
-func TestAProcessThatStoodSendsNothingOnForThoseWhoLeft(t *testing.T) {
+// A process is stopped for a while. Meanwhile the answers to its probes arrive, its clients disconnect,
+// further clients send complete requests and disconnect before they are accepted, and one client stays.
+// When the process resumes, all of this is pending at the same time, on one core. Neither the process nor a
+// successor, whose clients use the same socket, may push an op of a client that has disconnected.
+func TestAStoppedProcessPushesNoAbandonedOp(t *testing.T) {
 	const held, unread = 300, 100
 	settings := map[string]any{
 		"bounds":     map[string]any{"maxPushes": 3, "probes": true, "cancel": false, "connectTimeoutNs": 60e9},
 		"report":     map[string]any{"fields": []string{"waiting", "running"}, "how": "on_probe"},
 		"categories": []any{map[string]any{"name": "pay", "effect": "fragile", "ttlNs": 300e9, "targetLatencyNs": 240e9}}}
-	for _, heirs := range []int{0, 1} {
-		t.Run(fmt.Sprint("heirs ", heirs), func(t *testing.T) {
+	for _, successors := range []int{0, 1} {
+		t.Run(fmt.Sprint("successors ", successors), func(t *testing.T) {
 			t.Parallel()
-			s := &slow{let: make(chan bool)}
+			s := &slowWorker{release: make(chan bool)}
 			worker := httptest.NewServer(s)
 			t.Cleanup(func() {
 				worker.CloseClientConnections()
 				worker.Close()
 			})
-			discovery := discoveryOf(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
+			discovery := startDiscovery(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
 				worker.Listener.Addr()))
 			dir, listen := t.TempDir(), freeAddr(t)
-			all := []started{startProcessOf(t, dir, listen, discovery, 0, 4096, settings)}
+			all := []testProcess{startProcessWith(t, dir, listen, discovery, 0, 4096, settings)}
 			var clients []net.Conn
 			for k := range held {
 				clients = append(clients, sendOp(t, listen, fmt.Sprint("held", k), "Content-Length: 0\r\n\r\n"))
 			}
-			until(t, "all wait for their probes", func() bool { return s.waiting() == held })
-			for range heirs {
-				all = append(all, startProcessOf(t, dir, listen, discovery, 1, 4096, settings))
+			awaitCondition(t, "all ops wait for their probes", func() bool { return s.pendingProbes() == held })
+			for range successors {
+				all = append(all, startProcessWith(t, dir, listen, discovery, 1, 4096, settings))
 			}
 			for _, p := range all {
-				halt(t, p)
+				suspend(t, p)
 			}
-			close(s.let)
-			until(t, "the answers are there", func() bool { return s.waiting() == 0 })
+			close(s.release)
+			awaitCondition(t, "the probes are answered", func() bool { return s.pendingProbes() == 0 })
 			for k := range unread {
 				clients = append(clients, sendOp(t, listen, fmt.Sprint("unread", k),
 					[]string{"Content-Length: 0\r\n\r\n", "Content-Length: 3\r\n\r\nabc"}[k%2]))
 			}
-			leave(t, clients)
+			disconnect(t, clients)
 			answered := make(chan error, 1)
 			go func() {
 				r, err := http.NewRequest(http.MethodPost, "http://"+listen, nil)
@@ -164,7 +167,7 @@
 				}
 				answered <- err
 			}()
-			if heirs > 0 {
+			if successors > 0 {
 				all[0].cmd.Process.Signal(syscall.SIGTERM)
 			}
 			for _, p := range all {
@@ -173,7 +176,7 @@
 			if err := <-answered; err != nil {
 				t.Errorf("the op of a client that stays: %v", err)
 			}
-			for _, p := range all { // what was taken is at its end with the process
+			for _, p := range all { // a process ends after all its ops
 				p.cmd.Process.Signal(syscall.SIGTERM)
 				if err := p.cmd.Wait(); err != nil {
 					t.Errorf("%v: %s", err, p.log)
@@ -181,8 +184,8 @@
 			}
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if got := strings.Join(s.came, " "); got != "stays" {
-				t.Errorf("sent on: %s", got)
+			if got := strings.Join(s.received, " "); got != "stays" {
+				t.Errorf("pushed: %s", got)
 			}
 		})
 	}
--- a/cmd/woaddyke/hot_restart.go
+++ b/cmd/woaddyke/hot_restart.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// joinTimeout is for a predecessor to become a member, so that it can hand that over.
+	// joinTimeout is the time for a predecessor to become a member, so that it can hand over its membership.
 	joinTimeout = 5 * time.Second
-	// receiveInterval is between two requests for a handover.
+	// receiveInterval is the time between two requests for a handover.
 	receiveInterval = 100 * time.Millisecond
 )
 
-// Positions of the sockets in a handover. Those of the mesh come last.
+// Positions of the sockets in a handover. The sockets of the mesh come last.
 const (
 	clientSocket = iota
 	peerSocket
 )
 
-// requestHandover returns a predecessor's handover, nil without one. refused tells whether there is a
-// process that hands nothing over to this one.
+// requestHandover returns the handover of a predecessor, or nil without a predecessor. refused reports
+// whether another process runs there and refused to hand over its state.
 func (p *process) requestHandover() (handover *transfer.Handover, refused bool, err error) {
 	if p.bootstrap.Console == "" {
 		return nil, false, nil
@@ -43,9 +43,9 @@
 	return handover, errors.Is(err, transfer.ErrRefused), nil
 }
 
-// receiveHandover returns a predecessor's handover. Where this process is to be a member, a predecessor
-// that is none yet, or does not serve successors for a moment, is asked again: its address as a member
-// can be had from it alone, and without that this process can't start.
+// receiveHandover returns the handover of a predecessor. If this process is to be a member, it repeats the
+// request while the predecessor is not a member yet or does not serve successors for a moment: only the
+// predecessor can hand over its member address, and this process can't start without that address.
 func (p *process) receiveHandover(request []byte) (*transfer.Handover, error) {
 	path := p.handoverPath()
 	found := false
@@ -59,7 +59,7 @@
 		}
 		found = true
 		if err != nil {
-			continue // the predecessor is about to serve again
+			continue // the predecessor serves successors again soon
 		}
 		state, err := hotrestart.DecodeState(handover.State)
 		if err != nil || len(state.Membership) > 0 {
@@ -69,7 +69,7 @@
 	}
 }
 
-// restore creates the server from a handover, and returns its listening socket.
+// restore creates the server from a handover, and returns the listening socket of the predecessor.
 func (p *process) restore(handover *transfer.Handover) (listener net.Listener, err error) {
 	state, err := hotrestart.DecodeState(handover.State)
 	if err != nil {
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	if err := p.restoreServer(handover, state, listener); err != nil {
-		listener.Close() // open and unread, it would go on being dealt clients
+		listener.Close() // the kernel would still assign clients to an open listener
 		return nil, err
 	}
 	p.setMemoryLimit(2)
@@ -117,7 +117,7 @@
 		return err
 	}
 	for _, f := range handover.Files {
-		f.Close() // what is used of them was duplicated
+		f.Close() // the sockets in use are duplicates
 	}
 	p.server.RestoreState(state, peers)
 	return nil
@@ -125,7 +125,7 @@
 
 func restoreListener(handover *transfer.Handover) (net.Listener, error) {
 	if len(handover.Files) == 0 {
-		return nil, errors.New("handover: no socket came")
+		return nil, errors.New("handover: no socket received")
 	}
 	listener, err := oserror.RetryTransient(func() (net.Listener, error) {
 		return net.FileListener(handover.Files[clientSocket])
@@ -136,7 +136,7 @@
 	return listener, nil
 }
 
-// checkPort checks that a predecessor's socket has the configured port. Port 0 is any.
+// checkPort checks that the predecessor's socket has the configured port. Port 0 allows any port.
 func (p *process) checkPort(listener net.Listener) error {
 	_, want, err := net.SplitHostPort(p.bootstrap.Listen)
 	if err != nil {
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// restorePeerSocket returns the predecessor's socket for peer reports; nil where reports don't come by
-// that way.
+// restorePeerSocket returns the predecessor's socket for peer reports. It returns nil if peer reports are
+// disabled or sent through the mesh.
 func (p *process) restorePeerSocket(
 	handover *transfer.Handover,
 	state hotrestart.State,
@@ -168,7 +168,7 @@
 	return peers, nil
 }
 
-// offerHandover serves successors, once this process serves clients.
+// offerHandover serves successors as soon as this process serves clients.
 func (p *process) offerHandover() {
 	<-p.server.Ready()
 	p.mu.Lock()
@@ -186,8 +186,8 @@
 	return transfer.SocketPath(p.bootstrap.Listen, p.bootstrap.Name)
 }
 
-// handoverRequest says which scheduler this process is, to its predecessor and in comparison with a
-// successor.
+// handoverRequest describes the scheduler of this process. The process sends it to its predecessor, and
+// compares the request of a successor with it.
 func (p *process) handoverRequest() hotrestart.Request {
 	request := hotrestart.Request{
 		Name:      p.bootstrap.Name,
@@ -202,7 +202,7 @@
 	return request
 }
 
-// HandOver answers a successor's request for what this process hands over.
+// HandOver answers a successor's request with the state and the sockets of this process.
 func (p *process) HandOver(message []byte) ([]byte, []syscall.Conn, error) {
 	request, err := hotrestart.DecodeRequest(message)
 	if err != nil {
@@ -214,8 +214,10 @@
 	return p.server.HandOver(p.handOverMembership)
 }
 
-// SetSuccessor shares what only one process may use. A successor that was ready has served at this
-// process's path; after its end the next one would find nobody there.
+// SetSuccessor adapts this process to the start or the end of a successor: the processes share the memory
+// limit, and the mesh and the replica resume when the successor ends. A ready successor replaces the
+// handover socket at the path of this process, so the socket is opened again after the end of the
+// successor: the next successor would find no process there.
 func (p *process) SetSuccessor(present bool) {
 	p.server.SetSuccessor(present)
 	if present {
--- a/cmd/woaddyke/largebehind_test.go
+++ b/cmd/woaddyke/largebehind_test.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// A client sends an op, more than its connection's window behind it, and leaves. Its end does not reach this machine before something is read:
-// its op is not called off.
+// A client sends an op and then more data than the window of its connection, and disconnects. The op must
+// be cancelled, although the end of the connection does not arrive until some data is read.
 func TestAClientThatLeavesBehindALargeRequestIsSeen(t *testing.T) {
-	worker, discovery := newToldWorker(t)
+	worker, discovery := newRecordingWorker(t)
 	listen := freeAddr(t)
 	p := startProcess(t, t.TempDir(), listen, discovery, 0)
 	c := dial(t, listen)
-	fmt.Fprint(c, piped("held", ""))
-	<-worker.began
+	fmt.Fprint(c, pipelinedOp("held", ""))
+	<-worker.started
 	go func() {
-		fmt.Fprint(c, strings.Replace(piped("large", ""), "Content-Length: 0", "Content-Length: 8000000", 1)+strings.Repeat("x", 8_000_000))
+		fmt.Fprint(c, strings.Replace(pipelinedOp("large", ""), "Content-Length: 0", "Content-Length: 8000000", 1)+strings.Repeat("x", 8_000_000))
 	}()
-	time.Sleep(300 * time.Millisecond) // the client's: as much is written as its window takes
+	time.Sleep(300 * time.Millisecond) // the client fills the window
 	c.Close()
 	select {
 	case <-worker.cancelled:
 	case <-time.After(3 * time.Second):
-		t.Errorf("its op is not called off: %s", p.log)
+		t.Errorf("the op is not cancelled: %s", p.log)
 		close(worker.release)
 	}
 }
--- a/cmd/woaddyke/lastread_test.go
+++ b/cmd/woaddyke/lastread_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// logLine is one line of a process's log, as far as the tests of its end read it.
+// logLine is one log line, with the fields that these tests read.
 type logLine struct {
 	Message    string            `json:"message"`
 	Rule       string            `json:"rule"`
@@ -32,7 +32,8 @@
 	return all
 }
 
-// requireCleanEnd fails the test unless a process's last counts are all 0, and nothing is logged that they don't have.
+// requireCleanEnd fails the test unless the last log line counts no violations, no violation is logged, and
+// no connection was left open.
 func requireCleanEnd(t *testing.T, log string) {
 	t.Helper()
 	violated, stopped := 0, false
@@ -56,8 +57,9 @@
 	}
 }
 
-// pipelinesOn sends ops behind one another on a connection, so many unanswered at any time, until it ends. It returns how many were answered.
-func pipelinesOn(t *testing.T, listen, name string, unanswered int) (answered int) {
+// pipelineOps pipelines ops on a connection, with a fixed number of unanswered ops, until the connection
+// ends. It returns the number of answers.
+func pipelineOps(t *testing.T, listen, name string, unanswered int) (answered int) {
 	c, err := net.Dial("tcp", listen)
 	if err != nil {
 		t.Error(err)
@@ -67,7 +69,7 @@
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	answers := bufio.NewReader(c)
 	for k := range unanswered {
-		fmt.Fprint(c, piped(fmt.Sprint(name, "-", k), ""))
+		fmt.Fprint(c, pipelinedOp(fmt.Sprint(name, "-", k), ""))
 	}
 	for k := unanswered; ; k++ {
 		resp, err := http.ReadResponse(answers, nil)
@@ -76,13 +78,14 @@
 		}
 		io.Copy(io.Discard, resp.Body)
 		answered++
-		fmt.Fprint(c, piped(fmt.Sprint(name, "-", k), ""))
+		fmt.Fprint(c, pipelinedOp(fmt.Sprint(name, "-", k), ""))
 	}
 }
 
-// A process is told to end while clients go on with their open connections, always with something behind what is served. Each request that
-// it reads has its answer, and it ends by itself before it may be killed. It read on to the last moment and closed over what it had read.
-func TestClientsThatPipelineToTheEndHaveTheirAnswers(t *testing.T) {
+// A process gets SIGTERM while clients go on pipelining on their open connections. It must answer each
+// request that it reads, and end by itself before it may be killed. It once read requests until its last
+// moment and closed the connections with unanswered ones.
+func TestPipelinedOpsAreAnsweredDuringADrain(t *testing.T) {
 	t.Parallel()
 	const ttl, killAfter, clients, unanswered = time.Second, 700 * time.Millisecond, 16, 8
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -99,27 +102,27 @@
 	for _, successor := range []bool{false, true} {
 		t.Run(fmt.Sprint("successor ", successor), func(t *testing.T) {
 			t.Parallel()
-			discovery, listen, dir := discoveryOf(t, list), freeAddr(t), socketFolder(t)
-			p := startProcessOf(t, dir, listen, discovery, 0, 256, paySettings(ttl))
+			discovery, listen, dir := startDiscovery(t, list), freeAddr(t), shortTempDir(t)
+			p := startProcessWith(t, dir, listen, discovery, 0, 256, paySettings(ttl))
 			var all sync.WaitGroup
 			for k := range clients {
 				all.Go(func() {
-					if n := pipelinesOn(t, listen, fmt.Sprint("c", k), unanswered); n == 0 {
+					if n := pipelineOps(t, listen, fmt.Sprint("c", k), unanswered); n == 0 {
 						t.Errorf("client %d had no answer", k)
 					}
 				})
 			}
-			time.Sleep(300 * time.Millisecond) // the clients': they are under way
+			time.Sleep(300 * time.Millisecond) // for the clients to be pipelining
 			if successor {
-				startProcessOf(t, dir, listen, discovery, 1, 256, paySettings(ttl))
+				startProcessWith(t, dir, listen, discovery, 1, 256, paySettings(ttl))
 			}
-			told := time.Now()
+			stopped := time.Now()
 			p.cmd.Process.Signal(syscall.SIGTERM)
 			if err := p.cmd.Wait(); err != nil {
 				t.Error(err)
 			}
-			if took := time.Since(told); took > ttl+killAfter {
-				t.Errorf("it ended after %v", took)
+			if took := time.Since(stopped); took > ttl+killAfter {
+				t.Errorf("the process ended after %v", took)
 			}
 			all.Wait()
 			requireCleanEnd(t, p.log.String())
@@ -127,15 +130,16 @@
 	}
 }
 
-// A request whose body does not come whole is answered before its process ends, and its client may try again. It was closed with no answer.
-func TestAHalfBodyIsAnsweredAtTheEnd(t *testing.T) {
+// A request with an incomplete body must get an answer that allows a retry before its process ends. The
+// connection was once closed without an answer.
+func TestAnIncompleteBodyIsAnsweredAtTheEnd(t *testing.T) {
 	t.Parallel()
-	discovery := discoveryOf(t, `{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":"127.0.0.1:1","state":"SERVING"}]}`)
+	discovery := startDiscovery(t, `{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":"127.0.0.1:1","state":"SERVING"}]}`)
 	listen := freeAddr(t)
 	const ttl = time.Second
-	p := startProcessOf(t, socketFolder(t), listen, discovery, 0, 256, paySettings(ttl))
+	p := startProcessWith(t, shortTempDir(t), listen, discovery, 0, 256, paySettings(ttl))
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	time.Sleep(ttl * 7 / 10) // the client's: it comes late, and the end comes before the time for its body is over
+	time.Sleep(ttl * 7 / 10) // the client connects late: the process ends before the timeout for the body
 	c := dial(t, listen)
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	fmt.Fprint(c, "POST / HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: a\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 1000\r\nContent-Length: 9\r\n\r\nhalf")
--- a/cmd/woaddyke/logs_test.go
+++ b/cmd/woaddyke/logs_test.go
@@ -13,21 +13,22 @@
 	"time"
 )
 
-// logging starts a process at the level of most lines, whose standard error is as the test wants it.
-func logging(t *testing.T, stderr func(*exec.Cmd)) (p started, listen string) {
+// startLogging starts a process with the log level debug. stderr sets its standard error.
+func startLogging(t *testing.T, stderr func(*exec.Cmd)) (p testProcess, listen string) {
 	t.Helper()
-	runs := &record{runs: map[string]int{}}
-	discovery, listen := standIns(t, runs)
+	runs := &runCounter{runs: map[string]int{}}
+	discovery, listen := startWorkers(t, runs)
 	return startProgram(t, t.TempDir(), listen, discovery, 0, 256, paySettings(5*time.Second),
-		func(args ...string) *exec.Cmd { return thisProgram(append(args, "--log", "debug")...) },
+		func(args ...string) *exec.Cmd { return testCommand(append(args, "--log", "debug")...) },
 		func(cmd *exec.Cmd) error {
 			stderr(cmd)
 			return cmd.Start()
 		}), listen
 }
 
-// served counts how many of so many ops are, and tells what became of the first that was not.
-func served(listen, name string, ops int) (served int64, other string) {
+// postOps sends ops from ten clients. It returns the number of served ops, and the result of the first op
+// that was not served.
+func postOps(listen, name string, ops int) (served int64, other string) {
 	var n atomic.Int64
 	var once sync.Once
 	var clients sync.WaitGroup
@@ -38,7 +39,7 @@
 				status, err := postOp(listen, fmt.Sprint(name, c, "-", k), 4*time.Second)
 				if err != nil || status != http.StatusOK {
 					once.Do(func() { other = fmt.Sprintf("%d %v after %v", status, err, time.Since(began)) })
-					return // the process stands: the others would only wait as long
+					return // the process hangs: further ops would time out as well
 				}
 				n.Add(1)
 			}
@@ -48,8 +49,8 @@
 	return n.Load(), other
 }
 
-// pipe is one whose ends the test holds.
-func pipe(t *testing.T) (r, w *os.File) {
+// newPipe returns a pipe and closes both ends after the test.
+func newPipe(t *testing.T) (r, w *os.File) {
 	t.Helper()
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -59,25 +60,25 @@
 	return r, w
 }
 
-// Whoever read the log decided whether ops were served: with a reader that had stopped, 63 of 300 were answered and then none; when it
-// left, the next line killed the process with all that it held.
-func TestWhoeverReadsTheLogDecidesNothing(t *testing.T) {
+// The reader of the log must not affect ops. When a reader stopped, 63 of 300 ops were answered and then
+// none; when a reader closed its end, the next log line killed the process with all its ops.
+func TestAStalledLogReaderDoesNotStopOps(t *testing.T) {
 	t.Parallel()
 	const ops = 300
-	t.Run("lines that were dropped are counted", linesThatWereDropped)
+	t.Run("lines that were dropped are counted", droppedLinesAreCounted)
 	for name, stderr := range map[string]func(t *testing.T, cmd *exec.Cmd) (later func()){
 		"a reader that stops": func(t *testing.T, cmd *exec.Cmd) func() {
-			_, w := pipe(t)
+			_, w := newPipe(t)
 			cmd.Stderr = w
 			return func() {}
 		},
 		"a reader that stops and leaves": func(t *testing.T, cmd *exec.Cmd) func() {
-			r, w := pipe(t)
+			r, w := newPipe(t)
 			cmd.Stderr = w
 			return func() { r.Close(); w.Close() }
 		},
 		"a reader that has left": func(t *testing.T, cmd *exec.Cmd) func() {
-			r, w := pipe(t)
+			r, w := newPipe(t)
 			cmd.Stderr = w
 			r.Close()
 			return func() {}
@@ -100,68 +101,69 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var later func()
-			p, listen := logging(t, func(cmd *exec.Cmd) { later = stderr(t, cmd) })
-			if n, other := served(listen, "a", ops); n != ops {
+			p, listen := startLogging(t, func(cmd *exec.Cmd) { later = stderr(t, cmd) })
+			if n, other := postOps(listen, "a", ops); n != ops {
 				t.Errorf("%d of %d ops were served, one %s", n, ops, other)
 			}
 			later()
-			if n, other := served(listen, "b", ops); n != ops {
+			if n, other := postOps(listen, "b", ops); n != ops {
 				t.Errorf("then %d of %d, one %s", n, ops, other)
 			}
 			began := time.Now()
 			p.cmd.Process.Signal(syscall.SIGTERM)
-			if err := endOf(p.cmd); err != nil {
-				t.Errorf("its end: %v", err)
+			if err := waitOrKill(p.cmd); err != nil {
+				t.Errorf("the end of the process: %v", err)
 			}
 			if took := time.Since(began); took > 5*time.Second {
-				t.Errorf("it took %v to end", took)
+				t.Errorf("the process took %v to end", took)
 			}
 		})
 	}
 }
 
-// endOf waits for a process's end, and ends it where it does not.
-func endOf(cmd *exec.Cmd) error {
+// waitOrKill waits for the end of a process, and kills it after 15 s.
+func waitOrKill(cmd *exec.Cmd) error {
 	defer time.AfterFunc(15*time.Second, func() { cmd.Process.Kill() }).Stop()
 	return cmd.Wait()
 }
 
-// linesThatWereDropped are counted: a reader that keeps up gets each line, the last ones too, and one that was slow for a while is told how many it missed.
-func linesThatWereDropped(t *testing.T) {
+// droppedLinesAreCounted checks that a reader that keeps up gets each line, including the last ones, and
+// that a slow reader gets the number of dropped lines.
+func droppedLinesAreCounted(t *testing.T) {
 	t.Parallel()
-	r, w := pipe(t)
-	p, listen := logging(t, func(cmd *exec.Cmd) { cmd.Stderr = w })
+	r, w := newPipe(t)
+	p, listen := startLogging(t, func(cmd *exec.Cmd) { cmd.Stderr = w })
 	w.Close()
-	if n, other := served(listen, "a", 3000); n != 3000 {
+	if n, other := postOps(listen, "a", 3000); n != 3000 {
 		t.Errorf("%d of 3000 ops were served, one %s", n, other)
 	}
 	text := make(chan string, 1)
 	go func() {
 		var all strings.Builder
-		room := make([]byte, 1<<16)
+		buffer := make([]byte, 1<<16)
 		for {
-			n, err := r.Read(room)
-			if all.Write(room[:n]); err != nil {
+			n, err := r.Read(buffer)
+			if all.Write(buffer[:n]); err != nil {
 				text <- all.String()
 				return
 			}
 		}
 	}()
-	served(listen, "b", 10)
+	postOps(listen, "b", 10)
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	if err := endOf(p.cmd); err != nil {
+	if err := waitOrKill(p.cmd); err != nil {
 		t.Error(err)
 	}
 	got := <-text
 	if !strings.Contains(got, `"message":"lines of the log were dropped"`) {
-		t.Error("nothing tells of lines that were dropped")
+		t.Error("no line reports dropped lines")
 	}
 	if !strings.Contains(got, `"message":"stopped"`) {
-		t.Errorf("the last line is not there, of %d bytes", len(got))
+		t.Errorf("the last line is missing, %d bytes were read", len(got))
 	}
 	for _, line := range strings.Split(strings.TrimSpace(got), "\n") {
 		if !strings.HasPrefix(line, "{") || !strings.HasSuffix(line, "}") {
-			t.Errorf("half a line: %q", line)
+			t.Errorf("incomplete line: %q", line)
 		}
 	}
 }
--- a/cmd/woaddyke/main.go
+++ b/cmd/woaddyke/main.go
@@ -15,7 +15,7 @@
 	"woaddyke/internal/frontend"
 )
 
-// reportTimeout is for an error to be written before the process ends.
+// reportTimeout is the time to write an error before the process ends.
 const reportTimeout = time.Second
 
 func main() {
@@ -25,7 +25,8 @@
 	}
 }
 
-// reportError writes why the command failed. It gives up on a reader that does not read.
+// reportError writes why the command failed. It stops waiting after reportTimeout if nothing reads standard
+// error.
 func reportError(err error) {
 	written := make(chan struct{})
 	go func() {
@@ -63,7 +64,7 @@
 	return c
 }
 
-// checkConfiguration does all that serve does with the files before it opens anything.
+// checkConfiguration reads and checks the files as serve does before it opens any socket.
 func checkConfiguration(out io.Writer, path, featuresPath string) error {
 	bootstrap, err := config.ReadBootstrap(path)
 	if err != nil {
--- a/cmd/woaddyke/main_test.go
+++ b/cmd/woaddyke/main_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// SIGHUP ended the process with all it held, and the list went on coming from an address that had closed.
-func TestSIGHUPMovesTheWatchAndEndsNothing(t *testing.T) {
+// SIGHUP must not end the process, and the watch must move to the new address of discovery. SIGHUP once
+// ended the process with all its ops, and the list was still read from the former address.
+func TestSIGHUPMovesTheWatchAndServesOn(t *testing.T) {
 	calls := make(chan string, 9)
 	discovery := func(name string) string {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,14 +30,14 @@
 		return l.Addr().String()
 	}
 	path := filepath.Join(t.TempDir(), "sheet")
-	sheet := func(discovery string) {
+	writeConfig := func(discovery string) {
 		text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":%q,"seed":"1","settings":{"discovery":"pushed",`+
 			`"categories":[{"ttlNs":3e8}]}}`, discovery)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	heard := func(want string) {
+	requireWatch := func(want string) {
 		t.Helper()
 		select {
 		case got := <-calls:
@@ -47,18 +48,18 @@
 			t.Fatalf("%s was not called", want)
 		}
 	}
-	sheet(discovery("first"))
+	writeConfig(discovery("first"))
 	c := command()
 	c.SetArgs([]string{"serve", "--config", path, "--log", "fatal"})
 	ended := make(chan error, 1)
 	go func() { ended <- c.Execute() }()
-	heard("first")
+	requireWatch("first")
 	os.WriteFile(path, []byte("{"), 0o600)
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	time.Sleep(50 * time.Millisecond) // a broken file must change nothing
-	sheet(discovery("second"))
+	time.Sleep(50 * time.Millisecond) // an invalid file must change nothing
+	writeConfig(discovery("second"))
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	heard("second")
+	requireWatch("second")
 	if len(ended) > 0 {
 		t.Fatal(<-ended)
 	}
--- a/cmd/woaddyke/members_command.go
+++ b/cmd/woaddyke/members_command.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 )
 
-// membersView is what the console shows of the members, as far as it is printed.
+// membersView holds the part of the answer of /api/members that is printed.
 type membersView struct {
 	Self struct {
 		Name        string
@@ -30,7 +30,7 @@
 	Members []memberView
 }
 
-// memberView is one member.
+// memberView holds the printed values of one member.
 type memberView struct {
 	Name        string
 	Address     string
--- a/cmd/woaddyke/members_test.go
+++ b/cmd/woaddyke/members_test.go
@@ -16,20 +16,21 @@
 	"woaddyke/internal/lab/several"
 )
 
-// thisProgram is the command itself, as a process of its own.
-func thisProgram(args ...string) *exec.Cmd {
+// testCommand returns this command, to run as a process.
+func testCommand(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "WOADDYKE_TEST_SERVES=1")
 	return cmd
 }
 
-const noWorkers = `{"rev":1,"all":true,"targets":[]}`
+const noEndpoints = `{"rev":1,"all":true,"targets":[]}`
 
-// quick are shorter spans than an operator would set, so that ends are found in a second.
-const quick = "probe = \"50ms\"\ndoubt = \"600ms\"\nlongest_doubt = \"1s\"\nseek = \"200ms\"\nexchange = \"1s\"\n"
+// fastMembers holds shorter intervals than an operator would set, so that dead members are detected within
+// a second.
+const fastMembers = "probe = \"50ms\"\ndoubt = \"600ms\"\nlongest_doubt = \"1s\"\nseek = \"200ms\"\nexchange = \"1s\"\n"
 
-func cluster(t *testing.T, n int) *several.Cluster {
-	c := several.New(t, n, quick, noWorkers, thisProgram)
+func startMembers(t *testing.T, n int) *several.Cluster {
+	c := several.New(t, n, fastMembers, noEndpoints, testCommand)
 	for _, p := range c.Places {
 		c.Start(p)
 	}
@@ -37,14 +38,15 @@
 	return c
 }
 
-// A scheduler that died was nobody's business: now all others know, and know that the next process of its name is another one.
-func TestAKilledProcessIsGoneAndComesBackAsAnother(t *testing.T) {
+// All members must learn that a scheduler has died, and that the next process of the same name has another
+// incarnation.
+func TestAKilledMemberReturnsAsANewIncarnation(t *testing.T) {
 	t.Parallel()
-	c := cluster(t, 4)
+	c := startMembers(t, 4)
 	p := c.Places[3]
 	p.Kill()
 	c.AwaitState("n4", "gone", c.Places[:3]...)
-	c.Await("the figures tell", func() bool {
+	c.Await("the metrics count the dead member", func() bool {
 		var f struct {
 			Members struct{ Here, Gone, Reachable int }
 		}
@@ -59,10 +61,11 @@
 	c.AwaitState("n4", "left", c.Places[:3]...)
 }
 
-// A process that stood still for longer than a doubt lasts has been given up; awake again it accuses nobody and is back.
-func TestAStoppedProcessAccusesNobodyWhenItWakes(t *testing.T) {
+// A process that is stopped for longer than the suspicion timeout is declared dead. After it resumes it
+// must suspect nobody, and be alive again.
+func TestAResumedMemberSuspectsNobody(t *testing.T) {
 	t.Parallel()
-	c := cluster(t, 4)
+	c := startMembers(t, 4)
 	p := c.Places[2]
 	p.Signal(syscall.SIGSTOP)
 	c.AwaitState("n3", "gone", c.Places...)
@@ -74,15 +77,16 @@
 		}
 	}
 	if v := p.View(); v.Self.Incarnation != 1 || v.Self.Turn == 0 || v.Self.Counts["late"] == 0 {
-		t.Errorf("the one that woke: %+v", v.Self)
+		t.Errorf("the resumed member: %+v", v.Self)
 	}
 }
 
-// Two groups that can't talk go on apart, and are one again by themselves. A pair that is cut one way stays as it is.
-func TestPartedGroupsAreOneAgain(t *testing.T) {
+// Two partitioned groups of members serve on separately, and merge by themselves after the partition. A
+// pair of members whose link fails in one direction stays alive.
+func TestPartitionedMembersMergeAgain(t *testing.T) {
 	t.Parallel()
-	c := cluster(t, 5)
-	part := func(how between.Cut) {
+	c := startMembers(t, 5)
+	setPartition := func(how between.Cut) {
 		for i := range 2 {
 			for j := 2; j < 5; j++ {
 				c.Net.Cut(i, j, how)
@@ -90,16 +94,16 @@
 			}
 		}
 	}
-	part(between.Silent)
+	setPartition(between.Silent)
 	c.AwaitState("n5", "gone", c.Places[:2]...)
 	c.AwaitState("n1", "gone", c.Places[2:]...)
 	if s := c.Places[0].View().State("n2"); s != "here" {
-		t.Errorf("on its own side n2 is %s", s)
+		t.Errorf("in its own group n2 is %s", s)
 	}
-	part(between.Open)
+	setPartition(between.Open)
 	c.AwaitWhole(c.Places...)
 	c.Net.Cut(0, 1, between.Silent)
-	c.Await("one can't reach the other directly", func() bool {
+	c.Await("n1 can't reach n2 directly", func() bool {
 		for _, m := range c.Places[0].View().Members {
 			if m.Name == "n2" {
 				return m.State == "here" && !m.Reachable
@@ -109,10 +113,11 @@
 	})
 }
 
-// A second process with the name of a stopped one: the first one wakes up, learns that it is superseded, and stands by.
-func TestASupersededProcessStandsBy(t *testing.T) {
+// A second process starts with the name of a stopped one. When the first process resumes, it must learn
+// that it is replaced, and stand by.
+func TestAReplacedMemberStandsBy(t *testing.T) {
 	t.Parallel()
-	c := several.New(t, 4, quick, noWorkers, thisProgram)
+	c := several.New(t, 4, fastMembers, noEndpoints, testCommand)
 	c.Places[3].Name = "n1" // the name is used twice
 	for _, p := range c.Places[:3] {
 		c.Start(p)
@@ -122,17 +127,17 @@
 	c.Start(c.Places[3])
 	c.AwaitWhole(c.Places[1:]...)
 	c.Places[0].Signal(syscall.SIGCONT)
-	c.Await("the first one is superseded", func() bool { return c.Places[0].View().Self.State == "superseded" })
+	c.Await("the first process is replaced", func() bool { return c.Places[0].View().Self.State == "superseded" })
 	c.AwaitWhole(c.Places[1:]...)
 	c.Places[3].Signal(syscall.SIGTERM)
 	c.Await("its name is free again", func() bool { return c.Places[0].View().Self.State == "here" })
 	c.AwaitWhole(c.Places[:3]...)
 }
 
-// Another process takes the place of one: for the others nothing has changed.
-func TestATakeoverChangesNoView(t *testing.T) {
+// A hot restart must not change how the other members see the member.
+func TestAHotRestartKeepsTheIncarnation(t *testing.T) {
 	t.Parallel()
-	c := cluster(t, 3)
+	c := startMembers(t, 3)
 	p := c.Places[1]
 	c.Takeover(p)
 	c.AwaitWhole(c.Places...)
@@ -145,12 +150,13 @@
 	}
 }
 
-// What strangers send is dropped and counted, and a member of another cluster is none of this one.
-func TestStrangersAreNoMembers(t *testing.T) {
+// Messages from outside the cluster are dropped and counted, and a member of another cluster does not join
+// this one.
+func TestMessagesFromOutsidersAreDropped(t *testing.T) {
 	t.Parallel()
-	strange := false
-	c := several.New(t, 3, quick, noWorkers, func(args ...string) *exec.Cmd {
-		if strange {
+	otherCluster := false
+	c := several.New(t, 3, fastMembers, noEndpoints, func(args ...string) *exec.Cmd {
+		if otherCluster {
 			text, err := os.ReadFile(args[4])
 			if err != nil {
 				t.Fatal(err)
@@ -160,13 +166,13 @@
 				t.Fatal(err)
 			}
 		}
-		return thisProgram(args...)
+		return testCommand(args...)
 	})
 	for _, p := range c.Places[:2] {
 		c.Start(p)
 	}
 	c.AwaitWhole(c.Places[:2]...)
-	strange = true
+	otherCluster = true
 	c.Start(c.Places[2])
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(c.Bound(1), 0)))
 	if err != nil {
@@ -177,21 +183,21 @@
 	for _, text := range []string{"", "x", "wm\x02" + strings.Repeat("x", 50), "wm\x01" + strings.Repeat("x", 50), strings.Repeat("y", 2000)} {
 		conn.WriteToUDPAddrPort([]byte(text), to)
 	}
-	c.Await("all is counted", func() bool {
+	c.Await("all dropped messages are counted", func() bool {
 		v := c.Places[0].View()
 		return v.Dropped["garbled"] >= 2 && v.Dropped["wrong version"] > 0 && v.Dropped["too long"] > 0 && v.Self.Counts["wrong cluster"] > 0
 	})
 	c.AwaitWhole(c.Places[:2]...)
 	if n := len(c.Places[0].View().Members); n != 1 {
-		t.Errorf("%d members beside it", n)
+		t.Errorf("%d other members, want 1", n)
 	}
 }
 
-// Schedulers that run by other settings are told in one line everywhere, and so are those that staff have evacuated; one whose word was
-// lost is heard of all the same.
-func TestOtherSettingsAreTold(t *testing.T) {
+// Every member must report the members with other settings and the members whose clients are drained, also
+// when a message is lost.
+func TestMembersWithOtherSettingsAreReported(t *testing.T) {
 	t.Parallel()
-	c := several.New(t, 3, quick, noWorkers, thisProgram)
+	c := several.New(t, 3, fastMembers, noEndpoints, testCommand)
 	c.Places[2].Categories = `{"name":"pay","effect":"fragile","ttlNs":4e9,"targetLatencyNs":4e9}`
 	for _, p := range c.Places {
 		c.Start(p)
@@ -203,14 +209,14 @@
 	}
 	resp.Body.Close()
 	for i, want := range [][]string{{"n3"}, {"n3"}, {"n1", "n2"}} {
-		c.Await("it knows who differs and who is evacuated", func() bool {
+		c.Await("members with other settings and drained members are known", func() bool {
 			var x operatorStatus
 			return c.Places[i].Get("/api/staff", &x) && slices.Equal(x.Differ, want) && slices.Contains(x.Away, "n2") == (i != 1)
 		})
 	}
 	c.Places[2].Kill()
 	c.AwaitState("n3", "gone", c.Places[:2]...)
-	c.Await("one that is gone differs no more", func() bool {
+	c.Await("a dead member is not reported any more", func() bool {
 		var out bytes.Buffer
 		cmd := command()
 		cmd.SetOut(&out)
--- a/cmd/woaddyke/operator_board.go
+++ b/cmd/woaddyke/operator_board.go
@@ -13,15 +13,15 @@
 	"woaddyke/internal/lifecycle/boottime"
 )
 
-// broadcastInterval is between two broadcasts of the operator state to a random member, which repair
-// lost ones.
+// broadcastInterval is the time between two messages with the operator state to a random member. They make
+// up for lost messages.
 const broadcastInterval = time.Second
 
-// operatorBoard has what operators decided for each scheduler, as far as members report it.
+// operatorBoard holds the operator state of each scheduler, as the members report it.
 type operatorBoard struct {
-	mu     sync.Mutex
-	states *operatorstate.Board
-	differ []string // members with other settings, as last logged
+	mu              sync.Mutex
+	states          *operatorstate.Board
+	loggedDiffering []string // members with other settings, as last logged
 
 	done chan struct{} // ends shareOperatorState
 	once sync.Once
@@ -48,7 +48,7 @@
 
 func (b *operatorBoard) close() { b.once.Do(func() { close(b.done) }) }
 
-// operatorStatus is the console's answer on operator state.
+// operatorStatus is the console's answer to a request for the operator state.
 type operatorStatus struct {
 	Settings string   `json:"settings"` // hash of this scheduler's settings
 	Differ   []string `json:"differ"`   // members with other settings
@@ -60,14 +60,15 @@
 	defer b.mu.Unlock()
 	return operatorStatus{
 		Settings: formatHash(b.states.Own().Settings),
-		Differ:   append([]string{}, b.states.DifferingMembers()...), // [] in JSON where there is none
+		Differ:   append([]string{}, b.states.DifferingMembers()...), // [] in JSON if empty, not null
 		Away:     append([]string{}, b.states.DrainedMembers()...),
 	}
 }
 
 func formatHash(hash uint64) string { return fmt.Sprintf("%016x", hash) }
 
-// update is what shareOperatorState has to do with the present operator state.
+// update is the result of setOwn: this scheduler's operator state, the members with other settings, and
+// what has changed since the last call.
 type update struct {
 	own        operatorstate.State
 	ownChanged bool
@@ -76,35 +77,35 @@
 	differChanged bool
 }
 
-func (b *operatorBoard) setOwn(settingsHash uint64, clientsDrained bool) (u update) {
+func (b *operatorBoard) setOwn(settingsHash uint64, clientsDrained bool) (changes update) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u.ownChanged = b.states.SetOwn(settingsHash, clientsDrained)
-	u.own = b.states.Own()
-	u.differ = b.states.DifferingMembers()
-	u.differChanged = !slices.Equal(u.differ, b.differ)
-	b.differ = u.differ
-	return u
+	changes.ownChanged = b.states.SetOwn(settingsHash, clientsDrained)
+	changes.own = b.states.Own()
+	changes.differ = b.states.DifferingMembers()
+	changes.differChanged = !slices.Equal(changes.differ, b.loggedDiffering)
+	b.loggedDiffering = changes.differ
+	return changes
 }
 
-// shareOperatorState sends this scheduler's operator state to the other members, and logs which of them
-// have other settings, until the board is closed.
+// shareOperatorState sends the operator state of this scheduler to the other members, and logs the members
+// with other settings, until the board is closed.
 func (p *process) shareOperatorState() {
 	ticker := time.NewTicker(broadcastInterval)
 	defer ticker.Stop()
 	for {
-		u := p.operatorBoard.setOwn(p.server.SettingsHash(), p.server.DrainingClients())
-		if u.differChanged {
-			others := strings.Join(u.differ, ", ")
-			p.log.Warn().Str("here", formatHash(u.own.Settings)).Str("others", others).
-				Msg("schedulers run by other settings")
+		changes := p.operatorBoard.setOwn(p.server.SettingsHash(), p.server.DrainingClients())
+		if changes.differChanged {
+			others := strings.Join(changes.differ, ", ")
+			p.log.Warn().Str("here", formatHash(changes.own.Settings)).Str("others", others).
+				Msg("members run with other settings")
 		}
 		names := p.mesh.Names()
-		if !u.ownChanged && len(names) > 0 {
-			names = []string{names[rand.IntN(len(names))]} // no decision depends on this random number
+		if !changes.ownChanged && len(names) > 0 {
+			names = []string{names[rand.IntN(len(names))]} // not seeded: no scheduling decision depends on it
 		}
 		for _, name := range names {
-			p.mesh.BroadcastOperatorState(name, u.own)
+			p.mesh.BroadcastOperatorState(name, changes.own)
 		}
 		select {
 		case <-ticker.C:
--- a/cmd/woaddyke/pipelined_test.go
+++ b/cmd/woaddyke/pipelined_test.go
@@ -14,40 +14,40 @@
 	"time"
 )
 
-// piped is an op as its client writes it before the answer to the one before.
-func piped(id, more string) string {
+// pipelinedOp formats an op. A client that pipelines sends it before it has the answer to its previous op.
+func pipelinedOp(id, more string) string {
 	return fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 5000\r\n%sContent-Length: 0\r\n\r\n",
 		id, more)
 }
 
-// An op that came together with one before it was read, and closed with no answer where that one was refused, or where the process was
-// told to end while it was served.
-func TestAnOpThatCameWithTheOneBeforeHasItsAnswer(t *testing.T) {
+// An op that arrived together with a previous one must be answered. Its connection was once closed without
+// an answer if the previous op was rejected, or if the process got SIGTERM while that op was served.
+func TestAPipelinedOpIsAnswered(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		first string
 		want  int
-		ends  bool // the process is told to end while the first is held
+		ends  bool // the process gets SIGTERM while the first op is held
 	}{
-		"behind one that is refused":           {piped("x", "X-Facts: slots=none\r\n"), http.StatusBadRequest, false},
-		"behind one of an unknown category":    {piped("y", "X-Service-Class: none\r\n"), http.StatusOK, false},
-		"behind one that is held, at the end":  {piped("held", ""), http.StatusOK, true},
+		"behind one that is refused":           {pipelinedOp("x", "X-Facts: slots=none\r\n"), http.StatusBadRequest, false},
+		"behind one of an unknown category":    {pipelinedOp("y", "X-Service-Class: none\r\n"), http.StatusOK, false},
+		"behind one that is held, at the end":  {pipelinedOp("held", ""), http.StatusOK, true},
 		"behind a method that is not accepted": {"GET /none HTTP/1.1\r\nHost: x\r\n\r\n", http.StatusMethodNotAllowed, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			discovery, listen, at, free := holding(t)
+			discovery, listen, received, free := startHoldingWorker(t)
 			p := startProcess(t, t.TempDir(), listen, discovery, 0)
 			conn := dial(t, listen)
 			conn.SetDeadline(time.Now().Add(20 * time.Second))
-			fmt.Fprint(conn, c.first+piped("second", "")+piped("third", ""))
+			fmt.Fprint(conn, c.first+pipelinedOp("second", "")+pipelinedOp("third", ""))
 			if c.ends {
-				<-at
+				<-received
 				p.cmd.Process.Signal(syscall.SIGTERM)
-				time.Sleep(2200 * time.Millisecond) // clients are sent away by then
+				time.Sleep(2200 * time.Millisecond) // clients are drained by then
 			}
 			go func() {
-				for range at { // nobody counts them
+				for range received { // discards the ids
 				}
 			}()
 			close(free)
@@ -65,17 +65,18 @@
 	}
 }
 
-// A process that stands while a relay sends one op after another on one connection: each is as old as it is when the process runs on. They
-// were all dated by the newest bytes, and a worker was told 2.2 s more than the client had; found by a soak, seed 93.
-func TestOpsThatComeBehindOneAnotherWhileTheProcessStands(t *testing.T) {
+// A process is stopped while a client sends one op after another on one connection. After it resumes, each
+// op must have its own age. All of them were once dated by the latest bytes, and a worker received 2.2 s
+// more time than the client had left; a soak with seed 93 found this.
+func TestPipelinedOpsAgeWhileTheProcessIsStopped(t *testing.T) {
 	t.Parallel()
-	const stands, left = 1500 * time.Millisecond, 2500 * time.Millisecond
-	type word struct {
-		told time.Duration
+	const stopTime, left = 1500 * time.Millisecond, 2500 * time.Millisecond
+	type receivedTime struct {
+		left time.Duration
 		at   time.Time
 	}
 	var mu sync.Mutex
-	words := map[string]word{}
+	received := map[string]receivedTime{}
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			fmt.Fprintln(w, `{"waiting":0,"running":0}`)
@@ -85,7 +86,7 @@
 		id := r.Header.Get("X-Correlation-Id")
 		ms, _ := strconv.Atoi(r.Header.Get("X-Time-Left-Ms"))
 		mu.Lock()
-		words[id] = word{time.Duration(ms) * time.Millisecond, time.Now()}
+		received[id] = receivedTime{time.Duration(ms) * time.Millisecond, time.Now()}
 		mu.Unlock()
 		if strings.HasPrefix(id, "held") {
 			time.Sleep(100 * time.Millisecond)
@@ -94,12 +95,12 @@
 	}))
 	t.Cleanup(worker.Close)
 	for name, x := range map[string]struct {
-		first bool // a request is served when it stands
-		seen  bool // the process has seen pipelining before
+		first bool // a request is in flight when the process is stopped
+		seen  bool // the process has served pipelined requests before
 	}{"behind one that is served": {true, true}, "on a connection that rests": {false, true}, "behind one, the first ever": {true, false},
 		"on a connection that rests, the first ever": {false, false}} {
 		listen := freeAddr(t)
-		p := startProcess(t, t.TempDir(), listen, discoveryOf(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
+		p := startProcess(t, t.TempDir(), listen, startDiscovery(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
 			worker.Listener.Addr())), 0)
 		c := dial(t, listen)
 		answers := bufio.NewReader(c)
@@ -123,28 +124,28 @@
 			read()
 		}
 		read()
-		out := 0
+		unanswered := 0
 		if x.first {
 			send("held-1-" + name)
 			time.Sleep(20 * time.Millisecond)
-			out++
+			unanswered++
 		}
 		time.Sleep(100 * time.Millisecond)
-		halt(t, p)
+		suspend(t, p)
 		for k := range 4 {
 			send(fmt.Sprint("stood-", k, "-", name))
-			out++
-			time.Sleep(stands / 4)
+			unanswered++
+			time.Sleep(stopTime / 4)
 		}
 		p.cmd.Process.Signal(syscall.SIGCONT)
-		for range out {
+		for range unanswered {
 			read()
 		}
 		c.Close()
 		mu.Lock()
 		for id, s := range sent {
-			if w, came := words[id]; came && w.told > left-w.at.Sub(s)+150*time.Millisecond {
-				t.Errorf("%s: %s was told %v, its client has %v", name, id, w.told, left-w.at.Sub(s))
+			if w, ok := received[id]; ok && w.left > left-w.at.Sub(s)+150*time.Millisecond {
+				t.Errorf("%s: %s got %v, its client has %v left", name, id, w.left, left-w.at.Sub(s))
 			}
 		}
 		mu.Unlock()
--- a/cmd/woaddyke/process.go
+++ b/cmd/woaddyke/process.go
@@ -21,31 +21,33 @@
 	"woaddyke/internal/lifecycle/hotrestart"
 )
 
-// process is one scheduler's process. It may be the successor of another process, and have a successor.
+// process is the process of one scheduler. It may be the successor of another process, and may have a
+// successor itself.
 type process struct {
 	bootstrap    *config.Bootstrap
 	features     featureTables
 	log          zerolog.Logger
-	lostLogLines func() uint64 // lines of the log that nobody could read; nil where they are not counted
-	stop         func()        // ends this process as SIGTERM does
+	lostLogLines func() uint64 // counts dropped log lines; nil if they are not counted
+	stop         func()        // stops this process as SIGTERM does
 
 	server        *frontend.Server
-	mesh          *mesh.Mesh       // nil where the features file has no table members
-	operatorBoard *operatorBoard   // beside mesh
-	replica       *replica.Replica // nil where the features file has no table copies
+	mesh          *mesh.Mesh       // nil if the features file has no table members
+	operatorBoard *operatorBoard   // nil if mesh is nil
+	replica       *replica.Replica // nil if the features file has no table copies
 
 	mu             sync.Mutex
-	successorOffer io.Closer // serves successors
+	successorOffer io.Closer // the handover socket, on which successors are served
 }
 
-// setMemoryLimit sets the collector's limit, for so many processes that share the memory. It leaves a
-// quarter for stacks, for the program itself and for what the kernel counts against it.
+// setMemoryLimit sets the memory limit of the garbage collector for a number of processes that share the
+// configured memory. A quarter of the memory remains for stacks, for the program itself and for what the
+// kernel counts against it.
 func (p *process) setMemoryLimit(processes int64) {
 	bytes := int64(p.bootstrap.Limits.MemoryMB) << 20
 	debug.SetMemoryLimit(bytes * 3 / 4 / processes)
 }
 
-// limitDescriptors lowers the configured number of descriptors to what the machine allows.
+// limitDescriptors lowers the configured number of descriptors to the limit of the operating system.
 func limitDescriptors(bootstrap *config.Bootstrap, log zerolog.Logger) {
 	limits := &bootstrap.Limits
 	var allowed unix.Rlimit
@@ -58,7 +60,8 @@
 	limits.Sockets = int(allowed.Cur)
 }
 
-// openServer creates the server and its listening socket, from those of a predecessor if there is one.
+// openServer creates the server and its listening socket, from the handover of a predecessor if there is
+// one.
 func (p *process) openServer() (net.Listener, error) {
 	handover, refused, err := p.requestHandover()
 	if err != nil {
@@ -72,7 +75,8 @@
 		handover.Close()
 		p.log.Warn().Err(err).Msg("no state received from the predecessor")
 	}
-	// Beside a process that refused, clients would be dealt to either of two deployments.
+	// Two processes of different deployments must not share a port: the kernel would assign each client to
+	// either of them.
 	sharePort := p.bootstrap.Console != "" && !refused
 	return p.openNewServer(sharePort)
 }
@@ -99,7 +103,7 @@
 	return listener, nil
 }
 
-// createServer creates the server, from a predecessor's state if there is one. It reserves the
+// createServer creates the server, from the predecessor's state if there is one. It reserves the
 // descriptors that the features need.
 func (p *process) createServer(predecessor *hotrestart.State) (err error) {
 	if p.server, err = frontend.NewSuccessor(p.bootstrap, predecessor, p.log); err != nil {
@@ -114,7 +118,8 @@
 	return nil
 }
 
-// setReusePort lets a successor listen beside this process, where it could not take the socket over.
+// setReusePort lets a successor listen at the same port beside this process if it can't take over the
+// socket.
 func setReusePort(_, _ string, c syscall.RawConn) error {
 	var optErr error
 	err := c.Control(func(fd uintptr) {
