--- a/cmd/woaddyke/ready_test.go
+++ b/cmd/woaddyke/ready_test.go
@@ -19,18 +19,19 @@
 	"woaddyke/internal/lifecycle/boottime"
 )
 
-const readyTime = 10 * time.Second // nine in ten of those that were restarted together are ready by then
+const readyTimeout = 10 * time.Second // by which nine in ten of the restarted processes are ready
 
-// restarted is how many processes are restarted together, 3 in CI; READY=20 plays all cases with so many, one after another.
-func restarted() (n int, all bool) {
+// restartCount returns how many processes are restarted together, 3 in CI. READY=20 runs all cases with
+// that many processes, one case after another.
+func restartCount() (n int, all bool) {
 	if n, err := strconv.Atoi(os.Getenv("READY")); err == nil && n >= 3 {
 		return n, true
 	}
 	return 3, false
 }
 
-// manyWorkers is a list of as many as the largest fleet that is named, of which none is there.
-func manyWorkers(n int) string {
+// endpointList returns a list of n workers in the largest described topology. None of them exists.
+func endpointList(n int) string {
 	var b strings.Builder
 	b.WriteString(`{"rev":9,"all":true,"targets":[`)
 	for i := range n {
@@ -40,45 +41,47 @@
 	return strings.TrimSuffix(b.String(), ",") + "]}"
 }
 
-// later is what became of some that were started together.
-type later struct{ spans []time.Duration }
+// readyTimes holds how long processes that were started together took, sorted.
+type readyTimes struct{ durations []time.Duration }
 
-func (l *later) at(part float64) time.Duration {
-	return l.spans[min(int(part*float64(len(l.spans))), len(l.spans)-1)].Round(time.Millisecond)
+func (l *readyTimes) quantile(q float64) time.Duration {
+	return l.durations[min(int(q*float64(len(l.durations))), len(l.durations)-1)].Round(time.Millisecond)
 }
 
-func (l *later) String() string {
-	return fmt.Sprintf("p50 %v, p90 %v, worst %v of %d", l.at(0.5), l.at(0.9), l.at(1), len(l.spans))
+func (l *readyTimes) String() string {
+	return fmt.Sprintf("p50 %v, p90 %v, worst %v of %d", l.quantile(0.5), l.quantile(0.9), l.quantile(1), len(l.durations))
 }
 
-// soonest waits for each place in turn for something to be so, all at once, and tells how long each took since it was started.
-func soonest(c *several.Cluster, places []*several.Place, since []time.Time, is func(*several.Place) bool) *later {
-	l := &later{spans: make([]time.Duration, len(places))}
+// measureReady waits for a condition of each process, for all in parallel, and returns the times since
+// their starts.
+func measureReady(c *several.Cluster, places []*several.Place, since []time.Time, done func(*several.Place) bool) *readyTimes {
+	l := &readyTimes{durations: make([]time.Duration, len(places))}
 	var all sync.WaitGroup
 	for i, p := range places {
 		all.Go(func() {
-			for until := since[i].Add(30 * time.Second); !is(p) && time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
+			for until := since[i].Add(30 * time.Second); !done(p) && time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 			}
-			l.spans[i] = time.Since(since[i])
+			l.durations[i] = time.Since(since[i])
 		})
 	}
 	all.Wait()
-	slices.Sort(l.spans)
+	slices.Sort(l.durations)
 	return l
 }
 
-// All schedulers are restarted together, or replaced together, while discovery is there, is down in each way, or tells of the largest
-// fleet; alone, as members, and as keepers without and with a disk.
-func TestThoseRestartedTogetherAreReadySoon(t *testing.T) {
-	n, all := restarted()
+// All schedulers are restarted or replaced together, and must be ready in time. The cases vary discovery
+// (up, down in each way, with the largest list) and the features (none, replicas in memory, replicas with a
+// disk).
+func TestRestartedSchedulersAreReadyInTime(t *testing.T) {
+	n, all := restartCount()
 	const alone, memory, disk = "alone", "keepers in memory", "keepers with a disk"
-	few, many := `{"rev":1,"all":true,"targets":[]}`, manyWorkers(6300)
+	few, many := `{"rev":1,"all":true,"targets":[]}`, endpointList(6300)
 	asked := `"discovery":"on_request","instances":300,"myNumber":%d,"safety":{"drainGraceNs":1e10},`
 	for _, x := range []struct {
 		name, keeps, how, list, settings string
-		records                          int // on each keeper's disk
+		records                          int // on the disk of each replica
 		takeover, ci                     bool
-		stopped                          bool // the process before stands still: a member can't be started beside it, and says so
+		stopped                          bool // the predecessor is stopped: a member can't start beside it and must end with an error
 	}{
 		{name: "discovery is there", keeps: alone, list: few},
 		{name: "6,300 workers", keeps: alone, list: many},
@@ -97,7 +100,7 @@
 		{name: "100,000 records, discovery is silent", keeps: disk, how: "silent", list: few, records: 100_000},
 		{name: "taken over, discovery is there", keeps: disk, list: few, takeover: true},
 		{name: "taken over, discovery is silent", keeps: disk, how: "silent", list: few, takeover: true, ci: true},
-		{name: "taken over, 6,300 workers, discovery hangs", keeps: alone, how: "hangs", list: many, takeover: true, ci: true}, // before they are members
+		{name: "taken over, 6,300 workers, discovery hangs", keeps: alone, how: "hangs", list: many, takeover: true, ci: true}, // the successors start before the processes have joined
 		{name: "beside one that stands still, discovery is silent", keeps: alone, how: "silent", list: few, takeover: true, stopped: true},
 	} {
 		if !all && !x.ci {
@@ -107,18 +110,18 @@
 			if !all {
 				t.Parallel()
 			}
-			offer := quick
+			lines := fastMembers
 			if x.keeps != alone {
-				offer += "[copies]\nkeepers = [\"n1\", \"n2\", \"n3\"]\n"
+				lines += "[copies]\nkeepers = [\"n1\", \"n2\", \"n3\"]\n"
 			}
 			if x.keeps != alone && !all {
-				offer += "hold_off = \"5s\"\n" // as the first start waits for it
+				lines += "hold_off = \"5s\"\n" // the first start waits for it
 			}
 			if x.keeps == disk {
-				offer += "path = \"{dir}/copies.db\"\n"
+				lines += "path = \"{dir}/copies.db\"\n"
 			}
-			o := newOutage(t, x.list)
-			c := several.New(t, n, offer, noWorkers, thisProgram)
+			o := newTestDiscovery(t, x.list)
+			c := several.New(t, n, lines, noEndpoints, testCommand)
 			keepers := c.Places[:3]
 			for i, p := range c.Places {
 				if p.Discovery = o.addr; x.settings != "" {
@@ -128,10 +131,10 @@
 			}
 			ready := func(p *several.Place) bool { return p.Get("/api/ready", nil) }
 			for _, p := range c.Places {
-				c.Await("all are ready, and keepers have their votes", func() bool { return ready(p) && (x.keeps == alone || votes(p)) })
+				c.Await("all schedulers are ready and the replicas have their votes", func() bool { return ready(p) && (x.keeps == alone || voteSettled(p)) })
 			}
 			if x.how != "" {
-				o.down(x.how)
+				o.fail(x.how)
 			}
 			if !x.takeover {
 				for _, p := range c.Places {
@@ -140,7 +143,7 @@
 			}
 			if x.records > 0 {
 				for _, p := range keepers {
-					fill(t, filepath.Join(p.Dir(), "copies.db"), x.records)
+					writeRecords(t, filepath.Join(p.Dir(), "copies.db"), x.records)
 				}
 			}
 			var since []time.Time
@@ -165,42 +168,42 @@
 					select {
 					case err := <-end:
 						if err == nil {
-							t.Error("it ended as if all were well")
+							t.Error("the process ended without an error")
 						}
-					case <-time.After(readyTime):
-						t.Error("it neither ends nor gets ready")
+					case <-time.After(readyTimeout):
+						t.Error("the process neither ends nor gets ready")
 					}
 				}
-				l := &later{spans: []time.Duration{time.Since(since[0])}}
-				t.Logf("all have ended by themselves: %v", l)
+				l := &readyTimes{durations: []time.Duration{time.Since(since[0])}}
+				t.Logf("all processes have ended: %v", l)
 				return
 			}
-			l := soonest(c, c.Places, since, ready)
+			l := measureReady(c, c.Places, since, ready)
 			t.Logf("ready: %v", l)
-			if l.at(0.9) > readyTime {
-				t.Errorf("nine in ten are not ready within %v", readyTime)
+			if l.quantile(0.9) > readyTimeout {
+				t.Errorf("nine in ten are not ready within %v", readyTimeout)
 			}
 			if x.keeps != alone && all {
-				t.Logf("keepers have their votes: %v", soonest(c, keepers, since[:3], func(p *several.Place) bool { return votes(p) }))
+				t.Logf("replicas have their votes: %v", measureReady(c, keepers, since[:3], func(p *several.Place) bool { return voteSettled(p) }))
 			}
 		})
 	}
 }
 
-// fill puts records of ops that have ended into a keeper's file.
-func fill(t *testing.T, path string, n int) {
+// writeRecords writes records of ended ops into the file of a replica.
+func writeRecords(t *testing.T, path string, n int) {
 	t.Helper()
 	s, err := store.Open(path, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	var some []replication.Record
+	var records []replication.Record
 	for i := range n {
-		some = append(some, replication.Record{Key: fmt.Sprintf("pay\x00op-%08d", i), Fingerprint: uint64(i),
+		records = append(records, replication.Record{Key: fmt.Sprintf("pay\x00op-%08d", i), Fingerprint: uint64(i),
 			Outcomes: []replication.Outcome{{Claim: replication.Claim{Scheduler: "n1", Nonce: uint64(i + 1)}, Stage: replication.Ended, Verdict: 200, ResultRetained: true, Result: make([]byte, 200)}}})
 	}
-	if err := s.Write(boottime.Now(), some, nil); err != nil {
+	if err := s.Write(boottime.Now(), records, nil); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/cmd/woaddyke/serve.go
+++ b/cmd/woaddyke/serve.go
@@ -20,16 +20,16 @@
 	"woaddyke/internal/observe/logsink"
 )
 
-// logFlushTimeout is for the last lines of the log to be written.
+// logFlushTimeout is the time to write the last log lines.
 const logFlushTimeout = time.Second
 
-// serveOptions are the flags of serve.
+// serveOptions holds the flags of serve.
 type serveOptions struct {
 	configPath   string
-	console      string // for a configuration that names none
+	console      string // used if the configuration has no console address
 	featuresPath string
 	logLevel     string
-	stopWithin   time.Duration // for workers, after SIGTERM
+	stopWithin   time.Duration // maximum wait for workers after SIGTERM
 }
 
 func serveCommand() *cobra.Command {
@@ -53,8 +53,8 @@
 	return c
 }
 
-// serve runs a scheduler to its end. What it opens is closed in reverse order: the console, the cluster,
-// the signals' context, the log.
+// serve runs a scheduler until it stops. It closes what it opened in reverse order: the console, the
+// cluster, the context of the signals, the log.
 func (o *serveOptions) serve() error {
 	reload, terminate := notifySignals()
 	level, err := zerolog.ParseLevel(o.logLevel)
@@ -93,7 +93,7 @@
 	return p.server.Serve(ctx, listener, o.stopWithin)
 }
 
-// notifySignals comes first in a process: until then SIGHUP would end it.
+// notifySignals must run first in a process: before it runs, SIGHUP ends the process.
 func notifySignals() (reload, terminate chan os.Signal) {
 	reload = make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
@@ -102,8 +102,8 @@
 	return reload, terminate
 }
 
-// contextUntil returns a context that ends with the first signal. The signals stay caught to the very
-// end: a further SIGTERM must not end the process at once, with all its ops.
+// contextUntil returns a context that ends with the first signal. The signals stay caught until the process
+// ends: another SIGTERM must not kill the process and lose all its ops.
 func contextUntil(terminate <-chan os.Signal) (context.Context, context.CancelFunc) {
 	ctx, stop := context.WithCancel(context.Background())
 	go func() {
@@ -114,7 +114,7 @@
 }
 
 func newLogger(sink *logsink.Sink, level zerolog.Level) zerolog.Logger {
-	signal.Ignore(syscall.SIGPIPE) // the reader of the log may leave
+	signal.Ignore(syscall.SIGPIPE) // the reader of the log may close its end
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	return zerolog.New(sink).Level(level).With().Timestamp().Logger()
 }
@@ -132,8 +132,8 @@
 	return bootstrap, nil
 }
 
-// leaveClusterAfter has this process leave the cluster when the context ends. The returned function
-// closes what belongs to the cluster.
+// leaveClusterAfter makes this process leave the cluster when the context ends. The returned function
+// closes the replica, the operator board and the mesh.
 func (p *process) leaveClusterAfter(ctx context.Context) (closeCluster func()) {
 	if p.mesh == nil {
 		return func() {}
@@ -155,7 +155,7 @@
 	}
 }
 
-// openConsole serves operators and successors, where the configuration names an address for them.
+// openConsole serves operators and successors if the configuration has a console address.
 func (p *process) openConsole() (closeConsole func(), err error) {
 	if p.bootstrap.Console == "" {
 		return func() {}, nil
@@ -164,7 +164,7 @@
 		return net.Listen("tcp", p.bootstrap.Console)
 	})
 	if err != nil {
-		return nil, fmt.Errorf("listening for staff: %w", err)
+		return nil, fmt.Errorf("listening for operators: %w", err)
 	}
 	console.Serve(listener, p.server, p.log, p.consoleCalls()...)
 	go p.offerHandover()
--- a/cmd/woaddyke/size_test.go
+++ b/cmd/woaddyke/size_test.go
@@ -24,19 +24,19 @@
 	"woaddyke/internal/lab/several"
 )
 
-// hosted is a process of the program among so many workers, which are one listener at as many addresses.
-type hosted struct {
+// benchProcess is a process with many workers, all of which are one listener at many addresses.
+type benchProcess struct {
 	cmd             *exec.Cmd
 	listen, console string
-	sheet           string // the file's path
+	configPath      string // of the configuration file
 	ready           time.Duration
 	listBytes       int
 	probes, pushes  *atomic.Int64
-	held            chan bool // closed: the worker ends the jobs that it was asked to hold
+	release         chan bool // closed to end the jobs with the body "hold"
 }
 
-// work answers probes and pushes.
-func (h *hosted) work() http.HandlerFunc {
+// workerHandler answers probes and pushes.
+func (h *benchProcess) workerHandler() http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/load" {
 			h.probes.Add(1)
@@ -49,14 +49,15 @@
 		for _, state := range []string{"started", "done"} {
 			fmt.Fprintf(w, `{"id":%q,"from":"w","state":%q,"result":"x"}`+"\n", id, state)
 			if w.(http.Flusher).Flush(); string(text) == "hold" && state == "started" {
-				<-h.held
+				<-h.release
 			}
 		}
 	}
 }
 
-// beside is a list of so many workers, all of them at one port of 127.0.0.0/8.
-func beside(port, workers int) string {
+// loopbackList returns an endpoint list of workers with the same port and different addresses of
+// 127.0.0.0/8.
+func loopbackList(port, workers int) string {
 	type target struct {
 		UID      string `json:"uid"`
 		Endpoint string `json:"endpoint"`
@@ -79,17 +80,17 @@
 	return string(text)
 }
 
-// host starts a process and waits until it is ready.
-func host(b *testing.B, workers int) *hosted {
-	h := &hosted{probes: &atomic.Int64{}, pushes: &atomic.Int64{}, held: make(chan bool)}
+// startBenchProcess starts a process and waits until it is ready.
+func startBenchProcess(b *testing.B, workers int) *benchProcess {
+	h := &benchProcess{probes: &atomic.Int64{}, pushes: &atomic.Int64{}, release: make(chan bool)}
 	l, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	worker := &httptest.Server{Listener: l, Config: &http.Server{Handler: h.work()}}
+	worker := &httptest.Server{Listener: l, Config: &http.Server{Handler: h.workerHandler()}}
 	worker.Start()
 	b.Cleanup(worker.Close)
-	list := beside(l.Addr().(*net.TCPAddr).Port, workers)
+	list := loopbackList(l.Addr().(*net.TCPAddr).Port, workers)
 	h.listBytes = len(list)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintln(w, list)
@@ -114,19 +115,19 @@
 		defer l.Close()
 		return l.Addr().String()
 	}
-	h.listen, h.console, h.sheet = free(), free(), filepath.Join(b.TempDir(), "sheet.json")
+	h.listen, h.console, h.configPath = free(), free(), filepath.Join(b.TempDir(), "sheet.json")
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
 		b.Fatal(err)
 	}
-	var sheet map[string]any
-	if err := json.Unmarshal(text, &sheet); err != nil {
+	var document map[string]any
+	if err := json.Unmarshal(text, &document); err != nil {
 		b.Fatal(err)
 	}
-	sheet["listen"], sheet["console"], sheet["discovery"] = h.listen, h.console, discovery.Listener.Addr().String()
-	sheet["limits"] = map[string]any{"cores": 1.0, "memory_mb": 128, "sockets": 8000}
-	h.write(b, sheet)
-	h.cmd = thisProgram("serve", "--config", h.sheet)
+	document["listen"], document["console"], document["discovery"] = h.listen, h.console, discovery.Listener.Addr().String()
+	document["limits"] = map[string]any{"cores": 1.0, "memory_mb": 128, "sockets": 8000}
+	h.writeConfig(b, document)
+	h.cmd = testCommand("serve", "--config", h.configPath)
 	h.cmd.Env = append(h.cmd.Env, "TMPDIR="+b.TempDir())
 	h.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	began := time.Now()
@@ -137,7 +138,7 @@
 		h.cmd.Process.Kill()
 		h.cmd.Wait()
 	})
-	for !h.call("/api/ready") {
+	for !h.get("/api/ready") {
 		if time.Since(began) > 20*time.Second {
 			b.Fatal("it is not ready")
 		}
@@ -147,24 +148,24 @@
 	return h
 }
 
-func (h *hosted) write(b *testing.B, sheet map[string]any) {
-	text, err := json.Marshal(sheet)
+func (h *benchProcess) writeConfig(b *testing.B, document map[string]any) {
+	text, err := json.Marshal(document)
 	if err != nil {
 		b.Fatal(err)
 	}
-	if err := os.WriteFile(h.sheet+".new", text, 0o600); err != nil {
+	if err := os.WriteFile(h.configPath+".new", text, 0o600); err != nil {
 		b.Fatal(err)
 	}
-	if err := os.Rename(h.sheet+".new", h.sheet); err != nil {
+	if err := os.Rename(h.configPath+".new", h.configPath); err != nil {
 		b.Fatal(err)
 	}
 }
 
-// caller is a client of the second address that opens a connection for each call, as callers do.
-var caller = http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+// consoleClient opens a new connection for each request, as tools of operators do.
+var consoleClient = http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-func (h *hosted) call(path string) bool {
-	resp, err := caller.Get("http://" + h.console + path)
+func (h *benchProcess) get(path string) bool {
+	resp, err := consoleClient.Get("http://" + h.console + path)
 	if err != nil {
 		return false
 	}
@@ -173,8 +174,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// resident is the process's memory, in KB, as the system has it.
-func (h *hosted) resident(b *testing.B, row string) float64 {
+// memoryKB returns a row of /proc/PID/status in KB, such as VmRSS.
+func (h *benchProcess) memoryKB(b *testing.B, row string) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", h.cmd.Process.Pid))
 	if err != nil {
 		b.Fatal(err)
@@ -187,10 +188,10 @@
 	return kb
 }
 
-// spent is the processor time that the process has had.
-func (h *hosted) spent(b *testing.B) time.Duration { return spent(b, h.cmd) }
+// cpuTime returns the processor time of the process.
+func (h *benchProcess) cpuTime(b *testing.B) time.Duration { return cpuTime(b, h.cmd) }
 
-func spent(b *testing.B, cmd *exec.Cmd) (total time.Duration) {
+func cpuTime(b *testing.B, cmd *exec.Cmd) (total time.Duration) {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", cmd.Process.Pid))
 	if err != nil {
 		b.Fatal(err)
@@ -209,13 +210,13 @@
 	return total
 }
 
-var submitter = http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1000}}
+var opClient = http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1000}}
 
-// op has an op served.
-func (h *hosted) op(b *testing.B, n int, body string) {
+// post sends an op, which must be served.
+func (h *benchProcess) post(b *testing.B, n int, body string) {
 	r, _ := http.NewRequest(http.MethodPost, "http://"+h.listen+"/api", strings.NewReader(body))
 	r.Header = http.Header{"X-Correlation-Id": {fmt.Sprint("op", n)}, "X-Service-Class": {"preview"}, "X-Time-Left-Ms": {"15000"}}
-	resp, err := submitter.Do(r)
+	resp, err := opClient.Do(r)
 	if err != nil {
 		b.Error(err)
 		return
@@ -226,98 +227,98 @@
 	}
 }
 
-// BenchmarkPeak is what a real process among 6,300 workers takes at the rates that one of 6,300, 1,000 and 300 schedulers has at the
-// peak, and at three times the last.
+// BenchmarkPeak measures the processor time and memory of a process with 6,300 workers at peak load. The
+// rate is that of one of 6,300, 1,000 and 300 schedulers, and three times the last rate.
 func BenchmarkPeak(b *testing.B) {
 	for _, schedulers := range []int{6_300, 1_000, 300, 100} {
 		b.Run(fmt.Sprintf("schedulers=%d", schedulers), func(b *testing.B) {
 			for range b.N {
-				h := host(b, 6_300)
+				h := startBenchProcess(b, 6_300)
 				time.Sleep(time.Second)
 				const span = 15 * time.Second
 				every := time.Duration(float64(time.Second) * float64(schedulers) / 1_300)
-				before, began, done := h.spent(b), time.Now(), sync.WaitGroup{}
+				before, began, done := h.cpuTime(b), time.Now(), sync.WaitGroup{}
 				n := 0
 				for at := began; time.Since(began) < span; at = at.Add(every) {
 					time.Sleep(time.Until(at))
 					number := n
-					done.Go(func() { h.op(b, number, "hello") })
+					done.Go(func() { h.post(b, number, "hello") })
 					n++
 				}
 				done.Wait()
-				b.ReportMetric(100*float64(h.spent(b)-before)/float64(time.Since(began)), "%core")
+				b.ReportMetric(100*float64(h.cpuTime(b)-before)/float64(time.Since(began)), "%core")
 				b.ReportMetric(float64(n)/span.Seconds(), "ops/s")
 				b.ReportMetric(float64(h.probes.Load())/float64(n), "probes/op")
-				b.ReportMetric(h.resident(b, "VmHWM"), "peak-KB")
+				b.ReportMetric(h.memoryKB(b, "VmHWM"), "peak-KB")
 			}
 		})
 	}
 }
 
-// BenchmarkOpenOps is what a process keeps for each op that runs at a worker, with both its connections.
+// BenchmarkOpenOps measures the memory of each op in flight at a worker, including its two connections.
 func BenchmarkOpenOps(b *testing.B) {
 	for _, open := range []int{100, 500, 1_000} {
 		b.Run(fmt.Sprintf("open=%d", open), func(b *testing.B) {
 			for range b.N {
-				h := host(b, 6_300)
-				for n := range 100 { // so that its heap is that of one that works
-					h.op(b, n, "hello")
+				h := startBenchProcess(b, 6_300)
+				for n := range 100 { // so that the heap has its usual size
+					h.post(b, n, "hello")
 				}
-				kb, done := h.resident(b, "VmRSS"), sync.WaitGroup{}
+				kb, done := h.memoryKB(b, "VmRSS"), sync.WaitGroup{}
 				for n := range open {
-					done.Go(func() { h.op(b, 1_000+n, "hold") })
+					done.Go(func() { h.post(b, 1_000+n, "hold") })
 				}
 				for until := time.Now().Add(5 * time.Second); h.pushes.Load() < int64(100+open); time.Sleep(time.Millisecond) {
 					if time.Now().After(until) {
 						b.Fatalf("%d of %d are open", h.pushes.Load()-100, open)
 					}
 				}
-				b.ReportMetric((h.resident(b, "VmRSS")-kb)/float64(open), "KB/open-op")
-				close(h.held)
+				b.ReportMetric((h.memoryKB(b, "VmRSS")-kb)/float64(open), "KB/open-op")
+				close(h.release)
 				done.Wait()
 			}
 		})
 	}
 }
 
-// BenchmarkProcess is what a whole process takes among so many workers: until it is ready, idle, for each op one by one, for each
-// idle client, for each call of staff.
+// BenchmarkProcess measures a process by its number of workers: its start, idle time, each op in sequence,
+// each idle client, and each console request.
 func BenchmarkProcess(b *testing.B) {
 	for _, workers := range []int{100, 400, 1_600, 6_300} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			for range b.N {
-				h := host(b, workers)
+				h := startBenchProcess(b, workers)
 				b.ReportMetric(float64(h.ready.Milliseconds()), "ready-ms")
 				b.ReportMetric(float64(h.listBytes)/float64(workers), "list-B/worker")
-				b.ReportMetric(float64(h.spent(b).Milliseconds()), "start-cpu-ms")
+				b.ReportMetric(float64(h.cpuTime(b).Milliseconds()), "start-cpu-ms")
 				time.Sleep(2 * time.Second)
-				before, from := h.spent(b), time.Now()
+				before, from := h.cpuTime(b), time.Now()
 				time.Sleep(5 * time.Second)
-				b.ReportMetric(100*float64(h.spent(b)-before)/float64(time.Since(from)), "idle-%core")
-				b.ReportMetric(h.resident(b, "VmRSS"), "idle-KB")
+				b.ReportMetric(100*float64(h.cpuTime(b)-before)/float64(time.Since(from)), "idle-%core")
+				b.ReportMetric(h.memoryKB(b, "VmRSS"), "idle-KB")
 
 				const calls = 100
-				before = h.spent(b)
+				before = h.cpuTime(b)
 				for range calls {
-					if !h.call("/api/telemetry") {
-						b.Fatal("staff have no answer")
+					if !h.get("/api/telemetry") {
+						b.Fatal("the console does not answer")
 					}
 				}
-				b.ReportMetric(float64((h.spent(b)-before).Microseconds())/calls, "us/call")
+				b.ReportMetric(float64((h.cpuTime(b)-before).Microseconds())/calls, "us/call")
 
 				const ops = 400
 				probes, pushes := h.probes.Load(), h.pushes.Load()
-				before = h.spent(b)
+				before = h.cpuTime(b)
 				for n := range ops {
-					h.op(b, n, "hello")
+					h.post(b, n, "hello")
 				}
-				b.ReportMetric(float64((h.spent(b)-before).Microseconds())/ops, "us/op")
+				b.ReportMetric(float64((h.cpuTime(b)-before).Microseconds())/ops, "us/op")
 				b.ReportMetric(float64(h.probes.Load()-probes)/ops, "probes/op")
 				b.ReportMetric(float64(h.pushes.Load()-pushes)/ops, "pushes/op")
-				b.ReportMetric(h.resident(b, "VmHWM"), "peak-KB")
+				b.ReportMetric(h.memoryKB(b, "VmHWM"), "peak-KB")
 
 				const clients = 2000
-				kb := h.resident(b, "VmRSS")
+				kb := h.memoryKB(b, "VmRSS")
 				var open []net.Conn
 				for range clients {
 					c, err := net.Dial("tcp", h.listen)
@@ -325,12 +326,12 @@
 						b.Fatal(err)
 					}
 					open = append(open, c)
-					fmt.Fprint(c, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n") // one that has said nothing is soon closed
+					fmt.Fprint(c, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n") // a silent connection is soon closed
 					if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 						b.Fatal(err)
 					}
 				}
-				b.ReportMetric((h.resident(b, "VmRSS")-kb)/clients, "KB/client")
+				b.ReportMetric((h.memoryKB(b, "VmRSS")-kb)/clients, "KB/client")
 				for _, c := range open {
 					c.Close()
 				}
@@ -339,21 +340,22 @@
 	}
 }
 
-// BenchmarkReread is a change of one category's target latency by SIGHUP, and how many such changes are taken before one is turned down.
+// BenchmarkReread measures a reload that changes one category's latency objective, and how many reloads
+// succeed before one fails.
 func BenchmarkReread(b *testing.B) {
-	for _, x := range []struct{ categories, most int }{{3, 400}, {256, 10}} {
+	for _, x := range []struct{ categories, reloads int }{{3, 400}, {256, 10}} {
 		b.Run(fmt.Sprintf("categories=%d", x.categories), func(b *testing.B) {
 			for range b.N {
-				h := host(b, 100)
-				var sheet map[string]any
-				text, err := os.ReadFile(h.sheet)
+				h := startBenchProcess(b, 100)
+				var document map[string]any
+				text, err := os.ReadFile(h.configPath)
 				if err == nil {
-					err = json.Unmarshal(text, &sheet)
+					err = json.Unmarshal(text, &document)
 				}
 				if err != nil {
 					b.Fatal(err)
 				}
-				settings := sheet["settings"].(map[string]any)
+				settings := document["settings"].(map[string]any)
 				categories := settings["categories"].([]any)
 				first := categories[0].(map[string]any)
 				for len(categories) < x.categories {
@@ -362,48 +364,50 @@
 					categories = append(categories, more)
 				}
 				settings["categories"] = categories
-				taken, turned := h.change(b, sheet, 0, 0) // that there are so many categories is none of the changes
-				if taken != 1 {
-					b.Fatal("the first file is turned down")
+				applied, rejected := h.reload(b, document, 0, 0) // adds the categories, and does not count
+				if applied != 1 {
+					b.Fatal("the first reload failed")
 				}
-				before := h.spent(b)
-				for n := range x.most {
+				before := h.cpuTime(b)
+				for n := range x.reloads {
 					first["targetLatencyNs"] = 3e8 + float64(n+1)*1e5
-					taken, turned = h.change(b, sheet, taken, turned)
+					applied, rejected = h.reload(b, document, applied, rejected)
 				}
-				b.ReportMetric(float64((h.spent(b)-before).Microseconds())/float64(x.most), "us/change+looks")
-				b.ReportMetric(float64(taken-1), "taken")
-				b.ReportMetric(float64(turned), "turned-down")
-				b.ReportMetric(h.resident(b, "VmRSS"), "KB")
+				b.ReportMetric(float64((h.cpuTime(b)-before).Microseconds())/float64(x.reloads), "us/change+looks")
+				b.ReportMetric(float64(applied-1), "taken")
+				b.ReportMetric(float64(rejected), "turned-down")
+				b.ReportMetric(h.memoryKB(b, "VmRSS"), "KB")
 			}
 		})
 	}
 }
 
-// change has the process read a file, and returns how many it has taken and turned down by then.
-func (h *hosted) change(b *testing.B, sheet map[string]any, taken, turned int) (nowTaken, nowTurned int) {
-	h.write(b, sheet)
+// reload makes the process reload a document, and returns the counts of successful and failed reloads
+// afterwards.
+func (h *benchProcess) reload(b *testing.B, document map[string]any, applied, rejected int) (nowApplied, nowRejected int) {
+	h.writeConfig(b, document)
 	h.cmd.Process.Signal(syscall.SIGHUP)
-	for wait := time.Now().Add(5 * time.Second); time.Now().Before(wait); time.Sleep(2 * time.Millisecond) {
+	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
 		var x struct {
 			OK     int `json:"reloads_ok"`
 			Failed int `json:"reloads_failed"`
 		}
-		resp, err := caller.Get("http://" + h.console + "/api/telemetry")
+		resp, err := consoleClient.Get("http://" + h.console + "/api/telemetry")
 		if err != nil {
 			continue
 		}
 		json.NewDecoder(resp.Body).Decode(&x)
 		resp.Body.Close()
-		if x.OK+x.Failed > taken+turned {
+		if x.OK+x.Failed > applied+rejected {
 			return x.OK, x.Failed
 		}
 	}
-	b.Fatal("nobody reads it")
+	b.Fatal("the process does not reload the file")
 	return 0, 0
 }
 
-// BenchmarkMembership is what a process takes as one of so many members, and as one of three keepers, while nothing happens.
+// BenchmarkMembership measures the processor time of an idle process as one of n members, and as one of
+// three replicas.
 func BenchmarkMembership(b *testing.B) {
 	for _, n := range []int{2, 6, 12} {
 		for _, keepers := range []bool{false, true} {
@@ -412,30 +416,30 @@
 			}
 			b.Run(fmt.Sprintf("members=%d/keepers=%v", n, keepers), func(b *testing.B) {
 				for range b.N {
-					offer := ""
+					lines := ""
 					if keepers {
-						offer = "[copies]\nkeepers = [\"n1\", \"n2\", \"n3\"]\n"
+						lines = "[copies]\nkeepers = [\"n1\", \"n2\", \"n3\"]\n"
 					}
-					c := several.New(b, n, offer, noWorkers, thisProgram)
+					c := several.New(b, n, lines, noEndpoints, testCommand)
 					for _, p := range c.Places {
 						c.Start(p)
 					}
 					c.AwaitWhole(c.Places...)
 					time.Sleep(2 * time.Second)
-					sum := func(places []*several.Place) (total time.Duration) {
+					meanCPU := func(places []*several.Place) (total time.Duration) {
 						for _, p := range places {
 							cmd, _ := p.Running()
-							total += spent(b, cmd)
+							total += cpuTime(b, cmd)
 						}
 						return total / time.Duration(len(places))
 					}
-					some := c.Places // all of them, or those that keep
+					measured := c.Places // all members, or the replicas
 					if keepers {
-						some = some[:3]
+						measured = measured[:3]
 					}
-					before, from := sum(some), time.Now()
+					before, from := meanCPU(measured), time.Now()
 					time.Sleep(10 * time.Second)
-					b.ReportMetric(100*float64(sum(some)-before)/float64(time.Since(from)), "%core")
+					b.ReportMetric(100*float64(meanCPU(measured)-before)/float64(time.Since(from)), "%core")
 					for _, p := range c.Places {
 						p.Kill()
 					}
--- a/cmd/woaddyke/stalled_test.go
+++ b/cmd/woaddyke/stalled_test.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	badClientTime = 3 * time.Second        // within which one that stops in a request is owed an error or a close
-	badClientPad  = 500 * time.Millisecond // for a busy machine
+	stalledClientTimeout = 3 * time.Second        // for an error or a close after a client stalls in a request
+	stalledClientSlack   = 500 * time.Millisecond // tolerance for a busy machine
 )
 
-// A client that stops after one byte of its next request, on a connection that has served one, was given over 15 s: the standard server
-// waits for four bytes under the time that it lets a connection rest. The same where that byte came with the request before, and where
-// bytes dribble.
-func TestAClientThatStopsInItsNextRequestIsEnded(t *testing.T) {
+// A client that stalls after one byte of its next request, on a connection that has served one, must be
+// disconnected in time. It once had more than 15 s, because the standard server waits for the first four
+// bytes under the idle timeout. The same holds if that byte arrived with the previous request, and if bytes
+// arrive slowly.
+func TestAClientThatStallsInARequestIsClosed(t *testing.T) {
 	t.Parallel()
-	discovery, listen, at, _ := holding(t)
+	discovery, listen, received, _ := startHoldingWorker(t)
 	startProcess(t, t.TempDir(), listen, discovery, 0)
 	go func() {
-		for range at { // nobody counts them
+		for range received { // discards the ids
 		}
 	}()
 	op := func(id, more string) string {
@@ -35,7 +36,7 @@
 		"1;a=b\r\nx\r\n0\r\nTrailer: y\r\n\r\n%s"
 	for name, c := range map[string]struct {
 		first string
-		then  []string // a byte each, or more, a second apart
+		then  []string // pieces of the next request, sent one second apart
 	}{
 		"one byte":                    {op("a", ""), []string{"P"}},
 		"three bytes":                 {op("b", ""), []string{"POS"}},
@@ -57,7 +58,7 @@
 				t.Fatal(err)
 			}
 			if io.Copy(io.Discard, resp.Body); resp.StatusCode != http.StatusOK {
-				t.Fatalf("the request before: %d", resp.StatusCode)
+				t.Fatalf("the previous request: %d", resp.StatusCode)
 			}
 			began := time.Now()
 			go func() {
@@ -72,22 +73,23 @@
 			}()
 			text, err := io.ReadAll(answers)
 			if e, ok := err.(net.Error); ok && e.Timeout() {
-				t.Fatalf("nothing for 20 s, but %q", text)
+				t.Fatalf("the connection is open after 20 s, read %q", text)
 			}
-			if took := time.Since(began); took > badClientTime+badClientPad {
+			if took := time.Since(began); took > stalledClientTimeout+stalledClientSlack {
 				t.Errorf("ended after %v", took)
 			}
 		})
 	}
 }
 
-// A chunked op that came together with the one before it was refused as one that may have a length as well: its head had not been seen.
-func TestAChunkedOpThatComesWithTheOneBeforeIsServed(t *testing.T) {
+// A chunked op that arrived together with the previous one must be served. It was once rejected as a
+// request that may have a length as well, because its header had not been inspected.
+func TestAPipelinedChunkedOpIsServed(t *testing.T) {
 	t.Parallel()
-	discovery, listen, at, _ := holding(t)
+	discovery, listen, received, _ := startHoldingWorker(t)
 	startProcess(t, t.TempDir(), listen, discovery, 0)
 	go func() {
-		for range at { // nobody counts them
+		for range received { // discards the ids
 		}
 	}()
 	conn := dial(t, listen)
--- a/cmd/woaddyke/start_test.go
+++ b/cmd/woaddyke/start_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// get reads a call of a process's second address; false where there is no answer.
+// get decodes the answer of a console request. It returns false without an answer.
 func get(console, path string, into any) bool {
 	resp, err := (&http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}).Get("http://" + console + path)
 	if err != nil {
@@ -22,8 +22,9 @@
 	return resp.StatusCode == http.StatusOK && json.NewDecoder(resp.Body).Decode(into) == nil
 }
 
-// growing is a discovery that tells of workers, and of one more when it is told to. A watch that is opened after that has the newest list.
-func growing(t *testing.T, first string) (addr string, more chan<- string) {
+// startUpdatableDiscovery starts a discovery server with a first list. It sends each list from more on the
+// open watches; a watch that is opened later gets the latest list.
+func startUpdatableDiscovery(t *testing.T, first string) (addr string, more chan<- string) {
 	news := make(chan string, 1)
 	var newest atomic.Pointer[string]
 	newest.Store(&first)
@@ -50,38 +51,39 @@
 	return s.Listener.Addr().String(), news
 }
 
-// A worker that has just started beside three warm ones got as many ops as they, where the scheduler's wall clock had been stepped
-// before its start: by an hour on the worker was taken for an hour old.
-func TestAWorkerThatHasJustStartedIsColdWhateverTheWallClockSays(t *testing.T) {
+// A new worker with three warm ones must get fewer ops than they, although the wall clock of the scheduler
+// was stepped before its start. With the clock an hour ahead the worker was once considered an hour old.
+func TestANewWorkerGetsASlowStartAcrossAClockStep(t *testing.T) {
 	t.Parallel()
-	for _, step := range steps {
+	for _, step := range clockSteps {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
-			requireColdWorkerSpared(t, step, false)
+			requireSlowStart(t, step, false)
 		})
 	}
 }
 
-// The same where the worker stands in the first list that the scheduler reads. Of 300 ops it got about as many as a warm one.
-func TestAWorkerOfTheFirstListIsColdWhateverTheWallClockSays(t *testing.T) {
+// The same holds for a new worker in the first list that the scheduler reads. It once got about as many of
+// 300 ops as a warm worker.
+func TestANewWorkerInTheFirstListGetsASlowStart(t *testing.T) {
 	t.Parallel()
-	for _, step := range steps {
+	for _, step := range clockSteps {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
-			requireColdWorkerSpared(t, step, true)
+			requireSlowStart(t, step, true)
 		})
 	}
 }
 
-// requireColdWorkerSpared starts a scheduler with its wall clock stepped, beside three warm workers and one that has just started, and fails
-// the test where that one gets nearly as many ops as they.
-func requireColdWorkerSpared(t *testing.T, step time.Duration, inFirstList bool) {
+// requireSlowStart starts a scheduler with a stepped wall clock, three warm workers and a new one, and
+// fails the test if the new worker gets nearly as many ops as a warm one.
+func requireSlowStart(t *testing.T, step time.Duration, inFirstList bool) {
 	t.Helper()
 	const (
-		ops  = 300
-		most = ops / 6 // a warm one gets a quarter
+		ops    = 300
+		maxOps = ops / 6 // a warm worker gets a quarter
 	)
-	program, clock := stepped(t)
+	program, clock := steppedProgram(t)
 	clock.Set(step)
 	var fresh atomic.Int64
 	began := time.Now()
@@ -107,7 +109,7 @@
 	if inFirstList {
 		first = append(warm, added)
 	}
-	discovery, more := growing(t, `{"rev":1,"all":true,"targets":[`+strings.Join(first, ",")+`]}`)
+	discovery, more := startUpdatableDiscovery(t, `{"rev":1,"all":true,"targets":[`+strings.Join(first, ",")+`]}`)
 	listen := freeAddr(t)
 	p := startProgram(t, t.TempDir(), listen, discovery, 0, 256, map[string]any{
 		"discovery":  "pushed",
@@ -130,7 +132,7 @@
 			t.Fatalf("op%d: %d", k, status)
 		}
 	}
-	if n := fresh.Load(); n > most {
-		t.Errorf("%d of %d ops went to the worker that has just started, at most %d may", n, ops, most)
+	if n := fresh.Load(); n > maxOps {
+		t.Errorf("%d of %d ops went to the worker that has just started, at most %d may", n, ops, maxOps)
 	}
 }
--- a/cmd/woaddyke/starved_test.go
+++ b/cmd/woaddyke/starved_test.go
@@ -19,16 +19,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// How late attempts for clients that had left come to a worker, from a process that has a tenth of a core: it shares one with nine loops
-// that do nothing else. These are figures and no verdict, as nothing but the machine's scheduler decides on them; the seed is of the
-// clients' patience. It runs for STARVED seconds, one without.
-func TestFiguresOfAStarvedProcess(t *testing.T) {
+// Reports how late attempts of disconnected clients reach a worker from a process with a tenth of a core:
+// it shares one core with nine busy loops. The test only reports figures, as they depend on the scheduler
+// of the operating system alone. The seed sets how long the clients wait. The test runs for STARVED
+// seconds, one by default.
+func TestLateAttemptsOfAStarvedProcess(t *testing.T) {
 	seconds, err := strconv.Atoi(os.Getenv("STARVED"))
 	if err != nil {
 		seconds = 1
 	}
 	var mu sync.Mutex
-	left, came := map[string]time.Time{}, map[string][]time.Time{}
+	left, arrivals := map[string]time.Time{}, map[string][]time.Time{}
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			time.Sleep(20 * time.Millisecond)
@@ -38,11 +39,11 @@
 		io.Copy(io.Discard, r.Body)
 		id, now := r.Header.Get("X-Correlation-Id"), time.Now()
 		mu.Lock()
-		came[id] = append(came[id], now)
-		again := len(came[id]) < 3
+		arrivals[id] = append(arrivals[id], now)
+		retry := len(arrivals[id]) < 3
 		mu.Unlock()
 		time.Sleep(20 * time.Millisecond)
-		if again { // a further attempt, for as many
+		if retry { // causes up to three attempts
 			w.Header().Set("X-Unprocessed", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -50,16 +51,16 @@
 		fmt.Fprintf(w, `{"id":%q,"state":"done","result":"x"}`+"\n", id)
 	}))
 	t.Cleanup(worker.Close)
-	discovery := discoveryOf(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
+	discovery := startDiscovery(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
 		worker.Listener.Addr()))
 	listen := freeAddr(t)
-	p := onOneCore(t, func() started {
-		return startProcessOf(t, t.TempDir(), listen, discovery, 0, 4096, map[string]any{
+	p := onOneCore(t, func() testProcess {
+		return startProcessWith(t, t.TempDir(), listen, discovery, 0, 4096, map[string]any{
 			"bounds":     map[string]any{"maxPushes": 6, "probes": true, "cancel": false, "connectTimeoutNs": 1e9},
 			"report":     map[string]any{"fields": []string{"waiting", "running"}, "how": "on_probe"},
 			"categories": []any{map[string]any{"name": "pay", "effect": "fragile", "ttlNs": 30e9, "targetLatencyNs": 20e9}}})
 	})
-	onOneCore(t, func() started {
+	onOneCore(t, func() testProcess {
 		for range 9 {
 			c := exec.Command("sh", "-c", "while :; do :; done")
 			if err := c.Start(); err != nil {
@@ -67,13 +68,13 @@
 			}
 			t.Cleanup(func() { c.Process.Kill(); c.Wait() })
 		}
-		return started{}
+		return testProcess{}
 	})
 	until := time.Now().Add(time.Duration(seconds) * time.Second)
 	var clients sync.WaitGroup
 	for k := range 48 {
 		clients.Go(func() {
-			chance := rand.New(rand.NewPCG(7, uint64(k)))
+			rng := rand.New(rand.NewPCG(7, uint64(k)))
 			for n := 0; time.Now().Before(until); n++ {
 				id := fmt.Sprint(k, "-", n)
 				c, err := net.Dial("tcp", listen)
@@ -82,7 +83,7 @@
 				}
 				fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 20000\r\n"+
 					"Content-Length: 0\r\n\r\n", id)
-				c.SetReadDeadline(time.Now().Add(time.Duration(chance.IntN(600)) * time.Millisecond))
+				c.SetReadDeadline(time.Now().Add(time.Duration(rng.IntN(600)) * time.Millisecond))
 				if _, err := c.Read(make([]byte, 1)); err != nil {
 					mu.Lock()
 					left[id] = time.Now()
@@ -93,15 +94,15 @@
 		})
 	}
 	clients.Wait()
-	time.Sleep(time.Duration(min(seconds, 2)) * time.Second / 2) // for what may come still
+	time.Sleep(time.Duration(min(seconds, 2)) * time.Second / 2) // for late attempts
 	p.cmd.Process.Kill()
 	p.cmd.Wait()
 	mu.Lock()
 	defer mu.Unlock()
 	var late []time.Duration
 	attempts := 0
-	for id, at := range came {
-		for _, at := range at {
+	for id, times := range arrivals {
+		for _, at := range times {
 			attempts++
 			if gone, ok := left[id]; ok && at.After(gone) {
 				late = append(late, at.Sub(gone))
@@ -128,8 +129,8 @@
 		attempts, len(left), len(late), over(10*time.Millisecond), over(50*time.Millisecond), over(100*time.Millisecond), worst)
 }
 
-// onOneCore starts what shares the machine's last core.
-func onOneCore(t *testing.T, start func() started) started {
+// onOneCore runs start on the last core of the machine, which the started processes share.
+func onOneCore(t *testing.T, start func() testProcess) testProcess {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	var before, one unix.CPUSet
--- a/cmd/woaddyke/syscalls_test.go
+++ b/cmd/woaddyke/syscalls_test.go
@@ -19,8 +19,9 @@
 	"woaddyke/internal/lab/syscallfault"
 )
 
-// supervised starts a process whose calls of some kinds the test may have fail.
-func supervised(t *testing.T, listen, discovery string, sockets int, calls ...int) (started, *syscallfault.Supervisor) {
+// startSupervised starts a process, and a supervisor that can make its system calls of the given kinds
+// fail.
+func startSupervised(t *testing.T, listen, discovery string, sockets int, calls ...int) (testProcess, *syscallfault.Supervisor) {
 	t.Helper()
 	var s *syscallfault.Supervisor
 	p := startProgram(t, t.TempDir(), listen, discovery, 0, sockets, map[string]any{
@@ -28,15 +29,15 @@
 		"bounds":     map[string]any{"maxPushes": 3, "probes": true, "cancel": true, "connectTimeoutNs": 2e8},
 		"report":     map[string]any{"fields": []string{"waiting", "running"}, "how": "on_probe"},
 		"categories": []any{map[string]any{"name": "pay", "effect": "fragile", "ttlNs": 5e9, "targetLatencyNs": 5e9}}},
-		thisProgram, func(cmd *exec.Cmd) (err error) {
+		testCommand, func(cmd *exec.Cmd) (err error) {
 			s, err = syscallfault.Start(cmd, os.Args[0], nil, calls...)
 			return err
 		})
 	return p, s
 }
 
-// once fails the next call of a kind with an error, and lets all others go on.
-func once(call int, errno syscall.Errno) syscallfault.Decide {
+// failOnce fails the next call of a kind with an error. All other calls succeed.
+func failOnce(call int, errno syscall.Errno) syscallfault.Decide {
 	var done atomic.Bool
 	return func(c syscallfault.Call) syscall.Errno {
 		if c.Number != call || !done.CompareAndSwap(false, true) {
@@ -46,13 +47,13 @@
 	}
 }
 
-// addsToEpoll tells whether a call puts a descriptor under watch, as each accepted connection is.
+// addsToEpoll reports whether a call adds a descriptor to epoll, as happens for each accepted connection.
 func addsToEpoll(c syscallfault.Call) bool {
 	return c.Number == syscall.SYS_EPOLL_CTL && c.Args[1] == syscall.EPOLL_CTL_ADD
 }
 
-// answers tells whether a new client at an address is answered.
-func answers(addr, path string) error {
+// checkAnswers requests a path on a new connection, and returns an error unless the status is 200.
+func checkAnswers(addr, path string) error {
 	resp, err := (&http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}).Get("http://" + addr + path)
 	if err != nil {
 		return err
@@ -64,43 +65,45 @@
 	return nil
 }
 
-// keptOp posts the op that the worker holds, and returns what becomes of it.
-func keptOp(t *testing.T, listen string, at <-chan string) (status <-chan int) {
+// postHeldOp sends the op that the worker holds, and returns a channel for its status.
+func postHeldOp(t *testing.T, listen string, received <-chan string) (status <-chan int) {
 	t.Helper()
 	answer := make(chan int, 1)
 	go func() {
 		status, err := postOp(listen, "held", 5*time.Second)
 		if err != nil {
-			status = 0 // the caller says what it wanted
+			status = 0 // the caller reports the failure
 		}
 		answer <- status
 	}()
-	if id := <-at; id != "held" {
+	if id := <-received; id != "held" {
 		t.Fatal(id)
 	}
 	return answer
 }
 
-// All that accept4(2) may return for a moment: accept hands on errors that lie on the new connection, and what the machine lacks.
-var momentsOfAccept = []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+// transientAcceptErrnos are the transient errors of accept4(2): errors of the new connection, and shortages
+// of the machine.
+var transientAcceptErrnos = []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EPROTO, syscall.EPERM, syscall.ETIMEDOUT, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
 	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ENOSR, syscall.ESOCKTNOSUPPORT, syscall.EPROTONOSUPPORT}
 
-// accept4 failing once with ENOBUFS, ENOMEM, EPROTO, ENETDOWN, EHOSTUNREACH or EPERM, or the accepted connection not getting under watch,
-// ended the process with all that it held.
-func TestAMomentsFailureOfAcceptEndsNothing(t *testing.T) {
+// A transient failure of accept must not end the process. A single ENOBUFS, ENOMEM, EPROTO, ENETDOWN,
+// EHOSTUNREACH or EPERM of accept4, or an accepted connection that could not be added to epoll, once ended
+// the process with all its ops.
+func TestATransientAcceptFailureIsSurvived(t *testing.T) {
 	t.Parallel()
-	t.Run("one that lasts", failureOfAcceptThatLasts)
-	discovery, listen, at, free := holding(t)
+	t.Run("lasting failure", lastingAcceptFailure)
+	discovery, listen, received, free := startHoldingWorker(t)
 	release := sync.OnceFunc(func() { close(free) })
 	t.Cleanup(release)
-	p, s := supervised(t, listen, discovery, 512, syscall.SYS_ACCEPT4, syscall.SYS_EPOLL_CTL)
-	held := keptOp(t, listen, at)
+	p, s := startSupervised(t, listen, discovery, 512, syscall.SYS_ACCEPT4, syscall.SYS_EPOLL_CTL)
+	held := postHeldOp(t, listen, received)
 	for addr, path := range map[string]string{listen: "/healthz", p.console: "/api/ready"} {
-		for _, errno := range momentsOfAccept {
-			s.Set(once(syscall.SYS_ACCEPT4, errno))
+		for _, errno := range transientAcceptErrnos {
+			s.Set(failOnce(syscall.SYS_ACCEPT4, errno))
 			before := s.Failed(syscall.SYS_ACCEPT4)
-			if err := answers(addr, path); err != nil {
+			if err := checkAnswers(addr, path); err != nil {
 				t.Errorf("accept fails with %v: %v: %s", errno, err, p.log)
 				return
 			}
@@ -116,10 +119,10 @@
 				}
 				return errno
 			})
-			if answers(addr, path); !done.Load() {
+			if checkAnswers(addr, path); !done.Load() {
 				t.Fatalf("%v was not injected", errno)
 			}
-			if err := answers(addr, path); err != nil {
+			if err := checkAnswers(addr, path); err != nil {
 				t.Errorf("after %v of epoll_ctl: %v: %s", errno, err, p.log)
 				return
 			}
@@ -128,46 +131,47 @@
 	s.Set(nil)
 	release()
 	if status := <-held; status != http.StatusOK {
-		t.Errorf("the op that was held: %d", status)
+		t.Errorf("the held op: %d", status)
 	}
 }
 
-// failureOfAcceptThatLasts is waited out: no spin, and clients are taken when it is over.
-func failureOfAcceptThatLasts(t *testing.T) {
-	const lasts, most = 500 * time.Millisecond, 500
+// lastingAcceptFailure checks that a failure of accept that lasts causes no busy loop, and that clients are
+// accepted after it.
+func lastingAcceptFailure(t *testing.T) {
+	const duration, maxCalls = 500 * time.Millisecond, 500
 	for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.EMFILE, syscall.EPERM} {
-		discovery, listen, at, free := holding(t)
+		discovery, listen, received, free := startHoldingWorker(t)
 		release := sync.OnceFunc(func() { close(free) })
 		t.Cleanup(release)
-		p, s := supervised(t, listen, discovery, 512, syscall.SYS_ACCEPT4)
-		held := keptOp(t, listen, at)
+		p, s := startSupervised(t, listen, discovery, 512, syscall.SYS_ACCEPT4)
+		held := postHeldOp(t, listen, received)
 		s.Set(func(syscallfault.Call) syscall.Errno { return errno })
-		came := make(chan error, 1)
-		go func() { came <- answers(listen, "/healthz") }()
-		time.Sleep(lasts)
+		result := make(chan error, 1)
+		go func() { result <- checkAnswers(listen, "/healthz") }()
+		time.Sleep(duration)
 		s.Set(nil)
-		if err := <-came; err != nil {
+		if err := <-result; err != nil {
 			t.Errorf("%v: %v: %s", errno, err, p.log)
 			return
 		}
-		if n := s.Failed(syscall.SYS_ACCEPT4); n > most {
-			t.Errorf("%v: accept was called %d times within %v", errno, n, lasts)
+		if n := s.Failed(syscall.SYS_ACCEPT4); n > maxCalls {
+			t.Errorf("%v: accept was called %d times within %v", errno, n, duration)
 		}
 		release()
 		if status := <-held; status != http.StatusOK {
-			t.Errorf("%v: the op that was held: %d", errno, status)
+			t.Errorf("%v: the held op: %d", errno, status)
 		}
 	}
 }
 
-// With one ENFILE or EMFILE while hundreds of descriptors are free, one fresh client of sixty got no answer: it gave way though nothing
-// was short.
-func TestAMomentWithoutADescriptorCostsNoClient(t *testing.T) {
+// A single ENFILE or EMFILE while hundreds of descriptors are free must close no client. One new client of
+// sixty once got no answer: its connection was closed as if descriptors were short.
+func TestATransientDescriptorShortageClosesNoClient(t *testing.T) {
 	t.Parallel()
-	discovery, listen, at, _ := holding(t)
-	p, s := supervised(t, listen, discovery, 512, syscall.SYS_ACCEPT4)
+	discovery, listen, received, _ := startHoldingWorker(t)
+	p, s := startSupervised(t, listen, discovery, 512, syscall.SYS_ACCEPT4)
 	go func() {
-		for range at { // nobody counts them
+		for range received { // discards the ids
 		}
 	}()
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.EMFILE} {
@@ -175,9 +179,9 @@
 		for range 60 {
 			clients = append(clients, dial(t, listen))
 		}
-		s.Set(once(syscall.SYS_ACCEPT4, errno))
-		if err := answers(listen, "/healthz"); err != nil {
-			t.Errorf("%v: the client that came then: %v", errno, err)
+		s.Set(failOnce(syscall.SYS_ACCEPT4, errno))
+		if err := checkAnswers(listen, "/healthz"); err != nil {
+			t.Errorf("%v: the client at that moment: %v", errno, err)
 		}
 		for k, c := range clients {
 			c.SetDeadline(time.Now().Add(5 * time.Second))
@@ -196,19 +200,20 @@
 	}
 }
 
-// Where reading or writing fails for a moment, as the machine has no buffers, or a signal comes, ops are served all the same: with recvfrom
-// failing by ENOBUFS every now and then 12 of 60 were not, as their clients were taken for gone.
-func TestAMomentWithoutBuffersCostsNoOp(t *testing.T) {
+// A transient failure of a read or write, by a shortage of buffers or a signal, must fail no op. When
+// recvfrom failed with ENOBUFS now and then, 12 of 60 ops were not served, because their clients were
+// considered disconnected.
+func TestATransientBufferShortageFailsNoOp(t *testing.T) {
 	t.Parallel()
 	const every = 5
 	for name, call := range map[string]int{"recvfrom": syscall.SYS_RECVFROM, "read": syscall.SYS_READ, "write": syscall.SYS_WRITE} {
 		for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR} {
 			t.Run(name+" "+errno.Error(), func(t *testing.T) {
 				t.Parallel()
-				discovery, listen, at, _ := holding(t)
-				p, s := supervised(t, listen, discovery, 512, call)
+				discovery, listen, received, _ := startHoldingWorker(t)
+				p, s := startSupervised(t, listen, discovery, 512, call)
 				go func() {
-					for range at { // nobody counts them
+					for range received { // discards the ids
 					}
 				}()
 				var n atomic.Int64
@@ -236,11 +241,12 @@
 	}
 }
 
-// A dial that this machine has no port, memory or descriptor for says nothing of the worker and was seen by none: it costs no retry, is
-// not tried without a pause, and the op is served once the shortage is over.
-func TestADialThatFailsHereCostsNoRetry(t *testing.T) {
+// A dial that fails because this machine has no port, memory or descriptor says nothing about the worker,
+// and no worker has seen it. It must use up no retry and be repeated only after a pause, and the op must be
+// served when the shortage ends.
+func TestADialThatFailsLocallyUsesNoRetry(t *testing.T) {
 	t.Parallel()
-	const lasts, most = 400 * time.Millisecond, 60
+	const duration, maxCalls = 400 * time.Millisecond, 60
 	for name, fail := range map[string]struct {
 		call  int
 		errno syscall.Errno
@@ -249,36 +255,37 @@
 		"filtered": {syscall.SYS_CONNECT, syscall.EPERM}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			discovery, listen, at, _ := holding(t)
-			p, s := supervised(t, listen, discovery, 512, fail.call)
+			discovery, listen, received, _ := startHoldingWorker(t)
+			p, s := startSupervised(t, listen, discovery, 512, fail.call)
 			go func() {
-				for range at { // nobody counts them
+				for range received { // discards the ids
 				}
 			}()
 			s.Set(func(syscallfault.Call) syscall.Errno { return fail.errno })
-			came := make(chan error, 1)
+			result := make(chan error, 1)
 			go func() {
 				status, err := postOp(listen, "one", 4*time.Second)
 				if err == nil && status != http.StatusOK {
 					err = fmt.Errorf("status %d", status)
 				}
-				came <- err
+				result <- err
 			}()
-			time.Sleep(lasts)
+			time.Sleep(duration)
 			failed := s.Failed(fail.call)
 			s.Set(nil)
-			if err := <-came; err != nil {
+			if err := <-result; err != nil {
 				t.Errorf("%v: %s", err, p.log)
 			}
-			if failed == 0 || failed > most {
-				t.Errorf("%d calls failed within %v, at most %d may", failed, lasts, most)
+			if failed == 0 || failed > maxCalls {
+				t.Errorf("%d calls failed within %v, at most %d may", failed, duration, maxCalls)
 			}
 		})
 	}
 }
 
-// A process that was started while the machine had no descriptor or buffer for a moment ended with an error; found by a soak, seed 3.
-func TestAStartOutlastsAShortage(t *testing.T) {
+// A process must start although the machine has no descriptor or buffer for a moment. Its start once ended
+// with an error; a soak with seed 3 found this.
+func TestAStartWaitsForALocalShortage(t *testing.T) {
 	t.Parallel()
 	const failures = 12
 	for name, errno := range map[string]syscall.Errno{"no descriptor": syscall.ENFILE, "none of its own": syscall.EMFILE, "no buffers": syscall.ENOBUFS,
@@ -286,24 +293,24 @@
 		for _, call := range []int{syscall.SYS_SOCKET, syscall.SYS_EPOLL_CTL} {
 			t.Run(fmt.Sprint(name, " ", call), func(t *testing.T) {
 				t.Parallel()
-				discovery, listen, _, _ := holding(t)
+				discovery, listen, _, _ := startHoldingWorker(t)
 				var n atomic.Int64
 				var s *syscallfault.Supervisor
 				p := startProgram(t, t.TempDir(), listen, discovery, 0, 512, map[string]any{
 					"categories": []any{map[string]any{"name": "pay", "effect": "fragile", "ttlNs": 5e9, "targetLatencyNs": 5e9}}},
-					thisProgram, func(cmd *exec.Cmd) (err error) {
+					testCommand, func(cmd *exec.Cmd) (err error) {
 						s, err = syscallfault.Start(cmd, os.Args[0], func(c syscallfault.Call) syscall.Errno {
 							if call == syscall.SYS_EPOLL_CTL && !addsToEpoll(c) {
 								return 0
 							}
-							if k := n.Add(1); k > failures || k == 1 && call == syscall.SYS_EPOLL_CTL { // the first is the runtime's own, which ends at it
+							if k := n.Add(1); k > failures || k == 1 && call == syscall.SYS_EPOLL_CTL { // the first call is the Go runtime's, which would abort
 								return 0
 							}
 							return errno
 						}, call)
 						return err
 					})
-				if err := answers(listen, "/healthz"); err != nil || s.Failed(call) == 0 {
+				if err := checkAnswers(listen, "/healthz"); err != nil || s.Failed(call) == 0 {
 					t.Errorf("%v, %d calls failed: %s", err, s.Failed(call), p.log)
 				}
 			})
@@ -311,16 +318,17 @@
 	}
 }
 
-// A configuration whose reading fails for a moment, as its disk does, was kept as it had been, and nobody read it again: what it told of
-// discovery and categories counted from then on all the same.
-func TestARereadOutlastsADiskThatFails(t *testing.T) {
+// A reload must be repeated when reading the configuration fails for a moment, as its disk does. The former
+// configuration once stayed in force and the file was not read again, so that changes of discovery and of
+// categories had no effect.
+func TestAReloadWaitsForADiskThatFails(t *testing.T) {
 	t.Parallel()
-	discovery, listen, _, _ := holding(t)
-	other := discoveryOf(t, `{"rev":9,"all":true,"targets":[]}`)
-	p, s := supervised(t, listen, discovery, 512, syscall.SYS_READ)
+	discovery, listen, _, _ := startHoldingWorker(t)
+	other := startDiscovery(t, `{"rev":9,"all":true,"targets":[]}`)
+	p, s := startSupervised(t, listen, discovery, 512, syscall.SYS_READ)
 	path := ""
 	for _, v := range p.cmd.Env {
-		if dir, ok := strings.CutPrefix(v, "TMPDIR="); ok { // the last one counts
+		if dir, ok := strings.CutPrefix(v, "TMPDIR="); ok { // the last one is valid
 			path = filepath.Join(dir, "0.json")
 		}
 	}
@@ -339,8 +347,8 @@
 		return syscall.EIO
 	})
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	await(t, "the configuration is taken up", p.log, func() bool { return strings.Contains(p.log.String(), `"discovery":"`+other+`"`) })
+	await(t, "the configuration is in force", p.log, func() bool { return strings.Contains(p.log.String(), `"discovery":"`+other+`"`) })
 	if failed.Load() == 0 {
-		t.Error("nothing was failed: this test proves nothing")
+		t.Error("no read failed, so the test shows nothing")
 	}
 }
--- a/cmd/woaddyke/upgrade_test.go
+++ b/cmd/woaddyke/upgrade_test.go
@@ -21,8 +21,8 @@
 	"woaddyke/internal/lab/syscallfault"
 )
 
-// TestMain lets this test's program be the command itself, for tests of real processes, and the launcher of those whose system calls
-// are to fail.
+// TestMain lets the test program run as the command itself, for tests of real processes, and as the
+// launcher of processes whose system calls fail.
 func TestMain(m *testing.M) {
 	syscallfault.Launch()
 	if os.Getenv("WOADDYKE_TEST_SERVES") != "" {
@@ -30,25 +30,26 @@
 		return
 	}
 	code := m.Run()
-	os.RemoveAll(steppedFolder)
+	os.RemoveAll(steppedBuildDir)
 	os.Exit(code)
 }
 
-// upgrades is how often the process is replaced; outside CI, UPGRADES=20.
-func upgrades() int {
+// restartsUnderLoad returns the number of hot restarts, 3 by default. For longer runs than in CI:
+// UPGRADES=20.
+func restartsUnderLoad() int {
 	if n, err := strconv.Atoi(os.Getenv("UPGRADES")); err == nil {
 		return n
 	}
 	return 3
 }
 
-// record is what the stand-in workers saw: how often each op came whole.
-type record struct {
+// runCounter is a worker that counts how often each complete op arrived.
+type runCounter struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-func (r *record) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (r *runCounter) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	if req.Method == http.MethodGet {
 		fmt.Fprintln(w, `{"waiting":0,"running":0}`)
 		return
@@ -58,58 +59,59 @@
 	r.mu.Lock()
 	r.runs[id]++
 	r.mu.Unlock()
-	time.Sleep(5 * time.Millisecond) // a job's work
+	time.Sleep(5 * time.Millisecond) // the time of a job
 	fmt.Fprintf(w, `{"id":%q,"state":"done","result":%q}`+"\n", id, id)
 }
 
-// of is how often an op came.
-func (r *record) of(id string) int {
+// count returns how often an op arrived.
+func (r *runCounter) count(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.runs[id]
 }
 
-// started is one real process, and where staff call it.
-type started struct {
+// testProcess is a running process, its console address and its log.
+type testProcess struct {
 	cmd     *exec.Cmd
 	console string
-	log     *lines
+	log     *logBuffer
 }
 
-// lines are what a process has written to its log so far.
-type lines struct {
+// logBuffer collects the log of a process.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-func startProcess(t *testing.T, dir, listen, discovery string, n int) started {
+func startProcess(t *testing.T, dir, listen, discovery string, n int) testProcess {
 	t.Helper()
-	return startProcessOf(t, dir, listen, discovery, n, 256, map[string]any{
+	return startProcessWith(t, dir, listen, discovery, n, 256, map[string]any{
 		"bounds":     map[string]any{"maxPushes": 3, "probes": true, "cancel": true, "connectTimeoutNs": 2e8},
 		"report":     map[string]any{"fields": []string{"waiting", "running"}, "how": "on_probe"},
 		"categories": []any{map[string]any{"name": "pay", "effect": "fragile", "ttlNs": 5e9, "targetLatencyNs": 5e9}}})
 }
 
-// startProcessOf starts one by its own settings, with so many descriptors.
-func startProcessOf(t *testing.T, dir, listen, discovery string, n, sockets int, settings map[string]any) started {
+// startProcessWith starts a process with given settings and a number of descriptors.
+func startProcessWith(t *testing.T, dir, listen, discovery string, n, sockets int, settings map[string]any) testProcess {
 	t.Helper()
-	return startProgram(t, dir, listen, discovery, n, sockets, settings, thisProgram, (*exec.Cmd).Start)
+	return startProgram(t, dir, listen, discovery, n, sockets, settings, testCommand, (*exec.Cmd).Start)
 }
 
-// socketFolder is a folder whose name is short enough for a Unix socket in it; a test's own is named by the test.
-func socketFolder(t *testing.T) string {
+// shortTempDir returns a directory with a name that is short enough for a Unix socket in it. The name of
+// t.TempDir contains the name of the test.
+func shortTempDir(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "socket-")
 	if err != nil {
@@ -119,7 +121,7 @@
 	return dir
 }
 
-// paySettings are of one at-most-once category with a time to live, probes and cancels.
+// paySettings returns settings with one at-most-once category of a given TTL, probes and cancels.
 func paySettings(ttl time.Duration) map[string]any {
 	return map[string]any{
 		"bounds":     map[string]any{"maxPushes": 3, "probes": true, "cancel": true, "connectTimeoutNs": 2e8},
@@ -127,11 +129,11 @@
 		"categories": []any{map[string]any{"name": "pay", "effect": "fragile", "ttlNs": float64(ttl), "targetLatencyNs": float64(ttl)}}}
 }
 
-// startProgram starts one of another build, or in another way.
+// startProgram starts a process of a given build by a given start function, and waits until it is ready.
 func startProgram(t *testing.T, dir, listen, discovery string, n, sockets int, settings map[string]any,
-	program func(args ...string) *exec.Cmd, start func(*exec.Cmd) error) started {
+	program func(args ...string) *exec.Cmd, start func(*exec.Cmd) error) testProcess {
 	t.Helper()
-	s := started{console: ownAddr(), log: &lines{}}
+	s := testProcess{console: uniqueAddr(), log: &logBuffer{}}
 	path := filepath.Join(dir, fmt.Sprintf("%d.json", n))
 	text, err := json.Marshal(map[string]any{"name": "n", "listen": listen, "console": s.console, "discovery": discovery, "seed": "7",
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": sockets}, "settings": settings})
@@ -161,8 +163,9 @@
 	}
 }
 
-// client sends one op after another, each on the connection before if that stayed open, until told to stop.
-func client(listen, name string, stop <-chan struct{}, told func(id string, status int, err error)) {
+// sendOps sends ops one after another until stop is closed. It uses the previous connection again if that
+// is still open.
+func sendOps(listen, name string, stop <-chan struct{}, report func(id string, status int, err error)) {
 	var c net.Conn
 	var answers *bufio.Reader
 	for n := 0; ; n++ {
@@ -175,12 +178,12 @@
 		default:
 		}
 		id := fmt.Sprintf("%s-%d", name, n)
-		for try := range 2 { // a close between requests may cross one: it is sent once more on a new connection
+		for try := range 2 { // the server may close an idle connection while a request is sent: the op is sent again on a new one
 			var err error
 			fresh := c == nil
 			if fresh {
 				if c, err = net.Dial("tcp", listen); err != nil {
-					told(id, 0, err)
+					report(id, 0, err)
 					break
 				}
 				answers = bufio.NewReader(c)
@@ -194,7 +197,7 @@
 				if c = nil; !fresh && try == 0 {
 					continue
 				}
-				told(id, 0, err)
+				report(id, 0, err)
 				break
 			}
 			io.Copy(io.Discard, resp.Body)
@@ -202,28 +205,28 @@
 				c.Close()
 				c = nil
 			}
-			told(id, resp.StatusCode, nil)
+			report(id, resp.StatusCode, nil)
 			break
 		}
 	}
 }
 
-// standIns are three workers and their discovery, and a free address for clients.
-func standIns(t *testing.T, runs *record) (discovery, listen string) {
+// startWorkers starts three workers and their discovery, and returns a free address for clients.
+func startWorkers(t *testing.T, runs *runCounter) (discovery, listen string) {
 	known := `{"rev":1,"all":true,"targets":[`
 	for i := range 3 {
 		worker := httptest.NewServer(runs)
 		t.Cleanup(worker.Close)
 		known += fmt.Sprintf(`%s{"uid":"w%d","endpoint":%q,"state":"SERVING"}`, []string{"", ","}[min(i, 1)], i, worker.Listener.Addr())
 	}
-	return discoveryOf(t, known+"]}"), ownAddr()
+	return startDiscovery(t, known+"]}"), uniqueAddr()
 }
 
-// Under load, by the workers' own record: no op is lost or run twice while processes take one another's place, and none is
-// turned away.
-func TestProcessesTakeOneAnothersPlaceUnderLoad(t *testing.T) {
-	runs := &record{runs: map[string]int{}}
-	discovery, listen := standIns(t, runs)
+// Under load, hot restarts must neither lose nor reject an op nor run one twice. The workers count the
+// runs.
+func TestHotRestartsUnderLoadLoseNoOp(t *testing.T) {
+	runs := &runCounter{runs: map[string]int{}}
+	discovery, listen := startWorkers(t, runs)
 	dir := t.TempDir()
 	p := startProcess(t, dir, listen, discovery, 0)
 	var mu sync.Mutex
@@ -232,7 +235,7 @@
 	var clients sync.WaitGroup
 	for i := range 8 {
 		clients.Go(func() {
-			client(listen, fmt.Sprint("c", i), stop, func(id string, status int, err error) {
+			sendOps(listen, fmt.Sprint("c", i), stop, func(id string, status int, err error) {
 				mu.Lock()
 				defer mu.Unlock()
 				if acked[id] = status == http.StatusOK; !acked[id] {
@@ -242,7 +245,7 @@
 			})
 		})
 	}
-	for n := range upgrades() {
+	for n := range restartsUnderLoad() {
 		before := p
 		p = startProcess(t, dir, listen, discovery, n+1)
 		if err := before.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -268,20 +271,21 @@
 			t.Errorf("%s ran %d times", id, n)
 		}
 	}
-	t.Logf("%d ops over %d upgrades", len(acked), upgrades())
+	t.Logf("%d ops over %d upgrades", len(acked), restartsUnderLoad())
 }
 
-// A new process that died took the old one with it, or left it as if it had an heir; and what staff had said to the old one
-// was lost on the next.
-func TestAnHeirThatDiesLeavesTheOtherServing(t *testing.T) {
-	runs := &record{runs: map[string]int{}}
-	discovery, listen := standIns(t, runs)
+// A process must serve on when its successor dies, and its operator state must be handed over to the next
+// successor. It once ended with the successor, or behaved as if it still had one, and the operator state
+// was lost.
+func TestServingGoesOnWhenASuccessorDies(t *testing.T) {
+	runs := &runCounter{runs: map[string]int{}}
+	discovery, listen := startWorkers(t, runs)
 	dir, n := t.TempDir(), 0
-	serves := func(want bool) {
+	requireServed := func(want bool) {
 		t.Helper()
 		n++
 		done, status := make(chan struct{}), 0
-		client(listen, fmt.Sprint("x", n), done, func(_ string, got int, _ error) {
+		sendOps(listen, fmt.Sprint("x", n), done, func(_ string, got int, _ error) {
 			if status = got; got != 0 {
 				close(done)
 			} else {
@@ -292,7 +296,7 @@
 			t.Errorf("an op is answered %d", status)
 		}
 	}
-	healthy := func(want int) {
+	requireHealth := func(want int) {
 		t.Helper()
 		resp, err := http.Get("http://" + listen + "/healthz")
 		if err != nil {
@@ -302,7 +306,7 @@
 			t.Errorf("health %d, want %d", resp.StatusCode, want)
 		}
 	}
-	call := func(s started, path string) {
+	call := func(s testProcess, path string) {
 		t.Helper()
 		resp, err := http.Post("http://"+s.console+path, "", nil)
 		if err != nil || resp.StatusCode != http.StatusOK {
@@ -311,15 +315,15 @@
 		resp.Body.Close()
 	}
 	first := startProcess(t, dir, listen, discovery, 0)
-	serves(true)
-	heir := startProcess(t, dir, listen, discovery, 1)
-	first.cmd.Process.Signal(syscall.SIGHUP) // staff may reread while both run
-	heir.cmd.Process.Kill()
-	heir.cmd.Wait()
+	requireServed(true)
+	successor := startProcess(t, dir, listen, discovery, 1)
+	first.cmd.Process.Signal(syscall.SIGHUP) // operators may reload while both run
+	successor.cmd.Process.Kill()
+	successor.cmd.Wait()
 	for range 5 {
-		serves(true)
+		requireServed(true)
 	}
-	healthy(http.StatusOK)
+	requireHealth(http.StatusOK)
 	var figures struct {
 		ReloadsOK int `json:"reloads_ok"`
 		Requests  map[string]struct{ Served int }
@@ -335,19 +339,19 @@
 		}
 	}
 	if figures.ReloadsOK != 1 || figures.Requests["pay"].Served < 5 {
-		t.Errorf("figures of the process that stayed: %+v", figures)
+		t.Errorf("metrics of the first process: %+v", figures)
 	}
 	call(first, "/api/evacuate")
-	healthy(http.StatusServiceUnavailable)
+	requireHealth(http.StatusServiceUnavailable)
 	second := startProcess(t, dir, listen, discovery, 2)
 	first.cmd.Process.Signal(syscall.SIGTERM)
 	if err := first.cmd.Wait(); err != nil {
 		t.Errorf("the first process: %v, %s", err, first.log)
 	}
-	healthy(http.StatusServiceUnavailable)
+	requireHealth(http.StatusServiceUnavailable)
 	call(second, "/api/rejoin")
-	healthy(http.StatusOK)
-	serves(true)
+	requireHealth(http.StatusOK)
+	requireServed(true)
 	second.cmd.Process.Signal(syscall.SIGTERM)
 	if err := second.cmd.Wait(); err != nil {
 		t.Errorf("the second process: %v, %s", err, second.log)
--- a/cmd/woaddyke/verify_command.go
+++ b/cmd/woaddyke/verify_command.go
@@ -12,17 +12,17 @@
 	"github.com/spf13/cobra"
 )
 
-// minVerified is how many replicas a comparison needs.
+// minVerified is the minimum number of replicas in a comparison.
 const minVerified = 2
 
-// unknownStage stands for a claim that a replica does not have.
+// unknownStage is the stage of a claim that a replica does not have.
 const unknownStage = "unknown"
 
-// errReplicasDiffer ends a comparison that found differences.
+// errReplicasDiffer is the error of a comparison that found differences.
 var errReplicasDiffer = errors.New("the copies differ")
 
-// verifyCommand compares the records of replicas and prints each claim of which they know different
-// things: a claim that may still be used, or an end, that one replica does not have.
+// verifyCommand compares the records of replicas and prints each claim whose stage or status differs
+// between them. A difference can be a claim in use or an outcome that one replica does not have.
 func verifyCommand(addrs *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "verify",
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// claimStages has the stage of each claim by the address of the replica.
+// claimStages maps each claim to its stage at each replica, by the console address of the replica.
 type claimStages map[string]map[string]string
 
 // read reads all records of one replica, page by page.
@@ -82,7 +82,7 @@
 	}
 }
 
-// compare returns a claim's stages at the replicas, and whether they differ.
+// compare returns the stages of a claim at the replicas, and whether they differ.
 func (s claimStages) compare(claim string, addrs []string) (row string, differ bool) {
 	stages := map[string]bool{}
 	for _, addr := range addrs {
--- a/cmd/woaddyke/workers_test.go
+++ b/cmd/woaddyke/workers_test.go
@@ -11,9 +11,10 @@
 	"woaddyke/internal/lab/several"
 )
 
-// A scheduler whose discovery has fallen silent pushed to a worker for as long as it lived, though its neighbour had been told that it
-// drains. What a neighbour was told binds now, until the own discovery has come as far.
-func TestADrainThatANeighbourWasToldOf(t *testing.T) {
+// A scheduler must apply a drain that a peer reports, until its own discovery has sent a list that is as
+// recent. A scheduler with a silent discovery once pushed to a worker for good, although another scheduler
+// knew that it drains.
+func TestADrainThatAPeerReportsIsApplied(t *testing.T) {
 	t.Parallel()
 	for _, on := range []bool{true, false} {
 		t.Run(fmt.Sprint("workers ", on), func(t *testing.T) {
@@ -35,10 +36,10 @@
 				addrs = append(addrs, w.Listener.Addr().String())
 			}
 			row := `{"uid":"w%d","endpoint":%q,"state":%q,"boot_ms":1000}`
-			whole := fmt.Sprintf(`{"rev":1,"all":true,"targets":[`+row+","+row+`]}`, 0, addrs[0], "SERVING", 1, addrs[1], "SERVING")
+			snapshot := fmt.Sprintf(`{"rev":1,"all":true,"targets":[`+row+","+row+`]}`, 0, addrs[0], "SERVING", 1, addrs[1], "SERVING")
 			drain := make(chan struct{})
-			told := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				fmt.Fprintln(w, whole)
+			discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				fmt.Fprintln(w, snapshot)
 				w.(http.Flusher).Flush()
 				select {
 				case <-drain:
@@ -48,10 +49,10 @@
 				}
 				<-r.Context().Done()
 			}))
-			t.Cleanup(told.Close)
-			t.Cleanup(told.CloseClientConnections)
-			c := several.New(t, 2, fmt.Sprintf("%sworkers = %v\n", quick, on), whole, thisProgram) // its discovery tells no more
-			c.Places[0].Discovery = told.Listener.Addr().String()
+			t.Cleanup(discovery.Close)
+			t.Cleanup(discovery.CloseClientConnections)
+			c := several.New(t, 2, fmt.Sprintf("%sworkers = %v\n", fastMembers, on), snapshot, testCommand) // their discovery sends no further list
+			c.Places[0].Discovery = discovery.Listener.Addr().String()
 			for _, p := range c.Places {
 				c.Start(p)
 			}
@@ -70,26 +71,26 @@
 				return pushes[0].Load() > 0 && pushes[1].Load() > 0
 			})
 			close(drain)
-			quiet := func(p *several.Place) bool {
+			avoidsDrained := func(p *several.Place) bool {
 				before := pushes[0].Load()
 				send(p, 30)
 				return pushes[0].Load() == before
 			}
-			c.Await("the one that is told pushes there no more", func() bool { return quiet(c.Places[0]) })
+			c.Await("the scheduler with the drain stops pushing to the worker", func() bool { return avoidsDrained(c.Places[0]) })
 			if !on {
 				stopped := true
 				for range 2 {
-					stopped = stopped && quiet(c.Places[1])
+					stopped = stopped && avoidsDrained(c.Places[1])
 				}
 				if stopped {
-					t.Error("without a word of its neighbour it stopped too: this test proves nothing")
+					t.Error("it stopped without a peer report too, so the test shows nothing")
 				}
 				return
 			}
-			c.Await("its neighbour pushes there no more", func() bool { return quiet(c.Places[1]) })
+			c.Await("the other scheduler stops pushing to the worker", func() bool { return avoidsDrained(c.Places[1]) })
 			for range 3 {
-				if !quiet(c.Places[1]) {
-					t.Error("and then it pushed there again")
+				if !avoidsDrained(c.Places[1]) {
+					t.Error("it pushed to the worker again")
 				}
 			}
 		})
--- a/internal/simwire/decisions.go
+++ b/internal/simwire/decisions.go
@@ -7,47 +7,47 @@
 	"woaddyke/internal/config"
 )
 
-// outbox pulls a scheduler's decisions and appends them, separated by commas.
-func (s *scheduler) outbox(box []byte) []byte {
+// outbox reads the decisions of a scheduler and appends them to out, separated by commas.
+func (s *scheduler) outbox(out []byte) []byte {
 	for {
-		next := s.dispatcher.Next()
-		switch next.Kind {
+		decision := s.dispatcher.Next()
+		switch decision.Kind {
 		case dispatch.NoDecision:
-			return box
+			return out
 		case dispatch.Forget:
-			s.forgetOp(next.Op)
+			s.forgetOp(decision.Op)
 			continue
 		case dispatch.Push:
-			s.attempts[next.Op]++
+			s.attempts[decision.Op]++
 		}
-		if len(box) > 0 {
-			box = append(box, ',')
+		if len(out) > 0 {
+			out = append(out, ',')
 		}
-		box = s.appendDecision(box, next)
+		out = s.appendDecision(out, decision)
 	}
 }
 
-// appendDecision writes a decision in the wire's form.
-func (s *scheduler) appendDecision(box []byte, next dispatch.Decision) []byte {
-	ns := int64(next.Duration) * config.Tenth
-	switch next.Kind {
+// appendDecision appends a decision in the form of the protocol.
+func (s *scheduler) appendDecision(out []byte, decision dispatch.Decision) []byte {
+	ns := int64(decision.Duration) * config.Tenth
+	switch decision.Kind {
 	case dispatch.Push:
-		return fmt.Appendf(box, `{"m":"Send","req":%s,"worker":%s,"withinNs":%d}`,
-			quote(s.opNames[next.Op]), quote(s.workerNames[next.Worker]), ns)
+		return fmt.Appendf(out, `{"m":"Send","req":%s,"worker":%s,"withinNs":%d}`,
+			quote(s.opNames[decision.Op]), quote(s.workerNames[decision.Worker]), ns)
 	case dispatch.CancelAttempt:
-		return fmt.Appendf(box, `{"m":"Retract","req":%s,"leg":%d}`,
-			quote(s.opNames[next.Op]), s.attempts[next.Op]-1)
+		return fmt.Appendf(out, `{"m":"Retract","req":%s,"leg":%d}`,
+			quote(s.opNames[decision.Op]), s.attempts[decision.Op]-1)
 	case dispatch.Probe:
-		return fmt.Appendf(box, `{"m":"Test","worker":%s}`, quote(s.workerNames[next.Worker]))
+		return fmt.Appendf(out, `{"m":"Test","worker":%s}`, quote(s.workerNames[decision.Worker]))
 	case dispatch.ReportToPeer:
-		return fmt.Appendf(box, `{"m":"WritePeer","to":%d,"contents":"%s"}`,
-			next.Peer, config.EncodePeerReport(s.workerNames[next.Worker], next.InFlight))
+		return fmt.Appendf(out, `{"m":"WritePeer","to":%d,"contents":"%s"}`,
+			decision.Peer, config.EncodePeerReport(s.workerNames[decision.Worker], decision.InFlight))
 	case dispatch.Nack:
-		return fmt.Appendf(box, `{"m":"Decline","req":%s,"pauseNs":%d}`, quote(s.opNames[next.Op]), ns)
+		return fmt.Appendf(out, `{"m":"Decline","req":%s,"pauseNs":%d}`, quote(s.opNames[decision.Op]), ns)
 	case dispatch.DeadLetter:
-		return fmt.Appendf(box, `{"m":"Surrender","req":%s}`, quote(s.opNames[next.Op]))
+		return fmt.Appendf(out, `{"m":"Surrender","req":%s}`, quote(s.opNames[decision.Op]))
 	case dispatch.SetTimer:
-		return fmt.Appendf(box, `{"m":"WakeAt","fromNowNs":%d,"ctx":"due"}`, ns)
+		return fmt.Appendf(out, `{"m":"WakeAt","fromNowNs":%d,"ctx":"due"}`, ns)
 	}
-	return box
+	return out
 }
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -14,10 +14,11 @@
 	replies      = "testdata/replies.golden"
 )
 
-// recorded is what three schedulers read of a small bench of five workers in three zones. The bench answered what an earlier build
-// decided: workers that drain, go, restart or fall silent, pushes that end in each way, reports, words between schedulers of which some
-// were lost, clients that leave, a burst, a scheduler that ends and comes back.
-func recorded(t *testing.T) []byte {
+// readConversation returns the recorded input of three schedulers in a small simulation of five workers in
+// three zones. The simulator answered the decisions of an earlier build. The input has workers that drain,
+// disappear, restart or stop answering, attempts with every outcome, reports, messages between schedulers
+// with losses, clients that disconnect, a burst, and a scheduler that ends and restarts.
+func readConversation(t *testing.T) []byte {
 	t.Helper()
 	in, err := os.ReadFile(conversation)
 	if err != nil {
@@ -26,10 +27,10 @@
 	return in
 }
 
-// The same conversation gets the same replies, to the byte: a decision that has changed changes the file.
-func TestTheRepliesToARecordedConversationStay(t *testing.T) {
+// The recorded conversation must get the same replies, byte for byte: a changed decision changes the file.
+func TestRepliesToARecordedConversationAreStable(t *testing.T) {
 	var out bytes.Buffer
-	if err := Serve(bytes.NewReader(recorded(t)), &out); err != nil {
+	if err := Serve(bytes.NewReader(readConversation(t)), &out); err != nil {
 		t.Fatal(err)
 	}
 	if want, err := os.ReadFile(replies); err == nil && os.Getenv("UPDATE_GOLDEN") != "1" {
@@ -38,7 +39,8 @@
 	golden.Compare(t, replies, out.Bytes())
 }
 
-// reportFirstDifference ends the test at the first reply that differs: of the whole file one would not see where.
+// reportFirstDifference ends the test at the first reply that differs, because the comparison of the files
+// does not scode where they differ.
 func reportFirstDifference(t *testing.T, got, want []byte) {
 	t.Helper()
 	gotReplies, wantReplies := bytes.SplitAfter(got, []byte("\n")), bytes.SplitAfter(want, []byte("\n"))
@@ -49,10 +51,11 @@
 	}
 }
 
-// The conversation guards only what it reaches: every kind of input and every kind of decision.
-func TestTheRecordedConversationReachesMost(t *testing.T) {
+// The recorded conversation must contain every kind of input and every kind of decision, because it guards
+// only those.
+func TestTheConversationCoversEveryInputAndDecision(t *testing.T) {
 	inputs, outcomes, scopes := map[string]int{}, map[int]int{}, map[string]int{}
-	for line := range bytes.Lines(recorded(t)) {
+	for line := range bytes.Lines(readConversation(t)) {
 		var b struct {
 			Groups []struct{ Items []item }
 		}
@@ -60,13 +63,13 @@
 			t.Fatal(err)
 		}
 		for _, group := range b.Groups {
-			for _, one := range group.Items {
-				inputs[one.M]++
-				switch one.M {
+			for _, input := range group.Items {
+				inputs[input.M]++
+				switch input.M {
 				case "Settled":
-					outcomes[one.How]++
+					outcomes[input.OutcomeCode]++
 				case "Topology":
-					scopes[one.Scope]++
+					scopes[input.Scope]++
 				}
 			}
 		}
@@ -74,12 +77,12 @@
 	for name, least := range map[string]int{"PowerOn": 4, "Topology": 20, "WorkItem": 100, "Settled": 100, "UpdateOf": 100, "Dropped": 5,
 		"Message": 100, "StatusBack": 100, "TickDue": 100, "Exit": 4, "LaterKind": 1} {
 		if inputs[name] < least {
-			t.Errorf("input %s comes %d times, want %d", name, inputs[name], least)
+			t.Errorf("input %s occurs %d times, want at least %d", name, inputs[name], least)
 		}
 	}
-	for _, how := range []int{10, 20, 30, 40, 50, 60, 70, 80, 99} {
-		if outcomes[how] == 0 {
-			t.Errorf("no push ends with %d", how)
+	for _, code := range []int{10, 20, 30, 40, 50, 60, 70, 80, 99} {
+		if outcomes[code] == 0 {
+			t.Errorf("no push ends with %d", code)
 		}
 	}
 	for _, scope := range []string{"remembered", "all", "changes", "refused"} {
@@ -93,7 +96,7 @@
 	}
 	for verb, least := range map[string]int{"Send": 100, "Retract": 3, "Test": 100, "WritePeer": 100, "Decline": 20, "Surrender": 5, "WakeAt": 100} {
 		if n := bytes.Count(out, []byte(`{"m":"`+verb+`"`)); n < least {
-			t.Errorf("%s is decided %d times, want %d", verb, n, least)
+			t.Errorf("decision %s occurs %d times, want at least %d", verb, n, least)
 		}
 	}
 }
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -6,25 +6,26 @@
 	"woaddyke/dispatch"
 )
 
-// batch is one line of input: what schedulers get at a moment.
+// batch is one line of input: the inputs of several schedulers at one point in time.
 type batch struct {
 	WallNs *int64  `json:"wallNs"`
 	Groups []group `json:"groups"`
 }
 
-// group is what one scheduler gets.
+// group holds the inputs of one scheduler.
 type group struct {
 	SchedulerID string            `json:"schedulerId"`
 	Items       []json.RawMessage `json:"items"`
 }
 
-// item is one input of any kind. The wire's words stand in the tags alone.
+// item is one input of any kind. The Go names are the terms of this project; the tags are the names in the
+// protocol.
 type item struct {
-	M           string         `json:"m"` // its kind
+	M           string         `json:"m"` // the kind of input
 	Seed        json.Number    `json:"prng"`
 	Settings    map[string]any `json:"setup"`
 	Scope       string         `json:"scope"`
-	Records     []record       `json:"records"`
+	Records     []workerRecord `json:"records"`
 	Op          string         `json:"req"`
 	Category    int            `json:"lane"`
 	TTLNs       int64          `json:"validUntilNs"` // the moment at which the client gives up
@@ -36,16 +37,16 @@
 	AffinityKey string         `json:"routeKey"`
 	Attempt     int            `json:"leg"`
 	Worker      string         `json:"worker"`
-	How         int            `json:"how"` // a code of outcomeOf
+	OutcomeCode int            `json:"how"` // see parseOutcome
 	ElapsedNs   int64          `json:"elapsedNs"`
 	Finished    bool           `json:"over"`
 	Done        float64        `json:"level"`
-	Topic       int            `json:"topic"` // startTopic, or a report of progress
+	Topic       int            `json:"topic"` // startTopic, or any other topic for a progress report
 	LoadReport  []float64      `json:"healthInfo"`
 }
 
-// record is one worker of an endpoint list.
-type record struct {
+// workerRecord is one worker of an endpoint list.
+type workerRecord struct {
 	Zone         int    `json:"locality"`
 	Worker       string `json:"worker"`
 	Availability string `json:"availability"`
@@ -56,15 +57,15 @@
 
 const (
 	scopeChanges = "changes" // a delta
-	scopeRefused = "refused" // no list; every other scope is a snapshot
+	scopeRefused = "refused" // discovery has no list; any other scope is a snapshot
 	available    = "ready"
-	startTopic   = 1  // the job has started
-	succeeded    = 10 // the code of an attempt or a probe that was served
+	startTopic   = 1  // the worker has started the job
+	succeeded    = 10 // outcome code of a successful attempt or probe
 )
 
-// outcomeOf maps the wire's code of how an attempt or a probe ended.
-func outcomeOf(how int) dispatch.Outcome {
-	switch how {
+// parseOutcome maps an outcome code of the protocol to the outcome of an attempt or a probe.
+func parseOutcome(code int) dispatch.Outcome {
+	switch code {
 	case succeeded:
 		return dispatch.Succeeded
 	case 30:
@@ -80,5 +81,5 @@
 	case 80:
 		return dispatch.NotSent
 	}
-	return dispatch.Failed // an outcome that is not known here may have run
+	return dispatch.Failed // after an unknown outcome the op may have run
 }
--- a/internal/simwire/scheduler.go
+++ b/internal/simwire/scheduler.go
@@ -11,36 +11,37 @@
 	"woaddyke/internal/workers/loadreport"
 )
 
-// maxIndex bounds the numbers of zones and kinds of machines: the dispatcher keeps state for each number
-// up to the highest.
+// maxIndex limits zone numbers and kinds of machines: the dispatcher keeps state for each number up to the
+// highest number in use.
 const maxIndex = 1 << 12
 
-// scheduler is a dispatcher, and the names of what it knows by numbers.
+// scheduler is a dispatcher and the mapping between the names in the protocol and the indices of the
+// dispatcher.
 type scheduler struct {
 	dispatcher    *dispatch.Dispatcher
-	report        loadreport.Format
+	reportFormat  loadreport.Format
 	workerNames   []string
 	workersByName map[string]int
 	workersByTag  map[string]int // by the tags that peer messages carry
 	opsByName     map[string]int
-	opNames       []string // by index; empty when the index is free
-	attempts      []int    // of each op
+	opNames       []string // by index; empty if the index is free
+	attempts      []int    // number of attempts of each op
 	freeOps       []int
 }
 
-// inputs are the kinds of items that change what a scheduler knows.
+// inputs maps each kind of item that changes the state of a scheduler to its handler.
 var inputs = map[string]func(s *scheduler, it *item) error{
 	"Topology":   (*scheduler).updateEndpoints,
 	"WorkItem":   (*scheduler).admitOp,
 	"Settled":    (*scheduler).endAttempt,
-	"UpdateOf":   (*scheduler).progressAttempt,
+	"UpdateOf":   (*scheduler).updateProgress,
 	"Dropped":    (*scheduler).disconnectClient,
 	"Message":    (*scheduler).readPeerMessage,
 	"StatusBack": (*scheduler).endProbe,
 }
 
-// powerOn starts a scheduler.
-func powerOn(wallNs int64, it *item) (*scheduler, error) {
+// newScheduler starts a scheduler from a PowerOn item.
+func newScheduler(wallNs int64, it *item) (*scheduler, error) {
 	if it.Settings == nil {
 		return nil, errors.New("no setup")
 	}
@@ -49,10 +50,10 @@
 		return nil, fmt.Errorf("prng: %w", err)
 	}
 	flat := config.Flatten(it.Settings)
-	flat["keys"] = true // ops carry them only where workers keep something
+	flat["keys"] = true // ops have an affinity key only if the workers keep state
 	s := &scheduler{
 		dispatcher:    dispatch.New(seed, config.DecisionSettings(flat)),
-		report:        config.ReportFormatOf(flat),
+		reportFormat:  config.ReportFormatOf(flat),
 		workersByName: map[string]int{},
 		workersByTag:  map[string]int{},
 		opsByName:     map[string]int{},
@@ -61,7 +62,7 @@
 	return s, nil
 }
 
-// parseSeed reads a seed, which may be negative.
+// parseSeed parses a seed, which may be negative.
 func parseSeed(n json.Number) (uint64, error) {
 	seed, err := strconv.ParseUint(n.String(), 10, 64)
 	if err == nil {
@@ -95,7 +96,7 @@
 	return nil
 }
 
-func (r *record) validate() error {
+func (r *workerRecord) validate() error {
 	if r.Worker == "" {
 		return errors.New("record without worker")
 	}
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// workerIndex is the index of a worker, a new one for a name that is new.
+// workerIndex returns the index of a worker, and assigns an index to a new name.
 func (s *scheduler) workerIndex(name string) int {
 	i, ok := s.workersByName[name]
 	if !ok {
@@ -124,8 +125,8 @@
 	if it.Op == "" {
 		return errors.New("no req")
 	}
-	if _, twice := s.opsByName[it.Op]; twice {
-		return fmt.Errorf("req %s came twice", it.Op)
+	if _, pending := s.opsByName[it.Op]; pending {
+		return fmt.Errorf("req %s is already pending", it.Op)
 	}
 	spec := dispatch.OpSpec{Category: it.Category, TTL: config.RoundDown(it.TTLNs), Slots: max(it.Slots, 1),
 		Memory: it.Memory, Work: config.RoundUp(it.WorkNs)}
@@ -133,12 +134,12 @@
 		spec.AffinityKey = config.IdentityHash(it.AffinityKey)
 	}
 	if !s.dispatcher.AddOp(s.addOpName(it.Op), spec) {
-		return fmt.Errorf("lane %d is in no settings", it.Category)
+		return fmt.Errorf("lane %d is not in the settings", it.Category)
 	}
 	return nil
 }
 
-// addOpName gives a new op its index.
+// addOpName assigns an index to a new op.
 func (s *scheduler) addOpName(name string) int {
 	i := len(s.opNames)
 	if n := len(s.freeOps); n > 0 {
@@ -151,7 +152,7 @@
 	return i
 }
 
-// forgetOp frees an op's index. Late items about it say nothing new and are passed over.
+// forgetOp frees the index of an op. Later items about the op are ignored.
 func (s *scheduler) forgetOp(i int) {
 	delete(s.opsByName, s.opNames[i])
 	s.opNames[i] = ""
@@ -159,19 +160,19 @@
 }
 
 func (s *scheduler) endAttempt(it *item) error {
-	op, open := s.opsByName[it.Op]
-	if !open {
+	op, pending := s.opsByName[it.Op]
+	if !pending {
 		return nil
 	}
-	s.dispatcher.AttemptEnded(op, it.Attempt, outcomeOf(it.How), it.Finished)
+	s.dispatcher.AttemptEnded(op, it.Attempt, parseOutcome(it.OutcomeCode), it.Finished)
 	if worker, known := s.workersByName[it.Worker]; known && len(it.LoadReport) > 0 {
 		s.answerProbe(worker, it)
 	}
 	return nil
 }
 
-func (s *scheduler) progressAttempt(it *item) error {
-	if op, open := s.opsByName[it.Op]; open {
+func (s *scheduler) updateProgress(it *item) error {
+	if op, pending := s.opsByName[it.Op]; pending {
 		progress := dispatch.Progress{Started: it.Topic == startTopic, Acknowledged: it.Done < 0}
 		s.dispatcher.AttemptProgress(op, it.Attempt, progress)
 	}
@@ -179,7 +180,7 @@
 }
 
 func (s *scheduler) disconnectClient(it *item) error {
-	if op, open := s.opsByName[it.Op]; open {
+	if op, pending := s.opsByName[it.Op]; pending {
 		s.dispatcher.ClientDisconnected(op)
 	}
 	return nil
@@ -195,17 +196,17 @@
 func (s *scheduler) endProbe(it *item) error {
 	worker, known := s.workersByName[it.Worker]
 	if !known {
-		return fmt.Errorf("worker %q was in no list", it.Worker)
+		return fmt.Errorf("worker %q is in no endpoint list", it.Worker)
 	}
-	if it.How == succeeded {
+	if it.OutcomeCode == succeeded {
 		s.answerProbe(worker, it)
 	} else {
-		s.dispatcher.ProbeFailed(worker, config.RoundDown(it.ElapsedNs), outcomeOf(it.How))
+		s.dispatcher.ProbeFailed(worker, config.RoundDown(it.ElapsedNs), parseOutcome(it.OutcomeCode))
 	}
 	return nil
 }
 
 func (s *scheduler) answerProbe(worker int, it *item) {
-	load := s.report.FromRow(it.LoadReport)
+	load := s.reportFormat.FromRow(it.LoadReport)
 	s.dispatcher.ProbeAnswered(worker, config.RoundDown(it.ElapsedNs), load)
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package simwire speaks the simulator's wire: it reads batches of inputs, gives them to a dispatcher for
-// each scheduler, and writes the decisions.
+// Package simwire implements the simulator's protocol: it reads batches of inputs, passes them to one
+// dispatcher per scheduler, and writes the decisions.
 package simwire
 
 import (
@@ -18,7 +18,7 @@
 	writeBufferSize = 1 << 16
 )
 
-// Serve answers each batch with one reply until the end of input.
+// Serve answers each batch with one reply until the end of the input.
 func Serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, readBufferSize)
 	w := bufio.NewWriterSize(out, writeBufferSize)
@@ -42,7 +42,7 @@
 	}
 }
 
-// serveBatch reads a batch and writes its reply, which names the schedulers that decided something.
+// serveBatch applies a batch and writes its reply, which names the schedulers that made a decision.
 func serveBatch(schedulers map[string]*scheduler, line []byte, w *bufio.Writer) error {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
@@ -66,7 +66,7 @@
 	return err
 }
 
-// applyGroup gives a scheduler its items.
+// applyGroup applies the items of one scheduler.
 func applyGroup(schedulers map[string]*scheduler, g group, wallNs int64) error {
 	for _, raw := range g.Items {
 		var it item
@@ -80,11 +80,11 @@
 	return nil
 }
 
-// applyItem gives a scheduler one item. PowerOn starts it, Exit ends it.
+// applyItem applies one item to a scheduler. PowerOn starts the scheduler, Exit ends it.
 func applyItem(schedulers map[string]*scheduler, id string, wallNs int64, it *item) error {
 	switch it.M {
 	case "PowerOn":
-		s, err := powerOn(wallNs, it)
+		s, err := newScheduler(wallNs, it)
 		if err == nil {
 			schedulers[id] = s
 		}
@@ -103,10 +103,11 @@
 	if apply, known := inputs[it.M]; known {
 		return apply(s, it)
 	}
-	return nil // TickDue, and kinds of later wires, only move the clock
+	return nil // TickDue, and kinds of later protocol versions, only advance the clock
 }
 
-// appendOutbox appends a scheduler's decisions to a reply, if there are any. It may have ended.
+// appendOutbox appends the decisions of a scheduler to a reply, if there are any. s is nil if the scheduler
+// has ended.
 func appendOutbox(reply []byte, id string, s *scheduler, wallNs int64) []byte {
 	if s == nil {
 		return reply
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const started = `{"wallNs":5000000,"groups":[{"schedulerId":"scheduler/0","items":[{"m":"PowerOn","prng":9,` +
+const startedScheduler = `{"wallNs":5000000,"groups":[{"schedulerId":"scheduler/0","items":[{"m":"PowerOn","prng":9,` +
 	`"setup":{"bounds":{"maxPushes":3,"probes":true},"stepNs":1000000,"categories":[{"effect":"fragile",` +
 	`"ttlNs":900000000,"targetLatencyNs":100000000}],"report":{"fields":["pending","busy_reqs","x0"]},` +
 	`"extra":{"reportX0":"free slots",` +
@@ -23,7 +23,7 @@
 }
 
 func TestEveryBatchHasOneReply(t *testing.T) {
-	in := `{"wallNs":1,"groups":[]}` + "\n" + started +
+	in := `{"wallNs":1,"groups":[]}` + "\n" + startedScheduler +
 		batchOf("6000000", `{"m":"WorkItem","req":"r","lane":0,"validUntilNs":800000000}`) +
 		batchOf("7000000",
 			`{"m":"StatusBack","worker":"worker_a","elapsedNs":1000000,"how":10,"healthInfo":[0,0,4]}`) +
@@ -46,18 +46,18 @@
 	}
 }
 
-func TestImpossibleInputIsNamed(t *testing.T) {
+func TestInvalidInputIsReported(t *testing.T) {
 	for in, want := range map[string]string{
 		"{\n":                       "malformed",
 		`{"groups":[]}` + "\n":      "no wallNs",
 		batchOf("1", `{"m":"Exit`):  "malformed",
 		batchOf("1", `{"req":"r"}`): "without m",
-		batchOf("1", `{"m":"WorkItem","req":"r"}`):                                          "not powered on",
-		started + batchOf("6", `{"m":"WorkItem","req":"r","lane":7}`):                       "lane 7",
-		started + batchOf("6", `{"m":"StatusBack","worker":"nobody"}`):                      `"nobody"`,
-		batchOf("1", `{"m":"PowerOn","setup":{"a":1}}`):                                     "prng",
-		started + batchOf("6", `{"m":"Topology","records":[{"a":"b"}]}`):                    "record without worker",
-		started + batchOf("6", `{"m":"Topology","records":[{"worker":"w","locality":-1}]}`): "locality -1",
+		batchOf("1", `{"m":"WorkItem","req":"r"}`):                                                   "not powered on",
+		startedScheduler + batchOf("6", `{"m":"WorkItem","req":"r","lane":7}`):                       "lane 7",
+		startedScheduler + batchOf("6", `{"m":"StatusBack","worker":"nobody"}`):                      `"nobody"`,
+		batchOf("1", `{"m":"PowerOn","setup":{"a":1}}`):                                              "prng",
+		startedScheduler + batchOf("6", `{"m":"Topology","records":[{"a":"b"}]}`):                    "record without worker",
+		startedScheduler + batchOf("6", `{"m":"Topology","records":[{"worker":"w","locality":-1}]}`): "locality -1",
 	} {
 		if _, err := serve(in); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: error %v, want %q", in, err, want)
