--- a/cmd/woaddyke/descriptors_test.go
+++ b/cmd/woaddyke/descriptors_test.go
@@ -335,7 +335,7 @@
 					t.Fatal(err)
 				}
 				t.Cleanup(func() { p.Process.Kill(); p.Wait() })
-				await(t, "ready", log, func() bool {
+				await(t, "the process is ready", log, func() bool {
 					resp, err := http.Get("http://" + console + "/api/ready")
 					if err == nil {
 						resp.Body.Close()
--- a/cmd/woaddyke/hot_restart.go
+++ b/cmd/woaddyke/hot_restart.go
@@ -144,7 +144,7 @@
 	}
 	_, got, _ := net.SplitHostPort(listener.Addr().String())
 	if want != "0" && got != want {
-		return fmt.Errorf("handover: the socket that came is at %s", listener.Addr())
+		return fmt.Errorf("handover: the received socket is at %s, want port %s", listener.Addr(), want)
 	}
 	return nil
 }
--- a/cmd/woaddyke/takeover_line_test.go
+++ b/cmd/woaddyke/takeover_line_test.go
@@ -36,8 +36,8 @@
 		calls      []int // without sendmsg, which the launcher itself uses
 		failures   int64
 	}{
-		{"giver", "read", []int{syscall.SYS_READ}, 3}, {"giver", "write", []int{syscall.SYS_WRITE}, 1},
-		{"heir", "read", []int{syscall.SYS_READ, syscall.SYS_RECVMSG}, 3}, {"heir", "write", []int{syscall.SYS_WRITE}, 1},
+		{"predecessor", "read", []int{syscall.SYS_READ}, 3}, {"predecessor", "write", []int{syscall.SYS_WRITE}, 1},
+		{"successor", "read", []int{syscall.SYS_READ, syscall.SYS_RECVMSG}, 3}, {"successor", "write", []int{syscall.SYS_WRITE}, 1},
 	} {
 		for nth := int64(1); nth <= x.failures; nth++ {
 			t.Run(fmt.Sprintf("%s's %s %d", x.side, x.name, nth), func(t *testing.T) {
@@ -67,11 +67,11 @@
 						return err
 					})
 				}
-				predecessor := start(0, x.side == "giver")
+				predecessor := start(0, x.side == "predecessor")
 				if status := postAt(t, listen, "taken", 4*time.Second); status != 200 {
 					t.Fatalf("before: %d", status)
 				}
-				successor := start(1, x.side == "heir")
+				successor := start(1, x.side == "successor")
 				if !strings.Contains(successor.log.String(), "took over") {
 					t.Fatalf("nothing was handed over: %s", successor.log.String())
 				}
@@ -79,7 +79,7 @@
 					t.Errorf("an id of the predecessor: %d", status)
 				}
 				time.Sleep(200 * time.Millisecond) // for a false report that the other has ended
-				for who, log := range map[string]string{"giver": predecessor.log.String(), "heir": successor.log.String()} {
+				for who, log := range map[string]string{"predecessor": predecessor.log.String(), "successor": successor.log.String()} {
 					if strings.Contains(log, "has ended") {
 						t.Errorf("the %s considers the other process ended: %s", who, log)
 					}
--- a/internal/simwire/scheduler.go
+++ b/internal/simwire/scheduler.go
@@ -101,10 +101,10 @@
 		return errors.New("record without worker")
 	}
 	if r.Zone < 0 || r.Zone > maxIndex {
-		return fmt.Errorf("locality %d of %s", r.Zone, r.Worker)
+		return fmt.Errorf("locality %d of %s: must be 0 to %d", r.Zone, r.Worker, maxIndex)
 	}
 	if r.MachineKind < 0 || r.MachineKind > maxIndex {
-		return fmt.Errorf("classOfHost %d of %s", r.MachineKind, r.Worker)
+		return fmt.Errorf("classOfHost %d of %s: must be 0 to %d", r.MachineKind, r.Worker, maxIndex)
 	}
 	return nil
 }
