--- a/cmd/lab/campaign.go
+++ b/cmd/lab/campaign.go
@@ -13,10 +13,10 @@
 
 	"github.com/spf13/cobra"
 
-	"woaddyke/internal/lab/figures"
-	"woaddyke/internal/lab/page"
-	"woaddyke/internal/lab/plan"
-	"woaddyke/internal/lab/play"
+	"woaddyke/internal/lab/experiment"
+	"woaddyke/internal/lab/htmlreport"
+	"woaddyke/internal/lab/report"
+	"woaddyke/internal/lab/runner"
 )
 
 // played is one seed's run.
@@ -53,12 +53,12 @@
 
 // drawTroubles puts troubles of one seed on top of those that the file has: of processes and of the links between them, one after
 // another and on top of one another, each over before the last quarter of the run.
-func drawTroubles(e *plan.Experiment, seed uint64) {
+func drawTroubles(e *experiment.Experiment, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 0x63616d706169676e))
 	n := e.Schedulers.Count
 	busy := make([]float64, n)
 	for at := 1.5; at < 0.65*e.Seconds; at += 0.3 + 2*r.Float64() {
-		f := plan.Fault{At: at, For: 0.2 + (0.75*e.Seconds-at)*r.Float64()*r.Float64(), Way: "both"}
+		f := experiment.Fault{At: at, For: 0.2 + (0.75*e.Seconds-at)*r.Float64()*r.Float64(), Way: "both"}
 		i := r.IntN(n)
 		f.Indices = []int{i}
 		kinds := []string{"scheduler-kill", "scheduler-stop", "scheduler-term", "scheduler-starve", "scheduler-takeover", "mesh-cut", "mesh-cut",
@@ -127,7 +127,7 @@
 			limit := time.Now().Add(time.Duration(minutes * float64(time.Minute)))
 			tell, end := teller(os.Stderr)
 			for seed := from; seed <= to && time.Now().Before(limit) && c.Context().Err() == nil && broken == 0; seed++ {
-				e, err := plan.Read(args[0])
+				e, err := experiment.Read(args[0])
 				if err != nil {
 					return err
 				}
@@ -140,7 +140,7 @@
 				}
 				dir := filepath.Join(out, strconv.FormatUint(seed, 10))
 				began := time.Now()
-				r, err := play.Run(c.Context(), e, play.Stage{Out: dir, Make: m, Progress: tell})
+				r, err := runner.Run(c.Context(), e, runner.Stage{Out: dir, Make: m, Progress: tell})
 				p := played{Seed: seed, Seconds: time.Since(began).Seconds()}
 				for _, f := range e.Faults {
 					p.Faults = append(p.Faults, fmt.Sprintf("%.1f s: %s on %v for %.1f s", f.At, f.Kind, f.Indices, f.For))
@@ -151,7 +151,7 @@
 				p.Line = r.Line()
 				if why := reason(r); why != "" {
 					p.Why, broken = why, seed
-					err = page.Write(filepath.Join(dir, "page.html"), r)
+					err = htmlreport.Write(filepath.Join(dir, "page.html"), r)
 				} else {
 					err = os.RemoveAll(dir) // what went well needs no room
 				}
@@ -181,7 +181,7 @@
 }
 
 // reason is why a run ends a campaign.
-func reason(r *figures.Results) string {
+func reason(r *report.Results) string {
 	switch {
 	case r.Void != "":
 		return "" // it proves nothing, either way
--- a/cmd/lab/compare.go
+++ b/cmd/lab/compare.go
@@ -8,9 +8,9 @@
 
 	"github.com/spf13/cobra"
 
-	"woaddyke/internal/lab/contrast"
-	"woaddyke/internal/lab/plan"
-	"woaddyke/internal/lab/play"
+	"woaddyke/internal/lab/comparison"
+	"woaddyke/internal/lab/experiment"
+	"woaddyke/internal/lab/runner"
 )
 
 func compareCommand() *cobra.Command {
@@ -21,12 +21,12 @@
 		Long: "A and B are programs of the scheduler, each with its operator's file after a comma if it has one: PROGRAM[,FILE]. baseline:NAME in place of a program is a textbook policy.",
 		Args: cobra.ExactArgs(3),
 		RunE: func(c *cobra.Command, args []string) error {
-			e, err := plan.Read(args[2])
+			e, err := experiment.Read(args[2])
 			if err != nil {
 				return err
 			}
 			a, b = split(args[0]), split(args[1])
-			pairs := contrast.New(names)
+			pairs := comparison.New(names)
 			out := c.OutOrStdout()
 			broken := false
 			for k := range rounds {
@@ -40,7 +40,7 @@
 					if err != nil {
 						return err
 					}
-					r, err := play.Run(c.Context(), &one, play.Stage{Make: m, Quiet: true, Hollow: beside("hollow")})
+					r, err := runner.Run(c.Context(), &one, runner.Stage{Make: m, Quiet: true, Hollow: beside("hollow")})
 					if err != nil {
 						return err
 					}
@@ -66,7 +66,7 @@
 			return nil
 		}}
 	c.Flags().IntVar(&rounds, "rounds", 5, "pairs of runs, each on a seed of its own")
-	c.Flags().StringSliceVar(&names, "figures", slices.Clone(contrast.Usual), "figures that are compared")
+	c.Flags().StringSliceVar(&names, "figures", slices.Clone(comparison.Usual), "figures that are compared")
 	return c
 }
 
--- a/cmd/lab/judge.go
+++ b/cmd/lab/judge.go
@@ -10,13 +10,13 @@
 	"github.com/spf13/cobra"
 
 	"woaddyke/internal/lab/audit"
-	"woaddyke/internal/lab/figures"
+	"woaddyke/internal/lab/experiment"
+	"woaddyke/internal/lab/htmlreport"
 	"woaddyke/internal/lab/ledger"
-	"woaddyke/internal/lab/needs"
-	"woaddyke/internal/lab/page"
-	"woaddyke/internal/lab/plan"
-	"woaddyke/internal/lab/play"
-	"woaddyke/internal/lab/script"
+	"woaddyke/internal/lab/report"
+	"woaddyke/internal/lab/requirements"
+	"woaddyke/internal/lab/runner"
+	"woaddyke/internal/lab/workload"
 )
 
 func auditCommand() *cobra.Command {
@@ -51,20 +51,20 @@
 	return &cobra.Command{Use: "check FILE...", Short: "Say what is wrong with experiment files", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			for _, path := range args {
-				e, err := plan.Read(path)
+				e, err := experiment.Read(path)
 				if err != nil {
 					return err
 				}
-				if err := play.Fits(e); err != nil {
+				if err := runner.Fits(e); err != nil {
 					return err
 				}
-				s, err := script.Of(e)
+				s, err := workload.Of(e)
 				if err != nil {
 					return fmt.Errorf("%s: %w", path, err)
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: %d workers, %d schedulers, %d ops in %g s, %d turns of trouble, script %s\n", path,
 					len(s.Workers), e.Schedulers.Count, len(s.Wishes), e.Seconds, len(s.Turns), s.Hash())
-				n := needs.Of(e)
+				n := requirements.Of(e)
 				fmt.Fprintf(c.OutOrStdout(), "  needs about %d descriptors in the lab's process and %d MB\n", n.Descriptors, n.MemoryMB)
 			}
 			return nil
@@ -79,12 +79,12 @@
 			if err != nil {
 				return err
 			}
-			var r figures.Results
+			var r report.Results
 			if err := json.Unmarshal(text, &r); err != nil {
 				return fmt.Errorf("%s: %w", path, err)
 			}
 			at := filepath.Join(args[0], "page.html")
-			if err := page.Write(at, &r); err != nil {
+			if err := htmlreport.Write(at, &r); err != nil {
 				return err
 			}
 			fmt.Fprintln(c.OutOrStdout(), at)
--- a/cmd/lab/run.go
+++ b/cmd/lab/run.go
@@ -13,10 +13,10 @@
 	"github.com/spf13/cobra"
 
 	"woaddyke/internal/lab/baseline"
-	"woaddyke/internal/lab/figures"
-	"woaddyke/internal/lab/page"
-	"woaddyke/internal/lab/plan"
-	"woaddyke/internal/lab/play"
+	"woaddyke/internal/lab/experiment"
+	"woaddyke/internal/lab/htmlreport"
+	"woaddyke/internal/lab/report"
+	"woaddyke/internal/lab/runner"
 	"woaddyke/internal/lab/schedulers"
 )
 
@@ -41,7 +41,7 @@
 }
 
 // maker starts schedulers of the build.
-func (b *build) maker(e *plan.Experiment) (schedulers.Maker, error) {
+func (b *build) maker(e *experiment.Experiment) (schedulers.Maker, error) {
 	path := b.path
 	if policy, ok := strings.CutPrefix(path, "baseline:"); ok {
 		return baseline.Maker(policy, baseline.Wrongs{})
@@ -60,14 +60,14 @@
 }
 
 // teller writes how far a run is: one line that changes on a terminal, JSON lines elsewhere.
-func teller(out *os.File) (tell func(play.Progress), end func()) {
+func teller(out *os.File) (tell func(runner.Progress), end func()) {
 	if isatty.IsTerminal(out.Fd()) {
-		return func(p play.Progress) {
+		return func(p runner.Progress) {
 			fmt.Fprintf(out, "\r%5.1f of %.0f s, %d ops open, %d events, %-40.40s", p.Second, p.Of, p.Open, p.Events, p.Last)
 		}, func() { fmt.Fprintln(out) }
 	}
 	say, last := json.NewEncoder(out), time.Time{}
-	return func(p play.Progress) {
+	return func(p runner.Progress) {
 		if time.Since(last) >= 2*time.Second {
 			last = time.Now()
 			say.Encode(map[string]any{"second": float64(int(p.Second*10)) / 10, "of": p.Of, "open": p.Open, "events": p.Events, "last": p.Last})
@@ -82,7 +82,7 @@
 	var sizes []float64
 	c := &cobra.Command{Use: "run FILE", Short: "Play an experiment and judge it", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			e, err := plan.Read(args[0])
+			e, err := experiment.Read(args[0])
 			if err != nil {
 				return err
 			}
@@ -114,30 +114,30 @@
 }
 
 // runOne plays one experiment.
-func runOne(c *cobra.Command, e *plan.Experiment, m schedulers.Maker, out string) (*figures.Results, error) {
+func runOne(c *cobra.Command, e *experiment.Experiment, m schedulers.Maker, out string) (*report.Results, error) {
 	say, end := teller(os.Stderr)
-	r, err := play.Run(c.Context(), e, play.Stage{Out: out, Make: m, Progress: say, Hollow: beside("hollow")})
+	r, err := runner.Run(c.Context(), e, runner.Stage{Out: out, Make: m, Progress: say, Hollow: beside("hollow")})
 	end()
 	if err == nil && out != "" {
-		err = page.Write(filepath.Join(out, "page.html"), r)
+		err = htmlreport.Write(filepath.Join(out, "page.html"), r)
 	}
 	return r, err
 }
 
 // runSizes plays an experiment's sizes one after another. All are held against the machine before the first begins.
-func runSizes(c *cobra.Command, whole *plan.Experiment, m schedulers.Maker, out string) error {
-	var all []*plan.Experiment
+func runSizes(c *cobra.Command, whole *experiment.Experiment, m schedulers.Maker, out string) error {
+	var all []*experiment.Experiment
 	for _, share := range whole.Sizes {
 		e, err := whole.Sized(share)
 		if err == nil {
-			err = play.Fits(e)
+			err = runner.Fits(e)
 		}
 		if err != nil {
 			return err
 		}
 		all = append(all, e)
 	}
-	var done []figures.Sized
+	var done []report.Sized
 	for _, e := range all {
 		folder := ""
 		if out != "" {
@@ -152,20 +152,20 @@
 		if r.Void != "" {
 			fmt.Fprintf(c.OutOrStdout(), "%s: void: %s\n", e.Name, r.Void)
 		}
-		done = append(done, figures.Sized{Workers: e.WorkerCount(), Results: r})
+		done = append(done, report.Sized{Workers: e.WorkerCount(), Results: r})
 		if r.Interrupted {
 			break
 		}
 	}
-	figures.Slopes(c.OutOrStdout(), done)
-	return verdict(c.OutOrStdout(), figures.Joint(done))
+	report.Slopes(c.OutOrStdout(), done)
+	return verdict(c.OutOrStdout(), report.Joint(done))
 }
 
 // mostTold bounds how many breaches are printed; the ledger has all.
 const mostTold = 20
 
 // tell prints a run's categories, what its schedulers used, and its breaches.
-func tell(out io.Writer, r *figures.Results) {
+func tell(out io.Writer, r *report.Results) {
 	fmt.Fprintf(out, "%s, seed %d, script %s\n", r.Name, r.Seed, r.Script)
 	if r.Interrupted {
 		fmt.Fprintln(out, "stopped before its time")
@@ -188,7 +188,7 @@
 }
 
 // verdict prints the last line.
-func verdict(out io.Writer, r *figures.Results) error {
+func verdict(out io.Writer, r *report.Results) error {
 	fmt.Fprintln(out, r.Line())
 	switch {
 	case r.Void != "":
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"woaddyke/internal/lab/plan"
+	"woaddyke/internal/lab/experiment"
 	"woaddyke/internal/lab/soak"
 	"woaddyke/internal/lab/steppedclock"
 )
@@ -77,10 +77,10 @@
 
 // soakOnce plays one seed and prints its verdict.
 func soakOnce(c *cobra.Command, args []string, bin, folder, keep string, seed uint64, processes int, whole time.Duration) (bool, error) {
-	var base *plan.Experiment
+	var base *experiment.Experiment
 	if len(args) == 1 {
 		var err error
-		if base, err = plan.Read(args[0]); err != nil {
+		if base, err = experiment.Read(args[0]); err != nil {
 			return false, err
 		}
 	}
--- a/cmd/woaddyke/bench_test.go
+++ b/cmd/woaddyke/bench_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/lab/several"
+	"woaddyke/internal/lab/cluster"
 )
 
 // BenchmarkGuardedOp measures the latency and the processor time of an at-most-once op, with records at
@@ -24,7 +24,7 @@
 			if on {
 				lines += "[copies]\nkeepers = [\"n1\", \"n2\", \"n3\"]\nhold_off = \"5s\"\n"
 			}
-			c := several.New(b, 4, lines, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
+			c := cluster.New(b, 4, lines, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
 				worker.Listener.Addr()), testCommand)
 			for _, p := range c.Places {
 				c.Start(p)
--- a/cmd/woaddyke/claimers_test.go
+++ b/cmd/woaddyke/claimers_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/lab/several"
+	"woaddyke/internal/lab/cluster"
 )
 
 const (
@@ -18,7 +18,7 @@
 )
 
 // startOpenOps sends ops that the worker holds to a scheduler, and returns their ids.
-func startOpenOps(t *testing.T, p *several.Place, b *testWorker) (ids []string) {
+func startOpenOps(t *testing.T, p *cluster.Place, b *testWorker) (ids []string) {
 	t.Helper()
 	for k := range openOps {
 		id := fmt.Sprint("hold-", k)
@@ -30,7 +30,7 @@
 }
 
 // startSuccessor starts a successor of a process, with its own console address, and waits until it serves.
-func startSuccessor(t *testing.T, c *several.Cluster, p *several.Place) {
+func startSuccessor(t *testing.T, c *cluster.Cluster, p *cluster.Place) {
 	t.Helper()
 	p.Console = freeAddr(t)
 	c.Start(p)
@@ -39,7 +39,7 @@
 
 // awaitRepeats repeats each id at each of the given schedulers until it gets the wanted status, and fails
 // the test if an op ran more than once.
-func awaitRepeats(t *testing.T, c *several.Cluster, b *testWorker, ids []string, want int, places ...*several.Place) {
+func awaitRepeats(t *testing.T, c *cluster.Cluster, b *testWorker, ids []string, want int, places ...*cluster.Place) {
 	t.Helper()
 	for _, p := range places {
 		for _, id := range ids {
@@ -83,7 +83,7 @@
 	ids := startOpenOps(t, p, b)
 	predecessor, ended := p.Running()
 	startSuccessor(t, c, p)
-	for _, at := range []*several.Place{c.Places[1], p} {
+	for _, at := range []*cluster.Place{c.Places[1], p} {
 		if status, text := post(at, "pay", ids[0], "x"); status != http.StatusServiceUnavailable {
 			t.Errorf("while the predecessor runs, at %s: %d %q", at.Name, status, text)
 		}
--- a/cmd/woaddyke/copies_test.go
+++ b/cmd/woaddyke/copies_test.go
@@ -17,8 +17,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"woaddyke/internal/lab/between"
-	"woaddyke/internal/lab/several"
+	"woaddyke/internal/lab/cluster"
+	"woaddyke/internal/lab/faultproxy"
 )
 
 // copiesTableOf returns a table copies with the first three schedulers as replicas. wait is the timeout of
@@ -80,13 +80,13 @@
 }
 
 // startReplicas starts n schedulers with one worker. If on is true, the first three are replicas.
-func startReplicas(t *testing.T, n int, on bool, more ...string) (*several.Cluster, *testWorker) {
+func startReplicas(t *testing.T, n int, on bool, more ...string) (*cluster.Cluster, *testWorker) {
 	t.Helper()
 	return startReplicasOf(t, n, on, testCommand, more...)
 }
 
 // startReplicasOf does the same with another build.
-func startReplicasOf(t *testing.T, n int, on bool, program func(args ...string) *exec.Cmd, more ...string) (*several.Cluster, *testWorker) {
+func startReplicasOf(t *testing.T, n int, on bool, program func(args ...string) *exec.Cmd, more ...string) (*cluster.Cluster, *testWorker) {
 	t.Helper()
 	lines := fastMembers
 	if on {
@@ -98,19 +98,19 @@
 }
 
 // newCluster returns a cluster with one worker. No scheduler is started yet.
-func newCluster(t *testing.T, n int, operator string, program func(args ...string) *exec.Cmd) (*several.Cluster, *testWorker) {
+func newCluster(t *testing.T, n int, operator string, program func(args ...string) *exec.Cmd) (*cluster.Cluster, *testWorker) {
 	t.Helper()
 	b := &testWorker{runs: map[string]int{}, release: make(chan struct{}), started: make(chan string, 99)}
 	worker := httptest.NewServer(b)
 	t.Cleanup(worker.Close)
 	t.Cleanup(worker.CloseClientConnections)
 	list := fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`, worker.Listener.Addr())
-	return several.New(t, n, operator, list, program), b
+	return cluster.New(t, n, operator, list, program), b
 }
 
 // startAll starts all schedulers and waits until they serve and, with replication, the replicas have their
 // votes.
-func startAll(c *several.Cluster, copies bool) {
+func startAll(c *cluster.Cluster, copies bool) {
 	for _, p := range c.Places {
 		c.Start(p)
 	}
@@ -121,13 +121,13 @@
 }
 
 // voteSettled reports whether a process has its vote or is no replica.
-func voteSettled(p *several.Place) bool {
+func voteSettled(p *cluster.Place) bool {
 	var s struct{ Keeper, Voting bool }
 	return p.Get("/api/copies", &s) && s.Keeper == s.Voting
 }
 
 // post sends an op and returns its answer. The status is 0 if the connection failed.
-func post(p *several.Place, category, id, body string) (int, string) {
+func post(p *cluster.Place, category, id, body string) (int, string) {
 	r, _ := http.NewRequest(http.MethodPost, "http://"+p.Listen+"/", strings.NewReader(body))
 	r.Header = http.Header{"X-Correlation-Id": {id}, "X-Service-Class": {category}, "X-Time-Left-Ms": {"4500"}}
 	client := http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -141,7 +141,7 @@
 }
 
 // awaitReported waits until no scheduler has a claim pending, granted or to be reported.
-func awaitReported(c *several.Cluster) {
+func awaitReported(c *cluster.Cluster) {
 	c.Await("the outcomes of the claims are reported", func() bool {
 		for _, p := range c.Places {
 			var s struct{ Asking, Mine, Telling int }
@@ -160,7 +160,7 @@
 // postRepeat repeats an id that was answered at another scheduler. While the outcome is on its way to the
 // replicas, the repeat may be nacked, by this one answer and for a bounded time. The first other answer is
 // returned.
-func postRepeat(t *testing.T, p *several.Place, category, id string) (int, string) {
+func postRepeat(t *testing.T, p *cluster.Place, category, id string) (int, string) {
 	t.Helper()
 	for until := time.Now().Add(outcomeKnownWithin); ; time.Sleep(time.Millisecond) {
 		status, text := post(p, category, id, "x")
@@ -243,7 +243,7 @@
 		return w
 	}
 	east, west := worker("east"), worker("west")
-	c := several.New(t, 4, fastMembers+copiesTableOf(claimTimeout)+"deduplicated = true\n",
+	c := cluster.New(t, 4, fastMembers+copiesTableOf(claimTimeout)+"deduplicated = true\n",
 		fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"e","endpoint":%q,"az":"east","pod_group":1,"state":"SERVING"},`+
 			`{"uid":"w","endpoint":%q,"az":"west","pod_group":2,"state":"SERVING"}]}`, east.Listener.Addr(), west.Listener.Addr()), testCommand)
 	// A connect timeout would tell the scheduler in which zone the op of the silent worker may have run.
@@ -466,7 +466,7 @@
 		}
 		return true
 	})
-	changeReplicas := func(p *several.Place, names ...string) string {
+	changeReplicas := func(p *cluster.Place, names ...string) string {
 		var out bytes.Buffer
 		cmd := command()
 		cmd.SetOut(&out)
@@ -631,8 +631,8 @@
 	}()
 	b.awaitStarted(t)
 	for i := range 3 {
-		c.Net.Cut(3, i, between.Silent)
-		c.Net.Cut(i, 3, between.Silent)
+		c.Net.Cut(3, i, faultproxy.Silent)
+		c.Net.Cut(i, 3, faultproxy.Silent)
 	}
 	c.AwaitState("n4", "gone", c.Places[:3]...)
 	if status, text := post(c.Places[0], "pay", "hold-1", "x"); status != http.StatusBadGateway {
@@ -646,8 +646,8 @@
 		t.Errorf("the first client: %d", status)
 	}
 	for i := range 3 {
-		c.Net.Cut(3, i, between.Open)
-		c.Net.Cut(i, 3, between.Open)
+		c.Net.Cut(3, i, faultproxy.Open)
+		c.Net.Cut(i, 3, faultproxy.Open)
 	}
 	c.Await("the outcome is known", func() bool {
 		status, text := post(c.Places[1], "pay", "hold-1", "x")
--- a/cmd/woaddyke/descriptors_test.go
+++ b/cmd/woaddyke/descriptors_test.go
@@ -20,7 +20,7 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/lab/several"
+	"woaddyke/internal/lab/cluster"
 	"woaddyke/internal/observe/metrics"
 )
 
@@ -390,7 +390,7 @@
 	const limit = 160
 	pushed, list := startTwoWorkers(t)
 	o := newTestDiscovery(t, list(1, "SERVING"))
-	c := several.New(t, 3, fastMembers+copiesTableOf(claimTimeout)+"path = \"{dir}/copies.db\"\n",
+	c := cluster.New(t, 3, fastMembers+copiesTableOf(claimTimeout)+"path = \"{dir}/copies.db\"\n",
 		noEndpoints, limitedTo(limit))
 	for _, p := range c.Places {
 		p.Discovery = o.addr
--- a/cmd/woaddyke/disk_test.go
+++ b/cmd/woaddyke/disk_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/lab/between"
-	"woaddyke/internal/lab/several"
+	"woaddyke/internal/lab/cluster"
+	"woaddyke/internal/lab/faultproxy"
 	"woaddyke/internal/lab/syscallfault"
 )
 
@@ -31,7 +31,7 @@
 }
 
 // begin starts a process. Its writes and syncs of the file of records fail with the error of its disk.
-func (d *disks) begin(p *several.Place, cmd *exec.Cmd) error {
+func (d *disks) begin(p *cluster.Place, cmd *exec.Cmd) error {
 	_, err := syscallfault.Start(cmd, os.Args[0], func(c syscallfault.Call) syscall.Errno {
 		if !strings.HasSuffix(c.Target(), "copies.db") {
 			return 0
@@ -45,7 +45,7 @@
 
 // diskCluster is a cluster of replicas whose disks can fail.
 type diskCluster struct {
-	*several.Cluster
+	*cluster.Cluster
 	disks *disks
 }
 
@@ -123,13 +123,13 @@
 			t.Parallel()
 			c, b := startDiskCluster(t, "")
 			claimer, isolated, granting := c.Places[0], c.Places[1], c.Places[2]
-			setLinks := func(state between.Cut) {
+			setLinks := func(state faultproxy.Cut) {
 				for _, i := range []int{0, 2} {
 					c.Net.Cut(1, i, state)
 					c.Net.Cut(i, 1, state)
 				}
 			}
-			setLinks(between.Silent)
+			setLinks(faultproxy.Silent)
 			c.disks.set(errno, claimer.Name)
 			if status, text := post(claimer, "pay", "a", "x"); status != http.StatusServiceUnavailable || b.runCount("a") != 0 {
 				t.Errorf("while the disk fails: %d %q, ran %d times", status, text, b.runCount("a"))
@@ -137,7 +137,7 @@
 			c.disks.set(0, claimer.Name)
 			granting.Kill()
 			claimer.Kill()
-			setLinks(between.Open)
+			setLinks(faultproxy.Open)
 			c.Start(claimer)
 			c.Await("the restarted replica has its vote", func() bool { return voteSettled(claimer) })
 			c.Await("an op is served again", func() bool { status, _ := post(isolated, "pay", "b", "x"); return status == http.StatusOK })
--- a/cmd/woaddyke/members_test.go
+++ b/cmd/woaddyke/members_test.go
@@ -12,8 +12,8 @@
 	"syscall"
 	"testing"
 
-	"woaddyke/internal/lab/between"
-	"woaddyke/internal/lab/several"
+	"woaddyke/internal/lab/cluster"
+	"woaddyke/internal/lab/faultproxy"
 )
 
 // testCommand returns this command, to run as a process.
@@ -29,8 +29,8 @@
 // a second.
 const fastMembers = "probe = \"50ms\"\ndoubt = \"600ms\"\nlongest_doubt = \"1s\"\nseek = \"200ms\"\nexchange = \"1s\"\n"
 
-func startMembers(t *testing.T, n int) *several.Cluster {
-	c := several.New(t, n, fastMembers, noEndpoints, testCommand)
+func startMembers(t *testing.T, n int) *cluster.Cluster {
+	c := cluster.New(t, n, fastMembers, noEndpoints, testCommand)
 	for _, p := range c.Places {
 		c.Start(p)
 	}
@@ -86,7 +86,7 @@
 func TestPartitionedMembersMergeAgain(t *testing.T) {
 	t.Parallel()
 	c := startMembers(t, 5)
-	setPartition := func(how between.Cut) {
+	setPartition := func(how faultproxy.Cut) {
 		for i := range 2 {
 			for j := 2; j < 5; j++ {
 				c.Net.Cut(i, j, how)
@@ -94,15 +94,15 @@
 			}
 		}
 	}
-	setPartition(between.Silent)
+	setPartition(faultproxy.Silent)
 	c.AwaitState("n5", "gone", c.Places[:2]...)
 	c.AwaitState("n1", "gone", c.Places[2:]...)
 	if s := c.Places[0].View().State("n2"); s != "here" {
 		t.Errorf("in its own group n2 is %s", s)
 	}
-	setPartition(between.Open)
+	setPartition(faultproxy.Open)
 	c.AwaitWhole(c.Places...)
-	c.Net.Cut(0, 1, between.Silent)
+	c.Net.Cut(0, 1, faultproxy.Silent)
 	c.Await("n1 can't reach n2 directly", func() bool {
 		for _, m := range c.Places[0].View().Members {
 			if m.Name == "n2" {
@@ -117,7 +117,7 @@
 // that it is replaced, and stand by.
 func TestAReplacedMemberStandsBy(t *testing.T) {
 	t.Parallel()
-	c := several.New(t, 4, fastMembers, noEndpoints, testCommand)
+	c := cluster.New(t, 4, fastMembers, noEndpoints, testCommand)
 	c.Places[3].Name = "n1" // the name is used twice
 	for _, p := range c.Places[:3] {
 		c.Start(p)
@@ -141,7 +141,7 @@
 	p := c.Places[1]
 	c.Takeover(p)
 	c.AwaitWhole(c.Places...)
-	for _, o := range []*several.Place{c.Places[0], c.Places[2]} {
+	for _, o := range []*cluster.Place{c.Places[0], c.Places[2]} {
 		for _, m := range o.View().Members {
 			if m.Name == "n2" && m.Incarnation != 1 {
 				t.Errorf("%s holds n2 with incarnation %d", o.Name, m.Incarnation)
@@ -155,7 +155,7 @@
 func TestMessagesFromOutsidersAreDropped(t *testing.T) {
 	t.Parallel()
 	otherCluster := false
-	c := several.New(t, 3, fastMembers, noEndpoints, func(args ...string) *exec.Cmd {
+	c := cluster.New(t, 3, fastMembers, noEndpoints, func(args ...string) *exec.Cmd {
 		if otherCluster {
 			text, err := os.ReadFile(args[4])
 			if err != nil {
@@ -197,7 +197,7 @@
 // when a message is lost.
 func TestMembersWithOtherSettingsAreReported(t *testing.T) {
 	t.Parallel()
-	c := several.New(t, 3, fastMembers, noEndpoints, testCommand)
+	c := cluster.New(t, 3, fastMembers, noEndpoints, testCommand)
 	c.Places[2].Categories = `{"name":"pay","effect":"fragile","ttlNs":4e9,"targetLatencyNs":4e9}`
 	for _, p := range c.Places {
 		c.Start(p)
--- a/cmd/woaddyke/ready_test.go
+++ b/cmd/woaddyke/ready_test.go
@@ -14,8 +14,8 @@
 
 	"woaddyke/internal/cluster/replication"
 	"woaddyke/internal/cluster/store"
-	"woaddyke/internal/lab/between"
-	"woaddyke/internal/lab/several"
+	"woaddyke/internal/lab/cluster"
+	"woaddyke/internal/lab/faultproxy"
 	"woaddyke/internal/lifecycle/boottime"
 )
 
@@ -54,7 +54,7 @@
 
 // measureReady waits for a condition of each process, for all in parallel, and returns the times since
 // their starts.
-func measureReady(c *several.Cluster, places []*several.Place, since []time.Time, done func(*several.Place) bool) *readyTimes {
+func measureReady(c *cluster.Cluster, places []*cluster.Place, since []time.Time, done func(*cluster.Place) bool) *readyTimes {
 	l := &readyTimes{durations: make([]time.Duration, len(places))}
 	var all sync.WaitGroup
 	for i, p := range places {
@@ -121,7 +121,7 @@
 				lines += "path = \"{dir}/copies.db\"\n"
 			}
 			o := newTestDiscovery(t, x.list)
-			c := several.New(t, n, lines, noEndpoints, testCommand)
+			c := cluster.New(t, n, lines, noEndpoints, testCommand)
 			keepers := c.Places[:3]
 			for i, p := range c.Places {
 				if p.Discovery = o.addr; x.settings != "" {
@@ -129,7 +129,7 @@
 				}
 				c.Start(p)
 			}
-			ready := func(p *several.Place) bool { return p.Get("/api/ready", nil) }
+			ready := func(p *cluster.Place) bool { return p.Get("/api/ready", nil) }
 			for _, p := range c.Places {
 				c.Await("all schedulers are ready and the replicas have their votes", func() bool { return ready(p) && (x.keeps == alone || voteSettled(p)) })
 			}
@@ -150,7 +150,7 @@
 			for i, p := range c.Places {
 				if x.takeover {
 					before, ended := p.Running()
-					at, err := between.Free(c.Bound(i))
+					at, err := faultproxy.Free(c.Bound(i))
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -184,7 +184,7 @@
 				t.Errorf("nine in ten are not ready within %v", readyTimeout)
 			}
 			if x.keeps != alone && all {
-				t.Logf("replicas have their votes: %v", measureReady(c, keepers, since[:3], func(p *several.Place) bool { return voteSettled(p) }))
+				t.Logf("replicas have their votes: %v", measureReady(c, keepers, since[:3], func(p *cluster.Place) bool { return voteSettled(p) }))
 			}
 		})
 	}
--- a/cmd/woaddyke/size_test.go
+++ b/cmd/woaddyke/size_test.go
@@ -21,7 +21,7 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/lab/several"
+	"woaddyke/internal/lab/cluster"
 )
 
 // benchProcess is a process with many workers, all of which are one listener at many addresses.
@@ -420,13 +420,13 @@
 					if keepers {
 						lines = "[copies]\nkeepers = [\"n1\", \"n2\", \"n3\"]\n"
 					}
-					c := several.New(b, n, lines, noEndpoints, testCommand)
+					c := cluster.New(b, n, lines, noEndpoints, testCommand)
 					for _, p := range c.Places {
 						c.Start(p)
 					}
 					c.AwaitWhole(c.Places...)
 					time.Sleep(2 * time.Second)
-					meanCPU := func(places []*several.Place) (total time.Duration) {
+					meanCPU := func(places []*cluster.Place) (total time.Duration) {
 						for _, p := range places {
 							cmd, _ := p.Running()
 							total += cpuTime(b, cmd)
--- a/cmd/woaddyke/workers_test.go
+++ b/cmd/woaddyke/workers_test.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"testing"
 
-	"woaddyke/internal/lab/several"
+	"woaddyke/internal/lab/cluster"
 )
 
 // A scheduler must apply a drain that a peer reports, until its own discovery has sent a list that is as
@@ -51,14 +51,14 @@
 			}))
 			t.Cleanup(discovery.Close)
 			t.Cleanup(discovery.CloseClientConnections)
-			c := several.New(t, 2, fmt.Sprintf("%sworkers = %v\n", fastMembers, on), snapshot, testCommand) // their discovery sends no further list
+			c := cluster.New(t, 2, fmt.Sprintf("%sworkers = %v\n", fastMembers, on), snapshot, testCommand) // their discovery sends no further list
 			c.Places[0].Discovery = discovery.Listener.Addr().String()
 			for _, p := range c.Places {
 				c.Start(p)
 			}
 			c.AwaitWhole(c.Places...)
 			ops := 0
-			send := func(p *several.Place, n int) {
+			send := func(p *cluster.Place, n int) {
 				for range n {
 					ops++
 					if status, text := post(p, "look", fmt.Sprint("x", ops), ""); status != http.StatusOK {
@@ -71,7 +71,7 @@
 				return pushes[0].Load() > 0 && pushes[1].Load() > 0
 			})
 			close(drain)
-			avoidsDrained := func(p *several.Place) bool {
+			avoidsDrained := func(p *cluster.Place) bool {
 				before := pushes[0].Load()
 				send(p, 30)
 				return pushes[0].Load() == before
--- a/internal/lab/clients/clients.go
+++ b/internal/lab/clients/clients.go
@@ -15,13 +15,13 @@
 	"syscall"
 	"time"
 
-	"woaddyke/internal/lab/asks"
-	"woaddyke/internal/lab/box"
+	"woaddyke/internal/lab/experiment"
 	"woaddyke/internal/lab/fleet"
 	"woaddyke/internal/lab/ledger"
 	"woaddyke/internal/lab/links"
-	"woaddyke/internal/lab/plan"
-	"woaddyke/internal/lab/script"
+	"woaddyke/internal/lab/requests"
+	"woaddyke/internal/lab/workermodel"
+	"woaddyke/internal/lab/workload"
 )
 
 // Server is a scheduler as clients know it.
@@ -29,10 +29,10 @@
 
 // Crowd is all clients.
 type Crowd struct {
-	plan    *plan.Experiment
-	script  *script.Script
+	plan    *experiment.Experiment
+	script  *workload.Script
 	book    *ledger.Book
-	desk    *asks.Desk
+	desk    *requests.Desk
 	servers []Server
 	addrs   []string
 	weather []*links.Weather
@@ -51,7 +51,7 @@
 const pipelining = -1
 
 // New makes the clients of an experiment.
-func New(e *plan.Experiment, s *script.Script, book *ledger.Book, desk *asks.Desk, servers []Server, addrs []string) *Crowd {
+func New(e *experiment.Experiment, s *workload.Script, book *ledger.Book, desk *requests.Desk, servers []Server, addrs []string) *Crowd {
 	c := &Crowd{plan: e, script: s, book: book, desk: desk, servers: servers, addrs: addrs, pools: map[place]*pool{}}
 	for i := range addrs {
 		sky := fleet.Sky(e, "clients", "", e.Zones[i%len(e.Zones)])
@@ -117,8 +117,8 @@
 type try struct {
 	id, effect string
 	number     int
-	category   *plan.Category
-	wish       *script.Wish
+	category   *experiment.Category
+	wish       *workload.Wish
 	body       []byte
 	until      time.Time
 	leaveAt    time.Duration
@@ -157,7 +157,7 @@
 )
 
 // wish sees one wish through, try after try.
-func (c *Crowd) wish(ctx context.Context, n int, w *script.Wish, due time.Time) {
+func (c *Crowd) wish(ctx context.Context, n int, w *workload.Wish, due time.Time) {
 	cat := &c.plan.Categories[w.Category]
 	until := due.Add(time.Duration(cat.TTLMS * float64(time.Millisecond)))
 	r := rand.New(rand.NewPCG(w.Seed, 0x77697368))
@@ -214,7 +214,7 @@
 }
 
 // insist asks for an op under one id until it has a final answer: first at one scheduler, then at others, now and then at two at once.
-func (c *Crowd) insist(ctx context.Context, effect string, w *script.Wish, due, until time.Time, r *rand.Rand) {
+func (c *Crowd) insist(ctx context.Context, effect string, w *workload.Wish, due, until time.Time, r *rand.Rand) {
 	cat := &c.plan.Categories[w.Category]
 	first := c.up(w.Scheduler)
 	ask := func(k int, due time.Time, at int) outcome {
@@ -294,7 +294,7 @@
 	return false
 }
 
-func (c *Crowd) wait(r *rand.Rand, w *script.Wish, k int, o outcome) time.Duration {
+func (c *Crowd) wait(r *rand.Rand, w *workload.Wish, k int, o outcome) time.Duration {
 	wait := time.Duration(c.plan.Clients.WaitMS * float64(time.Millisecond))
 	switch c.plan.Clients.Backoff {
 	case "none":
@@ -313,14 +313,14 @@
 	c.open.Add(1)
 	defer c.open.Add(-1)
 	cat := t.category
-	job := box.Job{Op: t.id, Effect: t.effect, Work: t.wish.Work, Usual: cat.WorkMS, Slots: t.wish.Slots, Memory: cat.Memory, Dedup: cat.Effect == ledger.Deduplicated,
-		Window: plan.MS(cat.WindowMS), Scope: cat.Scope}
+	job := workermodel.Job{Op: t.id, Effect: t.effect, Work: t.wish.Work, Usual: cat.WorkMS, Slots: t.wish.Slots, Memory: cat.Memory, Dedup: cat.Effect == ledger.Deduplicated,
+		Window: experiment.MS(cat.WindowMS), Scope: cat.Scope}
 	key := ""
 	if cat.Effect != ledger.Redeliverable {
 		key = t.effect
 	}
 	target := "/api?sid=" + t.effect
-	c.desk.Put(t.id, asks.Ask{Job: job, Target: target, Key: key, Body: asks.Sum(t.body)})
+	c.desk.Put(t.id, requests.Ask{Job: job, Target: target, Key: key, Body: requests.Sum(t.body)})
 	if t.repeat {
 		c.book.Add(ledger.Event{Kind: ledger.Repeat, Op: t.id, Scheduler: at + 1, Try: t.number, Client: t.wish.Client + 1})
 	} else {
--- a/internal/lab/several/several.go
+++ b/internal/lab/cluster/several.go
@@ -1,6 +1,6 @@
-// Package several starts a few real processes of the program for a test, each with an address, a folder and a link to every other of
+// Package cluster starts a few real processes of the program for a test, each with an address, a folder and a link to every other of
 // its own, and ends them with it.
-package several
+package cluster
 
 import (
 	"bytes"
@@ -21,13 +21,13 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/lab/between"
+	"woaddyke/internal/lab/faultproxy"
 )
 
 // Cluster is some processes with links between them.
 type Cluster struct {
 	t         testing.TB
-	Net       *between.Net
+	Net       *faultproxy.Net
 	base      int // number of its first address
 	make      func(args ...string) *exec.Cmd
 	operator  string
@@ -96,7 +96,7 @@
 }
 
 // Bound is the address at which the k-th place listens.
-func (c *Cluster) Bound(k int) netip.Addr { return between.Bound(c.base + k) }
+func (c *Cluster) Bound(k int) netip.Addr { return faultproxy.Bound(c.base + k) }
 
 // New makes places for so many processes, of which none runs. Further lines of the operator's table of members may be given, in which
 // {dir} is the place's own folder. The
@@ -111,7 +111,7 @@
 	}))
 	c.discovery = s.Listener.Addr().String()
 	var err error
-	if c.Net, err = between.At(c.base, n, 1, func(int, int, between.Cut) {}); err != nil {
+	if c.Net, err = faultproxy.At(c.base, n, 1, func(int, int, faultproxy.Cut) {}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
@@ -137,7 +137,7 @@
 func (c *Cluster) Place(k int, name string) *Place {
 	var taken []string
 	free := func() netip.AddrPort {
-		at, err := between.Free(c.Bound(k), taken...)
+		at, err := faultproxy.Free(c.Bound(k), taken...)
 		if err != nil {
 			c.t.Fatal(err)
 		}
--- a/internal/lab/contrast/contrast.go
+++ b/internal/lab/comparison/contrast.go
@@ -1,6 +1,6 @@
-// Package contrast holds pairs of runs of two builds on the same seeds, and what their difference is: paired, with
+// Package comparison holds pairs of runs of two builds on the same seeds, and what their difference is: paired, with
 // an interval.
-package contrast
+package comparison
 
 import (
 	"fmt"
--- a/internal/lab/herald/herald.go
+++ b/internal/lab/discovery/herald.go
@@ -1,6 +1,6 @@
-// Package herald is the emulated discovery: an agent for each scheduler that gives the list of workers and a watch
+// Package discovery is the emulated discovery: an agent for each scheduler that gives the list of workers and a watch
 // on its changes, each told late by a span drawn from the seed; silent, broken or moved when the script says so.
-package herald
+package discovery
 
 import (
 	"encoding/json"
--- a/internal/lab/doubles/doubles.go
+++ b/internal/lab/duplicates/doubles.go
@@ -1,6 +1,6 @@
-// Package doubles judges what became of ids that came again, over all schedulers together and by the workers' own books: how often each
+// Package duplicates judges what became of ids that came again, over all schedulers together and by the workers' own books: how often each
 // op ran, and whether its clients were told the same. It does no input or output.
-package doubles
+package duplicates
 
 import (
 	"fmt"
--- a/internal/lab/doubles/doubles_test.go
+++ b/internal/lab/duplicates/doubles_test.go
@@ -1,4 +1,4 @@
-package doubles
+package duplicates
 
 import (
 	"testing"
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -1,6 +1,6 @@
-// Package plan holds what an experiment file says: the fleet, its schedulers, links, clients and faults. A file is
+// Package experiment holds what an experiment file says: the fleet, its schedulers, links, clients and faults. A file is
 // TOML and read strictly: what is not known or makes no sense is one line with its place and the reason.
-package plan
+package experiment
 
 import (
 	"bytes"
--- a/internal/lab/plan/plan_test.go
+++ b/internal/lab/experiment/plan_test.go
@@ -1,4 +1,4 @@
-package plan
+package experiment
 
 import (
 	"os"
--- a/internal/lab/between/block.go
+++ b/internal/lab/faultproxy/block.go
@@ -1,4 +1,4 @@
-package between
+package faultproxy
 
 import (
 	"errors"
--- a/internal/lab/between/sky.go
+++ b/internal/lab/faultproxy/sky.go
@@ -1,6 +1,6 @@
-// Package between holds the links between schedulers: one for every ordered pair, for datagrams and streams alike, each with its
+// Package faultproxy holds the links between schedulers: one for every ordered pair, for datagrams and streams alike, each with its
 // own weather. What happens to a datagram is decided by a Lane, which does no input or output; a Net beside it carries it out.
-package between
+package faultproxy
 
 import (
 	"math"
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -12,13 +12,13 @@
 	"syscall"
 	"time"
 
-	"woaddyke/internal/lab/asks"
-	"woaddyke/internal/lab/box"
+	"woaddyke/internal/lab/experiment"
 	"woaddyke/internal/lab/ledger"
 	"woaddyke/internal/lab/links"
 	"woaddyke/internal/lab/meter"
-	"woaddyke/internal/lab/plan"
-	"woaddyke/internal/lab/script"
+	"woaddyke/internal/lab/requests"
+	"woaddyke/internal/lab/workermodel"
+	"woaddyke/internal/lab/workload"
 )
 
 // Entry is what the list says of a worker.
@@ -34,15 +34,15 @@
 // Fleet is all workers.
 type Fleet struct {
 	book   *ledger.Book
-	plan   *plan.Experiment
-	script *script.Script
-	desk   *asks.Desk
+	plan   *experiment.Experiment
+	script *workload.Script
+	desk   *requests.Desk
 	list   func(Entry)
 	rules  *ledger.Rules
 	pushes atomic.Int64
-	zones  map[string]*box.Memory
-	cells  map[int]*box.Memory
-	all    *box.Memory
+	zones  map[string]*workermodel.Memory
+	cells  map[int]*workermodel.Memory
+	all    *workermodel.Memory
 
 	addrs   [][]string         // by slot and scheduler
 	weather [][]*links.Weather // the same
@@ -57,9 +57,9 @@
 }
 
 // New makes a fleet and reserves its addresses; nothing listens yet. The list is told of each change of state.
-func New(e *plan.Experiment, s *script.Script, book *ledger.Book, desk *asks.Desk, m *meter.Meter, list func(Entry)) (*Fleet, error) {
-	f := &Fleet{book: book, plan: e, script: s, desk: desk, list: list, rules: e.Judged(), zones: map[string]*box.Memory{},
-		cells: map[int]*box.Memory{}, all: box.NewMemory(), births: make([]int, len(s.Workers)), seed: e.Seed, meter: m}
+func New(e *experiment.Experiment, s *workload.Script, book *ledger.Book, desk *requests.Desk, m *meter.Meter, list func(Entry)) (*Fleet, error) {
+	f := &Fleet{book: book, plan: e, script: s, desk: desk, list: list, rules: e.Judged(), zones: map[string]*workermodel.Memory{},
+		cells: map[int]*workermodel.Memory{}, all: workermodel.NewMemory(), births: make([]int, len(s.Workers)), seed: e.Seed, meter: m}
 	hollow := 0
 	for _, w := range s.Workers {
 		if e.Workers[w.Kind].Hollow {
@@ -72,10 +72,10 @@
 	}
 	for i, w := range s.Workers {
 		if f.zones[w.Zone] == nil {
-			f.zones[w.Zone] = box.NewMemory()
+			f.zones[w.Zone] = workermodel.NewMemory()
 		}
 		if f.cells[w.Cell] == nil {
-			f.cells[w.Cell] = box.NewMemory()
+			f.cells[w.Cell] = workermodel.NewMemory()
 		}
 		var weather []*links.Weather
 		for n := range e.Schedulers.Count {
@@ -93,7 +93,7 @@
 }
 
 // Sky is what an experiment's links say of two parties; the last that fits counts.
-func Sky(e *plan.Experiment, between, from, to string) (sky links.Sky) {
+func Sky(e *experiment.Experiment, between, from, to string) (sky links.Sky) {
 	ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 	for _, l := range e.Links {
 		if l.Between == between && e.In(l.From, from) && e.In(l.To, to) {
@@ -109,17 +109,17 @@
 	f         *Fleet
 	slot      int
 	name      string
-	made      plan.Workers
+	made      experiment.Workers
 	listeners []net.Listener
 
 	mu    sync.Mutex
-	box   *box.Box
+	box   *workermodel.Box
 	dead  bool
-	ails  box.Ails
+	ails  workermodel.Ails
 	legs  map[int]*leg
 	conns map[*link]bool
 	wake  *time.Timer
-	calls map[int]chan box.Report
+	calls map[int]chan workermodel.Report
 	next  int // numbers probes
 	shut  []*shut
 	cutAt ledger.Time // when its link was cut last, or that was over
@@ -139,17 +139,17 @@
 func (f *Fleet) boot(slot int, name string, cold bool) error {
 	at := f.script.Workers[slot]
 	made := f.plan.Workers[at.Kind]
-	w := &worker{f: f, slot: slot, name: name, made: made, legs: map[int]*leg{}, conns: map[*link]bool{}, calls: map[int]chan box.Report{}}
-	b := box.Make{Cores: made.Cores, Speed: at.Speed, Slots: made.Slots, Memory: made.Memory, Queue: made.Queue,
-		ReportEvery: plan.MS(made.ReportEveryMS), Progress: plan.MS(made.ProgressMS), TellsStart: true, ConnWork: made.ConnWorkMS,
+	w := &worker{f: f, slot: slot, name: name, made: made, legs: map[int]*leg{}, conns: map[*link]bool{}, calls: map[int]chan workermodel.Report{}}
+	b := workermodel.Make{Cores: made.Cores, Speed: at.Speed, Slots: made.Slots, Memory: made.Memory, Queue: made.Queue,
+		ReportEvery: experiment.MS(made.ReportEveryMS), Progress: experiment.MS(made.ProgressMS), TellsStart: true, ConnWork: made.ConnWorkMS,
 		ProbeWork: made.ProbeWorkMS, Connections: made.Connections, ErrorRate: made.ErrorRate, CancelDrops: made.CancelDrops}
 	if err := w.listen(); err != nil {
 		return fmt.Errorf("worker %s: %w", name, err)
 	}
 	now := time.Now()
 	booted := f.book.Add(ledger.Event{Kind: ledger.Boot, Worker: name, Zone: at.Zone, Cell: at.Cell, Cold: cold, Cores: made.Cores * at.Speed})
-	w.box = box.New(name, b, *f.rules, f.cells[at.Cell], f.zones[at.Zone], f.all, at.Seed+uint64(f.births[slot]), booted, cold)
-	w.wake = time.AfterFunc(time.Hour, func() { w.take(box.Woken{}) })
+	w.box = workermodel.New(name, b, *f.rules, f.cells[at.Cell], f.zones[at.Zone], f.all, at.Seed+uint64(f.births[slot]), booted, cold)
+	w.wake = time.AfterFunc(time.Hour, func() { w.take(workermodel.Woken{}) })
 	f.mu.Lock()
 	f.slots[slot] = w
 	f.mu.Unlock()
@@ -194,32 +194,32 @@
 func (f *Fleet) Addr(slot, scheduler int) string { return f.addrs[slot][scheduler] }
 
 // take hands an input to the box and carries out its effects, in order.
-func (w *worker) take(in box.Input) {
+func (w *worker) take(in workermodel.Input) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.takeLocked(in)
 }
 
-func (w *worker) takeLocked(in box.Input) {
+func (w *worker) takeLocked(in workermodel.Input) {
 	if w.dead {
 		return
 	}
 	for _, e := range w.box.Take(w.f.book.Now(), in) {
 		switch e := e.(type) {
-		case box.Say:
+		case workermodel.Say:
 			w.say(e)
-		case box.Happened:
+		case workermodel.Happened:
 			w.f.book.Add(ledger.Event{Kind: e.Kind, Worker: w.name, Push: e.Push, Op: e.Op, Text: e.Text})
-		case box.Report:
+		case workermodel.Report:
 			if c := w.calls[e.Probe]; c != nil {
 				delete(w.calls, e.Probe)
 				c <- e
 			}
-		case box.Admit:
+		case workermodel.Admit:
 			w.admit = e.May
-		case box.Wake:
+		case workermodel.Wake:
 			w.wake.Reset(max(time.Until(w.f.book.Wall(e.At)), 0))
-		case box.Collapse:
+		case workermodel.Collapse:
 			go w.end()
 		}
 	}
@@ -267,12 +267,12 @@
 }
 
 // Ail changes what ails the worker of a slot.
-func (f *Fleet) Ail(slot int, change func(*box.Ails)) {
+func (f *Fleet) Ail(slot int, change func(*workermodel.Ails)) {
 	w := f.at(slot)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change(&w.ails)
-	w.takeLocked(box.Changed{Ails: w.ails})
+	w.takeLocked(workermodel.Changed{Ails: w.ails})
 }
 
 // Cut silences the links of a slot's worker, or lets them speak again: open connections are silent, and new ones do
@@ -361,7 +361,7 @@
 		return
 	}
 	w.mu.Unlock()
-	f.Ail(slot, func(a *box.Ails) { a.Draining = true })
+	f.Ail(slot, func(a *workermodel.Ails) { a.Draining = true })
 	f.list(f.entry(w, "draining"))
 	from := time.Now()
 	f.ending.Add(1)
@@ -475,7 +475,7 @@
 		w.mu.Lock()
 		w.f.book.Add(ledger.Event{Kind: ledger.Dialed, Worker: w.name, Scheduler: scheduler + 1})
 		w.admit = false
-		w.takeLocked(box.Dialed{})
+		w.takeLocked(workermodel.Dialed{})
 		may := w.admit && !w.dead
 		if !may {
 			w.mu.Unlock()
--- a/internal/lab/fleet/hollow_test.go
+++ b/internal/lab/fleet/hollow_test.go
@@ -13,22 +13,22 @@
 	"testing"
 	"time"
 
-	"woaddyke/internal/lab/asks"
-	"woaddyke/internal/lab/box"
+	"woaddyke/internal/lab/experiment"
 	"woaddyke/internal/lab/ledger"
 	"woaddyke/internal/lab/meter"
-	"woaddyke/internal/lab/plan"
-	"woaddyke/internal/lab/script"
+	"woaddyke/internal/lab/requests"
+	"woaddyke/internal/lab/workermodel"
+	"woaddyke/internal/lab/workload"
 )
 
 // stand makes a fleet of three workers for three schedulers.
-func stand(t *testing.T, hollow bool, m *meter.Meter) (*Fleet, *ledger.Book, *asks.Desk) {
+func stand(t *testing.T, hollow bool, m *meter.Meter) (*Fleet, *ledger.Book, *requests.Desk) {
 	t.Helper()
-	e, err := plan.Parse([]byte(fmt.Sprintf("[schedulers]\ncount = 3\n[[workers]]\ncount = 3\ncores = 2\nhollow = %v\n[[categories]]\nname = \"a\"\n", hollow)))
+	e, err := experiment.Parse([]byte(fmt.Sprintf("[schedulers]\ncount = 3\n[[workers]]\ncount = 3\ncores = 2\nhollow = %v\n[[categories]]\nname = \"a\"\n", hollow)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := script.Of(e)
+	s, err := workload.Of(e)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	desk := asks.New()
+	desk := requests.New()
 	f, err := New(e, s, book, desk, m, func(Entry) {})
 	if err != nil {
 		t.Fatal(err)
@@ -95,7 +95,7 @@
 		hear(c)
 	}
 	push := func(c net.Conn, op string, work, slots float64) {
-		desk.Put(op, asks.Ask{Job: box.Job{Op: op, Effect: op, Work: work, Usual: work, Slots: slots}, Target: "/api", Body: asks.Sum([]byte("x"))})
+		desk.Put(op, requests.Ask{Job: workermodel.Job{Op: op, Effect: op, Work: work, Usual: work, Slots: slots}, Target: "/api", Body: requests.Sum([]byte("x"))})
 		fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: worker\r\nX-Correlation-Id: %s\r\nContent-Length: 1\r\n\r\nx", op)
 	}
 	for n := range 3 {
--- a/internal/lab/fleet/serve.go
+++ b/internal/lab/fleet/serve.go
@@ -10,11 +10,11 @@
 	"sync"
 	"time"
 
-	"woaddyke/internal/lab/asks"
-	"woaddyke/internal/lab/box"
 	"woaddyke/internal/lab/ledger"
 	"woaddyke/internal/lab/links"
 	"woaddyke/internal/lab/meter"
+	"woaddyke/internal/lab/requests"
+	"woaddyke/internal/lab/workermodel"
 )
 
 // link is one connection from a scheduler; it carries one request at a time.
@@ -99,7 +99,7 @@
 		return
 	}
 	w.f.book.Add(ledger.Event{Kind: ledger.Closed, Op: l.op, Worker: w.name, Push: l.push, From: at})
-	w.takeLocked(box.Closed{Push: l.push})
+	w.takeLocked(workermodel.Closed{Push: l.push})
 	w.finish(l)
 }
 
@@ -146,7 +146,7 @@
 	w.mu.Lock()
 	if w.conns[k] {
 		delete(w.conns, k)
-		w.takeLocked(box.Hangup{})
+		w.takeLocked(workermodel.Hangup{})
 	}
 	w.mu.Unlock()
 	k.c.CloseSoon(time.Second)
@@ -201,7 +201,7 @@
 	k.leg = l
 	off := k.off
 	k.mu.Unlock()
-	w.takeLocked(box.Pushed{Push: l.push, Job: ask.Job})
+	w.takeLocked(workermodel.Pushed{Push: l.push, Job: ask.Job})
 	w.mu.Unlock()
 	if off > 0 {
 		k.closed(l, off)
@@ -215,7 +215,7 @@
 }
 
 // differs says what of a push is not as its client sent it.
-func differs(r *http.Request, body []byte, a asks.Ask) string {
+func differs(r *http.Request, body []byte, a requests.Ask) string {
 	switch {
 	case r.Method != http.MethodPost:
 		return "method " + r.Method
@@ -223,7 +223,7 @@
 		return "target " + r.RequestURI
 	case r.Header.Get("Idempotency-Key") != a.Key:
 		return "another Idempotency-Key"
-	case asks.Sum(body) != a.Body:
+	case requests.Sum(body) != a.Body:
 		return "another body"
 	}
 	return ""
@@ -232,12 +232,12 @@
 // probe answers with the load report, or with nothing from a worker that hangs.
 func (k *link) probe(load bool) bool {
 	w := k.w
-	got := make(chan box.Report, 1)
+	got := make(chan workermodel.Report, 1)
 	w.mu.Lock()
 	w.next++
 	w.calls[w.next] = got
 	w.f.book.Add(ledger.Event{Kind: ledger.Probed, Worker: w.name, Scheduler: k.scheduler + 1})
-	w.takeLocked(box.Probed{Probe: w.next})
+	w.takeLocked(workermodel.Probed{Probe: w.next})
 	w.mu.Unlock()
 	select {
 	case r := <-got:
@@ -275,18 +275,18 @@
 }
 
 // say carries out a word of the box, with the worker's lock held. The ledger has it before the scheduler can.
-func (w *worker) say(s box.Say) {
+func (w *worker) say(s workermodel.Say) {
 	l := w.legs[s.Push]
 	if l == nil || l.done {
 		return
 	}
 	switch s.Word {
-	case box.Taken:
+	case workermodel.Taken:
 		l.on.write(meter.Work, []byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"))
 		return
-	case box.TurnedAway, box.Unfit:
+	case workermodel.TurnedAway, workermodel.Unfit:
 		w.f.book.Add(ledger.Event{Kind: ledger.Said, Op: l.op, Worker: w.name, Push: l.push, Verdict: string(s.Word)})
-		if s.Word == box.Unfit {
+		if s.Word == workermodel.Unfit {
 			l.on.plain(meter.Work, http.StatusUnprocessableEntity, "", "")
 		} else {
 			l.on.plain(meter.Work, http.StatusServiceUnavailable, "X-Unprocessed: 1\r\n", "")
@@ -298,7 +298,7 @@
 	text = append(text, '\n')
 	chunk := fmt.Appendf(nil, "%x\r\n%s\r\n", len(text), text)
 	switch s.Word {
-	case box.Done, box.Failed, box.Returned:
+	case workermodel.Done, workermodel.Failed, workermodel.Returned:
 		chunk = append(chunk, "0\r\n\r\n"...)
 		w.f.book.Add(ledger.Event{Kind: ledger.Said, Op: l.op, Worker: w.name, Push: l.push, Verdict: string(s.Word), Text: s.Result})
 		l.on.write(meter.Work, chunk)
--- a/internal/lab/page/page.go
+++ b/internal/lab/htmlreport/page.go
@@ -1,5 +1,5 @@
-// Package page holds a run's results as one page that needs nothing beside it.
-package page
+// Package htmlreport holds a run's results as one page that needs nothing beside it.
+package htmlreport
 
 import (
 	"bytes"
@@ -19,15 +19,15 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"woaddyke/internal/lab/figures"
 	"woaddyke/internal/lab/ledger"
+	"woaddyke/internal/lab/report"
 )
 
 //go:embed page.html
 var files embed.FS
 
 // Write writes a run's page.
-func Write(path string, r *figures.Results) error {
+func Write(path string, r *report.Results) error {
 	b, err := Of(r)
 	if err != nil {
 		return fmt.Errorf("page: %w", err)
@@ -42,7 +42,7 @@
 }
 
 // Of is a run's page.
-func Of(r *figures.Results) ([]byte, error) {
+func Of(r *report.Results) ([]byte, error) {
 	t, err := template.New("page.html").Funcs(template.FuncMap{
 		"figure": func(name string) string { return fmt.Sprintf("%.4g", r.Figures[name]) },
 		"ms":     func(m map[string]float64, q string) string { return fmt.Sprintf("%.1f", m[q]) },
@@ -52,7 +52,7 @@
 		return nil, err
 	}
 	var pictures []picture
-	for _, draw := range []func(*figures.Results) (*plot.Plot, error){latencies, answers, queues, memory, descriptors, cpu, members} {
+	for _, draw := range []func(*report.Results) (*plot.Plot, error){latencies, answers, queues, memory, descriptors, cpu, members} {
 		p, err := draw(r)
 		if err != nil {
 			return nil, err
@@ -116,7 +116,7 @@
 }
 
 // mark puts an upright line where a trouble begins or ends.
-func mark(p *plot.Plot, faults []figures.Fault) {
+func mark(p *plot.Plot, faults []report.Fault) {
 	top := p.Y.Max
 	if math.IsInf(top, 0) {
 		return
@@ -131,16 +131,16 @@
 	}
 }
 
-func latencies(r *figures.Results) (*plot.Plot, error) {
+func latencies(r *report.Results) (*plot.Plot, error) {
 	if len(r.Slices) == 0 {
 		return nil, nil
 	}
 	p := empty("Latency of what was acked, by the moment at which it was due", "ms")
 	for n, of := range []struct {
 		name string
-		y    func(figures.Slice) float64
-	}{{"p50", func(s figures.Slice) float64 { return s.P50 }}, {"p99", func(s figures.Slice) float64 { return s.P99 }},
-		{"longest", func(s figures.Slice) float64 { return s.Longest }}} {
+		y    func(report.Slice) float64
+	}{{"p50", func(s report.Slice) float64 { return s.P50 }}, {"p99", func(s report.Slice) float64 { return s.P99 }},
+		{"longest", func(s report.Slice) float64 { return s.Longest }}} {
 		var xy plotter.XYs
 		for _, s := range r.Slices {
 			if s.Acked > 0 {
@@ -154,16 +154,16 @@
 	return p, nil
 }
 
-func answers(r *figures.Results) (*plot.Plot, error) {
+func answers(r *report.Results) (*plot.Plot, error) {
 	if len(r.Slices) == 0 {
 		return nil, nil
 	}
 	p := empty("Last answers, by the moment at which ops were due", "ops in 0.25 s")
 	for n, of := range []struct {
 		name string
-		y    func(figures.Slice) int
-	}{{"acked", func(s figures.Slice) int { return s.Acked }}, {"nacked", func(s figures.Slice) int { return s.Nacked }},
-		{"dead-lettered", func(s figures.Slice) int { return s.Dead }}, {"none", func(s figures.Slice) int { return s.Other }}} {
+		y    func(report.Slice) int
+	}{{"acked", func(s report.Slice) int { return s.Acked }}, {"nacked", func(s report.Slice) int { return s.Nacked }},
+		{"dead-lettered", func(s report.Slice) int { return s.Dead }}, {"none", func(s report.Slice) int { return s.Other }}} {
 		var xy plotter.XYs
 		for _, s := range r.Slices {
 			xy = append(xy, plotter.XY{X: seconds(s.At), Y: float64(of.y(s))})
@@ -178,7 +178,7 @@
 // mostLines bounds how many workers are drawn; of more, the busiest and the mean tell.
 const mostLines = 24
 
-func queues(r *figures.Results) (*plot.Plot, error) {
+func queues(r *report.Results) (*plot.Plot, error) {
 	if len(r.Queues) == 0 {
 		return nil, nil
 	}
@@ -211,7 +211,7 @@
 }
 
 // used draws a figure of each scheduler's use.
-func used(r *figures.Results, title, unit string, y func(i int) (float64, bool)) (*plot.Plot, error) {
+func used(r *report.Results, title, unit string, y func(i int) (float64, bool)) (*plot.Plot, error) {
 	if len(r.Uses) == 0 {
 		return nil, nil
 	}
@@ -232,15 +232,15 @@
 	return p, nil
 }
 
-func memory(r *figures.Results) (*plot.Plot, error) {
+func memory(r *report.Results) (*plot.Plot, error) {
 	return used(r, "Memory of each scheduler", "MB", func(i int) (float64, bool) { return float64(r.Uses[i].Resident) / (1 << 20), true })
 }
 
-func descriptors(r *figures.Results) (*plot.Plot, error) {
+func descriptors(r *report.Results) (*plot.Plot, error) {
 	return used(r, "Descriptors of each scheduler", "open", func(i int) (float64, bool) { return float64(r.Uses[i].Files), true })
 }
 
-func cpu(r *figures.Results) (*plot.Plot, error) {
+func cpu(r *report.Results) (*plot.Plot, error) {
 	last := map[int]int{}
 	return used(r, "CPU of each scheduler", "cores", func(i int) (float64, bool) {
 		u := r.Uses[i]
@@ -257,7 +257,7 @@
 const mostPairs = 150
 
 // members draws what each scheduler held of each other: a row a pair, thin where the other is held to be here.
-func members(r *figures.Results) (*plot.Plot, error) {
+func members(r *report.Results) (*plot.Plot, error) {
 	if len(r.Spans) == 0 {
 		return nil, nil
 	}
--- a/internal/lab/views/views.go
+++ b/internal/lab/membershipcheck/views.go
@@ -1,6 +1,6 @@
-// Package views judges what schedulers held of one another, by the links and the processes as they were, and believes no scheduler.
+// Package membershipcheck judges what schedulers held of one another, by the links and the processes as they were, and believes no scheduler.
 // It does no input or output.
-package views
+package membershipcheck
 
 import (
 	"cmp"
--- a/internal/lab/views/views_test.go
+++ b/internal/lab/membershipcheck/views_test.go
@@ -1,4 +1,4 @@
-package views
+package membershipcheck
 
 import (
 	"fmt"
--- a/internal/lab/figures/figures.go
+++ b/internal/lab/report/figures.go
@@ -1,6 +1,6 @@
-// Package figures works out of a ledger what an experiment has shown: latencies from the moment at which ops were
+// Package report works out of a ledger what an experiment has shown: latencies from the moment at which ops were
 // due, service by benefit, waste, probes, connections, and what the schedulers used.
-package figures
+package report
 
 import (
 	"cmp"
@@ -13,31 +13,31 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"woaddyke/internal/lab/audit"
-	"woaddyke/internal/lab/doubles"
+	"woaddyke/internal/lab/duplicates"
+	"woaddyke/internal/lab/experiment"
 	"woaddyke/internal/lab/ledger"
-	"woaddyke/internal/lab/plan"
+	"woaddyke/internal/lab/membershipcheck"
 	"woaddyke/internal/lab/schedulers"
-	"woaddyke/internal/lab/views"
 )
 
 // Results are all figures of one run.
 type Results struct {
-	Name        string             `json:"name"`
-	Seed        uint64             `json:"seed"`
-	Script      string             `json:"script"` // its hash
-	Seconds     float64            `json:"seconds"`
-	Interrupted bool               `json:"interrupted,omitempty"`
-	Void        string             `json:"void,omitempty"` // why the run proves nothing
-	Audit       audit.Judgement    `json:"audit"`
-	Figures     map[string]float64 `json:"figures"`
-	Categories  []Category         `json:"categories"`
-	Unmet       []string           `json:"unmet,omitempty"` // promises of the file that did not hold
-	Uses        []schedulers.Use   `json:"uses,omitempty"`
-	Queues      []Queue            `json:"queues,omitempty"`
-	Slices      []Slice            `json:"slices,omitempty"`
-	Faults      []Fault            `json:"faults,omitempty"`
-	Spans       []views.Span       `json:"spans,omitempty"` // what schedulers held of one another
-	Span        float64            `json:"span,omitempty"`  // seconds that the figures of roles cover
+	Name        string                 `json:"name"`
+	Seed        uint64                 `json:"seed"`
+	Script      string                 `json:"script"` // its hash
+	Seconds     float64                `json:"seconds"`
+	Interrupted bool                   `json:"interrupted,omitempty"`
+	Void        string                 `json:"void,omitempty"` // why the run proves nothing
+	Audit       audit.Judgement        `json:"audit"`
+	Figures     map[string]float64     `json:"figures"`
+	Categories  []Category             `json:"categories"`
+	Unmet       []string               `json:"unmet,omitempty"` // promises of the file that did not hold
+	Uses        []schedulers.Use       `json:"uses,omitempty"`
+	Queues      []Queue                `json:"queues,omitempty"`
+	Slices      []Slice                `json:"slices,omitempty"`
+	Faults      []Fault                `json:"faults,omitempty"`
+	Spans       []membershipcheck.Span `json:"spans,omitempty"` // what schedulers held of one another
+	Span        float64                `json:"span,omitempty"`  // seconds that the figures of roles cover
 
 	readies []float64
 }
@@ -112,7 +112,7 @@
 }
 
 // Of works the figures out.
-func Of(e *plan.Experiment, events []ledger.Event, uses []schedulers.Use, queues []Queue) (*Results, error) {
+func Of(e *experiment.Experiment, events []ledger.Event, uses []schedulers.Use, queues []Queue) (*Results, error) {
 	j, err := audit.Judge(events)
 	if err != nil {
 		return nil, err
@@ -200,7 +200,7 @@
 
 // service is the benefit that was answered in time over all that was asked for; a benefit counts for each unit of
 // work. An answer after the target latency and before the TTL earns a category's share of it.
-func (r *Results) service(e *plan.Experiment, order []*wish) {
+func (r *Results) service(e *experiment.Experiment, order []*wish) {
 	all := histogram()
 	got, asked := 0.0, 0.0
 	clients, windows := map[int]*share{}, map[int]*share{}
@@ -233,9 +233,9 @@
 			record(all, took)
 			earned := 0.0
 			switch {
-			case took <= plan.MS(c.TargetMS+c.Stretch*w.work/w.slots):
+			case took <= experiment.MS(c.TargetMS+c.Stretch*w.work/w.slots):
 				earned = worth
-			case took <= plan.MS(c.TTLMS):
+			case took <= experiment.MS(c.TTLMS):
 				earned = worth * c.LateBenefit
 			}
 			mine += earned
@@ -360,7 +360,7 @@
 }
 
 // Views takes what schedulers held of one another.
-func (r *Results) Views(j *views.Judgement) {
+func (r *Results) Views(j *membershipcheck.Judgement) {
 	f := r.Figures
 	f["false_gone"], f["missed_gone"], f["views_apart"] = float64(j.FalseGone), float64(j.MissedGone), float64(j.Apart)
 	f["detect_worst_ms"], f["converge_worst_ms"], f["detected"] = worst(j.Detect), worst(j.Converge), float64(len(j.Detect))
@@ -376,7 +376,7 @@
 }
 
 // Doubles takes what became of ids that came again.
-func (r *Results) Doubles(j *doubles.Judgement) {
+func (r *Results) Doubles(j *duplicates.Judgement) {
 	f := r.Figures
 	f["doubled"], f["wrong_answer"], f["differ"] = float64(j.Doubled), float64(j.WrongAnswer), float64(j.Differ)
 	f["stale_drain"] = float64(j.Stale)
@@ -399,7 +399,7 @@
 }
 
 // Expect holds the figures against the file's own promises, once all of them are there.
-func (r *Results) Expect(e *plan.Experiment) {
+func (r *Results) Expect(e *experiment.Experiment) {
 	for _, x := range e.Expect {
 		v, ok := r.Figures[x.Figure]
 		switch {
--- a/internal/lab/figures/roles.go
+++ b/internal/lab/report/roles.go
@@ -1,4 +1,4 @@
-package figures
+package report
 
 import (
 	"fmt"
--- a/internal/lab/asks/asks.go
+++ b/internal/lab/requests/asks.go
@@ -1,17 +1,17 @@
-// Package asks holds what clients have asked for, by the ids that they sent: workers look up there what a push is
+// Package requests holds what clients have asked for, by the ids that they sent: workers look up there what a push is
 // about, so that nothing a scheduler writes is taken on trust.
-package asks
+package requests
 
 import (
 	"hash/fnv"
 	"sync"
 
-	"woaddyke/internal/lab/box"
+	"woaddyke/internal/lab/workermodel"
 )
 
 // Ask is one try as its client wrote it.
 type Ask struct {
-	Job    box.Job
+	Job    workermodel.Job
 	Target string // path and query
 	Key    string // Idempotency-Key
 	Body   uint64 // its sum
--- a/internal/lab/needs/needs.go
+++ b/internal/lab/requirements/needs.go
@@ -1,6 +1,6 @@
-// Package needs says how many descriptors and how much memory an experiment takes, so that one beyond its machine is turned down before
+// Package requirements says how many descriptors and how much memory an experiment takes, so that one beyond its machine is turned down before
 // anything starts. The figures are estimates of an ordinary run, from below: a scheduler that dials without end needs more.
-package needs
+package requirements
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"strings"
 	"syscall"
 
-	"woaddyke/internal/lab/plan"
+	"woaddyke/internal/lab/experiment"
 )
 
 // Needs are what an experiment takes.
@@ -42,7 +42,7 @@
 )
 
 // Of works out what an experiment takes.
-func Of(e *plan.Experiment) Needs {
+func Of(e *experiment.Experiment) Needs {
 	workers, listeners, slowest := 0, 0, math.Inf(1)
 	for _, w := range e.Workers {
 		workers += w.Count
--- a/internal/lab/needs/needs_test.go
+++ b/internal/lab/requirements/needs_test.go
@@ -1,16 +1,16 @@
-package needs
+package requirements
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"woaddyke/internal/lab/plan"
+	"woaddyke/internal/lab/experiment"
 )
 
 func sized(t *testing.T, workers, schedulers int, hollow bool) Needs {
 	t.Helper()
-	e, err := plan.Parse([]byte(fmt.Sprintf(`seconds = 60
+	e, err := experiment.Parse([]byte(fmt.Sprintf(`seconds = 60
 [schedulers]
 count = %d
 memory_mb = 128
--- a/internal/lab/play/keepers.go
+++ b/internal/lab/runner/keepers.go
@@ -1,4 +1,4 @@
-package play
+package runner
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"woaddyke/internal/lab/script"
+	"woaddyke/internal/lab/workload"
 )
 
 const (
@@ -17,7 +17,7 @@
 
 // changeKeepers has staff ask for other keepers, at whichever scheduler answers, until they stand or the span is over. A change that
 // does not come about is no fault of the rig: an experiment says how many it expects.
-func (r *run) changeKeepers(t script.Turn, span time.Duration) error {
+func (r *run) changeKeepers(t workload.Turn, span time.Duration) error {
 	if span == 0 {
 		span = changeTime
 	}
--- a/internal/lab/play/lag_test.go
+++ b/internal/lab/runner/lag_test.go
@@ -1,4 +1,4 @@
-package play
+package runner
 
 import (
 	"context"
--- a/internal/lab/play/mesh.go
+++ b/internal/lab/runner/mesh.go
@@ -1,4 +1,4 @@
-package play
+package runner
 
 import (
 	"bufio"
@@ -11,14 +11,14 @@
 	"syscall"
 	"time"
 
-	"woaddyke/internal/lab/between"
-	"woaddyke/internal/lab/doubles"
+	"woaddyke/internal/lab/duplicates"
+	"woaddyke/internal/lab/experiment"
+	"woaddyke/internal/lab/faultproxy"
 	"woaddyke/internal/lab/hollow"
 	"woaddyke/internal/lab/ledger"
-	"woaddyke/internal/lab/plan"
+	"woaddyke/internal/lab/membershipcheck"
 	"woaddyke/internal/lab/schedulers"
-	"woaddyke/internal/lab/script"
-	"woaddyke/internal/lab/views"
+	"woaddyke/internal/lab/workload"
 )
 
 const (
@@ -30,7 +30,7 @@
 )
 
 // extra tells whether a turn needs a place of its own beside the schedulers.
-func extra(t script.Turn) bool {
+func extra(t workload.Turn) bool {
 	return t.On && (t.Kind == "scheduler-twin" || t.Kind == "scheduler-stranger")
 }
 
@@ -50,10 +50,10 @@
 	if !r.plan.Members.On {
 		return nil
 	}
-	r.spare, r.cuts = r.plan.Schedulers.Count, map[[2]int]map[int]between.Cut{}
+	r.spare, r.cuts = r.plan.Schedulers.Count, map[[2]int]map[int]faultproxy.Cut{}
 	n := r.places()
 	var err error
-	r.mesh, err = between.New(n, r.plan.Seed, func(from, to int, cut between.Cut) {
+	r.mesh, err = faultproxy.New(n, r.plan.Seed, func(from, to int, cut faultproxy.Cut) {
 		if from < r.spare && to < r.spare {
 			r.book.Add(ledger.Event{Kind: ledger.Way, Scheduler: from + 1, To: to + 1,
 				State: []string{"open", "silent", "refusing"}[cut]})
@@ -67,8 +67,8 @@
 	ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 	for i := range n {
 		for j := range n {
-			r.mesh.Weather(i, j, func(s *between.Sky) {
-				*s = between.Sky{Loss: m.Loss, Dup: m.Dup, Reorder: m.Reorder, Delay: ms(m.DelayMS), Jitter: ms(m.JitterMS), Rate: 1000 * m.RateKBps}
+			r.mesh.Weather(i, j, func(s *faultproxy.Sky) {
+				*s = faultproxy.Sky{Loss: m.Loss, Dup: m.Dup, Reorder: m.Reorder, Delay: ms(m.DelayMS), Jitter: ms(m.JitterMS), Rate: 1000 * m.RateKBps}
 			})
 		}
 	}
@@ -81,7 +81,7 @@
 		return nil
 	}
 	// A port of its own address: nobody else takes it while the scheduler is down.
-	at, err := between.Free(r.mesh.Bound(n), s.Listen)
+	at, err := faultproxy.Free(r.mesh.Bound(n), s.Listen)
 	if err != nil {
 		return err
 	}
@@ -134,7 +134,7 @@
 	t := hollow.Told{Cluster: "lab", Seeds: r.seeds(), Lines: r.plan.Members.Operator, Chance: r.plan.Seed << 16}
 	for i := range r.plan.Members.Hollow {
 		n := r.hollowAt + i
-		at, err := between.Free(r.mesh.Bound(n))
+		at, err := faultproxy.Free(r.mesh.Bound(n))
 		if err != nil {
 			return err
 		}
@@ -191,7 +191,7 @@
 }
 
 // links are the ordered pairs that a trouble of the mesh hits at one scheduler.
-func (r *run) links(t script.Turn, n int, do func(from, to int)) {
+func (r *run) links(t workload.Turn, n int, do func(from, to int)) {
 	for k := range r.spare {
 		if k == n || len(t.To) > 0 && !slices.Contains(t.To, k) || len(t.To) == 0 && slices.Contains(t.Targets, k) {
 			continue
@@ -206,20 +206,20 @@
 }
 
 // cut cuts a link for one trouble, or ends that: a link is open only when no trouble cuts it any more.
-func (r *run) cut(from, to int, t script.Turn) {
+func (r *run) cut(from, to int, t workload.Turn) {
 	link := [2]int{from, to}
 	if r.cuts[link] == nil {
-		r.cuts[link] = map[int]between.Cut{}
+		r.cuts[link] = map[int]faultproxy.Cut{}
 	}
 	switch {
 	case !t.On:
 		delete(r.cuts[link], t.Fault)
 	case t.Refuses:
-		r.cuts[link][t.Fault] = between.Refusing
+		r.cuts[link][t.Fault] = faultproxy.Refusing
 	default:
-		r.cuts[link][t.Fault] = between.Silent
+		r.cuts[link][t.Fault] = faultproxy.Silent
 	}
-	how := between.Open
+	how := faultproxy.Open
 	for _, c := range r.cuts[link] {
 		how = max(how, c)
 	}
@@ -227,7 +227,7 @@
 }
 
 // meshTrouble is one on the links or of a member; false for one of another kind.
-func (r *run) meshTrouble(t script.Turn, n int) bool {
+func (r *run) meshTrouble(t workload.Turn, n int) bool {
 	span := time.Duration(t.For) * ledger.Tenth
 	switch t.Kind {
 	case "mesh-cut":
@@ -235,7 +235,7 @@
 	case "mesh-loss", "mesh-delay":
 		m := &r.plan.Members
 		r.links(t, n, func(from, to int) {
-			r.mesh.Weather(from, to, func(s *between.Sky) {
+			r.mesh.Weather(from, to, func(s *faultproxy.Sky) {
 				ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 				switch {
 				case t.Kind == "mesh-loss" && t.On:
@@ -391,7 +391,7 @@
 				continue
 			}
 			if !changed {
-				r.votes = append(r.votes, doubles.Vote{Keeper: n + 1, At: r.book.Clock(time.UnixMilli(l.Time))})
+				r.votes = append(r.votes, duplicates.Vote{Keeper: n + 1, At: r.book.Clock(time.UnixMilli(l.Time))})
 				continue
 			}
 			ev := ledger.Event{Kind: ledger.Held, Scheduler: n + 1, Name: l.Member, State: l.State, Text: l.By,
@@ -410,8 +410,8 @@
 }
 
 // viewTerms are what views are judged by.
-func viewTerms(e *plan.Experiment) views.Terms {
+func viewTerms(e *experiment.Experiment) membershipcheck.Terms {
 	m := &e.Members
-	return views.Terms{Count: e.Schedulers.Count, Pause: plan.MS(m.PauseMS), Detect: plan.MS(m.DetectMS), Settle: plan.MS(m.SettleMS),
-		Grace: plan.MS(m.GraceMS)}
+	return membershipcheck.Terms{Count: e.Schedulers.Count, Pause: experiment.MS(m.PauseMS), Detect: experiment.MS(m.DetectMS), Settle: experiment.MS(m.SettleMS),
+		Grace: experiment.MS(m.GraceMS)}
 }
--- a/internal/lab/play/play.go
+++ b/internal/lab/runner/play.go
@@ -1,6 +1,6 @@
-// Package play plays an experiment: it starts workers, discovery and schedulers, sends the script's ops, turns its
+// Package runner plays an experiment: it starts workers, discovery and schedulers, sends the script's ops, turns its
 // troubles on and off, and holds the ledger against the rules at the end.
-package play
+package runner
 
 import (
 	"context"
@@ -13,22 +13,22 @@
 	"syscall"
 	"time"
 
-	"woaddyke/internal/lab/asks"
-	"woaddyke/internal/lab/between"
-	"woaddyke/internal/lab/box"
 	"woaddyke/internal/lab/clients"
-	"woaddyke/internal/lab/doubles"
-	"woaddyke/internal/lab/figures"
+	"woaddyke/internal/lab/discovery"
+	"woaddyke/internal/lab/duplicates"
+	"woaddyke/internal/lab/experiment"
+	"woaddyke/internal/lab/faultproxy"
 	"woaddyke/internal/lab/fleet"
-	"woaddyke/internal/lab/herald"
 	"woaddyke/internal/lab/hollow"
 	"woaddyke/internal/lab/ledger"
+	"woaddyke/internal/lab/membershipcheck"
 	"woaddyke/internal/lab/meter"
-	"woaddyke/internal/lab/needs"
-	"woaddyke/internal/lab/plan"
+	"woaddyke/internal/lab/report"
+	"woaddyke/internal/lab/requests"
+	"woaddyke/internal/lab/requirements"
 	"woaddyke/internal/lab/schedulers"
-	"woaddyke/internal/lab/script"
-	"woaddyke/internal/lab/views"
+	"woaddyke/internal/lab/workermodel"
+	"woaddyke/internal/lab/workload"
 )
 
 // Stage is where and with what an experiment is played.
@@ -58,11 +58,11 @@
 
 // run is one experiment on its way.
 type run struct {
-	plan       *plan.Experiment
-	script     *script.Script
+	plan       *experiment.Experiment
+	script     *workload.Script
 	book       *ledger.Book
 	fleet      *fleet.Fleet
-	agents     []*herald.Agent
+	agents     []*discovery.Agent
 	schedulers []*schedulers.Scheduler
 	crowd      *clients.Crowd
 	work       sync.WaitGroup // restarts that are under way
@@ -70,27 +70,27 @@
 	last       string
 	errs       []error
 	uses       []schedulers.Use
-	queues     []figures.Queue
+	queues     []report.Queue
 	dir        string
 	lag        time.Duration // the longest by which the lab itself was late
 	stage      Stage
-	mesh       *between.Net // nil where schedulers are no members
+	mesh       *faultproxy.Net // nil where schedulers are no members
 	meter      *meter.Meter
-	spans      [2]figures.Edge // the first op is due; the last one was
+	spans      [2]report.Edge  // the first op is due; the last one was
 	hollow     *hollow.Process // nil for none
 	hollowAt   int             // the place of the first of them
 	views      int             // that members held at rest
 	hollowLate float64         // by how much one of them was late at most, ms
 	viewsFirst int             // the same when the first op was due
-	forced     []figures.InForce
+	forced     []report.InForce
 	spare      int // the first place that is no scheduler's
 	placed     int
 	changed    []time.Duration // what each change of keepers took
 	sets       int             // of keepers that were in use, at rest
 	digests    []string        // of the keepers' copies, at rest
 	unsure     int             // ops that no majority was had for
-	votes      []doubles.Vote
-	cuts       map[[2]int]map[int]between.Cut // from and to, by trouble; of the one goroutine that plays troubles
+	votes      []duplicates.Vote
+	cuts       map[[2]int]map[int]faultproxy.Cut // from and to, by trouble; of the one goroutine that plays troubles
 	twins      []*schedulers.Scheduler
 }
 
@@ -100,13 +100,13 @@
 )
 
 // Fits says whether this machine can bear an experiment.
-func Fits(e *plan.Experiment) error {
-	l, err := needs.Machine()
+func Fits(e *experiment.Experiment) error {
+	l, err := requirements.Machine()
 	if err != nil {
 		return err
 	}
 	if len(e.Sizes) == 0 {
-		if err := needs.Of(e).Fit(l); err != nil {
+		if err := requirements.Of(e).Fit(l); err != nil {
 			return fmt.Errorf("%s: %w", e.Name, err)
 		}
 	}
@@ -123,11 +123,11 @@
 }
 
 // Run plays an experiment from its seed.
-func Run(ctx context.Context, e *plan.Experiment, st Stage) (*figures.Results, error) {
+func Run(ctx context.Context, e *experiment.Experiment, st Stage) (*report.Results, error) {
 	if err := Fits(e); err != nil {
 		return nil, err
 	}
-	s, err := script.Of(e)
+	s, err := workload.Of(e)
 	if err != nil {
 		return nil, err
 	}
@@ -161,13 +161,13 @@
 	if err = errors.Join(err, r.book.Close()); err != nil {
 		return nil, err
 	}
-	result, err := figures.Of(e, events, r.uses, r.queues)
+	result, err := report.Of(e, events, r.uses, r.queues)
 	if err != nil {
 		return nil, err
 	}
 	if r.mesh != nil {
-		result.Views(views.Judge(events, viewTerms(e)))
-		result.Doubles(doubles.Judge(events, r.digests, r.unsure, r.votes, e.Members.Workers))
+		result.Views(membershipcheck.Judge(events, viewTerms(e)))
+		result.Doubles(duplicates.Judge(events, r.digests, r.unsure, r.votes, e.Members.Workers))
 		result.Changes(r.changed, r.sets)
 		if n := r.mesh.Crowded(); n > 0 {
 			result.Void = fmt.Sprintf("the links between schedulers lost %d datagrams for want of room", n)
@@ -207,14 +207,14 @@
 	late := [2]time.Duration{time.Duration(e.Discovery.LateMS[0] * float64(time.Millisecond)),
 		time.Duration(e.Discovery.LateMS[1] * float64(time.Millisecond))}
 	for n := range e.Schedulers.Count {
-		a, err := herald.New(n, r.book, func(slot, scheduler int) string { return r.fleet.Addr(slot, scheduler) }, late,
+		a, err := discovery.New(n, r.book, func(slot, scheduler int) string { return r.fleet.Addr(slot, scheduler) }, late,
 			fleet.Sky(e, "discovery", "", e.Zones[n%len(e.Zones)]), e.Seed, r.meter)
 		if err != nil {
 			return err
 		}
 		r.agents = append(r.agents, a)
 	}
-	desk := asks.New()
+	desk := requests.New()
 	var on bool
 	var err error
 	r.fleet, err = fleet.New(e, r.script, r.book, desk, r.meter, func(entry fleet.Entry) {
@@ -363,8 +363,8 @@
 }
 
 // edge is what all have used up to now.
-func (r *run) edge() figures.Edge {
-	e := figures.Edge{At: r.book.Now(), Sent: r.meter.Now()}
+func (r *run) edge() report.Edge {
+	e := report.Edge{At: r.book.Now(), Sent: r.meter.Now()}
 	for _, s := range r.schedulers {
 		if u, ok := s.Use(); ok {
 			e.Uses = append(e.Uses, u)
@@ -391,7 +391,7 @@
 				r.uses = append(r.uses, u)
 			}
 		}
-		q := figures.Queue{At: r.book.Now()}
+		q := report.Queue{At: r.book.Now()}
 		for _, d := range r.fleet.Depths() {
 			q.Held, q.Waiting = append(q.Held, d.Running+d.Waiting), append(q.Waiting, d.Waiting)
 		}
@@ -463,7 +463,7 @@
 
 // part cuts a region off from the others, or ends that: its schedulers and the others' workers, the other way round, and the links
 // between its schedulers and the others.
-func (r *run) part(t script.Turn) {
+func (r *run) part(t workload.Turn) {
 	e := r.plan
 	inside := func(scheduler int) bool { return e.In(t.Zone, e.Zones[scheduler%len(e.Zones)]) }
 	for slot, w := range r.script.Workers {
@@ -493,38 +493,38 @@
 }
 
 // turn begins or ends a trouble at one worker or scheduler.
-func (r *run) turn(t script.Turn, n int) {
-	if plan.OfSchedulers(t.Kind) {
+func (r *run) turn(t workload.Turn, n int) {
+	if experiment.OfSchedulers(t.Kind) {
 		if !r.meshTrouble(t, n) {
 			r.trouble(t, n)
 		}
 		return
 	}
 	span := time.Duration(t.For) * ledger.Tenth
-	ail := func(change func(*box.Ails)) { r.fleet.Ail(n, change) }
+	ail := func(change func(*workermodel.Ails)) { r.fleet.Ail(n, change) }
 	size := t.Size
 	if !t.On {
 		size = 0
 	}
 	switch t.Kind {
 	case "slow":
-		ail(func(a *box.Ails) { a.Slow = size })
+		ail(func(a *workermodel.Ails) { a.Slow = size })
 	case "hang":
-		ail(func(a *box.Ails) { a.Hung = t.On })
+		ail(func(a *workermodel.Ails) { a.Hung = t.On })
 	case "taken":
-		ail(func(a *box.Ails) { a.Taken = size })
+		ail(func(a *workermodel.Ails) { a.Taken = size })
 	case "mute":
-		ail(func(a *box.Ails) { a.Mute = size })
+		ail(func(a *workermodel.Ails) { a.Mute = size })
 	case "fails":
-		ail(func(a *box.Ails) { a.Fails = size })
+		ail(func(a *workermodel.Ails) { a.Fails = size })
 	case "unfit":
-		ail(func(a *box.Ails) { a.UnfitShare = size })
+		ail(func(a *workermodel.Ails) { a.UnfitShare = size })
 	case "lies":
-		ail(func(a *box.Ails) { a.Lies = t.On })
+		ail(func(a *workermodel.Ails) { a.Lies = t.On })
 	case "stale":
-		ail(func(a *box.Ails) { a.StaleBy = plan.MS(size) })
+		ail(func(a *workermodel.Ails) { a.StaleBy = experiment.MS(size) })
 	case "refuses":
-		ail(func(a *box.Ails) { a.TurnsAway = t.On })
+		ail(func(a *workermodel.Ails) { a.TurnsAway = t.On })
 	case "vanish", "cut":
 		r.fleet.Cut(n, t.On)
 	case "kill":
@@ -569,7 +569,7 @@
 }
 
 // trouble is one at a scheduler; it is seen through to its end.
-func (r *run) trouble(t script.Turn, n int) {
+func (r *run) trouble(t workload.Turn, n int) {
 	s := r.schedulers[n]
 	span := max(time.Duration(t.For)*ledger.Tenth, 100*time.Millisecond)
 	switch t.Kind {
--- a/internal/lab/play/play_test.go
+++ b/internal/lab/runner/play_test.go
@@ -1,4 +1,4 @@
-package play
+package runner
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 
 	"woaddyke/internal/lab/audit"
 	"woaddyke/internal/lab/baseline"
-	"woaddyke/internal/lab/figures"
+	"woaddyke/internal/lab/experiment"
 	"woaddyke/internal/lab/ledger"
-	"woaddyke/internal/lab/plan"
+	"woaddyke/internal/lab/report"
 )
 
 func TestMain(m *testing.M) {
@@ -48,9 +48,9 @@
 ttl_ms = 1500
 `
 
-func live(t *testing.T, text, policy string, wrong baseline.Wrongs, out string) *figures.Results {
+func live(t *testing.T, text, policy string, wrong baseline.Wrongs, out string) *report.Results {
 	t.Helper()
-	e, err := plan.Parse([]byte(text))
+	e, err := experiment.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 	return r
 }
 
-func rulesOf(r *figures.Results) (rules []audit.Rule) {
+func rulesOf(r *report.Results) (rules []audit.Rule) {
 	for _, b := range r.Audit.Breaches {
 		if !slices.Contains(rules, b.Rule) {
 			rules = append(rules, b.Rule)
@@ -155,7 +155,7 @@
 // Ctrl-C ends all that was started, and the ledger is whole.
 func TestAnInterruptedRunWritesItsLedger(t *testing.T) {
 	dir := t.TempDir()
-	e, err := plan.Parse([]byte("seconds = 600\n" + day[len("\nseconds = 2.5"):]))
+	e, err := experiment.Parse([]byte("seconds = 600\n" + day[len("\nseconds = 2.5"):]))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/play/scale_test.go
+++ b/internal/lab/runner/scale_test.go
@@ -1,4 +1,4 @@
-package play
+package runner
 
 import (
 	"context"
@@ -9,13 +9,13 @@
 	"time"
 
 	"woaddyke/internal/lab/baseline"
+	"woaddyke/internal/lab/experiment"
 	"woaddyke/internal/lab/ledger"
-	"woaddyke/internal/lab/plan"
 )
 
 // What can't fit is not begun: no folder, no process.
 func TestAnExperimentBeyondTheMachineStartsNothing(t *testing.T) {
-	e, err := plan.Parse([]byte("[schedulers]\ncount = 400\n[[workers]]\ncount = 16000\n[[categories]]\nname = \"a\"\n"))
+	e, err := experiment.Parse([]byte("[schedulers]\ncount = 400\n[[workers]]\ncount = 16000\n[[categories]]\nname = \"a\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/play/settings.go
+++ b/internal/lab/runner/settings.go
@@ -1,11 +1,11 @@
-package play
+package runner
 
 import (
 	"fmt"
 	"time"
 
-	"woaddyke/internal/lab/figures"
-	"woaddyke/internal/lab/script"
+	"woaddyke/internal/lab/report"
+	"woaddyke/internal/lab/workload"
 )
 
 const (
@@ -22,7 +22,7 @@
 
 // changeSettings has schedulers take a change of their settings, all at once as staff's hand would, and finds out when it is in force at
 // each. One that does not run at that moment, or ends meanwhile, is left out: it reads the new sheet when it starts.
-func (r *run) changeSettings(t script.Turn) {
+func (r *run) changeSettings(t workload.Turn) {
 	began := time.Now()
 	took := make(chan time.Duration, len(t.Targets))
 	asked := 0
@@ -55,7 +55,7 @@
 		})
 	}
 	r.beside(func() error {
-		f := figures.InForce{At: r.book.Moment(began)}
+		f := report.InForce{At: r.book.Moment(began)}
 		for range asked {
 			switch d := <-took; {
 			case d >= forceTime:
--- a/internal/lab/schedulers/schedulers.go
+++ b/internal/lab/schedulers/schedulers.go
@@ -16,9 +16,9 @@
 	"syscall"
 	"time"
 
-	"woaddyke/internal/lab/between"
+	"woaddyke/internal/lab/experiment"
+	"woaddyke/internal/lab/faultproxy"
 	"woaddyke/internal/lab/ledger"
-	"woaddyke/internal/lab/plan"
 )
 
 // Running is one scheduler that was started.
@@ -88,7 +88,7 @@
 // Scheduler is one place at which a scheduler runs.
 type Scheduler struct {
 	n      int
-	plan   *plan.Experiment
+	plan   *experiment.Experiment
 	book   *ledger.Book
 	make   Maker
 	known  Known
@@ -118,13 +118,13 @@
 func (s *Scheduler) Offer(text string) { s.offers = text }
 
 // New reserves an address for the n-th scheduler.
-func New(n int, e *plan.Experiment, book *ledger.Book, m Maker, known Known, dir string) (*Scheduler, error) {
+func New(n int, e *experiment.Experiment, book *ledger.Book, m Maker, known Known, dir string) (*Scheduler, error) {
 	// Its own address, so that no connection from this machine can take its port while it is down.
-	base, err := between.Own()
+	base, err := faultproxy.Own()
 	if err != nil {
 		return nil, err
 	}
-	l, err := net.Listen("tcp", between.Bound(base+n).String()+":0")
+	l, err := net.Listen("tcp", faultproxy.Bound(base+n).String()+":0")
 	if err != nil {
 		return nil, fmt.Errorf("scheduler %d: %w", n+1, err)
 	}
@@ -134,7 +134,7 @@
 }
 
 // Twin is a scheduler that takes no clients and writes nothing into the ledger, at an address of its own.
-func Twin(n int, name, label string, e *plan.Experiment, m Maker, known Known, dir string) (*Scheduler, error) {
+func Twin(n int, name, label string, e *experiment.Experiment, m Maker, known Known, dir string) (*Scheduler, error) {
 	quiet, err := ledger.Create("", time.Now())
 	if err != nil {
 		return nil, err
--- a/internal/lab/schedulers/sheet.go
+++ b/internal/lab/schedulers/sheet.go
@@ -6,8 +6,8 @@
 	"encoding/json"
 	"fmt"
 
+	"woaddyke/internal/lab/experiment"
 	"woaddyke/internal/lab/ledger"
-	"woaddyke/internal/lab/plan"
 )
 
 // Sheet is what a scheduler is told at its start, in the platform's form.
@@ -39,7 +39,7 @@
 }
 
 // SheetOf is what the n-th scheduler of an experiment is told.
-func SheetOf(e *plan.Experiment, n int, start uint64, listen, discovery string, known json.RawMessage) *Sheet {
+func SheetOf(e *experiment.Experiment, n int, start uint64, listen, discovery string, known json.RawMessage) *Sheet {
 	s, r := &e.Schedulers, &e.Rules
 	ns := func(ms float64) float64 { return float64(int64(ms * 1e6)) }
 	var categories []any
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"woaddyke/internal/lab/plan"
+	"woaddyke/internal/lab/experiment"
 )
 
 // Kinds of troubles of the soak's own, which play hands to its shims.
@@ -158,11 +158,11 @@
 `
 
 // Draw makes an experiment of a seed: so many processes, for so long.
-func Draw(base *plan.Experiment, seed uint64, processes int, whole time.Duration) (*plan.Experiment, error) {
+func Draw(base *experiment.Experiment, seed uint64, processes int, whole time.Duration) (*experiment.Experiment, error) {
 	e := base
 	if e == nil {
 		var err error
-		if e, err = plan.Parse([]byte(day)); err != nil {
+		if e, err = experiment.Parse([]byte(day)); err != nil {
 			return nil, err
 		}
 	}
@@ -184,7 +184,7 @@
 }
 
 // drawFaults draws troubles in bursts of two or three that overlap, at chosen schedulers and workers.
-func drawFaults(e *plan.Experiment, r *rand.Rand) {
+func drawFaults(e *experiment.Experiment, r *rand.Rand) {
 	from, to := troubledFrom*e.Seconds, min(troubledTo*e.Seconds, e.Seconds-leastQuiet.Seconds())
 	kinds := slices.Concat(troubles, ofMembers)
 	if r.IntN(crowdedSeeds) == 0 {
@@ -198,7 +198,7 @@
 		same := r.IntN(e.Schedulers.Count) // of a burst some are at one scheduler
 		for range 2 + r.IntN(2) {
 			t := kinds[r.IntN(len(kinds))]
-			f := plan.Fault{Kind: t.kind, At: at + 0.3*r.Float64(), For: t.least + (t.most-t.least)*r.Float64(), Size: t.size(r), Way: "both"}
+			f := experiment.Fault{Kind: t.kind, At: at + 0.3*r.Float64(), For: t.least + (t.most-t.least)*r.Float64(), Size: t.size(r), Way: "both"}
 			f.For = min(f.For, max(to-f.At, t.least))
 			if !addressed(e, r, t, &f, same, busy) || workers[f.Kind] && !strings.Contains(f.Kind, "-") && r.IntN(2) > 0 {
 				continue
@@ -210,8 +210,8 @@
 }
 
 // addressed says whom a trouble hits; false where it can't now.
-func addressed(e *plan.Experiment, r *rand.Rand, t trouble, f *plan.Fault, same int, busy []float64) bool {
-	if !plan.OfSchedulers(t.kind) {
+func addressed(e *experiment.Experiment, r *rand.Rand, t trouble, f *experiment.Fault, same int, busy []float64) bool {
+	if !experiment.OfSchedulers(t.kind) {
 		f.Part = t.part
 		return true
 	}
@@ -233,7 +233,7 @@
 }
 
 // Names are the kinds of troubles that an experiment has, in order.
-func Names(e *plan.Experiment) []string {
+func Names(e *experiment.Experiment) []string {
 	var names []string
 	for _, f := range e.Faults {
 		names = append(names, f.Kind)
--- a/internal/lab/soak/golden_test.go
+++ b/internal/lab/soak/golden_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"woaddyke/internal/lab/audit"
-	"woaddyke/internal/lab/figures"
+	"woaddyke/internal/lab/report"
 	"woaddyke/internal/testsupport/golden"
 )
 
@@ -19,7 +19,7 @@
 
 // Which count a broken rule goes to must not change either. Each rule is broken another number of times.
 func TestWhatASoakCountsStays(t *testing.T) {
-	r := &figures.Results{Figures: map[string]float64{"doubled": 1000}, Audit: audit.Judgement{Ops: 77, Answers: 66, Excused: 55, Unread: 44, Open: 33}}
+	r := &report.Results{Figures: map[string]float64{"doubled": 1000}, Audit: audit.Judgement{Ops: 77, Answers: 66, Excused: 55, Unread: 44, Open: 33}}
 	times := 1
 	for _, rule := range []audit.Rule{audit.Lost, audit.Twice, audit.Drain, audit.Cold, audit.Forged, audit.Crashed, audit.Told} {
 		for range times {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -16,10 +16,10 @@
 	"time"
 
 	"woaddyke/internal/lab/audit"
-	"woaddyke/internal/lab/figures"
+	"woaddyke/internal/lab/experiment"
 	"woaddyke/internal/lab/ledger"
-	"woaddyke/internal/lab/plan"
-	"woaddyke/internal/lab/play"
+	"woaddyke/internal/lab/report"
+	"woaddyke/internal/lab/runner"
 	"woaddyke/internal/lab/schedulers"
 )
 
@@ -66,10 +66,10 @@
 }
 
 // Play plays an experiment with shims, in a folder, and judges it.
-func Play(ctx context.Context, e *plan.Experiment, shims *Shims, folder string) (*Verdict, error) {
+func Play(ctx context.Context, e *experiment.Experiment, shims *Shims, folder string) (*Verdict, error) {
 	v := &Verdict{Seed: e.Seed, Processes: e.Schedulers.Count, Faults: len(e.Faults), Kinds: len(Names(e))}
 	before, after := map[int]held{}, map[int]held{}
-	r, err := play.Run(ctx, e, play.Stage{Out: folder, Make: shims.Make, Shims: shims, Quiet: true, Look: func(ended bool, all []*schedulers.Scheduler) {
+	r, err := runner.Run(ctx, e, runner.Stage{Out: folder, Make: shims.Make, Shims: shims, Quiet: true, Look: func(ended bool, all []*schedulers.Scheduler) {
 		into := before
 		if ended {
 			into = after
@@ -121,7 +121,7 @@
 }
 
 // judge counts what the audit found.
-func (v *Verdict) judge(r *figures.Results) {
+func (v *Verdict) judge(r *report.Results) {
 	v.Requests = r.Audit.Ops
 	v.Unanswered = r.Audit.Open
 	for _, b := range r.Audit.Breaches {
@@ -167,7 +167,7 @@
 }
 
 // recovered finds out when each scheduler served again after the last trouble.
-func (v *Verdict) recovered(e *plan.Experiment, events []ledger.Event) {
+func (v *Verdict) recovered(e *experiment.Experiment, events []ledger.Event) {
 	last := ledger.Time(0)
 	for _, ev := range events {
 		if ev.Kind == ledger.Fault {
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -6,20 +6,20 @@
 	"testing"
 	"time"
 
+	"woaddyke/internal/lab/experiment"
 	"woaddyke/internal/lab/ledger"
-	"woaddyke/internal/lab/plan"
 )
 
 // One seed is one experiment, and another seed another one; troubles overlap, and the last part of each is quiet.
 func TestASeedIsAnExperiment(t *testing.T) {
-	draw := func(seed uint64) *plan.Experiment {
+	draw := func(seed uint64) *experiment.Experiment {
 		e, err := Draw(nil, seed, 12, 45*time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return e
 	}
-	text := func(e *plan.Experiment) string {
+	text := func(e *experiment.Experiment) string {
 		var b strings.Builder
 		for _, f := range e.Faults {
 			b.WriteString(strings.Join([]string{f.Kind, time.Duration(f.At * 1e9).String(), time.Duration(f.For * 1e9).String()}, " ") + "\n")
@@ -58,7 +58,7 @@
 
 // What the oracle is given decides: breaches the programs logged, what is held at rest, a scheduler that serves no more, a crash.
 func TestTheOracleCountsWhatItIsGiven(t *testing.T) {
-	e := &plan.Experiment{Schedulers: plan.Schedulers{Count: 2}}
+	e := &experiment.Experiment{Schedulers: experiment.Schedulers{Count: 2}}
 	ack := func(at ledger.Time, n int) ledger.Event {
 		return ledger.Event{At: at, Kind: ledger.Answer, Verdict: ledger.Acked, Scheduler: n}
 	}
--- a/internal/lab/box/box.go
+++ b/internal/lab/workermodel/box.go
@@ -1,6 +1,6 @@
-// Package box holds an emulated worker: its queue, its slots and cores, how warm it is and what ails it. It takes
+// Package workermodel holds an emulated worker: its queue, its slots and cores, how warm it is and what ails it. It takes
 // inputs with their time and returns effects; it reads no clock and writes to no connection.
-package box
+package workermodel
 
 import (
 	"fmt"
--- a/internal/lab/box/box_test.go
+++ b/internal/lab/workermodel/box_test.go
@@ -1,4 +1,4 @@
-package box
+package workermodel
 
 import (
 	"math/rand/v2"
--- a/internal/lab/script/script.go
+++ b/internal/lab/workload/script.go
@@ -1,7 +1,7 @@
-// Package script draws from an experiment's seed all that is left to chance before it is played: when ops are
+// Package workload draws from an experiment's seed all that is left to chance before it is played: when ops are
 // due and what they ask for, how clients behave, which worker is how quick, and what troubles come when. The same
 // file and seed give the same script, whatever the program under test does with it.
-package script
+package workload
 
 import (
 	"bufio"
@@ -18,8 +18,8 @@
 	"strconv"
 	"strings"
 
+	"woaddyke/internal/lab/experiment"
 	"woaddyke/internal/lab/ledger"
-	"woaddyke/internal/lab/plan"
 )
 
 // Wish is one thing that a client wants done; each of its tries is an op.
@@ -75,7 +75,7 @@
 const mostWishes = 5_000_000
 
 // Of draws an experiment's script.
-func Of(e *plan.Experiment) (*Script, error) {
+func Of(e *experiment.Experiment) (*Script, error) {
 	s := &Script{}
 	s.workers(e, source(e.Seed, "workers"))
 	s.faults(e, source(e.Seed, "faults"))
@@ -94,7 +94,7 @@
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-func (s *Script) workers(e *plan.Experiment, r *rand.Rand) {
+func (s *Script) workers(e *experiment.Experiment, r *rand.Rand) {
 	n := 0
 	cells, inCell := map[string]int{}, map[string]int{}
 	next := 0
@@ -145,7 +145,7 @@
 }
 
 // factor is what the steps and bursts make of the rate at a moment.
-func factor(e *plan.Experiment, at float64) float64 {
+func factor(e *experiment.Experiment, at float64) float64 {
 	f := 1.0
 	steps := e.Arrivals.Steps
 	for i, s := range steps {
@@ -166,7 +166,7 @@
 	return f
 }
 
-func (s *Script) wishes(e *plan.Experiment, r *rand.Rand) error {
+func (s *Script) wishes(e *experiment.Experiment, r *rand.Rand) error {
 	shares := make([]float64, len(e.Categories))
 	for i, c := range e.Categories {
 		shares[i] = c.Share
@@ -212,9 +212,9 @@
 	}
 }
 
-func wish(e *plan.Experiment, r *rand.Rand, at float64, category int) Wish {
+func wish(e *experiment.Experiment, r *rand.Rand, at float64, category int) Wish {
 	c, cl := &e.Categories[category], &e.Clients
-	w := Wish{Due: plan.S(at), Category: category, Seed: r.Uint64()}
+	w := Wish{Due: experiment.S(at), Category: category, Seed: r.Uint64()}
 	w.Work = min(max(Draw(r, c.Dist, c.WorkMS, c.CV), 0.01), c.Heaviest*c.WorkMS)
 	w.Slots = []float64{1, 2, 4}[pick(r, c.Slots)]
 	if c.HintSpread > 0 {
@@ -231,14 +231,14 @@
 	// Each chance is drawn whatever the file says: a quirk that is switched on changes nothing else of the day.
 	leave, trickle, stall, again, honour := r.Float64(), r.Float64(), r.Float64(), r.Float64(), r.Float64()
 	if leave < cl.Leave {
-		w.LeaveAt = max(plan.MS(cl.Impatient*(0.5+leave/cl.Leave)), 1)
+		w.LeaveAt = max(experiment.MS(cl.Impatient*(0.5+leave/cl.Leave)), 1)
 	}
 	w.Trickles, w.Stalls, w.AsksAgain, w.Honours = trickle < cl.Trickle, stall < cl.Stall, again < cl.AskAgain, honour < cl.Honour
 	return w
 }
 
 // trace reads when ops are due from a file: a line for each, its moment in ms and its category.
-func (s *Script) trace(e *plan.Experiment, r *rand.Rand) error {
+func (s *Script) trace(e *experiment.Experiment, r *rand.Rand) error {
 	path := e.Arrivals.Trace
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(e.Dir, path)
@@ -283,17 +283,17 @@
 }
 
 // targets are the workers or schedulers that a fault hits.
-func (s *Script) targets(e *plan.Experiment, r *rand.Rand, f *plan.Fault) []int {
+func (s *Script) targets(e *experiment.Experiment, r *rand.Rand, f *experiment.Fault) []int {
 	if len(f.Indices) > 0 {
 		return slices.Clone(f.Indices)
 	}
 	all := len(s.Workers)
-	if plan.OfSchedulers(f.Kind) {
+	if experiment.OfSchedulers(f.Kind) {
 		all = e.Schedulers.Count
 	}
 	var in []int
 	for i := range all {
-		if f.Zone == "" || plan.OfSchedulers(f.Kind) || e.In(f.Zone, s.Workers[i].Zone) {
+		if f.Zone == "" || experiment.OfSchedulers(f.Kind) || e.In(f.Zone, s.Workers[i].Zone) {
 			in = append(in, i)
 		}
 	}
@@ -306,7 +306,7 @@
 	return in
 }
 
-func (s *Script) faults(e *plan.Experiment, r *rand.Rand) {
+func (s *Script) faults(e *experiment.Experiment, r *rand.Rand) {
 	for i := range e.Faults {
 		f := &e.Faults[i]
 		s.add(e, r, f, i)
@@ -314,8 +314,8 @@
 }
 
 // add puts the turns of a fault into the script.
-func (s *Script) add(e *plan.Experiment, r *rand.Rand, f *plan.Fault, n int) {
-	t := Turn{At: plan.S(f.At), Kind: f.Kind, On: true, Targets: s.targets(e, r, f), Size: f.Size, For: plan.S(f.For),
+func (s *Script) add(e *experiment.Experiment, r *rand.Rand, f *experiment.Fault, n int) {
+	t := Turn{At: experiment.S(f.At), Kind: f.Kind, On: true, Targets: s.targets(e, r, f), Size: f.Size, For: experiment.S(f.For),
 		Zone: f.Zone, Fault: n, To: f.To, Way: f.Way, Refuses: f.Refuses}
 	switch f.Kind {
 	case "mesh-flap":
@@ -326,10 +326,10 @@
 		on := true
 		for at := f.At; at < f.At+f.For; at += every {
 			one := t
-			one.At, one.Kind, one.On = plan.S(at), "mesh-cut", on
+			one.At, one.Kind, one.On = experiment.S(at), "mesh-cut", on
 			s.Turns, on = append(s.Turns, one), !on
 		}
-		t.At, t.Kind, t.On = plan.S(f.At+f.For), "mesh-cut", false
+		t.At, t.Kind, t.On = experiment.S(f.At+f.For), "mesh-cut", false
 		s.Turns = append(s.Turns, t)
 		return
 	case "pauses", "scheduler-pauses": // stands still for size ms, every so often
@@ -343,8 +343,8 @@
 		}
 		for at := f.At; at < f.At+max(f.For, 0.001); at += every * (0.5 + r.Float64()) {
 			on, off := t, t
-			on.At, on.Kind = plan.S(at), kind
-			off.At, off.Kind, off.On = plan.S(at)+plan.MS(f.Size), kind, false
+			on.At, on.Kind = experiment.S(at), kind
+			off.At, off.Kind, off.On = experiment.S(at)+experiment.MS(f.Size), kind, false
 			s.Turns = append(s.Turns, on, off)
 		}
 		return
@@ -360,7 +360,7 @@
 	case "settings-change":
 		for k := 0; float64(k)*f.EveryS < max(f.For, f.EveryS); k++ {
 			one := t
-			one.At, one.Size = plan.S(f.At+float64(k)*f.EveryS), float64(k+1)
+			one.At, one.Size = experiment.S(f.At+float64(k)*f.EveryS), float64(k+1)
 			s.Turns = append(s.Turns, one)
 		}
 		return
@@ -370,7 +370,7 @@
 			on.Targets, on.Kind = []int{w}, "kill"
 			on.At += ledger.Time(float64(t.For) * float64(k) / float64(len(t.Targets)))
 			off := on
-			off.At, off.On = on.At+plan.MS(f.Size), false
+			off.At, off.On = on.At+experiment.MS(f.Size), false
 			s.Turns = append(s.Turns, on, off)
 		}
 		return
@@ -386,13 +386,13 @@
 	}
 	s.Turns = append(s.Turns, t)
 	if f.For > 0 {
-		t.At, t.On = t.At+plan.S(f.For), false
+		t.At, t.On = t.At+experiment.S(f.For), false
 		s.Turns = append(s.Turns, t)
 	}
 }
 
 // chaos draws faults by chance.
-func (s *Script) chaos(e *plan.Experiment, r *rand.Rand) {
+func (s *Script) chaos(e *experiment.Experiment, r *rand.Rand) {
 	c := &e.Chaos
 	if len(c.Kinds) == 0 {
 		return
@@ -400,7 +400,7 @@
 	between := func(row []float64) float64 { return row[0] + (row[1]-row[0])*r.Float64() }
 	n := len(e.Faults)
 	for at := c.EveryS * r.ExpFloat64(); at < e.Seconds; at += c.EveryS * r.ExpFloat64() {
-		f := plan.Fault{Kind: c.Kinds[r.IntN(len(c.Kinds))], At: at, For: between(c.ForS), Part: between(c.Part), Size: between(c.Size)}
+		f := experiment.Fault{Kind: c.Kinds[r.IntN(len(c.Kinds))], At: at, For: between(c.ForS), Part: between(c.Part), Size: between(c.Size)}
 		switch f.Kind {
 		case "taken", "mute", "fails", "unfit":
 			f.Size = min(f.Size/10, 0.9)
--- a/internal/lab/script/script_test.go
+++ b/internal/lab/workload/script_test.go
@@ -1,4 +1,4 @@
-package script
+package workload
 
 import (
 	"math"
@@ -8,19 +8,19 @@
 	"strings"
 	"testing"
 
+	"woaddyke/internal/lab/experiment"
 	"woaddyke/internal/lab/ledger"
-	"woaddyke/internal/lab/plan"
 )
 
-func experiment(t *testing.T, more string) *plan.Experiment {
-	e, err := plan.Parse([]byte("seconds = 20\n[[workers]]\ncount = 9\nspeed_spread = 0.2\n[[categories]]\nname = \"a\"\n" + more))
+func parseExperiment(t *testing.T, more string) *experiment.Experiment {
+	e, err := experiment.Parse([]byte("seconds = 20\n[[workers]]\ncount = 9\nspeed_spread = 0.2\n[[categories]]\nname = \"a\"\n" + more))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return e
 }
 
-func hash(t *testing.T, e *plan.Experiment) string {
+func hash(t *testing.T, e *experiment.Experiment) string {
 	s, err := Of(e)
 	if err != nil {
 		t.Fatal(err)
@@ -31,12 +31,12 @@
 // Two builds are only comparable on the same arrivals, work and troubles.
 func TestASeedIsAScriptAndAnotherSeedAnother(t *testing.T) {
 	more := "[chaos]\nkinds = [\"slow\", \"kill\", \"pauses\", \"replace\"]\nevery_s = 2\n"
-	a, b, c := experiment(t, more), experiment(t, more), experiment(t, more)
+	a, b, c := parseExperiment(t, more), parseExperiment(t, more), parseExperiment(t, more)
 	if c.Seed++; hash(t, a) != hash(t, b) || hash(t, a) == hash(t, c) {
 		t.Error("a seed does not make one script")
 	}
 	// A trouble more must not move the arrivals: runs with and without it are compared.
-	plain, troubled := experiment(t, ""), experiment(t, "[[faults]]\nkind = \"hang\"\nat_s = 3\n")
+	plain, troubled := parseExperiment(t, ""), parseExperiment(t, "[[faults]]\nkind = \"hang\"\nat_s = 3\n")
 	x, _ := Of(plain)
 	y, _ := Of(troubled)
 	if len(x.Wishes) != len(y.Wishes) || x.Wishes[99] != y.Wishes[99] || len(y.Turns) != 1 {
@@ -59,7 +59,7 @@
 
 func TestStepsAndRampsMakeTheRate(t *testing.T) {
 	count := func(more string, from, to float64) (n int) {
-		s, err := Of(experiment(t, "[arrivals]\nrate = 200\nsteps = [[0, 1], [10, 3]]\n"+more))
+		s, err := Of(parseExperiment(t, "[arrivals]\nrate = 200\nsteps = [[0, 1], [10, 3]]\n"+more))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -84,7 +84,7 @@
 		if err := os.WriteFile(filepath.Join(dir, "trace"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		e := experiment(t, "[arrivals]\nkind = \"trace\"\ntrace = \"trace\"\n")
+		e := parseExperiment(t, "[arrivals]\nkind = \"trace\"\ntrace = \"trace\"\n")
 		e.Dir = dir
 		s, err := Of(e)
 		if want == "" && (err != nil || len(s.Wishes) != 2 || s.Wishes[1].Due != 70) ||
@@ -96,7 +96,7 @@
 
 // Restarts at a pace are one after another over the whole span, each back after its own time.
 func TestRestartsAreSpreadOverTheirSpan(t *testing.T) {
-	e, err := plan.Parse([]byte("seconds = 20\n[[workers]]\ncount = 40\n[[categories]]\nname = \"a\"\n[[faults]]\nkind = \"restarts\"\nat_s = 1\nfor_s = 10\npart = 0.5\nsize = 700\n"))
+	e, err := experiment.Parse([]byte("seconds = 20\n[[workers]]\ncount = 40\n[[categories]]\nname = \"a\"\n[[faults]]\nkind = \"restarts\"\nat_s = 1\nfor_s = 10\npart = 0.5\nsize = 700\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	down := map[int]ledger.Time{}
-	next := plan.S(1)
+	next := experiment.S(1)
 	for _, turn := range s.Turns {
 		n := turn.Targets[0]
 		if len(turn.Targets) != 1 || turn.Kind != "kill" {
