--- a/cmd/lab/campaign.go
+++ b/cmd/lab/campaign.go
@@ -19,13 +19,13 @@
 	"woaddyke/internal/lab/runner"
 )
 
-// played is one seed's run.
-type played struct {
+// seedRun is the run of a seed.
+type seedRun struct {
 	Seed    uint64
 	Seconds float64
 	Line    string
 	Faults  []string
-	Why     string // what broke, empty for nothing
+	Why     string // first breach or unmet expectations; empty if nothing broke
 }
 
 var campaignPage = template.Must(template.New("campaign").Parse(`<!doctype html><meta charset="utf-8"><title>{{.Name}}</title>
@@ -36,8 +36,8 @@
 {{end}}</table>
 `))
 
-// seedsOf reads A..B.
-func seedsOf(text string) (from, to uint64, err error) {
+// parseSeeds parses a single seed or a range such as 1..200.
+func parseSeeds(text string) (from, to uint64, err error) {
 	a, b, ok := strings.Cut(text, "..")
 	from, err = strconv.ParseUint(a, 10, 64)
 	if err == nil && ok {
@@ -51,12 +51,12 @@
 	return from, to, nil
 }
 
-// drawTroubles puts troubles of one seed on top of those that the file has: of processes and of the links between them, one after
-// another and on top of one another, each over before the last quarter of the run.
-func drawTroubles(e *experiment.Experiment, seed uint64) {
+// drawFaults adds faults of processes and of the links between them, drawn from a seed. They follow one
+// another or overlap. Most end before the last quarter of the run.
+func drawFaults(e *experiment.Experiment, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 0x63616d706169676e))
 	n := e.Schedulers.Count
-	busy := make([]float64, n)
+	busyUntil := make([]float64, n)
 	for at := 1.5; at < 0.65*e.Seconds; at += 0.3 + 2*r.Float64() {
 		f := experiment.Fault{At: at, For: 0.2 + (0.75*e.Seconds-at)*r.Float64()*r.Float64(), Way: "both"}
 		i := r.IntN(n)
@@ -68,7 +68,7 @@
 		}
 		kind := kinds[r.IntN(len(kinds))]
 		ofProcess := strings.HasPrefix(kind, "scheduler-")
-		if ofProcess && busy[i] > at {
+		if ofProcess && busyUntil[i] > at {
 			continue
 		}
 		switch f.Kind = kind; kind {
@@ -102,7 +102,7 @@
 			}
 		}
 		if ofProcess {
-			busy[i] = at + f.For + 2.5
+			busyUntil[i] = at + f.For + 2.5
 		}
 		e.Faults = append(e.Faults, f)
 	}
@@ -115,17 +115,17 @@
 	c := &cobra.Command{Use: "campaign FILE", Short: "Play an experiment with drawn troubles over many seeds, until one breaks a rule",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			from, to, err := seedsOf(span)
+			from, to, err := parseSeeds(span)
 			if err != nil {
 				return err
 			}
 			if err := os.MkdirAll(out, 0o755); err != nil {
 				return err
 			}
-			var runs []played
+			var runs []seedRun
 			broken := uint64(0)
 			limit := time.Now().Add(time.Duration(minutes * float64(time.Minute)))
-			tell, end := teller(os.Stderr)
+			progress, end := progressWriter(os.Stderr)
 			for seed := from; seed <= to && time.Now().Before(limit) && c.Context().Err() == nil && broken == 0; seed++ {
 				e, err := experiment.Read(args[0])
 				if err != nil {
@@ -133,27 +133,27 @@
 				}
 				e.Seed, e.Name = seed, fmt.Sprintf("%s, seed %d", e.Name, seed)
 				e.Faults = nil
-				drawTroubles(e, seed)
+				drawFaults(e, seed)
 				m, err := b.maker(e)
 				if err != nil {
 					return err
 				}
 				dir := filepath.Join(out, strconv.FormatUint(seed, 10))
 				began := time.Now()
-				r, err := runner.Run(c.Context(), e, runner.Stage{Out: dir, Make: m, Progress: tell})
-				p := played{Seed: seed, Seconds: time.Since(began).Seconds()}
+				r, err := runner.Run(c.Context(), e, runner.Stage{Out: dir, Make: m, Progress: progress})
+				p := seedRun{Seed: seed, Seconds: time.Since(began).Seconds()}
 				for _, f := range e.Faults {
 					p.Faults = append(p.Faults, fmt.Sprintf("%.1f s: %s on %v for %.1f s", f.At, f.Kind, f.Indices, f.For))
 				}
 				if err != nil {
 					return fmt.Errorf("seed %d: %w", seed, err)
 				}
-				p.Line = r.Line()
-				if why := reason(r); why != "" {
+				p.Line = r.SummaryLine()
+				if why := failureReason(r); why != "" {
 					p.Why, broken = why, seed
 					err = htmlreport.Write(filepath.Join(dir, "page.html"), r)
 				} else {
-					err = os.RemoveAll(dir) // what went well needs no room
+					err = os.RemoveAll(dir) // the files of a run without breaches are not needed
 				}
 				if err != nil {
 					return err
@@ -180,11 +180,11 @@
 	return c
 }
 
-// reason is why a run ends a campaign.
-func reason(r *report.Results) string {
+// failureReason returns why a run ends the campaign; empty if the campaign goes on.
+func failureReason(r *report.Results) string {
 	switch {
 	case r.Void != "":
-		return "" // it proves nothing, either way
+		return "" // a void run is no evidence
 	case len(r.Audit.Breaches) > 0:
 		return fmt.Sprint(r.Audit.Breaches[0])
 	case len(r.Unmet) > 0:
@@ -193,7 +193,7 @@
 	return ""
 }
 
-func writeCampaign(path, name string, runs []played, broken uint64) (err error) {
+func writeCampaign(path, name string, runs []seedRun, broken uint64) (err error) {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
--- a/cmd/lab/compare.go
+++ b/cmd/lab/compare.go
@@ -25,22 +25,22 @@
 			if err != nil {
 				return err
 			}
-			a, b = split(args[0]), split(args[1])
+			a, b = parseBuild(args[0]), parseBuild(args[1])
 			pairs := comparison.New(names)
 			out := c.OutOrStdout()
 			broken := false
 			for k := range rounds {
-				both := []*build{&a, &b}
-				got := make([]map[string]float64, 2)
-				first := k % 2 // what the machine does meanwhile must not fall on the same one each time
+				builds := []*build{&a, &b}
+				figures := make([]map[string]float64, 2)
+				first := k % 2 // the order alternates so that other load on the machine affects both builds
 				for _, i := range []int{first, 1 - first} {
-					one := *e
-					one.Seed = e.Seed + uint64(k)
-					m, err := both[i].maker(&one)
+					round := *e
+					round.Seed = e.Seed + uint64(k)
+					m, err := builds[i].maker(&round)
 					if err != nil {
 						return err
 					}
-					r, err := runner.Run(c.Context(), &one, runner.Stage{Make: m, Quiet: true, Hollow: beside("hollow")})
+					r, err := runner.Run(c.Context(), &round, runner.Stage{Make: m, Quiet: true, Hollow: siblingPath("hollow")})
 					if err != nil {
 						return err
 					}
@@ -51,10 +51,10 @@
 						return fmt.Errorf("void: %s", r.Void)
 					}
 					broken = broken || len(r.Audit.Breaches) > 0
-					got[i] = r.Figures
-					fmt.Fprintf(os.Stderr, "seed %d, %s: %s\n", one.Seed, "AB"[i:i+1], r.Line())
+					figures[i] = r.Figures
+					fmt.Fprintf(os.Stderr, "seed %d, %s: %s\n", round.Seed, "AB"[i:i+1], r.SummaryLine())
 				}
-				pairs.Add(got[0], got[1])
+				pairs.Add(figures[0], figures[1])
 			}
 			for _, row := range pairs.Rows() {
 				fmt.Fprintln(out, row)
@@ -66,11 +66,11 @@
 			return nil
 		}}
 	c.Flags().IntVar(&rounds, "rounds", 5, "pairs of runs, each on a seed of its own")
-	c.Flags().StringSliceVar(&names, "figures", slices.Clone(comparison.Usual), "figures that are compared")
+	c.Flags().StringSliceVar(&names, "figures", slices.Clone(comparison.DefaultFigures), "figures that are compared")
 	return c
 }
 
-func split(text string) build {
+func parseBuild(text string) build {
 	path, operator, _ := strings.Cut(text, ",")
 	return build{path, operator}
 }
--- a/cmd/lab/golden_test.go
+++ b/cmd/lab/golden_test.go
@@ -10,8 +10,8 @@
 	"woaddyke/internal/testsupport/golden"
 )
 
-// judged is all that the audit command prints of a ledger in which every rule is broken.
-func judged(t *testing.T, path string) []byte {
+// auditOutput returns the output of the audit command for a ledger with breaches.
+func auditOutput(t *testing.T, path string) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	command := auditCommand()
@@ -24,26 +24,27 @@
 	return out.Bytes()
 }
 
-// Scripts read the last line of an audit, and people compare the breaches of earlier ledgers: neither may change.
-func TestTheVerdictOnALedgerStays(t *testing.T) {
-	golden.Compare(t, "testdata/audit.golden", judged(t, "testdata/ledger.jsonl"))
+// Scripts read the last line of an audit, and people compare its breaches with those of earlier builds.
+// Neither may change.
+func TestTheAuditOutputIsStable(t *testing.T) {
+	golden.Compare(t, "testdata/audit.golden", auditOutput(t, "testdata/ledger.jsonl"))
 }
 
-// A ledger that ends in the middle of its last line is judged up to there, and the verdict says so.
-func TestTheVerdictOnALedgerThatWasCutOffStays(t *testing.T) {
-	whole, err := os.ReadFile("testdata/ledger.jsonl")
+// A ledger that ends within its last line must be audited up to that line, and the output must say so.
+func TestTheAuditOutputForATruncatedLedgerIsStable(t *testing.T) {
+	complete, err := os.ReadFile("testdata/ledger.jsonl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "ledger.jsonl")
-	if err := os.WriteFile(path, whole[:len(whole)-len(`"}`)-1], 0o600); err != nil {
+	if err := os.WriteFile(path, complete[:len(complete)-len(`"}`)-1], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	golden.Compare(t, "testdata/audit-cut-off.golden", judged(t, path))
+	golden.Compare(t, "testdata/audit-cut-off.golden", auditOutput(t, path))
 }
 
-// A ledger in which nothing is broken ends with the same line.
-func TestTheVerdictOnASoundLedgerStays(t *testing.T) {
+// The output for a ledger without breaches must end with the same form of line.
+func TestTheAuditOutputForASoundLedgerIsStable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger.jsonl")
 	const sound = `{"at":0,"kind":"world","rules":{"slack":500,"categories":{"again":{"effect":"redeliverable"}}}}
 {"at":1,"kind":"due","op":"a","category":"again","scheduler":1,"until":900}
--- a/cmd/lab/judge.go
+++ b/cmd/lab/judge.go
@@ -23,8 +23,8 @@
 	return &cobra.Command{Use: "audit FILE", Short: "Judge a ledger by the rules", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			events, err := ledger.ReadFile(args[0])
-			torn := errors.Is(err, ledger.ErrTorn)
-			if err != nil && !torn {
+			truncated := errors.Is(err, ledger.ErrTorn)
+			if err != nil && !truncated {
 				return err
 			}
 			j, err := audit.Judge(events)
@@ -32,7 +32,7 @@
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
 			out := c.OutOrStdout()
-			if torn || !j.Whole {
+			if truncated || !j.Whole {
 				fmt.Fprintln(out, "the ledger was cut off: what was still open at its end is not judged")
 			}
 			for _, b := range j.Breaches {
@@ -83,11 +83,11 @@
 			if err := json.Unmarshal(text, &r); err != nil {
 				return fmt.Errorf("%s: %w", path, err)
 			}
-			at := filepath.Join(args[0], "page.html")
-			if err := htmlreport.Write(at, &r); err != nil {
+			page := filepath.Join(args[0], "page.html")
+			if err := htmlreport.Write(page, &r); err != nil {
 				return err
 			}
-			fmt.Fprintln(c.OutOrStdout(), at)
+			fmt.Fprintln(c.OutOrStdout(), page)
 			return nil
 		}}
 }
--- a/cmd/lab/lab_test.go
+++ b/cmd/lab/lab_test.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// built is where all programs are, side by side; they are built once.
-var built = sync.OnceValues(func() (string, error) {
+// buildPrograms builds all programs once and returns their folder.
+var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "lab-programs-")
 	if err != nil {
 		return "", err
@@ -28,24 +28,24 @@
 		os.RemoveAll(dir)
 		return "", fmt.Errorf("%w\n%s", err, out)
 	}
-	builtAt = dir
+	programsDir = dir
 	return dir, nil
 })
 
-var builtAt string // empty where no test wanted them
+var programsDir string // empty if no test built the programs
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if builtAt != "" {
-		os.RemoveAll(builtAt)
+	if programsDir != "" {
+		os.RemoveAll(programsDir)
 	}
 	os.Exit(code)
 }
 
-// programs is a folder of the test's own that holds all programs.
+// programs returns a temporary folder of the test with links to all programs.
 func programs(t *testing.T) string {
 	t.Helper()
-	from, err := built()
+	from, err := buildPrograms()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 	return o.String(), e.String(), c.ProcessState.ExitCode()
 }
 
-const short = `
+const shortExperiment = `
 seconds = 4
 settle_s = 0.2
 [rules]
@@ -104,8 +104,9 @@
 ttl_ms = 900
 `
 
-// What lay in the kernel while a scheduler was stopped was pushed after its clients' TTL; one that is stopped for
-// longer than that must nack it. The lab and its exit codes are tried on the way, with the real program.
+// A scheduler that was suspended for longer than the TTL must nack the ops that waited in its kernel buffers.
+// It once pushed them after the TTL. The test also covers the lab's commands and exit codes with the real
+// program.
 func TestAStoppedSchedulerPushesNothingAfterTheTTL(t *testing.T) {
 	t.Parallel()
 	dir := programs(t)
@@ -116,7 +117,7 @@
 		}
 		return path
 	}
-	stop := write("stop.toml", short+"[[faults]]\nkind = \"scheduler-stop\"\nat_s = 1\nfor_s = 1.8\nindices = [0]\n")
+	stop := write("stop.toml", shortExperiment+"[[faults]]\nkind = \"scheduler-stop\"\nat_s = 1\nfor_s = 1.8\nindices = [0]\n")
 	run := filepath.Join(dir, "run")
 	out, errs, code := lab(t, dir, "run", stop, "--out", run)
 	lines := strings.Split(strings.TrimSpace(out), "\n")
@@ -134,26 +135,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// An answer of the one that was not stopped, taken out of the ledger, is a lost op; a line that can't be read makes the file unfit.
+	// Without an answer of the scheduler that was not suspended, the audit must report a lost op. A malformed
+	// line must be an error.
 	answer := regexp.MustCompile(`(?m)^.*"kind":"answer".*"scheduler":2,.*\n`).FindIndex(ledger)
 	lost := write("lost.jsonl", string(ledger[:answer[0]])+string(ledger[answer[1]:]))
 	if out, _, code = lab(t, dir, "audit", lost); code != 1 || !strings.Contains(out, "broken: no op lost: op ") {
 		t.Errorf("a ledger without an answer: code %d, %s", code, out)
 	}
 	for _, args := range [][]string{{"audit", write("bad.jsonl", "{\"kind\":\"world\"\n{}\n")}, {"run", write("bad.toml", "seed = x\n")},
-		{"run", filepath.Join(dir, "none.toml")}, {"run", stop, "--bin", filepath.Join(dir, "none")}, {"check", write("worse.toml", short+"[chaos]\nkinds = [\"x\"]\n")}} {
+		{"run", filepath.Join(dir, "none.toml")}, {"run", stop, "--bin", filepath.Join(dir, "none")}, {"check", write("worse.toml", shortExperiment+"[chaos]\nkinds = [\"x\"]\n")}} {
 		if _, errs, code = lab(t, dir, args...); code != 2 || strings.Count(errs, "\n") != 1 || !strings.HasPrefix(errs, "lab: ") {
 			t.Errorf("%v: code %d, %q", args, code, errs)
 		}
 	}
-	unmet := write("unmet.toml", "expect = [{ figure = \"acked\", least = 1e9 }]\n"+strings.Replace(short, "seconds = 4", "seconds = 0.3", 1))
+	unmet := write("unmet.toml", "expect = [{ figure = \"acked\", least = 1e9 }]\n"+strings.Replace(shortExperiment, "seconds = 4", "seconds = 0.3", 1))
 	if out, _, code = lab(t, dir, "run", unmet, "--bin", "baseline:fewest"); code != 1 || !strings.Contains(out, "unmet: acked is") {
-		t.Errorf("a promise that does not hold: code %d, %s", code, out)
+		t.Errorf("an expectation that is not met: code %d, %s", code, out)
 	}
 }
 
-// The scale run's own code on two small sizes: hollow workers in regions, restarts, a rack, a zone and a region that part, a scheduler that
-// is killed. All sizes count in the verdict, and a size that this machine can't bear is found out before the first one is played.
+// Runs the scale experiment at two small sizes: hollow workers in regions, restarts, a rack, a zone and a
+// region that are cut off, and a killed scheduler. All sizes must count in the verdict. A size beyond this
+// machine must be rejected before the first run.
 func TestASmallScaleRunJudgesAllItsSizes(t *testing.T) {
 	t.Parallel()
 	dir := programs(t)
@@ -166,29 +169,30 @@
 	for _, want := range []string{"scale-small-0.5: 84 workers: audit: ops=", "scale-small-1: 168 workers: audit: ops=", "per 1,000",
 		"    scheduler_mb ", "    probes_in_Bps ", "    list_in_Bps ", "urgent: begun after p50 ", " of 6 starts", "    3 changes of settings in force after p50 "} {
 		if !strings.Contains(out, want) {
-			t.Errorf("%q is not said: %s", want, out)
+			t.Errorf("%q is not in the output: %s", want, out)
 		}
 	}
-	whole, err := os.ReadFile(filepath.Join(dir, "run", "scale-small-1", "ledger.jsonl"))
+	ledgerText, err := os.ReadFile(filepath.Join(dir, "run", "scale-small-1", "ledger.jsonl"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, trouble := range []string{"kill on", "vanish on", "vanish over", "cut on", "cut over", "region-cut on d", "region-cut over on d", "scheduler-kill on"} {
-		if !bytes.Contains(whole, []byte(`"text":"`+trouble)) {
-			t.Errorf("no %s in the ledger", trouble)
+	for _, fault := range []string{"kill on", "vanish on", "vanish over", "cut on", "cut over", "region-cut on d", "region-cut over on d", "scheduler-kill on"} {
+		if !bytes.Contains(ledgerText, []byte(`"text":"`+fault)) {
+			t.Errorf("no %s in the ledger", fault)
 		}
 	}
 	if out, errs, code = lab(t, dir, "run", file, "--sizes", "0.1,90"); code != 2 || out != "" || !strings.HasPrefix(errs, "lab: ") || strings.Count(errs, "\n") != 1 {
-		t.Errorf("a size that can't be: code %d, %s%s", code, out, errs)
+		t.Errorf("an invalid size: code %d, %s%s", code, out, errs)
 	}
 	if out, errs, code = lab(t, dir, "run", file, "--sizes", "0.1,9000"); code != 2 || out != "" || strings.Count(errs, "\n") != 1 {
-		t.Errorf("a size beyond all bounds: code %d, %s%s", code, out, errs)
+		t.Errorf("a size beyond the maximum: code %d, %s%s", code, out, errs)
 	}
 }
 
-// What thousands of hollow schedulers cost is told from them, so they must do what a process does: in one cluster, without clients to
-// speak of, both send as many messages and bytes, and all hold the same of one another.
-func TestAHollowSchedulerIsAMemberAsAProcessIs(t *testing.T) {
+// Cost figures for thousands of schedulers come from hollow schedulers, so these must behave as processes do.
+// In a cluster with hardly any client traffic, both must send about as many messages and bytes, and all views
+// must be equal.
+func TestAHollowSchedulerSendsAsMuchAsAProcess(t *testing.T) {
 	t.Parallel()
 	dir := programs(t)
 	path := filepath.Join(dir, "members.toml")
@@ -231,7 +235,8 @@
 		return v
 	}
 	for _, name := range []string{"members_messages_ps", "members_in_Bps", "members_out_Bps"} {
-		// Ten pings a second and as many answers; what is told by chance differs from member to member.
+		// Each member sends ten pings a second and as many acks. Randomly chosen gossip differs between
+		// members.
 		if real, hollow := figure(name), figure("hollow_"+name); real < 15 || math.Abs(real-hollow) > 0.2*real {
 			t.Errorf("%s: a process has %g, a hollow scheduler %g", name, real, hollow)
 		}
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -1,5 +1,5 @@
-// Command lab plays experiments: a fleet of emulated workers, discovery, links and clients on loopback, with real
-// schedulers of any build between them, and a judge of the rules who believes none of them.
+// Command lab runs experiments: emulated workers, discovery, links and clients on loopback, with real
+// schedulers of any build between them. It then audits the run by what was recorded outside the schedulers.
 package main
 
 import (
@@ -17,15 +17,15 @@
 
 // Exit codes.
 const (
-	exitBroken = 1 // a rule was broken, or a promise of the file did not hold
-	exitUnfit  = 2 // a file that can't be used, or a run that could not be played
+	exitBroken = 1 // a rule was broken, or an expectation of the file was not met
+	exitUnfit  = 2 // a file can't be used, or the run could not be completed
 )
 
-// errBroken ends a command whose verdict has been printed.
+// errBroken ends a command that has already printed its verdict.
 var errBroken = errors.New("broken")
 
 func main() {
-	syscallfault.Launch() // a soak's launcher is this program
+	syscallfault.Launch() // a soak starts this program as its launcher
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	err := command().ExecuteContext(ctx)
--- a/cmd/lab/run.go
+++ b/cmd/lab/run.go
@@ -20,7 +20,7 @@
 	"woaddyke/internal/lab/schedulers"
 )
 
-// build is which scheduler is tried, and how it is started.
+// build selects the scheduler program and the operator's file that it is started with.
 type build struct {
 	path, operator string
 }
@@ -31,8 +31,8 @@
 	c.Flags().StringVar(&b.operator, "operator", "", "the operator's own file, handed to the scheduler")
 }
 
-// beside is the path of a program in this one's folder.
-func beside(name string) string {
+// siblingPath returns the path of a program in the folder of this program.
+func siblingPath(name string) string {
 	own, err := os.Executable()
 	if err != nil {
 		return name
@@ -40,14 +40,14 @@
 	return filepath.Join(filepath.Dir(own), name)
 }
 
-// maker starts schedulers of the build.
+// maker returns a maker of schedulers of the build.
 func (b *build) maker(e *experiment.Experiment) (schedulers.Maker, error) {
 	path := b.path
 	if policy, ok := strings.CutPrefix(path, "baseline:"); ok {
 		return baseline.Maker(policy, baseline.Wrongs{})
 	}
 	if path == "" {
-		path = beside("woaddyke")
+		path = siblingPath("woaddyke")
 	}
 	if _, err := os.Stat(path); err != nil {
 		return nil, fmt.Errorf("the scheduler's program: %w", err)
@@ -59,18 +59,19 @@
 	return schedulers.Program(path, args...), nil
 }
 
-// teller writes how far a run is: one line that changes on a terminal, JSON lines elsewhere.
-func teller(out *os.File) (tell func(runner.Progress), end func()) {
+// progressWriter returns a function that writes a run's progress to out, and a function that ends the output.
+// On a terminal it updates a single line. Elsewhere it writes JSON lines.
+func progressWriter(out *os.File) (write func(runner.Progress), end func()) {
 	if isatty.IsTerminal(out.Fd()) {
 		return func(p runner.Progress) {
 			fmt.Fprintf(out, "\r%5.1f of %.0f s, %d ops open, %d events, %-40.40s", p.Second, p.Of, p.Open, p.Events, p.Last)
 		}, func() { fmt.Fprintln(out) }
 	}
-	say, last := json.NewEncoder(out), time.Time{}
+	encoder, last := json.NewEncoder(out), time.Time{}
 	return func(p runner.Progress) {
 		if time.Since(last) >= 2*time.Second {
 			last = time.Now()
-			say.Encode(map[string]any{"second": float64(int(p.Second*10)) / 10, "of": p.Of, "open": p.Open, "events": p.Events, "last": p.Last})
+			encoder.Encode(map[string]any{"second": float64(int(p.Second*10)) / 10, "of": p.Of, "open": p.Open, "events": p.Events, "last": p.Last})
 		}
 	}, func() {}
 }
@@ -103,8 +104,8 @@
 			if err != nil {
 				return err
 			}
-			tell(c.OutOrStdout(), r)
-			return verdict(c.OutOrStdout(), r)
+			printResults(c.OutOrStdout(), r)
+			return printVerdict(c.OutOrStdout(), r)
 		}}
 	b.flags(c)
 	c.Flags().StringVar(&out, "out", "", "folder for the ledger, results.json, page.html and the schedulers' logs")
@@ -113,10 +114,10 @@
 	return c
 }
 
-// runOne plays one experiment.
+// runOne runs an experiment.
 func runOne(c *cobra.Command, e *experiment.Experiment, m schedulers.Maker, out string) (*report.Results, error) {
-	say, end := teller(os.Stderr)
-	r, err := runner.Run(c.Context(), e, runner.Stage{Out: out, Make: m, Progress: say, Hollow: beside("hollow")})
+	progress, end := progressWriter(os.Stderr)
+	r, err := runner.Run(c.Context(), e, runner.Stage{Out: out, Make: m, Progress: progress, Hollow: siblingPath("hollow")})
 	end()
 	if err == nil && out != "" {
 		err = htmlreport.Write(filepath.Join(out, "page.html"), r)
@@ -124,11 +125,12 @@
 	return r, err
 }
 
-// runSizes plays an experiment's sizes one after another. All are held against the machine before the first begins.
-func runSizes(c *cobra.Command, whole *experiment.Experiment, m schedulers.Maker, out string) error {
+// runSizes runs an experiment at each of its sizes. Before the first run it checks that the machine fits all
+// of them.
+func runSizes(c *cobra.Command, base *experiment.Experiment, m schedulers.Maker, out string) error {
 	var all []*experiment.Experiment
-	for _, share := range whole.Sizes {
-		e, err := whole.Sized(share)
+	for _, share := range base.Sizes {
+		e, err := base.Sized(share)
 		if err == nil {
 			err = runner.Fits(e)
 		}
@@ -137,7 +139,7 @@
 		}
 		all = append(all, e)
 	}
-	var done []report.Sized
+	var results []report.SizeResult
 	for _, e := range all {
 		folder := ""
 		if out != "" {
@@ -147,25 +149,25 @@
 		if err != nil {
 			return err
 		}
-		tell(c.OutOrStdout(), r)
-		fmt.Fprintf(c.OutOrStdout(), "%s: %d workers: %s\n", e.Name, e.WorkerCount(), r.Line())
+		printResults(c.OutOrStdout(), r)
+		fmt.Fprintf(c.OutOrStdout(), "%s: %d workers: %s\n", e.Name, e.WorkerCount(), r.SummaryLine())
 		if r.Void != "" {
 			fmt.Fprintf(c.OutOrStdout(), "%s: void: %s\n", e.Name, r.Void)
 		}
-		done = append(done, report.Sized{Workers: e.WorkerCount(), Results: r})
+		results = append(results, report.SizeResult{Workers: e.WorkerCount(), Results: r})
 		if r.Interrupted {
 			break
 		}
 	}
-	report.Slopes(c.OutOrStdout(), done)
-	return verdict(c.OutOrStdout(), report.Joint(done))
+	report.PrintSizes(c.OutOrStdout(), results)
+	return printVerdict(c.OutOrStdout(), report.CombineSizes(results))
 }
 
-// mostTold bounds how many breaches are printed; the ledger has all.
-const mostTold = 20
+// maxBreaches is the maximum number of breaches that are printed. The ledger proves the others.
+const maxBreaches = 20
 
-// tell prints a run's categories, what its schedulers used, and its breaches.
-func tell(out io.Writer, r *report.Results) {
+// printResults prints a run's categories, the resources that its schedulers used, and its breaches.
+func printResults(out io.Writer, r *report.Results) {
 	fmt.Fprintf(out, "%s, seed %d, script %s\n", r.Name, r.Seed, r.Script)
 	if r.Interrupted {
 		fmt.Fprintln(out, "stopped before its time")
@@ -174,10 +176,10 @@
 		fmt.Fprintf(out, "  %-20s %v service %.3f, p50 %.1f, p99 %.1f, p99.9 %.1f ms\n", c.Name, c.Counts, c.Service,
 			c.Latency["p50"], c.Latency["p99"], c.Latency["p99.9"])
 	}
-	r.Table(out)
+	r.PrintUsage(out)
 	for i, b := range r.Audit.Breaches {
-		if i == mostTold {
-			fmt.Fprintf(out, "  and %d more\n", len(r.Audit.Breaches)-mostTold)
+		if i == maxBreaches {
+			fmt.Fprintf(out, "  and %d more\n", len(r.Audit.Breaches)-maxBreaches)
 			break
 		}
 		fmt.Fprintln(out, "  broken:", b)
@@ -187,9 +189,10 @@
 	}
 }
 
-// verdict prints the last line.
-func verdict(out io.Writer, r *report.Results) error {
-	fmt.Fprintln(out, r.Line())
+// printVerdict prints the summary line. It returns an error for a void run, and errBroken if the run did not
+// pass.
+func printVerdict(out io.Writer, r *report.Results) error {
+	fmt.Fprintln(out, r.SummaryLine())
 	switch {
 	case r.Void != "":
 		return fmt.Errorf("void: %s", r.Void)
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -14,23 +14,23 @@
 	"woaddyke/internal/lab/steppedclock"
 )
 
-// shortest is a soak's least time: a quiet stretch at the end is part of it.
-const shortest = 10 * time.Second
+// minDuration is the least duration of a soak. It includes the quiet period at the end.
+const minDuration = 10 * time.Second
 
 func soakCommand() *cobra.Command {
 	var seed uint64
 	var seeds, out, source, bin string
-	var whole time.Duration
+	var duration time.Duration
 	var processes int
 	c := &cobra.Command{Use: "soak [FILE]", Short: "Play real processes under drawn troubles that overlap, and judge them", Args: cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			if whole < shortest || processes < 2 || processes > 40 {
-				return fmt.Errorf("--for: %v at least; --processes: from 2 to 40", shortest)
+			if duration < minDuration || processes < 2 || processes > 40 {
+				return fmt.Errorf("--for: %v at least; --processes: from 2 to 40", minDuration)
 			}
 			from, to := seed, seed
 			if seeds != "" {
 				var err error
-				if from, to, err = seedsOf(seeds); err != nil {
+				if from, to, err = parseSeeds(seeds); err != nil {
 					return err
 				}
 			}
@@ -50,15 +50,15 @@
 			}
 			broken := false
 			for s := from; s <= to && c.Context().Err() == nil; s++ {
-				keep := out
-				if keep != "" {
-					keep = filepath.Join(out, fmt.Sprint(s))
+				runFolder := out
+				if runFolder != "" {
+					runFolder = filepath.Join(out, fmt.Sprint(s))
 				}
-				held, err := soakOnce(c, args, bin, folder, keep, s, processes, whole)
+				passed, err := soakOnce(c, args, bin, folder, runFolder, s, processes, duration)
 				if err != nil {
 					return fmt.Errorf("seed %d: %w", s, err)
 				}
-				broken = broken || !held
+				broken = broken || !passed
 			}
 			if broken {
 				return errBroken
@@ -67,7 +67,7 @@
 		}}
 	c.Flags().Uint64Var(&seed, "seed", 1, "what is drawn, is drawn from this")
 	c.Flags().StringVar(&seeds, "seeds", "", "play these seeds one after another, first and last, such as 1..10")
-	c.Flags().DurationVar(&whole, "for", 45*time.Second, "of which the last part is quiet")
+	c.Flags().DurationVar(&duration, "for", 45*time.Second, "of which the last part is quiet")
 	c.Flags().IntVar(&processes, "processes", 12, "schedulers; takeovers start one more for a while")
 	c.Flags().StringVar(&out, "out", "", "folder for ledgers and logs; without one they go with the run")
 	c.Flags().StringVar(&source, "source", ".", "folder of this project's source, for a build whose wall clock can be stepped")
@@ -75,8 +75,8 @@
 	return c
 }
 
-// soakOnce plays one seed and prints its verdict.
-func soakOnce(c *cobra.Command, args []string, bin, folder, keep string, seed uint64, processes int, whole time.Duration) (bool, error) {
+// soakOnce runs the soak of a seed and prints its verdict.
+func soakOnce(c *cobra.Command, args []string, bin, folder, runFolder string, seed uint64, processes int, duration time.Duration) (bool, error) {
 	var base *experiment.Experiment
 	if len(args) == 1 {
 		var err error
@@ -84,19 +84,19 @@
 			return false, err
 		}
 	}
-	e, err := soak.Draw(base, seed, processes, whole)
+	e, err := soak.Draw(base, seed, processes, duration)
 	if err != nil {
 		return false, err
 	}
-	if keep == "" {
-		if keep, err = os.MkdirTemp(folder, "run-"); err != nil {
+	if runFolder == "" {
+		if runFolder, err = os.MkdirTemp(folder, "run-"); err != nil {
 			return false, err
 		}
-		defer os.RemoveAll(keep)
+		defer os.RemoveAll(runFolder)
 	}
-	// What keepers of another run have left there would answer this one's ids.
-	if left, err := os.ReadDir(keep); err == nil && len(left) > 0 {
-		return false, fmt.Errorf("--out: %s is not empty", keep)
+	// Files that voters of another run left there would answer this run's op IDs.
+	if entries, err := os.ReadDir(runFolder); err == nil && len(entries) > 0 {
+		return false, fmt.Errorf("--out: %s is not empty", runFolder)
 	}
 	launcher, err := os.Executable()
 	if err != nil {
@@ -104,19 +104,19 @@
 	}
 	shims := soak.NewShims(bin, launcher, folder, e.Schedulers.Log, seed)
 	defer shims.Close()
-	ctx, cancel := context.WithTimeout(c.Context(), 4*whole+time.Minute)
+	ctx, cancel := context.WithTimeout(c.Context(), 4*duration+time.Minute)
 	defer cancel()
-	v, err := soak.Play(ctx, e, shims, keep)
+	v, err := soak.Run(ctx, e, shims, runFolder)
 	if err != nil {
 		return false, err
 	}
-	if err := v.Tell(c.OutOrStdout(), keep); err != nil {
+	if err := v.PrintFindings(c.OutOrStdout(), runFolder); err != nil {
 		return false, err
 	}
 	if v.Void != "" {
 		fmt.Fprintln(c.OutOrStdout(), "void:", v.Void)
 	}
-	fmt.Fprintf(c.OutOrStdout(), "seed %d: %d system calls failed, %d requests were pipelined; the troubles were %v\n", seed, v.Calls, v.Behind, soak.Names(e))
-	fmt.Fprintln(c.OutOrStdout(), v.Line())
-	return v.Held() && v.Void == "", nil
+	fmt.Fprintf(c.OutOrStdout(), "seed %d: %d system calls failed, %d requests were pipelined; the troubles were %v\n", seed, v.FailedCalls, v.Pipelined, soak.FaultKinds(e))
+	fmt.Fprintln(c.OutOrStdout(), v.SummaryLine())
+	return v.Passed() && v.Void == "", nil
 }
--- a/cmd/lab/soak_test.go
+++ b/cmd/lab/soak_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A short soak of real processes. SOAK_SEED plays another seed.
-func TestAShortSoakHolds(t *testing.T) {
+// Runs a short soak of real processes. SOAK_SEED sets another seed.
+func TestAShortSoakFindsNoViolations(t *testing.T) {
 	seed := os.Getenv("SOAK_SEED")
 	if seed == "" {
 		seed = "3"
@@ -21,8 +21,8 @@
 	}
 }
 
-// A soak that can't be played says why in one line.
-func TestASoakThatCanNotBePlayed(t *testing.T) {
+// Invalid arguments of a soak must be reported in a single line.
+func TestASoakWithInvalidArgumentsIsRejectedInOneLine(t *testing.T) {
 	dir := programs(t)
 	for _, args := range [][]string{{"--for", "2s"}, {"--processes", "99"}, {"--seeds", "9..1"}, {"--bin", "/nowhere/woaddyke", "--for", "10s"}} {
 		_, errs, code := lab(t, dir, append([]string{"soak"}, args...)...)
--- a/internal/lab/audit/audit_test.go
+++ b/internal/lab/audit/audit_test.go
@@ -20,7 +20,7 @@
 		"all":  {Effect: ledger.Deduplicated, Scope: "all", Window: 75_000},
 	}}
 
-// The same verdict every time, unless a seed is given from outside; rapid prints it with each failure.
+// TestMain fixes the seed of rapid, so that each run draws the same cases. The flag rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
@@ -32,7 +32,8 @@
 
 type events = []ledger.Event
 
-// world is four workers, w1 and w2 in one cell, w3 in another of their zone, w4 in the other zone, and two schedulers.
+// world returns a ledger with two schedulers and four workers: w1 and w2 in one cell, w3 in another cell of
+// the same zone, w4 in the other zone.
 func world(more ...events) events {
 	l := events{{Kind: ledger.World, Rules: rules, Seed: 1}}
 	for i, at := range []struct {
@@ -58,7 +59,8 @@
 	return events{{At: at, Kind: ledger.Answer, Op: op, Verdict: verdict, Text: text, Scheduler: 1}}
 }
 
-// pushed is a push that reached its worker and how it ended there: done, returned, closed or nothing.
+// pushed returns the events of a push that reached its worker. The parameter end is a worker's verdict,
+// "closed", or empty for a push that did not end.
 func pushed(op string, n int, worker string, at ledger.Time, end string, ends ledger.Time) events {
 	l := events{{At: at, Kind: ledger.Reached, Op: op, Worker: worker, Scheduler: 1, Push: n, From: at}}
 	if end != ledger.Returned && end != ledger.TurnedAway {
@@ -78,27 +80,28 @@
 	return events{{At: at, Kind: kind, Scheduler: 1}}
 }
 
-func tell(state string, at ledger.Time) events {
+func workerStateSent(state string, at ledger.Time) events {
 	return events{{At: at, Kind: ledger.Told, Scheduler: 1, Worker: "w1", State: state}}
 }
 
-// served is an op that went well.
+// served returns the events of an op that was pushed once and acked.
 func served(op, category string, at ledger.Time) []events {
 	return []events{due(op, category, at), pushed(op, 1, "w1", at+10, ledger.Done, at+500), answer(op, ledger.Acked, "r1", at+510)}
 }
 
 func with(a []events, more ...events) events { return world(append(a, more...)...) }
 
-// cold is a start of w4, of which scheduler 1 is told, and pushes to it so long after that: some of scheduler 1, then of 2.
-func cold(at, age ledger.Time, usual float64, told, untold int) events {
+// coldStart returns a cold start of w4, which discovery announces to scheduler 1 alone, and pushes to w4 at
+// the given age: first from scheduler 1, then from scheduler 2.
+func coldStart(at, age ledger.Time, usual float64, informed, uninformed int) events {
 	l := events{{At: at, Kind: ledger.Boot, Worker: "w4", Zone: "w", Cell: 3, Cores: 4, Cold: true},
 		{At: at, Kind: ledger.Told, Scheduler: 1, Worker: "w4", State: "ready"}}
-	for i := range told + untold {
+	for i := range informed + uninformed {
 		op := fmt.Sprint("c", i)
 		l = append(l, due(op, "again", at)...)
 		p := pushed(op, 100+i, "w4", at+age+ledger.Time(i), ledger.Done, at+20_000)
 		p[0].Usual = usual
-		if i >= told {
+		if i >= informed {
 			p[0].Scheduler = 2
 		}
 		l = append(l, p...)
@@ -107,12 +110,12 @@
 	return l
 }
 
-func tell4(at ledger.Time) events {
+func startAnnounced(at ledger.Time) events {
 	return events{{At: at, Kind: ledger.Told, Scheduler: 1, Worker: "w4", State: "ready"}}
 }
 
-// cold2 are further pushes to w4 by scheduler 1.
-func cold2(at ledger.Time, n int) (l events) {
+// furtherPushes returns more pushes to w4 by scheduler 1.
+func furtherPushes(at ledger.Time, n int) (l events) {
 	for i := range n {
 		op := fmt.Sprint("d", i)
 		l = append(l, due(op, "again", at)...)
@@ -124,14 +127,14 @@
 	return l
 }
 
-// untold takes away that a scheduler was told.
-func untold(l events) events {
+// withoutAnnouncements removes discovery's announcements to schedulers.
+func withoutAnnouncements(l events) events {
 	return slices.DeleteFunc(l, func(e ledger.Event) bool { return e.Kind == ledger.Told })
 }
 
-// Each breach beside its nearest lawful twin: a judge that sees breaches everywhere proves as little as one that
-// sees none.
-func TestEachRuleIsToldFromItsNearestLawfulTwin(t *testing.T) {
+// Checks each rule with a ledger that breaks it and the nearest lawful ledger. An audit that reports too much
+// is as useless as one that reports too little.
+func TestEachRuleFlagsABreachAndAcceptsTheNearestLawfulLedger(t *testing.T) {
 	w := world
 	for name, c := range map[string]struct {
 		lawful, broken events
@@ -142,35 +145,35 @@
 			w(due("a", "once", 100), answer("a", ledger.Nacked, "", 50_601)), Lost},
 		"one answer": {with(served("a", "once", 100)),
 			with(served("a", "once", 100), answer("a", ledger.Acked, "r1", 800)), Lost},
-		"nothing unasked": {with(served("a", "once", 100)),
+		"no bytes beyond the answer": {with(served("a", "once", 100)),
 			with(served("a", "once", 100), events{{At: 900, Kind: ledger.Stray, Op: "a"}}), Lost},
-		"the client left": {w(due("a", "once", 100), events{{At: 500, Kind: ledger.Left, Op: "a"}}),
+		"the client disconnected": {w(due("a", "once", 100), events{{At: 500, Kind: ledger.Left, Op: "a"}}),
 			w(due("a", "once", 100), events{{At: 500, Kind: ledger.Cut, Op: "a", State: "reused"}}), Lost},
-		"a connection closed unread": {w(due("a", "once", 100), events{{At: 500, Kind: ledger.Cut, Op: "a"}}),
+		"a new connection closed without a push": {w(due("a", "once", 100), events{{At: 500, Kind: ledger.Cut, Op: "a"}}),
 			w(due("a", "once", 100), pushed("a", 1, "w1", 300, ledger.Done, 400), events{{At: 500, Kind: ledger.Cut, Op: "a"}}), Lost},
 		"no connection": {w(due("a", "once", 100), events{{At: 500, Kind: ledger.Refused, Op: "a"}}), w(due("a", "once", 100)), Lost},
-		"its scheduler was killed": {w(due("a", "once", 100), process(ledger.Killed, 300), process(ledger.Exited, 301)),
+		"the scheduler was killed": {w(due("a", "once", 100), process(ledger.Killed, 300), process(ledger.Exited, 301)),
 			w(due("a", "once", 100), process(ledger.Term, 300), process(ledger.Exited, 301)), Lost},
-		"killed before it was sent": {w(process(ledger.Killed, 50), process(ledger.Up, 300), due("a", "once", 700), answer("a", ledger.Nacked, "", 800)),
+		"the scheduler was killed before the op was sent": {w(process(ledger.Killed, 50), process(ledger.Up, 300), due("a", "once", 700), answer("a", ledger.Nacked, "", 800)),
 			w(process(ledger.Killed, 50), process(ledger.Up, 100), due("a", "once", 700)), Lost},
-		"killed soon after SIGTERM": {w(due("a", "once", 100), process(ledger.Term, 300), process(ledger.Killed, 37_300)),
+		"the scheduler was killed soon after SIGTERM": {w(due("a", "once", 100), process(ledger.Term, 300), process(ledger.Killed, 37_300)),
 			w(due("a", "once", 100), process(ledger.Term, 300), process(ledger.Killed, 37_301)), Lost},
-		"its scheduler was stopped": {w(due("a", "once", 100), process(ledger.Stopped, 300), process(ledger.Resumed, 60_000)),
+		"the scheduler was suspended": {w(due("a", "once", 100), process(ledger.Stopped, 300), process(ledger.Resumed, 60_000)),
 			w(due("a", "once", 100), process(ledger.Stopped, 60_000), process(ledger.Resumed, 70_000)), Lost},
-		"a stopped one pushes nothing after the TTL": {
+		"a suspended scheduler pushes nothing after the TTL": {
 			w(due("a", "again", 100), process(ledger.Stopped, 300), process(ledger.Resumed, 50_200), pushed("a", 1, "w1", 50_600, ledger.Done, 51_000)),
 			w(due("a", "again", 100), process(ledger.Stopped, 300), process(ledger.Resumed, 50_200), pushed("a", 1, "w1", 50_601, ledger.Done, 51_000)), Lost},
-		"nothing sent after the answer": {
+		"no push after the answer": {
 			w(due("a", "again", 100), pushed("a", 1, "w1", 1499, "closed", 1500), answer("a", ledger.Nacked, "", 1000)),
 			w(due("a", "again", 100), pushed("a", 1, "w1", 1501, "closed", 1502), answer("a", ledger.Nacked, "", 1000)), Lost},
 
-		"at most once, handed back": {
+		"at most once, returned by the worker": {
 			w(due("a", "once", 100), pushed("a", 1, "w1", 200, ledger.Returned, 300), pushed("a", 2, "w2", 310, ledger.Done, 400), answer("a", ledger.Acked, "r2", 500)),
 			w(due("a", "once", 100), pushed("a", 1, "w1", 200, ledger.Failed, 300), pushed("a", 2, "w2", 310, ledger.Done, 400), answer("a", ledger.Acked, "r2", 500)), Twice},
 		"at most once, nacked": {
 			w(due("a", "once", 100), pushed("a", 1, "w1", 200, ledger.TurnedAway, 300), answer("a", ledger.Nacked, "", 500)),
 			w(due("a", "once", 100), pushed("a", 1, "w1", 200, "closed", 300), answer("a", ledger.Nacked, "", 500)), Twice},
-		"handed back only after the nack": {
+		"returned before the nack": {
 			w(due("a", "once", 100), pushed("a", 1, "w1", 200, ledger.Returned, 500), answer("a", ledger.Nacked, "", 500)),
 			w(due("a", "once", 100), pushed("a", 1, "w1", 200, ledger.Returned, 501), answer("a", ledger.Nacked, "", 500)), Twice},
 		"within the zone": {
@@ -179,35 +182,36 @@
 		"within the cell": {
 			w(due("a", "cell", 100), pushed("a", 1, "w1", 200, "closed", 300), pushed("a", 2, "w2", 310, ledger.Done, 400), answer("a", ledger.Acked, "r2", 500)),
 			w(due("a", "cell", 100), pushed("a", 1, "w1", 200, "closed", 300), pushed("a", 2, "w3", 310, ledger.Done, 400), answer("a", ledger.Acked, "r2", 500)), Twice},
-		"a nack where all drop repeats": {
+		"a nack where all workers drop repeats": {
 			w(due("a", "all", 100), pushed("a", 1, "w1", 200, "closed", 300), answer("a", ledger.Nacked, "", 500)),
 			w(due("a", "zone", 100), pushed("a", 1, "w1", 200, "closed", 300), answer("a", ledger.Nacked, "", 500)), Twice},
 		"one push at a time": {
 			w(due("a", "again", 100), pushed("a", 1, "w1", 200, "closed", 1000), pushed("a", 2, "w2", 500, ledger.Done, 2000), answer("a", ledger.Acked, "r2", 2001)),
 			w(due("a", "again", 100), pushed("a", 1, "w1", 200, "closed", 1001), pushed("a", 2, "w2", 500, ledger.Done, 2000), answer("a", ledger.Acked, "r2", 2001)), Twice},
 
-		"the drain's grace": {
-			with(served("a", "again", 100), tell("draining", 1000), due("b", "again", 26_000), pushed("b", 2, "w1", 26_500, ledger.Done, 26_600), answer("b", ledger.Acked, "r2", 26_700)),
-			with(served("a", "again", 100), tell("draining", 1000), due("b", "again", 26_000), pushed("b", 2, "w1", 26_501, ledger.Done, 26_600), answer("b", ledger.Acked, "r2", 26_700)), Drain},
-		"the first word counts": {
-			w(tell("draining", 1000), tell("ready", 2000), tell("gone", 20_000), due("b", "again", 26_000), pushed("b", 2, "w1", 27_000, ledger.Done, 27_100), answer("b", ledger.Acked, "r2", 27_200)),
-			w(tell("draining", 1000), tell("gone", 20_000), due("b", "again", 26_000), pushed("b", 2, "w1", 27_000, ledger.Done, 27_100), answer("b", ledger.Acked, "r2", 27_200)), Drain},
-		"told while it was stopped": {
-			w(process(ledger.Stopped, 900), tell("draining", 1000), process(ledger.Resumed, 30_000), due("b", "again", 30_000), pushed("b", 2, "w1", 30_500, ledger.Done, 30_600), answer("b", ledger.Acked, "r2", 30_700)),
-			w(tell("draining", 890), process(ledger.Stopped, 900), process(ledger.Resumed, 30_000), due("b", "again", 30_000), pushed("b", 2, "w1", 30_500, ledger.Done, 30_600), answer("b", ledger.Acked, "r2", 30_700)), Drain},
+		"a push within the drain grace": {
+			with(served("a", "again", 100), workerStateSent("draining", 1000), due("b", "again", 26_000), pushed("b", 2, "w1", 26_500, ledger.Done, 26_600), answer("b", ledger.Acked, "r2", 26_700)),
+			with(served("a", "again", 100), workerStateSent("draining", 1000), due("b", "again", 26_000), pushed("b", 2, "w1", 26_501, ledger.Done, 26_600), answer("b", ledger.Acked, "r2", 26_700)), Drain},
+		"the grace starts with the first announcement": {
+			w(workerStateSent("draining", 1000), workerStateSent("ready", 2000), workerStateSent("gone", 20_000), due("b", "again", 26_000), pushed("b", 2, "w1", 27_000, ledger.Done, 27_100), answer("b", ledger.Acked, "r2", 27_200)),
+			w(workerStateSent("draining", 1000), workerStateSent("gone", 20_000), due("b", "again", 26_000), pushed("b", 2, "w1", 27_000, ledger.Done, 27_100), answer("b", ledger.Acked, "r2", 27_200)), Drain},
+		"a drain announced to a suspended scheduler": {
+			w(process(ledger.Stopped, 900), workerStateSent("draining", 1000), process(ledger.Resumed, 30_000), due("b", "again", 30_000), pushed("b", 2, "w1", 30_500, ledger.Done, 30_600), answer("b", ledger.Acked, "r2", 30_700)),
+			w(workerStateSent("draining", 890), process(ledger.Stopped, 900), process(ledger.Resumed, 30_000), due("b", "again", 30_000), pushed("b", 2, "w1", 30_500, ledger.Done, 30_600), answer("b", ledger.Acked, "r2", 30_700)), Drain},
 
-		// At an age of 1.51 s four cores are allowed 6,345 ms in a span; with jobs of 100 ms 1,793 ms more are chance.
-		"what a cold one can bear":        {w(cold(100, 15_100, 813, 10, 0)), w(cold(100, 15_100, 814, 10, 0)), Cold},
-		"a burst right after its start":   {w(cold(100, 100, 605, 10, 0)), w(cold(100, 100, 606, 10, 0)), Cold},
-		"a cold one under many's sum":     {w(cold(100, 15_100, 813, 7, 3)), w(cold(100, 15_100, 814, 7, 3)), Cold},
-		"those that were told of a start": {w(cold(100, 15_100, 814, 6, 4)), w(cold(100, 15_100, 814, 7, 3)), Cold},
-		"told before the start":           {w(tell4(50), untold(cold(100, 15_100, 814, 10, 0))), w(tell4(150), untold(cold(100, 15_100, 814, 10, 0))), Cold},
-		"a span of pushes":                {w(cold(100, 15_100, 700, 10, 0), cold2(30_200, 5)), w(cold(100, 15_100, 700, 10, 0), cold2(30_000, 5)), Cold},
-		"the first fall":                  {w(cold(100, 15_100, 814, 1, 9), cold2(15_300, 30)), w(cold(100, 15_100, 700, 1, 0), cold2(15_300, 30)), Cold},
-		"a result that was given": {with(served("a", "once", 100)),
+		// At an age of 1.51 s the limit for four cores is 6,345 ms of work in TipAfter. With jobs of 100 ms
+		// the allowance for random variation adds 1,793 ms.
+		"work at the limit of a cold worker":     {w(coldStart(100, 15_100, 813, 10, 0)), w(coldStart(100, 15_100, 814, 10, 0)), Cold},
+		"a burst right after the start":          {w(coldStart(100, 100, 605, 10, 0)), w(coldStart(100, 100, 606, 10, 0)), Cold},
+		"the sum over all schedulers":            {w(coldStart(100, 15_100, 813, 7, 3)), w(coldStart(100, 15_100, 814, 7, 3)), Cold},
+		"two thirds from informed schedulers":    {w(coldStart(100, 15_100, 814, 6, 4)), w(coldStart(100, 15_100, 814, 7, 3)), Cold},
+		"announcement of an earlier start":       {w(startAnnounced(50), withoutAnnouncements(coldStart(100, 15_100, 814, 10, 0))), w(startAnnounced(150), withoutAnnouncements(coldStart(100, 15_100, 814, 10, 0))), Cold},
+		"pushes spread over more than a window":  {w(coldStart(100, 15_100, 700, 10, 0), furtherPushes(30_200, 5)), w(coldStart(100, 15_100, 700, 10, 0), furtherPushes(30_000, 5)), Cold},
+		"overload is judged once for each start": {w(coldStart(100, 15_100, 814, 1, 9), furtherPushes(15_300, 30)), w(coldStart(100, 15_100, 700, 1, 0), furtherPushes(15_300, 30)), Cold},
+		"a result that the worker returned": {with(served("a", "once", 100)),
 			w(due("a", "once", 100), pushed("a", 1, "w1", 200, ledger.Done, 300), answer("a", ledger.Acked, "r9", 500)), Forged},
-		"a push that was asked for":      {with(served("a", "once", 100)), with(served("a", "once", 100), pushed("x", 9, "w1", 300, ledger.Done, 400)), Forged},
-		"a process that was told to end": {w(process(ledger.Term, 100), process(ledger.Exited, 300)), w(process(ledger.Exited, 300)), Crashed},
+		"a push that a client requested":     {with(served("a", "once", 100)), with(served("a", "once", 100), pushed("x", 9, "w1", 300, ledger.Done, 400)), Forged},
+		"a process that ended after SIGTERM": {w(process(ledger.Term, 100), process(ledger.Exited, 300)), w(process(ledger.Exited, 300)), Crashed},
 	} {
 		if j, err := Judge(c.lawful); err != nil || len(j.Breaches) > 0 {
 			t.Errorf("%s, lawful: %v, %v", name, j.Breaches, err)
@@ -218,23 +222,25 @@
 	}
 }
 
-// The window of a repeat outlasts a TTL of 5 s; only a longer one shows a repeat just past it.
+// Checks a repeat at the end of the deduplication window and just after it. The TTL is longer than the usual
+// 5 s here, because the window is longer than 5 s.
 func TestARepeatPastTheWindowIsABreach(t *testing.T) {
-	for late, want := range map[ledger.Time]int{75_500: 0, 75_501: 1} {
-		l := world(due("a", "zone", 100), pushed("a", 1, "w1", 200, "closed", 300), pushed("a", 2, "w3", 200+late, ledger.Done, 90_000), answer("a", ledger.Acked, "r2", 90_001))
+	for delay, want := range map[ledger.Time]int{75_500: 0, 75_501: 1} {
+		l := world(due("a", "zone", 100), pushed("a", 1, "w1", 200, "closed", 300), pushed("a", 2, "w3", 200+delay, ledger.Done, 90_000), answer("a", ledger.Acked, "r2", 90_001))
 		for i := range l {
 			if l[i].Kind == ledger.Due {
 				l[i].Until = 200_000
 			}
 		}
 		if j, err := Judge(l); err != nil || len(j.Breaches) != want {
-			t.Errorf("a repeat %d later: %v, %v", late, j.Breaches, err)
+			t.Errorf("a repeat %d later: %v, %v", delay, j.Breaches, err)
 		}
 	}
 }
 
-// A retry under a new id is another op; a ledger that was cut off holds ops that may still be answered.
-func TestRetriesAndACutOffLedgerAreNoBreach(t *testing.T) {
+// A retry with a new ID is another op, and ops that are unanswered at the end of a truncated ledger are not
+// lost.
+func TestRetriesAndATruncatedLedgerAreNoBreach(t *testing.T) {
 	l := with(served("a", "once", 100), due("b", "once", 2000), pushed("b", 2, "w2", 2100, ledger.Done, 2200), answer("b", ledger.Acked, "r2", 2300))
 	if j, err := Judge(l); err != nil || len(j.Breaches) > 0 || j.Ops != 2 {
 		t.Errorf("a retry: %+v, %v", j, err)
@@ -248,11 +254,11 @@
 		}
 	}
 	if _, err := Judge(l[1:]); err == nil {
-		t.Error("a ledger without rules was judged")
+		t.Error("a ledger without rules was accepted")
 	}
 }
 
-// lawful draws a ledger that keeps all rules: ops of all categories with pushes that end in any way.
+// lawful draws a ledger without breaches: ops of all categories, with pushes that end in all ways.
 func lawful(t *rapid.T) (l events, ops []string) {
 	var all []events
 	push := 0
@@ -262,16 +268,16 @@
 		at := ledger.Time(rapid.IntRange(0, 300_000).Draw(t, "due"))
 		all = append(all, due(op, category, at))
 		ops = append(ops, op)
-		ran, first, now := false, "", at+10
+		ran, firstWorker, now := false, "", at+10
 		verdict, text := ledger.Nacked, ""
 		for range rapid.IntRange(0, 4).Draw(t, "pushes") {
 			if ran && category == "once" {
 				break
 			}
-			may := map[string][]string{"zone": {"w1", "w2", "w3"}, "cell": {"w1", "w2"}}[category]
+			group := map[string][]string{"zone": {"w1", "w2", "w3"}, "cell": {"w1", "w2"}}[category]
 			worker := rapid.SampledFrom([]string{"w1", "w2", "w3", "w4"}).Draw(t, "worker")
 			if category == "zone" || category == "cell" {
-				worker = rapid.SampledFrom(may).Draw(t, "worker in group")
+				worker = rapid.SampledFrom(group).Draw(t, "worker in group")
 			}
 			push++
 			end := rapid.SampledFrom([]string{ledger.Done, ledger.Failed, ledger.Returned, ledger.TurnedAway, "closed"}).Draw(t, "end")
@@ -283,8 +289,8 @@
 				break
 			}
 			if end == ledger.Failed || end == "closed" {
-				if ran = true; first == "" {
-					first = worker
+				if ran = true; firstWorker == "" {
+					firstWorker = worker
 				}
 			}
 		}
@@ -296,8 +302,8 @@
 	return world(all...), ops
 }
 
-// The judge must find what is done to any lawful ledger, and nothing in it before.
-func TestAnyLawfulLedgerPassesAndItsMutantsDoNot(t *testing.T) {
+// Checks that a random lawful ledger has no breach and that each mutation of it has the breach of its rule.
+func TestARandomLawfulLedgerPassesAndItsMutationsAreBreaches(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, ops := lawful(t)
 		if j, err := Judge(l); err != nil || len(j.Breaches) > 0 || j.Answers != len(ops) {
@@ -332,29 +338,29 @@
 	})
 }
 
-// What the terms say of clients that have left, and of the time that a worker is told.
-func TestPushesForThoseWhoLeftAndTimesToldTooLong(t *testing.T) {
+// Checks the allowances for pushes after the client disconnected and for deadlines announced to a worker.
+func TestPushesAfterADisconnectAndExcessDeadlinesAreBreaches(t *testing.T) {
 	for name, c := range map[string]struct {
-		left, from, until ledger.Time
-		want              Rule
+		disconnectedAt, from, until ledger.Time
+		want                        Rule
 	}{
-		"while its client is there":        {0, 20, 900, ""},
-		"just after it left":               {10, 900, 0, ""},
-		"long after it left":               {10, 3000, 0, Lost},
-		"told a little more than is left":  {0, 20, 51_000, ""},
-		"told much more than is left":      {0, 20, 53_000, Told},
-		"not told anything":                {0, 20, 0, ""},
-		"told too much, after it has left": {10, 900, 53_000, Told},
+		"while the client is connected":        {0, 20, 900, ""},
+		"just after the disconnect":            {10, 900, 0, ""},
+		"long after the disconnect":            {10, 3000, 0, Lost},
+		"a deadline slightly too late":         {0, 20, 51_000, ""},
+		"a deadline much too late":             {0, 20, 53_000, ExcessDeadline},
+		"no deadline announced":                {0, 20, 0, ""},
+		"a late deadline after the disconnect": {10, 900, 53_000, ExcessDeadline},
 	} {
 		events := []ledger.Event{{Kind: ledger.World, Rules: &ledger.Rules{Slack: 500, DrainGrace: 1000,
 			Categories: map[string]ledger.Category{"look": {Effect: ledger.Redeliverable}}}},
 			{At: 1, Kind: ledger.Due, Op: "a", Category: "look", Scheduler: 1, Until: 50_000}, {At: 2, Kind: ledger.Sent, Op: "a", Scheduler: 1}}
-		if c.left > 0 {
-			events = append(events, ledger.Event{At: c.left, Kind: ledger.Left, Op: "a", Scheduler: 1})
+		if c.disconnectedAt > 0 {
+			events = append(events, ledger.Event{At: c.disconnectedAt, Kind: ledger.Left, Op: "a", Scheduler: 1})
 		}
 		events = append(events, ledger.Event{At: c.from + 1, Kind: ledger.Reached, Op: "a", Worker: "w", Scheduler: 1, Push: 1, From: c.from, Until: c.until},
 			ledger.Event{At: 4000, Kind: ledger.Said, Op: "a", Worker: "w", Push: 1, Verdict: ledger.Done, Text: "x"})
-		if c.left == 0 {
+		if c.disconnectedAt == 0 {
 			events = append(events, ledger.Event{At: 4001, Kind: ledger.Answer, Op: "a", Verdict: ledger.Acked, Text: "x"})
 		}
 		j, err := Judge(append(events, ledger.Event{At: 99_999, Kind: ledger.Finished}))
@@ -371,9 +377,10 @@
 	}
 }
 
-// A request that was read and closed with no answer is lost, also where its client had its answer elsewhere, or belongs to no op; not where its
-// scheduler was killed or stopped just then, nor where its client left, nor where it was closed unread.
-func TestARequestThatWasReadIsOwedItsAnswer(t *testing.T) {
+// A request that a scheduler read and closed without an answer is lost, also if the client got an answer
+// elsewhere or the request belongs to no op. It is not lost if the scheduler was killed then, if the client
+// disconnected, or if the request was not read.
+func TestARequestReadAndClosedWithoutAnswerIsLost(t *testing.T) {
 	cut := func(op, text string) events {
 		return events{{At: 2000, Kind: ledger.Cut, Op: op, Scheduler: 1, State: "reused", Text: text}}
 	}
@@ -382,13 +389,13 @@
 		ledger []events
 		want   int
 	}{
-		"answered elsewhere":     {[]events{due("a", "again", 1000), cut("a", ledger.ReadUnanswered), elsewhere}, 1},
-		"of no op":               {[]events{cut("", ledger.ReadUnanswered)}, 1},
-		"closed unread":          {[]events{due("a", "again", 1000), cut("a", "reset"), elsewhere}, 0},
-		"its scheduler killed":   {[]events{due("a", "again", 1000), {{At: 1990, Kind: ledger.Killed, Scheduler: 1}}, cut("a", ledger.ReadUnanswered), elsewhere}, 0},
-		"no op, killed":          {[]events{{{At: 1990, Kind: ledger.Killed, Scheduler: 1}}, cut("", ledger.ReadUnanswered)}, 0},
-		"another one was killed": {[]events{{{At: 1990, Kind: ledger.Killed, Scheduler: 2}}, cut("", ledger.ReadUnanswered)}, 1},
-		"its client left":        {[]events{due("a", "again", 1000), {{At: 1500, Kind: ledger.Left, Op: "a"}}, cut("a", ledger.ReadUnanswered), elsewhere}, 0},
+		"answered elsewhere":              {[]events{due("a", "again", 1000), cut("a", ledger.ReadUnanswered), elsewhere}, 1},
+		"without an op":                   {[]events{cut("", ledger.ReadUnanswered)}, 1},
+		"closed unread":                   {[]events{due("a", "again", 1000), cut("a", "reset"), elsewhere}, 0},
+		"the scheduler was killed":        {[]events{due("a", "again", 1000), {{At: 1990, Kind: ledger.Killed, Scheduler: 1}}, cut("a", ledger.ReadUnanswered), elsewhere}, 0},
+		"without an op, scheduler killed": {[]events{{{At: 1990, Kind: ledger.Killed, Scheduler: 1}}, cut("", ledger.ReadUnanswered)}, 0},
+		"another scheduler was killed":    {[]events{{{At: 1990, Kind: ledger.Killed, Scheduler: 2}}, cut("", ledger.ReadUnanswered)}, 1},
+		"the client disconnected":         {[]events{due("a", "again", 1000), {{At: 1500, Kind: ledger.Left, Op: "a"}}, cut("a", ledger.ReadUnanswered), elsewhere}, 0},
 	} {
 		j, err := Judge(world(c.ledger...))
 		if err != nil {
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline holds plain schedulers to compare with: textbook policies over the platform's protocol, in the
-// lab's own process, with nothing learned and little done about failure. They keep the rules, unless they are told
-// to break one: the judge is proved on such.
+// Package baseline implements simple schedulers for comparison. They run textbook policies over the
+// platform's protocol in the lab's process, learn nothing and handle few failures. They keep the rules unless
+// they are configured to break one, which tests the audit.
 package baseline
 
 import (
@@ -25,21 +25,21 @@
 	"woaddyke/internal/lab/schedulers"
 )
 
-// Policies are the names of the policies: a random worker; each in turn; the one with the fewest own pushes out;
-// the better of two random ones by a probe's count of jobs.
+// Policies are the names of the policies: a random worker, round robin, the worker with the fewest pushes in
+// flight from this scheduler, and of two random workers the one that reports fewer jobs.
 var Policies = []string{"random", "turns", "fewest", "probes"}
 
-// Wrongs are rules that a scheduler breaks on purpose.
+// Wrongs are the rules that a scheduler breaks on purpose.
 type Wrongs struct {
-	Answers int  // how often it answers, if more than once
-	Copies  int  // how many pushes of an op it has out, if more than one
-	Drains  bool // it goes on pushing to workers that drain
-	Retries bool // it pushes again what may have run, whatever its category
-	Cold    bool // no worker is cold to it
+	Answers int  // number of answers to a request, if more than one
+	Copies  int  // number of pushes of an op in flight, if more than one
+	Drains  bool // it pushes to draining workers
+	Retries bool // it retries pushes that may have run, in every category
+	Cold    bool // it pushes to cold workers as to warm ones
 }
 
-// Maker starts schedulers of a policy.
-func Maker(policy string, wrong Wrongs) (schedulers.Maker, error) {
+// Maker returns a maker of schedulers with a policy.
+func Maker(policy string, violations Wrongs) (schedulers.Maker, error) {
 	if !slices.Contains(Policies, policy) {
 		return nil, fmt.Errorf("no baseline %q; there are %s", policy, strings.Join(Policies, ", "))
 	}
@@ -48,7 +48,7 @@
 		if err != nil {
 			return nil, err
 		}
-		s := &scheduler{policy: policy, wrong: wrong, workers: map[string]*worker{}, ended: make(chan error, 1)}
+		s := &scheduler{policy: policy, violations: violations, workers: map[string]*worker{}, ended: make(chan error, 1)}
 		if err := s.read(text); err != nil {
 			return nil, fmt.Errorf("baseline: %w", err)
 		}
@@ -59,7 +59,7 @@
 		s.ctx, s.cancel = context.WithCancel(context.Background())
 		s.server = &http.Server{Handler: s, ReadHeaderTimeout: time.Second}
 		go s.server.Serve(l)
-		go s.watch()
+		go s.followLists()
 		return s, nil
 	}, nil
 }
@@ -88,7 +88,7 @@
 	BootMS   int64  `json:"boot_ms"`
 }
 
-type list struct {
+type endpointList struct {
 	Rev     int64    `json:"rev"`
 	All     bool     `json:"all"`
 	Targets []target `json:"targets"`
@@ -96,26 +96,26 @@
 
 type worker struct {
 	target
-	out  int
-	idle []net.Conn
+	inFlight int
+	idle     []net.Conn
 }
 
 type scheduler struct {
-	policy   string
-	wrong    Wrongs
-	sheet    schedulers.Sheet
-	settings settings
-	rev      int64
-	ctx      context.Context
-	cancel   context.CancelFunc
-	server   *http.Server
-	ended    chan error
-	once     sync.Once
+	policy     string
+	violations Wrongs
+	sheet      schedulers.Sheet
+	settings   settings
+	rev        int64
+	ctx        context.Context
+	cancel     context.CancelFunc
+	server     *http.Server
+	ended      chan error
+	once       sync.Once
 
-	mu      sync.Mutex
-	rand    *rand.Rand
-	turn    int
-	workers map[string]*worker
+	mu       sync.Mutex
+	rand     *rand.Rand
+	nextTurn int
+	workers  map[string]*worker
 }
 
 func (s *scheduler) read(text []byte) error {
@@ -134,21 +134,21 @@
 		return err
 	}
 	s.rand = rand.New(rand.NewPCG(seed, 0))
-	var known list
+	var known endpointList
 	if err := json.Unmarshal(s.sheet.Known, &known); err != nil {
 		return err
 	}
-	s.take(known)
+	s.applyList(known)
 	return nil
 }
 
-// PID says that it has no process of its own.
+// PID returns 0: the scheduler has no process.
 func (s *scheduler) PID() int { return 0 }
 
-// Wait waits for its end.
+// Wait waits until the scheduler has ended.
 func (s *scheduler) Wait() error { return <-s.ended }
 
-// Signal acts on the signals that end a process; the others are nothing to it.
+// Signal ends the scheduler on SIGKILL or SIGTERM. It ignores other signals.
 func (s *scheduler) Signal(sig syscall.Signal) error {
 	switch sig {
 	case syscall.SIGKILL:
@@ -169,7 +169,7 @@
 	return nil
 }
 
-func (s *scheduler) take(l list) {
+func (s *scheduler) applyList(l endpointList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rev = l.Rev; l.All {
@@ -190,10 +190,10 @@
 	}
 }
 
-// watch follows discovery's list, and calls again when a watch ends.
-func (s *scheduler) watch() {
+// followLists watches discovery's endpoint list, and reconnects when the stream ends.
+func (s *scheduler) followLists() {
 	for s.ctx.Err() == nil {
-		s.follow()
+		s.followStream()
 		select {
 		case <-s.ctx.Done():
 		case <-time.After(50 * time.Millisecond):
@@ -201,7 +201,7 @@
 	}
 }
 
-func (s *scheduler) follow() {
+func (s *scheduler) followStream() {
 	s.mu.Lock()
 	url := fmt.Sprintf("http://%s/v1/servers?stream=1&index=%d", s.sheet.Discovery, s.rev)
 	s.mu.Unlock()
@@ -217,57 +217,57 @@
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, 8<<20)
 	for lines.Scan() {
-		var l list
+		var l endpointList
 		if text := bytes.TrimSpace(lines.Bytes()); len(text) > 0 && json.Unmarshal(text, &l) == nil {
-			s.take(l)
+			s.applyList(l)
 		}
 	}
 }
 
-// ready are the workers that may be pushed to, but for those that were tried. Cold ones are left alone: that keeps
-// the rule, and costs what they could do.
-func (s *scheduler) ready(not map[string]bool) (may []*worker) {
-	warm := time.Now().Add(-time.Duration(s.settings.Safety.WarmAfter)).UnixMilli()
+// candidates returns the workers that may be pushed to, without those already tried. Cold workers are left
+// out: this keeps the rule on cold workers, at the cost of their capacity.
+func (s *scheduler) candidates(tried map[string]bool) (workers []*worker) {
+	warmBoot := time.Now().Add(-time.Duration(s.settings.Safety.WarmAfter)).UnixMilli()
 	for _, w := range s.workers {
-		sound := w.State == "SERVING" || s.wrong.Drains
-		if sound && !not[w.UID] && (w.BootMS < warm || s.wrong.Cold) {
-			may = append(may, w)
+		usable := w.State == "SERVING" || s.violations.Drains
+		if usable && !tried[w.UID] && (w.BootMS < warmBoot || s.violations.Cold) {
+			workers = append(workers, w)
 		}
 	}
-	slices.SortFunc(may, func(a, b *worker) int { return strings.Compare(a.UID, b.UID) })
-	return may
+	slices.SortFunc(workers, func(a, b *worker) int { return strings.Compare(a.UID, b.UID) })
+	return workers
 }
 
-// pick is the policy.
-func (s *scheduler) pick(not map[string]bool) (*worker, net.Conn) {
+// pick chooses a worker by the policy. It returns an idle connection to the worker if there is one.
+func (s *scheduler) pick(tried map[string]bool) (*worker, net.Conn) {
 	s.mu.Lock()
-	may := s.ready(not)
-	if len(may) == 0 {
+	workers := s.candidates(tried)
+	if len(workers) == 0 {
 		s.mu.Unlock()
 		return nil, nil
 	}
-	w := may[s.rand.IntN(len(may))]
+	w := workers[s.rand.IntN(len(workers))]
 	switch s.policy {
 	case "turns":
-		s.turn++
-		w = may[s.turn%len(may)]
+		s.nextTurn++
+		w = workers[s.nextTurn%len(workers)]
 	case "fewest":
-		w = slices.MinFunc(may, func(a, b *worker) int { return a.out - b.out })
+		w = slices.MinFunc(workers, func(a, b *worker) int { return a.inFlight - b.inFlight })
 	case "probes":
-		other := may[s.rand.IntN(len(may))]
+		other := workers[s.rand.IntN(len(workers))]
 		s.mu.Unlock()
-		x, y := s.jobs(w.Endpoint), s.jobs(other.Endpoint)
+		jobs, otherJobs := s.probeJobs(w.Endpoint), s.probeJobs(other.Endpoint)
 		s.mu.Lock()
-		if y < x {
+		if otherJobs < jobs {
 			w = other
 		}
 		if w.State != "SERVING" {
 			s.mu.Unlock()
-			return s.pick(not)
+			return s.pick(tried)
 		}
 	}
 	defer s.mu.Unlock()
-	w.out++
+	w.inFlight++
 	var c net.Conn
 	if n := len(w.idle); n > 0 {
 		c, w.idle = w.idle[n-1], w.idle[:n-1]
@@ -275,8 +275,8 @@
 	return w, c
 }
 
-// jobs asks a worker how many jobs it has.
-func (s *scheduler) jobs(addr string) int {
+// probeJobs asks a worker for its number of jobs. It returns a very high number if the probe fails.
+func (s *scheduler) probeJobs(addr string) int {
 	client := http.Client{Timeout: time.Duration(s.settings.Bounds.Dial)}
 	resp, err := client.Get("http://" + addr + "/load")
 	if err != nil {
@@ -292,29 +292,29 @@
 	return load.Jobs
 }
 
-// ending is what is known of a push.
-type ending int
+// pushOutcome is the outcome of a push as the scheduler knows it.
+type pushOutcome int
 
 const (
-	served ending = iota
+	served pushOutcome = iota
 	neverRan
 	mayHaveRun
 )
 
-const wayBack = 20 * time.Millisecond
+const answerMargin = 20 * time.Millisecond
 
-// ServeHTTP takes an op and answers it.
+// ServeHTTP serves an op, or a health check by GET.
 func (s *scheduler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodGet {
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, 64<<10))
-	left, numErr := strconv.Atoi(r.Header.Get("X-Time-Left-Ms"))
+	leftMS, numErr := strconv.Atoi(r.Header.Get("X-Time-Left-Ms"))
 	if err != nil || numErr != nil {
 		http.Error(w, "no op", http.StatusBadRequest)
 		return
 	}
-	until := time.Now().Add(time.Duration(left)*time.Millisecond - wayBack)
+	until := time.Now().Add(time.Duration(leftMS)*time.Millisecond - answerMargin)
 	effect := "fragile"
 	for _, c := range s.settings.Categories {
 		if c.Name == r.Header.Get("X-Service-Class") {
@@ -322,13 +322,13 @@
 		}
 	}
 	status, text := s.serve(r, body, effect, until)
-	if s.wrong.Answers > 1 {
+	if s.violations.Answers > 1 {
 		c, _, err := w.(http.Hijacker).Hijack()
 		if err != nil {
 			return
 		}
 		defer c.Close()
-		for range s.wrong.Answers {
+		for range s.violations.Answers {
 			fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), len(text), text)
 		}
 		return
@@ -342,7 +342,7 @@
 	tried := map[string]bool{}
 	ran := false
 	for push := 0; push < s.settings.Bounds.MaxPushes && time.Now().Before(until); push++ {
-		for range s.wrong.Copies - 1 {
+		for range s.violations.Copies - 1 {
 			if w, c := s.pick(tried); w != nil {
 				go s.push(w, c, r, body, until)
 			}
@@ -357,7 +357,7 @@
 			return http.StatusOK, text
 		}
 		ran = ran || end == mayHaveRun
-		if ran && effect != "retryable" && !s.wrong.Retries {
+		if ran && effect != "retryable" && !s.violations.Retries {
 			return http.StatusBadGateway, "dead-lettered\n"
 		}
 	}
@@ -367,13 +367,13 @@
 	return http.StatusServiceUnavailable, "nacked\n"
 }
 
-// push sends an op to a worker and waits for its end.
-func (s *scheduler) push(w *worker, c net.Conn, r *http.Request, body []byte, until time.Time) (string, ending) {
-	keep := false
+// push sends an op to a worker and waits for the outcome.
+func (s *scheduler) push(w *worker, c net.Conn, r *http.Request, body []byte, until time.Time) (string, pushOutcome) {
+	reusable := false
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if w.out--; keep {
+		if w.inFlight--; reusable {
 			w.idle = append(w.idle, c)
 		} else if c != nil {
 			c.Close()
@@ -402,7 +402,7 @@
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		if resp.Header.Get("X-Unprocessed") == "1" {
-			keep = true
+			reusable = true
 			return "", neverRan
 		}
 		return "", mayHaveRun
@@ -417,7 +417,7 @@
 		switch l.State {
 		case "done":
 			_, err := io.Copy(io.Discard, resp.Body)
-			keep = err == nil
+			reusable = err == nil
 			return l.Result, served
 		case "returned":
 			return "", neverRan
--- a/internal/lab/comparison/contrast.go
+++ b/internal/lab/comparison/contrast.go
@@ -1,5 +1,5 @@
-// Package comparison holds pairs of runs of two builds on the same seeds, and what their difference is: paired, with
-// an interval.
+// Package comparison compares the figures of two builds that ran with the same seeds. It computes the mean of
+// the paired differences with a confidence interval.
 package comparison
 
 import (
@@ -10,21 +10,21 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Usual are the figures that are compared where none are named.
-var Usual = []string{"broken", "service", "acked", "p50_ms", "p99_ms", "p99.9_ms", "waste", "pushes_per_op", "cpu_us_per_op", "memory_mb"}
+// DefaultFigures are the figures that are compared by default.
+var DefaultFigures = []string{"broken", "service", "acked", "p50_ms", "p99_ms", "p99.9_ms", "waste", "pushes_per_op", "cpu_us_per_op", "memory_mb"}
 
-// Pairs are the figures of both builds, run by run.
+// Pairs holds the figures of both builds, for each pair of runs.
 type Pairs struct {
 	names []string
 	a, b  map[string][]float64
 }
 
-// New makes an empty set of pairs.
+// New returns an empty set of pairs for the named figures.
 func New(names []string) *Pairs {
 	return &Pairs{names: names, a: map[string][]float64{}, b: map[string][]float64{}}
 }
 
-// Add adds one pair; a figure that either lacks is left out of it.
+// Add adds a pair of runs. A figure that a run does not have is left out.
 func (p *Pairs) Add(a, b map[string]float64) {
 	for _, n := range p.names {
 		x, inA := a[n]
@@ -35,16 +35,16 @@
 	}
 }
 
-// Row is one figure's difference, B less A.
+// Row is the difference of a figure, B minus A.
 type Row struct {
-	Name              string
-	Pairs             int
-	MeanA, MeanB      float64
-	Diff, Least, Most float64 // the mean of the differences, and its 95% interval by Student's t
+	Name            string
+	Pairs           int
+	MeanA, MeanB    float64
+	Diff, Low, High float64 // mean of the differences, and its 95% interval by Student's t-distribution
 }
 
-// Clear tells whether the interval leaves out zero.
-func (r Row) Clear() bool { return r.Pairs > 1 && (r.Least > 0 || r.Most < 0) }
+// Significant reports whether the interval excludes zero.
+func (r Row) Significant() bool { return r.Pairs > 1 && (r.Low > 0 || r.High < 0) }
 
 func (r Row) String() string {
 	s := fmt.Sprintf("%-16s A %.4g, B %.4g, B-A %+.4g", r.Name, r.MeanA, r.MeanB, r.Diff)
@@ -52,13 +52,13 @@
 		return s + " (one pair: no interval)"
 	}
 	word := "no clear difference"
-	if r.Clear() {
+	if r.Significant() {
 		word = "differs"
 	}
-	return s + fmt.Sprintf(" [%+.4g, %+.4g] over %d pairs: %s", r.Least, r.Most, r.Pairs, word)
+	return s + fmt.Sprintf(" [%+.4g, %+.4g] over %d pairs: %s", r.Low, r.High, r.Pairs, word)
 }
 
-// Rows states the difference of each figure.
+// Rows returns the difference of each figure.
 func (p *Pairs) Rows() (rows []Row) {
 	for _, n := range p.names {
 		a, b := p.a[n], p.b[n]
@@ -71,11 +71,11 @@
 			diffs[i] = b[i] - a[i]
 		}
 		r.Diff = stat.Mean(diffs, nil)
-		r.Least, r.Most = r.Diff, r.Diff
+		r.Low, r.High = r.Diff, r.Diff
 		if len(a) > 1 {
 			t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(a) - 1)}.Quantile(0.975)
 			half := t * stat.StdDev(diffs, nil) / math.Sqrt(float64(len(a)))
-			r.Least, r.Most = r.Diff-half, r.Diff+half
+			r.Low, r.High = r.Diff-half, r.Diff+half
 		}
 		rows = append(rows, r)
 	}
--- a/internal/lab/duplicates/doubles.go
+++ b/internal/lab/duplicates/doubles.go
@@ -1,5 +1,5 @@
-// Package duplicates judges what became of ids that came again, over all schedulers together and by the workers' own books: how often each
-// op ran, and whether its clients were told the same. It does no input or output.
+// Package duplicates checks repeated op IDs across all schedulers: how often each op ran by the workers'
+// records, and whether all its clients got the same result. It does no input or output.
 package duplicates
 
 import (
@@ -8,111 +8,113 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-// Vote is a keeper's word that it votes from now on.
+// Vote records when a voter announced that it votes from now on.
 type Vote struct {
-	Keeper int // from 1
+	Keeper int // index of the scheduler, from 1
 	At     ledger.Time
 }
 
-// Judgement is what came out.
+// Judgement is the result of the check.
 type Judgement struct {
-	Doubled     int // at-most-once ops that ran more than once
-	WrongAnswer int // ops whose clients were acked with different results
-	Differ      int // keepers whose copies are not the first one's, at rest
-	Stale       int // pushes to a worker whose drain another scheduler had been told of long before
-	Unsure      int // asked for, and no majority was had in time
-	Repeats     int // tries under an id that had come before
-	CaughtUp    []ledger.Time
-	Breaches    []string
+	DuplicateRuns      int // at-most-once ops that ran more than once
+	ConflictingAnswers int // ops whose clients were acked with different results
+	DivergedReplicas   int // voters whose replica at rest differs from the first voter's
+	StaleDrainPushes   int // pushes to a worker after another scheduler's notice of its drain and the grace
+	UnsureRefusals     int // requests refused because no majority answered in time
+	Repeats            int // attempts with an ID that was used before
+	CatchUpTimes       []ledger.Time
+	Breaches           []string
 }
 
-const mostTold = 10
+const maxBreaches = 10
 
 func (j *Judgement) breach(format string, v ...any) {
-	if len(j.Breaches) < mostTold {
+	if len(j.Breaches) < maxBreaches {
 		j.Breaches = append(j.Breaches, fmt.Sprintf(format, v...))
 	}
 }
 
-// Judge judges a ledger. Digests are those of the keepers' copies at rest. Drains bind neighbours only where they share their lists.
+// Judge checks a ledger. The digests are those of the voters' replicas at rest. A stale drain is a breach
+// only where shared is set: there the schedulers share their endpoint lists.
 func Judge(events []ledger.Event, digests []string, unsure int, votes []Vote, shared bool) *Judgement {
-	j := &Judgement{Unsure: unsure}
+	j := &Judgement{UnsureRefusals: unsure}
 	stale := func(string, ...any) {}
 	if shared {
 		stale = j.breach
 	}
-	once := map[string]bool{}
-	effects := map[string]string{}
-	pushes := map[int]string{}
-	runs, told := map[string]int{}, map[string]string{}
-	up, drained := map[int][]ledger.Time{}, map[string]ledger.Time{} // by worker: when the first scheduler was told
-	within := ledger.Time(0)
+	atMostOnce := map[string]bool{}
+	categories := map[string]string{}
+	opOfPush := map[int]string{}
+	runs, results := map[string]int{}, map[string]string{}
+	// drained holds, by worker, when the first scheduler was notified.
+	started, drained := map[int][]ledger.Time{}, map[string]ledger.Time{}
+	staleAfter := ledger.Time(0)
 	for i := range events {
 		e := &events[i]
 		switch e.Kind {
 		case ledger.World:
 			for name, c := range e.Rules.Categories {
-				once[name] = c.Effect == ledger.AtMostOnce
+				atMostOnce[name] = c.Effect == ledger.AtMostOnce
 			}
-			within = e.Rules.DrainGrace + e.Rules.Slack + wordTime
+			staleAfter = e.Rules.DrainGrace + e.Rules.Slack + propagationTime
 		case ledger.Told:
-			if _, known := drained[e.Worker]; !known && e.State != "ready" {
+			if _, seen := drained[e.Worker]; !seen && e.State != "ready" {
 				drained[e.Worker] = e.At
 			}
 		case ledger.Due:
-			if once[e.Category] {
-				effects[e.Op] = e.Category
+			if atMostOnce[e.Category] {
+				categories[e.Op] = e.Category
 			}
 		case ledger.Repeat:
 			j.Repeats++
 		case ledger.Reached:
-			pushes[e.Push] = e.Op
-			if at, ok := drained[e.Worker]; ok && e.From > at+within {
-				j.Stale++
+			opOfPush[e.Push] = e.Op
+			if at, ok := drained[e.Worker]; ok && e.From > at+staleAfter {
+				j.StaleDrainPushes++
 				stale("scheduler %d pushed to %s %.1f s after another was told that it drains", e.Scheduler, e.Worker, float64(e.From-at)/10_000)
 			}
 		case ledger.Ran:
-			op := pushes[e.Push]
-			if effects[op] == "" {
+			op := opOfPush[e.Push]
+			if categories[op] == "" {
 				continue
 			}
 			if runs[op]++; runs[op] == 2 {
-				j.Doubled++
+				j.DuplicateRuns++
 				j.breach("%s ran more than once", op)
 			}
 		case ledger.Answer, ledger.Echo:
-			if e.Verdict != ledger.Acked || effects[e.Op] == "" {
+			if e.Verdict != ledger.Acked || categories[e.Op] == "" {
 				continue
 			}
-			if before, ok := told[e.Op]; ok && before != e.Text {
-				j.WrongAnswer++
+			if before, ok := results[e.Op]; ok && before != e.Text {
+				j.ConflictingAnswers++
 				j.breach("%s was acked with two results", e.Op)
 			}
-			told[e.Op] = e.Text
+			results[e.Op] = e.Text
 		case ledger.Up:
-			up[e.Scheduler] = append(up[e.Scheduler], e.At)
+			started[e.Scheduler] = append(started[e.Scheduler], e.At)
 		}
 	}
 	for _, d := range digests {
 		if d != digests[0] {
-			j.Differ++
+			j.DivergedReplicas++
 			j.breach("copies at rest: %s at one keeper, %s at the first", d, digests[0])
 		}
 	}
 	for _, v := range votes {
 		from := ledger.Time(-1)
-		for k, at := range up[v.Keeper] {
-			if k > 0 && at <= v.At+startSlack { // its first start has nothing to catch up with
+		for k, at := range started[v.Keeper] {
+			if k > 0 && at <= v.At+startTolerance { // the first start has no state to catch up with
 				from = at
 			}
 		}
 		if from >= 0 {
-			j.CaughtUp = append(j.CaughtUp, max(v.At-from, 0))
+			j.CatchUpTimes = append(j.CatchUpTimes, max(v.At-from, 0))
 		}
 	}
 	return j
 }
 
-const wordTime = 10_000 // from one scheduler that is told to all others that it reaches
+const propagationTime = 10_000 // ledger ticks for a drain notice to reach the other schedulers
 
-const startSlack = 20_000 // a vote may be had before the lab has found the process up
+const startTolerance = 20_000 // ledger ticks from a vote to the lab's detection that the process is up, at most
--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -1,5 +1,6 @@
-// Package hollow starts hollow schedulers: members of the cluster that share one process and have no clients. The process is the program
-// hollow beside the lab's own; what it runs is the scheduler's own code for members, and a test holds it against a real process.
+// Package hollow starts hollow schedulers: members of the cluster that share a process and have no clients.
+// The process is the program hollow, which runs the scheduler's membership code. A test compares its traffic
+// with that of a real scheduler process.
 package hollow
 
 import (
@@ -15,14 +16,14 @@
 	"time"
 )
 
-// Member is what one of them is told of itself.
+// Member is the configuration of a hollow scheduler.
 type Member struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Advertise string `json:"advertise"`
 }
 
-// Told is what all of them are told.
+// Told is the configuration of the process.
 type Told struct {
 	Cluster string   `json:"cluster"`
 	Seeds   []string `json:"seeds"`
@@ -31,30 +32,30 @@
 	Members []Member `json:"members"`
 }
 
-// State is what one of them holds.
+// State is the state of a hollow scheduler.
 type State struct {
 	Name   string `json:"name"`
-	Live   int    `json:"live"`   // others that are here
-	Digest string `json:"digest"` // the same wherever the views are the same
-	// WorstMS is by how much it was late at most: they share the processor as machines of their own would not.
+	Live   int    `json:"live"`   // number of other members seen as here
+	Digest string `json:"digest"` // equal for equal views
+	// WorstMS is the greatest delay of the member, caused by sharing the processor with the others.
 	WorstMS float64 `json:"worst_late_ms"`
 }
 
-// Process is one process of them.
+// Process is a process of hollow schedulers.
 type Process struct {
-	cmd   *exec.Cmd
-	in    io.WriteCloser
-	out   *bufio.Reader
-	many  int
-	mu    sync.Mutex
-	ended bool
+	cmd         *exec.Cmd
+	in          io.WriteCloser
+	out         *bufio.Reader
+	memberCount int
+	mu          sync.Mutex
+	ended       bool
 }
 
-const endTime = 5 * time.Second
+const stopTimeout = 5 * time.Second
 
-// Start starts a process and waits until all its members have their sockets.
+// Start starts a process and waits until all its members have opened their sockets.
 func Start(program string, t Told) (*Process, error) {
-	p := &Process{cmd: exec.Command(program), many: len(t.Members)}
+	p := &Process{cmd: exec.Command(program), memberCount: len(t.Members)}
 	p.cmd.Stderr = os.Stderr
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	var err error
@@ -86,10 +87,10 @@
 	return p, nil
 }
 
-// PID is of the process.
+// PID returns the ID of the process.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// States asks all of them what they hold.
+// States asks the process for the states of all its members.
 func (p *Process) States() ([]State, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,7 +98,7 @@
 		return nil, fmt.Errorf("hollow schedulers: %w", err)
 	}
 	var all []State
-	for range p.many {
+	for range p.memberCount {
 		line, err := p.out.ReadBytes('\n')
 		var s State
 		if err == nil {
@@ -111,7 +112,7 @@
 	return all, nil
 }
 
-// End has them leave and ends their process. One that has ended by itself before is an error.
+// End has the members leave and ends the process. It returns an error if the process had ended before.
 func (p *Process) End() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,7 +121,7 @@
 	}
 	p.ended = true
 	p.in.Close()
-	kill := time.AfterFunc(endTime, func() { p.cmd.Process.Kill() })
+	kill := time.AfterFunc(stopTimeout, func() { p.cmd.Process.Kill() })
 	defer kill.Stop()
 	if err := p.cmd.Wait(); err != nil {
 		return fmt.Errorf("hollow schedulers: %w", err)
--- a/internal/lab/htmlreport/page.go
+++ b/internal/lab/htmlreport/page.go
@@ -1,4 +1,4 @@
-// Package htmlreport holds a run's results as one page that needs nothing beside it.
+// Package htmlreport writes the results of a run as a self-contained HTML page.
 package htmlreport
 
 import (
@@ -26,23 +26,23 @@
 //go:embed page.html
 var files embed.FS
 
-// Write writes a run's page.
+// Write writes the page of a run to a file.
 func Write(path string, r *report.Results) error {
-	b, err := Of(r)
+	b, err := Render(r)
 	if err != nil {
 		return fmt.Errorf("page: %w", err)
 	}
 	return os.WriteFile(path, b, 0o644)
 }
 
-// picture is a plot with its title.
-type picture struct {
+// chart is a plot as SVG, with its title.
+type chart struct {
 	Title string
 	SVG   template.HTML
 }
 
-// Of is a run's page.
-func Of(r *report.Results) ([]byte, error) {
+// Render returns the page of a run.
+func Render(r *report.Results) ([]byte, error) {
 	t, err := template.New("page.html").Funcs(template.FuncMap{
 		"figure": func(name string) string { return fmt.Sprintf("%.4g", r.Figures[name]) },
 		"ms":     func(m map[string]float64, q string) string { return fmt.Sprintf("%.1f", m[q]) },
@@ -51,36 +51,36 @@
 	if err != nil {
 		return nil, err
 	}
-	var pictures []picture
-	for _, draw := range []func(*report.Results) (*plot.Plot, error){latencies, answers, queues, memory, descriptors, cpu, members} {
-		p, err := draw(r)
+	var charts []chart
+	for _, newChart := range []func(*report.Results) (*plot.Plot, error){latencies, answers, queues, memory, descriptors, cpu, members} {
+		p, err := newChart(r)
 		if err != nil {
 			return nil, err
 		}
 		if p == nil {
 			continue
 		}
-		mark(p, r.Faults)
-		svg, err := render(p)
+		addFaultLines(p, r.Faults)
+		svg, err := renderSVG(p)
 		if err != nil {
 			return nil, err
 		}
-		pictures = append(pictures, picture{p.Title.Text, svg})
+		charts = append(charts, chart{p.Title.Text, svg})
 	}
 	var b bytes.Buffer
-	err = t.Execute(&b, map[string]any{"R": r, "Pictures": pictures})
+	err = t.Execute(&b, map[string]any{"R": r, "Pictures": charts})
 	return b.Bytes(), err
 }
 
-// render draws a plot as SVG that can stand in a page.
-func render(p *plot.Plot) (template.HTML, error) {
+// renderSVG draws a plot as SVG that can be embedded in the page.
+func renderSVG(p *plot.Plot) (template.HTML, error) {
 	c := vgsvg.New(22*vg.Centimeter, 7*vg.Centimeter)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
 		return "", err
 	}
-	// What stands before the picture is for files of their own.
+	// The XML declaration before the element is only for separate SVG files.
 	text := b.Bytes()
 	if i := bytes.Index(text, []byte("<svg")); i > 0 {
 		text = text[i:]
@@ -88,7 +88,7 @@
 	return template.HTML(text), nil
 }
 
-func empty(title, y string) *plot.Plot {
+func newPlot(title, y string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text = title
 	p.X.Label.Text, p.Y.Label.Text = "s", y
@@ -98,8 +98,8 @@
 
 func seconds(t ledger.Time) float64 { return float64(t) / 10_000 }
 
-// line adds a named line.
-func line(p *plot.Plot, n int, name string, xy plotter.XYs) error {
+// addLine adds a line to a plot, with an entry in the legend if it has a name.
+func addLine(p *plot.Plot, colorIndex int, name string, xy plotter.XYs) error {
 	if len(xy) == 0 {
 		return nil
 	}
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	l.Color = plotutil.Color(n)
+	l.Color = plotutil.Color(colorIndex)
 	p.Add(l)
 	if name != "" {
 		p.Legend.Add(name, l)
@@ -115,14 +115,14 @@
 	return nil
 }
 
-// mark puts an upright line where a trouble begins or ends.
-func mark(p *plot.Plot, faults []report.Fault) {
-	top := p.Y.Max
-	if math.IsInf(top, 0) {
+// addFaultLines adds a vertical line at each begin and end of a fault.
+func addFaultLines(p *plot.Plot, faults []report.Fault) {
+	maxY := p.Y.Max
+	if math.IsInf(maxY, 0) {
 		return
 	}
 	for _, f := range faults {
-		l, err := plotter.NewLine(plotter.XYs{{X: seconds(f.At), Y: p.Y.Min}, {X: seconds(f.At), Y: top}})
+		l, err := plotter.NewLine(plotter.XYs{{X: seconds(f.At), Y: p.Y.Min}, {X: seconds(f.At), Y: maxY}})
 		if err != nil {
 			continue
 		}
@@ -135,7 +135,7 @@
 	if len(r.Slices) == 0 {
 		return nil, nil
 	}
-	p := empty("Latency of what was acked, by the moment at which it was due", "ms")
+	p := newPlot("Latency of what was acked, by the moment at which it was due", "ms")
 	for n, of := range []struct {
 		name string
 		y    func(report.Slice) float64
@@ -147,7 +147,7 @@
 				xy = append(xy, plotter.XY{X: seconds(s.At), Y: of.y(s)})
 			}
 		}
-		if err := line(p, n, of.name, xy); err != nil {
+		if err := addLine(p, n, of.name, xy); err != nil {
 			return nil, err
 		}
 	}
@@ -158,7 +158,7 @@
 	if len(r.Slices) == 0 {
 		return nil, nil
 	}
-	p := empty("Last answers, by the moment at which ops were due", "ops in 0.25 s")
+	p := newPlot("Last answers, by the moment at which ops were due", "ops in 0.25 s")
 	for n, of := range []struct {
 		name string
 		y    func(report.Slice) int
@@ -168,64 +168,65 @@
 		for _, s := range r.Slices {
 			xy = append(xy, plotter.XY{X: seconds(s.At), Y: float64(of.y(s))})
 		}
-		if err := line(p, n, of.name, xy); err != nil {
+		if err := addLine(p, n, of.name, xy); err != nil {
 			return nil, err
 		}
 	}
 	return p, nil
 }
 
-// mostLines bounds how many workers are drawn; of more, the busiest and the mean tell.
-const mostLines = 24
+// maxWorkerLines is the maximum number of workers with a line each. For more workers, the mean and the
+// longest queue are drawn.
+const maxWorkerLines = 24
 
 func queues(r *report.Results) (*plot.Plot, error) {
 	if len(r.Queues) == 0 {
 		return nil, nil
 	}
-	p := empty("Jobs held by each worker", "jobs")
-	if n := len(r.Queues[0].Held); n <= mostLines {
+	p := newPlot("Jobs held by each worker", "jobs")
+	if n := len(r.Queues[0].Held); n <= maxWorkerLines {
 		for w := range n {
 			var xy plotter.XYs
 			for _, q := range r.Queues {
 				xy = append(xy, plotter.XY{X: seconds(q.At), Y: float64(q.Held[w])})
 			}
-			if err := line(p, w, "", xy); err != nil {
+			if err := addLine(p, w, "", xy); err != nil {
 				return nil, err
 			}
 		}
 		return p, nil
 	}
-	var mean, most plotter.XYs
+	var mean, longest plotter.XYs
 	for _, q := range r.Queues {
-		sum, top := 0, 0
-		for _, h := range q.Held {
-			sum, top = sum+h, max(top, h)
+		sum, maxJobs := 0, 0
+		for _, jobs := range q.Held {
+			sum, maxJobs = sum+jobs, max(maxJobs, jobs)
 		}
 		mean = append(mean, plotter.XY{X: seconds(q.At), Y: float64(sum) / float64(len(q.Held))})
-		most = append(most, plotter.XY{X: seconds(q.At), Y: float64(top)})
+		longest = append(longest, plotter.XY{X: seconds(q.At), Y: float64(maxJobs)})
 	}
-	if err := line(p, 0, "mean", mean); err != nil {
+	if err := addLine(p, 0, "mean", mean); err != nil {
 		return nil, err
 	}
-	return p, line(p, 1, "longest", most)
+	return p, addLine(p, 1, "longest", longest)
 }
 
-// used draws a figure of each scheduler's use.
-func used(r *report.Results, title, unit string, y func(i int) (float64, bool)) (*plot.Plot, error) {
+// plotUse draws a usage figure for each scheduler.
+func plotUse(r *report.Results, title, unit string, y func(i int) (float64, bool)) (*plot.Plot, error) {
 	if len(r.Uses) == 0 {
 		return nil, nil
 	}
-	p := empty(title, unit)
-	of := map[int]plotter.XYs{}
-	most := 0
+	p := newPlot(title, unit)
+	points := map[int]plotter.XYs{}
+	maxScheduler := 0
 	for i, u := range r.Uses {
 		if v, ok := y(i); ok {
-			of[u.Scheduler] = append(of[u.Scheduler], plotter.XY{X: seconds(u.At), Y: v})
+			points[u.Scheduler] = append(points[u.Scheduler], plotter.XY{X: seconds(u.At), Y: v})
 		}
-		most = max(most, u.Scheduler)
+		maxScheduler = max(maxScheduler, u.Scheduler)
 	}
-	for n := 1; n <= most; n++ {
-		if err := line(p, n, fmt.Sprintf("n%d", n), of[n]); err != nil {
+	for n := 1; n <= maxScheduler; n++ {
+		if err := addLine(p, n, fmt.Sprintf("n%d", n), points[n]); err != nil {
 			return nil, err
 		}
 	}
@@ -233,35 +234,36 @@
 }
 
 func memory(r *report.Results) (*plot.Plot, error) {
-	return used(r, "Memory of each scheduler", "MB", func(i int) (float64, bool) { return float64(r.Uses[i].Resident) / (1 << 20), true })
+	return plotUse(r, "Memory of each scheduler", "MB", func(i int) (float64, bool) { return float64(r.Uses[i].Resident) / (1 << 20), true })
 }
 
 func descriptors(r *report.Results) (*plot.Plot, error) {
-	return used(r, "Descriptors of each scheduler", "open", func(i int) (float64, bool) { return float64(r.Uses[i].Files), true })
+	return plotUse(r, "Descriptors of each scheduler", "open", func(i int) (float64, bool) { return float64(r.Uses[i].Files), true })
 }
 
 func cpu(r *report.Results) (*plot.Plot, error) {
 	last := map[int]int{}
-	return used(r, "CPU of each scheduler", "cores", func(i int) (float64, bool) {
+	return plotUse(r, "CPU of each scheduler", "cores", func(i int) (float64, bool) {
 		u := r.Uses[i]
-		k, ok := last[u.Scheduler]
+		previous, ok := last[u.Scheduler]
 		last[u.Scheduler] = i
-		if !ok || r.Uses[k].CPU > u.CPU || r.Uses[k].At >= u.At {
+		if !ok || r.Uses[previous].CPU > u.CPU || r.Uses[previous].At >= u.At {
 			return 0, false
 		}
-		return (u.CPU - r.Uses[k].CPU) / seconds(u.At-r.Uses[k].At), true
+		return (u.CPU - r.Uses[previous].CPU) / seconds(u.At-r.Uses[previous].At), true
 	})
 }
 
-// mostPairs bounds how many pairs of schedulers are drawn.
-const mostPairs = 150
+// maxPairRows is the maximum number of pairs of schedulers that are drawn.
+const maxPairRows = 150
 
-// members draws what each scheduler held of each other: a row a pair, thin where the other is held to be here.
+// members draws the schedulers' views of one another, a row for each pair. The line is thin while the view is
+// here.
 func members(r *report.Results) (*plot.Plot, error) {
 	if len(r.Spans) == 0 {
 		return nil, nil
 	}
-	p := empty("What each member held of each other: a row a pair, by who holds it", "pair")
+	p := newPlot("What each member held of each other: a row a pair, by who holds it", "pair")
 	rows := map[[2]int]int{}
 	var pairs [][2]int
 	for _, s := range r.Spans {
@@ -276,10 +278,10 @@
 	}
 	colors := map[string]color.Color{"here": color.RGBA{160, 200, 160, 255}, "doubted": color.RGBA{240, 170, 0, 255},
 		"gone": color.RGBA{200, 0, 0, 255}, "left": color.RGBA{90, 90, 200, 255}}
-	named := map[string]bool{}
+	inLegend := map[string]bool{}
 	for _, s := range r.Spans {
 		row := float64(rows[[2]int{s.By, s.Of}])
-		if row > mostPairs {
+		if row > maxPairRows {
 			continue
 		}
 		l, err := plotter.NewLine(plotter.XYs{{X: seconds(s.From), Y: row}, {X: max(seconds(s.Until), seconds(s.From)+0.02), Y: row}})
@@ -289,8 +291,8 @@
 		if l.Color, l.Width = colors[s.State], vg.Points(1); s.State != "here" {
 			l.Width = vg.Points(2)
 		}
-		if p.Add(l); !named[s.State] {
-			named[s.State] = true
+		if p.Add(l); !inLegend[s.State] {
+			inLegend[s.State] = true
 			p.Legend.Add(s.State, l)
 		}
 	}
--- a/internal/lab/ledger/golden_test.go
+++ b/internal/lab/ledger/golden_test.go
@@ -18,7 +18,8 @@
 
 const goldenLedger = "testdata/ledger.jsonl"
 
-// kinds are all constants of type Kind that the package declares, read from its source so that none is forgotten.
+// kinds returns all constants of type Kind. It reads them from the package's source so that the list is
+// complete.
 func kinds(t *testing.T) (all []Kind) {
 	t.Helper()
 	sources, err := filepath.Glob("*.go")
@@ -43,7 +44,7 @@
 	return all
 }
 
-// kindsOf are the kinds that one declaration gives names to.
+// kindsOf returns the kinds that a declaration defines.
 func kindsOf(t *testing.T, spec *ast.ValueSpec) (all []Kind) {
 	t.Helper()
 	declared, ok := spec.Type.(*ast.Ident)
@@ -53,7 +54,7 @@
 	for _, value := range spec.Values {
 		literal, ok := value.(*ast.BasicLit)
 		if !ok {
-			t.Fatalf("a kind that is no literal: %v", spec.Names)
+			t.Fatalf("the kind %v is not a literal", spec.Names)
 		}
 		text, err := strconv.Unquote(literal.Value)
 		if err != nil {
@@ -64,7 +65,7 @@
 	return all
 }
 
-// fill sets every field of a value, each to another value than all before it.
+// fill sets every field of a value to a value that no earlier field has.
 func fill(t *testing.T, v reflect.Value, next *int) {
 	t.Helper()
 	*next++
@@ -99,7 +100,7 @@
 	}
 }
 
-// requireAllSet fails the test where a field is zero or, but for booleans, has the value of another field.
+// requireAllSet fails the test if a field is zero, or if two fields other than booleans are equal.
 func requireAllSet(t *testing.T, path string, v reflect.Value, seen map[string]string) {
 	t.Helper()
 	if v.IsZero() {
@@ -128,7 +129,7 @@
 	}
 }
 
-// goldenEvents are one event of each kind, all fields of all of them set and distinct within the event.
+// goldenEvents returns an event of each kind, with all fields set and distinct within the event.
 func goldenEvents(t *testing.T) []Event {
 	t.Helper()
 	var events []Event
@@ -143,8 +144,9 @@
 	return events
 }
 
-// Ledgers that earlier builds wrote are read by later ones, so the names of fields and kinds in the file must not change.
-func TestTheFormOfALedgerStays(t *testing.T) {
+// The names of fields and kinds in the file must not change, because later builds read ledgers of earlier
+// builds.
+func TestTheLedgerFormatIsStable(t *testing.T) {
 	var text []byte
 	for _, e := range goldenEvents(t) {
 		line, err := json.Marshal(e)
@@ -156,8 +158,8 @@
 	golden.Compare(t, goldenLedger, text)
 }
 
-// What an event has not is left out of its line.
-func TestTheShortestLinesOfALedgerStay(t *testing.T) {
+// Fields that are not set are omitted from the line.
+func TestEmptyFieldsAreOmittedFromLedgerLines(t *testing.T) {
 	var text []byte
 	for _, e := range []Event{{}, {Kind: Finished}, {Kind: World, Rules: &Rules{Categories: map[string]Category{"name": {}}}}} {
 		line, err := json.Marshal(e)
@@ -169,7 +171,7 @@
 	golden.Compare(t, "testdata/shortest.jsonl", text)
 }
 
-// A ledger of an earlier build is read with every field in its place.
+// Reading a ledger of an earlier build must set every field.
 func TestALedgerOfAnEarlierBuildIsRead(t *testing.T) {
 	got, err := ReadFile(goldenLedger)
 	if err != nil {
@@ -180,24 +182,24 @@
 	}
 }
 
-// A book writes the same form; only the moment is its own.
-func TestABookWritesTheFormOfALedger(t *testing.T) {
+// The writer must write the stable format. Only the time is not compared: the writer sets it.
+func TestAWrittenLedgerHasTheStableFormat(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger.jsonl")
-	book, err := Create(path, time.Now())
+	writer, err := Create(path, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
 	events := goldenEvents(t)
 	var want []byte
 	for _, e := range events {
-		e.At = book.Add(e)
+		e.At = writer.Add(e)
 		line, err := json.Marshal(e)
 		if err != nil {
 			t.Fatal(err)
 		}
 		want = append(append(want, line...), '\n')
 	}
-	if err := book.Close(); err != nil {
+	if err := writer.Close(); err != nil {
 		t.Fatal(err)
 	}
 	got, err := os.ReadFile(path)
@@ -209,14 +211,14 @@
 	}
 }
 
-// What a ledger says in its values, beside names of fields, is read by others too.
-func TestTheWordsOfALedgerStay(t *testing.T) {
-	words := map[string][]string{
+// Other programs read the values of ledger fields, so the constants for them must not change.
+func TestLedgerValuesAreStable(t *testing.T) {
+	values := map[string][]string{
 		"effects":  {Redeliverable, Deduplicated, AtMostOnce},
 		"verdicts": {Acked, Nacked, Dead, Bad, Done, Failed, Returned, TurnedAway, Lost, ServerError},
 		"behind":   {Behind},
 	}
-	text, err := json.MarshalIndent(words, "", " ")
+	text, err := json.MarshalIndent(values, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -1,6 +1,6 @@
-// Package ledger holds what happened in an experiment: one append-only file of JSON lines on one clock, and the
-// kinds of events in it. It is written by those that were there (clients, workers, discovery, the hand that
-// starts and kills schedulers) and never by a scheduler, so that it can be held against one.
+// Package ledger records the events of an experiment in an append-only file of JSON lines with one clock.
+// Clients, workers, discovery and the code that starts and kills schedulers write it. Schedulers don't, so
+// that it is evidence against them.
 package ledger
 
 import (
@@ -25,67 +25,68 @@
 // Span is a duration in the ledger's unit, rounded down.
 func Span(d time.Duration) Time { return Time(d / Tenth) }
 
-// Behind is the text of a request that was sent behind another one whose answer its client still awaited.
+// Behind is the text of a pipelined request: its client still awaited the answer to an earlier one.
 const Behind = "behind"
 
-// ReadUnanswered is the text of a cut whose request had been read: the kernel of the other side had acknowledged all of it, and ended the
-// connection in order. One that is closed over unread bytes is reset.
+// ReadUnanswered is the text of a cut whose request the scheduler had read: the kernel of the other side had
+// acknowledged all of it and closed the connection in order. A close with unread bytes resets the connection.
 const ReadUnanswered = "read, and closed with no answer"
 
-// Kind says what an event is.
+// Kind is the kind of an event.
 type Kind string
 
-// The kinds, and who writes them. Op is a try's own id; Effect is the same for all tries of one client's wish.
+// The kinds, each with the part of the lab that writes it and the fields that it sets. Op is the ID of an
+// attempt. Effect is the same for all attempts of a client's request.
 const (
-	World    Kind = "world"    // first line: Rules and Seed
-	Due      Kind = "due"      // client: a try is due; Category, Effect, Until (its TTL), Scheduler, Try
-	Sent     Kind = "sent"     // client: the last byte of the request is written; Late where it was not on time
-	Answer   Kind = "answer"   // client: the whole answer is there; Verdict, Text
-	Cut      Kind = "cut"      // client: the connection ended without a whole answer
-	Refused  Kind = "refused"  // client: no connection came up
-	Left     Kind = "left"     // client: it has closed its connection on purpose
+	World    Kind = "world"    // first line; Rules, Seed
+	Due      Kind = "due"      // client: an attempt is due; Category, Effect, Until (its TTL), Scheduler, Try
+	Sent     Kind = "sent"     // client: the last byte of the request is written; Late if it was late
+	Answer   Kind = "answer"   // client: it received the complete answer; Verdict, Text
+	Cut      Kind = "cut"      // client: the connection ended without a complete answer
+	Refused  Kind = "refused"  // client: it could not connect
+	Left     Kind = "left"     // client: it closed its connection on purpose
 	Stray    Kind = "stray"    // client: bytes that belong to no request
-	Reached  Kind = "reached"  // worker: a push's last byte is here; Worker, Scheduler, Push, From (its first byte), Until (as it is told how long its answer is waited for)
-	Strange  Kind = "strange"  // worker: a push that no client sent in this form
-	Ran      Kind = "ran"      // worker: the job's effect begins
-	Dropped  Kind = "dropped"  // worker: a repeat that its group remembers, so it has no effect
-	Said     Kind = "said"     // worker: the last line is handed to the connection; Verdict, Text
-	Closed   Kind = "closed"   // worker: the push's connection was ended from the other side, at From
-	Probed   Kind = "probed"   // worker: a load report was asked for
-	Dialed   Kind = "dialed"   // worker: a new connection
-	Boot     Kind = "boot"     // worker: it has started; Cores, Zone, Cell, Cold
-	Fell     Kind = "fell"     // worker: pushed over while it was cold
-	Gone     Kind = "gone"     // worker: its process has ended
-	Told     Kind = "told"     // discovery: a scheduler has been told of a worker's State
+	Reached  Kind = "reached"  // worker: it received a push; Worker, Scheduler, Push, From (first byte), Until (deadline)
+	Strange  Kind = "strange"  // worker: it received a push that matches no client's request
+	Ran      Kind = "ran"      // worker: the job's effect began
+	Dropped  Kind = "dropped"  // worker: it dropped a repeat that its worker group remembers
+	Said     Kind = "said"     // worker: it wrote the reply's last line to the connection; Verdict, Text
+	Closed   Kind = "closed"   // worker: the scheduler closed the push's connection, at From
+	Probed   Kind = "probed"   // worker: it received a load probe
+	Dialed   Kind = "dialed"   // worker: it accepted a connection
+	Boot     Kind = "boot"     // worker: it started; Cores, Zone, Cell, Cold
+	Fell     Kind = "fell"     // worker: it failed under overload while it was cold
+	Gone     Kind = "gone"     // worker: its process ended
+	Told     Kind = "told"     // discovery: it sent a worker's State to a scheduler
 	Up       Kind = "up"       // schedulers: it answers health checks
 	Term     Kind = "term"     // schedulers: SIGTERM
 	Hup      Kind = "hup"      // schedulers: SIGHUP
 	Stopped  Kind = "stopped"  // schedulers: SIGSTOP
 	Resumed  Kind = "resumed"  // schedulers: SIGCONT
 	Killed   Kind = "killed"   // schedulers: SIGKILL, before it is sent
-	Exited   Kind = "exited"   // schedulers: the process has ended; Text says how
-	Way      Kind = "way"      // links between schedulers: that from Scheduler to To is open or cut; State
-	Held     Kind = "held"     // a scheduler's own log: it holds the one with Name in State, at From
-	Repeat   Kind = "repeat"   // client: it asks again under the same id, at Scheduler; Try
-	Echo     Kind = "echo"     // client: the end of that; Verdict and Text, or Cut, Refused or Left in State
-	Fault    Kind = "fault"    // a fault begins or ends; Text
-	Finished Kind = "finished" // last line: the experiment is over
+	Exited   Kind = "exited"   // schedulers: the process ended; Text says how
+	Way      Kind = "way"      // links: the link from Scheduler to To is open or cut; State
+	Held     Kind = "held"     // log of a scheduler: from From on, it sees the member Name in State
+	Repeat   Kind = "repeat"   // client: it repeats a request with the same ID, at Scheduler; Try
+	Echo     Kind = "echo"     // client: the repeat ended; Verdict and Text, or State cut, refused or left
+	Fault    Kind = "fault"    // a fault began or ended; Text
+	Finished Kind = "finished" // last line: the experiment ended
 )
 
-// Rules are the figures that the audit judges by. Spans are in the ledger's unit.
+// Rules are the parameters of the audit. Durations are in ledger ticks.
 type Rules struct {
-	Slack          Time                `json:"slack"` // on each time limit, since sockets take time
+	Slack          Time                `json:"slack"` // added to each limit, for socket delays
 	DrainGrace     Time                `json:"drain_grace"`
 	OverloadFactor float64             `json:"overload_factor"`
 	TipAfter       Time                `json:"tip_after"`
 	ColdFrom       float64             `json:"cold_from"`
 	WarmAfter      Time                `json:"warm_after"`
-	KillAfter      Time                `json:"kill_after"` // after SIGTERM a scheduler has at least so long
-	MeanWork       float64             `json:"mean_work"`  // of all ops in the mean, core time on the yardstick, ms
+	KillAfter      Time                `json:"kill_after"` // the least time from SIGTERM to SIGKILL
+	MeanWork       float64             `json:"mean_work"`  // mean over all ops, ms of core time at speed 1
 	Categories     map[string]Category `json:"categories"`
 }
 
-// Warmth is the share of its capacity that a worker has so long after its start.
+// Warmth returns the share of its capacity that a worker of this age has.
 func (r *Rules) Warmth(age Time) float64 {
 	if r.WarmAfter <= 0 || age >= r.WarmAfter {
 		return 1
@@ -93,8 +94,10 @@
 	return r.ColdFrom + (1-r.ColdFrom)*float64(max(age, 0))/float64(r.WarmAfter)
 }
 
-// Bears is how much work a cold worker may be sent in TipAfter before it falls, ms: the stated multiple of what it can do by
-// then and, counted in ops of mean work, twice the root of that and two, which are chance. Cores is cores times speed.
+// Bears returns how much work, in ms, a cold worker accepts in TipAfter before it fails. It is OverloadFactor
+// times the work that the worker can do in that time, plus an allowance for random variation. The allowance
+// is, counted in ops of mean work, two plus twice the square root of the product. The parameter cores is the
+// number of cores times the worker's speed.
 func (r *Rules) Bears(cores float64, age Time) float64 {
 	budget := r.OverloadFactor * cores * r.Warmth(age) * float64(r.TipAfter) / 10
 	return budget + 2*math.Sqrt(budget*r.MeanWork) + 2*r.MeanWork
@@ -107,19 +110,19 @@
 	AtMostOnce    = "at-most-once"
 )
 
-// Category is what the rules need to know of one.
+// Category holds the properties of a category that the rules depend on.
 type Category struct {
 	Effect string `json:"effect"`
 	Scope  string `json:"scope,omitempty"` // all, zone or cell
 	Window Time   `json:"window,omitempty"`
 }
 
-// Verdicts of clients' answers, and of workers' last words.
+// Verdicts of answers to clients, and of workers' replies.
 const (
 	Acked       = "acked"
 	Nacked      = "nacked"
 	Dead        = "dead-lettered"
-	Bad         = "bad-request" // it was no op
+	Bad         = "bad-request" // the request was no valid op
 	Done        = "done"
 	Failed      = "failed"
 	Returned    = "returned"
@@ -128,7 +131,7 @@
 	ServerError = "server-error"
 )
 
-// Event is one line. What a kind does not need is left out.
+// Event is a line of the ledger. Fields that its kind does not use are omitted.
 type Event struct {
 	At        Time    `json:"at"`
 	Kind      Kind    `json:"kind"`
@@ -139,14 +142,14 @@
 	Client    int     `json:"client,omitempty"`    // from 1
 	To        int     `json:"to,omitempty"`        // another scheduler, from 1
 	Worker    string  `json:"worker,omitempty"`
-	Push      int     `json:"push,omitempty"` // numbers all pushes of an experiment, from 1
+	Push      int     `json:"push,omitempty"` // number of the push in the experiment, from 1
 	Try       int     `json:"try,omitempty"`
 	Until     Time    `json:"until,omitempty"`
 	From      Time    `json:"from,omitempty"`
 	Late      Time    `json:"late,omitempty"`
-	Work      float64 `json:"work,omitempty"` // core time on the yardstick, ms
+	Work      float64 `json:"work,omitempty"` // ms of core time at speed 1
 	Slots     float64 `json:"slots,omitempty"`
-	Usual     float64 `json:"usual,omitempty"` // the same of an ordinary op of its category
+	Usual     float64 `json:"usual,omitempty"` // Work of a typical op of the category
 	Cores     float64 `json:"cores,omitempty"` // cores times speed
 	Zone      string  `json:"zone,omitempty"`
 	Cell      int     `json:"cell,omitempty"`
@@ -160,7 +163,7 @@
 	Rules     *Rules  `json:"rules,omitempty"`
 }
 
-// Book is a ledger that is being written. Lines stand in the order in which their moments were taken.
+// Book writes a ledger. Its lines are in the order of their times.
 type Book struct {
 	mu     sync.Mutex
 	start  time.Time
@@ -170,7 +173,7 @@
 	err    error
 }
 
-// Create starts a ledger; with no path it is kept in memory only.
+// Create starts a ledger. With an empty path it is in memory only.
 func Create(path string, start time.Time) (*Book, error) {
 	b := &Book{start: start}
 	if path == "" {
@@ -184,19 +187,19 @@
 	return b, nil
 }
 
-// Now is the moment on the ledger's clock.
+// Now returns the present time on the ledger's clock.
 func (b *Book) Now() Time { return b.Moment(time.Now()) }
 
-// Moment is a time of the process on the ledger's clock.
+// Moment converts a time of this process to the ledger's clock.
 func (b *Book) Moment(t time.Time) Time { return Span(t.Sub(b.start)) }
 
-// Wall is a moment of the ledger as a time of the process.
+// Wall converts a time on the ledger's clock to a time of this process.
 func (b *Book) Wall(t Time) time.Time { return b.start.Add(time.Duration(t) * Tenth) }
 
-// Clock is a moment of the wall clock on the ledger's clock: only for what others' logs say.
+// Clock converts a wall-clock time to the ledger's clock. It is for times in logs of other processes.
 func (b *Book) Clock(t time.Time) Time { return Span(t.Sub(b.start.Round(0))) }
 
-// Add writes an event with the moment at which it is added.
+// Add writes an event with the present time, which it returns.
 func (b *Book) Add(e Event) Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -212,14 +215,14 @@
 	return e.At
 }
 
-// Events are all that was added so far; the slice must not be changed.
+// Events returns all events added so far. The caller must not change the slice.
 func (b *Book) Events() []Event {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.events[:len(b.events):len(b.events)]
 }
 
-// Close writes the rest and says whether all of it was written.
+// Close flushes and closes the file. It returns the first error of any write.
 func (b *Book) Close() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -234,17 +237,17 @@
 	return nil
 }
 
-// longestLine bounds what a line of a ledger may hold.
-const longestLine = 1 << 20
+// maxLineBytes is the maximum length of a line.
+const maxLineBytes = 1 << 20
 
-// ErrTorn says that the last line of a ledger is not whole: its writer was cut off.
-var ErrTorn = errors.New("the last line is not whole")
+// ErrTorn means that the last line of a ledger is incomplete because its writer was interrupted.
+var ErrTorn = errors.New("the last line is incomplete")
 
-// Read reads a ledger. One that was cut off in its last line is returned up to there, with ErrTorn; any other
-// fault is an error that names the line.
+// Read reads a ledger. If the last line is incomplete, it returns the lines before it and ErrTorn. Any other
+// error names the line.
 func Read(r io.Reader) ([]Event, error) {
 	var events []Event
-	in := bufio.NewReaderSize(r, longestLine)
+	in := bufio.NewReaderSize(r, maxLineBytes)
 	for n := 1; ; n++ {
 		line, err := in.ReadSlice('\n')
 		switch {
--- a/internal/lab/membershipcheck/views.go
+++ b/internal/lab/membershipcheck/views.go
@@ -1,5 +1,5 @@
-// Package membershipcheck judges what schedulers held of one another, by the links and the processes as they were, and believes no scheduler.
-// It does no input or output.
+// Package membershipcheck checks the schedulers' views of one another against the recorded states of their
+// links and processes. It does no input or output.
 package membershipcheck
 
 import (
@@ -11,202 +11,202 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-// Terms are what views are judged by, in the ledger's unit.
+// Terms are the limits that views are checked against, in ledger ticks.
 type Terms struct {
 	Count  int
-	Pause  ledger.Time // one that stands still up to so long must not be called gone
-	Detect ledger.Time // one that is no more must be gone in all views within this
-	Settle ledger.Time // and views that can be must be right so long after the last change
-	Grace  ledger.Time // a word that one is gone may rest on what was so long ago
+	Pause  ledger.Time // a member that is suspended for at most this long must not be seen as gone
+	Detect ledger.Time // an ended member must be gone in all views within this time
+	Settle ledger.Time // views must be right this long after the last change
+	Grace  ledger.Time // a view of gone may rest on unreachability up to this long ago
 }
 
-// Span is for how long one scheduler held another in a state.
+// Span is a period in which scheduler By saw scheduler Of in a state.
 type Span struct {
-	By, Of      int // from 1
+	By, Of      int // indices, from 1
 	State       string
 	From, Until ledger.Time
 }
 
-// Judgement is what came out.
+// Judgement is the result of the check.
 type Judgement struct {
-	FalseGone, MissedGone, Apart int
-	Detect                       []ledger.Time // from an end to each view that has it
-	Converge                     []ledger.Time // from a change to the moment at which all views were right
-	Breaches                     []string
-	Spans                        []Span
+	FalseGone, MissedGone, WrongViews int
+	DetectTimes                       []ledger.Time // from a member's end to each view that shows it
+	ConvergeTimes                     []ledger.Time // from a change until all views were right
+	Breaches                          []string
+	Spans                             []Span
 }
 
-const mostTold = 20
+const maxBreaches = 20
 
-type held struct {
+type view struct {
 	state string
 	since ledger.Time
 }
 
-// world is what was true, and what was held, at a moment.
-type world struct {
-	t       Terms
-	up      []bool
-	since   []ledger.Time // of the present process
-	stopped []ledger.Time // 0: it runs
-	leaving []bool
-	aside   []bool // not judged as one who holds: another process has its name
-	cut     [][]bool
-	bad     [][]ledger.Time // when two could last not reach each other
-	holds   [][]held
-	died    []ledger.Time
-	changed ledger.Time // the last change of what is true
-	right   bool        // since then all views have been right once
-	j       *Judgement
+// replay holds the actual states and the schedulers' views at a moment of the ledger.
+type replay struct {
+	limits          Terms
+	up              []bool
+	stateSince      []ledger.Time // when the present process started, or the last one ended
+	stoppedAt       []ledger.Time // when it was suspended, 0 while it runs
+	leaving         []bool
+	nameReused      []bool // its views are not checked: another process uses its name
+	cut             [][]bool
+	lastUnreachable [][]ledger.Time // when each pair was last unable to reach each other
+	views           [][]view
+	diedAt          []ledger.Time
+	changedAt       ledger.Time // the last change of an actual state
+	converged       bool        // all views have been right at some moment since changedAt
+	result          *Judgement
 }
 
-func ended(state string) bool { return state == "gone" || state == "left" }
+func isEnded(state string) bool { return state == "gone" || state == "left" }
 
-func (w *world) answers(i int, now ledger.Time) bool {
-	return w.up[i] && !(w.stopped[i] > 0 && now-w.stopped[i] > w.t.Pause)
+func (w *replay) responds(i int, now ledger.Time) bool {
+	return w.up[i] && !(w.stoppedAt[i] > 0 && now-w.stoppedAt[i] > w.limits.Pause)
 }
 
-func (w *world) both(i, j int) bool { return !w.cut[i][j] && !w.cut[j][i] }
+func (w *replay) linksOpen(i, j int) bool { return !w.cut[i][j] && !w.cut[j][i] }
 
-// reaches tells whether two can reach each other both ways, directly or through one other.
-func (w *world) reaches(i, j int, now ledger.Time) bool {
-	if !w.answers(i, now) || !w.answers(j, now) {
+// reaches reports whether two schedulers can reach each other both ways, directly or through a third one.
+func (w *replay) reaches(i, j int, now ledger.Time) bool {
+	if !w.responds(i, now) || !w.responds(j, now) {
 		return false
 	}
-	if w.both(i, j) {
+	if w.linksOpen(i, j) {
 		return true
 	}
 	for k := range w.up {
-		if k != i && k != j && w.answers(k, now) && w.both(i, k) && w.both(k, j) {
+		if k != i && k != j && w.responds(k, now) && w.linksOpen(i, k) && w.linksOpen(k, j) {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) note(now ledger.Time) {
+func (w *replay) recordUnreachable(now ledger.Time) {
 	for i := range w.up {
 		for j := range i {
 			if !w.reaches(i, j, now) {
-				w.bad[i][j], w.bad[j][i] = now, now
+				w.lastUnreachable[i][j], w.lastUnreachable[j][i] = now, now
 			}
 		}
 	}
 }
 
-func (w *world) breach(format string, v ...any) {
-	if len(w.j.Breaches) < mostTold {
-		w.j.Breaches = append(w.j.Breaches, fmt.Sprintf(format, v...))
+func (w *replay) breach(format string, v ...any) {
+	if len(w.result.Breaches) < maxBreaches {
+		w.result.Breaches = append(w.result.Breaches, fmt.Sprintf(format, v...))
 	}
 }
 
-func at(t ledger.Time) float64 { return float64(t) / 10_000 }
+func seconds(t ledger.Time) float64 { return float64(t) / 10_000 }
 
-// wrong tells in which way i's view of j is not as it should be, empty where it is right or nothing is asked of it.
-func (w *world) wrong(i, j int, now ledger.Time) string {
-	if i == j || !w.answers(i, now) || w.stopped[i] > 0 || w.aside[i] || w.leaving[i] || w.leaving[j] {
+// viewError says in which way i's view of j is wrong. It is empty where the view is right or is not checked.
+func (w *replay) viewError(i, j int, now ledger.Time) string {
+	if i == j || !w.responds(i, now) || w.stoppedAt[i] > 0 || w.nameReused[i] || w.leaving[i] || w.leaving[j] {
 		return ""
 	}
-	h := w.holds[i][j].state
+	state := w.views[i][j].state
 	switch {
-	case w.reaches(i, j, now) && w.stopped[j] == 0 && h != "here" && !w.aside[j]:
-		return fmt.Sprintf("n%d holds n%d %q, which is here", i+1, j+1, h)
-	case !w.up[j] && h != "" && !ended(h):
-		return fmt.Sprintf("n%d holds n%d %q, which is no more", i+1, j+1, h)
+	case w.reaches(i, j, now) && w.stoppedAt[j] == 0 && state != "here" && !w.nameReused[j]:
+		return fmt.Sprintf("n%d holds n%d %q, which is here", i+1, j+1, state)
+	case !w.up[j] && state != "" && !isEnded(state):
+		return fmt.Sprintf("n%d holds n%d %q, which is no more", i+1, j+1, state)
 	}
 	return ""
 }
 
-// calm ends a time in which nothing changed.
-func (w *world) calm(now ledger.Time) {
-	if now-w.changed < w.t.Settle {
+// checkSettled checks all views at the end of a period without changes.
+func (w *replay) checkSettled(now ledger.Time) {
+	if now-w.changedAt < w.limits.Settle {
 		return
 	}
 	for i := range w.up {
 		for j := range w.up {
-			if text := w.wrong(i, j, now); text != "" {
-				w.j.Apart++
-				w.breach("at %.3f s, %.1f s after the last change: %s", at(now), at(now-w.changed), text)
+			if text := w.viewError(i, j, now); text != "" {
+				w.result.WrongViews++
+				w.breach("at %.3f s, %.1f s after the last change: %s", seconds(now), seconds(now-w.changedAt), text)
 			}
 		}
 	}
 }
 
-func (w *world) settled(now ledger.Time) {
-	if w.right {
+func (w *replay) checkConverged(now ledger.Time) {
+	if w.converged {
 		return
 	}
 	for i := range w.up {
 		for j := range w.up {
-			if w.wrong(i, j, now) != "" {
+			if w.viewError(i, j, now) != "" {
 				return
 			}
 		}
 	}
-	w.right = true
-	w.j.Converge = append(w.j.Converge, now-w.changed)
+	w.converged = true
+	w.result.ConvergeTimes = append(w.result.ConvergeTimes, now-w.changedAt)
 }
 
-// missed judges an end that is detect ago, or that is over because a new process has come.
-func (w *world) missed(j int, now ledger.Time) {
-	if w.died[j] < 0 || now-w.died[j] < w.t.Detect {
+// checkMissedEnd checks the views of a member that ended at least Detect ago.
+func (w *replay) checkMissedEnd(j int, now ledger.Time) {
+	if w.diedAt[j] < 0 || now-w.diedAt[j] < w.limits.Detect {
 		return
 	}
 	for i := range w.up {
-		// One that was stopped, cut off or started meanwhile had less time.
-		if i == j || !w.up[i] || w.aside[i] || w.stopped[i] > 0 || w.since[i] > w.died[j]-w.t.Settle {
+		// An observer that was suspended or started since then had less time.
+		if i == j || !w.up[i] || w.nameReused[i] || w.stoppedAt[i] > 0 || w.stateSince[i] > w.diedAt[j]-w.limits.Settle {
 			continue
 		}
-		if h := w.holds[i][j].state; h != "" && !ended(h) {
-			w.j.MissedGone++
-			w.breach("at %.3f s: n%d holds n%d %q, which ended at %.3f s", at(now), i+1, j+1, h, at(w.died[j]))
+		if state := w.views[i][j].state; state != "" && !isEnded(state) {
+			w.result.MissedGone++
+			w.breach("at %.3f s: n%d holds n%d %q, which ended at %.3f s", seconds(now), i+1, j+1, state, seconds(w.diedAt[j]))
 		}
 	}
-	w.died[j] = -1
+	w.diedAt[j] = -1
 }
 
-func (w *world) hold(ev ledger.Event, index map[string]int) {
+func (w *replay) applyView(ev ledger.Event, index map[string]int) {
 	i, now := ev.Scheduler-1, ev.At
 	j, ok := index[ev.Name]
 	if !ok || i == j {
 		return
 	}
-	if !w.reaches(i, j, now) { // a cut that lasts is noted at its beginning and its end alone
-		w.bad[i][j], w.bad[j][i] = now, now
+	if !w.reaches(i, j, now) { // during a cut, lastUnreachable is otherwise set only at its begin and end
+		w.lastUnreachable[i][j], w.lastUnreachable[j][i] = now, now
 	}
-	h := &w.holds[i][j]
-	if h.state != "" {
-		w.j.Spans = append(w.j.Spans, Span{i + 1, j + 1, h.state, h.since, now})
+	v := &w.views[i][j]
+	if v.state != "" {
+		w.result.Spans = append(w.result.Spans, Span{i + 1, j + 1, v.state, v.since, now})
 	}
-	before := h.state
-	*h = held{ev.State, now}
+	previous := v.state
+	*v = view{ev.State, now}
 	switch {
-	case ended(ev.State) && before != "" && !ended(before) && !w.up[j]:
-		w.j.Detect = append(w.j.Detect, now-w.since[j])
-	case ev.State == "gone" && ev.Verdict != "private" && w.up[j] && !w.leaving[j] && w.answers(j, now) && !w.aside[j] && !w.aside[i]:
-		if now-max(w.bad[i][j], w.since[i], w.since[j]) > w.t.Grace {
-			w.j.FalseGone++
-			w.breach("at %.3f s: n%d calls n%d gone, by %s, and could reach it since %.3f s", at(now), i+1, j+1, ev.Text, at(max(w.bad[i][j], 0)))
+	case isEnded(ev.State) && previous != "" && !isEnded(previous) && !w.up[j]:
+		w.result.DetectTimes = append(w.result.DetectTimes, now-w.stateSince[j])
+	case ev.State == "gone" && ev.Verdict != "private" && w.up[j] && !w.leaving[j] && w.responds(j, now) && !w.nameReused[j] && !w.nameReused[i]:
+		if now-max(w.lastUnreachable[i][j], w.stateSince[i], w.stateSince[j]) > w.limits.Grace {
+			w.result.FalseGone++
+			w.breach("at %.3f s: n%d calls n%d gone, by %s, and could reach it since %.3f s", seconds(now), i+1, j+1, ev.Text, seconds(max(w.lastUnreachable[i][j], 0)))
 		}
 	}
-	w.settled(now)
+	w.checkConverged(now)
 }
 
-// Judge judges a ledger whose Held events are in it, in any order.
+// Judge checks a ledger that includes the Held events, in any order.
 func Judge(events []ledger.Event, t Terms) *Judgement {
 	n := t.Count
-	w := &world{t: t, up: make([]bool, n), since: make([]ledger.Time, n), stopped: make([]ledger.Time, n), leaving: make([]bool, n),
-		aside: make([]bool, n), died: make([]ledger.Time, n), j: &Judgement{}, right: true}
+	w := &replay{limits: t, up: make([]bool, n), stateSince: make([]ledger.Time, n), stoppedAt: make([]ledger.Time, n), leaving: make([]bool, n),
+		nameReused: make([]bool, n), diedAt: make([]ledger.Time, n), result: &Judgement{}, converged: true}
 	index := map[string]int{}
 	for i := range n {
 		index[fmt.Sprintf("n%d", i+1)] = i
-		w.died[i] = -1
-		w.cut, w.holds = append(w.cut, make([]bool, n)), append(w.holds, make([]held, n))
+		w.diedAt[i] = -1
+		w.cut, w.views = append(w.cut, make([]bool, n)), append(w.views, make([]view, n))
 		row := make([]ledger.Time, n)
 		for k := range row {
 			row[k] = math.MinInt32
 		}
-		w.bad = append(w.bad, row)
+		w.lastUnreachable = append(w.lastUnreachable, row)
 	}
 	var order []ledger.Event
 	for _, ev := range events {
@@ -227,58 +227,58 @@
 		end = ev.At
 		now, i := ev.At, ev.Scheduler-1
 		for j := range n {
-			w.missed(j, now)
+			w.checkMissedEnd(j, now)
 		}
 		if ev.Kind == ledger.Held {
-			w.hold(ev, index)
+			w.applyView(ev, index)
 			continue
 		}
-		w.calm(now)
-		w.note(now)
+		w.checkSettled(now)
+		w.recordUnreachable(now)
 		if ev.Kind == ledger.Way && ev.State == "end" {
-			break walk // what follows is the lab's own end
+			break walk // the lab stops the schedulers after this event
 		}
 		switch ev.Kind {
 		case ledger.Up:
-			w.up[i], w.leaving[i], w.since[i], w.stopped[i], w.died[i] = true, false, now, 0, -1
+			w.up[i], w.leaving[i], w.stateSince[i], w.stoppedAt[i], w.diedAt[i] = true, false, now, 0, -1
 		case ledger.Term:
 			w.leaving[i] = true
 		case ledger.Killed, ledger.Exited:
 			if w.up[i] {
-				w.up[i], w.since[i], w.died[i], w.stopped[i] = false, now, now, 0
+				w.up[i], w.stateSince[i], w.diedAt[i], w.stoppedAt[i] = false, now, now, 0
 			}
 			for j := range n {
-				if h := &w.holds[i][j]; h.state != "" { // the next process knows nothing of it
-					w.j.Spans = append(w.j.Spans, Span{i + 1, j + 1, h.state, h.since, now})
-					*h = held{}
+				if v := &w.views[i][j]; v.state != "" { // the next process starts with no views
+					w.result.Spans = append(w.result.Spans, Span{i + 1, j + 1, v.state, v.since, now})
+					*v = view{}
 				}
 			}
 		case ledger.Stopped:
-			w.stopped[i] = max(now, 1)
+			w.stoppedAt[i] = max(now, 1)
 		case ledger.Resumed:
-			if w.stopped[i] > 0 && now-w.stopped[i] > t.Pause {
+			if w.stoppedAt[i] > 0 && now-w.stoppedAt[i] > t.Pause {
 				for j := range n {
-					w.bad[i][j], w.bad[j][i] = now, now
+					w.lastUnreachable[i][j], w.lastUnreachable[j][i] = now, now
 				}
 			}
-			w.stopped[i] = 0
+			w.stoppedAt[i] = 0
 		case ledger.Way:
 			if ev.State == "aside" {
-				w.aside[i] = true
+				w.nameReused[i] = true
 			} else if ev.To >= 1 && ev.To <= n {
 				w.cut[i][ev.To-1] = ev.State != "open"
 			}
 		}
-		w.note(now)
-		w.changed, w.right = now, false
-		w.settled(now)
+		w.recordUnreachable(now)
+		w.changedAt, w.converged = now, false
+		w.checkConverged(now)
 	}
 	for i := range n {
 		for j := range n {
-			if h := w.holds[i][j]; h.state != "" {
-				w.j.Spans = append(w.j.Spans, Span{i + 1, j + 1, h.state, h.since, max(end, h.since)})
+			if v := w.views[i][j]; v.state != "" {
+				w.result.Spans = append(w.result.Spans, Span{i + 1, j + 1, v.state, v.since, max(end, v.since)})
 			}
 		}
 	}
-	return w.j
+	return w.result
 }
--- a/internal/lab/meter/meter.go
+++ b/internal/lab/meter/meter.go
@@ -1,64 +1,65 @@
-// Package meter counts what each scheduler sends and is sent, by what it is for: control apart from clients' work. Bytes are those that
-// the sockets carry, with HTTP's heads and without those of TCP and IP.
+// Package meter counts the traffic that each scheduler sends and receives, by purpose. Bytes are those read
+// from and written to sockets. They include HTTP headers, and no TCP or IP headers.
 package meter
 
 import "sync/atomic"
 
-// Kind is what bytes are for.
+// Kind is the purpose of traffic.
 type Kind int
 
-// Clients' own connections are not counted.
+// Traffic with clients is not counted.
 const (
 	Probes  Kind = iota // load reports
-	Work                // pushes, and what workers say of them
-	List                // discovery
+	Work                // pushes and the workers' replies
+	List                // endpoint lists from discovery
 	Members             // datagrams and streams between schedulers
 	Kinds
 )
 
 func (k Kind) String() string { return [Kinds]string{"probes", "work", "list", "members"}[k] }
 
-// Count is what one scheduler received and sent of a kind; Messages are requests, or datagrams that it sent.
+// Count is the number of bytes that a scheduler received and sent. Messages counts requests and sent
+// datagrams.
 type Count struct{ In, Out, Messages int64 }
 
-// Sheet is the counts of all schedulers at a moment.
+// Sheet holds the counts of all schedulers at a moment, by scheduler and kind.
 type Sheet [][Kinds]Count
 
-type cell struct{ in, out, messages atomic.Int64 }
+type counter struct{ in, out, messages atomic.Int64 }
 
-// Meter counts; nil counts nothing.
-type Meter struct{ cells [][Kinds]cell }
+// Meter counts the traffic of schedulers. A nil Meter counts nothing.
+type Meter struct{ counters [][Kinds]counter }
 
-// New makes a meter for so many schedulers.
-func New(schedulers int) *Meter { return &Meter{make([][Kinds]cell, schedulers)} }
+// New returns a meter for a number of schedulers.
+func New(schedulers int) *Meter { return &Meter{make([][Kinds]counter, schedulers)} }
 
-// Add counts what the n-th scheduler, from 0, received and sent. Others than those that it was made for are not counted.
+// Add adds to the counts of scheduler n, from 0. It ignores an n outside the range given to New.
 func (m *Meter) Add(n int, k Kind, in, out, messages int) {
-	if m == nil || n < 0 || n >= len(m.cells) {
+	if m == nil || n < 0 || n >= len(m.counters) {
 		return
 	}
-	c := &m.cells[n][k]
+	c := &m.counters[n][k]
 	c.in.Add(int64(in))
 	c.out.Add(int64(out))
 	c.messages.Add(int64(messages))
 }
 
-// Now is the counts as they are.
+// Now returns the present counts.
 func (m *Meter) Now() Sheet {
 	if m == nil {
 		return nil
 	}
-	s := make(Sheet, len(m.cells))
-	for n := range m.cells {
-		for k := range m.cells[n] {
-			c := &m.cells[n][k]
+	s := make(Sheet, len(m.counters))
+	for n := range m.counters {
+		for k := range m.counters[n] {
+			c := &m.counters[n][k]
 			s[n][k] = Count{c.in.Load(), c.out.Load(), c.messages.Load()}
 		}
 	}
 	return s
 }
 
-// Since is what was added after another moment.
+// Since returns the difference from an earlier sheet.
 func (s Sheet) Since(before Sheet) Sheet {
 	d := make(Sheet, len(s))
 	for n := range s {
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -1,5 +1,5 @@
-// Package report works out of a ledger what an experiment has shown: latencies from the moment at which ops were
-// due, service by benefit, waste, probes, connections, and what the schedulers used.
+// Package report computes the figures of an experiment from its ledger: latencies since ops were due, service
+// by benefit, waste, probes, connections, and the resources that the schedulers used.
 package report
 
 import (
@@ -20,44 +20,44 @@
 	"woaddyke/internal/lab/schedulers"
 )
 
-// Results are all figures of one run.
+// Results holds the figures of a run.
 type Results struct {
 	Name        string                 `json:"name"`
 	Seed        uint64                 `json:"seed"`
-	Script      string                 `json:"script"` // its hash
+	Script      string                 `json:"script"` // hash of the script
 	Seconds     float64                `json:"seconds"`
 	Interrupted bool                   `json:"interrupted,omitempty"`
-	Void        string                 `json:"void,omitempty"` // why the run proves nothing
+	Void        string                 `json:"void,omitempty"` // why the run is not valid, or empty
 	Audit       audit.Judgement        `json:"audit"`
 	Figures     map[string]float64     `json:"figures"`
 	Categories  []Category             `json:"categories"`
-	Unmet       []string               `json:"unmet,omitempty"` // promises of the file that did not hold
+	Unmet       []string               `json:"unmet,omitempty"` // expectations that were not met
 	Uses        []schedulers.Use       `json:"uses,omitempty"`
 	Queues      []Queue                `json:"queues,omitempty"`
 	Slices      []Slice                `json:"slices,omitempty"`
 	Faults      []Fault                `json:"faults,omitempty"`
-	Spans       []membershipcheck.Span `json:"spans,omitempty"` // what schedulers held of one another
-	Span        float64                `json:"span,omitempty"`  // seconds that the figures of roles cover
+	Spans       []membershipcheck.Span `json:"spans,omitempty"` // the schedulers' views of one another
+	Span        float64                `json:"span,omitempty"`  // seconds that the usage figures cover
 
-	readies []float64
+	readyMS []float64
 }
 
-// Category is what clients of one category saw.
+// Category holds the outcomes and latencies of a category's requests.
 type Category struct {
 	Name    string             `json:"name"`
 	Counts  map[string]int     `json:"counts"`
-	Latency map[string]float64 `json:"latency_ms"` // of what was acked, since it was due
+	Latency map[string]float64 `json:"latency_ms"` // of acked requests, from the time when they were due
 	Service float64            `json:"service"`
 }
 
-// Queue is how many jobs each worker holds at a moment.
+// Queue holds the number of jobs at each worker at a moment.
 type Queue struct {
 	At      ledger.Time `json:"at"`
 	Held    []int       `json:"held"`
 	Waiting []int       `json:"waiting"`
 }
 
-// Slice is a short span of the run.
+// Slice holds the outcomes and latencies of the requests that were due in a short part of the run.
 type Slice struct {
 	At                ledger.Time `json:"at"`
 	Acked             int         `json:"acked"`
@@ -67,25 +67,25 @@
 	P50, P99, Longest float64
 }
 
-// Fault is a trouble as it was played.
+// Fault is the begin or end of a fault in the run.
 type Fault struct {
 	At   ledger.Time `json:"at"`
 	Text string      `json:"text"`
 }
 
-// sliceLength is a slice's span.
+// sliceLength is the length of a slice, in ledger ticks.
 const sliceLength ledger.Time = 2_500
 
-// Quantiles that are told of each latency.
+// quantiles are the quantiles that are reported for each latency.
 var quantiles = []struct {
 	Name string
 	Q    float64
 }{{"p50", 50}, {"p90", 90}, {"p99", 99}, {"p99.9", 99.9}, {"max", 100}}
 
-// histogram counts latencies in tenths of a ms up to an hour.
+// histogram returns a histogram for latencies in tenths of a millisecond, up to an hour.
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 36_000_000, 3) }
 
-func record(h *hdrhistogram.Histogram, t ledger.Time) { h.RecordValue(max(int64(t), 1)) }
+func recordLatency(h *hdrhistogram.Histogram, t ledger.Time) { h.RecordValue(max(int64(t), 1)) }
 
 func latency(h *hdrhistogram.Histogram) map[string]float64 {
 	m := map[string]float64{}
@@ -97,12 +97,12 @@
 	return m
 }
 
-// wish is what became of one wish over all its tries.
-type wish struct {
+// clientRequest is the state of a client's request over all its attempts.
+type clientRequest struct {
 	category int
 	client   int
 	due      ledger.Time
-	work     float64 // core time
+	work     float64 // ms of core time
 	slots    float64
 	ackedAt  ledger.Time
 	acked    bool
@@ -111,7 +111,7 @@
 	tries    int
 }
 
-// Of works the figures out.
+// Of computes the figures of a run.
 func Of(e *experiment.Experiment, events []ledger.Event, uses []schedulers.Use, queues []Queue) (*Results, error) {
 	j, err := audit.Judge(events)
 	if err != nil {
@@ -122,43 +122,43 @@
 	for i, c := range e.Categories {
 		index[c.Name] = i
 	}
-	wishes, order := map[string]*wish{}, []*wish{}
-	ops := map[string]*wish{}
-	workOf := map[int]float64{} // by push
-	asked, done, late, lateMost, sent := 0.0, 0.0, 0, ledger.Time(0), 0
+	requests, order := map[string]*clientRequest{}, []*clientRequest{}
+	ops := map[string]*clientRequest{}
+	workOf := map[int]float64{} // by number of the push
+	requestedWork, doneWork, late, maxLate, sent := 0.0, 0.0, 0, ledger.Time(0), 0
 	counts := map[ledger.Kind]int{}
 	for i := range events {
 		ev := &events[i]
 		counts[ev.Kind]++
 		switch ev.Kind {
 		case ledger.Due:
-			w := wishes[ev.Effect]
-			if w == nil {
-				w = &wish{category: index[ev.Category], client: ev.Client, due: ev.From, work: ev.Work, slots: max(ev.Slots, 1)}
-				wishes[ev.Effect], order = w, append(order, w)
-				asked += ev.Work
+			req := requests[ev.Effect]
+			if req == nil {
+				req = &clientRequest{category: index[ev.Category], client: ev.Client, due: ev.From, work: ev.Work, slots: max(ev.Slots, 1)}
+				requests[ev.Effect], order = req, append(order, req)
+				requestedWork += ev.Work
 			}
-			w.tries++
-			ops[ev.Op] = w
+			req.tries++
+			ops[ev.Op] = req
 		case ledger.Sent:
 			if sent++; ev.Late > 10 {
 				late++
 			}
-			lateMost = max(lateMost, ev.Late)
+			maxLate = max(maxLate, ev.Late)
 		case ledger.Answer, ledger.Cut, ledger.Refused, ledger.Left, ledger.Echo:
-			if w := ops[ev.Op]; w != nil && !w.acked {
-				w.last, w.lastAt = string(ev.Kind), ev.At
+			if req := ops[ev.Op]; req != nil && !req.acked {
+				req.last, req.lastAt = string(ev.Kind), ev.At
 				if ev.Verdict != "" {
-					w.last = ev.Verdict
+					req.last = ev.Verdict
 				}
 				if ev.Verdict == ledger.Acked {
-					w.acked, w.ackedAt = true, ev.At
+					req.acked, req.ackedAt = true, ev.At
 				}
 			}
 		case ledger.Reached:
 			workOf[ev.Push] = ev.Work
 		case ledger.Ran:
-			done += workOf[ev.Push]
+			doneWork += workOf[ev.Push]
 		case ledger.Fault:
 			r.Faults = append(r.Faults, Fault{ev.At, ev.Text})
 		case ledger.Finished:
@@ -166,12 +166,12 @@
 		}
 	}
 	r.Seconds = float64(events[len(events)-1].At) / 10_000
-	r.service(e, order)
-	r.slices(order)
-	useful := 0.0
-	for _, w := range order {
-		if w.acked {
-			useful += w.work
+	r.addService(e, order)
+	r.addSlices(order)
+	ackedWork := 0.0
+	for _, req := range order {
+		if req.acked {
+			ackedWork += req.work
 		}
 	}
 	f := r.Figures
@@ -179,13 +179,13 @@
 	f["wishes"], f["tries_per_op"] = float64(len(order)), float64(counts[ledger.Due])/n
 	f["pushes_per_op"], f["probes_per_op"] = float64(counts[ledger.Reached])/n, float64(counts[ledger.Probed])/n
 	f["dials_per_op"] = float64(counts[ledger.Dialed]) / n
-	f["waste"] = max(done-useful, 0) / max(asked, 1e-9)
-	f["sent_late"], f["sent_late_max_ms"] = float64(late)/float64(max(sent, 1)), float64(lateMost)/10
+	f["waste"] = max(doneWork-ackedWork, 0) / max(requestedWork, 1e-9)
+	f["sent_late"], f["sent_late_max_ms"] = float64(late)/float64(max(sent, 1)), float64(maxLate)/10
 	f["excused"], f["unread"], f["open"] = float64(j.Excused), float64(j.Unread), float64(j.Open)
 	f["dropped_repeats"] = float64(counts[ledger.Dropped])
 	f["broken"] = float64(len(j.Breaches))
 	f["crashed"] = float64(breaches(j, audit.Crashed))
-	r.use()
+	r.addUse()
 	return r, nil
 }
 
@@ -198,106 +198,109 @@
 	return n
 }
 
-// service is the benefit that was answered in time over all that was asked for; a benefit counts for each unit of
-// work. An answer after the target latency and before the TTL earns a category's share of it.
-func (r *Results) service(e *experiment.Experiment, order []*wish) {
-	all := histogram()
-	got, asked := 0.0, 0.0
-	clients, windows := map[int]*share{}, map[int]*share{}
+// addService adds the service figures: the benefit earned divided by the benefit of all requests. A
+// category's benefit counts for each unit of work. An answer after the target latency and before the TTL
+// earns the category's LateBenefit share of the benefit.
+func (r *Results) addService(e *experiment.Experiment, order []*clientRequest) {
+	allLatencies := histogram()
+	totalEarned, totalRequested := 0.0, 0.0
+	clients, windows := map[int]*earnings{}, map[int]*earnings{}
 	worst := 1.0
 	for i, c := range e.Categories {
 		h := histogram()
 		row := Category{Name: c.Name, Counts: map[string]int{}}
-		mine, ours := 0.0, 0.0
-		for _, w := range order {
-			if w.category != i {
+		categoryEarned, categoryRequested := 0.0, 0.0
+		for _, req := range order {
+			if req.category != i {
 				continue
 			}
-			worth := c.Benefit * w.work
-			ours += worth
+			benefit := c.Benefit * req.work
+			categoryRequested += benefit
 			row.Counts["wishes"]++
-			of := []*share{shareOf(clients, w.client)}
-			for k := range windowSlices { // each span of ten seconds that it is in
-				of = append(of, shareOf(windows, int(w.due/sliceLength)-k))
+			buckets := []*earnings{earningsOf(clients, req.client)}
+			for k := range windowSlices { // each window of ten seconds that contains the due time
+				buckets = append(buckets, earningsOf(windows, int(req.due/sliceLength)-k))
 			}
-			for _, s := range of {
-				s.asked += worth
+			for _, s := range buckets {
+				s.asked += benefit
 			}
-			if !w.acked {
-				row.Counts[cmp.Or(w.last, "unanswered")]++
+			if !req.acked {
+				row.Counts[cmp.Or(req.last, "unanswered")]++
 				continue
 			}
 			row.Counts[ledger.Acked]++
-			took := w.ackedAt - w.due
-			record(h, took)
-			record(all, took)
+			elapsed := req.ackedAt - req.due
+			recordLatency(h, elapsed)
+			recordLatency(allLatencies, elapsed)
 			earned := 0.0
 			switch {
-			case took <= experiment.MS(c.TargetMS+c.Stretch*w.work/w.slots):
-				earned = worth
-			case took <= experiment.MS(c.TTLMS):
-				earned = worth * c.LateBenefit
+			case elapsed <= experiment.MS(c.TargetMS+c.Stretch*req.work/req.slots):
+				earned = benefit
+			case elapsed <= experiment.MS(c.TTLMS):
+				earned = benefit * c.LateBenefit
 			}
-			mine += earned
-			for _, s := range of {
-				s.got += earned
+			categoryEarned += earned
+			for _, s := range buckets {
+				s.earned += earned
 			}
 		}
 		row.Latency = latency(h)
-		if ours > 0 {
-			row.Service = mine / ours
+		if categoryRequested > 0 {
+			row.Service = categoryEarned / categoryRequested
 		}
-		got, asked = got+mine, asked+ours
+		totalEarned, totalRequested = totalEarned+categoryEarned, totalRequested+categoryRequested
 		r.Categories = append(r.Categories, row)
 		for name, v := range row.Latency {
 			r.Figures[name+"_ms."+c.Name] = v
 		}
 		r.Figures["service."+c.Name] = row.Service
-		if ours > 0 {
+		if categoryRequested > 0 {
 			worst = min(worst, row.Service)
 		}
 		for _, kind := range []string{ledger.Acked, ledger.Nacked, ledger.Dead} {
 			r.Figures[kind] += float64(row.Counts[kind])
 		}
 	}
-	for name, v := range latency(all) {
+	for name, v := range latency(allLatencies) {
 		r.Figures[name+"_ms"] = v
 	}
-	if asked > 0 {
-		r.Figures["service"] = got / asked
+	if totalRequested > 0 {
+		r.Figures["service"] = totalEarned / totalRequested
 		r.Figures["service_worst_category"] = worst
-		r.Figures["service_worst_client"] = least(clients, 0)
-		// Spans at the ends hold few ops; one of them says nothing of ten seconds.
-		r.Figures["service_worst_10s"] = min(least(windows, asked/float64(len(windows))*windowSlices/2), got/asked)
+		r.Figures["service_worst_client"] = lowestService(clients, 0)
+		// Windows with less than half of the mean benefit are left out: those at the ends of the run have few
+		// requests.
+		r.Figures["service_worst_10s"] = min(lowestService(windows, totalRequested/float64(len(windows))*windowSlices/2), totalEarned/totalRequested)
 	}
 }
 
-// share is what was earned of what was asked for.
-type share struct{ got, asked float64 }
+// earnings is the benefit earned and the benefit of all requests.
+type earnings struct{ earned, asked float64 }
 
-// windowSlices make ten seconds.
+// windowSlices is the number of slices in ten seconds.
 const windowSlices = 100_000 / 2_500
 
-func shareOf(m map[int]*share, k int) *share {
+func earningsOf(m map[int]*earnings, k int) *earnings {
 	if m[k] == nil {
-		m[k] = &share{}
+		m[k] = &earnings{}
 	}
 	return m[k]
 }
 
-// least is the worst share of those that asked for so much.
-func least(m map[int]*share, asked float64) float64 {
-	worst := 1.0
+// lowestService returns the lowest share of earned benefit among the entries that requested more than
+// minimum.
+func lowestService(m map[int]*earnings, minimum float64) float64 {
+	lowest := 1.0
 	for _, s := range m {
-		if s.asked > asked {
-			worst = min(worst, s.got/s.asked)
+		if s.asked > minimum {
+			lowest = min(lowest, s.earned/s.asked)
 		}
 	}
-	return worst
+	return lowest
 }
 
-// slices cuts the run by the moments at which ops were due.
-func (r *Results) slices(order []*wish) {
+// addSlices divides the requests into slices by the time when they were due.
+func (r *Results) addSlices(order []*clientRequest) {
 	if len(order) == 0 {
 		return
 	}
@@ -309,16 +312,16 @@
 		r.Slices[i].At = ledger.Time(i) * sliceLength
 		hist[i] = histogram()
 	}
-	for _, w := range order {
-		i := min(max(int(w.due/sliceLength), 0), n-1)
+	for _, req := range order {
+		i := min(max(int(req.due/sliceLength), 0), n-1)
 		s := &r.Slices[i]
 		switch {
-		case w.acked:
+		case req.acked:
 			s.Acked++
-			record(hist[i], w.ackedAt-w.due)
-		case w.last == ledger.Nacked:
+			recordLatency(hist[i], req.ackedAt-req.due)
+		case req.last == ledger.Nacked:
 			s.Nacked++
-		case w.last == ledger.Dead:
+		case req.last == ledger.Dead:
 			s.Dead++
 		default:
 			s.Other++
@@ -332,13 +335,14 @@
 	}
 }
 
-// use is what the schedulers used at most, and for each op.
-func (r *Results) use() {
+// addUse adds the peak memory and descriptors of a scheduler, and the CPU time of all schedulers for each
+// request.
+func (r *Results) addUse() {
 	last, cpu := map[int]float64{}, 0.0
 	for _, u := range r.Uses {
 		r.Figures["memory_mb"] = max(r.Figures["memory_mb"], float64(u.Resident)/(1<<20))
 		r.Figures["files"] = max(r.Figures["files"], float64(u.Files))
-		if u.CPU < last[u.Scheduler] { // another process
+		if u.CPU < last[u.Scheduler] { // the scheduler was restarted as a new process
 			cpu += last[u.Scheduler]
 		}
 		last[u.Scheduler] = u.CPU
@@ -351,23 +355,23 @@
 	}
 }
 
-// worst is the longest of some spans, in ms.
-func worst(all []ledger.Time) (ms float64) {
-	for _, t := range all {
-		ms = max(ms, float64(t)/10)
+// longestMS returns the longest duration in ms.
+func longestMS(durations []ledger.Time) (ms float64) {
+	for _, d := range durations {
+		ms = max(ms, float64(d)/10)
 	}
 	return ms
 }
 
-// Views takes what schedulers held of one another.
+// Views adds the result of the membership check.
 func (r *Results) Views(j *membershipcheck.Judgement) {
 	f := r.Figures
-	f["false_gone"], f["missed_gone"], f["views_apart"] = float64(j.FalseGone), float64(j.MissedGone), float64(j.Apart)
-	f["detect_worst_ms"], f["converge_worst_ms"], f["detected"] = worst(j.Detect), worst(j.Converge), float64(len(j.Detect))
-	if len(j.Detect) > 0 {
+	f["false_gone"], f["missed_gone"], f["views_apart"] = float64(j.FalseGone), float64(j.MissedGone), float64(j.WrongViews)
+	f["detect_worst_ms"], f["converge_worst_ms"], f["detected"] = longestMS(j.DetectTimes), longestMS(j.ConvergeTimes), float64(len(j.DetectTimes))
+	if len(j.DetectTimes) > 0 {
 		h := histogram()
-		for _, t := range j.Detect {
-			record(h, t)
+		for _, t := range j.DetectTimes {
+			recordLatency(h, t)
 		}
 		f["detect_p50_ms"], f["detect_p99_ms"] = float64(h.ValueAtQuantile(50))/10, float64(h.ValueAtQuantile(99))/10
 	}
@@ -375,17 +379,18 @@
 	r.Spans = j.Spans
 }
 
-// Doubles takes what became of ids that came again.
+// Doubles adds the result of the check for repeated op IDs.
 func (r *Results) Doubles(j *duplicates.Judgement) {
 	f := r.Figures
-	f["doubled"], f["wrong_answer"], f["differ"] = float64(j.Doubled), float64(j.WrongAnswer), float64(j.Differ)
-	f["stale_drain"] = float64(j.Stale)
-	f["refused_unsure"], f["repeats"] = float64(j.Unsure), float64(j.Repeats)
-	f["caught_up_worst_ms"], f["caught_up"] = worst(j.CaughtUp), float64(len(j.CaughtUp))
+	f["doubled"], f["wrong_answer"], f["differ"] = float64(j.DuplicateRuns), float64(j.ConflictingAnswers), float64(j.DivergedReplicas)
+	f["stale_drain"] = float64(j.StaleDrainPushes)
+	f["refused_unsure"], f["repeats"] = float64(j.UnsureRefusals), float64(j.Repeats)
+	f["caught_up_worst_ms"], f["caught_up"] = longestMS(j.CatchUpTimes), float64(len(j.CatchUpTimes))
 	r.Unmet = append(r.Unmet, j.Breaches...)
 }
 
-// Changes takes what changes of keepers took, and by how many sets of them the schedulers went at rest.
+// Changes adds the durations of voter changes, and the number of different voter sets that the schedulers
+// used at rest.
 func (r *Results) Changes(took []time.Duration, sets int) {
 	longest := time.Duration(0)
 	for _, t := range took {
@@ -398,32 +403,32 @@
 	}
 }
 
-// Expect holds the figures against the file's own promises, once all of them are there.
+// Expect checks the figures against the expectations of the experiment file. All figures must be set before.
 func (r *Results) Expect(e *experiment.Experiment) {
-	for _, x := range e.Expect {
-		v, ok := r.Figures[x.Figure]
+	for _, want := range e.Expect {
+		v, ok := r.Figures[want.Figure]
 		switch {
 		case !ok:
-			r.Unmet = append(r.Unmet, fmt.Sprintf("there is no figure %s", x.Figure))
-		case x.Least != nil && v < *x.Least:
-			r.Unmet = append(r.Unmet, fmt.Sprintf("%s is %.4g, less than %.4g", x.Figure, v, *x.Least))
-		case x.Most != nil && v > *x.Most:
-			r.Unmet = append(r.Unmet, fmt.Sprintf("%s is %.4g, more than %.4g", x.Figure, v, *x.Most))
+			r.Unmet = append(r.Unmet, fmt.Sprintf("there is no figure %s", want.Figure))
+		case want.Least != nil && v < *want.Least:
+			r.Unmet = append(r.Unmet, fmt.Sprintf("%s is %.4g, less than %.4g", want.Figure, v, *want.Least))
+		case want.Most != nil && v > *want.Most:
+			r.Unmet = append(r.Unmet, fmt.Sprintf("%s is %.4g, more than %.4g", want.Figure, v, *want.Most))
 		}
 	}
 }
 
-// told are the figures of the last line, in this order.
-var told = []string{"service", "acked", "nacked", "dead-lettered", "excused", "unread", "p50_ms", "p99_ms", "p99.9_ms", "waste",
+// summaryFigures are the figures in the summary line, in this order.
+var summaryFigures = []string{"service", "acked", "nacked", "dead-lettered", "excused", "unread", "p50_ms", "p99_ms", "p99.9_ms", "waste",
 	"pushes_per_op", "probes_per_op", "dials_per_op", "sent_late", "lab_lag_ms", "cpu_us_per_op", "memory_mb", "files",
 	"false_gone", "missed_gone", "views_apart", "detect_worst_ms", "converge_worst_ms",
 	"doubled", "wrong_answer", "stale_drain", "differ", "repeats", "refused_unsure", "caught_up_worst_ms", "keepers_changed", "keepers_worst_ms"}
 
-// Line is the last line that a run prints.
-func (r *Results) Line() string {
+// SummaryLine returns the last line that a run prints.
+func (r *Results) SummaryLine() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "audit: ops=%d answers=%d broken=%d unmet=%d", r.Audit.Ops, r.Audit.Answers, len(r.Audit.Breaches), len(r.Unmet))
-	for _, name := range told {
+	for _, name := range summaryFigures {
 		if v, ok := r.Figures[name]; ok {
 			if v == math.Trunc(v) && math.Abs(v) < 1e9 {
 				fmt.Fprintf(&b, " %s=%d", name, int64(v))
@@ -435,7 +440,7 @@
 	return b.String()
 }
 
-// Names are the figures' names in order.
+// Names returns the names of the figures in alphabetical order.
 func (r *Results) Names() []string {
 	var names []string
 	for n := range r.Figures {
@@ -445,8 +450,8 @@
 	return names
 }
 
-// Lagged notes by how much the lab itself was late at most. Beyond the slack that the rules allow, its moments are no
-// evidence against anybody.
+// Lagged sets the greatest delay of the lab itself. If it exceeds the slack of the rules, the run is void:
+// the recorded times are then no evidence against a scheduler.
 func (r *Results) Lagged(ms, slack float64) {
 	r.Figures["lab_lag_ms"] = ms
 	if ms > slack {
@@ -454,5 +459,5 @@
 	}
 }
 
-// Held tells whether no rule was broken and all promises held.
+// Held reports whether no rule was broken and all expectations were met.
 func (r *Results) Held() bool { return len(r.Audit.Breaches) == 0 && len(r.Unmet) == 0 }
--- a/internal/lab/report/golden_test.go
+++ b/internal/lab/report/golden_test.go
@@ -8,27 +8,28 @@
 	"woaddyke/internal/testsupport/golden"
 )
 
-// goldenResults are results with a value of its own for each figure of the last line.
+// goldenResults returns results with a separate value for each figure of the summary line.
 func goldenResults(value func(place int) float64) *Results {
 	r := &Results{Figures: map[string]float64{}, Unmet: []string{"a promise", "another"},
 		Audit: audit.Judgement{Ops: 1201, Answers: 1198, Breaches: make([]audit.Breach, 3), Excused: 4, Unread: 5, Open: 6}}
-	for place, name := range told {
+	for place, name := range summaryFigures {
 		r.Figures[name] = value(place)
 	}
 	return r
 }
 
-// Scripts read the last line of a run, so its form must not change: the figures' names, their order and how values are written.
-func TestTheLastLineOfARunStays(t *testing.T) {
+// Scripts read the last line of a run. The names of its figures, their order and the format of values must
+// not change.
+func TestTheSummaryLineFormatIsStable(t *testing.T) {
 	var text []byte
 	for _, value := range []func(place int) float64{
-		func(place int) float64 { return float64(100 + place) },                      // whole
-		func(place int) float64 { return float64(place) + 0.123456 },                 // not whole
-		func(place int) float64 { return 1e8 * float64(1+place) },                    // whole, too large to be written so
+		func(place int) float64 { return float64(100 + place) },                      // integer
+		func(place int) float64 { return float64(place) + 0.123456 },                 // not an integer
+		func(place int) float64 { return 1e8 * float64(1+place) },                    // large integer
 		func(place int) float64 { return -1 / float64(3+place*place*place*place*7) }, // small
 	} {
-		text = fmt.Appendln(text, goldenResults(value).Line())
+		text = fmt.Appendln(text, goldenResults(value).SummaryLine())
 	}
 	bare := &Results{Figures: map[string]float64{}}
-	golden.Compare(t, "testdata/line.golden", fmt.Appendln(text, bare.Line()))
+	golden.Compare(t, "testdata/line.golden", fmt.Appendln(text, bare.SummaryLine()))
 }
--- a/internal/lab/report/roles.go
+++ b/internal/lab/report/roles.go
@@ -11,17 +11,18 @@
 	"woaddyke/internal/lab/schedulers"
 )
 
-// Edge is what the schedulers have used and sent up to a moment.
+// Edge holds the resources that the schedulers used and the traffic that they sent up to a moment.
 type Edge struct {
 	At   ledger.Time
 	Sent meter.Sheet
 	Uses []schedulers.Use
 
-	Hollow schedulers.Use // of the process of hollow schedulers
+	Hollow schedulers.Use // of the process with the hollow schedulers
 }
 
-// Roles works out what each scheduler used and sent between two moments: start-up and the rest at the end are apart. Figures of one
-// scheduler are its mean over the span; they are told as the mean over all schedulers and as the busiest one's.
+// Roles adds the resources used and the traffic sent by each scheduler between two moments. The time between
+// them leaves out start-up and the rest at the end. The figure of a scheduler is its mean over that time.
+// Reported are the mean over all schedulers and the highest value.
 func (r *Results) Roles(from, to Edge, events []ledger.Event, count, hollow int) {
 	span := float64(to.At-from.At) / 10_000
 	if span <= 0 || len(to.Sent) == 0 {
@@ -30,7 +31,7 @@
 	r.Span = span
 	sent := to.Sent.Since(from.Sent)
 	if hollow > 0 {
-		r.hollow(sent[len(sent)-hollow:], from.Hollow, to.Hollow, span)
+		r.addHollow(sent[len(sent)-hollow:], from.Hollow, to.Hollow, span)
 	}
 	for k := range meter.Kinds {
 		var in, out, messages []float64
@@ -38,9 +39,9 @@
 			in, out = append(in, float64(row[k].In)/span), append(out, float64(row[k].Out)/span)
 			messages = append(messages, float64(row[k].Messages)/span)
 		}
-		r.spread(k.String()+"_in_Bps", in)
-		r.spread(k.String()+"_out_Bps", out)
-		r.spread(k.String()+"_messages_ps", messages)
+		r.setMeanAndMax(k.String()+"_in_Bps", in)
+		r.setMeanAndMax(k.String()+"_out_Bps", out)
+		r.setMeanAndMax(k.String()+"_messages_ps", messages)
 	}
 	before, cpu, resident := map[int]schedulers.Use{}, []float64{}, []float64{}
 	for _, u := range from.Uses {
@@ -48,18 +49,19 @@
 	}
 	for _, u := range to.Uses {
 		resident = append(resident, float64(u.Resident)/(1<<20))
-		// One that was started anew between the two has not used what its former process had.
+		// After a restart in between, the CPU time is that of another process, so the scheduler is left out.
 		if b, ok := before[u.Scheduler]; ok && u.CPU >= b.CPU && u.At > b.At {
 			cpu = append(cpu, (u.CPU-b.CPU)/(float64(u.At-b.At)/10_000))
 		}
 	}
-	r.spread("scheduler_cores", cpu)
-	r.spread("scheduler_mb", resident)
-	r.starts(from.At, to.At, events)
+	r.setMeanAndMax("scheduler_cores", cpu)
+	r.setMeanAndMax("scheduler_mb", resident)
+	r.addStarts(from.At, to.At, events)
 }
 
-// hollow tells what a hollow scheduler used: its share of their process, and what it sent the others.
-func (r *Results) hollow(sent meter.Sheet, from, to schedulers.Use, span float64) {
+// addHollow adds the figures of the hollow schedulers: the share of the process's resources for each of them,
+// and their membership traffic.
+func (r *Results) addHollow(sent meter.Sheet, from, to schedulers.Use, span float64) {
 	n := float64(len(sent))
 	r.Figures["hollow_cores"], r.Figures["hollow_mb"] = (to.CPU-from.CPU)/span/n, float64(to.Resident)/(1<<20)/n
 	var in, out, messages []float64
@@ -67,14 +69,15 @@
 		m := row[meter.Members]
 		in, out, messages = append(in, float64(m.In)/span), append(out, float64(m.Out)/span), append(messages, float64(m.Messages)/span)
 	}
-	r.spread("hollow_members_in_Bps", in)
-	r.spread("hollow_members_out_Bps", out)
-	r.spread("hollow_members_messages_ps", messages)
+	r.setMeanAndMax("hollow_members_in_Bps", in)
+	r.setMeanAndMax("hollow_members_out_Bps", out)
+	r.setMeanAndMax("hollow_members_messages_ps", messages)
 }
 
-// HeldViews takes how many different views all members together held when the first op was due, and at rest. Where it was more than one
-// at first, what joining costs is in the figures. Members that were late for longer than one may stand still prove nothing: they share
-// what machines of their own would have each.
+// HeldViews adds the number of different views among all members when the first op was due, and at rest. With
+// more than one view at first, the figures include the cost of joining. The run is void if hollow members
+// were late for longer than members.pause_ms: they share a processor, which members on separate machines
+// don't.
 func (r *Results) HeldViews(first, n int, lateMS, pauseMS float64) {
 	if r.Figures["hollow_late_ms"] = lateMS; lateMS > pauseMS {
 		r.Void = fmt.Sprintf("hollow schedulers were late by %.0f ms, more than members.pause_ms of %.0f ms: this machine is too busy for so many", lateMS, pauseMS)
@@ -85,14 +88,15 @@
 	}
 }
 
-// InForce is what became of one change of settings.
+// InForce is the result of a change of settings.
 type InForce struct {
 	At      ledger.Time
-	Took    []time.Duration // at each scheduler where it came into force
-	Missing int             // schedulers where it did not in its time
+	Took    []time.Duration // from the change until it was in force, for each scheduler where it was
+	Missing int             // number of schedulers where it did not come into force in time
 }
 
-// InForce takes what became of all changes of settings: the worst of them at the 50th and 99th of a hundred schedulers, and at the last.
+// InForce adds the results of all changes of settings: the times at which a change was in force at 50%, 99%
+// and all of the schedulers. Of all changes, the longest times are reported.
 func (r *Results) InForce(all []InForce) {
 	if len(all) == 0 {
 		return
@@ -113,8 +117,8 @@
 	}
 }
 
-// spread tells a figure of all schedulers: their mean, and the highest.
-func (r *Results) spread(name string, v []float64) {
+// setMeanAndMax sets a figure to the mean over all schedulers, and NAME.max to the highest value.
+func (r *Results) setMeanAndMax(name string, v []float64) {
 	if len(v) == 0 {
 		return
 	}
@@ -125,81 +129,82 @@
 	r.Figures[name], r.Figures[name+".max"] = sum/float64(len(v)), slices.Max(v)
 }
 
-// starts tells how many jobs began a second, and by category how long after it was due an op began for the first time.
-func (r *Results) starts(from, to ledger.Time, events []ledger.Event) {
-	type wish struct {
+// addStarts adds the number of jobs that began per second and the greatest number of jobs that ran together.
+// For each category it adds the time from a request's due time to the first start of a job for it.
+func (r *Results) addStarts(from, to ledger.Time, events []ledger.Event) {
+	type request struct {
 		category string
 		due      ledger.Time
 		began    bool
 	}
-	ops, wishes := map[string]*wish{}, map[string]*wish{}
+	ops, requests := map[string]*request{}, map[string]*request{}
 	took := map[string][]float64{}
-	n, running, most := 0, 0, 0
-	out := map[int]bool{}
+	n, running, maxRunning := 0, 0, 0
+	runningPushes := map[int]bool{}
 	for i := range events {
 		e := &events[i]
 		switch e.Kind {
 		case ledger.Due:
-			if wishes[e.Effect] == nil {
-				wishes[e.Effect] = &wish{category: e.Category, due: e.From}
+			if requests[e.Effect] == nil {
+				requests[e.Effect] = &request{category: e.Category, due: e.From}
 			}
-			ops[e.Op] = wishes[e.Effect]
+			ops[e.Op] = requests[e.Effect]
 		case ledger.Ran:
 			if e.At >= from && e.At < to {
 				n++
 			}
-			if running++; running > most {
-				most = running
+			if running++; running > maxRunning {
+				maxRunning = running
 			}
-			out[e.Push] = true
-			if w := ops[e.Op]; w != nil && !w.began {
-				w.began = true
-				took[w.category] = append(took[w.category], float64(e.At-w.due)/10)
+			runningPushes[e.Push] = true
+			if req := ops[e.Op]; req != nil && !req.began {
+				req.began = true
+				took[req.category] = append(took[req.category], float64(e.At-req.due)/10)
 			}
 		case ledger.Said, ledger.Closed:
-			if out[e.Push] {
-				delete(out, e.Push)
+			if runningPushes[e.Push] {
+				delete(runningPushes, e.Push)
 				running--
 			}
 		}
 	}
-	r.Figures["starts_ps"], r.Figures["running_most"] = float64(n)*10_000/float64(to-from), float64(most)
+	r.Figures["starts_ps"], r.Figures["running_most"] = float64(n)*10_000/float64(to-from), float64(maxRunning)
 	for name, v := range took {
 		slices.Sort(v)
 		for _, q := range []struct {
-			name string
-			of   float64
+			name  string
+			share float64
 		}{{"p50", 0.5}, {"p99", 0.99}, {"max", 1}} {
-			r.Figures["start_"+q.name+"_ms."+name] = v[int(q.of*float64(len(v)-1))]
+			r.Figures["start_"+q.name+"_ms."+name] = v[int(q.share*float64(len(v)-1))]
 		}
 	}
 }
 
-// Ready takes what a scheduler's starts took.
+// Ready adds the durations of a scheduler's starts.
 func (r *Results) Ready(took []time.Duration) {
 	for _, t := range took {
-		r.readies = append(r.readies, float64(t)/float64(time.Millisecond))
+		r.readyMS = append(r.readyMS, float64(t)/float64(time.Millisecond))
 	}
-	slices.Sort(r.readies)
-	if n := len(r.readies); n > 0 {
+	slices.Sort(r.readyMS)
+	if n := len(r.readyMS); n > 0 {
 		r.Figures["starts"] = float64(n)
-		r.Figures["ready_p50_ms"], r.Figures["ready_p90_ms"], r.Figures["ready_max_ms"] = r.readies[(n-1)/2], r.readies[(n-1)*9/10], r.readies[n-1]
+		r.Figures["ready_p50_ms"], r.Figures["ready_p90_ms"], r.Figures["ready_max_ms"] = r.readyMS[(n-1)/2], r.readyMS[(n-1)*9/10], r.readyMS[n-1]
 	}
 }
 
-// rows are the figures of each role, in the order in which they are printed.
-var rows = []string{"scheduler_cores", "scheduler_mb", "probes_messages_ps", "probes_in_Bps", "probes_out_Bps", "list_in_Bps", "list_out_Bps",
+// usageFigures are the usage figures, in the order in which they are printed.
+var usageFigures = []string{"scheduler_cores", "scheduler_mb", "probes_messages_ps", "probes_in_Bps", "probes_out_Bps", "list_in_Bps", "list_out_Bps",
 	"members_messages_ps", "members_in_Bps", "members_out_Bps", "work_messages_ps", "work_in_Bps", "work_out_Bps",
 	"hollow_cores", "hollow_mb", "hollow_members_messages_ps", "hollow_members_in_Bps", "hollow_members_out_Bps"}
 
-// Table prints what each role used.
-func (r *Results) Table(out io.Writer) {
+// PrintUsage prints the usage figures.
+func (r *Results) PrintUsage(out io.Writer) {
 	f := r.Figures
 	if _, ok := f["starts_ps"]; !ok {
 		return
 	}
 	fmt.Fprintf(out, "  over %.1f s of arrivals; a scheduler: mean, busiest\n", r.Span)
-	for _, name := range rows {
+	for _, name := range usageFigures {
 		if v, ok := f[name]; ok {
 			fmt.Fprintf(out, "    %-20s %10.4g %10.4g\n", name, v, f[name+".max"])
 		}
--- a/internal/lab/report/sizes.go
+++ b/internal/lab/report/sizes.go
@@ -10,16 +10,17 @@
 	"woaddyke/internal/lab/audit"
 )
 
-// Sized is the result of one of several sizes.
-type Sized struct {
+// SizeResult is the result of a run at a number of workers.
+type SizeResult struct {
 	Workers int
 	*Results
 }
 
-// slope is what a figure is at no workers, and what it grows by for each thousand, by least squares over the sizes that are not void.
-func slope(of []Sized, name string) (at0, perThousand float64, ok bool) {
+// slope fits a line to a figure by least squares over the sizes whose runs are not void. It returns the value
+// at zero workers and the increase for each thousand workers.
+func slope(results []SizeResult, name string) (atZero, perThousand float64, ok bool) {
 	var x, y []float64
-	for _, s := range of {
+	for _, s := range results {
 		if v, has := s.Figures[name]; has && s.Void == "" {
 			x, y = append(x, float64(s.Workers)/1000), append(y, v)
 		}
@@ -27,19 +28,19 @@
 	if len(x) < 2 || x[0] == x[len(x)-1] {
 		return 0, 0, false
 	}
-	at0, perThousand = stat.LinearRegression(x, y, nil, false)
-	return at0, perThousand, true
+	atZero, perThousand = stat.LinearRegression(x, y, nil, false)
+	return atZero, perThousand, true
 }
 
-// Slopes prints the figures of several sizes side by side.
-func Slopes(out io.Writer, of []Sized) {
-	names := append([]string(nil), rows...)
+// PrintSizes prints the figures of several sizes side by side, with their slopes.
+func PrintSizes(out io.Writer, results []SizeResult) {
+	names := append([]string(nil), usageFigures...)
 	names = append(names, "starts_ps", "cpu_us_per_op", "ready_p90_ms", "lab_lag_ms")
-	for _, c := range of[len(of)-1].Categories {
+	for _, c := range results[len(results)-1].Categories {
 		names = append(names, "start_p99_ms."+c.Name)
 	}
 	var head strings.Builder
-	for _, s := range of {
+	for _, s := range results {
 		n := fmt.Sprint(s.Workers)
 		if s.Void != "" {
 			n += " void"
@@ -49,25 +50,25 @@
 	fmt.Fprintf(out, "  %-22s%s %11s %11s\n", "workers", head.String(), "at none", "per 1,000")
 	for _, name := range names {
 		fmt.Fprintf(out, "  %-22s", name)
-		for _, s := range of {
+		for _, s := range results {
 			if v, ok := s.Figures[name]; ok {
 				fmt.Fprintf(out, " %11.4g", v)
 			} else {
 				fmt.Fprintf(out, " %11s", "-")
 			}
 		}
-		if a, b, ok := slope(of, name); ok {
+		if a, b, ok := slope(results, name); ok {
 			fmt.Fprintf(out, " %11.4g %11.4g", a, b)
 		}
 		fmt.Fprintln(out)
 	}
 }
 
-// Joint is the verdict on all sizes, with the figures of the last one.
-func Joint(of []Sized) *Results {
-	r := *of[len(of)-1].Results
+// CombineSizes returns the verdict on all sizes, with the figures of the last size.
+func CombineSizes(results []SizeResult) *Results {
+	r := *results[len(results)-1].Results
 	r.Audit, r.Unmet, r.Void = audit.Judgement{Whole: true}, nil, ""
-	for _, s := range of {
+	for _, s := range results {
 		r.Audit.Ops += s.Audit.Ops
 		r.Audit.Answers += s.Audit.Answers
 		r.Audit.Breaches = append(r.Audit.Breaches, s.Audit.Breaches...)
--- a/internal/lab/report/sizes_test.go
+++ b/internal/lab/report/sizes_test.go
@@ -9,35 +9,35 @@
 	"woaddyke/internal/lab/audit"
 )
 
-// A void run proves nothing, so it may not bend a slope; and what broke at one size must not be lost behind the others.
-func TestSlopesLeaveVoidRunsOutAndTheVerdictLeavesNothingOut(t *testing.T) {
-	at := func(workers int, mb float64, void string, breaches int, unmet ...string) Sized {
-		return Sized{workers, &Results{Name: "x", Void: void, Unmet: unmet, Figures: map[string]float64{"scheduler_mb": mb},
+// A void run must not change a slope, and the joint verdict must include the breaches of every size.
+func TestVoidRunsAreLeftOutOfSlopesAndKeptInTheVerdict(t *testing.T) {
+	at := func(workers int, mb float64, void string, breaches int, unmet ...string) SizeResult {
+		return SizeResult{workers, &Results{Name: "x", Void: void, Unmet: unmet, Figures: map[string]float64{"scheduler_mb": mb},
 			Audit: audit.Judgement{Ops: 10, Answers: 9, Breaches: make([]audit.Breach, breaches)}}}
 	}
-	of := []Sized{at(1000, 30, "", 1), at(2000, 900, "late", 0), at(4000, 45, "", 0, "y")}
+	of := []SizeResult{at(1000, 30, "", 1), at(2000, 900, "late", 0), at(4000, 45, "", 0, "y")}
 	if a, b, ok := slope(of, "scheduler_mb"); !ok || math.Abs(a-25) > 1e-9 || math.Abs(b-5) > 1e-9 {
-		t.Errorf("%g at none, %g for a thousand, %v", a, b, ok)
+		t.Errorf("%g at zero workers, %g for each thousand, %v", a, b, ok)
 	}
 	if _, _, ok := slope(of[:2], "scheduler_mb"); ok {
-		t.Error("a slope of one size")
+		t.Error("a slope from a single valid size")
 	}
-	j := Joint(of)
+	j := CombineSizes(of)
 	if j.Audit.Ops != 30 || j.Audit.Answers != 27 || len(j.Audit.Breaches) != 1 || len(j.Unmet) != 1 || j.Void != "x: late" || j.Held() {
 		t.Errorf("%+v", j)
 	}
-	if j := Joint(of[2:]); len(j.Audit.Breaches) != 0 || j.Void != "" || j.Held() {
+	if j := CombineSizes(of[2:]); len(j.Audit.Breaches) != 0 || j.Void != "" || j.Held() {
 		t.Errorf("%+v", j)
 	}
 	var out strings.Builder
-	Slopes(&out, of)
+	PrintSizes(&out, of)
 	if !strings.Contains(out.String(), "2000 void") || !strings.Contains(out.String(), "scheduler_mb") {
 		t.Error(out.String())
 	}
 }
 
-// The worst change counts, at the last scheduler too; one that never came into force must not vanish behind those that did.
-func TestTheSlowestChangeOfSettingsIsTold(t *testing.T) {
+// The figures must be those of the slowest change, and changes that never came into force must be counted.
+func TestTheSlowestAndMissingSettingsChangesAreReported(t *testing.T) {
 	var ten []time.Duration
 	for k := 10; k > 0; k-- {
 		ten = append(ten, time.Duration(k)*time.Millisecond)
@@ -50,17 +50,18 @@
 	}
 }
 
-// Members that had to share a processor with hundreds prove nothing by what they held; views that differ on a fit machine do.
-func TestViewsThatDifferAreAFaultOnlyWhereMembersWereOnTime(t *testing.T) {
+// Different views at rest are an unmet expectation. The run is void where members were late for longer than
+// pause_ms, because hundreds of them share a processor.
+func TestDifferentViewsAtRestAreUnmetAndLateMembersVoidTheRun(t *testing.T) {
 	for _, c := range []struct {
-		views int
-		late  float64
-		void  bool
-		held  bool
+		views  int
+		late   float64
+		void   bool
+		passed bool
 	}{{1, 0, false, true}, {1, 2001, true, true}, {2, 1999, false, false}, {2, 2001, true, false}} {
 		r := &Results{Figures: map[string]float64{}}
-		if r.HeldViews(1, c.views, c.late, 2000); (r.Void != "") != c.void || r.Held() != c.held {
-			t.Errorf("%+v: void %q, held %v", c, r.Void, r.Held())
+		if r.HeldViews(1, c.views, c.late, 2000); (r.Void != "") != c.void || r.Held() != c.passed {
+			t.Errorf("%+v: void %q, passed %v", c, r.Void, r.Held())
 		}
 	}
 }
--- a/internal/lab/requirements/needs.go
+++ b/internal/lab/requirements/needs.go
@@ -1,5 +1,6 @@
-// Package requirements says how many descriptors and how much memory an experiment takes, so that one beyond its machine is turned down before
-// anything starts. The figures are estimates of an ordinary run, from below: a scheduler that dials without end needs more.
+// Package requirements estimates how many descriptors and how much memory an experiment needs, so that the
+// lab rejects an experiment that its machine can't run before any process starts. The figures are lower
+// estimates for an ordinary run: a scheduler that dials without end needs more.
 package requirements
 
 import (
@@ -13,71 +14,73 @@
 	"woaddyke/internal/lab/experiment"
 )
 
-// Needs are what an experiment takes.
+// Needs are the resources that an experiment needs.
 type Needs struct {
-	Listeners   int // of the workers; part of Descriptors
+	Listeners   int // of the workers; included in Descriptors
 	Descriptors int // of the lab's own process
 	MemoryMB    int // of the lab and of all schedulers
 }
 
-// Limits are what a machine has.
+// Limits are the resources of a machine.
 type Limits struct {
-	Descriptors int // of one process
+	Descriptors int // the limit of a process
 	MemoryMB    int
 }
 
-// Costs of one of each, as docs/lab.md states them with their runs.
+// Costs per unit. docs/lab.md lists the runs that measured them.
 const (
-	spare      = 200 // files of the ledger, the logs, and what the runtime holds
-	labKB      = 60 << 10
-	workerKB   = 16
-	pairKB     = 0.6 // a worker as one scheduler's discovery has it, and the link between them
-	opKB       = 7   // its lines of the ledger
-	connKB     = 24  // both its ends' buffers in the lab
-	processKB  = 24 << 10
-	memberKB   = 2 // a member as another holds it, both links between them included
-	listedKB   = 4 // a worker in a scheduler's list
-	linger     = 1 // seconds that a connection may take to end in the lab
-	triesPerOp = 3 // exchanges with workers: two probes and a push
+	spareDescriptors = 200 // descriptors of the ledger, the logs and the Go runtime
+	labKB            = 60 << 10
+	workerKB         = 16
+	workerLinkKB     = 0.6 // per pair of a worker and a scheduler: discovery's state and the link
+	opKB             = 7   // the op's ledger lines
+	connKB           = 24  // buffers of both ends in the lab
+	processKB        = 24 << 10
+	memberKB         = 2 // per pair of members: the view and both links
+	listEntryKB      = 4 // per worker in a scheduler's endpoint list
+	lingerSeconds    = 1 // longest time until a closed connection ends in the lab
+	exchangesPerOp   = 3 // two load probes and a push
 )
 
-// Of works out what an experiment takes.
+// Of estimates the resources that an experiment needs.
 func Of(e *experiment.Experiment) Needs {
-	workers, listeners, slowest := 0, 0, math.Inf(1)
+	workers, listeners, minSpeed := 0, 0, math.Inf(1)
 	for _, w := range e.Workers {
 		workers += w.Count
-		slowest = min(slowest, w.Speed)
+		minSpeed = min(minSpeed, w.Speed)
 		if w.Hollow {
 			listeners += w.Count
 		} else {
 			listeners += w.Count * e.Schedulers.Count
 		}
 	}
-	work, shares := 0.0, 0.0
+	work, shareSum := 0.0, 0.0
 	for _, c := range e.Categories {
-		work, shares = work+c.Share*c.WorkMS/1000, shares+c.Share
+		work, shareSum = work+c.Share*c.WorkMS/1000, shareSum+c.Share
 	}
 	rate, n := e.Arrivals.Rate, float64(e.Schedulers.Count)
 	if e.Arrivals.Kind == "trace" {
-		rate = 0 // it is not read yet
+		rate = 0 // the trace file has not been read yet
 	}
-	open := rate * work / shares / slowest
-	// An exchange's connection stays for the keepalive, and for linger after its other end is closed; there are no more of them than pairs,
-	// beside those that carry pushes. So a scheduler's bound of sockets is none for the lab.
+	running := rate * work / shareSum / minSpeed
+	// An exchange's connection stays open for the keepalive time, and in the lab for lingerSeconds after the
+	// other end closes. Beside the connections that carry pushes, there are at most as many as pairs of a
+	// scheduler and a worker. The lab can therefore have more connections than the schedulers' socket limits
+	// allow.
 	pairs, alive := n*float64(workers), e.Schedulers.KeepaliveMS/1000
-	dials := min(pairs/alive, triesPerOp*rate)
-	conns := min(2*open+dials*(alive+linger), 2*n*float64(e.Schedulers.Sockets))
+	dials := min(pairs/alive, exchangesPerOp*rate)
+	conns := min(2*running+dials*(alive+lingerSeconds), 2*n*float64(e.Schedulers.Sockets))
 	mesh, hollow := 0.0, float64(e.Members.Hollow)
 	if e.Members.On {
 		mesh = 5 * (n + hollow)
 	}
-	process := min(processKB+listedKB*float64(workers), float64(e.Schedulers.MemoryMB)*1024)
-	kb := labKB + workerKB*float64(workers) + pairKB*n*float64(workers) + opKB*rate*e.Seconds + connKB*conns + process*n +
+	process := min(processKB+listEntryKB*float64(workers), float64(e.Schedulers.MemoryMB)*1024)
+	kb := labKB + workerKB*float64(workers) + workerLinkKB*n*float64(workers) + opKB*rate*e.Seconds + connKB*conns + process*n +
 		memberKB*hollow*(hollow+n)
-	return Needs{Listeners: listeners, Descriptors: int(float64(listeners) + conns + 3*n + mesh + spare), MemoryMB: int(kb / 1024)}
+	return Needs{Listeners: listeners, Descriptors: int(float64(listeners) + conns + 3*n + mesh + spareDescriptors), MemoryMB: int(kb / 1024)}
 }
 
-// Fit says in one line what a machine has too little of.
+// Fit returns a one-line error that names the resource of which the machine has too little.
 func (n Needs) Fit(l Limits) error {
 	switch {
 	case n.Descriptors > l.Descriptors:
@@ -89,7 +92,7 @@
 	return nil
 }
 
-// Machine reads what this machine has.
+// Machine reads the limits of this machine.
 func Machine() (Limits, error) {
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
--- a/internal/lab/requirements/needs_test.go
+++ b/internal/lab/requirements/needs_test.go
@@ -30,24 +30,25 @@
 	return Of(e)
 }
 
-// A file beyond the machine must not be found out by a fleet that is half up: one line says what is short, and by how much.
-func TestAFileBeyondTheMachineIsTurnedDownWithTheFigure(t *testing.T) {
+// An experiment that needs more than the machine has must be rejected before any process starts. The error is
+// a line that names the resource and both figures.
+func TestAnExperimentBeyondTheMachineIsRejectedWithTheFigure(t *testing.T) {
 	here := Limits{Descriptors: 20_000, MemoryMB: 24_000}
 	if n := sized(t, 6300, 20, true); n.Fit(here) != nil || n.Listeners != 6300 || n.Descriptors < 6300+1300*3/2 {
-		t.Errorf("the size that the page asks for: %+v, %v", n, n.Fit(here))
+		t.Errorf("the documented size: %+v, %v", n, n.Fit(here))
 	}
 	for name, c := range map[string]struct {
-		of    Needs
+		needs Needs
 		limit Limits
 		want  string
 	}{
-		"a listener for each pair": {sized(t, 6300, 20, false), here, "126000 of them workers' listeners"},
-		"twice the workers":        {sized(t, 12_600, 20, true), here, "and 20000 is the limit here"},
-		"what ends late":           {sized(t, 11_700, 4, true), here, "(11700 of them workers' listeners) and 20000"},
-		"hundreds of processes":    {sized(t, 6300, 400, true), Limits{Descriptors: 1 << 20, MemoryMB: 24_000}, "more than half of this machine's 24000 MB"},
+		"a listener for each pair":    {sized(t, 6300, 20, false), here, "126000 of them workers' listeners"},
+		"twice the workers":           {sized(t, 12_600, 20, true), here, "and 20000 is the limit here"},
+		"connections that close late": {sized(t, 11_700, 4, true), here, "(11700 of them workers' listeners) and 20000"},
+		"400 scheduler processes":     {sized(t, 6300, 400, true), Limits{Descriptors: 1 << 20, MemoryMB: 24_000}, "more than half of this machine's 24000 MB"},
 	} {
-		if err := c.of.Fit(c.limit); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %+v: %v; want %q", name, c.of, err, c.want)
+		if err := c.needs.Fit(c.limit); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: %+v: %v; want %q", name, c.needs, err, c.want)
 		}
 	}
 	if l, err := Machine(); err != nil || l.Descriptors < 64 || l.MemoryMB < 64 {
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -1,6 +1,7 @@
-// Package soak plays schedulers under troubles that overlap in time, drawn from a seed: signals, takeovers, stepped clocks, system calls
-// and disks that fail, discovery, workers, links and clients that misbehave; and a quiet stretch at the end in which all must be well
-// again. What judges it are the lab's audit, the programs' own guards, and what they hold at rest.
+// Package soak runs schedulers under overlapping faults that it draws from a seed: signals, takeovers,
+// stepped clocks, failing system calls and disks, and misbehaving discovery, workers, links and clients. The
+// run ends with a quiet period in which the schedulers must recover. The verdict comes from the lab's audit,
+// the schedulers' own invariant checks, and their state at rest.
 package soak
 
 import (
@@ -13,87 +14,87 @@
 	"woaddyke/internal/lab/experiment"
 )
 
-// Kinds of troubles of the soak's own, which play hands to its shims.
+// Kinds of faults that only a soak has. Package runner passes them to the shims.
 const (
-	kindClock = "scheduler-clock" // the wall clock is ahead by Size seconds, for good
-	kindCalls = "scheduler-calls" // one in so many system calls on sockets fails
-	kindLate  = "scheduler-late"  // connections come up late, by Size ms at most
+	kindClock = "scheduler-clock" // the wall clock is ahead by Size seconds until the next step
+	kindCalls = "scheduler-calls" // one in Size system calls on sockets fails
+	kindLate  = "scheduler-late"  // connects are delayed by at most Size ms
 	kindDisk  = "scheduler-disk"  // writes and syncs of files fail
 )
 
-// Parts of a soak's time.
+// Shares of a soak's duration, and the least quiet time.
 const (
-	troubledFrom = 0.06
-	troubledTo   = 0.6 // of the time; after that all is quiet
-	leastQuiet   = 5 * time.Second
+	faultsFrom = 0.06
+	faultsTo   = 0.6 // no faults after this share of the time
+	minQuiet   = 5 * time.Second
 )
 
-// trouble is a kind that may be drawn, and how long it lasts.
-type trouble struct {
-	kind        string
-	least, most float64 // seconds
-	ofProcess   bool    // it takes the process: not two of these at one scheduler at a time
-	size        func(*rand.Rand) float64
-	part        float64 // share of the workers, for those of workers
+// faultTemplate is a kind of fault that may be drawn, with its range of durations.
+type faultTemplate struct {
+	kind                   string
+	minSeconds, maxSeconds float64 // range of the duration
+	ofProcess              bool    // affects the process: at most one at a time for a scheduler
+	size                   func(*rand.Rand) float64
+	workerShare            float64 // share of the workers, for faults of workers
 }
 
-func none(*rand.Rand) float64 { return 0 }
+func noSize(*rand.Rand) float64 { return 0 }
 
-func between(least, most float64) func(*rand.Rand) float64 {
-	return func(r *rand.Rand) float64 { return least + (most-least)*r.Float64() }
+func uniform(low, high float64) func(*rand.Rand) float64 {
+	return func(r *rand.Rand) float64 { return low + (high-low)*r.Float64() }
 }
 
-// step is a step of a wall clock: an hour or some seconds, either way, or back to what is right.
-func step(r *rand.Rand) float64 {
+// clockStep draws a step of a wall clock: an hour or some seconds forward or back, or the correct time.
+func clockStep(r *rand.Rand) float64 {
 	return []float64{3600, -3600, 7, -7, 40, 0}[r.IntN(6)]
 }
 
-var troubles = []trouble{
-	{"scheduler-kill", 0.5, 2, true, none, 0},
-	{"scheduler-term", 4, 6, true, none, 0},
-	{"scheduler-takeover", 5, 6, true, none, 0},
-	{"scheduler-terms", 4, 6, true, none, 0},
-	{"scheduler-hup-term", 4, 6, true, none, 0},
-	{"takeover-hups", 5, 6, true, none, 0},
-	{"scheduler-hups", 0.5, 1, false, none, 0},
-	{"scheduler-stop", 0.15, 3, true, none, 0},
-	{"scheduler-starve", 1, 3, true, between(0.4, 0.8), 0},
-	{"scheduler-reload", 1, 2, false, none, 0},
-	{"settings-change", 1, 3, false, none, 0},
-	{"scheduler-blind", 0.5, 4, false, none, 0},
-	{kindClock, 0, 0, false, step, 0},
-	{kindCalls, 0.5, 3, false, between(3, 30), 0},
-	{kindLate, 1, 4, false, between(300, 900), 0},
-	{kindDisk, 0.3, 2, false, none, 0},
-	{"discovery-silent", 0.5, 3, false, none, 0},
-	{"discovery-broken", 0.5, 3, false, none, 0},
-	{"kill", 1, 3, false, none, 0.3},
-	{"hang", 1, 4, false, none, 0.3},
-	{"vanish", 0.5, 3, false, none, 0.3},
-	{"cut", 0.5, 2, false, none, 0.4},
-	{"drain", 1, 3, false, none, 0.25},
-	{"drain-told", 1, 3, false, none, 0.25},
-	{"replace", 1.5, 3, false, none, 0.4},
-	{"refuses", 0.5, 3, false, none, 0.4},
-	{"mute", 0.5, 3, false, between(0.2, 0.8), 0.5},
-	{"fails", 0.5, 3, false, between(0.2, 0.8), 0.5},
+var faultTemplates = []faultTemplate{
+	{"scheduler-kill", 0.5, 2, true, noSize, 0},
+	{"scheduler-term", 4, 6, true, noSize, 0},
+	{"scheduler-takeover", 5, 6, true, noSize, 0},
+	{"scheduler-terms", 4, 6, true, noSize, 0},
+	{"scheduler-hup-term", 4, 6, true, noSize, 0},
+	{"takeover-hups", 5, 6, true, noSize, 0},
+	{"scheduler-hups", 0.5, 1, false, noSize, 0},
+	{"scheduler-stop", 0.15, 3, true, noSize, 0},
+	{"scheduler-starve", 1, 3, true, uniform(0.4, 0.8), 0},
+	{"scheduler-reload", 1, 2, false, noSize, 0},
+	{"settings-change", 1, 3, false, noSize, 0},
+	{"scheduler-blind", 0.5, 4, false, noSize, 0},
+	{kindClock, 0, 0, false, clockStep, 0},
+	{kindCalls, 0.5, 3, false, uniform(3, 30), 0},
+	{kindLate, 1, 4, false, uniform(300, 900), 0},
+	{kindDisk, 0.3, 2, false, noSize, 0},
+	{"discovery-silent", 0.5, 3, false, noSize, 0},
+	{"discovery-broken", 0.5, 3, false, noSize, 0},
+	{"kill", 1, 3, false, noSize, 0.3},
+	{"hang", 1, 4, false, noSize, 0.3},
+	{"vanish", 0.5, 3, false, noSize, 0.3},
+	{"cut", 0.5, 2, false, noSize, 0.4},
+	{"drain", 1, 3, false, noSize, 0.25},
+	{"drain-told", 1, 3, false, noSize, 0.25},
+	{"replace", 1.5, 3, false, noSize, 0.4},
+	{"refuses", 0.5, 3, false, noSize, 0.4},
+	{"mute", 0.5, 3, false, uniform(0.2, 0.8), 0.5},
+	{"fails", 0.5, 3, false, uniform(0.2, 0.8), 0.5},
 }
 
-var ofMembers = []trouble{
-	{"mesh-cut", 0.5, 4, false, none, 0},
-	{"mesh-loss", 0.5, 4, false, between(0.05, 0.3), 0},
-	{"mesh-delay", 0.5, 4, false, between(5, 60), 0},
+var memberFaults = []faultTemplate{
+	{"mesh-cut", 0.5, 4, false, noSize, 0},
+	{"mesh-loss", 0.5, 4, false, uniform(0.05, 0.3), 0},
+	{"mesh-delay", 0.5, 4, false, uniform(5, 60), 0},
 }
 
-// ofCrowds come in one of crowdedSeeds runs.
-var ofCrowds = []trouble{
-	{"scheduler-crowd", 1, 4, false, none, 0},
+// crowdFaults are drawn in one of seedsPerCrowd runs.
+var crowdFaults = []faultTemplate{
+	{"scheduler-crowd", 1, 4, false, noSize, 0},
 }
 
-const crowdedSeeds = 3
+const seedsPerCrowd = 3
 
-// day is what all soaks share.
-const day = `
+// baseConfig is the part of the experiment file that all drawn soaks share.
+const baseConfig = `
 settle_s = 1
 [rules]
 slack_ms = 400
@@ -157,17 +158,18 @@
 mute = 0.002
 `
 
-// Draw makes an experiment of a seed: so many processes, for so long.
-func Draw(base *experiment.Experiment, seed uint64, processes int, whole time.Duration) (*experiment.Experiment, error) {
+// Draw draws an experiment from a seed, with a number of scheduler processes and a duration. If base is nil,
+// it also sets the load, the members and the replicas.
+func Draw(base *experiment.Experiment, seed uint64, processes int, duration time.Duration) (*experiment.Experiment, error) {
 	e := base
 	if e == nil {
 		var err error
-		if e, err = experiment.Parse([]byte(day)); err != nil {
+		if e, err = experiment.Parse([]byte(baseConfig)); err != nil {
 			return nil, err
 		}
 	}
 	r := rand.New(rand.NewPCG(seed, 0x736f616b))
-	e.Seed, e.Name, e.Seconds = seed, fmt.Sprintf("soak, seed %d", seed), whole.Seconds()
+	e.Seed, e.Name, e.Seconds = seed, fmt.Sprintf("soak, seed %d", seed), duration.Seconds()
 	e.Schedulers.Count = processes
 	e.Schedulers.Cancel, e.Schedulers.Probes = r.IntN(3) > 0, r.IntN(4) > 0
 	e.Schedulers.MaxPushes = 2 + r.IntN(4)
@@ -183,47 +185,49 @@
 	return e, nil
 }
 
-// drawFaults draws troubles in bursts of two or three that overlap, at chosen schedulers and workers.
+// drawFaults draws faults in bursts of two or three that overlap, at chosen schedulers and workers.
 func drawFaults(e *experiment.Experiment, r *rand.Rand) {
-	from, to := troubledFrom*e.Seconds, min(troubledTo*e.Seconds, e.Seconds-leastQuiet.Seconds())
-	kinds := slices.Concat(troubles, ofMembers)
-	if r.IntN(crowdedSeeds) == 0 {
-		for range 3 { // several of them in such a run
-			kinds = append(kinds, ofCrowds...)
+	from, to := faultsFrom*e.Seconds, min(faultsTo*e.Seconds, e.Seconds-minQuiet.Seconds())
+	kinds := slices.Concat(faultTemplates, memberFaults)
+	if r.IntN(seedsPerCrowd) == 0 {
+		for range 3 { // three times, so that such a run has several of them
+			kinds = append(kinds, crowdFaults...)
 		}
 	}
-	busy := make([]float64, e.Schedulers.Count)
-	workers := map[string]bool{} // kinds that last to the end of their fault only once at a time
+	busyUntil := make([]float64, e.Schedulers.Count)
+	// drawn holds the kinds drawn so far. A kind of worker fault that is drawn again is dropped half of the
+	// time.
+	drawn := map[string]bool{}
 	for at := from; at < to; at += 0.4 + 1.6*r.Float64() {
-		same := r.IntN(e.Schedulers.Count) // of a burst some are at one scheduler
+		burstScheduler := r.IntN(e.Schedulers.Count) // some faults of a burst hit this scheduler
 		for range 2 + r.IntN(2) {
 			t := kinds[r.IntN(len(kinds))]
-			f := experiment.Fault{Kind: t.kind, At: at + 0.3*r.Float64(), For: t.least + (t.most-t.least)*r.Float64(), Size: t.size(r), Way: "both"}
-			f.For = min(f.For, max(to-f.At, t.least))
-			if !addressed(e, r, t, &f, same, busy) || workers[f.Kind] && !strings.Contains(f.Kind, "-") && r.IntN(2) > 0 {
+			f := experiment.Fault{Kind: t.kind, At: at + 0.3*r.Float64(), For: t.minSeconds + (t.maxSeconds-t.minSeconds)*r.Float64(), Size: t.size(r), Way: "both"}
+			f.For = min(f.For, max(to-f.At, t.minSeconds))
+			if !chooseTarget(e, r, t, &f, burstScheduler, busyUntil) || drawn[f.Kind] && !strings.Contains(f.Kind, "-") && r.IntN(2) > 0 {
 				continue
 			}
-			workers[f.Kind] = true
+			drawn[f.Kind] = true
 			e.Faults = append(e.Faults, f)
 		}
 	}
 }
 
-// addressed says whom a trouble hits; false where it can't now.
-func addressed(e *experiment.Experiment, r *rand.Rand, t trouble, f *experiment.Fault, same int, busy []float64) bool {
+// chooseTarget sets the target of a fault. It returns false if the target has another fault of its process.
+func chooseTarget(e *experiment.Experiment, r *rand.Rand, t faultTemplate, f *experiment.Fault, burstScheduler int, busyUntil []float64) bool {
 	if !experiment.OfSchedulers(t.kind) {
-		f.Part = t.part
+		f.Part = t.workerShare
 		return true
 	}
-	i := same
+	i := burstScheduler
 	if r.IntN(2) == 0 {
 		i = r.IntN(e.Schedulers.Count)
 	}
 	if t.ofProcess {
-		if busy[i] > f.At {
+		if busyUntil[i] > f.At {
 			return false
 		}
-		busy[i] = f.At + f.For + 3
+		busyUntil[i] = f.At + f.For + 3
 	}
 	if t.kind == "settings-change" {
 		f.EveryS = 0.3
@@ -232,12 +236,12 @@
 	return true
 }
 
-// Names are the kinds of troubles that an experiment has, in order.
-func Names(e *experiment.Experiment) []string {
-	var names []string
+// FaultKinds returns the kinds of faults in an experiment, in alphabetical order.
+func FaultKinds(e *experiment.Experiment) []string {
+	var kinds []string
 	for _, f := range e.Faults {
-		names = append(names, f.Kind)
+		kinds = append(kinds, f.Kind)
 	}
-	slices.Sort(names)
-	return slices.Compact(names)
+	slices.Sort(kinds)
+	return slices.Compact(kinds)
 }
