--- a/internal/lab/soak/shims.go
+++ b/internal/lab/soak/shims.go
@@ -14,8 +14,9 @@
 	"woaddyke/internal/lab/syscallfault"
 )
 
-// ofSockets are the system calls that fail for a moment, and the errors that Linux documents for them.
-var ofSockets = map[int][]syscall.Errno{
+// socketErrnos are the system calls on sockets that a fault makes fail, with errors that Linux documents for
+// them.
+var socketErrnos = map[int][]syscall.Errno{
 	syscall.SYS_ACCEPT4: {syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.EPERM,
 		syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.EINTR},
 	syscall.SYS_CONNECT: {syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENETUNREACH, syscall.ECONNABORTED, syscall.EAGAIN, syscall.ETIMEDOUT,
@@ -24,17 +25,17 @@
 	syscall.SYS_RECVFROM: {syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR},
 }
 
-// ofFiles are those that write and sync files.
-var ofFiles = map[int][]syscall.Errno{
+// fileErrnos are the system calls that write and sync files, with their errors.
+var fileErrnos = map[int][]syscall.Errno{
 	syscall.SYS_PWRITE64:  {syscall.EIO, syscall.ENOSPC},
 	syscall.SYS_FDATASYNC: {syscall.EIO, syscall.ENOSPC},
 	syscall.SYS_FSYNC:     {syscall.EIO, syscall.ENOSPC},
 	syscall.SYS_FTRUNCATE: {syscall.EIO, syscall.ENOSPC},
 }
 
-// ailing is what fails in the processes at one scheduler's place.
-type ailing struct {
-	oneIn float64 // of the calls on sockets; 0 for none
+// activeFaults are the faults in the processes of a scheduler.
+type activeFaults struct {
+	oneIn float64 // one in so many calls on sockets fails; 0 for none
 	late  time.Duration
 	disk  bool
 }
@@ -43,48 +44,49 @@
 type Shims struct {
 	program, launcher, folder, level string
 
-	mu     sync.Mutex
-	chance *rand.Rand
-	clocks map[int]*steppedclock.Clock
-	ails   map[int]*ailing
-	failed int // calls that failed
+	mu          sync.Mutex
+	chance      *rand.Rand
+	clocks      map[int]*steppedclock.Clock
+	faults      map[int]*activeFaults
+	failedCalls int // number of calls that failed
 }
 
-// NewShims start a program that was built for stepped clocks through a launcher; their files lie in a folder.
+// NewShims returns shims for a program that was built by package steppedclock. They start it through a
+// launcher and put their files in a folder.
 func NewShims(program, launcher, folder, level string, seed uint64) *Shims {
 	return &Shims{program: program, launcher: launcher, folder: folder, level: level, chance: rand.New(rand.NewPCG(seed, 0x7368696d)),
-		clocks: map[int]*steppedclock.Clock{}, ails: map[int]*ailing{}}
+		clocks: map[int]*steppedclock.Clock{}, faults: map[int]*activeFaults{}}
 }
 
-// Make is a maker of schedulers.
+// Make starts a scheduler. It is a schedulers.Maker.
 func (s *Shims) Make(n int, sheet, log string) (schedulers.Running, error) {
-	out, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	logFile, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
 	}
-	defer out.Close()
-	clock, ails, err := s.place(n)
+	defer logFile.Close()
+	clock, faults, err := s.place(n)
 	if err != nil {
 		return nil, err
 	}
-	cmd := schedulers.Command(s.program, sheet, out, "--log", s.level)
+	cmd := schedulers.Command(s.program, sheet, logFile, "--log", s.level)
 	cmd.Env = append(os.Environ(), clock.Environment(), "TMPDIR="+s.folder)
 	var calls []int
-	for _, of := range []map[int][]syscall.Errno{ofSockets, ofFiles} {
-		for call := range of {
-			calls = append(calls, call)
+	for _, errnos := range []map[int][]syscall.Errno{socketErrnos, fileErrnos} {
+		for number := range errnos {
+			calls = append(calls, number)
 		}
 	}
-	supervisor, err := syscallfault.Start(cmd, s.launcher, func(c syscallfault.Call) syscall.Errno { return s.decide(ails, c) }, calls...)
+	supervisor, err := syscallfault.Start(cmd, s.launcher, func(c syscallfault.Call) syscall.Errno { return s.decide(faults, c) }, calls...)
 	if err != nil {
 		return nil, fmt.Errorf("scheduler: %w", err)
 	}
-	supervisor.Hold(func(c syscallfault.Call) time.Duration { return s.lateness(ails, c) })
+	supervisor.Hold(func(c syscallfault.Call) time.Duration { return s.connectDelay(faults, c) })
 	return schedulers.Started(cmd), nil
 }
 
-// place is the clock of a scheduler's place, and what fails there.
-func (s *Shims) place(n int) (*steppedclock.Clock, *ailing, error) {
+// place returns the clock and the active faults of scheduler n.
+func (s *Shims) place(n int) (*steppedclock.Clock, *activeFaults, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.clocks[n] == nil {
@@ -92,14 +94,14 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		s.clocks[n], s.ails[n] = clock, &ailing{}
+		s.clocks[n], s.faults[n] = clock, &activeFaults{}
 	}
-	return s.clocks[n], s.ails[n], nil
+	return s.clocks[n], s.faults[n], nil
 }
 
-// Turn begins or ends a trouble at a scheduler's place.
+// Turn begins or ends a fault at scheduler n.
 func (s *Shims) Turn(kind string, n int, on bool, size float64) {
-	clock, ails, err := s.place(n)
+	clock, faults, err := s.place(n)
 	if err != nil {
 		return
 	}
@@ -109,36 +111,37 @@
 	case kindClock:
 		clock.Set(time.Duration(size) * time.Second)
 	case kindCalls:
-		if ails.oneIn = size; !on {
-			ails.oneIn = 0
+		if faults.oneIn = size; !on {
+			faults.oneIn = 0
 		}
 	case kindLate:
-		if ails.late = time.Duration(size * float64(time.Millisecond)); !on {
-			ails.late = 0
+		if faults.late = time.Duration(size * float64(time.Millisecond)); !on {
+			faults.late = 0
 		}
 	case kindDisk:
-		ails.disk = on
+		faults.disk = on
 	}
 }
 
-// decide says whether a call fails.
-func (s *Shims) decide(a *ailing, c syscallfault.Call) syscall.Errno {
+// decide returns the error with which a call fails, or 0.
+func (s *Shims) decide(a *activeFaults, c syscallfault.Call) syscall.Errno {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	errnos := ofSockets[c.Number]
+	errnos := socketErrnos[c.Number]
 	if len(errnos) > 0 {
 		if a.oneIn == 0 || s.chance.Float64()*a.oneIn >= 1 {
 			return 0
 		}
-	} else if errnos = ofFiles[c.Number]; !a.disk || !strings.HasPrefix(c.Target(), "/") {
+	} else if errnos = fileErrnos[c.Number]; !a.disk || !strings.HasPrefix(c.Target(), "/") {
 		return 0
 	}
-	s.failed++
+	s.failedCalls++
 	return errnos[s.chance.IntN(len(errnos))]
 }
 
-// lateness is by how much a call is held up: a connect, where connections come up late.
-func (s *Shims) lateness(a *ailing, c syscallfault.Call) time.Duration {
+// connectDelay returns the delay of a call: a random delay for half of the connects under scheduler-late,
+// otherwise 0.
+func (s *Shims) connectDelay(a *activeFaults, c syscallfault.Call) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c.Number != syscall.SYS_CONNECT || a.late == 0 || s.chance.IntN(2) == 0 {
@@ -147,11 +150,11 @@
 	return time.Duration(s.chance.Float64() * float64(a.late))
 }
 
-// Failed is how many calls have failed.
+// Failed returns the number of calls that failed.
 func (s *Shims) Failed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.failed
+	return s.failedCalls
 }
 
 // Close removes the clocks' files.
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -23,109 +23,109 @@
 	"woaddyke/internal/lab/schedulers"
 )
 
-// Verdict is what a soak has found.
+// Verdict is the result of a soak.
 type Verdict struct {
-	Seed                   uint64
-	Processes, Requests    int
-	Faults, Kinds, Calls   int
-	Behind                 int // requests that were sent behind another one on its connection
-	Violations, Lost       int
-	Duplicates, Unanswered int
-	Recovered              time.Duration // from the end of the last trouble until every scheduler has served
-	Found                  []Finding
-	Void                   string
+	Seed                       uint64
+	Processes, Requests        int
+	Faults, Kinds, FailedCalls int
+	Pipelined                  int // requests that were pipelined behind another request on their connection
+	Violations, Lost           int
+	Duplicates, Unanswered     int
+	Recovered                  time.Duration // from the last fault until every scheduler acked an op
+	Findings                   []Finding
+	Void                       string
 }
 
-// Finding is one thing that must not be.
+// Finding is a violation that a soak found.
 type Finding struct {
-	What string
-	Op   string // whose timeline tells of it; empty for none
+	Text string
+	Op   string // op whose timeline is printed; empty for none
 }
 
-// Held tells whether nothing was found.
-func (v *Verdict) Held() bool { return v.Violations+v.Lost+v.Duplicates+v.Unanswered == 0 }
+// Passed reports whether nothing was found.
+func (v *Verdict) Passed() bool { return v.Violations+v.Lost+v.Duplicates+v.Unanswered == 0 }
 
-// Line is the last line of a soak.
-func (v *Verdict) Line() string {
+// SummaryLine returns the last line that a soak prints.
+func (v *Verdict) SummaryLine() string {
 	return fmt.Sprintf("soak: seed=%d processes=%d requests=%d faults=%d kinds=%d violations=%d lost=%d duplicates=%d unanswered=%d recovered_ms=%d",
 		v.Seed, v.Processes, v.Requests, v.Faults, v.Kinds, v.Violations, v.Lost, v.Duplicates, v.Unanswered, v.Recovered.Milliseconds())
 }
 
-// Bounds at rest, beside what a scheduler held before the first op.
+// Allowances at rest, beyond the highest value of all schedulers before the first op.
 const (
-	moreFiles      = 96 // idle connections to workers and to members among them
-	moreGoroutines = 160
+	extraFiles      = 96 // includes idle connections to workers and members
+	extraGoroutines = 160
 )
 
-// held is what a scheduler shows of itself.
-type held struct {
+// schedulerState is the state that a scheduler reports, with its number of descriptors.
+type schedulerState struct {
 	InFlight   int               `json:"in_flight"`
 	Goroutines int               `json:"goroutines"`
 	Violations map[string]uint64 `json:"violations"`
 	files      int
 }
 
-// Play plays an experiment with shims, in a folder, and judges it.
-func Play(ctx context.Context, e *experiment.Experiment, shims *Shims, folder string) (*Verdict, error) {
-	v := &Verdict{Seed: e.Seed, Processes: e.Schedulers.Count, Faults: len(e.Faults), Kinds: len(Names(e))}
-	before, after := map[int]held{}, map[int]held{}
+// Run runs an experiment with shims, writes its files to a folder and checks it.
+func Run(ctx context.Context, e *experiment.Experiment, shims *Shims, folder string) (*Verdict, error) {
+	v := &Verdict{Seed: e.Seed, Processes: e.Schedulers.Count, Faults: len(e.Faults), Kinds: len(FaultKinds(e))}
+	before, after := map[int]schedulerState{}, map[int]schedulerState{}
 	r, err := runner.Run(ctx, e, runner.Stage{Out: folder, Make: shims.Make, Shims: shims, Quiet: true, Look: func(ended bool, all []*schedulers.Scheduler) {
 		into := before
 		if ended {
 			into = after
 		}
 		for n, s := range all {
-			look(into, n, s)
+			recordState(into, n, s)
 		}
 	}})
-	v.Calls = shims.Failed()
-	events, unread := ledger.ReadFile(filepath.Join(folder, "ledger.jsonl"))
-	if unread != nil && !errors.Is(unread, ledger.ErrTorn) {
-		return nil, errors.Join(err, unread)
+	v.FailedCalls = shims.Failed()
+	events, readErr := ledger.ReadFile(filepath.Join(folder, "ledger.jsonl"))
+	if readErr != nil && !errors.Is(readErr, ledger.ErrTorn) {
+		return nil, errors.Join(err, readErr)
 	}
 	if errors.Is(err, syscall.EADDRINUSE) {
 		v.Void = fmt.Sprintf("the lab lost one of its own ports to another program: %v", err)
 		return v, nil
 	}
-	if err != nil { // a scheduler that does not start, end or answer is what a soak looks for
+	if err != nil { // a scheduler that does not start, end or answer is a violation, not an error of the lab
 		v.Violations++
-		v.find("", "not played to its end: %v", err)
+		v.addFinding("", "not played to its end: %v", err)
 		return v, v.readLogs(folder)
 	}
 	for _, e := range events {
 		if e.Kind == ledger.Sent && e.Text == ledger.Behind {
-			v.Behind++
+			v.Pipelined++
 		}
 	}
 	v.Void = r.Void
-	v.judge(r)
-	v.rest(before, after)
-	v.recovered(e, events)
+	v.countBreaches(r)
+	v.checkAtRest(before, after)
+	v.checkRecovery(e, events)
 	return v, v.readLogs(folder)
 }
 
-// look notes what a scheduler holds now.
-func look(into map[int]held, n int, s *schedulers.Scheduler) {
-	var h held
-	if s.Ask("/api/telemetry", &h) != nil {
+// recordState records the present state of scheduler n.
+func recordState(into map[int]schedulerState, n int, s *schedulers.Scheduler) {
+	var state schedulerState
+	if s.Ask("/api/telemetry", &state) != nil {
 		return
 	}
 	if u, ok := s.Use(); ok {
-		h.files = u.Files
+		state.files = u.Files
 	}
-	into[n] = h
+	into[n] = state
 }
 
-func (v *Verdict) find(op, format string, args ...any) {
-	v.Found = append(v.Found, Finding{fmt.Sprintf(format, args...), op})
+func (v *Verdict) addFinding(op, format string, args ...any) {
+	v.Findings = append(v.Findings, Finding{fmt.Sprintf(format, args...), op})
 }
 
-// judge counts what the audit found.
-func (v *Verdict) judge(r *report.Results) {
+// countBreaches counts the breaches that the audit found.
+func (v *Verdict) countBreaches(r *report.Results) {
 	v.Requests = r.Audit.Ops
 	v.Unanswered = r.Audit.Open
 	for _, b := range r.Audit.Breaches {
-		v.find(b.Op, "%s", b)
+		v.addFinding(b.Op, "%s", b)
 		switch b.Rule {
 		case audit.Lost:
 			v.Lost++
@@ -137,60 +137,61 @@
 	}
 	if n := int(r.Figures["doubled"]); n > 0 {
 		v.Duplicates += n
-		v.find("", "%d at-most-once ops ran twice at two schedulers", n)
+		v.addFinding("", "%d at-most-once ops ran twice at two schedulers", n)
 	}
 }
 
-// rest holds what schedulers hold when all is over against what they held before.
-func (v *Verdict) rest(before, after map[int]held) {
+// checkAtRest compares the schedulers' state at the end with their state before the first op.
+func (v *Verdict) checkAtRest(before, after map[int]schedulerState) {
 	files, goroutines := 0, 0
-	for _, h := range before {
-		files, goroutines = max(files, h.files), max(goroutines, h.Goroutines)
+	for _, state := range before {
+		files, goroutines = max(files, state.files), max(goroutines, state.Goroutines)
 	}
-	broken := func(n int, format string, args ...any) {
+	addViolation := func(n int, format string, args ...any) {
 		v.Violations++
-		v.find("", "scheduler %d at rest: %s", n+1, fmt.Sprintf(format, args...))
+		v.addFinding("", "scheduler %d at rest: %s", n+1, fmt.Sprintf(format, args...))
 	}
 	for n := range v.Processes {
-		h, ok := after[n]
+		state, ok := after[n]
 		switch {
 		case !ok:
-			broken(n, "its second address does not answer")
-		case h.InFlight > 0:
-			broken(n, "%d ops in flight", h.InFlight)
-		case h.files > files+moreFiles:
-			broken(n, "%d descriptors, %d at most before", h.files, files)
-		case h.Goroutines > goroutines+moreGoroutines:
-			broken(n, "%d goroutines, %d at most before", h.Goroutines, goroutines)
+			addViolation(n, "its second address does not answer")
+		case state.InFlight > 0:
+			addViolation(n, "%d ops in flight", state.InFlight)
+		case state.files > files+extraFiles:
+			addViolation(n, "%d descriptors, %d at most before", state.files, files)
+		case state.Goroutines > goroutines+extraGoroutines:
+			addViolation(n, "%d goroutines, %d at most before", state.Goroutines, goroutines)
 		}
 	}
 }
 
-// recovered finds out when each scheduler served again after the last trouble.
-func (v *Verdict) recovered(e *experiment.Experiment, events []ledger.Event) {
-	last := ledger.Time(0)
+// checkRecovery checks that each scheduler acked an op after the last fault, and sets the longest recovery
+// time.
+func (v *Verdict) checkRecovery(e *experiment.Experiment, events []ledger.Event) {
+	lastFault := ledger.Time(0)
 	for _, ev := range events {
 		if ev.Kind == ledger.Fault {
-			last = ev.At
+			lastFault = ev.At
 		}
 	}
-	first := make([]ledger.Time, e.Schedulers.Count+1)
+	firstAck := make([]ledger.Time, e.Schedulers.Count+1)
 	for _, ev := range events {
-		if ev.Kind == ledger.Answer && ev.Verdict == ledger.Acked && ev.At > last && ev.Scheduler > 0 && first[ev.Scheduler] == 0 {
-			first[ev.Scheduler] = ev.At
+		if ev.Kind == ledger.Answer && ev.Verdict == ledger.Acked && ev.At > lastFault && ev.Scheduler > 0 && firstAck[ev.Scheduler] == 0 {
+			firstAck[ev.Scheduler] = ev.At
 		}
 	}
-	for n := 1; n < len(first); n++ {
-		if first[n] == 0 {
+	for n := 1; n < len(firstAck); n++ {
+		if firstAck[n] == 0 {
 			v.Violations++
-			v.find("", "scheduler %d has served nothing since the last trouble", n)
+			v.addFinding("", "scheduler %d has served nothing since the last trouble", n)
 			continue
 		}
-		v.Recovered = max(v.Recovered, time.Duration(first[n]-last)*ledger.Tenth)
+		v.Recovered = max(v.Recovered, time.Duration(firstAck[n]-lastFault)*ledger.Tenth)
 	}
 }
 
-// readLogs counts what the programs' own guards have seen.
+// readLogs counts the violated invariants and panics in the schedulers' logs.
 func (v *Verdict) readLogs(folder string) error {
 	logs, err := filepath.Glob(filepath.Join(folder, "*.log"))
 	if err != nil {
@@ -220,12 +221,12 @@
 		text, err := lines.ReadBytes('\n')
 		if bytes.HasPrefix(text, []byte("panic:")) || bytes.HasPrefix(text, []byte("fatal error:")) {
 			v.Violations++
-			v.find("", "%s: %s", name, bytes.TrimSpace(text))
+			v.addFinding("", "%s: %s", name, bytes.TrimSpace(text))
 		}
 		var line struct{ Message, Rule, Why, ID string }
 		if json.Unmarshal(text, &line) == nil && slices.Contains(violationMessages, line.Message) {
 			v.Violations++
-			v.find(line.ID, "%s: %s: %s", name, line.Rule, strings.TrimSpace(string(text)))
+			v.addFinding(line.ID, "%s: %s: %s", name, line.Rule, strings.TrimSpace(string(text)))
 		}
 		if err == io.EOF {
 			return nil
@@ -236,24 +237,24 @@
 	}
 }
 
-// mostFound bounds what is printed.
-const mostFound = 12
+// maxFindings is the maximum number of findings that are printed.
+const maxFindings = 12
 
-// Tell prints what was found, with the timeline of each op that it is about.
-func (v *Verdict) Tell(out io.Writer, folder string) error {
-	if v.Held() {
+// PrintFindings prints the findings, each with the timeline of its op.
+func (v *Verdict) PrintFindings(out io.Writer, folder string) error {
+	if v.Passed() {
 		return nil
 	}
 	events, err := ledger.ReadFile(filepath.Join(folder, "ledger.jsonl"))
 	if err != nil {
 		return err
 	}
-	for k, f := range v.Found {
-		if k == mostFound {
-			fmt.Fprintf(out, "and %d more\n", len(v.Found)-k)
+	for k, f := range v.Findings {
+		if k == maxFindings {
+			fmt.Fprintf(out, "and %d more\n", len(v.Findings)-k)
 			return nil
 		}
-		fmt.Fprintln(out, "found:", f.What)
+		fmt.Fprintln(out, "found:", f.Text)
 		if f.Op != "" {
 			timeline(out, events, f.Op)
 		}
@@ -261,26 +262,26 @@
 	return nil
 }
 
-// around is how long before and after an op's own events troubles are shown.
-const around = ledger.Time(time.Second / ledger.Tenth)
+// timelineMargin is the time before and after an op's events for which faults are shown.
+const timelineMargin = ledger.Time(time.Second / ledger.Tenth)
 
-// timeline prints all events of an op, and the troubles and signals around them.
+// timeline prints all events of an op, and the faults and signals around them.
 func timeline(out io.Writer, events []ledger.Event, op string) {
-	from, to := ledger.Time(-1), ledger.Time(0)
+	first, last := ledger.Time(-1), ledger.Time(0)
 	for _, e := range events {
 		if e.Op == op {
-			if from < 0 {
-				from = e.At
+			if first < 0 {
+				first = e.At
 			}
-			to = e.At
+			last = e.At
 		}
 	}
-	if from < 0 {
+	if first < 0 {
 		return
 	}
 	for k, e := range events {
 		ofProcess := e.Op == "" && e.Scheduler > 0 && e.Worker == "" && e.Kind != ledger.Held && e.Kind != ledger.Way
-		near := e.At >= from-around && e.At <= to+around && (e.Kind == ledger.Fault || ofProcess)
+		near := e.At >= first-timelineMargin && e.At <= last+timelineMargin && (e.Kind == ledger.Fault || ofProcess)
 		if e.Op != op && !near {
 			continue
 		}
--- a/internal/lab/steppedclock/steppedclock.go
+++ b/internal/lab/steppedclock/steppedclock.go
@@ -1,6 +1,6 @@
-// Package steppedclock builds a program whose wall clock another process can step while it runs. Only the wall reading of time.Now
-// moves; the monotonic one goes on. The program's own source is unchanged: the Go command replaces one line of the standard library's
-// package time for this build.
+// Package steppedclock builds a program whose wall clock another process can step while it runs. A step
+// changes the wall reading of time.Now, and not its monotonic reading. The program's source is unchanged: for
+// this build the Go command replaces a line of the standard library's package time by an overlay.
 package steppedclock
 
 import (
@@ -19,8 +19,8 @@
 )
 
 const (
-	variable = "WOADDYKE_LAB_CLOCK" // the file that holds the step, in the program's environment
-	fileSize = 4096
+	clockVariable = "WOADDYKE_LAB_CLOCK" // the file that holds the step, in the program's environment
+	fileSize      = 4096
 )
 
 const (
@@ -28,8 +28,8 @@
 	readingAfter  = readingBefore + "\tsec += steppedSeconds()\n"
 )
 
-// addition is the file that the build adds to package time.
-const addition = `package time
+// overlaySource is the file that the build adds to package time.
+const overlaySource = `package time
 
 import (
 	"sync/atomic"
@@ -40,7 +40,7 @@
 var stepped *int64
 
 func init() {
-	path, ok := syscall.Getenv("` + variable + `")
+	path, ok := syscall.Getenv("` + clockVariable + `")
 	if !ok {
 		return
 	}
@@ -64,22 +64,23 @@
 }
 `
 
-// Build builds a package of the module that the folder is in, and returns the program's path, which lies in the folder named last.
+// Build builds a package of the module that contains folder, and returns the program's path. It writes the
+// program and the overlay to the folder into.
 func Build(ctx context.Context, folder, pkg, into string) (string, error) {
 	root, err := exec.CommandContext(ctx, "go", "env", "GOROOT").Output()
 	if err != nil {
 		return "", fmt.Errorf("stepped clock: %w", err)
 	}
 	source := filepath.Join(strings.TrimSpace(string(root)), "src", "time")
-	now, err := os.ReadFile(filepath.Join(source, "time.go"))
+	timeSource, err := os.ReadFile(filepath.Join(source, "time.go"))
 	if err != nil {
 		return "", fmt.Errorf("stepped clock: %w", err)
 	}
-	changed := strings.Replace(string(now), readingBefore, readingAfter, 1)
-	if changed == string(now) {
+	changed := strings.Replace(string(timeSource), readingBefore, readingAfter, 1)
+	if changed == string(timeSource) {
 		return "", errors.New("stepped clock: this Go's time.Now reads its clock in another way")
 	}
-	files := map[string]string{"time.go": changed, "stepped.go": addition}
+	files := map[string]string{"time.go": changed, "stepped.go": overlaySource}
 	overlay := map[string]string{}
 	for name, text := range files {
 		path := filepath.Join(into, "stepped-"+name)
@@ -92,26 +93,26 @@
 	if err != nil {
 		return "", fmt.Errorf("stepped clock: %w", err)
 	}
-	list := filepath.Join(into, "stepped-overlay.json")
-	if err := os.WriteFile(list, text, 0o600); err != nil {
+	overlayPath := filepath.Join(into, "stepped-overlay.json")
+	if err := os.WriteFile(overlayPath, text, 0o600); err != nil {
 		return "", fmt.Errorf("stepped clock: %w", err)
 	}
 	program := filepath.Join(into, "stepped-"+filepath.Base(pkg))
-	build := exec.CommandContext(ctx, "go", "build", "-overlay", list, "-o", program, pkg)
+	build := exec.CommandContext(ctx, "go", "build", "-overlay", overlayPath, "-o", program, pkg)
 	build.Dir = folder
-	if said, err := build.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("stepped clock: %w: %s", err, said)
+	if output, err := build.CombinedOutput(); err != nil {
+		return "", fmt.Errorf("stepped clock: %w: %s", err, output)
 	}
 	return program, nil
 }
 
-// Clock is the wall clock of the processes that are started with its environment.
+// Clock is the wall clock of the processes that were started with its environment.
 type Clock struct {
 	file   *os.File
 	memory []byte
 }
 
-// New makes a clock that is right, with its file in a folder.
+// New returns a clock without a step, with its file in a folder.
 func New(folder string) (*Clock, error) {
 	f, err := os.CreateTemp(folder, "clock-")
 	if err != nil {
@@ -127,15 +128,15 @@
 	return &Clock{file: f, memory: memory}, nil
 }
 
-// Environment is what a process needs to run by this clock.
-func (c *Clock) Environment() string { return variable + "=" + c.file.Name() }
+// Environment returns the environment entry that makes a process use this clock.
+func (c *Clock) Environment() string { return clockVariable + "=" + c.file.Name() }
 
-// Set has the clock be ahead of the machine's by whole seconds, or behind it.
+// Set sets the clock ahead of the machine's clock by whole seconds, or behind it if ahead is negative.
 func (c *Clock) Set(ahead time.Duration) {
 	binary.NativeEndian.PutUint64(c.memory, uint64(int64(ahead/time.Second)))
 }
 
-// Close removes the clock's file. Processes that run by it keep the last step.
+// Close removes the clock's file. Processes that use it keep the last step.
 func (c *Clock) Close() error {
 	return errors.Join(unix.Munmap(c.memory), c.file.Close(), os.Remove(c.file.Name()))
 }
--- a/internal/lab/steppedclock/steppedclock_test.go
+++ b/internal/lab/steppedclock/steppedclock_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// Only the wall reading moves, by as much as it is told, and the time that a process has run stays what it is.
-func TestTheWallClockIsSteppedAlone(t *testing.T) {
+// A step must move the wall clock by the given time, and must not change the monotonic time that the process
+// has run.
+func TestSteppingMovesTheWallClockAndLeavesTheMonotonicClock(t *testing.T) {
 	dir := t.TempDir()
 	program, err := Build(t.Context(), ".", "./showclock", dir)
 	if err != nil {
--- a/internal/lab/syscallfault/launch.go
+++ b/internal/lab/syscallfault/launch.go
@@ -1,6 +1,6 @@
-// Package syscallfault makes chosen system calls of another process fail. The process is started by a launcher that installs a
-// seccomp filter on itself and then becomes the program, so the program is run as it was built and no privilege is needed. The
-// supervisor decides on each call of the chosen kinds whether it goes on or fails, and with which error.
+// Package syscallfault makes chosen system calls of another process fail. A launcher installs a seccomp
+// filter on itself and then executes the program, so the program needs no change and no privilege. For each
+// of the chosen calls, the supervisor decides whether it continues or fails, and with which error.
 package syscallfault
 
 import (
@@ -16,49 +16,49 @@
 )
 
 const (
-	launchVariable = "WOADDYKE_LAB_SYSCALLS" // what the launcher is told, as JSON
-	listenerFD     = 3                       // the launcher's end of the socket that carries the listener to the supervisor
+	launchVariable = "WOADDYKE_LAB_SYSCALLS" // holds the launcher's instructions, as JSON
+	listenerFD     = 3                       // the launcher's end of the socket to the supervisor, which carries the listener
 
 	filterNewListener  = 1 << 3 // SECCOMP_FILTER_FLAG_NEW_LISTENER
-	filterWaitKillable = 1 << 5 // SECCOMP_FILTER_FLAG_WAIT_KILLABLE_RECV: preemption signals don't break a call off
+	filterWaitKillable = 1 << 5 // SECCOMP_FILTER_FLAG_WAIT_KILLABLE_RECV: preemption signals don't interrupt a call
 	setModeFilter      = 1      // SECCOMP_SET_MODE_FILTER
 	returnAllow        = 0x7fff0000
 	returnUserNotify   = 0x7fc00000
 )
 
-// launch is what a launcher is told.
+// launch holds the instructions for a launcher.
 type launch struct {
 	Calls []uint32 // numbers of the system calls that the supervisor decides on
 	Path  string
 	Args  []string
 }
 
-// Launch becomes the program that a supervisor asked this process to start, if one did. A program that serves as launcher calls it
-// first of all in main or TestMain. It returns where nobody asked.
+// Launch executes the program that a supervisor started this process for. A program that serves as launcher
+// calls it first in main or TestMain. It returns if no supervisor started the process.
 func Launch() {
 	text := os.Getenv(launchVariable)
 	if text == "" {
 		return
 	}
-	if err := become(text); err != nil {
+	if err := execProgram(text); err != nil {
 		fmt.Fprintln(os.Stderr, "syscallfault:", err)
 		os.Exit(1)
 	}
 }
 
-// become installs the filter and executes the program. It returns only with an error.
-func become(text string) error {
-	var what launch
-	if err := json.Unmarshal([]byte(text), &what); err != nil {
+// execProgram installs the filter and executes the program. It returns only with an error.
+func execProgram(text string) error {
+	var instructions launch
+	if err := json.Unmarshal([]byte(text), &instructions); err != nil {
 		return err
 	}
 	os.Unsetenv(launchVariable)
 	environment := os.Environ()
-	runtime.LockOSThread() // the filter is this thread's alone, and it is this thread that executes the program
+	runtime.LockOSThread() // the filter applies to this thread alone, and this thread executes the program
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return fmt.Errorf("no new privileges: %w", err)
 	}
-	listener, err := install(what.Calls)
+	listener, err := installFilter(instructions.Calls)
 	if err != nil {
 		return err
 	}
@@ -67,11 +67,11 @@
 	}
 	unix.Close(listener)
 	unix.Close(listenerFD)
-	return syscall.Exec(what.Path, what.Args, environment)
+	return syscall.Exec(instructions.Path, instructions.Args, environment)
 }
 
-// install puts a filter on this thread that hands the chosen calls to whoever holds the listener.
-func install(calls []uint32) (listener int, err error) {
+// installFilter installs a filter on this thread that passes the chosen calls to the holder of the listener.
+func installFilter(calls []uint32) (listener int, err error) {
 	if len(calls) == 0 || len(calls) > 64 {
 		return 0, errors.New("from 1 to 64 system calls")
 	}
--- a/internal/lab/syscallfault/supervise.go
+++ b/internal/lab/syscallfault/supervise.go
@@ -19,8 +19,8 @@
 	notifyReceive  = 0xc0502100 // SECCOMP_IOCTL_NOTIF_RECV
 	notifySend     = 0xc0182101 // SECCOMP_IOCTL_NOTIF_SEND
 	notifyContinue = 1          // SECCOMP_USER_NOTIF_FLAG_CONTINUE
-	pollTime       = 200        // ms between two looks at whether the supervisor was closed
-	startTime      = 10 * time.Second
+	pollIntervalMS = 200        // timeout of each poll
+	startTimeout   = 10 * time.Second
 )
 
 // notification is struct seccomp_notif.
@@ -49,7 +49,8 @@
 	pid    int
 }
 
-// Target tells what the descriptor in the first argument is: a path, or a kind such as "socket:[7]". It is empty where that is unknown.
+// Target returns the target of the descriptor in the first argument: a path, or a kind such as "socket:[7]".
+// It is empty if the target is unknown.
 func (c Call) Target() string {
 	target, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", c.pid, int32(c.Args[0])))
 	if err != nil {
@@ -58,10 +59,10 @@
 	return target
 }
 
-// Decide says with which error a call fails; 0 lets it go on. It is asked for one call at a time.
+// Decide returns the error with which a call fails, or 0 to let it continue. Calls of it don't overlap.
 type Decide func(Call) syscall.Errno
 
-// Delay says for how long a call is held up before it is decided on; 0 for not. Other calls go on meanwhile.
+// Delay returns the time to wait before the decision on a call, or 0. Other calls continue meanwhile.
 type Delay func(Call) time.Duration
 
 // Supervisor decides on the chosen calls of one process.
@@ -69,20 +70,20 @@
 	mu       sync.Mutex
 	decide   Decide
 	delay    Delay
-	failed   map[int]int // by number of the call
+	failed   map[int]int // by system call number
 	listener int
-	late     sync.WaitGroup // calls that are held up
+	delayed  sync.WaitGroup // calls that wait for their decision
 	ended    chan struct{}
 }
 
-// Start starts a command through a launcher, whose program calls Launch first of all, and decides on the calls with the numbers
-// given; nil lets all of them go on.
+// Start starts a command through a launcher, whose program calls Launch first. The supervisor then decides on
+// the system calls with the given numbers. A nil Decide lets all of them continue.
 func Start(cmd *exec.Cmd, launcher string, d Decide, numbers ...int) (*Supervisor, error) {
-	what := launch{Path: cmd.Path, Args: cmd.Args}
+	instructions := launch{Path: cmd.Path, Args: cmd.Args}
 	for _, n := range numbers {
-		what.Calls = append(what.Calls, uint32(n))
+		instructions.Calls = append(instructions.Calls, uint32(n))
 	}
-	text, err := json.Marshal(what)
+	text, err := json.Marshal(instructions)
 	if err != nil {
 		return nil, err
 	}
@@ -95,39 +96,39 @@
 	if err != nil {
 		return nil, err
 	}
-	ours, theirs := os.NewFile(uintptr(pair[0]), "supervisor"), os.NewFile(uintptr(pair[1]), "launcher")
-	defer ours.Close()
-	cmd.ExtraFiles = []*os.File{theirs} // it is descriptor 3 there
+	supervisorEnd, launcherEnd := os.NewFile(uintptr(pair[0]), "supervisor"), os.NewFile(uintptr(pair[1]), "launcher")
+	defer supervisorEnd.Close()
+	cmd.ExtraFiles = []*os.File{launcherEnd} // becomes descriptor 3 of the launcher
 	err = cmd.Start()
-	theirs.Close()
+	launcherEnd.Close()
 	if err != nil {
 		return nil, err
 	}
 	s := &Supervisor{decide: d, failed: map[int]int{}, ended: make(chan struct{})}
-	if s.listener, err = receive(ours); err != nil {
+	if s.listener, err = receiveListener(supervisorEnd); err != nil {
 		cmd.Process.Kill()
 		return nil, errors.Join(err, cmd.Wait())
 	}
-	go s.run()
+	go s.handleCalls()
 	return s, nil
 }
 
-// receive takes the listener that the launcher sends.
-func receive(from *os.File) (listener int, err error) {
+// receiveListener receives the listener from the launcher.
+func receiveListener(from *os.File) (listener int, err error) {
 	c, err := net.FileConn(from)
 	if err != nil {
 		return 0, err
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(startTime))
+	c.SetDeadline(time.Now().Add(startTimeout))
 	rights := make([]byte, unix.CmsgSpace(4))
 	_, n, _, _, err := c.(*net.UnixConn).ReadMsgUnix(make([]byte, 1), rights)
 	if err != nil {
-		return 0, fmt.Errorf("no listener came: %w", err)
+		return 0, fmt.Errorf("no listener received from the launcher: %w", err)
 	}
 	messages, err := unix.ParseSocketControlMessage(rights[:n])
 	if err != nil || len(messages) != 1 {
-		return 0, errors.Join(errors.New("no listener came"), err)
+		return 0, errors.Join(errors.New("no listener received from the launcher"), err)
 	}
 	fds, err := unix.ParseUnixRights(&messages[0])
 	if err != nil {
@@ -137,58 +138,58 @@
 	return fds[0], nil
 }
 
-// Set has calls decided on by another rule; nil lets all go on.
+// Set replaces the rule that decides on calls. With nil all calls continue.
 func (s *Supervisor) Set(d Decide) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decide = d
 }
 
-// Hold has calls held up by a rule; nil holds none.
+// Hold sets the rule that delays calls. With nil no call is delayed.
 func (s *Supervisor) Hold(d Delay) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// Failed is how many calls with a number have failed so far.
+// Failed returns how many calls with a number have failed so far.
 func (s *Supervisor) Failed(number int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failed[number]
 }
 
-// Ended is closed when the process has ended and nothing more is decided.
+// Ended returns a channel that is closed when the process has ended and all decisions are made.
 func (s *Supervisor) Ended() <-chan struct{} { return s.ended }
 
-// run decides on calls until the process has ended.
-func (s *Supervisor) run() {
+// handleCalls decides on calls until the process has ended.
+func (s *Supervisor) handleCalls() {
 	defer close(s.ended)
 	defer unix.Close(s.listener)
-	defer s.late.Wait()
+	defer s.delayed.Wait()
 	for {
 		ready := []unix.PollFd{{Fd: int32(s.listener), Events: unix.POLLIN}}
-		if _, err := unix.Poll(ready, pollTime); err != nil && err != unix.EINTR {
+		if _, err := unix.Poll(ready, pollIntervalMS); err != nil && err != unix.EINTR {
 			return
 		}
 		if ready[0].Revents&unix.POLLIN != 0 {
-			s.answer()
+			s.handleCall()
 		} else if ready[0].Revents&(unix.POLLHUP|unix.POLLERR) != 0 {
 			return
 		}
 	}
 }
 
-// answer decides on one call. One whose thread has ended or gone on by then is none any more.
-func (s *Supervisor) answer() {
+// handleCall receives a call and decides on it. It ignores a call whose thread has ended or continued since.
+func (s *Supervisor) handleCall() {
 	var n notification
 	if _, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(s.listener), notifyReceive, uintptr(unsafe.Pointer(&n))); errno != 0 {
 		return
 	}
 	c := Call{Number: int(n.number), Args: n.args, pid: int(n.pid)}
-	if held := s.held(c); held > 0 {
-		s.late.Go(func() {
-			time.Sleep(held)
+	if delay := s.delayOf(c); delay > 0 {
+		s.delayed.Go(func() {
+			time.Sleep(delay)
 			s.respond(n.id, c)
 		})
 		return
@@ -196,16 +197,16 @@
 	s.respond(n.id, c)
 }
 
-// respond decides on a call and has it go on or fail.
+// respond decides on a call, and lets it continue or fail.
 func (s *Supervisor) respond(id uint64, c Call) {
 	r := response{id: id, flags: notifyContinue}
-	if errno := s.judge(c); errno != 0 {
+	if errno := s.decideErrno(c); errno != 0 {
 		r.flags, r.errno = 0, -int32(errno)
 	}
 	unix.Syscall(unix.SYS_IOCTL, uintptr(s.listener), notifySend, uintptr(unsafe.Pointer(&r)))
 }
 
-func (s *Supervisor) held(c Call) time.Duration {
+func (s *Supervisor) delayOf(c Call) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.delay == nil {
@@ -214,7 +215,7 @@
 	return s.delay(c)
 }
 
-func (s *Supervisor) judge(c Call) syscall.Errno {
+func (s *Supervisor) decideErrno(c Call) syscall.Errno {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.decide == nil {
--- a/internal/lab/syscallfault/syscallfault_test.go
+++ b/internal/lab/syscallfault/syscallfault_test.go
@@ -13,7 +13,8 @@
 	os.Exit(m.Run())
 }
 
-// A process under supervision runs as it would, but for the calls that are to fail, and their errors are the ones that were asked for.
+// A supervised process must run unchanged except for the chosen calls, and those must fail with the chosen
+// errors.
 func TestChosenCallsFailAndNoOthers(t *testing.T) {
 	program, err := exec.LookPath("sync")
 	if err != nil {
@@ -24,9 +25,9 @@
 		t.Fatal(err)
 	}
 	for _, errno := range []syscall.Errno{0, syscall.EIO, syscall.ENOSPC} {
-		var said strings.Builder
+		var stderr strings.Builder
 		cmd := exec.Command(program, file)
-		cmd.Stderr = &said
+		cmd.Stderr = &stderr
 		cmd.Env = append(os.Environ(), "LC_ALL=C")
 		s, err := Start(cmd, os.Args[0], func(c Call) syscall.Errno {
 			if c.Target() != file {
@@ -38,8 +39,8 @@
 			t.Fatal(err)
 		}
 		err = cmd.Wait()
-		if errno == 0 && err != nil || errno != 0 && (err == nil || !strings.Contains(strings.ToLower(said.String()), errno.Error())) {
-			t.Errorf("%v: %v, %s", errno, err, said.String())
+		if errno == 0 && err != nil || errno != 0 && (err == nil || !strings.Contains(strings.ToLower(stderr.String()), errno.Error())) {
+			t.Errorf("%v: %v, %s", errno, err, stderr.String())
 		}
 		<-s.Ended()
 	}
