--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -25,7 +25,7 @@
 	c := &cobra.Command{Use: "soak [FILE]", Short: "Play real processes under drawn troubles that overlap, and judge them", Args: cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if duration < minDuration || processes < 2 || processes > 40 {
-				return fmt.Errorf("--for: %v at least; --processes: from 2 to 40", minDuration)
+				return fmt.Errorf("--for %v: at least %v is needed; --processes %d: from 2 to 40 are allowed", duration, minDuration, processes)
 			}
 			from, to := seed, seed
 			if seeds != "" {
--- a/internal/lab/audit/audit.go
+++ b/internal/lab/audit/audit.go
@@ -58,7 +58,7 @@
 
 // Allowances beside the slack.
 const (
-	pushAfterDisconnectAllowance = ledger.Time(100 * time.Millisecond / ledger.Tenth) // to a push's first byte
+	pushAfterDisconnectAllowance = ledger.Time(100 * time.Millisecond / ledger.Tenth) // to the first byte
 	excessDeadlineAllowance      = ledger.Time(150 * time.Millisecond / ledger.Tenth) // beyond the client's
 )
 
@@ -290,7 +290,7 @@
 		p.verdict, p.verdictAt, p.verdictLine = e.Verdict, e.At, line
 		p.end(e.At)
 	case ledger.Closed:
-		p.end(min(e.From, e.At)) // the event is recorded later than From while the close travels on the link
+		p.end(min(e.From, e.At)) // the close takes time on the link, so the event is later than From
 	}
 }
 
@@ -341,7 +341,9 @@
 	switch e.Kind {
 	case ledger.Boot:
 		*w = worker{zone: e.Zone, cell: e.Cell, boot: e.At, cold: e.Cold, cores: e.Cores, pushes: w.pushes}
-	case ledger.Fell: // overload by pushes is reported by checkColdLoad
+	case ledger.Fell:
+		// checkColdLoad has already reported a worker that failed above its limit. A worker that failed
+		// below its limit is at fault itself.
 		if !w.overloaded {
 			w.overloaded = true
 			j.breach(Cold, "", []int{line}, "%s fell over under what it bears", e.Worker)
--- a/internal/lab/syscallfault/launch.go
+++ b/internal/lab/syscallfault/launch.go
@@ -5,7 +5,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
 	"runtime"
@@ -73,7 +72,7 @@
 // installFilter installs a filter on this thread that passes the chosen calls to the holder of the listener.
 func installFilter(calls []uint32) (listener int, err error) {
 	if len(calls) == 0 || len(calls) > 64 {
-		return 0, errors.New("from 1 to 64 system calls")
+		return 0, fmt.Errorf("%d system calls to filter, from 1 to 64 are allowed", len(calls))
 	}
 	statements := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: 0}} // the call's number
 	for k, call := range calls {
