--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,6 +1,6 @@
 // Command toy runs a few workers and a discovery agent in one process, to try out a scheduler. A worker runs
 // as many jobs in parallel as it has slots. A job sleeps for the time in its weight hint, or for 100 ms
-// without one.
+// without a hint.
 package main
 
 import (
--- a/internal/base/deadlines/deadlines.go
+++ b/internal/base/deadlines/deadlines.go
@@ -66,7 +66,8 @@
 	return 0, false
 }
 
-// resumePostponed moves the items back to pending whose deadlines, with this span, are before their limits.
+// resumePostponed moves items from postponed back to pending if, with this span, their deadlines are before
+// their limits.
 func (q *Queue[T, M]) resumePostponed(span M) {
 	for len(q.postponed) > 0 && int64(span) < -q.postponed[0].key {
 		item := q.postponed.pop()
--- a/internal/base/opkey/golden_test.go
+++ b/internal/base/opkey/golden_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards the text of the key of an id, and of the key for a key or an id that another process sent.
+// Guards the keys that FromID returns for ids, and those that PeerKey returns for texts of other processes.
 func TestGoldenKeys(t *testing.T) {
 	longest, zeroDigest := strings.Repeat("x", 64), "sha256:"+strings.Repeat("A", 43)
 	const accentDigest = "sha256:hQ99xDkQ_4kPiHnA7Sb-aXyToGetk6fVD0ZqcCipv04"
--- a/internal/base/opkey/opkey.go
+++ b/internal/base/opkey/opkey.go
@@ -15,10 +15,11 @@
 // digestPrefix is the prefix of a key that is the digest of an id.
 const digestPrefix = "sha256:"
 
-// digestBytes is the length of a key that is a digest.
-var digestBytes = len(digestPrefix) + base64.RawURLEncoding.EncodedLen(sha256.Size)
+// digestKeyLength is the length of a key that is a digest, with its prefix.
+var digestKeyLength = len(digestPrefix) + base64.RawURLEncoding.EncodedLen(sha256.Size)
 
-// FromID returns the key of an id: the id itself if it is short and plain, otherwise its digest.
+// FromID returns the key of an id. It is the id itself if the id is short and plain and does not begin with
+// digestPrefix. Otherwise it is the id's digest.
 func FromID(id string) string {
 	if isPlain(id) && !strings.HasPrefix(id, digestPrefix) {
 		return id
@@ -27,9 +28,10 @@
 	return digestPrefix + base64.RawURLEncoding.EncodeToString(sum[:])
 }
 
-// PeerKey returns the key for a key or an id that another process sent. Earlier builds sent ids.
+// PeerKey returns the key for a key or an id that another process sent. Earlier builds sent the id of an
+// op in place of its key.
 func PeerKey(key string) string {
-	if strings.HasPrefix(key, digestPrefix) && len(key) == digestBytes {
+	if strings.HasPrefix(key, digestPrefix) && len(key) == digestKeyLength {
 		return key
 	}
 	return FromID(key)
@@ -38,7 +40,7 @@
 // jsonEscaped are the printable ASCII characters that encoding/json escapes.
 const jsonEscaped = `"\<>&`
 
-// isPlain reports whether an id is short, and of printable ASCII that JSON does not escape.
+// isPlain reports whether an id is short and has only printable ASCII characters that JSON does not escape.
 func isPlain(id string) bool {
 	if len(id) > maxKeyBytes {
 		return false
--- a/internal/base/oserror/oserror.go
+++ b/internal/base/oserror/oserror.go
@@ -36,7 +36,7 @@
 	syscall.ENOSR:         ResourceExhausted,
 	syscall.EADDRNOTAVAIL: ResourceExhausted, // no local port is left
 	syscall.EADDRINUSE:    ResourceExhausted,
-	syscall.EPERM:         ResourceExhausted, // the packet filter of this machine
+	syscall.EPERM:         ResourceExhausted, // rejected by the packet filter of this machine
 	syscall.EACCES:        ResourceExhausted,
 	syscall.ENETDOWN:      ResourceExhausted,
 
--- a/internal/base/oserror/retry.go
+++ b/internal/base/oserror/retry.go
@@ -14,7 +14,7 @@
 	maxBackoff   = 100 * time.Millisecond
 	maxDoublings = 10
 
-	// maxAttempts limits the retries of a read or write. With the backoffs they take about five seconds.
+	// maxAttempts limits the attempts of a read or write. With the backoffs they take about five seconds.
 	maxAttempts = 60
 )
 
--- a/internal/base/spillqueue/spillqueue.go
+++ b/internal/base/spillqueue/spillqueue.go
@@ -11,7 +11,7 @@
 	ended   <-chan struct{}
 
 	mu      sync.Mutex
-	waiting []T // drain is sending the first
+	waiting []T // oldest first; the goroutine of sendWaiting is sending waiting[0]
 }
 
 // New returns a queue to a channel. The reader of the channel closes ended when it stops to receive.
@@ -32,13 +32,13 @@
 	}
 	q.waiting = append(q.waiting, value)
 	if len(q.waiting) == 1 {
-		go q.drain(value)
+		go q.sendWaiting(value)
 	}
 }
 
-// drain sends the waiting values, beginning with the first. It returns when no value is left or the reader
-// has ended.
-func (q *Queue[T]) drain(first T) {
+// sendWaiting sends the waiting values, beginning with the first. It returns when no value is left or the
+// reader has ended.
+func (q *Queue[T]) sendWaiting(first T) {
 	for value, more := first, true; more; value, more = q.next() {
 		select {
 		case q.channel <- value:
--- a/internal/base/sprt/sprt.go
+++ b/internal/base/sprt/sprt.go
@@ -19,11 +19,11 @@
 	OK bool `json:"ok"`
 }
 
-// Test is a sequential test over the most recent verdicts. It compares the ordinary probability of failure,
-// p0, with the probability of something that fails, p1.
+// Test is a sequential test over the most recent verdicts. It compares p0, the ordinary probability of a
+// failure, with p1, the probability of a failure of something faulty.
 type Test[M ~int64] struct {
 	verdicts      []Verdict[M] // oldest first
-	lastFailureAt M            // 0 before the first
+	lastFailureAt M            // 0 before the first failure
 	p0, p1        float64
 	maxAge        M // older verdicts are ignored
 }
@@ -42,7 +42,7 @@
 // Verdicts returns the most recent verdicts, oldest first.
 func (t *Test[M]) Verdicts() []Verdict[M] { return t.verdicts }
 
-// Failed reports whether there was any failure.
+// Failed reports whether any failure was added.
 func (t *Test[M]) Failed() bool { return t.lastFailureAt > 0 }
 
 // Suspected reports whether the test accepts p1.
--- a/internal/base/sprt/sprt_test.go
+++ b/internal/base/sprt/sprt_test.go
@@ -26,7 +26,7 @@
 			admitted++
 		}
 	}
-	if admitted < 100 || admitted > 600 { // the mean is 2 in 6
+	if admitted < 100 || admitted > 600 { // the mean is 1 in 5
 		t.Errorf("admitted %d of 1000 times", admitted)
 	}
 	if test.Suspected(114) {
--- a/internal/base/stats/stats.go
+++ b/internal/base/stats/stats.go
@@ -91,7 +91,7 @@
 	return sorted[len(sorted)/2]
 }
 
-// Recent holds the most recent values of a member of a pool. The pool has the same values.
+// Recent holds the most recent values of a member of a pool. The pool also holds these values.
 type Recent []float64
 
 // Add appends a value and adds it to the pool. It removes the oldest of MaxRecent values from both.
@@ -128,8 +128,9 @@
 // Float64 returns a number in [0, 1).
 func (r *Random) Float64() float64 { return float64(r.IntN(1<<30)) / (1 << 30) }
 
-// RendezvousOrder sorts items by a hash of a key and the item's identity. The order for a key is the same for
-// all that know the identities. Adding or removing an item does not change the order of the others.
+// RendezvousOrder sorts items by a hash of a key and the item's identity. The order for a key is the same in
+// every process that knows the identities. Adding or removing an item does not change the order of the
+// others.
 func RendezvousOrder(key uint64, items []int, identity func(item int) uint64) {
 	type rankedItem struct {
 		rank uint64
--- a/internal/base/stats/stats_test.go
+++ b/internal/base/stats/stats_test.go
@@ -18,7 +18,7 @@
 }
 
 // A worker that leaves must not change the order of the others. Otherwise each change of the endpoint list
-// would move keys between workers that stay, which would fetch the data again.
+// would move keys between workers that stay, and these workers would fetch the data of the keys again.
 func TestRendezvousOrderOfOthersStaysWhenAnItemLeaves(t *testing.T) {
 	identity := func(i int) uint64 { return uint64(i+1) * 0x51ed2701_9b3c1d77 }
 	firsts := map[int]int{}
--- a/internal/codepolicy/codepolicy_test.go
+++ b/internal/codepolicy/codepolicy_test.go
@@ -40,7 +40,8 @@
 	return ok && id.Name == name
 }
 
-// checkExceptions reports each use that is not among the exceptions, and each exception that has no use.
+// checkExceptions reports each use that is not among the exceptions, and each exception that has no use. The
+// keys of exceptions are a file and a name; the values are reasons.
 func checkExceptions(t *testing.T, found []use, exceptions map[string]string) {
 	t.Helper()
 	used := map[string]bool{}
@@ -65,14 +66,14 @@
 	checkExceptions(t, selectorUses(t, func(qualifier ast.Expr, name string) bool {
 		return slices.Contains(wallClockMethods, name) && !isPackage(qualifier, "math")
 	}), map[string]string{
-		"internal/workers/discovery/start_times.go UnixMilli": "boot_ms is discovery's Unix time; it is held against this machine's clock of the start, here alone",
+		"internal/workers/discovery/start_times.go UnixMilli": "boot_ms is a Unix time of discovery; only this file compares it with this machine's wall clock",
 		"internal/frontend/clientconn/clientconn.go Unix":     "a deadline long past, to end a wait; no clock is read",
-		"internal/cluster/mesh/sockets.go Unix":               "the same",
-		"internal/frontend/peers.go Unix":                     "the same",
+		"internal/cluster/mesh/sockets.go Unix":               "a deadline long past, to end a wait; no clock is read",
+		"internal/frontend/peers.go Unix":                     "a deadline long past, to end a wait; no clock is read",
 	})
 }
 
-// Only one package may write to workers, so that every push passes its checks.
+// Only the package workerconn may write to workers, so that every push passes the checks of that package.
 func TestOnlyListedFilesWriteToAWorker(t *testing.T) {
 	checkExceptions(t, selectorUses(t, func(qualifier ast.Expr, name string) bool {
 		return isPackage(qualifier, "syscall") && name == "Write" || name == "Dialer" || isPackage(qualifier, "net") && strings.HasPrefix(name, "Dial")
@@ -82,6 +83,6 @@
 		"internal/workers/discovery/unread_data.go Dialer":               "discovery",
 		"internal/cluster/mesh/streams.go Dialer":                        "other members",
 		"internal/testsupport/fragmentpeer/fragmentpeer.go Dial":         "peers of tests; the program does not have it",
-		"internal/lifecycle/hotrestart/transfer/transfer.go DialTimeout": "the process before, on a Unix socket",
+		"internal/lifecycle/hotrestart/transfer/transfer.go DialTimeout": "the predecessor, on a Unix socket",
 	})
 }
--- a/internal/codepolicy/logmessages_test.go
+++ b/internal/codepolicy/logmessages_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// standardLibraryMessages are rows of the table for messages of the standard library.
+// standardLibraryMessages are the entries of the on-call page for messages that the standard library logs. No
+// call in this module has these messages.
 var standardLibraryMessages = []string{"http: ...", "httputil: ..."}
 
 // Operators look up log lines by their messages on the on-call page. The page must list every message that
@@ -60,8 +61,8 @@
 // encodedMessage matches the message in a log line that is written without the logger.
 var encodedMessage = regexp.MustCompile(`"message":"([^"]+)"`)
 
-// messageOf returns the message that a call logs. It must be a string literal, so that the page can be
-// checked.
+// messageOf returns the message that a call logs. The message must be a string literal, so that the
+// test can compare it with docs/oncall.md.
 func messageOf(t *testing.T, file sourceFile, call *ast.CallExpr) (message string, ok bool) {
 	t.Helper()
 	method, ok := call.Fun.(*ast.SelectorExpr)
--- a/internal/config/bootstrap.go
+++ b/internal/config/bootstrap.go
@@ -176,7 +176,8 @@
 	return max(int(schedulers), 1)
 }
 
-// Duration returns the duration under a key of the settings, or the fallback if it is missing or not above 0.
+// Duration returns the duration under a key of the settings. It returns the fallback if the duration is
+// missing or not above 0.
 func (s *Bootstrap) Duration(key string, fallback time.Duration) time.Duration {
 	return s.Settings.Duration(key, fallback)
 }
--- a/internal/config/bootstrap_test.go
+++ b/internal/config/bootstrap_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Guards against a scheduler that starts with an incomplete configuration and breaks rules later, instead of
-// rejecting the file with the reason.
+// An incomplete or invalid file is rejected with the reason. Otherwise the scheduler would start and break
+// rules later.
 func TestABrokenConfigurationIsRejectedWithItsReason(t *testing.T) {
 	const complete = `{"listen":"a:1","discovery":"a:2","seed":"ff","settings":{"categories":[{"ttlNs":5}]}}`
 	replaced := func(old, with string) string { return strings.Replace(complete, old, with, 1) }
@@ -67,9 +67,10 @@
 	}
 }
 
-// Where many schedulers share a fleet, each sends too few ops to a worker to learn the worker's speed.
-// Without speeds by kind of machine, slow workers got as much work as fast ones. The simulator's wire format
-// has always distinguished the kinds.
+// Speeds are learned by kind of machine, unless the file turns this off. Where many schedulers share a fleet,
+// each sends too few ops to a worker to learn that worker's speed. Without speeds by kind of machine, slow
+// workers would get as much work as fast workers. The simulator's wire format has always distinguished the
+// kinds.
 func TestMachineKindsAreOnByDefault(t *testing.T) {
 	for option, want := range map[string]bool{"": true, `"kinds":true,`: true, `"kinds":false,`: false} {
 		text := `{` + option + `"listen":"a:1","discovery":"a:2","seed":"ff","settings":{"categories":[{"ttlNs":5}]}}`
@@ -89,8 +90,8 @@
 // threeSchedulers are settings that allow peer reports.
 const threeSchedulers = `"instances":3,"myNumber":1,"bounds":{"peerMessages":true},`
 
-// An option that is only partly in force is worse than none. An invalid option must be rejected at the start,
-// before the first op.
+// An invalid option must be rejected at the start, before the first op. An option that is only partly in
+// force is worse than none.
 func TestInvalidOptionsAreRejectedWithTheirKey(t *testing.T) {
 	for name, c := range map[string]struct{ settings, options, want string }{
 		"none": {"", "", ""},
@@ -107,8 +108,8 @@
 		"messages": {`"bounds":{"peerMessages":1},`, "",
 			"settings.bounds.peerMessages: must be true or false, got 1"},
 		"keys":          {"", `"keys":{"fact":"routeKey"},`, ""},
-		"empty fact":    {"", `"keys":{"fact":""},`, `keys.fact: must be a fact that names an affinity key, got ""`},
-		"reserved fact": {"", `"keys":{"fact":"slots"},`, `keys.fact: must be a fact that names an affinity key, got "slots"`},
+		"empty fact":    {"", `"keys":{"fact":""},`, `keys.fact: must be a fact that names an affinity key, neither empty nor "slots" nor "memory", got ""`},
+		"reserved fact": {"", `"keys":{"fact":"slots"},`, `keys.fact: must be a fact that names an affinity key, neither empty nor "slots" nor "memory", got "slots"`},
 		"unknown key":   {"", `"keys":{"fcat":"routeKey"},`, `keys: json: unknown field "fcat"`},
 		"peers":         {threeSchedulers, `"peers":{"listen":"127.0.0.1:0","others":{"0":"127.0.0.1:7"}},`, ""},
 		"peers without messages": {"", `"peers":{"listen":"127.0.0.1:0"},`,
@@ -123,7 +124,7 @@
 		"shadow price": {"", `"watch":{"settings":{"prices":{"connection":-5}}},`,
 			"watch.settings.prices.connection: must be a number from 0 to 1000, got -5"},
 		"shadow fact": {"", `"watch":{"keys":{"fact":"memory"}},`,
-			`watch.keys.fact: must be a fact that names an affinity key, got "memory"`},
+			`watch.keys.fact: must be a fact that names an affinity key, neither empty nor "slots" nor "memory", got "memory"`},
 		"two facts": {"", `"keys":{"fact":"a"},"watch":{"keys":{"fact":"b"}},`,
 			`watch.keys.fact: must be "a", from which keys are read already, got "b"`},
 	} {
--- a/internal/config/categories.go
+++ b/internal/config/categories.go
@@ -8,8 +8,8 @@
 // CategoryRule says how often an op of a category may run.
 type CategoryRule struct {
 	Effect string        // "redeliverable", "deduplicated", "at-most-once" or empty
-	Window time.Duration // time after the first attempt in which duplicates are dropped; 0 if they are not
-	Scope  string        // worker group that drops them: "all", "zone" or "cell"; empty if none does
+	Window time.Duration // time after the first attempt in which duplicates are dropped; 0 if none are dropped
+	Scope  string        // worker group that drops duplicates: "all", "zone" or "cell"; empty if none does
 }
 
 // Categories returns the names of the categories in the settings, in the order of the settings.
--- a/internal/config/configerror/configerror.go
+++ b/internal/config/configerror/configerror.go
@@ -14,7 +14,8 @@
 	Key string
 	// Problem says what the value must be, such as "must be between 1 and 65536"; empty if Err says it.
 	Problem string
-	// Value is the value that was read; nil if the key is missing or its value does not help.
+	// Value is the value that was read; nil if the key is missing or the value would not help to
+	// correct the file.
 	Value any
 	// Err is the cause, or nil.
 	Err error
--- a/internal/config/decision_settings_test.go
+++ b/internal/config/decision_settings_test.go
@@ -9,7 +9,8 @@
 	"woaddyke/dispatch"
 )
 
-// A key that is read under a wrong name leaves its setting at the default. No other test would detect that.
+// Each key sets its field. If a key were read under a wrong name, the field would stay at its default, and no
+// other test would detect that.
 func TestDecisionSettingsReadEachKey(t *testing.T) {
 	flat := map[string]any{
 		"bounds.maxPushes": 4.0, "myNumber": 2.0, "instances": 9.0, "myZone": 3.0, "step": 50.0,
@@ -23,7 +24,7 @@
 		"categories.0.ttl": 50_000.0, "categories.0.targetLatency": 5_000.0, "categories.0.window": 20_000.0,
 		"categories.0.benefit": 2.0, "extra.classStretch.0": 1.5,
 		"categories.1.ttl": 10.0,
-		"categories.3.ttl": 10.0, // after the gap that ends the list
+		"categories.3.ttl": 10.0, // not read, because there is no categories.2
 	}
 	want := dispatch.Settings{
 		Categories: []dispatch.CategoryRules{
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -28,7 +28,8 @@
 	return configerror.Invalid(key, value, problem, args...)
 }
 
-// null represents JSON's null in a ConfigError, whose nil Value means that there is no value to print.
+// null represents JSON's null as the Value of a ConfigError. A nil Value means that there is no value to
+// print.
 type null struct{}
 
 func (null) String() string { return "null" }
--- a/internal/config/features/duration.go
+++ b/internal/config/features/duration.go
@@ -40,7 +40,7 @@
 	return checkTable("", document, reflect.TypeOf(tables))
 }
 
-// checkTable checks the durations of a table and of its nested tables that are decoded into a type.
+// checkTable checks the durations of a table that is decoded into a type, and those of its nested tables.
 func checkTable(name string, table map[string]any, into reflect.Type) error {
 	for into.Kind() == reflect.Pointer {
 		into = into.Elem()
--- a/internal/config/features/duration_test.go
+++ b/internal/config/features/duration_test.go
@@ -8,17 +8,17 @@
 	"testing"
 )
 
-// A number without a unit must be rejected. The decoder would read it as nanoseconds, and for example a
-// replica would be replaced immediately when it is dead.
+// A duration that is a number without a unit must be rejected. The decoder would read the number as
+// nanoseconds. With such a duration, for example, a dead replica would be replaced immediately.
 func TestADurationWithoutAUnitIsRejected(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"a unit", "[members]\nprobe = \"100ms\"\n", ""},
 		{"0", "[members]\nprobe = 0\n", ""},
 		{"a whole number", "[members]\nname = \"a\"\nprobe = 100\n", `:3: members.probe: a duration needs a unit: got 100, write for example "100ms" or "100s"`},
-		{"in capitals", "[members]\nProbe = 100\n", `:2: members.Probe: a duration needs a unit: got 100`},
-		{"a negative one", "[members]\nprobe = -5\n", ":2: members.probe: a duration needs a unit: got -5"},
+		{"a capital letter", "[members]\nProbe = 100\n", `:2: members.Probe: a duration needs a unit: got 100`},
+		{"a negative number", "[members]\nprobe = -5\n", ":2: members.probe: a duration needs a unit: got -5"},
 		{"a fraction", "[members]\nprobe = 0.5\n", `:2: members.probe: a duration needs a unit: got 0.5, write for example "0.5ms" or "0.5s"`},
-		{"in a text", "[members]\nprobe = \"100\"\n", `:2:9: "100" is not a duration such as "250ms"`},
+		{"a number in a text", "[members]\nprobe = \"100\"\n", `:2:9: "100" is not a duration such as "250ms"`},
 		{"an inline table", "members = { probe = 100 }\n", ": members.probe: a duration needs a unit: got 100"},
 		{"a dotted key", "members.probe = 100\n", ": members.probe: a duration needs a unit: got 100"},
 	} {
--- a/internal/config/features/errors.go
+++ b/internal/config/features/errors.go
@@ -29,8 +29,8 @@
 // Unwrap returns the cause.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// WrapCheckError adds the table's name to an error of the check of its parameters. It returns a *ConfigError
-// if that error wraps a *configerror.Error.
+// WrapCheckError adds a table's name to the error that the check of the table's parameters returned. It
+// returns a *ConfigError if that error wraps a *configerror.Error.
 func WrapCheckError(table string, err error) error {
 	var invalid *configerror.Error
 	if !errors.As(err, &invalid) {
--- a/internal/config/features/features_test.go
+++ b/internal/config/features/features_test.go
@@ -18,7 +18,8 @@
 	} `toml:"members"`
 }
 
-// An error in the file is one line with its position, which operators read when a start has failed.
+// An error in the file is reported in one line with its position. Operators read the line when a start has
+// failed.
 func TestAnErrorIsOneLineWithItsPosition(t *testing.T) {
 	for text, want := range map[string]string{
 		"[members]\nprobe = \"1s\"\n":                      "",
--- a/internal/config/golden_messages_test.go
+++ b/internal/config/golden_messages_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Guards the bytes of a peer report for each name and count. They are decoded to the same worker and count.
+// Guards the bytes of peer reports, and the worker and the count that they are decoded to. A count above 63
+// is sent as 63.
 func TestPeerReportsKeepTheirBytes(t *testing.T) {
 	names := []string{"", "w1", "worker-17.zone-a", "caf\u00e9"}
 	wantTags := []string{"cy8", "Inr", "tkq", "S0F"}
--- a/internal/config/load_report_test.go
+++ b/internal/config/load_report_test.go
@@ -7,7 +7,7 @@
 )
 
 // A field that a load report lacks must not be read as 0, which would mean no queued jobs and no free slots.
-func TestMissingReportFieldIsNotZero(t *testing.T) {
+func TestAMissingReportFieldIsNotReadAsZero(t *testing.T) {
 	r := ReportFormatOf(Flatten(map[string]any{
 		"report": map[string]any{"fields": []any{"pending", "busy_reqs", "x1"}},
 		"extra":  map[string]any{"reportX1": "free slots"},
--- a/internal/config/peer_report.go
+++ b/internal/config/peer_report.go
@@ -15,7 +15,7 @@
 	peerReportLength = workerTagLength + 1
 
 	// MaxPeerReportCount is the highest count that a peer report can hold. Higher counts are sent as this
-	// one.
+	// count.
 	MaxPeerReportCount = digitMask
 )
 
@@ -26,8 +26,8 @@
 	return max(h.Sum64(), 1)
 }
 
-// WorkerTag returns the part of a peer report that identifies a worker. It is taken from the hash of the
-// worker's name, without the lowest six bits.
+// WorkerTag returns the part of a peer report that identifies a worker. It encodes bits 6 to 23 of the
+// hash of the worker's name; the lowest six bits are not used.
 func WorkerTag(worker string) string {
 	h := IdentityHash(worker)
 	var tag [workerTagLength]byte
@@ -43,8 +43,8 @@
 	return WorkerTag(worker) + peerReportDigits[min(attempts, MaxPeerReportCount):][:1]
 }
 
-// DecodePeerReport decodes a peer report. worker is the value in tags for the report's tag. ok is false if
-// the text is malformed or tags does not have its tag.
+// DecodePeerReport decodes a peer report. tags maps the tags of workers to their numbers. worker is the
+// number for the report's tag. ok is false if the text is malformed or tags does not have the report's tag.
 func DecodePeerReport(text string, tags map[string]int) (worker, attempts int, ok bool) {
 	if len(text) != peerReportLength {
 		return 0, 0, false
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -13,7 +13,7 @@
 func (s *Bootstrap) CheckReload(inForce *Bootstrap) error {
 	before, after := maps.Clone(inForce.raw), maps.Clone(s.raw)
 	if _, exists := after["known"]; exists {
-		delete(before, "known") // the list of workers changes
+		delete(before, "known") // only its presence is required: the endpoint list changes at any time
 	}
 	return checkSameKeys("", before, after)
 }
@@ -79,8 +79,8 @@
 	return invalid(path, after, "must be %s", description)
 }
 
-// commonKeys returns the keys that have a value in all objects of a list, each with one of its values. It
-// returns nil if the list is empty or has an entry that is not an object.
+// commonKeys returns the keys that have a value in all objects of a list, with their values in the first
+// object. It returns nil if the list is empty or has an entry that is not an object.
 func commonKeys(list []any) (common map[string]any) {
 	for _, entry := range list {
 		object, ok := entry.(map[string]any)
@@ -95,8 +95,8 @@
 	return common
 }
 
-// categoryExtrasPrefix is the prefix of the keys, outside the categories, of settings with one entry for
-// each category.
+// categoryExtrasPrefix is the prefix of the keys of settings that have one entry for each category, but are
+// not in the list of categories.
 const categoryExtrasPrefix = "extra.class"
 
 // reloadable reports whether a setting can change without a restart.
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -28,7 +28,7 @@
 		{`"dedup"`, `"fragile"`, ""},
 		{`"maxPushes":6`, `"maxPushes":1`, ""},
 		{`{"rev":1,"targets":[]}`, `{"rev":9}`, ""},
-		{`,"windowNs":7`, ``, ""}, // not all categories have one
+		{`,"windowNs":7`, ``, ""}, // not all categories have this key
 		{complete, "", "unexpected end"},
 		{complete[len(complete)/2:], "", "unexpected end"},
 		{`"discovery":"a:2",`, "", "discovery: is missing"},
@@ -129,8 +129,8 @@
 	}
 }
 
-// Each difference in the settings is reported as one that a reload applies or as one that needs a restart,
-// whatever else differs.
+// CompareSettings reports for each difference whether a reload applies it or whether it needs a restart.
+// Other differences do not change that.
 func TestReloadIsDistinguishedFromRestart(t *testing.T) {
 	bootstrapOf := func(settings map[string]any) *Bootstrap { return &Bootstrap{Settings: settings} }
 	settingsWith := func(changes ...any) map[string]any {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -24,13 +24,13 @@
 	KeyConnectionPrice = "prices.connection"     // number: cost of a connection, in units of priority weight
 	KeyDrainGrace      = "safety.drainGrace"     // duration: from the start of a worker's drain to its end
 	KeyReportFields    = "report.fields"         // list of texts: the fields of a load report
-	KeyReportHow       = "report.how"            // text: "inline", or in a separate request
+	KeyReportHow       = "report.how"            // text: "inline" if the ends of attempts have load reports
 	KeyCategories      = "categories"            // list of objects with the keys of a category
 
 	KeyAffinity     = "keys"  // boolean, derived: affinity keys are read
 	KeyMachineKinds = "kinds" // boolean, derived: learn speeds by kind of machine
 
-	keyExtraReportField = "extra.report" // text, key ends with X0 or X1: the meaning of that field
+	keyExtraReportField = "extra.report" // text; the key goes on with X0 or X1: the meaning of that field
 )
 
 // Keys of one category, after KeyCategories and the index of the category.
@@ -39,7 +39,7 @@
 	KeyCategoryTTL    = "ttl"        // duration
 	KeyCategoryEffect = "effect"     // text: how often an op may run
 	KeyCategoryWindow = "window"     // duration: time in which duplicates of an op are dropped
-	KeyCategoryScope  = "dedupScope" // text: the worker group that drops duplicates
+	KeyCategoryScope  = "dedupScope" // text: the worker group in which duplicates are dropped
 )
 
 // nanosecondsSuffix is the suffix of a duration's key in the file. The key in the flat map omits it.
@@ -56,7 +56,9 @@
 // Durations are in tenths of a millisecond.
 type Settings map[string]any
 
-// Flatten returns nested settings as a flat map. Each key is a path such as "categories.0.ttl".
+// Flatten returns nested settings as a flat map. Each key is a path such as "categories.0.ttl". A duration in
+// nanoseconds, whose key has the suffix "Ns" in the file, gets a key without the suffix. Its value is rounded
+// down to tenths of a millisecond. Aliases of effects are replaced by the current names.
 func Flatten(nested map[string]any) map[string]any {
 	flat := map[string]any{}
 	flatten(flat, "", nested)
@@ -89,13 +91,13 @@
 	}
 }
 
-// Number returns the number under a key. ok is false if there is none.
+// Number returns the number under a key. ok is false if the key has no number.
 func (s Settings) Number(key string) (number float64, ok bool) {
 	number, ok = s[key].(float64)
 	return number, ok
 }
 
-// Text returns the text under a key. ok is false if there is none.
+// Text returns the text under a key. ok is false if the key has no text.
 func (s Settings) Text(key string) (text string, ok bool) {
 	text, ok = s[key].(string)
 	return text, ok
@@ -104,7 +106,8 @@
 // Enabled reports whether the value under a key is true.
 func (s Settings) Enabled(key string) bool { return s[key] == true }
 
-// Duration returns the duration under a key, or the fallback if it is missing or not above 0.
+// Duration returns the duration under a key. It returns the fallback if the duration is missing or not above
+// 0.
 func (s Settings) Duration(key string, fallback time.Duration) time.Duration {
 	if tenths, ok := s.Number(key); ok && tenths > 0 {
 		return time.Duration(tenths) * Tenth
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -18,10 +18,10 @@
 	maxConnectionPrice = 1000
 )
 
-// settingsPathPrefix is the prefix of a setting's key in its path within the file.
+// settingsPathPrefix precedes the key of a setting in the key's path within the file.
 const settingsPathPrefix = "settings."
 
-// shadowPathPrefix is the prefix of the paths within the file of Shadow's keys.
+// shadowPathPrefix precedes a key of Shadow in the key's path within the file.
 const shadowPathPrefix = "watch."
 
 // checkRequired checks that the required keys are present.
@@ -54,9 +54,9 @@
 	return errors.Join(errs...)
 }
 
-// checkCategories checks the number of categories, their durations and the maximum number of attempts,
-// without which the rules of ops can't be enforced. It reads the nested settings, since the flat settings do
-// not show which values are neither objects nor numbers.
+// checkCategories checks the number of categories, their durations and the maximum number of attempts. The
+// rules of ops can't be enforced without these values. It reads the nested settings: in the flat settings, a
+// value that is neither an object nor a number may have another key.
 func (s *Bootstrap) checkCategories() error {
 	var errs []error
 	categories, _ := s.RawSettings["categories"].([]any)
@@ -107,7 +107,7 @@
 	s.Settings[KeyAffinity] = s.Keys != nil
 	s.Settings[KeyMachineKinds] = s.LearnMachineKinds
 	if s.Peers == nil {
-		// Otherwise decisions would treat missing peer reports as idle workers.
+		// No peer reports arrive, and decisions would treat the missing reports as idle workers.
 		s.Settings[KeyPeerMessages] = false
 	} else if err := s.applyPeers(); err != nil {
 		return err
@@ -138,7 +138,7 @@
 		key := "peers.others." + name
 		number, err := strconv.Atoi(name)
 		if err != nil || number < 0 || float64(number) >= schedulers {
-			const problem = "must be the number of a scheduler below %g, as the settings say"
+			const problem = "must be the number of a scheduler below %g (settings.instances, 0 if missing)"
 			return invalid(key, name, problem, schedulers)
 		}
 		if p.ByNumber[number], err = netip.ParseAddrPort(address); err != nil {
@@ -172,7 +172,8 @@
 		return nil
 	}
 	if k.Fact == "" || slices.Contains(reservedFacts, k.Fact) {
-		return invalid(path+"keys.fact", k.Fact, "must be a fact that names an affinity key")
+		return invalid(path+"keys.fact", k.Fact,
+			`must be a fact that names an affinity key, neither empty nor "slots" nor "memory"`)
 	}
 	return nil
 }
--- a/internal/lifecycle/boottime/boottime.go
+++ b/internal/lifecycle/boottime/boottime.go
@@ -1,7 +1,7 @@
-// Package boottime reads the time since the machine was started. That clock runs while a process is stopped
-// and while the machine sleeps, can't be set, and is the same for all processes of the machine. Times that
-// are sent to another process or persisted are therefore relative to it. The wall clock may be stepped at any
-// time.
+// Package boottime reads the time since the machine was started. The clock of this time runs while a
+// process is stopped and while the machine sleeps, can't be set, and is the same for all processes of the
+// machine. Times that are sent to another process or persisted are therefore relative to the start of the
+// machine. The wall clock may be stepped at any time.
 package boottime
 
 import (
@@ -28,8 +28,8 @@
 	return r.SinceBoot - earlier.SinceBoot, true
 }
 
-// Since returns the time since the machine was started. On a system without that clock it reads the monotonic
-// clock.
+// Since returns the time since the machine was started. On a system without CLOCK_BOOTTIME it reads the
+// monotonic clock.
 func Since() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
--- a/internal/lifecycle/clientdrain/clientdrain.go
+++ b/internal/lifecycle/clientdrain/clientdrain.go
@@ -8,20 +8,23 @@
 // Times of the phases of a client drain, from its start.
 const (
 	// detectionTime is when every load balancer has seen the failing health check and has stopped sending
-	// clients. Load balancers poll ten times a second, and send clients for 0.2 s after the first failure.
+	// clients. Load balancers poll ten times a second, and go on sending clients for 0.2 s after
+	// the first failure.
 	detectionTime = time.Second / 2
 
 	// closeTime is when all idle connections are closed. The closes are spread between detectionTime and
-	// closeTime: if all were made together, the clients would reach the other schedulers in one burst.
+	// closeTime: if all connections were closed together, their clients would reach the other
+	// schedulers in one burst.
 	closeTime = 3 * time.Second / 2
 
-	// admissionTime is when the scheduler begins to reject ops. Four seconds after the start, no connection
-	// may have had an op in the last two seconds. The remaining 0.1 s is for the delivery of an op.
-	admissionTime = 19 * time.Second / 10
+	// rejectionTime is when the scheduler begins to reject ops. It is 0.1 s before 2 s, as the delivery of an
+	// admitted op may take 0.1 s. So four seconds after the start, no connection has had an op in the last
+	// two seconds.
+	rejectionTime = 19 * time.Second / 10
 )
 
-// minIdleTime is how long a connection must have been idle to be closed. After that time no request of a busy
-// client can be on its way.
+// minIdleTime is how long a connection must have been idle to be closed. Once a connection has
+// been idle for that long, no request of a busy client can be on its way.
 const minIdleTime = time.Second / 4
 
 // State says whether clients are being drained. The zero value admits all ops.
@@ -47,7 +50,7 @@
 
 // Admits reports whether an op that arrives now is admitted. The client of a rejected op may retry elsewhere.
 func (s *State) Admits(now time.Time) bool {
-	return !s.draining || now.Sub(s.startedAt) < admissionTime
+	return !s.draining || now.Sub(s.startedAt) < rejectionTime
 }
 
 // ConnectionsToClose returns how many of the idle connections to close now, beginning with the longest idle,
--- a/internal/lifecycle/clientdrain/clientdrain_test.go
+++ b/internal/lifecycle/clientdrain/clientdrain_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Ops are rejected from 1.9 s after the start: four seconds after it, no connection may have had an op in the
-// last two seconds.
+// Ops are rejected from 1.9 s after the start of a drain. Otherwise, four seconds after the start, a
+// connection might have had an op in the last two seconds.
 func TestOpsAreAdmittedUntilTwoSecondsAfterTheStart(t *testing.T) {
 	var d State
 	if d.Draining() || !d.Admits(startTime) {
--- a/internal/lifecycle/hotrestart/format.go
+++ b/internal/lifecycle/hotrestart/format.go
@@ -33,7 +33,7 @@
 func encode(message any) ([]byte, error) {
 	text, err := json.Marshal(message)
 	if err != nil {
-		return nil, fmt.Errorf("handover: %w", err)
+		return nil, fmt.Errorf("handover: encoding the message: %w", err)
 	}
 	return text, nil
 }
@@ -42,7 +42,7 @@
 // version field.
 func decode(text []byte, message any, version *int) error {
 	if err := json.Unmarshal(text, message); err != nil {
-		return fmt.Errorf("handover: %w", err)
+		return fmt.Errorf("handover: decoding the message: %w", err)
 	}
 	if *version != formatVersion {
 		return &VersionError{Got: *version, Want: formatVersion}
--- a/internal/lifecycle/hotrestart/golden_test.go
+++ b/internal/lifecycle/hotrestart/golden_test.go
@@ -13,7 +13,7 @@
 	state := filled.Value[State](t)
 	state.Version = 3
 	requireGoldenState(t, "testdata/state_ended.json.golden", state)
-	state.EndedProcesses = nil // as sent by builds without the field
+	state.EndedProcesses = nil // older builds do not send this field
 	requireGoldenState(t, "testdata/state.json.golden", state)
 }
 
--- a/internal/lifecycle/hotrestart/hotrestart.go
+++ b/internal/lifecycle/hotrestart/hotrestart.go
@@ -21,14 +21,14 @@
 
 	KnownWorkers json.RawMessage `json:"known"`   // the endpoint list, in discovery's format
 	WorkerStarts json.RawMessage `json:"starts"`  // the state of discovery.StartTimes
-	Learned      json.RawMessage `json:"learned"` // learned state of the reducer; empty if it did not answer
+	Learned      json.RawMessage `json:"learned"` // state of the reducer; empty if the reducer did not answer
 
 	// ClientsDrained says whether an operator has started a client drain.
 	ClientsDrained bool `json:"drained"`
 	// Successions is the number of consecutive hot restarts before this one, for replication.
 	Successions uint64 `json:"heirs"`
 	// Membership is the state of the mesh, empty if there is no mesh. The two sockets of the mesh are the
-	// last ones that are handed over.
+	// last of the sockets that are handed over.
 	Membership []byte `json:"members"`
 	// EndedProcesses says, for replication, which processes before the predecessor have ended. Older builds
 	// do not send it.
--- a/internal/lifecycle/hotrestart/hotrestart_test.go
+++ b/internal/lifecycle/hotrestart/hotrestart_test.go
@@ -24,6 +24,7 @@
 
 // Both processes together may use no more descriptors than one scheduler, and each gets as many as it needs.
 func TestDescriptorsAreSplitWithinTheTotal(t *testing.T) {
+	// Each case has the total, the descriptors in use, those that a process needs, and the predecessor's part.
 	for _, c := range [][4]int{{384, 70 - 32, 32, 192}, {384, 250 - 32, 32, 250}, {384, 380 - 32, 32, 272}, {64, 0, 32, 32}, {128, 90, 36, 78},
 		{128, 90, 73, 64}, {129, 0, 73, 64}} {
 		predecessor, successor := SplitDescriptors(c[0], c[1], c[2])
@@ -90,8 +91,8 @@
 	}
 }
 
-// The error must distinguish another version, another scheduler and another deployment, since operators read
-// it in the log.
+// A refused request or state gets an error that distinguishes another version, another scheduler and another
+// deployment. Operators read it in the log.
 func TestRefusalsAreTyped(t *testing.T) {
 	var version *VersionError
 	if _, err := DecodeRequest([]byte(`{"version":2}`)); !errors.As(err, &version) || *version != (VersionError{Got: 2, Want: 3}) {
--- a/internal/lifecycle/hotrestart/request.go
+++ b/internal/lifecycle/hotrestart/request.go
@@ -1,7 +1,7 @@
 package hotrestart
 
 // Request is a successor's request for a handover. It identifies the successor's scheduler, so that the
-// predecessor can check that both are the same.
+// predecessor can check that it is the same scheduler.
 type Request struct {
 	Version   int    `json:"version"`
 	Name      string `json:"name"`
@@ -27,8 +27,8 @@
 
 // CheckSuccessorOf checks that the sender of this request may replace the predecessor. It must be the same
 // scheduler at the same address, with the same discovery address or the same settings. A successor may have
-// other settings, or start after discovery has moved. If both differ it belongs to another deployment, which
-// must not get the clients, workers and ids of this one.
+// other settings, or start after discovery has moved. If both differ, the successor belongs to another
+// deployment, which must not get the clients, workers and ids of this deployment.
 func (r Request) CheckSuccessorOf(predecessor Request) error {
 	switch {
 	case r.Name != predecessor.Name:
--- a/internal/lifecycle/hotrestart/transfer/message.go
+++ b/internal/lifecycle/hotrestart/transfer/message.go
@@ -12,16 +12,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// A request and a state are each sent as a length and that many bytes. The sockets are sent with the bytes of
-// the state's length.
+// A request and a state are each sent as a length and that many bytes. The descriptors of the sockets are
+// sent in a control message, along with the state's length.
 const (
 	lengthSize      = 4 // bytes of a length, big endian
 	descriptorSize  = 4 // bytes of a descriptor in a control message
-	maxSockets      = 4 // sockets with one state
+	maxSockets      = 4 // sockets that are handed over with a state
 	maxRequestBytes = 64 << 10
 
-	// maxStateBytes is almost twice the largest expected state: 24 MB learned of 12,600 workers, twice the
-	// planned number, and 12 MiB of ids, endpoint lists and members.
+	// maxStateBytes is almost twice the largest expected state. That state has 24 MB of learned state for
+	// 12,600 workers, twice the planned number, and 12 MiB of ids, endpoint lists and members.
 	maxStateBytes = 64 << 20
 )
 
--- a/internal/lifecycle/hotrestart/transfer/serve.go
+++ b/internal/lifecycle/hotrestart/transfer/serve.go
@@ -14,9 +14,10 @@
 	"woaddyke/internal/base/oserror"
 )
 
-// Predecessor is a process that hands over. HandOver answers a successor's request; an error refuses the
-// request. SetSuccessor is called when a successor is accepted and when it has ended. The successor may serve
-// at the path by then, so a process must call Serve again to receive further requests.
+// Predecessor is a process that hands its state and sockets over. HandOver answers a successor's request; an
+// error refuses the request. SetSuccessor is called when a successor is accepted and when it has ended. A
+// successor that has ended may have replaced this process at the path. The process must then call Serve again
+// to receive further requests.
 type Predecessor interface {
 	HandOver(request []byte) (state []byte, sockets []syscall.Conn, err error)
 	SetSuccessor(present bool)
@@ -46,7 +47,7 @@
 
 // acceptSuccessors answers the requests of one process after another until accept's socket is closed.
 func acceptSuccessors(accept func() (*net.UnixConn, error), predecessor Predecessor, log zerolog.Logger) {
-	failures := 0 // in a row
+	failures := 0 // consecutive failures of accept
 	for {
 		conn, err := accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -78,8 +79,9 @@
 	}
 }
 
-// handOver answers one request. accepted reports whether it has called SetSuccessor. It does so before it
-// sends the state, since a successor that has the state may make this process end immediately.
+// handOver answers one request. accepted reports whether it has called SetSuccessor. It calls
+// SetSuccessor before it sends the state, since a successor that has the state may make this process end
+// immediately.
 func handOver(conn *retryConn, predecessor Predecessor) (accepted bool, err error) {
 	if err := checkSameUser(conn); err != nil {
 		return false, err
--- a/internal/lifecycle/hotrestart/transfer/transfer.go
+++ b/internal/lifecycle/hotrestart/transfer/transfer.go
@@ -71,7 +71,7 @@
 	handover, err := requestHandover(conn, request)
 	if err != nil {
 		conn.Close()
-		return nil, fmt.Errorf("handover: %w", err)
+		return nil, fmt.Errorf("handover: exchange with the predecessor: %w", err)
 	}
 	go func() {
 		defer close(handover.PredecessorEnded)
--- a/internal/observe/console/console.go
+++ b/internal/observe/console/console.go
@@ -38,8 +38,8 @@
 	Path    string
 	Changes bool // the method is POST, otherwise GET
 
-	// Answer returns the value that is written as JSON. It must not wait. A call with the method POST may
-	// wait for less than callTimeout.
+	// Answer returns the value that is written as JSON. For GET it must not wait. For POST it may wait for
+	// less than callTimeout.
 	Answer func(*http.Request) any
 }
 
--- a/internal/observe/logsink/logsink.go
+++ b/internal/observe/logsink/logsink.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// takeBatch returns the pending lines and collects later lines in the spare buffer. The spare buffer must not
-// be the one that is returned, which is still to be written.
+// takeBatch returns the pending lines and makes the spare buffer collect later lines. The returned buffer is
+// written while lines are added to the spare buffer, so the two must be different.
 func (s *Sink) takeBatch(spare []byte) batch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,8 +133,8 @@
 }
 
 // writeBatch writes a batch. lineComplete says whether the last line in the log is complete; an incomplete
-// line is ended first. The result says the same for the log after the write. Lines that can't be written are
-// lost.
+// line is ended first. The result says whether the last line is complete after the write. Lines that can't
+// be written are lost.
 func (s *Sink) writeBatch(b batch, lineComplete bool) bool {
 	if !lineComplete {
 		if _, err := s.out.Write([]byte("\n")); err != nil {
@@ -157,8 +157,8 @@
 	return text[n-1] == '\n'
 }
 
-// countLost counts lines that could not be written. The next report has them, and the dropped lines that the
-// failed batch was to report.
+// countLost counts lines that could not be written. The next report includes these lines, and the
+// dropped lines that the failed batch should have reported.
 func (s *Sink) countLost(lines []byte, dropped uint64) {
 	n := uint64(bytes.Count(lines, []byte("\n")))
 	s.mu.Lock()
--- a/internal/observe/logsink/logsink_test.go
+++ b/internal/observe/logsink/logsink_test.go
@@ -57,7 +57,7 @@
 	if got := strings.Count(text, string(line)); got != lines-int(lost) {
 		t.Errorf("%d lines were written and %d lost, of %d", got, lost, lines)
 	}
-	reported := uint64(0) // by one line, or by two if the sink began to write late
+	reported := uint64(0) // the sum of one or two reports: two if the sink began to write late
 	for _, m := range regexp.MustCompile(`"dropped":(\d+),`).FindAllStringSubmatch(text, -1) {
 		n, _ := strconv.ParseUint(m[1], 10, 64)
 		reported += n
@@ -158,8 +158,8 @@
 	return w.written.Write(p)
 }
 
-// Lines that are logged during a write must not overwrite the buffer that is being written. The fault
-// appeared from the second time that the sink had been idle, and wrote parts of lines.
+// Lines that are logged during a write must not overwrite the buffer that is being written. A sink that
+// reused this buffer too early wrote parts of lines, from the second time that it had been idle.
 func TestLinesLoggedDuringAWriteDoNotCorruptIt(t *testing.T) {
 	out := &blockingWriter{started: make(chan struct{}), release: make(chan struct{})}
 	s := New(out)
--- a/internal/observe/metrics/metrics.go
+++ b/internal/observe/metrics/metrics.go
@@ -9,8 +9,8 @@
 	"sync"
 )
 
-// maxCategories is the maximum number of categories with separate counts, the first ones that are set.
-// Requests of the others count as other.
+// maxCategories is the maximum number of categories with separate counts. If more categories are set, the
+// first maxCategories of them get counts, and requests of the others are counted in Metrics.Other.
 const maxCategories = 2048
 
 // OpCounts are the counts of the ops of a category.
@@ -66,7 +66,7 @@
 	mu                sync.Mutex
 	metrics           Metrics
 	servedCategories  map[string]bool
-	droppedCategories []string // dropped categories that still have counts, the first dropped first
+	droppedCategories []string // no longer served but with counts, in the order of dropping
 }
 
 // New returns a recorder with counts for the categories.
@@ -77,8 +77,8 @@
 }
 
 // SetCategories sets the categories that are served. A dropped category keeps its counts, since counters run
-// from the start of the process. If there are more than maxCategories, the counts of the category that was
-// dropped first are added to other.
+// from the start of the process. If more than maxCategories categories have counts, the counts of those that
+// were dropped first are moved to Metrics.Other.
 func (r *Recorder) SetCategories(categories []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,7 +108,7 @@
 	r.droppedCategories = slices.DeleteFunc(r.droppedCategories, isCategory)
 }
 
-// mergeFirstDropped adds the counts of the category that was dropped first to other.
+// mergeFirstDropped moves the counts of the category that was dropped first to Metrics.Other.
 func (r *Recorder) mergeFirstDropped() {
 	category := r.droppedCategories[0]
 	r.metrics.Other.add(r.metrics.Requests[category])
@@ -153,7 +153,7 @@
 	}
 }
 
-// update changes the counts of a category, or those of other if the category is unknown. Clients choose the
+// update changes the counts of a category, or Metrics.Other if the category is unknown. Clients choose the
 // names of categories, so counts for each name could fill the memory. The caller holds the mutex.
 func (r *Recorder) update(category string, change func(*OpCounts)) {
 	counts, known := r.metrics.Requests[category]
--- a/internal/observe/metrics/metrics_test.go
+++ b/internal/observe/metrics/metrics_test.go
@@ -60,8 +60,8 @@
 }
 
 // Served categories always have counts. The counts of the categories that were dropped first are merged into
-// other, and the totals stay the same. Otherwise the dropped categories of a day of changes would use up the
-// limit, and new categories would have no counts.
+// Metrics.Other, and the totals stay the same. Otherwise the dropped categories of a day of changes would use
+// up the limit, and new categories would have no counts.
 func TestCountsOfDroppedCategoriesAreMergedIntoOther(t *testing.T) {
 	const entries, changes = 560, 5000
 	name := func(i int) string { return fmt.Sprint("c", i) }
--- a/internal/testsupport/filled/filled.go
+++ b/internal/testsupport/filled/filled.go
@@ -177,7 +177,8 @@
 	}
 }
 
-// RequireDiffers fails the test for each exported field that has the same value in both structs of one type.
+// RequireDiffers fails the test for each exported field that has the same value in two structs of the same
+// type.
 func RequireDiffers(t testing.TB, value, other any) {
 	t.Helper()
 	a, b := reflect.ValueOf(value), reflect.ValueOf(other)
--- a/internal/testsupport/fragmentpeer/fragmentpeer.go
+++ b/internal/testsupport/fragmentpeer/fragmentpeer.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// Way is a sequence of writes to a connection, one for each part, and the action of the peer after them.
+// Way is a script for a peer: a sequence of writes to a connection, one for each part, and the action after
+// them.
 type Way struct {
 	Name  string
 	Parts []string
@@ -39,8 +40,8 @@
 	return scripts
 }
 
-// Cuts returns scripts that write only the start of a text. For each byte there are two, which stop before
-// that byte: one closes the connection, the other its write side.
+// Cuts returns scripts that write only the start of a text. For each byte there are two scripts, which
+// stop before that byte: one closes the connection, the other closes its write side.
 func Cuts(text string) (scripts []Way) {
 	for k := range len(text) {
 		scripts = append(scripts, Way{fmt.Sprintf("cut at %d", k), []string{text[:k]}, Cut},
--- a/internal/testsupport/simclock/simclock_test.go
+++ b/internal/testsupport/simclock/simclock_test.go
@@ -7,7 +7,7 @@
 
 // A simulation is reproducible only if its calls run in a fixed order: by time, and calls for the same time
 // in the order in which they were scheduled.
-func TestCallsRunInOneOrder(t *testing.T) {
+func TestCallsRunByTimeThenInTheOrderOfScheduling(t *testing.T) {
 	var c Clock[int64]
 	var order []string
 	record := func(name string) func() { return func() { order = append(order, name) } }
--- a/spikes/memberlist/spike_test.go
+++ b/spikes/memberlist/spike_test.go
@@ -102,7 +102,8 @@
 		for _, m := range members {
 			m.Shutdown()
 		}
-		// Reads the datagrams to members that have ended, whose writers would block forever.
+		// Reads what is still sent to members that have ended. Otherwise the goroutines that write it would
+		// block forever.
 		for _, tr := range transports {
 			for more := true; more; {
 				select {
--- a/spikes/raft/spike_test.go
+++ b/spikes/raft/spike_test.go
@@ -97,7 +97,7 @@
 }
 
 // failedClaims proposes a claim to the leader in each tick, and counts the claims that were not committed
-// within their tick.
+// within their tick. A tick without a leader counts as such a claim.
 func (g *group) failedClaims(ticks int) (n int) {
 	for range ticks {
 		g.run(1)
@@ -121,7 +121,7 @@
 // Measures for how long no claim is committed after a fault of a node.
 func TestCommitGapAfterAFault(t *testing.T) {
 	for _, fault := range []string{"leader dead", "leader stopped for 1 s", "leader heard by none", "leader hears none", "follower dead"} {
-		var gaps []int // ms, one of each run
+		var gaps []int // ms, one for each run
 		for range 50 {
 			g := start(t)
 			l := g.leader()
