--- a/internal/lab/clients/clients.go
+++ b/internal/lab/clients/clients.go
@@ -81,8 +81,8 @@
 // Open returns the number of attempts that have not ended.
 func (c *Crowd) Open() int64 { return c.openAttempts.Load() }
 
-// Run sends all requests of the workload, each when it is due after the start. It returns after the last one
-// is sent or when the context ends.
+// Run starts all requests of the workload, each when it is due after the given start. It returns when the
+// last request is started or the context ends.
 func (c *Crowd) Run(ctx context.Context, start time.Time) {
 	// Timers of the Go runtime fire up to a millisecond late. A locked thread in nanosleep does not have this
 	// delay.
@@ -116,7 +116,8 @@
 	}
 }
 
-// attempt is one attempt of a client's request. It is an op of its own unless its ID is shared.
+// attempt is one attempt of a client's request. It is a separate op unless its ID is shared.
+// Attempt number 100 is a duplicate that is not a retry.
 type attempt struct {
 	id, effect string
 	number     int
@@ -130,8 +131,8 @@
 	reuseOnly  bool // only uses a connection that is already open
 }
 
-// record adds an event of an attempt to the ledger. Attempts with a shared ID are one op in the ledger, at
-// the scheduler of the first attempt.
+// record adds an event of an attempt to the ledger. A repeated attempt with the same ID belongs to the op of
+// the first attempt: its Sent event is dropped, and its other events are recorded as Echo.
 func (c *Crowd) record(t *attempt, e ledger.Event) {
 	if t.repeat {
 		if e.Kind == ledger.Sent {
@@ -145,14 +146,15 @@
 	c.ledger.Add(e)
 }
 
-// outcome is the result of an attempt as the client sees it.
+// outcome is the result of an attempt as the client sees it. The verdict is that of an Answer, or "late" for
+// a Cut without an answer in time.
 type outcome struct {
 	kind       ledger.Kind // Answer, Cut, Refused or Left
 	verdict    string
 	retryAfter time.Duration
 }
 
-const maxSleep = 20 * time.Millisecond // how often the context is checked while waiting
+const maxSleep = 20 * time.Millisecond // interval at which the context is checked while waiting
 
 const (
 	minAttemptTime = 50 * time.Millisecond // a client with less time left does not retry
@@ -204,8 +206,8 @@
 	}
 }
 
-// waitForRetry waits before the next attempt and returns when it is due. It returns false if that is too late
-// or the context ends.
+// waitForRetry waits until the next attempt is due, and returns that time. It returns false if too little
+// time would be left until the deadline, or if the context ends.
 func (c *Crowd) waitForRetry(ctx context.Context, delay time.Duration, deadline time.Time) (due time.Time, ok bool) {
 	if due = time.Now().Add(delay); deadline.Sub(due) < minAttemptTime {
 		return due, false
@@ -219,7 +221,7 @@
 }
 
 // retrySameID sends an op under one ID until it gets a final answer: first to one scheduler, then to others.
-// With a set probability it also sends the op to two schedulers at the same time.
+// With the probability Clients.AtOnce, another scheduler also gets the op at the same time as the first one.
 func (c *Crowd) retrySameID(ctx context.Context, effect string, request *workload.Wish, due, deadline time.Time, r *rand.Rand) {
 	cat := &c.experiment.Categories[request.Category]
 	first := c.nextUp(request.Scheduler)
@@ -259,7 +261,8 @@
 	}
 }
 
-// nextUp returns the given scheduler if it is up, otherwise the next one that is.
+// nextUp returns the given scheduler if it is up, otherwise the next one that is up. If no scheduler is up,
+// it returns the given one.
 func (c *Crowd) nextUp(scheduler int) int {
 	for i := range c.servers {
 		if k := (scheduler + i) % len(c.servers); c.servers[k].Up() {
@@ -273,8 +276,9 @@
 // connections continue.
 type endingServer interface{ Ending() bool }
 
-// chooseScheduler returns the given scheduler if a client may send to it, otherwise the next one. A scheduler
-// that is shutting down is only used through open connections.
+// chooseScheduler returns the given scheduler if the client may send to it, otherwise the next scheduler to
+// which the client may send. A scheduler that is shutting down is only used through open connections;
+// reuseOnly is then set.
 func (c *Crowd) chooseScheduler(from, client int) (scheduler int, reuseOnly bool) {
 	for i := range c.servers {
 		k := (from + i) % len(c.servers)
@@ -288,8 +292,8 @@
 	return from, false
 }
 
-// shouldRetry reports whether a client retries. A dead letter does not exclude that the op ran, so the client
-// only retries an op that may run twice.
+// shouldRetry reports whether a client retries. After a dead letter or a broken connection the op may have
+// run. The client then retries only an op that may run twice.
 func (c *Crowd) shouldRetry(t *attempt, o outcome) bool {
 	switch o.kind {
 	case ledger.Refused:
@@ -317,7 +321,7 @@
 }
 
 // sendAttempt sends an op and returns its outcome. If a reused connection ends without an answer, the op is
-// sent once more.
+// sent once more on a new connection.
 func (c *Crowd) sendAttempt(ctx context.Context, t *attempt, due time.Time, scheduler int) outcome {
 	c.openAttempts.Add(1)
 	defer c.openAttempts.Add(-1)
@@ -343,7 +347,7 @@
 	}
 }
 
-// recordDue records that an attempt is due, as an op of its own.
+// recordDue records that an attempt is due, as a new op.
 func (c *Crowd) recordDue(t *attempt, due time.Time, scheduler int) {
 	state := ""
 	if t.sharedID {
@@ -392,7 +396,8 @@
 		return outcome{kind: ledger.Refused}, false
 	}
 	started := time.Now()
-	// The op may be sent a second time, and a header never states less than minTimeLeft.
+	// A header never states less than minTimeLeft, also if less is left when the op is sent a second time.
+	// The deadline is moved to match the header.
 	if minDeadline := started.Add(minTimeLeft); t.deadline.Before(minDeadline) {
 		t.deadline = minDeadline
 	}
@@ -423,7 +428,7 @@
 	if t.leaveAfter > 0 {
 		leave = time.After(t.leaveAfter)
 	}
-	// The client gives up at its deadline. The lab waits longer, so that late answers are seen.
+	// The client gives up at its deadline. The lab waits longer, so that late answers are recorded.
 	late := time.NewTimer(time.Until(t.deadline) + lateAnswerWait)
 	defer late.Stop()
 	select {
@@ -455,7 +460,8 @@
 	}
 }
 
-// connection returns a connection for an attempt, possibly behind other requests. Its sendMu is locked.
+// connection returns a connection for an attempt, with sendMu locked. If mayPipeline is set, the connection
+// may carry earlier requests that have no answer yet.
 func (p *pool) connection(t *attempt, mayPipeline bool) (conn *conn, replies chan reply, reused, pipelined bool, err error) {
 	if mayPipeline {
 		if conn, replies, ok := p.pipelined(t.id, t.deadline); ok {
@@ -468,12 +474,12 @@
 
 // usesPipelining draws whether an attempt may be sent behind other requests. Slow attempts and attempts whose
 // client may disconnect are excluded, because they would delay the other requests or close their connection.
-func (t *attempt) usesPipelining(chance float64) bool {
-	if chance == 0 || t.leaveAfter > 0 || t.request.Trickles || t.request.Stalls {
+func (t *attempt) usesPipelining(probability float64) bool {
+	if probability == 0 || t.leaveAfter > 0 || t.request.Trickles || t.request.Stalls {
 		return false
 	}
 	r := rand.New(rand.NewPCG(t.request.Seed, 0x70697065+uint64(t.number)))
-	return r.Float64() < chance
+	return r.Float64() < probability
 }
 
 func reusedState(reused bool) string {
--- a/internal/lab/clients/conn.go
+++ b/internal/lab/clients/conn.go
@@ -26,8 +26,8 @@
 	allRead bool // the scheduler read all requests and then closed without a reset
 }
 
-// conn is a connection to a scheduler. Its reader also runs between requests. An unexpected answer is
-// recorded as a second answer to the previous request.
+// conn is a connection to a scheduler. Its reader also runs between requests. An answer that no request waits
+// for is recorded as a second answer to the previous request.
 type conn struct {
 	net.Conn
 	ledger    *ledger.Book
@@ -106,7 +106,7 @@
 // connection. Linux acknowledges bytes when they enter the socket's receive queue. It resets a connection
 // that is closed with unread bytes, or that is written to after the close.
 func (c *conn) closedAfterReadingAll() bool {
-	c.sendMu.Lock() // no write is in progress
+	c.sendMu.Lock() // waits for a write in progress
 	defer c.sendMu.Unlock()
 	return closedAfterReadingAll(c.Conn)
 }
@@ -131,7 +131,7 @@
 }
 
 // deliver passes a reply to the first request that waits for an answer. The end of the connection is passed
-// to all of them.
+// to all waiting requests.
 func (c *conn) deliver(r reply) {
 	c.mu.Lock()
 	var receivers []expectedAnswer
@@ -156,7 +156,8 @@
 	}
 }
 
-// expect assigns the next unassigned answer to an op. It returns false if the connection has ended.
+// expect registers an op whose request is about to be sent, and returns the channel that receives its reply.
+// It returns false if the connection has ended.
 func (c *conn) expect(op string, deadline time.Time) (chan reply, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,9 +170,9 @@
 	return answers, true
 }
 
-// canPipeline reports whether a request may be sent behind others. Answers arrive in the order of the
-// requests. A request with an earlier deadline than one before it could therefore get its answer too late
-// through no fault of the scheduler.
+// canPipeline reports whether a request may be sent behind unanswered requests. Answers arrive in the order
+// of the requests. A request with an earlier deadline than one before it could therefore get its answer too
+// late through no fault of the scheduler.
 func (c *conn) canPipeline(deadline time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,8 +202,8 @@
 	maxBusy = 64
 )
 
-// pipelined returns a connection that expects an answer, with sendMu locked. It returns false if there is
-// none.
+// pipelined registers an op on a connection with unanswered requests and returns that connection, with sendMu
+// locked. It returns false if no connection is suitable.
 func (p *pool) pipelined(op string, deadline time.Time) (*conn, chan reply, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -218,7 +219,7 @@
 	return nil, nil, false
 }
 
-// addBusy adds a connection behind whose requests others may be sent.
+// addBusy adds a connection to the busy list, so that later requests can be pipelined on it.
 func (p *pool) addBusy(conn *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -227,7 +228,8 @@
 	}
 }
 
-// acquire returns a connection that expects no other answer, with sendMu locked.
+// acquire registers an op on a connection without unanswered requests and returns that connection, with
+// sendMu locked. The third result reports whether the connection was reused.
 func (p *pool) acquire(op string, deadline time.Time, exclusive bool) (*conn, chan reply, bool, error) {
 	conn, answers, reused, err := p.idleOrDial(op, deadline)
 	if err != nil {
--- a/internal/lab/clients/relay.go
+++ b/internal/lab/clients/relay.go
@@ -27,10 +27,10 @@
 	return fmt.Sprintf(head, name, k, len(relayBody))
 }
 
-// Relay keeps sending requests on one connection to a scheduler until the scheduler closes it. The body of
-// each request is sent together with the headers of the next one, so that at any time a partly read request
-// has no answer. If the scheduler closes the connection in that state after reading all bytes, the ledger
-// gets an event.
+// Relay keeps sending requests on one connection to a scheduler until the scheduler closes the connection.
+// The body of each request is sent together with the headers of the next one, so that at any time a partly
+// read request has no answer. If the scheduler closes the connection in that state after reading all bytes,
+// the ledger gets an event.
 func Relay(addr string, scheduler int, name string, events *ledger.Book) {
 	c, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
--- a/internal/lab/clients/relay_test.go
+++ b/internal/lab/clients/relay_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// The audit's decision whether a request was read depends on how the kernel ends a connection: without a
-// reset if everything was read, and with a reset if bytes were unread or arrived after the close.
+// Guards against an audit that wrongly decides whether a scheduler read a request. The decision depends on how
+// the kernel ends a connection: without a reset if everything was read, and with a reset if bytes were unread
+// or arrived after the close.
 func TestACloseAfterReadingAllIsDistinguishedFromAReset(t *testing.T) {
 	const request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 	for name, c := range map[string]struct {
--- a/internal/lab/cluster/several.go
+++ b/internal/lab/cluster/several.go
@@ -33,16 +33,16 @@
 	operator   string
 	discovery  string
 	Places     []*Place
-	Begin      func(p *Place, cmd *exec.Cmd) error // starts a process; nil calls cmd.Start
+	Begin      func(p *Place, cmd *exec.Cmd) error // starts a process; if nil, cmd.Start does
 }
 
-// Place is a slot in which one process runs. A successor can replace the process.
+// Place is a node of the cluster, on which one process runs. A successor can replace the process.
 type Place struct {
 	Categories            string        // JSON of the categories; empty for pay, note and look
 	ConnectTimeout        time.Duration // 0 for the default; a worker has twice as long to confirm a push
 	Settings              string        // JSON with a trailing comma; empty for pushed discovery
 	Name, Listen, Console string
-	Discovery             string // address of this process's discovery server; empty for the cluster's
+	Discovery             string // address of its discovery server; empty for the server of the cluster
 	listenAddr            netip.AddrPort
 	dir                   string
 	advertised            string
@@ -83,16 +83,16 @@
 
 var blocksUsed atomic.Int64
 
-// allocateAddrs reserves n consecutive addresses and returns the number of the first. No other cluster uses
-// them, neither in this process nor in a test process that runs at the same time. Each test process has
-// addresses for sixty clusters of at most a dozen processes.
+// allocateAddrs reserves n consecutive addresses and returns the number of the first. Each test process has
+// addresses for sixty clusters of at most a dozen processes, and reuses them after the sixtieth. Test
+// processes that run at the same time have different addresses unless their PIDs are equal modulo 80.
 func allocateAddrs(n int) int {
-	const size, each, processes = 12, 720, 80 // 720 addresses: sixty clusters
-	sizes := int64(n+size-1) / size
+	const blockSize, perProcess, processes = 12, 720, 80 // 720 addresses: sixty clusters
+	blocks := int64(n+blockSize-1) / blockSize
 	for {
-		first := int(blocksUsed.Add(sizes)-sizes) * size % each
-		if first+n <= each {
-			return 1000 + os.Getpid()%processes*each + first
+		first := int(blocksUsed.Add(blocks)-blocks) * blockSize % perProcess
+		if first+n <= perProcess {
+			return 1000 + os.Getpid()%processes*perProcess + first
 		}
 	}
 }
@@ -100,9 +100,9 @@
 // Bound returns the IP address at which the k-th process listens.
 func (c *Cluster) Bound(k int) netip.Addr { return faultproxy.Bound(c.firstAddr + k) }
 
-// New creates a cluster of n places. No process runs yet. The operator argument holds additional lines of the
-// [members] table in the operator file; {dir} in it is replaced by the place's directory. The workers
-// argument is the list of workers in the format of the discovery service.
+// New creates a cluster of n nodes. No process runs yet. The operator argument holds additional lines of the
+// [members] table in the operator file; {dir} in it is replaced by the node's directory. The workers argument
+// is the list of workers in the format of the discovery service.
 func New(t testing.TB, n int, operator, workers string, program func(args ...string) *exec.Cmd) *Cluster {
 	t.Helper()
 	c := &Cluster{t: t, newCommand: program, operator: operator, firstAddr: allocateAddrs(n)}
@@ -135,7 +135,7 @@
 	return c
 }
 
-// Place adds a place under a name, at the k-th address of the cluster.
+// Place adds a node under a name, at the k-th address of the cluster.
 func (c *Cluster) Place(k int, name string) *Place {
 	var used []string
 	freePort := func() netip.AddrPort {
@@ -163,7 +163,7 @@
 
 const defaultConnectTimeout = 200 * time.Millisecond
 
-// Start starts a process in a place. If a process already runs there, the new one is its successor.
+// Start starts a process on a node. If a process already runs there, the new one is its successor.
 func (c *Cluster) Start(p *Place) {
 	c.t.Helper()
 	bootstrapPath, operatorPath := filepath.Join(p.dir, "sheet.json"), filepath.Join(p.dir, "operator.toml")
@@ -219,15 +219,15 @@
 	p.mu.Unlock()
 }
 
-// Dir returns the directory of the place.
+// Dir returns the directory of the node.
 func (p *Place) Dir() string { return p.dir }
 
 // stopTimeout bounds the wait for a process to stop.
 const stopTimeout = 5 * time.Second
 
-// Signal sends a signal to the process in a place. SIGSTOP takes effect shortly after the system call, and
-// tests rely on a process that can do nothing. Therefore Signal waits until all threads of the process are
-// stopped.
+// Signal sends a signal to the process of a node. SIGSTOP takes effect shortly after the system call, and
+// tests rely on a process that can do nothing. After SIGSTOP, Signal therefore waits until all threads of the
+// process are stopped.
 func (p *Place) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -261,15 +261,16 @@
 	return len(files) > 0
 }
 
-// Running returns the running process, so that a successor can be started. The caller waits for the process
-// to end.
+// Running returns the running process and the channel that receives its exit error. The caller can start a
+// successor and then wait for the process to exit.
 func (p *Place) Running() (*exec.Cmd, <-chan error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd, p.exited
 }
 
-// Takeover performs a hot restart: it starts a successor, and waits until the predecessor has ended.
+// Takeover performs a hot restart: it starts a successor, waits until the successor is ready, sends SIGTERM
+// to the predecessor and waits until the predecessor has ended.
 func (c *Cluster) Takeover(p *Place) {
 	c.t.Helper()
 	predecessor, exited := p.Running()
@@ -285,14 +286,14 @@
 	select {
 	case err := <-exited:
 		if err != nil {
-			c.t.Errorf("the predecessor: %v", err)
+			c.t.Errorf("hot restart: the predecessor exited with an error: %v", err)
 		}
 	case <-time.After(awaitTimeout):
-		c.t.Fatal("the predecessor does not end")
+		c.t.Fatal("hot restart: the predecessor did not exit after SIGTERM")
 	}
 }
 
-// Kill sends SIGKILL to the process in a place and waits until it has ended.
+// Kill sends SIGKILL to the process of a node and waits until it has ended.
 func (p *Place) Kill() { p.kill() }
 
 func (p *Place) kill() {
@@ -306,8 +307,8 @@
 	}
 }
 
-// Get requests a path from the console listener and decodes the response into a value. It returns false
-// without a successful response.
+// Get requests a path from the console listener and decodes the response into a value. It returns false if
+// the request fails or the response can't be decoded.
 func (p *Place) Get(path string, into any) bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + p.Console + path)
@@ -318,7 +319,7 @@
 	return resp.StatusCode == http.StatusOK && (into == nil || json.NewDecoder(resp.Body).Decode(into) == nil)
 }
 
-// View returns the membership as shown by the process in a place. It is empty without a response.
+// View returns the membership as shown by the process of a node. The view is empty if the request fails.
 func (p *Place) View() *View {
 	v := &View{}
 	p.Get("/api/members", v)
@@ -337,7 +338,7 @@
 	}
 }
 
-// AwaitState waits until all given processes show a member in a state.
+// AwaitState waits until all given processes, except the member itself, show the member in a state.
 func (c *Cluster) AwaitState(name, state string, by ...*Place) {
 	c.t.Helper()
 	c.Await(fmt.Sprintf("%s is %s", name, state), func() bool {
@@ -350,7 +351,8 @@
 	})
 }
 
-// AwaitWhole waits until all given processes show one another as here, in identical views.
+// AwaitWhole waits until all given processes show themselves and one another in the state "here", and their
+// views have the same digest.
 func (c *Cluster) AwaitWhole(all ...*Place) {
 	c.t.Helper()
 	c.Await("all members are here in all views", func() bool {
--- a/internal/lab/discovery/herald.go
+++ b/internal/lab/discovery/herald.go
@@ -1,6 +1,6 @@
-// Package discovery emulates the discovery service. Each scheduler has its own agent, which serves the list
-// of workers and a watch for changes. Changes become visible after a delay that is drawn from the seed. The
-// workload can silence, break or move an agent.
+// Package discovery emulates the discovery service. Each scheduler has a separate agent, which serves the
+// list of workers and a watch for changes. Changes become visible after a random delay that depends on the
+// seed. The workload can silence, break or move an agent.
 package discovery
 
 import (
@@ -30,15 +30,17 @@
 	BootMS   int64  `json:"boot_ms"`
 }
 
-// message is a snapshot of the list or a delta.
+// message is a snapshot of the list, with All set, or a delta.
 type message struct {
 	Rev     int64    `json:"rev"`
 	All     bool     `json:"all"`
 	Targets []target `json:"targets"`
 }
 
+// stateNames maps the states of a fleet.Entry to those of the discovery service.
 var stateNames = map[string]string{"ready": "SERVING", "draining": "DRAINING", "gone": "DELETED"}
 
+// change is a change of the list, with its version.
 type change struct {
 	rev       int64
 	visibleAt time.Time // when the agent shows the change
@@ -131,12 +133,13 @@
 	return a.listener.Addr().String()
 }
 
-// Hear adds a change of the list. The agent shows it after a random delay, or immediately with atOnce.
-func (a *Agent) Hear(e fleet.Entry, atOnce bool) {
+// Hear adds a change of the list. The agent shows the change after a random delay, or without delay if
+// immediate is set.
+func (a *Agent) Hear(e fleet.Entry, immediate bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delay := a.delayRange[0] + time.Duration(a.rand.Float64()*float64(a.delayRange[1]-a.delayRange[0]))
-	if atOnce {
+	if immediate {
 		delay = 0
 	}
 	visibleAt := time.Now().Add(delay)
@@ -164,7 +167,8 @@
 	a.notifyWatches()
 }
 
-// Break ends all watches and makes the agent reject requests, until it is called with false.
+// Break makes the agent reject requests, and ends all watches. Break(false) makes the agent serve requests
+// again.
 func (a *Agent) Break(on bool) {
 	a.mu.Lock()
 	a.broken = on
@@ -202,7 +206,8 @@
 	s.Close()
 }
 
-// latest returns the visible version, the last visible entry of each worker, and the order of the names.
+// latest returns the visible version, the last visible entry of each worker, and the workers' names in the
+// order in which they first appeared. The agent's lock must be held.
 func (a *Agent) latest(now time.Time) (rev int64, entries map[string]fleet.Entry, order []string) {
 	entries = map[string]fleet.Entry{}
 	for _, c := range a.changes {
@@ -248,7 +253,7 @@
 	return m, listed
 }
 
-// delta returns the visible changes after a version.
+// delta returns the visible changes after a version. The agent's lock must be held.
 func (a *Agent) delta(rev int64, now time.Time) (message, []fleet.Entry) {
 	m := message{Rev: rev, Targets: []target{}}
 	var changed []fleet.Entry
@@ -261,7 +266,8 @@
 	return m, changed
 }
 
-// record adds the states that a scheduler is about to receive to the ledger, before they are written to it.
+// record adds a ledger event for each state that the scheduler is about to receive. It skips states that the
+// scheduler already has, except those of draining and gone workers in a snapshot.
 func (a *Agent) record(isSnapshot bool, entries []fleet.Entry) {
 	for _, e := range entries {
 		if a.reported[e.Name] == e.State && !(isSnapshot && e.State != "ready") {
@@ -283,7 +289,7 @@
 		http.Error(w, "no list", http.StatusServiceUnavailable)
 		return
 	}
-	for a.quiet() {
+	for a.isSilent() {
 		if !a.awaitUpdate(r) {
 			return
 		}
@@ -342,7 +348,7 @@
 			return
 		case <-updated:
 		case <-time.After(heartbeatInterval):
-			if !a.quiet() {
+			if !a.isSilent() {
 				fmt.Fprintln(w)
 				w.(http.Flusher).Flush()
 			}
@@ -350,13 +356,13 @@
 	}
 }
 
-func (a *Agent) quiet() bool {
+func (a *Agent) isSilent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.silent
 }
 
-// awaitUpdate waits for a change. It returns false if the request has ended.
+// awaitUpdate waits for a change of the agent. It returns false if the request ends first.
 func (a *Agent) awaitUpdate(r *http.Request) bool {
 	a.mu.Lock()
 	updated := a.updated
--- a/internal/lab/faultproxy/net.go
+++ b/internal/lab/faultproxy/net.go
@@ -24,8 +24,8 @@
 	schedulersPerBlock = 250 // schedulers for each value of an address's third byte
 )
 
-// Bound returns the address that the n-th scheduler, from 0, binds and sends from. No other process on the
-// machine sends from it.
+// Bound returns the IP address with number n, where 127.2.0.1 has number 0. A scheduler binds this address
+// and sends from it, and no other process on the machine sends from it.
 func Bound(n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, 2, byte(n / schedulersPerBlock), byte(n%schedulersPerBlock + 1)})
 }
@@ -34,7 +34,7 @@
 	return netip.AddrFrom4([4]byte{127, 3, byte(n / schedulersPerBlock), byte(n%schedulersPerBlock + 1)})
 }
 
-// senderOf returns the scheduler that sends from an address, or -1 if there is none.
+// senderOf returns the number of a scheduler's IP address, or -1 if the address is not one of a scheduler.
 func senderOf(a netip.Addr) int {
 	b := a.Unmap().As4()
 	if b[0] != 127 || b[1] != 2 || b[3] == 0 || b[3] > schedulersPerBlock {
@@ -87,15 +87,16 @@
 	tcp        net.Listener
 
 	mu         sync.Mutex    // held while a marker is in flight
-	marker     *net.UDPConn  // sends markers, which are not datagrams of a scheduler
-	markerRead chan struct{} // holds a value once a marker has been read
+	marker     *net.UDPConn  // sends marker datagrams to udp; see awaitQueued
+	markerRead chan struct{} // holds a value once a marker has been read from udp
 }
 
 // markerTimeout bounds the wait for a marker. A marker is lost if the socket buffer is full; any datagram
 // after it is then lost too.
 const markerTimeout = 200 * time.Millisecond
 
-// awaitQueued waits until all datagrams that are in the socket buffer now are processed.
+// awaitQueued waits until all datagrams that are in the socket buffer now have been read. It sends a marker
+// datagram to the socket: once the marker has been read, so have all datagrams before it.
 func (e *endpoint) awaitQueued(done <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,21 +122,21 @@
 	return from.Port() == at.Port() && from.Addr().Unmap() == at.Addr().Unmap()
 }
 
-// New opens the links. It calls the given function when a cut begins or ends.
-func New(n int, seed uint64, onCut func(from, to int, cut Cut)) (*Net, error) {
+// New opens the links between the given number of schedulers. It calls onCut when a cut begins or ends.
+func New(schedulers int, seed uint64, onCut func(from, to int, cut Cut)) (*Net, error) {
 	firstAddr, err := Own()
 	if err != nil {
 		return nil, err
 	}
-	return At(firstAddr, n, seed, onCut)
+	return At(firstAddr, schedulers, seed, onCut)
 }
 
-// At opens the links between schedulers; the first scheduler binds the address with the given number. Nets
-// that run at the same time must not share addresses. Otherwise one of them could take a port that another
-// frees for a moment.
-func At(firstAddr, n int, seed uint64, onCut func(from, to int, cut Cut)) (*Net, error) {
+// At opens the links like New. The first scheduler binds the address with the number firstAddr, and the
+// others bind the addresses after it. Two sets of links that are open at the same time must not share
+// addresses. Otherwise one could take a port that the other frees for a moment.
+func At(firstAddr, schedulers int, seed uint64, onCut func(from, to int, cut Cut)) (*Net, error) {
 	x := &Net{firstAddr: firstAddr, onCut: onCut, streamSlots: make(chan struct{}, maxStreams), openStreams: map[net.Conn][2]int{}, done: make(chan struct{})}
-	for i := range n {
+	for i := range schedulers {
 		e, err := newEndpoint(firstAddr + i)
 		if err != nil {
 			x.Close()
@@ -144,7 +145,7 @@
 		x.endpoints = append(x.endpoints, e)
 		var datagramLinks []*DatagramLink
 		var streamLinks []*links.Weather
-		for j := range n {
+		for j := range schedulers {
 			s := seed ^ uint64(i)<<40 ^ uint64(j)<<20
 			datagramLinks, streamLinks = append(datagramLinks, newDatagramLink(s)), append(streamLinks, links.New(links.Sky{}, s))
 		}
@@ -176,7 +177,7 @@
 }
 
 // Free returns a port that is free for both UDP and TCP, other than the given ones. A port that is only free
-// for UDP may belong to another listener of the same scheduler, which then does not start.
+// for UDP may belong to another listener of the same scheduler, which then could not start.
 func Free(at netip.Addr, exclude ...string) (netip.AddrPort, error) {
 	for range 20 {
 		udp, tcp, err := listenBoth(at)
@@ -189,10 +190,10 @@
 			return free, nil
 		}
 	}
-	return netip.AddrPort{}, errNoCommonPort
+	return netip.AddrPort{}, errAllPortsExcluded
 }
 
-var errNoCommonPort = errors.New("links between schedulers: no port is free for both UDP and TCP")
+var errAllPortsExcluded = errors.New("links between schedulers: every free port that was tried is excluded")
 
 func newEndpoint(n int) (*endpoint, error) {
 	udp, tcp, err := listenBoth(advertisedAddr(n))
@@ -215,11 +216,12 @@
 // Told returns the address that the n-th scheduler advertises to the others.
 func (x *Net) Told(n int) string { return x.endpoints[n].advertised }
 
-// Listens sets the address at which the n-th scheduler listens. It may change.
+// Listens sets the address at which the n-th scheduler listens. The address may change while the links are
+// open.
 func (x *Net) Listens(n int, addr netip.AddrPort) { x.endpoints[n].listenAddr.Store(&addr) }
 
-// Crowded returns how many datagrams were dropped because of maxInFlight. The result of a run with any is
-// void.
+// Crowded returns how many datagrams were dropped because of maxInFlight. If the number is not zero, the
+// result of the run is void.
 func (x *Net) Crowded() int64 { return x.overflowDrops.Load() }
 
 // Weather changes the conditions of the link from one scheduler to another.
@@ -235,7 +237,7 @@
 	if l.cutMode() == mode {
 		return
 	}
-	x.endpoints[to].awaitQueued(x.done) // the earlier mode still applies to datagrams sent before
+	x.endpoints[to].awaitQueued(x.done) // the previous mode still applies to datagrams that were sent before
 	l.setCut(mode)
 	x.onCut(from, to, mode)
 	either := mode != Open || x.datagramLinks[to][from].cutMode() != Open
@@ -277,15 +279,15 @@
 			}
 			continue
 		}
-		sender, at := senderOf(from.Addr())-x.firstAddr, e.listenAddr.Load()
-		if sender < 0 || sender >= len(x.endpoints) || at == nil {
+		sender, listenAddr := senderOf(from.Addr())-x.firstAddr, e.listenAddr.Load()
+		if sender < 0 || sender >= len(x.endpoints) || listenAddr == nil {
 			continue
 		}
 		x.meter.Load().Add(sender, meter.Members, 0, n, 1)
 		for _, delay := range x.datagramLinks[sender][to].DeliveryDelays(time.Now(), n) {
 			datagram := append([]byte(nil), buf[:n]...)
 			if delay <= 0 {
-				e.udp.WriteToUDPAddrPort(datagram, *at)
+				e.udp.WriteToUDPAddrPort(datagram, *listenAddr)
 				x.meter.Load().Add(to, meter.Members, n, 0, 0)
 				continue
 			}
@@ -297,7 +299,7 @@
 			time.AfterFunc(delay, func() {
 				x.inFlight.Add(-1)
 				if x.datagramLinks[sender][to].cutMode() == Open { // a cut also drops datagrams in flight
-					e.udp.WriteToUDPAddrPort(datagram, *at)
+					e.udp.WriteToUDPAddrPort(datagram, *listenAddr)
 					x.meter.Load().Add(to, meter.Members, n, 0, 0)
 				}
 			})
@@ -315,8 +317,8 @@
 		if a, ok := c.RemoteAddr().(*net.TCPAddr); ok {
 			from = senderOf(a.AddrPort().Addr()) - x.firstAddr
 		}
-		at := e.listenAddr.Load()
-		if from < 0 || from >= len(x.endpoints) || at == nil || x.datagramLinks[from][to].cutMode() == Refusing || x.datagramLinks[to][from].cutMode() == Refusing {
+		listenAddr := e.listenAddr.Load()
+		if from < 0 || from >= len(x.endpoints) || listenAddr == nil || x.datagramLinks[from][to].cutMode() == Refusing || x.datagramLinks[to][from].cutMode() == Refusing {
 			reset(c)
 			continue
 		}
@@ -326,13 +328,13 @@
 			reset(c)
 			continue
 		}
-		go x.forwardStream(c, from, to, at.String())
+		go x.forwardStream(c, from, to, listenAddr.String())
 	}
 }
 
-// forwardStream forwards a stream. A stream that is opened during a cut waits for its end, like a handshake
-// whose packets are lost.
-func (x *Net) forwardStream(c net.Conn, from, to int, at string) {
+// forwardStream forwards a stream. A stream that is opened during a cut waits for the end of the cut, like a
+// handshake whose packets are lost.
+func (x *Net) forwardStream(c net.Conn, from, to int, listenAddr string) {
 	defer func() { <-x.streamSlots }()
 	x.mu.Lock()
 	x.openStreams[c] = [2]int{from, to}
@@ -355,15 +357,15 @@
 			return
 		}
 	}
-	out, err := net.DialTimeout("tcp4", at, dialTimeout)
+	out, err := net.DialTimeout("tcp4", listenAddr, dialTimeout)
 	if err != nil {
 		reset(c)
 		return
 	}
 	defer out.Close()
-	returned := make(chan struct{})
+	copiedBack := make(chan struct{})
 	go func() {
-		defer close(returned)
+		defer close(copiedBack)
 		io.Copy(countingWriter{in, x, to, from}, out)
 		in.CloseSoon(10 * time.Second)
 	}()
@@ -372,7 +374,7 @@
 	} else if t, ok := out.(*net.TCPConn); ok {
 		t.CloseWrite()
 	}
-	<-returned
+	<-copiedBack
 }
 
 // Close closes all links and streams.
--- a/internal/lab/faultproxy/net_test.go
+++ b/internal/lab/faultproxy/net_test.go
@@ -125,7 +125,8 @@
 	}
 }
 
-// The same seed must give the same losses and duplicates, with shares near the configured probabilities.
+// Guards against losses and duplicates that differ between two runs with the same seed, or whose shares
+// differ from the configured probabilities.
 func TestDeliveriesAreReproducibleFromTheSeed(t *testing.T) {
 	count := func() (lost, twice int) {
 		l := newDatagramLink(7)
--- a/internal/lab/faultproxy/sky.go
+++ b/internal/lab/faultproxy/sky.go
@@ -19,7 +19,7 @@
 	Rate          float64 // bytes per second; 0 for no limit
 }
 
-// Cut is the mode of a cut.
+// Cut is the mode of a link: open, or the kind of a cut.
 type Cut int
 
 // A silent cut drops everything. A refusing cut also drops datagrams, but resets streams and rejects new
@@ -33,7 +33,7 @@
 const (
 	retransmitDelay = 200 * time.Millisecond // minimum retransmission timeout of a kernel
 	reorderDelay    = 20 * time.Millisecond
-	maxQueueDelay   = 2 * time.Second // with a rate; datagrams that would wait longer are dropped
+	maxQueueDelay   = 2 * time.Second // on a link with a rate, datagrams that would wait longer are dropped
 )
 
 // DatagramLink is one direction between two schedulers. Its conditions may change while datagrams are in
@@ -69,9 +69,9 @@
 	return l.cut
 }
 
-// DeliveryDelays returns the delays after which a datagram that is sent now arrives: none, one or two. Each
-// probability is drawn whatever the conditions are, so that a change of one condition leaves the random
-// decisions of the others unchanged.
+// DeliveryDelays returns the delays after which a datagram that is sent now arrives: none if it is dropped,
+// two if it is duplicated. All random values are drawn whatever the conditions are, so that a change of one
+// condition leaves the random decisions of the others unchanged.
 func (l *DatagramLink) DeliveryDelays(now time.Time, size int) (delays []time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -22,7 +22,7 @@
 	"woaddyke/internal/lab/workload"
 )
 
-// Entry describes a worker in the endpoint list.
+// Entry is the entry of a worker in the endpoint list.
 type Entry struct {
 	Name, Zone string
 	Cell       int
@@ -49,9 +49,9 @@
 	links               [][]*links.Weather // by slot and scheduler
 	workers             []*worker          // the current worker of each slot
 	mu                  sync.Mutex
-	replacements        []int // by slot: number of successors and restarts
+	replacements        []int // by slot: number of restarts and successors so far
 	seed                uint64
-	ports               *ports // ports of hollow workers
+	ports               *ports // claimed for hollow workers
 	descriptorShortages atomic.Int64
 	meter               *meter.Meter
 	background          sync.WaitGroup
@@ -93,8 +93,8 @@
 	return f, nil
 }
 
-// Sky returns the link conditions that an experiment sets between two parties. The last matching entry
-// applies.
+// Sky returns the link conditions that an experiment sets between two parties. If several entries of e.Links
+// match, the last one applies.
 func Sky(e *experiment.Experiment, between, from, to string) (conditions links.Sky) {
 	ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 	for _, link := range e.Links {
@@ -106,7 +106,8 @@
 	return conditions
 }
 
-// worker is one process of an emulated worker.
+// worker is an emulated worker process, from its start to its end. A restart or a successor is a new worker
+// in the same slot.
 type worker struct {
 	fleet     *Fleet
 	slot      int
@@ -124,7 +125,7 @@
 	probes       map[int]chan workermodel.Report
 	lastProbe    int // number of the last probe
 	blocked      []*blockedListener
-	cutChangedAt ledger.Time // time at which the last cut of its link began or ended
+	cutChangedAt ledger.Time // when a cut of the worker's links last began or ended
 	admitted     bool
 }
 
@@ -144,7 +145,7 @@
 	w := &worker{fleet: f, slot: slot, name: name, kind: kind, pushes: map[int]*activePush{}, conns: map[*schedulerConn]bool{}, probes: map[int]chan workermodel.Report{}}
 	config := workermodel.Config{Cores: kind.Cores, Speed: spec.Speed, Slots: kind.Slots, Memory: kind.Memory, Queue: kind.Queue,
 		ReportEvery: experiment.MS(kind.ReportEveryMS), Progress: experiment.MS(kind.ProgressMS), ReportsStart: true, ConnWork: kind.ConnWorkMS,
-		ProbeWork: kind.ProbeWorkMS, Connections: kind.Connections, ErrorRate: kind.ErrorRate, CancelDrops: kind.CancelDrops}
+		ProbeWork: kind.ProbeWorkMS, Connections: kind.Connections, FailureRate: kind.ErrorRate, CancelDrops: kind.CancelDrops}
 	if err := w.listen(); err != nil {
 		return fmt.Errorf("worker %s: %w", name, err)
 	}
@@ -176,8 +177,8 @@
 	for n := range f.experiment.Schedulers.Count {
 		addr := f.addrs[w.slot][n]
 		if addr == "" {
-			// A separate address for each worker: no connection from this machine can take its port while the
-			// worker is down.
+			// Each worker has a separate IP address. A connection from this machine could otherwise take the
+			// worker's port while the worker is down.
 			addr = fmt.Sprintf("127.1.%d.%d:0", w.slot/250, w.slot%250+1)
 		}
 		l, err := net.Listen("tcp", addr)
@@ -228,7 +229,7 @@
 	}
 }
 
-// end ends the process and resets its connections.
+// end ends the worker process and resets its connections.
 func (w *worker) end() {
 	w.mu.Lock()
 	if w.ended {
@@ -312,15 +313,15 @@
 // but carries nothing.
 func (f *Fleet) CutFrom(slot, scheduler int, on bool) { f.links[slot][scheduler].SetCut(on) }
 
-// Kill ends the process of the worker in a slot and publishes its state.
+// Kill ends the worker in a slot and publishes that it is gone.
 func (f *Fleet) Kill(slot int) {
 	w := f.workerAt(slot)
 	w.end()
 	f.publish(f.entry(w, "gone"))
 }
 
-// Restart starts a killed worker again under the same name, cold. It does nothing if a successor already runs
-// in the slot.
+// Restart starts a killed worker again under the same name, cold. It does nothing if a worker already runs in
+// the slot.
 func (f *Fleet) Restart(slot int) error {
 	w := f.workerAt(slot)
 	w.mu.Lock()
@@ -335,14 +336,15 @@
 	return f.startWorker(slot, w.name, true)
 }
 
-// maxDrain bounds how long a draining worker may take to finish its jobs.
+// maxDrain bounds how long a draining worker may take to finish its jobs. drainMargin is added to the
+// discovery delay and the grace, for which the worker stays at least.
 const (
 	maxDrain    = 15 * time.Second
 	drainMargin = time.Second
 )
 
-// Announce publishes that a worker drains. The worker itself does not know and continues. After the given
-// time it ends, and a successor replaces it.
+// Announce publishes that a worker drains, but does not inform the worker, which keeps accepting jobs. After
+// the given time the worker ends, and a successor replaces it.
 func (f *Fleet) Announce(slot int, delay time.Duration) {
 	w := f.workerAt(slot)
 	f.publish(f.entry(w, "draining"))
@@ -356,8 +358,8 @@
 	}()
 }
 
-// Drain lets a worker finish its jobs and end. After the given time a successor with another name replaces
-// it. With a negative time no successor starts.
+// Drain lets a worker finish its running jobs and end. After the given time a successor with another name
+// replaces it. If the time is negative, no successor starts.
 func (f *Fleet) Drain(slot int, successorAfter time.Duration) {
 	w := f.workerAt(slot)
 	w.mu.Lock()
@@ -411,13 +413,13 @@
 	}
 }
 
-// Depth is the queue of a worker at one moment.
+// Depth holds the numbers of running and waiting jobs of the worker in a slot.
 type Depth struct {
 	Slot             int
 	Running, Waiting int
 }
 
-// Depths returns how many jobs run and wait at each worker.
+// Depths returns the current Depth of each slot.
 func (f *Fleet) Depths() []Depth {
 	var depths []Depth
 	for i := range f.workers {
@@ -445,8 +447,8 @@
 
 const descriptorPause = 100 * time.Millisecond
 
-// Starved returns how often a worker failed to accept a connection for lack of file descriptors. The result
-// of a run with any is void.
+// Starved returns how often a worker failed to accept a connection for lack of file descriptors. If the
+// number is not zero, the result of the run is void.
 func (f *Fleet) Starved() int64 { return f.descriptorShortages.Load() }
 
 func (w *worker) accept(l net.Listener, scheduler int) {
@@ -458,8 +460,8 @@
 		}
 		if err != nil {
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-				// No ledger event for each: thousands of workers hit the limit at the same time and
-				// repeatedly.
+				// A shortage is counted and adds no ledger event: thousands of workers hit the limit at the
+				// same time and repeatedly.
 				w.fleet.descriptorShortages.Add(1)
 				time.Sleep(descriptorPause)
 				continue
--- a/internal/lab/fleet/hollow.go
+++ b/internal/lab/fleet/hollow.go
@@ -9,13 +9,14 @@
 	"syscall"
 )
 
-// A hollow worker has one listener for all schedulers, on a port of its own at all loopback addresses. Each
-// scheduler gets a different address with that port, so the local address of a connection identifies the
+// A hollow worker has one listener for all schedulers, on a separate port at all loopback addresses. Each
+// scheduler gets a different IP address with that port, so the local address of a connection identifies the
 // dialing scheduler. A listener for each worker and scheduler would take 126,000 descriptors with 6,300
 // workers and 20 schedulers.
 
 // Ports of hollow workers are below the kernel's ephemeral range, so that no connection takes the port of a
-// worker that is down. Runs on the same machine claim the ports in blocks.
+// worker that is down. Runs on the same machine claim the ports in blocks. A run claims a block by opening a
+// UDP socket at claimAddr on the first port of the block.
 const (
 	firstPort  = 2048
 	lastPort   = 32_767
@@ -26,12 +27,13 @@
 // ports are the ports that this run has claimed.
 type ports struct {
 	claims []net.PacketConn
-	unused []int // claimed, but not used yet
+	unused []int // claimed ports that no worker has used yet
 }
 
 var errNoPorts = errors.New("hollow workers: other runs on this machine have claimed all ports")
 
-// claimPorts claims the wanted number of ports, and some more because other programs may use a few of them.
+// claimPorts claims at least the given number of ports. It adds spare ports, because other programs may use
+// some of the claimed ones.
 func claimPorts(count int) (*ports, error) {
 	p := &ports{}
 	if count == 0 {
@@ -63,8 +65,8 @@
 	p.claims = nil
 }
 
-// listen opens the listener of a hollow worker. It reuses the addresses of a previous listener, or else fills
-// them in.
+// listen opens the listener of a hollow worker. If addrs is filled, it listens on the same port again.
+// Otherwise it takes an unused port and fills in the address for each scheduler.
 func (p *ports) listen(addrs []string) (net.Listener, error) {
 	if addrs[0] != "" {
 		return listenOnLoopback(netip.MustParseAddrPort(addrs[0]).Port())
@@ -101,13 +103,13 @@
 	return config.Listen(context.Background(), "tcp4", fmt.Sprintf("0.0.0.0:%d", port))
 }
 
-// hollowAddr returns the address of hollow workers for the n-th scheduler.
+// hollowAddr returns the IP address at which the n-th scheduler, from 0, reaches every hollow worker.
 func hollowAddr(n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, 4, byte(n / 250), byte(n%250 + 1)})
 }
 
-// dialingScheduler returns the scheduler that dials the local address of a connection, or -1 if there is
-// none.
+// dialingScheduler returns the scheduler, from 0, whose hollowAddr is the local address of a connection. It
+// returns -1 if there is none.
 func dialingScheduler(c net.Conn) int {
 	at, err := netip.ParseAddrPort(c.LocalAddr().String())
 	if b := at.Addr().As4(); err == nil && b[0] == 127 && b[1] == 4 && b[3] >= 1 && b[3] <= 250 {
--- a/internal/lab/fleet/hollow_test.go
+++ b/internal/lab/fleet/hollow_test.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// runExchange sends load probes and pushes to the workers: pushes that end, one that runs, one that is
-// canceled behind it, one that is rejected, and a probe of a worker that was killed and restarted. It returns
-// the responses, the ledger events and the byte counts, each in order.
+// runExchange sends load probes and pushes to the workers. Some pushes end, one keeps running, one is
+// canceled while it waits behind the running one, and one is rejected. Then it kills and restarts a worker
+// and probes it. It returns the responses, the ledger events and the byte counts, each in order.
 func runExchange(t *testing.T, hollow bool) (responses []string, eventLines []string, counts meter.Sheet) {
 	t.Helper()
 	m := meter.New(3)
@@ -142,11 +142,11 @@
 	responses, eventLines, counts := runExchange(t, false)
 	hollowResponses, hollowEvents, hollowCounts := runExchange(t, true)
 	for _, c := range []struct {
-		what       string
-		of, hollow any
+		what             string
+		ordinary, hollow any
 	}{{"answers", responses, hollowResponses}, {"events", eventLines, hollowEvents}, {"bytes and messages", counts, hollowCounts}} {
-		if !reflect.DeepEqual(c.of, c.hollow) {
-			t.Errorf("%s: ordinary workers\n%v\nhollow workers\n%v", c.what, c.of, c.hollow)
+		if !reflect.DeepEqual(c.ordinary, c.hollow) {
+			t.Errorf("%s: ordinary workers\n%v\nhollow workers\n%v", c.what, c.ordinary, c.hollow)
 		}
 	}
 	for n, row := range counts {
@@ -156,9 +156,10 @@
 	}
 }
 
-// Guards against hollow workers that look different to a scheduler because they share one listener. Both
-// kinds must know who dials, refuse connections while dead, leave connection attempts unanswered while cut,
-// and keep their address after a restart. A neighboring worker must not be affected.
+// Guards against hollow workers that look different to a scheduler because each has one listener for all
+// schedulers. Both kinds must recognize the dialing scheduler, refuse connections while dead, leave
+// connection attempts unanswered while cut, and keep their address after a restart. Other workers must not be
+// affected.
 func TestHollowAndOrdinaryWorkersAcceptRefuseAndTimeOutAlike(t *testing.T) {
 	for _, hollow := range []bool{false, true} {
 		t.Run(fmt.Sprintf("hollow=%v", hollow), func(t *testing.T) {
@@ -179,7 +180,7 @@
 					}
 				}
 			}
-			// The worker accepts connections after they are established.
+			// A worker accepts a connection some time after it is established, so the events can come later.
 			for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
 				dialed := map[string]int{}
 				for _, ev := range events.Events() {
@@ -274,9 +275,9 @@
 	return nil, &net.OpError{Op: "accept", Net: "tcp4", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 }
 
-// Guards against a ledger event for each failed accept. A lab without descriptors once wrote a quarter of a
-// million events and presented the run as valid. The shortages must be counted, so that the run can be
-// rejected.
+// Guards against a ledger event for each failed accept. A lab that ran out of file descriptors once wrote a
+// quarter of a million events and presented the run as valid. The shortages must be counted, so that the run
+// can be rejected.
 func TestDescriptorShortagesAreCountedWithoutLedgerEvents(t *testing.T) {
 	f, events, _ := newFleet(t, true, nil)
 	before := len(events.Events())
--- a/internal/lab/fleet/serve.go
+++ b/internal/lab/fleet/serve.go
@@ -37,10 +37,10 @@
 	return n, err
 }
 
-// count adds the bytes of the current request to the meter. The left argument is the number of buffered bytes
-// that belong to the next request.
-func (k *schedulerConn) count(kind meter.Kind, left int) {
-	size := k.bytesRead - int64(left) - k.bytesCounted
+// count adds the bytes of the current request to the meter. The buffered argument is the number of bytes that
+// were read after the request; they belong to the next one.
+func (k *schedulerConn) count(kind meter.Kind, buffered int) {
+	size := k.bytesRead - int64(buffered) - k.bytesCounted
 	k.bytesCounted += size
 	k.worker.fleet.meter.Add(k.scheduler, kind, 0, int(size), 1)
 }
@@ -64,8 +64,8 @@
 	k.conn.Close()
 }
 
-// afterCut is how long after the end of a cut bytes arrive that were written during the cut. The time at
-// which they were written is unknown.
+// afterCut bounds how long after the end of a cut the bytes arrive that were written during the cut. The time
+// at which they were written is unknown, so their push gets no deadline.
 const afterCut = ledger.Time(500 * time.Millisecond / ledger.Tenth)
 
 // pushDeadline returns the time until which the scheduler waits for an answer, or 0 if it is unknown. The
@@ -81,7 +81,7 @@
 	return arrived + ledger.Span(time.Duration(ms)*time.Millisecond)
 }
 
-// onPeerClose is called when the scheduler closes the connection, even while data is still on the link.
+// onPeerClose is called as soon as the scheduler closes the connection, even while data is still on the link.
 func (k *schedulerConn) onPeerClose() {
 	k.mu.Lock()
 	push := k.push
@@ -93,7 +93,8 @@
 	}
 }
 
-// cancelPush records that the scheduler has given up a push.
+// cancelPush ends a push because the scheduler has closed its connection. It adds the ledger event and passes
+// the cancel to the worker model.
 func (k *schedulerConn) cancelPush(push *activePush, at ledger.Time) {
 	w := k.worker
 	w.mu.Lock()
@@ -106,7 +107,8 @@
 	w.finishPush(push)
 }
 
-// finishPush ends a push. Its job may continue. The worker's lock must be held.
+// finishPush ends a push, so that its connection can read the next request. The job of the push may continue.
+// The worker's lock must be held.
 func (w *worker) finishPush(push *activePush) {
 	if !push.done {
 		push.done = true
@@ -143,7 +145,7 @@
 	}
 }
 
-// end removes the connection from the worker.
+// end removes the connection from the worker and closes it after all written bytes are sent.
 func (k *schedulerConn) end() {
 	w := k.worker
 	w.mu.Lock()
@@ -155,7 +157,7 @@
 	k.conn.CloseSoon(time.Second)
 }
 
-// isProbe reports whether a request is a load probe.
+// isProbe reports whether a request is a probe, with or without a load report.
 func isProbe(r *http.Request) bool {
 	return r.Method == http.MethodGet && (r.URL.Path == "/load" || r.URL.Path == "/healthz")
 }
@@ -167,11 +169,11 @@
 	return meter.Work
 }
 
-func (k *schedulerConn) respond(kind meter.Kind, status int, extra, body string) {
-	k.write(kind, fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), extra, len(body), body))
+func (k *schedulerConn) respond(kind meter.Kind, status int, headerLines, body string) {
+	k.write(kind, fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), headerLines, len(body), body))
 }
 
-// handle answers one request and reports whether another one may follow.
+// handle answers one request and reports whether the connection can carry another request.
 func (k *schedulerConn) handle(r *http.Request, body []byte, arrived ledger.Time) bool {
 	if isProbe(r) {
 		return k.probe(r.URL.Path == "/load")
@@ -233,8 +235,9 @@
 	return ""
 }
 
-// probe answers a load probe. A hung worker does not answer.
-func (k *schedulerConn) probe(load bool) bool {
+// probe answers a probe, with a load report in the body if withReport is set. A hung worker does not answer.
+// It returns false if the connection must end.
+func (k *schedulerConn) probe(withReport bool) bool {
 	w := k.worker
 	answer := make(chan workermodel.Report, 1)
 	w.mu.Lock()
@@ -252,7 +255,7 @@
 		if !r.Ready {
 			status = http.StatusServiceUnavailable
 		}
-		if load {
+		if withReport {
 			report = fmt.Sprintf(`{"pending":%d,"busy_reqs":%d,"x0":%g,"x1":%g}`, r.Load.Waiting, r.Load.Jobs, r.Load.Free, r.Load.Memory)
 		}
 		k.respond(meter.Probes, status, "Content-Type: application/json\r\n", report)
@@ -262,7 +265,8 @@
 	}
 }
 
-// waitForClose keeps a connection open without sending anything until the other side closes it.
+// waitForClose keeps a connection open without sending anything until the scheduler closes it. It always
+// returns false: the connection ends.
 func (k *schedulerConn) waitForClose() bool {
 	k.conn.SetReadDeadline(time.Time{})
 	k.conn.Read(make([]byte, 1))
--- a/internal/lab/fleet/shut.go
+++ b/internal/lab/fleet/shut.go
@@ -19,17 +19,17 @@
 }
 
 const (
-	blockedPollInterval = 5 * time.Millisecond // how often a blocked listener checks whether it is unblocked
+	blockedPollInterval = 5 * time.Millisecond // between two checks whether a blocked listener is unblocked
 	fillTimeout         = 20 * time.Millisecond
 	maxFillers          = 8
-	fillRounds          = 3 // an accept in progress can leave a free entry after the first round
+	fillRounds          = 3 // an accept in progress can free an entry of the backlog after a round
 	fillPause           = time.Millisecond
 	backlog             = 4096
 )
 
-// fillerAddrs holds the address pairs of filler connections. Both ends are needed: the pair of a connection
-// that was never established here stays in the map, and the kernel reuses its port. With the port alone, a
-// later connection from a scheduler would be taken for a filler and closed.
+// fillerAddrs holds the address pairs of filler connections. A pair stays in the map if the listener never
+// accepts the filler, and the kernel reuses the filler's port later. A key therefore contains both addresses.
+// With the port alone, a later connection from a scheduler would be taken for a filler and closed.
 var fillerAddrs sync.Map
 
 func isFiller(c net.Conn) bool {
@@ -37,8 +37,8 @@
 	return ok
 }
 
-// backlogFull reports whether a listener's backlog is full. For a listener, TCP_INFO holds the backlog's
-// length and its limit.
+// backlogFull reports whether a listener's backlog is full. For a listener, TCP_INFO holds the length of the
+// backlog in Unacked and its limit in Sacked.
 func backlogFull(l *net.TCPListener) (full bool, err error) {
 	raw, err := l.SyscallConn()
 	if err != nil {
--- a/internal/lab/links/conn.go
+++ b/internal/lab/links/conn.go
@@ -21,7 +21,7 @@
 	mu            sync.Mutex
 	readChanged   *sync.Cond
 	pieces        []piece // read from the socket, and not yet returned by Read
-	unread        []byte  // the rest of the first piece
+	unread        []byte  // the rest of the piece that Read has begun to return
 	receivedAt    time.Time
 	peerClosedAt  time.Time
 	closed        bool
@@ -34,7 +34,7 @@
 	queueChanged *sync.Cond // signals that the queue has changed or the connection is closed
 	queue        []outgoing
 	sendClosed   bool
-	unsent       atomic.Int64 // pieces written and not yet sent
+	unsent       atomic.Int64 // pieces that are written and not yet sent to the socket
 	closeOnce    sync.Once
 	done         chan struct{}
 }
@@ -54,7 +54,7 @@
 // Limits of the memory of a connection.
 const (
 	pieceSize   = 4 << 10
-	maxPieces   = 64 // read ahead; beyond that the socket is not read, and the peer has to wait
+	maxPieces   = 64 // received; beyond that the socket is not read, and the peer has to wait
 	maxOutgoing = 256
 )
 
@@ -278,7 +278,7 @@
 	}
 }
 
-// sleep waits and reports whether the connection is still open.
+// sleep waits for a duration. It returns false if the connection is closed in the meantime.
 func (c *Conn) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -360,16 +360,16 @@
 		return
 	}
 	defer remote.Close()
-	returned := make(chan struct{})
+	copiedBack := make(chan struct{})
 	go func() {
 		io.Copy(local, remote)
 		local.CloseSoon(drainTimeout)
-		close(returned)
+		close(copiedBack)
 	}()
 	if _, err := io.Copy(remote, local); err != nil {
 		remote.Close() // passes the failure on to the other side
 	} else if t, ok := remote.(*net.TCPConn); ok {
 		t.CloseWrite()
 	}
-	<-returned
+	<-copiedBack
 }
--- a/internal/lab/links/links_test.go
+++ b/internal/lab/links/links_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// pair returns a socket and its peer; the peer is wrapped in a link.
+// pair returns the two ends of a connection. The far end is wrapped in a link.
 func pair(t *testing.T, link *Weather) (near net.Conn, far *Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,7 +79,8 @@
 	}
 }
 
-// While a link is cut nothing passes, but a close by the peer is still noticed immediately.
+// Guards against bytes that pass a link during a cut or are lost by it, and against a close by the peer that
+// is noticed only after the cut.
 func TestNothingPassesACutLinkUntilTheCutEnds(t *testing.T) {
 	link := New(Sky{}, 1)
 	near, far := pair(t, link)
@@ -100,7 +101,7 @@
 	}
 }
 
-func TestALinkBreaksBeforeOrAfterTheLastByte(t *testing.T) {
+func TestALinkResetsAConnectionBeforeOrAfterAWrite(t *testing.T) {
 	near, far := pair(t, New(Sky{ResetFirst: 1}, 1))
 	near.Write([]byte("whole"))
 	if b, err := io.ReadAll(far); err == nil || len(b) > 0 {
--- a/internal/lab/links/weather.go
+++ b/internal/lab/links/weather.go
@@ -1,6 +1,6 @@
 // Package links emulates the network between two parties: delay, jitter, a rate limit, stalls, cuts and
-// resets. A link decides what happens to each piece of bytes and does no I/O. A Conn applies the decisions to a
-// real connection, and Forward applies them between any two addresses.
+// resets. A link decides what happens to each piece of bytes and does no I/O. A Conn applies the decisions to
+// a real connection, and Forward applies them between any two addresses.
 package links
 
 import (
@@ -43,8 +43,8 @@
 	l.conditions = conditions
 }
 
-// SetCut begins or ends a cut, during which nothing passes. Bytes sent during the cut arrive after its end,
-// as if the peer retransmitted them.
+// SetCut begins or ends a cut. During a cut nothing passes. Bytes that are sent during the cut arrive after
+// its end, as if the peer retransmitted them.
 func (l *Weather) SetCut(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,7 +58,7 @@
 	}
 }
 
-// IsCut reports whether the link is cut. The channel is closed when the cut ends.
+// IsCut reports whether the link is cut. It also returns a channel that is closed when the cut ends.
 func (l *Weather) IsCut() (bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,7 +68,7 @@
 // Fate is the decision for one piece.
 type Fate struct {
 	ArrivesAt   time.Time // at the other end of the link
-	ResetBefore bool      // the connection is reset in place of the piece
+	ResetBefore bool      // the connection is reset before the piece is completely delivered
 	ResetAfter  bool      // the connection is reset after the piece
 }
 
--- a/internal/lab/requests/asks.go
+++ b/internal/lab/requests/asks.go
@@ -1,5 +1,5 @@
-// Package requests holds the requests that clients have sent, by ID. Workers compare each push with it, so
-// that the lab does not depend on what a scheduler writes.
+// Package requests holds the requests that clients have sent, by ID. Workers compare each push with the
+// request of its ID, so that the lab does not depend on what a scheduler writes.
 package requests
 
 import (
@@ -13,7 +13,7 @@
 type Request struct {
 	Job            workermodel.Job
 	Target         string // path and query
-	IdempotencyKey string // of the Idempotency-Key header
+	IdempotencyKey string // value of the Idempotency-Key header; empty for none
 	BodyHash       uint64 // as returned by HashBody
 }
 
--- a/internal/lab/workermodel/box.go
+++ b/internal/lab/workermodel/box.go
@@ -11,24 +11,25 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-// Config describes a kind of worker.
+// Config describes a kind of worker. FailureRate is the probability that a job fails at a healthy worker.
 type Config struct {
 	Cores        float64
 	Speed        float64 // 1 for the reference core on which work is stated
 	Slots        float64
 	Memory       float64
-	Queue        int         // jobs that may wait; further ones are rejected
+	Queue        int         // maximum number of waiting jobs; further jobs are rejected
 	ReportEvery  ledger.Time // maximum age of a load report
 	Progress     ledger.Time // interval between progress messages of a running job; 0 for none
 	ReportsStart bool
 	ConnWork     float64 // core time that a new connection costs, in ms on the reference core
 	ProbeWork    float64
 	Connections  int
-	ErrorRate    float64
+	FailureRate  float64
 	CancelDrops  bool // a canceled push is dropped if it is still waiting
 }
 
-// Job is the work that a push asks for.
+// Job is the work that a push requests. With Dedup, the job is dropped if a worker of the Scope started the
+// same effect within Window. The Scope is "zone", "all", or otherwise the cell.
 type Job struct {
 	Op, Effect   string
 	Work         float64 // running time on the reference core, in ms
@@ -51,7 +52,7 @@
 	StaleBy    ledger.Time
 	TurnsAway  bool
 	Draining   bool
-	UnfitShare float64 // probability that a valid op is answered as unfit
+	UnfitShare float64 // probability that a valid push is answered as unfit
 }
 
 // Input is one of Pushed, Closed, Probed, Connected, Disconnected, TimerFired and FaultsChanged.
@@ -167,14 +168,16 @@
 	return &DedupStore{started: map[string]ledger.Time{}, sweepSize: 1024}
 }
 
-// Begin records the start of an effect. It returns true if the effect is a duplicate within its window.
-func (s *DedupStore) Begin(effect string, now, window ledger.Time) (repeat bool) {
+// Begin records the start of an effect. If the effect was already started within the window, Begin records
+// nothing and returns true.
+func (s *DedupStore) Begin(effect string, now, window ledger.Time) (duplicate bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if at, ok := s.started[effect]; ok && now <= at+window {
 		return true
 	}
-	if len(s.started) >= s.sweepSize { // at most doubles the number of entries that are within their window
+	// The store holds at most twice as many entries as were within their window at the last removal, or 1024.
+	if len(s.started) >= s.sweepSize {
 		for e, at := range s.started {
 			if now > at+window {
 				delete(s.started, e)
@@ -196,6 +199,7 @@
 	nextProgress ledger.Time
 }
 
+// arrival is a push that a cold worker received.
 type arrival struct {
 	at   ledger.Time
 	work float64
@@ -206,7 +210,7 @@
 	Name      string
 	config    Config
 	rules     ledger.Rules
-	cellDedup *DedupStore // one dedup store for each scope: this one, zoneDedup and globalDedup
+	cellDedup *DedupStore // zoneDedup and globalDedup are the stores of the other scopes
 	rand      *rand.Rand
 	startTime ledger.Time
 	cold      bool
@@ -225,8 +229,8 @@
 	globalDedup *DedupStore
 }
 
-// New creates the model of a worker that starts now. The stores are those of its cell, its zone and all
-// workers.
+// New creates the model of a worker that starts at startTime. The dedup stores are those of its cell, of its
+// zone and of all workers.
 func New(name string, config Config, rules ledger.Rules, cell, zone, all *DedupStore, seed uint64, startTime ledger.Time, cold bool) *Worker {
 	w := &Worker{Name: name, config: config, rules: rules, cellDedup: cell, zoneDedup: zone, globalDedup: all,
 		rand: rand.New(rand.NewPCG(seed, 0x626f78)), startTime: startTime, cold: cold, now: startTime, reportedAt: -1 << 40}
@@ -245,7 +249,8 @@
 	return speed, w.config.Cores * (1 - w.faults.Taken)
 }
 
-// jobRate returns how much work each running job completes per unit of ledger time.
+// jobRate returns how many ms of work each running job completes per unit of ledger time, which is a tenth of
+// a millisecond.
 func (w *Worker) jobRate() float64 {
 	speed, cores := w.capacity()
 	busy := 0.0
@@ -261,9 +266,9 @@
 	return speed * min(1, cores/busy) / 10
 }
 
-const warmUpStep ledger.Time = 500 // how often the speed is recomputed while the worker warms up
+const warmUpStep ledger.Time = 500 // interval at which the speed is recomputed while the worker warms up
 
-// advance moves the clock forward, up to the first end of a job.
+// advance moves the model's clock to the given time. It stops earlier if a job finishes before that.
 func (w *Worker) advance(now ledger.Time) {
 	for w.now < now && !w.crashed {
 		rate := w.jobRate()
@@ -375,13 +380,14 @@
 	// faults are.
 	silentDraw, failDraw := w.rand.Float64(), w.rand.Float64()
 	j.silent = silentDraw < w.faults.Mute
-	j.fails = failDraw < max(w.config.ErrorRate, w.faults.Fails)
+	j.fails = failDraw < max(w.config.FailureRate, w.faults.Fails)
 	effects = append(effects, SendStatus{Push: in.Push, Status: Accepted})
 	w.waiting = append(w.waiting, j)
 	return effects
 }
 
-// checkOverload crashes a cold worker that received more work than it can handle.
+// checkOverload adds a push to the arrivals of a cold worker. It crashes the worker if more work arrived
+// within TipAfter than the limit allows.
 func (w *Worker) checkOverload(effects []Effect, j *job) ([]Effect, bool) {
 	if !w.cold || w.rules.TipAfter == 0 || w.now-w.startTime >= w.rules.WarmAfter {
 		return effects, false
@@ -395,7 +401,8 @@
 	}
 	w.arrivals = recent
 	limit := w.rules.Bears(w.config.Cores*w.config.Speed, w.now-w.startTime)
-	// A short burst right after the start can already use up the limit of the whole interval.
+	// The limit applies to the whole interval TipAfter. A short burst right after the start can already
+	// exceed it.
 	if sum <= limit {
 		return effects, false
 	}
--- a/internal/lab/workermodel/box_test.go
+++ b/internal/lab/workermodel/box_test.go
@@ -61,8 +61,8 @@
 	return Job{Op: op, Effect: op, Work: work, ExpectedWork: work, Slots: slots}
 }
 
-// Guards against jobs that overtake a wide job at the head of the queue. The emulated machines do not do
-// this.
+// Guards against jobs that overtake a wide job at the head of the queue. The emulated machines start jobs in
+// the order of arrival.
 func TestAWideJobAtTheHeadOfTheQueueDelaysTheJobsBehindIt(t *testing.T) {
 	run := newTestRun(newWorker(false))
 	run.handle(0, Pushed{1, newJob("a", 100, 1)})
@@ -74,8 +74,8 @@
 	}
 }
 
-// Guards against a worker that does more work than its cores can. Every scheduler would look better than it
-// is.
+// Guards against a worker that does more work than its cores can. Every scheduler would get better results
+// than it should.
 func TestNoMoreWorkIsDoneThanTheCoresCanDo(t *testing.T) {
 	for seed := range uint64(50) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -96,13 +96,13 @@
 			}
 			end = max(end, run.ends[push])
 		}
-		if least := accepted * 10 / 2; float64(end) < least-1 {
+		if minDuration := accepted * 10 / 2; float64(end) < minDuration-1 {
 			t.Errorf("seed %d: %.0f ms of work were done on two cores in %.1f ms", seed, accepted, float64(end)/10)
 		}
 	}
 }
 
-func TestAGroupDropsARepeatWithinItsWindowAndNoLonger(t *testing.T) {
+func TestAGroupDropsADuplicateOnlyWithinItsWindow(t *testing.T) {
 	zone := NewDedupStore()
 	first := New("a", Config{Cores: 1, Speed: 1, Slots: 1, Queue: 9}, rules, NewDedupStore(), zone, NewDedupStore(), 1, 0, false)
 	second := New("b", Config{Cores: 1, Speed: 1, Slots: 1, Queue: 9}, rules, NewDedupStore(), zone, NewDedupStore(), 1, 0, false)
@@ -116,8 +116,9 @@
 	}
 }
 
-// Two cores may receive 3,471 ms of work at an age of 2 s, and 1,378 ms more may be chance with jobs of 100
-// ms. Right after the start the figures are 2,250 ms and 1,149 ms.
+// Guards against a cold worker that crashes at or below its limit, or survives more work. For two cores at an
+// age of 2 s, the limit is a budget of 3,471 ms plus 1,378 ms for random variation with jobs of 100 ms. Right
+// after the start, the limit is 2,250 ms plus 1,149 ms.
 func TestAColdWorkerCrashesOnlyAboveItsLimit(t *testing.T) {
 	for _, c := range []struct {
 		at           ledger.Time
