--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -22,14 +22,15 @@
 // Experiment holds the contents of an experiment file.
 type Experiment struct {
 	Name    string   `toml:"name"`
-	Base    string   `toml:"base"` // another file that is read first; lists of this file replace its lists
+	Base    string   `toml:"base"` // file that is read first; a list in this file replaces that of the base
 	Seed    uint64   `toml:"seed"`
 	Seconds float64  `toml:"seconds"` // time during which requests arrive
 	Settle  float64  `toml:"settle_s"`
 	Zones   []string `toml:"zones"`
 	// Regions are groups of zones. A link or a fault may name a region instead of a zone.
 	Regions []Region `toml:"regions"`
-	// Sizes lists shares of the workers and of the arrival rate. The experiment runs once for each of them.
+	// Sizes lists factors. The experiment runs once for each of them, with its worker counts and its arrival
+	// rate multiplied by the factor.
 	Sizes []float64 `toml:"sizes"`
 	// Expect lists bounds on figures, which are checked in addition to the rules.
 	Expect     []Expect   `toml:"expect"`
@@ -80,7 +81,7 @@
 type Rules struct {
 	SlackMS        float64 `toml:"slack_ms"` // tolerance on each time limit, since sockets take time
 	DrainGraceMS   float64 `toml:"drain_grace_ms"`
-	OverloadFactor float64 `toml:"overload_factor"` // a cold worker's load limit, per unit of capacity
+	OverloadFactor float64 `toml:"overload_factor"` // a cold worker's load limit as a multiple of its capacity
 	TipAfterMS     float64 `toml:"tip_after_ms"`    // time after which an overloaded cold worker fails
 	ColdFrom       float64 `toml:"cold_from"`       // share of its capacity that a worker has at its start
 	WarmAfterMS    float64 `toml:"warm_after_ms"`   // time from the start of a worker to its full capacity
@@ -134,7 +135,8 @@
 	Hollow bool `toml:"hollow"`
 }
 
-// Category describes a category of ops.
+// Category describes a category of ops. The latency objective of an op is
+// target_ms + stretch * work in ms / slots.
 type Category struct {
 	Name          string    `toml:"name"`
 	Effect        string    `toml:"effect"`
@@ -153,7 +155,8 @@
 	Slots         []float64 `toml:"slots"`  // weights of ops that need 1, 2 and 4 slots
 	Memory        float64   `toml:"memory"` // memory per job, in the unit of the workers' memory
 	BodyBytes     int       `toml:"body_bytes"`
-	// A hint is wrong by a factor of at most 1+hint_spread; 0 for no hints.
+	// Clients send a hint, an estimate of the work of an op. It is wrong by a factor of at most
+	// 1+hint_spread; 0 for no hints.
 	HintSpread float64 `toml:"hint_spread"`
 }
 
@@ -201,7 +204,7 @@
 	StallMS    float64 `toml:"stall_ms"`
 	ResetFirst float64 `toml:"reset_before"` // chance that an exchange is reset before its last byte
 	ResetAfter float64 `toml:"reset_after"`  // chance that an exchange is reset after its last byte
-	// Chance that a connection transfers nothing more in both directions.
+	// Chance that a connection transfers nothing. It is drawn separately for each direction.
 	Mute float64 `toml:"mute"`
 }
 
@@ -215,7 +218,7 @@
 	PauseMS  float64 `toml:"pause_ms"`
 	DetectMS float64 `toml:"detect_ms"` // all views must mark an exited member as gone within this time
 	SettleMS float64 `toml:"settle_ms"` // views of connected members must be equal after this time
-	// A declaration that a member is gone may rest on events that are at most this old.
+	// A view must not declare a member gone that it could reach for longer than this.
 	GraceMS  float64 `toml:"grace_ms"`
 	Loss     float64 `toml:"loss"` // chance that a datagram is lost, on each link
 	Dup      float64 `toml:"dup"`
@@ -227,7 +230,8 @@
 	Hollow int `toml:"hollow"`
 }
 
-// Copies replicates the outcomes of at-most-once ops on the first schedulers.
+// Copies configures the replication of the outcomes of at-most-once ops. The first schedulers are the
+// replicas.
 type Copies struct {
 	On       bool   `toml:"on"`
 	Keepers  int    `toml:"keepers"`
@@ -236,24 +240,25 @@
 	Agreed bool `toml:"agreed"`
 }
 
-// Fault describes a fault that the lab injects.
+// Fault describes a fault that the lab injects. The meaning of size depends on the kind: see faultKinds.
 type Fault struct {
 	Kind string  `toml:"kind"`
 	At   float64 `toml:"at_s"`
 	For  float64 `toml:"for_s"`
-	Part float64 `toml:"part"` // share of the workers or schedulers that it hits
-	// Indices of the workers or schedulers that it hits, from 0; replaces part.
+	Part float64 `toml:"part"` // share of the workers or schedulers that the fault hits
+	// Indices of the workers or schedulers that the fault hits, counted from 0. They replace part.
 	Indices []int   `toml:"indices"`
 	Zone    string  `toml:"zone"`
 	Size    float64 `toml:"size"`
 	EveryS  float64 `toml:"every_s"` // interval of a repeated fault
 	// Mesh faults: indices of the schedulers at the other ends of the links; all other schedulers if empty.
 	To      []int  `toml:"to"`
-	Way     string `toml:"way"`     // mesh faults: both, out (from the schedulers that it hits) or in
+	Way     string `toml:"way"`     // mesh faults: both, out (from the targets of the fault) or in (to them)
 	Refuses bool   `toml:"refuses"` // mesh faults: resets streams instead of blocking them silently
 }
 
-// Chaos describes faults that are drawn from the seed.
+// Chaos describes faults that are drawn from the seed. The keys for_s, part and size each
+// hold a minimum and a maximum.
 type Chaos struct {
 	Kinds     []string  `toml:"kinds"`
 	EveryS    float64   `toml:"every_s"` // mean interval
@@ -262,7 +267,8 @@
 	Magnitude []float64 `toml:"size"`
 }
 
-// faultKinds lists all kinds of faults, whether they need a size and whether they hit schedulers.
+// faultKinds lists all kinds of faults, whether they need a size and whether they hit schedulers. The comment
+// of a kind that needs a size says what the size means.
 var faultKinds = map[string]struct {
 	size, schedulers bool
 	min, max         float64 // bounds of the size
@@ -289,19 +295,20 @@
 	"refuses": {},
 	// Ends the worker's process; it starts again, cold, after for_s.
 	"kill": {},
-	// Announced and drained, then gone; a cold successor starts after for_s.
+	// The worker and discovery announce a drain. The worker exits when it is idle, and a cold successor
+	// starts after for_s.
 	"drain": {},
-	// Only discovery announces the drain; gone after for_s, with a cold successor.
+	// Only discovery announces a drain. The worker exits after for_s, and a cold successor starts.
 	"drain-told": {},
 	// The machine stops responding; connections stay open and silent.
 	"vanish": {},
 	// Rolling deploy: each worker is drained and replaced by a cold one within for_s.
 	"replace": {},
-	// Drained without a successor.
+	// Workers are drained one after another within for_s and have no successors.
 	"shrink": {},
-	// The links of a zone transfer nothing.
+	// The links of the workers in a zone transfer nothing.
 	"cut": {},
-	// Killed one after another within for_s; each starts again, cold, after this many ms.
+	// Workers are killed one after another within for_s. Each starts again, cold, after this many ms.
 	"restarts": {size: true, min: 1, max: 60_000},
 
 	// Links between a region and the other zones transfer nothing.
@@ -313,9 +320,9 @@
 	"scheduler-kill": {schedulers: true}, "scheduler-term": {schedulers: true}, "scheduler-stop": {schedulers: true},
 	"scheduler-reload": {schedulers: true}, "scheduler-stale": {schedulers: true},
 
-	// Links between the schedulers that it hits and the others transfer nothing.
+	// Links between the schedulers that the fault hits and the others transfer nothing.
 	"mesh-cut": {schedulers: true},
-	// mesh-cut that begins and ends alternately, at intervals of every_s.
+	// A mesh-cut begins and ends alternately, at intervals of every_s.
 	"mesh-flap": {schedulers: true},
 	// Chance that a datagram is lost.
 	"mesh-loss": {schedulers: true, size: true, min: 0, max: 1},
@@ -324,7 +331,7 @@
 
 	// Length of a pause in ms. The pauses follow one another at intervals of about every_s.
 	"scheduler-pauses": {schedulers: true, size: true, min: 1, max: 60_000},
-	// Its discovery emulator sends nothing.
+	// The scheduler's discovery emulator sends nothing.
 	"scheduler-blind": {schedulers: true},
 	// Share of the time for which the process is stopped.
 	"scheduler-starve": {schedulers: true, size: true, min: 0, max: 0.99},
@@ -332,35 +339,37 @@
 	"scheduler-takeover": {schedulers: true},
 	// Several SIGHUPs within a few ms.
 	"scheduler-hups": {schedulers: true},
-	// SIGTERM directly after a SIGHUP; it starts again after for_s.
+	// SIGTERM directly after a SIGHUP. The scheduler starts again after for_s.
 	"scheduler-hup-term": {schedulers: true},
-	// Repeated SIGTERM until it exits; it starts again after for_s.
+	// Repeated SIGTERM until the scheduler exits. It starts again after for_s.
 	"scheduler-terms": {schedulers: true},
 	// SIGHUPs while a second process takes over.
 	"takeover-hups": {schedulers: true},
-	// Idle clients exhaust its descriptors, also at its console; some send half a request.
+	// Idle connections to the scheduler and to its console use up its descriptors. Half of them send part
+	// of a request.
 	"scheduler-crowd": {schedulers: true},
-	// It is stopped while a second process runs under its name at another address; resumes after for_s.
+	// The scheduler is stopped, and a second process runs under the same name at another address. The stopped
+	// process resumes after for_s.
 	"scheduler-twin": {schedulers: true},
-	// A member of another cluster tries to join through it.
+	// A scheduler of another cluster has members of this cluster as its seeds.
 	"scheduler-stranger": {schedulers: true},
 
-	// Faults inside the process of a scheduler, for the soak: see runner.Shims.
+	// Faults inside a scheduler's process. Only the soak test (package soak) can inject them.
 
-	// Its wall clock jumps ahead by this many seconds and stays there.
+	// The scheduler's wall clock is set ahead by this many seconds and keeps that offset.
 	"scheduler-clock": {size: true, schedulers: true, min: -dayMS, max: dayMS},
-	// One in this many of its system calls on sockets fails.
+	// One in this many of the scheduler's system calls on sockets fails.
 	"scheduler-calls": {size: true, schedulers: true, min: 1, max: 1e6},
-	// Its connections are established up to this many ms late.
+	// The scheduler's connections are established up to this many ms late.
 	"scheduler-late": {size: true, schedulers: true, min: 0, max: 60_000},
-	// Its file writes and syncs fail.
+	// The scheduler's file writes and syncs fail.
 	"scheduler-disk": {schedulers: true},
 
-	// Changes one value of their settings at intervals of every_s until for_s is over.
+	// Changes one value in the schedulers' settings at intervals of every_s until for_s is over.
 	"settings-change": {schedulers: true},
 
-	// Requests the targets as the replica set, at the schedulers in `to` or at all of them in turn, until it
-	// is in force or for_s is over.
+	// Requests a replica set that consists of the targets, until that set is in force or for_s is over. The
+	// requests go to the schedulers in `to`, or to all schedulers, in turn.
 	"keepers-change": {schedulers: true},
 
 	// Factor of the arrival rate.
@@ -393,7 +402,7 @@
 	return e, nil
 }
 
-const maxBaseDepth = 4 // depth of nested base files; a cycle of bases fails at it
+const maxBaseDepth = 4 // of nested base files; stops the reading of a cycle of base files
 
 // readFile reads the base of a file and then the file, whose values replace those of the base.
 func (e *Experiment) readFile(path string, depth int) error {
@@ -404,7 +413,7 @@
 	var base struct {
 		Base string `toml:"base"`
 	}
-	// decode reports any other error in the file, with its position.
+	// An error of Unmarshal is ignored here, since decode reports it with its position.
 	if toml.Unmarshal(text, &base) == nil && base.Base != "" {
 		if depth >= maxBaseDepth {
 			return fmt.Errorf("%s: base: files are nested more than %d deep", path, maxBaseDepth)
@@ -423,7 +432,7 @@
 	return nil
 }
 
-// decode replaces the values that the text sets.
+// decode sets the values that the text contains and leaves the others unchanged.
 func (e *Experiment) decode(text []byte) error {
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
@@ -447,7 +456,7 @@
 	}
 }
 
-// Parse reads an experiment from a text. A base is ignored.
+// Parse reads an experiment from a text. It ignores the key base.
 func Parse(text []byte) (*Experiment, error) {
 	e := defaults()
 	if err := e.decode(text); err != nil {
@@ -504,7 +513,7 @@
 const (
 	maxWorkers    = 16_384 // over twice the 6,300 that docs/CAPACITY.md requires
 	maxSchedulers = 400    // each scheduler is a process
-	maxMembers    = 480    // schedulers and hollow members; limited by the addresses of a run
+	maxMembers    = 480    // schedulers and hollow members; each has an IP address, and a run has 500
 	maxRate       = 200_000
 	maxSeconds    = 3600
 	dayMS         = 86_400_000 // ms
@@ -576,7 +585,7 @@
 		return errors.New("zones: must not be empty")
 	}
 	if l := e.Discovery.LateMS; len(l) != 2 || l[0] < 0 || l[1] < l[0] || l[1] > dayMS {
-		return fmt.Errorf("discovery.late_ms = %v must be a minimum and a maximum from 0 on", l)
+		return fmt.Errorf("discovery.late_ms = %v must be a minimum and a maximum from 0 to 86400000", l)
 	}
 	if len(s.Shares) > 0 && len(s.Shares) != s.Count {
 		return fmt.Errorf("schedulers.shares: %d values for %d schedulers", len(s.Shares), s.Count)
@@ -635,7 +644,7 @@
 		setDefault(&c.TargetMS, 300)
 		setDefault(&c.Stretch, 2)
 		setDefault(&c.CV, 1)
-		// Ops with far more work could not end within a TTL that suits the others.
+		// Ops with far more work than this can't finish within a TTL that suits the others.
 		setDefault(&c.MaxWorkFactor, 8)
 		if c.Dist == "" {
 			c.Dist = "exponential"
@@ -700,7 +709,7 @@
 	return nil
 }
 
-// checkZone checks that a value is empty, a zone or a region.
+// checkZone checks that a value is empty or names a zone or region.
 func (e *Experiment) checkZone(name, z string) error {
 	if z == "" || slices.Contains(e.Zones, z) || slices.ContainsFunc(e.Regions, func(r Region) bool { return r.Name == z }) {
 		return nil
@@ -824,14 +833,15 @@
 	return n
 }
 
-// Sized returns the experiment with a share of its workers and of its arrival rate.
-func (e *Experiment) Sized(share float64) (*Experiment, error) {
+// Sized returns a copy of the experiment whose worker counts and arrival rate are multiplied by a factor.
+// Each group has at least one worker.
+func (e *Experiment) Sized(factor float64) (*Experiment, error) {
 	s := *e
 	s.Sizes, s.Workers, s.Faults = nil, slices.Clone(e.Workers), slices.Clone(e.Faults)
-	s.Name = fmt.Sprintf("%s-%g", e.Name, share)
-	s.Arrivals.Rate *= share
+	s.Name = fmt.Sprintf("%s-%g", e.Name, factor)
+	s.Arrivals.Rate *= factor
 	for i := range s.Workers {
-		s.Workers[i].Count = max(int(math.Round(float64(e.Workers[i].Count)*share)), 1)
+		s.Workers[i].Count = max(int(math.Round(float64(e.Workers[i].Count)*factor)), 1)
 	}
 	if err := s.normalize(); err != nil { // a fault may name a worker that no longer exists
 		return nil, fmt.Errorf("%s: %w", s.Name, err)
--- a/internal/lab/experiment/plan_test.go
+++ b/internal/lab/experiment/plan_test.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// Scaling must leave the original unchanged. It must fail if a fault names a worker that the smaller
-// experiment lacks.
-func TestAScaledExperimentHasThatShareOfWorkersAndArrivals(t *testing.T) {
+// Scaling must leave the original unchanged. It must fail if a fault names a worker that the scaled
+// experiment doesn't have.
+func TestScalingMultipliesWorkersAndArrivalRate(t *testing.T) {
 	e, err := Parse([]byte("zones = [\"a\", \"b\"]\nregions = [{ name = \"r\", zones = [\"b\"] }]\n" + strings.Replace(validFile, "count = 2", "count = 40", 1) +
 		"[arrivals]\nrate = 100\n[[faults]]\nkind = \"hang\"\nindices = [30]\n"))
 	if err != nil {
--- a/internal/lab/runner/ends.go
+++ b/internal/lab/runner/ends.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// clientDrainKillMargin is the time after the longest TTL at which a terminating process is killed, if
-	// clients go on using it.
+	// A terminating process is killed when the longest TTL and this margin are over: clientDrainKillMargin
+	// with clients.go_on, killMargin without.
 	clientDrainKillMargin = 700 * time.Millisecond
 	killMargin            = time.Second
 
 	hupCount    = 5
 	hupInterval = 2 * time.Millisecond // between two SIGHUPs
 
-	// reconnectDelay is the time before a closed connection is replaced. It avoids a flood of new connections:
-	// the fault is meant to be many idle ones.
-	reconnectDelay   = 500 * time.Millisecond
-	crowdDialTimeout = 200 * time.Millisecond
-	partialRequest   = "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Corr"
+	// reconnectDelay is the time before a closed connection is replaced. Without it the fault would be a
+	// flood of new connections instead of many idle ones.
+	reconnectDelay      = 500 * time.Millisecond
+	idleConnDialTimeout = 200 * time.Millisecond
+	partialRequest      = "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Corr"
 )
 
 // killDelay returns the time from SIGTERM to SIGKILL for a process that doesn't exit.
@@ -34,7 +34,8 @@
 	return r.experiment.LongestTTL() + killMargin
 }
 
-// relayCount is the number of relays that keep their connections to a terminating process.
+// relayCount is the number of relays to a terminating process. A relay is a client that sends requests on one
+// connection until the process closes it.
 const relayCount = 3
 
 // startRelays starts relays to a process that is about to be terminated, if clients.go_on is set. They end
@@ -112,10 +113,10 @@
 	return nil
 }
 
-// keepIdleConns keeps one idle connection open until a point in time and replaces it when it is closed.
+// keepIdleConns keeps one idle connection open until a point in time. It replaces a closed connection.
 func keepIdleConns(addr string, silent bool, until time.Time) {
 	for time.Now().Before(until) {
-		c, err := net.DialTimeout("tcp", addr, crowdDialTimeout)
+		c, err := net.DialTimeout("tcp", addr, idleConnDialTimeout)
 		if err == nil {
 			if !silent {
 				fmt.Fprint(c, partialRequest)
--- a/internal/lab/runner/lag.go
+++ b/internal/lab/runner/lag.go
@@ -19,7 +19,7 @@
 // measureLag measures the maximum delay in the lab itself until the context ends, because a delay before the
 // lab records an event would be counted against the schedulers. It measures timers and the path of a push to
 // a worker: accept a connection, start its reader, read the bytes. On a busy machine each of these steps
-// waits for the CPU, and their sum is later than any timer.
+// waits for the CPU, and the sum of these waits exceeds the delay of a timer.
 func measureLag(ctx context.Context) (lag time.Duration, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/lab/runner/lag_test.go
+++ b/internal/lab/runner/lag_test.go
@@ -14,7 +14,7 @@
 	sent := make(chan struct{})
 	go func() {
 		defer client.Close()
-		stamp := time.Since(baseTime) - time.Hour // as if unread for an hour
+		stamp := time.Since(baseTime) - time.Hour // as if the read were an hour late
 		client.Write(encodeTimestamp(stamp))
 		close(sent)
 	}()
--- a/internal/lab/runner/mesh.go
+++ b/internal/lab/runner/mesh.go
@@ -22,11 +22,14 @@
 )
 
 const (
-	maxSeeds      = 3                     // in each scheduler's configuration
+	maxSeeds      = 3                     // seed addresses in each scheduler's configuration
 	starveSlice   = 20 * time.Millisecond // a starved scheduler is stopped for a part of each slice
 	maxLogLine    = 1 << 20
-	votersTimeout = 30 * time.Second // for the replicas of a cluster that starts
-	// leaveGap separates the last checked event from the first leave, since logs have a resolution of 1 ms.
+	votersTimeout = 30 * time.Second // for the replicas of a new cluster to become voters
+	// leaveGap is the pause between the end event in the ledger and the stop of the extra schedulers and
+	// hollow members. The membership check ignores what happens after the end event. The schedulers' logs
+	// have a resolution of 1 ms, so without the pause a view change that the stop causes could seem to precede
+	// the end event.
 	leaveGap = 20 * time.Millisecond
 )
 
@@ -357,7 +360,8 @@
 	return err
 }
 
-// stopMesh stops the extra schedulers and the hollow members before the schedulers are terminated.
+// stopMesh writes the end event and stops the extra schedulers and the hollow members. The schedulers are
+// terminated after that.
 func (r *run) stopMesh() {
 	if r.mesh == nil {
 		return
--- a/internal/lab/runner/play.go
+++ b/internal/lab/runner/play.go
@@ -36,11 +36,11 @@
 	Out      string // output folder; empty for a temporary one that is removed
 	Make     schedulers.Maker
 	Progress func(Progress) // called every sampleInterval; may be nil
-	Quiet    bool           // don't write the results file
+	Quiet    bool           // write no results file
 	Hollow   string         // path of the program that runs hollow members
 	Shims    Shims          // may be nil if the experiment has no faults that need it
-	// Look is called when all schedulers are ready, before the first op, and after the last one, before the
-	// schedulers are terminated. It may be nil.
+	// Look is called twice: when all schedulers are ready, before the first op; and after the last op, before
+	// the schedulers are terminated. Ended is true in the second call. The function may be nil.
 	Look func(ended bool, all []*schedulers.Scheduler)
 }
 
@@ -49,7 +49,8 @@
 	Turn(kind string, scheduler int, begins bool, magnitude float64)
 }
 
-// Progress reports the state of a run.
+// Progress reports the state of a run: the seconds since the start of the arrivals and their configured
+// duration (Of), the number of attempts without an outcome (Open) and the number of ledger events.
 type Progress struct {
 	Second, Of float64
 	Open       int64
@@ -77,7 +78,7 @@
 	options         Stage
 	mesh            *faultproxy.Net // nil if the schedulers aren't members of a cluster
 	meter           *meter.Meter
-	loadEdges       [2]report.Edge  // at the first arrival and after the last
+	loadEdges       [2]report.Edge  // resource usage before the first arrival and after the last
 	hollow          *hollow.Process // the process of the hollow members, nil for none
 	firstHollow     int             // mesh index of the first hollow member
 	distinctViews   int             // number of different membership views after the run
@@ -97,7 +98,7 @@
 
 const (
 	sampleInterval = 250 * time.Millisecond
-	startLead      = 300 * time.Millisecond // between the last scheduler's start and the first arrival
+	startLead      = 300 * time.Millisecond // between the end of the setup and the start of the arrivals
 )
 
 // Fits checks that this machine has the resources for an experiment, at each of its sizes.
@@ -111,8 +112,8 @@
 			return fmt.Errorf("%s: %w", e.Name, err)
 		}
 	}
-	for _, share := range e.Sizes {
-		s, err := e.Sized(share)
+	for _, factor := range e.Sizes {
+		s, err := e.Sized(factor)
 		if err != nil {
 			return err
 		}
@@ -303,7 +304,7 @@
 	r.errs = append(r.errs, err)
 }
 
-// execute runs the experiment from the first start to the last exit.
+// execute runs the experiment, from the start of its first process to the exit of the last one.
 func (r *run) execute(ctx context.Context, options Stage) error {
 	defer r.tearDown()
 	if err := r.setUp(options); err != nil {
@@ -352,7 +353,7 @@
 	stop()
 	helpers.Wait()
 	r.background.Wait()
-	for n := range r.schedulers { // a stopped process can't exit
+	for n := range r.schedulers { // a process stopped by SIGSTOP can't exit
 		r.schedulers[n].Signal(syscall.SIGCONT)
 		r.emulators[n].Silence(false)
 	}
@@ -573,8 +574,8 @@
 	}
 }
 
-// applySchedulerFault begins or ends a fault of a scheduler's process. Restarts run in the background to
-// their end.
+// applySchedulerFault begins or ends a fault of a scheduler's process. Faults that take a while, such as
+// restarts, run in the background.
 func (r *run) applySchedulerFault(t workload.FaultEvent, n int) {
 	s := r.schedulers[n]
 	duration := max(time.Duration(t.Duration)*ledger.Tenth, 100*time.Millisecond)
@@ -589,7 +590,7 @@
 		}
 	case "scheduler-clock", "scheduler-calls", "scheduler-late", "scheduler-disk":
 		if r.options.Shims == nil {
-			r.addError(fmt.Errorf("fault %s needs shims, and this run has none", t.Kind))
+			r.addError(fmt.Errorf("fault %s needs a fault injector, and this run has none", t.Kind))
 			return
 		}
 		r.options.Shims.Turn(t.Kind, n, t.Begins, t.Magnitude)
--- a/internal/lab/runner/play_test.go
+++ b/internal/lab/runner/play_test.go
@@ -76,7 +76,8 @@
 	return rules
 }
 
-// The audit must find the breach of each faulty scheduler on real sockets, and none of a correct scheduler.
+// On real sockets the audit must find the rule that each faulty scheduler breaks, and no breach of a correct
+// scheduler.
 func TestTheAuditFindsEachFaultyScheduler(t *testing.T) {
 	const drains = "[[faults]]\nkind = \"shrink\"\nat_s = 0.3\nfor_s = 0.2\npart = 0.6\n"
 	const fails = "[[faults]]\nkind = \"fails\"\nat_s = 0.1\nfor_s = 2.4\nsize = 0.5\n"
--- a/internal/lab/runner/settings.go
+++ b/internal/lab/runner/settings.go
@@ -36,7 +36,7 @@
 		r.inBackground(func() error {
 			pid := r.schedulers[n].PID()
 			if err := r.schedulers[n].ChangeSettings(int(t.Magnitude)); err != nil {
-				took <- -1
+				took <- -1 // not counted
 				return fmt.Errorf("change of settings: %w", err)
 			}
 			sent := time.Now()
@@ -48,7 +48,7 @@
 				time.Sleep(settingsPollInterval)
 			}
 			if r.schedulers[n].PID() != pid {
-				took <- -1
+				took <- -1 // not counted
 				return nil
 			}
 			took <- settingsTimeout
--- a/internal/lab/schedulers/schedulers.go
+++ b/internal/lab/schedulers/schedulers.go
@@ -28,7 +28,7 @@
 	PID() int    // 0 for a scheduler inside the lab's own process
 }
 
-// Maker starts the n-th scheduler with the paths of its bootstrap configuration and of its log.
+// Maker starts the n-th scheduler, counted from 0, with the paths of its bootstrap configuration and its log.
 type Maker func(n int, config, log string) (Running, error)
 
 // process is a scheduler that runs as a child process.
@@ -62,7 +62,7 @@
 	}
 	cmd := exec.Command(path, args...)
 	cmd.Stdout, cmd.Stderr = log, log
-	// The process must not outlive the lab. A process group of its own keeps the lab's Ctrl-C away from it.
+	// The process must not outlive the lab. In a separate process group it doesn't get the lab's Ctrl-C.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	return cmd
 }
@@ -122,8 +122,8 @@
 // New reserves a listen address for the n-th scheduler, counted from 0.
 func New(n int, e *experiment.Experiment, events *ledger.Book, m Maker, endpoints EndpointSource, dir string,
 ) (*Scheduler, error) {
-	// An IP address for this scheduler only: no connection from this machine can take its port while it is
-	// down.
+	// Each scheduler has a separate IP address, so that no other connection of this machine can take its port
+	// while the scheduler is down.
 	base, err := faultproxy.Own()
 	if err != nil {
 		return nil, err
@@ -138,7 +138,8 @@
 		Listen: l.Addr().String(), label: name, name: name}, nil
 }
 
-// NewExtra returns a scheduler with a separate address that has no clients and writes no ledger events.
+// NewExtra returns an extra scheduler with a separate address. It has no clients, and its events don't appear
+// in the run's ledger.
 func NewExtra(n int, name, label string, e *experiment.Experiment, m Maker, endpoints EndpointSource, dir string,
 ) (*Scheduler, error) {
 	unused, err := ledger.Create("", time.Now())
@@ -180,7 +181,7 @@
 // launch writes a new bootstrap configuration and starts a process with it. The caller holds the lock.
 func (s *Scheduler) launch(endpoints json.RawMessage) (Running, chan struct{}, error) {
 	if s.operatorConfig != "" {
-		// No other program binds this IP address.
+		// No other program binds this IP address, so the port is still free when the process starts.
 		l, err := net.Listen("tcp", strings.Split(s.Listen, ":")[0]+":0")
 		if err != nil {
 			return nil, nil, err
@@ -270,7 +271,7 @@
 		if current {
 			s.running, s.ready, s.terminating = nil, false, false
 		}
-		if current || err != nil { // a predecessor that exits without an error is replaced by its successor
+		if current || err != nil { // no event for a predecessor that exits without an error
 			s.ledger.Add(ledger.Event{Kind: ledger.Exited, Scheduler: s.index + 1, Text: text})
 		}
 		close(exited)
@@ -422,7 +423,7 @@
 	if s.running == nil {
 		return nil
 	}
-	if sig == syscall.SIGHUP { // the scheduler reloads a configuration with the current address of discovery
+	if sig == syscall.SIGHUP { // the process then reads the configuration with the current discovery address
 		if err := s.writeConfig(s.filePath(".json"), s.endpoints.Known()); err != nil {
 			return err
 		}
@@ -512,7 +513,7 @@
 type Use struct {
 	At        ledger.Time `json:"at"`
 	Scheduler int         `json:"scheduler"`
-	CPU       float64     `json:"cpu_s"`    // CPU time since the start of the process, in seconds
+	CPU       float64     `json:"cpu_s"`    // seconds of CPU time since the start of the process
 	Resident  int64       `json:"resident"` // bytes
 	Files     int         `json:"files"`    // open descriptors
 }
--- a/internal/lab/workload/script.go
+++ b/internal/lab/workload/script.go
@@ -30,13 +30,13 @@
 	Scheduler int     // from 0, receives the first attempt
 	Work      float64 // ms
 	Slots     float64
-	Hint      float64     // ms, 0 for none
-	LeaveAt   ledger.Time // time from sending to the client's disconnect, 0 for none
+	Hint      float64     // the client's estimate of the work in ms, 0 for none
+	LeaveAt   ledger.Time // time from sending the request to the client's disconnect, 0 for none
 	Trickles  bool        // the client sends byte by byte
 	Stalls    bool        // the client pauses in the middle of the request
 	AsksAgain bool        // the client sends a duplicate
 	Honours   bool        // the client waits as Retry-After says
-	Seed      uint64      // for its backoff
+	Seed      uint64      // for the client's backoff
 }
 
 // FaultEvent begins or ends a fault.
@@ -64,7 +64,7 @@
 	Seed  uint64
 }
 
-// Script holds everything that is drawn. Requests and fault events are in order of time.
+// Script holds all random choices of a run. Requests and fault events are in order of time.
 type Script struct {
 	Wishes  []Wish
 	Turns   []FaultEvent
@@ -87,8 +87,8 @@
 	return s, nil
 }
 
-// newRand returns a random source for one kind of choice. Separate sources keep the draws independent: one
-// more worker must not change the arrivals.
+// newRand returns a random source for one kind of choice. Separate sources keep the draws independent: an
+// additional worker must not change the arrivals.
 func newRand(seed uint64, purpose string) *rand.Rand {
 	h := fnv.New64a()
 	io.WriteString(h, purpose)
@@ -316,7 +316,7 @@
 	}
 }
 
-// addFault adds the events of a fault. The id is the same for all of them.
+// addFault adds the events of a fault. All of them have the same id.
 func (s *Script) addFault(e *experiment.Experiment, r *rand.Rand, f *experiment.Fault, id int) {
 	t := FaultEvent{At: experiment.FromSeconds(f.At), Kind: f.Kind, Begins: true, Targets: s.faultTargets(e, r, f),
 		Magnitude: f.Size, Duration: experiment.FromSeconds(f.For), Zone: f.Zone,
@@ -336,7 +336,7 @@
 		t.At, t.Kind, t.Begins = experiment.FromSeconds(f.At+f.For), "mesh-cut", false
 		s.Turns = append(s.Turns, t)
 		return
-	case "pauses", "scheduler-pauses": // stops for size ms about every every_s
+	case "pauses", "scheduler-pauses": // pauses of size ms at intervals of about every_s
 		kind := "hang"
 		if f.Kind == "scheduler-pauses" {
 			kind = "scheduler-stop"
@@ -357,7 +357,7 @@
 			event := t
 			event.Targets, event.Kind = []int{w}, "drain"
 			event.At += ledger.Time(float64(t.Duration) * float64(k) / float64(len(t.Targets)))
-			event.Duration = 10_000
+			event.Duration = 10_000 // the successor starts after 1 s
 			s.Turns = append(s.Turns, event)
 		}
 		return
@@ -383,7 +383,7 @@
 			event := t
 			event.Targets, event.Kind = []int{w}, "drain"
 			event.At += ledger.Time(float64(t.Duration) * float64(k) / float64(len(t.Targets)))
-			event.Duration = -1
+			event.Duration = -1 // no successor
 			s.Turns = append(s.Turns, event)
 		}
 		return
--- a/internal/lab/workload/script_test.go
+++ b/internal/lab/workload/script_test.go
@@ -21,7 +21,7 @@
 	return e
 }
 
-func generateHash(t *testing.T, e *experiment.Experiment) string {
+func workloadHash(t *testing.T, e *experiment.Experiment) string {
 	s, err := Of(e)
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 func TestTheSeedDeterminesTheWorkload(t *testing.T) {
 	chaos := "[chaos]\nkinds = [\"slow\", \"kill\", \"pauses\", \"replace\"]\nevery_s = 2\n"
 	a, b, c := parseExperiment(t, chaos), parseExperiment(t, chaos), parseExperiment(t, chaos)
-	if c.Seed++; generateHash(t, a) != generateHash(t, b) || generateHash(t, a) == generateHash(t, c) {
+	if c.Seed++; workloadHash(t, a) != workloadHash(t, b) || workloadHash(t, a) == workloadHash(t, c) {
 		t.Error("equal seeds give different workloads, or different seeds equal ones")
 	}
 	// A further fault must not change the arrivals, since runs with and without the fault are compared.
@@ -97,8 +97,8 @@
 	}
 }
 
-// Restarts must follow one another over the whole fault. Each worker must be back after the time that size
-// says.
+// The kills must be spread evenly over the duration of the fault. Each worker must start again after the
+// time in size.
 func TestRestartsAreSpreadOverTheFaultDuration(t *testing.T) {
 	e, err := experiment.Parse([]byte("seconds = 20\n[[workers]]\ncount = 40\n[[categories]]\nname = \"a\"\n" +
 		"[[faults]]\nkind = \"restarts\"\nat_s = 1\nfor_s = 10\npart = 0.5\nsize = 700\n"))
