--- a/cmd/hollow/main.go
+++ b/cmd/hollow/main.go
@@ -22,11 +22,11 @@
 
 // config configures the members of one process.
 type config struct {
-	Cluster string         `json:"cluster"`
-	Seeds   []string       `json:"seeds"`
-	Lines   string         `json:"lines"` // further lines of the table members in the features file
-	Seed    uint64         `json:"chance"`
-	Members []memberConfig `json:"members"`
+	Cluster    string         `json:"cluster"`
+	SeedAddrs  []string       `json:"seeds"`
+	Lines      string         `json:"lines"` // further lines of the table members in the features file
+	RandomSeed uint64         `json:"chance"`
+	Members    []memberConfig `json:"members"`
 }
 
 type memberConfig struct {
@@ -95,13 +95,13 @@
 		return nil, fmt.Errorf("lines of the table members: %w", err)
 	}
 	table.Cluster = c.Cluster
-	table.Seeds = c.Seeds
+	table.Seeds = c.SeedAddrs
 	table.Listen = settings.Listen
 	table.Advertise = settings.Advertise
 	if err := table.Validate(); err != nil {
 		return nil, err
 	}
-	identity := mesh.Identity{Name: settings.Name, Number: -1, Seed: c.Seed + uint64(index)}
+	identity := mesh.Identity{Name: settings.Name, Number: -1, Seed: c.RandomSeed + uint64(index)}
 	b := newBoard()
 	m, err := mesh.Start(table, identity, b.host(), zerolog.Nop())
 	if err != nil {
--- a/cmd/woaddyke/callsweep_test.go
+++ b/cmd/woaddyke/callsweep_test.go
@@ -37,8 +37,8 @@
 	{"ioctl", syscall.SYS_IOCTL, []syscall.Errno{syscall.EINVAL, syscall.ENOTTY}},
 }
 
-// Every fourth call of one system call fails for a while. Every op must still be served, and no invariant
-// may be violated.
+// Every fourth call of one kind of system call fails for a while. Every op must still be served, and no
+// invariant may be violated.
 func TestLocalSyscallFailuresFailNoOp(t *testing.T) {
 	t.Parallel()
 	const every, clients = 4, 40
--- a/cmd/woaddyke/changes_test.go
+++ b/cmd/woaddyke/changes_test.go
@@ -193,7 +193,7 @@
 	rss, spent := x.usage()
 	t.Logf("%d reloads of %d categories: %d KB resident, %d before; %.2f ms of processor time per reload, including reads of the metrics", n, entries, rss, began,
 		float64(spent-before)/float64(n))
-	if got := int(x.watches.Load() - watches); got > n/4 { // it is also opened again by time, about once a second
+	if got := int(x.watches.Load() - watches); got > n/4 { // the watch is also reopened about once a second
 		t.Errorf("the watch was opened %d times in %d reloads that keep its address", got, n)
 	}
 	// An invalid file changes nothing and is logged in one line. Later valid files are applied.
--- a/cmd/woaddyke/claimers_test.go
+++ b/cmd/woaddyke/claimers_test.go
@@ -62,8 +62,8 @@
 }
 
 // A scheduler is killed, and restarts under its name before any member considers it dead. No process runs
-// its ops any more: repeats must be answered that the outcome is unknown. While the id is retained, they
-// are never asked to retry.
+// its ops any more: each repeat must be answered that the outcome is unknown. While the id is retained, no
+// answer may ask the client to retry.
 func TestRepeatsFailAfterAClaimerRestarts(t *testing.T) {
 	t.Parallel()
 	c, b := startReplicas(t, 3, true, "path = \"{dir}/copies.db\"\n")
@@ -111,7 +111,7 @@
 	p := c.Places[0]
 	ids := startOpenOps(t, p, b)
 	p.Signal(syscall.SIGSTOP)
-	time.Sleep(2 * time.Second) // the fault itself: members suspect it meanwhile, and may declare it dead
+	time.Sleep(2 * time.Second) // the fault itself: members suspect the scheduler, and may declare it dead
 	p.Signal(syscall.SIGCONT)
 	c.AwaitState(p.Name, "here", c.Places[1:]...)
 	if status, text := post(c.Places[1], "pay", ids[0], "x"); status != http.StatusServiceUnavailable {
@@ -122,7 +122,7 @@
 }
 
 // The predecessor's ops have ended, and its successor is ready. The successor must answer a repeat as fast
-// as other schedulers do, and not only after its claim has waited in vain for a majority.
+// as other schedulers do. It must not first wait in vain for a majority for a claim of its own.
 func TestASuccessorAnswersItsPredecessorsRepeatsAtOnce(t *testing.T) {
 	t.Parallel()
 	const maxLatency = time.Second // half of the timeout for a majority in this cluster
--- a/cmd/woaddyke/clock_test.go
+++ b/cmd/woaddyke/clock_test.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// A successor must accept an id again when its TTL is over. With the clock an hour behind it once rejected
-// the ids for an hour longer.
+// A successor must accept an id again when its TTL is over. A successor whose clock was an hour behind once
+// rejected the ids for an hour longer.
 func TestASuccessorFreesIDsAfterTheirTTLAcrossAClockStep(t *testing.T) {
 	t.Parallel()
 	const ttl = 3 * time.Second
--- a/cmd/woaddyke/cluster.go
+++ b/cmd/woaddyke/cluster.go
@@ -17,7 +17,7 @@
 // its name.
 const endWhenReplaced = "end"
 
-// meshSockets is the number of sockets of the mesh in a handover. They are the last ones.
+// meshSockets is the number of sockets of the mesh in a handover. They come after all other sockets.
 const meshSockets = 2
 
 // joinCluster makes this process a member if the features file has a table members. It uses the sockets of
--- a/cmd/woaddyke/copies_command.go
+++ b/cmd/woaddyke/copies_command.go
@@ -19,7 +19,8 @@
 // changePollInterval is the time between two polls of a change of the replica set.
 const changePollInterval = 200 * time.Millisecond
 
-// errReplicasNotChanged is the error of a change of the replica set that was refused.
+// errReplicasNotChanged is the error of a change of the replica set that was refused, or not agreed in
+// time. The reason is printed before.
 var errReplicasNotChanged = errors.New("the keepers are not changed")
 
 func copiesCommand() *cobra.Command {
@@ -146,8 +147,8 @@
 		return result, err
 	}
 	if s.Epoch == 0 {
-		return result, errors.New("changes of keepers are not founded: " +
-			"all keepers of the file must have been up at once, with agreed = true")
+		return result, errors.New("keepers can't be changed yet: " +
+			"all keepers of the features file must first be up at the same time, with agreed = true")
 	}
 	query := url.Values{"turn": {fmt.Sprint(s.Epoch)}, "keepers": {strings.Join(c.names, ",")}}
 	err = callConsole(http.MethodPost, c.addr, "/api/copies/keepers?"+query.Encode(), &result)
@@ -167,7 +168,8 @@
 			return nil
 		}
 		if time.Now().After(c.deadline) {
-			return fmt.Errorf("still changing after %v: %s count as well; see `copies` at each new keeper",
+			return fmt.Errorf(
+				"not completed after %v: former keepers %s are still needed; see `copies` at each new keeper",
 				c.timeout, strings.Join(s.PreviousReplicas, ", "))
 		}
 	}
--- a/cmd/woaddyke/copies_heir_test.go
+++ b/cmd/woaddyke/copies_heir_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// A successor dies after it has taken over from a replica, as a faulty build does. The predecessor must
-// continue alone and regain its vote, and the claims that the successor granted stay valid. With records on
-// disk a predecessor once had no vote until it was restarted: after two such successors no majority was
-// left, and every op that needs a claim was rejected.
+// A successor, for example of a faulty build, dies after it has taken over from a replica. The predecessor
+// must continue alone and regain its vote, and the claims that the successor granted stay valid. With
+// records on disk a predecessor once had no vote until it was restarted: after two such successors no
+// majority was left, and every op that needs a claim was rejected.
 func TestAReplicaRegainsItsVoteIfItsSuccessorDies(t *testing.T) {
 	t.Parallel()
 	for name, more := range map[string]string{"memory": "", "disk": "path = \"{dir}/copies.db\"\n",
--- a/cmd/woaddyke/copies_test.go
+++ b/cmd/woaddyke/copies_test.go
@@ -85,7 +85,7 @@
 	return startReplicasOf(t, n, on, testCommand, more...)
 }
 
-// startReplicasOf does the same with another build.
+// startReplicasOf is startReplicas with another build.
 func startReplicasOf(t *testing.T, n int, on bool, program func(args ...string) *exec.Cmd, more ...string) (*cluster.Cluster, *testWorker) {
 	t.Helper()
 	lines := fastMembers
@@ -158,8 +158,8 @@
 const outcomeKnownWithin = 2 * time.Second
 
 // postRepeat repeats an id that was answered at another scheduler. While the outcome is on its way to the
-// replicas, the repeat may be nacked, by this one answer and for a bounded time. The first other answer is
-// returned.
+// replicas, the repeat may be nacked with one particular answer for a bounded time. The first other answer
+// is returned.
 func postRepeat(t *testing.T, p *cluster.Place, category, id string) (int, string) {
 	t.Helper()
 	for until := time.Now().Add(outcomeKnownWithin); ; time.Sleep(time.Millisecond) {
@@ -305,7 +305,7 @@
 }
 
 // With the setting join, a repeat waits for the op in flight at another scheduler and gets its result.
-// Without it the repeat is nacked immediately.
+// Without the setting the repeat is nacked immediately.
 func TestARepeatJoinsAnOpInFlight(t *testing.T) {
 	t.Parallel()
 	for _, join := range []bool{true, false} {
@@ -372,7 +372,7 @@
 		}
 	}
 	all.Wait()
-	for k := range 30 { // if each replica granted another claim, none had a majority: all are released
+	for k := range 30 { // without a majority for one claim, all claims are released
 		id, answer := fmt.Sprint("b", k), ""
 		c.Await("the id that was sent three times is served", func() bool {
 			status, text := post(c.Places[k%4], "pay", id, "x")
@@ -451,7 +451,7 @@
 func TestIDsAreRetainedWhenReplicasChange(t *testing.T) {
 	t.Parallel()
 	c, b := startReplicas(t, 6, true, "agreed = true\npath = \"{dir}/copies.db\"\n")
-	type shown struct {
+	type replicaView struct {
 		Turn    uint64
 		Keepers []string
 		Before  []string
@@ -459,7 +459,7 @@
 	}
 	c.Await("all schedulers know the first epoch", func() bool {
 		for _, p := range c.Places {
-			var s shown
+			var s replicaView
 			if !p.Get("/api/copies", &s) || s.Turn == 0 {
 				return false
 			}
@@ -507,7 +507,7 @@
 	all.Wait()
 	c.Start(c.Places[2]) // it restarts, and is no replica any more
 	c.Await("the first replaced replica knows the present set", func() bool {
-		var s shown
+		var s replicaView
 		return c.Places[2].Get("/api/copies", &s) && s.Turn > 1 && !s.Voting
 	})
 	c.Await("the other replicas are replaced", func() bool {
--- a/cmd/woaddyke/crowds_test.go
+++ b/cmd/woaddyke/crowds_test.go
@@ -65,7 +65,7 @@
 }
 
 // Connections with incomplete bodies use every slot. They must be closed in favour of clients with complete
-// requests, as silent connections and those with incomplete headers are.
+// requests, as silent connections and connections with incomplete headers are.
 func TestHalfBodiesGiveWay(t *testing.T) {
 	discovery, listen, received, free := startHoldingWorker(t)
 	close(free)
--- a/cmd/woaddyke/disk_test.go
+++ b/cmd/woaddyke/disk_test.go
@@ -114,8 +114,8 @@
 }
 
 // A claimer's own vote must count only if it is stored: with a failing disk and one other replica there is
-// no majority. Such a vote once counted, and the op ran. A restart of the claimer, which was trusted
-// because of its file, and a replica that had been isolated then made a majority that let the op run again.
+// no majority. Such a vote once counted, and the op ran. After a restart the claimer was trusted because of
+// its file. With a replica that had been isolated it formed a majority, and the op ran again.
 func TestAnOwnVoteThatIsNotStoredDoesNotCount(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []syscall.Errno{syscall.EIO, syscall.ENOSPC} {
@@ -151,7 +151,7 @@
 
 // A replica that restarts while its disk is full or fails must wait for the disk, as it waits for
 // descriptors. Its start once ended with an error; a soak with seed 103 found this.
-func TestAStartWaitsForADiskThatFails(t *testing.T) {
+func TestAStartIsRetriedUntilTheDiskWorks(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []syscall.Errno{syscall.EIO, syscall.ENOSPC} {
 		for name, agreed := range map[string]string{"by the file": "", "agreed": "agreed = true\n"} {
--- a/cmd/woaddyke/ends_test.go
+++ b/cmd/woaddyke/ends_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// startHoldingWorker starts a worker, its discovery, and returns a free address for clients. The worker
-// sends the id of each op to received, and holds the op "held" until free is closed.
+// startHoldingWorker starts a worker and its discovery server, and returns a free address for clients. The
+// worker sends the id of each op to received, and holds the op "held" until free is closed.
 func startHoldingWorker(t *testing.T) (discovery, listen string, received chan string, free chan bool) {
 	received, free = make(chan string, 9), make(chan bool)
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/woaddyke/failedlook_test.go
+++ b/cmd/woaddyke/failedlook_test.go
@@ -112,7 +112,7 @@
 			s.Set(nil)
 			time.Sleep(800 * time.Millisecond) // the client sends its third op later
 			send("third")
-			time.Sleep(50 * time.Millisecond) // for its arrival, which sets the time of the last data in the kernel
+			time.Sleep(50 * time.Millisecond) // until the third op has arrived as the connection's last received data
 			close(worker.release)
 			for range 3 {
 				read()
--- a/cmd/woaddyke/golden_test.go
+++ b/cmd/woaddyke/golden_test.go
@@ -35,8 +35,8 @@
 	filled.CompareJSON(t, "testdata/keepers.json.golden", filled.Value[changeResult](t))
 }
 
-// Guards that the members command reads each key it prints from the answer of /api/members of another
-// build, and the text that it prints.
+// The members command must find each key that it prints in the recorded answer of /api/members, which a
+// scheduler of another version may send. Its printed text must not change.
 func TestMembersCommandReadsEveryKeyItPrints(t *testing.T) {
 	text, err := os.ReadFile("../../internal/cluster/mesh/testdata/shown.json.golden")
 	if err != nil {
--- a/cmd/woaddyke/gone_test.go
+++ b/cmd/woaddyke/gone_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// suspend stops a process with SIGSTOP, as a machine without processor time does, and returns when the
-// process is stopped.
+// suspend stops a process with SIGSTOP and returns when the process is stopped. The process then behaves
+// like one that gets no processor time.
 func suspend(t *testing.T, p testProcess) {
 	t.Helper()
 	p.cmd.Process.Signal(syscall.SIGSTOP)
--- a/cmd/woaddyke/hot_restart.go
+++ b/cmd/woaddyke/hot_restart.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// joinTimeout is the time for a predecessor to become a member, so that it can hand over its membership.
+	// joinTimeout is the maximum time for a predecessor to become a member and hand over its membership.
 	joinTimeout = 5 * time.Second
 	// receiveInterval is the time between two requests for a handover.
 	receiveInterval = 100 * time.Millisecond
@@ -27,7 +27,7 @@
 )
 
 // requestHandover returns the handover of a predecessor, or nil without a predecessor. refused reports
-// whether another process runs there and refused to hand over its state.
+// whether a process of this address and name runs and refused to hand over its state.
 func (p *process) requestHandover() (handover *transfer.Handover, refused bool, err error) {
 	if p.bootstrap.Console == "" {
 		return nil, false, nil
@@ -131,7 +131,7 @@
 		return net.FileListener(handover.Files[clientSocket])
 	})
 	if err != nil {
-		return nil, fmt.Errorf("handover: %w", err)
+		return nil, fmt.Errorf("handover: opening the listening socket: %w", err)
 	}
 	return listener, nil
 }
@@ -162,7 +162,7 @@
 		return net.FilePacketConn(handover.Files[peerSocket])
 	})
 	if err != nil {
-		return nil, fmt.Errorf("handover: %w", err)
+		return nil, fmt.Errorf("handover: opening the socket for peer reports: %w", err)
 	}
 	peers, _ := conn.(*net.UDPConn)
 	return peers, nil
@@ -195,7 +195,7 @@
 		Discovery: p.bootstrap.Discovery,
 		Settings:  p.bootstrap.SettingsHash(),
 	}
-	if p.server != nil { // a reload may have changed them
+	if p.server != nil { // a reload may have changed these two values
 		request.Discovery = p.server.DiscoveryAddr()
 		request.Settings = p.server.SettingsHash()
 	}
@@ -217,7 +217,7 @@
 // SetSuccessor adapts this process to the start or the end of a successor: the processes share the memory
 // limit, and the mesh and the replica resume when the successor ends. A ready successor replaces the
 // handover socket at the path of this process, so the socket is opened again after the end of the
-// successor: the next successor would find no process there.
+// successor. Otherwise the next successor would find no process at that path.
 func (p *process) SetSuccessor(present bool) {
 	p.server.SetSuccessor(present)
 	if present {
--- a/cmd/woaddyke/lastread_test.go
+++ b/cmd/woaddyke/lastread_test.go
@@ -83,8 +83,8 @@
 }
 
 // A process gets SIGTERM while clients go on pipelining on their open connections. It must answer each
-// request that it reads, and end by itself before it may be killed. It once read requests until its last
-// moment and closed the connections with unanswered ones.
+// request that it reads, and end by itself before the time at which it may be killed. It once read requests
+// until it ended, and closed connections with unanswered requests.
 func TestPipelinedOpsAreAnsweredDuringADrain(t *testing.T) {
 	t.Parallel()
 	const ttl, killAfter, clients, unanswered = time.Second, 700 * time.Millisecond, 16, 8
@@ -130,7 +130,7 @@
 	}
 }
 
-// A request with an incomplete body must get an answer that allows a retry before its process ends. The
+// A request with an incomplete body must get an answer that allows a retry before the process ends. The
 // connection was once closed without an answer.
 func TestAnIncompleteBodyIsAnsweredAtTheEnd(t *testing.T) {
 	t.Parallel()
--- a/cmd/woaddyke/logs_test.go
+++ b/cmd/woaddyke/logs_test.go
@@ -60,8 +60,8 @@
 	return r, w
 }
 
-// The reader of the log must not affect ops. When a reader stopped, 63 of 300 ops were answered and then
-// none; when a reader closed its end, the next log line killed the process with all its ops.
+// The reader of the log must not affect ops. When a reader once stopped, 63 of 300 ops were answered and
+// then none. When a reader once closed its end, the next log line killed the process with all its ops.
 func TestAStalledLogReaderDoesNotStopOps(t *testing.T) {
 	t.Parallel()
 	const ops = 300
--- a/cmd/woaddyke/main.go
+++ b/cmd/woaddyke/main.go
@@ -15,7 +15,7 @@
 	"woaddyke/internal/frontend"
 )
 
-// reportTimeout is the time to write an error before the process ends.
+// reportTimeout is the maximum time to write an error before the process ends.
 const reportTimeout = time.Second
 
 func main() {
--- a/cmd/woaddyke/pipelined_test.go
+++ b/cmd/woaddyke/pipelined_test.go
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// pipelinedOp formats an op. A client that pipelines sends it before it has the answer to its previous op.
+// pipelinedOp formats an op. A client that pipelines sends the op before it has the answer to its previous
+// op.
 func pipelinedOp(id, more string) string {
 	return fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 5000\r\n%sContent-Length: 0\r\n\r\n",
 		id, more)
@@ -66,8 +67,9 @@
 }
 
 // A process is stopped while a client sends one op after another on one connection. After it resumes, each
-// op must have its own age. All of them were once dated by the latest bytes, and a worker received 2.2 s
-// more time than the client had left; a soak with seed 93 found this.
+// op must have its own age. The process once took the arrival time of the latest bytes on the connection as
+// the arrival time of all these ops, so a worker received 2.2 s more time than the client had left. A soak
+// with seed 93 found this.
 func TestPipelinedOpsAgeWhileTheProcessIsStopped(t *testing.T) {
 	t.Parallel()
 	const stopTime, left = 1500 * time.Millisecond, 2500 * time.Millisecond
@@ -97,8 +99,8 @@
 	for name, x := range map[string]struct {
 		first bool // a request is in flight when the process is stopped
 		seen  bool // the process has served pipelined requests before
-	}{"behind one that is served": {true, true}, "on a connection that rests": {false, true}, "behind one, the first ever": {true, false},
-		"on a connection that rests, the first ever": {false, false}} {
+	}{"behind a request in flight": {true, true}, "on an idle connection": {false, true}, "behind a request in flight, the first pipelining": {true, false},
+		"on an idle connection, the first pipelining": {false, false}} {
 		listen := freeAddr(t)
 		p := startProcess(t, t.TempDir(), listen, startDiscovery(t, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
 			worker.Listener.Addr())), 0)
--- a/cmd/woaddyke/process.go
+++ b/cmd/woaddyke/process.go
@@ -73,10 +73,10 @@
 			return listener, nil
 		}
 		handover.Close()
-		p.log.Warn().Err(err).Msg("no state received from the predecessor")
+		p.log.Warn().Err(err).Msg("state of the predecessor not restored: starting without it")
 	}
 	// Two processes of different deployments must not share a port: the kernel would assign each client to
-	// either of them.
+	// one or the other.
 	sharePort := p.bootstrap.Console != "" && !refused
 	return p.openNewServer(sharePort)
 }
--- a/cmd/woaddyke/process_test.go
+++ b/cmd/woaddyke/process_test.go
@@ -75,8 +75,8 @@
 	return uniqueAddr()
 }
 
-// A successor must be able to listen while its predecessor drains its clients. It once could not and ended
-// after the predecessor had drained its clients, so ops were lost.
+// A successor must be able to listen while its predecessor drains its clients. It once could not listen,
+// and ended after the predecessor had drained its clients, so ops were lost.
 func TestAHotRestartRejectsNoClient(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	addr := freeAddr(t)
@@ -148,8 +148,8 @@
 }
 
 // A process of another deployment starts at the same address and under the same name. It must get no
-// handover and must not listen there, and the first process must not be affected. It once got the listening
-// socket, workers and ids, and served the clients by other settings.
+// handover and must not listen there, and the first process must not be affected. Such a process once got
+// the listening socket, workers and ids, and served the clients by other settings.
 func TestAnotherDeploymentGetsNoHandover(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	addr := freeAddr(t)
--- a/cmd/woaddyke/ready_test.go
+++ b/cmd/woaddyke/ready_test.go
@@ -41,7 +41,7 @@
 	return strings.TrimSuffix(b.String(), ",") + "]}"
 }
 
-// readyTimes holds how long processes that were started together took, sorted.
+// readyTimes holds the sorted start durations of processes that were started together.
 type readyTimes struct{ durations []time.Duration }
 
 func (l *readyTimes) quantile(q float64) time.Duration {
@@ -52,8 +52,8 @@
 	return fmt.Sprintf("p50 %v, p90 %v, worst %v of %d", l.quantile(0.5), l.quantile(0.9), l.quantile(1), len(l.durations))
 }
 
-// measureReady waits for a condition of each process, for all in parallel, and returns the times since
-// their starts.
+// measureReady waits in parallel until a condition holds for each process, and returns the times that this
+// took since the starts of the processes.
 func measureReady(c *cluster.Cluster, places []*cluster.Place, since []time.Time, done func(*cluster.Place) bool) *readyTimes {
 	l := &readyTimes{durations: make([]time.Duration, len(places))}
 	var all sync.WaitGroup
@@ -100,8 +100,8 @@
 		{name: "100,000 records, discovery is silent", keeps: disk, how: "silent", list: few, records: 100_000},
 		{name: "taken over, discovery is there", keeps: disk, list: few, takeover: true},
 		{name: "taken over, discovery is silent", keeps: disk, how: "silent", list: few, takeover: true, ci: true},
-		{name: "taken over, 6,300 workers, discovery hangs", keeps: alone, how: "hangs", list: many, takeover: true, ci: true}, // the successors start before the processes have joined
-		{name: "beside one that stands still, discovery is silent", keeps: alone, how: "silent", list: few, takeover: true, stopped: true},
+		{name: "taken over, 6,300 workers, discovery hangs", keeps: alone, how: "hangs", list: many, takeover: true, ci: true}, // the successors start before the predecessors are members
+		{name: "beside a stopped predecessor, discovery is silent", keeps: alone, how: "silent", list: few, takeover: true, stopped: true},
 	} {
 		if !all && !x.ci {
 			continue
--- a/cmd/woaddyke/serve.go
+++ b/cmd/woaddyke/serve.go
@@ -20,7 +20,7 @@
 	"woaddyke/internal/observe/logsink"
 )
 
-// logFlushTimeout is the time to write the last log lines.
+// logFlushTimeout is the maximum time to write the last log lines.
 const logFlushTimeout = time.Second
 
 // serveOptions holds the flags of serve.
--- a/cmd/woaddyke/size_test.go
+++ b/cmd/woaddyke/size_test.go
@@ -228,7 +228,8 @@
 }
 
 // BenchmarkPeak measures the processor time and memory of a process with 6,300 workers at peak load. The
-// rate is that of one of 6,300, 1,000 and 300 schedulers, and three times the last rate.
+// rate is that of one scheduler if 6,300, 1,000 or 300 schedulers divide the peak load equally, and three
+// times the rate for 300.
 func BenchmarkPeak(b *testing.B) {
 	for _, schedulers := range []int{6_300, 1_000, 300, 100} {
 		b.Run(fmt.Sprintf("schedulers=%d", schedulers), func(b *testing.B) {
@@ -281,8 +282,8 @@
 	}
 }
 
-// BenchmarkProcess measures a process by its number of workers: its start, idle time, each op in sequence,
-// each idle client, and each console request.
+// BenchmarkProcess measures a process by its number of workers: its start, its idle load and memory, each
+// op in sequence, each idle client, and each console request.
 func BenchmarkProcess(b *testing.B) {
 	for _, workers := range []int{100, 400, 1_600, 6_300} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
--- a/cmd/woaddyke/stalled_test.go
+++ b/cmd/woaddyke/stalled_test.go
@@ -16,9 +16,9 @@
 	stalledClientSlack   = 500 * time.Millisecond // tolerance for a busy machine
 )
 
-// A client that stalls after one byte of its next request, on a connection that has served one, must be
-// disconnected in time. It once had more than 15 s, because the standard server waits for the first four
-// bytes under the idle timeout. The same holds if that byte arrived with the previous request, and if bytes
+// A client that stalls after the first byte of its second request on a connection must be disconnected in
+// time. Such a client once had more than 15 s, because the standard server waits for the first four bytes
+// under the idle timeout. The same holds if that byte arrived with the previous request, and if bytes
 // arrive slowly.
 func TestAClientThatStallsInARequestIsClosed(t *testing.T) {
 	t.Parallel()
@@ -82,8 +82,8 @@
 	}
 }
 
-// A chunked op that arrived together with the previous one must be served. It was once rejected as a
-// request that may have a length as well, because its header had not been inspected.
+// A chunked op that arrived together with the previous one must be served. Such an op was once rejected as
+// a request that may have a length in addition to its chunks, because its header had not been inspected.
 func TestAPipelinedChunkedOpIsServed(t *testing.T) {
 	t.Parallel()
 	discovery, listen, received, _ := startHoldingWorker(t)
--- a/cmd/woaddyke/start_test.go
+++ b/cmd/woaddyke/start_test.go
@@ -51,8 +51,9 @@
 	return s.Listener.Addr().String(), news
 }
 
-// A new worker with three warm ones must get fewer ops than they, although the wall clock of the scheduler
-// was stepped before its start. With the clock an hour ahead the worker was once considered an hour old.
+// A new worker beside three warm workers must get fewer ops than each of them, although the wall clock of
+// the scheduler was stepped before its start. With the clock an hour ahead the worker was once considered
+// an hour old.
 func TestANewWorkerGetsASlowStartAcrossAClockStep(t *testing.T) {
 	t.Parallel()
 	for _, step := range clockSteps {
@@ -63,8 +64,8 @@
 	}
 }
 
-// The same holds for a new worker in the first list that the scheduler reads. It once got about as many of
-// 300 ops as a warm worker.
+// A new worker in the first list that the scheduler reads must get a slow start, too. Such a worker once
+// got about as many of 300 ops as a warm worker.
 func TestANewWorkerInTheFirstListGetsASlowStart(t *testing.T) {
 	t.Parallel()
 	for _, step := range clockSteps {
--- a/cmd/woaddyke/starved_test.go
+++ b/cmd/woaddyke/starved_test.go
@@ -20,9 +20,9 @@
 )
 
 // Reports how late attempts of disconnected clients reach a worker from a process with a tenth of a core:
-// it shares one core with nine busy loops. The test only reports figures, as they depend on the scheduler
-// of the operating system alone. The seed sets how long the clients wait. The test runs for STARVED
-// seconds, one by default.
+// the process shares one core with nine busy loops. The test only reports figures, as they depend on the
+// scheduler of the operating system alone. The seed sets how long the clients wait. The test runs for
+// STARVED seconds, one by default.
 func TestLateAttemptsOfAStarvedProcess(t *testing.T) {
 	seconds, err := strconv.Atoi(os.Getenv("STARVED"))
 	if err != nil {
--- a/cmd/woaddyke/syscalls_test.go
+++ b/cmd/woaddyke/syscalls_test.go
@@ -19,8 +19,8 @@
 	"woaddyke/internal/lab/syscallfault"
 )
 
-// startSupervised starts a process, and a supervisor that can make its system calls of the given kinds
-// fail.
+// startSupervised starts a process under a supervisor. The supervisor can make the system calls of the
+// given kinds fail.
 func startSupervised(t *testing.T, listen, discovery string, sockets int, calls ...int) (testProcess, *syscallfault.Supervisor) {
 	t.Helper()
 	var s *syscallfault.Supervisor
@@ -242,8 +242,8 @@
 }
 
 // A dial that fails because this machine has no port, memory or descriptor says nothing about the worker,
-// and no worker has seen it. It must use up no retry and be repeated only after a pause, and the op must be
-// served when the shortage ends.
+// and no worker has received anything. The failure must use up no retry, the dial must be repeated only
+// after a pause, and the op must be served when the shortage ends.
 func TestADialThatFailsLocallyUsesNoRetry(t *testing.T) {
 	t.Parallel()
 	const duration, maxCalls = 400 * time.Millisecond, 60
@@ -283,9 +283,9 @@
 	}
 }
 
-// A process must start although the machine has no descriptor or buffer for a moment. Its start once ended
-// with an error; a soak with seed 3 found this.
-func TestAStartWaitsForALocalShortage(t *testing.T) {
+// A process must retry its start while the machine has no descriptor or buffer for a moment. Its start once
+// ended with an error; a soak with seed 3 found this.
+func TestAStartIsRetriedDuringALocalShortage(t *testing.T) {
 	t.Parallel()
 	const failures = 12
 	for name, errno := range map[string]syscall.Errno{"no descriptor": syscall.ENFILE, "none of its own": syscall.EMFILE, "no buffers": syscall.ENOBUFS,
@@ -318,10 +318,10 @@
 	}
 }
 
-// A reload must be repeated when reading the configuration fails for a moment, as its disk does. The former
+// A reload must be repeated when the disk fails for a moment while the configuration is read. The former
 // configuration once stayed in force and the file was not read again, so that changes of discovery and of
 // categories had no effect.
-func TestAReloadWaitsForADiskThatFails(t *testing.T) {
+func TestAReloadIsRepeatedUntilTheDiskWorks(t *testing.T) {
 	t.Parallel()
 	discovery, listen, _, _ := startHoldingWorker(t)
 	other := startDiscovery(t, `{"rev":9,"all":true,"targets":[]}`)
--- a/cmd/woaddyke/takeover_line_test.go
+++ b/cmd/woaddyke/takeover_line_test.go
@@ -28,7 +28,7 @@
 
 // A transient failure of a call on the handover connection must not be taken for the end of the other
 // process. The successor once started without the ids of its predecessor, or the predecessor considered its
-// successor dead, accepted clients again, and replaced the handover socket of the successor by its own.
+// successor dead, accepted clients again, and replaced the handover socket of the successor with its own.
 func TestATransientHandoverFailureIsSurvived(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
--- a/cmd/woaddyke/upgrade_test.go
+++ b/cmd/woaddyke/upgrade_test.go
@@ -275,8 +275,8 @@
 }
 
 // A process must serve on when its successor dies, and its operator state must be handed over to the next
-// successor. It once ended with the successor, or behaved as if it still had one, and the operator state
-// was lost.
+// successor. A process once ended together with its successor, or behaved as if it still had one, and the
+// operator state was lost.
 func TestServingGoesOnWhenASuccessorDies(t *testing.T) {
 	runs := &runCounter{runs: map[string]int{}}
 	discovery, listen := startWorkers(t, runs)
--- a/cmd/woaddyke/verify_command.go
+++ b/cmd/woaddyke/verify_command.go
@@ -22,7 +22,7 @@
 var errReplicasDiffer = errors.New("the copies differ")
 
 // verifyCommand compares the records of replicas and prints each claim whose stage or status differs
-// between them. A difference can be a claim in use or an outcome that one replica does not have.
+// between them. A claim in use and an outcome that one replica does not have show as differences, too.
 func verifyCommand(addrs *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "verify",
@@ -36,7 +36,7 @@
 
 func verifyReplicas(out io.Writer, addrs []string) error {
 	if len(addrs) < minVerified {
-		return errors.New("--console: the second addresses of two keepers at least, with commas")
+		return errors.New("--console: must be the console addresses of at least two keepers, with commas")
 	}
 	stages := claimStages{}
 	for _, addr := range addrs {
--- a/cmd/woaddyke/workers_test.go
+++ b/cmd/woaddyke/workers_test.go
@@ -51,7 +51,7 @@
 			}))
 			t.Cleanup(discovery.Close)
 			t.Cleanup(discovery.CloseClientConnections)
-			c := cluster.New(t, 2, fmt.Sprintf("%sworkers = %v\n", fastMembers, on), snapshot, testCommand) // their discovery sends no further list
+			c := cluster.New(t, 2, fmt.Sprintf("%sworkers = %v\n", fastMembers, on), snapshot, testCommand) // the discovery server of n2 sends no further list
 			c.Places[0].Discovery = discovery.Listener.Addr().String()
 			for _, p := range c.Places {
 				c.Start(p)
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -40,7 +40,7 @@
 }
 
 // reportFirstDifference ends the test at the first reply that differs, because the comparison of the files
-// does not scode where they differ.
+// does not show where they differ.
 func reportFirstDifference(t *testing.T, got, want []byte) {
 	t.Helper()
 	gotReplies, wantReplies := bytes.SplitAfter(got, []byte("\n")), bytes.SplitAfter(want, []byte("\n"))
@@ -51,8 +51,8 @@
 	}
 }
 
-// The recorded conversation must contain every kind of input and every kind of decision, because it guards
-// only those.
+// The recorded conversation must contain every kind of input and every kind of decision, because the
+// comparison of the replies guards only the kinds that occur in it.
 func TestTheConversationCoversEveryInputAndDecision(t *testing.T) {
 	inputs, outcomes, scopes := map[string]int{}, map[int]int{}, map[string]int{}
 	for line := range bytes.Lines(readConversation(t)) {
@@ -74,10 +74,10 @@
 			}
 		}
 	}
-	for name, least := range map[string]int{"PowerOn": 4, "Topology": 20, "WorkItem": 100, "Settled": 100, "UpdateOf": 100, "Dropped": 5,
+	for name, minCount := range map[string]int{"PowerOn": 4, "Topology": 20, "WorkItem": 100, "Settled": 100, "UpdateOf": 100, "Dropped": 5,
 		"Message": 100, "StatusBack": 100, "TickDue": 100, "Exit": 4, "LaterKind": 1} {
-		if inputs[name] < least {
-			t.Errorf("input %s occurs %d times, want at least %d", name, inputs[name], least)
+		if inputs[name] < minCount {
+			t.Errorf("input %s occurs %d times, want at least %d", name, inputs[name], minCount)
 		}
 	}
 	for _, code := range []int{10, 20, 30, 40, 50, 60, 70, 80, 99} {
@@ -94,9 +94,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for verb, least := range map[string]int{"Send": 100, "Retract": 3, "Test": 100, "WritePeer": 100, "Decline": 20, "Surrender": 5, "WakeAt": 100} {
-		if n := bytes.Count(out, []byte(`{"m":"`+verb+`"`)); n < least {
-			t.Errorf("decision %s occurs %d times, want at least %d", verb, n, least)
+	for verb, minCount := range map[string]int{"Send": 100, "Retract": 3, "Test": 100, "WritePeer": 100, "Decline": 20, "Surrender": 5, "WakeAt": 100} {
+		if n := bytes.Count(out, []byte(`{"m":"`+verb+`"`)); n < minCount {
+			t.Errorf("decision %s occurs %d times, want at least %d", verb, n, minCount)
 		}
 	}
 }
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -57,7 +57,7 @@
 
 const (
 	scopeChanges = "changes" // a delta
-	scopeRefused = "refused" // discovery has no list; any other scope is a snapshot
+	scopeRefused = "refused" // discovery has no list. Any scope but these two is a snapshot
 	available    = "ready"
 	startTopic   = 1  // the worker has started the job
 	succeeded    = 10 // outcome code of a successful attempt or probe
--- a/internal/simwire/scheduler.go
+++ b/internal/simwire/scheduler.go
@@ -50,7 +50,7 @@
 		return nil, fmt.Errorf("prng: %w", err)
 	}
 	flat := config.Flatten(it.Settings)
-	flat["keys"] = true // ops have an affinity key only if the workers keep state
+	flat["keys"] = true // always enabled: the simulator sends an affinity key only if the workers keep state
 	s := &scheduler{
 		dispatcher:    dispatch.New(seed, config.DecisionSettings(flat)),
 		reportFormat:  config.ReportFormatOf(flat),
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -39,7 +39,7 @@
 	}
 	for i, want := range []string{`{"groups":[]}`, `[]`, `"Test","worker":"worker_a"`,
 		`"Send","req":"r","worker":"worker_a"`,
-		`"Surrender"`, `[]`} { // an outcome of an unknown code may have run: no nack for an at-most-once op
+		`"Surrender"`, `[]`} { // after an unknown code the op may have run: no nack for an at-most-once op
 		if !strings.Contains(lines[i], want) {
 			t.Errorf("reply %d: %s, want %s", i, lines[i], want)
 		}
