--- a/cmd/lab/campaign.go
+++ b/cmd/lab/campaign.go
@@ -19,7 +19,7 @@
 	"woaddyke/internal/lab/runner"
 )
 
-// seedRun is the run of a seed.
+// seedRun holds the result of the run with a seed.
 type seedRun struct {
 	Seed    uint64
 	Seconds float64
@@ -109,7 +109,7 @@
 }
 
 func campaignCommand() *cobra.Command {
-	var b build
+	var b schedulerSpec
 	var out, span string
 	var minutes float64
 	c := &cobra.Command{Use: "campaign FILE", Short: "Play an experiment with drawn troubles over many seeds, until one breaks a rule",
@@ -180,7 +180,7 @@
 	return c
 }
 
-// failureReason returns why a run ends the campaign; empty if the campaign goes on.
+// failureReason returns why a run ends the campaign, or an empty text if the campaign continues.
 func failureReason(r *report.Results) string {
 	switch {
 	case r.Void != "":
--- a/cmd/lab/compare.go
+++ b/cmd/lab/compare.go
@@ -14,7 +14,7 @@
 )
 
 func compareCommand() *cobra.Command {
-	var a, b build
+	var a, b schedulerSpec
 	var rounds int
 	var names []string
 	c := &cobra.Command{Use: "compare A B FILE", Short: "Play two builds on the same seeds in alternation, and state the difference",
@@ -25,18 +25,18 @@
 			if err != nil {
 				return err
 			}
-			a, b = parseBuild(args[0]), parseBuild(args[1])
+			a, b = parseSchedulerSpec(args[0]), parseSchedulerSpec(args[1])
 			pairs := comparison.New(names)
 			out := c.OutOrStdout()
 			broken := false
 			for k := range rounds {
-				builds := []*build{&a, &b}
+				specs := []*schedulerSpec{&a, &b}
 				figures := make([]map[string]float64, 2)
 				first := k % 2 // the order alternates so that other load on the machine affects both builds
 				for _, i := range []int{first, 1 - first} {
 					round := *e
 					round.Seed = e.Seed + uint64(k)
-					m, err := builds[i].maker(&round)
+					m, err := specs[i].maker(&round)
 					if err != nil {
 						return err
 					}
@@ -70,7 +70,7 @@
 	return c
 }
 
-func parseBuild(text string) build {
+func parseSchedulerSpec(text string) schedulerSpec {
 	path, operator, _ := strings.Cut(text, ",")
-	return build{path, operator}
+	return schedulerSpec{path, operator}
 }
--- a/cmd/lab/golden_help_test.go
+++ b/cmd/lab/golden_help_test.go
@@ -7,8 +7,8 @@
 	"woaddyke/internal/testsupport/helptext"
 )
 
-// Guards the help of each command: the names, flags, defaults and words that scripts and journal entries rely
-// on.
+// Scripts and journal entries rely on the names, flags, defaults and words in the help of each command. They
+// must not change.
 func TestHelpKeepsItsForm(t *testing.T) {
 	golden.Compare(t, "testdata/help.txt.golden", helptext.All(t, command))
 }
--- a/cmd/lab/golden_test.go
+++ b/cmd/lab/golden_test.go
@@ -24,8 +24,8 @@
 	return out.Bytes()
 }
 
-// Scripts read the last line of an audit, and people compare its breaches with those of earlier builds.
-// Neither may change.
+// Scripts read the last line of an audit, and people compare its breaches with those of earlier builds. The
+// output must not change.
 func TestTheAuditOutputIsStable(t *testing.T) {
 	golden.Compare(t, "testdata/audit.golden", auditOutput(t, "testdata/ledger.jsonl"))
 }
@@ -43,7 +43,7 @@
 	golden.Compare(t, "testdata/audit-cut-off.golden", auditOutput(t, path))
 }
 
-// The output for a ledger without breaches must end with the same form of line.
+// The output for a ledger without breaches must end with a line of the same form as for other ledgers.
 func TestTheAuditOutputForASoundLedgerIsStable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger.jsonl")
 	const sound = `{"at":0,"kind":"world","rules":{"slack":500,"categories":{"again":{"effect":"redeliverable"}}}}
--- a/cmd/lab/lab_test.go
+++ b/cmd/lab/lab_test.go
@@ -154,9 +154,9 @@
 	}
 }
 
-// Runs the scale experiment at two small sizes: hollow workers in regions, restarts, a rack, a zone and a
-// region that are cut off, and a killed scheduler. All sizes must count in the verdict. A size beyond this
-// machine must be rejected before the first run.
+// Runs the scale experiment at two small sizes. It has hollow workers in regions, restarts, a killed
+// scheduler, and a rack, a zone and a region that are cut off. The verdict must cover all sizes. A size that
+// needs more than this machine has must be rejected before the first run.
 func TestASmallScaleRunJudgesAllItsSizes(t *testing.T) {
 	t.Parallel()
 	dir := programs(t)
@@ -189,9 +189,9 @@
 	}
 }
 
-// Cost figures for thousands of schedulers come from hollow schedulers, so these must behave as processes do.
-// In a cluster with hardly any client traffic, both must send about as many messages and bytes, and all views
-// must be equal.
+// Cost figures for thousands of schedulers come from hollow schedulers, so hollow schedulers must behave as
+// processes do. In a cluster with hardly any client traffic, both must send about as many messages and bytes,
+// and all views must be equal.
 func TestAHollowSchedulerSendsAsMuchAsAProcess(t *testing.T) {
 	t.Parallel()
 	dir := programs(t)
--- a/cmd/lab/run.go
+++ b/cmd/lab/run.go
@@ -20,12 +20,13 @@
 	"woaddyke/internal/lab/schedulers"
 )
 
-// build selects the scheduler program and the operator's file that it is started with.
-type build struct {
+// schedulerSpec names the scheduler that an experiment runs: the path of its program or baseline:NAME, and
+// the operator's file that it is started with.
+type schedulerSpec struct {
 	path, operator string
 }
 
-func (b *build) flags(c *cobra.Command) {
+func (b *schedulerSpec) flags(c *cobra.Command) {
 	c.Flags().StringVar(&b.path, "bin", "", "the scheduler's program (default: woaddyke beside this one), or baseline:"+
 		strings.Join(baseline.Policies, ", baseline:"))
 	c.Flags().StringVar(&b.operator, "operator", "", "the operator's own file, handed to the scheduler")
@@ -40,8 +41,8 @@
 	return filepath.Join(filepath.Dir(own), name)
 }
 
-// maker returns a maker of schedulers of the build.
-func (b *build) maker(e *experiment.Experiment) (schedulers.Maker, error) {
+// maker returns a maker of the schedulers that the spec names.
+func (b *schedulerSpec) maker(e *experiment.Experiment) (schedulers.Maker, error) {
 	path := b.path
 	if policy, ok := strings.CutPrefix(path, "baseline:"); ok {
 		return baseline.Maker(policy, baseline.Wrongs{})
@@ -77,7 +78,7 @@
 }
 
 func runCommand() *cobra.Command {
-	var b build
+	var b schedulerSpec
 	var out string
 	var seed uint64
 	var sizes []float64
@@ -125,8 +126,8 @@
 	return r, err
 }
 
-// runSizes runs an experiment at each of its sizes. Before the first run it checks that the machine fits all
-// of them.
+// runSizes runs an experiment at each of its sizes. Before the first run it checks that the machine has the
+// resources for all of them.
 func runSizes(c *cobra.Command, base *experiment.Experiment, m schedulers.Maker, out string) error {
 	var all []*experiment.Experiment
 	for _, share := range base.Sizes {
@@ -163,7 +164,7 @@
 	return printVerdict(c.OutOrStdout(), report.CombineSizes(results))
 }
 
-// maxBreaches is the maximum number of breaches that are printed. The ledger proves the others.
+// maxBreaches is the maximum number of breaches that are printed. An audit of the ledger lists all of them.
 const maxBreaches = 20
 
 // printResults prints a run's categories, the resources that its schedulers used, and its breaches.
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -94,7 +94,7 @@
 		}
 		defer os.RemoveAll(runFolder)
 	}
-	// Files that voters of another run left there would answer this run's op IDs.
+	// Op IDs of this run would be answered from files that the voters of another run left in the folder.
 	if entries, err := os.ReadDir(runFolder); err == nil && len(entries) > 0 {
 		return false, fmt.Errorf("--out: %s is not empty", runFolder)
 	}
--- a/internal/lab/audit/audit.go
+++ b/internal/lab/audit/audit.go
@@ -17,7 +17,7 @@
 // Rule is the name of a rule.
 type Rule string
 
-// Lost, Twice, Drain and Cold are the four main rules. Forged covers results that no worker returned and
+// Lost, Twice, Drain and Cold are the four main rules. Forged covers results that no worker returned, and
 // pushes that no client requested. Crashed covers processes that ended without a signal. ExcessDeadline
 // covers pushes that announce more time to the worker than the client has left.
 const (
@@ -56,10 +56,11 @@
 	Whole    bool     `json:"whole"` // the ledger has its final line
 }
 
-// Allowances beside the slack.
+// Further allowances, added to Rules.Slack: from a client's disconnection to the first byte of a push that is
+// still accepted, and from the client's deadline to the deadline that a push announces.
 const (
 	pushAfterDisconnectAllowance = ledger.Time(100 * time.Millisecond / ledger.Tenth) // to the first byte
-	excessDeadlineAllowance      = ledger.Time(150 * time.Millisecond / ledger.Tenth) // beyond the client's
+	excessDeadlineAllowance      = ledger.Time(150 * time.Millisecond / ledger.Tenth) // after the client's deadline
 )
 
 // push is a push of an op as its worker recorded it.
@@ -79,8 +80,8 @@
 	endedAt         ledger.Time
 }
 
-// mayHaveRun reports whether the scheduler, by what the worker replied up to at, has to assume that the job
-// ran.
+// mayHaveRun reports whether the scheduler has to assume that the job ran, given what the worker replied up
+// to the time at.
 func (p *push) mayHaveRun(at ledger.Time) bool {
 	neverRan := p.verdict == ledger.Returned || p.verdict == ledger.TurnedAway
 	return !neverRan || p.verdictAt > at
@@ -97,13 +98,13 @@
 	scheduler           int
 	expiresAt           ledger.Time
 	dueLine             int
-	sentCount, sentLine int // how often it was sent, and the line of the last time
+	sentCount, sentLine int // number of times the op was sent, and the line of the last Sent event
 	sentAt              ledger.Time
 	answers             []int
 	lastKind            ledger.Kind
 	lastLine            int
 	connectionReused    bool
-	readCuts            []int // requests read and not answered; the client may have resent the op elsewhere
+	readCuts            []int // lines of requests read and not answered; the client may have resent the op
 	disconnected        bool
 	disconnectedAt      ledger.Time
 	pushes              []*push
@@ -114,8 +115,8 @@
 // belong to other attempts.
 func (o *op) owns(p *push) bool { return !o.idShared || p.scheduler == o.scheduler }
 
-// downtime is a span in which the lab had killed or suspended a scheduler. A value of to below 0 means that
-// it has not ended.
+// downtime is a span in which the lab had killed or suspended a scheduler. A value of to below 0
+// means that the downtime has not ended.
 type downtime struct{ from, to ledger.Time }
 
 type scheduler struct {
@@ -159,7 +160,7 @@
 	pushes     map[int]*push
 	schedulers map[int]*scheduler
 	workers    map[string]*worker
-	readCuts   []int // requests of no op that were read and not answered
+	readCuts   []int // lines of requests without an op that were read and not answered
 	result     Judgement
 }
 
@@ -290,7 +291,7 @@
 		p.verdict, p.verdictAt, p.verdictLine = e.Verdict, e.At, line
 		p.end(e.At)
 	case ledger.Closed:
-		p.end(min(e.From, e.At)) // the close takes time on the link, so the event is later than From
+		p.end(min(e.From, e.At)) // the close takes time on the link, so e.At is later than e.From
 	}
 }
 
@@ -306,9 +307,9 @@
 	}
 }
 
-// checkColdLoad checks the work that all schedulers together push to a cold worker. The worker fails under
-// more than its limit, whichever scheduler sent it. The rule is broken where over two thirds of the work came
-// from schedulers to which discovery had announced the worker's start.
+// checkColdLoad checks the work that all schedulers together push to a cold worker. The worker fails when
+// this work exceeds its limit, whichever scheduler sent it. The rule is broken if over two thirds of the work
+// came from schedulers to which discovery had announced the worker's start.
 func (j *auditor) checkColdLoad(line int, e *ledger.Event, w *worker) {
 	if !w.cold || j.rules.TipAfter == 0 || e.At-w.boot >= j.rules.WarmAfter {
 		return
@@ -390,8 +391,8 @@
 			}
 		}
 	case ledger.Killed:
-		// A scheduler killed later than KillAfter after SIGTERM has no excuse: ops that it left unanswered
-		// are lost.
+		// A scheduler that is killed later than KillAfter after SIGTERM is not excused: ops that it left
+		// unanswered are lost.
 		if !s.terminating || e.At-s.termAt <= j.rules.KillAfter {
 			s.downtimes = append(s.downtimes, downtime{e.At, -1})
 		}
@@ -414,7 +415,7 @@
 
 func (j *auditor) checkAnswers(o *op, last ledger.Time) {
 	if o.sentCount == 0 || o.lastKind == ledger.Refused {
-		return // no scheduler accepted it
+		return // no scheduler accepted the op
 	}
 	j.result.Ops++
 	if !o.disconnected {
@@ -445,8 +446,8 @@
 	}
 }
 
-// checkReadCuts reports requests that a scheduler read and closed without an answer, also where the client
-// then got an answer elsewhere.
+// checkReadCuts reports requests whose connection a scheduler closed after it had read them and without an
+// answer. It also reports them if the client then got an answer from another scheduler.
 func (j *auditor) checkReadCuts(op string, cuts []int) {
 	for _, line := range cuts {
 		e := j.events[line-1]
@@ -456,7 +457,7 @@
 	}
 }
 
-// ranThroughout reports whether a scheduler was neither killed nor suspended from one moment to another.
+// ranThroughout reports whether a scheduler was neither killed nor suspended between two moments.
 func (j *auditor) ranThroughout(scheduler int, from, to ledger.Time) bool {
 	for _, d := range j.scheduler(scheduler).downtimes {
 		if d.from <= to && (d.to < 0 || d.to >= from) {
@@ -533,8 +534,8 @@
 			runs = append(runs, p.ranLine)
 		}
 	}
-	// Deduplicated ops are checked by their pushes alone: a repeat that waits in a worker's queue beyond the
-	// window is no fault of the scheduler.
+	// Deduplicated ops are checked by their pushes alone: a repeat may wait in a worker's queue until the
+	// window is over, which is not the scheduler's fault.
 	if len(runs) > 1 && c.Effect == ledger.AtMostOnce {
 		j.breach(Twice, o.id, runs, "it has run %d times", len(runs))
 	}
--- a/internal/lab/audit/audit_test.go
+++ b/internal/lab/audit/audit_test.go
@@ -32,9 +32,9 @@
 
 type events = []ledger.Event
 
-// world returns a ledger with two schedulers and four workers: w1 and w2 in one cell, w3 in another cell of
-// the same zone, w4 in the other zone.
-func world(more ...events) events {
+// newLedger returns a ledger with two schedulers and four workers. Workers w1 and w2 are in one cell, w3 is
+// in another cell of the same zone, and w4 is in the other zone.
+func newLedger(more ...events) events {
 	l := events{{Kind: ledger.World, Rules: rules, Seed: 1}}
 	for i, at := range []struct {
 		zone string
@@ -59,24 +59,24 @@
 	return events{{At: at, Kind: ledger.Answer, Op: op, Verdict: verdict, Text: text, Scheduler: 1}}
 }
 
-// pushed returns the events of a push that reached its worker. The parameter end is a worker's verdict,
+// pushed returns the events of a push that reached its worker. The parameter outcome is a worker's verdict,
 // "closed", or empty for a push that did not end.
-func pushed(op string, n int, worker string, at ledger.Time, end string, ends ledger.Time) events {
+func pushed(op string, n int, worker string, at ledger.Time, outcome string, endedAt ledger.Time) events {
 	l := events{{At: at, Kind: ledger.Reached, Op: op, Worker: worker, Scheduler: 1, Push: n, From: at}}
-	if end != ledger.Returned && end != ledger.TurnedAway {
+	if outcome != ledger.Returned && outcome != ledger.TurnedAway {
 		l = append(l, ledger.Event{At: at, Kind: ledger.Ran, Op: op, Worker: worker, Push: n})
 	}
-	switch end {
+	switch outcome {
 	case "":
 	case "closed":
-		l = append(l, ledger.Event{At: ends, From: ends, Kind: ledger.Closed, Op: op, Worker: worker, Push: n})
+		l = append(l, ledger.Event{At: endedAt, From: endedAt, Kind: ledger.Closed, Op: op, Worker: worker, Push: n})
 	default:
-		l = append(l, ledger.Event{At: ends, Kind: ledger.Said, Op: op, Worker: worker, Push: n, Verdict: end, Text: fmt.Sprint("r", n)})
+		l = append(l, ledger.Event{At: endedAt, Kind: ledger.Said, Op: op, Worker: worker, Push: n, Verdict: outcome, Text: fmt.Sprint("r", n)})
 	}
 	return l
 }
 
-func process(kind ledger.Kind, at ledger.Time) events {
+func processEvent(kind ledger.Kind, at ledger.Time) events {
 	return events{{At: at, Kind: kind, Scheduler: 1}}
 }
 
@@ -89,10 +89,10 @@
 	return []events{due(op, category, at), pushed(op, 1, "w1", at+10, ledger.Done, at+500), answer(op, ledger.Acked, "r1", at+510)}
 }
 
-func with(a []events, more ...events) events { return world(append(a, more...)...) }
+func extend(a []events, more ...events) events { return newLedger(append(a, more...)...) }
 
-// coldStart returns a cold start of w4, which discovery announces to scheduler 1 alone, and pushes to w4 at
-// the given age: first from scheduler 1, then from scheduler 2.
+// coldStart returns the events of a cold start of w4, which discovery announces to scheduler 1 only, and of
+// pushes to w4 at the given age. The first pushes come from scheduler 1, the others from scheduler 2.
 func coldStart(at, age ledger.Time, usual float64, informed, uninformed int) events {
 	l := events{{At: at, Kind: ledger.Boot, Worker: "w4", Zone: "w", Cell: 3, Cores: 4, Cold: true},
 		{At: at, Kind: ledger.Told, Scheduler: 1, Worker: "w4", State: "ready"}}
@@ -132,37 +132,37 @@
 	return slices.DeleteFunc(l, func(e ledger.Event) bool { return e.Kind == ledger.Told })
 }
 
-// Checks each rule with a ledger that breaks it and the nearest lawful ledger. An audit that reports too much
-// is as useless as one that reports too little.
+// Checks each rule with a ledger that breaks it and with the most similar ledger that does not. The audit
+// must report the first and accept the second.
 func TestEachRuleFlagsABreachAndAcceptsTheNearestLawfulLedger(t *testing.T) {
-	w := world
+	w := newLedger
 	for name, c := range map[string]struct {
 		lawful, broken events
 		rule           Rule
 	}{
-		"an answer": {with(served("a", "once", 100)), w(due("a", "once", 100)), Lost},
+		"an answer": {extend(served("a", "once", 100)), w(due("a", "once", 100)), Lost},
 		"an answer before the TTL": {w(due("a", "once", 100), answer("a", ledger.Nacked, "", 50_600)),
 			w(due("a", "once", 100), answer("a", ledger.Nacked, "", 50_601)), Lost},
-		"one answer": {with(served("a", "once", 100)),
-			with(served("a", "once", 100), answer("a", ledger.Acked, "r1", 800)), Lost},
-		"no bytes beyond the answer": {with(served("a", "once", 100)),
-			with(served("a", "once", 100), events{{At: 900, Kind: ledger.Stray, Op: "a"}}), Lost},
+		"one answer": {extend(served("a", "once", 100)),
+			extend(served("a", "once", 100), answer("a", ledger.Acked, "r1", 800)), Lost},
+		"no bytes beyond the answer": {extend(served("a", "once", 100)),
+			extend(served("a", "once", 100), events{{At: 900, Kind: ledger.Stray, Op: "a"}}), Lost},
 		"the client disconnected": {w(due("a", "once", 100), events{{At: 500, Kind: ledger.Left, Op: "a"}}),
 			w(due("a", "once", 100), events{{At: 500, Kind: ledger.Cut, Op: "a", State: "reused"}}), Lost},
 		"a new connection closed without a push": {w(due("a", "once", 100), events{{At: 500, Kind: ledger.Cut, Op: "a"}}),
 			w(due("a", "once", 100), pushed("a", 1, "w1", 300, ledger.Done, 400), events{{At: 500, Kind: ledger.Cut, Op: "a"}}), Lost},
 		"no connection": {w(due("a", "once", 100), events{{At: 500, Kind: ledger.Refused, Op: "a"}}), w(due("a", "once", 100)), Lost},
-		"the scheduler was killed": {w(due("a", "once", 100), process(ledger.Killed, 300), process(ledger.Exited, 301)),
-			w(due("a", "once", 100), process(ledger.Term, 300), process(ledger.Exited, 301)), Lost},
-		"the scheduler was killed before the op was sent": {w(process(ledger.Killed, 50), process(ledger.Up, 300), due("a", "once", 700), answer("a", ledger.Nacked, "", 800)),
-			w(process(ledger.Killed, 50), process(ledger.Up, 100), due("a", "once", 700)), Lost},
-		"the scheduler was killed soon after SIGTERM": {w(due("a", "once", 100), process(ledger.Term, 300), process(ledger.Killed, 37_300)),
-			w(due("a", "once", 100), process(ledger.Term, 300), process(ledger.Killed, 37_301)), Lost},
-		"the scheduler was suspended": {w(due("a", "once", 100), process(ledger.Stopped, 300), process(ledger.Resumed, 60_000)),
-			w(due("a", "once", 100), process(ledger.Stopped, 60_000), process(ledger.Resumed, 70_000)), Lost},
+		"the scheduler was killed": {w(due("a", "once", 100), processEvent(ledger.Killed, 300), processEvent(ledger.Exited, 301)),
+			w(due("a", "once", 100), processEvent(ledger.Term, 300), processEvent(ledger.Exited, 301)), Lost},
+		"the scheduler was killed before the op was sent": {w(processEvent(ledger.Killed, 50), processEvent(ledger.Up, 300), due("a", "once", 700), answer("a", ledger.Nacked, "", 800)),
+			w(processEvent(ledger.Killed, 50), processEvent(ledger.Up, 100), due("a", "once", 700)), Lost},
+		"the scheduler was killed soon after SIGTERM": {w(due("a", "once", 100), processEvent(ledger.Term, 300), processEvent(ledger.Killed, 37_300)),
+			w(due("a", "once", 100), processEvent(ledger.Term, 300), processEvent(ledger.Killed, 37_301)), Lost},
+		"the scheduler was suspended": {w(due("a", "once", 100), processEvent(ledger.Stopped, 300), processEvent(ledger.Resumed, 60_000)),
+			w(due("a", "once", 100), processEvent(ledger.Stopped, 60_000), processEvent(ledger.Resumed, 70_000)), Lost},
 		"a suspended scheduler pushes nothing after the TTL": {
-			w(due("a", "again", 100), process(ledger.Stopped, 300), process(ledger.Resumed, 50_200), pushed("a", 1, "w1", 50_600, ledger.Done, 51_000)),
-			w(due("a", "again", 100), process(ledger.Stopped, 300), process(ledger.Resumed, 50_200), pushed("a", 1, "w1", 50_601, ledger.Done, 51_000)), Lost},
+			w(due("a", "again", 100), processEvent(ledger.Stopped, 300), processEvent(ledger.Resumed, 50_200), pushed("a", 1, "w1", 50_600, ledger.Done, 51_000)),
+			w(due("a", "again", 100), processEvent(ledger.Stopped, 300), processEvent(ledger.Resumed, 50_200), pushed("a", 1, "w1", 50_601, ledger.Done, 51_000)), Lost},
 		"no push after the answer": {
 			w(due("a", "again", 100), pushed("a", 1, "w1", 1499, "closed", 1500), answer("a", ledger.Nacked, "", 1000)),
 			w(due("a", "again", 100), pushed("a", 1, "w1", 1501, "closed", 1502), answer("a", ledger.Nacked, "", 1000)), Lost},
@@ -190,14 +190,14 @@
 			w(due("a", "again", 100), pushed("a", 1, "w1", 200, "closed", 1001), pushed("a", 2, "w2", 500, ledger.Done, 2000), answer("a", ledger.Acked, "r2", 2001)), Twice},
 
 		"a push within the drain grace": {
-			with(served("a", "again", 100), workerStateSent("draining", 1000), due("b", "again", 26_000), pushed("b", 2, "w1", 26_500, ledger.Done, 26_600), answer("b", ledger.Acked, "r2", 26_700)),
-			with(served("a", "again", 100), workerStateSent("draining", 1000), due("b", "again", 26_000), pushed("b", 2, "w1", 26_501, ledger.Done, 26_600), answer("b", ledger.Acked, "r2", 26_700)), Drain},
+			extend(served("a", "again", 100), workerStateSent("draining", 1000), due("b", "again", 26_000), pushed("b", 2, "w1", 26_500, ledger.Done, 26_600), answer("b", ledger.Acked, "r2", 26_700)),
+			extend(served("a", "again", 100), workerStateSent("draining", 1000), due("b", "again", 26_000), pushed("b", 2, "w1", 26_501, ledger.Done, 26_600), answer("b", ledger.Acked, "r2", 26_700)), Drain},
 		"the grace starts with the first announcement": {
 			w(workerStateSent("draining", 1000), workerStateSent("ready", 2000), workerStateSent("gone", 20_000), due("b", "again", 26_000), pushed("b", 2, "w1", 27_000, ledger.Done, 27_100), answer("b", ledger.Acked, "r2", 27_200)),
 			w(workerStateSent("draining", 1000), workerStateSent("gone", 20_000), due("b", "again", 26_000), pushed("b", 2, "w1", 27_000, ledger.Done, 27_100), answer("b", ledger.Acked, "r2", 27_200)), Drain},
 		"a drain announced to a suspended scheduler": {
-			w(process(ledger.Stopped, 900), workerStateSent("draining", 1000), process(ledger.Resumed, 30_000), due("b", "again", 30_000), pushed("b", 2, "w1", 30_500, ledger.Done, 30_600), answer("b", ledger.Acked, "r2", 30_700)),
-			w(workerStateSent("draining", 890), process(ledger.Stopped, 900), process(ledger.Resumed, 30_000), due("b", "again", 30_000), pushed("b", 2, "w1", 30_500, ledger.Done, 30_600), answer("b", ledger.Acked, "r2", 30_700)), Drain},
+			w(processEvent(ledger.Stopped, 900), workerStateSent("draining", 1000), processEvent(ledger.Resumed, 30_000), due("b", "again", 30_000), pushed("b", 2, "w1", 30_500, ledger.Done, 30_600), answer("b", ledger.Acked, "r2", 30_700)),
+			w(workerStateSent("draining", 890), processEvent(ledger.Stopped, 900), processEvent(ledger.Resumed, 30_000), due("b", "again", 30_000), pushed("b", 2, "w1", 30_500, ledger.Done, 30_600), answer("b", ledger.Acked, "r2", 30_700)), Drain},
 
 		// At an age of 1.51 s the limit for four cores is 6,345 ms of work in TipAfter. With jobs of 100 ms
 		// the allowance for random variation adds 1,793 ms.
@@ -208,10 +208,10 @@
 		"announcement of an earlier start":       {w(startAnnounced(50), withoutAnnouncements(coldStart(100, 15_100, 814, 10, 0))), w(startAnnounced(150), withoutAnnouncements(coldStart(100, 15_100, 814, 10, 0))), Cold},
 		"pushes spread over more than a window":  {w(coldStart(100, 15_100, 700, 10, 0), furtherPushes(30_200, 5)), w(coldStart(100, 15_100, 700, 10, 0), furtherPushes(30_000, 5)), Cold},
 		"overload is judged once for each start": {w(coldStart(100, 15_100, 814, 1, 9), furtherPushes(15_300, 30)), w(coldStart(100, 15_100, 700, 1, 0), furtherPushes(15_300, 30)), Cold},
-		"a result that the worker returned": {with(served("a", "once", 100)),
+		"a result that the worker returned": {extend(served("a", "once", 100)),
 			w(due("a", "once", 100), pushed("a", 1, "w1", 200, ledger.Done, 300), answer("a", ledger.Acked, "r9", 500)), Forged},
-		"a push that a client requested":     {with(served("a", "once", 100)), with(served("a", "once", 100), pushed("x", 9, "w1", 300, ledger.Done, 400)), Forged},
-		"a process that ended after SIGTERM": {w(process(ledger.Term, 100), process(ledger.Exited, 300)), w(process(ledger.Exited, 300)), Crashed},
+		"a push that a client requested":     {extend(served("a", "once", 100)), extend(served("a", "once", 100), pushed("x", 9, "w1", 300, ledger.Done, 400)), Forged},
+		"a process that ended after SIGTERM": {w(processEvent(ledger.Term, 100), processEvent(ledger.Exited, 300)), w(processEvent(ledger.Exited, 300)), Crashed},
 	} {
 		if j, err := Judge(c.lawful); err != nil || len(j.Breaches) > 0 {
 			t.Errorf("%s, lawful: %v, %v", name, j.Breaches, err)
@@ -226,7 +226,7 @@
 // 5 s here, because the window is longer than 5 s.
 func TestARepeatPastTheWindowIsABreach(t *testing.T) {
 	for delay, want := range map[ledger.Time]int{75_500: 0, 75_501: 1} {
-		l := world(due("a", "zone", 100), pushed("a", 1, "w1", 200, "closed", 300), pushed("a", 2, "w3", 200+delay, ledger.Done, 90_000), answer("a", ledger.Acked, "r2", 90_001))
+		l := newLedger(due("a", "zone", 100), pushed("a", 1, "w1", 200, "closed", 300), pushed("a", 2, "w3", 200+delay, ledger.Done, 90_000), answer("a", ledger.Acked, "r2", 90_001))
 		for i := range l {
 			if l[i].Kind == ledger.Due {
 				l[i].Until = 200_000
@@ -238,10 +238,10 @@
 	}
 }
 
-// A retry with a new ID is another op, and ops that are unanswered at the end of a truncated ledger are not
+// A retry with a new ID is a separate op. Ops that are unanswered at the end of a truncated ledger are not
 // lost.
 func TestRetriesAndATruncatedLedgerAreNoBreach(t *testing.T) {
-	l := with(served("a", "once", 100), due("b", "once", 2000), pushed("b", 2, "w2", 2100, ledger.Done, 2200), answer("b", ledger.Acked, "r2", 2300))
+	l := extend(served("a", "once", 100), due("b", "once", 2000), pushed("b", 2, "w2", 2100, ledger.Done, 2200), answer("b", ledger.Acked, "r2", 2300))
 	if j, err := Judge(l); err != nil || len(j.Breaches) > 0 || j.Ops != 2 {
 		t.Errorf("a retry: %+v, %v", j, err)
 	}
@@ -258,7 +258,7 @@
 	}
 }
 
-// lawful draws a ledger without breaches: ops of all categories, with pushes that end in all ways.
+// lawful draws a ledger without breaches. It has ops of all categories, and pushes with all outcomes.
 func lawful(t *rapid.T) (l events, ops []string) {
 	var all []events
 	push := 0
@@ -299,7 +299,7 @@
 		}
 		all = append(all, answer(op, verdict, text, now))
 	}
-	return world(all...), ops
+	return newLedger(all...), ops
 }
 
 // Checks that a random lawful ledger has no breach and that each mutation of it has the breach of its rule.
@@ -377,9 +377,9 @@
 	}
 }
 
-// A request that a scheduler read and closed without an answer is lost, also if the client got an answer
-// elsewhere or the request belongs to no op. It is not lost if the scheduler was killed then, if the client
-// disconnected, or if the request was not read.
+// If a scheduler reads a request and closes its connection without an answer, the request is lost. This also
+// holds if the client got an answer elsewhere or the request belongs to no op. The request is not lost if the
+// scheduler was killed at that time, if the client disconnected, or if the request was not read.
 func TestARequestReadAndClosedWithoutAnswerIsLost(t *testing.T) {
 	cut := func(op, text string) events {
 		return events{{At: 2000, Kind: ledger.Cut, Op: op, Scheduler: 1, State: "reused", Text: text}}
@@ -397,7 +397,7 @@
 		"another scheduler was killed":    {[]events{{{At: 1990, Kind: ledger.Killed, Scheduler: 2}}, cut("", ledger.ReadUnanswered)}, 1},
 		"the client disconnected":         {[]events{due("a", "again", 1000), {{At: 1500, Kind: ledger.Left, Op: "a"}}, cut("a", ledger.ReadUnanswered), elsewhere}, 0},
 	} {
-		j, err := Judge(world(c.ledger...))
+		j, err := Judge(newLedger(c.ledger...))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,6 +1,6 @@
 // Package baseline implements simple schedulers for comparison. They run textbook policies over the
-// platform's protocol in the lab's process, learn nothing and handle few failures. They keep the rules unless
-// they are configured to break one, which tests the audit.
+// platform's protocol in the lab's process, learn nothing and handle few failures. They obey the rules
+// unless they are configured to break one, which tests the audit.
 package baseline
 
 import (
@@ -25,8 +25,9 @@
 	"woaddyke/internal/lab/schedulers"
 )
 
-// Policies are the names of the policies: a random worker, round robin, the worker with the fewest pushes in
-// flight from this scheduler, and of two random workers the one that reports fewer jobs.
+// Policies are the names of the policies. In this order they choose a random worker, the next worker in turn
+// (round robin), the worker with the fewest pushes in flight from this scheduler, and of two random workers
+// the worker that reports fewer jobs.
 var Policies = []string{"random", "turns", "fewest", "probes"}
 
 // Wrongs are the rules that a scheduler breaks on purpose.
@@ -49,7 +50,7 @@
 			return nil, err
 		}
 		s := &scheduler{policy: policy, violations: violations, workers: map[string]*worker{}, ended: make(chan error, 1)}
-		if err := s.read(text); err != nil {
+		if err := s.loadConfig(text); err != nil {
 			return nil, fmt.Errorf("baseline: %w", err)
 		}
 		l, err := net.Listen("tcp", s.sheet.Listen)
@@ -110,7 +111,7 @@
 	cancel     context.CancelFunc
 	server     *http.Server
 	ended      chan error
-	once       sync.Once
+	endOnce    sync.Once
 
 	mu       sync.Mutex
 	rand     *rand.Rand
@@ -118,7 +119,7 @@
 	workers  map[string]*worker
 }
 
-func (s *scheduler) read(text []byte) error {
+func (s *scheduler) loadConfig(text []byte) error {
 	if err := json.Unmarshal(text, &s.sheet); err != nil {
 		return err
 	}
@@ -152,13 +153,13 @@
 func (s *scheduler) Signal(sig syscall.Signal) error {
 	switch sig {
 	case syscall.SIGKILL:
-		s.once.Do(func() {
+		s.endOnce.Do(func() {
 			s.cancel()
 			s.server.Close()
 			s.ended <- errors.New("signal: killed")
 		})
 	case syscall.SIGTERM:
-		go s.once.Do(func() {
+		go s.endOnce.Do(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			defer cancel()
 			s.server.Shutdown(ctx)
@@ -224,8 +225,8 @@
 	}
 }
 
-// candidates returns the workers that may be pushed to, without those already tried. Cold workers are left
-// out: this keeps the rule on cold workers, at the cost of their capacity.
+// candidates returns the workers that may be pushed to and were not tried before. It leaves out cold workers,
+// which obeys the rule on cold workers at the cost of their capacity.
 func (s *scheduler) candidates(tried map[string]bool) (workers []*worker) {
 	warmBoot := time.Now().Add(-time.Duration(s.settings.Safety.WarmAfter)).UnixMilli()
 	for _, w := range s.workers {
--- a/internal/lab/duplicates/doubles.go
+++ b/internal/lab/duplicates/doubles.go
@@ -1,5 +1,5 @@
-// Package duplicates checks repeated op IDs across all schedulers: how often each op ran by the workers'
-// records, and whether all its clients got the same result. It does no input or output.
+// Package duplicates checks repeated op IDs across all schedulers. It checks how often each op ran according
+// to the workers' records, and whether all its clients got the same result. It does no input or output.
 package duplicates
 
 import (
@@ -8,7 +8,7 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-// Vote records when a voter announced that it votes from now on.
+// Vote records when a voter announced that it begins to vote.
 type Vote struct {
 	Keeper int // index of the scheduler, from 1
 	At     ledger.Time
@@ -19,7 +19,7 @@
 	DuplicateRuns      int // at-most-once ops that ran more than once
 	ConflictingAnswers int // ops whose clients were acked with different results
 	DivergedReplicas   int // voters whose replica at rest differs from the first voter's
-	StaleDrainPushes   int // pushes to a worker after another scheduler's notice of its drain and the grace
+	StaleDrainPushes   int // pushes to a draining worker, after the grace since any scheduler's notice
 	UnsureRefusals     int // requests refused because no majority answered in time
 	Repeats            int // attempts with an ID that was used before
 	CatchUpTimes       []ledger.Time
@@ -34,8 +34,9 @@
 	}
 }
 
-// Judge checks a ledger. The digests are those of the voters' replicas at rest. A stale drain is a breach
-// only where shared is set: there the schedulers share their endpoint lists.
+// Judge checks a ledger. The digests are those of the voters' replicas at rest. A push to a worker that is
+// known to drain is a breach only if shared is set, which means that the schedulers share their endpoint
+// lists.
 func Judge(events []ledger.Event, digests []string, unsure int, votes []Vote, shared bool) *Judgement {
 	j := &Judgement{UnsureRefusals: unsure}
 	stale := func(string, ...any) {}
@@ -46,7 +47,7 @@
 	categories := map[string]string{}
 	opOfPush := map[int]string{}
 	runs, results := map[string]int{}, map[string]string{}
-	// drained holds, by worker, when the first scheduler was notified.
+	// drained holds, by worker, the time when discovery first sent its drain to a scheduler.
 	started, drained := map[int][]ledger.Time{}, map[string]ledger.Time{}
 	staleAfter := ledger.Time(0)
 	for i := range events {
@@ -115,6 +116,6 @@
 	return j
 }
 
-const propagationTime = 10_000 // ledger ticks for a drain notice to reach the other schedulers
+const propagationTime = 10_000 // time in ledger ticks for a drain notice to reach the other schedulers
 
-const startTolerance = 20_000 // ledger ticks from a vote to the lab's detection that the process is up, at most
+const startTolerance = 20_000 // maximum ledger ticks from a vote until the lab detects the process
--- a/internal/lab/duplicates/doubles_test.go
+++ b/internal/lab/duplicates/doubles_test.go
@@ -6,7 +6,8 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-// Checks each count with a ledger that has such events, so that a count of zero in a run is evidence.
+// Checks that each count is above zero for a ledger with events of its kind. Otherwise a count of zero in a
+// run would prove nothing.
 func TestDuplicatesAndDivergedReplicasAreCounted(t *testing.T) {
 	events := []ledger.Event{
 		{Kind: ledger.World, Rules: &ledger.Rules{Categories: map[string]ledger.Category{"pay": {Effect: ledger.AtMostOnce}, "look": {}}}},
@@ -38,6 +39,6 @@
 		t.Errorf("within the grace: %d", n)
 	}
 	if n := Judge(push(36_000), nil, 0, nil, true).StaleDrainPushes; n != 1 {
-		t.Errorf("after it: %d", n)
+		t.Errorf("after the grace: %d", n)
 	}
 }
--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -35,7 +35,7 @@
 // State is the state of a hollow scheduler.
 type State struct {
 	Name   string `json:"name"`
-	Live   int    `json:"live"`   // number of other members seen as here
+	Live   int    `json:"live"`   // number of other members seen in the state "here"
 	Digest string `json:"digest"` // equal for equal views
 	// WorstMS is the greatest delay of the member, caused by sharing the processor with the others.
 	WorstMS float64 `json:"worst_late_ms"`
@@ -82,7 +82,7 @@
 	}
 	if err != nil {
 		p.End()
-		return nil, fmt.Errorf("hollow schedulers: %w", err)
+		return nil, fmt.Errorf("hollow schedulers: the process did not report that its members are up: %w", err)
 	}
 	return p, nil
 }
@@ -105,14 +105,15 @@
 			err = json.Unmarshal(line, &s)
 		}
 		if err != nil {
-			return nil, fmt.Errorf("hollow schedulers: %w", err)
+			return nil, fmt.Errorf("hollow schedulers: reading the state of a member: %w", err)
 		}
 		all = append(all, s)
 	}
 	return all, nil
 }
 
-// End has the members leave and ends the process. It returns an error if the process had ended before.
+// End has the members leave and ends the process. A second call does nothing. The error is that of the
+// process: it exited with a failure status, or it was killed, for example after stopTimeout.
 func (p *Process) End() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/htmlreport/page.go
+++ b/internal/lab/htmlreport/page.go
@@ -257,8 +257,8 @@
 // maxPairRows is the maximum number of pairs of schedulers that are drawn.
 const maxPairRows = 150
 
-// members draws the schedulers' views of one another, a row for each pair. The line is thin while the view is
-// here.
+// members draws the schedulers' views of one another, a row for each pair. The line is thin while the
+// recorded state is "here", and thick in other states.
 func members(r *report.Results) (*plot.Plot, error) {
 	if len(r.Spans) == 0 {
 		return nil, nil
--- a/internal/lab/ledger/golden_test.go
+++ b/internal/lab/ledger/golden_test.go
@@ -65,7 +65,7 @@
 	return all
 }
 
-// fill sets every field of a value to a value that no earlier field has.
+// fill sets every field of v to a value that differs from those of the fields set before.
 func fill(t *testing.T, v reflect.Value, next *int) {
 	t.Helper()
 	*next++
@@ -182,7 +182,7 @@
 	}
 }
 
-// The writer must write the stable format. Only the time is not compared: the writer sets it.
+// The writer must write the stable format. The time is taken from the writer, which sets it.
 func TestAWrittenLedgerHasTheStableFormat(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger.jsonl")
 	writer, err := Create(path, time.Now())
@@ -211,7 +211,7 @@
 	}
 }
 
-// Other programs read the values of ledger fields, so the constants for them must not change.
+// Other programs read the values of ledger fields, so the constants for these values must not change.
 func TestLedgerValuesAreStable(t *testing.T) {
 	values := map[string][]string{
 		"effects":  {Redeliverable, Deduplicated, AtMostOnce},
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -1,6 +1,6 @@
 // Package ledger records the events of an experiment in an append-only file of JSON lines with one clock.
-// Clients, workers, discovery and the code that starts and kills schedulers write it. Schedulers don't, so
-// that it is evidence against them.
+// Clients, workers, discovery and the code that starts and kills schedulers write the file. Schedulers do not
+// write it, so that it is evidence against them.
 package ledger
 
 import (
@@ -25,11 +25,13 @@
 // Span is a duration in the ledger's unit, rounded down.
 func Span(d time.Duration) Time { return Time(d / Tenth) }
 
-// Behind is the text of a pipelined request: its client still awaited the answer to an earlier one.
+// Behind is the text of a Sent event whose request is pipelined: its client still awaits the answer to an
+// earlier request on the connection.
 const Behind = "behind"
 
-// ReadUnanswered is the text of a cut whose request the scheduler had read: the kernel of the other side had
-// acknowledged all of it and closed the connection in order. A close with unread bytes resets the connection.
+// ReadUnanswered is the text of a Cut event whose request the scheduler had read. The lab infers this from
+// the kernel on the scheduler's side: it acknowledged the complete request and closed the connection in
+// order. A close with unread bytes resets the connection instead.
 const ReadUnanswered = "read, and closed with no answer"
 
 // Kind is the kind of an event.
@@ -40,12 +42,12 @@
 const (
 	World    Kind = "world"    // first line; Rules, Seed
 	Due      Kind = "due"      // client: an attempt is due; Category, Effect, Until (its TTL), Scheduler, Try
-	Sent     Kind = "sent"     // client: the last byte of the request is written; Late if it was late
+	Sent     Kind = "sent"     // client: the request's last byte is written; Late: how late the write began
 	Answer   Kind = "answer"   // client: it received the complete answer; Verdict, Text
 	Cut      Kind = "cut"      // client: the connection ended without a complete answer
 	Refused  Kind = "refused"  // client: it could not connect
-	Left     Kind = "left"     // client: it closed its connection on purpose
-	Stray    Kind = "stray"    // client: bytes that belong to no request
+	Left     Kind = "left"     // client: it disconnected on purpose
+	Stray    Kind = "stray"    // client: it received bytes that belong to no request
 	Reached  Kind = "reached"  // worker: it received a push; Worker, Scheduler, Push, From (first byte), Until (deadline)
 	Strange  Kind = "strange"  // worker: it received a push that matches no client's request
 	Ran      Kind = "ran"      // worker: the job's effect began
@@ -58,15 +60,15 @@
 	Fell     Kind = "fell"     // worker: it failed under overload while it was cold
 	Gone     Kind = "gone"     // worker: its process ended
 	Told     Kind = "told"     // discovery: it sent a worker's State to a scheduler
-	Up       Kind = "up"       // schedulers: it answers health checks
+	Up       Kind = "up"       // schedulers: the scheduler answers health checks
 	Term     Kind = "term"     // schedulers: SIGTERM
 	Hup      Kind = "hup"      // schedulers: SIGHUP
 	Stopped  Kind = "stopped"  // schedulers: SIGSTOP
 	Resumed  Kind = "resumed"  // schedulers: SIGCONT
-	Killed   Kind = "killed"   // schedulers: SIGKILL, before it is sent
+	Killed   Kind = "killed"   // schedulers: SIGKILL is about to be sent
 	Exited   Kind = "exited"   // schedulers: the process ended; Text says how
 	Way      Kind = "way"      // links: the link from Scheduler to To is open or cut; State
-	Held     Kind = "held"     // log of a scheduler: from From on, it sees the member Name in State
+	Held     Kind = "held"     // log of a scheduler: since From, it sees the member Name in State
 	Repeat   Kind = "repeat"   // client: it repeats a request with the same ID, at Scheduler; Try
 	Echo     Kind = "echo"     // client: the repeat ended; Verdict and Text, or State cut, refused or left
 	Fault    Kind = "fault"    // a fault began or ended; Text
@@ -95,9 +97,9 @@
 }
 
 // Bears returns how much work, in ms, a cold worker accepts in TipAfter before it fails. It is OverloadFactor
-// times the work that the worker can do in that time, plus an allowance for random variation. The allowance
-// is, counted in ops of mean work, two plus twice the square root of the product. The parameter cores is the
-// number of cores times the worker's speed.
+// times the work that the worker can do in that time, plus an allowance for random variation. If the product
+// is n ops of mean work, the allowance is two plus twice the square root of n such ops. The parameter cores
+// is the number of cores times the worker's speed.
 func (r *Rules) Bears(cores float64, age Time) float64 {
 	budget := r.OverloadFactor * cores * r.Warmth(age) * float64(r.TipAfter) / 10
 	return budget + 2*math.Sqrt(budget*r.MeanWork) + 2*r.MeanWork
@@ -122,7 +124,7 @@
 	Acked       = "acked"
 	Nacked      = "nacked"
 	Dead        = "dead-lettered"
-	Bad         = "bad-request" // the request was no valid op
+	Bad         = "bad-request" // the request is not a valid op
 	Done        = "done"
 	Failed      = "failed"
 	Returned    = "returned"
@@ -173,7 +175,7 @@
 	err    error
 }
 
-// Create starts a ledger. With an empty path it is in memory only.
+// Create starts a ledger. If the path is empty, the ledger is in memory only.
 func Create(path string, start time.Time) (*Book, error) {
 	b := &Book{start: start}
 	if path == "" {
@@ -196,7 +198,7 @@
 // Wall converts a time on the ledger's clock to a time of this process.
 func (b *Book) Wall(t Time) time.Time { return b.start.Add(time.Duration(t) * Tenth) }
 
-// Clock converts a wall-clock time to the ledger's clock. It is for times in logs of other processes.
+// Clock converts a wall-clock time, such as a time in the log of another process, to the ledger's clock.
 func (b *Book) Clock(t time.Time) Time { return Span(t.Sub(b.start.Round(0))) }
 
 // Add writes an event with the present time, which it returns.
--- a/internal/lab/membershipcheck/views.go
+++ b/internal/lab/membershipcheck/views.go
@@ -17,7 +17,7 @@
 	Pause  ledger.Time // a member that is suspended for at most this long must not be seen as gone
 	Detect ledger.Time // an ended member must be gone in all views within this time
 	Settle ledger.Time // views must be right this long after the last change
-	Grace  ledger.Time // a view of gone may rest on unreachability up to this long ago
+	Grace  ledger.Time // a view of gone is accepted if the member was unreachable at most this long ago
 }
 
 // Span is a period in which scheduler By saw scheduler Of in a state.
@@ -43,14 +43,15 @@
 	since ledger.Time
 }
 
-// replay holds the actual states and the schedulers' views at a moment of the ledger.
+// replay holds the actual states of the schedulers, and their views of one another, at a moment of the
+// ledger.
 type replay struct {
 	limits          Terms
 	up              []bool
 	stateSince      []ledger.Time // when the present process started, or the last one ended
-	stoppedAt       []ledger.Time // when it was suspended, 0 while it runs
+	stoppedAt       []ledger.Time // when the process was suspended, 0 while it runs
 	leaving         []bool
-	nameReused      []bool // its views are not checked: another process uses its name
+	nameReused      []bool // another process uses the scheduler's name, so its views are not checked
 	cut             [][]bool
 	lastUnreachable [][]ledger.Time // when each pair was last unable to reach each other
 	views           [][]view
@@ -102,7 +103,7 @@
 
 func seconds(t ledger.Time) float64 { return float64(t) / 10_000 }
 
-// viewError says in which way i's view of j is wrong. It is empty where the view is right or is not checked.
+// viewError returns why i's view of j is wrong, or an empty text if the view is right or is not checked.
 func (w *replay) viewError(i, j int, now ledger.Time) string {
 	if i == j || !w.responds(i, now) || w.stoppedAt[i] > 0 || w.nameReused[i] || w.leaving[i] || w.leaving[j] {
 		return ""
@@ -147,13 +148,13 @@
 	w.result.ConvergeTimes = append(w.result.ConvergeTimes, now-w.changedAt)
 }
 
-// checkMissedEnd checks the views of a member that ended at least Detect ago.
+// checkMissedEnd checks the other schedulers' views of member j, if it ended at least Detect ago.
 func (w *replay) checkMissedEnd(j int, now ledger.Time) {
 	if w.diedAt[j] < 0 || now-w.diedAt[j] < w.limits.Detect {
 		return
 	}
 	for i := range w.up {
-		// An observer that was suspended or started since then had less time.
+		// An observer that is suspended, or started later than Settle before the end, has had less time.
 		if i == j || !w.up[i] || w.nameReused[i] || w.stoppedAt[i] > 0 || w.stateSince[i] > w.diedAt[j]-w.limits.Settle {
 			continue
 		}
@@ -171,7 +172,7 @@
 	if !ok || i == j {
 		return
 	}
-	if !w.reaches(i, j, now) { // during a cut, lastUnreachable is otherwise set only at its begin and end
+	if !w.reaches(i, j, now) { // the events of a cut set lastUnreachable only at its begin and end
 		w.lastUnreachable[i][j], w.lastUnreachable[j][i] = now, now
 	}
 	v := &w.views[i][j]
--- a/internal/lab/membershipcheck/views_test.go
+++ b/internal/lab/membershipcheck/views_test.go
@@ -9,7 +9,7 @@
 
 var terms = Terms{Count: 3, Pause: 20_000, Detect: 60_000, Settle: 100_000, Grace: 80_000}
 
-// scenario is a ledger of three members. newScenario starts it with all of them seeing each other as here.
+// scenario is a ledger of three members. After newScenario, each member sees the others as "here".
 type scenario []ledger.Event
 
 func newScenario() *scenario {
@@ -38,18 +38,18 @@
 	s.add(at, ledger.Event{Kind: ledger.Way, Scheduler: from, To: to, State: state})
 }
 
-func (s *scenario) judge(t *testing.T, name string, falseGone, missed int, apart bool) *Judgement {
+func (s *scenario) judge(t *testing.T, name string, falseGone, missed int, wrongViews bool) *Judgement {
 	t.Helper()
 	s.add(600_000, ledger.Event{Kind: ledger.Way, Scheduler: 1, State: "end"})
 	j := Judge(*s, terms)
-	if j.FalseGone != falseGone || j.MissedGone != missed || (j.WrongViews > 0) != apart {
-		t.Errorf("%s: %d false, %d missed, %d apart: %v", name, j.FalseGone, j.MissedGone, j.WrongViews, j.Breaches)
+	if j.FalseGone != falseGone || j.MissedGone != missed || (j.WrongViews > 0) != wrongViews {
+		t.Errorf("%s: %d false, %d missed, %d wrong views: %v", name, j.FalseGone, j.MissedGone, j.WrongViews, j.Breaches)
 	}
 	return j
 }
 
-// Checks that wrong views of gone and missed ends are reported, and that views which match the actual states
-// are not.
+// Checks that a view of a running member as gone is reported, and so is a view that misses a member's end.
+// Views that match the actual states must not be reported.
 func TestFalseAndMissedReportsOfEndsAreFound(t *testing.T) {
 	newScenario().judge(t, "calm", 0, 0, false)
 
@@ -107,8 +107,8 @@
 	}
 }
 
-// During a long cut the ledger has no event of it between begin and end. A view of gone late in the cut must
-// still be accepted. The same view longer than the grace after the cut's end is false.
+// The ledger records a cut only at its begin and end. A view of gone late in a long cut must still be
+// accepted. The same view is false if it comes later than the grace after the cut's end.
 func TestAGoneReportLateInALongCutIsAccepted(t *testing.T) {
 	for _, at := range []ledger.Time{195_000, 285_001} {
 		s := newScenario()
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -1,5 +1,5 @@
-// Package report computes the figures of an experiment from its ledger: latencies since ops were due, service
-// by benefit, waste, probes, connections, and the resources that the schedulers used.
+// Package report computes the figures of an experiment from its ledger. They cover latencies from the due
+// time of ops, service by benefit, waste, probes, connections, and the resources that the schedulers used.
 package report
 
 import (
@@ -99,16 +99,16 @@
 
 // clientRequest is the state of a client's request over all its attempts.
 type clientRequest struct {
-	category int
-	client   int
-	due      ledger.Time
-	work     float64 // ms of core time
-	slots    float64
-	ackedAt  ledger.Time
-	acked    bool
-	last     string
-	lastAt   ledger.Time
-	tries    int
+	category      int
+	client        int
+	due           ledger.Time
+	work          float64 // ms of core time
+	slots         float64
+	ackedAt       ledger.Time
+	acked         bool
+	lastOutcome   string
+	lastOutcomeAt ledger.Time
+	attempts      int
 }
 
 // Of computes the figures of a run.
@@ -138,7 +138,7 @@
 				requests[ev.Effect], order = req, append(order, req)
 				requestedWork += ev.Work
 			}
-			req.tries++
+			req.attempts++
 			ops[ev.Op] = req
 		case ledger.Sent:
 			if sent++; ev.Late > 10 {
@@ -147,9 +147,9 @@
 			maxLate = max(maxLate, ev.Late)
 		case ledger.Answer, ledger.Cut, ledger.Refused, ledger.Left, ledger.Echo:
 			if req := ops[ev.Op]; req != nil && !req.acked {
-				req.last, req.lastAt = string(ev.Kind), ev.At
+				req.lastOutcome, req.lastOutcomeAt = string(ev.Kind), ev.At
 				if ev.Verdict != "" {
-					req.last = ev.Verdict
+					req.lastOutcome = ev.Verdict
 				}
 				if ev.Verdict == ledger.Acked {
 					req.acked, req.ackedAt = true, ev.At
@@ -218,14 +218,14 @@
 			categoryRequested += benefit
 			row.Counts["wishes"]++
 			buckets := []*earnings{earningsOf(clients, req.client)}
-			for k := range windowSlices { // each window of ten seconds that contains the due time
+			for k := range windowSlices { // all windows of ten seconds that contain the due time
 				buckets = append(buckets, earningsOf(windows, int(req.due/sliceLength)-k))
 			}
 			for _, s := range buckets {
-				s.asked += benefit
+				s.requested += benefit
 			}
 			if !req.acked {
-				row.Counts[cmp.Or(req.last, "unanswered")]++
+				row.Counts[cmp.Or(req.lastOutcome, "unanswered")]++
 				continue
 			}
 			row.Counts[ledger.Acked]++
@@ -268,14 +268,14 @@
 		r.Figures["service"] = totalEarned / totalRequested
 		r.Figures["service_worst_category"] = worst
 		r.Figures["service_worst_client"] = lowestService(clients, 0)
-		// Windows with less than half of the mean benefit are left out: those at the ends of the run have few
-		// requests.
+		// Windows with less than half of the mean benefit are left out, because the windows at the ends of
+		// the run have few requests.
 		r.Figures["service_worst_10s"] = min(lowestService(windows, totalRequested/float64(len(windows))*windowSlices/2), totalEarned/totalRequested)
 	}
 }
 
-// earnings is the benefit earned and the benefit of all requests.
-type earnings struct{ earned, asked float64 }
+// earnings holds the benefit earned and the benefit of all requests.
+type earnings struct{ earned, requested float64 }
 
 // windowSlices is the number of slices in ten seconds.
 const windowSlices = 100_000 / 2_500
@@ -287,13 +287,13 @@
 	return m[k]
 }
 
-// lowestService returns the lowest share of earned benefit among the entries that requested more than
-// minimum.
+// lowestService returns the lowest share of the requested benefit that was earned. It considers only entries
+// whose requested benefit exceeds minimum.
 func lowestService(m map[int]*earnings, minimum float64) float64 {
 	lowest := 1.0
 	for _, s := range m {
-		if s.asked > minimum {
-			lowest = min(lowest, s.earned/s.asked)
+		if s.requested > minimum {
+			lowest = min(lowest, s.earned/s.requested)
 		}
 	}
 	return lowest
@@ -319,9 +319,9 @@
 		case req.acked:
 			s.Acked++
 			recordLatency(hist[i], req.ackedAt-req.due)
-		case req.last == ledger.Nacked:
+		case req.lastOutcome == ledger.Nacked:
 			s.Nacked++
-		case req.last == ledger.Dead:
+		case req.lastOutcome == ledger.Dead:
 			s.Dead++
 		default:
 			s.Other++
@@ -335,8 +335,8 @@
 	}
 }
 
-// addUse adds the peak memory and descriptors of a scheduler, and the CPU time of all schedulers for each
-// request.
+// addUse adds the highest memory and descriptor count of any scheduler, and the CPU time of all schedulers
+// per request.
 func (r *Results) addUse() {
 	last, cpu := map[int]float64{}, 0.0
 	for _, u := range r.Uses {
@@ -389,8 +389,8 @@
 	r.Unmet = append(r.Unmet, j.Breaches...)
 }
 
-// Changes adds the durations of voter changes, and the number of different voter sets that the schedulers
-// used at rest.
+// Changes adds the number and the longest duration of voter changes, and the number of different voter sets
+// that the schedulers used at rest.
 func (r *Results) Changes(took []time.Duration, sets int) {
 	longest := time.Duration(0)
 	for _, t := range took {
@@ -450,8 +450,8 @@
 	return names
 }
 
-// Lagged sets the greatest delay of the lab itself. If it exceeds the slack of the rules, the run is void:
-// the recorded times are then no evidence against a scheduler.
+// Lagged sets the greatest delay of the lab itself. If the delay exceeds the slack of the rules, the run is
+// void, because the recorded times are then no evidence against a scheduler.
 func (r *Results) Lagged(ms, slack float64) {
 	r.Figures["lab_lag_ms"] = ms
 	if ms > slack {
@@ -459,5 +459,5 @@
 	}
 }
 
-// Held reports whether no rule was broken and all expectations were met.
+// Held reports whether the run passed: no rule was broken and all expectations were met.
 func (r *Results) Held() bool { return len(r.Audit.Breaches) == 0 && len(r.Unmet) == 0 }
--- a/internal/lab/report/golden_test.go
+++ b/internal/lab/report/golden_test.go
@@ -8,7 +8,7 @@
 	"woaddyke/internal/testsupport/golden"
 )
 
-// goldenResults returns results with a separate value for each figure of the summary line.
+// goldenResults returns results in which each figure of the summary line has a different value.
 func goldenResults(value func(place int) float64) *Results {
 	r := &Results{Figures: map[string]float64{}, Unmet: []string{"a promise", "another"},
 		Audit: audit.Judgement{Ops: 1201, Answers: 1198, Breaches: make([]audit.Breach, 3), Excused: 4, Unread: 5, Open: 6}}
--- a/internal/lab/report/roles.go
+++ b/internal/lab/report/roles.go
@@ -17,12 +17,12 @@
 	Sent meter.Sheet
 	Uses []schedulers.Use
 
-	Hollow schedulers.Use // of the process with the hollow schedulers
+	Hollow schedulers.Use // resources of the process with the hollow schedulers
 }
 
-// Roles adds the resources used and the traffic sent by each scheduler between two moments. The time between
-// them leaves out start-up and the rest at the end. The figure of a scheduler is its mean over that time.
-// Reported are the mean over all schedulers and the highest value.
+// Roles adds the resources that each scheduler used and its traffic between two moments. The caller chooses
+// them so that start-up and the quiet period at the end are left out. A scheduler's value is the mean over
+// this time. Each figure is the mean of these values, and the figure NAME.max is the highest of them.
 func (r *Results) Roles(from, to Edge, events []ledger.Event, count, hollow int) {
 	span := float64(to.At-from.At) / 10_000
 	if span <= 0 || len(to.Sent) == 0 {
@@ -59,8 +59,8 @@
 	r.addStarts(from.At, to.At, events)
 }
 
-// addHollow adds the figures of the hollow schedulers: the share of the process's resources for each of them,
-// and their membership traffic.
+// addHollow adds the figures of the hollow schedulers: the resources of their process divided by their
+// number, and their membership traffic.
 func (r *Results) addHollow(sent meter.Sheet, from, to schedulers.Use, span float64) {
 	n := float64(len(sent))
 	r.Figures["hollow_cores"], r.Figures["hollow_mb"] = (to.CPU-from.CPU)/span/n, float64(to.Resident)/(1<<20)/n
@@ -74,10 +74,10 @@
 	r.setMeanAndMax("hollow_members_messages_ps", messages)
 }
 
-// HeldViews adds the number of different views among all members when the first op was due, and at rest. With
-// more than one view at first, the figures include the cost of joining. The run is void if hollow members
-// were late for longer than members.pause_ms: they share a processor, which members on separate machines
-// don't.
+// HeldViews adds the number of different views among all members when the first op was due, and at rest. If
+// there was more than one view when the first op was due, the figures include the cost of joining. The run is
+// void if hollow members were late by more than members.pause_ms: they share a processor, which members on
+// separate machines don't.
 func (r *Results) HeldViews(first, n int, lateMS, pauseMS float64) {
 	if r.Figures["hollow_late_ms"] = lateMS; lateMS > pauseMS {
 		r.Void = fmt.Sprintf("hollow schedulers were late by %.0f ms, more than members.pause_ms of %.0f ms: this machine is too busy for so many", lateMS, pauseMS)
@@ -91,12 +91,12 @@
 // InForce is the result of a change of settings.
 type InForce struct {
 	At      ledger.Time
-	Took    []time.Duration // from the change until it was in force, for each scheduler where it was
-	Missing int             // number of schedulers where it did not come into force in time
+	Took    []time.Duration // for each scheduler where the change came into force: the time until then
+	Missing int             // number of schedulers where the change did not come into force in time
 }
 
-// InForce adds the results of all changes of settings: the times at which a change was in force at 50%, 99%
-// and all of the schedulers. Of all changes, the longest times are reported.
+// InForce adds the results of all changes of settings: the times until a change was in force at 50%, 99% and
+// all of the schedulers. Each figure is the longest time over all changes.
 func (r *Results) InForce(all []InForce) {
 	if len(all) == 0 {
 		return
--- a/internal/lab/report/sizes_test.go
+++ b/internal/lab/report/sizes_test.go
@@ -9,7 +9,7 @@
 	"woaddyke/internal/lab/audit"
 )
 
-// A void run must not change a slope, and the joint verdict must include the breaches of every size.
+// A void run must not change a slope. The verdict on all sizes must include the breaches of each size.
 func TestVoidRunsAreLeftOutOfSlopesAndKeptInTheVerdict(t *testing.T) {
 	at := func(workers int, mb float64, void string, breaches int, unmet ...string) SizeResult {
 		return SizeResult{workers, &Results{Name: "x", Void: void, Unmet: unmet, Figures: map[string]float64{"scheduler_mb": mb},
@@ -50,7 +50,7 @@
 	}
 }
 
-// Different views at rest are an unmet expectation. The run is void where members were late for longer than
+// Different views at rest are an unmet expectation. The run is void if members were late by more than
 // pause_ms, because hundreds of them share a processor.
 func TestDifferentViewsAtRestAreUnmetAndLateMembersVoidTheRun(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/lab/requirements/needs.go
+++ b/internal/lab/requirements/needs.go
@@ -1,5 +1,5 @@
 // Package requirements estimates how many descriptors and how much memory an experiment needs, so that the
-// lab rejects an experiment that its machine can't run before any process starts. The figures are lower
+// lab can reject an experiment before any process starts if its machine can't run it. The figures are lower
 // estimates for an ordinary run: a scheduler that dials without end needs more.
 package requirements
 
@@ -16,9 +16,9 @@
 
 // Needs are the resources that an experiment needs.
 type Needs struct {
-	Listeners   int // of the workers; included in Descriptors
-	Descriptors int // of the lab's own process
-	MemoryMB    int // of the lab and of all schedulers
+	Listeners   int // listeners of the workers; included in Descriptors
+	Descriptors int // descriptors of the lab's own process
+	MemoryMB    int // memory of the lab and of all schedulers
 }
 
 // Limits are the resources of a machine.
@@ -64,9 +64,9 @@
 	}
 	running := rate * work / shareSum / minSpeed
 	// An exchange's connection stays open for the keepalive time, and in the lab for lingerSeconds after the
-	// other end closes. Beside the connections that carry pushes, there are at most as many as pairs of a
-	// scheduler and a worker. The lab can therefore have more connections than the schedulers' socket limits
-	// allow.
+	// other end closes. In addition to the connections that carry pushes, there is at most one connection for
+	// each pair of a scheduler and a worker. The lab can therefore have more connections than the schedulers'
+	// socket limits allow.
 	pairs, alive := n*float64(workers), e.Schedulers.KeepaliveMS/1000
 	dials := min(pairs/alive, exchangesPerOp*rate)
 	conns := min(2*running+dials*(alive+lingerSeconds), 2*n*float64(e.Schedulers.Sockets))
@@ -80,7 +80,8 @@
 	return Needs{Listeners: listeners, Descriptors: int(float64(listeners) + conns + 3*n + mesh + spareDescriptors), MemoryMB: int(kb / 1024)}
 }
 
-// Fit returns a one-line error that names the resource of which the machine has too little.
+// Fit returns nil if the machine has enough of each resource. Otherwise it returns a one-line error that
+// names the resource.
 func (n Needs) Fit(l Limits) error {
 	switch {
 	case n.Descriptors > l.Descriptors:
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -14,7 +14,7 @@
 	"woaddyke/internal/lab/experiment"
 )
 
-// Kinds of faults that only a soak has. Package runner passes them to the shims.
+// Kinds of faults that occur only in a soak. Package runner passes them to the shims.
 const (
 	kindClock = "scheduler-clock" // the wall clock is ahead by Size seconds until the next step
 	kindCalls = "scheduler-calls" // one in Size system calls on sockets fails
@@ -185,12 +185,12 @@
 	return e, nil
 }
 
-// drawFaults draws faults in bursts of two or three that overlap, at chosen schedulers and workers.
+// drawFaults draws overlapping faults in bursts of two or three, and their targets.
 func drawFaults(e *experiment.Experiment, r *rand.Rand) {
 	from, to := faultsFrom*e.Seconds, min(faultsTo*e.Seconds, e.Seconds-minQuiet.Seconds())
 	kinds := slices.Concat(faultTemplates, memberFaults)
 	if r.IntN(seedsPerCrowd) == 0 {
-		for range 3 { // three times, so that such a run has several of them
+		for range 3 { // three times, so that such a run draws several of these faults
 			kinds = append(kinds, crowdFaults...)
 		}
 	}
--- a/internal/lab/soak/golden_test.go
+++ b/internal/lab/soak/golden_test.go
@@ -14,12 +14,13 @@
 // different value.
 func TestTheSummaryLineFormatIsStable(t *testing.T) {
 	v := &Verdict{Seed: 101, Processes: 102, Requests: 103, Faults: 104, Kinds: 105, FailedCalls: 106, Pipelined: 107, Violations: 108, Lost: 109,
-		Duplicates: 110, Unanswered: 111, Recovered: 1234567 * time.Microsecond}
+		Duplicates: 110, Unanswered: 111, RecoveryTime: 1234567 * time.Microsecond}
 	golden.Compare(t, "testdata/line.golden", fmt.Appendln(nil, v.SummaryLine()))
 }
 
-// The assignment of rules to counts must not change. Each rule is broken a different number of times.
-func TestEachRuleIsCountedAsBefore(t *testing.T) {
+// Each rule must be counted under the same field of the verdict as in earlier builds. Each rule is broken a
+// different number of times, so that an exchange of two fields is seen.
+func TestTheCountsOfEachRuleAreStable(t *testing.T) {
 	r := &report.Results{Figures: map[string]float64{"doubled": 1000}, Audit: audit.Judgement{Ops: 77, Answers: 66, Excused: 55, Unread: 44, Open: 33}}
 	repeats := 1
 	for _, rule := range []audit.Rule{audit.Lost, audit.Twice, audit.Drain, audit.Cold, audit.Forged, audit.Crashed, audit.ExcessDeadline} {
--- a/internal/lab/soak/shims.go
+++ b/internal/lab/soak/shims.go
@@ -33,11 +33,11 @@
 	syscall.SYS_FTRUNCATE: {syscall.EIO, syscall.ENOSPC},
 }
 
-// activeFaults are the faults in the processes of a scheduler.
+// activeFaults are the active faults of a scheduler, which apply to all its processes.
 type activeFaults struct {
-	oneIn float64 // one in so many calls on sockets fails; 0 for none
-	late  time.Duration
-	disk  bool
+	oneIn           float64 // one in oneIn calls on sockets fails; with 0 none fails
+	maxConnectDelay time.Duration
+	failFileCalls   bool
 }
 
 // Shims start schedulers whose clocks can be stepped and whose system calls can fail.
@@ -45,16 +45,16 @@
 	program, launcher, folder, level string
 
 	mu          sync.Mutex
-	chance      *rand.Rand
+	rng         *rand.Rand
 	clocks      map[int]*steppedclock.Clock
 	faults      map[int]*activeFaults
 	failedCalls int // number of calls that failed
 }
 
-// NewShims returns shims for a program that was built by package steppedclock. They start it through a
-// launcher and put their files in a folder.
+// NewShims returns shims for a program that was built by package steppedclock. The shims start the program
+// through a launcher and put their files in a folder.
 func NewShims(program, launcher, folder, level string, seed uint64) *Shims {
-	return &Shims{program: program, launcher: launcher, folder: folder, level: level, chance: rand.New(rand.NewPCG(seed, 0x7368696d)),
+	return &Shims{program: program, launcher: launcher, folder: folder, level: level, rng: rand.New(rand.NewPCG(seed, 0x7368696d)),
 		clocks: map[int]*steppedclock.Clock{}, faults: map[int]*activeFaults{}}
 }
 
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	defer logFile.Close()
-	clock, faults, err := s.place(n)
+	clock, faults, err := s.stateOf(n)
 	if err != nil {
 		return nil, err
 	}
@@ -85,8 +85,8 @@
 	return schedulers.Started(cmd), nil
 }
 
-// place returns the clock and the active faults of scheduler n.
-func (s *Shims) place(n int) (*steppedclock.Clock, *activeFaults, error) {
+// stateOf returns the clock and the active faults of scheduler n.
+func (s *Shims) stateOf(n int) (*steppedclock.Clock, *activeFaults, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.clocks[n] == nil {
@@ -101,7 +101,7 @@
 
 // Turn begins or ends a fault at scheduler n.
 func (s *Shims) Turn(kind string, n int, on bool, size float64) {
-	clock, faults, err := s.place(n)
+	clock, faults, err := s.stateOf(n)
 	if err != nil {
 		return
 	}
@@ -115,11 +115,11 @@
 			faults.oneIn = 0
 		}
 	case kindLate:
-		if faults.late = time.Duration(size * float64(time.Millisecond)); !on {
-			faults.late = 0
+		if faults.maxConnectDelay = time.Duration(size * float64(time.Millisecond)); !on {
+			faults.maxConnectDelay = 0
 		}
 	case kindDisk:
-		faults.disk = on
+		faults.failFileCalls = on
 	}
 }
 
@@ -129,14 +129,14 @@
 	defer s.mu.Unlock()
 	errnos := socketErrnos[c.Number]
 	if len(errnos) > 0 {
-		if a.oneIn == 0 || s.chance.Float64()*a.oneIn >= 1 {
+		if a.oneIn == 0 || s.rng.Float64()*a.oneIn >= 1 {
 			return 0
 		}
-	} else if errnos = fileErrnos[c.Number]; !a.disk || !strings.HasPrefix(c.Target(), "/") {
+	} else if errnos = fileErrnos[c.Number]; !a.failFileCalls || !strings.HasPrefix(c.Target(), "/") {
 		return 0
 	}
 	s.failedCalls++
-	return errnos[s.chance.IntN(len(errnos))]
+	return errnos[s.rng.IntN(len(errnos))]
 }
 
 // connectDelay returns the delay of a call: a random delay for half of the connects under scheduler-late,
@@ -144,13 +144,13 @@
 func (s *Shims) connectDelay(a *activeFaults, c syscallfault.Call) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.Number != syscall.SYS_CONNECT || a.late == 0 || s.chance.IntN(2) == 0 {
+	if c.Number != syscall.SYS_CONNECT || a.maxConnectDelay == 0 || s.rng.IntN(2) == 0 {
 		return 0
 	}
-	return time.Duration(s.chance.Float64() * float64(a.late))
+	return time.Duration(s.rng.Float64() * float64(a.maxConnectDelay))
 }
 
-// Failed returns the number of calls that failed.
+// Failed returns the number of calls that the shims have made fail.
 func (s *Shims) Failed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -31,7 +31,7 @@
 	Pipelined                  int // requests that were pipelined behind another request on their connection
 	Violations, Lost           int
 	Duplicates, Unanswered     int
-	Recovered                  time.Duration // from the last fault until every scheduler acked an op
+	RecoveryTime               time.Duration // from the last fault until every scheduler acked an op
 	Findings                   []Finding
 	Void                       string
 }
@@ -48,16 +48,17 @@
 // SummaryLine returns the last line that a soak prints.
 func (v *Verdict) SummaryLine() string {
 	return fmt.Sprintf("soak: seed=%d processes=%d requests=%d faults=%d kinds=%d violations=%d lost=%d duplicates=%d unanswered=%d recovered_ms=%d",
-		v.Seed, v.Processes, v.Requests, v.Faults, v.Kinds, v.Violations, v.Lost, v.Duplicates, v.Unanswered, v.Recovered.Milliseconds())
+		v.Seed, v.Processes, v.Requests, v.Faults, v.Kinds, v.Violations, v.Lost, v.Duplicates, v.Unanswered, v.RecoveryTime.Milliseconds())
 }
 
-// Allowances at rest, beyond the highest value of all schedulers before the first op.
+// After the run, a scheduler may have this many more files and goroutines than the highest number of any
+// scheduler before the first op.
 const (
 	extraFiles      = 96 // includes idle connections to workers and members
 	extraGoroutines = 160
 )
 
-// schedulerState is the state that a scheduler reports, with its number of descriptors.
+// schedulerState is the state that a scheduler reports, and the number of its descriptors.
 type schedulerState struct {
 	InFlight   int               `json:"in_flight"`
 	Goroutines int               `json:"goroutines"`
@@ -187,7 +188,7 @@
 			v.addFinding("", "scheduler %d has served nothing since the last trouble", n)
 			continue
 		}
-		v.Recovered = max(v.Recovered, time.Duration(firstAck[n]-lastFault)*ledger.Tenth)
+		v.RecoveryTime = max(v.RecoveryTime, time.Duration(firstAck[n]-lastFault)*ledger.Tenth)
 	}
 }
 
@@ -212,7 +213,7 @@
 	return nil
 }
 
-// violationMessages are the log messages for a violated invariant, of this build and of earlier ones.
+// violationMessages are the messages that this build and earlier builds log for a violated invariant.
 var violationMessages = []string{"invariant violated", "a rule is broken"}
 
 func (v *Verdict) readLog(name string, from io.Reader) error {
--- a/internal/lab/steppedclock/steppedclock.go
+++ b/internal/lab/steppedclock/steppedclock.go
@@ -1,6 +1,6 @@
 // Package steppedclock builds a program whose wall clock another process can step while it runs. A step
 // changes the wall reading of time.Now, and not its monotonic reading. The program's source is unchanged: for
-// this build the Go command replaces a line of the standard library's package time by an overlay.
+// this build the Go command replaces a line of the standard library's package time through an overlay.
 package steppedclock
 
 import (
@@ -46,11 +46,11 @@
 	}
 	fd, err := syscall.Open(path, syscall.O_RDONLY|syscall.O_CLOEXEC, 0)
 	if err != nil {
-		panic("time: the file of the stepped clock can't be opened")
+		panic("time: the file that WOADDYKE_LAB_CLOCK names can't be opened")
 	}
 	memory, err := syscall.Mmap(fd, 0, 8, syscall.PROT_READ, syscall.MAP_SHARED)
 	if err != nil {
-		panic("time: the file of the stepped clock can't be mapped")
+		panic("time: the file that WOADDYKE_LAB_CLOCK names can't be mapped into memory")
 	}
 	syscall.Close(fd)
 	stepped = (*int64)(unsafe.Pointer(&memory[0]))
@@ -78,7 +78,7 @@
 	}
 	changed := strings.Replace(string(timeSource), readingBefore, readingAfter, 1)
 	if changed == string(timeSource) {
-		return "", errors.New("stepped clock: this Go's time.Now reads its clock in another way")
+		return "", errors.New("stepped clock: time.Now of this Go version has no line that the overlay can replace")
 	}
 	files := map[string]string{"time.go": changed, "stepped.go": overlaySource}
 	overlay := map[string]string{}
@@ -106,7 +106,7 @@
 	return program, nil
 }
 
-// Clock is the wall clock of the processes that were started with its environment.
+// Clock is the wall clock of the processes that were started with the entry that Environment returns.
 type Clock struct {
 	file   *os.File
 	memory []byte
--- a/internal/lab/steppedclock/steppedclock_test.go
+++ b/internal/lab/steppedclock/steppedclock_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A step must move the wall clock by the given time, and must not change the monotonic time that the process
-// has run.
+// A step must move the wall clock by the given time. It must not change the time that the process has run by
+// the monotonic clock.
 func TestSteppingMovesTheWallClockAndLeavesTheMonotonicClock(t *testing.T) {
 	dir := t.TempDir()
 	program, err := Build(t.Context(), ".", "./showclock", dir)
--- a/internal/lab/syscallfault/launch.go
+++ b/internal/lab/syscallfault/launch.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	launchVariable = "WOADDYKE_LAB_SYSCALLS" // holds the launcher's instructions, as JSON
+	launchVariable = "WOADDYKE_LAB_SYSCALLS" // environment variable with the launcher's instructions, as JSON
 	listenerFD     = 3                       // the launcher's end of the socket to the supervisor, which carries the listener
 
 	filterNewListener  = 1 << 3 // SECCOMP_FILTER_FLAG_NEW_LISTENER
@@ -32,8 +32,8 @@
 	Args  []string
 }
 
-// Launch executes the program that a supervisor started this process for. A program that serves as launcher
-// calls it first in main or TestMain. It returns if no supervisor started the process.
+// Launch executes the program that a supervisor started this process for. A launcher's main or TestMain must
+// call Launch first. If no supervisor started the process, Launch returns and does nothing.
 func Launch() {
 	text := os.Getenv(launchVariable)
 	if text == "" {
--- a/internal/lab/syscallfault/supervise.go
+++ b/internal/lab/syscallfault/supervise.go
@@ -42,7 +42,7 @@
 	flags uint32
 }
 
-// Call is one system call that is about to be made.
+// Call is a system call that is about to be made.
 type Call struct {
 	Number int
 	Args   [6]uint64
@@ -59,7 +59,8 @@
 	return target
 }
 
-// Decide returns the error with which a call fails, or 0 to let it continue. Calls of it don't overlap.
+// Decide returns the error with which a call fails, or 0 to let it continue. It is never called
+// concurrently.
 type Decide func(Call) syscall.Errno
 
 // Delay returns the time to wait before the decision on a call, or 0. Other calls continue meanwhile.
@@ -76,8 +77,8 @@
 	ended    chan struct{}
 }
 
-// Start starts a command through a launcher, whose program calls Launch first. The supervisor then decides on
-// the system calls with the given numbers. A nil Decide lets all of them continue.
+// Start starts a command through a launcher, a program that calls Launch first. The supervisor then decides
+// on the system calls with the given numbers. If d is nil, all of them continue.
 func Start(cmd *exec.Cmd, launcher string, d Decide, numbers ...int) (*Supervisor, error) {
 	instructions := launch{Path: cmd.Path, Args: cmd.Args}
 	for _, n := range numbers {
@@ -138,14 +139,14 @@
 	return fds[0], nil
 }
 
-// Set replaces the rule that decides on calls. With nil all calls continue.
+// Set replaces the function that decides on calls. If it is nil, all calls continue.
 func (s *Supervisor) Set(d Decide) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decide = d
 }
 
-// Hold sets the rule that delays calls. With nil no call is delayed.
+// Hold sets the function that delays calls. If it is nil, no call is delayed.
 func (s *Supervisor) Hold(d Delay) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,7 +181,8 @@
 	}
 }
 
-// handleCall receives a call and decides on it. It ignores a call whose thread has ended or continued since.
+// handleCall receives a call and decides on it. If the call's thread has ended or continued since, it does
+// nothing.
 func (s *Supervisor) handleCall() {
 	var n notification
 	if _, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(s.listener), notifyReceive, uintptr(unsafe.Pointer(&n))); errno != 0 {
