--- a/cmd/hollow/operator_state.go
+++ b/cmd/hollow/operator_state.go
@@ -19,7 +19,7 @@
 // first settings that it receives.
 type board struct {
 	mu          sync.Mutex
-	states      *operatorstate.Board
+	states      *operatorstate.Registry
 	hasSettings bool
 	changed     bool // this member's state has changed since it was last sent
 }
@@ -36,7 +36,7 @@
 	b.states.Receive(from, incarnation, state)
 	if !b.hasSettings {
 		b.hasSettings = true
-		b.changed = b.states.SetOwn(state.Settings, false)
+		b.changed = b.states.SetOwn(state.SettingsHash, false)
 	}
 }
 
@@ -86,6 +86,6 @@
 		names = []string{names[rand.IntN(len(names))]}
 	}
 	for _, name := range names {
-		m.mesh.BroadcastOperatorState(name, state)
+		m.mesh.SendOperatorState(name, state)
 	}
 }
--- a/cmd/lab/campaign.go
+++ b/cmd/lab/campaign.go
@@ -58,12 +58,12 @@
 	n := e.Schedulers.Count
 	busyUntil := make([]float64, n)
 	for at := 1.5; at < 0.65*e.Seconds; at += 0.3 + 2*r.Float64() {
-		f := experiment.Fault{At: at, For: 0.2 + (0.75*e.Seconds-at)*r.Float64()*r.Float64(), Way: "both"}
+		f := experiment.Fault{StartS: at, DurationS: 0.2 + (0.75*e.Seconds-at)*r.Float64()*r.Float64(), Direction: "both"}
 		i := r.IntN(n)
 		f.Indices = []int{i}
 		kinds := []string{"scheduler-kill", "scheduler-stop", "scheduler-term", "scheduler-starve", "scheduler-takeover", "mesh-cut", "mesh-cut",
 			"mesh-flap", "mesh-loss", "mesh-delay", "part"}
-		if e.Copies.Agreed {
+		if e.Replication.ConsensusMembership {
 			kinds = append(kinds, "keepers-change", "keepers-change", "keepers-change")
 		}
 		kind := kinds[r.IntN(len(kinds))]
@@ -73,22 +73,22 @@
 		}
 		switch f.Kind = kind; kind {
 		case "scheduler-takeover":
-			f.For = 6
+			f.DurationS = 6
 		case "scheduler-term":
-			f.For += 3
+			f.DurationS += 3
 		case "scheduler-starve":
-			f.Size = 0.4 + 0.5*r.Float64()
+			f.Magnitude = 0.4 + 0.5*r.Float64()
 		case "mesh-cut", "mesh-flap":
-			f.Way, f.Refuses = []string{"both", "out", "in"}[r.IntN(3)], r.IntN(4) == 0
+			f.Direction, f.ResetStreams = []string{"both", "out", "in"}[r.IntN(3)], r.IntN(4) == 0
 			if f.EveryS = 0.7; r.IntN(2) == 0 {
 				f.To = []int{(i + 1 + r.IntN(n-1)) % n}
 			}
 		case "mesh-loss":
-			f.Size = 0.25 * r.Float64()
+			f.Magnitude = 0.25 * r.Float64()
 		case "mesh-delay":
-			f.Size = 40 * r.Float64()
+			f.Magnitude = 40 * r.Float64()
 		case "keepers-change":
-			f.For += 3
+			f.DurationS += 3
 			f.Indices = r.Perm(n)[:[]int{1, 3, 3, 5}[r.IntN(4)]]
 		case "part":
 			f.Kind, f.Indices = "mesh-cut", nil
@@ -102,7 +102,7 @@
 			}
 		}
 		if ofProcess {
-			busyUntil[i] = at + f.For + 2.5
+			busyUntil[i] = at + f.DurationS + 2.5
 		}
 		e.Faults = append(e.Faults, f)
 	}
@@ -140,10 +140,10 @@
 				}
 				dir := filepath.Join(out, strconv.FormatUint(seed, 10))
 				began := time.Now()
-				r, err := runner.Run(c.Context(), e, runner.Stage{Out: dir, Make: m, Progress: progress})
+				r, err := runner.Run(c.Context(), e, runner.Options{OutputDir: dir, Launch: m, Progress: progress})
 				p := seedRun{Seed: seed, Seconds: time.Since(began).Seconds()}
 				for _, f := range e.Faults {
-					p.Faults = append(p.Faults, fmt.Sprintf("%.1f s: %s on %v for %.1f s", f.At, f.Kind, f.Indices, f.For))
+					p.Faults = append(p.Faults, fmt.Sprintf("%.1f s: %s on %v for %.1f s", f.StartS, f.Kind, f.Indices, f.DurationS))
 				}
 				if err != nil {
 					return fmt.Errorf("seed %d: %w", seed, err)
--- a/cmd/lab/compare.go
+++ b/cmd/lab/compare.go
@@ -40,7 +40,7 @@
 					if err != nil {
 						return err
 					}
-					r, err := runner.Run(c.Context(), &round, runner.Stage{Make: m, Quiet: true, Hollow: siblingPath("hollow")})
+					r, err := runner.Run(c.Context(), &round, runner.Options{Launch: m, SkipResults: true, HollowProgram: siblingPath("hollow")})
 					if err != nil {
 						return err
 					}
--- a/cmd/lab/judge.go
+++ b/cmd/lab/judge.go
@@ -23,7 +23,7 @@
 	return &cobra.Command{Use: "audit FILE", Short: "Judge a ledger by the rules", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			events, err := ledger.ReadFile(args[0])
-			truncated := errors.Is(err, ledger.ErrTorn)
+			truncated := errors.Is(err, ledger.ErrTruncated)
 			if err != nil && !truncated {
 				return err
 			}
@@ -32,7 +32,7 @@
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
 			out := c.OutOrStdout()
-			if truncated || !j.Whole {
+			if truncated || !j.Complete {
 				fmt.Fprintln(out, "the ledger was cut off: what was still open at its end is not judged")
 			}
 			for _, b := range j.Breaches {
@@ -55,15 +55,15 @@
 				if err != nil {
 					return err
 				}
-				if err := runner.Fits(e); err != nil {
+				if err := runner.CheckCapacity(e); err != nil {
 					return err
 				}
-				s, err := workload.Of(e)
+				s, err := workload.Generate(e)
 				if err != nil {
 					return fmt.Errorf("%s: %w", path, err)
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: %d workers, %d schedulers, %d ops in %g s, %d turns of trouble, script %s\n", path,
-					len(s.Workers), e.Schedulers.Count, len(s.Wishes), e.Seconds, len(s.Turns), s.Hash())
+					len(s.Workers), e.Schedulers.Count, len(s.Requests), e.Seconds, len(s.FaultEvents), s.Hash())
 				n := requirements.Of(e)
 				fmt.Fprintf(c.OutOrStdout(), "  needs about %d descriptors in the lab's process and %d MB\n", n.Descriptors, n.MemoryMB)
 			}
--- a/cmd/lab/run.go
+++ b/cmd/lab/run.go
@@ -42,10 +42,10 @@
 }
 
 // maker returns a maker of the schedulers that the spec names.
-func (b *schedulerSpec) maker(e *experiment.Experiment) (schedulers.Maker, error) {
+func (b *schedulerSpec) maker(e *experiment.Experiment) (schedulers.Launcher, error) {
 	path := b.path
 	if policy, ok := strings.CutPrefix(path, "baseline:"); ok {
-		return baseline.Maker(policy, baseline.Wrongs{})
+		return baseline.Maker(policy, baseline.Violations{})
 	}
 	if path == "" {
 		path = siblingPath("woaddyke")
@@ -57,7 +57,7 @@
 	if b.operator != "" {
 		args = append(args, "--operator", b.operator)
 	}
-	return schedulers.Program(path, args...), nil
+	return schedulers.ProgramLauncher(path, args...), nil
 }
 
 // progressWriter returns a function that writes a run's progress to out, and a function that ends the output.
@@ -116,9 +116,9 @@
 }
 
 // runOne runs an experiment.
-func runOne(c *cobra.Command, e *experiment.Experiment, m schedulers.Maker, out string) (*report.Results, error) {
+func runOne(c *cobra.Command, e *experiment.Experiment, m schedulers.Launcher, out string) (*report.Results, error) {
 	progress, end := progressWriter(os.Stderr)
-	r, err := runner.Run(c.Context(), e, runner.Stage{Out: out, Make: m, Progress: progress, Hollow: siblingPath("hollow")})
+	r, err := runner.Run(c.Context(), e, runner.Options{OutputDir: out, Launch: m, Progress: progress, HollowProgram: siblingPath("hollow")})
 	end()
 	if err == nil && out != "" {
 		err = htmlreport.Write(filepath.Join(out, "page.html"), r)
@@ -128,12 +128,12 @@
 
 // runSizes runs an experiment at each of its sizes. Before the first run it checks that the machine has the
 // resources for all of them.
-func runSizes(c *cobra.Command, base *experiment.Experiment, m schedulers.Maker, out string) error {
+func runSizes(c *cobra.Command, base *experiment.Experiment, m schedulers.Launcher, out string) error {
 	var all []*experiment.Experiment
 	for _, share := range base.Sizes {
-		e, err := base.Sized(share)
+		e, err := base.Scaled(share)
 		if err == nil {
-			err = runner.Fits(e)
+			err = runner.CheckCapacity(e)
 		}
 		if err != nil {
 			return err
--- a/cmd/woaddyke/bench_test.go
+++ b/cmd/woaddyke/bench_test.go
@@ -26,27 +26,27 @@
 			}
 			c := cluster.New(b, 4, lines, fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"w","endpoint":%q,"state":"SERVING"}]}`,
 				worker.Listener.Addr()), testCommand)
-			for _, p := range c.Places {
+			for _, p := range c.Nodes {
 				c.Start(p)
 			}
-			c.AwaitWhole(c.Places...)
-			for _, p := range c.Places {
+			c.AwaitConverged(c.Nodes...)
+			for _, p := range c.Nodes {
 				c.Await("the replicas have their votes", func() bool { return p.Get("/api/ready", nil) && (!on || voteSettled(p)) })
 			}
 			client := http.Client{Timeout: 10 * time.Second}
 			var took []time.Duration
 			replicaTime := func() (total time.Duration) { // processor time of the three replicas
-				for _, p := range c.Places[:3] {
-					cmd, _ := p.Running()
+				for _, p := range c.Nodes[:3] {
+					cmd, _ := p.Process()
 					total += cpuTime(b, cmd)
 				}
 				return total
 			}
-			claimer, _ := c.Places[3].Running()
+			claimer, _ := c.Nodes[3].Process()
 			replicasBefore, claimerBefore := replicaTime(), cpuTime(b, claimer)
 			b.ResetTimer()
 			for n := range b.N {
-				r, _ := http.NewRequest(http.MethodPost, "http://"+c.Places[3].Listen+"/", strings.NewReader("x"))
+				r, _ := http.NewRequest(http.MethodPost, "http://"+c.Nodes[3].Listen+"/", strings.NewReader("x"))
 				r.Header = http.Header{"X-Correlation-Id": {fmt.Sprint("op", n)}, "X-Service-Class": {"pay"}, "X-Time-Left-Ms": {"4500"}}
 				from := time.Now()
 				resp, err := client.Do(r)
--- a/cmd/woaddyke/callsweep_test.go
+++ b/cmd/woaddyke/callsweep_test.go
@@ -53,7 +53,7 @@
 					}
 				}()
 				var n atomic.Int64
-				s.Set(func(c syscallfault.Call) syscall.Errno {
+				s.SetDecide(func(c syscallfault.Call) syscall.Errno {
 					if n.Add(1)%every != 0 {
 						return 0
 					}
@@ -70,7 +70,7 @@
 					})
 				}
 				all.Wait()
-				s.Set(nil)
+				s.SetDecide(nil)
 				other.Range(func(k, what any) bool {
 					t.Errorf("op %v: %v (%d calls failed)", k, what, s.Failed(x.call))
 					return true
--- a/cmd/woaddyke/claimers_test.go
+++ b/cmd/woaddyke/claimers_test.go
@@ -18,7 +18,7 @@
 )
 
 // startOpenOps sends ops that the worker holds to a scheduler, and returns their ids.
-func startOpenOps(t *testing.T, p *cluster.Place, b *testWorker) (ids []string) {
+func startOpenOps(t *testing.T, p *cluster.Node, b *testWorker) (ids []string) {
 	t.Helper()
 	for k := range openOps {
 		id := fmt.Sprint("hold-", k)
@@ -30,7 +30,7 @@
 }
 
 // startSuccessor starts a successor of a process, with its own console address, and waits until it serves.
-func startSuccessor(t *testing.T, c *cluster.Cluster, p *cluster.Place) {
+func startSuccessor(t *testing.T, c *cluster.Cluster, p *cluster.Node) {
 	t.Helper()
 	p.Console = freeAddr(t)
 	c.Start(p)
@@ -39,7 +39,7 @@
 
 // awaitRepeats repeats each id at each of the given schedulers until it gets the wanted status, and fails
 // the test if an op ran more than once.
-func awaitRepeats(t *testing.T, c *cluster.Cluster, b *testWorker, ids []string, want int, places ...*cluster.Place) {
+func awaitRepeats(t *testing.T, c *cluster.Cluster, b *testWorker, ids []string, want int, places ...*cluster.Node) {
 	t.Helper()
 	for _, p := range places {
 		for _, id := range ids {
@@ -67,11 +67,11 @@
 func TestRepeatsFailAfterAClaimerRestarts(t *testing.T) {
 	t.Parallel()
 	c, b := startReplicas(t, 3, true, "path = \"{dir}/copies.db\"\n")
-	ids := startOpenOps(t, c.Places[0], b)
-	c.Places[0].Kill()
-	c.Start(c.Places[0])
-	c.Await("the claimer is ready again", func() bool { return c.Places[0].Get("/api/ready", nil) && voteSettled(c.Places[0]) })
-	awaitRepeats(t, c, b, ids, http.StatusBadGateway, c.Places[1], c.Places[0])
+	ids := startOpenOps(t, c.Nodes[0], b)
+	c.Nodes[0].Kill()
+	c.Start(c.Nodes[0])
+	c.Await("the claimer is ready again", func() bool { return c.Nodes[0].Get("/api/ready", nil) && voteSettled(c.Nodes[0]) })
+	awaitRepeats(t, c, b, ids, http.StatusBadGateway, c.Nodes[1], c.Nodes[0])
 }
 
 // The predecessor of a hot restart is killed while its ops are in flight. The successor continues as the
@@ -79,46 +79,46 @@
 func TestRepeatsFailAfterAPredecessorIsKilled(t *testing.T) {
 	t.Parallel()
 	c, b := startReplicas(t, 3, true, "path = \"{dir}/copies.db\"\n")
-	p := c.Places[0]
+	p := c.Nodes[0]
 	ids := startOpenOps(t, p, b)
-	predecessor, ended := p.Running()
+	predecessor, ended := p.Process()
 	startSuccessor(t, c, p)
-	for _, at := range []*cluster.Place{c.Places[1], p} {
+	for _, at := range []*cluster.Node{c.Nodes[1], p} {
 		if status, text := post(at, "pay", ids[0], "x"); status != http.StatusServiceUnavailable {
 			t.Errorf("while the predecessor runs, at %s: %d %q", at.Name, status, text)
 		}
 	}
 	predecessor.Process.Kill()
 	<-ended
-	awaitRepeats(t, c, b, ids, http.StatusBadGateway, c.Places[1], p)
+	awaitRepeats(t, c, b, ids, http.StatusBadGateway, c.Nodes[1], p)
 }
 
 // The predecessor of a hot restart finishes its ops: repeats get the results.
 func TestRepeatsGetAPredecessorsResults(t *testing.T) {
 	t.Parallel()
 	c, b := startReplicas(t, 3, true, "path = \"{dir}/copies.db\"\n")
-	p := c.Places[0]
+	p := c.Nodes[0]
 	ids := startOpenOps(t, p, b)
 	startSuccessor(t, c, p)
 	close(b.release)
-	awaitRepeats(t, c, b, ids, http.StatusOK, c.Places[1], p)
+	awaitRepeats(t, c, b, ids, http.StatusOK, c.Nodes[1], p)
 }
 
 // A scheduler that is stopped for seconds and resumes still has its ops in flight: repeats get the results.
 func TestRepeatsGetAStoppedClaimersResults(t *testing.T) {
 	t.Parallel()
 	c, b := startReplicas(t, 3, true)
-	p := c.Places[0]
+	p := c.Nodes[0]
 	ids := startOpenOps(t, p, b)
 	p.Signal(syscall.SIGSTOP)
 	time.Sleep(2 * time.Second) // the fault itself: members suspect the scheduler, and may declare it dead
 	p.Signal(syscall.SIGCONT)
-	c.AwaitState(p.Name, "here", c.Places[1:]...)
-	if status, text := post(c.Places[1], "pay", ids[0], "x"); status != http.StatusServiceUnavailable {
+	c.AwaitState(p.Name, "here", c.Nodes[1:]...)
+	if status, text := post(c.Nodes[1], "pay", ids[0], "x"); status != http.StatusServiceUnavailable {
 		t.Errorf("after it resumed: %d %q", status, text)
 	}
 	close(b.release)
-	awaitRepeats(t, c, b, ids, http.StatusOK, c.Places[1], p)
+	awaitRepeats(t, c, b, ids, http.StatusOK, c.Nodes[1], p)
 }
 
 // The predecessor's ops have ended, and its successor is ready. The successor must answer a repeat as fast
@@ -127,11 +127,11 @@
 	t.Parallel()
 	const maxLatency = time.Second // half of the timeout for a majority in this cluster
 	c, b := startReplicas(t, 3, true, "path = \"{dir}/copies.db\"\n")
-	p := c.Places[0]
+	p := c.Nodes[0]
 	ids := startOpenOps(t, p, b)
 	startSuccessor(t, c, p)
 	close(b.release)
-	awaitRepeats(t, c, b, ids, http.StatusOK, c.Places[1])
+	awaitRepeats(t, c, b, ids, http.StatusOK, c.Nodes[1])
 	for _, id := range ids {
 		began := time.Now()
 		status, text := post(p, "pay", id, "x")
--- a/cmd/woaddyke/clock_test.go
+++ b/cmd/woaddyke/clock_test.go
@@ -63,18 +63,18 @@
 				if k == ids/2 {
 					clock.Set(step)
 				}
-				if status, text := post(c.Places[k%3], "pay", fmt.Sprint("id", k), "x"); status != http.StatusOK {
+				if status, text := post(c.Nodes[k%3], "pay", fmt.Sprint("id", k), "x"); status != http.StatusOK {
 					t.Fatalf("id%d: %d %q", k, status, text)
 				}
 			}
 			awaitReported(c) // an outcome that is still being sent when all processes are killed is lost
-			for _, p := range c.Places {
+			for _, p := range c.Nodes {
 				p.Kill()
 			}
 			startAll(c, true)
 			for k := range ids {
 				id := fmt.Sprint("id", k)
-				status, text := post(c.Places[(k+1)%3], "pay", id, "x")
+				status, text := post(c.Nodes[(k+1)%3], "pay", id, "x")
 				if n := b.runCount(id); n != 1 || status != http.StatusOK || text != "result of "+id {
 					t.Errorf("%s ran %d times; then %d %q", id, n, status, text)
 				}
--- a/cmd/woaddyke/cluster.go
+++ b/cmd/woaddyke/cluster.go
@@ -130,11 +130,11 @@
 	if err != nil {
 		return err
 	}
-	if err := p.replica.RestoreProcesses(state.EndedProcesses); err != nil {
+	if err := p.replica.RestoreEndedProcesses(state.EndedProcesses); err != nil {
 		return err
 	}
 	host.Replication = p.replica.Receive
-	host.Serving = p.replica.SetMembership
+	host.ServingChanged = p.replica.SetMembership
 	if table.DynamicReplicas {
 		host.ReplicaSet = p.replica.ReceiveReplicaSet
 	}
@@ -177,8 +177,8 @@
 	switch {
 	case c.State.Ended():
 		p.server.ReceivePeerInput(reducer.PeerLost{Peer: c.Number})
-	case c.State == membership.Alive && (c.New || c.Before.Ended()):
-		if c.New { // a new process: the reports of the former process are not valid for it
+	case c.State == membership.Alive && (c.NewIncarnation || c.Before.Ended()):
+		if c.NewIncarnation { // a new process: the reports of the former process are not valid for it
 			p.server.ReceivePeerInput(reducer.PeerLost{Peer: c.Number})
 		}
 		p.server.ReceivePeerInput(reducer.PeerJoined{Peer: c.Number})
@@ -198,8 +198,8 @@
 	}
 	state.Membership = record
 	if p.replica != nil {
-		state.Successions = p.replica.Successions()
-		if state.EndedProcesses, err = p.replica.HandOverProcesses(); err != nil {
+		state.Successions = p.replica.NextSuccessions()
+		if state.EndedProcesses, err = p.replica.EndedProcesses(); err != nil {
 			p.log.Warn().Err(err).Msg("ended processes not handed over")
 		}
 		p.replica.ReleaseStore()
--- a/cmd/woaddyke/console_calls.go
+++ b/cmd/woaddyke/console_calls.go
@@ -62,7 +62,7 @@
 		calls = append(calls,
 			console.Call{Path: "/api/copies", Answer: p.replicaStatus},
 			console.Call{Path: "/api/copies/records", Answer: p.records},
-			console.Call{Path: "/api/copies/keepers", Answer: p.changeReplicas, Changes: true})
+			console.Call{Path: "/api/copies/keepers", Answer: p.changeReplicas, ChangesState: true})
 	}
 	return calls
 }
--- a/cmd/woaddyke/copies_heir_test.go
+++ b/cmd/woaddyke/copies_heir_test.go
@@ -17,7 +17,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c, b := startReplicas(t, 4, true, more)
-			for _, p := range c.Places[:2] {
+			for _, p := range c.Nodes[:2] {
 				before := "before " + p.Name
 				if status, _ := post(p, "pay", before, "x"); status != http.StatusOK {
 					t.Fatalf("%s: %d", before, status)
@@ -26,7 +26,7 @@
 				p.Console = freeAddr(t)
 				c.Start(p)
 				c.Await("the successor is ready and has its vote", func() bool { return p.Get("/api/ready", nil) && voteSettled(p) })
-				if status, _ := post(c.Places[3], "pay", "meanwhile "+p.Name, "x"); status != http.StatusOK {
+				if status, _ := post(c.Nodes[3], "pay", "meanwhile "+p.Name, "x"); status != http.StatusOK {
 					t.Errorf("while the successor runs: %d", status)
 				}
 				p.Kill()
@@ -34,14 +34,14 @@
 				c.Await("the predecessor has its vote again", func() bool { return voteSettled(p) })
 				for _, id := range []string{before, "meanwhile " + p.Name} {
 					for _, at := range []int{0, 3} {
-						if status, text := post(c.Places[at], "pay", id, "x"); status != http.StatusOK || text != "result of "+id || b.runCount(id) != 1 {
-							t.Errorf("%s at %s: %d %q, it ran %d times", id, c.Places[at].Name, status, text, b.runCount(id))
+						if status, text := post(c.Nodes[at], "pay", id, "x"); status != http.StatusOK || text != "result of "+id || b.runCount(id) != 1 {
+							t.Errorf("%s at %s: %d %q, it ran %d times", id, c.Nodes[at].Name, status, text, b.runCount(id))
 						}
 					}
 				}
 			}
 			for k := range 9 {
-				if status, text := post(c.Places[k%4], "pay", fmt.Sprint("after ", k), "x"); status != http.StatusOK {
+				if status, text := post(c.Nodes[k%4], "pay", fmt.Sprint("after ", k), "x"); status != http.StatusOK {
 					t.Errorf("a new op: %d %q", status, text)
 				}
 			}
--- a/cmd/woaddyke/copies_test.go
+++ b/cmd/woaddyke/copies_test.go
@@ -111,23 +111,23 @@
 // startAll starts all schedulers and waits until they serve and, with replication, the replicas have their
 // votes.
 func startAll(c *cluster.Cluster, copies bool) {
-	for _, p := range c.Places {
+	for _, p := range c.Nodes {
 		c.Start(p)
 	}
-	c.AwaitWhole(c.Places...)
-	for _, p := range c.Places {
+	c.AwaitConverged(c.Nodes...)
+	for _, p := range c.Nodes {
 		c.Await("all schedulers are ready and the replicas have their votes", func() bool { return p.Get("/api/ready", nil) && (!copies || voteSettled(p)) })
 	}
 }
 
 // voteSettled reports whether a process has its vote or is no replica.
-func voteSettled(p *cluster.Place) bool {
+func voteSettled(p *cluster.Node) bool {
 	var s struct{ Keeper, Voting bool }
 	return p.Get("/api/copies", &s) && s.Keeper == s.Voting
 }
 
 // post sends an op and returns its answer. The status is 0 if the connection failed.
-func post(p *cluster.Place, category, id, body string) (int, string) {
+func post(p *cluster.Node, category, id, body string) (int, string) {
 	r, _ := http.NewRequest(http.MethodPost, "http://"+p.Listen+"/", strings.NewReader(body))
 	r.Header = http.Header{"X-Correlation-Id": {id}, "X-Service-Class": {category}, "X-Time-Left-Ms": {"4500"}}
 	client := http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -143,7 +143,7 @@
 // awaitReported waits until no scheduler has a claim pending, granted or to be reported.
 func awaitReported(c *cluster.Cluster) {
 	c.Await("the outcomes of the claims are reported", func() bool {
-		for _, p := range c.Places {
+		for _, p := range c.Nodes {
 			var s struct{ Asking, Mine, Telling int }
 			if !p.Get("/api/copies", &s) || s.Asking+s.Mine+s.Telling > 0 {
 				return false
@@ -160,7 +160,7 @@
 // postRepeat repeats an id that was answered at another scheduler. While the outcome is on its way to the
 // replicas, the repeat may be nacked with one particular answer for a bounded time. The first other answer
 // is returned.
-func postRepeat(t *testing.T, p *cluster.Place, category, id string) (int, string) {
+func postRepeat(t *testing.T, p *cluster.Node, category, id string) (int, string) {
 	t.Helper()
 	for until := time.Now().Add(outcomeKnownWithin); ; time.Sleep(time.Millisecond) {
 		status, text := post(p, category, id, "x")
@@ -182,23 +182,23 @@
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				post(c.Places[3], "pay", "hold-1", "x")
+				post(c.Nodes[3], "pay", "hold-1", "x")
 			}()
 			b.awaitStarted(t)
-			c.Places[3].Kill()
+			c.Nodes[3].Kill()
 			<-done
 			if !on {
 				close(b.release) // so that the second run ends
-				if status, text := post(c.Places[0], "pay", "hold-1", "x"); status != http.StatusOK || b.runCount("hold-1") != 2 {
+				if status, text := post(c.Nodes[0], "pay", "hold-1", "x"); status != http.StatusOK || b.runCount("hold-1") != 2 {
 					t.Errorf("without replication: %d %q, %d runs, so the test shows nothing", status, text, b.runCount("hold-1"))
 				}
 				return
 			}
-			if status, text := post(c.Places[0], "pay", "hold-1", "x"); status != http.StatusServiceUnavailable && status != http.StatusBadGateway {
+			if status, text := post(c.Nodes[0], "pay", "hold-1", "x"); status != http.StatusServiceUnavailable && status != http.StatusBadGateway {
 				t.Errorf("while its scheduler may be alive: %d %q", status, text)
 			}
-			c.AwaitState("n4", "gone", c.Places[:3]...)
-			if status, text := post(c.Places[1], "pay", "hold-1", "x"); status != http.StatusBadGateway {
+			c.AwaitState("n4", "gone", c.Nodes[:3]...)
+			if status, text := post(c.Nodes[1], "pay", "hold-1", "x"); status != http.StatusBadGateway {
 				t.Errorf("after its scheduler is dead: %d %q", status, text)
 			}
 			if n := b.runCount("hold-1"); n != 1 {
@@ -247,17 +247,17 @@
 		fmt.Sprintf(`{"rev":1,"all":true,"targets":[{"uid":"e","endpoint":%q,"az":"east","pod_group":1,"state":"SERVING"},`+
 			`{"uid":"w","endpoint":%q,"az":"west","pod_group":2,"state":"SERVING"}]}`, east.Listener.Addr(), west.Listener.Addr()), testCommand)
 	// A connect timeout would tell the scheduler in which zone the op of the silent worker may have run.
-	c.Places[3].ConnectTimeout = 5 * time.Second
-	for _, p := range c.Places {
+	c.Nodes[3].ConnectTimeout = 5 * time.Second
+	for _, p := range c.Nodes {
 		c.Start(p)
 	}
-	c.AwaitWhole(c.Places...)
-	for _, p := range c.Places {
+	c.AwaitConverged(c.Nodes...)
+	for _, p := range c.Nodes {
 		c.Await("all schedulers are ready and the replicas have their votes", func() bool { return p.Get("/api/ready", nil) && voteSettled(p) })
 	}
 	done := sync.WaitGroup{}
 	for _, id := range []string{"seen", "mute", "late"} {
-		done.Go(func() { post(c.Places[3], "note", id, "x") })
+		done.Go(func() { post(c.Nodes[3], "note", id, "x") })
 		select {
 		case <-began:
 		case <-time.After(opStartTimeout):
@@ -267,7 +267,7 @@
 	ran := time.Now()
 	c.Await("the replicas know the zones of the ops", func() bool {
 		known := 0
-		for _, p := range c.Places[:3] {
+		for _, p := range c.Nodes[:3] {
 			for _, id := range []string{"seen", "late"} {
 				var x recordsPage
 				if p.Get("/api/copies/records?category=note&id="+id, &x) && len(x.Rows) == 1 && x.Rows[0].Group != "" {
@@ -277,17 +277,17 @@
 		}
 		return known == 6
 	})
-	c.Places[3].Kill()
+	c.Nodes[3].Kill()
 	done.Wait()
-	c.AwaitState("n4", "gone", c.Places[:3]...)
-	if status, text := post(c.Places[0], "note", "seen", "x"); status != http.StatusOK || !strings.HasPrefix(text, "done in ") {
+	c.AwaitState("n4", "gone", c.Nodes[:3]...)
+	if status, text := post(c.Nodes[0], "note", "seen", "x"); status != http.StatusOK || !strings.HasPrefix(text, "done in ") {
 		t.Errorf("the zone is known: %d %q", status, text)
 	}
-	if status, text := post(c.Places[1], "note", "mute", "x"); status != http.StatusBadGateway {
+	if status, text := post(c.Nodes[1], "note", "mute", "x"); status != http.StatusBadGateway {
 		t.Errorf("no zone is known: %d %q", status, text)
 	}
 	c.Await("the window is over", func() bool { return time.Since(ran) > 8*time.Second })
-	if status, text := post(c.Places[2], "note", "late", "x"); status != http.StatusBadGateway || !strings.Contains(text, "may have run") {
+	if status, text := post(c.Nodes[2], "note", "late", "x"); status != http.StatusBadGateway || !strings.Contains(text, "may have run") {
 		t.Errorf("after the window: %d %q", status, text)
 	}
 	mu.Lock()
@@ -314,7 +314,7 @@
 			c, b := startReplicas(t, 3, true, map[bool]string{true: "join = \"4s\"\n"}[join])
 			first := make(chan string, 1)
 			go func() {
-				_, text := post(c.Places[0], "pay", "hold-1", "x")
+				_, text := post(c.Nodes[0], "pay", "hold-1", "x")
 				first <- text
 			}()
 			b.awaitStarted(t)
@@ -324,7 +324,7 @@
 			}
 			second := make(chan answer, 1)
 			go func() {
-				status, text := post(c.Places[1], "pay", "hold-1", "x")
+				status, text := post(c.Nodes[1], "pay", "hold-1", "x")
 				second <- answer{status, text}
 			}()
 			if !join {
@@ -334,7 +334,7 @@
 			} else {
 				c.Await("the repeat polls a few times", func() bool {
 					var s struct{ Counts map[string]uint64 }
-					return c.Places[1].Get("/api/copies", &s) && s.Counts["runs"] > 3
+					return c.Nodes[1].Get("/api/copies", &s) && s.Counts["runs"] > 3
 				})
 			}
 			close(b.release)
@@ -356,33 +356,33 @@
 func TestARepeatedIDGetsTheFirstResult(t *testing.T) {
 	t.Parallel()
 	c, b := startReplicas(t, 4, true)
-	status, first := post(c.Places[0], "pay", "a", "x")
-	for _, p := range c.Places {
+	status, first := post(c.Nodes[0], "pay", "a", "x")
+	for _, p := range c.Nodes {
 		if got, text := postRepeat(t, p, "pay", "a"); got != status || status != http.StatusOK || text != first {
 			t.Errorf("at %s: %d %q, first %d %q", p.Name, got, text, status, first)
 		}
 	}
-	if got, text := post(c.Places[2], "pay", "a", "y"); got != http.StatusUnprocessableEntity {
+	if got, text := post(c.Nodes[2], "pay", "a", "y"); got != http.StatusUnprocessableEntity {
 		t.Errorf("another request under the same id: %d %q", got, text)
 	}
 	var all sync.WaitGroup
 	for k := range 30 {
 		for i := range 3 {
-			all.Go(func() { post(c.Places[(k+i)%4], "pay", fmt.Sprint("b", k), "x") })
+			all.Go(func() { post(c.Nodes[(k+i)%4], "pay", fmt.Sprint("b", k), "x") })
 		}
 	}
 	all.Wait()
 	for k := range 30 { // without a majority for one claim, all claims are released
 		id, answer := fmt.Sprint("b", k), ""
 		c.Await("the id that was sent three times is served", func() bool {
-			status, text := post(c.Places[k%4], "pay", id, "x")
+			status, text := post(c.Nodes[k%4], "pay", id, "x")
 			if status != http.StatusOK && status != http.StatusServiceUnavailable {
 				t.Errorf("%s: %d %q", id, status, text)
 			}
 			answer = text
 			return status == http.StatusOK
 		})
-		if status, text := postRepeat(t, c.Places[(k+1)%4], "pay", id); status != http.StatusOK || text != answer {
+		if status, text := postRepeat(t, c.Nodes[(k+1)%4], "pay", id); status != http.StatusOK || text != answer {
 			t.Errorf("%s elsewhere: %d %q, first %q", id, status, text, answer)
 		}
 		if n := b.runCount(id); n != 1 {
@@ -396,7 +396,7 @@
 		var out bytes.Buffer
 		cmd := command()
 		cmd.SetOut(&out)
-		cmd.SetArgs([]string{"copies", "verify", "--console", c.Places[0].Console + "," + c.Places[1].Console + "," + c.Places[2].Console})
+		cmd.SetArgs([]string{"copies", "verify", "--console", c.Nodes[0].Console + "," + c.Nodes[1].Console + "," + c.Nodes[2].Console})
 		return cmd.Execute() == nil && strings.Contains(out.String(), " 0 differ")
 	})
 }
@@ -407,18 +407,18 @@
 	t.Parallel()
 	c, b := startReplicas(t, 4, true)
 	for _, id := range []string{strings.Repeat("long", 150), "caf\u00e9"} {
-		status, first := post(c.Places[3], "pay", id, "x")
+		status, first := post(c.Nodes[3], "pay", id, "x")
 		if status != http.StatusOK {
 			t.Errorf("%.12s: %d %q", id, status, first)
 		}
-		if again, text := postRepeat(t, c.Places[0], "pay", id); again != status || text != first {
+		if again, text := postRepeat(t, c.Nodes[0], "pay", id); again != status || text != first {
 			t.Errorf("%.12s elsewhere: %d %.40q", id, again, text)
 		}
 		var records recordsPage
-		if !c.Places[0].Get("/api/copies/records?category=pay&id="+url.QueryEscape(id), &records) {
+		if !c.Nodes[0].Get("/api/copies/records?category=pay&id="+url.QueryEscape(id), &records) {
 			t.Errorf("%.12s: the console has no records", id)
 		}
-		requireOneResult(t, records, c.Places[3].Name, c.Places[0].Name)
+		requireOneResult(t, records, c.Nodes[3].Name, c.Nodes[0].Name)
 		if n := b.runCount(id); n != 1 {
 			t.Errorf("%.12s ran %d times", id, n)
 		}
@@ -458,7 +458,7 @@
 		Voting  bool
 	}
 	c.Await("all schedulers know the first epoch", func() bool {
-		for _, p := range c.Places {
+		for _, p := range c.Nodes {
 			var s replicaView
 			if !p.Get("/api/copies", &s) || s.Turn == 0 {
 				return false
@@ -466,7 +466,7 @@
 		}
 		return true
 	})
-	changeReplicas := func(p *cluster.Place, names ...string) string {
+	changeReplicas := func(p *cluster.Node, names ...string) string {
 		var out bytes.Buffer
 		cmd := command()
 		cmd.SetOut(&out)
@@ -476,15 +476,15 @@
 		}
 		return out.String()
 	}
-	if status, _ := post(c.Places[5], "pay", "first", "x"); status != http.StatusOK {
+	if status, _ := post(c.Nodes[5], "pay", "first", "x"); status != http.StatusOK {
 		t.Fatal(status)
 	}
-	if text := changeReplicas(c.Places[5], "n1", "n2"); !strings.Contains(text, "odd number") {
+	if text := changeReplicas(c.Nodes[5], "n1", "n2"); !strings.Contains(text, "odd number") {
 		t.Errorf("two replicas: %q", text)
 	}
-	c.Places[2].Kill()
-	c.Places[4].Signal(syscall.SIGSTOP)
-	if text := changeReplicas(c.Places[5], "n1", "n2", "n5"); !strings.Contains(text, "nothing is heard of n5") {
+	c.Nodes[2].Kill()
+	c.Nodes[4].Signal(syscall.SIGSTOP)
+	if text := changeReplicas(c.Nodes[5], "n1", "n2", "n5"); !strings.Contains(text, "nothing is heard of n5") {
 		t.Errorf("with a stopped member: %q", text)
 	}
 	stop, all := make(chan struct{}), sync.WaitGroup{}
@@ -495,34 +495,34 @@
 				return
 			default:
 			}
-			if status, text := post(c.Places[5], "pay", fmt.Sprint("op", k), "x"); status != http.StatusOK {
+			if status, text := post(c.Nodes[5], "pay", fmt.Sprint("op", k), "x"); status != http.StatusOK {
 				t.Errorf("during the change: %d %q", status, text)
 			}
 		}
 	})
-	if text := changeReplicas(c.Places[5], "n1", "n2", "n4"); !strings.Contains(text, "done: keepers n1, n2, n4") {
+	if text := changeReplicas(c.Nodes[5], "n1", "n2", "n4"); !strings.Contains(text, "done: keepers n1, n2, n4") {
 		t.Errorf("the dead replica is not replaced: %q", text)
 	}
 	close(stop)
 	all.Wait()
-	c.Start(c.Places[2]) // it restarts, and is no replica any more
+	c.Start(c.Nodes[2]) // it restarts, and is no replica any more
 	c.Await("the first replaced replica knows the present set", func() bool {
 		var s replicaView
-		return c.Places[2].Get("/api/copies", &s) && s.Turn > 1 && !s.Voting
+		return c.Nodes[2].Get("/api/copies", &s) && s.Turn > 1 && !s.Voting
 	})
 	c.Await("the other replicas are replaced", func() bool {
-		return strings.Contains(changeReplicas(c.Places[5], "n3", "n4", "n6"), "done: keepers n3, n4, n6")
+		return strings.Contains(changeReplicas(c.Nodes[5], "n3", "n4", "n6"), "done: keepers n3, n4, n6")
 	})
-	c.Places[0].Kill()
-	c.Places[1].Kill()
-	c.Places[4].Signal(syscall.SIGCONT) // it was stopped during both changes
+	c.Nodes[0].Kill()
+	c.Nodes[1].Kill()
+	c.Nodes[4].Signal(syscall.SIGCONT) // it was stopped during both changes
 	c.Await("the resumed scheduler learns the replica set", func() bool {
-		status, text := post(c.Places[4], "pay", "first", "x")
+		status, text := post(c.Nodes[4], "pay", "first", "x")
 		return status == http.StatusOK && text == "result of first"
 	})
 	for k := range 5 {
 		id := fmt.Sprint("op", k)
-		if _, text := post(c.Places[3], "pay", id, "x"); b.runCount(id) > 1 || b.runCount(id) == 1 && text != "result of "+id {
+		if _, text := post(c.Nodes[3], "pay", id, "x"); b.runCount(id) > 1 || b.runCount(id) == 1 && text != "result of "+id {
 			t.Errorf("%s: ran %d times, then %q", id, b.runCount(id), text)
 		}
 	}
@@ -536,32 +536,32 @@
 func TestGuardedOpsAreNackedWithoutAMajority(t *testing.T) {
 	t.Parallel()
 	c, b := startReplicas(t, 4, true)
-	if status, _ := post(c.Places[3], "pay", "a", "x"); status != http.StatusOK {
+	if status, _ := post(c.Nodes[3], "pay", "a", "x"); status != http.StatusOK {
 		t.Fatalf("%d", status)
 	}
-	c.Places[0].Kill()
-	if status, text := post(c.Places[3], "pay", "b", "x"); status != http.StatusOK {
+	c.Nodes[0].Kill()
+	if status, text := post(c.Nodes[3], "pay", "b", "x"); status != http.StatusOK {
 		t.Errorf("with two of three replicas: %d %q", status, text)
 	}
-	c.Places[1].Signal(syscall.SIGSTOP)
-	if status, text := post(c.Places[3], "pay", "c", "x"); status != http.StatusServiceUnavailable || b.runCount("c") != 0 {
+	c.Nodes[1].Signal(syscall.SIGSTOP)
+	if status, text := post(c.Nodes[3], "pay", "c", "x"); status != http.StatusServiceUnavailable || b.runCount("c") != 0 {
 		t.Errorf("with one of three replicas: %d %q, ran %d times", status, text, b.runCount("c"))
 	}
-	if status, text := post(c.Places[3], "look", "d", "x"); status != http.StatusOK {
+	if status, text := post(c.Nodes[3], "look", "d", "x"); status != http.StatusOK {
 		t.Errorf("a redeliverable op meanwhile: %d %q", status, text)
 	}
-	c.Places[1].Signal(syscall.SIGCONT)
+	c.Nodes[1].Signal(syscall.SIGCONT)
 	c.Await("ops are served again", func() bool {
-		status, _ := post(c.Places[3], "pay", "c", "x")
+		status, _ := post(c.Nodes[3], "pay", "c", "x")
 		return status == http.StatusOK
 	})
-	c.Start(c.Places[0])
+	c.Start(c.Nodes[0])
 	c.Await("the replica that lost its records has its vote", func() bool {
 		var s struct{ Voting bool }
-		return c.Places[0].Get("/api/copies", &s) && s.Voting
+		return c.Nodes[0].Get("/api/copies", &s) && s.Voting
 	})
-	c.Places[2].Kill() // the replica that lost its records decides now
-	if status, text := post(c.Places[3], "pay", "a", "x"); status != http.StatusOK || text != "result of a" {
+	c.Nodes[2].Kill() // the replica that lost its records decides now
+	if status, text := post(c.Nodes[3], "pay", "a", "x"); status != http.StatusOK || text != "result of a" {
 		t.Errorf("an earlier id: %d %q", status, text)
 	}
 	for _, id := range []string{"a", "b", "c"} {
@@ -576,24 +576,24 @@
 func TestReplicasWithoutRecordsHaveNoVoteAtFirst(t *testing.T) {
 	t.Parallel()
 	c, b := startReplicas(t, 4, true)
-	if status, _ := post(c.Places[3], "pay", "a", "x"); status != http.StatusOK {
+	if status, _ := post(c.Nodes[3], "pay", "a", "x"); status != http.StatusOK {
 		t.Fatal(status)
 	}
-	c.Places[0].Kill()
-	c.Places[1].Kill()
-	c.Start(c.Places[0])
-	c.Start(c.Places[1])
-	if status, text := post(c.Places[3], "pay", "b", "x"); status != http.StatusServiceUnavailable || b.runCount("b") > 0 {
+	c.Nodes[0].Kill()
+	c.Nodes[1].Kill()
+	c.Start(c.Nodes[0])
+	c.Start(c.Nodes[1])
+	if status, text := post(c.Nodes[3], "pay", "b", "x"); status != http.StatusServiceUnavailable || b.runCount("b") > 0 {
 		t.Errorf("before they have votes: %d %q, ran %d times", status, text, b.runCount("b"))
 	}
-	for _, p := range c.Places[:2] {
+	for _, p := range c.Nodes[:2] {
 		c.Await("votes are back", func() bool { return voteSettled(p) })
 	}
-	c.Places[2].Kill() // the replica that retained its records
-	if status, text := post(c.Places[3], "pay", "a", "x"); status != http.StatusOK || text != "result of a" || b.runCount("a") != 1 {
+	c.Nodes[2].Kill() // the replica that retained its records
+	if status, text := post(c.Nodes[3], "pay", "a", "x"); status != http.StatusOK || text != "result of a" || b.runCount("a") != 1 {
 		t.Errorf("an earlier id: %d %q, ran %d times", status, text, b.runCount("a"))
 	}
-	if status, text := post(c.Places[3], "pay", "b", "x"); status != http.StatusOK {
+	if status, text := post(c.Nodes[3], "pay", "b", "x"); status != http.StatusOK {
 		t.Errorf("a new id: %d %q", status, text)
 	}
 }
@@ -602,19 +602,19 @@
 func TestAReplicaWithAFullDiskGivesUpItsVote(t *testing.T) {
 	t.Parallel()
 	c, b := startReplicas(t, 4, true, "path = \"{dir}/copies.db\"\n")
-	cmd, _ := c.Places[0].Running()
+	cmd, _ := c.Nodes[0].Process()
 	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 4096, Max: 4096}, nil); err != nil {
 		t.Fatal(err)
 	}
 	for k := range 20 {
 		id := fmt.Sprint("a", k)
-		if status, text := post(c.Places[3], "pay", id, "x"); status != http.StatusOK || b.runCount(id) != 1 {
+		if status, text := post(c.Nodes[3], "pay", id, "x"); status != http.StatusOK || b.runCount(id) != 1 {
 			t.Errorf("%s: %d %q, ran %d times", id, status, text, b.runCount(id))
 		}
 	}
-	c.Await("the replica has given up its vote", func() bool { return !voteSettled(c.Places[0]) })
-	c.Places[1].Kill()
-	if status, text := post(c.Places[3], "pay", "b", "x"); status != http.StatusServiceUnavailable || b.runCount("b") > 0 {
+	c.Await("the replica has given up its vote", func() bool { return !voteSettled(c.Nodes[0]) })
+	c.Nodes[1].Kill()
+	if status, text := post(c.Nodes[3], "pay", "b", "x"); status != http.StatusServiceUnavailable || b.runCount("b") > 0 {
 		t.Errorf("with one vote left: %d %q, ran %d times", status, text, b.runCount("b"))
 	}
 }
@@ -626,19 +626,19 @@
 	c, b := startReplicas(t, 4, true)
 	done := make(chan int)
 	go func() {
-		status, _ := post(c.Places[3], "pay", "hold-1", "x")
+		status, _ := post(c.Nodes[3], "pay", "hold-1", "x")
 		done <- status
 	}()
 	b.awaitStarted(t)
 	for i := range 3 {
-		c.Net.Cut(3, i, faultproxy.Silent)
-		c.Net.Cut(i, 3, faultproxy.Silent)
+		c.Net.SetCut(3, i, faultproxy.Silent)
+		c.Net.SetCut(i, 3, faultproxy.Silent)
 	}
-	c.AwaitState("n4", "gone", c.Places[:3]...)
-	if status, text := post(c.Places[0], "pay", "hold-1", "x"); status != http.StatusBadGateway {
+	c.AwaitState("n4", "gone", c.Nodes[:3]...)
+	if status, text := post(c.Nodes[0], "pay", "hold-1", "x"); status != http.StatusBadGateway {
 		t.Errorf("at another scheduler: %d %q", status, text)
 	}
-	if status, _ := post(c.Places[3], "pay", "new", "x"); status != http.StatusServiceUnavailable || b.runCount("new") > 0 {
+	if status, _ := post(c.Nodes[3], "pay", "new", "x"); status != http.StatusServiceUnavailable || b.runCount("new") > 0 {
 		t.Errorf("a new op at the isolated scheduler: %d, ran %d times", status, b.runCount("new"))
 	}
 	close(b.release)
@@ -646,11 +646,11 @@
 		t.Errorf("the first client: %d", status)
 	}
 	for i := range 3 {
-		c.Net.Cut(3, i, faultproxy.Open)
-		c.Net.Cut(i, 3, faultproxy.Open)
+		c.Net.SetCut(3, i, faultproxy.Open)
+		c.Net.SetCut(i, 3, faultproxy.Open)
 	}
 	c.Await("the outcome is known", func() bool {
-		status, text := post(c.Places[1], "pay", "hold-1", "x")
+		status, text := post(c.Nodes[1], "pay", "hold-1", "x")
 		return status == http.StatusOK && text == "result of hold-1"
 	})
 	if n := b.runCount("hold-1"); n != 1 {
@@ -662,11 +662,11 @@
 func TestAHotRestartRetainsClaims(t *testing.T) {
 	t.Parallel()
 	c, b := startReplicas(t, 3, true)
-	p := c.Places[0]
+	p := c.Nodes[0]
 	if status, _ := post(p, "pay", "a", "x"); status != http.StatusOK {
 		t.Fatal(status)
 	}
-	c.Takeover(p)
+	c.HotRestart(p)
 	c.Await("the successor has its vote", func() bool {
 		var s struct{ Voting bool }
 		return p.Get("/api/copies", &s) && s.Voting
@@ -685,28 +685,28 @@
 func TestReplicasRestoreRecordsFromDisk(t *testing.T) {
 	t.Parallel()
 	c, b := startReplicas(t, 4, true, "path = \"{dir}/copies.db\"\n")
-	if status, _ := post(c.Places[3], "pay", "a", "x"); status != http.StatusOK {
+	if status, _ := post(c.Nodes[3], "pay", "a", "x"); status != http.StatusOK {
 		t.Fatal(status)
 	}
-	file := c.Places[2].Dir() + "/copies.db"
+	file := c.Nodes[2].Dir() + "/copies.db"
 	old, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range c.Places[:3] {
+	for _, p := range c.Nodes[:3] {
 		p.Kill()
 	}
 	began := time.Now()
-	for _, p := range c.Places[:3] {
+	for _, p := range c.Nodes[:3] {
 		c.Start(p)
 	}
-	for _, p := range c.Places[:3] {
+	for _, p := range c.Nodes[:3] {
 		c.Await("the replicas have their votes", func() bool { return voteSettled(p) })
 	}
 	t.Logf("votes back after %v", time.Since(began))
-	if status, text := post(c.Places[3], "pay", "a", "x"); status != http.StatusOK || text != "result of a" {
+	if status, text := post(c.Nodes[3], "pay", "a", "x"); status != http.StatusOK || text != "result of a" {
 		t.Errorf("an earlier id: %d %q", status, text)
-		for _, p := range c.Places {
+		for _, p := range c.Nodes {
 			var x, y any
 			p.Get("/api/copies/records?category=pay&id=a", &x)
 			p.Get("/api/copies", &y)
@@ -714,28 +714,28 @@
 		}
 	}
 	for k := range 20 {
-		if status, text := post(c.Places[3], "pay", fmt.Sprint("b", k), "x"); status != http.StatusOK {
+		if status, text := post(c.Nodes[3], "pay", fmt.Sprint("b", k), "x"); status != http.StatusOK {
 			t.Errorf("%d %q", status, text)
 		}
 	}
-	c.Places[2].Kill()
+	c.Nodes[2].Kill()
 	if err := os.WriteFile(file, old, 0o600); err != nil { // as after a restore from a backup
 		t.Fatal(err)
 	}
-	c.Start(c.Places[2])
+	c.Start(c.Nodes[2])
 	c.Await("the replica with an old file has caught up", func() bool {
 		var s, first struct {
 			Voting bool
 			Digest string
 		}
-		return c.Places[2].Get("/api/copies", &s) && c.Places[0].Get("/api/copies", &first) && s.Voting && s.Digest == first.Digest
+		return c.Nodes[2].Get("/api/copies", &s) && c.Nodes[0].Get("/api/copies", &first) && s.Voting && s.Digest == first.Digest
 	})
-	c.Places[1].Kill()
-	if err := os.WriteFile(c.Places[1].Dir()+"/copies.db", []byte("torn"), 0o600); err != nil {
+	c.Nodes[1].Kill()
+	if err := os.WriteFile(c.Nodes[1].Dir()+"/copies.db", []byte("torn"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c.Start(c.Places[1])
-	_, ended := c.Places[1].Running()
+	c.Start(c.Nodes[1])
+	_, ended := c.Nodes[1].Process()
 	select {
 	case err := <-ended:
 		if err == nil {
--- a/cmd/woaddyke/crowds_test.go
+++ b/cmd/woaddyke/crowds_test.go
@@ -115,13 +115,13 @@
 	t.Parallel()
 	const maxStart = 6 * time.Second // ten seconds are allowed
 	c, _ := startReplicas(t, 4, true)
-	c.Places[3].Kill()
-	c.Places[0].Signal(syscall.SIGSTOP)
+	c.Nodes[3].Kill()
+	c.Nodes[0].Signal(syscall.SIGSTOP)
 	began := time.Now()
-	c.Start(c.Places[3])
-	c.Await("the member is ready", func() bool { return c.Places[3].Get("/api/ready", nil) })
+	c.Start(c.Nodes[3])
+	c.Await("the member is ready", func() bool { return c.Nodes[3].Get("/api/ready", nil) })
 	took := time.Since(began)
-	c.Places[0].Signal(syscall.SIGCONT)
+	c.Nodes[0].Signal(syscall.SIGCONT)
 	if took > maxStart {
 		t.Errorf("ready after %v", took)
 	}
--- a/cmd/woaddyke/descriptors_test.go
+++ b/cmd/woaddyke/descriptors_test.go
@@ -392,13 +392,13 @@
 	o := newTestDiscovery(t, list(1, "SERVING"))
 	c := cluster.New(t, 3, fastMembers+copiesTableOf(claimTimeout)+"path = \"{dir}/copies.db\"\n",
 		noEndpoints, limitedTo(limit))
-	for _, p := range c.Places {
+	for _, p := range c.Nodes {
 		p.Discovery = o.addr
 		c.Start(p)
 	}
-	c.AwaitWhole(c.Places...)
+	c.AwaitConverged(c.Nodes...)
 	allVote := func() bool {
-		for _, p := range c.Places {
+		for _, p := range c.Nodes {
 			if !p.Get("/api/ready", nil) || !voteSettled(p) {
 				return false
 			}
@@ -406,10 +406,10 @@
 		return true
 	}
 	c.Await("all schedulers are ready and have their votes", allVote)
-	client := newPersistentClient(t, c.Places[0].Listen)
+	client := newPersistentClient(t, c.Nodes[0].Listen)
 	client.requireServed("pay")
 	o.fail("hangs")
-	first := c.Places[0]
+	first := c.Nodes[0]
 	flood := newConnectionFlood(t, first.Listen, 3*limit)
 	await(t, "as many connections were closed as there are descriptors", o, func() bool { return flood.closedByPeer.Load() >= limit })
 	began, acked := time.Now(), 0
@@ -423,9 +423,9 @@
 		}
 		return acked >= 20 && time.Since(began) > outageDuration()
 	})
-	c.Takeover(first)
+	c.HotRestart(first)
 	c.Await("the successor has the vote", allVote)
-	running, _ := first.Running()
+	running, _ := first.Process()
 	if n := countDescriptors(running.Process.Pid); n > limit {
 		t.Errorf("%d descriptors", n)
 	}
@@ -445,7 +445,7 @@
 	if n := pushed[0].Load() - from; n > 0 {
 		t.Errorf("%d ops went to the worker that drains", n)
 	}
-	c.AwaitWhole(c.Places...)
+	c.AwaitConverged(c.Nodes...)
 }
 
 // String names the server in failure messages.
--- a/cmd/woaddyke/disk_test.go
+++ b/cmd/woaddyke/disk_test.go
@@ -31,7 +31,7 @@
 }
 
 // begin starts a process. Its writes and syncs of the file of records fail with the error of its disk.
-func (d *disks) begin(p *cluster.Place, cmd *exec.Cmd) error {
+func (d *disks) begin(p *cluster.Node, cmd *exec.Cmd) error {
 	_, err := syscallfault.Start(cmd, os.Args[0], func(c syscallfault.Call) syscall.Errno {
 		if !strings.HasSuffix(c.Target(), "copies.db") {
 			return 0
@@ -54,7 +54,7 @@
 	t.Helper()
 	c, b := newCluster(t, 3, fastMembers+copiesTableOf("500ms")+"path = \"{dir}/copies.db\"\n"+more, testCommand)
 	d := &disks{errs: map[string]syscall.Errno{}}
-	c.Begin = d.begin
+	c.StartProcess = d.begin
 	startAll(c, true)
 	return diskCluster{c, d}, b
 }
@@ -73,7 +73,7 @@
 				t.Helper()
 				for k := range each {
 					id := fmt.Sprint(kind, k)
-					if status, text := post(c.Places[(k+2)%3], "pay", id, "x"); status != want || b.runCount(id) != runs {
+					if status, text := post(c.Nodes[(k+2)%3], "pay", id, "x"); status != want || b.runCount(id) != runs {
 						t.Errorf("%s: %d %q, ran %d times; want %d and %d", id, status, text, b.runCount(id), want, runs)
 					}
 				}
@@ -83,14 +83,14 @@
 			requireAll("meanwhile", http.StatusServiceUnavailable, 0)
 			c.disks.set(0, "n1", "n2")
 			requireAll("afterwards", http.StatusServiceUnavailable, 0)
-			if voteSettled(c.Places[0]) || voteSettled(c.Places[1]) || !voteSettled(c.Places[2]) {
+			if voteSettled(c.Nodes[0]) || voteSettled(c.Nodes[1]) || !voteSettled(c.Nodes[2]) {
 				t.Error("a replica that could not write has its vote, or the one that could write has none")
 			}
 			// If the release of a claim is not stored, the claim still exists after the restart, and its op is
 			// nacked until the retention ends. This is known and harmless, so the test waits until all
 			// releases are reported.
 			awaitReported(c.Cluster)
-			for _, p := range c.Places {
+			for _, p := range c.Nodes {
 				p.Kill()
 			}
 			startAll(c.Cluster, true)
@@ -99,7 +99,7 @@
 			for k := range each {
 				id := fmt.Sprint("before", k)
 				c.Await(id+" has its first answer", func() bool {
-					status, text := post(c.Places[(k+2)%3], "pay", id, "x")
+					status, text := post(c.Nodes[(k+2)%3], "pay", id, "x")
 					if status != http.StatusOK && status != http.StatusServiceUnavailable || b.runCount(id) != 1 {
 						t.Errorf("%s: %d %q, ran %d times", id, status, text, b.runCount(id))
 					}
@@ -122,11 +122,11 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			c, b := startDiskCluster(t, "")
-			claimer, isolated, granting := c.Places[0], c.Places[1], c.Places[2]
-			setLinks := func(state faultproxy.Cut) {
+			claimer, isolated, granting := c.Nodes[0], c.Nodes[1], c.Nodes[2]
+			setLinks := func(state faultproxy.CutMode) {
 				for _, i := range []int{0, 2} {
-					c.Net.Cut(1, i, state)
-					c.Net.Cut(i, 1, state)
+					c.Net.SetCut(1, i, state)
+					c.Net.SetCut(i, 1, state)
 				}
 			}
 			setLinks(faultproxy.Silent)
@@ -158,7 +158,7 @@
 			t.Run(errno.Error()+", "+name, func(t *testing.T) {
 				t.Parallel()
 				c, b := startDiskCluster(t, agreed)
-				p := c.Places[0]
+				p := c.Nodes[0]
 				if status, _ := post(p, "pay", "before", "x"); status != http.StatusOK {
 					t.Fatal(status)
 				}
@@ -166,7 +166,7 @@
 				p.Kill()
 				c.disks.set(errno, p.Name)
 				c.Start(p)
-				_, ended := p.Running()
+				_, ended := p.Process()
 				select {
 				case err := <-ended:
 					t.Fatalf("the start has ended: %v", err)
--- a/cmd/woaddyke/failedlook_test.go
+++ b/cmd/woaddyke/failedlook_test.go
@@ -106,10 +106,10 @@
 			}
 			send("held")
 			<-worker.started
-			s.Set(func(syscallfault.Call) syscall.Errno { return errno })
+			s.SetDecide(func(syscallfault.Call) syscall.Errno { return errno })
 			send("second")
 			time.Sleep(100 * time.Millisecond) // duration of the failure
-			s.Set(nil)
+			s.SetDecide(nil)
 			time.Sleep(800 * time.Millisecond) // the client sends its third op later
 			send("third")
 			time.Sleep(50 * time.Millisecond) // until the third op has arrived as the connection's last received data
@@ -141,10 +141,10 @@
 			c := dial(t, listen)
 			fmt.Fprint(c, pipelinedOp("held", ""))
 			<-worker.started
-			s.Set(func(syscallfault.Call) syscall.Errno { return errno })
+			s.SetDecide(func(syscallfault.Call) syscall.Errno { return errno })
 			c.Close()
 			time.Sleep(100 * time.Millisecond) // duration of the failure
-			s.Set(nil)
+			s.SetDecide(nil)
 			select {
 			case <-worker.cancelled:
 			case <-time.After(3 * time.Second):
--- a/cmd/woaddyke/features.go
+++ b/cmd/woaddyke/features.go
@@ -91,8 +91,8 @@
 	if bootstrap.Name == "" {
 		return membersError("cluster", errors.New("the configuration gives this scheduler no name"))
 	}
-	minSockets := config.MinSockets + t.descriptors()
-	if sockets := bootstrap.Limits.Sockets; sockets < minSockets {
+	minSockets := config.MinDescriptors + t.descriptors()
+	if sockets := bootstrap.Limits.Descriptors; sockets < minSockets {
 		return membersError("listen", fmt.Errorf(
 			"%d descriptors are too few for a scheduler that is a member, %d at least", sockets, minSockets))
 	}
--- a/cmd/woaddyke/features_test.go
+++ b/cmd/woaddyke/features_test.go
@@ -15,7 +15,7 @@
 
 // The example in deploy/ must be a valid features file that states the defaults.
 func TestTheExampleFeaturesFileIsValid(t *testing.T) {
-	bootstrap := &config.Bootstrap{Name: "n1", Limits: config.Limits{Sockets: 1024}, Settings: map[string]any{}}
+	bootstrap := &config.Bootstrap{Name: "n1", Limits: config.Limits{Descriptors: 1024}, Settings: map[string]any{}}
 	o, err := readFeatures("../../deploy/operator.toml", bootstrap)
 	if err != nil {
 		t.Fatal(err)
@@ -95,7 +95,7 @@
 	}
 	path := filepath.Join(t.TempDir(), "on.toml")
 	os.WriteFile(path, []byte("[members]\ncluster=\"a\"\nlisten=\"127.0.0.1:0\"\n"), 0o600)
-	if o, err = readFeatures(path, &config.Bootstrap{Name: "n1", Limits: config.Limits{Sockets: 1024}, Settings: map[string]any{}}); err != nil {
+	if o, err = readFeatures(path, &config.Bootstrap{Name: "n1", Limits: config.Limits{Descriptors: 1024}, Settings: map[string]any{}}); err != nil {
 		t.Fatal(err)
 	}
 	if !runs(*o) {
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	for _, sockets := range []int{64, 99, 100} {
-		_, err := readFeatures(path, &config.Bootstrap{Name: "n1", Limits: config.Limits{Sockets: sockets}, Settings: map[string]any{}})
+		_, err := readFeatures(path, &config.Bootstrap{Name: "n1", Limits: config.Limits{Descriptors: sockets}, Settings: map[string]any{}})
 		if enough := sockets == 100; (err == nil) != enough || !enough && !strings.Contains(err.Error(), "100 at least") {
 			t.Errorf("%d: %v", sockets, err)
 		}
--- a/cmd/woaddyke/golden_test.go
+++ b/cmd/woaddyke/golden_test.go
@@ -57,7 +57,7 @@
 	p := &process{mesh: &mesh.Mesh{}, replica: &replica.Replica{}}
 	var list bytes.Buffer
 	for _, c := range p.consoleCalls() {
-		fmt.Fprintf(&list, "%s, changes: %v\n", c.Path, c.Changes)
+		fmt.Fprintf(&list, "%s, changes: %v\n", c.Path, c.ChangesState)
 	}
 	golden.Compare(t, "testdata/calls.txt.golden", list.Bytes())
 }
@@ -99,7 +99,7 @@
 // Guards the keys of the features file. Each key is set to a valid value that is not its default.
 func TestFeaturesFileKeysAreStable(t *testing.T) {
 	bootstrap := &config.Bootstrap{Name: "n1", RawSettings: map[string]any{"bounds": map[string]any{"peerMessages": true}}, Settings: map[string]any{},
-		Limits: config.Limits{Sockets: 1024}}
+		Limits: config.Limits{Descriptors: 1024}}
 	read, err := readFeatures("testdata/operator.toml", bootstrap)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/woaddyke/hot_restart.go
+++ b/cmd/woaddyke/hot_restart.go
@@ -84,10 +84,10 @@
 		return nil, err
 	}
 	p.setMemoryLimit(2)
-	p.log.Info().Int("sockets", state.Sockets).Msg("took over")
+	p.log.Info().Int("sockets", state.DescriptorLimit).Msg("took over")
 	go func() {
 		<-handover.PredecessorEnded
-		p.server.SetDescriptorLimit(p.bootstrap.Limits.Sockets)
+		p.server.SetDescriptorLimit(p.bootstrap.Limits.Descriptors)
 		p.setMemoryLimit(1)
 		if p.replica != nil {
 			p.replica.PredecessorEnded()
--- a/cmd/woaddyke/members_test.go
+++ b/cmd/woaddyke/members_test.go
@@ -31,10 +31,10 @@
 
 func startMembers(t *testing.T, n int) *cluster.Cluster {
 	c := cluster.New(t, n, fastMembers, noEndpoints, testCommand)
-	for _, p := range c.Places {
+	for _, p := range c.Nodes {
 		c.Start(p)
 	}
-	c.AwaitWhole(c.Places...)
+	c.AwaitConverged(c.Nodes...)
 	return c
 }
 
@@ -43,22 +43,22 @@
 func TestAKilledMemberReturnsAsANewIncarnation(t *testing.T) {
 	t.Parallel()
 	c := startMembers(t, 4)
-	p := c.Places[3]
+	p := c.Nodes[3]
 	p.Kill()
-	c.AwaitState("n4", "gone", c.Places[:3]...)
+	c.AwaitState("n4", "gone", c.Nodes[:3]...)
 	c.Await("the metrics count the dead member", func() bool {
 		var f struct {
 			Members struct{ Here, Gone, Reachable int }
 		}
-		return c.Places[0].Get("/api/telemetry", &f) && f.Members.Here == 2 && f.Members.Gone == 1 && f.Members.Reachable == 2
+		return c.Nodes[0].Get("/api/telemetry", &f) && f.Members.Here == 2 && f.Members.Gone == 1 && f.Members.Reachable == 2
 	})
 	c.Start(p)
-	c.AwaitWhole(c.Places...)
+	c.AwaitConverged(c.Nodes...)
 	if v := p.View(); v.Self.Incarnation != 2 {
 		t.Errorf("the next process has incarnation %d", v.Self.Incarnation)
 	}
 	p.Signal(syscall.SIGTERM)
-	c.AwaitState("n4", "left", c.Places[:3]...)
+	c.AwaitState("n4", "left", c.Nodes[:3]...)
 }
 
 // A process that is stopped for longer than the suspicion timeout is declared dead. After it resumes it
@@ -66,12 +66,12 @@
 func TestAResumedMemberSuspectsNobody(t *testing.T) {
 	t.Parallel()
 	c := startMembers(t, 4)
-	p := c.Places[2]
+	p := c.Nodes[2]
 	p.Signal(syscall.SIGSTOP)
-	c.AwaitState("n3", "gone", c.Places...)
+	c.AwaitState("n3", "gone", c.Nodes...)
 	p.Signal(syscall.SIGCONT)
-	c.AwaitWhole(c.Places...)
-	for _, o := range c.Places {
+	c.AwaitConverged(c.Nodes...)
+	for _, o := range c.Nodes {
 		if v := o.View(); o != p && v.Self.Turn != 0 {
 			t.Errorf("%s had to refute something: turn %d", o.Name, v.Self.Turn)
 		}
@@ -86,25 +86,25 @@
 func TestPartitionedMembersMergeAgain(t *testing.T) {
 	t.Parallel()
 	c := startMembers(t, 5)
-	setPartition := func(how faultproxy.Cut) {
+	setPartition := func(how faultproxy.CutMode) {
 		for i := range 2 {
 			for j := 2; j < 5; j++ {
-				c.Net.Cut(i, j, how)
-				c.Net.Cut(j, i, how)
+				c.Net.SetCut(i, j, how)
+				c.Net.SetCut(j, i, how)
 			}
 		}
 	}
 	setPartition(faultproxy.Silent)
-	c.AwaitState("n5", "gone", c.Places[:2]...)
-	c.AwaitState("n1", "gone", c.Places[2:]...)
-	if s := c.Places[0].View().State("n2"); s != "here" {
+	c.AwaitState("n5", "gone", c.Nodes[:2]...)
+	c.AwaitState("n1", "gone", c.Nodes[2:]...)
+	if s := c.Nodes[0].View().State("n2"); s != "here" {
 		t.Errorf("in its own group n2 is %s", s)
 	}
 	setPartition(faultproxy.Open)
-	c.AwaitWhole(c.Places...)
-	c.Net.Cut(0, 1, faultproxy.Silent)
+	c.AwaitConverged(c.Nodes...)
+	c.Net.SetCut(0, 1, faultproxy.Silent)
 	c.Await("n1 can't reach n2 directly", func() bool {
-		for _, m := range c.Places[0].View().Members {
+		for _, m := range c.Nodes[0].View().Members {
 			if m.Name == "n2" {
 				return m.State == "here" && !m.Reachable
 			}
@@ -118,30 +118,30 @@
 func TestAReplacedMemberStandsBy(t *testing.T) {
 	t.Parallel()
 	c := cluster.New(t, 4, fastMembers, noEndpoints, testCommand)
-	c.Places[3].Name = "n1" // the name is used twice
-	for _, p := range c.Places[:3] {
+	c.Nodes[3].Name = "n1" // the name is used twice
+	for _, p := range c.Nodes[:3] {
 		c.Start(p)
 	}
-	c.AwaitWhole(c.Places[:3]...)
-	c.Places[0].Signal(syscall.SIGSTOP)
-	c.Start(c.Places[3])
-	c.AwaitWhole(c.Places[1:]...)
-	c.Places[0].Signal(syscall.SIGCONT)
-	c.Await("the first process is replaced", func() bool { return c.Places[0].View().Self.State == "superseded" })
-	c.AwaitWhole(c.Places[1:]...)
-	c.Places[3].Signal(syscall.SIGTERM)
-	c.Await("its name is free again", func() bool { return c.Places[0].View().Self.State == "here" })
-	c.AwaitWhole(c.Places[:3]...)
+	c.AwaitConverged(c.Nodes[:3]...)
+	c.Nodes[0].Signal(syscall.SIGSTOP)
+	c.Start(c.Nodes[3])
+	c.AwaitConverged(c.Nodes[1:]...)
+	c.Nodes[0].Signal(syscall.SIGCONT)
+	c.Await("the first process is replaced", func() bool { return c.Nodes[0].View().Self.State == "superseded" })
+	c.AwaitConverged(c.Nodes[1:]...)
+	c.Nodes[3].Signal(syscall.SIGTERM)
+	c.Await("its name is free again", func() bool { return c.Nodes[0].View().Self.State == "here" })
+	c.AwaitConverged(c.Nodes[:3]...)
 }
 
 // A hot restart must not change how the other members see the member.
 func TestAHotRestartKeepsTheIncarnation(t *testing.T) {
 	t.Parallel()
 	c := startMembers(t, 3)
-	p := c.Places[1]
-	c.Takeover(p)
-	c.AwaitWhole(c.Places...)
-	for _, o := range []*cluster.Place{c.Places[0], c.Places[2]} {
+	p := c.Nodes[1]
+	c.HotRestart(p)
+	c.AwaitConverged(c.Nodes...)
+	for _, o := range []*cluster.Node{c.Nodes[0], c.Nodes[2]} {
 		for _, m := range o.View().Members {
 			if m.Name == "n2" && m.Incarnation != 1 {
 				t.Errorf("%s holds n2 with incarnation %d", o.Name, m.Incarnation)
@@ -168,27 +168,27 @@
 		}
 		return testCommand(args...)
 	})
-	for _, p := range c.Places[:2] {
+	for _, p := range c.Nodes[:2] {
 		c.Start(p)
 	}
-	c.AwaitWhole(c.Places[:2]...)
+	c.AwaitConverged(c.Nodes[:2]...)
 	otherCluster = true
-	c.Start(c.Places[2])
-	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(c.Bound(1), 0)))
+	c.Start(c.Nodes[2])
+	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(c.BindAddr(1), 0)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	to := netip.MustParseAddrPort(c.Net.Told(0))
+	to := netip.MustParseAddrPort(c.Net.AdvertisedAddr(0))
 	for _, text := range []string{"", "x", "wm\x02" + strings.Repeat("x", 50), "wm\x01" + strings.Repeat("x", 50), strings.Repeat("y", 2000)} {
 		conn.WriteToUDPAddrPort([]byte(text), to)
 	}
 	c.Await("all dropped messages are counted", func() bool {
-		v := c.Places[0].View()
+		v := c.Nodes[0].View()
 		return v.Dropped["garbled"] >= 2 && v.Dropped["wrong version"] > 0 && v.Dropped["too long"] > 0 && v.Self.Counts["wrong cluster"] > 0
 	})
-	c.AwaitWhole(c.Places[:2]...)
-	if n := len(c.Places[0].View().Members); n != 1 {
+	c.AwaitConverged(c.Nodes[:2]...)
+	if n := len(c.Nodes[0].View().Members); n != 1 {
 		t.Errorf("%d other members, want 1", n)
 	}
 }
@@ -198,12 +198,12 @@
 func TestMembersWithOtherSettingsAreReported(t *testing.T) {
 	t.Parallel()
 	c := cluster.New(t, 3, fastMembers, noEndpoints, testCommand)
-	c.Places[2].Categories = `{"name":"pay","effect":"fragile","ttlNs":4e9,"targetLatencyNs":4e9}`
-	for _, p := range c.Places {
+	c.Nodes[2].Categories = `{"name":"pay","effect":"fragile","ttlNs":4e9,"targetLatencyNs":4e9}`
+	for _, p := range c.Nodes {
 		c.Start(p)
 	}
-	c.AwaitWhole(c.Places...)
-	resp, err := http.Post("http://"+c.Places[1].Console+"/api/evacuate", "", nil)
+	c.AwaitConverged(c.Nodes...)
+	resp, err := http.Post("http://"+c.Nodes[1].Console+"/api/evacuate", "", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -211,16 +211,16 @@
 	for i, want := range [][]string{{"n3"}, {"n3"}, {"n1", "n2"}} {
 		c.Await("members with other settings and drained members are known", func() bool {
 			var x operatorStatus
-			return c.Places[i].Get("/api/staff", &x) && slices.Equal(x.Differ, want) && slices.Contains(x.Away, "n2") == (i != 1)
+			return c.Nodes[i].Get("/api/staff", &x) && slices.Equal(x.Differ, want) && slices.Contains(x.Away, "n2") == (i != 1)
 		})
 	}
-	c.Places[2].Kill()
-	c.AwaitState("n3", "gone", c.Places[:2]...)
+	c.Nodes[2].Kill()
+	c.AwaitState("n3", "gone", c.Nodes[:2]...)
 	c.Await("a dead member is not reported any more", func() bool {
 		var out bytes.Buffer
 		cmd := command()
 		cmd.SetOut(&out)
-		cmd.SetArgs([]string{"members", "--console", c.Places[0].Console})
+		cmd.SetArgs([]string{"members", "--console", c.Nodes[0].Console})
 		return cmd.Execute() == nil && !strings.Contains(out.String(), "other settings") && strings.Contains(out.String(), "send their clients away: n2")
 	})
 }
--- a/cmd/woaddyke/operator_board.go
+++ b/cmd/woaddyke/operator_board.go
@@ -20,7 +20,7 @@
 // operatorBoard holds the operator state of each scheduler, as the members report it.
 type operatorBoard struct {
 	mu              sync.Mutex
-	states          *operatorstate.Board
+	states          *operatorstate.Registry
 	loggedDiffering []string // members with other settings, as last logged
 
 	done chan struct{} // ends shareOperatorState
@@ -59,7 +59,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return operatorStatus{
-		Settings: formatHash(b.states.Own().Settings),
+		Settings: formatHash(b.states.Own().SettingsHash),
 		Differ:   append([]string{}, b.states.DifferingMembers()...), // [] in JSON if empty, not null
 		Away:     append([]string{}, b.states.DrainedMembers()...),
 	}
@@ -97,7 +97,7 @@
 		changes := p.operatorBoard.setOwn(p.server.SettingsHash(), p.server.DrainingClients())
 		if changes.differChanged {
 			others := strings.Join(changes.differ, ", ")
-			p.log.Warn().Str("here", formatHash(changes.own.Settings)).Str("others", others).
+			p.log.Warn().Str("here", formatHash(changes.own.SettingsHash)).Str("others", others).
 				Msg("members run with other settings")
 		}
 		names := p.mesh.Names()
@@ -105,7 +105,7 @@
 			names = []string{names[rand.IntN(len(names))]} // not seeded: no scheduling decision depends on it
 		}
 		for _, name := range names {
-			p.mesh.BroadcastOperatorState(name, changes.own)
+			p.mesh.SendOperatorState(name, changes.own)
 		}
 		select {
 		case <-ticker.C:
--- a/cmd/woaddyke/process.go
+++ b/cmd/woaddyke/process.go
@@ -52,12 +52,12 @@
 	limits := &bootstrap.Limits
 	var allowed unix.Rlimit
 	err := unix.Getrlimit(unix.RLIMIT_NOFILE, &allowed)
-	if err != nil || allowed.Cur >= uint64(limits.Sockets) {
+	if err != nil || allowed.Cur >= uint64(limits.Descriptors) {
 		return
 	}
-	log.Warn().Int("sockets", limits.Sockets).Uint64("allowed", allowed.Cur).
+	log.Warn().Int("sockets", limits.Descriptors).Uint64("allowed", allowed.Cur).
 		Msg("the machine allows fewer descriptors than the configuration")
-	limits.Sockets = int(allowed.Cur)
+	limits.Descriptors = int(allowed.Cur)
 }
 
 // openServer creates the server and its listening socket, from the handover of a predecessor if there is
--- a/cmd/woaddyke/process_test.go
+++ b/cmd/woaddyke/process_test.go
@@ -31,7 +31,7 @@
 // newProcess returns a process with a discovery server that has no workers.
 func newProcess(t *testing.T, listen string) *process {
 	return &process{log: zerolog.Nop(), bootstrap: &config.Bootstrap{Listen: listen, Console: "127.0.0.1:0",
-		Discovery: startDiscovery(t, `{"rev":7,"all":true,"targets":[]}`), Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
+		Discovery: startDiscovery(t, `{"rev":7,"all":true,"targets":[]}`), Limits: config.Limits{Cores: 1, MemoryMB: 64, Descriptors: 256},
 		Settings: config.Flatten(map[string]any{"categories": []any{map[string]any{"name": "look", "ttlNs": 3e9}}})}}
 }
 
--- a/cmd/woaddyke/ready_test.go
+++ b/cmd/woaddyke/ready_test.go
@@ -54,7 +54,7 @@
 
 // measureReady waits in parallel until a condition holds for each process, and returns the times that this
 // took since the starts of the processes.
-func measureReady(c *cluster.Cluster, places []*cluster.Place, since []time.Time, done func(*cluster.Place) bool) *readyTimes {
+func measureReady(c *cluster.Cluster, places []*cluster.Node, since []time.Time, done func(*cluster.Node) bool) *readyTimes {
 	l := &readyTimes{durations: make([]time.Duration, len(places))}
 	var all sync.WaitGroup
 	for i, p := range places {
@@ -122,22 +122,22 @@
 			}
 			o := newTestDiscovery(t, x.list)
 			c := cluster.New(t, n, lines, noEndpoints, testCommand)
-			keepers := c.Places[:3]
-			for i, p := range c.Places {
+			keepers := c.Nodes[:3]
+			for i, p := range c.Nodes {
 				if p.Discovery = o.addr; x.settings != "" {
 					p.Settings = fmt.Sprintf(x.settings, i)
 				}
 				c.Start(p)
 			}
-			ready := func(p *cluster.Place) bool { return p.Get("/api/ready", nil) }
-			for _, p := range c.Places {
+			ready := func(p *cluster.Node) bool { return p.Get("/api/ready", nil) }
+			for _, p := range c.Nodes {
 				c.Await("all schedulers are ready and the replicas have their votes", func() bool { return ready(p) && (x.keeps == alone || voteSettled(p)) })
 			}
 			if x.how != "" {
 				o.fail(x.how)
 			}
 			if !x.takeover {
-				for _, p := range c.Places {
+				for _, p := range c.Nodes {
 					p.Kill()
 				}
 			}
@@ -147,10 +147,10 @@
 				}
 			}
 			var since []time.Time
-			for i, p := range c.Places {
+			for i, p := range c.Nodes {
 				if x.takeover {
-					before, ended := p.Running()
-					at, err := faultproxy.Free(c.Bound(i))
+					before, ended := p.Process()
+					at, err := faultproxy.FreePort(c.BindAddr(i))
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -163,8 +163,8 @@
 				c.Start(p)
 			}
 			if x.stopped {
-				for _, p := range c.Places {
-					_, end := p.Running()
+				for _, p := range c.Nodes {
+					_, end := p.Process()
 					select {
 					case err := <-end:
 						if err == nil {
@@ -178,13 +178,13 @@
 				t.Logf("all processes have ended: %v", l)
 				return
 			}
-			l := measureReady(c, c.Places, since, ready)
+			l := measureReady(c, c.Nodes, since, ready)
 			t.Logf("ready: %v", l)
 			if l.quantile(0.9) > readyTimeout {
 				t.Errorf("nine in ten are not ready within %v", readyTimeout)
 			}
 			if x.keeps != alone && all {
-				t.Logf("replicas have their votes: %v", measureReady(c, keepers, since[:3], func(p *cluster.Place) bool { return voteSettled(p) }))
+				t.Logf("replicas have their votes: %v", measureReady(c, keepers, since[:3], func(p *cluster.Node) bool { return voteSettled(p) }))
 			}
 		})
 	}
@@ -201,7 +201,7 @@
 	var records []replication.Record
 	for i := range n {
 		records = append(records, replication.Record{Key: fmt.Sprintf("pay\x00op-%08d", i), Fingerprint: uint64(i),
-			Outcomes: []replication.Outcome{{Claim: replication.Claim{Scheduler: "n1", Nonce: uint64(i + 1)}, Stage: replication.Ended, Verdict: 200, ResultRetained: true, Result: make([]byte, 200)}}})
+			Outcomes: []replication.Outcome{{Claim: replication.Claim{Scheduler: "n1", Nonce: uint64(i + 1)}, Stage: replication.Ended, HTTPStatus: 200, ResultRetained: true, Result: make([]byte, 200)}}})
 	}
 	if err := s.Write(boottime.Now(), records, nil); err != nil {
 		t.Fatal(err)
--- a/cmd/woaddyke/size_test.go
+++ b/cmd/woaddyke/size_test.go
@@ -422,26 +422,26 @@
 						lines = "[copies]\nkeepers = [\"n1\", \"n2\", \"n3\"]\n"
 					}
 					c := cluster.New(b, n, lines, noEndpoints, testCommand)
-					for _, p := range c.Places {
+					for _, p := range c.Nodes {
 						c.Start(p)
 					}
-					c.AwaitWhole(c.Places...)
+					c.AwaitConverged(c.Nodes...)
 					time.Sleep(2 * time.Second)
-					meanCPU := func(places []*cluster.Place) (total time.Duration) {
+					meanCPU := func(places []*cluster.Node) (total time.Duration) {
 						for _, p := range places {
-							cmd, _ := p.Running()
+							cmd, _ := p.Process()
 							total += cpuTime(b, cmd)
 						}
 						return total / time.Duration(len(places))
 					}
-					measured := c.Places // all members, or the replicas
+					measured := c.Nodes // all members, or the replicas
 					if keepers {
 						measured = measured[:3]
 					}
 					before, from := meanCPU(measured), time.Now()
 					time.Sleep(10 * time.Second)
 					b.ReportMetric(100*float64(meanCPU(measured)-before)/float64(time.Since(from)), "%core")
-					for _, p := range c.Places {
+					for _, p := range c.Nodes {
 						p.Kill()
 					}
 				}
--- a/cmd/woaddyke/syscalls_test.go
+++ b/cmd/woaddyke/syscalls_test.go
@@ -101,7 +101,7 @@
 	held := postHeldOp(t, listen, received)
 	for addr, path := range map[string]string{listen: "/healthz", p.console: "/api/ready"} {
 		for _, errno := range transientAcceptErrnos {
-			s.Set(failOnce(syscall.SYS_ACCEPT4, errno))
+			s.SetDecide(failOnce(syscall.SYS_ACCEPT4, errno))
 			before := s.Failed(syscall.SYS_ACCEPT4)
 			if err := checkAnswers(addr, path); err != nil {
 				t.Errorf("accept fails with %v: %v: %s", errno, err, p.log)
@@ -113,7 +113,7 @@
 		}
 		for _, errno := range []syscall.Errno{syscall.ENOMEM, syscall.ENOSPC} {
 			var done atomic.Bool
-			s.Set(func(c syscallfault.Call) syscall.Errno {
+			s.SetDecide(func(c syscallfault.Call) syscall.Errno {
 				if !addsToEpoll(c) || !done.CompareAndSwap(false, true) {
 					return 0
 				}
@@ -128,7 +128,7 @@
 			}
 		}
 	}
-	s.Set(nil)
+	s.SetDecide(nil)
 	release()
 	if status := <-held; status != http.StatusOK {
 		t.Errorf("the held op: %d", status)
@@ -145,11 +145,11 @@
 		t.Cleanup(release)
 		p, s := startSupervised(t, listen, discovery, 512, syscall.SYS_ACCEPT4)
 		held := postHeldOp(t, listen, received)
-		s.Set(func(syscallfault.Call) syscall.Errno { return errno })
+		s.SetDecide(func(syscallfault.Call) syscall.Errno { return errno })
 		result := make(chan error, 1)
 		go func() { result <- checkAnswers(listen, "/healthz") }()
 		time.Sleep(duration)
-		s.Set(nil)
+		s.SetDecide(nil)
 		if err := <-result; err != nil {
 			t.Errorf("%v: %v: %s", errno, err, p.log)
 			return
@@ -179,7 +179,7 @@
 		for range 60 {
 			clients = append(clients, dial(t, listen))
 		}
-		s.Set(failOnce(syscall.SYS_ACCEPT4, errno))
+		s.SetDecide(failOnce(syscall.SYS_ACCEPT4, errno))
 		if err := checkAnswers(listen, "/healthz"); err != nil {
 			t.Errorf("%v: the client at that moment: %v", errno, err)
 		}
@@ -217,7 +217,7 @@
 					}
 				}()
 				var n atomic.Int64
-				s.Set(func(c syscallfault.Call) syscall.Errno {
+				s.SetDecide(func(c syscallfault.Call) syscall.Errno {
 					if n.Add(1)%every != 0 || !strings.HasPrefix(c.Target(), "socket:") {
 						return 0
 					}
@@ -261,7 +261,7 @@
 				for range received { // discards the ids
 				}
 			}()
-			s.Set(func(syscallfault.Call) syscall.Errno { return fail.errno })
+			s.SetDecide(func(syscallfault.Call) syscall.Errno { return fail.errno })
 			result := make(chan error, 1)
 			go func() {
 				status, err := postOp(listen, "one", 4*time.Second)
@@ -272,7 +272,7 @@
 			}()
 			time.Sleep(duration)
 			failed := s.Failed(fail.call)
-			s.Set(nil)
+			s.SetDecide(nil)
 			if err := <-result; err != nil {
 				t.Errorf("%v: %s", err, p.log)
 			}
@@ -340,7 +340,7 @@
 		t.Fatal(err)
 	}
 	var failed atomic.Int64
-	s.Set(func(c syscallfault.Call) syscall.Errno {
+	s.SetDecide(func(c syscallfault.Call) syscall.Errno {
 		if c.Target() != path || failed.Add(1) > 3 {
 			return 0
 		}
--- a/cmd/woaddyke/workers_test.go
+++ b/cmd/woaddyke/workers_test.go
@@ -52,13 +52,13 @@
 			t.Cleanup(discovery.Close)
 			t.Cleanup(discovery.CloseClientConnections)
 			c := cluster.New(t, 2, fmt.Sprintf("%sworkers = %v\n", fastMembers, on), snapshot, testCommand) // the discovery server of n2 sends no further list
-			c.Places[0].Discovery = discovery.Listener.Addr().String()
-			for _, p := range c.Places {
+			c.Nodes[0].Discovery = discovery.Listener.Addr().String()
+			for _, p := range c.Nodes {
 				c.Start(p)
 			}
-			c.AwaitWhole(c.Places...)
+			c.AwaitConverged(c.Nodes...)
 			ops := 0
-			send := func(p *cluster.Place, n int) {
+			send := func(p *cluster.Node, n int) {
 				for range n {
 					ops++
 					if status, text := post(p, "look", fmt.Sprint("x", ops), ""); status != http.StatusOK {
@@ -67,29 +67,29 @@
 				}
 			}
 			c.Await("all workers are in use", func() bool {
-				send(c.Places[1], 5)
+				send(c.Nodes[1], 5)
 				return pushes[0].Load() > 0 && pushes[1].Load() > 0
 			})
 			close(drain)
-			avoidsDrained := func(p *cluster.Place) bool {
+			avoidsDrained := func(p *cluster.Node) bool {
 				before := pushes[0].Load()
 				send(p, 30)
 				return pushes[0].Load() == before
 			}
-			c.Await("the scheduler with the drain stops pushing to the worker", func() bool { return avoidsDrained(c.Places[0]) })
+			c.Await("the scheduler with the drain stops pushing to the worker", func() bool { return avoidsDrained(c.Nodes[0]) })
 			if !on {
 				stopped := true
 				for range 2 {
-					stopped = stopped && avoidsDrained(c.Places[1])
+					stopped = stopped && avoidsDrained(c.Nodes[1])
 				}
 				if stopped {
 					t.Error("it stopped without a peer report too, so the test shows nothing")
 				}
 				return
 			}
-			c.Await("the other scheduler stops pushing to the worker", func() bool { return avoidsDrained(c.Places[1]) })
+			c.Await("the other scheduler stops pushing to the worker", func() bool { return avoidsDrained(c.Nodes[1]) })
 			for range 3 {
-				if !avoidsDrained(c.Places[1]) {
+				if !avoidsDrained(c.Nodes[1]) {
 					t.Error("it pushed to the worker again")
 				}
 			}
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -29,7 +29,7 @@
 		}
 		failed := 0
 		for i := range d.fleet.workers {
-			failed += stats.Bit(d.fleet.workers[i].health.Failed())
+			failed += stats.BoolToInt(d.fleet.workers[i].health.Failed())
 		}
 		if failed != want {
 			t.Errorf("%d workers with a failure verdict, want %d", failed, want)
@@ -50,12 +50,12 @@
 		failed := expectPush(t, d) == 0 && i%5 > 0
 		d.AdvanceClock(d.now + 10)
 		d.AttemptProgress(i, 0, Progress{Started: true})
-		outcome := Outcome(stats.Bit(failed) * int(Failed))
+		outcome := Outcome(stats.BoolToInt(failed) * int(Failed))
 		d.AttemptEnded(i, 0, outcome, outcome == Succeeded)
 	}
 	chosen := 0
 	for range 1000 {
-		chosen += stats.Bit(slices.Contains(d.candidates(&op{maxAttempts: 1}), 0))
+		chosen += stats.BoolToInt(slices.Contains(d.candidates(&op{maxAttempts: 1}), 0))
 	}
 	if chosen > 300 || chosen == 0 {
 		t.Errorf("the worker is a candidate %d times in 1000, want 1 to 300", chosen)
--- a/dispatch/choice.go
+++ b/dispatch/choice.go
@@ -53,7 +53,7 @@
 	from := d.candidates(o)
 	warm := d.withoutWarmingUp(slices.Clone(from))
 	if n := len(from); n > 0 && !d.settings.Probes {
-		draws := 1 + stats.Bit(len(warm) == 0)
+		draws := 1 + stats.BoolToInt(len(warm) == 0)
 		if i := from[d.random.IntN(n)]; !d.excludedBySlowStart(o, &d.fleet.workers[i], n*draws) {
 			return i
 		}
@@ -71,7 +71,7 @@
 
 // chooseOfTwo chooses one of the two workers of a pair.
 func (d *Dispatcher) chooseOfTwo(o *op, x, y int) int {
-	pick := func(second bool) int { return [2]int{x, y}[stats.Bit(second)] }
+	pick := func(second bool) int { return [2]int{x, y}[stats.BoolToInt(second)] }
 	threshold := float64(d.threshold())
 	if _, _, ok := d.peerReportedLoad(x); d.currentSummary().reportsStale && !ok {
 		threshold = unknownThreshold
--- a/dispatch/learned_test.go
+++ b/dispatch/learned_test.go
@@ -25,7 +25,7 @@
 		d.AdvanceClock(d.now + 10)
 		d.AttemptProgress(i, 0, Progress{Started: true})
 		d.AdvanceClock(d.now + 200)
-		outcome := Outcome(stats.Bit(failed) * int(Failed))
+		outcome := Outcome(stats.BoolToInt(failed) * int(Failed))
 		d.AttemptEnded(i, 0, outcome, outcome == Succeeded)
 		pullDecisions(d)
 	}
--- a/dispatch/probing.go
+++ b/dispatch/probing.go
@@ -114,7 +114,7 @@
 	}
 	var jobs, readings [2]float64 // 0: other zones, 1: the own zone
 	for k, i := range from {
-		near := stats.Bit(d.inOwnZone(i))
+		near := stats.BoolToInt(d.inOwnZone(i))
 		if r := d.fleet.workers[i].lastReading(); r != nil {
 			jobs[near] += max(r.load.RunningJobs, 0)
 			readings[near]++
--- a/dispatch/probing_test.go
+++ b/dispatch/probing_test.go
@@ -61,8 +61,8 @@
 		withoutOwnZone, withOtherZone := 0, 0
 		for i := range 40 {
 			x, y := admitAndProbe(t, d, i, 0)
-			withoutOwnZone += stats.Bit(x%4 != 1 && y%4 != 1)
-			withOtherZone += stats.Bit(x%4 != 1 || y%4 != 1)
+			withoutOwnZone += stats.BoolToInt(x%4 != 1 && y%4 != 1)
+			withOtherZone += stats.BoolToInt(x%4 != 1 || y%4 != 1)
 		}
 		if price > 0 && withoutOwnZone > 0 || price == 0 && withoutOwnZone == 0 || withOtherZone == 0 {
 			t.Errorf("price %v: %d of 40 pairs without a worker of the own zone, %d with one of another zone",
@@ -78,13 +78,13 @@
 	d.AdvanceClock(1_000_000)
 	for i := range 40 {
 		d.UpsertWorker(i, WorkerEntry{Zone: i % 4, Group: i, Ready: true})
-		d.ProbeAnswered(i, 0, loadWithJobs(3*float64(stats.Bit(i%4 == 0))))
+		d.ProbeAnswered(i, 0, loadWithJobs(3*float64(stats.BoolToInt(i%4 == 0))))
 	}
 	d.EndUpdate()
 	inOwnZone := 0
 	for i := range 40 {
 		x, y := admitAndProbe(t, d, i, 0)
-		inOwnZone += stats.Bit(x%4 == 0) + stats.Bit(y%4 == 0)
+		inOwnZone += stats.BoolToInt(x%4 == 0) + stats.BoolToInt(y%4 == 0)
 	}
 	if inOwnZone > 30 {
 		t.Errorf("%d of 80 probes went to the own zone, which is busier than the others, want at most 30",
@@ -178,13 +178,13 @@
 		d.BeginSnapshot()
 		for i := range 20 {
 			// half of them are warming up
-			d.UpsertWorker(i, WorkerEntry{Ready: true, StartedAt: Time(999_000 * stats.Bit(i > 9))})
+			d.UpsertWorker(i, WorkerEntry{Ready: true, StartedAt: Time(999_000 * stats.BoolToInt(i > 9))})
 		}
 		d.EndUpdate()
 		for i := range 200 {
 			d.AddOp(i, OpSpec{TTL: d.now + 50_000, Slots: 1})
 			for _, a := range pullDecisions(d) {
-				n += stats.Bit(a.Worker > 9)
+				n += stats.BoolToInt(a.Worker > 9)
 				d.ProbeAnswered(a.Worker, 0, loadWithJobs(0))
 			}
 			d.AdvanceClock(d.now)
--- a/dispatch/samples.go
+++ b/dispatch/samples.go
@@ -68,7 +68,7 @@
 	for _, s := range d.samples.startSamples {
 		g.maxStartDelay = max(g.maxStartDelay, s.delay)
 		if d.now-s.at < maxStartSampleAge {
-			late += stats.Bit(s.delay > promptDelay)
+			late += stats.BoolToInt(s.delay > promptDelay)
 			n++
 		}
 	}
--- a/dispatch/shadow.go
+++ b/dispatch/shadow.go
@@ -47,6 +47,6 @@
 	underShadow := decide()
 	d.settings, d.random = settings, random
 	decided := decide()
-	d.shadow.divergence[kind] += stats.Bit(!slices.Equal(underShadow, decided))
+	d.shadow.divergence[kind] += stats.BoolToInt(!slices.Equal(underShadow, decided))
 	return decided
 }
--- a/dispatch/slow_start_simulation_test.go
+++ b/dispatch/slow_start_simulation_test.go
@@ -351,12 +351,12 @@
 		w := p.workers[i]
 		if o := p.worstOverload(w.arrivals); o > 0 {
 			f.worstLoad = max(f.worstLoad, o)
-			f.overloaded += stats.Bit(o > 1)
+			f.overloaded += stats.BoolToInt(o > 1)
 		}
 		for from := Time(0); from+overloadWindow <= min(warmAfter, p.length); from += overloadWindow {
 			n := 0.0
 			for _, t := range w.arrivals {
-				n += float64(stats.Bit(t > restartAt+from && t <= restartAt+from+overloadWindow))
+				n += float64(stats.BoolToInt(t > restartAt+from && t <= restartAt+from+overloadWindow))
 			}
 			allowed := p.budget(from + overloadWindow)
 			windows, loadSum = windows+1, loadSum+n/allowed
--- a/dispatch/slow_start_test.go
+++ b/dispatch/slow_start_test.go
@@ -167,7 +167,7 @@
 		d.UpsertWorker(10, WorkerEntry{Ready: true, StartedAt: d.now - second})
 		d.EndUpdate()
 		for range 4_000 {
-			n += 1 - stats.Bit(d.excludedBySlowStart(&op{probes: opProbes{rounds: rounds}, attempts: attempts},
+			n += 1 - stats.BoolToInt(d.excludedBySlowStart(&op{probes: opProbes{rounds: rounds}, attempts: attempts},
 				&d.fleet.workers[10], 11))
 		}
 		return n
@@ -212,7 +212,7 @@
 			all[i].AdvanceClock(1_000_000)
 			all[i].BeginSnapshot()
 			for w := range workers {
-				all[i].UpsertWorker(w, WorkerEntry{Ready: true, StartedAt: Time(1_000_000 * stats.Bit(w == 0))})
+				all[i].UpsertWorker(w, WorkerEntry{Ready: true, StartedAt: Time(1_000_000 * stats.BoolToInt(w == 0))})
 			}
 			all[i].EndUpdate()
 		}
@@ -229,7 +229,7 @@
 			for _, a := range pullDecisions(d) {
 				if a.Kind == Probe {
 					// the warming worker reports that it is idle
-					d.ProbeAnswered(a.Worker, 0, loadWithJobs(2*float64(stats.Bit(a.Worker > 0))))
+					d.ProbeAnswered(a.Worker, 0, loadWithJobs(2*float64(stats.BoolToInt(a.Worker > 0))))
 				}
 			}
 			d.AdvanceClock(now)
--- a/dispatch/threshold.go
+++ b/dispatch/threshold.go
@@ -38,7 +38,7 @@
 		r.paired = true
 		l := stateOf(r.load)
 		e.observed[l]++
-		e.idleAfter[l] += float64(stats.Bit(isIdle(next.load)))
+		e.idleAfter[l] += float64(stats.BoolToInt(isIdle(next.load)))
 	}
 }
 
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -125,7 +125,7 @@
 	for i := range d.fleet.workers {
 		w := &d.fleet.workers[i]
 		w.ready = w.ready && w.listed
-		d.fleet.ready += stats.Bit(w.ready)
+		d.fleet.ready += stats.BoolToInt(w.ready)
 	}
 	if d.settings.exchangesPeerReports() || d.shadow.exchangesPeerReports() {
 		d.assignSubscribers()
--- a/internal/base/stats/stats.go
+++ b/internal/base/stats/stats.go
@@ -49,8 +49,8 @@
 	return s
 }
 
-// Bit returns 1 for true and 0 for false.
-func Bit(b bool) int {
+// BoolToInt returns 1 for true and 0 for false.
+func BoolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/internal/cluster/membership/member_state.go
+++ b/internal/cluster/membership/member_state.go
@@ -94,7 +94,7 @@
 	if !state.Ended() {
 		n.detector.schedule(m, n.rand)
 	}
-	n.emit(MemberChanged{MemberView: n.viewOf(m), Before: before, New: newIncarnation})
+	n.emit(MemberChanged{MemberView: n.viewOf(m), Before: before, NewIncarnation: newIncarnation})
 }
 
 // endedAt returns when a process ended, computed from the age of its record.
--- a/internal/cluster/membership/messages.go
+++ b/internal/cluster/membership/messages.go
@@ -91,8 +91,8 @@
 // MemberChanged reports that another member has a new state in this process's view.
 type MemberChanged struct {
 	MemberView
-	Before State
-	New    bool // the incarnation was not known before
+	Before         State
+	NewIncarnation bool // the incarnation was not known before
 }
 
 // UserMessageReceived is a text from another member.
--- a/internal/cluster/mesh/bench_test.go
+++ b/internal/cluster/mesh/bench_test.go
@@ -281,7 +281,7 @@
 		name := fmt.Sprintf("worker-%05d", i)
 		drains = append(drains, drainstate.DrainRecord{Worker: name, BootID: 1_700_000_000_000, Revision: 1 << 30})
 	}
-	state := operatorstate.State{Settings: 1 << 60, Sequence: uint64(1_700_000_000_000_000_000)}
+	state := operatorstate.State{SettingsHash: 1 << 60, Sequence: uint64(1_700_000_000_000_000_000)}
 	for name, message := range map[string]serviceMessage{
 		"staff":          {Cluster: "cluster", From: from, OperatorState: &state},
 		"one worker":     {Cluster: "cluster", From: from, Drains: drains[:1]},
--- a/internal/cluster/mesh/golden_messages_test.go
+++ b/internal/cluster/mesh/golden_messages_test.go
@@ -193,10 +193,10 @@
 	for name, kind := range map[string]replicaset.Kind{
 		"seat_asked": replicaset.VoterQuery,
 		"seat_said":  replicaset.VoterReply,
-		"founded":    replicaset.GroupFounded,
-		"joined":     replicaset.VoterAccepted,
+		"founded":    replicaset.GroupCreated,
+		"joined":     replicaset.GroupAcknowledged,
 		"round":      replicaset.RaftMessage,
-		"reseat":     replicaset.ReplaceVoter,
+		"reseat":     replicaset.VoterIDChanged,
 		"asked":      replicaset.ChangeRequested,
 		"answered":   replicaset.ChangeAnswered,
 	} {
--- a/internal/cluster/mesh/loop.go
+++ b/internal/cluster/mesh/loop.go
@@ -138,8 +138,8 @@
 }
 
 func (m *Mesh) handleStopped(e membership.Stopped) {
-	if m.host.Serving != nil {
-		m.host.Serving(false, membership.Incarnation{})
+	if m.host.ServingChanged != nil {
+		m.host.ServingChanged(false, membership.Incarnation{})
 	}
 	m.log.Info().Bool("replaced", e.Replaced).Msg("no longer a member")
 	if m.host.Stopped != nil {
@@ -151,7 +151,7 @@
 // incarnation grows. The incarnation grows if the process chose it without knowing of another process of
 // the same name.
 func (m *Mesh) reportServing(joined bool) {
-	if m.host.Serving == nil {
+	if m.host.ServingChanged == nil {
 		return
 	}
 	self := m.node.Self()
@@ -159,6 +159,6 @@
 	newIncarnation := current.incarnation != m.lastReported.incarnation && self.State == membership.Alive
 	if joined || newIncarnation || current.catchingUp != m.lastReported.catchingUp {
 		m.lastReported = current
-		m.host.Serving(!current.catchingUp, current.incarnation)
+		m.host.ServingChanged(!current.catchingUp, current.incarnation)
 	}
 }
--- a/internal/cluster/mesh/mesh.go
+++ b/internal/cluster/mesh/mesh.go
@@ -55,8 +55,8 @@
 	// MembersRestored receives the members that a predecessor handed over, before the loop starts.
 	MembersRestored func([]membership.MemberView)
 
-	// Serving receives whether this process serves as a member, and its incarnation.
-	Serving func(on bool, incarnation membership.Incarnation)
+	// ServingChanged receives whether this process serves as a member, and its incarnation.
+	ServingChanged func(on bool, incarnation membership.Incarnation)
 
 	Drains        func(from string, records []drainstate.DrainRecord)
 	Replication   func(from string, message replication.Message)
@@ -174,8 +174,8 @@
 	if predecessor != nil && host.MembersRestored != nil {
 		host.MembersRestored(m.node.View())
 	}
-	if predecessor != nil && host.Serving != nil {
-		host.Serving(true, predecessor.Self.Incarnation)
+	if predecessor != nil && host.ServingChanged != nil {
+		host.ServingChanged(true, predecessor.Self.Incarnation)
 	}
 	go m.run()
 	return m, nil
--- a/internal/cluster/mesh/mesh_test.go
+++ b/internal/cluster/mesh/mesh_test.go
@@ -96,7 +96,7 @@
 	outcome := replication.Outcome{
 		Claim:          replication.Claim{Scheduler: "n", Nonce: 9},
 		Stage:          replication.Ended,
-		Verdict:        502,
+		HTTPStatus:     502,
 		Result:         []byte("r"),
 		ResultRetained: true,
 	}
@@ -221,7 +221,7 @@
 func TestTheHostIsNotifiedWhenTheIncarnationGrows(t *testing.T) {
 	generations := make(chan uint64, 9)
 	serving := func(_ bool, incarnation membership.Incarnation) { generations <- incarnation.Generation }
-	a := startMesh(t, "a", 0, Host{Serving: serving})
+	a := startMesh(t, "a", 0, Host{ServingChanged: serving})
 	await := func(want uint64) {
 		t.Helper()
 		for timeout := time.After(20 * time.Second); ; {
--- a/internal/cluster/mesh/services.go
+++ b/internal/cluster/mesh/services.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// BroadcastOperatorState sends the operator state of this process to one member, except after HandOver.
-func (m *Mesh) BroadcastOperatorState(to string, state operatorstate.State) {
+// SendOperatorState sends the operator state of this process to one member, except after HandOver.
+func (m *Mesh) SendOperatorState(to string, state operatorstate.State) {
 	if !m.handedOver.Load() {
 		m.sendService(to, serviceMessage{OperatorState: &state})
 	}
--- a/internal/cluster/mesh/services_test.go
+++ b/internal/cluster/mesh/services_test.go
@@ -36,7 +36,7 @@
 		message := serviceMessage{
 			Cluster:       "c",
 			From:          recordToWire(testRecord("b", "127.0.0.1:7")),
-			OperatorState: &operatorstate.State{Settings: 1},
+			OperatorState: &operatorstate.State{SettingsHash: 1},
 		}
 		change(&message)
 		text, err := encodeService(message)
@@ -69,7 +69,7 @@
 	} {
 		delivered := 0
 		host := Host{OperatorState: func(from string, incarnation uint64, state operatorstate.State) {
-			if from != "b" || incarnation != 1 || state.Settings != 1 {
+			if from != "b" || incarnation != 1 || state.SettingsHash != 1 {
 				t.Errorf("%s: from %s, incarnation %d, %+v", c.name, from, incarnation, state)
 			}
 			delivered++
--- a/internal/cluster/operatorstate/operatorstate.go
+++ b/internal/cluster/operatorstate/operatorstate.go
@@ -12,7 +12,7 @@
 
 // State is the operator state that a scheduler reports about itself.
 type State struct {
-	Settings       uint64 `cbor:"1,keyasint,omitzero"` // hash of the settings that all schedulers should use
+	SettingsHash   uint64 `cbor:"1,keyasint,omitzero"` // hash of the settings that all schedulers should use
 	ClientsDrained bool   `cbor:"2,keyasint,omitzero"` // the scheduler sends its clients to other schedulers
 	Sequence       uint64 `cbor:"3,keyasint,omitzero"` // increases with each change of the state
 }
@@ -33,9 +33,9 @@
 	return m.state.Sequence > other.state.Sequence
 }
 
-// Board contains the state of this scheduler and the known states of other schedulers. It is not safe for
+// Registry contains the state of this scheduler and the known states of other schedulers. It is not safe for
 // concurrent use.
-type Board struct {
+type Registry struct {
 	own    State
 	ownSet bool
 	byName map[string]memberState
@@ -43,19 +43,19 @@
 
 // New returns a Board without states of other schedulers. The sequence number of this scheduler's state
 // begins at start, which must be greater for a successor than for its predecessor.
-func New(start uint64) *Board {
-	return &Board{own: State{Sequence: start}, byName: map[string]memberState{}}
+func New(start uint64) *Registry {
+	return &Registry{own: State{Sequence: start}, byName: map[string]memberState{}}
 }
 
 // SetOwn sets the state of this scheduler. It reports whether the state has changed, in which case all other
 // schedulers must be notified.
-func (b *Board) SetOwn(settings uint64, clientsDrained bool) bool {
-	if b.ownSet && b.own.Settings == settings && b.own.ClientsDrained == clientsDrained {
+func (b *Registry) SetOwn(settings uint64, clientsDrained bool) bool {
+	if b.ownSet && b.own.SettingsHash == settings && b.own.ClientsDrained == clientsDrained {
 		return false
 	}
 	b.ownSet = true
 	b.own = State{
-		Settings:       settings,
+		SettingsHash:   settings,
 		ClientsDrained: clientsDrained,
 		Sequence:       b.own.Sequence + 1,
 	}
@@ -63,10 +63,10 @@
 }
 
 // Own returns the state of this scheduler.
-func (b *Board) Own() State { return b.own }
+func (b *Registry) Own() State { return b.own }
 
 // Receive stores the state that an incarnation of a member reports, if it is newer than the known state.
-func (b *Board) Receive(name string, incarnation uint64, state State) {
+func (b *Registry) Receive(name string, incarnation uint64, state State) {
 	received := memberState{state: state, incarnation: incarnation}
 	current, known := b.byName[name]
 	if known && !received.newerThan(current) {
@@ -79,20 +79,20 @@
 }
 
 // Forget deletes the state of a member whose process has ended.
-func (b *Board) Forget(name string) { delete(b.byName, name) }
+func (b *Registry) Forget(name string) { delete(b.byName, name) }
 
 // DifferingMembers returns the sorted names of the members whose settings differ from those of this
 // scheduler.
-func (b *Board) DifferingMembers() []string {
-	return b.namesWhere(func(s State) bool { return s.Settings != b.own.Settings })
+func (b *Registry) DifferingMembers() []string {
+	return b.namesWhere(func(s State) bool { return s.SettingsHash != b.own.SettingsHash })
 }
 
 // DrainedMembers returns the sorted names of the members whose clients are drained.
-func (b *Board) DrainedMembers() []string {
+func (b *Registry) DrainedMembers() []string {
 	return b.namesWhere(func(s State) bool { return s.ClientsDrained })
 }
 
-func (b *Board) namesWhere(holds func(State) bool) (names []string) {
+func (b *Registry) namesWhere(holds func(State) bool) (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(b.byName)) {
 		if holds(b.byName[name].state) {
 			names = append(names, name)
--- a/internal/cluster/operatorstate/operatorstate_test.go
+++ b/internal/cluster/operatorstate/operatorstate_test.go
@@ -19,7 +19,7 @@
 			t.Errorf("change %d: %v, want %v", i, got, c.changed)
 		}
 	}
-	if want := (State{Settings: 7, ClientsDrained: true, Sequence: 2}); b.Own() != want {
+	if want := (State{SettingsHash: 7, ClientsDrained: true, Sequence: 2}); b.Own() != want {
 		t.Errorf("own state %+v, want %+v", b.Own(), want)
 	}
 }
@@ -53,9 +53,9 @@
 func TestOtherMembersAreBounded(t *testing.T) {
 	b := New(0)
 	for i := range 2 * maxMembers {
-		b.Receive(fmt.Sprintf("n%05d", i), 1, State{Settings: 1, Sequence: 1})
+		b.Receive(fmt.Sprintf("n%05d", i), 1, State{SettingsHash: 1, Sequence: 1})
 	}
-	b.Receive("n00000", 1, State{Settings: 1, ClientsDrained: true, Sequence: 2})
+	b.Receive("n00000", 1, State{SettingsHash: 1, ClientsDrained: true, Sequence: 2})
 	if got := len(b.DifferingMembers()); got != maxMembers {
 		t.Errorf("%d members are known, want %d", got, maxMembers)
 	}
--- a/internal/cluster/replica/claims.go
+++ b/internal/cluster/replica/claims.go
@@ -90,7 +90,7 @@
 		Key:         op.key,
 		Fingerprint: op.fingerprint,
 		Timeout:     membership.TimeOf(timeout),
-		Window:      membership.TimeOf(op.dedupWindow),
+		DedupWindow: membership.TimeOf(op.dedupWindow),
 	}
 	if !r.queue.offer(input{replication: request}) {
 		r.claims.remove(id)
@@ -134,7 +134,7 @@
 
 // Finish records the outcome of a granted op. An answer longer than MaxResultBytes is not retained.
 func (r *Replica) Finish(id uint64, neverRan bool, status int, answer []byte) {
-	ended := replication.OpEnded{RequestID: id, NeverRan: neverRan, Verdict: uint16(status)}
+	ended := replication.OpEnded{RequestID: id, NeverRan: neverRan, HTTPStatus: uint16(status)}
 	if !neverRan && status != 0 && len(answer) <= r.config.MaxResultBytes {
 		ended.Result, ended.ResultRetained = append([]byte{}, answer...), true
 	}
--- a/internal/cluster/replica/effects.go
+++ b/internal/cluster/replica/effects.go
@@ -50,7 +50,7 @@
 	ok = true
 	for _, e := range effects {
 		if adopted, is := e.(replication.SetAdopted); is {
-			ok = r.stepReplicaSet(replicaset.SetLearned{Set: adopted.Set}) && ok
+			ok = r.stepReplicaSet(replicaset.ReplicaSetLearned{Set: adopted.Set}) && ok
 		}
 	}
 	return ok
@@ -93,7 +93,7 @@
 		switch e := e.(type) {
 		case replicaset.Send:
 			r.transport.SendReplicaSet(e.To, e.Message)
-		case replicaset.SetAgreed:
+		case replicaset.ReplicaSetAgreed:
 			r.stepReplication(replication.AdoptSet{Set: e.Set})
 		case replicaset.ChangeResult:
 			if result := r.changes.remove(e.RequestID); result != nil {
--- a/internal/cluster/replica/membership.go
+++ b/internal/cluster/replica/membership.go
@@ -109,9 +109,9 @@
 	r.processEnded(successor)
 }
 
-// HandOverProcesses encodes the other processes of this scheduler that have ended, for the successor of this
+// EndedProcesses encodes the other processes of this scheduler that have ended, for the successor of this
 // process.
-func (r *Replica) HandOverProcesses() ([]byte, error) {
+func (r *Replica) EndedProcesses() ([]byte, error) {
 	r.identity.mu.Lock()
 	defer r.identity.mu.Unlock()
 	if len(r.identity.endedProcesses) == 0 {
@@ -120,8 +120,8 @@
 	return json.Marshal(r.identity.endedProcesses)
 }
 
-// RestoreProcesses restores the ended processes that a predecessor handed over. It is called before Start.
-func (r *Replica) RestoreProcesses(state []byte) error {
+// RestoreEndedProcesses restores the ended processes that a predecessor handed over. It is called before Start.
+func (r *Replica) RestoreEndedProcesses(state []byte) error {
 	if len(state) == 0 {
 		return nil
 	}
@@ -143,8 +143,8 @@
 	r.queue.stateChanges.Put(input{replication: replication.ProcessEnded{Process: process}})
 }
 
-// Successions returns the number of successions that a successor passes to New.
-func (r *Replica) Successions() uint64 {
+// NextSuccessions returns the number of successions that a successor passes to New.
+func (r *Replica) NextSuccessions() uint64 {
 	r.identity.mu.Lock()
 	defer r.identity.mu.Unlock()
 	return r.identity.successions + 1
--- a/internal/cluster/replica/status.go
+++ b/internal/cluster/replica/status.go
@@ -81,7 +81,7 @@
 			Scheduler:      o.Scheduler,
 			Claim:          fmt.Sprintf("%016x", o.Nonce),
 			Stage:          o.Stage.String(),
-			Status:         int(o.Verdict),
+			Status:         int(o.HTTPStatus),
 			ResultRetained: o.ResultRetained,
 			Group:          o.Group,
 		})
--- a/internal/cluster/replicaset/core.go
+++ b/internal/cluster/replicaset/core.go
@@ -58,7 +58,7 @@
 		presence: map[string]presence{},
 	}
 	if c.set.GroupID == 0 {
-		c.set = Configured(config.Replicas)
+		c.set = ConfiguredSet(config.Replicas)
 	}
 	c.config.Replicas = slices.Sorted(slices.Values(config.Replicas))
 	return c
@@ -130,7 +130,7 @@
 		c.handlePeerStatus(in)
 	case ChangeRequest:
 		c.changes.addRequest(in, c.now, c.now+c.config.ChangeTimeout)
-	case SetLearned:
+	case ReplicaSetLearned:
 		return c.handleSetLearned(in.Set)
 	case ReplicasReady:
 		c.changes.readyEpoch = in.Epoch
@@ -148,15 +148,15 @@
 		c.send(in.From, Message{Kind: VoterReply})
 	case VoterReply:
 		c.handleVoterReply(in)
-	case GroupFounded:
+	case GroupCreated:
 		return c.handleGroupFounded(in)
-	case VoterAccepted:
+	case GroupAcknowledged:
 		if in.GroupID == c.state.GroupID {
 			c.creation.accepted[in.VoterID] = true
 		}
 	case RaftMessage:
 		return c.handleRaftMessage(in)
-	case ReplaceVoter:
+	case VoterIDChanged:
 		c.handleReplaceVoter(in)
 	case ChangeRequested:
 		c.handleChangeRequested(in)
--- a/internal/cluster/replicaset/effects.go
+++ b/internal/cluster/replicaset/effects.go
@@ -12,8 +12,8 @@
 	Message
 }
 
-// SetAgreed reports a set that the group agreed on. The set is in force from now on.
-type SetAgreed struct{ Set }
+// ReplicaSetAgreed reports a set that the group agreed on. The set is in force from now on.
+type ReplicaSetAgreed struct{ Set }
 
 // ChangeResult answers a ChangeRequest.
 type ChangeResult struct {
@@ -34,8 +34,8 @@
 // any more.
 const LeftGroup = "takes no part in the raft group any more"
 
-func (Persist) effect()      {}
-func (Send) effect()         {}
-func (SetAgreed) effect()    {}
-func (ChangeResult) effect() {}
-func (Event) effect()        {}
+func (Persist) effect()          {}
+func (Send) effect()             {}
+func (ReplicaSetAgreed) effect() {}
+func (ChangeResult) effect()     {}
+func (Event) effect()            {}
--- a/internal/cluster/replicaset/group_creation.go
+++ b/internal/cluster/replicaset/group_creation.go
@@ -67,7 +67,7 @@
 	voters := c.raft.voters()
 	for _, v := range voters {
 		if !c.creation.accepted[v.ID] {
-			c.send(v.Name, Message{Kind: GroupFounded, Voters: voters})
+			c.send(v.Name, Message{Kind: GroupCreated, Voters: voters})
 		}
 	}
 }
@@ -121,7 +121,7 @@
 		}
 	}
 	if c.state.GroupID == in.GroupID {
-		c.send(in.From, Message{Kind: VoterAccepted})
+		c.send(in.From, Message{Kind: GroupAcknowledged})
 	}
 	return nil
 }
--- a/internal/cluster/replicaset/inputs.go
+++ b/internal/cluster/replicaset/inputs.go
@@ -28,8 +28,8 @@
 	Replicas  []string
 }
 
-// SetLearned is a set that another member announced.
-type SetLearned struct{ Set }
+// ReplicaSetLearned is a set that another member announced.
+type ReplicaSetLearned struct{ Set }
 
 // ReplicasReady reports that a majority of the new replicas of an epoch has caught up with the old replicas.
 type ReplicasReady struct{ Epoch uint64 }
@@ -41,12 +41,12 @@
 // state.
 type StateReloaded struct{ State }
 
-func (MessageReceived) input() {}
-func (Tick) input()            {}
-func (Membership) input()      {}
-func (PeerStatus) input()      {}
-func (ChangeRequest) input()   {}
-func (SetLearned) input()      {}
-func (ReplicasReady) input()   {}
-func (PersistFailed) input()   {}
-func (StateReloaded) input()   {}
+func (MessageReceived) input()   {}
+func (Tick) input()              {}
+func (Membership) input()        {}
+func (PeerStatus) input()        {}
+func (ChangeRequest) input()     {}
+func (ReplicaSetLearned) input() {}
+func (ReplicasReady) input()     {}
+func (PersistFailed) input()     {}
+func (StateReloaded) input()     {}
--- a/internal/cluster/replicaset/messages.go
+++ b/internal/cluster/replicaset/messages.go
@@ -12,14 +12,14 @@
 
 // The kinds of messages.
 const (
-	VoterQuery      Kind = iota + 1 // asks for the voter ID of the receiver
-	VoterReply                      // reports the voter ID of the sender; 0: the sender has no State file
-	GroupFounded                    // announces a new group and its voters
-	VoterAccepted                   // acknowledges the announcement of the group
-	RaftMessage                     // contains a message of the raft library
-	ReplaceVoter                    // requests that the group replace its old voter ID of the sender
-	ChangeRequested                 // forwards a change request of operators
-	ChangeAnswered                  // contains the leader's answer to a change request
+	VoterQuery        Kind = iota + 1 // asks for the voter ID of the receiver
+	VoterReply                        // reports the voter ID of the sender; 0: the sender has no State file
+	GroupCreated                      // announces a new group and its voters
+	GroupAcknowledged                 // acknowledges the announcement of the group
+	RaftMessage                       // contains a message of the raft library
+	VoterIDChanged                    // requests that the group replace its old voter ID of the sender
+	ChangeRequested                   // forwards a change request of operators
+	ChangeAnswered                    // contains the leader's answer to a change request
 )
 
 // Message is a message between members about the replica set.
--- a/internal/cluster/replicaset/raft_group.go
+++ b/internal/cluster/replicaset/raft_group.go
@@ -214,7 +214,7 @@
 	s := c.raft.set(c.state.GroupID, epoch)
 	if s.Supersedes(c.set) {
 		c.useSet(s)
-		c.emit(SetAgreed{s})
+		c.emit(ReplicaSetAgreed{s})
 	}
 }
 
--- a/internal/cluster/replicaset/replacement.go
+++ b/internal/cluster/replicaset/replacement.go
@@ -60,7 +60,7 @@
 // are asked, because any of them may be the leader.
 func (c *Core) requestReplacement() {
 	for _, name := range c.set.Members() {
-		c.send(name, Message{Kind: ReplaceVoter})
+		c.send(name, Message{Kind: VoterIDChanged})
 	}
 }
 
--- a/internal/cluster/replicaset/set.go
+++ b/internal/cluster/replicaset/set.go
@@ -20,14 +20,14 @@
 	New     []string `cbor:"4,keyasint,omitzero"`
 }
 
-// Configured returns the set that the configuration names.
-func Configured(names []string) Set { return Set{New: names} }
+// ConfiguredSet returns the set that the configuration names.
+func ConfiguredSet(names []string) Set { return Set{New: names} }
 
 // Joint reports whether a change is in progress.
 func (s Set) Joint() bool { return len(s.Old) > 0 }
 
-// Quorums returns the parts of the set, the old part first. A decision needs a majority of each part.
-func (s Set) Quorums() [][]string {
+// Parts returns the parts of the set, the old part first. A decision needs a majority of each part.
+func (s Set) Parts() [][]string {
 	if s.Joint() {
 		return [][]string{s.Old, s.New}
 	}
@@ -49,7 +49,7 @@
 
 // HasMajority reports whether the predicate holds for a majority of each part.
 func (s Set) HasMajority(holds func(name string) bool) bool {
-	for _, part := range s.Quorums() {
+	for _, part := range s.Parts() {
 		if Count(part, holds) < Majority(len(part)) {
 			return false
 		}
--- a/internal/cluster/replicaset/set_test.go
+++ b/internal/cluster/replicaset/set_test.go
@@ -22,7 +22,7 @@
 			all = append(all, s)
 		}
 		latest := func(order []Set) (epoch uint64) {
-			s := Configured([]string{"a", "b", "c"})
+			s := ConfiguredSet([]string{"a", "b", "c"})
 			for _, x := range order {
 				if x.Supersedes(s) {
 					s = x
--- a/internal/cluster/replication/catch_up_test.go
+++ b/internal/cluster/replication/catch_up_test.go
@@ -22,7 +22,7 @@
 	claimed := Outcome{Claim: Claim{"x", 1}, Stage: Claimed}
 	before := Record{Key: "k", Fingerprint: 1, Outcomes: []Outcome{claimed}}
 	after := before
-	after.Outcomes = []Outcome{{Claim: Claim{"x", 1}, Stage: Ended, Verdict: 200}}
+	after.Outcomes = []Outcome{{Claim: Claim{"x", 1}, Stage: Ended, HTTPStatus: 200}}
 	receive("c", Message{Kind: DigestPage, Next: 1})
 	receive("b", Message{Kind: DigestPage, Next: 1, Digests: []uint64{before.digest()}})
 	// The record has changed meanwhile, to position 2.
--- a/internal/cluster/replication/claims.go
+++ b/internal/cluster/replication/claims.go
@@ -314,14 +314,14 @@
 func (c *Core) bindToGroup(claim *activeClaim, r *refusals) bool {
 	other, unresolved := r.record.findUnresolved(claim.claim)
 	_, ended := r.record.endedOutcome()
-	if claim.Window == 0 || claim.group != "" || r.fingerprintMismatch || ended || !unresolved {
+	if claim.DedupWindow == 0 || claim.group != "" || r.fingerprintMismatch || ended || !unresolved {
 		return false
 	}
 	if c.inProgressElsewhere(claim, &r.record) || !r.record.unresolvedOnlyIn(claim.claim, other.Group) {
 		return false
 	}
 	notRunBefore, known := c.earliestPossibleRun(claim, &r.record)
-	if !known || c.now-notRunBefore >= claim.Window || c.now >= claim.deadline {
+	if !known || c.now-notRunBefore >= claim.DedupWindow || c.now >= claim.deadline {
 		return false
 	}
 	c.releaseClaim(claim, claim.RequestID|boundClaimFlag)
--- a/internal/cluster/replication/claims_test.go
+++ b/internal/cluster/replication/claims_test.go
@@ -101,7 +101,7 @@
 	if got := claim(2, 8); got != FingerprintMismatch {
 		t.Errorf("another request while the first one runs: %v", got)
 	}
-	c.Step(20, OpEnded{RequestID: 1, Verdict: 200, Result: []byte("r"), ResultRetained: true})
+	c.Step(20, OpEnded{RequestID: 1, HTTPStatus: 200, Result: []byte("r"), ResultRetained: true})
 	if got := claim(3, 8); got != FingerprintMismatch {
 		t.Errorf("another request after the first one has ended: %v", got)
 	}
@@ -117,7 +117,7 @@
 		c := newTestCore("x", "a", "b", "c")
 		c.Step(1, Membership{Serving: true, Generation: 1})
 		c.Step(2, PeerStatus{Name: "y", Dead: true})
-		c.Step(3, ClaimRequest{RequestID: 1, Key: "k", Fingerprint: 1, Timeout: second, Window: second})
+		c.Step(3, ClaimRequest{RequestID: 1, Key: "k", Fingerprint: 1, Timeout: second, DedupWindow: second})
 		other := Outcome{Claim: Claim{"y", 1}, Stage: Claimed, Group: "all", Age: age}
 		known := Record{Key: "k", Fingerprint: 1, Outcomes: []Outcome{other}}
 		var effects []Effect
@@ -149,7 +149,7 @@
 	} {
 		c := newTestCore("x", "a", "b", "c")
 		c.Step(1, Membership{Serving: true, Generation: 1})
-		c.Step(2, ClaimRequest{RequestID: 1, Key: "k", Fingerprint: 1, Timeout: second, Window: second})
+		c.Step(2, ClaimRequest{RequestID: 1, Key: "k", Fingerprint: 1, Timeout: second, DedupWindow: second})
 		known := Record{Key: "k", Fingerprint: 1}
 		for i, stage := range x.stages {
 			outcome := Outcome{Claim: Claim{"y", uint64(i)}, Stage: stage, Group: "all", Age: 10}
--- a/internal/cluster/replication/core.go
+++ b/internal/cluster/replication/core.go
@@ -45,7 +45,7 @@
 		claims:       newClaimTable(),
 		members:      newMemberView(),
 	}
-	c.useSet(replicaset.Configured(config.Replicas))
+	c.useSet(replicaset.ConfiguredSet(config.Replicas))
 	return c
 }
 
--- a/internal/cluster/replication/core_test.go
+++ b/internal/cluster/replication/core_test.go
@@ -26,7 +26,7 @@
 // Grants under another replica set, or from a member that is not a replica, must not count. Invalid lists of
 // replicas must be rejected.
 func TestGrantsUnderAnotherSetDoNotCount(t *testing.T) {
-	setID := func(names ...string) uint64 { return replicaset.Configured(names).ID() }
+	setID := func(names ...string) uint64 { return replicaset.ConfiguredSet(names).ID() }
 	if setID("a", "b", "c") != setID("c", "a", "b") || setID("a", "b", "c") == setID("a", "b", "d") {
 		t.Error("the ID of a set must depend on its members and not on their order")
 	}
--- a/internal/cluster/replication/inputs.go
+++ b/internal/cluster/replication/inputs.go
@@ -21,7 +21,7 @@
 	Key         string
 	Fingerprint uint64 // request fingerprint
 	Timeout     Time   // maximum wait for the decision
-	Window      Time   // time after the first push for which a worker group drops repeats of the op; 0: none
+	DedupWindow Time   // time after the first push for which a worker group drops repeats of the op; 0: none
 }
 
 // MayHaveRun states that a granted op may have run in a worker group that drops repeats. The group is that of
@@ -36,7 +36,7 @@
 	RequestID      uint64
 	NeverRan       bool // it is proved that the op did not run: its key may be claimed again
 	Abandoned      bool // the op may have run, has no answer and is not pushed again; its group may get a repeat
-	Verdict        uint16
+	HTTPStatus     uint16
 	Result         []byte
 	ResultRetained bool
 }
--- a/internal/cluster/replication/outcome_reports.go
+++ b/internal/cluster/replication/outcome_reports.go
@@ -52,7 +52,7 @@
 	outcome := Outcome{
 		Claim:          claim.claim,
 		Stage:          Ended,
-		Verdict:        in.Verdict,
+		HTTPStatus:     in.HTTPStatus,
 		Result:         in.Result,
 		ResultRetained: in.ResultRetained,
 	}
--- a/internal/cluster/replication/outcome_reports_test.go
+++ b/internal/cluster/replication/outcome_reports_test.go
@@ -33,7 +33,7 @@
 			for _, name := range []string{"a", "b"} {
 				c.Step(3, grantFrom(c, name, Incarnation{1, 1}))
 			}
-			sentToC := countReports(c.Step(4, OpEnded{RequestID: 1, Verdict: 200}))["c"]
+			sentToC := countReports(c.Step(4, OpEnded{RequestID: 1, HTTPStatus: 200}))["c"]
 			for _, name := range x.acknowledged {
 				known := Message{Kind: OutcomeKnown, SetID: c.active.id, RequestID: 1}
 				c.Step(5, MessageReceived{name, known})
--- a/internal/cluster/replication/record.go
+++ b/internal/cluster/replication/record.go
@@ -50,7 +50,7 @@
 type Outcome struct {
 	Claim
 	Stage          Stage  `cbor:"1,keyasint,omitzero"`
-	Verdict        uint16 `cbor:"2,keyasint,omitzero"` // Ended: the HTTP status of the answer
+	HTTPStatus     uint16 `cbor:"2,keyasint,omitzero"` // Ended: the HTTP status of the answer
 	Result         []byte `cbor:"3,keyasint,omitzero"` // Ended: the answer, if retained; Claimed: the process
 	ResultRetained bool   `cbor:"4,keyasint,omitzero"` // Result is the complete answer
 	Voted          bool   `cbor:"5,keyasint,omitzero"` // this replica has granted the claim
@@ -99,13 +99,13 @@
 // the op did not run and the other that it may have run, or if both have ended with different HTTP statuses.
 func stagesConflict(a, b Outcome) bool {
 	if a.Stage == Ended && b.Stage == Ended {
-		return a.Verdict != b.Verdict
+		return a.HTTPStatus != b.HTTPStatus
 	}
 	return a.Stage != b.Stage && min(a.Stage, b.Stage) == Released
 }
 
 func compareOutcomes(a, b Outcome) int {
-	return cmp.Or(cmp.Compare(a.Stage, b.Stage), cmp.Compare(a.Verdict, b.Verdict), compareResults(a, b))
+	return cmp.Or(cmp.Compare(a.Stage, b.Stage), cmp.Compare(a.HTTPStatus, b.HTTPStatus), compareResults(a, b))
 }
 
 func compareResults(a, b Outcome) int {
@@ -148,7 +148,7 @@
 	after, conflict := joinOutcomes(before, o)
 	r.Outcomes[i] = after
 	changed = after.Group != before.Group || after.Stage != before.Stage ||
-		after.ResultRetained != before.ResultRetained || after.Verdict != before.Verdict
+		after.ResultRetained != before.ResultRetained || after.HTTPStatus != before.HTTPStatus
 	return changed, conflict
 }
 
@@ -213,7 +213,7 @@
 		buffer = append(buffer, 0)
 		buffer = append(buffer, o.Scheduler...)
 		buffer = append(buffer, 0)
-		for _, n := range []uint64{r.Fingerprint, o.Nonce, uint64(o.Stage), uint64(o.Verdict)} {
+		for _, n := range []uint64{r.Fingerprint, o.Nonce, uint64(o.Stage), uint64(o.HTTPStatus)} {
 			buffer = binary.LittleEndian.AppendUint64(buffer, n)
 		}
 		if o.ResultRetained {
--- a/internal/cluster/replication/record_test.go
+++ b/internal/cluster/replication/record_test.go
@@ -27,7 +27,7 @@
 	if o.Stage != Ended {
 		return o
 	}
-	o.Verdict = rapid.SampledFrom([]uint16{200, 502}).Draw(t, label)
+	o.HTTPStatus = rapid.SampledFrom([]uint16{200, 502}).Draw(t, label)
 	o.ResultRetained = rapid.Bool().Draw(t, label)
 	if o.ResultRetained {
 		o.Result = []byte(rapid.SampledFrom([]string{"0", "1"}).Draw(t, label))
@@ -64,7 +64,7 @@
 // outcomes are reported as a conflict.
 func TestALaterStageReplacesAnEarlierOne(t *testing.T) {
 	outcome := func(stage Stage, verdict uint16, result string) Outcome {
-		o := Outcome{Claim: Claim{"n1", 1}, Stage: stage, Verdict: verdict}
+		o := Outcome{Claim: Claim{"n1", 1}, Stage: stage, HTTPStatus: verdict}
 		if result != "" {
 			o.Result, o.ResultRetained = []byte(result), true
 		}
--- a/internal/cluster/replication/registration.go
+++ b/internal/cluster/replication/registration.go
@@ -153,7 +153,7 @@
 // progress returns the progress towards the vote. In a joint set, the old part decides, since no claim is
 // granted without its majority.
 func (c *Core) progress() (p quorumProgress) {
-	p.part = c.active.set.Quorums()[0]
+	p.part = c.active.set.Parts()[0]
 	p.others = replicaset.Count(p.part, func(name string) bool { return name != c.config.Name })
 	p.required = min(replicaset.ReadQuorum(len(p.part)), p.others)
 	for _, name := range p.part {
--- a/internal/cluster/replication/simulation/checker.go
+++ b/internal/cluster/replication/simulation/checker.go
@@ -86,7 +86,7 @@
 	id := c.lastRequest
 	in := replication.ClaimRequest{RequestID: id, Key: key, Fingerprint: 1, Timeout: 5 * Second}
 	if key[0] == 'd' {
-		in.Window = c.DedupWindow
+		in.DedupWindow = c.DedupWindow
 	}
 	c.claims[id] = &claim{key, n, n.core, c.Now()}
 	c.step(n, n.core, in)
@@ -163,7 +163,7 @@
 		if !cl.processRunning() {
 			return
 		}
-		ended := replication.OpEnded{RequestID: id, Verdict: 200, Result: []byte(name), ResultRetained: true}
+		ended := replication.OpEnded{RequestID: id, HTTPStatus: 200, Result: []byte(name), ResultRetained: true}
 		step := stepEnded
 		if drawn < 5 {
 			ended.NeverRan, step = true, stepReleased
@@ -196,7 +196,7 @@
 		return
 	}
 	c.At(c.Now()+Time(c.Rand.IntN(60_000)), func() {
-		ended := replication.OpEnded{RequestID: id, Verdict: 200, Result: []byte(name), ResultRetained: true}
+		ended := replication.OpEnded{RequestID: id, HTTPStatus: 200, Result: []byte(name), ResultRetained: true}
 		if c.Rand.IntN(3) == 0 { // the op was nacked: repeating it in its group is safe
 			ended = replication.OpEnded{RequestID: id, Abandoned: true}
 		}
--- a/internal/cluster/replication/simulation/claimer_test.go
+++ b/internal/cluster/replication/simulation/claimer_test.go
@@ -26,7 +26,7 @@
 	cl := c.claims[id]
 	if cl.processRunning() {
 		result := []byte(fmt.Sprint(id))
-		ended := replication.OpEnded{RequestID: id, Verdict: 200, Result: result, ResultRetained: true}
+		ended := replication.OpEnded{RequestID: id, HTTPStatus: 200, Result: result, ResultRetained: true}
 		c.step(cl.scheduler, cl.core, ended)
 	}
 }
--- a/internal/cluster/replication/simulation/figures_test.go
+++ b/internal/cluster/replication/simulation/figures_test.go
@@ -96,7 +96,7 @@
 	outcome := replication.Outcome{
 		Claim:          replication.Claim{Scheduler: "n3", Nonce: nonce},
 		Stage:          replication.Ended,
-		Verdict:        200,
+		HTTPStatus:     200,
 		ResultRetained: true,
 		Result:         []byte(result),
 	}
--- a/internal/cluster/replication/simulation/node.go
+++ b/internal/cluster/replication/simulation/node.go
@@ -115,7 +115,7 @@
 	for _, e := range effects {
 		if adopted, isAdopted := e.(replication.SetAdopted); isAdopted {
 			c.Epochs[adopted.Epoch]++
-			ok = c.stepReplicaSet(n, core, replicaset.SetLearned{Set: adopted.Set}) && ok
+			ok = c.stepReplicaSet(n, core, replicaset.ReplicaSetLearned{Set: adopted.Set}) && ok
 		}
 	}
 	return ok
@@ -138,7 +138,7 @@
 		switch e := e.(type) {
 		case replicaset.Send:
 			c.sendReplicaSet(n, e)
-		case replicaset.SetAgreed:
+		case replicaset.ReplicaSetAgreed:
 			c.step(n, core, replication.AdoptSet{Set: e.Set})
 		case replicaset.ChangeResult:
 			c.Answers[e.RequestID] = ChangeAnswer{e.OK, e.Message}
--- a/internal/config/bootstrap.go
+++ b/internal/config/bootstrap.go
@@ -43,18 +43,18 @@
 
 // Limits are the resources of the machine that a scheduler may use.
 type Limits struct {
-	Cores    float64 `json:"cores"`     // default 1
-	MemoryMB int     `json:"memory_mb"` // MiB; default 192
-	Sockets  int     `json:"sockets"`   // file descriptors; default 1024
+	Cores       float64 `json:"cores"`     // default 1
+	MemoryMB    int     `json:"memory_mb"` // MiB; default 192
+	Descriptors int     `json:"sockets"`   // file descriptors; default 1024
 }
 
 // Lower bounds of Limits.
 const (
-	MinSockets  = 64 // file descriptors that a scheduler without optional parts needs
-	minMemoryMB = 32
+	MinDescriptors = 64 // file descriptors that a scheduler without optional parts needs
+	minMemoryMB    = 32
 )
 
-func defaultLimits() Limits { return Limits{Cores: 1, MemoryMB: 192, Sockets: 1024} }
+func defaultLimits() Limits { return Limits{Cores: 1, MemoryMB: 192, Descriptors: 1024} }
 
 // Keys says which fact of an op is its affinity key.
 type Keys struct {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	want := Bootstrap{Name: "n2", Listen: "127.0.0.1:9001", Console: "127.0.0.1:9002", Discovery: "127.0.0.1:8501", Seed: "1f",
-		Limits: Limits{Cores: 2.5, MemoryMB: 333, Sockets: 444}, KnownWorkers: json.RawMessage(`{"rev":7}`), LearnMachineKinds: false,
+		Limits: Limits{Cores: 2.5, MemoryMB: 333, Descriptors: 444}, KnownWorkers: json.RawMessage(`{"rev":7}`), LearnMachineKinds: false,
 		Keys: &Keys{Fact: "dataset"},
 		Peers: &Peers{Listen: "127.0.0.1:9003", Others: map[string]string{"1": "127.0.0.1:9004", "3": "127.0.0.1:9005"},
 			ListenAddr: netip.MustParseAddrPort("127.0.0.1:9003"), ByNumber: map[int]netip.AddrPort{
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -48,8 +48,8 @@
 	if l.MemoryMB < minMemoryMB {
 		errs = append(errs, invalid("limits.memory_mb", l.MemoryMB, "must be at least %d", minMemoryMB))
 	}
-	if l.Sockets < MinSockets {
-		errs = append(errs, invalid("limits.sockets", l.Sockets, "must be at least %d", MinSockets))
+	if l.Descriptors < MinDescriptors {
+		errs = append(errs, invalid("limits.sockets", l.Descriptors, "must be at least %d", MinDescriptors))
 	}
 	return errors.Join(errs...)
 }
--- a/internal/frontend/claims.go
+++ b/internal/frontend/claims.go
@@ -88,9 +88,9 @@
 	}
 	switch decided.Result {
 	case replication.AlreadyAnswered:
-		return textResponse(r, int(decided.Outcome.Verdict), decided.Outcome.Result, 0)
+		return textResponse(r, int(decided.Outcome.HTTPStatus), decided.Outcome.Result, 0)
 	case replication.AlreadyEnded:
-		if decided.Outcome.Verdict == http.StatusOK {
+		if decided.Outcome.HTTPStatus == http.StatusOK {
 			return final(http.StatusConflict, "an op with this id was acked; its answer is not held\n")
 		}
 		return final(http.StatusBadGateway, "dead-lettered: an op with this id may have run\n")
--- a/internal/frontend/descriptors.go
+++ b/internal/frontend/descriptors.go
@@ -15,7 +15,7 @@
 // ReserveDescriptors reserves further descriptors for other parts of the process. Call it before Serve.
 func (s *Server) ReserveDescriptors(descriptors int) {
 	s.extraDescriptors += descriptors
-	s.SetDescriptorLimit(s.bootstrap.Limits.Sockets)
+	s.SetDescriptorLimit(s.bootstrap.Limits.Descriptors)
 }
 
 // SetDescriptorLimit sets how many descriptors this process may use, with the reserved ones.
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -110,7 +110,7 @@
 	s.loop = scheduler.New(s.schedulerOptions())
 	s.transport.loop = s.loop
 	s.peers = newPeerMessages(s.loop, log)
-	s.SetDescriptorLimit(bootstrap.Limits.Sockets)
+	s.SetDescriptorLimit(bootstrap.Limits.Descriptors)
 	s.endpoints = newEndpointFeed(bootstrap, cached, starts, s.loop, log)
 	s.workers.Stale = s.endpoints.hasUnappliedUpdates
 	s.proxy = s.newProxy()
@@ -126,7 +126,7 @@
 	}
 	clients.OnUnanswered = func(addr string) {
 		withClient := func(e *zerolog.Event) { e.Str("client", addr) }
-		s.checker.Violated(invariant.Closing, invariant.Unanswered, withClient)
+		s.checker.Violated(invariant.ClosingRule, invariant.Unanswered, withClient)
 	}
 	return clients
 }
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -40,7 +40,7 @@
 		discovery.Close()
 	})
 	return &config.Bootstrap{Discovery: discovery.Listener.Addr().String(), KnownWorkers: json.RawMessage(known),
-		Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 256}}
+		Limits: config.Limits{Cores: 1, MemoryMB: 64, Descriptors: 256}}
 }
 
 // oneWorkerList returns a snapshot of discovery with one worker.
--- a/internal/frontend/hot_restart.go
+++ b/internal/frontend/hot_restart.go
@@ -41,10 +41,10 @@
 	workers, _ := s.workers.Counts()
 	own, successor := s.splitWithSuccessor(workers)
 	state := hotrestart.State{
-		Sockets:        successor,
-		ClockOffset:    s.clock.Offset(),
-		KnownWorkers:   known,
-		ClientsDrained: s.drain.draining(),
+		DescriptorLimit: successor,
+		ClockOffset:     s.clock.Offset(),
+		KnownWorkers:    known,
+		ClientsDrained:  s.drain.draining(),
 	}
 	if err := s.addLearned(&state); err != nil {
 		return nil, nil, fmt.Errorf("handover: %w", err)
@@ -63,7 +63,7 @@
 func (s *Server) splitWithSuccessor(workers int) (own, successor int) {
 	inUse := s.clients.Sockets() + workers
 	reserved := baseDescriptors + s.extraDescriptors
-	return hotrestart.SplitDescriptors(s.bootstrap.Limits.Sockets, inUse, reserved)
+	return hotrestart.SplitDescriptors(s.bootstrap.Limits.Descriptors, inUse, reserved)
 }
 
 // addLearned adds the start times of workers. It adds the learned state too, unless the loop is too busy to
@@ -108,7 +108,7 @@
 // none. Call it before Serve.
 func (s *Server) RestoreState(state hotrestart.State, peers *net.UDPConn) {
 	s.peers.inherited = peers
-	s.SetDescriptorLimit(state.Sockets)
+	s.SetDescriptorLimit(state.DescriptorLimit)
 	if learned, err := inheritedLearned(state); err == nil {
 		learned.Shift(clockShift(s.clock, state))
 		s.loop.Send(reducer.StateRestored{LearnedState: learned})
@@ -137,7 +137,7 @@
 func (s *Server) SetSuccessor(running bool) {
 	s.lifecycle.hasSuccessor.Store(running)
 	if !running {
-		s.SetDescriptorLimit(s.bootstrap.Limits.Sockets)
+		s.SetDescriptorLimit(s.bootstrap.Limits.Descriptors)
 		s.clients.Resume()
 	}
 }
--- a/internal/frontend/peers_test.go
+++ b/internal/frontend/peers_test.go
@@ -168,7 +168,7 @@
 // for its own loop, which has not started.
 func TestServeFailsIfThePeerAddressIsInUse(t *testing.T) {
 	_, usedAddr := listenUDP(t)
-	bootstrap := &config.Bootstrap{Discovery: "127.0.0.1:1", Limits: config.Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
+	bootstrap := &config.Bootstrap{Discovery: "127.0.0.1:1", Limits: config.Limits{Cores: 1, MemoryMB: 64, Descriptors: 256},
 		Settings: map[string]any{}, Peers: &config.Peers{ListenAddr: usedAddr}}
 	server, err := New(bootstrap, zerolog.Nop())
 	if err != nil {
--- a/internal/frontend/pieces_test.go
+++ b/internal/frontend/pieces_test.go
@@ -21,7 +21,7 @@
 		received <- r.RequestURI + " " + string(b)
 		writeDone(w, r.Header.Get(idHeader))
 	})
-	send := func(way fragmentpeer.Way) (status int) {
+	send := func(way fragmentpeer.Script) (status int) {
 		t.Helper()
 		c := fragmentpeer.Dial(t, addr)
 		defer c.Close()
@@ -40,8 +40,8 @@
 			return fmt.Sprintf("POST /api?sid=1 HTTP/1.1\r\nHost: x\r\n%s: %09d\r\n%s: look\r\n%s: 60000\r\n%s", idHeader, ids,
 				categoryHeader, timeLeftHeader, framing)
 		}
-		for k := range fragmentpeer.Whole(text()) {
-			way := fragmentpeer.Whole(text())[k]
+		for k := range fragmentpeer.CompleteScripts(text()) {
+			way := fragmentpeer.CompleteScripts(text())[k]
 			if status := send(way); status != 200 {
 				t.Fatalf("%s: %d", way.Name, status)
 			}
@@ -49,9 +49,9 @@
 				t.Errorf("%s: the worker received %q", way.Name, got)
 			}
 		}
-		for k := range fragmentpeer.Cuts(text()) {
-			way := fragmentpeer.Cuts(text())[k]
-			if status := send(way); status == 200 || way.Then == fragmentpeer.Ends && strings.Contains(way.Text(), "\r\n\r\n") && status != 400 {
+		for k := range fragmentpeer.TruncatedScripts(text()) {
+			way := fragmentpeer.TruncatedScripts(text())[k]
+			if status := send(way); status == 200 || way.Ending == fragmentpeer.CloseWrite && strings.Contains(way.Text(), "\r\n\r\n") && status != 400 {
 				t.Errorf("%s: %d", way.Name, status)
 			}
 		}
--- a/internal/frontend/stop_test.go
+++ b/internal/frontend/stop_test.go
@@ -95,7 +95,7 @@
 		if status == 0 && isNew {
 			lost++
 		}
-		if answered += stats.Bit(status != 0); closes {
+		if answered += stats.BoolToInt(status != 0); closes {
 			reused.Close()
 			reused = nil
 		}
--- a/internal/lab/audit/audit.go
+++ b/internal/lab/audit/audit.go
@@ -21,13 +21,13 @@
 // pushes that no client requested. Crashed covers processes that ended without a signal. ExcessDeadline
 // covers pushes that announce more time to the worker than the client has left.
 const (
-	Lost           Rule = "no op lost"
-	Twice          Rule = "no effect twice"
-	Drain          Rule = "drains kept"
-	Cold           Rule = "cold worker not pushed over"
-	Forged         Rule = "nothing made up"
-	Crashed        Rule = "no crash"
-	ExcessDeadline Rule = "no more time told than is left"
+	LostOp          Rule = "no op lost"
+	DuplicateEffect Rule = "no effect twice"
+	PushAfterDrain  Rule = "drains kept"
+	ColdOverload    Rule = "cold worker not pushed over"
+	Fabricated      Rule = "nothing made up"
+	Crashed         Rule = "no crash"
+	ExcessDeadline  Rule = "no more time told than is left"
 )
 
 // Breach is a broken rule with the ledger lines that prove it, counted from 1.
@@ -53,7 +53,7 @@
 	Unread   int      `json:"unread"`  // closed without a push, on a new connection
 	Open     int      `json:"open"`    // unanswered at the end of the ledger, before their TTL
 	Breaches []Breach `json:"breaches"`
-	Whole    bool     `json:"whole"` // the ledger has its final line
+	Complete bool     `json:"whole"` // the ledger has its final line
 }
 
 // Further allowances, added to Rules.Slack: from a client's disconnection to the first byte of a push that is
@@ -169,7 +169,7 @@
 
 // Judge checks the events of a ledger.
 func Judge(events []ledger.Event) (Judgement, error) {
-	if len(events) == 0 || events[0].Kind != ledger.World || events[0].Rules == nil {
+	if len(events) == 0 || events[0].Kind != ledger.Header || events[0].Rules == nil {
 		return Judgement{}, ErrNoRules
 	}
 	j := &auditor{rules: *events[0].Rules, events: events, ops: map[string]*op{}, pushes: map[int]*push{},
@@ -178,7 +178,7 @@
 		j.apply(i+1, &events[i])
 	}
 	last := events[len(events)-1]
-	j.result.Whole = last.Kind == ledger.Finished
+	j.result.Complete = last.Kind == ledger.Finished
 	for _, o := range j.order {
 		j.checkAnswers(o, last.At)
 		j.checkPushes(o)
@@ -207,17 +207,17 @@
 	case ledger.Due:
 		o := &op{id: e.Op, category: e.Category, scheduler: e.Scheduler, expiresAt: e.Until, dueLine: line, idShared: e.State == "shared"}
 		if j.ops[e.Op] != nil {
-			j.breach(Forged, e.Op, []int{j.ops[e.Op].dueLine, line}, "one id was given to two tries")
+			j.breach(Fabricated, e.Op, []int{j.ops[e.Op].dueLine, line}, "one id was given to two tries")
 			return
 		}
 		j.ops[e.Op], j.order = o, append(j.order, o)
 	case ledger.Sent, ledger.Answer, ledger.Cut, ledger.Refused, ledger.Left, ledger.Stray:
 		j.applyClientEvent(line, e)
-	case ledger.Reached, ledger.Ran, ledger.Dropped, ledger.Said, ledger.Closed, ledger.Strange:
+	case ledger.Reached, ledger.Ran, ledger.Dropped, ledger.WorkerReplied, ledger.Closed, ledger.UnknownPush:
 		j.applyPushEvent(line, e)
-	case ledger.Boot, ledger.Fell, ledger.Gone:
+	case ledger.Boot, ledger.WorkerOverloaded, ledger.Gone:
 		j.applyWorkerEvent(line, e)
-	case ledger.Told:
+	case ledger.WorkerStateSent:
 		j.applyWorkerState(line, e)
 	case ledger.Up, ledger.Term, ledger.Stopped, ledger.Resumed, ledger.Killed, ledger.Exited:
 		j.applyProcessEvent(line, e)
@@ -229,7 +229,7 @@
 	if o == nil {
 		switch {
 		case e.Kind == ledger.Stray:
-			j.breach(Lost, e.Op, []int{line}, "a client was sent what it had not asked for")
+			j.breach(LostOp, e.Op, []int{line}, "a client was sent what it had not asked for")
 		case e.Kind == ledger.Cut && e.Text == ledger.ReadUnanswered:
 			j.readCuts = append(j.readCuts, line)
 		}
@@ -251,15 +251,15 @@
 			o.readCuts = append(o.readCuts, line)
 		}
 	case ledger.Stray:
-		j.breach(Lost, e.Op, []int{o.dueLine, line}, "its client was sent more than one answer")
+		j.breach(LostOp, e.Op, []int{o.dueLine, line}, "its client was sent more than one answer")
 		return
 	}
 	o.lastKind, o.lastLine = e.Kind, line
 }
 
 func (j *auditor) applyPushEvent(line int, e *ledger.Event) {
-	if e.Kind == ledger.Strange {
-		j.breach(Forged, e.Op, []int{line}, "worker %s was sent a push that no client asked for: %s", e.Worker, e.Text)
+	if e.Kind == ledger.UnknownPush {
+		j.breach(Fabricated, e.Op, []int{line}, "worker %s was sent a push that no client asked for: %s", e.Worker, e.Text)
 		return
 	}
 	if e.Kind == ledger.Reached {
@@ -274,7 +274,7 @@
 		if o := j.ops[e.Op]; o != nil {
 			o.pushes = append(o.pushes, p)
 		} else {
-			j.breach(Forged, e.Op, []int{line}, "worker %s was sent an op that no client has", e.Worker)
+			j.breach(Fabricated, e.Op, []int{line}, "worker %s was sent an op that no client has", e.Worker)
 		}
 		j.checkDrain(line, e, p)
 		j.checkColdLoad(line, e, w)
@@ -287,7 +287,7 @@
 	switch e.Kind {
 	case ledger.Ran:
 		p.ranLine = line
-	case ledger.Said:
+	case ledger.WorkerReplied:
 		p.verdict, p.verdictAt, p.verdictLine = e.Verdict, e.At, line
 		p.end(e.At)
 	case ledger.Closed:
@@ -302,7 +302,7 @@
 		return
 	}
 	if late := p.firstByteAt - t.at; late > j.rules.DrainGrace+j.rules.Slack {
-		j.breach(Drain, e.Op, []int{t.line, line}, "scheduler %d pushed to %s %s after it was told that it is %s",
+		j.breach(PushAfterDrain, e.Op, []int{t.line, line}, "scheduler %d pushed to %s %s after it was told that it is %s",
 			e.Scheduler, e.Worker, formatMS(late), t.state)
 	}
 }
@@ -311,25 +311,25 @@
 // this work exceeds its limit, whichever scheduler sent it. The rule is broken if over two thirds of the work
 // came from schedulers to which discovery had announced the worker's start.
 func (j *auditor) checkColdLoad(line int, e *ledger.Event, w *worker) {
-	if !w.cold || j.rules.TipAfter == 0 || e.At-w.boot >= j.rules.WarmAfter {
+	if !w.cold || j.rules.OverloadWindow == 0 || e.At-w.boot >= j.rules.WarmAfter {
 		return
 	}
 	t, ok := j.scheduler(e.Scheduler).workerStates[e.Worker]
-	w.recentPushes = append(w.recentPushes, coldPush{e.At, e.Usual, line, ok && t.at >= w.boot})
-	w.recentPushes = slices.DeleteFunc(w.recentPushes, func(l coldPush) bool { return l.at <= e.At-j.rules.TipAfter })
+	w.recentPushes = append(w.recentPushes, coldPush{e.At, e.TypicalWork, line, ok && t.at >= w.boot})
+	w.recentPushes = slices.DeleteFunc(w.recentPushes, func(l coldPush) bool { return l.at <= e.At-j.rules.OverloadWindow })
 	sum, informed, lines := 0.0, 0.0, []int{}
 	for _, l := range w.recentPushes {
 		if sum, lines = sum+l.work, append(lines, l.line); l.startKnown {
 			informed += l.work
 		}
 	}
-	limit := j.rules.Bears(w.cores, e.At-w.boot)
+	limit := j.rules.ColdWorkLimit(w.cores, e.At-w.boot)
 	if sum <= limit || w.overloaded {
 		return
 	}
 	if w.overloaded = true; 3*informed > 2*sum {
-		j.breach(Cold, "", lines, "%s fell under %.0f ms of work in %s, of which it bears %.0f; %.0f ms came from schedulers told of its start",
-			e.Worker, sum, formatMS(j.rules.TipAfter), limit, informed)
+		j.breach(ColdOverload, "", lines, "%s fell under %.0f ms of work in %s, of which it bears %.0f; %.0f ms came from schedulers told of its start",
+			e.Worker, sum, formatMS(j.rules.OverloadWindow), limit, informed)
 	}
 }
 
@@ -342,12 +342,12 @@
 	switch e.Kind {
 	case ledger.Boot:
 		*w = worker{zone: e.Zone, cell: e.Cell, boot: e.At, cold: e.Cold, cores: e.Cores, pushes: w.pushes}
-	case ledger.Fell:
+	case ledger.WorkerOverloaded:
 		// checkColdLoad has already reported a worker that failed above its limit. A worker that failed
 		// below its limit is at fault itself.
 		if !w.overloaded {
 			w.overloaded = true
-			j.breach(Cold, "", []int{line}, "%s fell over under what it bears", e.Worker)
+			j.breach(ColdOverload, "", []int{line}, "%s fell over under what it bears", e.Worker)
 		}
 	case ledger.Gone:
 		for _, p := range w.pushes { // scanning the whole ledger would be too slow: thousands of workers end
@@ -425,12 +425,12 @@
 	switch {
 	case len(o.answers) > 1:
 		j.result.Answers++
-		j.breach(Lost, o.id, lines, "it has %d answers", len(o.answers))
+		j.breach(LostOp, o.id, lines, "it has %d answers", len(o.answers))
 	case len(o.answers) == 1:
 		j.result.Answers++
 		a := j.events[o.answers[0]-1]
 		if a.At > o.expiresAt+j.rules.Slack && !j.schedulerInterrupted(o) && !o.disconnected {
-			j.breach(Lost, o.id, lines, "it was answered %s after its TTL", formatMS(a.At-o.expiresAt))
+			j.breach(LostOp, o.id, lines, "it was answered %s after its TTL", formatMS(a.At-o.expiresAt))
 		}
 		j.checkAnswer(o, o.answers[0], a)
 	case o.disconnected || j.schedulerInterrupted(o):
@@ -438,11 +438,11 @@
 	case o.lastKind == ledger.Cut && !o.connectionReused && len(o.pushes) == 0:
 		j.result.Unread++
 	case o.lastKind == ledger.Cut:
-		j.breach(Lost, o.id, []int{o.sentLine, o.lastLine}, "its connection ended without an answer")
+		j.breach(LostOp, o.id, []int{o.sentLine, o.lastLine}, "its connection ended without an answer")
 	case last <= o.expiresAt+j.rules.Slack:
 		j.result.Open++
 	default:
-		j.breach(Lost, o.id, []int{o.sentLine}, "it has no answer")
+		j.breach(LostOp, o.id, []int{o.sentLine}, "it has no answer")
 	}
 }
 
@@ -452,7 +452,7 @@
 	for _, line := range cuts {
 		e := j.events[line-1]
 		if j.ranThroughout(e.Scheduler, e.At-j.rules.Slack, e.At+j.rules.Slack) {
-			j.breach(Lost, op, []int{line}, "scheduler %d read a request, and ended its connection with no answer", e.Scheduler)
+			j.breach(LostOp, op, []int{line}, "scheduler %d read a request, and ended its connection with no answer", e.Scheduler)
 		}
 	}
 }
@@ -470,7 +470,7 @@
 func (j *auditor) checkAnswer(o *op, line int, a ledger.Event) {
 	for _, p := range o.pushes {
 		if o.owns(p) && p.firstByteAt > a.At+j.rules.Slack {
-			j.breach(Lost, o.id, []int{line, p.line}, "it was pushed to %s after its answer", p.worker)
+			j.breach(LostOp, o.id, []int{line, p.line}, "it was pushed to %s after its answer", p.worker)
 		}
 	}
 	switch a.Verdict {
@@ -480,7 +480,7 @@
 				return
 			}
 		}
-		j.breach(Forged, o.id, []int{o.dueLine, line}, "it was acked with a result that no worker gave for it")
+		j.breach(Fabricated, o.id, []int{o.dueLine, line}, "it was acked with a result that no worker gave for it")
 	case ledger.Nacked:
 		c := j.rules.Categories[o.category]
 		if c.Effect == ledger.Redeliverable {
@@ -490,7 +490,7 @@
 			// A job that began after the nack counts as well: the push was in flight at the nack.
 			if o.owns(p) && p.firstByteAt <= a.At && p.mayHaveRun(a.At) &&
 				!(c.Effect == ledger.Deduplicated && c.Scope == "all" && a.At <= p.firstByteAt+c.Window+j.rules.Slack) {
-				j.breach(Twice, o.id, []int{p.line, line}, "it was nacked though its push to %s may have run", p.worker)
+				j.breach(DuplicateEffect, o.id, []int{p.line, line}, "it was nacked though its push to %s may have run", p.worker)
 				return
 			}
 		}
@@ -506,18 +506,18 @@
 	runs := []int{}
 	for k, p := range o.pushes {
 		if p.firstByteAt > o.expiresAt+j.rules.Slack {
-			j.breach(Lost, o.id, []int{o.dueLine, p.line}, "it was pushed to %s %s after its TTL", p.worker,
+			j.breach(LostOp, o.id, []int{o.dueLine, p.line}, "it was pushed to %s %s after its TTL", p.worker,
 				formatMS(p.firstByteAt-o.expiresAt))
 		}
 		if o.disconnected && o.owns(p) && p.firstByteAt > o.disconnectedAt+pushAfterDisconnectAllowance+j.rules.Slack {
-			j.breach(Lost, o.id, []int{o.lastLine, p.line}, "it was pushed to %s %s after its client had left", p.worker, formatMS(p.firstByteAt-o.disconnectedAt))
+			j.breach(LostOp, o.id, []int{o.lastLine, p.line}, "it was pushed to %s %s after its client had left", p.worker, formatMS(p.firstByteAt-o.disconnectedAt))
 		}
 		if o.owns(p) && p.announcedUntil > o.expiresAt+excessDeadlineAllowance+j.rules.Slack {
 			j.breach(ExcessDeadline, o.id, []int{o.dueLine, p.line}, "%s was told %s more than its client had", p.worker, formatMS(p.announcedUntil-o.expiresAt))
 		}
 		for _, q := range o.pushes[:k] {
 			if !q.ended || q.endedAt > p.firstByteAt+j.rules.Slack {
-				j.breach(Twice, o.id, []int{q.line, p.line}, "it was pushed to %s while its push to %s was out", p.worker, q.worker)
+				j.breach(DuplicateEffect, o.id, []int{q.line, p.line}, "it was pushed to %s while its push to %s was out", p.worker, q.worker)
 			}
 		}
 		if ran != nil {
@@ -537,7 +537,7 @@
 	// Deduplicated ops are checked by their pushes alone: a repeat may wait in a worker's queue until the
 	// window is over, which is not the scheduler's fault.
 	if len(runs) > 1 && c.Effect == ledger.AtMostOnce {
-		j.breach(Twice, o.id, runs, "it has run %d times", len(runs))
+		j.breach(DuplicateEffect, o.id, runs, "it has run %d times", len(runs))
 	}
 }
 
@@ -547,11 +547,11 @@
 	switch {
 	case c.Effect == ledger.Redeliverable:
 	case c.Effect != ledger.Deduplicated:
-		j.breach(Twice, o.id, lines, "it was pushed to %s though its push to %s may have run", p.worker, ran.worker)
+		j.breach(DuplicateEffect, o.id, lines, "it was pushed to %s though its push to %s may have run", p.worker, ran.worker)
 	case c.Scope == "zone" && p.zone != ran.zone || c.Scope == "cell" && (p.cell != ran.cell || p.zone != ran.zone):
-		j.breach(Twice, o.id, lines, "it was pushed to %s, which does not drop repeats of what %s has had", p.worker, ran.worker)
+		j.breach(DuplicateEffect, o.id, lines, "it was pushed to %s, which does not drop repeats of what %s has had", p.worker, ran.worker)
 	case p.firstByteAt > ran.firstByteAt+c.Window+j.rules.Slack:
-		j.breach(Twice, o.id, lines, "it was pushed to %s %s after %s, longer than a repeat is known", p.worker,
+		j.breach(DuplicateEffect, o.id, lines, "it was pushed to %s %s after %s, longer than a repeat is known", p.worker,
 			formatMS(p.firstByteAt-ran.firstByteAt), ran.worker)
 	}
 }
--- a/internal/lab/audit/audit_test.go
+++ b/internal/lab/audit/audit_test.go
@@ -12,7 +12,7 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-var rules = &ledger.Rules{Slack: 500, DrainGrace: 25_000, OverloadFactor: 2.5, TipAfter: 15_000, ColdFrom: 0.3,
+var rules = &ledger.Rules{Slack: 500, DrainGrace: 25_000, OverloadFactor: 2.5, OverloadWindow: 15_000, ColdFrom: 0.3,
 	WarmAfter: 86_000, KillAfter: 37_000, MeanWork: 100, Categories: map[string]ledger.Category{
 		"again": {Effect: ledger.Redeliverable}, "once": {Effect: ledger.AtMostOnce},
 		"zone": {Effect: ledger.Deduplicated, Scope: "zone", Window: 75_000},
@@ -35,7 +35,7 @@
 // newLedger returns a ledger with two schedulers and four workers. Workers w1 and w2 are in one cell, w3 is
 // in another cell of the same zone, and w4 is in the other zone.
 func newLedger(more ...events) events {
-	l := events{{Kind: ledger.World, Rules: rules, Seed: 1}}
+	l := events{{Kind: ledger.Header, Rules: rules, Seed: 1}}
 	for i, at := range []struct {
 		zone string
 		cell int
@@ -71,7 +71,7 @@
 	case "closed":
 		l = append(l, ledger.Event{At: endedAt, From: endedAt, Kind: ledger.Closed, Op: op, Worker: worker, Push: n})
 	default:
-		l = append(l, ledger.Event{At: endedAt, Kind: ledger.Said, Op: op, Worker: worker, Push: n, Verdict: outcome, Text: fmt.Sprint("r", n)})
+		l = append(l, ledger.Event{At: endedAt, Kind: ledger.WorkerReplied, Op: op, Worker: worker, Push: n, Verdict: outcome, Text: fmt.Sprint("r", n)})
 	}
 	return l
 }
@@ -81,7 +81,7 @@
 }
 
 func workerStateSent(state string, at ledger.Time) events {
-	return events{{At: at, Kind: ledger.Told, Scheduler: 1, Worker: "w1", State: state}}
+	return events{{At: at, Kind: ledger.WorkerStateSent, Scheduler: 1, Worker: "w1", State: state}}
 }
 
 // served returns the events of an op that was pushed once and acked.
@@ -95,12 +95,12 @@
 // pushes to w4 at the given age. The first pushes come from scheduler 1, the others from scheduler 2.
 func coldStart(at, age ledger.Time, usual float64, informed, uninformed int) events {
 	l := events{{At: at, Kind: ledger.Boot, Worker: "w4", Zone: "w", Cell: 3, Cores: 4, Cold: true},
-		{At: at, Kind: ledger.Told, Scheduler: 1, Worker: "w4", State: "ready"}}
+		{At: at, Kind: ledger.WorkerStateSent, Scheduler: 1, Worker: "w4", State: "ready"}}
 	for i := range informed + uninformed {
 		op := fmt.Sprint("c", i)
 		l = append(l, due(op, "again", at)...)
 		p := pushed(op, 100+i, "w4", at+age+ledger.Time(i), ledger.Done, at+20_000)
-		p[0].Usual = usual
+		p[0].TypicalWork = usual
 		if i >= informed {
 			p[0].Scheduler = 2
 		}
@@ -111,7 +111,7 @@
 }
 
 func startAnnounced(at ledger.Time) events {
-	return events{{At: at, Kind: ledger.Told, Scheduler: 1, Worker: "w4", State: "ready"}}
+	return events{{At: at, Kind: ledger.WorkerStateSent, Scheduler: 1, Worker: "w4", State: "ready"}}
 }
 
 // furtherPushes returns more pushes to w4 by scheduler 1.
@@ -120,7 +120,7 @@
 		op := fmt.Sprint("d", i)
 		l = append(l, due(op, "again", at)...)
 		p := pushed(op, 200+i, "w4", at+2+ledger.Time(i), ledger.Done, at+500)
-		p[0].Usual = 700
+		p[0].TypicalWork = 700
 		l = append(l, p...)
 		l = append(l, answer(op, ledger.Acked, fmt.Sprint("r", 200+i), at+501)...)
 	}
@@ -129,7 +129,7 @@
 
 // withoutAnnouncements removes discovery's announcements to schedulers.
 func withoutAnnouncements(l events) events {
-	return slices.DeleteFunc(l, func(e ledger.Event) bool { return e.Kind == ledger.Told })
+	return slices.DeleteFunc(l, func(e ledger.Event) bool { return e.Kind == ledger.WorkerStateSent })
 }
 
 // Checks each rule with a ledger that breaks it and with the most similar ledger that does not. The audit
@@ -140,77 +140,77 @@
 		lawful, broken events
 		rule           Rule
 	}{
-		"an answer": {extend(served("a", "once", 100)), w(due("a", "once", 100)), Lost},
+		"an answer": {extend(served("a", "once", 100)), w(due("a", "once", 100)), LostOp},
 		"an answer before the TTL": {w(due("a", "once", 100), answer("a", ledger.Nacked, "", 50_600)),
-			w(due("a", "once", 100), answer("a", ledger.Nacked, "", 50_601)), Lost},
+			w(due("a", "once", 100), answer("a", ledger.Nacked, "", 50_601)), LostOp},
 		"one answer": {extend(served("a", "once", 100)),
-			extend(served("a", "once", 100), answer("a", ledger.Acked, "r1", 800)), Lost},
+			extend(served("a", "once", 100), answer("a", ledger.Acked, "r1", 800)), LostOp},
 		"no bytes beyond the answer": {extend(served("a", "once", 100)),
-			extend(served("a", "once", 100), events{{At: 900, Kind: ledger.Stray, Op: "a"}}), Lost},
+			extend(served("a", "once", 100), events{{At: 900, Kind: ledger.Stray, Op: "a"}}), LostOp},
 		"the client disconnected": {w(due("a", "once", 100), events{{At: 500, Kind: ledger.Left, Op: "a"}}),
-			w(due("a", "once", 100), events{{At: 500, Kind: ledger.Cut, Op: "a", State: "reused"}}), Lost},
+			w(due("a", "once", 100), events{{At: 500, Kind: ledger.Cut, Op: "a", State: "reused"}}), LostOp},
 		"a new connection closed without a push": {w(due("a", "once", 100), events{{At: 500, Kind: ledger.Cut, Op: "a"}}),
-			w(due("a", "once", 100), pushed("a", 1, "w1", 300, ledger.Done, 400), events{{At: 500, Kind: ledger.Cut, Op: "a"}}), Lost},
-		"no connection": {w(due("a", "once", 100), events{{At: 500, Kind: ledger.Refused, Op: "a"}}), w(due("a", "once", 100)), Lost},
+			w(due("a", "once", 100), pushed("a", 1, "w1", 300, ledger.Done, 400), events{{At: 500, Kind: ledger.Cut, Op: "a"}}), LostOp},
+		"no connection": {w(due("a", "once", 100), events{{At: 500, Kind: ledger.Refused, Op: "a"}}), w(due("a", "once", 100)), LostOp},
 		"the scheduler was killed": {w(due("a", "once", 100), processEvent(ledger.Killed, 300), processEvent(ledger.Exited, 301)),
-			w(due("a", "once", 100), processEvent(ledger.Term, 300), processEvent(ledger.Exited, 301)), Lost},
+			w(due("a", "once", 100), processEvent(ledger.Term, 300), processEvent(ledger.Exited, 301)), LostOp},
 		"the scheduler was killed before the op was sent": {w(processEvent(ledger.Killed, 50), processEvent(ledger.Up, 300), due("a", "once", 700), answer("a", ledger.Nacked, "", 800)),
-			w(processEvent(ledger.Killed, 50), processEvent(ledger.Up, 100), due("a", "once", 700)), Lost},
+			w(processEvent(ledger.Killed, 50), processEvent(ledger.Up, 100), due("a", "once", 700)), LostOp},
 		"the scheduler was killed soon after SIGTERM": {w(due("a", "once", 100), processEvent(ledger.Term, 300), processEvent(ledger.Killed, 37_300)),
-			w(due("a", "once", 100), processEvent(ledger.Term, 300), processEvent(ledger.Killed, 37_301)), Lost},
+			w(due("a", "once", 100), processEvent(ledger.Term, 300), processEvent(ledger.Killed, 37_301)), LostOp},
 		"the scheduler was suspended": {w(due("a", "once", 100), processEvent(ledger.Stopped, 300), processEvent(ledger.Resumed, 60_000)),
-			w(due("a", "once", 100), processEvent(ledger.Stopped, 60_000), processEvent(ledger.Resumed, 70_000)), Lost},
+			w(due("a", "once", 100), processEvent(ledger.Stopped, 60_000), processEvent(ledger.Resumed, 70_000)), LostOp},
 		"a suspended scheduler pushes nothing after the TTL": {
 			w(due("a", "again", 100), processEvent(ledger.Stopped, 300), processEvent(ledger.Resumed, 50_200), pushed("a", 1, "w1", 50_600, ledger.Done, 51_000)),
-			w(due("a", "again", 100), processEvent(ledger.Stopped, 300), processEvent(ledger.Resumed, 50_200), pushed("a", 1, "w1", 50_601, ledger.Done, 51_000)), Lost},
+			w(due("a", "again", 100), processEvent(ledger.Stopped, 300), processEvent(ledger.Resumed, 50_200), pushed("a", 1, "w1", 50_601, ledger.Done, 51_000)), LostOp},
 		"no push after the answer": {
 			w(due("a", "again", 100), pushed("a", 1, "w1", 1499, "closed", 1500), answer("a", ledger.Nacked, "", 1000)),
-			w(due("a", "again", 100), pushed("a", 1, "w1", 1501, "closed", 1502), answer("a", ledger.Nacked, "", 1000)), Lost},
+			w(due("a", "again", 100), pushed("a", 1, "w1", 1501, "closed", 1502), answer("a", ledger.Nacked, "", 1000)), LostOp},
 
 		"at most once, returned by the worker": {
 			w(due("a", "once", 100), pushed("a", 1, "w1", 200, ledger.Returned, 300), pushed("a", 2, "w2", 310, ledger.Done, 400), answer("a", ledger.Acked, "r2", 500)),
-			w(due("a", "once", 100), pushed("a", 1, "w1", 200, ledger.Failed, 300), pushed("a", 2, "w2", 310, ledger.Done, 400), answer("a", ledger.Acked, "r2", 500)), Twice},
+			w(due("a", "once", 100), pushed("a", 1, "w1", 200, ledger.Failed, 300), pushed("a", 2, "w2", 310, ledger.Done, 400), answer("a", ledger.Acked, "r2", 500)), DuplicateEffect},
 		"at most once, nacked": {
 			w(due("a", "once", 100), pushed("a", 1, "w1", 200, ledger.TurnedAway, 300), answer("a", ledger.Nacked, "", 500)),
-			w(due("a", "once", 100), pushed("a", 1, "w1", 200, "closed", 300), answer("a", ledger.Nacked, "", 500)), Twice},
+			w(due("a", "once", 100), pushed("a", 1, "w1", 200, "closed", 300), answer("a", ledger.Nacked, "", 500)), DuplicateEffect},
 		"returned before the nack": {
 			w(due("a", "once", 100), pushed("a", 1, "w1", 200, ledger.Returned, 500), answer("a", ledger.Nacked, "", 500)),
-			w(due("a", "once", 100), pushed("a", 1, "w1", 200, ledger.Returned, 501), answer("a", ledger.Nacked, "", 500)), Twice},
+			w(due("a", "once", 100), pushed("a", 1, "w1", 200, ledger.Returned, 501), answer("a", ledger.Nacked, "", 500)), DuplicateEffect},
 		"within the zone": {
 			w(due("a", "zone", 100), pushed("a", 1, "w1", 200, "closed", 300), pushed("a", 2, "w3", 310, ledger.Done, 400), answer("a", ledger.Acked, "r2", 500)),
-			w(due("a", "zone", 100), pushed("a", 1, "w1", 200, "closed", 300), pushed("a", 2, "w4", 310, ledger.Done, 400), answer("a", ledger.Acked, "r2", 500)), Twice},
+			w(due("a", "zone", 100), pushed("a", 1, "w1", 200, "closed", 300), pushed("a", 2, "w4", 310, ledger.Done, 400), answer("a", ledger.Acked, "r2", 500)), DuplicateEffect},
 		"within the cell": {
 			w(due("a", "cell", 100), pushed("a", 1, "w1", 200, "closed", 300), pushed("a", 2, "w2", 310, ledger.Done, 400), answer("a", ledger.Acked, "r2", 500)),
-			w(due("a", "cell", 100), pushed("a", 1, "w1", 200, "closed", 300), pushed("a", 2, "w3", 310, ledger.Done, 400), answer("a", ledger.Acked, "r2", 500)), Twice},
+			w(due("a", "cell", 100), pushed("a", 1, "w1", 200, "closed", 300), pushed("a", 2, "w3", 310, ledger.Done, 400), answer("a", ledger.Acked, "r2", 500)), DuplicateEffect},
 		"a nack where all workers drop repeats": {
 			w(due("a", "all", 100), pushed("a", 1, "w1", 200, "closed", 300), answer("a", ledger.Nacked, "", 500)),
-			w(due("a", "zone", 100), pushed("a", 1, "w1", 200, "closed", 300), answer("a", ledger.Nacked, "", 500)), Twice},
+			w(due("a", "zone", 100), pushed("a", 1, "w1", 200, "closed", 300), answer("a", ledger.Nacked, "", 500)), DuplicateEffect},
 		"one push at a time": {
 			w(due("a", "again", 100), pushed("a", 1, "w1", 200, "closed", 1000), pushed("a", 2, "w2", 500, ledger.Done, 2000), answer("a", ledger.Acked, "r2", 2001)),
-			w(due("a", "again", 100), pushed("a", 1, "w1", 200, "closed", 1001), pushed("a", 2, "w2", 500, ledger.Done, 2000), answer("a", ledger.Acked, "r2", 2001)), Twice},
+			w(due("a", "again", 100), pushed("a", 1, "w1", 200, "closed", 1001), pushed("a", 2, "w2", 500, ledger.Done, 2000), answer("a", ledger.Acked, "r2", 2001)), DuplicateEffect},
 
 		"a push within the drain grace": {
 			extend(served("a", "again", 100), workerStateSent("draining", 1000), due("b", "again", 26_000), pushed("b", 2, "w1", 26_500, ledger.Done, 26_600), answer("b", ledger.Acked, "r2", 26_700)),
-			extend(served("a", "again", 100), workerStateSent("draining", 1000), due("b", "again", 26_000), pushed("b", 2, "w1", 26_501, ledger.Done, 26_600), answer("b", ledger.Acked, "r2", 26_700)), Drain},
+			extend(served("a", "again", 100), workerStateSent("draining", 1000), due("b", "again", 26_000), pushed("b", 2, "w1", 26_501, ledger.Done, 26_600), answer("b", ledger.Acked, "r2", 26_700)), PushAfterDrain},
 		"the grace starts with the first announcement": {
 			w(workerStateSent("draining", 1000), workerStateSent("ready", 2000), workerStateSent("gone", 20_000), due("b", "again", 26_000), pushed("b", 2, "w1", 27_000, ledger.Done, 27_100), answer("b", ledger.Acked, "r2", 27_200)),
-			w(workerStateSent("draining", 1000), workerStateSent("gone", 20_000), due("b", "again", 26_000), pushed("b", 2, "w1", 27_000, ledger.Done, 27_100), answer("b", ledger.Acked, "r2", 27_200)), Drain},
+			w(workerStateSent("draining", 1000), workerStateSent("gone", 20_000), due("b", "again", 26_000), pushed("b", 2, "w1", 27_000, ledger.Done, 27_100), answer("b", ledger.Acked, "r2", 27_200)), PushAfterDrain},
 		"a drain announced to a suspended scheduler": {
 			w(processEvent(ledger.Stopped, 900), workerStateSent("draining", 1000), processEvent(ledger.Resumed, 30_000), due("b", "again", 30_000), pushed("b", 2, "w1", 30_500, ledger.Done, 30_600), answer("b", ledger.Acked, "r2", 30_700)),
-			w(workerStateSent("draining", 890), processEvent(ledger.Stopped, 900), processEvent(ledger.Resumed, 30_000), due("b", "again", 30_000), pushed("b", 2, "w1", 30_500, ledger.Done, 30_600), answer("b", ledger.Acked, "r2", 30_700)), Drain},
+			w(workerStateSent("draining", 890), processEvent(ledger.Stopped, 900), processEvent(ledger.Resumed, 30_000), due("b", "again", 30_000), pushed("b", 2, "w1", 30_500, ledger.Done, 30_600), answer("b", ledger.Acked, "r2", 30_700)), PushAfterDrain},
 
 		// At an age of 1.51 s the limit for four cores is 6,345 ms of work in TipAfter. With jobs of 100 ms
 		// the allowance for random variation adds 1,793 ms.
-		"work at the limit of a cold worker":     {w(coldStart(100, 15_100, 813, 10, 0)), w(coldStart(100, 15_100, 814, 10, 0)), Cold},
-		"a burst right after the start":          {w(coldStart(100, 100, 605, 10, 0)), w(coldStart(100, 100, 606, 10, 0)), Cold},
-		"the sum over all schedulers":            {w(coldStart(100, 15_100, 813, 7, 3)), w(coldStart(100, 15_100, 814, 7, 3)), Cold},
-		"two thirds from informed schedulers":    {w(coldStart(100, 15_100, 814, 6, 4)), w(coldStart(100, 15_100, 814, 7, 3)), Cold},
-		"announcement of an earlier start":       {w(startAnnounced(50), withoutAnnouncements(coldStart(100, 15_100, 814, 10, 0))), w(startAnnounced(150), withoutAnnouncements(coldStart(100, 15_100, 814, 10, 0))), Cold},
-		"pushes spread over more than a window":  {w(coldStart(100, 15_100, 700, 10, 0), furtherPushes(30_200, 5)), w(coldStart(100, 15_100, 700, 10, 0), furtherPushes(30_000, 5)), Cold},
-		"overload is judged once for each start": {w(coldStart(100, 15_100, 814, 1, 9), furtherPushes(15_300, 30)), w(coldStart(100, 15_100, 700, 1, 0), furtherPushes(15_300, 30)), Cold},
+		"work at the limit of a cold worker":     {w(coldStart(100, 15_100, 813, 10, 0)), w(coldStart(100, 15_100, 814, 10, 0)), ColdOverload},
+		"a burst right after the start":          {w(coldStart(100, 100, 605, 10, 0)), w(coldStart(100, 100, 606, 10, 0)), ColdOverload},
+		"the sum over all schedulers":            {w(coldStart(100, 15_100, 813, 7, 3)), w(coldStart(100, 15_100, 814, 7, 3)), ColdOverload},
+		"two thirds from informed schedulers":    {w(coldStart(100, 15_100, 814, 6, 4)), w(coldStart(100, 15_100, 814, 7, 3)), ColdOverload},
+		"announcement of an earlier start":       {w(startAnnounced(50), withoutAnnouncements(coldStart(100, 15_100, 814, 10, 0))), w(startAnnounced(150), withoutAnnouncements(coldStart(100, 15_100, 814, 10, 0))), ColdOverload},
+		"pushes spread over more than a window":  {w(coldStart(100, 15_100, 700, 10, 0), furtherPushes(30_200, 5)), w(coldStart(100, 15_100, 700, 10, 0), furtherPushes(30_000, 5)), ColdOverload},
+		"overload is judged once for each start": {w(coldStart(100, 15_100, 814, 1, 9), furtherPushes(15_300, 30)), w(coldStart(100, 15_100, 700, 1, 0), furtherPushes(15_300, 30)), ColdOverload},
 		"a result that the worker returned": {extend(served("a", "once", 100)),
-			w(due("a", "once", 100), pushed("a", 1, "w1", 200, ledger.Done, 300), answer("a", ledger.Acked, "r9", 500)), Forged},
-		"a push that a client requested":     {extend(served("a", "once", 100)), extend(served("a", "once", 100), pushed("x", 9, "w1", 300, ledger.Done, 400)), Forged},
+			w(due("a", "once", 100), pushed("a", 1, "w1", 200, ledger.Done, 300), answer("a", ledger.Acked, "r9", 500)), Fabricated},
+		"a push that a client requested":     {extend(served("a", "once", 100)), extend(served("a", "once", 100), pushed("x", 9, "w1", 300, ledger.Done, 400)), Fabricated},
 		"a process that ended after SIGTERM": {w(processEvent(ledger.Term, 100), processEvent(ledger.Exited, 300)), w(processEvent(ledger.Exited, 300)), Crashed},
 	} {
 		if j, err := Judge(c.lawful); err != nil || len(j.Breaches) > 0 {
@@ -316,18 +316,18 @@
 		var want Rule
 		switch rapid.IntRange(0, 5).Draw(t, "mutation") {
 		case 0:
-			m, want = slices.Delete(m, at, at+1), Lost
+			m, want = slices.Delete(m, at, at+1), LostOp
 		case 1:
-			m, want = append(m, l[at]), Lost
+			m, want = append(m, l[at]), LostOp
 		case 2:
-			m, want = append(m, pushed(op, 9999, "w1", last+501, "closed", last+502)...), Lost
+			m, want = append(m, pushed(op, 9999, "w1", last+501, "closed", last+502)...), LostOp
 		case 3:
-			m[at].Verdict, m[at].Text, want = ledger.Acked, "made up", Forged
+			m[at].Verdict, m[at].Text, want = ledger.Acked, "made up", Fabricated
 		case 4:
-			m, want = append(m, pushed(op, 9998, "w1", last+1, "", 0)...), Twice
+			m, want = append(m, pushed(op, 9998, "w1", last+1, "", 0)...), DuplicateEffect
 			m = append(m, pushed(op, 9999, "w2", last+2, "", 0)...)
 		case 5:
-			m[at].At, want = last+1_000_000, Lost
+			m[at].At, want = last+1_000_000, LostOp
 		}
 		m = append(m, ledger.Event{At: 2_000_000, Kind: ledger.Finished})
 		slices.SortStableFunc(m, func(a, b ledger.Event) int { return int(a.At - b.At) })
@@ -346,20 +346,20 @@
 	}{
 		"while the client is connected":        {0, 20, 900, ""},
 		"just after the disconnect":            {10, 900, 0, ""},
-		"long after the disconnect":            {10, 3000, 0, Lost},
+		"long after the disconnect":            {10, 3000, 0, LostOp},
 		"a deadline slightly too late":         {0, 20, 51_000, ""},
 		"a deadline much too late":             {0, 20, 53_000, ExcessDeadline},
 		"no deadline announced":                {0, 20, 0, ""},
 		"a late deadline after the disconnect": {10, 900, 53_000, ExcessDeadline},
 	} {
-		events := []ledger.Event{{Kind: ledger.World, Rules: &ledger.Rules{Slack: 500, DrainGrace: 1000,
+		events := []ledger.Event{{Kind: ledger.Header, Rules: &ledger.Rules{Slack: 500, DrainGrace: 1000,
 			Categories: map[string]ledger.Category{"look": {Effect: ledger.Redeliverable}}}},
 			{At: 1, Kind: ledger.Due, Op: "a", Category: "look", Scheduler: 1, Until: 50_000}, {At: 2, Kind: ledger.Sent, Op: "a", Scheduler: 1}}
 		if c.disconnectedAt > 0 {
 			events = append(events, ledger.Event{At: c.disconnectedAt, Kind: ledger.Left, Op: "a", Scheduler: 1})
 		}
 		events = append(events, ledger.Event{At: c.from + 1, Kind: ledger.Reached, Op: "a", Worker: "w", Scheduler: 1, Push: 1, From: c.from, Until: c.until},
-			ledger.Event{At: 4000, Kind: ledger.Said, Op: "a", Worker: "w", Push: 1, Verdict: ledger.Done, Text: "x"})
+			ledger.Event{At: 4000, Kind: ledger.WorkerReplied, Op: "a", Worker: "w", Push: 1, Verdict: ledger.Done, Text: "x"})
 		if c.disconnectedAt == 0 {
 			events = append(events, ledger.Event{At: 4001, Kind: ledger.Answer, Op: "a", Verdict: ledger.Acked, Text: "x"})
 		}
@@ -403,7 +403,7 @@
 		}
 		lost := 0
 		for _, b := range j.Breaches {
-			if b.Rule == Lost {
+			if b.Rule == LostOp {
 				lost++
 			}
 		}
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -30,8 +30,8 @@
 // the worker that reports fewer jobs.
 var Policies = []string{"random", "turns", "fewest", "probes"}
 
-// Wrongs are the rules that a scheduler breaks on purpose.
-type Wrongs struct {
+// Violations are the rules that a scheduler breaks on purpose.
+type Violations struct {
 	Answers int  // number of answers to a request, if more than one
 	Copies  int  // number of pushes of an op in flight, if more than one
 	Drains  bool // it pushes to draining workers
@@ -40,11 +40,11 @@
 }
 
 // Maker returns a maker of schedulers with a policy.
-func Maker(policy string, violations Wrongs) (schedulers.Maker, error) {
+func Maker(policy string, violations Violations) (schedulers.Launcher, error) {
 	if !slices.Contains(Policies, policy) {
 		return nil, fmt.Errorf("no baseline %q; there are %s", policy, strings.Join(Policies, ", "))
 	}
-	return func(_ int, path, _ string) (schedulers.Running, error) {
+	return func(_ int, path, _ string) (schedulers.Process, error) {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			return nil, err
@@ -103,8 +103,8 @@
 
 type scheduler struct {
 	policy     string
-	violations Wrongs
-	sheet      schedulers.Sheet
+	violations Violations
+	sheet      schedulers.BootstrapConfig
 	settings   settings
 	rev        int64
 	ctx        context.Context
@@ -136,7 +136,7 @@
 	}
 	s.rand = rand.New(rand.NewPCG(seed, 0))
 	var known endpointList
-	if err := json.Unmarshal(s.sheet.Known, &known); err != nil {
+	if err := json.Unmarshal(s.sheet.Endpoints, &known); err != nil {
 		return err
 	}
 	s.applyList(known)
--- a/internal/lab/clients/clients.go
+++ b/internal/lab/clients/clients.go
@@ -28,15 +28,15 @@
 // Server is a scheduler as seen by clients.
 type Server interface{ Up() bool }
 
-// Crowd is the set of all emulated clients.
-type Crowd struct {
+// LoadGenerator is the set of all emulated clients.
+type LoadGenerator struct {
 	experiment   *experiment.Experiment
-	workload     *workload.Script
-	ledger       *ledger.Book
+	workload     *workload.Workload
+	ledger       *ledger.Writer
 	requests     *requests.Registry
 	servers      []Server
 	addrs        []string
-	links        []*links.Weather
+	links        []*links.Link
 	running      sync.WaitGroup
 	openAttempts atomic.Int64
 	bodies       [][]byte
@@ -53,10 +53,10 @@
 const pipelineClient = -1
 
 // New creates the clients of an experiment.
-func New(e *experiment.Experiment, w *workload.Script, events *ledger.Book, registry *requests.Registry, servers []Server, addrs []string) *Crowd {
-	c := &Crowd{experiment: e, workload: w, ledger: events, requests: registry, servers: servers, addrs: addrs, pools: map[poolKey]*pool{}}
+func New(e *experiment.Experiment, w *workload.Workload, events *ledger.Writer, registry *requests.Registry, servers []Server, addrs []string) *LoadGenerator {
+	c := &LoadGenerator{experiment: e, workload: w, ledger: events, requests: registry, servers: servers, addrs: addrs, pools: map[poolKey]*pool{}}
 	for i := range addrs {
-		conditions := fleet.Sky(e, "clients", "", e.Zones[i%len(e.Zones)])
+		conditions := fleet.LinkConditions(e, "clients", "", e.Zones[i%len(e.Zones)])
 		c.links = append(c.links, links.New(conditions, e.Seed*31+uint64(i)))
 	}
 	for _, cat := range e.Categories {
@@ -66,7 +66,7 @@
 }
 
 // pool returns the connections of a client to a scheduler.
-func (c *Crowd) pool(client, scheduler int) *pool {
+func (c *LoadGenerator) pool(client, scheduler int) *pool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	key := poolKey{client, scheduler}
@@ -78,19 +78,19 @@
 	return p
 }
 
-// Open returns the number of attempts that have not ended.
-func (c *Crowd) Open() int64 { return c.openAttempts.Load() }
+// OpenAttempts returns the number of attempts that have not ended.
+func (c *LoadGenerator) OpenAttempts() int64 { return c.openAttempts.Load() }
 
 // Run starts all requests of the workload, each when it is due after the given start. It returns when the
 // last request is started or the context ends.
-func (c *Crowd) Run(ctx context.Context, start time.Time) {
+func (c *LoadGenerator) Run(ctx context.Context, start time.Time) {
 	// Timers of the Go runtime fire up to a millisecond late. A locked thread in nanosleep does not have this
 	// delay.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	for i := range c.workload.Wishes {
-		request := &c.workload.Wishes[i]
-		due := start.Add(time.Duration(request.Due) * ledger.Tenth)
+	for i := range c.workload.Requests {
+		request := &c.workload.Requests[i]
+		due := start.Add(time.Duration(request.ArrivalTime) * ledger.Tenth)
 		for wait := time.Until(due); wait > 0 && ctx.Err() == nil; wait = time.Until(due) {
 			sleep := syscall.NsecToTimespec(int64(min(wait, maxSleep)))
 			syscall.Nanosleep(&sleep, nil)
@@ -107,7 +107,7 @@
 }
 
 // Wait waits for all attempts to end and closes the connections.
-func (c *Crowd) Wait() {
+func (c *LoadGenerator) Wait() {
 	c.running.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,7 +122,7 @@
 	id, effect string
 	number     int
 	category   *experiment.Category
-	request    *workload.Wish
+	request    *workload.Request
 	body       []byte
 	deadline   time.Time
 	leaveAfter time.Duration
@@ -133,7 +133,7 @@
 
 // record adds an event of an attempt to the ledger. A repeated attempt with the same ID belongs to the op of
 // the first attempt: its Sent event is dropped, and its other events are recorded as Echo.
-func (c *Crowd) record(t *attempt, e ledger.Event) {
+func (c *LoadGenerator) record(t *attempt, e ledger.Event) {
 	if t.repeat {
 		if e.Kind == ledger.Sent {
 			return
@@ -141,7 +141,7 @@
 		if e.Kind != ledger.Answer {
 			e.State = string(e.Kind)
 		}
-		e.Kind = ledger.Echo
+		e.Kind = ledger.RepeatAnswer
 	}
 	c.ledger.Add(e)
 }
@@ -163,12 +163,12 @@
 )
 
 // runRequest sends a client's request, including its retries.
-func (c *Crowd) runRequest(ctx context.Context, index int, request *workload.Wish, due time.Time) {
+func (c *LoadGenerator) runRequest(ctx context.Context, index int, request *workload.Request, due time.Time) {
 	cat := &c.experiment.Categories[request.Category]
 	deadline := due.Add(time.Duration(cat.TTLMS * float64(time.Millisecond)))
 	r := rand.New(rand.NewPCG(request.Seed, 0x77697368))
 	effect := fmt.Sprintf("e%x-%d", c.experiment.Seed, index)
-	if request.AsksAgain {
+	if request.SendsDuplicate {
 		c.running.Add(1)
 		wait := time.Duration(1+r.IntN(200)) * time.Millisecond
 		go func() {
@@ -183,15 +183,15 @@
 		}()
 	}
 	scheduler := request.Scheduler
-	if c.experiment.Clients.SameID && cat.Effect == ledger.AtMostOnce {
+	if c.experiment.Clients.RetrySameID && cat.Effect == ledger.AtMostOnce {
 		c.retrySameID(ctx, effect, request, due, deadline, r)
 		return
 	}
 	for k := 0; ; k++ {
 		t := &attempt{id: fmt.Sprintf("%s-%d", effect, k), effect: effect, number: k, category: cat, request: request,
 			body: c.bodies[request.Category], deadline: deadline}
-		if k == 0 && request.LeaveAt > 0 {
-			t.leaveAfter = time.Duration(request.LeaveAt) * ledger.Tenth
+		if k == 0 && request.DisconnectAfter > 0 {
+			t.leaveAfter = time.Duration(request.DisconnectAfter) * ledger.Tenth
 		}
 		scheduler, t.reuseOnly = c.chooseScheduler(scheduler, request.Client)
 		result := c.sendAttempt(ctx, t, due, scheduler)
@@ -208,7 +208,7 @@
 
 // waitForRetry waits until the next attempt is due, and returns that time. It returns false if too little
 // time would be left until the deadline, or if the context ends.
-func (c *Crowd) waitForRetry(ctx context.Context, delay time.Duration, deadline time.Time) (due time.Time, ok bool) {
+func (c *LoadGenerator) waitForRetry(ctx context.Context, delay time.Duration, deadline time.Time) (due time.Time, ok bool) {
 	if due = time.Now().Add(delay); deadline.Sub(due) < minAttemptTime {
 		return due, false
 	}
@@ -222,7 +222,7 @@
 
 // retrySameID sends an op under one ID until it gets a final answer: first to one scheduler, then to others.
 // With the probability Clients.AtOnce, another scheduler also gets the op at the same time as the first one.
-func (c *Crowd) retrySameID(ctx context.Context, effect string, request *workload.Wish, due, deadline time.Time, r *rand.Rand) {
+func (c *LoadGenerator) retrySameID(ctx context.Context, effect string, request *workload.Request, due, deadline time.Time, r *rand.Rand) {
 	cat := &c.experiment.Categories[request.Category]
 	first := c.nextUp(request.Scheduler)
 	send := func(k int, due time.Time, scheduler int) outcome {
@@ -233,7 +233,7 @@
 		scheduler := c.nextUp((first + 1 + r.IntN(len(c.addrs)-1)) % len(c.addrs))
 		return scheduler, scheduler != first
 	}
-	if scheduler, ok := otherScheduler(); ok && r.Float64() < c.experiment.Clients.AtOnce {
+	if scheduler, ok := otherScheduler(); ok && r.Float64() < c.experiment.Clients.ConcurrentChance {
 		c.running.Add(1)
 		go func() {
 			defer c.running.Done()
@@ -263,7 +263,7 @@
 
 // nextUp returns the given scheduler if it is up, otherwise the next one that is up. If no scheduler is up,
 // it returns the given one.
-func (c *Crowd) nextUp(scheduler int) int {
+func (c *LoadGenerator) nextUp(scheduler int) int {
 	for i := range c.servers {
 		if k := (scheduler + i) % len(c.servers); c.servers[k].Up() {
 			return k
@@ -279,7 +279,7 @@
 // chooseScheduler returns the given scheduler if the client may send to it, otherwise the next scheduler to
 // which the client may send. A scheduler that is shutting down is only used through open connections;
 // reuseOnly is then set.
-func (c *Crowd) chooseScheduler(from, client int) (scheduler int, reuseOnly bool) {
+func (c *LoadGenerator) chooseScheduler(from, client int) (scheduler int, reuseOnly bool) {
 	for i := range c.servers {
 		k := (from + i) % len(c.servers)
 		if c.servers[k].Up() {
@@ -294,7 +294,7 @@
 
 // shouldRetry reports whether a client retries. After a dead letter or a broken connection the op may have
 // run. The client then retries only an op that may run twice.
-func (c *Crowd) shouldRetry(t *attempt, o outcome) bool {
+func (c *LoadGenerator) shouldRetry(t *attempt, o outcome) bool {
 	switch o.kind {
 	case ledger.Refused:
 		return true
@@ -306,7 +306,7 @@
 	return false
 }
 
-func (c *Crowd) retryDelay(r *rand.Rand, request *workload.Wish, k int, o outcome) time.Duration {
+func (c *LoadGenerator) retryDelay(r *rand.Rand, request *workload.Request, k int, o outcome) time.Duration {
 	delay := time.Duration(c.experiment.Clients.WaitMS * float64(time.Millisecond))
 	switch c.experiment.Clients.Backoff {
 	case "none":
@@ -314,7 +314,7 @@
 	case "exponential":
 		delay = time.Duration(float64(delay<<min(k, 8)) * (0.5 + r.Float64()))
 	}
-	if request.Honours {
+	if request.HonoursRetryAfter {
 		delay = max(delay, o.retryAfter)
 	}
 	return delay
@@ -322,12 +322,12 @@
 
 // sendAttempt sends an op and returns its outcome. If a reused connection ends without an answer, the op is
 // sent once more on a new connection.
-func (c *Crowd) sendAttempt(ctx context.Context, t *attempt, due time.Time, scheduler int) outcome {
+func (c *LoadGenerator) sendAttempt(ctx context.Context, t *attempt, due time.Time, scheduler int) outcome {
 	c.openAttempts.Add(1)
 	defer c.openAttempts.Add(-1)
 	cat := t.category
 	job := workermodel.Job{Op: t.id, Effect: t.effect, Work: t.request.Work, ExpectedWork: cat.WorkMS, Slots: t.request.Slots, Memory: cat.Memory, Dedup: cat.Effect == ledger.Deduplicated,
-		Window: experiment.MS(cat.WindowMS), Scope: cat.Scope}
+		Window: experiment.FromMilliseconds(cat.WindowMS), Scope: cat.Scope}
 	key := ""
 	if cat.Effect != ledger.Redeliverable {
 		key = t.effect
@@ -348,14 +348,14 @@
 }
 
 // recordDue records that an attempt is due, as a new op.
-func (c *Crowd) recordDue(t *attempt, due time.Time, scheduler int) {
+func (c *LoadGenerator) recordDue(t *attempt, due time.Time, scheduler int) {
 	state := ""
 	if t.sharedID {
 		state = "shared"
 	}
 	cat := t.category
 	c.ledger.Add(ledger.Event{Kind: ledger.Due, Op: t.id, Effect: t.effect, State: state, Category: cat.Name, Scheduler: scheduler + 1, Try: t.number, Client: t.request.Client + 1,
-		From: c.ledger.Moment(due), Until: c.ledger.Moment(t.deadline), Work: t.request.Work * t.request.Slots, Slots: t.request.Slots})
+		From: c.ledger.FromTime(due), Until: c.ledger.FromTime(t.deadline), Work: t.request.Work * t.request.Slots, Slots: t.request.Slots})
 }
 
 // header returns the request line and headers.
@@ -377,7 +377,7 @@
 	return fmt.Appendf(b, "Content-Length: %d\r\n\r\n", len(t.body))
 }
 
-func (c *Crowd) exchange(ctx context.Context, t *attempt, due time.Time, scheduler int, target, key string, freshConn bool) (outcome, bool) {
+func (c *LoadGenerator) exchange(ctx context.Context, t *attempt, due time.Time, scheduler int, target, key string, freshConn bool) (outcome, bool) {
 	pipeline := t.usesPipelining(c.experiment.Clients.Pipeline)
 	p := c.pool(t.request.Client, scheduler)
 	if pipeline {
@@ -422,8 +422,8 @@
 	if pipelined {
 		text = ledger.Behind
 	}
-	c.record(t, ledger.Event{Kind: ledger.Sent, Op: t.id, Scheduler: scheduler + 1, Until: c.ledger.Moment(t.deadline), Text: text,
-		Late: max(c.ledger.Moment(started)-c.ledger.Moment(due), 0)})
+	c.record(t, ledger.Event{Kind: ledger.Sent, Op: t.id, Scheduler: scheduler + 1, Until: c.ledger.FromTime(t.deadline), Text: text,
+		Late: max(c.ledger.FromTime(started)-c.ledger.FromTime(due), 0)})
 	leave := make(<-chan time.Time)
 	if t.leaveAfter > 0 {
 		leave = time.After(t.leaveAfter)
@@ -490,7 +490,7 @@
 }
 
 // recordAnswer records a complete answer. It closes the connection if one is given.
-func (c *Crowd) recordAnswer(conn *conn, t *attempt, scheduler int, r reply) outcome {
+func (c *LoadGenerator) recordAnswer(conn *conn, t *attempt, scheduler int, r reply) outcome {
 	if conn != nil {
 		conn.Close()
 	}
@@ -515,7 +515,7 @@
 
 // writeRequest writes a request the way its client does: in one piece, byte by byte, or with a pause in the
 // middle.
-func (c *Crowd) writeRequest(conn *conn, t *attempt, text []byte) error {
+func (c *LoadGenerator) writeRequest(conn *conn, t *attempt, text []byte) error {
 	switch {
 	case t.request.Trickles:
 		for i := range text {
--- a/internal/lab/clients/conn.go
+++ b/internal/lab/clients/conn.go
@@ -30,7 +30,7 @@
 // for is recorded as a second answer to the previous request.
 type conn struct {
 	net.Conn
-	ledger    *ledger.Book
+	ledger    *ledger.Writer
 	sendMu    sync.Mutex // held from expect until the request is written
 	mu        sync.Mutex
 	lastOp    string           // op of the last answer
@@ -56,13 +56,13 @@
 	maxAnswerBytes = 1 << 20
 )
 
-func dial(addr string, link *links.Weather, events *ledger.Book) (*conn, error) {
+func dial(addr string, link *links.Link, events *ledger.Writer) (*conn, error) {
 	socket, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
 	if !link.IsTransparent() {
-		socket = links.Through(socket, link)
+		socket = links.Wrap(socket, link)
 	}
 	c := &conn{Conn: socket, ledger: events}
 	go c.readLoop()
@@ -190,8 +190,8 @@
 // pool holds the connections to a scheduler.
 type pool struct {
 	addr   string
-	link   *links.Weather
-	ledger *ledger.Book
+	link   *links.Link
+	ledger *ledger.Writer
 	mu     sync.Mutex
 	idle   []*conn
 	busy   []*conn // recently used, possibly with expected answers
--- a/internal/lab/clients/relay.go
+++ b/internal/lab/clients/relay.go
@@ -31,7 +31,7 @@
 // The body of each request is sent together with the headers of the next one, so that at any time a partly
 // read request has no answer. If the scheduler closes the connection in that state after reading all bytes,
 // the ledger gets an event.
-func Relay(addr string, scheduler int, name string, events *ledger.Book) {
+func Relay(addr string, scheduler int, name string, events *ledger.Writer) {
 	c, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return // the scheduler accepts no more connections
--- a/internal/lab/cluster/several.go
+++ b/internal/lab/cluster/several.go
@@ -26,18 +26,18 @@
 
 // Cluster is a set of processes with links between them.
 type Cluster struct {
-	t          testing.TB
-	Net        *faultproxy.Net
-	firstAddr  int // number of the first address, as in package faultproxy
-	newCommand func(args ...string) *exec.Cmd
-	operator   string
-	discovery  string
-	Places     []*Place
-	Begin      func(p *Place, cmd *exec.Cmd) error // starts a process; if nil, cmd.Start does
+	t            testing.TB
+	Net          *faultproxy.Net
+	firstAddr    int // number of the first address, as in package faultproxy
+	newCommand   func(args ...string) *exec.Cmd
+	operator     string
+	discovery    string
+	Nodes        []*Node
+	StartProcess func(p *Node, cmd *exec.Cmd) error // starts a process; if nil, cmd.Start does
 }
 
-// Place is a node of the cluster, on which one process runs. A successor can replace the process.
-type Place struct {
+// Node is a node of the cluster, on which one process runs. A successor can replace the process.
+type Node struct {
 	Categories            string        // JSON of the categories; empty for pay, note and look
 	ConnectTimeout        time.Duration // 0 for the default; a worker has twice as long to confirm a push
 	Settings              string        // JSON with a trailing comma; empty for pushed discovery
@@ -97,8 +97,8 @@
 	}
 }
 
-// Bound returns the IP address at which the k-th process listens.
-func (c *Cluster) Bound(k int) netip.Addr { return faultproxy.Bound(c.firstAddr + k) }
+// BindAddr returns the IP address at which the k-th process listens.
+func (c *Cluster) BindAddr(k int) netip.Addr { return faultproxy.BindAddr(c.firstAddr + k) }
 
 // New creates a cluster of n nodes. No process runs yet. The operator argument holds additional lines of the
 // [members] table in the operator file; {dir} in it is replaced by the node's directory. The workers argument
@@ -113,11 +113,11 @@
 	}))
 	c.discovery = s.Listener.Addr().String()
 	var err error
-	if c.Net, err = faultproxy.At(c.firstAddr, n, 1, func(int, int, faultproxy.Cut) {}); err != nil {
+	if c.Net, err = faultproxy.NewAt(c.firstAddr, n, 1, func(int, int, faultproxy.CutMode) {}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		for _, p := range c.Places {
+		for _, p := range c.Nodes {
 			p.kill()
 			if t.Failed() {
 				text, _ := os.ReadFile(filepath.Join(p.dir, "log"))
@@ -130,16 +130,16 @@
 		s.Close()
 	})
 	for i := range n {
-		c.Place(i, fmt.Sprintf("n%d", i+1))
+		c.AddNode(i, fmt.Sprintf("n%d", i+1))
 	}
 	return c
 }
 
-// Place adds a node under a name, at the k-th address of the cluster.
-func (c *Cluster) Place(k int, name string) *Place {
+// AddNode adds a node under a name, at the k-th address of the cluster.
+func (c *Cluster) AddNode(k int, name string) *Node {
 	var used []string
 	freePort := func() netip.AddrPort {
-		at, err := faultproxy.Free(c.Bound(k), used...)
+		at, err := faultproxy.FreePort(c.BindAddr(k), used...)
 		if err != nil {
 			c.t.Fatal(err)
 		}
@@ -150,10 +150,10 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	p := &Place{Name: name, Listen: freePort().String(), Console: freePort().String(), listenAddr: freePort(), dir: dir,
-		advertised: c.Net.Told(k)}
-	c.Net.Listens(k, p.listenAddr)
-	c.Places = append(c.Places, p)
+	p := &Node{Name: name, Listen: freePort().String(), Console: freePort().String(), listenAddr: freePort(), dir: dir,
+		advertised: c.Net.AdvertisedAddr(k)}
+	c.Net.SetListenAddr(k, p.listenAddr)
+	c.Nodes = append(c.Nodes, p)
 	return p
 }
 
@@ -164,7 +164,7 @@
 const defaultConnectTimeout = 200 * time.Millisecond
 
 // Start starts a process on a node. If a process already runs there, the new one is its successor.
-func (c *Cluster) Start(p *Place) {
+func (c *Cluster) Start(p *Node) {
 	c.t.Helper()
 	bootstrapPath, operatorPath := filepath.Join(p.dir, "sheet.json"), filepath.Join(p.dir, "operator.toml")
 	discovery := p.Discovery
@@ -183,8 +183,8 @@
 		`"bounds":{"maxPushes":3,"probes":true,"cancel":true,"connectTimeoutNs":%d},"report":{"fields":["waiting","running"],"how":"on_probe"},"categories":[%s]}}`,
 		p.Name, p.Listen, p.Console, discovery, settings, cmp.Or(p.ConnectTimeout, defaultConnectTimeout), categories)
 	var seeds []string
-	for i := range min(2, len(c.Places)) {
-		seeds = append(seeds, fmt.Sprintf("%q", c.Places[i].advertised))
+	for i := range min(2, len(c.Nodes)) {
+		seeds = append(seeds, fmt.Sprintf("%q", c.Nodes[i].advertised))
 	}
 	operatorText := fmt.Sprintf("[members]\ncluster = \"test\"\nlisten = %q\nadvertise = %q\nseeds = [%s]\n%s", p.listenAddr, p.advertised, strings.Join(seeds, ", "),
 		strings.ReplaceAll(c.operator, "{dir}", p.dir))
@@ -202,9 +202,9 @@
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.Env = append(cmd.Environ(), "TMPDIR="+p.dir)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	start := c.Begin
+	start := c.StartProcess
 	if start == nil {
-		start = func(_ *Place, cmd *exec.Cmd) error { return cmd.Start() }
+		start = func(_ *Node, cmd *exec.Cmd) error { return cmd.Start() }
 	}
 	if err := start(p, cmd); err != nil {
 		c.t.Fatal(err)
@@ -220,7 +220,7 @@
 }
 
 // Dir returns the directory of the node.
-func (p *Place) Dir() string { return p.dir }
+func (p *Node) Dir() string { return p.dir }
 
 // stopTimeout bounds the wait for a process to stop.
 const stopTimeout = 5 * time.Second
@@ -228,7 +228,7 @@
 // Signal sends a signal to the process of a node. SIGSTOP takes effect shortly after the system call, and
 // tests rely on a process that can do nothing. After SIGSTOP, Signal therefore waits until all threads of the
 // process are stopped.
-func (p *Place) Signal(s syscall.Signal) {
+func (p *Node) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
@@ -261,19 +261,19 @@
 	return len(files) > 0
 }
 
-// Running returns the running process and the channel that receives its exit error. The caller can start a
+// Process returns the running process and the channel that receives its exit error. The caller can start a
 // successor and then wait for the process to exit.
-func (p *Place) Running() (*exec.Cmd, <-chan error) {
+func (p *Node) Process() (*exec.Cmd, <-chan error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd, p.exited
 }
 
-// Takeover performs a hot restart: it starts a successor, waits until the successor is ready, sends SIGTERM
+// HotRestart performs a hot restart: it starts a successor, waits until the successor is ready, sends SIGTERM
 // to the predecessor and waits until the predecessor has ended.
-func (c *Cluster) Takeover(p *Place) {
+func (c *Cluster) HotRestart(p *Node) {
 	c.t.Helper()
-	predecessor, exited := p.Running()
+	predecessor, exited := p.Process()
 	l, err := net.Listen("tcp4", p.listenAddr.Addr().String()+":0")
 	if err != nil {
 		c.t.Fatal(err)
@@ -294,9 +294,9 @@
 }
 
 // Kill sends SIGKILL to the process of a node and waits until it has ended.
-func (p *Place) Kill() { p.kill() }
+func (p *Node) Kill() { p.kill() }
 
-func (p *Place) kill() {
+func (p *Node) kill() {
 	p.mu.Lock()
 	cmd, exited := p.cmd, p.exited
 	p.cmd = nil
@@ -309,7 +309,7 @@
 
 // Get requests a path from the console listener and decodes the response into a value. It returns false if
 // the request fails or the response can't be decoded.
-func (p *Place) Get(path string, into any) bool {
+func (p *Node) Get(path string, into any) bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + p.Console + path)
 	if err != nil {
@@ -320,7 +320,7 @@
 }
 
 // View returns the membership as shown by the process of a node. The view is empty if the request fails.
-func (p *Place) View() *View {
+func (p *Node) View() *View {
 	v := &View{}
 	p.Get("/api/members", v)
 	return v
@@ -339,7 +339,7 @@
 }
 
 // AwaitState waits until all given processes, except the member itself, show the member in a state.
-func (c *Cluster) AwaitState(name, state string, by ...*Place) {
+func (c *Cluster) AwaitState(name, state string, by ...*Node) {
 	c.t.Helper()
 	c.Await(fmt.Sprintf("%s is %s", name, state), func() bool {
 		for _, p := range by {
@@ -351,9 +351,9 @@
 	})
 }
 
-// AwaitWhole waits until all given processes show themselves and one another in the state "here", and their
+// AwaitConverged waits until all given processes show themselves and one another in the state "here", and their
 // views have the same digest.
-func (c *Cluster) AwaitWhole(all ...*Place) {
+func (c *Cluster) AwaitConverged(all ...*Node) {
 	c.t.Helper()
 	c.Await("all members are here in all views", func() bool {
 		digest := ""
--- a/internal/lab/discovery/herald.go
+++ b/internal/lab/discovery/herald.go
@@ -50,11 +50,11 @@
 // Agent is the discovery service as seen by one scheduler.
 type Agent struct {
 	scheduler  int // index of the scheduler, from 0
-	ledger     *ledger.Book
+	ledger     *ledger.Writer
 	addr       func(slot, scheduler int) string
 	rand       *rand.Rand
 	delayRange [2]time.Duration
-	link       *links.Weather
+	link       *links.Link
 	meter      *meter.Meter
 
 	mu          sync.Mutex
@@ -70,7 +70,7 @@
 }
 
 // New starts the agent of a scheduler at a separate address.
-func New(scheduler int, events *ledger.Book, addr func(slot, scheduler int) string, delayRange [2]time.Duration, conditions links.Sky, seed uint64, m *meter.Meter) (*Agent, error) {
+func New(scheduler int, events *ledger.Writer, addr func(slot, scheduler int) string, delayRange [2]time.Duration, conditions links.Conditions, seed uint64, m *meter.Meter) (*Agent, error) {
 	a := &Agent{scheduler: scheduler, ledger: events, addr: addr, delayRange: delayRange, rand: rand.New(rand.NewPCG(seed, uint64(scheduler))), reported: map[string]string{},
 		updated: make(chan struct{}), cancelWatch: map[int]func(){}, link: links.New(conditions, seed+uint64(scheduler)), meter: m}
 	return a, a.listen()
@@ -121,7 +121,7 @@
 		return nil, err
 	}
 	if !l.agent.link.IsTransparent() {
-		c = links.Through(c, l.agent.link)
+		c = links.Wrap(c, l.agent.link)
 	}
 	return countingConn{c, l.agent}, nil
 }
@@ -133,9 +133,9 @@
 	return a.listener.Addr().String()
 }
 
-// Hear adds a change of the list. The agent shows the change after a random delay, or without delay if
+// Update adds a change of the list. The agent shows the change after a random delay, or without delay if
 // immediate is set.
-func (a *Agent) Hear(e fleet.Entry, immediate bool) {
+func (a *Agent) Update(e fleet.Entry, immediate bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delay := a.delayRange[0] + time.Duration(a.rand.Float64()*float64(a.delayRange[1]-a.delayRange[0]))
@@ -230,8 +230,8 @@
 	return t
 }
 
-// Known returns the current list, in the format in which a scheduler receives it at its start.
-func (a *Agent) Known() json.RawMessage {
+// Snapshot returns the current list, in the format in which a scheduler receives it at its start.
+func (a *Agent) Snapshot() json.RawMessage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	m, _ := a.snapshot(time.Now())
@@ -274,7 +274,7 @@
 			continue
 		}
 		a.reported[e.Name] = e.State
-		a.ledger.Add(ledger.Event{Kind: ledger.Told, Scheduler: a.scheduler + 1, Worker: e.Name, State: e.State})
+		a.ledger.Add(ledger.Event{Kind: ledger.WorkerStateSent, Scheduler: a.scheduler + 1, Worker: e.Name, State: e.State})
 	}
 }
 
--- a/internal/lab/duplicates/doubles.go
+++ b/internal/lab/duplicates/doubles.go
@@ -53,12 +53,12 @@
 	for i := range events {
 		e := &events[i]
 		switch e.Kind {
-		case ledger.World:
+		case ledger.Header:
 			for name, c := range e.Rules.Categories {
 				atMostOnce[name] = c.Effect == ledger.AtMostOnce
 			}
 			staleAfter = e.Rules.DrainGrace + e.Rules.Slack + propagationTime
-		case ledger.Told:
+		case ledger.WorkerStateSent:
 			if _, seen := drained[e.Worker]; !seen && e.State != "ready" {
 				drained[e.Worker] = e.At
 			}
@@ -83,7 +83,7 @@
 				j.DuplicateRuns++
 				j.breach("%s ran more than once", op)
 			}
-		case ledger.Answer, ledger.Echo:
+		case ledger.Answer, ledger.RepeatAnswer:
 			if e.Verdict != ledger.Acked || categories[e.Op] == "" {
 				continue
 			}
