--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -32,20 +32,20 @@
 	// Sizes lists factors. The experiment runs once for each of them, with its worker counts and its arrival
 	// rate multiplied by the factor.
 	Sizes []float64 `toml:"sizes"`
-	// Expect lists bounds on figures, which are checked in addition to the rules.
-	Expect     []Expect   `toml:"expect"`
-	Rules      Rules      `toml:"rules"`
-	Schedulers Schedulers `toml:"schedulers"`
-	Discovery  Discovery  `toml:"discovery"`
-	Workers    []Workers  `toml:"workers"`
-	Categories []Category `toml:"categories"`
-	Arrivals   Arrivals   `toml:"arrivals"`
-	Clients    Clients    `toml:"clients"`
-	Links      []Link     `toml:"links"`
-	Members    Members    `toml:"members"`
-	Copies     Copies     `toml:"copies"`
-	Faults     []Fault    `toml:"faults"`
-	Chaos      Chaos      `toml:"chaos"`
+	// Expectations lists bounds on figures, which are checked in addition to the rules.
+	Expectations []Expectation `toml:"expect"`
+	Rules        Rules         `toml:"rules"`
+	Schedulers   Schedulers    `toml:"schedulers"`
+	Discovery    Discovery     `toml:"discovery"`
+	Workers      []Workers     `toml:"workers"`
+	Categories   []Category    `toml:"categories"`
+	Arrivals     Arrivals      `toml:"arrivals"`
+	Clients      Clients       `toml:"clients"`
+	Links        []Link        `toml:"links"`
+	Members      Members       `toml:"members"`
+	Replication  Replication   `toml:"copies"`
+	Faults       []Fault       `toml:"faults"`
+	Chaos        Chaos         `toml:"chaos"`
 
 	Dir string `toml:"-"` // folder of the file; relative paths in the file start here
 }
@@ -56,9 +56,9 @@
 	Zones []string `toml:"zones"`
 }
 
-// In reports whether a zone has the given name or belongs to the region of that name. An empty name matches
+// ZoneMatches reports whether a zone has the given name or belongs to the region of that name. An empty name matches
 // every zone.
-func (e *Experiment) In(name, zone string) bool {
+func (e *Experiment) ZoneMatches(name, zone string) bool {
 	if name == "" || name == zone {
 		return true
 	}
@@ -70,11 +70,11 @@
 	return false
 }
 
-// Expect holds the bounds of a figure of the results.
-type Expect struct {
+// Expectation holds the bounds of a figure of the results.
+type Expectation struct {
 	Figure string   `toml:"figure"`
-	Least  *float64 `toml:"least"`
-	Most   *float64 `toml:"most"`
+	Min    *float64 `toml:"least"`
+	Max    *float64 `toml:"most"`
 }
 
 // Rules holds the limits by which the audit judges a run.
@@ -108,7 +108,7 @@
 
 // Discovery describes the discovery emulators.
 type Discovery struct {
-	LateMS []float64 `toml:"late_ms"` // minimum and maximum delay of an update of the endpoint list
+	DelayMS []float64 `toml:"late_ms"` // minimum and maximum delay of an update of the endpoint list
 }
 
 // Workers describes a group of emulated workers of one kind.
@@ -185,25 +185,25 @@
 	Pipeline          float64 `toml:"pipeline"`
 	DisconnectAfterMS float64 `toml:"impatient_ms"` // mean time from sending a request to a disconnect
 	// An at-most-once op without a final answer is retried at another scheduler under the same id.
-	SameID bool `toml:"same_id"`
+	RetrySameID bool `toml:"same_id"`
 	// Chance that an op under same_id is sent to two schedulers at the same time.
-	AtOnce float64 `toml:"at_once"`
+	ConcurrentChance float64 `toml:"at_once"`
 	// After SIGTERM clients open new connections for a while and use open ones until the process exits.
 	UseWhileTerminating bool `toml:"go_on"`
 }
 
 // Link describes the network conditions between the schedulers and another party.
 type Link struct {
-	Between    string  `toml:"between"` // clients, workers or discovery; the other end is a scheduler
-	From       string  `toml:"from"`    // zone of that party, empty for any
-	To         string  `toml:"to"`      // zone of the scheduler, empty for any
-	DelayMS    float64 `toml:"delay_ms"`
-	JitterMS   float64 `toml:"jitter_ms"`
-	RateKBps   float64 `toml:"rate_kbps"` // 1,000 bytes per second
-	Stall      float64 `toml:"stall"`     // chance that a segment is delayed, as by a lost packet
-	StallMS    float64 `toml:"stall_ms"`
-	ResetFirst float64 `toml:"reset_before"` // chance that an exchange is reset before its last byte
-	ResetAfter float64 `toml:"reset_after"`  // chance that an exchange is reset after its last byte
+	Between     string  `toml:"between"` // clients, workers or discovery; the other end is a scheduler
+	From        string  `toml:"from"`    // zone of that party, empty for any
+	To          string  `toml:"to"`      // zone of the scheduler, empty for any
+	DelayMS     float64 `toml:"delay_ms"`
+	JitterMS    float64 `toml:"jitter_ms"`
+	RateKBps    float64 `toml:"rate_kbps"` // 1,000 bytes per second
+	Stall       float64 `toml:"stall"`     // chance that a segment is delayed, as by a lost packet
+	StallMS     float64 `toml:"stall_ms"`
+	ResetBefore float64 `toml:"reset_before"` // chance that an exchange is reset before its last byte
+	ResetAfter  float64 `toml:"reset_after"`  // chance that an exchange is reset after its last byte
 	// Chance that a connection transfers nothing. It is drawn separately for each direction.
 	Mute float64 `toml:"mute"`
 }
@@ -230,31 +230,31 @@
 	Hollow int `toml:"hollow"`
 }
 
-// Copies configures the replication of the outcomes of at-most-once ops. The first schedulers are the
+// Replication configures the replication of the outcomes of at-most-once ops. The first schedulers are the
 // replicas.
-type Copies struct {
+type Replication struct {
 	On       bool   `toml:"on"`
-	Keepers  int    `toml:"keepers"`
+	Replicas int    `toml:"keepers"`
 	Operator string `toml:"operator"` // further lines of the [copies] table of the operator's file
 	// The replica set can change by consensus, and its records are stored on disk.
-	Agreed bool `toml:"agreed"`
+	ConsensusMembership bool `toml:"agreed"`
 }
 
 // Fault describes a fault that the lab injects. The meaning of size depends on the kind: see faultKinds.
 type Fault struct {
-	Kind string  `toml:"kind"`
-	At   float64 `toml:"at_s"`
-	For  float64 `toml:"for_s"`
-	Part float64 `toml:"part"` // share of the workers or schedulers that the fault hits
+	Kind      string  `toml:"kind"`
+	StartS    float64 `toml:"at_s"`
+	DurationS float64 `toml:"for_s"`
+	Fraction  float64 `toml:"part"` // share of the workers or schedulers that the fault hits
 	// Indices of the workers or schedulers that the fault hits, counted from 0. They replace part.
-	Indices []int   `toml:"indices"`
-	Zone    string  `toml:"zone"`
-	Size    float64 `toml:"size"`
-	EveryS  float64 `toml:"every_s"` // interval of a repeated fault
+	Indices   []int   `toml:"indices"`
+	Zone      string  `toml:"zone"`
+	Magnitude float64 `toml:"size"`
+	EveryS    float64 `toml:"every_s"` // interval of a repeated fault
 	// Mesh faults: indices of the schedulers at the other ends of the links; all other schedulers if empty.
-	To      []int  `toml:"to"`
-	Way     string `toml:"way"`     // mesh faults: both, out (from the targets of the fault) or in (to them)
-	Refuses bool   `toml:"refuses"` // mesh faults: resets streams instead of blocking them silently
+	To           []int  `toml:"to"`
+	Direction    string `toml:"way"`     // mesh faults: both, out (from the targets of the fault) or in (to them)
+	ResetStreams bool   `toml:"refuses"` // mesh faults: resets streams instead of blocking them silently
 }
 
 // Chaos describes faults that are drawn from the seed. The keys for_s, part and size each
@@ -386,8 +386,8 @@
 	return names
 }
 
-// OfSchedulers reports whether a kind of fault hits schedulers.
-func OfSchedulers(kind string) bool { return faultKinds[kind].schedulers }
+// TargetsSchedulers reports whether a kind of fault hits schedulers.
+func TargetsSchedulers(kind string) bool { return faultKinds[kind].schedulers }
 
 // Read reads an experiment from a file and its base files.
 func Read(path string) (*Experiment, error) {
@@ -448,11 +448,11 @@
 		Rules: Rules{SlackMS: 50, DrainGraceMS: 2500, OverloadFactor: 2.5, TipAfterMS: 1500, ColdFrom: 0.3, WarmAfterMS: 8600},
 		Schedulers: Schedulers{Count: 2, Cores: 1, MemoryMB: 192, Sockets: 1024, MaxPushes: 6, ConnectTimeoutMS: 200,
 			KeepaliveMS: 10_000, MaxRetryAfterMS: 2000, Cancel: true, Probes: true, StepMS: 5, CrossPrice: 0.01, Log: "info"},
-		Discovery: Discovery{LateMS: []float64{200, 1000}},
-		Clients:   Clients{Count: 8, Backoff: "exponential", WaitMS: 100, HonourRetryAfter: 1, DisconnectAfterMS: 300},
-		Arrivals:  Arrivals{Kind: "poisson", Rate: 50},
-		Copies:    Copies{Keepers: 3},
-		Members:   Members{PauseMS: 2000, DetectMS: 6000, SettleMS: 10_000, GraceMS: 8000},
+		Discovery:   Discovery{DelayMS: []float64{200, 1000}},
+		Clients:     Clients{Count: 8, Backoff: "exponential", WaitMS: 100, HonourRetryAfter: 1, DisconnectAfterMS: 300},
+		Arrivals:    Arrivals{Kind: "poisson", Rate: 50},
+		Replication: Replication{Replicas: 3},
+		Members:     Members{PauseMS: 2000, DetectMS: 6000, SettleMS: 10_000, GraceMS: 8000},
 	}
 }
 
@@ -540,14 +540,14 @@
 		checkRange("clients.wait_ms", c.WaitMS, 0, dayMS), checkRange("clients.honour", c.HonourRetryAfter, 0, 1),
 		checkRange("clients.leave", c.DisconnectChance, 0, 1), checkRange("clients.trickle", c.TrickleChance, 0, 1),
 		checkRange("clients.stall", c.StallChance, 0, 1), checkRange("clients.ask_again", c.DuplicateChance, 0, 1),
-		checkRange("clients.pipeline", c.Pipeline, 0, 1), checkRange("clients.at_once", c.AtOnce, 0, 1),
+		checkRange("clients.pipeline", c.Pipeline, 0, 1), checkRange("clients.at_once", c.ConcurrentChance, 0, 1),
 		checkOneOf("clients.backoff", c.Backoff, "none", "fixed", "exponential"),
 		checkOneOf("arrivals.kind", e.Arrivals.Kind, "poisson", "even", "trace"),
 		checkRange("arrivals.rate", e.Arrivals.Rate, 0, maxRate),
 	); err != nil {
 		return err
 	}
-	if k := e.Copies.Keepers; e.Copies.On && (!e.Members.On || k < 1 || k%2 == 0 || k > s.Count) {
+	if k := e.Replication.Replicas; e.Replication.On && (!e.Members.On || k < 1 || k%2 == 0 || k > s.Count) {
 		return fmt.Errorf("copies.keepers = %d must be odd and at most schedulers.count, and members.on must be set", k)
 	}
 	m := &e.Members
@@ -584,7 +584,7 @@
 	if len(e.Zones) == 0 {
 		return errors.New("zones: must not be empty")
 	}
-	if l := e.Discovery.LateMS; len(l) != 2 || l[0] < 0 || l[1] < l[0] || l[1] > dayMS {
+	if l := e.Discovery.DelayMS; len(l) != 2 || l[0] < 0 || l[1] < l[0] || l[1] > dayMS {
 		return fmt.Errorf("discovery.late_ms = %v must be a minimum and a maximum from 0 to 86400000", l)
 	}
 	if len(s.Shares) > 0 && len(s.Shares) != s.Count {
@@ -700,7 +700,7 @@
 		if err := firstError(checkOneOf(at+"between", l.Between, "clients", "workers", "discovery"),
 			checkRange(at+"delay_ms", l.DelayMS, 0, dayMS), checkRange(at+"jitter_ms", l.JitterMS, 0, dayMS),
 			checkRange(at+"rate_kbps", l.RateKBps, 0, 1e9), checkRange(at+"stall", l.Stall, 0, 1),
-			checkRange(at+"stall_ms", l.StallMS, 0, dayMS), checkRange(at+"reset_before", l.ResetFirst, 0, 1),
+			checkRange(at+"stall_ms", l.StallMS, 0, dayMS), checkRange(at+"reset_before", l.ResetBefore, 0, 1),
 			checkRange(at+"reset_after", l.ResetAfter, 0, 1), checkRange(at+"mute", l.Mute, 0, 1),
 			e.checkZone(at+"from", l.From), e.checkZone(at+"to", l.To)); err != nil {
 			return err
@@ -725,16 +725,16 @@
 		if !ok {
 			return fmt.Errorf("%skind = %q must be one of %s", at, f.Kind, strings.Join(FaultKinds(), ", "))
 		}
-		if len(f.Indices) == 0 && f.Part == 0 && f.Zone == "" {
-			f.Part = 1
+		if len(f.Indices) == 0 && f.Fraction == 0 && f.Zone == "" {
+			f.Fraction = 1
 		}
-		if err := firstError(checkRange(at+"at_s", f.At, 0, maxSeconds), checkRange(at+"for_s", f.For, 0, maxSeconds),
-			checkRange(at+"part", f.Part, 0, 1), checkRange(at+"every_s", f.EveryS, 0, maxSeconds),
+		if err := firstError(checkRange(at+"at_s", f.StartS, 0, maxSeconds), checkRange(at+"for_s", f.DurationS, 0, maxSeconds),
+			checkRange(at+"part", f.Fraction, 0, 1), checkRange(at+"every_s", f.EveryS, 0, maxSeconds),
 			e.checkZone(at+"zone", f.Zone)); err != nil {
 			return err
 		}
 		if k.size {
-			if err := checkRange(at+"size", f.Size, k.min, k.max); err != nil {
+			if err := checkRange(at+"size", f.Magnitude, k.min, k.max); err != nil {
 				return err
 			}
 		}
@@ -755,10 +755,10 @@
 				return fmt.Errorf("%sto: %d must be from 0 to %d", at, n, e.Schedulers.Count-1)
 			}
 		}
-		if f.Way == "" {
-			f.Way = "both"
+		if f.Direction == "" {
+			f.Direction = "both"
 		}
-		if err := checkOneOf(at+"way", f.Way, "both", "out", "in"); err != nil {
+		if err := checkOneOf(at+"way", f.Direction, "both", "out", "in"); err != nil {
 			return err
 		}
 		if !e.Members.On && (strings.HasPrefix(f.Kind, "mesh-") || f.Kind == "scheduler-takeover" ||
@@ -768,7 +768,7 @@
 		if f.Kind == "settings-change" && (!e.Members.On || f.EveryS <= 0) {
 			return fmt.Errorf("%skind = %q needs members.on and every_s", at, f.Kind)
 		}
-		if f.Kind == "keepers-change" && (!e.Copies.Agreed || len(f.Indices)%2 == 0) {
+		if f.Kind == "keepers-change" && (!e.Replication.ConsensusMembership || len(f.Indices)%2 == 0) {
 			return fmt.Errorf("%skind = %q needs copies.agreed and an odd number of indices", at, f.Kind)
 		}
 		if f.Kind == "region-cut" && !slices.ContainsFunc(e.Regions, func(r Region) bool { return r.Name == f.Zone }) {
@@ -817,8 +817,8 @@
 	if e.Arrivals.Kind != "trace" && e.Arrivals.Rate <= 0 {
 		return errors.New("arrivals.rate: must be above 0")
 	}
-	for i, x := range e.Expect {
-		if x.Figure == "" || x.Least == nil && x.Most == nil {
+	for i, x := range e.Expectations {
+		if x.Figure == "" || x.Min == nil && x.Max == nil {
 			return fmt.Errorf("expect[%d]: figure and least or most must be set", i)
 		}
 	}
@@ -833,9 +833,9 @@
 	return n
 }
 
-// Sized returns a copy of the experiment whose worker counts and arrival rate are multiplied by a factor.
+// Scaled returns a copy of the experiment whose worker counts and arrival rate are multiplied by a factor.
 // Each group has at least one worker.
-func (e *Experiment) Sized(factor float64) (*Experiment, error) {
+func (e *Experiment) Scaled(factor float64) (*Experiment, error) {
 	s := *e
 	s.Sizes, s.Workers, s.Faults = nil, slices.Clone(e.Workers), slices.Clone(e.Faults)
 	s.Name = fmt.Sprintf("%s-%g", e.Name, factor)
@@ -849,16 +849,16 @@
 	return &s, nil
 }
 
-// MS converts milliseconds to ledger time, rounded down.
-func MS(ms float64) ledger.Time { return ledger.Time(math.Floor(ms*10 + 1e-6)) }
+// FromMilliseconds converts milliseconds to ledger time, rounded down.
+func FromMilliseconds(ms float64) ledger.Time { return ledger.Time(math.Floor(ms*10 + 1e-6)) }
 
 // FromSeconds converts seconds to ledger time, rounded down.
-func FromSeconds(s float64) ledger.Time { return MS(1000 * s) }
+func FromSeconds(s float64) ledger.Time { return FromMilliseconds(1000 * s) }
 
-// Judged returns the rules in the form that the ledger and the audit use.
-func (e *Experiment) Judged() *ledger.Rules {
-	r := &ledger.Rules{Slack: MS(e.Rules.SlackMS), DrainGrace: MS(e.Rules.DrainGraceMS), OverloadFactor: e.Rules.OverloadFactor,
-		TipAfter: MS(e.Rules.TipAfterMS), ColdFrom: e.Rules.ColdFrom, WarmAfter: MS(e.Rules.WarmAfterMS),
+// LedgerRules returns the rules in the form that the ledger and the audit use.
+func (e *Experiment) LedgerRules() *ledger.Rules {
+	r := &ledger.Rules{Slack: FromMilliseconds(e.Rules.SlackMS), DrainGrace: FromMilliseconds(e.Rules.DrainGraceMS), OverloadFactor: e.Rules.OverloadFactor,
+		OverloadWindow: FromMilliseconds(e.Rules.TipAfterMS), ColdFrom: e.Rules.ColdFrom, WarmAfter: FromMilliseconds(e.Rules.WarmAfterMS),
 		Categories: map[string]ledger.Category{}}
 	longest, shares := 0.0, 0.0
 	for _, c := range e.Categories {
@@ -867,11 +867,11 @@
 			slots, weights = slots+weight*float64(int(1)<<k), weights+weight
 		}
 		r.MeanWork, shares = r.MeanWork+c.Share*c.WorkMS*slots/weights, shares+c.Share
-		r.Categories[c.Name] = ledger.Category{Effect: c.Effect, Scope: c.Scope, Window: MS(c.WindowMS)}
+		r.Categories[c.Name] = ledger.Category{Effect: c.Effect, Scope: c.Scope, Window: FromMilliseconds(c.WindowMS)}
 		longest = max(longest, c.TTLMS)
 	}
 	r.MeanWork /= shares
-	r.KillAfter = MS(min(longest, 3000) + 700)
+	r.KillAfter = FromMilliseconds(min(longest, 3000) + 700)
 	return r
 }
 
--- a/internal/lab/experiment/plan_test.go
+++ b/internal/lab/experiment/plan_test.go
@@ -43,7 +43,7 @@
 			t.Errorf("%q: %v; want %q", text, err, want)
 		}
 	}
-	if e, err := Parse([]byte(validFile)); err != nil || e.Workers[0].Cores != 4 || e.Judged().KillAfter != 37_000 {
+	if e, err := Parse([]byte(validFile)); err != nil || e.Workers[0].Cores != 4 || e.LedgerRules().KillAfter != 37_000 {
 		t.Errorf("a valid file: %+v, %v", e, err)
 	}
 }
@@ -56,18 +56,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := e.Sized(0.9)
+	s, err := e.Scaled(0.9)
 	if err != nil || s.WorkerCount() != 36 || s.Arrivals.Rate != 90 || e.WorkerCount() != 40 || e.Arrivals.Rate != 100 {
 		t.Errorf("%+v, %v; the original: %+v", s, err, e)
 	}
-	if _, err := e.Sized(0.5); err == nil || !strings.Contains(err.Error(), "30 must be from 0 to 19") {
+	if _, err := e.Scaled(0.5); err == nil || !strings.Contains(err.Error(), "30 must be from 0 to 19") {
 		t.Errorf("a fault of worker 30 with 20 workers: %v", err)
 	}
 	for _, c := range []struct {
 		name, zone string
 		in         bool
 	}{{"", "a", true}, {"a", "a", true}, {"a", "b", false}, {"r", "b", true}, {"r", "a", false}} {
-		if e.In(c.name, c.zone) != c.in {
+		if e.ZoneMatches(c.name, c.zone) != c.in {
 			t.Errorf("zone %s in %q: %v", c.zone, c.name, !c.in)
 		}
 	}
@@ -101,7 +101,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m := e.Judged().MeanWork; m != (3*100+200*2)/4.0 {
+	if m := e.LedgerRules().MeanWork; m != (3*100+200*2)/4.0 {
 		t.Errorf("%.1f ms", m)
 	}
 }
--- a/internal/lab/faultproxy/block.go
+++ b/internal/lab/faultproxy/block.go
@@ -21,11 +21,11 @@
 
 var errNoBlock = errors.New("links between schedulers: other runs on this machine have claimed all address blocks")
 
-// Own claims an address block for this process, and returns the number of the first address in it. Two runs
+// ClaimBase claims an address block for this process, and returns the number of the first address in it. Two runs
 // on one machine must not share addresses. One run could take a port that the other frees while its scheduler
 // is down, and that scheduler would not start again. A socket on an unused address of the block claims the
 // block until the process ends.
-var Own = sync.OnceValues(func() (int, error) {
+var ClaimBase = sync.OnceValues(func() (int, error) {
 	for _, block := range addressBlocks {
 		claimAddr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, block, schedulersPerBlock + 2}), claimPort)
 		if claim, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(claimAddr)); err == nil {
--- a/internal/lab/faultproxy/net.go
+++ b/internal/lab/faultproxy/net.go
@@ -24,9 +24,9 @@
 	schedulersPerBlock = 250 // schedulers for each value of an address's third byte
 )
 
-// Bound returns the IP address with number n, where 127.2.0.1 has number 0. A scheduler binds this address
+// BindAddr returns the IP address with number n, where 127.2.0.1 has number 0. A scheduler binds this address
 // and sends from it, and no other process on the machine sends from it.
-func Bound(n int) netip.Addr {
+func BindAddr(n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, 2, byte(n / schedulersPerBlock), byte(n%schedulersPerBlock + 1)})
 }
 
@@ -47,9 +47,9 @@
 type Net struct {
 	firstAddr     int // number of the first scheduler's address
 	endpoints     []*endpoint
-	datagramLinks [][]*DatagramLink  // by sender and receiver
-	streamLinks   [][]*links.Weather // by sender and receiver
-	onCut         func(from, to int, cut Cut)
+	datagramLinks [][]*DatagramLink // by sender and receiver
+	streamLinks   [][]*links.Link   // by sender and receiver
+	onCut         func(from, to int, cut CutMode)
 
 	inFlight      atomic.Int64
 	overflowDrops atomic.Int64 // datagrams dropped because of maxInFlight
@@ -60,9 +60,9 @@
 	meter         atomic.Pointer[meter.Meter]
 }
 
-// Count sets the meter that counts the traffic between schedulers from now on. A datagram that the link loses
+// SetMeter sets the meter that counts the traffic between schedulers from now on. A datagram that the link loses
 // counts as sent, but not as received.
-func (x *Net) Count(m *meter.Meter) { x.meter.Store(m) }
+func (x *Net) SetMeter(m *meter.Meter) { x.meter.Store(m) }
 
 // countingWriter counts the bytes of a stream from one scheduler to another.
 type countingWriter struct {
@@ -123,18 +123,18 @@
 }
 
 // New opens the links between the given number of schedulers. It calls onCut when a cut begins or ends.
-func New(schedulers int, seed uint64, onCut func(from, to int, cut Cut)) (*Net, error) {
-	firstAddr, err := Own()
+func New(schedulers int, seed uint64, onCut func(from, to int, cut CutMode)) (*Net, error) {
+	firstAddr, err := ClaimBase()
 	if err != nil {
 		return nil, err
 	}
-	return At(firstAddr, schedulers, seed, onCut)
+	return NewAt(firstAddr, schedulers, seed, onCut)
 }
 
-// At opens the links like New. The first scheduler binds the address with the number firstAddr, and the
+// NewAt opens the links like New. The first scheduler binds the address with the number firstAddr, and the
 // others bind the addresses after it. Two sets of links that are open at the same time must not share
 // addresses. Otherwise one could take a port that the other frees for a moment.
-func At(firstAddr, schedulers int, seed uint64, onCut func(from, to int, cut Cut)) (*Net, error) {
+func NewAt(firstAddr, schedulers int, seed uint64, onCut func(from, to int, cut CutMode)) (*Net, error) {
 	x := &Net{firstAddr: firstAddr, onCut: onCut, streamSlots: make(chan struct{}, maxStreams), openStreams: map[net.Conn][2]int{}, done: make(chan struct{})}
 	for i := range schedulers {
 		e, err := newEndpoint(firstAddr + i)
@@ -144,10 +144,10 @@
 		}
 		x.endpoints = append(x.endpoints, e)
 		var datagramLinks []*DatagramLink
-		var streamLinks []*links.Weather
+		var streamLinks []*links.Link
 		for j := range schedulers {
 			s := seed ^ uint64(i)<<40 ^ uint64(j)<<20
-			datagramLinks, streamLinks = append(datagramLinks, newDatagramLink(s)), append(streamLinks, links.New(links.Sky{}, s))
+			datagramLinks, streamLinks = append(datagramLinks, newDatagramLink(s)), append(streamLinks, links.New(links.Conditions{}, s))
 		}
 		x.datagramLinks, x.streamLinks = append(x.datagramLinks, datagramLinks), append(x.streamLinks, streamLinks)
 	}
@@ -176,9 +176,9 @@
 	return nil, nil, fmt.Errorf("links between schedulers: %w", lastErr)
 }
 
-// Free returns a port that is free for both UDP and TCP, other than the given ones. A port that is only free
+// FreePort returns a port that is free for both UDP and TCP, other than the given ones. A port that is only free
 // for UDP may belong to another listener of the same scheduler, which then could not start.
-func Free(at netip.Addr, exclude ...string) (netip.AddrPort, error) {
+func FreePort(at netip.Addr, exclude ...string) (netip.AddrPort, error) {
 	for range 20 {
 		udp, tcp, err := listenBoth(at)
 		if err != nil {
@@ -210,29 +210,29 @@
 	return &endpoint{advertised: udp.LocalAddr().String(), udp: udp, tcp: tcp, marker: marker, markerRead: make(chan struct{}, 1)}, nil
 }
 
-// Bound returns the address that the n-th scheduler binds.
-func (x *Net) Bound(n int) netip.Addr { return Bound(x.firstAddr + n) }
+// BindAddr returns the address that the n-th scheduler binds.
+func (x *Net) BindAddr(n int) netip.Addr { return BindAddr(x.firstAddr + n) }
 
-// Told returns the address that the n-th scheduler advertises to the others.
-func (x *Net) Told(n int) string { return x.endpoints[n].advertised }
+// AdvertisedAddr returns the address that the n-th scheduler advertises to the others.
+func (x *Net) AdvertisedAddr(n int) string { return x.endpoints[n].advertised }
 
-// Listens sets the address at which the n-th scheduler listens. The address may change while the links are
+// SetListenAddr sets the address at which the n-th scheduler listens. The address may change while the links are
 // open.
-func (x *Net) Listens(n int, addr netip.AddrPort) { x.endpoints[n].listenAddr.Store(&addr) }
+func (x *Net) SetListenAddr(n int, addr netip.AddrPort) { x.endpoints[n].listenAddr.Store(&addr) }
 
-// Crowded returns how many datagrams were dropped because of maxInFlight. If the number is not zero, the
+// OverflowDrops returns how many datagrams were dropped because of maxInFlight. If the number is not zero, the
 // result of the run is void.
-func (x *Net) Crowded() int64 { return x.overflowDrops.Load() }
+func (x *Net) OverflowDrops() int64 { return x.overflowDrops.Load() }
 
-// Weather changes the conditions of the link from one scheduler to another.
-func (x *Net) Weather(from, to int, change func(*Sky)) {
+// SetConditions changes the conditions of the link from one scheduler to another.
+func (x *Net) SetConditions(from, to int, change func(*Conditions)) {
 	s := x.datagramLinks[from][to].update(change)
-	x.streamLinks[from][to].SetConditions(links.Sky{Delay: s.Delay, Jitter: s.Jitter, Rate: s.Rate, Stall: s.Loss, StallFor: retransmitDelay})
+	x.streamLinks[from][to].SetConditions(links.Conditions{Delay: s.Delay, Jitter: s.Jitter, Rate: s.Rate, Stall: s.Loss, StallFor: retransmitDelay})
 }
 
-// Cut begins or ends a cut of the link from one scheduler to another. A stream makes no progress while either
+// SetCut begins or ends a cut of the link from one scheduler to another. A stream makes no progress while either
 // direction is cut, because it needs acknowledgments.
-func (x *Net) Cut(from, to int, mode Cut) {
+func (x *Net) SetCut(from, to int, mode CutMode) {
 	l := x.datagramLinks[from][to]
 	if l.cutMode() == mode {
 		return
--- a/internal/lab/faultproxy/net_test.go
+++ b/internal/lab/faultproxy/net_test.go
@@ -17,14 +17,14 @@
 func newNet(t *testing.T, n int) (*Net, []testScheduler, *[][3]int) {
 	t.Helper()
 	var cuts [][3]int
-	x, err := New(n, 1, func(from, to int, cut Cut) { cuts = append(cuts, [3]int{from, to, int(cut)}) })
+	x, err := New(n, 1, func(from, to int, cut CutMode) { cuts = append(cuts, [3]int{from, to, int(cut)}) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(x.Close)
 	var schedulers []testScheduler
 	for i := range n {
-		udp, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(x.Bound(i), 0)))
+		udp, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(x.BindAddr(i), 0)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { udp.Close(); tcp.Close() })
-		x.Listens(i, udp.LocalAddr().(*net.UDPAddr).AddrPort())
+		x.SetListenAddr(i, udp.LocalAddr().(*net.UDPAddr).AddrPort())
 		schedulers = append(schedulers, testScheduler{udp, tcp})
 	}
 	return x, schedulers, &cuts
@@ -61,15 +61,15 @@
 // then give wrong results.
 func TestACutStopsOneDirectionOfOnePair(t *testing.T) {
 	x, s, cuts := newNet(t, 3)
-	x.Cut(0, 1, Silent)
-	s[0].send(t, x.Told(1), "lost")
-	s[1].send(t, x.Told(0), "back")
-	s[0].send(t, x.Told(2), "aside")
+	x.SetCut(0, 1, Silent)
+	s[0].send(t, x.AdvertisedAddr(1), "lost")
+	s[1].send(t, x.AdvertisedAddr(0), "back")
+	s[0].send(t, x.AdvertisedAddr(2), "aside")
 	if got := s[0].receive(t) + s[2].receive(t); got != "backaside" {
 		t.Errorf("received %q", got)
 	}
-	x.Cut(0, 1, Open)
-	s[0].send(t, x.Told(1), "after")
+	x.SetCut(0, 1, Open)
+	s[0].send(t, x.AdvertisedAddr(1), "after")
 	if got := s[1].receive(t); got != "after" {
 		t.Errorf("received %q; a datagram dropped by a cut must not arrive later", got)
 	}
@@ -83,8 +83,8 @@
 func TestACutStallsOrResetsStreams(t *testing.T) {
 	x, s, _ := newNet(t, 2)
 	dial := func() net.Conn {
-		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IP(x.Bound(0).AsSlice())}}
-		c, err := d.Dial("tcp4", x.Told(1))
+		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IP(x.BindAddr(0).AsSlice())}}
+		c, err := d.Dial("tcp4", x.AdvertisedAddr(1))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -107,18 +107,18 @@
 	if _, err := io.ReadFull(c, buf); err != nil || string(buf) != "one" {
 		t.Fatalf("%q, %v", buf, err)
 	}
-	x.Cut(1, 0, Silent)
+	x.SetCut(1, 0, Silent)
 	c.Write([]byte("two"))
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if n, err := c.Read(buf); err == nil {
 		t.Errorf("%q passed a cut", buf[:n])
 	}
-	x.Cut(1, 0, Open)
+	x.SetCut(1, 0, Open)
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := io.ReadFull(c, buf); err != nil || string(buf) != "two" {
 		t.Errorf("after the cut: received %q, %v", buf, err)
 	}
-	x.Cut(0, 1, Refusing)
+	x.SetCut(0, 1, Refusing)
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := c.Read(buf); err == nil || err == io.EOF {
 		t.Errorf("reading during a refusing cut: %v, want a reset", err)
@@ -130,7 +130,7 @@
 func TestDeliveriesAreReproducibleFromTheSeed(t *testing.T) {
 	count := func() (lost, twice int) {
 		l := newDatagramLink(7)
-		l.update(func(s *Sky) { *s = Sky{Loss: 0.3, Dup: 0.1, Jitter: time.Millisecond} })
+		l.update(func(s *Conditions) { *s = Conditions{Loss: 0.3, Dup: 0.1, Jitter: time.Millisecond} })
 		for range 10_000 {
 			switch len(l.DeliveryDelays(time.Time{}, 100)) {
 			case 0:
@@ -150,7 +150,7 @@
 // Guards against an unbounded queue on a link with a rate, from which datagrams would arrive minutes later.
 func TestARateDelaysDatagramsAndDropsThemWhenTheQueueIsFull(t *testing.T) {
 	l, now := newDatagramLink(1), time.Time{}
-	l.update(func(s *Sky) { s.Rate = 1000 })
+	l.update(func(s *Conditions) { s.Rate = 1000 })
 	for i := range 30 {
 		delays := l.DeliveryDelays(now, 100)
 		if want := time.Duration(i+1) * 100 * time.Millisecond; want > maxQueueDelay {
--- a/internal/lab/faultproxy/sky.go
+++ b/internal/lab/faultproxy/sky.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Sky holds the conditions of the link from one scheduler to another.
-type Sky struct {
+// Conditions holds the conditions of the link from one scheduler to another.
+type Conditions struct {
 	Loss          float64 // probability of a lost datagram; delays a stream by retransmitDelay
 	Dup           float64 // probability that a datagram is duplicated
 	Reorder       float64 // probability that a datagram is delayed by reorderDelay
@@ -19,13 +19,13 @@
 	Rate          float64 // bytes per second; 0 for no limit
 }
 
-// Cut is the mode of a link: open, or the kind of a cut.
-type Cut int
+// CutMode is the mode of a link: open, or the kind of a cut.
+type CutMode int
 
 // A silent cut drops everything. A refusing cut also drops datagrams, but resets streams and rejects new
 // ones.
 const (
-	Open Cut = iota
+	Open CutMode = iota
 	Silent
 	Refusing
 )
@@ -40,8 +40,8 @@
 // flight.
 type DatagramLink struct {
 	mu         sync.Mutex
-	conditions Sky
-	cut        Cut
+	conditions Conditions
+	cut        CutMode
 	rand       *rand.Rand
 	idleAt     time.Time // when the link has sent all earlier datagrams
 }
@@ -50,20 +50,20 @@
 	return &DatagramLink{rand: rand.New(rand.NewPCG(seed, 0x6265747765656e))}
 }
 
-func (l *DatagramLink) update(change func(*Sky)) (now Sky) {
+func (l *DatagramLink) update(change func(*Conditions)) (now Conditions) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.conditions)
 	return l.conditions
 }
 
-func (l *DatagramLink) setCut(c Cut) {
+func (l *DatagramLink) setCut(c CutMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = c
 }
 
-func (l *DatagramLink) cutMode() Cut {
+func (l *DatagramLink) cutMode() CutMode {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.cut
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -34,9 +34,9 @@
 
 // Fleet is the set of all emulated workers.
 type Fleet struct {
-	ledger      *ledger.Book
+	ledger      *ledger.Writer
 	experiment  *experiment.Experiment
-	workload    *workload.Script
+	workload    *workload.Workload
 	requests    *requests.Registry
 	publish     func(Entry)
 	rules       *ledger.Rules
@@ -45,9 +45,9 @@
 	cellDedup   map[int]*workermodel.DedupStore
 	globalDedup *workermodel.DedupStore
 
-	addrs               [][]string         // by slot and scheduler
-	links               [][]*links.Weather // by slot and scheduler
-	workers             []*worker          // the current worker of each slot
+	addrs               [][]string      // by slot and scheduler
+	links               [][]*links.Link // by slot and scheduler
+	workers             []*worker       // the current worker of each slot
 	mu                  sync.Mutex
 	replacements        []int // by slot: number of restarts and successors so far
 	seed                uint64
@@ -58,8 +58,8 @@
 }
 
 // New creates a fleet and starts its workers. It calls publish for each change of a worker's state.
-func New(e *experiment.Experiment, s *workload.Script, events *ledger.Book, registry *requests.Registry, m *meter.Meter, publish func(Entry)) (*Fleet, error) {
-	f := &Fleet{ledger: events, experiment: e, workload: s, requests: registry, publish: publish, rules: e.Judged(), zoneDedup: map[string]*workermodel.DedupStore{},
+func New(e *experiment.Experiment, s *workload.Workload, events *ledger.Writer, registry *requests.Registry, m *meter.Meter, publish func(Entry)) (*Fleet, error) {
+	f := &Fleet{ledger: events, experiment: e, workload: s, requests: registry, publish: publish, rules: e.LedgerRules(), zoneDedup: map[string]*workermodel.DedupStore{},
 		cellDedup: map[int]*workermodel.DedupStore{}, globalDedup: workermodel.NewDedupStore(), replacements: make([]int, len(s.Workers)), seed: e.Seed, meter: m}
 	hollow := 0
 	for _, w := range s.Workers {
@@ -78,9 +78,9 @@
 		if f.cellDedup[w.Cell] == nil {
 			f.cellDedup[w.Cell] = workermodel.NewDedupStore()
 		}
-		var workerLinks []*links.Weather
+		var workerLinks []*links.Link
 		for n := range e.Schedulers.Count {
-			workerLinks = append(workerLinks, links.New(Sky(e, "workers", e.Zones[n%len(e.Zones)], w.Zone), w.Seed+uint64(n)))
+			workerLinks = append(workerLinks, links.New(LinkConditions(e, "workers", e.Zones[n%len(e.Zones)], w.Zone), w.Seed+uint64(n)))
 		}
 		f.links = append(f.links, workerLinks)
 		f.addrs = append(f.addrs, make([]string, e.Schedulers.Count))
@@ -93,14 +93,14 @@
 	return f, nil
 }
 
-// Sky returns the link conditions that an experiment sets between two parties. If several entries of e.Links
+// LinkConditions returns the link conditions that an experiment sets between two parties. If several entries of e.Links
 // match, the last one applies.
-func Sky(e *experiment.Experiment, between, from, to string) (conditions links.Sky) {
+func LinkConditions(e *experiment.Experiment, between, from, to string) (conditions links.Conditions) {
 	ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 	for _, link := range e.Links {
-		if link.Between == between && e.In(link.From, from) && e.In(link.To, to) {
-			conditions = links.Sky{Delay: ms(link.DelayMS), Jitter: ms(link.JitterMS), Rate: 1000 * link.RateKBps, Stall: link.Stall,
-				StallFor: ms(link.StallMS), ResetFirst: link.ResetFirst, ResetAfter: link.ResetAfter, Mute: link.Mute}
+		if link.Between == between && e.ZoneMatches(link.From, from) && e.ZoneMatches(link.To, to) {
+			conditions = links.Conditions{Delay: ms(link.DelayMS), Jitter: ms(link.JitterMS), Rate: 1000 * link.RateKBps, Stall: link.Stall,
+				StallFor: ms(link.StallMS), ResetFirst: link.ResetBefore, ResetAfter: link.ResetAfter, Mute: link.Mute}
 		}
 	}
 	return conditions
@@ -118,7 +118,7 @@
 	mu           sync.Mutex
 	model        *workermodel.Worker
 	ended        bool
-	faults       workermodel.Ails
+	faults       workermodel.Faults
 	pushes       map[int]*activePush
 	conns        map[*schedulerConn]bool
 	timer        *time.Timer
@@ -144,7 +144,7 @@
 	kind := f.experiment.Workers[spec.Kind]
 	w := &worker{fleet: f, slot: slot, name: name, kind: kind, pushes: map[int]*activePush{}, conns: map[*schedulerConn]bool{}, probes: map[int]chan workermodel.Report{}}
 	config := workermodel.Config{Cores: kind.Cores, Speed: spec.Speed, Slots: kind.Slots, Memory: kind.Memory, Queue: kind.Queue,
-		ReportEvery: experiment.MS(kind.ReportEveryMS), Progress: experiment.MS(kind.ProgressMS), ReportsStart: true, ConnWork: kind.ConnWorkMS,
+		ReportEvery: experiment.FromMilliseconds(kind.ReportEveryMS), Progress: experiment.FromMilliseconds(kind.ProgressMS), ReportsStart: true, ConnWork: kind.ConnWorkMS,
 		ProbeWork: kind.ProbeWorkMS, Connections: kind.Connections, FailureRate: kind.ErrorRate, CancelDrops: kind.CancelDrops}
 	if err := w.listen(); err != nil {
 		return fmt.Errorf("worker %s: %w", name, err)
@@ -222,7 +222,7 @@
 		case workermodel.Admit:
 			w.admitted = e.Allowed
 		case workermodel.SetTimer:
-			w.timer.Reset(max(time.Until(w.fleet.ledger.Wall(e.At)), 0))
+			w.timer.Reset(max(time.Until(w.fleet.ledger.ToTime(e.At)), 0))
 		case workermodel.Crash:
 			go w.end()
 		}
@@ -270,8 +270,8 @@
 	return Entry{Name: w.name, Zone: spec.Zone, Cell: spec.Cell, Slot: w.slot, State: state}
 }
 
-// Ail changes the faults of the worker in a slot.
-func (f *Fleet) Ail(slot int, change func(*workermodel.Ails)) {
+// SetFaults changes the faults of the worker in a slot.
+func (f *Fleet) SetFaults(slot int, change func(*workermodel.Faults)) {
 	w := f.workerAt(slot)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -343,9 +343,9 @@
 	drainMargin = time.Second
 )
 
-// Announce publishes that a worker drains, but does not inform the worker, which keeps accepting jobs. After
+// AnnounceDrain publishes that a worker drains, but does not inform the worker, which keeps accepting jobs. After
 // the given time the worker ends, and a successor replaces it.
-func (f *Fleet) Announce(slot int, delay time.Duration) {
+func (f *Fleet) AnnounceDrain(slot int, delay time.Duration) {
 	w := f.workerAt(slot)
 	f.publish(f.entry(w, "draining"))
 	f.background.Add(1)
@@ -368,7 +368,7 @@
 		return
 	}
 	w.mu.Unlock()
-	f.Ail(slot, func(faults *workermodel.Ails) { faults.Draining = true })
+	f.SetFaults(slot, func(faults *workermodel.Faults) { faults.Draining = true })
 	f.publish(f.entry(w, "draining"))
 	start := time.Now()
 	f.background.Add(1)
@@ -381,7 +381,7 @@
 			w.mu.Unlock()
 			// The worker stays until discovery has reported the drain and the grace has passed, so that late
 			// pushes to it are recorded.
-			observed := time.Since(start) > time.Duration((f.experiment.Discovery.LateMS[1]+f.experiment.Rules.DrainGraceMS)*float64(time.Millisecond))+drainMargin
+			observed := time.Since(start) > time.Duration((f.experiment.Discovery.DelayMS[1]+f.experiment.Rules.DrainGraceMS)*float64(time.Millisecond))+drainMargin
 			if ended || idle && observed || time.Since(start) > maxDrain {
 				break
 			}
@@ -419,8 +419,8 @@
 	Running, Waiting int
 }
 
-// Depths returns the current Depth of each slot.
-func (f *Fleet) Depths() []Depth {
+// QueueDepths returns the current Depth of each slot.
+func (f *Fleet) QueueDepths() []Depth {
 	var depths []Depth
 	for i := range f.workers {
 		w := f.workerAt(i)
@@ -447,9 +447,9 @@
 
 const descriptorPause = 100 * time.Millisecond
 
-// Starved returns how often a worker failed to accept a connection for lack of file descriptors. If the
+// DescriptorShortages returns how often a worker failed to accept a connection for lack of file descriptors. If the
 // number is not zero, the result of the run is void.
-func (f *Fleet) Starved() int64 { return f.descriptorShortages.Load() }
+func (f *Fleet) DescriptorShortages() int64 { return f.descriptorShortages.Load() }
 
 func (w *worker) accept(l net.Listener, scheduler int) {
 	for {
@@ -493,7 +493,7 @@
 			c.Close()
 			continue
 		}
-		conn := &schedulerConn{worker: w, scheduler: scheduler, conn: links.Through(c, w.fleet.links[w.slot][scheduler])}
+		conn := &schedulerConn{worker: w, scheduler: scheduler, conn: links.Wrap(c, w.fleet.links[w.slot][scheduler])}
 		w.conns[conn] = true
 		w.mu.Unlock()
 		conn.conn.OnPeerClose(conn.onPeerClose)
--- a/internal/lab/fleet/hollow_test.go
+++ b/internal/lab/fleet/hollow_test.go
@@ -22,13 +22,13 @@
 )
 
 // newFleet creates a fleet of three workers for three schedulers.
-func newFleet(t *testing.T, hollow bool, m *meter.Meter) (*Fleet, *ledger.Book, *requests.Registry) {
+func newFleet(t *testing.T, hollow bool, m *meter.Meter) (*Fleet, *ledger.Writer, *requests.Registry) {
 	t.Helper()
 	exp, err := experiment.Parse([]byte(fmt.Sprintf("[schedulers]\ncount = 3\n[[workers]]\ncount = 3\ncores = 2\nhollow = %v\n[[categories]]\nname = \"a\"\n", hollow)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	generated, err := workload.Of(exp)
+	generated, err := workload.Generate(exp)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 }
 
 // awaitEvents waits until the ledger has the given number of events of a kind.
-func awaitEvents(t *testing.T, events *ledger.Book, kind ledger.Kind, count int) {
+func awaitEvents(t *testing.T, events *ledger.Writer, kind ledger.Kind, count int) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		n := 0
@@ -67,7 +67,7 @@
 // runExchange sends load probes and pushes to the workers. Some pushes end, one keeps running, one is
 // canceled while it waits behind the running one, and one is rejected. Then it kills and restarts a worker
 // and probes it. It returns the responses, the ledger events and the byte counts, each in order.
-func runExchange(t *testing.T, hollow bool) (responses []string, eventLines []string, counts meter.Sheet) {
+func runExchange(t *testing.T, hollow bool) (responses []string, eventLines []string, counts meter.Snapshot) {
 	t.Helper()
 	m := meter.New(3)
 	f, events, registry := newFleet(t, hollow, m)
@@ -114,16 +114,16 @@
 	awaitEvents(t, events, ledger.Ran, 10)
 	push(queued, "waits", dayMS, 1)
 	awaitEvents(t, events, ledger.Reached, 11)
-	responses = append(responses, fmt.Sprint(f.Depths()))
+	responses = append(responses, fmt.Sprint(f.QueueDepths()))
 	queued.Close()
 	awaitEvents(t, events, ledger.Closed, 1)
 	push(dial(1, 1), "wide", 1, 3) // more slots than the worker has
-	awaitEvents(t, events, ledger.Said, 10)
+	awaitEvents(t, events, ledger.WorkerReplied, 10)
 	f.Kill(1)
 	if _, err := io.Copy(io.Discard, running); err == nil {
 		t.Error("the connection to a killed worker ended without an error")
 	}
-	responses = append(responses, fmt.Sprint(f.Depths()))
+	responses = append(responses, fmt.Sprint(f.QueueDepths()))
 	if err := f.Restart(1); err != nil {
 		t.Fatal(err)
 	}
@@ -282,7 +282,7 @@
 	f, events, _ := newFleet(t, true, nil)
 	before := len(events.Events())
 	f.workerAt(0).accept(&exhaustedListener{failures: 3}, 0)
-	if n := f.Starved(); n != 3 || len(events.Events()) != before {
+	if n := f.DescriptorShortages(); n != 3 || len(events.Events()) != before {
 		t.Errorf("%d shortages counted, %d ledger events added", n, len(events.Events())-before)
 	}
 }
--- a/internal/lab/fleet/serve.go
+++ b/internal/lab/fleet/serve.go
@@ -127,7 +127,7 @@
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
-		arrived := k.worker.fleet.ledger.Moment(k.conn.Mouth())
+		arrived := k.worker.fleet.ledger.FromTime(k.conn.ReceivedAt())
 		k.conn.SetReadDeadline(time.Now().Add(headerTimeout))
 		r, err := http.ReadRequest(in)
 		if err != nil {
@@ -189,7 +189,7 @@
 		if !ok {
 			problem = "no client sent this id"
 		}
-		f.ledger.Add(ledger.Event{Kind: ledger.Strange, Op: id, Worker: w.name, Scheduler: k.scheduler + 1, Text: problem})
+		f.ledger.Add(ledger.Event{Kind: ledger.UnknownPush, Op: id, Worker: w.name, Scheduler: k.scheduler + 1, Text: problem})
 		k.respond(meter.Work, http.StatusBadRequest, "", problem+"\n")
 		return true
 	}
@@ -200,7 +200,7 @@
 		return false
 	}
 	f.ledger.Add(ledger.Event{Kind: ledger.Reached, Op: id, Worker: w.name, Scheduler: k.scheduler + 1, Push: push.id, From: arrived,
-		Until: w.pushDeadline(r, arrived), Work: request.Job.Work * request.Job.Slots, Usual: request.Job.ExpectedWork * request.Job.Slots})
+		Until: w.pushDeadline(r, arrived), Work: request.Job.Work * request.Job.Slots, TypicalWork: request.Job.ExpectedWork * request.Job.Slots})
 	w.pushes[push.id] = push
 	k.mu.Lock()
 	k.push = push
@@ -294,7 +294,7 @@
 		push.conn.write(meter.Work, []byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"))
 		return
 	case workermodel.Rejected, workermodel.Unfit:
-		w.fleet.ledger.Add(ledger.Event{Kind: ledger.Said, Op: push.op, Worker: w.name, Push: push.id, Verdict: string(s.Status)})
+		w.fleet.ledger.Add(ledger.Event{Kind: ledger.WorkerReplied, Op: push.op, Worker: w.name, Push: push.id, Verdict: string(s.Status)})
 		if s.Status == workermodel.Unfit {
 			push.conn.respond(meter.Work, http.StatusUnprocessableEntity, "", "")
 		} else {
@@ -309,7 +309,7 @@
 	switch s.Status {
 	case workermodel.Done, workermodel.Failed, workermodel.Returned:
 		chunk = append(chunk, "0\r\n\r\n"...)
-		w.fleet.ledger.Add(ledger.Event{Kind: ledger.Said, Op: push.op, Worker: w.name, Push: push.id, Verdict: string(s.Status), Text: s.Result})
+		w.fleet.ledger.Add(ledger.Event{Kind: ledger.WorkerReplied, Op: push.op, Worker: w.name, Push: push.id, Verdict: string(s.Status), Text: s.Result})
 		push.conn.write(meter.Work, chunk)
 		w.finishPush(push)
 	default:
--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -23,8 +23,8 @@
 	Advertise string `json:"advertise"`
 }
 
-// Told is the configuration of the process.
-type Told struct {
+// Config is the configuration of the process.
+type Config struct {
 	Cluster string   `json:"cluster"`
 	Seeds   []string `json:"seeds"`
 	Lines   string   `json:"lines"`
@@ -54,7 +54,7 @@
 const stopTimeout = 5 * time.Second
 
 // Start starts a process and waits until all its members have opened their sockets.
-func Start(program string, t Told) (*Process, error) {
+func Start(program string, t Config) (*Process, error) {
 	p := &Process{cmd: exec.Command(program), memberCount: len(t.Members)}
 	p.cmd.Stderr = os.Stderr
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
@@ -81,7 +81,7 @@
 		}
 	}
 	if err != nil {
-		p.End()
+		p.Stop()
 		return nil, fmt.Errorf("hollow schedulers: the process did not report that its members are up: %w", err)
 	}
 	return p, nil
@@ -112,9 +112,9 @@
 	return all, nil
 }
 
-// End has the members leave and ends the process. A second call does nothing. The error is that of the
+// Stop has the members leave and ends the process. A second call does nothing. The error is that of the
 // process: it exited with a failure status, or it was killed, for example after stopTimeout.
-func (p *Process) End() error {
+func (p *Process) Stop() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ended {
--- a/internal/lab/htmlreport/page.go
+++ b/internal/lab/htmlreport/page.go
@@ -184,11 +184,11 @@
 		return nil, nil
 	}
 	p := newPlot("Jobs held by each worker", "jobs")
-	if n := len(r.Queues[0].Held); n <= maxWorkerLines {
+	if n := len(r.Queues[0].Jobs); n <= maxWorkerLines {
 		for w := range n {
 			var xy plotter.XYs
 			for _, q := range r.Queues {
-				xy = append(xy, plotter.XY{X: seconds(q.At), Y: float64(q.Held[w])})
+				xy = append(xy, plotter.XY{X: seconds(q.At), Y: float64(q.Jobs[w])})
 			}
 			if err := addLine(p, w, "", xy); err != nil {
 				return nil, err
@@ -199,10 +199,10 @@
 	var mean, longest plotter.XYs
 	for _, q := range r.Queues {
 		sum, maxJobs := 0, 0
-		for _, jobs := range q.Held {
+		for _, jobs := range q.Jobs {
 			sum, maxJobs = sum+jobs, max(maxJobs, jobs)
 		}
-		mean = append(mean, plotter.XY{X: seconds(q.At), Y: float64(sum) / float64(len(q.Held))})
+		mean = append(mean, plotter.XY{X: seconds(q.At), Y: float64(sum) / float64(len(q.Jobs))})
 		longest = append(longest, plotter.XY{X: seconds(q.At), Y: float64(maxJobs)})
 	}
 	if err := addLine(p, 0, "mean", mean); err != nil {
--- a/internal/lab/ledger/golden_test.go
+++ b/internal/lab/ledger/golden_test.go
@@ -161,7 +161,7 @@
 // Fields that are not set are omitted from the line.
 func TestEmptyFieldsAreOmittedFromLedgerLines(t *testing.T) {
 	var text []byte
-	for _, e := range []Event{{}, {Kind: Finished}, {Kind: World, Rules: &Rules{Categories: map[string]Category{"name": {}}}}} {
+	for _, e := range []Event{{}, {Kind: Finished}, {Kind: Header, Rules: &Rules{Categories: map[string]Category{"name": {}}}}} {
 		line, err := json.Marshal(e)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -40,39 +40,39 @@
 // The kinds, each with the part of the lab that writes it and the fields that it sets. Op is the ID of an
 // attempt. Effect is the same for all attempts of a client's request.
 const (
-	World    Kind = "world"    // first line; Rules, Seed
-	Due      Kind = "due"      // client: an attempt is due; Category, Effect, Until (its TTL), Scheduler, Try
-	Sent     Kind = "sent"     // client: the request's last byte is written; Late: how late the write began
-	Answer   Kind = "answer"   // client: it received the complete answer; Verdict, Text
-	Cut      Kind = "cut"      // client: the connection ended without a complete answer
-	Refused  Kind = "refused"  // client: it could not connect
-	Left     Kind = "left"     // client: it disconnected on purpose
-	Stray    Kind = "stray"    // client: it received bytes that belong to no request
-	Reached  Kind = "reached"  // worker: it received a push; Worker, Scheduler, Push, From (first byte), Until (deadline)
-	Strange  Kind = "strange"  // worker: it received a push that matches no client's request
-	Ran      Kind = "ran"      // worker: the job's effect began
-	Dropped  Kind = "dropped"  // worker: it dropped a repeat that its worker group remembers
-	Said     Kind = "said"     // worker: it wrote the reply's last line to the connection; Verdict, Text
-	Closed   Kind = "closed"   // worker: the scheduler closed the push's connection, at From
-	Probed   Kind = "probed"   // worker: it received a load probe
-	Dialed   Kind = "dialed"   // worker: it accepted a connection
-	Boot     Kind = "boot"     // worker: it started; Cores, Zone, Cell, Cold
-	Fell     Kind = "fell"     // worker: it failed under overload while it was cold
-	Gone     Kind = "gone"     // worker: its process ended
-	Told     Kind = "told"     // discovery: it sent a worker's State to a scheduler
-	Up       Kind = "up"       // schedulers: the scheduler answers health checks
-	Term     Kind = "term"     // schedulers: SIGTERM
-	Hup      Kind = "hup"      // schedulers: SIGHUP
-	Stopped  Kind = "stopped"  // schedulers: SIGSTOP
-	Resumed  Kind = "resumed"  // schedulers: SIGCONT
-	Killed   Kind = "killed"   // schedulers: SIGKILL is about to be sent
-	Exited   Kind = "exited"   // schedulers: the process ended; Text says how
-	Way      Kind = "way"      // links: the link from Scheduler to To is open or cut; State
-	Held     Kind = "held"     // log of a scheduler: since From, it sees the member Name in State
-	Repeat   Kind = "repeat"   // client: it repeats a request with the same ID, at Scheduler; Try
-	Echo     Kind = "echo"     // client: the repeat ended; Verdict and Text, or State cut, refused or left
-	Fault    Kind = "fault"    // a fault began or ended; Text
-	Finished Kind = "finished" // last line: the experiment ended
+	Header           Kind = "world"    // first line; Rules, Seed
+	Due              Kind = "due"      // client: an attempt is due; Category, Effect, Until (its TTL), Scheduler, Try
+	Sent             Kind = "sent"     // client: the request's last byte is written; Late: how late the write began
+	Answer           Kind = "answer"   // client: it received the complete answer; Verdict, Text
+	Cut              Kind = "cut"      // client: the connection ended without a complete answer
+	Refused          Kind = "refused"  // client: it could not connect
+	Left             Kind = "left"     // client: it disconnected on purpose
+	Stray            Kind = "stray"    // client: it received bytes that belong to no request
+	Reached          Kind = "reached"  // worker: it received a push; Worker, Scheduler, Push, From (first byte), Until (deadline)
+	UnknownPush      Kind = "strange"  // worker: it received a push that matches no client's request
+	Ran              Kind = "ran"      // worker: the job's effect began
+	Dropped          Kind = "dropped"  // worker: it dropped a repeat that its worker group remembers
+	WorkerReplied    Kind = "said"     // worker: it wrote the reply's last line to the connection; Verdict, Text
+	Closed           Kind = "closed"   // worker: the scheduler closed the push's connection, at From
+	Probed           Kind = "probed"   // worker: it received a load probe
+	Dialed           Kind = "dialed"   // worker: it accepted a connection
+	Boot             Kind = "boot"     // worker: it started; Cores, Zone, Cell, Cold
+	WorkerOverloaded Kind = "fell"     // worker: it failed under overload while it was cold
+	Gone             Kind = "gone"     // worker: its process ended
+	WorkerStateSent  Kind = "told"     // discovery: it sent a worker's State to a scheduler
+	Up               Kind = "up"       // schedulers: the scheduler answers health checks
+	Term             Kind = "term"     // schedulers: SIGTERM
+	Hup              Kind = "hup"      // schedulers: SIGHUP
+	Stopped          Kind = "stopped"  // schedulers: SIGSTOP
+	Resumed          Kind = "resumed"  // schedulers: SIGCONT
+	Killed           Kind = "killed"   // schedulers: SIGKILL is about to be sent
+	Exited           Kind = "exited"   // schedulers: the process ended; Text says how
+	LinkChanged      Kind = "way"      // links: the link from Scheduler to To is open or cut; State
+	MemberView       Kind = "held"     // log of a scheduler: since From, it sees the member Name in State
+	Repeat           Kind = "repeat"   // client: it repeats a request with the same ID, at Scheduler; Try
+	RepeatAnswer     Kind = "echo"     // client: the repeat ended; Verdict and Text, or State cut, refused or left
+	Fault            Kind = "fault"    // a fault began or ended; Text
+	Finished         Kind = "finished" // last line: the experiment ended
 )
 
 // Rules are the parameters of the audit. Durations are in ledger ticks.
@@ -80,7 +80,7 @@
 	Slack          Time                `json:"slack"` // added to each limit, for socket delays
 	DrainGrace     Time                `json:"drain_grace"`
 	OverloadFactor float64             `json:"overload_factor"`
-	TipAfter       Time                `json:"tip_after"`
+	OverloadWindow Time                `json:"tip_after"`
 	ColdFrom       float64             `json:"cold_from"`
 	WarmAfter      Time                `json:"warm_after"`
 	KillAfter      Time                `json:"kill_after"` // the least time from SIGTERM to SIGKILL
@@ -88,20 +88,20 @@
 	Categories     map[string]Category `json:"categories"`
 }
 
-// Warmth returns the share of its capacity that a worker of this age has.
-func (r *Rules) Warmth(age Time) float64 {
+// CapacityShare returns the share of its capacity that a worker of this age has.
+func (r *Rules) CapacityShare(age Time) float64 {
 	if r.WarmAfter <= 0 || age >= r.WarmAfter {
 		return 1
 	}
 	return r.ColdFrom + (1-r.ColdFrom)*float64(max(age, 0))/float64(r.WarmAfter)
 }
 
-// Bears returns how much work, in ms, a cold worker accepts in TipAfter before it fails. It is OverloadFactor
+// ColdWorkLimit returns how much work, in ms, a cold worker accepts in TipAfter before it fails. It is OverloadFactor
 // times the work that the worker can do in that time, plus an allowance for random variation. If the product
 // is n ops of mean work, the allowance is two plus twice the square root of n such ops. The parameter cores
 // is the number of cores times the worker's speed.
-func (r *Rules) Bears(cores float64, age Time) float64 {
-	budget := r.OverloadFactor * cores * r.Warmth(age) * float64(r.TipAfter) / 10
+func (r *Rules) ColdWorkLimit(cores float64, age Time) float64 {
+	budget := r.OverloadFactor * cores * r.CapacityShare(age) * float64(r.OverloadWindow) / 10
 	return budget + 2*math.Sqrt(budget*r.MeanWork) + 2*r.MeanWork
 }
 
@@ -135,38 +135,38 @@
 
 // Event is a line of the ledger. Fields that its kind does not use are omitted.
 type Event struct {
-	At        Time    `json:"at"`
-	Kind      Kind    `json:"kind"`
-	Op        string  `json:"op,omitempty"`
-	Effect    string  `json:"effect,omitempty"`
-	Category  string  `json:"category,omitempty"`
-	Scheduler int     `json:"scheduler,omitempty"` // from 1
-	Client    int     `json:"client,omitempty"`    // from 1
-	To        int     `json:"to,omitempty"`        // another scheduler, from 1
-	Worker    string  `json:"worker,omitempty"`
-	Push      int     `json:"push,omitempty"` // number of the push in the experiment, from 1
-	Try       int     `json:"try,omitempty"`
-	Until     Time    `json:"until,omitempty"`
-	From      Time    `json:"from,omitempty"`
-	Late      Time    `json:"late,omitempty"`
-	Work      float64 `json:"work,omitempty"` // ms of core time at speed 1
-	Slots     float64 `json:"slots,omitempty"`
-	Usual     float64 `json:"usual,omitempty"` // Work of a typical op of the category
-	Cores     float64 `json:"cores,omitempty"` // cores times speed
-	Zone      string  `json:"zone,omitempty"`
-	Cell      int     `json:"cell,omitempty"`
-	Cold      bool    `json:"cold,omitempty"`
-	State     string  `json:"state,omitempty"` // ready, draining or gone
-	Verdict   string  `json:"verdict,omitempty"`
-	Status    int     `json:"status,omitempty"`
-	Text      string  `json:"text,omitempty"`
-	Seed      uint64  `json:"seed,omitempty"`
-	Name      string  `json:"name,omitempty"`
-	Rules     *Rules  `json:"rules,omitempty"`
+	At          Time    `json:"at"`
+	Kind        Kind    `json:"kind"`
+	Op          string  `json:"op,omitempty"`
+	Effect      string  `json:"effect,omitempty"`
+	Category    string  `json:"category,omitempty"`
+	Scheduler   int     `json:"scheduler,omitempty"` // from 1
+	Client      int     `json:"client,omitempty"`    // from 1
+	To          int     `json:"to,omitempty"`        // another scheduler, from 1
+	Worker      string  `json:"worker,omitempty"`
+	Push        int     `json:"push,omitempty"` // number of the push in the experiment, from 1
+	Try         int     `json:"try,omitempty"`
+	Until       Time    `json:"until,omitempty"`
+	From        Time    `json:"from,omitempty"`
+	Late        Time    `json:"late,omitempty"`
+	Work        float64 `json:"work,omitempty"` // ms of core time at speed 1
+	Slots       float64 `json:"slots,omitempty"`
+	TypicalWork float64 `json:"usual,omitempty"` // Work of a typical op of the category
+	Cores       float64 `json:"cores,omitempty"` // cores times speed
+	Zone        string  `json:"zone,omitempty"`
+	Cell        int     `json:"cell,omitempty"`
+	Cold        bool    `json:"cold,omitempty"`
+	State       string  `json:"state,omitempty"` // ready, draining or gone
+	Verdict     string  `json:"verdict,omitempty"`
+	Status      int     `json:"status,omitempty"`
+	Text        string  `json:"text,omitempty"`
+	Seed        uint64  `json:"seed,omitempty"`
+	Name        string  `json:"name,omitempty"`
+	Rules       *Rules  `json:"rules,omitempty"`
 }
 
-// Book writes a ledger. Its lines are in the order of their times.
-type Book struct {
+// Writer writes a ledger. Its lines are in the order of their times.
+type Writer struct {
 	mu     sync.Mutex
 	start  time.Time
 	file   *os.File
@@ -176,8 +176,8 @@
 }
 
 // Create starts a ledger. If the path is empty, the ledger is in memory only.
-func Create(path string, start time.Time) (*Book, error) {
-	b := &Book{start: start}
+func Create(path string, start time.Time) (*Writer, error) {
+	b := &Writer{start: start}
 	if path == "" {
 		return b, nil
 	}
@@ -190,19 +190,19 @@
 }
 
 // Now returns the present time on the ledger's clock.
-func (b *Book) Now() Time { return b.Moment(time.Now()) }
+func (b *Writer) Now() Time { return b.FromTime(time.Now()) }
 
-// Moment converts a time of this process to the ledger's clock.
-func (b *Book) Moment(t time.Time) Time { return Span(t.Sub(b.start)) }
+// FromTime converts a time of this process to the ledger's clock.
+func (b *Writer) FromTime(t time.Time) Time { return Span(t.Sub(b.start)) }
 
-// Wall converts a time on the ledger's clock to a time of this process.
-func (b *Book) Wall(t Time) time.Time { return b.start.Add(time.Duration(t) * Tenth) }
+// ToTime converts a time on the ledger's clock to a time of this process.
+func (b *Writer) ToTime(t Time) time.Time { return b.start.Add(time.Duration(t) * Tenth) }
 
-// Clock converts a wall-clock time, such as a time in the log of another process, to the ledger's clock.
-func (b *Book) Clock(t time.Time) Time { return Span(t.Sub(b.start.Round(0))) }
+// FromWallClock converts a wall-clock time, such as a time in the log of another process, to the ledger's clock.
+func (b *Writer) FromWallClock(t time.Time) Time { return Span(t.Sub(b.start.Round(0))) }
 
 // Add writes an event with the present time, which it returns.
-func (b *Book) Add(e Event) Time {
+func (b *Writer) Add(e Event) Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e.At = b.Now()
@@ -218,14 +218,14 @@
 }
 
 // Events returns all events added so far. The caller must not change the slice.
-func (b *Book) Events() []Event {
+func (b *Writer) Events() []Event {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.events[:len(b.events):len(b.events)]
 }
 
 // Close flushes and closes the file. It returns the first error of any write.
-func (b *Book) Close() error {
+func (b *Writer) Close() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.file == nil {
@@ -242,8 +242,8 @@
 // maxLineBytes is the maximum length of a line.
 const maxLineBytes = 1 << 20
 
-// ErrTorn means that the last line of a ledger is incomplete because its writer was interrupted.
-var ErrTorn = errors.New("the last line is incomplete")
+// ErrTruncated means that the last line of a ledger is incomplete because its writer was interrupted.
+var ErrTruncated = errors.New("the last line is incomplete")
 
 // Read reads a ledger. If the last line is incomplete, it returns the lines before it and ErrTorn. Any other
 // error names the line.
@@ -260,7 +260,7 @@
 			if json.Unmarshal(line, &e) == nil && e.Kind != "" {
 				return append(events, e), nil
 			}
-			return events, ErrTorn
+			return events, ErrTruncated
 		case err != nil:
 			return nil, fmt.Errorf("ledger: line %d: %w", n, err)
 		}
--- a/internal/lab/links/conn.go
+++ b/internal/lab/links/conn.go
@@ -14,8 +14,8 @@
 // the socket are read late or never.
 type Conn struct {
 	net.Conn
-	inLink       *Weather // for received bytes
-	outLink      *Weather // for written bytes
+	inLink       *Link // for received bytes
+	outLink      *Link // for written bytes
 	outDirection *Direction
 
 	mu            sync.Mutex
@@ -58,11 +58,11 @@
 	maxOutgoing = 256
 )
 
-// Through wraps a socket in a link.
-func Through(socket net.Conn, link *Weather) *Conn { return WrapAsymmetric(socket, link, link) }
+// Wrap wraps a socket in a link.
+func Wrap(socket net.Conn, link *Link) *Conn { return WrapAsymmetric(socket, link, link) }
 
 // WrapAsymmetric wraps a socket in two links, one for each direction.
-func WrapAsymmetric(socket net.Conn, in, out *Weather) *Conn {
+func WrapAsymmetric(socket net.Conn, in, out *Link) *Conn {
 	conn := &Conn{Conn: socket, inLink: in, outLink: out, outDirection: out.NewDirection(), done: make(chan struct{})}
 	conn.readChanged, conn.queueChanged = sync.NewCond(&conn.mu), sync.NewCond(&conn.sendMu)
 	go conn.readLoop(in.NewDirection())
@@ -81,8 +81,8 @@
 	}
 }
 
-// Mouth returns the time at which the byte that was last returned by Read was read from the socket.
-func (c *Conn) Mouth() time.Time {
+// ReceivedAt returns the time at which the byte that was last returned by Read was read from the socket.
+func (c *Conn) ReceivedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.receivedAt
@@ -341,13 +341,13 @@
 func (c *Conn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
 // Forward forwards connections from a listener to an address through a link, until the listener is closed.
-func Forward(l net.Listener, to string, link *Weather) error {
+func Forward(l net.Listener, to string, link *Link) error {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
 			return err
 		}
-		go forwardConn(Through(conn, link), to)
+		go forwardConn(Wrap(conn, link), to)
 	}
 }
 
--- a/internal/lab/links/links_test.go
+++ b/internal/lab/links/links_test.go
@@ -18,7 +18,7 @@
 // piece separately.
 func TestPiecesKeepTheirOrderAndTheRate(t *testing.T) {
 	now := time.Unix(0, 0)
-	link := New(Sky{Delay: 10 * time.Millisecond, Jitter: 5 * time.Millisecond, Rate: 1000, Stall: 0.2, StallFor: time.Second}, 7)
+	link := New(Conditions{Delay: 10 * time.Millisecond, Jitter: 5 * time.Millisecond, Rate: 1000, Stall: 0.2, StallFor: time.Second}, 7)
 	direction := link.NewDirection()
 	var arrivals []time.Time
 	for range 50 {
@@ -30,7 +30,7 @@
 	if last := arrivals[49].Sub(now); last < 5*time.Second {
 		t.Errorf("5,000 bytes at 1,000 bytes/s took %v", last)
 	}
-	again := New(Sky{Delay: 10 * time.Millisecond, Jitter: 5 * time.Millisecond, Rate: 1000, Stall: 0.2, StallFor: time.Second}, 7).NewDirection()
+	again := New(Conditions{Delay: 10 * time.Millisecond, Jitter: 5 * time.Millisecond, Rate: 1000, Stall: 0.2, StallFor: time.Second}, 7).NewDirection()
 	for i := range arrivals {
 		if got := again.Send(now, 100, true).ArrivesAt; got != arrivals[i] {
 			t.Fatalf("piece %d: %v and %v with the same seed", i, got, arrivals[i])
@@ -39,7 +39,7 @@
 }
 
 // pair returns the two ends of a connection. The far end is wrapped in a link.
-func pair(t *testing.T, link *Weather) (near net.Conn, far *Conn) {
+func pair(t *testing.T, link *Link) (near net.Conn, far *Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -53,13 +53,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	far = Through(c, link)
+	far = Wrap(c, link)
 	t.Cleanup(func() { near.Close(); far.Close() })
 	return near, far
 }
 
 func TestAllBytesArriveAfterTheDelay(t *testing.T) {
-	near, far := pair(t, New(Sky{Delay: 30 * time.Millisecond}, 1))
+	near, far := pair(t, New(Conditions{Delay: 30 * time.Millisecond}, 1))
 	start := time.Now()
 	want := bytes.Repeat([]byte("0123456789"), 5000)
 	go near.Write(want)
@@ -70,8 +70,8 @@
 	if took := time.Since(start); took < 30*time.Millisecond {
 		t.Errorf("the bytes took %v, want at least the delay", took)
 	}
-	if far.Mouth().Before(start) || far.Mouth().Sub(start) > 29*time.Second {
-		t.Errorf("the bytes were received at %v", far.Mouth())
+	if far.ReceivedAt().Before(start) || far.ReceivedAt().Sub(start) > 29*time.Second {
+		t.Errorf("the bytes were received at %v", far.ReceivedAt())
 	}
 	far.Write([]byte("back"))
 	if _, err := io.ReadFull(near, got[:4]); err != nil || string(got[:4]) != "back" {
@@ -82,7 +82,7 @@
 // Guards against bytes that pass a link during a cut or are lost by it, and against a close by the peer that
 // is noticed only after the cut.
 func TestNothingPassesACutLinkUntilTheCutEnds(t *testing.T) {
-	link := New(Sky{}, 1)
+	link := New(Conditions{}, 1)
 	near, far := pair(t, link)
 	link.SetCut(true)
 	peerClosed := make(chan bool)
@@ -102,12 +102,12 @@
 }
 
 func TestALinkResetsAConnectionBeforeOrAfterAWrite(t *testing.T) {
-	near, far := pair(t, New(Sky{ResetFirst: 1}, 1))
+	near, far := pair(t, New(Conditions{ResetFirst: 1}, 1))
 	near.Write([]byte("whole"))
 	if b, err := io.ReadAll(far); err == nil || len(b) > 0 {
 		t.Errorf("reset before the write: %q, %v", b, err)
 	}
-	near, far = pair(t, New(Sky{ResetAfter: 1}, 1))
+	near, far = pair(t, New(Conditions{ResetAfter: 1}, 1))
 	near.Write([]byte("whole"))
 	if buf := make([]byte, 5); true {
 		if _, err := io.ReadFull(far, buf); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- Forward(listener, echo.Addr().String(), New(Sky{Delay: time.Millisecond}, 1)) }()
+	go func() { ended <- Forward(listener, echo.Addr().String(), New(Conditions{Delay: time.Millisecond}, 1)) }()
 	c, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/links/weather.go
+++ b/internal/lab/links/weather.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Sky holds the conditions of a link.
-type Sky struct {
+// Conditions holds the conditions of a link.
+type Conditions struct {
 	Delay, Jitter time.Duration
 	Rate          float64 // bytes per second; 0 for no limit
 	Stall         float64 // probability that a piece is delayed by StallFor
@@ -21,23 +21,23 @@
 	Mute          float64 // probability that a new connection never delivers anything
 }
 
-// Weather decides what happens to the pieces of bytes on a link. Its conditions may change while connections
+// Link decides what happens to the pieces of bytes on a link. Its conditions may change while connections
 // are open.
-type Weather struct {
+type Link struct {
 	mu         sync.Mutex
-	conditions Sky
+	conditions Conditions
 	cut        bool // nothing passes, and neither side gets an error
 	rand       *rand.Rand
 	cutEnded   chan struct{} // closed when the cut ends
 }
 
 // New creates a link whose random decisions are drawn from a seed.
-func New(conditions Sky, seed uint64) *Weather {
-	return &Weather{conditions: conditions, rand: rand.New(rand.NewPCG(seed, 0x6c696e6b)), cutEnded: make(chan struct{})}
+func New(conditions Conditions, seed uint64) *Link {
+	return &Link{conditions: conditions, rand: rand.New(rand.NewPCG(seed, 0x6c696e6b)), cutEnded: make(chan struct{})}
 }
 
 // SetConditions changes the conditions.
-func (l *Weather) SetConditions(conditions Sky) {
+func (l *Link) SetConditions(conditions Conditions) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conditions = conditions
@@ -45,7 +45,7 @@
 
 // SetCut begins or ends a cut. During a cut nothing passes. Bytes that are sent during the cut arrive after
 // its end, as if the peer retransmitted them.
-func (l *Weather) SetCut(on bool) {
+func (l *Link) SetCut(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.cut == on {
@@ -59,7 +59,7 @@
 }
 
 // IsCut reports whether the link is cut. It also returns a channel that is closed when the cut ends.
-func (l *Weather) IsCut() (bool, <-chan struct{}) {
+func (l *Link) IsCut() (bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.cut, l.cutEnded
@@ -74,14 +74,14 @@
 
 // Direction is one direction of a connection.
 type Direction struct {
-	link        *Weather
+	link        *Link
 	idleAt      time.Time // when the link has sent all earlier pieces
 	lastArrival time.Time // when the previous piece arrives; pieces keep their order
 	mute        bool
 }
 
 // NewDirection creates a direction of a new connection, and draws whether it is mute.
-func (l *Weather) NewDirection() *Direction {
+func (l *Link) NewDirection() *Direction {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return &Direction{link: l, mute: l.conditions.Mute > 0 && l.rand.Float64() < l.conditions.Mute}
@@ -126,8 +126,8 @@
 }
 
 // IsTransparent reports whether the link leaves everything unchanged.
-func (l *Weather) IsTransparent() bool {
+func (l *Link) IsTransparent() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.conditions == Sky{} && !l.cut
+	return l.conditions == Conditions{} && !l.cut
 }
--- a/internal/lab/membershipcheck/views.go
+++ b/internal/lab/membershipcheck/views.go
@@ -11,8 +11,8 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-// Terms are the limits that views are checked against, in ledger ticks.
-type Terms struct {
+// Limits are the limits that views are checked against, in ledger ticks.
+type Limits struct {
 	Count  int
 	Pause  ledger.Time // a member that is suspended for at most this long must not be seen as gone
 	Detect ledger.Time // an ended member must be gone in all views within this time
@@ -46,7 +46,7 @@
 // replay holds the actual states of the schedulers, and their views of one another, at a moment of the
 // ledger.
 type replay struct {
-	limits          Terms
+	limits          Limits
 	up              []bool
 	stateSince      []ledger.Time // when the present process started, or the last one ended
 	stoppedAt       []ledger.Time // when the process was suspended, 0 while it runs
@@ -194,7 +194,7 @@
 }
 
 // Judge checks a ledger that includes the Held events, in any order.
-func Judge(events []ledger.Event, t Terms) *Judgement {
+func Judge(events []ledger.Event, t Limits) *Judgement {
 	n := t.Count
 	w := &replay{limits: t, up: make([]bool, n), stateSince: make([]ledger.Time, n), stoppedAt: make([]ledger.Time, n), leaving: make([]bool, n),
 		nameReused: make([]bool, n), diedAt: make([]ledger.Time, n), result: &Judgement{}, converged: true}
@@ -212,8 +212,8 @@
 	var order []ledger.Event
 	for _, ev := range events {
 		switch ev.Kind {
-		case ledger.Up, ledger.Term, ledger.Stopped, ledger.Resumed, ledger.Killed, ledger.Exited, ledger.Way, ledger.Held:
-			if ev.Kind == ledger.Held {
+		case ledger.Up, ledger.Term, ledger.Stopped, ledger.Resumed, ledger.Killed, ledger.Exited, ledger.LinkChanged, ledger.MemberView:
+			if ev.Kind == ledger.MemberView {
 				ev.At = ev.From
 			}
 			if ev.Scheduler >= 1 && ev.Scheduler <= n {
@@ -230,13 +230,13 @@
 		for j := range n {
 			w.checkMissedEnd(j, now)
 		}
-		if ev.Kind == ledger.Held {
+		if ev.Kind == ledger.MemberView {
 			w.applyView(ev, index)
 			continue
 		}
 		w.checkSettled(now)
 		w.recordUnreachable(now)
-		if ev.Kind == ledger.Way && ev.State == "end" {
+		if ev.Kind == ledger.LinkChanged && ev.State == "end" {
 			break walk // the lab stops the schedulers after this event
 		}
 		switch ev.Kind {
@@ -263,7 +263,7 @@
 				}
 			}
 			w.stoppedAt[i] = 0
-		case ledger.Way:
+		case ledger.LinkChanged:
 			if ev.State == "aside" {
 				w.nameReused[i] = true
 			} else if ev.To >= 1 && ev.To <= n {
--- a/internal/lab/membershipcheck/views_test.go
+++ b/internal/lab/membershipcheck/views_test.go
@@ -7,7 +7,7 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-var terms = Terms{Count: 3, Pause: 20_000, Detect: 60_000, Settle: 100_000, Grace: 80_000}
+var terms = Limits{Count: 3, Pause: 20_000, Detect: 60_000, Settle: 100_000, Grace: 80_000}
 
 // scenario is a ledger of three members. After newScenario, each member sees the others as "here".
 type scenario []ledger.Event
@@ -31,16 +31,16 @@
 }
 
 func (s *scenario) view(at ledger.Time, by, of int, state string) {
-	s.add(at, ledger.Event{Kind: ledger.Held, Scheduler: by, Name: fmt.Sprint("n", of), State: state, From: at})
+	s.add(at, ledger.Event{Kind: ledger.MemberView, Scheduler: by, Name: fmt.Sprint("n", of), State: state, From: at})
 }
 
 func (s *scenario) cut(at ledger.Time, from, to int, state string) {
-	s.add(at, ledger.Event{Kind: ledger.Way, Scheduler: from, To: to, State: state})
+	s.add(at, ledger.Event{Kind: ledger.LinkChanged, Scheduler: from, To: to, State: state})
 }
 
 func (s *scenario) judge(t *testing.T, name string, falseGone, missed int, wrongViews bool) *Judgement {
 	t.Helper()
-	s.add(600_000, ledger.Event{Kind: ledger.Way, Scheduler: 1, State: "end"})
+	s.add(600_000, ledger.Event{Kind: ledger.LinkChanged, Scheduler: 1, State: "end"})
 	j := Judge(*s, terms)
 	if j.FalseGone != falseGone || j.MissedGone != missed || (j.WrongViews > 0) != wrongViews {
 		t.Errorf("%s: %d false, %d missed, %d wrong views: %v", name, j.FalseGone, j.MissedGone, j.WrongViews, j.Breaches)
--- a/internal/lab/meter/meter.go
+++ b/internal/lab/meter/meter.go
@@ -22,8 +22,8 @@
 // datagrams.
 type Count struct{ In, Out, Messages int64 }
 
-// Sheet holds the counts of all schedulers at a moment, by scheduler and kind.
-type Sheet [][Kinds]Count
+// Snapshot holds the counts of all schedulers at a moment, by scheduler and kind.
+type Snapshot [][Kinds]Count
 
 type counter struct{ in, out, messages atomic.Int64 }
 
@@ -45,11 +45,11 @@
 }
 
 // Now returns the present counts.
-func (m *Meter) Now() Sheet {
+func (m *Meter) Now() Snapshot {
 	if m == nil {
 		return nil
 	}
-	s := make(Sheet, len(m.counters))
+	s := make(Snapshot, len(m.counters))
 	for n := range m.counters {
 		for k := range m.counters[n] {
 			c := &m.counters[n][k]
@@ -60,8 +60,8 @@
 }
 
 // Since returns the difference from an earlier sheet.
-func (s Sheet) Since(before Sheet) Sheet {
-	d := make(Sheet, len(s))
+func (s Snapshot) Since(before Snapshot) Snapshot {
+	d := make(Snapshot, len(s))
 	for n := range s {
 		for k := range s[n] {
 			a, b := s[n][k], before[n][k]
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -32,7 +32,7 @@
 	Figures     map[string]float64     `json:"figures"`
 	Categories  []Category             `json:"categories"`
 	Unmet       []string               `json:"unmet,omitempty"` // expectations that were not met
-	Uses        []schedulers.Use       `json:"uses,omitempty"`
+	Uses        []schedulers.Usage     `json:"uses,omitempty"`
 	Queues      []Queue                `json:"queues,omitempty"`
 	Slices      []Slice                `json:"slices,omitempty"`
 	Faults      []Fault                `json:"faults,omitempty"`
@@ -53,7 +53,7 @@
 // Queue holds the number of jobs at each worker at a moment.
 type Queue struct {
 	At      ledger.Time `json:"at"`
-	Held    []int       `json:"held"`
+	Jobs    []int       `json:"held"`
 	Waiting []int       `json:"waiting"`
 }
 
@@ -112,7 +112,7 @@
 }
 
 // Of computes the figures of a run.
-func Of(e *experiment.Experiment, events []ledger.Event, uses []schedulers.Use, queues []Queue) (*Results, error) {
+func Of(e *experiment.Experiment, events []ledger.Event, uses []schedulers.Usage, queues []Queue) (*Results, error) {
 	j, err := audit.Judge(events)
 	if err != nil {
 		return nil, err
@@ -145,7 +145,7 @@
 				late++
 			}
 			maxLate = max(maxLate, ev.Late)
-		case ledger.Answer, ledger.Cut, ledger.Refused, ledger.Left, ledger.Echo:
+		case ledger.Answer, ledger.Cut, ledger.Refused, ledger.Left, ledger.RepeatAnswer:
 			if req := ops[ev.Op]; req != nil && !req.acked {
 				req.lastOutcome, req.lastOutcomeAt = string(ev.Kind), ev.At
 				if ev.Verdict != "" {
@@ -234,9 +234,9 @@
 			recordLatency(allLatencies, elapsed)
 			earned := 0.0
 			switch {
-			case elapsed <= experiment.MS(c.TargetMS+c.Stretch*req.work/req.slots):
+			case elapsed <= experiment.FromMilliseconds(c.TargetMS+c.Stretch*req.work/req.slots):
 				earned = benefit
-			case elapsed <= experiment.MS(c.TTLMS):
+			case elapsed <= experiment.FromMilliseconds(c.TTLMS):
 				earned = benefit * c.LateBenefit
 			}
 			categoryEarned += earned
@@ -363,8 +363,8 @@
 	return ms
 }
 
-// Views adds the result of the membership check.
-func (r *Results) Views(j *membershipcheck.Judgement) {
+// AddMembership adds the result of the membership check.
+func (r *Results) AddMembership(j *membershipcheck.Judgement) {
 	f := r.Figures
 	f["false_gone"], f["missed_gone"], f["views_apart"] = float64(j.FalseGone), float64(j.MissedGone), float64(j.WrongViews)
 	f["detect_worst_ms"], f["converge_worst_ms"], f["detected"] = longestMS(j.DetectTimes), longestMS(j.ConvergeTimes), float64(len(j.DetectTimes))
@@ -379,8 +379,8 @@
 	r.Spans = j.Spans
 }
 
-// Doubles adds the result of the check for repeated op IDs.
-func (r *Results) Doubles(j *duplicates.Judgement) {
+// AddDuplicates adds the result of the check for repeated op IDs.
+func (r *Results) AddDuplicates(j *duplicates.Judgement) {
 	f := r.Figures
 	f["doubled"], f["wrong_answer"], f["differ"] = float64(j.DuplicateRuns), float64(j.ConflictingAnswers), float64(j.DivergedReplicas)
 	f["stale_drain"] = float64(j.StaleDrainPushes)
@@ -389,9 +389,9 @@
 	r.Unmet = append(r.Unmet, j.Breaches...)
 }
 
-// Changes adds the number and the longest duration of voter changes, and the number of different voter sets
+// AddVoterChanges adds the number and the longest duration of voter changes, and the number of different voter sets
 // that the schedulers used at rest.
-func (r *Results) Changes(took []time.Duration, sets int) {
+func (r *Results) AddVoterChanges(took []time.Duration, sets int) {
 	longest := time.Duration(0)
 	for _, t := range took {
 		longest = max(longest, t)
@@ -403,17 +403,17 @@
 	}
 }
 
-// Expect checks the figures against the expectations of the experiment file. All figures must be set before.
-func (r *Results) Expect(e *experiment.Experiment) {
-	for _, want := range e.Expect {
+// CheckExpectations checks the figures against the expectations of the experiment file. All figures must be set before.
+func (r *Results) CheckExpectations(e *experiment.Experiment) {
+	for _, want := range e.Expectations {
 		v, ok := r.Figures[want.Figure]
 		switch {
 		case !ok:
 			r.Unmet = append(r.Unmet, fmt.Sprintf("there is no figure %s", want.Figure))
-		case want.Least != nil && v < *want.Least:
-			r.Unmet = append(r.Unmet, fmt.Sprintf("%s is %.4g, less than %.4g", want.Figure, v, *want.Least))
-		case want.Most != nil && v > *want.Most:
-			r.Unmet = append(r.Unmet, fmt.Sprintf("%s is %.4g, more than %.4g", want.Figure, v, *want.Most))
+		case want.Min != nil && v < *want.Min:
+			r.Unmet = append(r.Unmet, fmt.Sprintf("%s is %.4g, less than %.4g", want.Figure, v, *want.Min))
+		case want.Max != nil && v > *want.Max:
+			r.Unmet = append(r.Unmet, fmt.Sprintf("%s is %.4g, more than %.4g", want.Figure, v, *want.Max))
 		}
 	}
 }
@@ -450,9 +450,9 @@
 	return names
 }
 
-// Lagged sets the greatest delay of the lab itself. If the delay exceeds the slack of the rules, the run is
+// SetLabLag sets the greatest delay of the lab itself. If the delay exceeds the slack of the rules, the run is
 // void, because the recorded times are then no evidence against a scheduler.
-func (r *Results) Lagged(ms, slack float64) {
+func (r *Results) SetLabLag(ms, slack float64) {
 	r.Figures["lab_lag_ms"] = ms
 	if ms > slack {
 		r.Void = fmt.Sprintf("the lab itself was late by %.0f ms, more than the slack of %.0f ms: this machine is too busy for it", ms, slack)
--- a/internal/lab/report/roles.go
+++ b/internal/lab/report/roles.go
@@ -11,19 +11,19 @@
 	"woaddyke/internal/lab/schedulers"
 )
 
-// Edge holds the resources that the schedulers used and the traffic that they sent up to a moment.
-type Edge struct {
+// UsageSnapshot holds the resources that the schedulers used and the traffic that they sent up to a moment.
+type UsageSnapshot struct {
 	At   ledger.Time
-	Sent meter.Sheet
-	Uses []schedulers.Use
+	Sent meter.Snapshot
+	Uses []schedulers.Usage
 
-	Hollow schedulers.Use // resources of the process with the hollow schedulers
+	Hollow schedulers.Usage // resources of the process with the hollow schedulers
 }
 
-// Roles adds the resources that each scheduler used and its traffic between two moments. The caller chooses
+// AddUsage adds the resources that each scheduler used and its traffic between two moments. The caller chooses
 // them so that start-up and the quiet period at the end are left out. A scheduler's value is the mean over
 // this time. Each figure is the mean of these values, and the figure NAME.max is the highest of them.
-func (r *Results) Roles(from, to Edge, events []ledger.Event, count, hollow int) {
+func (r *Results) AddUsage(from, to UsageSnapshot, events []ledger.Event, count, hollow int) {
 	span := float64(to.At-from.At) / 10_000
 	if span <= 0 || len(to.Sent) == 0 {
 		return
@@ -43,7 +43,7 @@
 		r.setMeanAndMax(k.String()+"_out_Bps", out)
 		r.setMeanAndMax(k.String()+"_messages_ps", messages)
 	}
-	before, cpu, resident := map[int]schedulers.Use{}, []float64{}, []float64{}
+	before, cpu, resident := map[int]schedulers.Usage{}, []float64{}, []float64{}
 	for _, u := range from.Uses {
 		before[u.Scheduler] = u
 	}
@@ -61,7 +61,7 @@
 
 // addHollow adds the figures of the hollow schedulers: the resources of their process divided by their
 // number, and their membership traffic.
-func (r *Results) addHollow(sent meter.Sheet, from, to schedulers.Use, span float64) {
+func (r *Results) addHollow(sent meter.Snapshot, from, to schedulers.Usage, span float64) {
 	n := float64(len(sent))
 	r.Figures["hollow_cores"], r.Figures["hollow_mb"] = (to.CPU-from.CPU)/span/n, float64(to.Resident)/(1<<20)/n
 	var in, out, messages []float64
@@ -74,11 +74,11 @@
 	r.setMeanAndMax("hollow_members_messages_ps", messages)
 }
 
-// HeldViews adds the number of different views among all members when the first op was due, and at rest. If
+// AddViewCounts adds the number of different views among all members when the first op was due, and at rest. If
 // there was more than one view when the first op was due, the figures include the cost of joining. The run is
 // void if hollow members were late by more than members.pause_ms: they share a processor, which members on
 // separate machines don't.
-func (r *Results) HeldViews(first, n int, lateMS, pauseMS float64) {
+func (r *Results) AddViewCounts(first, n int, lateMS, pauseMS float64) {
 	if r.Figures["hollow_late_ms"] = lateMS; lateMS > pauseMS {
 		r.Void = fmt.Sprintf("hollow schedulers were late by %.0f ms, more than members.pause_ms of %.0f ms: this machine is too busy for so many", lateMS, pauseMS)
 	}
@@ -88,16 +88,16 @@
 	}
 }
 
-// InForce is the result of a change of settings.
-type InForce struct {
+// SettingsChange is the result of a change of settings.
+type SettingsChange struct {
 	At      ledger.Time
 	Took    []time.Duration // for each scheduler where the change came into force: the time until then
 	Missing int             // number of schedulers where the change did not come into force in time
 }
 
-// InForce adds the results of all changes of settings: the times until a change was in force at 50%, 99% and
+// AddSettingsChanges adds the results of all changes of settings: the times until a change was in force at 50%, 99% and
 // all of the schedulers. Each figure is the longest time over all changes.
-func (r *Results) InForce(all []InForce) {
+func (r *Results) AddSettingsChanges(all []SettingsChange) {
 	if len(all) == 0 {
 		return
 	}
@@ -161,7 +161,7 @@
 				req.began = true
 				took[req.category] = append(took[req.category], float64(e.At-req.due)/10)
 			}
-		case ledger.Said, ledger.Closed:
+		case ledger.WorkerReplied, ledger.Closed:
 			if runningPushes[e.Push] {
 				delete(runningPushes, e.Push)
 				running--
@@ -180,8 +180,8 @@
 	}
 }
 
-// Ready adds the durations of a scheduler's starts.
-func (r *Results) Ready(took []time.Duration) {
+// AddStartTimes adds the durations of a scheduler's starts.
+func (r *Results) AddStartTimes(took []time.Duration) {
 	for _, t := range took {
 		r.readyMS = append(r.readyMS, float64(t)/float64(time.Millisecond))
 	}
--- a/internal/lab/report/sizes.go
+++ b/internal/lab/report/sizes.go
@@ -67,7 +67,7 @@
 // CombineSizes returns the verdict on all sizes, with the figures of the last size.
 func CombineSizes(results []SizeResult) *Results {
 	r := *results[len(results)-1].Results
-	r.Audit, r.Unmet, r.Void = audit.Judgement{Whole: true}, nil, ""
+	r.Audit, r.Unmet, r.Void = audit.Judgement{Complete: true}, nil, ""
 	for _, s := range results {
 		r.Audit.Ops += s.Audit.Ops
 		r.Audit.Answers += s.Audit.Answers
--- a/internal/lab/report/sizes_test.go
+++ b/internal/lab/report/sizes_test.go
@@ -43,7 +43,7 @@
 		ten = append(ten, time.Duration(k)*time.Millisecond)
 	}
 	r := &Results{Figures: map[string]float64{}}
-	r.InForce([]InForce{{Took: ten}, {Took: []time.Duration{7 * time.Millisecond}, Missing: 2}, {}})
+	r.AddSettingsChanges([]SettingsChange{{Took: ten}, {Took: []time.Duration{7 * time.Millisecond}, Missing: 2}, {}})
 	f := r.Figures
 	if f["settings_changes"] != 3 || f["in_force_p50_ms"] != 7 || f["in_force_p99_ms"] != 10 || f["in_force_last_ms"] != 10 || f["settings_missing"] != 2 || len(r.Unmet) != 1 {
 		t.Errorf("%v, %v", f, r.Unmet)
@@ -60,7 +60,7 @@
 		passed bool
 	}{{1, 0, false, true}, {1, 2001, true, true}, {2, 1999, false, false}, {2, 2001, true, false}} {
 		r := &Results{Figures: map[string]float64{}}
-		if r.HeldViews(1, c.views, c.late, 2000); (r.Void != "") != c.void || r.Held() != c.passed {
+		if r.AddViewCounts(1, c.views, c.late, 2000); (r.Void != "") != c.void || r.Held() != c.passed {
 			t.Errorf("%+v: void %q, passed %v", c, r.Void, r.Held())
 		}
 	}
--- a/internal/lab/requirements/needs.go
+++ b/internal/lab/requirements/needs.go
@@ -80,9 +80,9 @@
 	return Needs{Listeners: listeners, Descriptors: int(float64(listeners) + conns + 3*n + mesh + spareDescriptors), MemoryMB: int(kb / 1024)}
 }
 
-// Fit returns nil if the machine has enough of each resource. Otherwise it returns a one-line error that
+// CheckFits returns nil if the machine has enough of each resource. Otherwise it returns a one-line error that
 // names the resource.
-func (n Needs) Fit(l Limits) error {
+func (n Needs) CheckFits(l Limits) error {
 	switch {
 	case n.Descriptors > l.Descriptors:
 		return fmt.Errorf("it needs about %d descriptors in the lab's process (%d of them workers' listeners) and %d is the limit here; "+
--- a/internal/lab/requirements/needs_test.go
+++ b/internal/lab/requirements/needs_test.go
@@ -34,8 +34,8 @@
 // a line that names the resource and both figures.
 func TestAnExperimentBeyondTheMachineIsRejectedWithTheFigure(t *testing.T) {
 	machine := Limits{Descriptors: 20_000, MemoryMB: 24_000}
-	if n := needsOf(t, 6300, 20, true); n.Fit(machine) != nil || n.Listeners != 6300 || n.Descriptors < 6300+1300*3/2 {
-		t.Errorf("the documented size: %+v, %v", n, n.Fit(machine))
+	if n := needsOf(t, 6300, 20, true); n.CheckFits(machine) != nil || n.Listeners != 6300 || n.Descriptors < 6300+1300*3/2 {
+		t.Errorf("the documented size: %+v, %v", n, n.CheckFits(machine))
 	}
 	for name, c := range map[string]struct {
 		needs Needs
@@ -47,7 +47,7 @@
 		"connections that close late": {needsOf(t, 11_700, 4, true), machine, "(11700 of them workers' listeners) and 20000"},
 		"400 scheduler processes":     {needsOf(t, 6300, 400, true), Limits{Descriptors: 1 << 20, MemoryMB: 24_000}, "more than half of this machine's 24000 MB"},
 	} {
-		if err := c.needs.Fit(c.limit); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+		if err := c.needs.CheckFits(c.limit); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %+v: %v; want %q", name, c.needs, err, c.want)
 		}
 	}
--- a/internal/lab/runner/keepers.go
+++ b/internal/lab/runner/keepers.go
@@ -34,7 +34,7 @@
 			s = r.schedulers[t.To[k%len(t.To)]]
 		}
 		var c copiesStatus
-		if !s.Up() || s.Ask("/api/copies", &c) != nil {
+		if !s.Up() || s.GetAPI("/api/copies", &c) != nil {
 			time.Sleep(pollInterval)
 			continue
 		}
@@ -70,14 +70,14 @@
 // awaitReplicaSet waits until all schedulers use one replica set and no change is in progress, for at most
 // replicaSettleTimeout. It then records the digests of the replicas and other counts for the results.
 func (r *run) awaitReplicaSet() error {
-	if !r.experiment.Copies.On {
+	if !r.experiment.Replication.On {
 		return nil
 	}
 	for limit := time.Now().Add(replicaSettleTimeout); ; time.Sleep(pollInterval) {
 		digests, epochs, withoutMajority, changing := []string(nil), map[uint64]bool{}, 0, false
 		for _, s := range r.schedulers {
 			var c copiesStatus
-			if err := s.Ask("/api/copies", &c); err != nil {
+			if err := s.GetAPI("/api/copies", &c); err != nil {
 				return err
 			}
 			if c.IsReplica {
@@ -97,14 +97,14 @@
 // replicas don't vote for a while. If the replica set can change, all schedulers must also know the first
 // set.
 func (r *run) awaitVoters() error {
-	if !r.experiment.Copies.On {
+	if !r.experiment.Replication.On {
 		return nil
 	}
 	for limit := time.Now().Add(votersTimeout); ; time.Sleep(50 * time.Millisecond) {
 		missing := 0
 		for _, s := range r.schedulers {
 			var c copiesStatus
-			if s.Ask("/api/copies", &c) != nil || c.IsReplica != c.IsVoter || r.experiment.Copies.Agreed && c.Epoch == 0 {
+			if s.GetAPI("/api/copies", &c) != nil || c.IsReplica != c.IsVoter || r.experiment.Replication.ConsensusMembership && c.Epoch == 0 {
 				missing++
 			}
 		}
--- a/internal/lab/runner/lag.go
+++ b/internal/lab/runner/lag.go
@@ -77,10 +77,10 @@
 
 // receiveTimestamp reads a timestamp as a worker reads a push, and records its age.
 func receiveTimestamp(c net.Conn, record func(time.Duration)) {
-	x := links.Through(c, links.New(links.Sky{}, 0))
+	x := links.Wrap(c, links.New(links.Conditions{}, 0))
 	defer x.Close()
 	buf := make([]byte, timestampSize)
 	if n, err := x.Read(buf); err == nil && n == len(buf) {
-		record(x.Mouth().Sub(baseTime) - time.Duration(binary.BigEndian.Uint64(buf)))
+		record(x.ReceivedAt().Sub(baseTime) - time.Duration(binary.BigEndian.Uint64(buf)))
 	}
 }
--- a/internal/lab/runner/mesh.go
+++ b/internal/lab/runner/mesh.go
@@ -42,7 +42,7 @@
 // start, then the hollow members. It also sets firstHollow.
 func (r *run) meshSize() int {
 	r.firstHollow = r.experiment.Schedulers.Count
-	for _, t := range r.workload.Turns {
+	for _, t := range r.workload.FaultEvents {
 		if needsExtraScheduler(t) {
 			r.firstHollow += len(t.Targets)
 		}
@@ -55,25 +55,25 @@
 	if !r.experiment.Members.On {
 		return nil
 	}
-	r.firstExtra, r.cuts = r.experiment.Schedulers.Count, map[[2]int]map[int]faultproxy.Cut{}
+	r.firstExtra, r.cuts = r.experiment.Schedulers.Count, map[[2]int]map[int]faultproxy.CutMode{}
 	n := r.meshSize()
 	var err error
-	r.mesh, err = faultproxy.New(n, r.experiment.Seed, func(from, to int, cut faultproxy.Cut) {
+	r.mesh, err = faultproxy.New(n, r.experiment.Seed, func(from, to int, cut faultproxy.CutMode) {
 		if from < r.firstExtra && to < r.firstExtra {
-			r.ledger.Add(ledger.Event{Kind: ledger.Way, Scheduler: from + 1, To: to + 1,
+			r.ledger.Add(ledger.Event{Kind: ledger.LinkChanged, Scheduler: from + 1, To: to + 1,
 				State: []string{"open", "silent", "refusing"}[cut]})
 		}
 	})
 	if err != nil {
 		return err
 	}
-	r.mesh.Count(r.meter)
+	r.mesh.SetMeter(r.meter)
 	m := &r.experiment.Members
 	ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 	for i := range n {
 		for j := range n {
-			r.mesh.Weather(i, j, func(conditions *faultproxy.Sky) {
-				*conditions = faultproxy.Sky{Loss: m.Loss, Dup: m.Dup, Reorder: m.Reorder,
+			r.mesh.SetConditions(i, j, func(conditions *faultproxy.Conditions) {
+				*conditions = faultproxy.Conditions{Loss: m.Loss, Dup: m.Dup, Reorder: m.Reorder,
 					Delay: ms(m.DelayMS), Jitter: ms(m.JitterMS), Rate: 1000 * m.RateKBps}
 			})
 		}
@@ -88,23 +88,23 @@
 		return nil
 	}
 	// No other program uses this IP address, so the port stays free while the scheduler is down.
-	listen, err := faultproxy.Free(r.mesh.Bound(n), s.Listen)
+	listen, err := faultproxy.FreePort(r.mesh.BindAddr(n), s.Listen)
 	if err != nil {
 		return err
 	}
-	r.mesh.Listens(n, listen)
+	r.mesh.SetListenAddr(n, listen)
 	var seeds []string
 	for _, addr := range r.seeds() {
 		seeds = append(seeds, fmt.Sprintf("%q", addr))
 	}
 	copiesTable := ""
-	if c := &r.experiment.Copies; c.On {
+	if c := &r.experiment.Replication; c.On {
 		var replicas []string
-		for i := range c.Keepers {
+		for i := range c.Replicas {
 			replicas = append(replicas, fmt.Sprintf("\"n%d\"", i+1))
 		}
 		copiesTable = fmt.Sprintf("[copies]\nkeepers = [%s]\n%s\n", strings.Join(replicas, ", "), c.Operator)
-		if c.Agreed {
+		if c.ConsensusMembership {
 			path, err := filepath.Abs(filepath.Join(r.dir, s.Label()+".copies"))
 			if err != nil {
 				return err
@@ -113,7 +113,7 @@
 		}
 	}
 	s.SetOperatorConfig(fmt.Sprintf("[members]\ncluster = %q\nlisten = %q\nadvertise = %q\nseeds = [%s]\n"+
-		"words = %v\nworkers = %v\n%s\n%s", cluster, listen, r.mesh.Told(n), strings.Join(seeds, ", "),
+		"words = %v\nworkers = %v\n%s\n%s", cluster, listen, r.mesh.AdvertisedAddr(n), strings.Join(seeds, ", "),
 		r.experiment.Members.PeerMessages, r.experiment.Members.ShareDrains, r.experiment.Members.Operator, copiesTable))
 	return nil
 }
@@ -121,7 +121,7 @@
 // seeds returns the addresses of the members that a starting scheduler contacts first.
 func (r *run) seeds() (all []string) {
 	for i := range min(maxSeeds, r.firstExtra) {
-		all = append(all, r.mesh.Told(i))
+		all = append(all, r.mesh.AdvertisedAddr(i))
 	}
 	return all
 }
@@ -139,19 +139,19 @@
 	if r.experiment.Members.Hollow == 0 {
 		return nil
 	}
-	config := hollow.Told{Cluster: "lab", Seeds: r.seeds(), Lines: r.experiment.Members.Operator,
+	config := hollow.Config{Cluster: "lab", Seeds: r.seeds(), Lines: r.experiment.Members.Operator,
 		Chance: r.experiment.Seed << 16}
 	for i := range r.experiment.Members.Hollow {
 		n := r.firstHollow + i
-		listen, err := faultproxy.Free(r.mesh.Bound(n))
+		listen, err := faultproxy.FreePort(r.mesh.BindAddr(n))
 		if err != nil {
 			return err
 		}
-		r.mesh.Listens(n, listen)
+		r.mesh.SetListenAddr(n, listen)
 		config.Members = append(config.Members, hollow.Member{Name: fmt.Sprintf("h%d", i+1),
-			Listen: listen.String(), Advertise: r.mesh.Told(n)})
+			Listen: listen.String(), Advertise: r.mesh.AdvertisedAddr(n)})
 	}
-	p, err := hollow.Start(r.options.Hollow, config)
+	p, err := hollow.Start(r.options.HollowProgram, config)
 	if err != nil {
 		return err
 	}
@@ -190,7 +190,7 @@
 		}
 		for _, s := range r.schedulers {
 			var view memberView
-			if err := s.Ask("/api/members", &view); err != nil {
+			if err := s.GetAPI("/api/members", &view); err != nil {
 				return err
 			}
 			count(view.Digest, view.Self.Live)
@@ -220,7 +220,7 @@
 func (r *run) setLinkCut(from, to int, t workload.FaultEvent) {
 	link := [2]int{from, to}
 	if r.cuts[link] == nil {
-		r.cuts[link] = map[int]faultproxy.Cut{}
+		r.cuts[link] = map[int]faultproxy.CutMode{}
 	}
 	switch {
 	case !t.Begins:
@@ -234,7 +234,7 @@
 	for _, c := range r.cuts[link] {
 		cut = max(cut, c)
 	}
-	r.mesh.Cut(from, to, cut)
+	r.mesh.SetCut(from, to, cut)
 }
 
 // applyMeshFault begins or ends a fault of links or of a member. It returns false for other kinds of faults.
@@ -246,7 +246,7 @@
 	case "mesh-loss", "mesh-delay":
 		m := &r.experiment.Members
 		r.forEachLink(t, n, func(from, to int) {
-			r.mesh.Weather(from, to, func(conditions *faultproxy.Sky) {
+			r.mesh.SetConditions(from, to, func(conditions *faultproxy.Conditions) {
 				ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 				switch {
 				case t.Kind == "mesh-loss" && t.Begins:
@@ -320,7 +320,7 @@
 	index := r.firstExtra + r.extraCount
 	r.extraCount++
 	r.mu.Unlock()
-	s, err := schedulers.NewExtra(index, name, label, r.experiment, r.options.Make, r.emulators[n], r.dir)
+	s, err := schedulers.NewExtra(index, name, label, r.experiment, r.options.Launch, r.emulators[n], r.dir)
 	if err != nil {
 		return nil, err
 	}
@@ -334,7 +334,7 @@
 // resumes the first one after the duration. This makes a name conflict.
 func (r *run) runTwin(n int, duration time.Duration) error {
 	// From now on the other members' views have the new process under this name.
-	r.ledger.Add(ledger.Event{Kind: ledger.Way, Scheduler: n + 1, State: "aside"})
+	r.ledger.Add(ledger.Event{Kind: ledger.LinkChanged, Scheduler: n + 1, State: "aside"})
 	if err := r.schedulers[n].Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
@@ -366,13 +366,13 @@
 	if r.mesh == nil {
 		return
 	}
-	r.ledger.Add(ledger.Event{Kind: ledger.Way, Scheduler: 1, State: "end"})
+	r.ledger.Add(ledger.Event{Kind: ledger.LinkChanged, Scheduler: 1, State: "end"})
 	time.Sleep(leaveGap)
 	for _, s := range r.extras {
 		s.Kill()
 	}
 	if r.hollow != nil {
-		if err := r.hollow.End(); err != nil {
+		if err := r.hollow.Stop(); err != nil {
 			r.addError(err)
 		}
 	}
@@ -405,11 +405,11 @@
 				continue
 			}
 			if !memberChanged {
-				r.votes = append(r.votes, duplicates.Vote{Keeper: n + 1, At: r.ledger.Clock(time.UnixMilli(l.Time))})
+				r.votes = append(r.votes, duplicates.Vote{Keeper: n + 1, At: r.ledger.FromWallClock(time.UnixMilli(l.Time))})
 				continue
 			}
-			ev := ledger.Event{Kind: ledger.Held, Scheduler: n + 1, Name: l.Member, State: l.State, Text: l.By,
-				From: r.ledger.Clock(time.UnixMilli(l.Time))}
+			ev := ledger.Event{Kind: ledger.MemberView, Scheduler: n + 1, Name: l.Member, State: l.State, Text: l.By,
+				From: r.ledger.FromWallClock(time.UnixMilli(l.Time))}
 			if l.Private {
 				ev.Verdict = "private"
 			}
@@ -424,8 +424,8 @@
 }
 
 // viewLimits returns the limits by which the views are judged.
-func viewLimits(e *experiment.Experiment) membershipcheck.Terms {
+func viewLimits(e *experiment.Experiment) membershipcheck.Limits {
 	m := &e.Members
-	return membershipcheck.Terms{Count: e.Schedulers.Count, Pause: experiment.MS(m.PauseMS),
-		Detect: experiment.MS(m.DetectMS), Settle: experiment.MS(m.SettleMS), Grace: experiment.MS(m.GraceMS)}
+	return membershipcheck.Limits{Count: e.Schedulers.Count, Pause: experiment.FromMilliseconds(m.PauseMS),
+		Detect: experiment.FromMilliseconds(m.DetectMS), Settle: experiment.FromMilliseconds(m.SettleMS), Grace: experiment.FromMilliseconds(m.GraceMS)}
 }
--- a/internal/lab/runner/play.go
+++ b/internal/lab/runner/play.go
@@ -31,17 +31,17 @@
 	"woaddyke/internal/lab/workload"
 )
 
-// Stage holds the options of a run.
-type Stage struct {
-	Out      string // output folder; empty for a temporary one that is removed
-	Make     schedulers.Maker
-	Progress func(Progress) // called every sampleInterval; may be nil
-	Quiet    bool           // write no results file
-	Hollow   string         // path of the program that runs hollow members
-	Shims    Shims          // may be nil if the experiment has no faults that need it
-	// Look is called twice: when all schedulers are ready, before the first op; and after the last op, before
+// Options holds the options of a run.
+type Options struct {
+	OutputDir     string // output folder; empty for a temporary one that is removed
+	Launch        schedulers.Launcher
+	Progress      func(Progress) // called every sampleInterval; may be nil
+	SkipResults   bool           // write no results file
+	HollowProgram string         // path of the program that runs hollow members
+	Injector      Shims          // may be nil if the experiment has no faults that need it
+	// Inspect is called twice: when all schedulers are ready, before the first op; and after the last op, before
 	// the schedulers are terminated. Ended is true in the second call. The function may be nil.
-	Look func(ended bool, all []*schedulers.Scheduler)
+	Inspect func(ended bool, all []*schedulers.Scheduler)
 }
 
 // Shims injects faults inside a scheduler's process that can't be caused from outside.
@@ -61,30 +61,30 @@
 // run holds the state of a running experiment.
 type run struct {
 	experiment      *experiment.Experiment
-	workload        *workload.Script
-	ledger          *ledger.Book
+	workload        *workload.Workload
+	ledger          *ledger.Writer
 	fleet           *fleet.Fleet
 	emulators       []*discovery.Agent
 	schedulers      []*schedulers.Scheduler
-	clients         *clients.Crowd
+	clients         *clients.LoadGenerator
 	background      sync.WaitGroup // restarts and other faults that take a while
 	mu              sync.Mutex
 	lastFault       string
 	errs            []error
-	usages          []schedulers.Use
+	usages          []schedulers.Usage
 	queueSamples    []report.Queue
 	dir             string
 	maxLag          time.Duration // the maximum delay in the lab itself
-	options         Stage
+	options         Options
 	mesh            *faultproxy.Net // nil if the schedulers aren't members of a cluster
 	meter           *meter.Meter
-	loadEdges       [2]report.Edge  // resource usage before the first arrival and after the last
-	hollow          *hollow.Process // the process of the hollow members, nil for none
-	firstHollow     int             // mesh index of the first hollow member
-	distinctViews   int             // number of different membership views after the run
-	maxHollowLateMS float64         // maximum delay of a hollow member
-	initialViews    int             // distinctViews before the first arrival
-	settingsChanges []report.InForce
+	loadEdges       [2]report.UsageSnapshot // resource usage before the first arrival and after the last
+	hollow          *hollow.Process         // the process of the hollow members, nil for none
+	firstHollow     int                     // mesh index of the first hollow member
+	distinctViews   int                     // number of different membership views after the run
+	maxHollowLateMS float64                 // maximum delay of a hollow member
+	initialViews    int                     // distinctViews before the first arrival
+	settingsChanges []report.SettingsChange
 	firstExtra      int // mesh index of the first extra scheduler
 	extraCount      int
 	replicaChanges  []time.Duration // duration of each change of the replica set
@@ -92,7 +92,7 @@
 	digests         []string        // digests of the replicas' records after the run
 	withoutMajority int             // number of ops for which no majority could be reached
 	votes           []duplicates.Vote
-	cuts            map[[2]int]map[int]faultproxy.Cut // by source, target and fault; only used by applyFaults
+	cuts            map[[2]int]map[int]faultproxy.CutMode // by source, target and fault; only used by applyFaults
 	extras          []*schedulers.Scheduler
 }
 
@@ -101,23 +101,23 @@
 	startLead      = 300 * time.Millisecond // between the end of the setup and the start of the arrivals
 )
 
-// Fits checks that this machine has the resources for an experiment, at each of its sizes.
-func Fits(e *experiment.Experiment) error {
+// CheckCapacity checks that this machine has the resources for an experiment, at each of its sizes.
+func CheckCapacity(e *experiment.Experiment) error {
 	limits, err := requirements.Machine()
 	if err != nil {
 		return err
 	}
 	if len(e.Sizes) == 0 {
-		if err := requirements.Of(e).Fit(limits); err != nil {
+		if err := requirements.Of(e).CheckFits(limits); err != nil {
 			return fmt.Errorf("%s: %w", e.Name, err)
 		}
 	}
 	for _, factor := range e.Sizes {
-		s, err := e.Sized(factor)
+		s, err := e.Scaled(factor)
 		if err != nil {
 			return err
 		}
-		if err := Fits(s); err != nil {
+		if err := CheckCapacity(s); err != nil {
 			return err
 		}
 	}
@@ -125,15 +125,15 @@
 }
 
 // Run runs an experiment with the workload of its seed and returns the results.
-func Run(ctx context.Context, e *experiment.Experiment, options Stage) (*report.Results, error) {
-	if err := Fits(e); err != nil {
+func Run(ctx context.Context, e *experiment.Experiment, options Options) (*report.Results, error) {
+	if err := CheckCapacity(e); err != nil {
 		return nil, err
 	}
-	w, err := workload.Of(e)
+	w, err := workload.Generate(e)
 	if err != nil {
 		return nil, err
 	}
-	r := &run{experiment: e, workload: w, dir: options.Out, options: options}
+	r := &run{experiment: e, workload: w, dir: options.OutputDir, options: options}
 	r.meter = meter.New(r.meshSize())
 	if r.dir == "" {
 		if r.dir, err = os.MkdirTemp("", "lab-"); err != nil {
@@ -146,7 +146,7 @@
 	if r.ledger, err = ledger.Create(filepath.Join(r.dir, "ledger.jsonl"), time.Now()); err != nil {
 		return nil, err
 	}
-	r.ledger.Add(ledger.Event{Kind: ledger.World, Name: e.Name, Seed: e.Seed, Rules: e.Judged(), Text: w.Hash()})
+	r.ledger.Add(ledger.Event{Kind: ledger.Header, Name: e.Name, Seed: e.Seed, Rules: e.LedgerRules(), Text: w.Hash()})
 	err = r.execute(ctx, options)
 	if err == nil {
 		err = errors.Join(r.errs...)
@@ -168,28 +168,28 @@
 		return nil, err
 	}
 	if r.mesh != nil {
-		result.Views(membershipcheck.Judge(events, viewLimits(e)))
-		result.Doubles(duplicates.Judge(events, r.digests, r.withoutMajority, r.votes, e.Members.ShareDrains))
-		result.Changes(r.replicaChanges, r.replicaSets)
-		if n := r.mesh.Crowded(); n > 0 {
+		result.AddMembership(membershipcheck.Judge(events, viewLimits(e)))
+		result.AddDuplicates(duplicates.Judge(events, r.digests, r.withoutMajority, r.votes, e.Members.ShareDrains))
+		result.AddVoterChanges(r.replicaChanges, r.replicaSets)
+		if n := r.mesh.OverflowDrops(); n > 0 {
 			result.Void = fmt.Sprintf("the links between schedulers lost %d datagrams for want of room", n)
 		}
 	}
-	result.Roles(r.loadEdges[0], r.loadEdges[1], events, e.Schedulers.Count, e.Members.Hollow)
+	result.AddUsage(r.loadEdges[0], r.loadEdges[1], events, e.Schedulers.Count, e.Members.Hollow)
 	if r.hollow != nil {
-		result.HeldViews(r.initialViews, r.distinctViews, r.maxHollowLateMS, e.Members.PauseMS)
+		result.AddViewCounts(r.initialViews, r.distinctViews, r.maxHollowLateMS, e.Members.PauseMS)
 	}
 	for _, s := range r.schedulers {
-		result.Ready(s.ReadyTimes())
+		result.AddStartTimes(s.ReadyTimes())
 	}
-	result.InForce(r.settingsChanges)
-	result.Expect(e)
-	if n := r.fleet.Starved(); n > 0 {
+	result.AddSettingsChanges(r.settingsChanges)
+	result.CheckExpectations(e)
+	if n := r.fleet.DescriptorShortages(); n > 0 {
 		result.Void = fmt.Sprintf("the lab had no descriptor for %d connections to workers", n)
 	}
 	result.Script = w.Hash()
-	result.Lagged(float64(r.maxLag)/float64(time.Millisecond), e.Rules.SlackMS)
-	if options.Out != "" && !options.Quiet {
+	result.SetLabLag(float64(r.maxLag)/float64(time.Millisecond), e.Rules.SlackMS)
+	if options.OutputDir != "" && !options.SkipResults {
 		err = writeJSON(filepath.Join(r.dir, "results.json"), result)
 	}
 	return result, err
@@ -204,13 +204,13 @@
 }
 
 // setUp starts discovery emulators, workers, schedulers, hollow members and clients.
-func (r *run) setUp(options Stage) error {
+func (r *run) setUp(options Options) error {
 	e := r.experiment
-	delay := [2]time.Duration{time.Duration(e.Discovery.LateMS[0] * float64(time.Millisecond)),
-		time.Duration(e.Discovery.LateMS[1] * float64(time.Millisecond))}
+	delay := [2]time.Duration{time.Duration(e.Discovery.DelayMS[0] * float64(time.Millisecond)),
+		time.Duration(e.Discovery.DelayMS[1] * float64(time.Millisecond))}
 	for n := range e.Schedulers.Count {
 		a, err := discovery.New(n, r.ledger, func(slot, scheduler int) string { return r.fleet.Addr(slot, scheduler) }, delay,
-			fleet.Sky(e, "discovery", "", e.Zones[n%len(e.Zones)]), e.Seed, r.meter)
+			fleet.LinkConditions(e, "discovery", "", e.Zones[n%len(e.Zones)]), e.Seed, r.meter)
 		if err != nil {
 			return err
 		}
@@ -221,7 +221,7 @@
 	var err error
 	r.fleet, err = fleet.New(e, r.workload, r.ledger, desk, r.meter, func(entry fleet.Entry) {
 		for _, a := range r.emulators {
-			a.Hear(entry, !started)
+			a.Update(entry, !started)
 		}
 	})
 	if err != nil {
@@ -233,7 +233,7 @@
 	var servers []clients.Server
 	var addrs []string
 	for n := range e.Schedulers.Count {
-		s, err := schedulers.New(n, e, r.ledger, options.Make, r.emulators[n], r.dir)
+		s, err := schedulers.New(n, e, r.ledger, options.Launch, r.emulators[n], r.dir)
 		if err != nil {
 			return err
 		}
@@ -305,7 +305,7 @@
 }
 
 // execute runs the experiment, from the start of its first process to the exit of the last one.
-func (r *run) execute(ctx context.Context, options Stage) error {
+func (r *run) execute(ctx context.Context, options Options) error {
 	defer r.tearDown()
 	if err := r.setUp(options); err != nil {
 		return err
@@ -313,8 +313,8 @@
 	if err := r.awaitVoters(); err != nil {
 		return err
 	}
-	if options.Look != nil {
-		options.Look(false, r.schedulers)
+	if options.Inspect != nil {
+		options.Inspect(false, r.schedulers)
 	}
 	start := time.Now().Add(startLead)
 	injecting, stop := context.WithCancel(ctx)
@@ -361,17 +361,17 @@
 		r.fleet.Cut(slot, false)
 	}
 	err := errors.Join(r.awaitReplicaSet(), r.awaitEqualViews())
-	if options.Look != nil {
-		options.Look(true, r.schedulers)
+	if options.Inspect != nil {
+		options.Inspect(true, r.schedulers)
 	}
 	return err
 }
 
 // usageEdge returns the total resource usage up to now.
-func (r *run) usageEdge() report.Edge {
-	e := report.Edge{At: r.ledger.Now(), Sent: r.meter.Now()}
+func (r *run) usageEdge() report.UsageSnapshot {
+	e := report.UsageSnapshot{At: r.ledger.Now(), Sent: r.meter.Now()}
 	for _, s := range r.schedulers {
-		if u, ok := s.Use(); ok {
+		if u, ok := s.Usage(); ok {
 			e.Uses = append(e.Uses, u)
 		}
 	}
@@ -392,20 +392,20 @@
 		case <-tick.C:
 		}
 		for _, s := range r.schedulers {
-			if u, ok := s.Use(); ok {
+			if u, ok := s.Usage(); ok {
 				r.usages = append(r.usages, u)
 			}
 		}
 		q := report.Queue{At: r.ledger.Now()}
-		for _, d := range r.fleet.Depths() {
-			q.Held, q.Waiting = append(q.Held, d.Running+d.Waiting), append(q.Waiting, d.Waiting)
+		for _, d := range r.fleet.QueueDepths() {
+			q.Jobs, q.Waiting = append(q.Jobs, d.Running+d.Waiting), append(q.Waiting, d.Waiting)
 		}
 		r.queueSamples = append(r.queueSamples, q)
 		if onProgress != nil {
 			r.mu.Lock()
 			lastFault := r.lastFault
 			r.mu.Unlock()
-			onProgress(Progress{Second: time.Since(start).Seconds(), Of: r.experiment.Seconds, Open: r.clients.Open(),
+			onProgress(Progress{Second: time.Since(start).Seconds(), Of: r.experiment.Seconds, Open: r.clients.OpenAttempts(),
 				Events: len(r.ledger.Events()), Last: lastFault})
 		}
 	}
@@ -413,7 +413,7 @@
 
 // applyFaults applies the fault events of the workload at their times.
 func (r *run) applyFaults(ctx context.Context, start time.Time) {
-	for _, t := range r.workload.Turns {
+	for _, t := range r.workload.FaultEvents {
 		select {
 		case <-ctx.Done():
 			return
@@ -470,10 +470,10 @@
 // and workers and links between schedulers, if one end is inside the region and the other outside.
 func (r *run) setRegionCut(t workload.FaultEvent) {
 	e := r.experiment
-	inside := func(scheduler int) bool { return e.In(t.Zone, e.Zones[scheduler%len(e.Zones)]) }
+	inside := func(scheduler int) bool { return e.ZoneMatches(t.Zone, e.Zones[scheduler%len(e.Zones)]) }
 	for slot, w := range r.workload.Workers {
 		for n := range e.Schedulers.Count {
-			if inside(n) != e.In(t.Zone, w.Zone) {
+			if inside(n) != e.ZoneMatches(t.Zone, w.Zone) {
 				r.fleet.CutFrom(slot, n, t.Begins)
 			}
 		}
@@ -490,7 +490,7 @@
 	}
 	for _, from := range members {
 		for _, to := range members {
-			if e.In(t.Zone, r.zoneOf(from)) != e.In(t.Zone, r.zoneOf(to)) {
+			if e.ZoneMatches(t.Zone, r.zoneOf(from)) != e.ZoneMatches(t.Zone, r.zoneOf(to)) {
 				r.setLinkCut(from, to, t)
 			}
 		}
@@ -499,37 +499,37 @@
 
 // applyFault begins or ends a fault at one worker or scheduler.
 func (r *run) applyFault(t workload.FaultEvent, n int) {
-	if experiment.OfSchedulers(t.Kind) {
+	if experiment.TargetsSchedulers(t.Kind) {
 		if !r.applyMeshFault(t, n) {
 			r.applySchedulerFault(t, n)
 		}
 		return
 	}
 	duration := time.Duration(t.Duration) * ledger.Tenth
-	impair := func(change func(*workermodel.Ails)) { r.fleet.Ail(n, change) }
+	impair := func(change func(*workermodel.Faults)) { r.fleet.SetFaults(n, change) }
 	magnitude := t.Magnitude
 	if !t.Begins {
 		magnitude = 0
 	}
 	switch t.Kind {
 	case "slow":
-		impair(func(a *workermodel.Ails) { a.Slow = magnitude })
+		impair(func(a *workermodel.Faults) { a.Slow = magnitude })
 	case "hang":
-		impair(func(a *workermodel.Ails) { a.Hung = t.Begins })
+		impair(func(a *workermodel.Faults) { a.Hung = t.Begins })
 	case "taken":
-		impair(func(a *workermodel.Ails) { a.Taken = magnitude })
+		impair(func(a *workermodel.Faults) { a.StolenShare = magnitude })
 	case "mute":
-		impair(func(a *workermodel.Ails) { a.Mute = magnitude })
+		impair(func(a *workermodel.Faults) { a.SilentRate = magnitude })
 	case "fails":
-		impair(func(a *workermodel.Ails) { a.Fails = magnitude })
+		impair(func(a *workermodel.Faults) { a.FailureRate = magnitude })
 	case "unfit":
-		impair(func(a *workermodel.Ails) { a.UnfitShare = magnitude })
+		impair(func(a *workermodel.Faults) { a.UnfitRate = magnitude })
 	case "lies":
-		impair(func(a *workermodel.Ails) { a.Lies = t.Begins })
+		impair(func(a *workermodel.Faults) { a.ReportsIdle = t.Begins })
 	case "stale":
-		impair(func(a *workermodel.Ails) { a.StaleBy = experiment.MS(magnitude) })
+		impair(func(a *workermodel.Faults) { a.ExtraReportAge = experiment.FromMilliseconds(magnitude) })
 	case "refuses":
-		impair(func(a *workermodel.Ails) { a.TurnsAway = t.Begins })
+		impair(func(a *workermodel.Faults) { a.RejectsAll = t.Begins })
 	case "vanish", "cut":
 		r.fleet.Cut(n, t.Begins)
 	case "kill":
@@ -540,7 +540,7 @@
 		}
 	case "drain-told":
 		if t.Begins {
-			r.fleet.Announce(n, duration)
+			r.fleet.AnnounceDrain(n, duration)
 		}
 	case "drain":
 		if t.Begins {
@@ -589,11 +589,11 @@
 			r.addError(err)
 		}
 	case "scheduler-clock", "scheduler-calls", "scheduler-late", "scheduler-disk":
-		if r.options.Shims == nil {
+		if r.options.Injector == nil {
 			r.addError(fmt.Errorf("fault %s needs a fault injector, and this run has none", t.Kind))
 			return
 		}
-		r.options.Shims.Turn(t.Kind, n, t.Begins, t.Magnitude)
+		r.options.Injector.Turn(t.Kind, n, t.Begins, t.Magnitude)
 	case "scheduler-blind":
 		r.emulators[n].Silence(t.Begins)
 	case "scheduler-reload":
--- a/internal/lab/runner/play_test.go
+++ b/internal/lab/runner/play_test.go
@@ -48,7 +48,7 @@
 ttl_ms = 1500
 `
 
-func runExperiment(t *testing.T, text, policy string, defects baseline.Wrongs, outputDir string) *report.Results {
+func runExperiment(t *testing.T, text, policy string, defects baseline.Violations, outputDir string) *report.Results {
 	t.Helper()
 	e, err := experiment.Parse([]byte(text))
 	if err != nil {
@@ -60,7 +60,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	r, err := Run(ctx, e, Stage{Make: m, Out: outputDir})
+	r, err := Run(ctx, e, Options{Launch: m, OutputDir: outputDir})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,16 +86,16 @@
 	const lowLimits = "overload_factor = 1\ntip_after_ms = 300\ncold_from = 0.01\nwarm_after_ms = 5000\n"
 	for name, c := range map[string]struct {
 		faults  string
-		defects baseline.Wrongs
+		defects baseline.Violations
 		want    audit.Rule
 	}{
-		"correct, cold workers":              {coldRestarts, baseline.Wrongs{}, ""},
-		"ignores the limits of cold workers": {coldRestarts, baseline.Wrongs{Cold: true}, audit.Cold},
-		"right":                              {drains + fails, baseline.Wrongs{}, ""},
-		"sends two responses":                {"", baseline.Wrongs{Answers: 2}, audit.Lost},
-		"pushes duplicates":                  {"[[faults]]\nkind = \"slow\"\nat_s = 0\nfor_s = 2.5\nsize = 40\n", baseline.Wrongs{Copies: 2}, audit.Twice},
-		"ignores drains":                     {drains, baseline.Wrongs{Drains: true}, audit.Drain},
-		"retries ops that may have run":      {fails, baseline.Wrongs{Retries: true}, audit.Twice},
+		"correct, cold workers":              {coldRestarts, baseline.Violations{}, ""},
+		"ignores the limits of cold workers": {coldRestarts, baseline.Violations{Cold: true}, audit.ColdOverload},
+		"right":                              {drains + fails, baseline.Violations{}, ""},
+		"sends two responses":                {"", baseline.Violations{Answers: 2}, audit.LostOp},
+		"pushes duplicates":                  {"[[faults]]\nkind = \"slow\"\nat_s = 0\nfor_s = 2.5\nsize = 40\n", baseline.Violations{Copies: 2}, audit.DuplicateEffect},
+		"ignores drains":                     {drains, baseline.Violations{Drains: true}, audit.PushAfterDrain},
+		"retries ops that may have run":      {fails, baseline.Violations{Retries: true}, audit.DuplicateEffect},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -136,13 +136,13 @@
 for_s = [0.1, 0.6]
 `
 	for _, policy := range []string{"fewest", "probes"} {
-		r := runExperiment(t, "seed = 11\n"+baseExperiment+linksAndChaos, policy, baseline.Wrongs{}, filepath.Join(dir, policy))
-		if len(r.Faults) < 10 || r.Audit.Ops < 50 || !r.Audit.Whole {
+		r := runExperiment(t, "seed = 11\n"+baseExperiment+linksAndChaos, policy, baseline.Violations{}, filepath.Join(dir, policy))
+		if len(r.Faults) < 10 || r.Audit.Ops < 50 || !r.Audit.Complete {
 			t.Errorf("%s: %d faults, want at least 10; audit %+v", policy, len(r.Faults), r.Audit)
 		}
 		// A simple scheduler may lose ops under these faults, but it must not forge outcomes or push to
 		// draining workers.
-		if rules := brokenRules(r); slices.Contains(rules, audit.Forged) || slices.Contains(rules, audit.Drain) {
+		if rules := brokenRules(r); slices.Contains(rules, audit.Fabricated) || slices.Contains(rules, audit.PushAfterDrain) {
 			t.Errorf("%s: %v", policy, r.Audit.Breaches)
 		}
 		events, err := ledger.ReadFile(filepath.Join(dir, policy, "ledger.jsonl"))
@@ -162,12 +162,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := baseline.Maker("random", baseline.Wrongs{})
+	m, err := baseline.Maker("random", baseline.Violations{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r, err := Run(ctx, e, Stage{Make: m, Out: dir, Progress: func(p Progress) {
+	r, err := Run(ctx, e, Options{Launch: m, OutputDir: dir, Progress: func(p Progress) {
 		if p.Events > 200 {
 			stop()
 		}
--- a/internal/lab/runner/scale_test.go
+++ b/internal/lab/runner/scale_test.go
@@ -23,7 +23,7 @@
 	dir := filepath.Join(t.TempDir(), "out")
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	if _, err := Run(ctx, e, Stage{Out: dir}); err == nil || !strings.Contains(err.Error(), "6400000 of them workers' listeners") {
+	if _, err := Run(ctx, e, Options{OutputDir: dir}); err == nil || !strings.Contains(err.Error(), "6400000 of them workers' listeners") {
 		t.Errorf("%v", err)
 	}
 	if _, err := os.Stat(dir); !os.IsNotExist(err) {
@@ -61,7 +61,7 @@
 zone = "far"
 at_s = 0.5
 for_s = 1.2
-`, "random", baseline.Wrongs{}, dir)
+`, "random", baseline.Violations{}, dir)
 	events, err := ledger.ReadFile(filepath.Join(dir, "ledger.jsonl"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/runner/settings.go
+++ b/internal/lab/runner/settings.go
@@ -16,7 +16,7 @@
 // settingsHash returns the hash of the settings that a scheduler uses, from its console.
 func (r *run) settingsHash(n int) (string, error) {
 	var status struct{ Settings string }
-	err := r.schedulers[n].Ask("/api/staff", &status)
+	err := r.schedulers[n].GetAPI("/api/staff", &status)
 	return status.Settings, err
 }
 
@@ -56,7 +56,7 @@
 		})
 	}
 	r.inBackground(func() error {
-		change := report.InForce{At: r.ledger.Moment(begin)}
+		change := report.SettingsChange{At: r.ledger.FromTime(begin)}
 		for range pending {
 			switch d := <-took; {
 			case d >= settingsTimeout:
--- a/internal/lab/schedulers/schedulers.go
+++ b/internal/lab/schedulers/schedulers.go
@@ -21,15 +21,15 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-// Running is a started scheduler.
-type Running interface {
+// Process is a started scheduler.
+type Process interface {
 	Signal(syscall.Signal) error
 	Wait() error // returns after the scheduler has exited
 	PID() int    // 0 for a scheduler inside the lab's own process
 }
 
-// Maker starts the n-th scheduler, counted from 0, with the paths of its bootstrap configuration and its log.
-type Maker func(n int, config, log string) (Running, error)
+// Launcher starts the n-th scheduler, counted from 0, with the paths of its bootstrap configuration and its log.
+type Launcher func(n int, config, log string) (Process, error)
 
 // process is a scheduler that runs as a child process.
 type process struct{ cmd *exec.Cmd }
@@ -38,9 +38,9 @@
 func (p process) Wait() error                   { return p.cmd.Wait() }
 func (p process) PID() int                      { return p.cmd.Process.Pid }
 
-// Program returns a Maker that starts the executable at path.
-func Program(path string, args ...string) Maker {
-	return func(n int, config, log string) (Running, error) {
+// ProgramLauncher returns a Maker that starts the executable at path.
+func ProgramLauncher(path string, args ...string) Launcher {
+	return func(n int, config, log string) (Process, error) {
 		out, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return nil, err
@@ -50,7 +50,7 @@
 		if err := cmd.Start(); err != nil {
 			return nil, fmt.Errorf("scheduler: %w", err)
 		}
-		return Started(cmd), nil
+		return WrapProcess(cmd), nil
 	}
 }
 
@@ -67,8 +67,8 @@
 	return cmd
 }
 
-// Started wraps a command that the caller has started.
-func Started(cmd *exec.Cmd) Running { return process{cmd} }
+// WrapProcess wraps a command that the caller has started.
+func WrapProcess(cmd *exec.Cmd) Process { return process{cmd} }
 
 // operatorConfigPath returns the path of the operator's file next to a bootstrap configuration, or "" if
 // there is none.
@@ -83,21 +83,21 @@
 // EndpointSource gives the address of a scheduler's discovery emulator and the current endpoint list.
 type EndpointSource interface {
 	Addr() string
-	Known() json.RawMessage
+	Snapshot() json.RawMessage
 }
 
 // Scheduler runs a scheduler at one listen address, through restarts and takeovers.
 type Scheduler struct {
 	index      int
 	experiment *experiment.Experiment
-	ledger     *ledger.Book
-	launcher   Maker
+	ledger     *ledger.Writer
+	launcher   Launcher
 	endpoints  EndpointSource
 	dir        string
 	Listen     string
 
 	mu              sync.Mutex
-	running         Running
+	running         Process
 	exited          chan struct{}
 	starts          uint64
 	firstEndpoints  json.RawMessage // endpoint list of the first start, for restarts with a stale list
@@ -120,15 +120,15 @@
 func (s *Scheduler) SetOperatorConfig(text string) { s.operatorConfig = text }
 
 // New reserves a listen address for the n-th scheduler, counted from 0.
-func New(n int, e *experiment.Experiment, events *ledger.Book, m Maker, endpoints EndpointSource, dir string,
+func New(n int, e *experiment.Experiment, events *ledger.Writer, m Launcher, endpoints EndpointSource, dir string,
 ) (*Scheduler, error) {
 	// Each scheduler has a separate IP address, so that no other connection of this machine can take its port
 	// while the scheduler is down.
-	base, err := faultproxy.Own()
+	base, err := faultproxy.ClaimBase()
 	if err != nil {
 		return nil, err
 	}
-	l, err := net.Listen("tcp", faultproxy.Bound(base+n).String()+":0")
+	l, err := net.Listen("tcp", faultproxy.BindAddr(base+n).String()+":0")
 	if err != nil {
 		return nil, fmt.Errorf("scheduler %d: %w", n+1, err)
 	}
@@ -140,7 +140,7 @@
 
 // NewExtra returns an extra scheduler with a separate address. It has no clients, and its events don't appear
 // in the run's ledger.
-func NewExtra(n int, name, label string, e *experiment.Experiment, m Maker, endpoints EndpointSource, dir string,
+func NewExtra(n int, name, label string, e *experiment.Experiment, m Launcher, endpoints EndpointSource, dir string,
 ) (*Scheduler, error) {
 	unused, err := ledger.Create("", time.Now())
 	if err != nil {
@@ -161,7 +161,7 @@
 // list of its first start.
 func (s *Scheduler) Start(stale bool) error {
 	s.mu.Lock()
-	endpoints := s.endpoints.Known()
+	endpoints := s.endpoints.Snapshot()
 	if s.firstEndpoints == nil {
 		s.firstEndpoints = endpoints
 	}
@@ -179,7 +179,7 @@
 }
 
 // launch writes a new bootstrap configuration and starts a process with it. The caller holds the lock.
-func (s *Scheduler) launch(endpoints json.RawMessage) (Running, chan struct{}, error) {
+func (s *Scheduler) launch(endpoints json.RawMessage) (Process, chan struct{}, error) {
 	if s.operatorConfig != "" {
 		// No other program binds this IP address, so the port is still free when the process starts.
 		l, err := net.Listen("tcp", strings.Split(s.Listen, ":")[0]+":0")
@@ -208,7 +208,7 @@
 const hupInterval = 25 * time.Millisecond
 
 // repeatHup sends SIGHUP to a process every hupInterval until a channel is closed.
-func (s *Scheduler) repeatHup(to Running, done <-chan struct{}) {
+func (s *Scheduler) repeatHup(to Process, done <-chan struct{}) {
 	for {
 		select {
 		case <-done:
@@ -232,7 +232,7 @@
 		return nil
 	}
 	s.starts++
-	r, exited, err := s.launch(s.endpoints.Known())
+	r, exited, err := s.launch(s.endpoints.Snapshot())
 	s.mu.Unlock()
 	if err != nil {
 		return err
@@ -241,7 +241,7 @@
 	if hups {
 		go s.repeatHup(predecessor, predecessorExited)
 	}
-	for limit := time.Now().Add(startTimeout); s.Ask("/api/ready", nil) != nil; time.Sleep(5 * time.Millisecond) {
+	for limit := time.Now().Add(startTimeout); s.GetAPI("/api/ready", nil) != nil; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
 			return fmt.Errorf("scheduler %d: the successor process is not ready after %v", s.index+1, startTimeout)
 		}
@@ -259,7 +259,7 @@
 }
 
 // watchExit records the exit of a process in the ledger and closes the channel.
-func (s *Scheduler) watchExit(r Running, exited chan struct{}) {
+func (s *Scheduler) watchExit(r Process, exited chan struct{}) {
 	go func() {
 		err := r.Wait()
 		text := "exit status 0"
@@ -327,9 +327,9 @@
 	return fmt.Errorf("scheduler %d is not ready after %v", s.index+1, startTimeout)
 }
 
-// Ask sends a GET request to the scheduler's console and decodes the JSON response into a value. Into may be
+// GetAPI sends a GET request to the scheduler's console and decodes the JSON response into a value. Into may be
 // nil if only the status matters.
-func (s *Scheduler) Ask(path string, into any) error {
+func (s *Scheduler) GetAPI(path string, into any) error {
 	s.mu.Lock()
 	console := s.console
 	s.mu.Unlock()
@@ -424,7 +424,7 @@
 		return nil
 	}
 	if sig == syscall.SIGHUP { // the process then reads the configuration with the current discovery address
-		if err := s.writeConfig(s.filePath(".json"), s.endpoints.Known()); err != nil {
+		if err := s.writeConfig(s.filePath(".json"), s.endpoints.Snapshot()); err != nil {
 			return err
 		}
 	}
@@ -509,8 +509,8 @@
 	}
 }
 
-// Use holds the resource usage of a scheduler at one moment.
-type Use struct {
+// Usage holds the resource usage of a scheduler at one moment.
+type Usage struct {
 	At        ledger.Time `json:"at"`
 	Scheduler int         `json:"scheduler"`
 	CPU       float64     `json:"cpu_s"`    // seconds of CPU time since the start of the process
@@ -518,34 +518,34 @@
 	Files     int         `json:"files"`    // open descriptors
 }
 
-// Use reads the current resource usage. It returns false if no separate process runs.
-func (s *Scheduler) Use() (Use, bool) {
+// Usage reads the current resource usage. It returns false if no separate process runs.
+func (s *Scheduler) Usage() (Usage, bool) {
 	s.mu.Lock()
 	r := s.running
 	s.mu.Unlock()
 	if r == nil || r.PID() == 0 {
-		return Use{}, false
+		return Usage{}, false
 	}
 	return ProcessUsage(r.PID(), s.ledger.Now(), s.index+1)
 }
 
 // ProcessUsage reads the resource usage of a process from /proc. It returns false if that fails.
-func ProcessUsage(pid int, now ledger.Time, scheduler int) (Use, bool) {
+func ProcessUsage(pid int, now ledger.Time, scheduler int) (Usage, bool) {
 	proc := fmt.Sprintf("/proc/%d/", pid)
 	stat, err := os.ReadFile(proc + "stat")
 	if err != nil {
-		return Use{}, false
+		return Usage{}, false
 	}
 	// The process name may contain spaces and brackets. The fields after the last closing bracket are
 	// separated by spaces.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	if len(fields) < 22 {
-		return Use{}, false
+		return Usage{}, false
 	}
 	user, _ := strconv.ParseFloat(fields[11], 64)
 	system, _ := strconv.ParseFloat(fields[12], 64)
 	pages, _ := strconv.ParseInt(fields[21], 10, 64)
-	u := Use{At: now, Scheduler: scheduler, CPU: (user + system) / 100, Resident: pages * int64(os.Getpagesize())}
+	u := Usage{At: now, Scheduler: scheduler, CPU: (user + system) / 100, Resident: pages * int64(os.Getpagesize())}
 	if files, err := os.ReadDir(proc + "fd"); err == nil {
 		u.Files = len(files)
 	}
--- a/internal/lab/schedulers/sheet.go
+++ b/internal/lab/schedulers/sheet.go
@@ -10,15 +10,15 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-// Sheet is the bootstrap configuration of a scheduler in the platform's format.
-type Sheet struct {
+// BootstrapConfig is the bootstrap configuration of a scheduler in the platform's format.
+type BootstrapConfig struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Console   string          `json:"console,omitempty"`
 	Discovery string          `json:"discovery"`
 	Seed      string          `json:"seed"`
 	Limits    limits          `json:"limits"`
-	Known     json.RawMessage `json:"known"`
+	Endpoints json.RawMessage `json:"known"`
 	Settings  map[string]any  `json:"settings"`
 }
 
@@ -34,7 +34,7 @@
 
 // ChangeSettings applies a numbered settings change: it changes the benefit of the first category by a factor
 // that is too small to affect any decision.
-func (s *Sheet) ChangeSettings(number int) {
+func (s *BootstrapConfig) ChangeSettings(number int) {
 	if first, ok := s.Settings["categories"].([]any)[0].(map[string]any); ok {
 		first["benefit"] = first["benefit"].(float64) * (1 + float64(number)*1e-9)
 	}
@@ -44,7 +44,7 @@
 // number of this start and varies the seed.
 func NewBootstrapConfig(e *experiment.Experiment, n int, start uint64, listen, discovery string,
 	endpoints json.RawMessage,
-) *Sheet {
+) *BootstrapConfig {
 	s, r := &e.Schedulers, &e.Rules
 	ns := func(ms float64) float64 { return float64(int64(ms * 1e6)) }
 	var categories []any
@@ -84,7 +84,7 @@
 			"overloadFactor": r.OverloadFactor, "tipAfterNs": ns(r.TipAfterMS), "warmAfterNs": ns(r.WarmAfterMS)},
 		"stepNs": ns(s.StepMS),
 	}
-	return &Sheet{Name: fmt.Sprintf("n%d", n+1), Listen: listen, Discovery: discovery, Known: endpoints, Settings: settings,
+	return &BootstrapConfig{Name: fmt.Sprintf("n%d", n+1), Listen: listen, Discovery: discovery, Endpoints: endpoints, Settings: settings,
 		Seed:   fmt.Sprintf("%016x", (e.Seed*0x9e3779b97f4a7c15+uint64(n)*0x100000001b3+start)|1),
 		Limits: limits{s.Cores, s.MemoryMB, s.Sockets}}
 }
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -176,10 +176,10 @@
 	if base == nil {
 		e.Arrivals.Rate, e.Clients.Count = 12*float64(processes), 3*processes
 		e.Members.On = true
-		e.Copies.On = r.IntN(3) > 0
-		e.Copies.Agreed, e.Copies.Keepers = e.Copies.On, 3
-		e.Clients.SameID = e.Copies.On && r.IntN(2) == 0
-		e.Copies.Operator = "hold_off = \"3s\""
+		e.Replication.On = r.IntN(3) > 0
+		e.Replication.ConsensusMembership, e.Replication.Replicas = e.Replication.On, 3
+		e.Clients.RetrySameID = e.Replication.On && r.IntN(2) == 0
+		e.Replication.Operator = "hold_off = \"3s\""
 	}
 	drawFaults(e, r)
 	return e, nil
@@ -202,8 +202,8 @@
 		burstScheduler := r.IntN(e.Schedulers.Count) // some faults of a burst hit this scheduler
 		for range 2 + r.IntN(2) {
 			t := kinds[r.IntN(len(kinds))]
-			f := experiment.Fault{Kind: t.kind, At: at + 0.3*r.Float64(), For: t.minSeconds + (t.maxSeconds-t.minSeconds)*r.Float64(), Size: t.size(r), Way: "both"}
-			f.For = min(f.For, max(to-f.At, t.minSeconds))
+			f := experiment.Fault{Kind: t.kind, StartS: at + 0.3*r.Float64(), DurationS: t.minSeconds + (t.maxSeconds-t.minSeconds)*r.Float64(), Magnitude: t.size(r), Direction: "both"}
+			f.DurationS = min(f.DurationS, max(to-f.StartS, t.minSeconds))
 			if !chooseTarget(e, r, t, &f, burstScheduler, busyUntil) || drawn[f.Kind] && !strings.Contains(f.Kind, "-") && r.IntN(2) > 0 {
 				continue
 			}
@@ -215,8 +215,8 @@
 
 // chooseTarget sets the target of a fault. It returns false if the target has another fault of its process.
 func chooseTarget(e *experiment.Experiment, r *rand.Rand, t faultTemplate, f *experiment.Fault, burstScheduler int, busyUntil []float64) bool {
-	if !experiment.OfSchedulers(t.kind) {
-		f.Part = t.workerShare
+	if !experiment.TargetsSchedulers(t.kind) {
+		f.Fraction = t.workerShare
 		return true
 	}
 	i := burstScheduler
@@ -224,10 +224,10 @@
 		i = r.IntN(e.Schedulers.Count)
 	}
 	if t.ofProcess {
-		if busyUntil[i] > f.At {
+		if busyUntil[i] > f.StartS {
 			return false
 		}
-		busyUntil[i] = f.At + f.For + 3
+		busyUntil[i] = f.StartS + f.DurationS + 3
 	}
 	if t.kind == "settings-change" {
 		f.EveryS = 0.3
--- a/internal/lab/soak/golden_test.go
+++ b/internal/lab/soak/golden_test.go
@@ -23,7 +23,7 @@
 func TestTheCountsOfEachRuleAreStable(t *testing.T) {
 	r := &report.Results{Figures: map[string]float64{"doubled": 1000}, Audit: audit.Judgement{Ops: 77, Answers: 66, Excused: 55, Unread: 44, Open: 33}}
 	repeats := 1
-	for _, rule := range []audit.Rule{audit.Lost, audit.Twice, audit.Drain, audit.Cold, audit.Forged, audit.Crashed, audit.ExcessDeadline} {
+	for _, rule := range []audit.Rule{audit.LostOp, audit.DuplicateEffect, audit.PushAfterDrain, audit.ColdOverload, audit.Fabricated, audit.Crashed, audit.ExcessDeadline} {
 		for range repeats {
 			r.Audit.Breaches = append(r.Audit.Breaches, audit.Breach{Rule: rule, Op: "op", Why: "why", Lines: []int{1, 2}})
 		}
--- a/internal/lab/soak/shims.go
+++ b/internal/lab/soak/shims.go
@@ -59,7 +59,7 @@
 }
 
 // Make starts a scheduler. It is a schedulers.Maker.
-func (s *Shims) Make(n int, sheet, log string) (schedulers.Running, error) {
+func (s *Shims) Make(n int, sheet, log string) (schedulers.Process, error) {
 	logFile, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
@@ -81,8 +81,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("scheduler: %w", err)
 	}
-	supervisor.Hold(func(c syscallfault.Call) time.Duration { return s.connectDelay(faults, c) })
-	return schedulers.Started(cmd), nil
+	supervisor.SetDelay(func(c syscallfault.Call) time.Duration { return s.connectDelay(faults, c) })
+	return schedulers.WrapProcess(cmd), nil
 }
 
 // stateOf returns the clock and the active faults of scheduler n.
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -70,7 +70,7 @@
 func Run(ctx context.Context, e *experiment.Experiment, shims *Shims, folder string) (*Verdict, error) {
 	v := &Verdict{Seed: e.Seed, Processes: e.Schedulers.Count, Faults: len(e.Faults), Kinds: len(FaultKinds(e))}
 	before, after := map[int]schedulerState{}, map[int]schedulerState{}
-	r, err := runner.Run(ctx, e, runner.Stage{Out: folder, Make: shims.Make, Shims: shims, Quiet: true, Look: func(ended bool, all []*schedulers.Scheduler) {
+	r, err := runner.Run(ctx, e, runner.Options{OutputDir: folder, Launch: shims.Make, Injector: shims, SkipResults: true, Inspect: func(ended bool, all []*schedulers.Scheduler) {
 		into := before
 		if ended {
 			into = after
@@ -81,7 +81,7 @@
 	}})
 	v.FailedCalls = shims.Failed()
 	events, readErr := ledger.ReadFile(filepath.Join(folder, "ledger.jsonl"))
-	if readErr != nil && !errors.Is(readErr, ledger.ErrTorn) {
+	if readErr != nil && !errors.Is(readErr, ledger.ErrTruncated) {
 		return nil, errors.Join(err, readErr)
 	}
 	if errors.Is(err, syscall.EADDRINUSE) {
@@ -108,10 +108,10 @@
 // recordState records the present state of scheduler n.
 func recordState(into map[int]schedulerState, n int, s *schedulers.Scheduler) {
 	var state schedulerState
-	if s.Ask("/api/telemetry", &state) != nil {
+	if s.GetAPI("/api/telemetry", &state) != nil {
 		return
 	}
-	if u, ok := s.Use(); ok {
+	if u, ok := s.Usage(); ok {
 		state.files = u.Files
 	}
 	into[n] = state
@@ -128,9 +128,9 @@
 	for _, b := range r.Audit.Breaches {
 		v.addFinding(b.Op, "%s", b)
 		switch b.Rule {
-		case audit.Lost:
+		case audit.LostOp:
 			v.Lost++
-		case audit.Twice:
+		case audit.DuplicateEffect:
 			v.Duplicates++
 		default:
 			v.Violations++
@@ -281,7 +281,7 @@
 		return
 	}
 	for k, e := range events {
-		ofProcess := e.Op == "" && e.Scheduler > 0 && e.Worker == "" && e.Kind != ledger.Held && e.Kind != ledger.Way
+		ofProcess := e.Op == "" && e.Scheduler > 0 && e.Worker == "" && e.Kind != ledger.MemberView && e.Kind != ledger.LinkChanged
 		near := e.At >= first-timelineMargin && e.At <= last+timelineMargin && (e.Kind == ledger.Fault || ofProcess)
 		if e.Op != op && !near {
 			continue
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -23,7 +23,7 @@
 	text := func(e *experiment.Experiment) string {
 		var b strings.Builder
 		for _, f := range e.Faults {
-			b.WriteString(strings.Join([]string{f.Kind, time.Duration(f.At * 1e9).String(), time.Duration(f.For * 1e9).String()}, " ") + "\n")
+			b.WriteString(strings.Join([]string{f.Kind, time.Duration(f.StartS * 1e9).String(), time.Duration(f.DurationS * 1e9).String()}, " ") + "\n")
 		}
 		return b.String()
 	}
@@ -37,11 +37,11 @@
 		overlap := 0
 		for i, f := range e.Faults {
 			kinds[f.Kind] = true
-			if end := f.At + f.For; end > faultsTo*e.Seconds+6 {
+			if end := f.StartS + f.DurationS; end > faultsTo*e.Seconds+6 {
 				t.Errorf("seed %d: %s ends at %.1f s of %.1f", seed, f.Kind, end, e.Seconds)
 			}
 			for _, g := range e.Faults[:i] {
-				if g.At < f.At+f.For && f.At < g.At+g.For {
+				if g.StartS < f.StartS+f.DurationS && f.StartS < g.StartS+g.DurationS {
 					overlap++
 				}
 			}
--- a/internal/lab/syscallfault/supervise.go
+++ b/internal/lab/syscallfault/supervise.go
@@ -139,15 +139,15 @@
 	return fds[0], nil
 }
 
-// Set replaces the function that decides on calls. If it is nil, all calls continue.
-func (s *Supervisor) Set(d Decide) {
+// SetDecide replaces the function that decides on calls. If it is nil, all calls continue.
+func (s *Supervisor) SetDecide(d Decide) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decide = d
 }
 
-// Hold sets the function that delays calls. If it is nil, no call is delayed.
-func (s *Supervisor) Hold(d Delay) {
+// SetDelay sets the function that delays calls. If it is nil, no call is delayed.
+func (s *Supervisor) SetDelay(d Delay) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
--- a/internal/lab/workermodel/box.go
+++ b/internal/lab/workermodel/box.go
@@ -41,18 +41,18 @@
 	Scope        string
 }
 
-// Ails holds the faults of a worker. The zero value is a healthy worker.
-type Ails struct {
-	Slow       float64 // factor by which the worker is slower; values below 1 count as 1
-	Hung       bool    // the worker accepts jobs, but makes no progress
-	Taken      float64 // share of the cores that another program uses
-	Mute       float64 // probability that nothing more is sent for a push after it is accepted
-	Fails      float64 // probability that a job fails
-	Lies       bool    // load reports show an idle worker
-	StaleBy    ledger.Time
-	TurnsAway  bool
-	Draining   bool
-	UnfitShare float64 // probability that a valid push is answered as unfit
+// Faults holds the faults of a worker. The zero value is a healthy worker.
+type Faults struct {
+	Slow           float64 // factor by which the worker is slower; values below 1 count as 1
+	Hung           bool    // the worker accepts jobs, but makes no progress
+	StolenShare    float64 // share of the cores that another program uses
+	SilentRate     float64 // probability that nothing more is sent for a push after it is accepted
+	FailureRate    float64 // probability that a job fails
+	ReportsIdle    bool    // load reports show an idle worker
+	ExtraReportAge ledger.Time
+	RejectsAll     bool
+	Draining       bool
+	UnfitRate      float64 // probability that a valid push is answered as unfit
 }
 
 // Input is one of Pushed, Closed, Probed, Connected, Disconnected, TimerFired and FaultsChanged.
@@ -80,7 +80,7 @@
 type TimerFired struct{}
 
 // FaultsChanged replaces the worker's faults.
-type FaultsChanged struct{ Faults Ails }
+type FaultsChanged struct{ Faults Faults }
 
 func (Pushed) input()        {}
 func (Closed) input()        {}
@@ -215,7 +215,7 @@
 	startTime ledger.Time
 	cold      bool
 
-	faults      Ails
+	faults      Faults
 	now         ledger.Time
 	waiting     []*job
 	running     []*job
@@ -244,9 +244,9 @@
 	}
 	speed = w.config.Speed / max(w.faults.Slow, 1)
 	if w.cold {
-		speed *= w.rules.Warmth(w.now - w.startTime)
+		speed *= w.rules.CapacityShare(w.now - w.startTime)
 	}
-	return speed, w.config.Cores * (1 - w.faults.Taken)
+	return speed, w.config.Cores * (1 - w.faults.StolenShare)
 }
 
 // jobRate returns how many ms of work each running job completes per unit of ledger time, which is a tenth of
@@ -350,7 +350,7 @@
 	return effects
 }
 
-func (w *Worker) setFaults(effects []Effect, faults Ails) []Effect {
+func (w *Worker) setFaults(effects []Effect, faults Faults) []Effect {
 	startsDraining := faults.Draining && !w.faults.Draining
 	w.faults = faults
 	if startsDraining { // a draining worker returns the jobs that it has not started
@@ -371,16 +371,16 @@
 		return effects
 	}
 	switch {
-	case w.faults.UnfitShare > 0 && w.rand.Float64() < w.faults.UnfitShare:
+	case w.faults.UnfitRate > 0 && w.rand.Float64() < w.faults.UnfitRate:
 		return append(effects, SendStatus{Push: in.Push, Status: Unfit})
-	case w.faults.TurnsAway || w.faults.Draining || len(w.waiting) >= w.config.Queue || j.Slots > w.config.Slots || j.Memory > w.config.Memory && w.config.Memory > 0:
+	case w.faults.RejectsAll || w.faults.Draining || len(w.waiting) >= w.config.Queue || j.Slots > w.config.Slots || j.Memory > w.config.Memory && w.config.Memory > 0:
 		return append(effects, SendStatus{Push: in.Push, Status: Rejected})
 	}
 	// Both values are always drawn, at arrival and in this order. A seed then gives the same run whatever the
 	// faults are.
 	silentDraw, failDraw := w.rand.Float64(), w.rand.Float64()
-	j.silent = silentDraw < w.faults.Mute
-	j.fails = failDraw < max(w.config.FailureRate, w.faults.Fails)
+	j.silent = silentDraw < w.faults.SilentRate
+	j.fails = failDraw < max(w.config.FailureRate, w.faults.FailureRate)
 	effects = append(effects, SendStatus{Push: in.Push, Status: Accepted})
 	w.waiting = append(w.waiting, j)
 	return effects
@@ -389,25 +389,25 @@
 // checkOverload adds a push to the arrivals of a cold worker. It crashes the worker if more work arrived
 // within TipAfter than the limit allows.
 func (w *Worker) checkOverload(effects []Effect, j *job) ([]Effect, bool) {
-	if !w.cold || w.rules.TipAfter == 0 || w.now-w.startTime >= w.rules.WarmAfter {
+	if !w.cold || w.rules.OverloadWindow == 0 || w.now-w.startTime >= w.rules.WarmAfter {
 		return effects, false
 	}
 	w.arrivals = append(w.arrivals, arrival{w.now, j.ExpectedWork * j.Slots})
 	sum, recent := 0.0, w.arrivals[:0]
 	for _, a := range w.arrivals {
-		if a.at > w.now-w.rules.TipAfter {
+		if a.at > w.now-w.rules.OverloadWindow {
 			sum, recent = sum+a.work, append(recent, a)
 		}
 	}
 	w.arrivals = recent
-	limit := w.rules.Bears(w.config.Cores*w.config.Speed, w.now-w.startTime)
+	limit := w.rules.ColdWorkLimit(w.config.Cores*w.config.Speed, w.now-w.startTime)
 	// The limit applies to the whole interval TipAfter. A short burst right after the start can already
 	// exceed it.
 	if sum <= limit {
 		return effects, false
 	}
 	w.crashed = true
-	return append(effects, Record{Kind: ledger.Fell, Text: fmt.Sprintf("%.0f ms asked, %.0f borne", sum, limit)}, Crash{}), true
+	return append(effects, Record{Kind: ledger.WorkerOverloaded, Text: fmt.Sprintf("%.0f ms asked, %.0f borne", sum, limit)}, Crash{}), true
 }
 
 func (w *Worker) cancelPush(effects []Effect, push int) []Effect {
@@ -439,11 +439,11 @@
 
 func (w *Worker) reportLoad(effects []Effect, probe int) []Effect {
 	w.overhead += w.config.ProbeWork
-	if w.now-w.reportedAt >= w.config.ReportEvery+w.faults.StaleBy {
+	if w.now-w.reportedAt >= w.config.ReportEvery+w.faults.ExtraReportAge {
 		w.lastReport, w.reportedAt = w.load(), w.now
 	}
 	r := Report{Probe: probe, Ready: !w.faults.Draining, Silent: w.faults.Hung, Load: w.lastReport}
-	if w.faults.Lies {
+	if w.faults.ReportsIdle {
 		r.Load = Load{Free: w.config.Slots, Memory: w.config.Memory}
 	}
 	return append(effects, r)
--- a/internal/lab/workermodel/box_test.go
+++ b/internal/lab/workermodel/box_test.go
@@ -8,7 +8,7 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-var rules = ledger.Rules{OverloadFactor: 2.5, TipAfter: 15_000, ColdFrom: 0.3, WarmAfter: 86_000, MeanWork: 100}
+var rules = ledger.Rules{OverloadFactor: 2.5, OverloadWindow: 15_000, ColdFrom: 0.3, WarmAfter: 86_000, MeanWork: 100}
 
 func newWorker(cold bool) *Worker {
 	return New("w", Config{Cores: 2, Speed: 1, Slots: 4, Queue: 8, ReportsStart: true, Progress: 10_000, Connections: 2},
@@ -50,7 +50,7 @@
 			if e.Kind == ledger.Ran {
 				r.ran = append(r.ran, e.Push)
 			}
-			r.crashed = r.crashed || e.Kind == ledger.Fell
+			r.crashed = r.crashed || e.Kind == ledger.WorkerOverloaded
 		case SetTimer:
 			r.timer = e.At
 		}
@@ -142,11 +142,11 @@
 	for push := 1; push <= 6; push++ {
 		run.handle(0, Pushed{push, newJob("x", 100, 1)})
 	}
-	run.handle(100, FaultsChanged{Ails{Hung: true}})
+	run.handle(100, FaultsChanged{Faults{Hung: true}})
 	if run.handle(50_000, TimerFired{}); len(run.ends) > 0 {
 		t.Errorf("a hung worker ended pushes: %v", run.ends)
 	}
-	run.handle(60_000, FaultsChanged{Ails{Draining: true}})
+	run.handle(60_000, FaultsChanged{Faults{Draining: true}})
 	run.handle(60_000, Pushed{7, newJob("x", 1, 1)})
 	run.handle(90_000, TimerFired{})
 	for push, want := range map[int]Status{1: Done, 4: Done, 5: Returned, 6: Returned, 7: Rejected} {
--- a/internal/lab/workload/script.go
+++ b/internal/lab/workload/script.go
@@ -22,21 +22,21 @@
 	"woaddyke/internal/lab/ledger"
 )
 
-// Wish is one request of a client. The first attempt and each retry of the client is an op.
-type Wish struct {
-	Due       ledger.Time // when the first attempt is sent
-	Category  int
-	Client    int
-	Scheduler int     // from 0, receives the first attempt
-	Work      float64 // ms
-	Slots     float64
-	Hint      float64     // the client's estimate of the work in ms, 0 for none
-	LeaveAt   ledger.Time // time from sending the request to the client's disconnect, 0 for none
-	Trickles  bool        // the client sends byte by byte
-	Stalls    bool        // the client pauses in the middle of the request
-	AsksAgain bool        // the client sends a duplicate
-	Honours   bool        // the client waits as Retry-After says
-	Seed      uint64      // for the client's backoff
+// Request is one request of a client. The first attempt and each retry of the client is an op.
+type Request struct {
+	ArrivalTime       ledger.Time // when the first attempt is sent
+	Category          int
+	Client            int
+	Scheduler         int     // from 0, receives the first attempt
+	Work              float64 // ms
+	Slots             float64
+	Hint              float64     // the client's estimate of the work in ms, 0 for none
+	DisconnectAfter   ledger.Time // time from sending the request to the client's disconnect, 0 for none
+	Trickles          bool        // the client sends byte by byte
+	Stalls            bool        // the client pauses in the middle of the request
+	SendsDuplicate    bool        // the client sends a duplicate
+	HonoursRetryAfter bool        // the client waits as Retry-After says
+	Seed              uint64      // for the client's backoff
 }
 
 // FaultEvent begins or ends a fault.
@@ -64,23 +64,23 @@
 	Seed  uint64
 }
 
-// Script holds all random choices of a run. Requests and fault events are in order of time.
-type Script struct {
-	Wishes  []Wish
-	Turns   []FaultEvent
-	Workers []Worker
+// Workload holds all random choices of a run. Requests and fault events are in order of time.
+type Workload struct {
+	Requests    []Request
+	FaultEvents []FaultEvent
+	Workers     []Worker
 }
 
 // maxRequests bounds the requests of a workload.
 const maxRequests = 5_000_000
 
-// Of draws the workload of an experiment.
-func Of(e *experiment.Experiment) (*Script, error) {
-	s := &Script{}
+// Generate draws the workload of an experiment.
+func Generate(e *experiment.Experiment) (*Workload, error) {
+	s := &Workload{}
 	s.addWorkers(e, newRand(e.Seed, "workers"))
 	s.addFaults(e, newRand(e.Seed, "faults"))
 	s.addRandomFaults(e, newRand(e.Seed, "chaos"))
-	slices.SortStableFunc(s.Turns, func(a, b FaultEvent) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(s.FaultEvents, func(a, b FaultEvent) int { return cmp.Compare(a.At, b.At) })
 	if err := s.addRequests(e, newRand(e.Seed, "wishes")); err != nil {
 		return nil, err
 	}
@@ -95,7 +95,7 @@
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-func (s *Script) addWorkers(e *experiment.Experiment, r *rand.Rand) {
+func (s *Workload) addWorkers(e *experiment.Experiment, r *rand.Rand) {
 	n := 0
 	cells, cellWorkers := map[string]int{}, map[string]int{}
 	nextCell := 0
@@ -160,14 +160,14 @@
 		}
 	}
 	for _, burst := range e.Faults {
-		if burst.Kind == "burst" && at >= burst.At && at < burst.At+burst.For {
-			f *= burst.Size
+		if burst.Kind == "burst" && at >= burst.StartS && at < burst.StartS+burst.DurationS {
+			f *= burst.Magnitude
 		}
 	}
 	return f
 }
 
-func (s *Script) addRequests(e *experiment.Experiment, r *rand.Rand) error {
+func (s *Workload) addRequests(e *experiment.Experiment, r *rand.Rand) error {
 	shares := make([]float64, len(e.Categories))
 	for i, c := range e.Categories {
 		shares[i] = c.Share
@@ -209,14 +209,14 @@
 		if e.Arrivals.Kind == "poisson" && r.Float64()*maxFactor >= rateFactor(e, at) { // thinning
 			continue
 		}
-		s.Wishes = append(s.Wishes, newRequest(e, r, at, pickWeighted(r, shares)))
+		s.Requests = append(s.Requests, newRequest(e, r, at, pickWeighted(r, shares)))
 	}
 }
 
 // newRequest draws a request that arrives at a time in seconds.
-func newRequest(e *experiment.Experiment, r *rand.Rand, at float64, category int) Wish {
+func newRequest(e *experiment.Experiment, r *rand.Rand, at float64, category int) Request {
 	c, cl := &e.Categories[category], &e.Clients
-	w := Wish{Due: experiment.FromSeconds(at), Category: category, Seed: r.Uint64()}
+	w := Request{ArrivalTime: experiment.FromSeconds(at), Category: category, Seed: r.Uint64()}
 	w.Work = min(max(DrawWork(r, c.Dist, c.WorkMS, c.CV), 0.01), c.MaxWorkFactor*c.WorkMS)
 	w.Slots = []float64{1, 2, 4}[pickWeighted(r, c.Slots)]
 	if c.HintSpread > 0 {
@@ -233,15 +233,15 @@
 	// All chances are drawn even if the file disables them, so that enabling one changes no other draw.
 	disconnect, trickle, stall, duplicate, honour := r.Float64(), r.Float64(), r.Float64(), r.Float64(), r.Float64()
 	if disconnect < cl.DisconnectChance {
-		w.LeaveAt = max(experiment.MS(cl.DisconnectAfterMS*(0.5+disconnect/cl.DisconnectChance)), 1)
+		w.DisconnectAfter = max(experiment.FromMilliseconds(cl.DisconnectAfterMS*(0.5+disconnect/cl.DisconnectChance)), 1)
 	}
-	w.Trickles, w.Stalls, w.AsksAgain, w.Honours = trickle < cl.TrickleChance, stall < cl.StallChance,
+	w.Trickles, w.Stalls, w.SendsDuplicate, w.HonoursRetryAfter = trickle < cl.TrickleChance, stall < cl.StallChance,
 		duplicate < cl.DuplicateChance, honour < cl.HonourRetryAfter
 	return w
 }
 
 // addTraceRequests reads the arrivals from a trace file. Each line holds a time in ms and a category.
-func (s *Script) addTraceRequests(e *experiment.Experiment, r *rand.Rand) error {
+func (s *Workload) addTraceRequests(e *experiment.Experiment, r *rand.Rand) error {
 	path := e.Arrivals.Trace
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(e.Dir, path)
@@ -273,11 +273,11 @@
 			return fmt.Errorf("%s:%d: %q is not a time in ms from the previous one to 3600000", path, n, fields[0])
 		case !ok:
 			return fmt.Errorf("%s:%d: category %q does not exist", path, n, fields[1])
-		case len(s.Wishes) >= maxRequests:
+		case len(s.Requests) >= maxRequests:
 			return fmt.Errorf("%s:%d: more than %d requests", path, n, maxRequests)
 		}
 		last = at
-		s.Wishes = append(s.Wishes, newRequest(e, r, at/1000, c))
+		s.Requests = append(s.Requests, newRequest(e, r, at/1000, c))
 	}
 	if err := in.Err(); err != nil {
 		return fmt.Errorf("arrivals.trace: %w", err)
@@ -286,30 +286,30 @@
 }
 
 // faultTargets returns the indices of the workers or schedulers that a fault hits.
-func (s *Script) faultTargets(e *experiment.Experiment, r *rand.Rand, f *experiment.Fault) []int {
+func (s *Workload) faultTargets(e *experiment.Experiment, r *rand.Rand, f *experiment.Fault) []int {
 	if len(f.Indices) > 0 {
 		return slices.Clone(f.Indices)
 	}
 	count := len(s.Workers)
-	if experiment.OfSchedulers(f.Kind) {
+	if experiment.TargetsSchedulers(f.Kind) {
 		count = e.Schedulers.Count
 	}
 	var targets []int
 	for i := range count {
-		if f.Zone == "" || experiment.OfSchedulers(f.Kind) || e.In(f.Zone, s.Workers[i].Zone) {
+		if f.Zone == "" || experiment.TargetsSchedulers(f.Kind) || e.ZoneMatches(f.Zone, s.Workers[i].Zone) {
 			targets = append(targets, i)
 		}
 	}
-	if f.Part == 0 {
+	if f.Fraction == 0 {
 		return targets
 	}
 	r.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
-	targets = targets[:min(len(targets), max(1, int(math.Round(f.Part*float64(len(targets))))))]
+	targets = targets[:min(len(targets), max(1, int(math.Round(f.Fraction*float64(len(targets))))))]
 	slices.Sort(targets)
 	return targets
 }
 
-func (s *Script) addFaults(e *experiment.Experiment, r *rand.Rand) {
+func (s *Workload) addFaults(e *experiment.Experiment, r *rand.Rand) {
 	for i := range e.Faults {
 		f := &e.Faults[i]
 		s.addFault(e, r, f, i)
@@ -317,10 +317,10 @@
 }
 
 // addFault adds the events of a fault. All of them have the same id.
-func (s *Script) addFault(e *experiment.Experiment, r *rand.Rand, f *experiment.Fault, id int) {
-	t := FaultEvent{At: experiment.FromSeconds(f.At), Kind: f.Kind, Begins: true, Targets: s.faultTargets(e, r, f),
-		Magnitude: f.Size, Duration: experiment.FromSeconds(f.For), Zone: f.Zone,
-		FaultID: id, To: f.To, Direction: f.Way, ResetStreams: f.Refuses}
+func (s *Workload) addFault(e *experiment.Experiment, r *rand.Rand, f *experiment.Fault, id int) {
+	t := FaultEvent{At: experiment.FromSeconds(f.StartS), Kind: f.Kind, Begins: true, Targets: s.faultTargets(e, r, f),
+		Magnitude: f.Magnitude, Duration: experiment.FromSeconds(f.DurationS), Zone: f.Zone,
+		FaultID: id, To: f.To, Direction: f.Direction, ResetStreams: f.ResetStreams}
 	switch f.Kind {
 	case "mesh-flap":
 		interval := max(f.EveryS, 0.05)
@@ -328,13 +328,13 @@
 			interval = 0.7
 		}
 		begins := true
-		for at := f.At; at < f.At+f.For; at += interval {
+		for at := f.StartS; at < f.StartS+f.DurationS; at += interval {
 			event := t
 			event.At, event.Kind, event.Begins = experiment.FromSeconds(at), "mesh-cut", begins
-			s.Turns, begins = append(s.Turns, event), !begins
+			s.FaultEvents, begins = append(s.FaultEvents, event), !begins
 		}
-		t.At, t.Kind, t.Begins = experiment.FromSeconds(f.At+f.For), "mesh-cut", false
-		s.Turns = append(s.Turns, t)
+		t.At, t.Kind, t.Begins = experiment.FromSeconds(f.StartS+f.DurationS), "mesh-cut", false
+		s.FaultEvents = append(s.FaultEvents, t)
 		return
 	case "pauses", "scheduler-pauses": // pauses of size ms at intervals of about every_s
 		kind := "hang"
@@ -345,11 +345,11 @@
 		if interval == 0 {
 			interval = 1
 		}
-		for at := f.At; at < f.At+max(f.For, 0.001); at += interval * (0.5 + r.Float64()) {
+		for at := f.StartS; at < f.StartS+max(f.DurationS, 0.001); at += interval * (0.5 + r.Float64()) {
 			begin, end := t, t
 			begin.At, begin.Kind = experiment.FromSeconds(at), kind
-			end.At, end.Kind, end.Begins = experiment.FromSeconds(at)+experiment.MS(f.Size), kind, false
-			s.Turns = append(s.Turns, begin, end)
+			end.At, end.Kind, end.Begins = experiment.FromSeconds(at)+experiment.FromMilliseconds(f.Magnitude), kind, false
+			s.FaultEvents = append(s.FaultEvents, begin, end)
 		}
 		return
 	case "replace": // workers are replaced one after another within for_s
@@ -358,14 +358,14 @@
 			event.Targets, event.Kind = []int{w}, "drain"
 			event.At += ledger.Time(float64(t.Duration) * float64(k) / float64(len(t.Targets)))
 			event.Duration = 10_000 // the successor starts after 1 s
-			s.Turns = append(s.Turns, event)
+			s.FaultEvents = append(s.FaultEvents, event)
 		}
 		return
 	case "settings-change":
-		for k := 0; float64(k)*f.EveryS < max(f.For, f.EveryS); k++ {
+		for k := 0; float64(k)*f.EveryS < max(f.DurationS, f.EveryS); k++ {
 			event := t
-			event.At, event.Magnitude = experiment.FromSeconds(f.At+float64(k)*f.EveryS), float64(k+1)
-			s.Turns = append(s.Turns, event)
+			event.At, event.Magnitude = experiment.FromSeconds(f.StartS+float64(k)*f.EveryS), float64(k+1)
+			s.FaultEvents = append(s.FaultEvents, event)
 		}
 		return
 	case "restarts":
@@ -374,8 +374,8 @@
 			begin.Targets, begin.Kind = []int{w}, "kill"
 			begin.At += ledger.Time(float64(t.Duration) * float64(k) / float64(len(t.Targets)))
 			end := begin
-			end.At, end.Begins = begin.At+experiment.MS(f.Size), false
-			s.Turns = append(s.Turns, begin, end)
+			end.At, end.Begins = begin.At+experiment.FromMilliseconds(f.Magnitude), false
+			s.FaultEvents = append(s.FaultEvents, begin, end)
 		}
 		return
 	case "shrink":
@@ -384,19 +384,19 @@
 			event.Targets, event.Kind = []int{w}, "drain"
 			event.At += ledger.Time(float64(t.Duration) * float64(k) / float64(len(t.Targets)))
 			event.Duration = -1 // no successor
-			s.Turns = append(s.Turns, event)
+			s.FaultEvents = append(s.FaultEvents, event)
 		}
 		return
 	}
-	s.Turns = append(s.Turns, t)
-	if f.For > 0 {
-		t.At, t.Begins = t.At+experiment.FromSeconds(f.For), false
-		s.Turns = append(s.Turns, t)
+	s.FaultEvents = append(s.FaultEvents, t)
+	if f.DurationS > 0 {
+		t.At, t.Begins = t.At+experiment.FromSeconds(f.DurationS), false
+		s.FaultEvents = append(s.FaultEvents, t)
 	}
 }
 
 // addRandomFaults draws faults as the chaos table says.
-func (s *Script) addRandomFaults(e *experiment.Experiment, r *rand.Rand) {
+func (s *Workload) addRandomFaults(e *experiment.Experiment, r *rand.Rand) {
 	c := &e.Chaos
 	if len(c.Kinds) == 0 {
 		return
@@ -404,15 +404,15 @@
 	uniform := func(bounds []float64) float64 { return bounds[0] + (bounds[1]-bounds[0])*r.Float64() }
 	id := len(e.Faults)
 	for at := c.EveryS * r.ExpFloat64(); at < e.Seconds; at += c.EveryS * r.ExpFloat64() {
-		f := experiment.Fault{Kind: c.Kinds[r.IntN(len(c.Kinds))], At: at, For: uniform(c.DurationS),
-			Part: uniform(c.Fraction), Size: uniform(c.Magnitude)}
+		f := experiment.Fault{Kind: c.Kinds[r.IntN(len(c.Kinds))], StartS: at, DurationS: uniform(c.DurationS),
+			Fraction: uniform(c.Fraction), Magnitude: uniform(c.Magnitude)}
 		switch f.Kind {
 		case "taken", "mute", "fails", "unfit":
-			f.Size = min(f.Size/10, 0.9)
+			f.Magnitude = min(f.Magnitude/10, 0.9)
 		case "pauses", "stale":
-			f.Size *= 100
+			f.Magnitude *= 100
 		case "cut":
-			f.Zone, f.Part = e.Zones[r.IntN(len(e.Zones))], 0
+			f.Zone, f.Fraction = e.Zones[r.IntN(len(e.Zones))], 0
 		}
 		s.addFault(e, r, &f, id)
 		id++
@@ -420,7 +420,7 @@
 }
 
 // Hash returns a hash of the whole workload. Equal hashes mean equal workloads.
-func (s *Script) Hash() string {
+func (s *Workload) Hash() string {
 	h := fnv.New128a()
 	put := func(v ...any) {
 		for _, x := range v {
@@ -434,11 +434,11 @@
 	for _, w := range s.Workers {
 		put(w.Name, int64(w.Kind), w.Zone, int64(w.Cell), w.Speed, w.Seed)
 	}
-	for _, w := range s.Wishes {
-		put(int64(w.Due), int64(w.Category), int64(w.Client), int64(w.Scheduler), w.Work, w.Slots, w.Hint, int64(w.LeaveAt),
-			w.Trickles, w.Stalls, w.AsksAgain, w.Honours, w.Seed)
+	for _, w := range s.Requests {
+		put(int64(w.ArrivalTime), int64(w.Category), int64(w.Client), int64(w.Scheduler), w.Work, w.Slots, w.Hint, int64(w.DisconnectAfter),
+			w.Trickles, w.Stalls, w.SendsDuplicate, w.HonoursRetryAfter, w.Seed)
 	}
-	for _, t := range s.Turns {
+	for _, t := range s.FaultEvents {
 		put(int64(t.At), t.Kind, t.Begins, t.Magnitude, int64(t.Duration), t.Zone, int64(t.FaultID))
 		for _, i := range append(slices.Clone(t.Targets), t.To...) {
 			put(int64(i))
--- a/internal/lab/workload/script_test.go
+++ b/internal/lab/workload/script_test.go
@@ -22,7 +22,7 @@
 }
 
 func workloadHash(t *testing.T, e *experiment.Experiment) string {
-	s, err := Of(e)
+	s, err := Generate(e)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,9 +39,9 @@
 	}
 	// A further fault must not change the arrivals, since runs with and without the fault are compared.
 	plain, faulty := parseExperiment(t, ""), parseExperiment(t, "[[faults]]\nkind = \"hang\"\nat_s = 3\n")
-	x, _ := Of(plain)
-	y, _ := Of(faulty)
-	if len(x.Wishes) != len(y.Wishes) || x.Wishes[99] != y.Wishes[99] || len(y.Turns) != 1 {
+	x, _ := Generate(plain)
+	y, _ := Generate(faulty)
+	if len(x.Requests) != len(y.Requests) || x.Requests[99] != y.Requests[99] || len(y.FaultEvents) != 1 {
 		t.Error("a fault changed the arrivals")
 	}
 }
@@ -61,12 +61,12 @@
 
 func TestStepsAndRampsScaleTheArrivalRate(t *testing.T) {
 	count := func(moreTOML string, from, to float64) (n int) {
-		s, err := Of(parseExperiment(t, "[arrivals]\nrate = 200\nsteps = [[0, 1], [10, 3]]\n"+moreTOML))
+		s, err := Generate(parseExperiment(t, "[arrivals]\nrate = 200\nsteps = [[0, 1], [10, 3]]\n"+moreTOML))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, w := range s.Wishes {
-			if at := float64(w.Due) / 10_000; at >= from && at < to {
+		for _, w := range s.Requests {
+			if at := float64(w.ArrivalTime) / 10_000; at >= from && at < to {
 				n++
 			}
 		}
@@ -89,8 +89,8 @@
 		}
 		e := parseExperiment(t, "[arrivals]\nkind = \"trace\"\ntrace = \"trace\"\n")
 		e.Dir = dir
-		s, err := Of(e)
-		if want == "" && (err != nil || len(s.Wishes) != 2 || s.Wishes[1].Due != 70) ||
+		s, err := Generate(e)
+		if want == "" && (err != nil || len(s.Requests) != 2 || s.Requests[1].ArrivalTime != 70) ||
 			want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
@@ -105,13 +105,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := Of(e)
+	s, err := Generate(e)
 	if err != nil {
 		t.Fatal(err)
 	}
 	down := map[int]ledger.Time{}
 	next := experiment.FromSeconds(1)
-	for _, event := range s.Turns {
+	for _, event := range s.FaultEvents {
 		n := event.Targets[0]
 		if len(event.Targets) != 1 || event.Kind != "kill" {
 			t.Fatalf("%+v", event)
@@ -125,7 +125,7 @@
 			t.Errorf("worker %d is back at %d, want 7000 after its kill at %d", n, event.At, down[n])
 		}
 	}
-	if len(down) != 20 || len(s.Turns) != 40 {
-		t.Errorf("%d workers, %d events, want 20 and 40", len(down), len(s.Turns))
+	if len(down) != 20 || len(s.FaultEvents) != 40 {
+		t.Errorf("%d workers, %d events, want 20 and 40", len(down), len(s.FaultEvents))
 	}
 }
--- a/internal/lifecycle/hotrestart/hotrestart.go
+++ b/internal/lifecycle/hotrestart/hotrestart.go
@@ -13,8 +13,8 @@
 type State struct {
 	Version int `json:"version"`
 
-	// Sockets is the number of descriptors that the successor may use until the predecessor has ended.
-	Sockets int `json:"sockets"`
+	// DescriptorLimit is the number of descriptors that the successor may use until the predecessor has ended.
+	DescriptorLimit int `json:"sockets"`
 	// ClockOffset is the offset of the predecessor's clock, to which all times in the state refer; see
 	// clock.Clock.
 	ClockOffset time.Duration `json:"offset"`
@@ -47,7 +47,7 @@
 	if err := decode(message, &s, &s.Version); err != nil {
 		return State{}, err
 	}
-	if s.Sockets <= 0 {
+	if s.DescriptorLimit <= 0 {
 		return State{}, ErrNoDescriptors
 	}
 	return s, nil
--- a/internal/lifecycle/hotrestart/hotrestart_test.go
+++ b/internal/lifecycle/hotrestart/hotrestart_test.go
@@ -8,11 +8,11 @@
 // A truncated state, or one of another version, must be rejected. The successor then starts without a
 // handover.
 func TestAnUnreadableStateIsRejected(t *testing.T) {
-	complete, err := State{Sockets: 288, KnownWorkers: []byte(`{"rev":7}`)}.Encode()
+	complete, err := State{DescriptorLimit: 288, KnownWorkers: []byte(`{"rev":7}`)}.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s, err := DecodeState(complete); err != nil || s.Sockets != 288 || string(s.KnownWorkers) != `{"rev":7}` {
+	if s, err := DecodeState(complete); err != nil || s.DescriptorLimit != 288 || string(s.KnownWorkers) != `{"rev":7}` {
 		t.Errorf("%+v, %v", s, err)
 	}
 	for _, text := range []string{"", string(complete[:len(complete)/2]), `{"version":4,"sockets":9}`, `{"version":2,"sockets":9}`, `{"version":3}`, `[]`} {
@@ -49,7 +49,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s2, err := DecodeState(again); err != nil || s2.Sockets != s.Sockets || s2.ClientsDrained != s.ClientsDrained {
+		if s2, err := DecodeState(again); err != nil || s2.DescriptorLimit != s.DescriptorLimit || s2.ClientsDrained != s.ClientsDrained {
 			t.Errorf("%q was decoded again as %+v, %v", text, s2, err)
 		}
 	})
--- a/internal/observe/console/console.go
+++ b/internal/observe/console/console.go
@@ -35,8 +35,8 @@
 
 // Call is a further request that the console answers, for a feature that is enabled.
 type Call struct {
-	Path    string
-	Changes bool // the method is POST, otherwise GET
+	Path         string
+	ChangesState bool // the method is POST, otherwise GET
 
 	// Answer returns the value that is written as JSON. For GET it must not wait. For POST it may wait for
 	// less than callTimeout.
@@ -44,7 +44,7 @@
 }
 
 func (c Call) pattern() string {
-	if c.Changes {
+	if c.ChangesState {
 		return http.MethodPost + " " + c.Path
 	}
 	return http.MethodGet + " " + c.Path
--- a/internal/observe/console/console_test.go
+++ b/internal/observe/console/console_test.go
@@ -109,7 +109,7 @@
 	s := &fakeScheduler{make(chan struct{}), make(chan string, 999)}
 	addr := serve(t, s)
 	const request = "POST /api/evacuate HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
-	send := func(script fragmentpeer.Way) string {
+	send := func(script fragmentpeer.Script) string {
 		c := fragmentpeer.Dial(t, addr)
 		defer c.Close()
 		script.Write(c)
@@ -117,13 +117,13 @@
 		text, _ := io.ReadAll(c)
 		return string(text)
 	}
-	for n, script := range fragmentpeer.Whole(request) {
+	for n, script := range fragmentpeer.CompleteScripts(request) {
 		if text := send(script); !strings.HasPrefix(text, "HTTP/1.1 200") || len(s.calls) != n+1 {
 			t.Errorf("%s: %q, %d calls", script.Name, text, len(s.calls))
 		}
 	}
 	completed := len(s.calls)
-	for _, script := range fragmentpeer.Cuts(request) {
+	for _, script := range fragmentpeer.TruncatedScripts(request) {
 		if text := send(script); strings.HasPrefix(text, "HTTP/1.1 2") {
 			t.Errorf("%s: %q", script.Name, text)
 		}
@@ -131,7 +131,7 @@
 	if len(s.calls) != completed {
 		t.Errorf("%d truncated requests were carried out", len(s.calls)-completed)
 	}
-	if text := send(fragmentpeer.Way{Parts: []string{"GET /api/ready\r\n\r\n"}}); !strings.HasPrefix(text, "HTTP/1.1 400") {
+	if text := send(fragmentpeer.Script{Parts: []string{"GET /api/ready\r\n\r\n"}}); !strings.HasPrefix(text, "HTTP/1.1 400") {
 		t.Errorf("malformed head: %q", text)
 	}
 }
--- a/internal/observe/invariant/invariant.go
+++ b/internal/observe/invariant/invariant.go
@@ -23,10 +23,10 @@
 
 // The rules, in the order of ruleNames.
 const (
-	Sending   Rule = iota // an attempt is sent in time, for a connected client, to a worker that accepts it
-	Repeating             // a retry, hedged request or nack is allowed after the attempts so far
-	Closing               // each request that was read has an answer when its connection is closed
-	Starting              // an op starts only if its ID is not in use and a claim that it needs is granted
+	SendingRule   Rule = iota // an attempt is sent in time, for a connected client, to a worker that accepts it
+	RepeatingRule             // a retry, hedged request or nack is allowed after the attempts so far
+	ClosingRule               // each request that was read has an answer when its connection is closed
+	StartingRule              // an op starts only if its ID is not in use and a claim that it needs is granted
 	numRules
 )
 
--- a/internal/observe/invariant/invariant_test.go
+++ b/internal/observe/invariant/invariant_test.go
@@ -12,9 +12,9 @@
 	var log strings.Builder
 	c := New(zerolog.New(&log))
 	for range 1000 {
-		c.Violated(Closing, Unanswered, func(e *zerolog.Event) { e.Uint64("op", 7) })
+		c.Violated(ClosingRule, Unanswered, func(e *zerolog.Event) { e.Uint64("op", 7) })
 	}
-	c.Violated(Sending, PastTTL, nil)
+	c.Violated(SendingRule, PastTTL, nil)
 	counts := c.Counts()
 	if len(counts) != 4 || counts["closing"] != 1000 || counts["sending"] != 1 || counts["repeating"]+counts["starting"] != 0 {
 		t.Errorf("%v", counts)
--- a/internal/scheduler/checks.go
+++ b/internal/scheduler/checks.go
@@ -50,11 +50,11 @@
 
 func (c *checks) checkFirstAttempt(p *pendingOp) {
 	if op, found := c.opsByID[p.Op.ID]; found && op != p.Op.Op {
-		c.Violated(invariant.Starting, invariant.DuplicateID, p.logFields)
+		c.Violated(invariant.StartingRule, invariant.DuplicateID, p.logFields)
 	}
 	c.opsByID[p.Op.ID] = p.Op.Op
 	if !p.ClaimGranted && c.policy.ClaimRequired(p.Op.Category) && p.Rule == c.policy.Rule(p.Op.Category) {
-		c.Violated(invariant.Starting, invariant.NotGranted, p.logFields)
+		c.Violated(invariant.StartingRule, invariant.NotGranted, p.logFields)
 	}
 }
 
@@ -62,20 +62,20 @@
 	counted := 0
 	for i := range p.attempts {
 		if p.attempts[i].inFlight {
-			c.Violated(invariant.Repeating, invariant.AttemptInFlight, p.logFields)
+			c.Violated(invariant.RepeatingRule, invariant.AttemptInFlight, p.logFields)
 		}
 		if p.attempts[i].countsAgainstLimit() {
 			counted++
 		}
 	}
 	if counted >= max(p.MaxAttempts, c.policy.MaxAttempts()) {
-		c.Violated(invariant.Repeating, invariant.AttemptsExceeded, p.logFields)
+		c.Violated(invariant.RepeatingRule, invariant.AttemptsExceeded, p.logFields)
 	}
 	rules := c.rules(p)
 	atArrival := p.attempts.retryViolation(rules[0], e.Group, now)
 	inForce := p.attempts.retryViolation(rules[1], e.Group, now)
 	if atArrival != "" && inForce != "" {
-		c.Violated(invariant.Repeating, atArrival, p.logFields)
+		c.Violated(invariant.RepeatingRule, atArrival, p.logFields)
 	}
 }
 
@@ -107,14 +107,14 @@
 			return
 		}
 	}
-	c.Violated(invariant.Repeating, invariant.NotHarmless, p.logFields)
+	c.Violated(invariant.RepeatingRule, invariant.NotHarmless, p.logFields)
 }
 
 // checkFirstByte checks an attempt just before its first byte is written, in the goroutine that writes it.
 func (c *checks) checkFirstByte(p *pendingOp, worker string, left time.Duration) {
 	now := time.Now()
 	violated := func(why invariant.Reason) {
-		c.Violated(invariant.Sending, why, func(e *zerolog.Event) {
+		c.Violated(invariant.SendingRule, why, func(e *zerolog.Event) {
 			e.Uint64("op", p.Op.Op).Str("id", p.Op.ID).Str("worker", worker).Dur("told_ms", left).
 				Dur("left_ms", p.Deadline.Sub(now))
 		})
--- a/internal/scheduler/reducer/endpoints.go
+++ b/internal/scheduler/reducer/endpoints.go
@@ -135,7 +135,7 @@
 		w := &r.workers[i]
 		if w.listed {
 			listed++
-			avoided += stats.Bit(!w.ready || r.dispatcher.Suspected(i, now))
+			avoided += stats.BoolToInt(!w.ready || r.dispatcher.Suspected(i, now))
 		}
 	}
 	return listed, avoided
--- a/internal/testsupport/fragmentpeer/fragmentpeer.go
+++ b/internal/testsupport/fragmentpeer/fragmentpeer.go
@@ -10,61 +10,61 @@
 	"testing"
 )
 
-// Way is a script for a peer: a sequence of writes to a connection, one for each part, and the action after
+// Script is a script for a peer: a sequence of writes to a connection, one for each part, and the action after
 // them.
-type Way struct {
-	Name  string
-	Parts []string
-	Then  Then
+type Script struct {
+	Name   string
+	Parts  []string
+	Ending Ending
 }
 
-// Then is the action of a peer after its last write.
-type Then int
+// Ending is the action of a peer after its last write.
+type Ending int
 
 // The actions after the last write, in order: leave the connection open, close it, close its write side only.
 const (
-	Stays Then = iota
-	Cut
-	Ends
+	StayOpen Ending = iota
+	CloseConnection
+	CloseWrite
 )
 
-// Whole returns scripts that write a complete text: in one write, a byte at a time, and split at each
+// CompleteScripts returns scripts that write a complete text: in one write, a byte at a time, and split at each
 // position.
-func Whole(text string) []Way {
-	scripts := []Way{
+func CompleteScripts(text string) []Script {
+	scripts := []Script{
 		{Name: "at once", Parts: []string{text}}, {Name: "a byte at a time", Parts: strings.Split(text, "")},
 	}
 	for k := 1; k < len(text); k++ {
-		scripts = append(scripts, Way{Name: fmt.Sprintf("split at %d", k), Parts: []string{text[:k], text[k:]}})
+		scripts = append(scripts, Script{Name: fmt.Sprintf("split at %d", k), Parts: []string{text[:k], text[k:]}})
 	}
 	return scripts
 }
 
-// Cuts returns scripts that write only the start of a text. For each byte there are two scripts, which
+// TruncatedScripts returns scripts that write only the start of a text. For each byte there are two scripts, which
 // stop before that byte: one closes the connection, the other closes its write side.
-func Cuts(text string) (scripts []Way) {
+func TruncatedScripts(text string) (scripts []Script) {
 	for k := range len(text) {
-		scripts = append(scripts, Way{fmt.Sprintf("cut at %d", k), []string{text[:k]}, Cut},
-			Way{fmt.Sprintf("ended at %d", k), []string{text[:k]}, Ends})
+		scripts = append(scripts, Script{fmt.Sprintf("cut at %d", k), []string{text[:k]}, CloseConnection},
+			Script{fmt.Sprintf("ended at %d", k), []string{text[:k]}, CloseWrite})
 	}
 	return scripts
 }
 
 // Text returns the complete text of the script.
-func (w Way) Text() string { return strings.Join(w.Parts, "") }
+func (w Script) Text() string { return strings.Join(w.Parts, "") }
 
 // Write plays the script on a connection. It ignores errors of writes after the other side has closed.
-func (w Way) Write(c *net.TCPConn) {
+func (w Script) Write(c *net.TCPConn) {
 	c.SetNoDelay(true) // sends each part as a separate segment
 	for _, p := range w.Parts {
 		if _, err := io.WriteString(c, p); err != nil {
 			return
 		}
 	}
-	switch w.Then {
-	case Cut:
+	switch w.Ending {
+	case CloseConnection:
 		c.Close()
-	case Ends:
+	case CloseWrite:
 		c.CloseWrite()
 	}
 }
@@ -91,9 +91,9 @@
 	return l.Addr().String()
 }
 
-// Answer starts a server that reads the head of a request on each connection and then plays the script that
+// ServeScripts starts a server that reads the head of a request on each connection and then plays the script that
 // next returns.
-func Answer(t *testing.T, next func() Way) (addr string) {
+func ServeScripts(t *testing.T, next func() Script) (addr string) {
 	return Serve(t, func(c *net.TCPConn) {
 		head, b := "", make([]byte, 1)
 		for !strings.HasSuffix(head, "\r\n\r\n") {
--- a/internal/workers/discovery/ends_test.go
+++ b/internal/workers/discovery/ends_test.go
@@ -114,13 +114,13 @@
 				}},
 				"reset": {0, func(call int, _ time.Duration) behavior { return []behavior{resetConn, respond}[min(call-1, 1)] }},
 				"down for 8 s and back": {8 * time.Second, func(_ int, since time.Duration) behavior {
-					return []behavior{hang, respond}[stats.Bit(since >= 8*time.Second)]
+					return []behavior{hang, respond}[stats.BoolToInt(since >= 8*time.Second)]
 				}},
 				"away for 8 s and back": {8 * time.Second, func(_ int, since time.Duration) behavior {
-					return []behavior{resetConn, respond}[stats.Bit(since >= 8*time.Second)]
+					return []behavior{resetConn, respond}[stats.BoolToInt(since >= 8*time.Second)]
 				}},
 				"rejected for 8 s": {8 * time.Second, func(_ int, since time.Duration) behavior {
-					return []behavior{reject503, respond}[stats.Bit(since >= 8*time.Second)]
+					return []behavior{reject503, respond}[stats.BoolToInt(since >= 8*time.Second)]
 				}},
 				"hangs after a SIGHUP":     {inForceAfterMove, func(call int, _ time.Duration) behavior { return []behavior{hang, respond}[min(call-1, 1)] }},
 				"hangs twice after SIGHUP": {inForceAfterMove, func(call int, _ time.Duration) behavior { return []behavior{hang, hang, respond}[min(call-1, 2)] }},
--- a/internal/workers/discovery/pieces_test.go
+++ b/internal/workers/discovery/pieces_test.go
@@ -26,8 +26,8 @@
 		response += "\n\r\n"
 	}
 	response += "0\r\n\r\n"
-	var way fragmentpeer.Way
-	addr := fragmentpeer.Answer(t, func() fragmentpeer.Way { return way })
+	var way fragmentpeer.Script
+	addr := fragmentpeer.ServeScripts(t, func() fragmentpeer.Script { return way })
 	watch := func() (received []reducer.Input, rev int64) {
 		client := NewClient(addr, EndpointList{Rev: 40}, singleSchedulerTimeouts, 7, newEmptyStartTimes(), func(in reducer.Input) { received = append(received, in) }, zerolog.Nop())
 		if _, err := client.watch(context.Background()); err == nil {
@@ -35,17 +35,17 @@
 		}
 		return received, client.revision
 	}
-	way = fragmentpeer.Whole(response)[0]
+	way = fragmentpeer.CompleteScripts(response)[0]
 	want, _ := watch()
 	if len(want) != 2 {
 		t.Fatalf("received %v", want)
 	}
-	for _, way = range fragmentpeer.Whole(response) {
+	for _, way = range fragmentpeer.CompleteScripts(response) {
 		if got, rev := watch(); !reflect.DeepEqual(got, want) || rev != 43 {
 			t.Errorf("%s: received %v, revision %d", way.Name, got, rev)
 		}
 	}
-	for _, way = range fragmentpeer.Cuts(response) {
+	for _, way = range fragmentpeer.TruncatedScripts(response) {
 		n, revision := 0, int64(40)
 		for k, end := range ends {
 			if len(way.Text()) >= end {
