--- a/internal/cluster/mesh/mesh.go
+++ b/internal/cluster/mesh/mesh.go
@@ -44,7 +44,7 @@
 
 // Host holds the callbacks of a mesh. The mesh waits for each callback, so a callback must not wait for the
 // mesh. The loop calls the callbacks about membership. Before the loop starts, Restore calls MembersRestored,
-// and Serving with the incarnation of the predecessor. The datagram reader calls the callbacks of the
+// and ServingChanged with the incarnation of the predecessor. The datagram reader calls the callbacks of the
 // services: Drains, Replication, ReplicaSet and OperatorState. A nil callback is not called, and messages of
 // a service with a nil callback are dropped.
 type Host struct {
--- a/internal/cluster/operatorstate/operatorstate.go
+++ b/internal/cluster/operatorstate/operatorstate.go
@@ -41,7 +41,7 @@
 	byName map[string]memberState
 }
 
-// New returns a Board without states of other schedulers. The sequence number of this scheduler's state
+// New returns a Registry without states of other schedulers. The sequence number of this scheduler's state
 // begins at start, which must be greater for a successor than for its predecessor.
 func New(start uint64) *Registry {
 	return &Registry{own: State{Sequence: start}, byName: map[string]memberState{}}
--- a/internal/lab/audit/audit.go
+++ b/internal/lab/audit/audit.go
@@ -17,7 +17,7 @@
 // Rule is the name of a rule.
 type Rule string
 
-// Lost, Twice, Drain and Cold are the four main rules. Forged covers results that no worker returned, and
+// LostOp, DuplicateEffect, PushAfterDrain and ColdOverload are the four main rules. Fabricated covers results that no worker returned, and
 // pushes that no client requested. Crashed covers processes that ended without a signal. ExcessDeadline
 // covers pushes that announce more time to the worker than the client has left.
 const (
--- a/internal/lab/audit/audit_test.go
+++ b/internal/lab/audit/audit_test.go
@@ -199,7 +199,7 @@
 			w(processEvent(ledger.Stopped, 900), workerStateSent("draining", 1000), processEvent(ledger.Resumed, 30_000), due("b", "again", 30_000), pushed("b", 2, "w1", 30_500, ledger.Done, 30_600), answer("b", ledger.Acked, "r2", 30_700)),
 			w(workerStateSent("draining", 890), processEvent(ledger.Stopped, 900), processEvent(ledger.Resumed, 30_000), due("b", "again", 30_000), pushed("b", 2, "w1", 30_500, ledger.Done, 30_600), answer("b", ledger.Acked, "r2", 30_700)), PushAfterDrain},
 
-		// At an age of 1.51 s the limit for four cores is 6,345 ms of work in TipAfter. With jobs of 100 ms
+		// At an age of 1.51 s the limit for four cores is 6,345 ms of work in OverloadWindow. With jobs of 100 ms
 		// the allowance for random variation adds 1,793 ms.
 		"work at the limit of a cold worker":     {w(coldStart(100, 15_100, 813, 10, 0)), w(coldStart(100, 15_100, 814, 10, 0)), ColdOverload},
 		"a burst right after the start":          {w(coldStart(100, 100, 605, 10, 0)), w(coldStart(100, 100, 606, 10, 0)), ColdOverload},
--- a/internal/lab/clients/clients.go
+++ b/internal/lab/clients/clients.go
@@ -132,7 +132,7 @@
 }
 
 // record adds an event of an attempt to the ledger. A repeated attempt with the same ID belongs to the op of
-// the first attempt: its Sent event is dropped, and its other events are recorded as Echo.
+// the first attempt: its Sent event is dropped, and its other events are recorded as RepeatAnswer.
 func (c *LoadGenerator) record(t *attempt, e ledger.Event) {
 	if t.repeat {
 		if e.Kind == ledger.Sent {
@@ -221,7 +221,7 @@
 }
 
 // retrySameID sends an op under one ID until it gets a final answer: first to one scheduler, then to others.
-// With the probability Clients.AtOnce, another scheduler also gets the op at the same time as the first one.
+// With the probability Clients.ConcurrentChance, another scheduler also gets the op at the same time as the first one.
 func (c *LoadGenerator) retrySameID(ctx context.Context, effect string, request *workload.Request, due, deadline time.Time, r *rand.Rand) {
 	cat := &c.experiment.Categories[request.Category]
 	first := c.nextUp(request.Scheduler)
--- a/internal/lab/discovery/herald.go
+++ b/internal/lab/discovery/herald.go
@@ -289,7 +289,7 @@
 		http.Error(w, "no list", http.StatusServiceUnavailable)
 		return
 	}
-	for a.isSilent() {
+	for a.quiet() {
 		if !a.awaitUpdate(r) {
 			return
 		}
@@ -348,7 +348,7 @@
 			return
 		case <-updated:
 		case <-time.After(heartbeatInterval):
-			if !a.isSilent() {
+			if !a.quiet() {
 				fmt.Fprintln(w)
 				w.(http.Flusher).Flush()
 			}
@@ -356,7 +356,7 @@
 	}
 }
 
-func (a *Agent) isSilent() bool {
+func (a *Agent) quiet() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.silent
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -96,7 +96,7 @@
 	return r.ColdFrom + (1-r.ColdFrom)*float64(max(age, 0))/float64(r.WarmAfter)
 }
 
-// ColdWorkLimit returns how much work, in ms, a cold worker accepts in TipAfter before it fails. It is OverloadFactor
+// ColdWorkLimit returns how much work, in ms, a cold worker accepts in OverloadWindow before it fails. It is OverloadFactor
 // times the work that the worker can do in that time, plus an allowance for random variation. If the product
 // is n ops of mean work, the allowance is two plus twice the square root of n such ops. The parameter cores
 // is the number of cores times the worker's speed.
--- a/internal/lab/membershipcheck/views.go
+++ b/internal/lab/membershipcheck/views.go
@@ -193,7 +193,7 @@
 	w.checkConverged(now)
 }
 
-// Judge checks a ledger that includes the Held events, in any order.
+// Judge checks a ledger that includes the MemberView events, in any order.
 func Judge(events []ledger.Event, t Limits) *Judgement {
 	n := t.Count
 	w := &replay{limits: t, up: make([]bool, n), stateSince: make([]ledger.Time, n), stoppedAt: make([]ledger.Time, n), leaving: make([]bool, n),
--- a/internal/lab/schedulers/schedulers.go
+++ b/internal/lab/schedulers/schedulers.go
@@ -38,7 +38,7 @@
 func (p process) Wait() error                   { return p.cmd.Wait() }
 func (p process) PID() int                      { return p.cmd.Process.Pid }
 
-// ProgramLauncher returns a Maker that starts the executable at path.
+// ProgramLauncher returns a Launcher that starts the executable at path.
 func ProgramLauncher(path string, args ...string) Launcher {
 	return func(n int, config, log string) (Process, error) {
 		out, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
--- a/internal/lab/soak/shims.go
+++ b/internal/lab/soak/shims.go
@@ -58,7 +58,7 @@
 		clocks: map[int]*steppedclock.Clock{}, faults: map[int]*activeFaults{}}
 }
 
-// Make starts a scheduler. It is a schedulers.Maker.
+// Make starts a scheduler. It is a schedulers.Launcher.
 func (s *Shims) Make(n int, sheet, log string) (schedulers.Process, error) {
 	logFile, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
--- a/internal/lab/workermodel/box.go
+++ b/internal/lab/workermodel/box.go
@@ -387,7 +387,7 @@
 }
 
 // checkOverload adds a push to the arrivals of a cold worker. It crashes the worker if more work arrived
-// within TipAfter than the limit allows.
+// within OverloadWindow than the limit allows.
 func (w *Worker) checkOverload(effects []Effect, j *job) ([]Effect, bool) {
 	if !w.cold || w.rules.OverloadWindow == 0 || w.now-w.startTime >= w.rules.WarmAfter {
 		return effects, false
@@ -401,7 +401,7 @@
 	}
 	w.arrivals = recent
 	limit := w.rules.ColdWorkLimit(w.config.Cores*w.config.Speed, w.now-w.startTime)
-	// The limit applies to the whole interval TipAfter. A short burst right after the start can already
+	// The limit applies to the whole interval OverloadWindow. A short burst right after the start can already
 	// exceed it.
 	if sum <= limit {
 		return effects, false
