--- a/internal/cluster/membership/join.go
+++ b/internal/cluster/membership/join.go
@@ -10,7 +10,7 @@
 type joinState struct {
 	queryNonce    uint64
 	nextQuery     Time
-	queryDeadline Time         // when the process continues without an authoritative reply
+	queryDeadline Time         // when the process continues without a reply from a serving or leaving member
 	reportedSelf  MemberRecord // the greatest record of this process's name that was reported
 	nextAttempt   Time         // when to try next to reach a dead member and a seed
 	lastSeedIndex int          // index in Config.Seeds of the seed that was tried last
@@ -24,8 +24,9 @@
 	n.join.queryDeadline = n.now + queryTimeout
 }
 
-// runQuery sends the next queries. After the deadline, this process becomes a member without a reply. If
-// another process has its name, or it was declared dead, members that it reaches later notify it.
+// runQuery sends the next queries. After the deadline, this process becomes a member even without an
+// authoritative reply, that is, a reply from a member that serves or leaves. If another process has its
+// name, or it was declared dead, members that it reaches later notify it.
 func (n *Node) runQuery() {
 	if n.now < n.join.nextQuery {
 		return
--- a/internal/cluster/membership/merge.go
+++ b/internal/cluster/membership/merge.go
@@ -143,7 +143,8 @@
 		// must not have the same generation.
 		n.startIncarnationAfter(record.Generation)
 	case order < 0: // an earlier incarnation
-	case record.State == Left: // the successor has left, and this process has resumed
+	case record.State == Left:
+		// The successor of a hot restart had the same incarnation and has left. This process serves again.
 		n.startIncarnationAfter(record.Generation)
 	case record.State >= Suspect && record.Refutations >= n.self.Refutations:
 		n.count(countRefuted)
--- a/internal/cluster/membership/messages.go
+++ b/internal/cluster/membership/messages.go
@@ -18,7 +18,9 @@
 	DigestDiffReply                 // on a stream: the opener's records in these buckets
 )
 
-// Message is sent by one member to another.
+// Message is sent by one member to another. In a Digests message, Digests contains the checksum of each
+// bucket of the sender's view. In a DigestDiff, Buckets contains the indices of the buckets whose checksums
+// differ.
 type Message struct {
 	Kind             Kind
 	Cluster          string
--- a/internal/cluster/membership/name_conflict.go
+++ b/internal/cluster/membership/name_conflict.go
@@ -15,8 +15,8 @@
 	deadline  Time // the rival is assumed to have ended if it has not answered by then
 }
 
-// startNameConflict starts to ask a later process of this name whether it is alive. A record alone is no
-// proof: the process may have ended before a restart of the complete cluster.
+// startNameConflict starts to ask a later process of this name whether it is alive. Its record is no
+// proof: the record may be older than a restart of the complete cluster, and that process may have ended.
 func (n *Node) startNameConflict(rival MemberRecord) {
 	if open := n.conflict.open; open != nil && open.rival.Incarnation.compare(rival.Incarnation) >= 0 {
 		return
--- a/internal/cluster/membership/phase_test.go
+++ b/internal/cluster/membership/phase_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// newNodeInPhase returns a process that inputs alone have brought into the given phase.
+// newNodeInPhase returns a process in the given phase. It reaches the phase by inputs to Step only.
 func newNodeInPhase(t *testing.T, want phase) *Node {
 	t.Helper()
 	var n *Node
--- a/internal/cluster/membership/record.go
+++ b/internal/cluster/membership/record.go
@@ -19,7 +19,7 @@
 	Replaced              // another process has this process's name
 )
 
-// stateNames are the states as the console shows them.
+// stateNames are the states as the console shows them. Most differ from the names of the constants.
 var stateNames = [...]string{"joining", "here", "doubted", "gone", "left", "superseded"}
 
 func (s State) String() string {
--- a/internal/cluster/membership/simulation/checks.go
+++ b/internal/cluster/membership/simulation/checks.go
@@ -23,7 +23,7 @@
 
 func seconds(t Time) float64 { return float64(t) / float64(Second) }
 
-func (c *Cluster) violation(format string, values ...any) {
+func (c *Cluster) addViolation(format string, values ...any) {
 	if len(c.Violations) < maxViolations {
 		text := fmt.Sprintf("at %.3f s: ", seconds(c.Now())) + fmt.Sprintf(format, values...)
 		c.Violations = append(c.Violations, text)
@@ -40,7 +40,8 @@
 	h.observed[e.Name] = now
 	unchanged := before.incarnation == now.incarnation && before.refutations == now.refutations
 	if known && !before.private && unchanged && before.state > now.state {
-		c.violation("%s reports %s %v after %v with the same refutations", h.name, e.Name, now.state, before.state)
+		c.addViolation("%s reports %s %v after %v with the same refutations", h.name, e.Name, now.state,
+			before.state)
 	}
 	for _, other := range c.byName[e.Name] {
 		if other.nonce != e.Nonce {
@@ -58,7 +59,7 @@
 	if c.checksReachability() && c.responsive(subject.index) {
 		unreachableAt := c.reachability.unreachableAt[observer.index][subject.index]
 		if c.Now()-max(unreachableAt, subject.startedAt, observer.startedAt) > DeathReportGrace {
-			c.violation("%s declares %s dead, as %s reports, but was last unable to reach it at %.3f s",
+			c.addViolation("%s declares %s dead, as %s reports, but was last unable to reach it at %.3f s",
 				observer.name, e.Name, e.ReportedBy, seconds(unreachableAt))
 		}
 	}
--- a/internal/cluster/membership/simulation/figures_test.go
+++ b/internal/cluster/membership/simulation/figures_test.go
@@ -24,7 +24,7 @@
 }
 
 // TestFigures measures detection, recovery and traffic at the sizes in SIZES, for example
-// SIZES=5,20,100. 5,000 members take over 16 GB. It is not part of CI.
+// SIZES=5,20,100. 5,000 members need more than 16 GB of memory. It is not part of CI.
 func TestFigures(t *testing.T) {
 	var sizes []int
 	for _, text := range strings.Split(os.Getenv("SIZES"), ",") {
--- a/internal/cluster/membership/simulation/simulation_test.go
+++ b/internal/cluster/membership/simulation/simulation_test.go
@@ -265,7 +265,7 @@
 						}
 					}
 				}
-				clear(changes) // by now the cut-off member is isolated
+				clear(changes) // the cut-off member is isolated by now, and no view may change any more
 				c.Run(c.Now() + 40*Second)
 				for i := range 4 {
 					requireState(t, c, i, name(4), membership.Dead)
--- a/internal/cluster/membership/status.go
+++ b/internal/cluster/membership/status.go
@@ -12,7 +12,7 @@
 	Since       Time   `json:"-"`         // when the state began in this process's view
 	RTT         Time   `json:"-"`         // round-trip time; 0 if not known
 	Reachable   bool   `json:"reachable"` // the member answers this process directly
-	Private     bool   `json:"private"`   // found by this process while isolated, and not reported to others
+	Private     bool   `json:"private"`   // State was found while this process was isolated; not reported
 }
 
 // LocalStatus is the status of a process itself.
@@ -24,7 +24,7 @@
 	Refutations uint64            `json:"turn"`
 	Live        int               `json:"live"` // other members that are alive or suspect
 	Isolated    bool              `json:"deaf"` // no message has arrived since a failed probe was sent
-	CatchingUp  bool              `json:"asks"` // it was paused, and does not know yet what it missed
+	CatchingUp  bool              `json:"asks"` // this process was paused, and does not know yet what it missed
 	Loss        float64           `json:"loss"` // fraction of direct pings of live members that were lost
 	Lateness    Time              `json:"-"`    // of the latest late tick
 	MaxLateness Time              `json:"-"`
--- a/internal/cluster/replication/claims.go
+++ b/internal/cluster/replication/claims.go
@@ -143,7 +143,8 @@
 	c.requestGrants(claim)
 }
 
-// requestGrants requests grants from all replicas that have not decided on a claim.
+// requestGrants requests grants from all replicas that have neither granted a claim nor refused it with
+// AlreadyClaimed, which is the only final refusal.
 func (c *Core) requestGrants(claim *activeClaim) {
 	claim.nextRetry = c.now + c.config.RetryInterval
 	for _, name := range c.active.members {
--- a/internal/cluster/replication/effects.go
+++ b/internal/cluster/replication/effects.go
@@ -26,7 +26,9 @@
 	NoQuorum                                   // not granted by a majority in time, or not started; see Reason
 )
 
-var claimResults = [...]string{
+// claimResultNames are the names under which results are counted. Most differ from the names of the
+// constants.
+var claimResultNames = [...]string{
 	Granted:             "mine",
 	AlreadyAnswered:     "again",
 	AlreadyEnded:        "ran",
@@ -39,10 +41,10 @@
 // String returns the name under which the result is counted, and "" for an unknown result. Operators and
 // programs read the counters, so the names must not change.
 func (r ClaimResult) String() string {
-	if int(r) >= len(claimResults) {
+	if int(r) >= len(claimResultNames) {
 		return ""
 	}
-	return claimResults[r]
+	return claimResultNames[r]
 }
 
 // ClaimDecided is the decision on a ClaimRequest.
--- a/internal/cluster/replication/grants.go
+++ b/internal/cluster/replication/grants.go
@@ -34,7 +34,8 @@
 }
 
 // refusalReason returns why this replica does not grant a claim, or 0 if it does. The parameter known is the
-// stored record, or nil if there is none. The parameter requested is the only outcome of the request.
+// stored record, or nil if there is none. The parameter request is the record in the claim request. It
+// contains a single outcome, which is passed as requested.
 func (c *Core) refusalReason(known, request *Record, requested *Outcome) RefusalReason {
 	switch {
 	case !c.registration.voting:
--- a/internal/cluster/replication/registration.go
+++ b/internal/cluster/replication/registration.go
@@ -111,7 +111,9 @@
 	})
 }
 
-// handleRegistered records that another replica knows this incarnation as the voter.
+// handleRegistered records that another replica has registered this incarnation as the one that votes under
+// this replica's name. It also learns the voters that the other replica knows. It discards the persisted
+// incarnation if the other replica's former registration of this name is of a later incarnation.
 func (c *Core) handleRegistered(in MessageReceived) {
 	peer := c.catchUp.peers[in.From]
 	if peer == nil || in.LogIncarnation != c.registration.incarnation {
@@ -234,7 +236,8 @@
 	}
 }
 
-// replicaReady reports whether a replica has stated to this incarnation that it is ready.
+// replicaReady reports whether a replica is ready, see registration.ready. Another replica counts as ready
+// once it has reported that to this incarnation.
 func (c *Core) replicaReady(name string) bool {
 	if name == c.config.Name && c.registration.ready {
 		return true
--- a/internal/cluster/replication/simulation/claimer_restart_test.go
+++ b/internal/cluster/replication/simulation/claimer_restart_test.go
@@ -154,8 +154,9 @@
 	checkResult(t, c.claimResult(3, "x"), replication.OutcomeUnknown)
 }
 
-// After random kills, pauses and hot restarts of claimers, a repeat of an op that has not ended is in
-// progress if the process of its claim still runs. Otherwise its outcome is unknown. No op is granted twice.
+// After random kills, pauses and hot restarts of claimers, a repeat of an op that has not ended is
+// answered InProgress if the process that claimed the op still runs, and OutcomeUnknown otherwise. No op is
+// granted twice.
 func TestRepeatsAreAnsweredCorrectlyAfterRandomRestarts(t *testing.T) {
 	first, last := seedRange(40)
 	unknown, running := 0, 0
@@ -234,7 +235,7 @@
 		*busy = at + duration + recovery
 		switch r.IntN(3) {
 		case 0:
-			c.killAt(at, i, duration/100)
+			c.killAndRestartAt(at, i, duration/100)
 		case 1:
 			c.pauseAt(at, i, duration)
 		case 2:
--- a/internal/cluster/replication/simulation/faults_test.go
+++ b/internal/cluster/replication/simulation/faults_test.go
@@ -11,8 +11,8 @@
 	c.MeanDelay = Time(2 + c.Rand.IntN(200))
 }
 
-// killAt schedules a kill of a node and its restart.
-func (c *Cluster) killAt(at Time, i int, downtime Time) {
+// killAndRestartAt schedules a kill of a node and its restart.
+func (c *Cluster) killAndRestartAt(at Time, i int, downtime Time) {
 	c.At(at, func() { c.Kill(i) })
 	c.At(at+downtime, func() { c.Start(i) })
 }
@@ -55,7 +55,7 @@
 		case kind < 3 && busyUntil[i] > at || i == j:
 		case kind == 0:
 			busyUntil[i] = at + duration + Second
-			c.killAt(at, i, duration)
+			c.killAndRestartAt(at, i, duration)
 		case kind == 1:
 			busyUntil[i] = at + duration + Second
 			c.pauseAt(at, i, duration)
@@ -84,7 +84,7 @@
 		case kind < 3 && busyUntil[i] > at || i == j:
 		case kind < 2:
 			busyUntil[i] = at + duration + Second
-			c.killAt(at, i, duration)
+			c.killAndRestartAt(at, i, duration)
 		case kind == 2:
 			busyUntil[i] = at + duration + Second
 			c.pauseAt(at, i, duration)
