--- a/cmd/woaddyke/cluster.go
+++ b/cmd/woaddyke/cluster.go
@@ -20,7 +20,7 @@
 // meshSockets is the number of sockets of the mesh in a handover. They come after all other sockets.
 const meshSockets = 2
 
-// joinCluster makes this process a member if the features file has a table members. It uses the sockets of
+// joinCluster makes this process a member if the features file has a [members] table. It uses the sockets of
 // the predecessor if the handover has them. handover is nil without a predecessor.
 func (p *process) joinCluster(handover *transfer.Handover, state hotrestart.State) (err error) {
 	table := p.features.Members
@@ -118,7 +118,7 @@
 	return counts
 }
 
-// createReplica creates the replica if the features file has a table copies, and adds the callbacks of the
+// createReplica creates the replica if the features file has a [copies] table, and adds the callbacks of the
 // replica to host.
 func (p *process) createReplica(state hotrestart.State, host *mesh.Host) (err error) {
 	table := p.features.Copies
--- a/cmd/woaddyke/copies_command.go
+++ b/cmd/woaddyke/copies_command.go
@@ -16,11 +16,12 @@
 	"woaddyke/internal/cluster/replica"
 )
 
-// changePollInterval is the time between two polls of a change of the replica set.
+// changePollInterval is the time between two requests of the same change of the replica set. It is also the
+// time between two polls of the handover to the new replicas.
 const changePollInterval = 200 * time.Millisecond
 
 // errReplicasNotChanged is the error of a change of the replica set that was refused, or not agreed in
-// time. The reason is printed before.
+// time. awaitAgreement has already printed the reason. Operators know the replicas as keepers.
 var errReplicasNotChanged = errors.New("the keepers are not changed")
 
 func copiesCommand() *cobra.Command {
--- a/cmd/woaddyke/copies_test.go
+++ b/cmd/woaddyke/copies_test.go
@@ -21,7 +21,7 @@
 	"woaddyke/internal/lab/faultproxy"
 )
 
-// copiesTableOf returns a table copies with the first three schedulers as replicas. wait is the timeout of
+// copiesTableOf returns a [copies] table with the first three schedulers as replicas. wait is the timeout of
 // a claim.
 func copiesTableOf(wait string) string {
 	return "[copies]\nkeepers = [\"n1\", \"n2\", \"n3\"]\npull = \"50ms\"\nhold_off = \"5s\"\nwait = \"" + wait + "\"\n"
--- a/cmd/woaddyke/failed_peek_test.go
+++ b/cmd/woaddyke/failed_peek_test.go
@@ -97,7 +97,9 @@
 				}
 				io.Copy(io.Discard, resp.Body)
 			}
-			for _, id := range []string{"first-a", "first-b"} { // once a client pipelines, the process watches its own pauses closely
+			// A pipelined request makes the stall detector of the process use ticks, which are closer together
+			// than heartbeats.
+			for _, id := range []string{"first-a", "first-b"} {
 				send(id)
 			}
 			for range 2 {
--- a/cmd/woaddyke/operator_board.go
+++ b/cmd/woaddyke/operator_board.go
@@ -48,7 +48,8 @@
 
 func (b *operatorBoard) close() { b.once.Do(func() { close(b.done) }) }
 
-// operatorStatus is the console's answer to a request for the operator state.
+// operatorStatus is the console's answer to a request for the operator state. It identifies settings by their
+// hash.
 type operatorStatus struct {
 	Settings string   `json:"settings"` // hash of this scheduler's settings
 	Differ   []string `json:"differ"`   // members with other settings
--- a/cmd/woaddyke/process.go
+++ b/cmd/woaddyke/process.go
@@ -31,9 +31,9 @@
 	stop         func()        // stops this process as SIGTERM does
 
 	server        *frontend.Server
-	mesh          *mesh.Mesh       // nil if the features file has no table members
+	mesh          *mesh.Mesh       // nil if the features file has no [members] table
 	operatorBoard *operatorBoard   // nil if mesh is nil
-	replica       *replica.Replica // nil if the features file has no table copies
+	replica       *replica.Replica // nil if the features file has no [copies] table
 
 	mu             sync.Mutex
 	successorOffer io.Closer // the handover socket, on which successors are served
--- a/cmd/woaddyke/syscalls_test.go
+++ b/cmd/woaddyke/syscalls_test.go
@@ -82,8 +82,8 @@
 	return answer
 }
 
-// transientAcceptErrnos are the transient errors of accept4(2): errors of the new connection, and shortages
-// of the machine.
+// transientAcceptErrnos are the transient errors of accept4(2): errors of the new connection, and lack of
+// descriptors or memory on the machine.
 var transientAcceptErrnos = []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EPROTO, syscall.EPERM, syscall.ETIMEDOUT, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
 	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ENOSR, syscall.ESOCKTNOSUPPORT, syscall.EPROTONOSUPPORT}
--- a/internal/cluster/mesh/golden_messages_test.go
+++ b/internal/cluster/mesh/golden_messages_test.go
@@ -208,8 +208,8 @@
 	}
 }
 
-// The message with drain records keeps its bytes, including the names of its fields, and decodes to the same
-// value.
+// The message with drain records is encoded to the same bytes as in earlier builds, including the names of
+// its fields, and decodes to the same value.
 func TestGoldenDrains(t *testing.T) {
 	requireGoldenService(t, "workers", serviceMessage{Drains: filled.Numbered[[]drainstate.DrainRecord](t)})
 }
--- a/internal/cluster/mesh/mesh_test.go
+++ b/internal/cluster/mesh/mesh_test.go
@@ -261,10 +261,10 @@
 // The drain records that are sent together fit a datagram, even if all workers have the longest allowed name.
 // A worker with a longer name does not prevent the records of the other workers from being sent.
 func TestLongestDrainRecordsFitADatagram(t *testing.T) {
-	const records = 100
+	const recordCount = 100
 	from := longestRecord()
 	core := drainstate.New(1)
-	endpoints := longNamedEndpoints(records)
+	endpoints := longNamedEndpoints(recordCount)
 	core.Step(1, drainstate.EndpointsChanged{Revision: 1 << 60, Snapshot: true, Endpoints: endpoints})
 	sent := 0
 	for _, effect := range core.Step(2, drainstate.PeersChanged{Names: []string{"b"}}) {
@@ -281,8 +281,8 @@
 		}
 		sent += len(send.Records)
 	}
-	if sent < records {
-		t.Errorf("%d of %d records are sent", sent, records)
+	if sent < recordCount {
+		t.Errorf("%d of %d records are sent", sent, recordCount)
 	}
 }
 
--- a/internal/cluster/replica/replica_test.go
+++ b/internal/cluster/replica/replica_test.go
@@ -66,7 +66,7 @@
 		{"a", true, replication.Granted},
 		{"a", false, replication.AlreadyAnswered},
 		{"b", false, replication.Granted},
-		{"b", false, replication.OutcomeUnknown}, // the process that claimed it has ended
+		{"b", false, replication.OutcomeUnknown}, // the process that claimed b has ended, without an outcome of b
 		{"a", false, replication.AlreadyAnswered},
 	} {
 		if got := restartAndClaim(c.id, c.finish); got != c.want {
@@ -84,9 +84,10 @@
 func (r recordingTransport) SendReplication(_ string, message replication.Message) { r.sent <- message }
 
 // A replica registers with the generation and the nonce that the members know. Guards against a registration
-// with a random nonce. If two replicas that lost their records meet each other first, one of them has the
-// generation of its previous process. With a smaller random nonce, its registration would be treated as a
-// message of the previous process, and the replica would never vote.
+// with a random nonce. Two replicas that lost their records may meet each other before a member that knows
+// their previous processes. One of them then has the generation of its previous process again, and only the
+// nonces order the two processes. With a smaller random nonce, the registration would be treated as a message
+// of the previous process, and the replica would never vote.
 func TestAReplicaRegistersWithTheNonceThatMembersKnow(t *testing.T) {
 	config := Defaults()
 	config.Replicas = []string{"a", "b", "c"}
--- a/internal/cluster/replica/storage.go
+++ b/internal/cluster/replica/storage.go
@@ -31,8 +31,8 @@
 	replicaSet replicaset.State // zero unless DynamicReplicas is set
 }
 
-// recordsFor returns the records for a replica set. If they were persisted under another set, they are not
-// complete for any incarnation. The incarnation is then cleared.
+// recordsFor returns the persisted records and the incarnation under which they are complete. If they were
+// persisted under another replica set than the given one, they are incomplete, and the incarnation is zero.
 func (p *persistedState) recordsFor(setID uint64) replication.StateReloaded {
 	records := p.records
 	if p.setID != setID {
--- a/internal/cluster/replica/waiters_test.go
+++ b/internal/cluster/replica/waiters_test.go
@@ -54,7 +54,8 @@
 	}
 }
 
-// Records that were persisted under another replica set are not complete for any incarnation.
+// Records that were persisted under another replica set are returned with a zero incarnation, so that they do
+// not count as complete.
 func TestRecordsOfAnotherReplicaSetAreIncomplete(t *testing.T) {
 	incarnation := replication.Incarnation{Generation: 1, Nonce: 2}
 	p := persistedState{records: replication.StateReloaded{Incarnation: incarnation}, setID: 7}
--- a/internal/cluster/replicaset/core.go
+++ b/internal/cluster/replicaset/core.go
@@ -70,7 +70,9 @@
 // IsLeader reports whether this process is the leader, which carries out changes.
 func (c *Core) IsLeader() bool { return c.raft.isLeader() }
 
-// Status returns the role of this process as shown to operators.
+// Status returns the role of this process in the group as shown to operators. Without a path for the store,
+// the process has no voter ID and no role. After a failure or the release of the store, it has no role until
+// its state is reloaded.
 func (c *Core) Status() string {
 	switch {
 	case c.failed:
--- a/internal/cluster/replicaset/election.go
+++ b/internal/cluster/replicaset/election.go
@@ -13,8 +13,8 @@
 	leaderHeardAt Time // 0: never
 }
 
-// campaignTransfer is a context of vote requests. The raft library ignores its leader lease for a vote
-// request with this context.
+// campaignTransfer is the value of the Context field of a vote request that makes the raft library ignore its
+// own leader lease. admitRaftMessage sets it, because leaseValid replaces that lease.
 const campaignTransfer = "CampaignTransfer"
 
 // resetElectionTimer schedules a campaign at a random time, one to two election timeouts from now.
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -19,7 +19,7 @@
 }
 
 // item is one input of any kind. The Go names are the terms of this project; the tags are the names in the
-// protocol.
+// protocol. Text is the peer message that the scheduler Sender sent.
 type item struct {
 	M           string         `json:"m"` // the kind of input
 	Seed        json.Number    `json:"prng"`
