--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -31,8 +31,8 @@
 	t.Fatal("the op got no answer")
 }
 
-// Ops with seconds of spare time must not fill queues until these take seconds: ops of a category with a
-// short latency objective would never be placed.
+// Ops with seconds of spare time must not fill queues until the wait in them is seconds long: ops of a
+// category with a short latency objective would never be placed.
 func TestMaxWaitIsCapped(t *testing.T) {
 	d := testDispatcher(2, func(s *Settings) { s.Categories[1].LatencyObjective = 100_000 })
 	d.AddOp(0, OpSpec{Category: 1, TTL: d.now + 200_000, Slots: 1})
--- a/dispatch/affinity.go
+++ b/dispatch/affinity.go
@@ -3,8 +3,8 @@
 import "woaddyke/internal/base/stats"
 
 const (
-	// noKey is the affinity key of an op that needs no data kept by workers. affinityKeys counts all ops
-	// with a key under it.
+	// noKey is the affinity key of an op that needs no data kept by workers. In affinityKeys, its count is
+	// the number of all ops that have a key.
 	noKey uint64 = 0
 	// maxCountedKeys limits the keys counted in a period. Any further key counts as rare.
 	maxCountedKeys = 4096
--- a/dispatch/categories.go
+++ b/dispatch/categories.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// weight returns the priority weight: the benefit of an op per unit of its work. It is unknown before the
-// first service time, unless the benefit is already per unit of work.
+// weight returns the priority weight: the benefit of an op per unit of its service time. It is unknown
+// before the first service time, unless the benefit is already per unit of service time.
 func (c *category) weight(benefitPerWork bool) (weight float64, known bool) {
 	if benefitPerWork {
 		return c.Benefit, true
@@ -118,7 +118,7 @@
 	var changed []category
 	for i := range rules {
 		t.minObjective = min(t.minObjective, rules[i].LatencyObjective)
-		if i < len(t.inForce) && t.hasRules(t.inForce[i], &rules[i]) {
+		if i < len(t.inForce) && t.isUnassignedWithRules(t.inForce[i], &rules[i]) {
 			indices[i] = t.inForce[i]
 			t.all[indices[i]].inForce = true
 			continue
@@ -126,7 +126,7 @@
 		if byName == nil {
 			byName = t.indexByName()
 		}
-		indices[i] = byName.find(rules[i].Name, func(k int) bool { return t.hasRules(k, &rules[i]) })
+		indices[i] = byName.find(rules[i].Name, func(k int) bool { return t.isUnassignedWithRules(k, &rules[i]) })
 		if indices[i] >= 0 {
 			t.all[indices[i]].inForce = true
 			continue
@@ -188,9 +188,9 @@
 	}
 }
 
-// hasRules reports whether the category at an index has these rules and is not assigned to an entry of the
-// new settings yet.
-func (t *categoryTable) hasRules(index int, rules *CategoryRules) bool {
+// isUnassignedWithRules reports whether the category at an index has these rules and is not
+// assigned to an entry of the new settings yet.
+func (t *categoryTable) isUnassignedWithRules(index int, rules *CategoryRules) bool {
 	return !t.all[index].inForce && t.all[index].CategoryRules == *rules
 }
 
--- a/dispatch/categories_test.go
+++ b/dispatch/categories_test.go
@@ -250,7 +250,8 @@
 	})
 }
 
-// An open op must be pushed again under the rules that it was admitted with. Any other rules break rule 2.
+// An open op must be pushed again under the rules that it was admitted with. Under other rules it might run
+// more often than the effect at its admission allows.
 func TestOpenOpsKeepTheRulesOfTheirAdmission(t *testing.T) {
 	settings := func(effect Effect, attempts int) Settings {
 		return settingsWithCategories([]CategoryRules{{Name: "pay", Effect: effect, TTL: 50_000,
--- a/dispatch/decide.go
+++ b/dispatch/decide.go
@@ -8,8 +8,8 @@
 // answer that follows take one tick interval each.
 func (d *Dispatcher) answerMargin() Time { return 2*d.settings.TickInterval + 1 }
 
-// deadlinePassed reports whether an op's TTL leaves time for the final answer only.
-func (d *Dispatcher) deadlinePassed(o *op) bool { return d.now >= o.ttl-d.answerMargin() }
+// answerIsDue reports whether an op's TTL leaves time for the final answer only.
+func (d *Dispatcher) answerIsDue(o *op) bool { return d.now >= o.ttl-d.answerMargin() }
 
 // decide returns the next decision for one op. The caller adds the op's index.
 func (d *Dispatcher) decide(o *op) Decision {
@@ -20,7 +20,7 @@
 		return Decision{}
 	case o.lastAttempt.inFlight:
 		return d.checkSilence(o)
-	case d.deadlinePassed(o):
+	case d.answerIsDue(o):
 		return d.reject(o, 0, DeadlineExceeded)
 	case !d.mayAttempt(o):
 		return d.reject(o, 0, AttemptsExhausted)
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -8,8 +8,8 @@
 const (
 	// maxVerdictAge is the age up to which a verdict on a worker, a zone or the fleet counts.
 	maxVerdictAge = 15 * second
-	// admissionDraws is how many times in a row a suspected worker has to be admitted by its sequential
-	// test.
+	// admissionDraws is the number of random draws for a worker. A suspected worker is a candidate for an op
+	// only if its sequential test admits it in each draw.
 	admissionDraws = 2
 )
 
--- a/dispatch/retries.go
+++ b/dispatch/retries.go
@@ -3,8 +3,9 @@
 // This file decides whether and where an op may be pushed again, and when a nack may promise that a retry
 // is harmless.
 
-// mayPush reports whether the op may be pushed to a worker now. It enforces rules 2 and 3;
-// excludedBySlowStart and chooseWorker enforce rule 4.
+// mayPush reports whether the op may be pushed to a worker now. An op has at most one attempt in
+// flight, and runs no more often than its effect allows. excludedBySlowStart and chooseWorker limit the load
+// on workers that are warming up.
 func (d *Dispatcher) mayPush(o *op, i int) bool {
 	w := &d.fleet.workers[i]
 	if !w.ready || o.lastAttempt.inFlight || o.finished || !d.mayAttempt(o) {
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -3,7 +3,8 @@
 // Effect defines how often an op of a category may run.
 type Effect string
 
-// Effects, by their names in the settings. An unknown name is treated as AtMostOnce.
+// Effects, by their names in the settings, where an idempotent op is called redeliverable. An unknown name
+// is treated as AtMostOnce.
 const (
 	Idempotent   Effect = "redeliverable"
 	Deduplicated Effect = "deduplicated"
@@ -13,7 +14,8 @@
 // DedupScope is the set of workers within which duplicates of a deduplicated op are dropped.
 type DedupScope string
 
-// Deduplication scopes, by their names in the settings. An unknown name is treated as DedupInGroup.
+// Deduplication scopes, by their names in the settings, where a worker group is called a cell. An unknown
+// name is treated as DedupInGroup.
 const (
 	DedupEverywhere DedupScope = "all"
 	DedupInZone     DedupScope = "zone"
@@ -29,7 +31,7 @@
 	TTL              Time
 	LatencyObjective Time
 	Stretch          float64 // the latency objective grows by (Stretch - 1) times the service time
-	Benefit          float64 // per op, or per unit of work if Settings.BenefitPerWork is set
+	Benefit          float64 // value of an op relative to other categories; see also Settings.BenefitPerWork
 }
 
 // Settings are the deployment parameters that decisions depend on.
@@ -52,7 +54,7 @@
 	ReportsStarts      bool    // workers report that a job has started
 	PeerMessages       bool    // schedulers may send messages to each other
 	AffinityKeys       bool    // ops with an affinity key prefer the first workers in the key's rendezvous order
-	BenefitPerWork     bool    // CategoryRules.Benefit is per unit of work, not per op
+	BenefitPerWork     bool    // CategoryRules.Benefit is per unit of service time, not per op
 }
 
 // SlowStartSettings limits the load on a worker whose process has just started.
--- a/internal/frontend/bench_test.go
+++ b/internal/frontend/bench_test.go
@@ -113,7 +113,7 @@
 					b.Fatal(e.Ending)
 				}
 				for open, _ := p.Counts(); !reused && open > 0; open, _ = p.Counts() {
-					p.Sweep(time.Now().Add(time.Minute)) // the last bytes are read after the end is reported
+					p.Sweep(time.Now().Add(time.Minute)) // the connection may become idle only after e was sent
 				}
 			}
 			b.StopTimer()
--- a/internal/frontend/client_disconnect_test.go
+++ b/internal/frontend/client_disconnect_test.go
@@ -306,7 +306,7 @@
 	g := newGatedScheduler(t, false, false)
 	registry := &claimsAfterDisconnect{requested: make(chan bool, 1), neverRan: make(chan bool, 1)}
 	g.server.RequireClaims(registry, func(category string) bool { return category == "asked" })
-	for k := range 12 { // the inbox has space: without a check of the client first, half of the ops would be submitted
+	for k := range 12 { // the inbox has space: a select between it and the disconnect would submit half of the ops
 		c, err := net.Dial("tcp", g.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -425,7 +425,8 @@
 	}
 }
 
-// blockedContext is a context whose Done blocks until both the answer and the other event have happened.
+// blockedContext is a context whose Done blocks until the op's answer has arrived, and the client has
+// disconnected or the loop has ended.
 type blockedContext struct {
 	context.Context
 	unblocked chan struct{}
--- a/internal/frontend/clientconn/clientconn.go
+++ b/internal/frontend/clientconn/clientconn.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	pollInterval          = 2 * time.Millisecond  // between attempts to admit a new connection
+	pollInterval          = 2 * time.Millisecond  // between attempts to admit or accept a connection
 	maxEvictionCandidates = 8                     // waiting connections that are checked for unread data
 	evictionCloseTimeout  = 50 * time.Millisecond // a new connection waits for evicted ones to be closed
 )
 
 // Pool holds the connections accepted at one address. They share the process's descriptors with the
-// connections to workers: with too many of them, accepted ops could not be pushed. Connections that were
-// never served are evicted first, so that a flood of new ones evicts itself.
+// connections to workers: too many client connections would leave none for pushing accepted ops. Connections
+// that were never served are evicted first, so that a flood of new connections does not evict served ones.
 type Pool struct {
 	net.Listener
 	AdmissionTimeout time.Duration // limits a new connection's wait for a slot; accepting stops meanwhile
@@ -41,7 +41,7 @@
 
 	mu                   sync.Mutex
 	softLimit, hardLimit int // see New
-	open                 map[*conn]*entry
+	open                 map[*conn]*connStatus
 	stalls               stallDetector
 	resumed              chan struct{}             // not nil while accepting is paused; closed by Resume
 	closePending         map[*conn]bool            // about to be closed, not in open: see requestClose
@@ -70,14 +70,14 @@
 	}
 }
 
-// entry is the state of an open connection.
-type entry struct {
+// connStatus is the state of an open connection.
+type connStatus struct {
 	stateSince time.Time // when the connection entered its state
 	state      http.ConnState
 	served     bool // MarkServed was called
 }
 
-func (x *entry) waiting() bool { return x.state == http.StateIdle || x.state == http.StateNew }
+func (x *connStatus) waiting() bool { return x.state == http.StateIdle || x.state == http.StateNew }
 
 // conn is an accepted connection. It parses the requests that are read from it, because the server reports
 // the connection as waiting until a header is complete.
@@ -99,8 +99,9 @@
 
 // Read reads from the connection. While the standard server serves a request, it watches for a disconnection
 // by reading a single byte without a deadline. Here such a read returns only at the end of the stream or on
-// an error, and the bytes received before stay in the kernel for the next request. If the read returned a
-// byte, the server would stop watching: the op of a client that sent a byte and then disconnected was pushed.
+// an error, and the bytes received before stay in the kernel for the next request. If such a read
+// returned a byte, the server would stop watching: it would not notice a later disconnection, and the op of a
+// client that has left would be pushed.
 func (c *conn) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	awaitsClose := len(b) == 1 && c.readDeadline.IsZero()
@@ -278,8 +279,8 @@
 }
 
 // peerState reports whether data is unread, and how the peer has closed the connection: closed is nil if the
-// peer has not. The poller reports each change only once, so if the peek fails, the close has to be detected
-// in another way.
+// peer has not. Go's network poller wakes awaitPeerClose only once for each change, so a close must not be
+// missed. Where the peek cannot show it, peerState asks the kernel for the TCP state.
 func peerState(fd uintptr) (unread bool, closed error) {
 	n, err := workerconn.PeekAt(fd)
 	switch {
@@ -371,13 +372,13 @@
 	return &Pool{
 		softLimit:    softLimit,
 		hardLimit:    hardLimit,
-		open:         map[*conn]*entry{},
+		open:         map[*conn]*connStatus{},
 		closePending: map[*conn]bool{},
 		connClosed:   make(chan struct{}, 1),
 	}
 }
 
-// SoftLimit returns the number of connections from which on waiting ones are evicted.
+// SoftLimit returns the number of open connections at which a new connection evicts a waiting one.
 func (g *Pool) SoftLimit() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -577,7 +578,7 @@
 	if len(g.open) >= g.hardLimit || len(g.closePending) > 0 && len(g.open)+len(g.closePending) >= g.hardLimit {
 		return false, len(g.closePending) > 0
 	}
-	g.open[nc] = &entry{stateSince: time.Now(), state: http.StateNew}
+	g.open[nc] = &connStatus{stateSince: time.Now(), state: http.StateNew}
 	return true, false
 }
 
@@ -594,8 +595,8 @@
 // evictionCandidate returns the connection to evict, nil if there is none. It chooses the connection that has
 // waited longest for a request among those that were never served. If there is none, it chooses among the
 // served ones, but only if these exceed half of the soft limit. This half is reserved because connections
-// with a partial request do not count as waiting, so that a flood of them evicted one served client after
-// another. A connection with unread data is not a candidate.
+// with a partial body do not count as waiting: without the reserve, a flood of them evicts one served client
+// after another. A connection with unread data is not a candidate.
 func (g *Pool) evictionCandidate() *conn {
 	var unread []*conn
 	served := 0
@@ -607,12 +608,12 @@
 	spareServed := served <= g.softLimit/2
 	for range maxEvictionCandidates {
 		var oldest *conn
-		var oldestEntry *entry
+		var oldestStatus *connStatus
 		for nc, x := range g.open {
 			eligible := x.waiting() && !(x.served && spareServed) && !slices.Contains(unread, nc)
-			if eligible && (oldestEntry == nil || !x.served && oldestEntry.served ||
-				x.served == oldestEntry.served && x.stateSince.Before(oldestEntry.stateSince)) {
-				oldest, oldestEntry = nc, x
+			if eligible && (oldestStatus == nil || !x.served && oldestStatus.served ||
+				x.served == oldestStatus.served && x.stateSince.Before(oldestStatus.stateSince)) {
+				oldest, oldestStatus = nc, x
 			}
 		}
 		if oldest == nil {
@@ -645,7 +646,7 @@
 func (g *Pool) cancelCloseLocked(nc *conn) {
 	if g.closePending[nc] {
 		delete(g.closePending, nc)
-		g.open[nc] = &entry{stateSince: time.Now(), state: http.StateActive}
+		g.open[nc] = &connStatus{stateSince: time.Now(), state: http.StateActive}
 		nc.cancelClose()
 	}
 }
@@ -723,8 +724,8 @@
 	return nc
 }
 
-// MarkServed marks the connection of a request whose op was acked. Such a client is genuine, and its
-// connection is evicted after those of unproved clients.
+// MarkServed marks the connection of a request whose op was acked. Connections on which no op was
+// acked are evicted before it, because they may belong to a flood.
 func (g *Pool) MarkServed(ctx context.Context) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/frontend/clientconn/clientconn_test.go
+++ b/internal/frontend/clientconn/clientconn_test.go
@@ -119,7 +119,9 @@
 	if _, err := caller.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the new connection: %v, want it to wait", err)
 	}
-	partial.Read(make([]byte, 9)) // the partial request is read now, so the connection can be evicted
+	// After this read no data is unread, so the connection can be evicted: unlike CloseIdle, an eviction does not
+	// spare a partly read header.
+	partial.Read(make([]byte, 9))
 	if _, err := partial.Read(make([]byte, 9)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the connection with the partial request was not evicted: %v", err)
 	}
--- a/internal/frontend/clientconn/eviction_race_test.go
+++ b/internal/frontend/clientconn/eviction_race_test.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// A connection is evicted when a request's header has been read and the server has not reported it yet. The
-// request is still served. The expired read deadline that an eviction sets must not reach the server's watch
-// for a disconnection, because that ended the request.
+// A connection is evicted after a request's header was read, but before the server calls Track with
+// StateActive. The request must still be served. The eviction sets an expired read deadline, which must not
+// reach the read by which the server watches for a disconnection: the server would cancel the request.
 func TestARequestWhoseHeaderWasReadBeforeEvictionIsServed(t *testing.T) {
 	g := serveClients(t, func(net.Conn) {})
 	c, err := net.Dial("tcp", g.Addr().String())
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -59,16 +59,16 @@
 
 // lifecycle is the state of this process between its start and its end.
 type lifecycle struct {
-	ready              chan struct{} // closed once this process can serve
-	hasSuccessor       atomic.Bool   // another process is replacing this one
-	stopping           atomic.Bool   // shutting down without a successor
-	closeAfterResponse atomic.Bool   // each response closes its connection
+	ready                    chan struct{} // closed once this process can serve
+	hasSuccessor             atomic.Bool   // another process is replacing this one
+	stoppingWithoutSuccessor atomic.Bool   // shutting down without a successor
+	closeAfterResponse       atomic.Bool   // each response closes its connection
 }
 
 // healthy tells whether load balancers should send clients to this address. They should if there is a
 // successor, which accepts on the same socket.
 func (l *lifecycle) healthy() bool {
-	if l.stopping.Load() {
+	if l.stoppingWithoutSuccessor.Load() {
 		return false
 	}
 	return !l.closeAfterResponse.Load() || l.hasSuccessor.Load()
@@ -106,7 +106,7 @@
 	s.clients = s.newClientPool()
 	s.drain = &clientDrainer{clients: s.clients}
 	s.workers = newWorkerPool(bootstrap)
-	s.transport = s.newTransport()
+	s.transport = s.newOpTransport()
 	s.loop = scheduler.New(s.schedulerOptions())
 	s.transport.loop = s.loop
 	s.peers = newPeerMessages(s.loop, log)
--- a/internal/frontend/hot_restart.go
+++ b/internal/frontend/hot_restart.go
@@ -109,7 +109,7 @@
 func (s *Server) RestoreState(state hotrestart.State, peers *net.UDPConn) {
 	s.peers.inherited = peers
 	s.SetDescriptorLimit(state.DescriptorLimit)
-	if learned, err := inheritedLearned(state); err == nil {
+	if learned, err := inheritedLearnedState(state); err == nil {
 		learned.Shift(clockShift(s.clock, state))
 		s.loop.Send(reducer.StateRestored{LearnedState: learned})
 	} else {
@@ -120,8 +120,8 @@
 	}
 }
 
-// inheritedLearned decodes the learned state of a predecessor.
-func inheritedLearned(state hotrestart.State) (learned reducer.LearnedState, err error) {
+// inheritedLearnedState decodes the learned state of a predecessor.
+func inheritedLearnedState(state hotrestart.State) (learned reducer.LearnedState, err error) {
 	if len(state.Learned) == 0 || string(state.Learned) == "null" {
 		return reducer.LearnedState{}, errNoLearnedState
 	}
--- a/internal/frontend/op_transport.go
+++ b/internal/frontend/op_transport.go
@@ -42,7 +42,7 @@
 	lastOp   atomic.Uint64 // number of the newest op
 }
 
-func (s *Server) newTransport() *opTransport {
+func (s *Server) newOpTransport() *opTransport {
 	return &opTransport{settings: &s.settings, clients: s.clients, clock: s.clock, log: s.log}
 }
 
--- a/internal/frontend/peer_drains.go
+++ b/internal/frontend/peer_drains.go
@@ -95,7 +95,8 @@
 	}
 }
 
-// removeExpired deletes the workers that are no longer excluded from d.excluded, and returns them.
+// removeExpired deletes from d.excluded the workers that are no longer excluded. It returns those of them
+// that are on the endpoint list.
 func (d *peerDrains) removeExpired() (expired []reducer.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -128,7 +129,7 @@
 	return list
 }
 
-// record stores a list and returns it in the core's form. The caller holds mu.
+// record stores a list and returns it as drainstate's type. The caller holds mu.
 func (d *peerDrains) record(list reducer.EndpointsChanged) drainstate.EndpointsChanged {
 	if list.Snapshot {
 		d.endpoints = map[string]reducer.Endpoint{}
--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -24,7 +24,7 @@
 type peerMessages struct {
 	loop          *scheduler.Loop
 	memberChanges *spillqueue.Queue[scheduler.Message] // unbounded, to the loop
-	sender        func(to int, text string)            // used instead of the transport unless it is nil
+	sender        func(to int, text string)            // if set, used instead of the transport
 	inherited     *net.UDPConn                         // a predecessor's socket, nil without one
 	transport     *peerTransport                       // nil if the configuration has no addresses of peers
 	lost          atomic.Uint64                        // messages dropped because the loop's inbox was full
--- a/internal/frontend/serve.go
+++ b/internal/frontend/serve.go
@@ -153,7 +153,7 @@
 // successor.
 func (s *Server) beginStop(deadline time.Time) (successor bool) {
 	successor = s.lifecycle.hasSuccessor.Load()
-	s.lifecycle.stopping.Store(!successor)
+	s.lifecycle.stoppingWithoutSuccessor.Store(!successor)
 	s.lifecycle.closeAfterResponse.Store(successor)
 	s.log.Info().Time("by", deadline).Bool("successor", successor).Msg("stopping")
 	return successor
--- a/internal/frontend/shutdown_test.go
+++ b/internal/frontend/shutdown_test.go
@@ -13,18 +13,18 @@
 	"woaddyke/internal/base/stats"
 )
 
-// stoppableScheduler is a scheduler whose worker answers ops with an ID that begins with "held" only when
-// released.
-type stoppableScheduler struct {
+// schedulerWithHeldOps is a scheduler whose worker answers ops with an ID that begins with "held" only
+// when released.
+type schedulerWithHeldOps struct {
 	addr     string
 	stop     func()
 	ended    chan error
-	atWorker chan bool // an op with such an ID has arrived at the worker
-	release  chan bool // lets the worker answer one such op
+	atWorker chan bool // an op with an ID that begins with "held" has arrived at the worker
+	release  chan bool // lets the worker answer one of these ops
 }
 
-func newStoppableScheduler(t *testing.T) *stoppableScheduler {
-	s := &stoppableScheduler{atWorker: make(chan bool, 9), release: make(chan bool)}
+func newSchedulerWithHeldOps(t *testing.T) *schedulerWithHeldOps {
+	s := &schedulerWithHeldOps{atWorker: make(chan bool, 9), release: make(chan bool)}
 	s.addr, s.stop, s.ended = startScheduler(t, func(w http.ResponseWriter, r *http.Request) {
 		if io.Copy(io.Discard, r.Body); strings.HasPrefix(r.Header.Get(idHeader), "held") {
 			s.atWorker <- true
@@ -35,7 +35,7 @@
 	return s
 }
 
-func (s *stoppableScheduler) dial(t *testing.T) (net.Conn, *bufio.Reader) {
+func (s *schedulerWithHeldOps) dial(t *testing.T) (net.Conn, *bufio.Reader) {
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +62,7 @@
 // http.Server.Shutdown alone drops a request that it has just read, and closes connections on which a request
 // has begun.
 func TestRequestsAreAnsweredUntilAShutdownClosesTheListener(t *testing.T) {
-	s := newStoppableScheduler(t)
+	s := newSchedulerWithHeldOps(t)
 	const body = "Content-Length: 2\r\n\r\nhi"
 	idle, idleReader := s.dial(t)
 	fmt.Fprint(idle, opText("idle", body))
@@ -130,7 +130,7 @@
 	for _, cut := range []int{1, 40, len(opText("pieces", "Content-Length: 2\r\n\r\n")), len(opText("pieces", "Content-Length: 2\r\n\r\nh"))} {
 		t.Run(fmt.Sprint(cut), func(t *testing.T) {
 			t.Parallel()
-			s := newStoppableScheduler(t)
+			s := newSchedulerWithHeldOps(t)
 			c, r := s.dial(t)
 			idle, idleReader := s.dial(t)
 			text := opText("pieces", "Content-Length: 2\r\n\r\nhi")
