--- a/internal/scheduler/checks.go
+++ b/internal/scheduler/checks.go
@@ -111,11 +111,12 @@
 }
 
 // checkFirstByte checks an attempt just before its first byte is written, in the goroutine that writes it.
-func (c *checks) checkFirstByte(p *pendingOp, worker string, left time.Duration) {
+// sentTimeLeft is the op's time left as the request states it to the worker.
+func (c *checks) checkFirstByte(p *pendingOp, worker string, sentTimeLeft time.Duration) {
 	now := time.Now()
 	violated := func(why invariant.Reason) {
 		c.Violated(invariant.SendingRule, why, func(e *zerolog.Event) {
-			e.Uint64("op", p.Op.Op).Str("id", p.Op.ID).Str("worker", worker).Dur("told_ms", left).
+			e.Uint64("op", p.Op.Op).Str("id", p.Op.ID).Str("worker", worker).Dur("told_ms", sentTimeLeft).
 				Dur("left_ms", p.Deadline.Sub(now))
 		})
 	}
@@ -125,7 +126,7 @@
 	if now.After(p.Deadline) {
 		violated(invariant.PastTTL)
 	}
-	if left > p.Deadline.Sub(now)+maxTimeLeftExcess {
+	if sentTimeLeft > p.Deadline.Sub(now)+maxTimeLeftExcess {
 		violated(invariant.DeadlineTooLong)
 	}
 	if !c.workers.accepts(worker, now) {
--- a/internal/scheduler/loop.go
+++ b/internal/scheduler/loop.go
@@ -101,8 +101,8 @@
 func (l *Loop) observe(now time.Time, event reducer.Input) {
 	switch in := event.(type) {
 	case reducer.AttemptProgressed:
-		// An acknowledgement is not reported: a worker may return a queued job unstarted, and the retry may
-		// go to another group.
+		// Only a start is reported as a possible run, not an acknowledgement: a worker may return a queued
+		// job unstarted, and the retry may go to another group.
 		if in.Started {
 			l.reportMayHaveRun(in.Op)
 		}
--- a/internal/scheduler/loop_test.go
+++ b/internal/scheduler/loop_test.go
@@ -60,16 +60,16 @@
 	return addr, attempts
 }
 
-// newLoop returns a loop with one worker and the category "look", with one attempt per op.
-func newLoop(t *testing.T, worker string) *Loop {
+// newLoop returns a loop with one worker at workerAddr and the category "look", with one attempt per op.
+func newLoop(t *testing.T, workerAddr string) *Loop {
 	t.Helper()
 	category := map[string]any{"name": "look", "effect": "fragile", "ttlNs": 60e9, "targetLatencyNs": 60e9}
-	return newLoopWithCategory(t, worker, 1, config.CategoryRule{Effect: "fragile"}, category)
+	return newLoopWithCategory(t, workerAddr, 1, config.CategoryRule{Effect: "fragile"}, category)
 }
 
-// newLoopWithCategory returns a loop with one worker and one category.
+// newLoopWithCategory returns a loop with one worker at workerAddr and one category.
 func newLoopWithCategory(
-	t *testing.T, worker string, maxAttempts int, rule config.CategoryRule, category map[string]any,
+	t *testing.T, workerAddr string, maxAttempts int, rule config.CategoryRule, category map[string]any,
 ) *Loop {
 	t.Helper()
 	l := New(Options{
@@ -90,7 +90,7 @@
 		OnStep:         func(time.Time) {},
 	})
 	l.Send(reducer.EndpointsChanged{Snapshot: true, Endpoints: []reducer.Endpoint{
-		{Worker: "w", Addr: worker, Zone: "east", Ready: true},
+		{Worker: "w", Addr: workerAddr, Zone: "east", Ready: true},
 	}})
 	return l
 }
@@ -203,7 +203,7 @@
 }
 
 // Learned returns ErrBusy if the loop does not answer within learnedTimeout, and the loop goes on afterwards.
-// Only the learned state is then lost to a successor.
+// A successor then lacks only the learned state.
 func TestLearnedTimesOutOnABusyLoop(t *testing.T) {
 	l := newLoop(t, "127.0.0.1:9")
 	start := time.Now()
--- a/internal/scheduler/reducer/endpoints.go
+++ b/internal/scheduler/reducer/endpoints.go
@@ -10,9 +10,8 @@
 const (
 	// maxMachineKinds bounds the machine kinds that are distinguished; the dispatcher keeps samples of each.
 	maxMachineKinds = 256
-	// minForgetWorkersAbove is the least number of known workers above which workers that left the list are
-	// forgotten.
-	minForgetWorkersAbove = 1024
+	// Up to minRetainedWorkers known workers, none is forgotten after it leaves the list.
+	minRetainedWorkers = 1024
 )
 
 // worker is a worker from an endpoint list. Its index in Reducer.workers is the dispatcher's index for it.
@@ -102,7 +101,7 @@
 // that returns later is treated as new. A worker that an attempt, a probe or an op refers to keeps its index
 // until a later call.
 func (r *Reducer) forgetWorkers() {
-	if len(r.workersByName) <= max(r.forgetWorkersAbove, minForgetWorkersAbove) {
+	if len(r.workersByName) <= max(r.forgetWorkersAbove, minRetainedWorkers) {
 		return
 	}
 	inUse := r.dispatcher.WorkersInUse()
@@ -114,7 +113,7 @@
 			r.forgetWorker(i)
 		}
 	}
-	r.forgetWorkersAbove = 2*len(r.workersByName) + minForgetWorkersAbove
+	r.forgetWorkersAbove = 2*len(r.workersByName) + minRetainedWorkers
 }
 
 func (r *Reducer) forgetWorker(i int) {
--- a/internal/scheduler/reducer/op_ids.go
+++ b/internal/scheduler/reducer/op_ids.go
@@ -72,8 +72,8 @@
 	x.sweepAt = max(min(2*len(x.byID), maxIDs), len(x.byID)+minSweepSize)
 }
 
-// restore reserves the IDs of a predecessor's ops until the given times. The predecessor's open ops are
-// answered by their TTL.
+// restore reserves the IDs of a predecessor's ops until the given times. An open op's ID is reserved until
+// the op's TTL, because the predecessor answers the op no later than that.
 func (x *idRegistry) restore(until map[string]dispatch.Time) {
 	for key, expiresAt := range until {
 		id := opkey.PeerKey(key)
--- a/internal/scheduler/reducer/settings_changes_test.go
+++ b/internal/scheduler/reducer/settings_changes_test.go
@@ -201,10 +201,10 @@
 
 var settingsChangesPerDay = 16_000
 
-// Guards against a limit on category changes: no further change was applied after a thousand categories,
-// which a large site reaches in half an hour. The test applies the changes of a day, one every 5.4 s, while
-// some ops stay open. All changes must be applied, and the state must not grow. CHANGES=100000 sets another
-// number of changes.
+// The number of category changes must not be limited. With a limit of a thousand categories, which a large
+// site reaches in half an hour, all further changes would be ignored. The test applies the changes of a day,
+// one every 5.4 s, while some ops stay open. All changes must be applied, and the state must not grow.
+// CHANGES=100000 sets another number of changes.
 func TestADayOfSettingsChangesLeavesBoundedState(t *testing.T) {
 	const categories, openOps = 560, 20
 	n := settingsChangesPerDay
--- a/internal/scheduler/reducer/worker_churn_test.go
+++ b/internal/scheduler/reducer/worker_churn_test.go
@@ -121,7 +121,7 @@
 			}
 			next := 0
 			replaceWorkers := func(until func() bool) {
-				for end := next + 6*minForgetWorkersAbove; next < end && !until(); next++ {
+				for end := next + 6*minRetainedWorkers; next < end && !until(); next++ {
 					r.Step(4, EndpointsChanged{Endpoints: []Endpoint{
 						{Worker: fmt.Sprint("w", next-1), Removed: true},
 						{Worker: fmt.Sprint("w", next), Addr: fmt.Sprint("b:", next)},
--- a/internal/workers/discovery/backoff.go
+++ b/internal/workers/discovery/backoff.go
@@ -5,7 +5,7 @@
 // maxDoublings bounds the exponent of a backoff.
 const maxDoublings = 10
 
-// call describes a call that opened a watch or failed to, after its end.
+// call describes a call that has ended, whether or not it opened a watch.
 type call struct {
 	alive    bool          // a complete object or a heartbeat was received
 	rejected bool          // discovery was overloaded
--- a/internal/workers/discovery/discovery_test.go
+++ b/internal/workers/discovery/discovery_test.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// pipeListener is an in-memory listener, for tests with a fake clock.
+// pipeListener is an in-memory listener, for tests with a fake clock. Its Close method does nothing: a test
+// closes the channel closed instead.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
--- a/internal/workers/discovery/outage_test.go
+++ b/internal/workers/discovery/outage_test.go
@@ -364,13 +364,15 @@
 				1250 * time.Millisecond, 2500 * time.Millisecond, 10 * time.Second, time.Minute} {
 				t.Run(fmt.Sprint(pushes, " ", schedulers, " ", grace), func(t *testing.T) {
 					s := TimeoutsFor(pushes, schedulers, grace)
-					extra := time.Duration(0) // part of the grace that is allowed if a response takes its full timeout
+					// By how much a sum may exceed changeDeadline if a response takes its full timeout: a part of
+					// the grace if discovery is polled, none if it pushes.
+					allowedExcess := time.Duration(0)
 					if !pushes {
-						extra = time.Duration(graceFraction * float64(grace))
+						allowedExcess = time.Duration(graceFraction * float64(grace))
 					}
-					for _, response := range []struct{ duration, extra time.Duration }{{min(usualResponseTime, s.Response), 0}, {s.Response, extra}} {
+					for _, response := range []struct{ duration, maxExcess time.Duration }{{min(usualResponseTime, s.Response), 0}, {s.Response, allowedExcess}} {
 						checkSum := func(name string, beforeCall time.Duration) {
-							if sum := beforeCall + response.duration + applyTime; sum > changeDeadline+response.extra {
+							if sum := beforeCall + response.duration + applyTime; sum > changeDeadline+response.maxExcess {
 								t.Errorf("%s: %v, with a response in %v", name, sum, response.duration)
 							}
 						}
--- a/internal/workers/discovery/start_times.go
+++ b/internal/workers/discovery/start_times.go
@@ -22,11 +22,12 @@
 	maxListingDelay = changeDeadline
 
 	// samplesPerEstimate is the number of workers that must appear on a live watch for one estimate of the
-	// clock skew. At least one of them is listed within usualListingDelay, even if some lists are late.
+	// clock skew. At least one of them is listed within usualListingDelay, even if some lists arrive late.
 	samplesPerEstimate = 4
 
-	// usualListingDelay is the maximum apparent age of the youngest of samplesPerEstimate workers. If that
-	// worker appears older, the wall clock is ahead. A smaller skew can't be distinguished from a late list.
+	// usualListingDelay is the longest usual time from a worker's start until its entry arrives on a live
+	// watch. If even the youngest of samplesPerEstimate workers appears older, the wall clock is ahead. A
+	// smaller skew can't be distinguished from a list that arrives late.
 	usualListingDelay = 2 * time.Second
 
 	// maxHeartbeatAge is the maximum age of the last heartbeat of a live watch.
@@ -68,8 +69,9 @@
 	youngestAge time.Duration // lowest age among them
 }
 
-// NewStartTimes returns start times that begin with the predecessor's start times, which must already be
-// converted to this clock. The map is nil if there is no predecessor.
+// NewStartTimes returns start times that begin with those of the predecessor, the process that this one
+// replaces at a hot restart. They must already be converted to this clock. The map is nil if there is no
+// predecessor.
 func NewStartTimes(c clock.Clock, predecessor map[string]WorkerStart) *StartTimes {
 	s := &StartTimes{
 		clock:         c,
@@ -84,7 +86,8 @@
 	return s
 }
 
-// Snapshot returns the start times for a successor.
+// Snapshot returns a copy of the start times for the successor, the process that replaces this one at a hot
+// restart.
 func (s *StartTimes) Snapshot() map[string]WorkerStart {
 	s.mu.Lock()
 	defer s.mu.Unlock()
