--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -94,7 +94,8 @@
 		}
 		defer os.RemoveAll(runFolder)
 	}
-	// Op IDs of this run would be answered from files that the voters of another run left in the folder.
+	// The folder must be empty. Otherwise the schedulers would load the replicas' files of an earlier run and
+	// answer ops of this run that have the same IDs from the stored outcomes.
 	if entries, err := os.ReadDir(runFolder); err == nil && len(entries) > 0 {
 		return false, fmt.Errorf("--out: %s is not empty", runFolder)
 	}
--- a/internal/config/bootstrap.go
+++ b/internal/config/bootstrap.go
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// AllowPeerMessages turns on peer reports for a transport other than Peers. It returns an error if Peers is
-// configured or the settings do not allow peer reports.
+// AllowPeerMessages turns on peer reports over a transport other than Peers, such as the mesh. It returns an
+// error if Peers is configured or the settings do not allow peer reports.
 func (s *Bootstrap) AllowPeerMessages() error {
 	if s.Peers != nil {
 		return ErrPeersConfigured
--- a/internal/config/bootstrap_test.go
+++ b/internal/config/bootstrap_test.go
@@ -172,9 +172,9 @@
 	}
 }
 
-// Peer reports over another transport are turned on only if the settings allow them and the file has no
-// addresses of peers.
-func TestPeerMessagesNeedTheSettingAndNoAddresses(t *testing.T) {
+// Peer reports over the mesh are turned on only if the settings allow peer reports and the bootstrap
+// configuration has no addresses of peers.
+func TestPeerReportsOverTheMeshNeedTheSettingAndNoAddresses(t *testing.T) {
 	peers := `"peers":{"listen":"127.0.0.1:0","others":{"0":"127.0.0.1:7"}},`
 	for name, c := range map[string]struct {
 		settings, options string
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -30,7 +30,7 @@
 	KeyAffinity     = "keys"  // boolean, derived: affinity keys are read
 	KeyMachineKinds = "kinds" // boolean, derived: learn speeds by kind of machine
 
-	keyExtraReportField = "extra.report" // text; the key goes on with X0 or X1: the meaning of that field
+	keyExtraReportField = "extra.report" // text: meaning of the extra field x0 or x1; the key ends in X0 or X1
 )
 
 // Keys of one category, after KeyCategories and the index of the category.
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -236,17 +236,17 @@
 	On       bool   `toml:"on"`
 	Replicas int    `toml:"keepers"`
 	Operator string `toml:"operator"` // further lines of the [copies] table of the operator's file
-	// The replica set can change by consensus, and its records are stored on disk.
+	// The replica set can change by consensus, and the replicas store their records on disk.
 	ConsensusMembership bool `toml:"agreed"`
 }
 
-// Fault describes a fault that the lab injects. The meaning of size depends on the kind: see faultKinds.
+// Fault describes a fault that the lab injects. The meaning of Magnitude depends on the kind: see faultKinds.
 type Fault struct {
 	Kind      string  `toml:"kind"`
 	StartS    float64 `toml:"at_s"`
 	DurationS float64 `toml:"for_s"`
 	Fraction  float64 `toml:"part"` // share of the workers or schedulers that the fault hits
-	// Indices of the workers or schedulers that the fault hits, counted from 0. They replace part.
+	// Indices of the workers or schedulers that the fault hits, counted from 0. They replace Fraction.
 	Indices   []int   `toml:"indices"`
 	Zone      string  `toml:"zone"`
 	Magnitude float64 `toml:"size"`
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -152,7 +152,7 @@
 	Work        float64 `json:"work,omitempty"` // ms of core time at speed 1
 	Slots       float64 `json:"slots,omitempty"`
 	TypicalWork float64 `json:"usual,omitempty"` // Work of a typical op of the category
-	Cores       float64 `json:"cores,omitempty"` // cores times speed
+	Cores       float64 `json:"cores,omitempty"` // number of cores times the speed of one core
 	Zone        string  `json:"zone,omitempty"`
 	Cell        int     `json:"cell,omitempty"`
 	Cold        bool    `json:"cold,omitempty"`
--- a/internal/lab/membershipcheck/membershipcheck_test.go
+++ b/internal/lab/membershipcheck/membershipcheck_test.go
@@ -48,8 +48,8 @@
 	return j
 }
 
-// Checks that a view of a running member as gone is reported, and so is a view that misses a member's end.
-// Views that match the actual states must not be reported.
+// The check must report a member that considers a running member gone, and a member that does not notice the
+// end of another. Views that match the actual states must not be reported.
 func TestFalseAndMissedReportsOfEndsAreFound(t *testing.T) {
 	newScenario().judge(t, "calm", 0, 0, false)
 
--- a/internal/lab/meter/meter.go
+++ b/internal/lab/meter/meter.go
@@ -59,7 +59,7 @@
 	return s
 }
 
-// Since returns the difference from an earlier sheet.
+// Since returns the difference from an earlier snapshot.
 func (s Snapshot) Since(before Snapshot) Snapshot {
 	d := make(Snapshot, len(s))
 	for n := range s {
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -78,7 +78,7 @@
 	options         Options
 	mesh            *faultproxy.Net // nil if the schedulers aren't members of a cluster
 	meter           *meter.Meter
-	loadEdges       [2]report.UsageSnapshot // resource usage before the first arrival and after the last
+	usageSnapshots  [2]report.UsageSnapshot // resource usage before the first arrival and after the last
 	hollow          *hollow.Process         // the process of the hollow members, nil for none
 	firstHollow     int                     // mesh index of the first hollow member
 	distinctViews   int                     // number of different membership views after the run
@@ -175,7 +175,7 @@
 			result.Void = fmt.Sprintf("the links between schedulers lost %d datagrams for want of room", n)
 		}
 	}
-	result.AddUsage(r.loadEdges[0], r.loadEdges[1], events, e.Schedulers.Count, e.Members.Hollow)
+	result.AddUsage(r.usageSnapshots[0], r.usageSnapshots[1], events, e.Schedulers.Count, e.Members.Hollow)
 	if r.hollow != nil {
 		result.AddViewCounts(r.initialViews, r.distinctViews, r.maxHollowLateMS, e.Members.PauseMS)
 	}
@@ -335,7 +335,7 @@
 		defer helpers.Done()
 		r.sampleUsage(injecting, start, options.Progress)
 	}()
-	r.loadEdges[0] = r.usageEdge()
+	r.usageSnapshots[0] = r.takeUsageSnapshot()
 	r.clients.Run(ctx, start)
 	if remaining := time.Until(start.Add(time.Duration(r.experiment.Seconds * float64(time.Second)))); remaining > 0 {
 		select {
@@ -343,7 +343,7 @@
 		case <-ctx.Done():
 		}
 	}
-	r.loadEdges[1] = r.usageEdge()
+	r.usageSnapshots[1] = r.takeUsageSnapshot()
 	settle := time.After(time.Duration(r.experiment.Settle * float64(time.Second)))
 	r.clients.Wait()
 	select {
@@ -367,8 +367,8 @@
 	return err
 }
 
-// usageEdge returns the total resource usage up to now.
-func (r *run) usageEdge() report.UsageSnapshot {
+// takeUsageSnapshot returns the resources that the schedulers used and the traffic that they sent so far.
+func (r *run) takeUsageSnapshot() report.UsageSnapshot {
 	e := report.UsageSnapshot{At: r.ledger.Now(), Sent: r.meter.Now()}
 	for _, s := range r.schedulers {
 		if u, ok := s.Usage(); ok {
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -190,7 +190,7 @@
 	from, to := faultsFrom*e.Seconds, min(faultsTo*e.Seconds, e.Seconds-minQuiet.Seconds())
 	kinds := slices.Concat(faultTemplates, memberFaults)
 	if r.IntN(seedsPerCrowd) == 0 {
-		for range 3 { // three times, so that such a run draws several of these faults
+		for range 3 { // three times, so that a run with crowd faults draws several of them
 			kinds = append(kinds, crowdFaults...)
 		}
 	}
@@ -213,7 +213,8 @@
 	}
 }
 
-// chooseTarget sets the target of a fault. It returns false if the target has another fault of its process.
+// chooseTarget sets the target of a fault. It returns false if the fault affects a scheduler's process and
+// starts during another such fault of that scheduler or less than 3 s after the end of that fault.
 func chooseTarget(e *experiment.Experiment, r *rand.Rand, t faultTemplate, f *experiment.Fault, burstScheduler int, busyUntil []float64) bool {
 	if !experiment.TargetsSchedulers(t.kind) {
 		f.Fraction = t.workerShare
--- a/internal/lab/soak/shims.go
+++ b/internal/lab/soak/shims.go
@@ -58,9 +58,9 @@
 		clocks: map[int]*steppedclock.Clock{}, faults: map[int]*activeFaults{}}
 }
 
-// Make starts a scheduler. It is a schedulers.Launcher.
-func (s *Shims) Make(n int, sheet, log string) (schedulers.Process, error) {
-	logFile, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+// Make starts the n-th scheduler, counted from 0. It is a schedulers.Launcher.
+func (s *Shims) Make(n int, configPath, logPath string) (schedulers.Process, error) {
+	logFile, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cmd := schedulers.Command(s.program, sheet, logFile, "--log", s.level)
+	cmd := schedulers.Command(s.program, configPath, logFile, "--log", s.level)
 	cmd.Env = append(os.Environ(), clock.Environment(), "TMPDIR="+s.folder)
 	var calls []int
 	for _, errnos := range []map[int][]syscall.Errno{socketErrnos, fileErrnos} {
--- a/internal/lab/workermodel/worker.go
+++ b/internal/lab/workermodel/worker.go
@@ -28,8 +28,9 @@
 	CancelDrops  bool // a canceled push is dropped if it is still waiting
 }
 
-// Job is the work that a push requests. With Dedup, the job is dropped if a worker of the Scope started the
-// same effect within Window. The Scope is "zone", "all", or otherwise the cell.
+// Job is the work that a push requests. With Dedup, the job is dropped if a worker in its Scope has started a
+// job with the same Effect in the last Window. Scope "zone" means the workers of the same zone, "all" means
+// all workers, and any other value means the workers of the same cell.
 type Job struct {
 	Op, Effect   string
 	Work         float64 // running time on the reference core, in ms
--- a/internal/lifecycle/clientdrain/clientdrain_test.go
+++ b/internal/lifecycle/clientdrain/clientdrain_test.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// Ops are rejected from 1.9 s after the start of a drain. Otherwise, four seconds after the start, a
-// connection might have had an op in the last two seconds.
-func TestOpsAreAdmittedUntilTwoSecondsAfterTheStart(t *testing.T) {
+// Ops are admitted for the first 1.9 s of a drain and rejected after that. If ops were admitted for longer,
+// a connection might, four seconds after the start, have had an op in the last two seconds.
+func TestOpsAreRejectedNearlyTwoSecondsAfterTheStart(t *testing.T) {
 	var d State
 	if d.Draining() || !d.Admits(startTime) {
 		t.Error("clients are drained before the start")
--- a/internal/lifecycle/hotrestart/hotrestart.go
+++ b/internal/lifecycle/hotrestart/hotrestart.go
@@ -25,7 +25,8 @@
 
 	// ClientsDrained says whether an operator has started a client drain.
 	ClientsDrained bool `json:"drained"`
-	// Successions is the number of consecutive hot restarts before this one, for replication.
+	// Successions is the number of consecutive hot restarts up to this one, plus two for each successor that
+	// ended early. Replication makes it part of the incarnation of the successor.
 	Successions uint64 `json:"heirs"`
 	// Membership is the state of the mesh, empty if there is no mesh. The two sockets of the mesh are the
 	// last of the sockets that are handed over.
--- a/internal/lifecycle/hotrestart/transfer/message.go
+++ b/internal/lifecycle/hotrestart/transfer/message.go
@@ -135,7 +135,7 @@
 	return err
 }
 
-// openFiles adds the descriptors of a control message to the handover's files.
+// openFiles adds the descriptors in SCM_RIGHTS control messages to the handover's files.
 func (h *Handover) openFiles(rights []byte) error {
 	messages, err := unix.ParseSocketControlMessage(rights)
 	if err != nil {
--- a/internal/lifecycle/hotrestart/transfer/serve.go
+++ b/internal/lifecycle/hotrestart/transfer/serve.go
@@ -15,9 +15,9 @@
 )
 
 // Predecessor is a process that hands its state and sockets over. HandOver answers a successor's request; an
-// error refuses the request. SetSuccessor is called when a successor is accepted and when it has ended. A
-// successor that has ended may have replaced this process at the path. The process must then call Serve again
-// to receive further requests.
+// error refuses the request. SetSuccessor is called when a successor is accepted and when it has ended. The
+// successor may have replaced the predecessor's socket at the path of Serve before it ended. So after
+// SetSuccessor(false), the predecessor must call Serve again to receive further requests.
 type Predecessor interface {
 	HandOver(request []byte) (state []byte, sockets []syscall.Conn, err error)
 	SetSuccessor(present bool)
