--- a/dispatch/retries.go
+++ b/dispatch/retries.go
@@ -3,9 +3,9 @@
 // This file decides whether and where an op may be pushed again, and when a nack may promise that a retry
 // is harmless.
 
-// mayPush reports whether the op may be pushed to a worker now. An op has at most one attempt in
-// flight, and runs no more often than its effect allows. excludedBySlowStart and chooseWorker limit the load
-// on workers that are warming up.
+// mayPush reports whether the op may be pushed to a worker now. An op has at most one attempt in flight, and
+// takes effect no more often than its category allows. A worker that drains or is gone is not ready, and no
+// op is pushed to it. excludedBySlowStart and chooseWorker limit the load on workers that are warming up.
 func (d *Dispatcher) mayPush(o *op, i int) bool {
 	w := &d.fleet.workers[i]
 	if !w.ready || o.lastAttempt.inFlight || o.finished || !d.mayAttempt(o) {
